--- a/cmd/notchhinge/configs.go
+++ b/cmd/notchhinge/configs.go
@@ -14,7 +14,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"notchhinge/deploy"
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/declaration"
 	"notchhinge/internal/settings"
 )
@@ -115,7 +115,7 @@
 }
 
 // current reads the newest configuration, as bytes too; nil is none yet.
-func (t toFleet) current() (*declared.Config, []byte, error) {
+func (t toFleet) current() (*fleetconfig.Config, []byte, error) {
 	resp, err := (&http.Client{Timeout: 5 * time.Second}).Get("http://" + t.Control + "/Configuration.Describe")
 	if err != nil {
 		return nil, nil, err
@@ -128,7 +128,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	c, _, err := declared.Decode(b)
+	c, _, err := fleetconfig.Decode(b)
 	return c, b, err
 }
 
@@ -153,7 +153,7 @@
 	return c.changes(declaration.Diff(now, f.Config))
 }
 
-func revision(c *declared.Config) uint64 {
+func revision(c *fleetconfig.Config) uint64 {
 	if c == nil {
 		return 0
 	}
@@ -161,7 +161,7 @@
 }
 
 // against reads a file and what is in force; a file without a number gets the next.
-func (t toFleet) against(path string) (*declaration.File, *declared.Config, []byte, error) {
+func (t toFleet) against(path string) (*declaration.File, *fleetconfig.Config, []byte, error) {
 	f, err := readFile(path)
 	if err != nil {
 		return nil, nil, nil, err
@@ -216,7 +216,7 @@
 
 // apply sends a configuration until there is a clear answer. It is the very same each time, so that one that was taken and
 // whose answer was lost is not taken twice.
-func (a applying) apply(t toFleet, f *declaration.File, now *declared.Config, before []byte) error {
+func (a applying) apply(t toFleet, f *declaration.File, now *fleetconfig.Config, before []byte) error {
 	on := revision(now)
 	switch {
 	case len(f.Unread) > 0:
--- a/cmd/notchhinge/main.go
+++ b/cmd/notchhinge/main.go
@@ -16,9 +16,9 @@
 
 	"notchhinge/deploy"
 	"notchhinge/internal/batch"
-	"notchhinge/internal/boot"
 	"notchhinge/internal/broker"
 	"notchhinge/internal/config"
+	"notchhinge/internal/config/nodeconfig"
 	"notchhinge/internal/node"
 	"notchhinge/internal/plan"
 	"notchhinge/internal/router"
@@ -203,7 +203,7 @@
 // Run runs a process of the fleet until SIGTERM; SIGHUP has its settings read again.
 func (n nodeCmd) Run(c *cli) error {
 	if n.Check {
-		s, err := boot.Load(os.Getenv(boot.Variable))
+		s, err := nodeconfig.Load(os.Getenv(nodeconfig.Variable))
 		if err != nil {
 			return badConfig{err}
 		}
@@ -213,8 +213,8 @@
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reload, syscall.SIGHUP)
-	err := node.Run(os.Getenv(boot.Variable), c.logger(), node.Signals{Stop: stop, Reload: reload})
-	if faults := (boot.Faults{}); errors.As(err, &faults) {
+	err := node.Run(os.Getenv(nodeconfig.Variable), c.logger(), node.Signals{Stop: stop, Reload: reload})
+	if faults := (nodeconfig.Faults{}); errors.As(err, &faults) {
 		return badConfig{err}
 	}
 	return err
--- a/cmd/notchhinge/state.go
+++ b/cmd/notchhinge/state.go
@@ -9,9 +9,9 @@
 	"os"
 	"path/filepath"
 
-	"notchhinge/internal/control/chain"
-	"notchhinge/internal/control/declared"
-	"notchhinge/internal/control/store"
+	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/control/replog"
+	"notchhinge/internal/control/storage"
 )
 
 type stateCmd struct {
@@ -26,11 +26,11 @@
 }
 
 // read opens a keeper's disk, and closes it again.
-func (d dataDir) read() (*store.Kept, error) {
+func (d dataDir) read() (*storage.Recovered, error) {
 	if _, err := os.Stat(filepath.Join(d.Data, "state")); err != nil {
 		return nil, err // to look must not make one
 	}
-	s, k, err := store.Open(d.Data, store.Identity{})
+	s, k, err := storage.Open(d.Data, storage.Identity{})
 	if err != nil {
 		return nil, err
 	}
@@ -61,9 +61,9 @@
 		Promised    uint64   `json:"promised_round"`
 		Accepted    bool     `json:"accepted_something"`
 	}{
-		Member: fmt.Sprintf("%016x", k.ID), Founder: k.Founder, Votes: k.State.Member(k.ID) != nil, Next: k.State.Next,
-		Revision: k.State.Revision, ConfigPlace: k.State.ConfigPlace, ConfigBytes: len(k.State.Text), Holder: k.State.HolderName,
-		Fence: k.State.HolderPlace, Windows: len(k.State.Windows), Promised: k.Vote.Promised.Round, Accepted: k.Vote.Value != nil,
+		Member: fmt.Sprintf("%016x", k.ID), Founder: k.IsFounder, Votes: k.State.Member(k.ID) != nil, Next: k.State.NextIndex,
+		Revision: k.State.Revision, ConfigPlace: k.State.ConfigIndex, ConfigBytes: len(k.State.Config), Holder: k.State.LeaseHolderName,
+		Fence: k.State.FencingToken, Windows: len(k.State.UsageWindows), Promised: k.Acceptor.Promised.Term, Accepted: k.Acceptor.Value != nil,
 	}
 	for _, m := range k.State.Members {
 		out.Members = append(out.Members, member{fmt.Sprintf("%016x", m.ID), m.Name, m.Addr})
@@ -81,8 +81,8 @@
 	if err != nil {
 		return err
 	}
-	if k.State.Text != nil {
-		conf, digest, err := declared.Decode(k.State.Text)
+	if k.State.Config != nil {
+		conf, digest, err := fleetconfig.Decode(k.State.Config)
 		if err == nil {
 			err = conf.Check()
 		}
@@ -93,7 +93,7 @@
 			return err
 		}
 	}
-	fmt.Printf("places up to %d, revision %d, %d members: whole\n", k.State.Next, k.State.Revision, len(k.State.Members))
+	fmt.Printf("places up to %d, revision %d, %d members: whole\n", k.State.NextIndex, k.State.Revision, len(k.State.Members))
 	return nil
 }
 
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := f.Write(store.Export(&k.State)); err != nil {
+	if _, err := f.Write(storage.EncodeBackup(&k.State)); err != nil {
 		f.Close()
 		return err
 	}
@@ -135,14 +135,14 @@
 	if err != nil {
 		return err
 	}
-	s, err := store.ReadBackup(b)
+	s, err := storage.DecodeBackup(b)
 	if err != nil {
 		return badConfig{fmt.Errorf("%s: %w", c.File, err)}
 	}
-	if err := store.Import(c.Data, s, chain.Member{ID: rand.Uint64() | 1, Name: c.Name, Addr: c.Addr}); err != nil {
+	if err := storage.RestoreBackup(c.Data, s, replog.Member{ID: rand.Uint64() | 1, Name: c.Name, Addr: c.Addr}); err != nil {
 		return err
 	}
 	fmt.Printf("%s goes on from place %d, revision %d, as the only member: start it, and the other keepers with empty folders\n",
-		c.Name, s.Next, s.Revision)
+		c.Name, s.NextIndex, s.Revision)
 	return nil
 }
--- a/cmd/notchhinge/state_test.go
+++ b/cmd/notchhinge/state_test.go
@@ -17,11 +17,11 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"notchhinge/internal/boot"
+	"notchhinge/internal/config/nodeconfig"
 	"notchhinge/internal/control/api"
-	"notchhinge/internal/control/chain"
-	"notchhinge/internal/control/declared"
-	"notchhinge/internal/control/store"
+	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/control/replog"
+	"notchhinge/internal/control/storage"
 	"notchhinge/internal/declaration"
 	"notchhinge/internal/node"
 )
@@ -30,7 +30,7 @@
 func run(t *testing.T, settings string, args ...string) (int, string) {
 	t.Helper()
 	c := command(goodConfig, args...)
-	c.Env = append(c.Env, boot.Variable+"="+settings)
+	c.Env = append(c.Env, nodeconfig.Variable+"="+settings)
 	out, err := c.CombinedOutput()
 	if exit := (*exec.ExitError)(nil); errors.As(err, &exit) {
 		return exit.ExitCode(), string(out)
@@ -42,13 +42,13 @@
 
 func TestStateCommands(t *testing.T) {
 	dir, empty := t.TempDir(), t.TempDir()
-	s, _, err := store.Open(dir, store.Identity{ID: 7, Founder: true})
+	s, _, err := storage.Open(dir, storage.Identity{ID: 7, IsFounder: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	state := &chain.State{}
-	state.Apply((&chain.Entry{Kind: chain.Members, Members: []chain.Member{{ID: 7, Name: "a", Addr: "10.0.0.1:1"}}}).Encode())
-	if err := errors.Join(s.Whole(state), s.Close()); err != nil {
+	state := &replog.State{}
+	state.Apply((&replog.Entry{Kind: replog.EntryMembers, Members: []replog.Member{{ID: 7, Name: "a", Addr: "10.0.0.1:1"}}}).Encode())
+	if err := errors.Join(s.SaveSnapshot(state), s.Close()); err != nil {
 		t.Fatal(err)
 	}
 	file, next := filepath.Join(empty, "backup"), filepath.Join(empty, "next")
@@ -88,7 +88,7 @@
 			t.Errorf("%s: exit code %d\n%s", args, code, out)
 		}
 	}
-	if code, out := run(t, "", "node"); code == 0 || !strings.Contains(out, boot.Variable) {
+	if code, out := run(t, "", "node"); code == 0 || !strings.Contains(out, nodeconfig.Variable) {
 		t.Errorf("without settings: %d %s", code, out)
 	}
 }
@@ -158,7 +158,7 @@
 	if f.other {
 		f.rev, f.other = f.rev+5, false
 	}
-	c, _, err := declared.Decode(text)
+	c, _, err := fleetconfig.Decode(text)
 	if err == nil {
 		err = c.Check()
 	}
@@ -186,7 +186,7 @@
 	if f.text == nil {
 		return api.Result{Status: 404, Says: "there is no configuration yet"}
 	}
-	c, _, _ := declared.Decode(f.text)
+	c, _, _ := fleetconfig.Decode(f.text)
 	c.Revision = f.rev
 	b, _ := declaration.Encode(c)
 	return api.Result{Status: 200, Rev: f.rev, Body: b}
--- a/internal/boot/boot.go
+++ b/internal/config/nodeconfig/boot.go
@@ -1,6 +1,6 @@
-// Package boot reads what a process of the fleet is told: the settings file that NOTCHHINGE_BOOT names. It owns their
+// Package nodeconfig reads what a process of the fleet is told: the settings file that NOTCHHINGE_BOOT names. It owns their
 // form and their checks, and opens nothing but that file. Fields that are not known are passed over.
-package boot
+package nodeconfig
 
 import (
 	"encoding/json"
--- a/internal/boot/boot_test.go
+++ b/internal/config/nodeconfig/boot_test.go
@@ -1,4 +1,4 @@
-package boot
+package nodeconfig
 
 import (
 	"errors"
--- a/internal/control/api/api.go
+++ b/internal/control/api/api.go
@@ -18,7 +18,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/net/netutil"
 
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
 )
 
 // Bounds of calls.
@@ -213,7 +213,7 @@
 		w.Header().Set("Content-Length", "0")
 		w.WriteHeader(http.StatusTemporaryRedirect)
 		rc.Flush()
-		io.Copy(io.Discard, io.LimitReader(r.Body, declared.MostBytes)) // ReadTimeout bounds it
+		io.Copy(io.Discard, io.LimitReader(r.Body, fleetconfig.MostBytes)) // ReadTimeout bounds it
 	}
 }
 
@@ -223,7 +223,7 @@
 		refuse(w, http.StatusBadRequest, "X-Revision-Match: the number of a version is wanted")
 		return
 	}
-	b, ok := body(w, r, declared.MostBytes)
+	b, ok := body(w, r, fleetconfig.MostBytes)
 	if !ok {
 		return
 	}
--- a/internal/control/api/api_test.go
+++ b/internal/control/api/api_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
 )
 
 // handler notes what it was asked.
@@ -110,7 +110,7 @@
 		{"a lost race", "POST", "/Configuration.Replace", []byte{0xa0}, []string{"X-Revision-Match", "7"}, 412},
 		{"upon nothing", "POST", "/Configuration.Replace", []byte{0xa0}, nil, 400},
 		{"upon no number", "POST", "/Configuration.Replace", []byte{0xa0}, []string{"X-Revision-Match", "-1"}, 400},
-		{"far too large", "POST", "/Configuration.Replace", make([]byte, declared.MostBytes+1), []string{"X-Revision-Match", "5"}, 413},
+		{"far too large", "POST", "/Configuration.Replace", make([]byte, fleetconfig.MostBytes+1), []string{"X-Revision-Match", "5"}, 413},
 		{"read back", "GET", "/Configuration.Describe", nil, nil, 200},
 		{"status", "GET", "/fleet/status", nil, nil, 200},
 		{"engines", "GET", "/fleet/engines", nil, nil, 200},
--- a/internal/control/platform/platform.go
+++ b/internal/control/cloudapi/platform.go
@@ -1,9 +1,9 @@
-// Package platform makes the calls that the fleet owes the platform: HTTP/1.1 with CBOR bodies at the cloud's address. It owns
+// Package cloudapi makes the calls that the fleet owes the platform: HTTP/1.1 with CBOR bodies at the cloud's address. It owns
 // their form and their pace. Whether one may be made at all is its user's to know: each carries the holder and the fence that
 // it is given. An error says nothing of whether the platform has taken the call; the same call may be made again. Once its
 // context is over, what has not left of a call never does: what this machine's kernel still holds for a link that is cut is
 // thrown away with the connection, lest it arrive when another acts.
-package platform
+package cloudapi
 
 import (
 	"bytes"
--- a/internal/control/platform/platform_test.go
+++ b/internal/control/cloudapi/platform_test.go
@@ -1,4 +1,4 @@
-package platform
+package cloudapi
 
 import (
 	"bufio"
--- a/internal/control/texts/texts.go
+++ b/internal/control/configcache/texts.go
@@ -1,13 +1,13 @@
-// Package texts keeps the newest configurations that a process has held, as they came, so that others are sent what differs
+// Package configcache keeps the newest configurations that a process has held, as they came, so that others are sent what differs
 // from the one that they have. Bounds: limits.NodeTexts and limits.NodeTextBytes, of which the newest is kept in any case.
-package texts
+package configcache
 
 import (
 	"sync"
 
-	"notchhinge/internal/control/core"
-	"notchhinge/internal/control/declared"
 	"notchhinge/internal/control/delta"
+	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/control/replica"
 	"notchhinge/internal/limits"
 )
 
@@ -59,7 +59,7 @@
 	defer t.mu.Unlock()
 	n := len(t.all)
 	if n == 0 || t.all[n-1].place <= has {
-		return core.EncodePlace(0, nil)
+		return replica.EncodeIndexed(0, nil)
 	}
 	var base []byte
 	for _, h := range t.all {
@@ -75,15 +75,15 @@
 		b = delta.Encode(base, t.all[n-1].text)
 		t.sent[has] = b
 	}
-	return core.EncodePlace(t.all[n-1].place, b)
+	return replica.EncodeIndexed(t.all[n-1].place, b)
 }
 
 // Read reads an answer, by who had asked with a text.
 func (t *Texts) Read(b, had []byte) (place uint64, text []byte, err error) {
-	place, d, err := core.DecodePlace(b)
+	place, d, err := replica.DecodeIndexed(b)
 	if err != nil || place == 0 {
 		return 0, nil, err
 	}
-	text, err = delta.Decode(had, d, declared.MostBytes)
+	text, err = delta.Decode(had, d, fleetconfig.MostBytes)
 	return place, text, err
 }
--- a/internal/control/texts/texts_test.go
+++ b/internal/control/configcache/texts_test.go
@@ -1,4 +1,4 @@
-package texts
+package configcache
 
 import (
 	"bytes"
--- a/internal/control/news/news.go
+++ b/internal/control/discovery/news.go
@@ -1,19 +1,19 @@
-// Package news owns what a process hears and makes known: which engines there are, by their own calls and by what others
+// Package discovery owns what a process hears and makes known: which engines there are, by their own calls and by what others
 // pass on, which of them have fallen silent, and that there is a configuration. It joins gossip and roster and keeps two
 // promises. An engine's word that it leaves is answered only once others know of it, so that the promise outlives this
 // process. And an engine's calls concern the keepers alone: they hear of each, judge together who has fallen silent, and only
 // that is news to everybody, so that what a router sends does not grow with the engines. It is a reducer: pure, given a
 // steady clock, the time of day in ms and a seed; what its effects say is done by its owner.
-package news
+package discovery
 
 import (
 	"errors"
 	"net/netip"
 	"time"
 
-	"notchhinge/internal/control/form"
+	"notchhinge/internal/control/encoding"
+	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/gossip"
-	"notchhinge/internal/control/roster"
 	"notchhinge/internal/limits"
 )
 
@@ -36,7 +36,7 @@
 type (
 	// Beat is an engine's call; an Answer comes back with Of.
 	Beat struct {
-		Record roster.Record
+		Record endpoints.Record
 		Of     any
 	}
 	// SignOff is an engine's last call; likewise.
@@ -81,10 +81,10 @@
 // Node is one process's part. It is not safe for concurrent use.
 type Node struct {
 	Gossip *gossip.Node
-	Roster *roster.Roster
+	Roster *endpoints.Roster
 	self   gossip.Peer
-	names  map[uint64]string       // of engines' ids, by their hashes
-	sure   map[string]roster.State // what others have of an engine that leaves, as they have said to this one
+	names  map[uint64]string          // of engines' ids, by their hashes
+	sure   map[string]endpoints.State // what others have of an engine that leaves, as they have said to this one
 	zone   func(string) uint32
 	sweep  time.Duration
 	forgot time.Duration // when others were last told, or told this one, that engines forget
@@ -99,21 +99,21 @@
 type wait struct {
 	of     any
 	id     string
-	record roster.Record
+	record endpoints.Record
 }
 
 // New returns a node that knows nobody. silence is how long an engine may say nothing; zone hashes a zone's name as peers
 // tell theirs.
 func New(self gossip.Peer, seed uint64, silence time.Duration, zone func(string) uint32) *Node {
 	n := &Node{
-		Gossip: gossip.New(self, seed), Roster: roster.New(silence), self: self, names: map[uint64]string{},
-		sure: map[string]roster.State{}, zone: zone,
+		Gossip: gossip.New(self, seed), Roster: endpoints.New(silence), self: self, names: map[uint64]string{},
+		sure: map[string]endpoints.State{}, zone: zone,
 	}
 	n.Gossip.Stale = func(i *gossip.Item) bool {
 		if i.Kind != itemEngine {
 			return false
 		}
-		r, err := roster.Decode(i.Body)
+		r, err := endpoints.Decode(i.Body)
 		return err != nil || engineKey+r.ID != i.Key || r.Stale(n.wall)
 	}
 	return n
@@ -133,9 +133,9 @@
 	case SignOff:
 		n.signOff(e)
 	case Config:
-		w := form.Writer{}
-		w.Uint(e.Place)
-		n.publish(gossip.Item{Kind: itemConfig, Key: configKey, Version: e.Place, Body: w.B})
+		w := encoding.Writer{}
+		w.Uvarint(e.Place)
+		n.publish(gossip.Item{Kind: itemConfig, Key: configKey, Version: e.Place, Body: w.Buf})
 	case Forgot:
 		n.out = append(n.out, Forgets{})
 		if last, _ := n.Gossip.Item(forgetsKey); n.forgot == 0 || n.now-n.forgot > limits.NodeForgetsNews {
@@ -193,7 +193,7 @@
 }
 
 // engineItem makes an engine's record news.
-func engineItem(r *roster.Record) gossip.Item {
+func engineItem(r *endpoints.Record) gossip.Item {
 	return gossip.Item{Kind: itemEngine, Key: engineKey + r.ID, Version: r.Calls<<2 | uint64(r.State), Body: r.Encode()}
 }
 
@@ -210,7 +210,7 @@
 func (n *Node) learnt(l gossip.Learnt) {
 	switch i := &l.Item; i.Kind {
 	case itemEngine:
-		r, err := roster.Decode(i.Body)
+		r, err := endpoints.Decode(i.Body)
 		if err != nil {
 			return // it was read before it was taken
 		}
@@ -234,7 +234,7 @@
 // hush takes in others' word that an engine is silent, or is not. Who knows better says so.
 func (n *Node) hush(id string, version uint64) {
 	n.dirty = n.Roster.Hush(n.now, id, version>>1, version&1 > 0) || n.dirty
-	if e := n.Roster.Find(id); e != nil && version&1 > 0 && e.Newest > version>>1 && !e.Silent && e.State != roster.Gone {
+	if e := n.Roster.Find(id); e != nil && version&1 > 0 && e.Newest > version>>1 && !e.Silent && e.State != endpoints.Gone {
 		n.publish(silentItem(id, e.Newest, false))
 	}
 }
@@ -261,7 +261,7 @@
 		n.names[gossip.Hash(r.ID)] = r.ID
 		for i := range news {
 			n.dirty = true
-			if c := &news[i]; c.ID != r.ID || c.State == roster.Ready { // of one that leaves others are told below
+			if c := &news[i]; c.ID != r.ID || c.State == endpoints.Ready { // of one that leaves others are told below
 				n.publish(engineItem(c))
 			}
 		}
@@ -272,9 +272,9 @@
 	switch e := n.Roster.Find(r.ID); {
 	case e == nil:
 		n.out = append(n.out, Answer{Of: b.Of, Err: ErrFull})
-	case r.State == roster.Ready && n.alone(): // what it says is news all the same, but nobody who judges hears that it lives
+	case r.State == endpoints.Ready && n.alone(): // what it says is news all the same, but nobody who judges hears that it lives
 		n.out = append(n.out, Answer{Of: b.Of, Err: ErrAlone})
-	case r.State != roster.Ready && e.State != roster.Ready:
+	case r.State != endpoints.Ready && e.State != endpoints.Ready:
 		n.assure(&e.Record, b.Of)
 	default:
 		n.out = append(n.out, Answer{Of: b.Of, Home: n.home(r)})
@@ -303,7 +303,7 @@
 
 // assure answers once enough others have an engine's record. It has them told each time until they have said so to this
 // process, whoever told them first: he may be dead by now, and they with him.
-func (n *Node) assure(r *roster.Record, of any) {
+func (n *Node) assure(r *endpoints.Record, of any) {
 	if n.sure[r.ID] >= r.State {
 		n.out = append(n.out, Answer{Of: of, Home: n.home(r)})
 		return
@@ -328,7 +328,7 @@
 
 // home is the keeper that an engine ought to call: one of its own zone that answers, or none. Each has its own, so that they
 // share the work; and a keeper hears it all itself, where calls at any router have to be passed on.
-func (n *Node) home(r *roster.Record) (at netip.AddrPort) {
+func (n *Node) home(r *endpoints.Record) (at netip.AddrPort) {
 	zone, best := n.zone(r.Zone), uint64(0)
 	consider := func(p gossip.Peer) {
 		if score := gossip.Mix(p.ID, gossip.Hash(r.ID)); p.Zone == zone && (!at.IsValid() || score > best) {
--- a/internal/control/news/news_test.go
+++ b/internal/control/discovery/news_test.go
@@ -1,4 +1,4 @@
-package news
+package discovery
 
 import (
 	"errors"
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/gossip"
-	"notchhinge/internal/control/roster"
 )
 
 const (
@@ -87,12 +87,12 @@
 	}
 }
 
-func record(k int, calls uint64, s roster.State) roster.Record {
-	return roster.Record{ID: fmt.Sprint("i-", k), Service: "s", Addr: fmt.Sprintf("10.9.0.%d:80", k), Zone: strings.Repeat("z", k%3), Calls: calls, State: s}
+func record(k int, calls uint64, s endpoints.State) endpoints.Record {
+	return endpoints.Record{ID: fmt.Sprint("i-", k), Service: "s", Addr: fmt.Sprintf("10.9.0.%d:80", k), Zone: strings.Repeat("z", k%3), Calls: calls, State: s}
 }
 
 // beat has an engine call a node, and returns the answer if there is one yet.
-func (f *fleet) beat(node, k int, calls uint64, s roster.State) (Answer, bool) {
+func (f *fleet) beat(node, k int, calls uint64, s endpoints.State) (Answer, bool) {
 	of := new(int)
 	f.do(node, Beat{Record: record(k, calls, s), Of: of})
 	a, ok := f.answers[of]
@@ -116,7 +116,7 @@
 	f := newFleet(30)
 	home := map[int]int{}
 	for k := range 4 {
-		a, ok := f.beat(20+k, k, 1, roster.Ready)
+		a, ok := f.beat(20+k, k, 1, endpoints.Ready)
 		if !ok || a.Err != nil || a.Home != addr(k%3) {
 			t.Fatalf("engine %d: %+v, its home is to be keeper %d, of its zone", k, a, k%3)
 		}
@@ -125,14 +125,14 @@
 	for calls := uint64(2); calls < 8; calls++ { // engine 3 says nothing more
 		f.pass(1500 * time.Millisecond)
 		for k := range 3 {
-			f.beat(home[k], k, calls, roster.Ready)
+			f.beat(home[k], k, calls, endpoints.Ready)
 		}
 	}
 	f.pass(time.Second)
 	if f.used(0) != 30 || f.used(3) != 0 {
 		t.Errorf("used by %d and by %d of 30", f.used(0), f.used(3))
 	}
-	f.beat(25, 3, 2, roster.Ready)
+	f.beat(25, 3, 2, endpoints.Ready)
 	f.pass(time.Second)
 	if f.used(3) != 30 {
 		t.Errorf("one that calls again is used by %d of 30", f.used(3))
@@ -143,7 +143,7 @@
 func TestCutKeeperNeitherJudgesNorAnswers(t *testing.T) {
 	f := newFleet(12)
 	for k := range 3 {
-		f.beat(k, k, 1, roster.Ready)
+		f.beat(k, k, 1, endpoints.Ready)
 	}
 	for name, lost := range map[string]func(from, to int) bool{
 		"both ways": func(from, to int) bool { return (from == 0) != (to == 0) && from < keepers && to < keepers },
@@ -157,10 +157,10 @@
 			calls++
 			for k := range 3 {
 				at := k
-				if a, ok := f.beat(k, k, calls, roster.Ready); !ok || errors.Is(a.Err, ErrAlone) { // it calls another
+				if a, ok := f.beat(k, k, calls, endpoints.Ready); !ok || errors.Is(a.Err, ErrAlone) { // it calls another
 					refused++
 					at = 5 + k
-					f.beat(at, k, calls, roster.Ready)
+					f.beat(at, k, calls, endpoints.Ready)
 				}
 			}
 		}
@@ -175,7 +175,7 @@
 		f.lost = func(int, int) bool { return false }
 		f.pass(6 * time.Second)
 		for k := range 3 {
-			f.beat(k, k, calls+1, roster.Ready)
+			f.beat(k, k, calls+1, endpoints.Ready)
 		}
 	}
 }
@@ -185,9 +185,9 @@
 func TestWhoIsGoneIsForgotten(t *testing.T) {
 	f := newFleet(12)
 	for k := range 40 {
-		f.beat(k%12, k, 1, roster.Ready)
+		f.beat(k%12, k, 1, endpoints.Ready)
 	}
-	f.beat(1, 40, 1, roster.Ready)
+	f.beat(1, 40, 1, endpoints.Ready)
 	for k := range 40 {
 		of := new(int)
 		f.do((k+3)%12, SignOff{ID: fmt.Sprint("i-", k), Of: of})
@@ -203,7 +203,7 @@
 	}
 	for range 50 {
 		f.pass(1500 * time.Millisecond)
-		f.beat(1, 40, uint64(f.now.Milliseconds()), roster.Ready)
+		f.beat(1, 40, uint64(f.now.Milliseconds()), endpoints.Ready)
 	}
 	for i, n := range f.nodes {
 		if n.Roster.Len() != 1 || n.Gossip.Items() > 2 {
@@ -232,7 +232,7 @@
 			f := newFleet(keepers + size)
 			engines := 4 * size
 			for k := range engines {
-				f.beat(keepers+k%size, k, 1, roster.Ready)
+				f.beat(keepers+k%size, k, 1, endpoints.Ready)
 			}
 			f.pass(5 * time.Second)
 			clear(f.sent)
@@ -240,7 +240,7 @@
 			for b.Loop() {
 				calls++
 				for k := range engines {
-					f.beat(k%keepers, k, calls, roster.Ready)
+					f.beat(k%keepers, k, calls, endpoints.Ready)
 				}
 				f.pass(1500 * time.Millisecond)
 				seconds += 1.5
--- a/internal/control/news/scale_bench_test.go
+++ b/internal/control/discovery/scale_bench_test.go
@@ -1,4 +1,4 @@
-package news
+package discovery
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/gossip"
-	"notchhinge/internal/control/roster"
 )
 
 // BenchmarkEngines is a process that knows so many engines: what a call of one costs a keeper, with the words to the others;
@@ -18,7 +18,7 @@
 		make1 := func() *fleet {
 			f := newFleet(keepers + 1)
 			for k := range engines {
-				f.beat(k%keepers, k, 1, roster.Ready)
+				f.beat(k%keepers, k, 1, endpoints.Ready)
 			}
 			f.pass(2 * time.Second)
 			nodes = append(nodes, f.nodes...)
@@ -30,7 +30,7 @@
 		b.Run(fmt.Sprintf("beat/%d", engines), func(b *testing.B) {
 			i := 0
 			for b.Loop() {
-				r := record(i%engines, uint64(2+i/engines), roster.Ready)
+				r := record(i%engines, uint64(2+i/engines), endpoints.Ready)
 				f.nodes[0].Reduce(f.now, f.now.Milliseconds(), Beat{Record: r})
 				i++
 			}
--- a/internal/control/roster/roster.go
+++ b/internal/control/endpoints/roster.go
@@ -1,15 +1,15 @@
-// Package roster owns which engines there are, as mergeable state: whatever the order in which reports and news come, and
+// Package endpoints owns which engines there are, as mergeable state: whatever the order in which reports and news come, and
 // however often, all who have heard the same hold the same. It is pure; times are of the holder's steady clock. A record
 // is what an engine says of itself, ordered by its call_count; signs of life stand apart and are not compared in digests,
 // since they change all the time. An engine that has signed off stays off: every start has an id of its own.
-package roster
+package endpoints
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"notchhinge/internal/control/form"
+	"notchhinge/internal/control/encoding"
 )
 
 // State is what an engine says of itself.
@@ -55,31 +55,31 @@
 
 // Encode writes a record.
 func (r *Record) Encode() []byte {
-	w := form.Writer{}
+	w := encoding.Writer{}
 	w.String(r.ID)
 	w.String(r.Service)
 	w.String(r.Addr)
 	w.String(r.Zone)
 	w.String(r.Revision)
-	w.Uint(r.Slots)
+	w.Uvarint(r.Slots)
 	w.Byte(byte(r.State))
-	w.Uint(r.Calls)
-	w.Uint(uint64(max(r.WarmAt, 0)))
-	return w.B
+	w.Uvarint(r.Calls)
+	w.Uvarint(uint64(max(r.WarmAt, 0)))
+	return w.Buf
 }
 
 // Decode reads a record.
 func Decode(b []byte) (Record, error) {
-	x := form.Reader{B: b}
+	x := encoding.Reader{Buf: b}
 	r := Record{
 		ID: x.String(mostText), Service: x.String(mostText), Addr: x.String(mostText), Zone: x.String(mostText),
-		Revision: x.String(mostText), Slots: min(x.Uint(), mostSlots), State: State(x.Byte()), Calls: x.Uint(),
-		WarmAt: int64(x.Uint() &^ (1 << 63)),
+		Revision: x.String(mostText), Slots: min(x.Uvarint(), mostSlots), State: State(x.Byte()), Calls: x.Uvarint(),
+		WarmAt: int64(x.Uvarint() &^ (1 << 63)),
 	}
 	if (r.State > Gone || r.Calls > tombstone) && x.Err == nil {
-		return r, form.ErrLong
+		return r, encoding.ErrTooLong
 	}
-	return r, x.End()
+	return r, x.Finish()
 }
 
 // Engine is a record and when its engine was last heard.
--- a/internal/control/roster/roster_test.go
+++ b/internal/control/endpoints/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package endpoints
 
 import (
 	"fmt"
--- a/internal/control/declared/declared.go
+++ b/internal/control/fleetconfig/declared.go
@@ -1,7 +1,7 @@
-// Package declared owns a configuration as the operator declares it: its bounded decoding, what makes one valid, its
+// Package fleetconfig owns a configuration as the operator declares it: its bounded decoding, what makes one valid, its
 // digest, and the table of routes and keys that it is compiled to. It knows nothing of how one is agreed upon or spread,
 // and does no I/O. A configuration is kept as it came; unknown fields are part of it.
-package declared
+package fleetconfig
 
 import (
 	"crypto/sha256"
--- a/internal/control/declared/declared_test.go
+++ b/internal/control/fleetconfig/declared_test.go
@@ -1,4 +1,4 @@
-package declared
+package fleetconfig
 
 import (
 	"errors"
--- a/internal/control/gossip/format.go
+++ b/internal/control/gossip/format.go
@@ -4,7 +4,7 @@
 	"errors"
 	"net/netip"
 
-	"notchhinge/internal/control/form"
+	"notchhinge/internal/control/encoding"
 )
 
 // Peer is how processes know each other.
@@ -92,82 +92,82 @@
 
 var errForm = errors.New("gossip: not of this format")
 
-func writePeer(w *form.Writer, p *Peer) {
-	w.Word(p.ID)
+func writePeer(w *encoding.Writer, p *Peer) {
+	w.Fixed64(p.ID)
 	a := p.Addr.Addr().As4()
-	w.B = append(w.B, a[:]...)
-	w.Uint(uint64(p.Addr.Port()))
-	w.Uint(uint64(p.Zone))
+	w.Buf = append(w.Buf, a[:]...)
+	w.Uvarint(uint64(p.Addr.Port()))
+	w.Uvarint(uint64(p.Zone))
 	w.Byte(p.Flags)
 }
 
-func readPeer(r *form.Reader) (p Peer) {
-	p.ID = r.Word()
+func readPeer(r *encoding.Reader) (p Peer) {
+	p.ID = r.Fixed64()
 	var a [4]byte
 	for i := range a {
 		a[i] = r.Byte()
 	}
-	p.Addr = netip.AddrPortFrom(netip.AddrFrom4(a), uint16(r.Uint()))
-	p.Zone, p.Flags = uint32(r.Uint()), r.Byte()
+	p.Addr = netip.AddrPortFrom(netip.AddrFrom4(a), uint16(r.Uvarint()))
+	p.Zone, p.Flags = uint32(r.Uvarint()), r.Byte()
 	return p
 }
 
-func writeItem(w *form.Writer, i *Item) {
+func writeItem(w *encoding.Writer, i *Item) {
 	w.Byte(i.Kind)
 	w.String(i.Key)
-	w.Uint(i.Version)
+	w.Uvarint(i.Version)
 	w.Bytes(i.Body)
 }
 
 func (i *Item) size() int { return len(i.Key) + len(i.Body) + 16 }
 
 func (p *packet) encode() []byte {
-	w := form.Writer{B: make([]byte, 0, 256)}
-	w.B = append(w.B, 'n', 'h', formVersion, p.kind)
+	w := encoding.Writer{Buf: make([]byte, 0, 256)}
+	w.Buf = append(w.Buf, 'n', 'h', formVersion, p.kind)
 	writePeer(&w, &p.from)
 	switch p.kind {
 	case kindNews, kindUrgent:
-		w.Uint(p.confirm)
-		w.Uint(uint64(len(p.items)))
+		w.Uvarint(p.confirm)
+		w.Uvarint(uint64(len(p.items)))
 		for i := range p.items {
 			writeItem(&w, &p.items[i])
 		}
 	case kindSigns:
-		w.Uint(uint64(len(p.hears)))
+		w.Uvarint(uint64(len(p.hears)))
 		for _, id := range p.hears {
-			w.Word(id)
+			w.Fixed64(id)
 		}
-		w.Uint(uint64(len(p.signs)))
+		w.Uvarint(uint64(len(p.signs)))
 		for _, s := range p.signs {
-			w.Word(s.Key)
-			w.Uint(s.Count)
-			w.Uint(s.AgeMS)
+			w.Fixed64(s.Key)
+			w.Uvarint(s.Count)
+			w.Uvarint(s.AgeMS)
 		}
 	case kindConfirm:
-		w.Uint(p.confirm)
+		w.Uvarint(p.confirm)
 	case kindRoot:
-		w.Word(p.root)
+		w.Fixed64(p.root)
 	case kindDigest:
 		for _, b := range p.buckets {
-			w.Word(b)
+			w.Fixed64(b)
 		}
 	case kindWant:
-		w.Uint(uint64(len(p.wants)))
+		w.Uvarint(uint64(len(p.wants)))
 		for _, x := range p.wants {
 			w.Byte(byte(x.bucket))
-			w.Uint(uint64(len(x.have)))
+			w.Uvarint(uint64(len(x.have)))
 			for _, h := range x.have {
-				w.Word(h.key)
-				w.Uint(h.version)
+				w.Fixed64(h.key)
+				w.Uvarint(h.version)
 			}
 		}
 	case kindShuffle, kindShuffled:
-		w.Uint(uint64(len(p.peers)))
+		w.Uvarint(uint64(len(p.peers)))
 		for i := range p.peers {
 			writePeer(&w, &p.peers[i])
 		}
 	}
-	return w.B
+	return w.Buf
 }
 
 func decode(b []byte) (*packet, error) {
@@ -175,48 +175,48 @@
 		return nil, errForm
 	}
 	p := &packet{kind: b[3]}
-	r := form.Reader{B: b[4:]}
+	r := encoding.Reader{Buf: b[4:]}
 	p.from = readPeer(&r)
 	switch p.kind {
 	case kindNews, kindUrgent:
-		p.confirm = r.Uint()
-		for range r.Count(mostItems, 4) {
-			i := Item{Kind: r.Byte(), Key: r.String(mostKey), Version: r.Uint()}
+		p.confirm = r.Uvarint()
+		for range r.Length(mostItems, 4) {
+			i := Item{Kind: r.Byte(), Key: r.String(mostKey), Version: r.Uvarint()}
 			i.Body = append([]byte(nil), r.Bytes(mostBody)...)
 			p.items = append(p.items, i)
 		}
 	case kindSigns:
-		for range r.Count(mostPeers, 8) {
-			p.hears = append(p.hears, r.Word())
+		for range r.Length(mostPeers, 8) {
+			p.hears = append(p.hears, r.Fixed64())
 		}
-		for range r.Count(mostSigns, 10) {
-			p.signs = append(p.signs, Sign{r.Word(), r.Uint(), r.Uint()})
+		for range r.Length(mostSigns, 10) {
+			p.signs = append(p.signs, Sign{r.Fixed64(), r.Uvarint(), r.Uvarint()})
 		}
 	case kindConfirm:
-		p.confirm = r.Uint()
+		p.confirm = r.Uvarint()
 	case kindRoot:
-		p.root = r.Word()
+		p.root = r.Fixed64()
 	case kindDigest:
 		for range buckets {
-			p.buckets = append(p.buckets, r.Word())
+			p.buckets = append(p.buckets, r.Fixed64())
 		}
 	case kindWant:
-		for range r.Count(buckets, 2) {
+		for range r.Length(buckets, 2) {
 			x := want{bucket: int(r.Byte())}
 			if x.bucket >= buckets {
 				return nil, errForm
 			}
-			for range r.Count(mostHaves, 9) {
-				x.have = append(x.have, have{r.Word(), r.Uint()})
+			for range r.Length(mostHaves, 9) {
+				x.have = append(x.have, have{r.Fixed64(), r.Uvarint()})
 			}
 			p.wants = append(p.wants, x)
 		}
 	case kindShuffle, kindShuffled:
-		for range r.Count(mostPeers, 15) {
+		for range r.Length(mostPeers, 15) {
 			p.peers = append(p.peers, readPeer(&r))
 		}
 	default:
 		return nil, errForm
 	}
-	return p, r.End()
+	return p, r.Finish()
 }
--- a/internal/control/account/account.go
+++ b/internal/control/metrics/account.go
@@ -1,7 +1,7 @@
-// Package account counts what a process sends and takes on the network, by what it is for, and how much of that goes to
+// Package metrics counts what a process sends and takes on the network, by what it is for, and how much of that goes to
 // another zone, which is paid for. It is safe for concurrent use, counts only, and keeps no names. A call is counted by who
 // makes it and a datagram by who sends it, so that the accounts of all processes add up to what the fleet costs.
-package account
+package metrics
 
 import (
 	"fmt"
--- a/internal/control/account/account_test.go
+++ b/internal/control/metrics/account_test.go
@@ -1,4 +1,4 @@
-package account
+package metrics
 
 import (
 	"io"
--- a/internal/control/core/core.go
+++ b/internal/control/replica/core.go
@@ -1,8 +1,8 @@
-// Package core owns a keeper's part in the state that the fleet agrees on: it votes, proposes, finds out what others have
+// Package replica owns a keeper's part in the state that the fleet agrees on: it votes, proposes, finds out what others have
 // chosen, founds the core at the first start, has members taken in and out, and answers what operators ask of the state. It
 // is a reducer: given a clock, a seed and what its effects have come to, the same events have the same effects. Calls to
 // others, the disk and the log are its owner's; what it says to others leaves only once the disk has what must be on it.
-package core
+package replica
 
 import (
 	"errors"
@@ -14,8 +14,8 @@
 	"time"
 
 	"notchhinge/internal/control/api"
-	"notchhinge/internal/control/ballot"
-	"notchhinge/internal/control/chain"
+	"notchhinge/internal/control/paxos"
+	"notchhinge/internal/control/replog"
 	"notchhinge/internal/deadline"
 	"notchhinge/internal/limits"
 )
@@ -24,43 +24,43 @@
 type Event any
 
 type (
-	// Called: another process calls; a Reply comes back with Of. From is where it called from.
-	Called struct {
+	// CallReceived: another process calls; a Reply comes back with Of. From is where it called from.
+	CallReceived struct {
 		Kind uint8
 		Body []byte
 		From netip.Addr
 		Of   any
 	}
-	// Returned: a Call has come back, or has not in its time.
-	Returned struct {
+	// CallReturned: a Call has come back, or has not in its time.
+	CallReturned struct {
 		ID   uint64
 		Body []byte
 		Err  error
 	}
-	// Wrote: a Write is durable, or the disk has refused it.
-	Wrote struct {
-		ID uint64
-		OK bool
+	// WriteDone: a Write is durable, or the disk has refused it.
+	WriteDone struct {
+		ID      uint64
+		Durable bool
 	}
 	// Tick: something may be due.
 	Tick struct{}
-	// Put, Get, History and Dismiss are the operator's; Answered comes back with Of, until a time.
-	Put struct {
-		On    uint64
-		Text  []byte
+	// ReplaceConfig, Get, History and Dismiss are the operator's; Answered comes back with Of, until a time.
+	ReplaceConfig struct {
+		BaseRevision uint64
+		Config       []byte
+		Of           any
+		Until        time.Duration
+	}
+	ReadConfig struct {
+		Of      any
+		Until   time.Duration
+		Passive bool // not answered while something is open that only a ballot could decide
+	}
+	ReadHistory struct {
 		Of    any
 		Until time.Duration
 	}
-	Get struct {
-		Of    any
-		Until time.Duration
-		Quiet bool // not answered while something is open that only a ballot could decide
-	}
-	History struct {
-		Of    any
-		Until time.Duration
-	}
-	Dismiss struct {
+	RemoveMember struct {
 		Name  string
 		Of    any
 		Until time.Duration
@@ -73,7 +73,7 @@
 	// Propose has what Want returns chosen, until it returns nil, having been given the newest state that is known here.
 	// Proposed comes back with Of, until a time.
 	Propose struct {
-		Want  func(*chain.State) []byte
+		Next  func(*replog.State) []byte
 		Of    any
 		Until time.Duration
 	}
@@ -83,16 +83,16 @@
 type Effect any
 
 type (
-	// Call another process; Returned comes back with ID, within a time.
-	Call struct {
-		ID     uint64
-		To     netip.AddrPort
-		Kind   uint8
-		Body   []byte
-		Within time.Duration
-	}
-	// Reply to one that has Called.
-	Reply struct {
+	// SendCall another process; Returned comes back with ID, within a time.
+	SendCall struct {
+		ID      uint64
+		To      netip.AddrPort
+		Kind    uint8
+		Body    []byte
+		Timeout time.Duration
+	}
+	// SendReply to one that has Called.
+	SendReply struct {
 		Of   any
 		Body []byte
 		Err  error
@@ -101,14 +101,14 @@
 	// state in place of all before it; else with Value what was chosen, which has led to State; else the vote. After a
 	// write that has failed the disk is told all again, for which State and Vote are what stands.
 	Write struct {
-		ID    uint64
-		Whole bool
-		Value []byte
-		State *chain.State
-		Vote  ballot.Vote
-	}
-	// Answered answers the operator.
-	Answered struct {
+		ID       uint64
+		Snapshot bool
+		Value    []byte
+		State    *replog.State
+		Acceptor paxos.AcceptorState
+	}
+	// OperatorAnswer answers the operator.
+	OperatorAnswer struct {
 		Of any
 		api.Result
 	}
@@ -119,45 +119,45 @@
 	}
 	// Left: nothing depends on this keeper any more, or its time is over.
 	Left struct{ Of any }
-	// Changed: the state is another.
-	Changed struct{ State chain.State }
+	// StateChanged: the state is another.
+	StateChanged struct{ State replog.State }
 	// Log a line.
 	Log struct {
-		Level slog.Level
-		Line  string
-		Args  []any
+		Level   slog.Level
+		Message string
+		Args    []any
 	}
 )
 
 // Errors of proposals.
 var (
-	ErrNoCore = errors.New("no core has been founded yet")
-	ErrTime   = errors.New("it could not be settled in time")
-	errDisk   = errors.New("the disk does not take what is written")
-	errBehind = errors.New("it has not caught up")
-	errKind   = errors.New("no call of the state's")
+	ErrNotFounded        = errors.New("no core has been founded yet")
+	ErrQuorumUnavailable = errors.New("it could not be settled in time")
+	errDisk              = errors.New("the disk does not take what is written")
+	errBehind            = errors.New("it has not caught up")
+	errKind              = errors.New("no call of the state's")
 )
 
 // Config is what a keeper is told.
 type Config struct {
-	Self    chain.Member
-	Founder bool // its disk was empty at the system's very first start
-	Least   int  // founders at the least
-	Life    uint64
-	Seed    uint64
-	State   chain.State // as its disk has it
-	Vote    ballot.Vote
-	// Others are the keepers that are known, itself not among them.
-	Others func() []netip.AddrPort
-	// Chosen returns the value of a place that the disk still has.
-	Chosen func(place uint64) ([]byte, bool)
+	Self        replog.Member
+	IsFounder   bool // its disk was empty at the system's very first start
+	MinVoters   int  // founders at the least
+	Incarnation uint64
+	Seed        uint64
+	State       replog.State // as its disk has it
+	Acceptor    paxos.AcceptorState
+	// Peers are the keepers that are known, itself not among them.
+	Peers func() []netip.AddrPort
+	// ChosenValue returns the value of a place that the disk still has.
+	ChosenValue func(place uint64) ([]byte, bool)
 }
 
-// Node is a keeper's part. It is not safe for concurrent use.
-type Node struct {
+// Replica is a keeper's part. It is not safe for concurrent use.
+type Replica struct {
 	Config
-	state   chain.State
-	acc     ballot.Acceptor
+	state   replog.State
+	acc     paxos.Acceptor
 	voting  uint64 // the write of the newest vote; 0 = it is on the disk
 	round   uint64 // the highest seen
 	rnd     *rand.Rand
@@ -179,13 +179,13 @@
 }
 
 // New returns a keeper's part with what its disk has.
-func New(c Config) *Node {
-	n := &Node{
-		Config: c, state: c.State, rnd: rand.New(rand.NewPCG(c.Seed, c.Life)), timers: deadline.New[func()](), round: c.Vote.Promised.Round,
+func New(c Config) *Replica {
+	n := &Replica{
+		Config: c, state: c.State, rnd: rand.New(rand.NewPCG(c.Seed, c.Incarnation)), timers: deadline.New[func()](), round: c.Acceptor.Promised.Term,
 		calls: map[uint64]func([]byte, error){}, writes: map[uint64]func(bool){},
 	}
 	n.log.n = n
-	n.acc = ballot.Acceptor{Vote: c.Vote, Chosen: c.Chosen}
+	n.acc = paxos.Acceptor{State: c.Acceptor, ChosenValue: c.ChosenValue}
 	n.members.silent, n.catching = map[netip.AddrPort]silence{}, map[netip.AddrPort][]func(){}
 	n.follow()
 	n.timers.Add(0, n.startTending)
@@ -193,44 +193,44 @@
 }
 
 // State returns the state as it is known here.
-func (n *Node) State() chain.State { return n.state }
+func (n *Replica) State() replog.State { return n.state }
 
-// Vote returns the vote as it stands.
-func (n *Node) Vote() ballot.Vote { return n.acc.Vote }
+// AcceptorState returns the vote as it stands.
+func (n *Replica) AcceptorState() paxos.AcceptorState { return n.acc.State }
 
-// Next tells when the node wants a Tick.
-func (n *Node) Next() (at time.Duration, ok bool) { return n.timers.Next() }
+// NextTimer tells when the node wants a Tick.
+func (n *Replica) NextTimer() (at time.Duration, ok bool) { return n.timers.Next() }
 
 // Reduce takes an event in. The effects are valid until the next call.
-func (n *Node) Reduce(now time.Duration, e Event) []Effect {
+func (n *Replica) Reduce(now time.Duration, e Event) []Effect {
 	n.now = max(n.now, now)
 	clear(n.out)
 	n.out = n.out[:0]
 	switch e := e.(type) {
-	case Called:
+	case CallReceived:
 		n.called(e)
-	case Returned:
+	case CallReturned:
 		if f := n.calls[e.ID]; f != nil {
 			delete(n.calls, e.ID)
 			f(e.Body, e.Err)
 		}
-	case Wrote:
+	case WriteDone:
 		if f := n.writes[e.ID]; f != nil {
 			delete(n.writes, e.ID)
-			f(e.OK)
+			f(e.Durable)
 		}
-	case Put:
+	case ReplaceConfig:
 		n.put(e)
-	case Get:
+	case ReadConfig:
 		n.get(e)
-	case History:
+	case ReadHistory:
 		n.history(e)
-	case Dismiss:
+	case RemoveMember:
 		n.dismiss(e)
 	case Leave:
 		n.leave(e)
 	case Propose:
-		n.propose(e.Want, e.Until, func(err error) { n.do(Proposed{e.Of, err}) })
+		n.propose(e.Next, e.Until, func(err error) { n.do(Proposed{e.Of, err}) })
 	}
 	for f, ok := n.timers.Due(n.now); ok; f, ok = n.timers.Due(n.now) {
 		f()
@@ -238,13 +238,13 @@
 	return n.out
 }
 
-func (n *Node) do(e Effect) { n.out = append(n.out, e) }
+func (n *Replica) do(e Effect) { n.out = append(n.out, e) }
 
 // after has something done later.
-func (n *Node) after(d time.Duration, f func()) { n.timers.Add(n.now+d, f) }
+func (n *Replica) after(d time.Duration, f func()) { n.timers.Add(n.now+d, f) }
 
 // call calls another process.
-func (n *Node) call(to netip.AddrPort, kind uint8, body []byte, within time.Duration, then func(body []byte, err error)) {
+func (n *Replica) call(to netip.AddrPort, kind uint8, body []byte, within time.Duration, then func(body []byte, err error)) {
 	n.id++
 	sent := n.now
 	n.calls[n.id] = func(body []byte, err error) {
@@ -252,13 +252,13 @@
 			then(body, err)
 		}
 	}
-	n.do(Call{n.id, to, kind, body, within})
+	n.do(SendCall{n.id, to, kind, body, within})
 }
 
 // write has something written, and goes on once it is durable or refused.
-func (n *Node) write(w Write, then func(ok bool)) {
+func (n *Replica) write(w Write, then func(ok bool)) {
 	n.id++
-	w.ID, w.Vote = n.id, n.acc.Vote
+	w.ID, w.Acceptor = n.id, n.acc.State
 	state := n.state
 	if w.State == nil {
 		w.State = &state
@@ -270,22 +270,22 @@
 }
 
 // logger makes lines effects.
-type logger struct{ n *Node }
+type logger struct{ n *Replica }
 
 func (l logger) Info(line string, args ...any) { l.n.do(Log{slog.LevelInfo, line, args}) }
 func (l logger) Warn(line string, args ...any) { l.n.do(Log{slog.LevelWarn, line, args}) }
 
 // called does what another process calls for.
-func (n *Node) called(c Called) {
-	reply := func(body []byte, err error) { n.do(Reply{c.Of, body, err}) }
+func (n *Replica) called(c CallReceived) {
+	reply := func(body []byte, err error) { n.do(SendReply{c.Of, body, err}) }
 	switch c.Kind {
-	case CallAsk:
+	case CallPaxos:
 		a, err := decodeAsk(c.Body)
 		if err != nil {
 			reply(nil, err)
 			return
 		}
-		n.vote(a, func(ans ballot.Answer, err error) {
+		n.vote(a, func(ans paxos.Response, err error) {
 			if err != nil {
 				reply(nil, err)
 				return
@@ -293,18 +293,18 @@
 			reply(encodeAnswer(&ans), nil)
 		})
 	case CallLearn:
-		place, value, err := DecodePlace(c.Body)
+		place, value, err := DecodeIndexed(c.Body)
 		if reply(nil, err); err == nil {
 			n.told(c.From, place, value)
 		}
-	case CallChosen:
+	case CallCommit:
 		place, number, err := decodeChosen(c.Body)
 		if reply(nil, err); err == nil {
 			n.chosen(c.From, place, number)
 		}
-	case CallState:
-		place, reads, err := DecodePlace(c.Body)
-		if err != nil || n.state.Next <= place {
+	case CallSnapshot:
+		place, reads, err := DecodeIndexed(c.Body)
+		if err != nil || n.state.NextIndex <= place {
 			reply(nil, err)
 			return
 		}
@@ -313,10 +313,10 @@
 			newest = reads[0]
 		}
 		reply(n.state.EncodeAs(newest), nil)
-	case CallHears:
+	case CallReachable:
 		n.hears(c.Body, reply)
 	case CallIdentity:
-		i := identity{n.Self, n.state.Next, n.Founder}
+		i := identity{n.Self, n.state.NextIndex, n.IsFounder}
 		reply(i.encode(), nil)
 	case CallJoin:
 		i, err := decodeIdentity(c.Body)
@@ -341,20 +341,20 @@
 }
 
 // follow brings the acceptor up to the state.
-func (n *Node) follow() {
-	n.acc.Next = n.state.Next
-	if n.state.Next == 0 {
-		n.acc.Voter = n.Founder
+func (n *Replica) follow() {
+	n.acc.NextIndex = n.state.NextIndex
+	if n.state.NextIndex == 0 {
+		n.acc.IsVoter = n.IsFounder
 	} else {
-		n.acc.Voter = n.state.Member(n.Self.ID) != nil
+		n.acc.IsVoter = n.state.Member(n.Self.ID) != nil
 	}
 }
 
 // vote answers an Ask, once what it says is on the disk. An error is no answer: the disk did not take it.
-func (n *Node) vote(a ballot.Ask, then func(ballot.Answer, error)) {
-	n.round = max(n.round, a.Number.Round)
+func (n *Replica) vote(a paxos.Request, then func(paxos.Response, error)) {
+	n.round = max(n.round, a.Number.Term)
 	ans, write := n.acc.Handle(a)
-	if !write && (n.voting == 0 || ans.Verdict != ballot.Granted) {
+	if !write && (n.voting == 0 || ans.Verdict != paxos.VerdictGranted) {
 		then(ans, nil)
 		return
 	}
@@ -363,23 +363,23 @@
 	n.voting = id
 	n.writes[id] = func(ok bool) {
 		if !ok {
-			then(ballot.Answer{}, errDisk)
+			then(paxos.Response{}, errDisk)
 			return
 		}
 		if n.voting == id {
 			n.voting = 0
 		}
-		if a.Kind == ballot.Accept {
-			n.accepted(a.Place)
+		if a.Kind == paxos.KindAccept {
+			n.accepted(a.Index)
 		}
 		then(ans, nil)
 	}
 }
 
 // learn takes the value that was chosen for a place, if that is the next.
-func (n *Node) learn(place uint64, value []byte) bool {
-	if place != n.state.Next {
-		return place < n.state.Next
+func (n *Replica) learn(place uint64, value []byte) bool {
+	if place != n.state.NextIndex {
+		return place < n.state.NextIndex
 	}
 	before := n.state.Members
 	n.state.Apply(value)
@@ -389,32 +389,32 @@
 	}
 	// Should this fail, it is chosen all the same, and is written with the next write that does not.
 	n.write(Write{Value: value}, nil)
-	n.do(Changed{n.state})
+	n.do(StateChanged{n.state})
 	return true
 }
 
 // replace takes another's state, if it has come further, once it is on the disk.
-func (n *Node) replace(s *chain.State, then func()) {
-	if s.Next <= n.state.Next {
+func (n *Replica) replace(s *replog.State, then func()) {
+	if s.NextIndex <= n.state.NextIndex {
 		then()
 		return
 	}
-	n.write(Write{Whole: true, State: s}, func(ok bool) {
-		if ok && s.Next > n.state.Next {
+	n.write(Write{Snapshot: true, State: s}, func(ok bool) {
+		if ok && s.NextIndex > n.state.NextIndex {
 			before := n.state.Members
 			n.state = *s
 			n.follow()
 			if !slices.Equal(before, s.Members) {
 				n.votersChanged()
 			}
-			n.do(Changed{n.state})
+			n.do(StateChanged{n.state})
 		}
 		then()
 	})
 }
 
 // catchUp takes the state of another, if it has come further. One is asked once at a time, whoever wants it: a state may be large.
-func (n *Node) catchUp(from netip.AddrPort, then func()) {
+func (n *Replica) catchUp(from netip.AddrPort, then func()) {
 	waiting, asked := n.catching[from]
 	if n.catching[from] = append(waiting, then); asked {
 		return
@@ -426,20 +426,20 @@
 			f()
 		}
 	}
-	n.call(from, CallState, EncodePlace(n.state.Next, []byte{chain.Version}), 2*limits.NodeAsk, func(body []byte, err error) {
+	n.call(from, CallSnapshot, EncodeIndexed(n.state.NextIndex, []byte{replog.StateVersion}), 2*limits.NodeAsk, func(body []byte, err error) {
 		if err != nil || len(body) == 0 {
 			then()
 			return
 		}
-		s, err := chain.DecodeState(body)
+		s, err := replog.DecodeState(body)
 		if err != nil {
 			then()
 			return
 		}
-		before := n.state.Next
+		before := n.state.NextIndex
 		n.replace(s, func() {
-			if n.state.Next > before {
-				n.log.Info("caught up", "from", from.String(), "next_place", n.state.Next, "revision", n.state.Revision)
+			if n.state.NextIndex > before {
+				n.log.Info("caught up", "from", from.String(), "next_place", n.state.NextIndex, "revision", n.state.Revision)
 			}
 			then()
 		})
@@ -447,12 +447,12 @@
 }
 
 // told takes in a value for the next place, or only word that there is more.
-func (n *Node) told(from netip.Addr, place uint64, value []byte) {
+func (n *Replica) told(from netip.Addr, place uint64, value []byte) {
 	n.teller, n.toldAt = from, n.now
 	if len(value) > 0 && n.learn(place, value) {
 		return
 	}
-	for _, to := range n.Others() {
+	for _, to := range n.Peers() {
 		if to.Addr() == from {
 			n.catchUp(to, func() {})
 			return
@@ -461,19 +461,19 @@
 }
 
 // chosen takes in that what was accepted here for a place, under a number, was chosen.
-func (n *Node) chosen(from netip.Addr, place uint64, number ballot.Number) {
-	if place < n.state.Next {
+func (n *Replica) chosen(from netip.Addr, place uint64, number paxos.ProposalNumber) {
+	if place < n.state.NextIndex {
 		return
 	}
 	var value []byte
-	if v := &n.acc.Vote; v.Place == place && v.Accepted == number {
+	if v := &n.acc.State; v.Index == place && v.Accepted == number {
 		value = v.Value
 	}
 	n.told(from, place, value)
 }
 
 // addr is where a member takes calls; false = it says nothing that can be read.
-func addr(m *chain.Member) (netip.AddrPort, bool) {
+func addr(m *replog.Member) (netip.AddrPort, bool) {
 	to, err := netip.ParseAddrPort(m.Addr)
 	return to, err == nil
 }
--- a/internal/control/core/members.go
+++ b/internal/control/replica/members.go
@@ -1,4 +1,4 @@
-package core
+package replica
 
 import (
 	"errors"
@@ -10,8 +10,8 @@
 	"time"
 
 	"notchhinge/internal/control/api"
-	"notchhinge/internal/control/ballot"
-	"notchhinge/internal/control/chain"
+	"notchhinge/internal/control/paxos"
+	"notchhinge/internal/control/replog"
 	"notchhinge/internal/limits"
 )
 
@@ -42,14 +42,14 @@
 
 // candidate is a keeper that wants a vote, and when it last said so.
 type candidate struct {
-	chain.Member
+	replog.Member
 	at time.Duration
 }
 
 var errFull = errors.New("no voter is silent whose place could be had")
 
 // heard notes what a call of another keeper has come to: who does not answer is silent from the call's sending on.
-func (n *Node) heard(from netip.AddrPort, sent time.Duration, err error) {
+func (n *Replica) heard(from netip.AddrPort, sent time.Duration, err error) {
 	if err == nil {
 		delete(n.members.silent, from)
 		return
@@ -71,7 +71,7 @@
 
 // longestSilent finds the voter that has been silent for longest, and at least for so long; -1 = there is none. With alike it
 // is one that others have asked as well, lately.
-func (n *Node) longestSilent(s *chain.State, least time.Duration, alike bool) int {
+func (n *Replica) longestSilent(s *replog.State, least time.Duration, alike bool) int {
 	found, since := -1, n.now-least
 	for i := range s.Members {
 		to, ok := addr(&s.Members[i])
@@ -88,7 +88,7 @@
 
 // doubt asks the voters that answer whether one answers them that is silent here, and notes that it does not answer any of them. Two keepers may
 // be cut off from each other alone: who is heard by another has its vote for good reason.
-func (n *Node) doubt(then func()) {
+func (n *Replica) doubt(then func()) {
 	at := n.longestSilent(&n.state, limits.NodeGone, false)
 	if at < 0 {
 		then()
@@ -114,7 +114,7 @@
 			continue
 		}
 		left++
-		n.call(to, CallHears, []byte(whom.String()), 2*limits.NodeAsk, func(body []byte, err error) {
+		n.call(to, CallReachable, []byte(whom.String()), 2*limits.NodeAsk, func(body []byte, err error) {
 			heard = heard || err == nil && len(body) == 1 && body[0] == 1
 			end()
 		})
@@ -123,7 +123,7 @@
 }
 
 // hears answers whether another keeper answers here.
-func (n *Node) hears(body []byte, reply func([]byte, error)) {
+func (n *Replica) hears(body []byte, reply func([]byte, error)) {
 	to, err := netip.ParseAddrPort(string(body))
 	if err != nil {
 		reply(nil, err)
@@ -140,16 +140,16 @@
 
 // seat returns the voters with one more among them: in the place of the one of its name, whose disk is gone; as a further one
 // where there are fewer than are wanted; or in the place of who has been silent for longest. Nothing = it has its vote.
-func (n *Node) seat(s *chain.State, m chain.Member) ([]chain.Member, error) {
+func (n *Replica) seat(s *replog.State, m replog.Member) ([]replog.Member, error) {
 	if s.Member(m.ID) != nil || m.ID == 0 {
 		return nil, nil
 	}
 	voters := slices.Clone(s.Members)
-	at := slices.IndexFunc(voters, func(x chain.Member) bool { return x.Name == m.Name })
+	at := slices.IndexFunc(voters, func(x replog.Member) bool { return x.Name == m.Name })
 	switch {
 	case at >= 0:
 		n.log.Info("taking a member in", "name", m.Name, "member", member(m.ID), "instead_of_its_former_disk", true)
-	case len(voters) < n.Least:
+	case len(voters) < n.MinVoters:
 		n.log.Info("taking a member in", "name", m.Name, "member", member(m.ID), "members", len(voters)+1)
 		return append(voters, m), nil
 	default:
@@ -166,14 +166,14 @@
 
 // change has other voters agreed, as next names them upon the newest state (nothing = they are that already), and is done once
 // the change is finished.
-func (n *Node) change(next func(*chain.State) ([]chain.Member, error), until time.Duration, done func(error)) {
+func (n *Replica) change(next func(*replog.State) ([]replog.Member, error), until time.Duration, done func(error)) {
 	var fails error
-	n.propose(func(s *chain.State) []byte {
+	n.propose(func(s *replog.State) []byte {
 		voters, err := next(s)
 		if fails = err; err != nil || voters == nil {
 			return nil
 		}
-		return (&chain.Entry{Kind: chain.Members, Nonce: n.rnd.Uint64(), Members: voters}).Encode()
+		return (&replog.Entry{Kind: replog.EntryMembers, Nonce: n.rnd.Uint64(), Members: voters}).Encode()
 	}, until, func(err error) {
 		switch {
 		case err != nil:
@@ -187,66 +187,66 @@
 }
 
 // finishChange has a place chosen after the newest change of members, unless one is.
-func (n *Node) finishChange(until time.Duration, done func(error)) {
+func (n *Replica) finishChange(until time.Duration, done func(error)) {
 	at := n.members.settled
-	n.propose(func(s *chain.State) []byte {
-		if s.Next > at {
+	n.propose(func(s *replog.State) []byte {
+		if s.NextIndex > at {
 			return nil
 		}
-		return (&chain.Entry{Kind: chain.Nothing, Nonce: n.rnd.Uint64()}).Encode()
+		return (&replog.Entry{Kind: replog.EntryNoop, Nonce: n.rnd.Uint64()}).Encode()
 	}, until, done)
 }
 
 // votersChanged notes that the newest place that is known here may be a change of members: whoever had it agreed may be gone,
 // so each voter sees after a while whether it is finished.
-func (n *Node) votersChanged() {
-	at := n.state.Next
+func (n *Replica) votersChanged() {
+	at := n.state.NextIndex
 	if n.members.settled = at; at <= 1 { // the founders, who have all accepted it
 		return
 	}
 	n.after(200*time.Millisecond+time.Duration(n.rnd.Int64N(int64(400*time.Millisecond))), func() {
-		if n.state.Next == at && n.state.Member(n.Self.ID) != nil {
+		if n.state.NextIndex == at && n.state.Member(n.Self.ID) != nil {
 			n.finishChange(n.now+settleWithin, func(error) {})
 		}
 	})
 }
 
 // readVoters finds out at the start whether the newest place was a change of members.
-func (n *Node) readVoters() {
-	if n.state.Next == 0 {
+func (n *Replica) readVoters() {
+	if n.state.NextIndex == 0 {
 		return
 	}
-	if value, ok := n.Chosen(n.state.Next - 1); ok {
-		if e, err := chain.Decode(value); err != nil || e.Kind != chain.Members {
+	if value, ok := n.ChosenValue(n.state.NextIndex - 1); ok {
+		if e, err := replog.Decode(value); err != nil || e.Kind != replog.EntryMembers {
 			return
 		}
 	}
 	n.votersChanged() // with a snapshot alone it may have been one
 }
 
-// Changing tells whether this keeper has accepted other members for the place that is open: they may have been chosen, so that
+// MembershipPending tells whether this keeper has accepted other members for the place that is open: they may have been chosen, so that
 // what the members that it knows of grant may count no more.
-func (n *Node) Changing() bool {
-	v := &n.acc.Vote
-	if v.Place != n.state.Next || v.Accepted == (ballot.Number{}) {
+func (n *Replica) MembershipPending() bool {
+	v := &n.acc.State
+	if v.Index != n.state.NextIndex || v.Accepted == (paxos.ProposalNumber{}) {
 		return false
 	}
-	e, err := chain.Decode(v.Value)
-	return err == nil && e.Kind == chain.Members
+	e, err := replog.Decode(v.Value)
+	return err == nil && e.Kind == replog.EntryMembers
 }
 
 // accepted sees to it that a change of members that was accepted here is decided, should its proposer be gone.
-func (n *Node) accepted(place uint64) {
-	if !n.Changing() {
+func (n *Replica) accepted(place uint64) {
+	if !n.MembershipPending() {
 		return
 	}
 	n.after(300*time.Millisecond+time.Duration(n.rnd.Int64N(int64(400*time.Millisecond))), func() {
-		if n.state.Next != place || !n.Changing() {
+		if n.state.NextIndex != place || !n.MembershipPending() {
 			return
 		}
-		nothing := (&chain.Entry{Kind: chain.Nothing, Nonce: n.rnd.Uint64()}).Encode()
-		n.propose(func(s *chain.State) []byte {
-			if s.Next > place {
+		nothing := (&replog.Entry{Kind: replog.EntryNoop, Nonce: n.rnd.Uint64()}).Encode()
+		n.propose(func(s *replog.State) []byte {
+			if s.NextIndex > place {
 				return nil
 			}
 			return nothing
@@ -256,7 +256,7 @@
 
 // probe asks every voter who it is, so that it is known who is silent, and the others of who is; it goes on once all have answered or
 // have not.
-func (n *Node) probe(then func()) {
+func (n *Replica) probe(then func()) {
 	left := 1
 	heard := func(identity, bool) {
 		if left--; left == 0 {
@@ -275,11 +275,11 @@
 // proposer is the keeper that has changes settled just now, if that is another and who asks to be taken in has called here
 // itself. Where changes are made all the time only that one can have a further one settled, between two of them: another's
 // ballot for a few bytes is in the way of its large ones, and loses against them.
-func (n *Node) proposer(i *identity, from netip.Addr) (to netip.AddrPort, ok bool) {
+func (n *Replica) proposer(i *identity, from netip.Addr) (to netip.AddrPort, ok bool) {
 	if own, ok := addr(&i.Member); !ok || own.Addr() != from || n.now-n.toldAt > limits.NodeAsk || n.teller == from || len(n.queue) > 0 {
 		return to, false
 	}
-	all := n.Others()
+	all := n.Peers()
 	at := slices.IndexFunc(all, func(a netip.AddrPort) bool { return a.Addr() == n.teller })
 	if at < 0 {
 		return to, false
@@ -289,8 +289,8 @@
 
 // admit has a keeper taken in that asks for a vote, if there is a place for it, or notes it as a candidate for the next that
 // becomes free. Who asks has caught up but for a few places, so that a majority does not come to depend on who knows nothing.
-func (n *Node) admit(i identity, done func(error)) {
-	if n.state.Member(n.Self.ID) == nil || i.next+limits.NodeJoinLag < n.state.Next {
+func (n *Replica) admit(i identity, done func(error)) {
+	if n.state.Member(n.Self.ID) == nil || i.next+limits.NodeJoinLag < n.state.NextIndex {
 		done(errBehind)
 		return
 	}
@@ -302,7 +302,7 @@
 		}
 	}
 	take := func(otherwise func()) {
-		n.change(func(s *chain.State) ([]chain.Member, error) { return n.seat(s, i.Member) }, n.now+settleWithin, func(err error) {
+		n.change(func(s *replog.State) ([]replog.Member, error) { return n.seat(s, i.Member) }, n.now+settleWithin, func(err error) {
 			if errors.Is(err, errFull) {
 				otherwise()
 				return
@@ -321,7 +321,7 @@
 }
 
 // watch asks silent voters again and again while somebody could have the place of one.
-func (n *Node) watch() {
+func (n *Replica) watch() {
 	m := &n.members
 	if m.watching {
 		return
@@ -343,7 +343,7 @@
 				return
 			}
 			first := m.candidates[0].Member
-			n.change(func(s *chain.State) ([]chain.Member, error) { return n.seat(s, first) }, n.now+settleWithin, func(error) {
+			n.change(func(s *replog.State) ([]replog.Member, error) { return n.seat(s, first) }, n.now+settleWithin, func(error) {
 				n.after(limits.NodeWatch, look)
 			})
 		})
@@ -353,15 +353,15 @@
 
 // trim takes out who has been silent for long where there are more voters than are wanted, as a core of an earlier program may
 // have: each that is gone for good makes a majority harder to have.
-func (n *Node) trim(then func()) {
-	if len(n.state.Members) <= n.Least || n.state.Member(n.Self.ID) == nil {
+func (n *Replica) trim(then func()) {
+	if len(n.state.Members) <= n.MinVoters || n.state.Member(n.Self.ID) == nil {
 		then()
 		return
 	}
 	n.probe(func() {
-		n.change(func(s *chain.State) ([]chain.Member, error) {
+		n.change(func(s *replog.State) ([]replog.Member, error) {
 			at := n.longestSilent(s, limits.NodeSurplus, true)
-			if at < 0 || len(s.Members) <= n.Least {
+			if at < 0 || len(s.Members) <= n.MinVoters {
 				return nil, nil
 			}
 			n.log.Info("taking a member out", "name", s.Members[at].Name, "left", len(s.Members)-1)
@@ -373,9 +373,9 @@
 // dismiss takes members of a name out that are gone for good. Those that are left must still be as many as the losses that are
 // to be borne want. Who runs is a standby then, or is taken in again where there are fewer. The same order again, to any
 // keeper, is done: the chain keeps the names of those that had a vote.
-func (n *Node) dismiss(e Dismiss) {
+func (n *Replica) dismiss(e RemoveMember) {
 	if n.state.Member(n.Self.ID) == nil {
-		n.do(Answered{e.Of, api.Result{Status: http.StatusServiceUnavailable, Says: "this keeper is no member itself"}})
+		n.do(OperatorAnswer{e.Of, api.Result{Status: http.StatusServiceUnavailable, Says: "this keeper is no member itself"}})
 		return
 	}
 	n.settle(e.Until, false, func(err error) {
@@ -384,15 +384,15 @@
 			return
 		}
 		var res api.Result
-		n.change(func(s *chain.State) ([]chain.Member, error) {
-			left := slices.DeleteFunc(slices.Clone(s.Members), func(m chain.Member) bool { return m.Name == e.Name })
+		n.change(func(s *replog.State) ([]replog.Member, error) {
+			left := slices.DeleteFunc(slices.Clone(s.Members), func(m replog.Member) bool { return m.Name == e.Name })
 			switch {
-			case len(left) == len(s.Members) && slices.Contains(s.Former, e.Name):
+			case len(left) == len(s.Members) && slices.Contains(s.FormerMembers, e.Name):
 				res = api.Result{Status: http.StatusOK, Rev: s.Revision}
 			case len(left) == len(s.Members):
 				res = api.Result{Status: http.StatusNotFound, Says: fmt.Sprintf("no member is named %q", e.Name)}
-			case len(left) < n.Least:
-				res = api.Result{Status: http.StatusConflict, Says: fmt.Sprintf("%d members would be left; %d are wanted", len(left), n.Least)}
+			case len(left) < n.MinVoters:
+				res = api.Result{Status: http.StatusConflict, Says: fmt.Sprintf("%d members would be left; %d are wanted", len(left), n.MinVoters)}
 			default:
 				n.log.Info("taking a member out", "name", e.Name, "left", len(left))
 				return left, nil
@@ -404,7 +404,7 @@
 
 // leave hands over before the process ends: its place to a standby, if there is one, and what it knows to the voters that are
 // left. It is over at the latest when its time is.
-func (n *Node) leave(e Leave) {
+func (n *Replica) leave(e Leave) {
 	over := false
 	end := func() {
 		if !over {
@@ -420,21 +420,21 @@
 		switch {
 		case over:
 			return
-		case n.state.Next == 0 || n.state.Member(n.Self.ID) == nil:
+		case n.state.NextIndex == 0 || n.state.Member(n.Self.ID) == nil:
 			end()
 			return
 		}
-		var standby *chain.Member
+		var standby *replog.Member
 		left, voters, behind := 1, 0, []uint64(nil)
 		asked := map[netip.AddrPort]bool{}
 		heard := func(i identity, ok bool) {
 			if ok {
 				switch {
 				case n.state.Member(i.ID) == nil:
-					if i.next+limits.NodeJoinLag >= n.state.Next && i.next > 0 {
+					if i.next+limits.NodeJoinLag >= n.state.NextIndex && i.next > 0 {
 						standby = &i.Member
 					}
-				case i.next < n.state.Next:
+				case i.next < n.state.NextIndex:
 					behind = append(behind, i.ID)
 				default:
 					voters++
@@ -452,7 +452,7 @@
 					}
 					end()
 				})
-			case len(behind) == 0 && voters >= ballot.Majority(len(n.state.Members)):
+			case len(behind) == 0 && voters >= paxos.Majority(len(n.state.Members)):
 				end()
 			default:
 				for _, id := range behind {
@@ -473,7 +473,7 @@
 				ask(to)
 			}
 		}
-		for _, to := range n.Others() {
+		for _, to := range n.Peers() {
 			ask(to)
 		}
 		heard(identity{}, false)
@@ -482,9 +482,9 @@
 }
 
 // handOver has another keeper vote in this one's place.
-func (n *Node) handOver(to chain.Member, until time.Duration, done func(error)) {
-	n.change(func(s *chain.State) ([]chain.Member, error) {
-		at := slices.IndexFunc(s.Members, func(m chain.Member) bool { return m.ID == n.Self.ID })
+func (n *Replica) handOver(to replog.Member, until time.Duration, done func(error)) {
+	n.change(func(s *replog.State) ([]replog.Member, error) {
+		at := slices.IndexFunc(s.Members, func(m replog.Member) bool { return m.ID == n.Self.ID })
 		if at < 0 || s.Member(to.ID) != nil {
 			return nil, nil
 		}
--- a/internal/control/core/members_test.go
+++ b/internal/control/replica/members_test.go
@@ -1,4 +1,4 @@
-package core
+package replica
 
 import (
 	"errors"
@@ -10,8 +10,8 @@
 	"time"
 
 	"notchhinge/internal/control/api"
-	"notchhinge/internal/control/ballot"
-	"notchhinge/internal/control/chain"
+	"notchhinge/internal/control/paxos"
+	"notchhinge/internal/control/replog"
 	"notchhinge/internal/deadline"
 )
 
@@ -20,7 +20,7 @@
 	t      *testing.T
 	now    time.Duration
 	due    *deadline.Queue[func()]
-	nodes  map[netip.AddrPort]*Node
+	nodes  map[netip.AddrPort]*Replica
 	disks  map[netip.AddrPort]map[uint64][]byte
 	last   byte
 	left   map[string]time.Duration // who has handed over, and when
@@ -29,7 +29,7 @@
 }
 
 func newCell(t *testing.T, keepers, least int) *cell {
-	c := &cell{t: t, now: time.Second, due: deadline.New[func()](), nodes: map[netip.AddrPort]*Node{}, disks: map[netip.AddrPort]map[uint64][]byte{},
+	c := &cell{t: t, now: time.Second, due: deadline.New[func()](), nodes: map[netip.AddrPort]*Replica{}, disks: map[netip.AddrPort]map[uint64][]byte{},
 		left: map[string]time.Duration{}}
 	for range keepers {
 		c.start(least, true)
@@ -42,13 +42,13 @@
 }
 
 // start starts a keeper on an empty disk under a name and address of its own.
-func (c *cell) start(least int, founder bool) *Node {
+func (c *cell) start(least int, founder bool) *Replica {
 	c.last++
 	at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, c.last}), 7000)
 	places := map[uint64][]byte{}
 	n := New(Config{
-		Self: chain.Member{ID: uint64(c.last), Name: fmt.Sprint("k-", c.last), Addr: at.String()}, Founder: founder, Least: least, Life: uint64(c.last), Seed: 7,
-		Others: func() (all []netip.AddrPort) {
+		Self: replog.Member{ID: uint64(c.last), Name: fmt.Sprint("k-", c.last), Addr: at.String()}, IsFounder: founder, MinVoters: least, Incarnation: uint64(c.last), Seed: 7,
+		Peers: func() (all []netip.AddrPort) {
 			for a := range c.disks { // who is gone is remembered
 				if a != at {
 					all = append(all, a)
@@ -57,7 +57,7 @@
 			slices.SortFunc(all, func(x, y netip.AddrPort) int { return x.Compare(y) })
 			return all
 		},
-		Chosen: func(p uint64) ([]byte, bool) { v, ok := places[p]; return v, ok },
+		ChosenValue: func(p uint64) ([]byte, bool) { v, ok := places[p]; return v, ok },
 	})
 	n.now = c.now
 	c.nodes[at], c.disks[at] = n, places
@@ -65,12 +65,12 @@
 	return n
 }
 
-func (c *cell) addr(n *Node) netip.AddrPort { a, _ := addr(&n.Self); return a }
+func (c *cell) addr(n *Replica) netip.AddrPort { a, _ := addr(&n.Self); return a }
 
 // gone ends a keeper for good.
-func (c *cell) gone(n *Node) { delete(c.nodes, c.addr(n)) }
+func (c *cell) gone(n *Replica) { delete(c.nodes, c.addr(n)) }
 
-func (c *cell) tick(n *Node) {
+func (c *cell) tick(n *Replica) {
 	if c.nodes[c.addr(n)] == n {
 		c.turn(n, Tick{})
 		c.due.Add(c.now+10*time.Millisecond, func() { c.tick(n) })
@@ -88,11 +88,11 @@
 }
 
 type caller struct {
-	n  *Node
+	n  *Replica
 	id uint64
 }
 
-func (c *cell) turn(n *Node, e Event) {
+func (c *cell) turn(n *Replica, e Event) {
 	self := c.addr(n)
 	if c.nodes[self] != n {
 		return
@@ -102,45 +102,47 @@
 		switch f := effects[0].(type) {
 		case Write:
 			if f.Value != nil {
-				c.disks[self][f.State.Next-1] = f.Value
+				c.disks[self][f.State.NextIndex-1] = f.Value
 			}
-			effects = append(effects, n.Reduce(c.now, Wrote{f.ID, true})...)
-		case Call:
+			effects = append(effects, n.Reduce(c.now, WriteDone{f.ID, true})...)
+		case SendCall:
 			to := c.nodes[f.To]
 			if to == nil || self == c.apart || f.To == c.apart || slices.Contains(c.parted[:], self) && slices.Contains(c.parted[:], f.To) {
-				c.due.Add(c.now+f.Within, func() { c.turn(n, Returned{ID: f.ID, Err: errors.New("no answer")}) })
+				c.due.Add(c.now+f.Timeout, func() { c.turn(n, CallReturned{ID: f.ID, Err: errors.New("no answer")}) })
 				continue
 			}
-			c.due.Add(c.now+time.Millisecond, func() { c.turn(to, Called{Kind: f.Kind, Body: f.Body, From: self.Addr(), Of: caller{n, f.ID}}) })
-		case Reply:
+			c.due.Add(c.now+time.Millisecond, func() { c.turn(to, CallReceived{Kind: f.Kind, Body: f.Body, From: self.Addr(), Of: caller{n, f.ID}}) })
+		case SendReply:
 			who := f.Of.(caller)
-			c.due.Add(c.now+time.Millisecond, func() { c.turn(who.n, Returned{ID: who.id, Body: f.Body, Err: f.Err}) })
+			c.due.Add(c.now+time.Millisecond, func() { c.turn(who.n, CallReturned{ID: who.id, Body: f.Body, Err: f.Err}) })
 		case Left:
 			c.left[n.Self.Name] = c.now
-		case Answered:
+		case OperatorAnswer:
 			f.Of.(func(api.Result))(f.Result)
 		}
 	}
 }
 
 // order sends an order to a keeper and returns its answer.
-func (c *cell) order(n *Node, event func(of any, until time.Duration) Event) (got api.Result) {
+func (c *cell) order(n *Replica, event func(of any, until time.Duration) Event) (got api.Result) {
 	c.turn(n, event(func(r api.Result) { got = r }, c.now+900*time.Millisecond))
 	c.run(time.Second)
 	return got
 }
 
-func (c *cell) put(n *Node, on, revision uint64) api.Result {
+func (c *cell) put(n *Replica, on, revision uint64) api.Result {
 	text := append([]byte("\xa3\x68revision\x18"), byte(revision))
 	text = append(text, "\x66routes\x80\x68services\x80"...)
-	return c.order(n, func(of any, until time.Duration) Event { return Put{On: on, Text: text, Of: of, Until: until} })
+	return c.order(n, func(of any, until time.Duration) Event {
+		return ReplaceConfig{BaseRevision: on, Config: text, Of: of, Until: until}
+	})
 }
 
 // voters are the members that the keeper which has come furthest knows of.
 func (c *cell) voters() (names []string) {
-	var best *Node
+	var best *Replica
 	for _, n := range c.nodes {
-		if best == nil || n.state.Next > best.state.Next {
+		if best == nil || n.state.NextIndex > best.state.NextIndex {
 			best = n
 		}
 	}
@@ -151,11 +153,11 @@
 }
 
 // all are the keepers that run, in the order of their names.
-func (c *cell) all() (nodes []*Node) {
+func (c *cell) all() (nodes []*Replica) {
 	for _, n := range c.nodes {
 		nodes = append(nodes, n)
 	}
-	slices.SortFunc(nodes, func(x, y *Node) int { return int(x.Self.ID) - int(y.Self.ID) })
+	slices.SortFunc(nodes, func(x, y *Replica) int { return int(x.Self.ID) - int(y.Self.ID) })
 	return nodes
 }
 
@@ -165,10 +167,10 @@
 	voters, next := c.voters(), uint64(0)
 	for i, n := range c.all() {
 		if i == 0 {
-			next = n.state.Next
+			next = n.state.NextIndex
 		}
-		if n.state.Next != next {
-			c.t.Errorf("%s has come to %d, another to %d", n.Self.Name, n.state.Next, next)
+		if n.state.NextIndex != next {
+			c.t.Errorf("%s has come to %d, another to %d", n.Self.Name, n.state.NextIndex, next)
 		}
 		voters = slices.DeleteFunc(voters, func(x string) bool { return x == n.Self.Name })
 	}
@@ -290,24 +292,24 @@
 		c.gone(lost)
 		c.run(time.Second)
 		proposer.members.silent[c.addr(lost)] = silence{c.now - 5*time.Second, c.now}
-		body := (&identity{Member: n.Self, next: n.state.Next}).encode()
-		c.turn(proposer, Called{Kind: CallJoin, Body: body, Of: caller{n, 0}})
+		body := (&identity{Member: n.Self, next: n.state.NextIndex}).encode()
+		c.turn(proposer, CallReceived{Kind: CallJoin, Body: body, Of: caller{n, 0}})
 		c.run(after)
 		c.gone(proposer)
 		c.gone(n)
 		for _, x := range c.all() {
 			x.members.candidates = nil
 		}
-		before := slices.ContainsFunc(c.all(), (*Node).Changing)
+		before := slices.ContainsFunc(c.all(), (*Replica).MembershipPending)
 		c.run(1500 * time.Millisecond)
 		if before {
 			open++
 		}
 		for _, x := range c.all() {
-			if x.Changing() {
+			if x.MembershipPending() {
 				t.Errorf("after %v: %s has accepted members that are not decided", after, x.Self.Name)
 			}
-			if x.state.Member(n.Self.ID) != nil && x.state.Next <= x.members.settled {
+			if x.state.Member(n.Self.ID) != nil && x.state.NextIndex <= x.members.settled {
 				t.Errorf("after %v: %s knows of a change that is not finished", after, x.Self.Name)
 			}
 		}
@@ -327,16 +329,18 @@
 	gone := c.all()[3]
 	c.gone(gone)
 	for i := range 3 {
-		r := c.order(c.all()[i], func(of any, until time.Duration) Event { return Dismiss{Name: gone.Self.Name, Of: of, Until: until} })
+		r := c.order(c.all()[i], func(of any, until time.Duration) Event {
+			return RemoveMember{Name: gone.Self.Name, Of: of, Until: until}
+		})
 		if r.Status != http.StatusOK {
 			t.Errorf("order %d: %+v", i, r)
 		}
 	}
-	r := c.order(c.all()[0], func(of any, until time.Duration) Event { return Dismiss{Name: "k-9", Of: of, Until: until} })
+	r := c.order(c.all()[0], func(of any, until time.Duration) Event { return RemoveMember{Name: "k-9", Of: of, Until: until} })
 	if r.Status != http.StatusNotFound {
 		t.Errorf("nobody is named so: %+v", r)
 	}
-	r = c.order(c.all()[0], func(of any, until time.Duration) Event { return Dismiss{Name: "k-2", Of: of, Until: until} })
+	r = c.order(c.all()[0], func(of any, until time.Duration) Event { return RemoveMember{Name: "k-2", Of: of, Until: until} })
 	if r.Status != http.StatusConflict {
 		t.Errorf("two would be left: %+v", r)
 	}
@@ -362,17 +366,17 @@
 // TestAChangeIsKnownToBeOpen: who has accepted other members says so until the place is decided.
 func TestAChangeIsKnownToBeOpen(t *testing.T) {
 	n := keeper(true)
-	value := (&chain.Entry{Kind: chain.Members, Members: []chain.Member{n.Self, {ID: 9, Name: "k-9", Addr: "10.0.0.9:7000"}}}).Encode()
-	if n.Changing() {
+	value := (&replog.Entry{Kind: replog.EntryMembers, Members: []replog.Member{n.Self, {ID: 9, Name: "k-9", Addr: "10.0.0.9:7000"}}}).Encode()
+	if n.MembershipPending() {
 		t.Error("nothing is accepted yet")
 	}
-	ask := ballot.Ask{Kind: ballot.Accept, Place: 1, Number: ballot.Number{Round: 3, Node: 5}, Value: value}
-	replies(n, time.Second, Called{Kind: CallAsk, Body: encodeAsk(&ask)}, true)
-	if !n.Changing() {
+	ask := paxos.Request{Kind: paxos.KindAccept, Index: 1, Number: paxos.ProposalNumber{Term: 3, Proposer: 5}, Value: value}
+	replies(n, time.Second, CallReceived{Kind: CallPaxos, Body: encodeAsk(&ask)}, true)
+	if !n.MembershipPending() {
 		t.Error("other members are accepted")
 	}
-	replies(n, time.Second, Called{Kind: CallLearn, Body: EncodePlace(1, value)}, true)
-	if n.Changing() || len(n.state.Members) != 2 {
+	replies(n, time.Second, CallReceived{Kind: CallLearn, Body: EncodeIndexed(1, value)}, true)
+	if n.MembershipPending() || len(n.state.Members) != 2 {
 		t.Error("it is decided")
 	}
 }
--- a/internal/control/core/operate.go
+++ b/internal/control/replica/operate.go
@@ -1,4 +1,4 @@
-package core
+package replica
 
 import (
 	"encoding/json"
@@ -6,17 +6,17 @@
 	"net/http"
 
 	"notchhinge/internal/control/api"
-	"notchhinge/internal/control/chain"
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/control/replog"
 )
 
 // answer answers the operator: what f makes of it, or that it is not settled.
-func (n *Node) answer(of any, err error, f func() api.Result) {
+func (n *Replica) answer(of any, err error, f func() api.Result) {
 	if err != nil {
-		n.do(Answered{of, api.Result{Status: http.StatusServiceUnavailable, Says: err.Error()}})
+		n.do(OperatorAnswer{of, api.Result{Status: http.StatusServiceUnavailable, Says: err.Error()}})
 		return
 	}
-	n.do(Answered{of, f()})
+	n.do(OperatorAnswer{of, f()})
 }
 
 // put does the operator's Replace. What is said for good is said upon a state that no later one contradicts, though it be
@@ -24,40 +24,40 @@
 // known, or its number is not above that (Apply takes it upon that very version alone). All else asks a majority first: a
 // ballot, or settle where the operator names a version that is not known here, or where this program takes for invalid what
 // an earlier one may have taken.
-func (n *Node) put(e Put) {
-	c, digest, err := declared.Decode(e.Text)
+func (n *Replica) put(e ReplaceConfig) {
+	c, digest, err := fleetconfig.Decode(e.Config)
 	if err != nil { // then no member has taken it: Apply reads it alike
-		n.do(Answered{e.Of, api.Result{Status: http.StatusBadRequest, Says: err.Error()}})
+		n.do(OperatorAnswer{e.Of, api.Result{Status: http.StatusBadRequest, Says: err.Error()}})
 		return
 	}
 	if err := c.Check(); err != nil {
 		n.invalid(e, c.Revision, digest, err)
 		return
 	}
-	entry := chain.Entry{Kind: chain.Config, Nonce: n.rnd.Uint64(), On: e.On, Text: e.Text}
+	entry := replog.Entry{Kind: replog.EntryConfig, Nonce: n.rnd.Uint64(), BaseRevision: e.BaseRevision, Config: e.Config}
 	value := entry.Encode()
 	var res api.Result
 	propose := func() {
-		n.propose(func(s *chain.State) []byte {
-			switch s.Stands(e.On, c.Revision, digest) {
-			case chain.Open:
+		n.propose(func(s *replog.State) []byte {
+			switch s.CheckConfig(e.BaseRevision, c.Revision, digest) {
+			case replog.ConfigAcceptable:
 				return value
-			case chain.Was:
+			case replog.ConfigAlreadyAccepted:
 				res = api.Result{Status: http.StatusOK, Rev: c.Revision}
-			case chain.Late:
+			case replog.ConfigStaleBase:
 				res = api.Result{Status: http.StatusPreconditionFailed, Rev: s.Revision,
-					Says: fmt.Sprintf("X-Revision-Match: version %d is current, not %d", s.Revision, e.On)}
-				if c.Revision < s.Oldest() {
+					Says: fmt.Sprintf("X-Revision-Match: version %d is current, not %d", s.Revision, e.BaseRevision)}
+				if c.Revision < s.OldestRevision() {
 					res.Says += fmt.Sprintf("; whether %d was ever taken is not known any more", c.Revision)
 				}
-			case chain.Low:
+			case replog.ConfigRevisionTooLow:
 				res = api.Result{Status: http.StatusBadRequest,
 					Says: fmt.Sprintf("revision: %d is not above the current one, %d", c.Revision, s.Revision)}
 			}
 			return nil
 		}, e.Until, func(err error) { n.answer(e.Of, err, func() api.Result { return res }) })
 	}
-	if s := &n.state; s.Next == 0 || s.Revision >= e.On || s.Was(c.Revision, digest) {
+	if s := &n.state; s.NextIndex == 0 || s.Revision >= e.BaseRevision || s.WasAccepted(c.Revision, digest) {
 		propose()
 		return
 	}
@@ -71,15 +71,15 @@
 }
 
 // invalid refuses a configuration with a fault, unless it was taken by an earlier program that was more lenient.
-func (n *Node) invalid(e Put, revision uint64, d declared.Digest, fault error) {
+func (n *Replica) invalid(e ReplaceConfig, revision uint64, d fleetconfig.Digest, fault error) {
 	taken := func() api.Result {
-		if n.state.Was(revision, d) {
+		if n.state.WasAccepted(revision, d) {
 			return api.Result{Status: http.StatusOK, Rev: revision}
 		}
 		return api.Result{Status: http.StatusBadRequest, Says: fault.Error()}
 	}
 	if revision <= n.state.Revision {
-		n.do(Answered{e.Of, taken()})
+		n.do(OperatorAnswer{e.Of, taken()})
 		return
 	}
 	n.settle(e.Until, false, func(err error) {
@@ -91,19 +91,19 @@
 }
 
 // get does the operator's Describe.
-func (n *Node) get(e Get) {
-	n.settle(e.Until, e.Quiet, func(err error) {
+func (n *Replica) get(e ReadConfig) {
+	n.settle(e.Until, e.Passive, func(err error) {
 		n.answer(e.Of, err, func() api.Result {
-			if n.state.Text == nil {
+			if n.state.Config == nil {
 				return api.Result{Status: http.StatusNotFound, Says: "there is no configuration yet"}
 			}
-			return api.Result{Status: http.StatusOK, Rev: n.state.Revision, Body: n.state.Text}
+			return api.Result{Status: http.StatusOK, Rev: n.state.Revision, Body: n.state.Config}
 		})
 	})
 }
 
 // history lists the configurations that were taken, the newest last, as JSON. Their texts are not kept.
-func (n *Node) history(e History) {
+func (n *Replica) history(e ReadHistory) {
 	n.settle(e.Until, false, func(err error) {
 		n.answer(e.Of, err, func() api.Result {
 			type taken struct {
--- a/internal/control/core/propose.go
+++ b/internal/control/replica/propose.go
@@ -1,4 +1,4 @@
-package core
+package replica
 
 import (
 	"errors"
@@ -6,15 +6,15 @@
 	"slices"
 	"time"
 
-	"notchhinge/internal/control/ballot"
-	"notchhinge/internal/control/chain"
+	"notchhinge/internal/control/paxos"
+	"notchhinge/internal/control/replog"
 	"notchhinge/internal/deadline"
 	"notchhinge/internal/limits"
 )
 
 // proposal is something that is wanted chosen. One at a time is proposed here.
 type proposal struct {
-	want func(*chain.State) []byte
+	want func(*replog.State) []byte
 	done func(error)
 	key  deadline.Key
 	try  int
@@ -23,14 +23,14 @@
 }
 
 // propose has entries chosen until want says that it is done, and tells how that went.
-func (n *Node) propose(want func(*chain.State) []byte, until time.Duration, done func(error)) {
+func (n *Replica) propose(want func(*replog.State) []byte, until time.Duration, done func(error)) {
 	p := &proposal{want: want, done: done}
 	p.key = n.timers.Add(max(until, n.now+1), func() {
 		if a := p.last; a != nil {
-			n.log.Warn("a place is not settled in time", "place", a.Place, "tries", p.try, "outcome", int(a.out), "number", a.Number.Round,
-				"higher", a.Higher.Round, "accepting", a.Accepting(), "behind", len(a.BehindAt))
+			n.log.Warn("a place is not settled in time", "place", a.Index, "tries", p.try, "outcome", int(a.out), "number", a.Number.Term,
+				"higher", a.HigherNumber.Term, "accepting", a.IsAccepting(), "behind", len(a.LaggingVoters))
 		}
-		n.finish(p, ErrTime)
+		n.finish(p, ErrQuorumUnavailable)
 	})
 	if n.queue = append(n.queue, p); len(n.queue) == 1 {
 		n.step(p)
@@ -38,7 +38,7 @@
 }
 
 // finish ends a proposal, and begins the next.
-func (n *Node) finish(p *proposal, err error) {
+func (n *Replica) finish(p *proposal, err error) {
 	if p.over {
 		return
 	}
@@ -59,12 +59,12 @@
 }
 
 // step makes the next attempt of a proposal, if it needs one.
-func (n *Node) step(p *proposal) {
+func (n *Replica) step(p *proposal) {
 	if p.over {
 		return
 	}
-	if n.state.Next == 0 {
-		n.finish(p, ErrNoCore)
+	if n.state.NextIndex == 0 {
+		n.finish(p, ErrNotFounded)
 		return
 	}
 	state := n.state
@@ -73,9 +73,9 @@
 		n.finish(p, nil)
 		return
 	}
-	r := ballot.Round{Place: state.Next, Own: own, Need: ballot.Majority(len(state.Members))}
+	r := paxos.Proposer{Index: state.NextIndex, OwnValue: own, Quorum: paxos.Majority(len(state.Members))}
 	for _, m := range state.Members {
-		r.Members = append(r.Members, m.ID)
+		r.Voters = append(r.Voters, m.ID)
 	}
 	p.try++
 	p.last = n.attempt(r, state.Members, p.try-1, func(a *attempt) {
@@ -85,25 +85,25 @@
 
 // attempt is one attempt at a place, under one number.
 type attempt struct {
-	ballot.Round
-	members []chain.Member
-	out     ballot.Outcome
+	paxos.Proposer
+	members []replog.Member
+	out     paxos.Outcome
 	then    func(*attempt)
 	try     int
 }
 
 // attempt begins one, does what follows from how it went, and then goes on.
-func (n *Node) attempt(r ballot.Round, members []chain.Member, try int, then func(*attempt)) *attempt {
+func (n *Replica) attempt(r paxos.Proposer, members []replog.Member, try int, then func(*attempt)) *attempt {
 	n.round++
-	a := &attempt{Round: r, members: members, then: then, try: try}
-	a.Number = ballot.Number{Round: n.round, Node: n.Life}
-	n.phase(a, a.Begin())
+	a := &attempt{Proposer: r, members: members, then: then, try: try}
+	a.Number = paxos.ProposalNumber{Term: n.round, Proposer: n.Incarnation}
+	n.phase(a, a.Prepare())
 	return a
 }
 
 // phase sends what is asked to every member, itself last.
-func (n *Node) phase(a *attempt, ask ballot.Ask) {
-	accepting := ask.Kind == ballot.Accept
+func (n *Replica) phase(a *attempt, ask paxos.Request) {
+	accepting := ask.Kind == paxos.KindAccept
 	own := -1
 	text := encodeAsk(&ask)
 	for i := range a.members {
@@ -113,10 +113,10 @@
 		case m.ID == n.Self.ID:
 			own = i
 		case !ok:
-			n.reply(a, m, accepting, ballot.Answer{}, false)
+			n.reply(a, m, accepting, paxos.Response{}, false)
 		default:
-			n.call(to, CallAsk, text, limits.NodeAsk, func(body []byte, err error) {
-				var ans ballot.Answer
+			n.call(to, CallPaxos, text, limits.NodeAsk, func(body []byte, err error) {
+				var ans paxos.Response
 				if err == nil {
 					ans, err = decodeAnswer(body)
 				}
@@ -125,41 +125,41 @@
 		}
 	}
 	if own >= 0 {
-		n.vote(ask, func(ans ballot.Answer, err error) { n.reply(a, &a.members[own], accepting, ans, err == nil) })
+		n.vote(ask, func(ans paxos.Response, err error) { n.reply(a, &a.members[own], accepting, ans, err == nil) })
 	}
 }
 
 // reply takes in what a member has answered, or that it has not.
-func (n *Node) reply(a *attempt, m *chain.Member, accepting bool, ans ballot.Answer, ok bool) {
-	if a.out != ballot.Pending {
+func (n *Replica) reply(a *attempt, m *replog.Member, accepting bool, ans paxos.Response, ok bool) {
+	if a.out != paxos.OutcomePending {
 		return
 	}
-	var next *ballot.Ask
-	out := ballot.Pending
+	var next *paxos.Request
+	out := paxos.OutcomePending
 	if ok {
-		next, out = a.Take(m.ID, accepting, ans)
+		next, out = a.HandleResponse(m.ID, accepting, ans)
 	} else {
-		out = a.Fail(m.ID, accepting)
+		out = a.HandleFailure(m.ID, accepting)
 	}
 	if next != nil {
 		n.phase(a, *next)
 	}
-	if out != ballot.Pending && a.out == ballot.Pending {
+	if out != paxos.OutcomePending && a.out == paxos.OutcomePending {
 		a.out = out
 		n.ended(a, m)
 	}
 }
 
 // ended does what follows from how an attempt went; from is who has answered last.
-func (n *Node) ended(a *attempt, from *chain.Member) {
+func (n *Replica) ended(a *attempt, from *replog.Member) {
 	next := func() { a.then(a) }
 	switch a.out {
-	case ballot.Chosen:
-		n.learn(a.Place, a.Value)
+	case paxos.OutcomeChosen:
+		n.learn(a.Index, a.Value)
 		n.tell(a)
 		next()
-	case ballot.Past:
-		if a.Value != nil && n.learn(a.Place, a.Value) && a.Next <= a.Place+1 {
+	case paxos.OutcomeAlreadyChosen:
+		if a.Value != nil && n.learn(a.Index, a.Value) && a.NextIndex <= a.Index+1 {
 			next()
 			return
 		}
@@ -168,11 +168,11 @@
 			return
 		}
 		n.after(20*time.Millisecond, next)
-	case ballot.Overtaken:
-		n.round = max(n.round, a.Higher.Round)
-		n.after(ballot.Wait(n.rnd.Int64N, a.try), next)
+	case paxos.OutcomePreempted:
+		n.round = max(n.round, a.HigherNumber.Term)
+		n.after(paxos.Backoff(n.rnd.Int64N, a.try), next)
 	default:
-		for _, id := range a.BehindAt { // they lack what was chosen before: it was told, and did not reach them
+		for _, id := range a.LaggingVoters { // they lack what was chosen before: it was told, and did not reach them
 			n.bring(id, a.members)
 		}
 		n.after(20*time.Millisecond+time.Duration(n.rnd.Int64N(int64(40*time.Millisecond))), next)
@@ -181,8 +181,8 @@
 
 // tell tells the members what was chosen: those that have accepted it under which number, the others the value, which may be
 // large. Who does not hear it finds out.
-func (n *Node) tell(a *attempt) {
-	named, whole := encodeChosen(a.Place, a.Number), EncodePlace(a.Place, a.Value)
+func (n *Replica) tell(a *attempt) {
+	named, whole := encodeChosen(a.Index, a.Number), EncodeIndexed(a.Index, a.Value)
 	for i := range a.members {
 		m := &a.members[i]
 		to, ok := addr(m)
@@ -190,24 +190,24 @@
 			continue
 		}
 		kind, b := CallLearn, whole
-		if a.Granted(m.ID) {
-			kind, b = CallChosen, named
+		if a.HasGranted(m.ID) {
+			kind, b = CallCommit, named
 		}
 		n.call(to, kind, b, limits.NodeAsk, nil)
 	}
 	for i := range n.state.Members { // and those whom it has made members
 		m := &n.state.Members[i]
-		if to, ok := addr(m); ok && m.ID != n.Self.ID && !slices.ContainsFunc(a.members, func(x chain.Member) bool { return x.ID == m.ID }) {
+		if to, ok := addr(m); ok && m.ID != n.Self.ID && !slices.ContainsFunc(a.members, func(x replog.Member) bool { return x.ID == m.ID }) {
 			n.call(to, CallLearn, whole, limits.NodeAsk, nil)
 		}
 	}
 }
 
 // bring brings a member up that is behind: it is told where the state is, and takes it.
-func (n *Node) bring(id uint64, members []chain.Member) {
+func (n *Replica) bring(id uint64, members []replog.Member) {
 	for i := range members {
 		if to, ok := addr(&members[i]); ok && members[i].ID == id && id != n.Self.ID {
-			n.call(to, CallLearn, EncodePlace(n.state.Next, nil), limits.NodeAsk, nil)
+			n.call(to, CallLearn, EncodeIndexed(n.state.NextIndex, nil), limits.NodeAsk, nil)
 		}
 	}
 }
@@ -230,16 +230,16 @@
 // settle makes sure that the state here is no older than anything that was acknowledged before it was called.
 // A quiet one waits for others to decide what is open, since there may be as many as routers and all keepers be asked at once: were
 // each to propose what may be large, they would keep one another from it (docs/incidents, reads that kept a place open).
-func (n *Node) settle(until time.Duration, quiet bool, done func(error)) {
+func (n *Replica) settle(until time.Duration, quiet bool, done func(error)) {
 	r := &read{quiet: quiet, until: until, done: done}
-	r.key = n.timers.Add(max(until, n.now+1), func() { n.endRead(r, ErrTime) })
+	r.key = n.timers.Add(max(until, n.now+1), func() { n.endRead(r, ErrQuorumUnavailable) })
 	if n.reads.waiting = append(n.reads.waiting, r); len(n.reads.settled) == 0 {
 		n.readRound()
 	}
 }
 
 // endRead ends a read.
-func (n *Node) endRead(r *read, err error) {
+func (n *Replica) endRead(r *read, err error) {
 	if !r.over {
 		r.over = true
 		n.timers.Remove(r.key)
@@ -248,7 +248,7 @@
 }
 
 // readRound settles the state for the reads that wait.
-func (n *Node) readRound() {
+func (n *Replica) readRound() {
 	rd := &n.reads
 	rd.waiting = slices.DeleteFunc(rd.waiting, func(r *read) bool { return r.over })
 	if rd.settled, rd.waiting = rd.waiting, nil; len(rd.settled) == 0 {
@@ -262,7 +262,7 @@
 		all := rd.settled
 		rd.settled = nil
 		for _, r := range all {
-			if errors.Is(err, ErrTime) && !r.over && r.until > n.now { // it came later than those whose time is over
+			if errors.Is(err, ErrQuorumUnavailable) && !r.over && r.until > n.now { // it came later than those whose time is over
 				rd.waiting = append(rd.waiting, r)
 				continue
 			}
@@ -275,7 +275,7 @@
 }
 
 // settleRound makes sure of it once.
-func (n *Node) settleRound(until time.Duration, done func(error)) {
+func (n *Replica) settleRound(until time.Duration, done func(error)) {
 	ended := false
 	var key deadline.Key
 	then := func(err error) {
@@ -285,11 +285,11 @@
 			done(err)
 		}
 	}
-	key = n.timers.Add(max(until, n.now+1), func() { then(ErrTime) })
+	key = n.timers.Add(max(until, n.now+1), func() { then(ErrQuorumUnavailable) })
 	// need is the first place that is not wanted, as a majority of those who were members there has said: what is chosen from there
 	// on was not acknowledged before the call. Were the newest wanted at each look, changes that go on would be followed for as
 	// long as they do. A state with other members says nothing until they are asked: they may have gone on without the former ones.
-	need, asked, patient := uint64(0), []chain.Member(nil), true
+	need, asked, patient := uint64(0), []replog.Member(nil), true
 	var look func()
 	again := func(d time.Duration) { n.after(d, look) }
 	look = func() {
@@ -300,39 +300,39 @@
 		if need == 0 { // no answer counts yet: those that have come meanwhile are as well served by the next ones
 			n.reads.settled, n.reads.waiting = append(n.reads.settled, n.reads.waiting...), nil
 		}
-		if need > 0 && state.Next >= need {
+		if need > 0 && state.NextIndex >= need {
 			if slices.Equal(asked, state.Members) {
 				then(nil)
 				return
 			}
 			need = 0
 		}
-		if state.Next == 0 {
-			then(ErrNoCore)
+		if state.NextIndex == 0 {
+			then(ErrNotFounded)
 			return
 		}
 		good, left, open, over := 0, len(state.Members), false, false
-		next := state.Next
+		next := state.NextIndex
 		var best netip.AddrPort
-		heard := func(m *chain.Member, ans ballot.Answer, ok bool) {
+		heard := func(m *replog.Member, ans paxos.Response, ok bool) {
 			if left--; over {
 				return
 			}
 			if ok {
 				// At a member's address may be one with another disk, who has not seen what the member had accepted: it counts for
 				// nothing, but may have come further.
-				if ans.Verdict == ballot.Known {
+				if ans.Verdict == paxos.VerdictReported {
 					good++
-				} else if ans.Next < state.Next {
+				} else if ans.NextIndex < state.NextIndex {
 					n.bring(m.ID, state.Members)
 				}
-				if ans.Next > next {
-					next, open = ans.Next, false
+				if ans.NextIndex > next {
+					next, open = ans.NextIndex, false
 					best, _ = addr(m)
 				}
-				open = open || ans.Next == next && ans.Accepted != (ballot.Number{})
+				open = open || ans.NextIndex == next && ans.Accepted != (paxos.ProposalNumber{})
 			}
-			enough := good >= ballot.Majority(len(state.Members))
+			enough := good >= paxos.Majority(len(state.Members))
 			if over = enough || left == 0; !over {
 				return
 			}
@@ -342,11 +342,11 @@
 				}
 			}
 			switch {
-			case need > 0 && n.state.Next >= need:
+			case need > 0 && n.state.NextIndex >= need:
 				look()
-			case next > state.Next:
+			case next > state.NextIndex:
 				n.catchUp(best, func() {
-					if n.state.Next >= next {
+					if n.state.NextIndex >= next {
 						look()
 						return
 					}
@@ -360,9 +360,9 @@
 				again(100*time.Millisecond + time.Duration(n.rnd.Int64N(int64(100*time.Millisecond))))
 			default:
 				// Something was accepted for the place that is open, and may have been chosen: it is brought to its end.
-				nothing := (&chain.Entry{Kind: chain.Nothing, Nonce: n.rnd.Uint64()}).Encode()
-				n.propose(func(now *chain.State) []byte {
-					if now.Next >= need {
+				nothing := (&replog.Entry{Kind: replog.EntryNoop, Nonce: n.rnd.Uint64()}).Encode()
+				n.propose(func(now *replog.State) []byte {
+					if now.NextIndex >= need {
 						return nil
 					}
 					return nothing
@@ -383,11 +383,11 @@
 			case m.ID == n.Self.ID:
 				own = true
 			case !ok:
-				heard(m, ballot.Answer{}, false)
+				heard(m, paxos.Response{}, false)
 			default:
-				query := encodeAsk(&ballot.Ask{Kind: ballot.Query})
-				n.call(to, CallAsk, query, limits.NodeAsk, func(body []byte, err error) {
-					var ans ballot.Answer
+				query := encodeAsk(&paxos.Request{Kind: paxos.KindQuery})
+				n.call(to, CallPaxos, query, limits.NodeAsk, func(body []byte, err error) {
+					var ans paxos.Response
 					if err == nil {
 						ans, err = decodeAnswer(body)
 					}
@@ -396,7 +396,7 @@
 			}
 		}
 		if own {
-			ans, _ := n.acc.Handle(ballot.Ask{Kind: ballot.Query})
+			ans, _ := n.acc.Handle(paxos.Request{Kind: paxos.KindQuery})
 			heard(&n.Self, ans, true)
 		}
 	}
--- a/internal/control/core/tend.go
+++ b/internal/control/replica/tend.go
@@ -1,4 +1,4 @@
-package core
+package replica
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"notchhinge/internal/control/ballot"
-	"notchhinge/internal/control/chain"
+	"notchhinge/internal/control/paxos"
+	"notchhinge/internal/control/replog"
 	"notchhinge/internal/limits"
 )
 
@@ -26,19 +26,19 @@
 	looked  bool          // another has said in this life how far it has come
 }
 
-func (n *Node) startTending() {
+func (n *Replica) startTending() {
 	n.tend.began, n.tend.stable = n.now, n.now
 	n.readVoters()
 	n.look()
 }
 
 // look waits for the next look, and has it.
-func (n *Node) look() {
+func (n *Replica) look() {
 	state := &n.state
 	switch {
-	case state.Next == 0 && n.Founder:
+	case state.NextIndex == 0 && n.IsFounder:
 		n.after(limits.NodeFounding, n.gather)
-	case state.Next == 0 || !n.tend.looked: // what it has on its disk may be old
+	case state.NextIndex == 0 || !n.tend.looked: // what it has on its disk may be old
 		n.after(limits.NodeFounding, n.lookAtOne)
 	case state.Member(n.Self.ID) == nil:
 		n.after(limits.NodeJoin, n.lookAtOne)
@@ -48,7 +48,7 @@
 }
 
 // who asks a keeper who it is.
-func (n *Node) who(to netip.AddrPort, then func(i identity, ok bool)) {
+func (n *Replica) who(to netip.AddrPort, then func(i identity, ok bool)) {
 	n.call(to, CallIdentity, nil, limits.NodeAsk, func(body []byte, err error) {
 		var i identity
 		if err == nil {
@@ -59,8 +59,8 @@
 }
 
 // lookAtOne looks whether another has come further, and asks it to be taken in where this one is no member.
-func (n *Node) lookAtOne() {
-	all := n.Others()
+func (n *Replica) lookAtOne() {
+	all := n.Peers()
 	if len(all) == 0 {
 		n.look()
 		return
@@ -75,13 +75,13 @@
 	n.who(to, func(i identity, ok bool) {
 		n.tend.looked = n.tend.looked || ok
 		then := func() {
-			if ok && n.state.Next > 0 && n.state.Member(n.Self.ID) == nil && !n.members.leaving {
+			if ok && n.state.NextIndex > 0 && n.state.Member(n.Self.ID) == nil && !n.members.leaving {
 				n.join(to)
 				return
 			}
 			n.trim(n.look)
 		}
-		if ok && i.next > n.state.Next {
+		if ok && i.next > n.state.NextIndex {
 			n.catchUp(to, then)
 			return
 		}
@@ -90,8 +90,8 @@
 }
 
 // join asks a keeper to have this one taken in as a member. What it was before, with another disk, it is no more.
-func (n *Node) join(to netip.AddrPort) {
-	i := identity{n.Self, n.state.Next, n.Founder}
+func (n *Replica) join(to netip.AddrPort) {
+	i := identity{n.Self, n.state.NextIndex, n.IsFounder}
 	n.call(to, CallJoin, i.encode(), settleWithin, func(body []byte, err error) {
 		if err != nil {
 			n.log.Info("not taken in as a member yet", "by", to.String(), "err", err)
@@ -105,9 +105,9 @@
 }
 
 // gather finds out who the founders are.
-func (n *Node) gather() {
-	others := n.Others()
-	founders := []chain.Member{n.Self}
+func (n *Replica) gather() {
+	others := n.Peers()
+	founders := []replog.Member{n.Self}
 	left := len(others)
 	if left == 0 {
 		n.consider(founders)
@@ -130,14 +130,14 @@
 }
 
 // consider has those founders found that are there, if they are as many as are wanted and no further one has come for a while.
-func (n *Node) consider(founders []chain.Member) {
+func (n *Replica) consider(founders []replog.Member) {
 	t := &n.tend
 	if len(founders) != t.known {
 		t.known, t.stable = len(founders), n.now
 	}
-	slices.SortFunc(founders, func(x, y chain.Member) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(founders, func(x, y replog.Member) int { return cmp.Compare(x.Name, y.Name) })
 	first := founders[0].ID == n.Self.ID || n.now-t.began > foundWithin
-	if len(founders) < n.Least || n.now-t.stable < limits.NodeStable || !first || n.state.Next > 0 {
+	if len(founders) < n.MinVoters || n.now-t.stable < limits.NodeStable || !first || n.state.NextIndex > 0 {
 		n.look()
 		return
 	}
@@ -147,27 +147,27 @@
 
 // found has the founders agree that they are. All of them must accept, so that no other set can be founded: two sets of
 // 2f+1 share a founder as long as there are fewer than 4f+2.
-func (n *Node) found(founders []chain.Member, try int) {
-	if n.state.Next > 0 || n.now >= n.tend.founded {
+func (n *Replica) found(founders []replog.Member, try int) {
+	if n.state.NextIndex > 0 || n.now >= n.tend.founded {
 		n.look()
 		return
 	}
-	own := (&chain.Entry{Kind: chain.Members, Nonce: n.rnd.Uint64(), Members: founders}).Encode()
-	r := ballot.Round{Place: 0, Own: own, Need: len(founders)}
+	own := (&replog.Entry{Kind: replog.EntryMembers, Nonce: n.rnd.Uint64(), Members: founders}).Encode()
+	r := paxos.Proposer{Index: 0, OwnValue: own, Quorum: len(founders)}
 	for _, m := range founders {
-		r.Members = append(r.Members, m.ID)
+		r.Voters = append(r.Voters, m.ID)
 	}
 	// What one of them has accepted before may be of another set, whose members must then all accept it.
-	r.Fits = func(value []byte) bool {
-		e, err := chain.Decode(value)
+	r.IsValidValue = func(value []byte) bool {
+		e, err := replog.Decode(value)
 		return err == nil && slices.Equal(e.Members, founders)
 	}
 	n.attempt(r, founders, try, func(a *attempt) {
 		switch a.out {
-		case ballot.Chosen:
+		case paxos.OutcomeChosen:
 			n.log.Info("the core is founded", "members", len(founders))
-		case ballot.Unfit:
-			if e, err := chain.Decode(a.Value); err == nil && e.Kind == chain.Members && len(e.Members) > 0 {
+		case paxos.OutcomeInvalidValue:
+			if e, err := replog.Decode(a.Value); err == nil && e.Kind == replog.EntryMembers && len(e.Members) > 0 {
 				founders = e.Members
 			}
 		}
--- a/internal/control/chain/chain_test.go
+++ b/internal/control/replog/chain_test.go
@@ -1,4 +1,4 @@
-package chain
+package replog
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/limits"
 )
 
@@ -26,27 +26,27 @@
 	members := []Member{{1, "a", "10.0.0.1:1"}, {2, "b", "10.0.0.2:1"}, {3, "c", "10.0.0.3:1"}}
 	s := &State{}
 	for _, e := range []*Entry{
-		{Kind: Members, Members: members},
-		{Kind: Config, On: 0, Text: config(t, 3)},
-		{Kind: Config, On: 0, Text: config(t, 4)}, // lost its race
-		{Kind: Config, On: 3, Text: config(t, 3)}, // not above
-		{Kind: Config, On: 3, Text: []byte{0xff}}, // invalid
-		{Kind: Holder, Node: 2, Name: "b"},
-		{Kind: Usage, Window: 9, Counts: []Count{{"k", 5}}},
-		{Kind: Usage, Window: 9, Counts: []Count{{"k", 6}}}, // the first figure stands
-		{Kind: Config, On: 3, Text: config(t, 8)},
-		{Kind: Nothing},
+		{Kind: EntryMembers, Members: members},
+		{Kind: EntryConfig, BaseRevision: 0, Config: config(t, 3)},
+		{Kind: EntryConfig, BaseRevision: 0, Config: config(t, 4)}, // lost its race
+		{Kind: EntryConfig, BaseRevision: 3, Config: config(t, 3)}, // not above
+		{Kind: EntryConfig, BaseRevision: 3, Config: []byte{0xff}}, // invalid
+		{Kind: EntryLeaseHolder, HolderID: 2, HolderName: "b"},
+		{Kind: EntryUsage, Window: 9, Counts: []TenantCount{{"k", 5}}},
+		{Kind: EntryUsage, Window: 9, Counts: []TenantCount{{"k", 6}}}, // the first figure stands
+		{Kind: EntryConfig, BaseRevision: 3, Config: config(t, 8)},
+		{Kind: EntryNoop},
 	} {
 		s.Apply(e.Encode())
 	}
 	s.Apply([]byte("nothing that can be read"))
-	if s.Next != 11 || s.Revision != 8 || s.ConfigPlace != 8 || s.Holder != 2 || s.HolderPlace != 5 || s.Member(3) == nil || s.Member(9) != nil {
+	if s.NextIndex != 11 || s.Revision != 8 || s.ConfigIndex != 8 || s.LeaseHolder != 2 || s.FencingToken != 5 || s.Member(3) == nil || s.Member(9) != nil {
 		t.Errorf("%+v", s)
 	}
-	if w := s.Agreed(9); w == nil || w.Counts[0].N != 5 || s.Agreed(8) != nil {
+	if w := s.AgreedUsage(9); w == nil || w.Counts[0].Requests != 5 || s.AgreedUsage(8) != nil {
 		t.Errorf("%+v", w)
 	}
-	if len(s.History) != 2 || !s.Was(3, s.History[0].Digest) || s.Was(4, s.History[0].Digest) {
+	if len(s.History) != 2 || !s.WasAccepted(3, s.History[0].Digest) || s.WasAccepted(4, s.History[0].Digest) {
 		t.Errorf("%+v", s.History)
 	}
 	got, err := DecodeState(s.Encode())
@@ -60,18 +60,18 @@
 
 func TestStateIsBounded(t *testing.T) {
 	s := &State{}
-	s.Apply((&Entry{Kind: Members, Members: []Member{{1, "a", "x"}}}).Encode())
+	s.Apply((&Entry{Kind: EntryMembers, Members: []Member{{1, "a", "x"}}}).Encode())
 	on := uint64(0)
 	for n := range 500 {
-		s.Apply((&Entry{Kind: Usage, Window: uint64(n), Counts: []Count{{"k", 1}}}).Encode())
-		s.Apply((&Entry{Kind: Config, On: on, Text: config(t, n+1)}).Encode())
+		s.Apply((&Entry{Kind: EntryUsage, Window: uint64(n), Counts: []TenantCount{{"k", 1}}}).Encode())
+		s.Apply((&Entry{Kind: EntryConfig, BaseRevision: on, Config: config(t, n+1)}).Encode())
 		on = uint64(n + 1)
 	}
-	if len(s.Windows) != keptWindows || len(s.History) != keptHistory+500%keptHistory || s.Revision != 500 || len(s.Encode()) > 16<<10 {
-		t.Errorf("%d windows, %d configurations, %d bytes", len(s.Windows), len(s.History), len(s.Encode()))
+	if len(s.UsageWindows) != keptWindows || len(s.History) != keptHistory+500%keptHistory || s.Revision != 500 || len(s.Encode()) > 16<<10 {
+		t.Errorf("%d windows, %d configurations, %d bytes", len(s.UsageWindows), len(s.History), len(s.Encode()))
 	}
 	// A window older than all that are kept must not be agreed a second time.
-	if s.Apply((&Entry{Kind: Usage, Window: 3, Counts: []Count{{"k", 99}}}).Encode()); s.Agreed(3) != nil {
+	if s.Apply((&Entry{Kind: EntryUsage, Window: 3, Counts: []TenantCount{{"k", 99}}}).Encode()); s.AgreedUsage(3) != nil {
 		t.Error("a window that was agreed long ago is agreed anew")
 	}
 }
@@ -81,11 +81,11 @@
 func TestLateRepeats(t *testing.T) {
 	const taken = limits.NodeHistory + 1000
 	s := &State{}
-	d := make([]declared.Digest, taken)
+	d := make([]fleetconfig.Digest, taken)
 	for n := range taken {
 		text := config(t, 3*n+1)
-		_, d[n], _ = declared.Decode(text)
-		s.Apply((&Entry{Kind: Config, On: s.Revision, Text: text}).Encode())
+		_, d[n], _ = fleetconfig.Decode(text)
+		s.Apply((&Entry{Kind: EntryConfig, BaseRevision: s.Revision, Config: text}).Encode())
 		if n%700 == 0 { // as a keeper that starts anew or catches up
 			b := s.Encode()
 			got, err := DecodeState(b)
@@ -97,18 +97,18 @@
 	}
 	for n := range taken {
 		revision, known := uint64(3*n+1), n >= taken-limits.NodeHistory
-		if was := s.Was(revision, d[n]); was != known && (known || was != (revision >= s.Oldest())) {
-			t.Errorf("version %d of %d, the oldest kept %d: %v", revision, s.Revision, s.Oldest(), was)
+		if was := s.WasAccepted(revision, d[n]); was != known && (known || was != (revision >= s.OldestRevision())) {
+			t.Errorf("version %d of %d, the oldest kept %d: %v", revision, s.Revision, s.OldestRevision(), was)
 		}
-		if s.Was(revision, d[(n+1)%taken]) {
+		if s.WasAccepted(revision, d[(n+1)%taken]) {
 			t.Errorf("another text under number %d counts as taken", revision)
 		}
 	}
-	if b := s.Encode(); len(b) > 80<<10 || len(s.History)+len(s.Earlier) > limits.NodeHistory+2*keptHistory {
-		t.Errorf("%d bytes, %d and %d", len(b), len(s.History), len(s.Earlier))
-	} else if short := s.EncodeAs(1); b[0] != Version || short[0] != version || len(short) > 4<<10 {
+	if b := s.Encode(); len(b) > 80<<10 || len(s.History)+len(s.CompactedHistory) > limits.NodeHistory+2*keptHistory {
+		t.Errorf("%d bytes, %d and %d", len(b), len(s.History), len(s.CompactedHistory))
+	} else if short := s.EncodeAs(1); b[0] != StateVersion || short[0] != version || len(short) > 4<<10 {
 		t.Errorf("format %d, %d bytes; for an earlier program format %d, %d bytes", b[0], len(b), short[0], len(short))
-	} else if got, err := DecodeState(short); err != nil || !got.Was(s.Revision, d[taken-1]) || len(got.History) != keptHistory {
+	} else if got, err := DecodeState(short); err != nil || !got.WasAccepted(s.Revision, d[taken-1]) || len(got.History) != keptHistory {
 		t.Errorf("%v %v", got, err)
 	}
 }
@@ -121,17 +121,17 @@
 		t.Fatal(err)
 	}
 	s, err := DecodeState(b)
-	if err != nil || s.Next != 73 || s.Revision != 139 || len(s.History) != 64 || s.Oldest() != 13 || s.Holder != 2 || s.Agreed(9) == nil {
+	if err != nil || s.NextIndex != 73 || s.Revision != 139 || len(s.History) != 64 || s.OldestRevision() != 13 || s.LeaseHolder != 2 || s.AgreedUsage(9) == nil {
 		t.Fatalf("%v: %+v", err, s)
 	}
-	if !bytes.Equal(s.Encode(), b) || !bytes.Equal(s.EncodeAs(Version), b) {
+	if !bytes.Equal(s.Encode(), b) || !bytes.Equal(s.EncodeAs(StateVersion), b) {
 		t.Error("written again it is another text")
 	}
-	_, d, _ := declared.Decode(config(t, 13))
+	_, d, _ := fleetconfig.Decode(config(t, 13))
 	for n := 141; n < 341; n += 2 { // and goes on
-		s.Apply((&Entry{Kind: Config, On: s.Revision, Text: config(t, n)}).Encode())
+		s.Apply((&Entry{Kind: EntryConfig, BaseRevision: s.Revision, Config: config(t, n)}).Encode())
 	}
-	if !s.Was(13, d) || s.Encode()[0] != Version {
+	if !s.WasAccepted(13, d) || s.Encode()[0] != StateVersion {
 		t.Error("what the earlier program had noted is forgotten")
 	}
 }
@@ -140,12 +140,12 @@
 func BenchmarkHistory(b *testing.B) {
 	s := &State{}
 	for n := range limits.NodeHistory + 200 {
-		s.take(Taken{Revision: uint64(n + 1)})
+		s.take(AcceptedConfig{Revision: uint64(n + 1)})
 	}
 	b.Run("take", func(b *testing.B) {
 		b.ReportAllocs()
 		for n := 0; b.Loop(); n++ {
-			s.take(Taken{Revision: uint64(n + 9000)})
+			s.take(AcceptedConfig{Revision: uint64(n + 9000)})
 		}
 	})
 	b.Run("encode", func(b *testing.B) {
@@ -156,21 +156,21 @@
 	})
 	b.Run("was", func(b *testing.B) {
 		for b.Loop() {
-			s.Was(777, declared.Digest{})
+			s.WasAccepted(777, fleetconfig.Digest{})
 		}
 	})
 }
 
 func FuzzDecode(f *testing.F) {
 	for _, e := range []*Entry{
-		{Kind: Members, Members: []Member{{1, "a", "b"}}}, {Kind: Config, On: 1, Text: config(f, 2)}, {Kind: Holder, Node: 1, Name: "x"},
-		{Kind: Usage, Window: 1, Counts: []Count{{"k", 2}}}, {Kind: Nothing, Nonce: 4},
+		{Kind: EntryMembers, Members: []Member{{1, "a", "b"}}}, {Kind: EntryConfig, BaseRevision: 1, Config: config(f, 2)}, {Kind: EntryLeaseHolder, HolderID: 1, HolderName: "x"},
+		{Kind: EntryUsage, Window: 1, Counts: []TenantCount{{"k", 2}}}, {Kind: EntryNoop, Nonce: 4},
 	} {
 		f.Add(e.Encode())
 	}
-	s := State{Next: 300}
+	s := State{NextIndex: 300}
 	for n := range 300 {
-		s.take(Taken{Revision: uint64(n + 1), Digest: declared.Digest{byte(n)}})
+		s.take(AcceptedConfig{Revision: uint64(n + 1), Digest: fleetconfig.Digest{byte(n)}})
 	}
 	f.Add(s.Encode())
 	f.Add(s.EncodeAs(version))
@@ -196,13 +196,13 @@
 	for _, window := range []uint64{9, 5, 7, 3} {
 		before := s
 		numbers := func() (all []uint64) {
-			for _, w := range before.Windows {
+			for _, w := range before.UsageWindows {
 				all = append(all, w.Number)
 			}
 			return all
 		}
 		want := fmt.Sprint(numbers())
-		apply(Entry{Kind: Usage, Window: window, Counts: []Count{{"k", window}}})
+		apply(Entry{Kind: EntryUsage, Window: window, Counts: []TenantCount{{"k", window}}})
 		if got := fmt.Sprint(numbers()); got != want {
 			t.Errorf("windows of a copy were %s, and are %s", want, got)
 		}
@@ -213,18 +213,18 @@
 func TestFormerMembers(t *testing.T) {
 	s := State{}
 	name := func(i int) Member { return Member{ID: uint64(i + 1), Name: fmt.Sprint("k-", i), Addr: "x"} }
-	vote := func(all ...Member) { s.Apply((&Entry{Kind: Members, Members: all}).Encode()) }
+	vote := func(all ...Member) { s.Apply((&Entry{Kind: EntryMembers, Members: all}).Encode()) }
 	vote(name(0), name(1))
 	vote(name(0), name(2))
 	vote(name(1), name(2))
-	if diff := cmp.Diff([]string{"k-0"}, s.Former); diff != "" {
+	if diff := cmp.Diff([]string{"k-0"}, s.FormerMembers); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 	for i := range 200 {
 		vote(name(i))
 	}
 	got, err := DecodeState(s.Encode())
-	if err != nil || len(got.Former) != keptFormer || got.Former[keptFormer-1] != "k-198" {
-		t.Errorf("%d names, %v", len(got.Former), err)
+	if err != nil || len(got.FormerMembers) != keptFormer || got.FormerMembers[keptFormer-1] != "k-198" {
+		t.Errorf("%d names, %v", len(got.FormerMembers), err)
 	}
 }
--- a/internal/control/duty/duty.go
+++ b/internal/control/singleton/duty.go
@@ -1,7 +1,7 @@
-// Package duty owns the arithmetic of what the fleet owes the platform: which requests began in which usage window, who may
+// Package singleton owns the arithmetic of what the fleet owes the platform: which requests began in which usage window, who may
 // act for all (the lease of the holder), and how many engines are wanted. It is pure: time of day and the steady clock are
 // given, and what is sent or agreed is its users'.
-package duty
+package singleton
 
 import (
 	"cmp"
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"notchhinge/internal/control/chain"
-	"notchhinge/internal/control/form"
+	"notchhinge/internal/control/encoding"
+	"notchhinge/internal/control/replog"
 )
 
 // Bounds of what is read and kept.
@@ -59,7 +59,7 @@
 }
 
 // Encode writes a tally.
-func (t *Tally) Encode(w *form.Writer) {
+func (t *Tally) Encode(w *encoding.Writer) {
 	numbers := make([]uint64, 0, len(t.Windows))
 	for k := range t.Windows {
 		numbers = append(numbers, k)
@@ -68,39 +68,39 @@
 	if len(numbers) > mostWindows {
 		numbers = numbers[len(numbers)-mostWindows:]
 	}
-	w.Uint(uint64(len(numbers)))
+	w.Uvarint(uint64(len(numbers)))
 	for _, k := range numbers {
-		w.Uint(k)
+		w.Uvarint(k)
 		counts := Counts(t.Windows[k])
-		w.Uint(uint64(len(counts)))
+		w.Uvarint(uint64(len(counts)))
 		for _, c := range counts {
 			w.String(c.Tenant)
-			w.Uint(c.N)
+			w.Uvarint(c.Requests)
 		}
 	}
 }
 
 // DecodeTally reads a tally.
-func DecodeTally(r *form.Reader) Tally {
+func DecodeTally(r *encoding.Reader) Tally {
 	t := Tally{Windows: map[uint64]map[string]uint64{}}
-	for range r.Count(mostWindows, 2) {
+	for range r.Length(mostWindows, 2) {
 		w := map[string]uint64{}
-		t.Windows[r.Uint()] = w
-		for range r.Count(mostTenants, 2) {
+		t.Windows[r.Uvarint()] = w
+		for range r.Length(mostTenants, 2) {
 			tenant := r.String(mostName)
-			w[tenant] = r.Uint()
+			w[tenant] = r.Uvarint()
 		}
 	}
 	return t
 }
 
 // Counts lists a window's counts by tenant, in their order.
-func Counts(w map[string]uint64) []chain.Count {
-	all := make([]chain.Count, 0, len(w))
+func Counts(w map[string]uint64) []replog.TenantCount {
+	all := make([]replog.TenantCount, 0, len(w))
 	for tenant, n := range w {
-		all = append(all, chain.Count{Tenant: tenant, N: n})
+		all = append(all, replog.TenantCount{Tenant: tenant, Requests: n})
 	}
-	slices.SortFunc(all, func(x, y chain.Count) int { return cmp.Compare(x.Tenant, y.Tenant) })
+	slices.SortFunc(all, func(x, y replog.TenantCount) int { return cmp.Compare(x.Tenant, y.Tenant) })
 	return all
 }
 
@@ -122,31 +122,31 @@
 
 // Encode writes a report.
 func (p *Report) Encode() []byte {
-	w := form.Writer{}
-	w.Word(p.Source)
+	w := encoding.Writer{}
+	w.Fixed64(p.Source)
 	w.String(p.Zone)
 	p.Tally.Encode(&w)
-	w.Uint(uint64(len(p.Loads)))
+	w.Uvarint(uint64(len(p.Loads)))
 	for _, l := range p.Loads {
 		w.String(l.Service)
-		w.Uint(l.Running)
-		w.Uint(l.Arrived)
-		w.Uint(l.Late)
+		w.Uvarint(l.Running)
+		w.Uvarint(l.Arrived)
+		w.Uvarint(l.Late)
 	}
-	return w.B
+	return w.Buf
 }
 
 // DecodeReport reads a report.
 func DecodeReport(b []byte) (*Report, error) {
-	r := form.Reader{B: b}
+	r := encoding.Reader{Buf: b}
 	p := readReport(&r)
-	return p, r.End()
+	return p, r.Finish()
 }
 
-func readReport(r *form.Reader) *Report {
-	p := &Report{Source: r.Word(), Zone: r.String(mostName), Tally: DecodeTally(r)}
-	for range r.Count(mostTenants, 4) {
-		p.Loads = append(p.Loads, Load{r.String(mostName), r.Uint(), r.Uint(), r.Uint()})
+func readReport(r *encoding.Reader) *Report {
+	p := &Report{Source: r.Fixed64(), Zone: r.String(mostName), Tally: DecodeTally(r)}
+	for range r.Length(mostTenants, 4) {
+		p.Loads = append(p.Loads, Load{r.String(mostName), r.Uvarint(), r.Uvarint(), r.Uvarint()})
 	}
 	return p
 }
@@ -159,17 +159,17 @@
 
 // Encode writes a word.
 func (a *Word) Encode() []byte {
-	w := form.Writer{}
-	w.Word(a.Book)
-	w.Uint(a.Lives)
-	return w.B
+	w := encoding.Writer{}
+	w.Fixed64(a.Book)
+	w.Uvarint(a.Lives)
+	return w.Buf
 }
 
 // DecodeWord reads a word.
 func DecodeWord(b []byte) (a Word, err error) {
-	r := form.Reader{B: b}
-	a = Word{Book: r.Word(), Lives: r.Uint()}
-	return a, r.End()
+	r := encoding.Reader{Buf: b}
+	a = Word{Book: r.Fixed64(), Lives: r.Uvarint()}
+	return a, r.Finish()
 }
 
 // Told is what a keeper has said that it has of a router's counts. It is told what is more than that, so that a report does
@@ -298,7 +298,7 @@
 
 // Encode writes what a book holds of the windows from a number up to before another, for another keeper.
 func (b *Book) Encode(from, to uint64) []byte {
-	w := form.Writer{}
+	w := encoding.Writer{}
 	some := map[uint64]map[uint64]map[string]uint64{}
 	for id, s := range b.sources {
 		for k, x := range s.Tally.Windows {
@@ -310,25 +310,25 @@
 			}
 		}
 	}
-	w.Uint(uint64(len(some)))
+	w.Uvarint(uint64(len(some)))
 	for _, id := range slices.Sorted(maps.Keys(some)) {
 		r := Report{Source: id, Zone: b.sources[id].Zone, Tally: Tally{Windows: some[id]}}
 		w.Bytes(r.Encode())
 	}
-	return w.B
+	return w.Buf
 }
 
 // Merge takes another keeper's book in.
 func (b *Book) Merge(now time.Duration, text []byte) error {
-	r := form.Reader{B: text}
-	for range r.Count(mostSources, 1) {
+	r := encoding.Reader{Buf: text}
+	for range r.Length(mostSources, 1) {
 		p, err := DecodeReport(r.Bytes(1 << 20))
 		if err != nil {
 			return err
 		}
 		b.Take(now, p, false)
 	}
-	return r.End()
+	return r.Finish()
 }
 
 // Grants is a member's part of the holder's lease. What it granted bars every other holder for as long as the lease lasts by
--- a/internal/control/duty/duty_test.go
+++ b/internal/control/singleton/duty_test.go
@@ -1,4 +1,4 @@
-package duty
+package singleton
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"notchhinge/internal/control/form"
+	"notchhinge/internal/control/encoding"
 	"notchhinge/internal/limits"
 )
 
@@ -228,7 +228,7 @@
 				t.Error(err)
 			}
 		}
-		r := form.Reader{B: b}
+		r := encoding.Reader{Buf: b}
 		DecodeTally(&r)
 		(&Book{}).Merge(0, b)
 	})
--- a/internal/control/duty/node.go
+++ b/internal/control/singleton/node.go
@@ -1,4 +1,4 @@
-package duty
+package singleton
 
 import (
 	"encoding/binary"
@@ -10,10 +10,10 @@
 	"slices"
 	"time"
 
-	"notchhinge/internal/control/ballot"
-	"notchhinge/internal/control/chain"
-	"notchhinge/internal/control/core"
-	"notchhinge/internal/control/form"
+	"notchhinge/internal/control/encoding"
+	"notchhinge/internal/control/paxos"
+	"notchhinge/internal/control/replica"
+	"notchhinge/internal/control/replog"
 	"notchhinge/internal/limits"
 )
 
@@ -47,7 +47,7 @@
 type (
 	// Propose has what Want returns chosen, until it returns nil; Proposed comes back.
 	Propose struct {
-		Want   func(*chain.State) []byte
+		Want   func(*replog.State) []byte
 		Within time.Duration
 	}
 	// Usage reports a window to the platform; Took comes back.
@@ -76,7 +76,7 @@
 
 // Config is what a keeper is told.
 type Config struct {
-	Self    chain.Member
+	Self    replog.Member
 	Fresh   bool // nobody can have been granted a lease before this start
 	Lease   time.Duration
 	Window  time.Duration // of usage
@@ -104,7 +104,7 @@
 
 	now   time.Duration
 	wall  time.Time
-	state chain.State
+	state replog.State
 	calls map[uint64]func(body []byte, err error)
 	id    uint64
 	nonce *rand.Rand
@@ -137,10 +137,10 @@
 }
 
 // Reduce takes an event in, upon the newest state that is known here. The effects are valid until the next call.
-func (n *Node) Reduce(now time.Duration, wall time.Time, s *chain.State, e Event) []Effect {
+func (n *Node) Reduce(now time.Duration, wall time.Time, s *replog.State, e Event) []Effect {
 	n.now, n.wall = max(n.now, now), wall
-	if s.Next >= n.state.Next {
-		founds, was := n.state.Next == 0, n.state.Member(n.Self.ID) != nil
+	if s.NextIndex >= n.state.NextIndex {
+		founds, was := n.state.NextIndex == 0, n.state.Member(n.Self.ID) != nil
 		if n.state = *s; !was && s.Member(n.Self.ID) != nil && !(founds && n.grants.Fresh) {
 			n.grants = Grants{Lease: n.Lease, Started: n.now} // those in whose place it came may have granted a lease
 		}
@@ -148,13 +148,13 @@
 	clear(n.out)
 	n.out = n.out[:0]
 	switch e := e.(type) {
-	case core.Tick:
+	case replica.Tick:
 		n.tick()
-	case core.Called:
+	case replica.CallReceived:
 		body, err := n.answer(e.Kind, e.Body)
-		n.out = append(n.out, core.Reply{Of: e.Of, Body: body, Err: err})
+		n.out = append(n.out, replica.SendReply{Of: e.Of, Body: body, Err: err})
 		return n.out // every router calls twice a second: what there is to do is looked for with the ticks
-	case core.Returned:
+	case replica.CallReturned:
 		if then := n.calls[e.ID]; then != nil {
 			delete(n.calls, e.ID)
 			then(e.Body, e.Err)
@@ -176,13 +176,13 @@
 }
 
 func (n *Node) log(level slog.Level, line string, args ...any) {
-	n.out = append(n.out, core.Log{Level: level, Line: line, Args: args})
+	n.out = append(n.out, replica.Log{Level: level, Message: line, Args: args})
 }
 
 func (n *Node) call(to netip.AddrPort, kind uint8, body []byte, then func(body []byte, err error)) {
 	n.id++
 	n.calls[n.id] = then
-	n.out = append(n.out, core.Call{ID: n.id, To: to, Kind: kind, Body: body, Within: limits.NodeAsk})
+	n.out = append(n.out, replica.SendCall{ID: n.id, To: to, Kind: kind, Body: body, Timeout: limits.NodeAsk})
 }
 
 var errKind = errors.New("no call of the duties'")
@@ -199,20 +199,20 @@
 		word := Word{Book: n.Life, Lives: uint64(n.lives())}
 		return word.Encode(), nil
 	case CallBook:
-		r := form.Reader{B: body}
-		from, to := r.Uint(), r.Uint()
-		if err := r.End(); err != nil {
+		r := encoding.Reader{Buf: body}
+		from, to := r.Uvarint(), r.Uvarint()
+		if err := r.Finish(); err != nil {
 			return nil, err
 		}
 		return n.book.Encode(from, to), nil
 	case CallRenew, CallStand:
-		r := form.Reader{B: body}
-		place, node := r.Uint(), r.Word()
+		r := encoding.Reader{Buf: body}
+		place, node := r.Uvarint(), r.Fixed64()
 		known := voters(n.state.Members)
-		if kind == CallRenew && len(r.B) > 0 { // an earlier program does not say
-			known = r.Word()
+		if kind == CallRenew && len(r.Buf) > 0 { // an earlier program does not say
+			known = r.Fixed64()
 		}
-		if err := r.End(); err != nil {
+		if err := r.Finish(); err != nil {
 			return nil, err
 		}
 		if kind == CallRenew && n.grant(place, node, known) || kind == CallStand && n.free(place, node) {
@@ -239,7 +239,7 @@
 func (n *Node) grant(place, node, known uint64) bool {
 	s := &n.state
 	switch {
-	case s.HolderPlace != place || s.Holder != node || s.Member(n.Self.ID) == nil || known != voters(s.Members):
+	case s.FencingToken != place || s.LeaseHolder != node || s.Member(n.Self.ID) == nil || known != voters(s.Members):
 		return false
 	case n.Unsure != nil && n.Unsure():
 		return false
@@ -248,7 +248,7 @@
 }
 
 // voters is a hash of who the members are.
-func voters(members []chain.Member) uint64 {
+func voters(members []replog.Member) uint64 {
 	h := fnv.New64a()
 	for _, m := range members {
 		h.Write(binary.BigEndian.AppendUint64(nil, m.ID))
@@ -258,13 +258,13 @@
 
 // free tells whether no other holder's lease would be in the way of one who wants to follow the newest that is known here.
 func (n *Node) free(place, node uint64) bool {
-	return n.state.HolderPlace == place && !n.grants.Bars(n.now, node)
+	return n.state.FencingToken == place && !n.grants.Bars(n.now, node)
 }
 
 // holds tells whether it may call the platform, and for how long: what is on its way must arrive before another may act.
 func (n *Node) holds() (left time.Duration, ok bool) {
 	left = n.held.Left(n.now) - limits.NodeLeaseCall
-	return left, left > 0 && n.state.Holder == n.Self.ID
+	return left, left > 0 && n.state.LeaseHolder == n.Self.ID
 }
 
 // tick does what is due twice a second.
@@ -273,14 +273,14 @@
 	n.book.Forget(n.now, oldest)
 	n.stopped, n.asked = false, n.waits > 0
 	s := &n.state
-	if s.Next == 0 || s.Member(n.Self.ID) == nil {
+	if s.NextIndex == 0 || s.Member(n.Self.ID) == nil {
 		return
 	}
-	if s.HolderPlace != n.fence {
-		n.first = n.Fresh && n.fence == 0 && s.Holder == n.Self.ID
-		n.fence, n.fenceAt = s.HolderPlace, n.now
+	if s.FencingToken != n.fence {
+		n.first = n.Fresh && n.fence == 0 && s.LeaseHolder == n.Self.ID
+		n.fence, n.fenceAt = s.FencingToken, n.now
 	}
-	if s.Holder != n.Self.ID {
+	if s.LeaseHolder != n.Self.ID {
 		n.orders = nil // whoever holds the duties now reckons anew
 		n.stand()
 		return
@@ -296,30 +296,30 @@
 // acting is the leases alone.
 func (n *Node) stand() {
 	silent := min(n.grants.Silent(n.now), n.now-n.fenceAt)
-	if n.then != nil || n.grants.Bars(n.now, n.Self.ID) || n.state.Holder != 0 && silent < n.Lease+n.Rank {
+	if n.then != nil || n.grants.Bars(n.now, n.Self.ID) || n.state.LeaseHolder != 0 && silent < n.Lease+n.Rank {
 		return
 	}
-	place, self := n.state.HolderPlace, n.Self
-	value := (&chain.Entry{Kind: chain.Holder, Nonce: n.nonce.Uint64(), Node: self.ID, Name: self.Name}).Encode()
+	place, self := n.state.FencingToken, n.Self
+	value := (&replog.Entry{Kind: replog.EntryLeaseHolder, Nonce: n.nonce.Uint64(), HolderID: self.ID, HolderName: self.Name}).Encode()
 	n.poll(CallStand, n.free(place, self.ID), func() {
-		if n.then != nil || n.state.HolderPlace != place {
+		if n.then != nil || n.state.FencingToken != place {
 			return
 		}
-		n.propose(func(s *chain.State) []byte {
-			if s.HolderPlace != place || s.Holder == self.ID {
+		n.propose(func(s *replog.State) []byte {
+			if s.FencingToken != place || s.LeaseHolder == self.ID {
 				return nil
 			}
 			return value
 		}, func(error) {
-			if n.state.Holder == self.ID {
-				n.log(slog.LevelInfo, "holds the duties", "fence", n.state.HolderPlace)
+			if n.state.LeaseHolder == self.ID {
+				n.log(slog.LevelInfo, "holds the duties", "fence", n.state.FencingToken)
 				n.extend()
 			}
 		})
 	})
 }
 
-func (n *Node) propose(want func(*chain.State) []byte, then func(error)) {
+func (n *Node) propose(want func(*replog.State) []byte, then func(error)) {
 	n.then = then
 	n.out = append(n.out, Propose{Want: want, Within: limits.NodeSettle})
 }
@@ -327,21 +327,21 @@
 // extend asks the members for more time, from now on.
 func (n *Node) extend() {
 	asked := n.now
-	n.poll(CallRenew, n.grant(n.state.HolderPlace, n.Self.ID, voters(n.state.Members)), func() { n.held.Extended(asked) })
+	n.poll(CallRenew, n.grant(n.state.FencingToken, n.Self.ID, voters(n.state.Members)), func() { n.held.Extended(asked) })
 }
 
 // poll asks the members something about this keeper and the newest holder, and does what follows once a majority has said
 // yes; own is its own word. What was asked before does not count any more.
 func (n *Node) poll(kind uint8, own bool, then func()) {
 	s := &n.state
-	w := form.Writer{}
-	w.Uint(s.HolderPlace)
-	w.Word(n.Self.ID)
+	w := encoding.Writer{}
+	w.Uvarint(s.FencingToken)
+	w.Fixed64(n.Self.ID)
 	if kind == CallRenew {
-		w.Word(voters(s.Members))
+		w.Fixed64(voters(s.Members))
 	}
 	n.polls++
-	poll, good, need := n.polls, 0, ballot.Majority(len(s.Members))
+	poll, good, need := n.polls, 0, paxos.Majority(len(s.Members))
 	yes := func() {
 		if good++; good == need && n.polls == poll {
 			then()
@@ -356,7 +356,7 @@
 			continue
 		}
 		if to, err := netip.ParseAddrPort(m.Addr); err == nil {
-			n.call(to, kind, w.B, func(b []byte, err error) {
+			n.call(to, kind, w.Buf, func(b []byte, err error) {
 				if err == nil && len(b) == 1 && b[0] == 1 {
 					yes()
 				}
@@ -400,7 +400,7 @@
 		if n.sent[number] {
 			continue
 		}
-		if w := n.state.Agreed(number); w != nil {
+		if w := n.state.AgreedUsage(number); w != nil {
 			n.report(w)
 			return true
 		}
@@ -415,9 +415,9 @@
 			continue // nothing began in it, as far as anybody knows
 		}
 		self := n.Self.ID
-		value := (&chain.Entry{Kind: chain.Usage, Nonce: n.nonce.Uint64(), Window: number, Counts: counts}).Encode()
-		n.propose(func(s *chain.State) []byte {
-			if s.Agreed(number) != nil || s.Holder != self {
+		value := (&replog.Entry{Kind: replog.EntryUsage, Nonce: n.nonce.Uint64(), Window: number, Counts: counts}).Encode()
+		n.propose(func(s *replog.State) []byte {
+			if s.AgreedUsage(number) != nil || s.LeaseHolder != self {
 				return nil
 			}
 			return value
@@ -428,10 +428,10 @@
 }
 
 // report sends a window's figures.
-func (n *Node) report(w *chain.Window) {
+func (n *Node) report(w *replog.UsageWindow) {
 	number, counts := w.Number, map[string]uint64{}
 	for _, c := range w.Counts {
-		counts[c.Tenant] = c.N
+		counts[c.Tenant] = c.Requests
 	}
 	left, _ := n.holds()
 	n.then = func(err error) {
@@ -446,18 +446,18 @@
 			}
 		}
 	}
-	n.out = append(n.out, Usage{Fence: n.state.HolderPlace, Window: number, Counts: counts, Within: left})
+	n.out = append(n.out, Usage{Fence: n.state.FencingToken, Window: number, Counts: counts, Within: left})
 }
 
 // gather takes in what other keepers have heard of the windows from a number up to before another.
 func (n *Node) gather(from, to uint64) {
 	n.asked = true
-	w := form.Writer{}
-	w.Uint(from)
-	w.Uint(to)
+	w := encoding.Writer{}
+	w.Uvarint(from)
+	w.Uvarint(to)
 	for _, at := range n.Others() {
 		n.waits++
-		n.call(at, CallBook, w.B, func(b []byte, err error) {
+		n.call(at, CallBook, w.Buf, func(b []byte, err error) {
 			n.waits--
 			if err != nil {
 				return
@@ -506,7 +506,7 @@
 	}
 	o := n.orders[0]
 	n.orders = n.orders[1:]
-	o.Fence = n.state.HolderPlace
+	o.Fence = n.state.FencingToken
 	o.Within, _ = n.holds()
 	n.then = func(err error) {
 		if err != nil {
--- a/internal/control/duty/node_test.go
+++ b/internal/control/singleton/node_test.go
@@ -1,4 +1,4 @@
-package duty
+package singleton
 
 import (
 	"errors"
@@ -7,23 +7,23 @@
 	"testing"
 	"time"
 
-	"notchhinge/internal/control/chain"
-	"notchhinge/internal/control/core"
-	"notchhinge/internal/control/form"
+	"notchhinge/internal/control/encoding"
+	"notchhinge/internal/control/replica"
+	"notchhinge/internal/control/replog"
 )
 
 // keeper is a Node among three members, whose effects a test answers by hand.
 type keeper struct {
 	*Node
 	now   time.Duration
-	state chain.State
-	calls []core.Call
+	state replog.State
+	calls []replica.SendCall
 	sent  []string
-	want  func(*chain.State) []byte
+	want  func(*replog.State) []byte
 }
 
 func newKeeper() *keeper {
-	k := &keeper{now: time.Minute, state: chain.State{Next: 1, Members: []chain.Member{
+	k := &keeper{now: time.Minute, state: replog.State{NextIndex: 1, Members: []replog.Member{
 		{ID: 1, Name: "a", Addr: "10.0.0.1:1"}, {ID: 2, Name: "b", Addr: "10.0.0.2:1"}, {ID: 3, Name: "c", Addr: "10.0.0.3:1"},
 	}}}
 	k.Node = New(k.now, Config{
@@ -41,7 +41,7 @@
 func (k *keeper) take(e Event) {
 	for _, f := range k.Reduce(k.now, k.wall(), &k.state, e) {
 		switch f := f.(type) {
-		case core.Call:
+		case replica.SendCall:
 			k.calls = append(k.calls, f)
 		case Propose:
 			k.want = f.Want
@@ -74,14 +74,14 @@
 			if i < n {
 				yes = 1
 			}
-			k.take(core.Returned{ID: c.ID, Body: []byte{yes}})
+			k.take(replica.CallReturned{ID: c.ID, Body: []byte{yes}})
 		}
 	}
 }
 
 func (k *keeper) pass(d time.Duration) {
 	k.now += d
-	k.take(core.Tick{})
+	k.take(replica.Tick{})
 }
 
 // TestHolder: nothing goes to the platform but under a lease that a majority has granted; one call at a time; and what was
@@ -91,7 +91,7 @@
 	tally := Tally{}
 	tally.Add(Window(k.wall(), 5*sec), "t", 4)
 	p := Report{Source: 9, Tally: tally, Loads: []Load{{Service: "s", Running: 1000, Arrived: 10}}}
-	report := func() { k.take(core.Called{Kind: CallReport, Body: p.Encode()}) }
+	report := func() { k.take(replica.CallReceived{Kind: CallReport, Body: p.Encode()}) }
 	report()
 	k.pass(sec)
 	if k.granted(0); k.want != nil {
@@ -100,8 +100,8 @@
 	k.pass(sec)
 	k.granted(1)
 	k.chosen()
-	if k.state.Holder != 1 || len(k.calls) != 2 || len(k.sent) != 0 {
-		t.Fatalf("holder %d, %d calls, sent %v", k.state.Holder, len(k.calls), k.sent)
+	if k.state.LeaseHolder != 1 || len(k.calls) != 2 || len(k.sent) != 0 {
+		t.Fatalf("holder %d, %d calls, sent %v", k.state.LeaseHolder, len(k.calls), k.sent)
 	}
 	k.granted(0)
 	k.pass(sec / 2)
@@ -158,11 +158,11 @@
 // TestGrants: a member gives its lease to the holder that it knows of, and votes for no other while that lasts.
 func TestGrants(t *testing.T) {
 	k := newKeeper()
-	k.state.Apply((&chain.Entry{Kind: chain.Holder, Node: 2, Name: "b"}).Encode())
+	k.state.Apply((&replog.Entry{Kind: replog.EntryLeaseHolder, HolderID: 2, HolderName: "b"}).Encode())
 	ask := func(kind, place, node byte) bool {
 		w := []byte{place, 0, 0, 0, 0, 0, 0, 0, node}
-		for _, f := range k.Reduce(k.now, k.wall(), &k.state, core.Called{Kind: kind, Body: w}) {
-			if r, ok := f.(core.Reply); ok {
+		for _, f := range k.Reduce(k.now, k.wall(), &k.state, replica.CallReceived{Kind: kind, Body: w}) {
+			if r, ok := f.(replica.SendReply); ok {
 				return r.Err == nil && len(r.Body) == 1 && r.Body[0] == 1
 			}
 		}
@@ -186,28 +186,28 @@
 // before it has granted; who has accepted other members grants none; and none goes to who knows of other members.
 func TestNewVotersGrantNothingAtOnce(t *testing.T) {
 	ask := func(k *keeper, voters uint64) bool {
-		w := form.Writer{}
-		w.Uint(k.state.HolderPlace)
-		w.Word(2)
-		w.Word(voters)
-		for _, f := range k.Reduce(k.now, k.wall(), &k.state, core.Called{Kind: CallRenew, Body: w.B}) {
-			if r, ok := f.(core.Reply); ok && r.Err == nil {
+		w := encoding.Writer{}
+		w.Uvarint(k.state.FencingToken)
+		w.Fixed64(2)
+		w.Fixed64(voters)
+		for _, f := range k.Reduce(k.now, k.wall(), &k.state, replica.CallReceived{Kind: CallRenew, Body: w.Buf}) {
+			if r, ok := f.(replica.SendReply); ok && r.Err == nil {
 				return len(r.Body) == 1 && r.Body[0] == 1
 			}
 		}
 		return false
 	}
 	k := newKeeper()
-	k.state.Holder, k.state.HolderPlace, k.state.Next = 2, 3, 4
+	k.state.LeaseHolder, k.state.FencingToken, k.state.NextIndex = 2, 3, 4
 	all := k.state.Members
-	k.state.Members = append([]chain.Member{{ID: 8, Name: "z", Addr: "10.0.0.8:1"}}, all[1:]...)
-	k.take(core.Tick{}) // it has no vote
+	k.state.Members = append([]replog.Member{{ID: 8, Name: "z", Addr: "10.0.0.8:1"}}, all[1:]...)
+	k.take(replica.Tick{}) // it has no vote
 	if ask(k, voters(k.state.Members)) {
 		t.Error("granted without a vote")
 	}
 	k.now += time.Minute
-	k.state.Members, k.state.Next = all, 5
-	k.take(core.Tick{})
+	k.state.Members, k.state.NextIndex = all, 5
+	k.take(replica.Tick{})
 	if ask(k, voters(k.state.Members)) {
 		t.Error("granted while what it grants may be another's still")
 	}
@@ -235,8 +235,8 @@
 		k.Node.Fresh, k.Node.grants.Fresh = fresh, fresh
 		said := func() uint64 {
 			p := Report{Source: 9}
-			for _, f := range k.Reduce(k.now, k.wall(), &k.state, core.Called{Kind: CallReport, Body: p.Encode()}) {
-				if r, ok := f.(core.Reply); ok {
+			for _, f := range k.Reduce(k.now, k.wall(), &k.state, replica.CallReceived{Kind: CallReport, Body: p.Encode()}) {
+				if r, ok := f.(replica.SendReply); ok {
 					word, err := DecodeWord(r.Body)
 					if err != nil {
 						t.Fatal(err)
--- a/internal/control/store/store.go
+++ b/internal/control/storage/store.go
@@ -1,7 +1,7 @@
-// Package store keeps a member's state on its disk: who it is, what it has voted, what was chosen. Every write is synced
+// Package storage keeps a member's state on its disk: who it is, what it has voted, what was chosen. Every write is synced
 // before it returns, so that what a member says is on its disk. It decides nothing. Its errors are the disk's; after one
 // the store must not be used to vote.
-package store
+package storage
 
 import (
 	"encoding/binary"
@@ -16,16 +16,16 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 	"github.com/syndtr/goleveldb/leveldb/util"
 
-	"notchhinge/internal/control/ballot"
-	"notchhinge/internal/control/chain"
-	"notchhinge/internal/control/form"
+	"notchhinge/internal/control/encoding"
+	"notchhinge/internal/control/paxos"
+	"notchhinge/internal/control/replog"
 	"notchhinge/internal/limits"
 )
 
 // Identity is who a disk belongs to.
 type Identity struct {
-	ID      uint64 // never 0; drawn when the disk was first used
-	Founder bool   // the disk was empty at the system's very first start
+	ID        uint64 // never 0; drawn when the disk was first used
+	IsFounder bool   // the disk was empty at the system's very first start
 }
 
 // Store is an open one. It is not safe for concurrent use.
@@ -39,11 +39,11 @@
 	swept bool   // no place that is in the state is left in the database
 }
 
-// Kept is what a store holds.
-type Kept struct {
+// Recovered is what a store holds.
+type Recovered struct {
 	Identity
-	State chain.State
-	Vote  ballot.Vote
+	State    replog.State
+	Acceptor paxos.AcceptorState
 }
 
 // The keys. Places follow theirs in big-endian order.
@@ -63,7 +63,7 @@
 }
 
 // Open opens the store in a folder, or makes one there; fresh tells of who it is to belong to then.
-func Open(dir string, fresh Identity) (*Store, *Kept, error) {
+func Open(dir string, fresh Identity) (*Store, *Recovered, error) {
 	path := filepath.Join(dir, "state")
 	_, err := os.Stat(dir)
 	made := errors.Is(err, os.ErrNotExist)
@@ -77,17 +77,17 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("store: %w", err)
 	}
-	return OpenOn(func() (storage.Storage, error) {
+	return OpenFiles(func() (storage.Storage, error) {
 		files, err := storage.OpenFile(path, false)
 		if err != nil {
 			return nil, err
 		}
-		return Named(files, func() error { return syncDir(path) }), nil
+		return SyncNames(files, func() error { return syncDir(path) }), nil
 	}, fresh)
 }
 
-// OpenOn opens a store on files, which may be a disk of one's own.
-func OpenOn(files func() (storage.Storage, error), fresh Identity) (*Store, *Kept, error) {
+// OpenFiles opens a store on files, which may be a disk of one's own.
+func OpenFiles(files func() (storage.Storage, error), fresh Identity) (*Store, *Recovered, error) {
 	s := &Store{files: files}
 	if err := s.open(); err != nil {
 		return nil, nil, err
@@ -100,10 +100,10 @@
 	return s, k, nil
 }
 
-// Named returns files whose journals' names are durable as they are made, and which the database never fails to remove; sync is of
+// SyncNames returns files whose journals' names are durable as they are made, and which the database never fails to remove; sync is of
 // the folder. The database syncs a journal's bytes, and its folder only with the
 // next manifest: what is written to a new journal before that would be gone with its name if the power were lost.
-func Named(files storage.Storage, sync func() error) storage.Storage { return named{files, sync} }
+func SyncNames(files storage.Storage, sync func() error) storage.Storage { return named{files, sync} }
 
 type named struct {
 	storage.Storage
@@ -179,43 +179,43 @@
 	return b, err
 }
 
-func (s *Store) load(fresh Identity) (*Kept, error) {
-	k := &Kept{}
+func (s *Store) load(fresh Identity) (*Recovered, error) {
+	k := &Recovered{}
 	b, err := s.get(keyIdentity)
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	if b == nil {
-		w := form.Writer{}
+		w := encoding.Writer{}
 		w.Byte(version)
-		w.Word(fresh.ID)
-		if w.Byte(0); fresh.Founder {
-			w.B[len(w.B)-1] = 1
+		w.Fixed64(fresh.ID)
+		if w.Byte(0); fresh.IsFounder {
+			w.Buf[len(w.Buf)-1] = 1
 		}
 		k.Identity = fresh
-		return k, s.put(keyIdentity, w.B)
+		return k, s.put(keyIdentity, w.Buf)
 	}
-	r := form.Reader{B: b}
+	r := encoding.Reader{Buf: b}
 	if v := r.Byte(); v != version {
-		return nil, fmt.Errorf("store: %w", chain.ErrVersion)
+		return nil, fmt.Errorf("store: %w", replog.ErrUnknownVersion)
 	}
-	k.ID, k.Founder = r.Word(), r.Byte() == 1
-	if err := r.End(); err != nil {
+	k.ID, k.IsFounder = r.Fixed64(), r.Byte() == 1
+	if err := r.Finish(); err != nil {
 		return nil, fmt.Errorf("store: identity: %w", err)
 	}
 	if b, err = s.get(keyState); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	if b != nil {
-		state, err := chain.DecodeState(b)
+		state, err := replog.DecodeState(b)
 		if err != nil {
 			return nil, fmt.Errorf("store: state: %w", err)
 		}
 		k.State = *state
 	}
-	s.kept = k.State.Next
+	s.kept = k.State.NextIndex
 	for {
-		v, err := s.get(place(k.State.Next))
+		v, err := s.get(place(k.State.NextIndex))
 		if err != nil {
 			return nil, fmt.Errorf("store: %w", err)
 		}
@@ -230,7 +230,7 @@
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	if b != nil {
-		if k.Vote, err = decodeVote(b); err != nil {
+		if k.Acceptor, err = decodeVote(b); err != nil {
 			return nil, fmt.Errorf("store: vote: %w", err)
 		}
 	}
@@ -249,48 +249,48 @@
 	return nil
 }
 
-// Vote writes what was promised or accepted.
-func (s *Store) Vote(v ballot.Vote) error {
-	w := form.Writer{}
+// SaveAcceptor writes what was promised or accepted.
+func (s *Store) SaveAcceptor(v paxos.AcceptorState) error {
+	w := encoding.Writer{}
 	w.Byte(version)
-	w.Uint(v.Place)
-	for _, n := range []ballot.Number{v.Promised, v.Accepted} {
-		w.Uint(n.Round)
-		w.Word(n.Node)
+	w.Uvarint(v.Index)
+	for _, n := range []paxos.ProposalNumber{v.Promised, v.Accepted} {
+		w.Uvarint(n.Term)
+		w.Fixed64(n.Proposer)
 	}
 	w.Bytes(v.Value)
-	return s.put(keyVote, w.B)
+	return s.put(keyVote, w.Buf)
 }
 
-func decodeVote(b []byte) (v ballot.Vote, err error) {
-	r := form.Reader{B: b}
+func decodeVote(b []byte) (v paxos.AcceptorState, err error) {
+	r := encoding.Reader{Buf: b}
 	if r.Byte() != version {
-		return v, chain.ErrVersion
+		return v, replog.ErrUnknownVersion
 	}
-	v.Place = r.Uint()
-	v.Promised = ballot.Number{Round: r.Uint(), Node: r.Word()}
-	v.Accepted = ballot.Number{Round: r.Uint(), Node: r.Word()}
+	v.Index = r.Uvarint()
+	v.Promised = paxos.ProposalNumber{Term: r.Uvarint(), Proposer: r.Fixed64()}
+	v.Accepted = paxos.ProposalNumber{Term: r.Uvarint(), Proposer: r.Fixed64()}
 	if v.Value = r.Bytes(1 << 30); len(v.Value) == 0 {
 		v.Value = nil
 	}
-	return v, r.End()
+	return v, r.Finish()
 }
 
-// Chose writes what was chosen for the place before state.Next; state is what it has led to. What the state has already that was
+// AppendChosen writes what was chosen for the place before state.Next; state is what it has led to. What the state has already that was
 // written last is not written again.
-func (s *Store) Chose(value []byte, state *chain.State) error {
-	if state.Next <= s.kept && s.db != nil {
+func (s *Store) AppendChosen(value []byte, state *replog.State) error {
+	if state.NextIndex <= s.kept && s.db != nil {
 		return nil
 	}
 	s.since++
 	if s.bytes += len(value); s.since < limits.NodePlaces && s.bytes < limits.NodePlaceBytes {
-		return s.put(place(state.Next-1), value)
+		return s.put(place(state.NextIndex-1), value)
 	}
-	return s.Whole(state)
+	return s.SaveSnapshot(state)
 }
 
-// Whole writes a state in place of all places in it.
-func (s *Store) Whole(state *chain.State) error {
+// SaveSnapshot writes a state in place of all places in it.
+func (s *Store) SaveSnapshot(state *replog.State) error {
 	if s.db == nil {
 		return errShut
 	}
@@ -311,12 +311,12 @@
 	if err := s.db.Write(b, &opt.WriteOptions{Sync: true}); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	s.since, s.bytes, s.kept, s.swept = 0, 0, state.Next, true
+	s.since, s.bytes, s.kept, s.swept = 0, 0, state.NextIndex, true
 	return nil
 }
 
-// Place returns the value that was chosen for a place, if it is still kept.
-func (s *Store) Place(n uint64) ([]byte, bool) {
+// ChosenValue returns the value that was chosen for a place, if it is still kept.
+func (s *Store) ChosenValue(n uint64) ([]byte, bool) {
 	if n < s.kept {
 		return nil, false
 	}
--- a/internal/control/store/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -1,4 +1,4 @@
-package store
+package storage
 
 import (
 	"errors"
@@ -12,12 +12,12 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 	"github.com/syndtr/goleveldb/leveldb/util"
 
-	"notchhinge/internal/control/ballot"
-	"notchhinge/internal/control/chain"
+	"notchhinge/internal/control/paxos"
+	"notchhinge/internal/control/replog"
 	"notchhinge/internal/limits"
 )
 
-func open(t *testing.T, dir string, fresh Identity) (*Store, *Kept) {
+func open(t *testing.T, dir string, fresh Identity) (*Store, *Recovered) {
 	t.Helper()
 	s, k, err := Open(dir, fresh)
 	if err != nil {
@@ -27,29 +27,29 @@
 }
 
 // life writes a scripted life and returns what must be there after each write.
-func life(t *testing.T, s *Store, after func(n int, state chain.State, vote ballot.Vote)) {
+func life(t *testing.T, s *Store, after func(n int, state replog.State, vote paxos.AcceptorState)) {
 	t.Helper()
-	state := chain.State{}
-	vote := ballot.Vote{}
+	state := replog.State{}
+	vote := paxos.AcceptorState{}
 	n := 0
 	for place := range uint64(80) {
-		e := &chain.Entry{Kind: chain.Usage, Nonce: place, Window: place, Counts: []chain.Count{{Tenant: "k", N: place}}}
+		e := &replog.Entry{Kind: replog.EntryUsage, Nonce: place, Window: place, Counts: []replog.TenantCount{{Tenant: "k", Requests: place}}}
 		if place == 0 {
-			e = &chain.Entry{Kind: chain.Members, Members: []chain.Member{{ID: 7, Name: "a", Addr: "x"}}}
+			e = &replog.Entry{Kind: replog.EntryMembers, Members: []replog.Member{{ID: 7, Name: "a", Addr: "x"}}}
 		}
-		vote = ballot.Vote{Place: place, Promised: ballot.Number{Round: place + 1, Node: 3}}
+		vote = paxos.AcceptorState{Index: place, Promised: paxos.ProposalNumber{Term: place + 1, Proposer: 3}}
 		for _, accepted := range []bool{false, true} {
 			if accepted {
 				vote.Accepted, vote.Value = vote.Promised, e.Encode()
 			}
-			if err := s.Vote(vote); err != nil {
+			if err := s.SaveAcceptor(vote); err != nil {
 				t.Fatal(err)
 			}
 			after(n, state, vote)
 			n++
 		}
 		state.Apply(e.Encode())
-		if err := s.Chose(e.Encode(), &state); err != nil {
+		if err := s.AppendChosen(e.Encode(), &state); err != nil {
 			t.Fatal(err)
 		}
 		after(n, state, vote)
@@ -59,23 +59,23 @@
 
 func TestWhatWasWrittenIsThere(t *testing.T) {
 	dir := t.TempDir()
-	s, k := open(t, dir, Identity{ID: 7, Founder: true})
-	if k.ID != 7 || !k.Founder || k.State.Next != 0 {
+	s, k := open(t, dir, Identity{ID: 7, IsFounder: true})
+	if k.ID != 7 || !k.IsFounder || k.State.NextIndex != 0 {
 		t.Fatalf("%+v", k)
 	}
-	var state chain.State
-	var vote ballot.Vote
-	life(t, s, func(_ int, st chain.State, v ballot.Vote) { state, vote = st, v })
-	if _, ok := s.Place(3); ok {
+	var state replog.State
+	var vote paxos.AcceptorState
+	life(t, s, func(_ int, st replog.State, v paxos.AcceptorState) { state, vote = st, v })
+	if _, ok := s.ChosenValue(3); ok {
 		t.Error("places that are in the state are still kept")
 	}
-	if v, ok := s.Place(79); !ok || len(v) == 0 {
+	if v, ok := s.ChosenValue(79); !ok || len(v) == 0 {
 		t.Error("the last place is not kept")
 	}
 	s.Close()
 	s, k = open(t, dir, Identity{ID: 99})
 	defer s.Close()
-	if diff := cmp.Diff(&Kept{Identity{7, true}, state, vote}, k); diff != "" {
+	if diff := cmp.Diff(&Recovered{Identity{7, true}, state, vote}, k); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 }
@@ -86,7 +86,7 @@
 	dir := t.TempDir()
 	s, _ := open(t, dir, Identity{ID: 7})
 	defer s.Close()
-	life(t, s, func(n int, state chain.State, vote ballot.Vote) {
+	life(t, s, func(n int, state replog.State, vote paxos.AcceptorState) {
 		if n%7 != 0 {
 			return // every write is alike; these meet all kinds, and the state's rewriting
 		}
@@ -97,8 +97,8 @@
 			t.Fatalf("write %d: %v", n, err)
 		}
 		defer c.Close()
-		if k.ID != 7 || !cmp.Equal(k.State, state) || !cmp.Equal(k.Vote, vote) {
-			t.Errorf("write %d: next place %d, vote %+v; want %d, %+v", n, k.State.Next, k.Vote, state.Next, vote)
+		if k.ID != 7 || !cmp.Equal(k.State, state) || !cmp.Equal(k.Acceptor, vote) {
+			t.Errorf("write %d: next place %d, vote %+v; want %d, %+v", n, k.State.NextIndex, k.Acceptor, state.NextIndex, vote)
 		}
 	})
 }
@@ -108,7 +108,7 @@
 	dir := t.TempDir()
 	s, _ := open(t, dir, Identity{ID: 7})
 	for round := range uint64(5) {
-		if err := s.Vote(ballot.Vote{Place: 1, Promised: ballot.Number{Round: round + 1}}); err != nil {
+		if err := s.SaveAcceptor(paxos.AcceptorState{Index: 1, Promised: paxos.ProposalNumber{Term: round + 1}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -125,7 +125,7 @@
 	f.Close()
 	s, k := open(t, dir, Identity{ID: 99})
 	defer s.Close()
-	if k.ID != 7 || k.Vote.Promised.Round != 5 {
+	if k.ID != 7 || k.Acceptor.Promised.Term != 5 {
 		t.Errorf("%+v", k)
 	}
 }
@@ -140,11 +140,11 @@
 func TestBackup(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := open(t, dir, Identity{ID: 7})
-	var state chain.State
-	life(t, s, func(_ int, st chain.State, _ ballot.Vote) { state = st })
+	var state replog.State
+	life(t, s, func(_ int, st replog.State, _ paxos.AcceptorState) { state = st })
 	s.Close()
-	b := Export(&state)
-	got, err := ReadBackup(b)
+	b := EncodeBackup(&state)
+	got, err := DecodeBackup(b)
 	if err != nil || !cmp.Equal(got, &state) {
 		t.Fatalf("%+v, %v", got, err)
 	}
@@ -152,21 +152,21 @@
 		"nothing": nil, "half": b[:len(b)/2], "another form": append([]byte("nhstat2\n"), b[8:]...),
 		"a flipped bit": append(append([]byte{}, b[:len(b)-1]...), b[len(b)-1]^1),
 	} {
-		if _, err := ReadBackup(bad); !errors.Is(err, ErrBackup) {
+		if _, err := DecodeBackup(bad); !errors.Is(err, ErrInvalidBackup) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	self := chain.Member{ID: 99, Name: "a", Addr: "10.0.0.1:1"}
-	if err := Import(dir, got, self); !errors.Is(err, ErrUsed) {
+	self := replog.Member{ID: 99, Name: "a", Addr: "10.0.0.1:1"}
+	if err := RestoreBackup(dir, got, self); !errors.Is(err, ErrNotEmpty) {
 		t.Errorf("over a state that is there: %v", err)
 	}
 	fresh := t.TempDir()
-	if err := Import(fresh, got, self); err != nil {
+	if err := RestoreBackup(fresh, got, self); err != nil {
 		t.Fatal(err)
 	}
 	s, k := open(t, fresh, Identity{ID: 5})
 	defer s.Close()
-	if k.ID != 99 || k.State.Next != state.Next || len(k.State.Members) != 1 || k.State.Member(99) == nil {
+	if k.ID != 99 || k.State.NextIndex != state.NextIndex || len(k.State.Members) != 1 || k.State.Member(99) == nil {
 		t.Errorf("%+v", k)
 	}
 }
@@ -178,11 +178,11 @@
 	defer s.Close()
 	large := make([]byte, limits.NodePlaceBytes/4)
 	for next := range uint64(6) {
-		if err := s.Chose(large, &chain.State{Next: next + 1}); err != nil {
+		if err := s.AppendChosen(large, &replog.State{NextIndex: next + 1}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := s.Chose(large, &chain.State{Next: 2}); err != nil {
+	if err := s.AppendChosen(large, &replog.State{NextIndex: 2}); err != nil {
 		t.Fatal(err)
 	}
 	it := s.db.NewIterator(util.BytesPrefix(keyPlace), nil)
@@ -191,7 +191,7 @@
 	for it.Next() {
 		left++
 	}
-	if _, ok := s.Place(5); left != 2 || !ok {
+	if _, ok := s.ChosenValue(5); left != 2 || !ok {
 		t.Errorf("%d places are left of 6, of which 4 are in the state", left)
 	}
 }
@@ -210,10 +210,10 @@
 			rand.NewChaCha8([32]byte{}).Read(value) // which the database makes no smaller
 			peak := int64(0)
 			for next := uint64(0); b.Loop(); next++ {
-				v := ballot.Vote{Place: next, Promised: ballot.Number{Round: next + 1}}
-				err := s.Vote(v)
+				v := paxos.AcceptorState{Index: next, Promised: paxos.ProposalNumber{Term: next + 1}}
+				err := s.SaveAcceptor(v)
 				v.Accepted, v.Value = v.Promised, value
-				if err = errors.Join(err, s.Vote(v), s.Chose(value, &chain.State{Next: next + 1, Text: value})); err != nil {
+				if err = errors.Join(err, s.SaveAcceptor(v), s.AppendChosen(value, &replog.State{NextIndex: next + 1, Config: value})); err != nil {
 					b.Fatal(err)
 				}
 				files, _ := os.ReadDir(filepath.Join(dir, "state"))
@@ -255,12 +255,12 @@
 	}
 	w.Close()
 	left := func() int { all, _ := files.List(storage.TypeTable); return len(all) }
-	disk := Named(files, func() error { return nil })
+	disk := SyncNames(files, func() error { return nil })
 	if err := disk.Remove(table); err != nil || left() != 1 {
 		t.Errorf("%v, %d tables", err, left())
 	}
 	on = false
-	s, _, err := OpenOn(func() (storage.Storage, error) { return disk, nil }, Identity{ID: 7})
+	s, _, err := OpenFiles(func() (storage.Storage, error) { return disk, nil }, Identity{ID: 7})
 	if err != nil || left() != 0 {
 		t.Fatalf("%v, %d tables after it was opened", err, left())
 	}
--- a/internal/control/peer/peer.go
+++ b/internal/control/transport/peer.go
@@ -1,7 +1,7 @@
-// Package peer carries bytes between the fleet's processes: datagrams for news, and calls with an answer over TCP. It owns
+// Package transport carries bytes between the fleet's processes: datagrams for news, and calls with an answer over TCP. It owns
 // sockets, frames, their bounds and the connections kept for further calls. What the bytes mean it does not know. A call
 // gets one answer or an error; an error says nothing of whether the other has done what was asked.
-package peer
+package transport
 
 import (
 	"context"
--- a/internal/control/peer/peer_test.go
+++ b/internal/control/transport/peer_test.go
@@ -1,4 +1,4 @@
-package peer
+package transport
 
 import (
 	"bytes"
--- a/internal/declaration/declaration_test.go
+++ b/internal/declaration/declaration_test.go
@@ -14,7 +14,7 @@
 	"github.com/invopop/jsonschema"
 
 	"notchhinge/deploy"
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/settings"
 )
 
@@ -22,7 +22,7 @@
 
 func TestSchemaIsOfTheTypes(t *testing.T) {
 	r := jsonschema.Reflector{FieldNameTag: "toml", RequiredFromJSONSchemaTags: true, ExpandedStruct: true, Anonymous: true}
-	s := r.Reflect(&declared.Config{})
+	s := r.Reflect(&fleetconfig.Config{})
 	s.ID, s.Title = "", "a configuration of the fleet"
 	text, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	again, _ := Encode(f.Config)
-	c, _, err := declared.Decode(b)
+	c, _, err := fleetconfig.Decode(b)
 	if err != nil || c.Check() != nil || !cmp.Equal(c, f.Config) || !bytes.Equal(b, again) {
 		t.Errorf("%v %s", err, cmp.Diff(f.Config, c))
 	}
@@ -144,7 +144,7 @@
 }
 
 func TestDiff(t *testing.T) {
-	read := func(text string) *declared.Config {
+	read := func(text string) *fleetconfig.Config {
 		f, err := Parse([]byte(text), "f.toml", env)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/declaration/diff.go
+++ b/internal/declaration/diff.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
 )
 
 // Change is one thing that another configuration changes.
@@ -35,26 +35,28 @@
 
 // Diff lists what b changes of a; a may be nil. Routes are told apart by host and path_prefix, since requests are; services
 // and tenants by name.
-func Diff(a, b *declared.Config) (all []Change) {
+func Diff(a, b *fleetconfig.Config) (all []Change) {
 	if a == nil {
-		a = &declared.Config{}
+		a = &fleetconfig.Config{}
 	}
-	all = append(all, pairs("route", a.Routes, b.Routes, func(r *declared.Route) string { return strings.ToLower(r.Host) + r.Prefix }, routeText)...)
-	all = append(all, pairs("service", a.Services, b.Services, func(s *declared.Service) string { return s.Name },
-		func(s *declared.Service) string {
+	all = append(all, pairs("route", a.Routes, b.Routes, func(r *fleetconfig.Route) string { return strings.ToLower(r.Host) + r.Prefix }, routeText)...)
+	all = append(all, pairs("service", a.Services, b.Services, func(s *fleetconfig.Service) string { return s.Name },
+		func(s *fleetconfig.Service) string {
 			return fmt.Sprintf("%s, %d connections", cmp.Or(s.Protocol, "h1"), s.MaxConns)
 		})...)
-	all = append(all, pairs("tenant", a.Tenants, b.Tenants, func(t *declared.Tenant) string { return t.Name },
-		func(t *declared.Tenant) string { return fmt.Sprintf("%d keys, priority %d", len(t.Keys), t.Priority) })...)
+	all = append(all, pairs("tenant", a.Tenants, b.Tenants, func(t *fleetconfig.Tenant) string { return t.Name },
+		func(t *fleetconfig.Tenant) string {
+			return fmt.Sprintf("%d keys, priority %d", len(t.Keys), t.Priority)
+		})...)
 	all = append(all, fields("request_limits", "", reflect.ValueOf(a.Limits), reflect.ValueOf(b.Limits))...)
 	return all
 }
 
-func routeText(r *declared.Route) string {
+func routeText(r *fleetconfig.Route) string {
 	return fmt.Sprintf("%s, %s -> %s, %v ms", r.Name, r.Type, shares(r.Shares()), r.Timeout)
 }
 
-func shares(all []declared.Share) string {
+func shares(all []fleetconfig.Share) string {
 	var s []string
 	for _, x := range all {
 		s = append(s, fmt.Sprintf("%s:%v", x.Service, x.Weight))
@@ -109,9 +111,9 @@
 
 func show(v any) string {
 	switch v := v.(type) {
-	case []declared.Share:
+	case []fleetconfig.Share:
 		return shares(v)
-	case *declared.Scale:
+	case *fleetconfig.Scale:
 		if v == nil {
 			return ""
 		}
--- a/internal/declaration/file.go
+++ b/internal/declaration/file.go
@@ -15,13 +15,13 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"notchhinge/deploy"
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/settings"
 )
 
 // File is a configuration from a file.
 type File struct {
-	*declared.Config
+	*fleetconfig.Config
 	Path     string
 	Numbered bool     // the file says a revision itself
 	Unread   []string // keys kept elsewhere that could not be read, as env:NAME
@@ -39,9 +39,9 @@
 
 // Parse is Read on a text that is already read.
 func Parse(text []byte, path string, getenv func(string) string) (*File, error) {
-	f := &File{Config: &declared.Config{}, Path: path}
+	f := &File{Config: &fleetconfig.Config{}, Path: path}
 	if filepath.Ext(path) == ".cbor" || len(text) > 0 && text[0] >= 0xa0 && text[0] <= 0xbf { // a map, which begins no TOML
-		c, _, err := declared.Decode(text)
+		c, _, err := fleetconfig.Decode(text)
 		if err == nil {
 			err = c.Check()
 		}
@@ -118,7 +118,7 @@
 
 // lines makes faults of a configuration faults of a file.
 func lines(from *settings.Source, path string, err error) error {
-	var faults declared.Faults
+	var faults fleetconfig.Faults
 	if !errors.As(err, &faults) {
 		if err != nil {
 			return settings.Faults{{File: path, Says: err.Error()}}
@@ -140,7 +140,7 @@
 }
 
 // Encode writes a configuration as the wire has it. The same configuration has the same bytes every time.
-func Encode(c *declared.Config) ([]byte, error) {
+func Encode(c *fleetconfig.Config) ([]byte, error) {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
 		return nil, err
@@ -149,7 +149,7 @@
 }
 
 // Hidden is a copy of a configuration without its keys.
-func Hidden(c *declared.Config) *declared.Config {
+func Hidden(c *fleetconfig.Config) *fleetconfig.Config {
 	out := *c
 	out.Tenants = nil
 	for _, t := range c.Tenants {
--- a/internal/edge/compile_bench_test.go
+++ b/internal/edge/compile_bench_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/pool"
 )
 
@@ -14,14 +14,14 @@
 // router does on its share of a core.
 func BenchmarkConfiguration(b *testing.B) {
 	for _, n := range []int{10, 1000, 5000} {
-		c := &declared.Config{Revision: 1}
+		c := &fleetconfig.Config{Revision: 1}
 		for i := range 9 {
-			c.Services = append(c.Services, declared.Service{Name: fmt.Sprint("s", i)})
+			c.Services = append(c.Services, fleetconfig.Service{Name: fmt.Sprint("s", i)})
 		}
 		for i := range n {
-			c.Routes = append(c.Routes, declared.Route{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i/5), Prefix: fmt.Sprintf("/p%d/", i),
-				Type: declared.Streaming, Timeout: 12000, Target: 800, Service: fmt.Sprint("s", i%9), Attempts: 2})
-			c.Tenants = append(c.Tenants, declared.Tenant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("k", i)}})
+			c.Routes = append(c.Routes, fleetconfig.Route{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i/5), Prefix: fmt.Sprintf("/p%d/", i),
+				Type: fleetconfig.Streaming, Timeout: 12000, Target: 800, Service: fmt.Sprint("s", i%9), Attempts: 2})
+			c.Tenants = append(c.Tenants, fleetconfig.Tenant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("k", i)}})
 		}
 		text, err := cbor.Marshal(c)
 		if err != nil {
@@ -31,7 +31,7 @@
 			b.ReportAllocs()
 			b.SetBytes(int64(len(text)))
 			for b.Loop() {
-				c, err := declared.Read(text, nil)
+				c, err := fleetconfig.Read(text, nil)
 				next := pool.ID(1)
 				if err == nil {
 					_, err = Compile(c, 1, nil, &next, nil)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -18,7 +18,7 @@
 
 	"notchhinge/internal/acquirer"
 	"notchhinge/internal/broker"
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/pool"
 	"notchhinge/internal/rank"
@@ -43,7 +43,7 @@
 type Compiled struct {
 	Place    uint64
 	Revision uint64
-	Config   *declared.Config
+	Config   *fleetconfig.Config
 	table    *route.Table
 	routes   []leads
 	keys     map[uint64][]*key // by hash
@@ -53,7 +53,7 @@
 
 // leads is a route with what is worked out ahead.
 type leads struct {
-	*declared.Route
+	*fleetconfig.Route
 	class   map[pool.ID]int
 	timeout time.Duration
 	silence time.Duration // so long a client waits for the first sign of an answer
@@ -61,7 +61,7 @@
 
 type key struct {
 	text   string
-	tenant *declared.Tenant
+	tenant *fleetconfig.Tenant
 }
 
 // Service is a pool of engines: one module instance, for as long as configurations name it.
@@ -93,7 +93,7 @@
 }
 
 // class finds or adds the class of a route. Classes only grow, since requests of earlier configurations may still run.
-func (s *Service) class(r *declared.Route) int {
+func (s *Service) class(r *fleetconfig.Route) int {
 	c := Class(r)
 	if i := slices.IndexFunc(s.Classes, func(o policy.Class) bool { return o == c }); i >= 0 {
 		return i
@@ -103,13 +103,13 @@
 }
 
 // Class is what the module knows of a route.
-func Class(r *declared.Route) policy.Class {
+func Class(r *fleetconfig.Route) policy.Class {
 	c := policy.Class{
-		Name: fmt.Sprintf("%s/%v/%d/%d", r.Type, r.Target, r.Priority, r.Attempts), Aim: declared.Millis(cmp.Or(r.Target, r.Timeout)),
-		Deadline: declared.Millis(r.Timeout), Worth: math.Exp2(-float64(min(max(r.Priority, 0), 8))), LateWorth: 1,
-		Effect: policy.Unsafe, Streaming: r.Type == declared.Streaming, MaxAttempts: max(r.Attempts, 1),
+		Name: fmt.Sprintf("%s/%v/%d/%d", r.Type, r.Target, r.Priority, r.Attempts), Aim: fleetconfig.Millis(cmp.Or(r.Target, r.Timeout)),
+		Deadline: fleetconfig.Millis(r.Timeout), Worth: math.Exp2(-float64(min(max(r.Priority, 0), 8))), LateWorth: 1,
+		Effect: policy.Unsafe, Streaming: r.Type == fleetconfig.Streaming, MaxAttempts: max(r.Attempts, 1),
 	}
-	if r.Type == declared.Idempotent {
+	if r.Type == fleetconfig.Idempotent {
 		c.Effect = policy.Safe
 	}
 	return c
@@ -131,16 +131,16 @@
 }
 
 // silent is how long clients of the platform wait for the next sign of a stream: two seconds, or four times the aim.
-func silent(r *declared.Route) time.Duration {
-	if r.Type != declared.Streaming {
+func silent(r *fleetconfig.Route) time.Duration {
+	if r.Type != fleetconfig.Streaming {
 		return math.MaxInt64
 	}
-	return max(2*time.Second, 4*declared.Millis(r.Target))
+	return max(2*time.Second, 4*fleetconfig.Millis(r.Target))
 }
 
 // Compile works a configuration out. Services that it names and before has not are made with numbers from next on. It
 // pauses now and then, as declared.Read does.
-func Compile(c *declared.Config, place uint64, before map[string]*Service, next *pool.ID, pause func()) (*Compiled, error) {
+func Compile(c *fleetconfig.Config, place uint64, before map[string]*Service, next *pool.ID, pause func()) (*Compiled, error) {
 	if pause == nil {
 		pause = func() {}
 	}
@@ -160,7 +160,7 @@
 	var routes []route.Route
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		l := leads{Route: r, class: map[pool.ID]int{}, timeout: declared.Millis(r.Timeout), silence: silent(r)}
+		l := leads{Route: r, class: map[pool.ID]int{}, timeout: fleetconfig.Millis(r.Timeout), silence: silent(r)}
 		name := strconv.Itoa(i)
 		s := route.Service{Name: name}
 		for _, share := range r.Shares() {
@@ -178,7 +178,7 @@
 		services = append(services, s)
 		routes = append(routes, route.Route{Service: name, Host: host, Prefix: r.Prefix})
 		out.routes = append(out.routes, l)
-		if i%declared.Some == declared.Some-1 {
+		if i%fleetconfig.Some == fleetconfig.Some-1 {
 			pause()
 		}
 	}
@@ -195,7 +195,7 @@
 	out.table = table
 	for i := range c.Tenants {
 		t := &c.Tenants[i]
-		if i%declared.Some == declared.Some-1 {
+		if i%fleetconfig.Some == fleetconfig.Some-1 {
 			pause()
 		}
 		for _, k := range t.Keys {
@@ -210,7 +210,7 @@
 func (c *Compiled) Services() map[string]*Service { return c.services }
 
 // tenant finds whose a key is.
-func (c *Compiled) tenant(text string) *declared.Tenant {
+func (c *Compiled) tenant(text string) *fleetconfig.Tenant {
 	for _, k := range c.keys[xxhash.Sum64String(text)] {
 		if k.text == text {
 			return k.tenant
@@ -236,7 +236,7 @@
 type request struct {
 	under  *Compiled
 	route  *leads
-	tenant *declared.Tenant
+	tenant *fleetconfig.Tenant
 	to     *Service
 	until  time.Time // when its client gives up
 }
@@ -283,7 +283,7 @@
 		if err != nil || !(v > 0) {
 			return w, &acquirer.Refusal{Status: http.StatusBadRequest, Reason: "bad_deadline: " + deadlineHeader + " is no number above 0"}
 		}
-		left = min(left, declared.Millis(v))
+		left = min(left, fleetconfig.Millis(v))
 	}
 	r.until = now.Add(left)
 	number := to.Pool(d.Conversation())
@@ -324,7 +324,7 @@
 	m.Order = issuer.Order{
 		Method: req.Method, Target: w.Target, Host: w.Host, Body: body, Until: r.until, Header: passedOn(req.Header, r.tenant),
 		Counted: req.ContentLength != 0 || len(req.TransferEncoding) > 0, CallID: req.Header.Get(idHeader),
-		Once: r.route.Type != declared.Idempotent,
+		Once: r.route.Type != fleetconfig.Idempotent,
 	}
 	return m, nil
 }
@@ -363,7 +363,7 @@
 }
 
 // passedOn writes the headers that an engine is shown.
-func passedOn(h http.Header, tenant *declared.Tenant) []byte {
+func passedOn(h http.Header, tenant *fleetconfig.Tenant) []byte {
 	b := make([]byte, 0, 512)
 	also := named(h)
 	for name, values := range h {
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -14,29 +14,29 @@
 
 	"notchhinge/internal/acquirer"
 	"notchhinge/internal/broker"
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/pool"
 	"notchhinge/policy"
 )
 
-func conf() *declared.Config {
-	return &declared.Config{
+func conf() *fleetconfig.Config {
+	return &fleetconfig.Config{
 		Revision: 3,
-		Services: []declared.Service{{Name: "s"}, {Name: "t"}},
-		Routes: []declared.Route{
-			{Name: "wide", Host: "a.example", Prefix: "/", Type: declared.Idempotent, Timeout: 2500, Target: 1000, Service: "t", Attempts: 3},
-			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Type: declared.Streaming, Timeout: 12000, Target: 800, Affinity: true, Service: "s", Attempts: 2},
-			{Name: "open", Host: "a.example", Prefix: "/open/", Type: declared.NonIdempotent, Timeout: 1000, Public: true, Service: "t"},
-			{Name: "split", Host: "b.example", Prefix: "/", Type: declared.Idempotent, Timeout: 1000,
-				Split: []declared.Share{{Service: "s", Weight: 1}, {Service: "t", Weight: 3}}},
+		Services: []fleetconfig.Service{{Name: "s"}, {Name: "t"}},
+		Routes: []fleetconfig.Route{
+			{Name: "wide", Host: "a.example", Prefix: "/", Type: fleetconfig.Idempotent, Timeout: 2500, Target: 1000, Service: "t", Attempts: 3},
+			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Type: fleetconfig.Streaming, Timeout: 12000, Target: 800, Affinity: true, Service: "s", Attempts: 2},
+			{Name: "open", Host: "a.example", Prefix: "/open/", Type: fleetconfig.NonIdempotent, Timeout: 1000, Public: true, Service: "t"},
+			{Name: "split", Host: "b.example", Prefix: "/", Type: fleetconfig.Idempotent, Timeout: 1000,
+				Split: []fleetconfig.Share{{Service: "s", Weight: 1}, {Service: "t", Weight: 3}}},
 		},
-		Tenants: []declared.Tenant{{Name: "k", Keys: []string{"one", "two"}}},
+		Tenants: []fleetconfig.Tenant{{Name: "k", Keys: []string{"one", "two"}}},
 	}
 }
 
-func compile(t *testing.T, c *declared.Config) *Compiled {
+func compile(t *testing.T, c *fleetconfig.Config) *Compiled {
 	t.Helper()
 	next := pool.ID(1)
 	out, err := Compile(c, 4, nil, &next, nil)
@@ -266,7 +266,7 @@
 	c := conf()
 	c.Revision = 9
 	c.Routes[1].Target = 700 // another class of s
-	c.Services = append(c.Services, declared.Service{Name: "u"})
+	c.Services = append(c.Services, fleetconfig.Service{Name: "u"})
 	second, err := Compile(c, 2, first.Services(), &next, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -358,7 +358,7 @@
 	// More come than can be served: whoever ranks lower is told at once to come again, the tenant's rank before the route's, and
 	// not once it is over. Other services are not concerned.
 	c := conf()
-	c.Tenants = []declared.Tenant{{Name: "k", Keys: []string{"one"}}, {Name: "low", Keys: []string{"two"}, Priority: 1}}
+	c.Tenants = []fleetconfig.Tenant{{Name: "k", Keys: []string{"one"}}, {Name: "low", Keys: []string{"two"}, Priority: 1}}
 	c.Routes[1].Priority = 7
 	at := compile(t, c)
 	now := time.Duration(0)
@@ -410,26 +410,26 @@
 func TestLargeConfigurationsArePausedIn(t *testing.T) {
 	c := conf()
 	for i := range 1000 {
-		c.Routes = append(c.Routes, declared.Route{Name: fmt.Sprint("r", i), Host: "many.example", Prefix: fmt.Sprintf("/%d/", i),
-			Type: declared.Idempotent, Timeout: 1000, Service: c.Services[0].Name})
-		c.Tenants = append(c.Tenants, declared.Tenant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("key-", i)}})
+		c.Routes = append(c.Routes, fleetconfig.Route{Name: fmt.Sprint("r", i), Host: "many.example", Prefix: fmt.Sprintf("/%d/", i),
+			Type: fleetconfig.Idempotent, Timeout: 1000, Service: c.Services[0].Name})
+		c.Tenants = append(c.Tenants, fleetconfig.Tenant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("key-", i)}})
 	}
 	text, err := cbor.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	pauses := 0
-	got, err := declared.Read(text, func() { pauses++ })
-	if err != nil || pauses < 2000/declared.Some-1 {
+	got, err := fleetconfig.Read(text, func() { pauses++ })
+	if err != nil || pauses < 2000/fleetconfig.Some-1 {
 		t.Fatalf("read in %d pauses, %v", pauses, err)
 	}
-	whole, _, err := declared.Decode(text)
+	whole, _, err := fleetconfig.Decode(text)
 	if diff := cmp.Diff(whole, got); diff != "" || err != nil {
 		t.Errorf("%v (-whole +in parts):\n%s", err, diff)
 	}
 	pauses = 0
 	next := pool.ID(1)
-	if _, err := Compile(got, 1, nil, &next, func() { pauses++ }); err != nil || pauses < 2000/declared.Some-1 {
+	if _, err := Compile(got, 1, nil, &next, func() { pauses++ }); err != nil || pauses < 2000/fleetconfig.Some-1 {
 		t.Errorf("compiled in %d pauses, %v", pauses, err)
 	}
 }
--- a/internal/edge/explain.go
+++ b/internal/edge/explain.go
@@ -3,24 +3,24 @@
 import (
 	"net/http"
 
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
 )
 
 // Explanation is what would become of a request.
 type Explanation struct {
-	Revision uint64           `json:"revision"`
-	Route    string           `json:"route,omitempty"`
-	Host     string           `json:"hostname,omitempty"`
-	Prefix   string           `json:"path_prefix,omitempty"`
-	Type     string           `json:"route_type,omitempty"`
-	Tenant   string           `json:"tenant,omitempty"`
-	Shares   []declared.Share `json:"split,omitempty"`
-	Service  string           `json:"service,omitempty"` // of a split, this time's
-	Class    string           `json:"class,omitempty"`
-	Session  bool             `json:"session"` // known sessions go by the table, others are drawn
-	LeftMS   int64            `json:"left_ms,omitempty"`
-	Status   int              `json:"status,omitempty"` // it is refused with
-	Refused  string           `json:"refused,omitempty"`
+	Revision uint64              `json:"revision"`
+	Route    string              `json:"route,omitempty"`
+	Host     string              `json:"hostname,omitempty"`
+	Prefix   string              `json:"path_prefix,omitempty"`
+	Type     string              `json:"route_type,omitempty"`
+	Tenant   string              `json:"tenant,omitempty"`
+	Shares   []fleetconfig.Share `json:"split,omitempty"`
+	Service  string              `json:"service,omitempty"` // of a split, this time's
+	Class    string              `json:"class,omitempty"`
+	Session  bool                `json:"session"` // known sessions go by the table, others are drawn
+	LeftMS   int64               `json:"left_ms,omitempty"`
+	Status   int                 `json:"status,omitempty"` // it is refused with
+	Refused  string              `json:"refused,omitempty"`
 }
 
 // Explain says what would become of a request, by its head. Nothing is sent or kept.
--- a/internal/edge/tenants_bench_test.go
+++ b/internal/edge/tenants_bench_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/pool"
 )
@@ -17,13 +17,13 @@
 // with a router's pauses, so that streams go on; held-bytes is what a router keeps of it beside its text.
 func BenchmarkTenants(b *testing.B) {
 	for _, n := range []int{1400, 4600, 14000} {
-		c := &declared.Config{Revision: 1, Services: []declared.Service{{Name: "s"}}}
+		c := &fleetconfig.Config{Revision: 1, Services: []fleetconfig.Service{{Name: "s"}}}
 		for i := range 100 {
-			c.Routes = append(c.Routes, declared.Route{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i/20), Prefix: fmt.Sprintf("/p%d/", i),
-				Type: declared.Streaming, Timeout: 60000, Target: 390, Service: "s", Attempts: 2})
+			c.Routes = append(c.Routes, fleetconfig.Route{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i/20), Prefix: fmt.Sprintf("/p%d/", i),
+				Type: fleetconfig.Streaming, Timeout: 60000, Target: 390, Service: "s", Attempts: 2})
 		}
 		for i := range n {
-			c.Tenants = append(c.Tenants, declared.Tenant{Name: fmt.Sprintf("tenant-%05d", i), Keys: []string{fmt.Sprintf("sk-%032x", i*0x9e3779b1)}, PerS: 50})
+			c.Tenants = append(c.Tenants, fleetconfig.Tenant{Name: fmt.Sprintf("tenant-%05d", i), Keys: []string{fmt.Sprintf("sk-%032x", i*0x9e3779b1)}, PerS: 50})
 		}
 		text, err := cbor.Marshal(c)
 		if err != nil {
@@ -39,7 +39,7 @@
 				var held any
 				before := heap()
 				for b.Loop() {
-					c, err := declared.Read(text, pause)
+					c, err := fleetconfig.Read(text, pause)
 					next := pool.ID(1)
 					if err == nil {
 						held, err = Compile(c, 1, nil, &next, pause)
--- a/internal/lab/check/ballots.go
+++ b/internal/lab/check/ballots.go
@@ -7,7 +7,7 @@
 import (
 	"fmt"
 
-	"notchhinge/internal/control/ballot"
+	"notchhinge/internal/control/paxos"
 )
 
 // draws returns draws that follow from a seed.
@@ -36,8 +36,8 @@
 
 type member struct {
 	id     uint64
-	acc    ballot.Acceptor
-	disk   ballot.Vote
+	acc    paxos.Acceptor
+	disk   paxos.AcceptorState
 	log    [][]byte // chosen values by place, durable
 	unsure bool     // the vote is not on the disk yet
 }
@@ -45,16 +45,16 @@
 type wire struct {
 	to      int
 	from    *attempt
-	ask     ballot.Ask
+	ask     paxos.Request
 	back    bool
-	answer  ballot.Answer
+	answer  paxos.Response
 	phase   bool
 	by      uint64
 	repeats int
 }
 
 type attempt struct {
-	ballot.Round
+	paxos.Proposer
 	over bool
 }
 
@@ -62,7 +62,7 @@
 	w := &world{chosen: map[uint64]map[string]bool{}}
 	for i := range n {
 		m := &member{id: uint64(i + 1)}
-		m.acc = ballot.Acceptor{Voter: true, Chosen: m.chosen}
+		m.acc = paxos.Acceptor{IsVoter: true, ChosenValue: m.chosen}
 		w.members = append(w.members, m)
 	}
 	return w
@@ -78,30 +78,30 @@
 func (m *member) learn(place uint64, value []byte) {
 	if place == uint64(len(m.log)) {
 		m.log = append(m.log, value)
-		m.acc.Next = uint64(len(m.log))
+		m.acc.NextIndex = uint64(len(m.log))
 	}
 }
 
 func (w *world) begin(place uint64) {
 	w.next++
-	number := ballot.Number{Round: 1 + w.next/2, Node: w.next}
+	number := paxos.ProposalNumber{Term: 1 + w.next/2, Proposer: w.next}
 	if w.again {
-		number = ballot.Number{Round: 1 + w.next/2, Node: 1}
+		number = paxos.ProposalNumber{Term: 1 + w.next/2, Proposer: 1}
 	}
-	a := &attempt{Round: ballot.Round{
-		Place: place, Number: number, Need: ballot.Majority(len(w.members)),
-		Own: []byte(fmt.Sprintf("v%d", w.next)),
+	a := &attempt{Proposer: paxos.Proposer{
+		Index: place, Number: number, Quorum: paxos.Majority(len(w.members)),
+		OwnValue: []byte(fmt.Sprintf("v%d", w.next)),
 	}}
 	for _, m := range w.members {
-		a.Members = append(a.Members, m.id)
+		a.Voters = append(a.Voters, m.id)
 	}
 	w.rounds = append(w.rounds, a)
-	w.send(a, a.Begin())
+	w.send(a, a.Prepare())
 }
 
-func (w *world) send(a *attempt, ask ballot.Ask) {
+func (w *world) send(a *attempt, ask paxos.Request) {
 	for i := range w.members {
-		w.wires = append(w.wires, wire{to: i, from: a, ask: ask, phase: ask.Kind == ballot.Accept})
+		w.wires = append(w.wires, wire{to: i, from: a, ask: ask, phase: ask.Kind == paxos.KindAccept})
 	}
 }
 
@@ -117,7 +117,7 @@
 		m := w.members[x.to]
 		ans, write := m.acc.Handle(x.ask)
 		if write && !w.skipDisk {
-			m.disk = m.acc.Vote
+			m.disk = m.acc.State
 		}
 		w.wires = append(w.wires, wire{back: true, from: x.from, answer: ans, phase: x.phase, by: m.id})
 		return
@@ -126,23 +126,23 @@
 	if a.over {
 		return
 	}
-	next, out := a.Take(x.by, x.phase, x.answer)
+	next, out := a.HandleResponse(x.by, x.phase, x.answer)
 	if next != nil {
 		w.send(a, *next)
 	}
-	if out == ballot.Pending {
+	if out == paxos.OutcomePending {
 		return
 	}
 	a.over = true
 	switch {
-	case out == ballot.Chosen, out == ballot.Past && x.answer.Value != nil:
-		if w.chosen[a.Place] == nil {
-			w.chosen[a.Place] = map[string]bool{}
+	case out == paxos.OutcomeChosen, out == paxos.OutcomeAlreadyChosen && x.answer.Value != nil:
+		if w.chosen[a.Index] == nil {
+			w.chosen[a.Index] = map[string]bool{}
 		}
-		w.chosen[a.Place][string(a.Value)] = true
+		w.chosen[a.Index][string(a.Value)] = true
 		for _, m := range w.members {
-			if out == ballot.Chosen && m.id == 1+a.Number.Node%uint64(len(w.members)) {
-				m.learn(a.Place, a.Value)
+			if out == paxos.OutcomeChosen && m.id == 1+a.Number.Proposer%uint64(len(w.members)) {
+				m.learn(a.Index, a.Value)
 			}
 		}
 	}
@@ -152,9 +152,9 @@
 func (w *world) crash(i int) {
 	m := w.members[i]
 	if w.forgets {
-		m.disk = ballot.Vote{}
+		m.disk = paxos.AcceptorState{}
 	}
-	m.acc = ballot.Acceptor{Vote: m.disk, Voter: true, Next: uint64(len(m.log)), Chosen: m.chosen}
+	m.acc = paxos.Acceptor{State: m.disk, IsVoter: true, NextIndex: uint64(len(m.log)), ChosenValue: m.chosen}
 }
 
 // broken names a place at which two values were chosen.
@@ -248,14 +248,14 @@
 func (w *world) key(crashed, begun int) string {
 	s := fmt.Sprint(crashed, begun)
 	for _, m := range w.members {
-		s += fmt.Sprintf("|%v %v %d", m.acc.Vote, m.disk, len(m.log))
+		s += fmt.Sprintf("|%v %v %d", m.acc.State, m.disk, len(m.log))
 	}
 	for i, a := range w.rounds {
 		s += fmt.Sprintf("/%d %v %s", i, a.over, a.Key())
 	}
 	pending := map[string]int{}
 	for _, x := range w.wires {
-		pending[fmt.Sprintf("%d %d %v %v %v %d", x.to, x.from.Number.Round, x.ask, x.back, x.answer, x.by)]++
+		pending[fmt.Sprintf("%d %d %v %v %v %d", x.to, x.from.Number.Term, x.ask, x.back, x.answer, x.by)]++
 	}
 	return s + fmt.Sprint(pending)
 }
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -5,7 +5,7 @@
 	"io"
 	"slices"
 
-	"notchhinge/internal/control/ballot"
+	"notchhinge/internal/control/paxos"
 )
 
 // Walk is a walk through lives.
@@ -69,7 +69,7 @@
 		{"a change counts as finished once it is chosen", func(lives int) (string, int) { return replace(lives, true) }},
 		{"a majority founds", func(lives int) (string, int) {
 			for seed := range lives {
-				if sets := found(draws(seed), 5, 3, ballot.Majority); len(sets) > 1 {
+				if sets := found(draws(seed), 5, 3, paxos.Majority); len(sets) > 1 {
 					return fmt.Sprint(sets), seed
 				}
 			}
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -5,7 +5,7 @@
 
 	"pgregory.net/rapid"
 
-	"notchhinge/internal/control/ballot"
+	"notchhinge/internal/control/paxos"
 )
 
 // drawn has rapid draw, so that it can shrink.
@@ -154,7 +154,7 @@
 func TestHalvesThatFoundAreFoundOut(t *testing.T) {
 	worst := 0
 	for seed := range 300 {
-		founded := len(found(draws(seed), 5, 3, ballot.Majority))
+		founded := len(found(draws(seed), 5, 3, paxos.Majority))
 		worst = max(worst, founded)
 	}
 	if worst < 2 {
--- a/internal/lab/check/cuts.go
+++ b/internal/lab/check/cuts.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"notchhinge/internal/control/api"
-	"notchhinge/internal/control/ballot"
-	"notchhinge/internal/control/chain"
-	replica "notchhinge/internal/control/core"
-	"notchhinge/internal/control/duty"
+	"notchhinge/internal/control/paxos"
+	replica "notchhinge/internal/control/replica"
+	"notchhinge/internal/control/replog"
+	"notchhinge/internal/control/singleton"
 	"notchhinge/internal/deadline"
 	"notchhinge/internal/limits"
 )
@@ -45,10 +45,10 @@
 	id     uint64 // of its disk
 	up     bool
 	life   int
-	core   *replica.Node
-	duty   *duty.Node
-	state  chain.State // as the disk has it
-	vote   ballot.Vote
+	core   *replica.Replica
+	duty   *singleton.Node
+	state  replog.State // as the disk has it
+	vote   paxos.AcceptorState
 	places map[uint64][]byte
 	wake   time.Duration
 	votes  bool   // is a member, as far as the duties have been told
@@ -65,7 +65,7 @@
 func newSite(draw func(n int) int, n, further int, broken string) *site {
 	s := &site{draw: draw, due: deadline.New[func()](), blind: map[[2]int]bool{}, broken: broken, ids: 1, now: time.Hour, holder: map[uint64]int{}}
 	s.closed, s.duties = further > 0, further > 0
-	var all []chain.Member
+	var all []replog.Member
 	for i := range n + further {
 		h := &host{s: s, i: i}
 		h.format()
@@ -73,7 +73,7 @@
 		all = append(all, h.member())
 	}
 	for _, h := range s.hosts {
-		h.state.Apply((&chain.Entry{Kind: chain.Members, Members: all[:n]}).Encode())
+		h.state.Apply((&replog.Entry{Kind: replog.EntryMembers, Members: all[:n]}).Encode())
 		h.start()
 	}
 	return s
@@ -128,10 +128,10 @@
 }
 
 // newest is the state that has come furthest on any machine.
-func (s *site) newest() *chain.State {
+func (s *site) newest() *replog.State {
 	best := s.hosts[0].known()
 	for _, h := range s.hosts {
-		if x := h.known(); x.Next > best.Next {
+		if x := h.known(); x.NextIndex > best.NextIndex {
 			best = x
 		}
 	}
@@ -156,7 +156,7 @@
 }
 
 // known is the state that a machine has come to.
-func (h *host) known() *chain.State {
+func (h *host) known() *replog.State {
 	if h.up {
 		x := h.core.State()
 		return &x
@@ -168,11 +168,11 @@
 func (h *host) format() {
 	h.s.ids++
 	h.id = h.s.ids
-	h.state, h.vote, h.places = chain.State{}, ballot.Vote{}, map[uint64][]byte{}
+	h.state, h.vote, h.places = replog.State{}, paxos.AcceptorState{}, map[uint64][]byte{}
 }
 
-func (h *host) member() chain.Member {
-	return chain.Member{ID: h.id, Name: fmt.Sprint("k-", h.i), Addr: hostAddr(h.i).String()}
+func (h *host) member() replog.Member {
+	return replog.Member{ID: h.id, Name: fmt.Sprint("k-", h.i), Addr: hostAddr(h.i).String()}
 }
 
 // start starts the process with what its disk has.
@@ -188,9 +188,9 @@
 		}
 	}
 	h.core = replica.New(replica.Config{
-		Self: h.member(), Least: len(s.hosts), Life: s.ids, Seed: uint64(s.draw(1 << 30)), State: h.state, Vote: h.vote,
-		Others: func() []netip.AddrPort { return others },
-		Chosen: func(place uint64) ([]byte, bool) { v, ok := h.places[place]; return v, ok },
+		Self: h.member(), MinVoters: len(s.hosts), Incarnation: s.ids, Seed: uint64(s.draw(1 << 30)), State: h.state, Acceptor: h.vote,
+		Peers:       func() []netip.AddrPort { return others },
+		ChosenValue: func(place uint64) ([]byte, bool) { v, ok := h.places[place]; return v, ok },
 	})
 	if h.duty = nil; s.duties {
 		h.startDuties(others)
@@ -223,7 +223,7 @@
 	if !h.up {
 		return
 	}
-	if c, ok := e.(replica.Called); ok && duty.Owns(c.Kind) {
+	if c, ok := e.(replica.CallReceived); ok && singleton.Owns(c.Kind) {
 		h.owe(e)
 		return
 	}
@@ -236,7 +236,7 @@
 	if !h.up {
 		return
 	}
-	next, ok := h.core.Next()
+	next, ok := h.core.NextTimer()
 	if next = max(next, h.s.now+time.Millisecond); !ok || h.wake > h.s.now && h.wake <= next {
 		return
 	}
@@ -267,16 +267,16 @@
 				h.kill(time.Duration(50+s.draw(3000)) * time.Millisecond)
 				return
 			}
-			effects = append(effects, h.core.Reduce(s.now, replica.Wrote{ID: f.ID, OK: true})...)
-		case replica.Call:
+			effects = append(effects, h.core.Reduce(s.now, replica.WriteDone{ID: f.ID, Durable: true})...)
+		case replica.SendCall:
 			s.call(h, f, func(body []byte, err error) {
 				if h.life == life {
-					h.take(replica.Returned{ID: f.ID, Body: body, Err: err})
+					h.take(replica.CallReturned{ID: f.ID, Body: body, Err: err})
 				}
 			})
-		case replica.Reply:
+		case replica.SendReply:
 			f.Of.(func([]byte, error))(f.Body, f.Err)
-		case replica.Answered:
+		case replica.OperatorAnswer:
 			f.Of.(func(api.Result))(f.Result)
 		case replica.Proposed:
 			s.in(0, func() { f.Of.(func(error))(f.Err) })
@@ -290,22 +290,22 @@
 // keep makes a write durable.
 func (h *host) keep(f *replica.Write) {
 	switch {
-	case f.Whole:
+	case f.Snapshot:
 		h.state = *f.State
 		h.places = map[uint64][]byte{}
 	case f.Value != nil:
 		h.state = *f.State
 		h.places = maps.Clone(h.places)
-		h.places[f.State.Next-1] = f.Value
-		delete(h.places, f.State.Next-33)
+		h.places[f.State.NextIndex-1] = f.Value
+		delete(h.places, f.State.NextIndex-33)
 	default:
-		h.vote = f.Vote
+		h.vote = f.Acceptor
 	}
 }
 
 // call carries a call there, and its answer back.
-func (s *site) call(from *host, c replica.Call, then func(body []byte, err error)) {
-	if s.broken == "a lease among members that nobody names" && c.Kind == duty.CallRenew {
+func (s *site) call(from *host, c replica.SendCall, then func(body []byte, err error)) {
+	if s.broken == "a lease among members that nobody names" && c.Kind == singleton.CallRenew {
 		c.Body = c.Body[:len(c.Body)-8] // as an earlier program asks
 	}
 	over := false
@@ -315,7 +315,7 @@
 			then(body, err)
 		}
 	}
-	s.in(c.Within, func() { back(nil, errAway) })
+	s.in(c.Timeout, func() { back(nil, errAway) })
 	to := s.hosts[c.To.Addr().As4()[3]]
 	if s.closed && c.Kind == replica.CallJoin {
 		return
@@ -326,9 +326,9 @@
 		}
 	}
 	way(from, to, func() {
-		to.take(replica.Called{Kind: c.Kind, Body: c.Body, From: hostAddr(from.i).Addr(), Of: func(body []byte, err error) {
-			const noVote, known = byte(ballot.NoVote), byte(ballot.Known)
-			if s.broken == "who is no member counts" && c.Kind == replica.CallAsk && len(body) > 0 && body[0] == noVote && c.Body[0] == byte(ballot.Query) {
+		to.take(replica.CallReceived{Kind: c.Kind, Body: c.Body, From: hostAddr(from.i).Addr(), Of: func(body []byte, err error) {
+			const noVote, known = byte(paxos.VerdictNotVoter), byte(paxos.VerdictReported)
+			if s.broken == "who is no member counts" && c.Kind == replica.CallPaxos && len(body) > 0 && body[0] == noVote && c.Body[0] == byte(paxos.KindQuery) {
 				body = append([]byte{known}, body[1:]...)
 			}
 			way(to, from, func() { back(body, err) })
@@ -347,21 +347,21 @@
 // startDuties starts the keeper's part in the duties: engines of one service are ordered once a second.
 func (h *host) startDuties(others []netip.AddrPort) {
 	s, life := h.s, h.life
-	c := duty.Config{
+	c := singleton.Config{
 		Self: h.member(), Lease: lease, Window: 5 * time.Second, Delay: 10 * time.Second, Lately: limits.NodeLately, Orders: true, Life: s.ids,
 		Rank: time.Duration(h.id) * 100 * time.Millisecond, Others: func() []netip.AddrPort { return others },
-		Services: func() []duty.Service {
+		Services: func() []singleton.Service {
 			n := 1 + int(s.now/time.Second)%9
-			return []duty.Service{{Name: "s", Bounds: duty.Bounds{Min: n, Max: n}, Ready: map[string]int{"z": 1}, Slots: 4}}
+			return []singleton.Service{{Name: "s", Bounds: singleton.Bounds{Min: n, Max: n}, Ready: map[string]int{"z": 1}, Slots: 4}}
 		},
 	}
 	if s.broken != "a lease among members that may be others by now" {
-		c.Unsure = h.core.Changing
+		c.Unsure = h.core.MembershipPending
 	}
-	h.duty = duty.New(s.now, c)
+	h.duty = singleton.New(s.now, c)
 	h.anew = func() {
 		c.Fresh = true
-		h.duty = duty.New(s.now, c)
+		h.duty = singleton.New(s.now, c)
 	}
 	h.votes = h.state.Member(h.id) != nil
 	var tick func()
@@ -369,8 +369,8 @@
 		if h.life != life {
 			return
 		}
-		report := duty.Report{Source: 1, Loads: []duty.Load{{Service: "s", Running: 400, Arrived: uint64(s.now / time.Millisecond)}}}
-		h.owe(replica.Called{Kind: duty.CallReport, Body: report.Encode(), Of: func([]byte, error) {}})
+		report := singleton.Report{Source: 1, Loads: []singleton.Load{{Service: "s", Running: 400, Arrived: uint64(s.now / time.Millisecond)}}}
+		h.owe(replica.CallReceived{Kind: singleton.CallReport, Body: report.Encode(), Of: func([]byte, error) {}})
 		h.owe(replica.Tick{})
 		s.in(limits.NodeDuty, tick)
 	}
@@ -378,7 +378,7 @@
 }
 
 // owe has the keeper's part in the duties take an event, and does what follows.
-func (h *host) owe(e duty.Event) {
+func (h *host) owe(e singleton.Event) {
 	if !h.up || h.duty == nil {
 		return
 	}
@@ -389,27 +389,27 @@
 			h.anew()
 		}
 	}
-	for _, f := range append([]duty.Effect(nil), h.duty.Reduce(s.now, time.Unix(0, 0).Add(s.now), &state, e)...) {
+	for _, f := range append([]singleton.Effect(nil), h.duty.Reduce(s.now, time.Unix(0, 0).Add(s.now), &state, e)...) {
 		switch f := f.(type) {
-		case replica.Call:
+		case replica.SendCall:
 			s.call(h, f, func(body []byte, err error) {
 				if h.life == life {
-					h.owe(replica.Returned{ID: f.ID, Body: body, Err: err})
+					h.owe(replica.CallReturned{ID: f.ID, Body: body, Err: err})
 				}
 			})
-		case replica.Reply:
+		case replica.SendReply:
 			f.Of.(func([]byte, error))(f.Body, f.Err)
-		case duty.Propose:
-			h.take(replica.Propose{Want: f.Want, Until: s.now + f.Within, Of: func(err error) {
+		case singleton.Propose:
+			h.take(replica.Propose{Next: f.Want, Until: s.now + f.Within, Of: func(err error) {
 				if h.life == life {
-					h.owe(duty.Proposed{Err: err})
+					h.owe(singleton.Proposed{Err: err})
 				}
 			}})
-		case duty.Order: // the platform can always be reached, and takes every call
+		case singleton.Order: // the platform can always be reached, and takes every call
 			s.in(time.Millisecond, func() { s.act(h, f.Fence) })
 			s.in(2*time.Millisecond, func() {
 				if h.life == life {
-					h.owe(duty.Took{})
+					h.owe(singleton.Took{})
 				}
 			})
 		}
@@ -435,22 +435,22 @@
 	now := s.newest()
 	var in *host
 	for _, h := range s.hosts {
-		if now.Member(h.id) == nil && h.known().Next == now.Next {
+		if now.Member(h.id) == nil && h.known().NextIndex == now.NextIndex {
 			in = h
 		}
 	}
 	out := now.Members[s.draw(len(now.Members))]
 	for _, h := range s.hosts {
-		if h.id == now.Holder || h.id == out.ID {
+		if h.id == now.LeaseHolder || h.id == out.ID {
 			side |= 1 << h.i
 		}
 	}
 	if in == nil {
 		return side
 	}
-	s.hosts[s.draw(len(s.hosts))].take(replica.Propose{Until: s.now + within, Of: func(error) {}, Want: func(x *chain.State) []byte {
-		e := &chain.Entry{Kind: chain.Members, Nonce: uint64(s.draw(1 << 30)), Members: slices.Clone(x.Members)}
-		at := slices.IndexFunc(e.Members, func(m chain.Member) bool { return m.ID == out.ID })
+	s.hosts[s.draw(len(s.hosts))].take(replica.Propose{Until: s.now + within, Of: func(error) {}, Next: func(x *replog.State) []byte {
+		e := &replog.Entry{Kind: replog.EntryMembers, Nonce: uint64(s.draw(1 << 30)), Members: slices.Clone(x.Members)}
+		at := slices.IndexFunc(e.Members, func(m replog.Member) bool { return m.ID == out.ID })
 		if at < 0 || x.Member(in.id) != nil {
 			return nil
 		}
