--- a/internal/lab/check/disk.go
+++ b/internal/lab/check/disk.go
@@ -10,11 +10,11 @@
 	"sync"
 	"syscall"
 
-	"github.com/syndtr/goleveldb/leveldb/storage"
+	leveldbstorage "github.com/syndtr/goleveldb/leveldb/storage"
 
-	"notchhinge/internal/control/ballot"
-	"notchhinge/internal/control/chain"
-	"notchhinge/internal/control/store"
+	"notchhinge/internal/control/paxos"
+	"notchhinge/internal/control/replog"
+	"notchhinge/internal/control/storage"
 )
 
 // disk is a disk of our own under the database: what is written is in a cache until it is synced, a file's bytes and its
@@ -22,9 +22,9 @@
 // power loss leaves of the cache is drawn: nothing, all, a torn end, or later blocks without earlier ones.
 type disk struct {
 	mu      sync.Mutex
-	files   map[storage.FileDesc]*file
-	named   map[storage.FileDesc]*file // names that are durable
-	meta    storage.FileDesc
+	files   map[leveldbstorage.FileDesc]*file
+	named   map[leveldbstorage.FileDesc]*file // names that are durable
+	meta    leveldbstorage.FileDesc
 	steps   int
 	failAt  int // from this step on; 0 = never
 	fails   int // so many steps fail
@@ -41,7 +41,7 @@
 }
 
 func newDisk() *disk {
-	return &disk{files: map[storage.FileDesc]*file{}, named: map[storage.FileDesc]*file{}}
+	return &disk{files: map[leveldbstorage.FileDesc]*file{}, named: map[leveldbstorage.FileDesc]*file{}}
 }
 
 var errPower = errors.New("the power is gone")
@@ -99,11 +99,11 @@
 
 func (d *disk) dead() bool { return d.fault() == errPower && d.struck() }
 
-func (d *disk) open() (storage.Storage, error) {
+func (d *disk) open() (leveldbstorage.Storage, error) {
 	if d.noNames {
-		return store.Named(diskFiles{d}, func() error { return nil }), nil
+		return storage.SyncNames(diskFiles{d}, func() error { return nil }), nil
 	}
-	return store.Named(diskFiles{d}, d.syncNames), nil
+	return storage.SyncNames(diskFiles{d}, d.syncNames), nil
 }
 
 func (d *disk) syncNames() error {
@@ -123,12 +123,12 @@
 
 func (unlocked) Unlock() {}
 
-func (diskFiles) Lock() (storage.Locker, error) { return unlocked{}, nil }
-func (diskFiles) Log(string)                    {}
-func (diskFiles) Close() error                  { return nil }
+func (diskFiles) Lock() (leveldbstorage.Locker, error) { return unlocked{}, nil }
+func (diskFiles) Log(string)                           {}
+func (diskFiles) Close() error                         { return nil }
 
 // SetMeta is a file written beside, synced, renamed, and the folder synced.
-func (x diskFiles) SetMeta(fd storage.FileDesc) error {
+func (x diskFiles) SetMeta(fd leveldbstorage.FileDesc) error {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
 	for range 3 {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func (x diskFiles) GetMeta() (storage.FileDesc, error) {
+func (x diskFiles) GetMeta() (leveldbstorage.FileDesc, error) {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
 	if x.d.meta.Zero() {
@@ -150,7 +150,7 @@
 	return x.d.meta, nil
 }
 
-func (x diskFiles) List(t storage.FileType) (all []storage.FileDesc, err error) {
+func (x diskFiles) List(t leveldbstorage.FileType) (all []leveldbstorage.FileDesc, err error) {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
 	for fd := range x.d.files {
@@ -165,7 +165,7 @@
 
 func (reader) Close() error { return nil }
 
-func (x diskFiles) Open(fd storage.FileDesc) (storage.Reader, error) {
+func (x diskFiles) Open(fd leveldbstorage.FileDesc) (leveldbstorage.Reader, error) {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
 	f := x.d.files[fd]
@@ -175,7 +175,7 @@
 	return reader{bytes.NewReader(f.data)}, nil // what is added later is behind it
 }
 
-func (x diskFiles) Create(fd storage.FileDesc) (storage.Writer, error) {
+func (x diskFiles) Create(fd leveldbstorage.FileDesc) (leveldbstorage.Writer, error) {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
 	if err := x.d.step(); err != nil {
@@ -186,7 +186,7 @@
 	return &writer{x.d, f, fd}, nil
 }
 
-func (x diskFiles) Remove(fd storage.FileDesc) error {
+func (x diskFiles) Remove(fd leveldbstorage.FileDesc) error {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
 	if err := x.d.step(); err != nil {
@@ -199,7 +199,7 @@
 	return nil
 }
 
-func (x diskFiles) Rename(from, to storage.FileDesc) error {
+func (x diskFiles) Rename(from, to leveldbstorage.FileDesc) error {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
 	if err := x.d.step(); err != nil {
@@ -213,7 +213,7 @@
 type writer struct {
 	d  *disk
 	f  *file
-	fd storage.FileDesc
+	fd leveldbstorage.FileDesc
 }
 
 func (w *writer) Write(b []byte) (int, error) {
@@ -239,7 +239,7 @@
 		return err
 	}
 	w.f.synced = len(w.f.data)
-	if w.fd.Type == storage.TypeManifest { // as the database's own files do
+	if w.fd.Type == leveldbstorage.TypeManifest { // as the database's own files do
 		w.d.named = maps.Clone(w.d.files)
 	}
 	return nil
@@ -299,28 +299,28 @@
 
 // moment is what a store has been told.
 type moment struct {
-	state chain.State
-	vote  ballot.Vote
+	state replog.State
+	vote  paxos.AcceptorState
 }
 
 // is tells whether a start has found just that.
-func (m moment) is(k *store.Kept) bool {
-	return bytes.Equal(m.state.Encode(), k.State.Encode()) && m.vote.Place == k.Vote.Place && m.vote.Promised == k.Vote.Promised &&
-		m.vote.Accepted == k.Vote.Accepted && bytes.Equal(m.vote.Value, k.Vote.Value)
+func (m moment) is(k *storage.Recovered) bool {
+	return bytes.Equal(m.state.Encode(), k.State.Encode()) && m.vote.Index == k.Acceptor.Index && m.vote.Promised == k.Acceptor.Promised &&
+		m.vote.Accepted == k.Acceptor.Accepted && bytes.Equal(m.vote.Value, k.Acceptor.Value)
 }
 
 // script is a life with values so long that journals are rotated; each write is one step of it.
 func script() (all []moment, values [][]byte) {
 	var m moment
 	for place := range uint64(36) {
-		e := &chain.Entry{Kind: chain.Config, Nonce: place, On: place, Text: bytes.Repeat([]byte{byte(place)}, 30_000)} // read by nobody
+		e := &replog.Entry{Kind: replog.EntryConfig, Nonce: place, BaseRevision: place, Config: bytes.Repeat([]byte{byte(place)}, 30_000)} // read by nobody
 		if place%4 == 0 {
-			e = &chain.Entry{Kind: chain.Usage, Nonce: place, Window: place, Counts: []chain.Count{{Tenant: "k", N: place}}}
+			e = &replog.Entry{Kind: replog.EntryUsage, Nonce: place, Window: place, Counts: []replog.TenantCount{{Tenant: "k", Requests: place}}}
 		}
 		if place == 0 {
-			e = &chain.Entry{Kind: chain.Members, Members: []chain.Member{{ID: 7, Name: "a", Addr: "x"}}}
+			e = &replog.Entry{Kind: replog.EntryMembers, Members: []replog.Member{{ID: 7, Name: "a", Addr: "x"}}}
 		}
-		m.vote = ballot.Vote{Place: place, Promised: ballot.Number{Round: place + 1, Node: 3}}
+		m.vote = paxos.AcceptorState{Index: place, Promised: paxos.ProposalNumber{Term: place + 1, Proposer: 3}}
 		all, values = append(all, m), append(values, nil)
 		m.vote.Accepted, m.vote.Value = m.vote.Promised, e.Encode()
 		all, values = append(all, m), append(values, nil)
@@ -333,9 +333,9 @@
 // play plays the script on a disk until a write fails, and returns how many were acknowledged. With mend, the store is
 // opened anew then and told all that stands, as a keeper does, and goes on.
 func play(d *disk, all []moment, values [][]byte, mend bool) (acknowledged int, err error) {
-	s, _, err := store.OpenOn(d.open, store.Identity{ID: 7, Founder: true})
+	s, _, err := storage.OpenFiles(d.open, storage.Identity{ID: 7, IsFounder: true})
 	for try := 0; mend && err != nil && try < 50; try++ {
-		s, _, err = store.OpenOn(d.open, store.Identity{ID: 7, Founder: true})
+		s, _, err = storage.OpenFiles(d.open, storage.Identity{ID: 7, IsFounder: true})
 	}
 	if err != nil {
 		return 0, err
@@ -344,17 +344,17 @@
 	for i, m := range all {
 		write := func() error {
 			if values[i] != nil {
-				return s.Chose(values[i], &m.state)
+				return s.AppendChosen(values[i], &m.state)
 			}
-			return s.Vote(m.vote)
+			return s.SaveAcceptor(m.vote)
 		}
 		err := write()
 		for try := 0; mend && err != nil && try < 50; try++ {
 			if err = s.Reopen(); err == nil {
-				err = s.Whole(&m.state)
+				err = s.SaveSnapshot(&m.state)
 			}
 			if err == nil {
-				err = s.Vote(m.vote)
+				err = s.SaveAcceptor(m.vote)
 			}
 		}
 		if err != nil {
@@ -366,7 +366,7 @@
 
 // check looks at what a start finds: no less than what was acknowledged, and nothing that was never written.
 func check(d *disk, all []moment, acknowledged int) error {
-	s, k, err := store.OpenOn(d.open, store.Identity{ID: 99})
+	s, k, err := storage.OpenFiles(d.open, storage.Identity{ID: 99})
 	if err != nil {
 		return fmt.Errorf("it does not open: %w", err)
 	}
@@ -385,8 +385,8 @@
 	case acknowledged < len(all) && at(acknowledged+1).is(k): // written, not acknowledged
 		return nil
 	}
-	return fmt.Errorf("next place %d, vote of place %d, promised %d, accepted %v; acknowledged were %d and %+v", k.State.Next, k.Vote.Place,
-		k.Vote.Promised.Round, k.Vote.Value != nil, at(acknowledged).state.Next, at(acknowledged).vote.Promised)
+	return fmt.Errorf("next place %d, vote of place %d, promised %d, accepted %v; acknowledged were %d and %+v", k.State.NextIndex, k.Acceptor.Index,
+		k.Acceptor.Promised.Term, k.Acceptor.Value != nil, at(acknowledged).state.NextIndex, at(acknowledged).vote.Promised)
 }
 
 // powerLost loses the power at every step of the script, and returns what was found wrong.
--- a/internal/lab/check/founding.go
+++ b/internal/lab/check/founding.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"notchhinge/internal/control/ballot"
+	"notchhinge/internal/control/paxos"
 )
 
 // founders is a set by its members' numbers.
@@ -13,11 +13,11 @@
 
 // found plays a random life and returns the sets that were founded.
 func found(draw func(n int) int, machines, least int, need func(set int) int) []string {
-	accs := make([]ballot.Acceptor, machines)
-	disks := make([]ballot.Vote, machines)
+	accs := make([]paxos.Acceptor, machines)
+	disks := make([]paxos.AcceptorState, machines)
 	none := func(uint64) ([]byte, bool) { return nil, false }
 	for i := range accs {
-		accs[i] = ballot.Acceptor{Voter: true, Chosen: none}
+		accs[i] = paxos.Acceptor{IsVoter: true, ChosenValue: none}
 	}
 	side := make([]int, machines) // who is on which side of a cut
 	sets := map[string]bool{}
@@ -27,7 +27,7 @@
 			side[i] = draw(2)
 		}
 		if i := draw(2*machines + 1); i < machines {
-			accs[i] = ballot.Acceptor{Voter: true, Chosen: none, Vote: disks[i]}
+			accs[i] = paxos.Acceptor{IsVoter: true, ChosenValue: none, State: disks[i]}
 		}
 		who := draw(machines)
 		var ids []int
@@ -42,16 +42,16 @@
 		for range 3 { // as a keeper goes on with the set that it finds accepted
 			number++
 			own := founders(ids)
-			r := &ballot.Round{Number: ballot.Number{Round: number, Node: number}, Need: need(len(ids)), Own: own}
-			r.Fits = func(v []byte) bool { return string(v) == string(own) }
+			r := &paxos.Proposer{Number: paxos.ProposalNumber{Term: number, Proposer: number}, Quorum: need(len(ids)), OwnValue: own}
+			r.IsValidValue = func(v []byte) bool { return string(v) == string(own) }
 			for _, id := range ids {
-				r.Members = append(r.Members, uint64(id))
+				r.Voters = append(r.Voters, uint64(id))
 			}
 			out := turn(draw, r, accs, disks, side, who)
-			if out == ballot.Chosen {
+			if out == paxos.OutcomeChosen {
 				sets[string(r.Value)] = true
 			}
-			if out != ballot.Unfit {
+			if out != paxos.OutcomeInvalidValue {
 				break
 			}
 			ids = ids[:0:0]
@@ -71,33 +71,33 @@
 }
 
 // turn turns a round until its outcome; words across a cut are lost, and others now and then.
-func turn(draw func(n int) int, r *ballot.Round, accs []ballot.Acceptor, disks []ballot.Vote, side []int, who int) ballot.Outcome {
-	ask := r.Begin()
+func turn(draw func(n int) int, r *paxos.Proposer, accs []paxos.Acceptor, disks []paxos.AcceptorState, side []int, who int) paxos.Outcome {
+	ask := r.Prepare()
 	for {
-		var next *ballot.Ask
-		out := ballot.Pending
-		for _, id := range r.Members {
-			if next != nil || out != ballot.Pending {
+		var next *paxos.Request
+		out := paxos.OutcomePending
+		for _, id := range r.Voters {
+			if next != nil || out != paxos.OutcomePending {
 				break
 			}
-			accepting := r.Accepting()
+			accepting := r.IsAccepting()
 			if side[id] != side[who] || draw(6) == 0 {
-				out = r.Fail(id, accepting)
+				out = r.HandleFailure(id, accepting)
 				continue
 			}
 			ans, write := accs[id].Handle(ask)
 			if write {
-				disks[id] = accs[id].Vote
+				disks[id] = accs[id].State
 			}
 			if draw(6) == 0 {
-				out = r.Fail(id, accepting)
+				out = r.HandleFailure(id, accepting)
 				continue
 			}
-			next, out = r.Take(id, accepting, ans)
+			next, out = r.HandleResponse(id, accepting, ans)
 		}
 		if next == nil {
-			if out == ballot.Pending {
-				out = ballot.Lost
+			if out == paxos.OutcomePending {
+				out = paxos.OutcomeNoQuorum
 			}
 			return out
 		}
--- a/internal/lab/check/leaving.go
+++ b/internal/lab/check/leaving.go
@@ -5,9 +5,9 @@
 	"net/netip"
 	"time"
 
+	"notchhinge/internal/control/discovery"
+	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/gossip"
-	"notchhinge/internal/control/news"
-	"notchhinge/internal/control/roster"
 )
 
 // An engine says that it leaves; whoever hears it may die at any point before or after it has answered, and others with it.
@@ -25,7 +25,7 @@
 // hall is a fleet of news nodes with a network that delays, reorders and loses.
 type hall struct {
 	draw    func(n int) int
-	nodes   []*news.Node
+	nodes   []*discovery.Node
 	now     time.Duration
 	wires   []parcel
 	answers map[any]error
@@ -39,7 +39,7 @@
 }
 
 func newHall(draw func(n int) int) *hall {
-	h := &hall{draw: draw, nodes: make([]*news.Node, leaveNodes), answers: map[any]error{}, calm: true, now: time.Hour}
+	h := &hall{draw: draw, nodes: make([]*discovery.Node, leaveNodes), answers: map[any]error{}, calm: true, now: time.Hour}
 	for i := range h.nodes {
 		h.start(i)
 	}
@@ -57,7 +57,7 @@
 	if i < leaveKeepers {
 		self.Flags = gossip.Keeper
 	}
-	h.nodes[i] = news.New(self, uint64(h.draw(1<<30)), 5250*time.Millisecond, func(string) uint32 { return 0 })
+	h.nodes[i] = discovery.New(self, uint64(h.draw(1<<30)), 5250*time.Millisecond, func(string) uint32 { return 0 })
 	if i < leaveKeepers {
 		var ids []uint64
 		for k := range leaveKeepers {
@@ -69,13 +69,13 @@
 }
 
 // take has a process take an event.
-func (h *hall) take(i int, e news.Event) {
+func (h *hall) take(i int, e discovery.Event) {
 	for _, f := range h.nodes[i].Reduce(h.now, h.now.Milliseconds(), e) {
 		switch f := f.(type) {
 		case gossip.Send:
 			to := int(f.To.Addr().As4()[3]) - 1
 			h.wires = append(h.wires, parcel{i, to, f.Bytes})
-		case news.Answer:
+		case discovery.Answer:
 			h.answers[f.Of] = f.Err
 		}
 	}
@@ -130,12 +130,12 @@
 func leave(draw func(n int) int, hasty bool) string {
 	h := newHall(draw)
 	h.hasty = hasty
-	call := func(i int, calls uint64, s roster.State) any {
+	call := func(i int, calls uint64, s endpoints.State) any {
 		of := new(int)
-		h.take(i, news.Beat{Of: of, Record: roster.Record{ID: "e", Service: "s", Addr: "10.1.0.1:80", Zone: "z", Calls: calls, State: s}})
+		h.take(i, discovery.Beat{Of: of, Record: endpoints.Record{ID: "e", Service: "s", Addr: "10.1.0.1:80", Zone: "z", Calls: calls, State: s}})
 		return of
 	}
-	call(draw(leaveNodes), 3, roster.Ready)
+	call(draw(leaveNodes), 3, endpoints.Ready)
 	h.pass(2 * time.Second)
 	h.calm = false
 	calls, who := uint64(3), 0
@@ -147,7 +147,7 @@
 			calls++
 		}
 		who = draw(leaveNodes)
-		of := call(who, calls, roster.Draining)
+		of := call(who, calls, endpoints.Draining)
 		dies := draw(60) // a moment between hearing and answering, or none
 		answered, err := hasty, error(nil)
 		for n := 0; !answered && n < 1000 && n != dies; n++ {
@@ -174,7 +174,7 @@
 	case 3: // all who know, or may: then its next call tells others
 		h.die(func(i int) bool {
 			e := h.nodes[i].Roster.Find("e")
-			return i == who || e != nil && e.State != roster.Ready
+			return i == who || e != nil && e.State != endpoints.Ready
 		})
 		again = true
 	}
@@ -185,7 +185,7 @@
 	for h.now < acked+within {
 		if again && h.now >= acked+leaveBeat {
 			calls++
-			if err, ok := h.answers[call(draw(leaveNodes), calls, roster.Draining)]; !ok || err == nil {
+			if err, ok := h.answers[call(draw(leaveNodes), calls, endpoints.Draining)]; !ok || err == nil {
 				again = false
 			}
 		}
@@ -196,7 +196,7 @@
 	}
 
 	for i, n := range h.nodes[leaveKeepers:] { // keepers send no work
-		if e := n.Roster.Find("e"); e != nil && e.State == roster.Ready {
+		if e := n.Roster.Find("e"); e != nil && e.State == endpoints.Ready {
 			return fmt.Sprintf("process %d still sends it work %v after it was acknowledged by %d", i+leaveKeepers, within, who)
 		}
 	}
--- a/internal/lab/check/legs.go
+++ b/internal/lab/check/legs.go
@@ -17,7 +17,7 @@
 
 	"notchhinge/internal/acquirer"
 	"notchhinge/internal/broker"
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/edge"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
@@ -122,9 +122,9 @@
 	lim := limits.NewNode(limits.Machine{Cores: 1, MemoryMB: 184, Sockets: 1024})
 	lim.AnswerHead, lim.HeadBytes, lim.ReadBuffer = 2<<10, 1<<10, 1<<10 // as much as is sent here
 	clock := func() time.Duration { return r.now }
-	c := &declared.Config{Revision: 1, Services: []declared.Service{{Name: "s"}}}
+	c := &fleetconfig.Config{Revision: 1, Services: []fleetconfig.Service{{Name: "s"}}}
 	for _, kind := range legKinds {
-		c.Routes = append(c.Routes, declared.Route{
+		c.Routes = append(c.Routes, fleetconfig.Route{
 			Name: kind, Host: "h", Prefix: "/" + kind + "/", Type: kind, Timeout: 5000, Target: 1000, Service: "s", Attempts: 3, Public: true,
 		})
 	}
@@ -170,7 +170,7 @@
 	return r
 }
 
-var legKinds = []string{declared.NonIdempotent, declared.Streaming, declared.Idempotent}
+var legKinds = []string{fleetconfig.NonIdempotent, fleetconfig.Streaming, fleetconfig.Idempotent}
 
 // legDialect is the legs' own, but for a rule that may be broken.
 type legDialect struct {
@@ -334,7 +334,7 @@
 
 // ask has a client send a request.
 func (r *router) ask(c *caller, kind string) *asked {
-	q := &asked{id: fmt.Sprintf("r%04d", len(r.asked)), once: kind != declared.Idempotent, path: "/" + kind + "/x", from: c}
+	q := &asked{id: fmt.Sprintf("r%04d", len(r.asked)), once: kind != fleetconfig.Idempotent, path: "/" + kind + "/x", from: c}
 	r.asked = append(r.asked, q)
 	c.asks = q
 	c.in = fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline-Remaining-Ms: 5000\r\nContent-Length: 9\r\n\r\nask %s", q.path, q.id, q.id)
@@ -467,7 +467,7 @@
 	body := fmt.Sprintf("id: 0\ndata: %s %d\n\nid: 1\ndata: end of %s\n\n", q.id, n, q.id)
 	q.answers = append(q.answers, seal+" "+body)
 	start := "HTTP/1.1 200 OK\r\nX-Response-Seal: " + seal + "\r\nX-Request-Id: " + q.id + "\r\nKeep-Alive: timeout=10\r\n" + head
-	if strings.Contains(q.path, declared.Streaming) {
+	if strings.Contains(q.path, fleetconfig.Streaming) {
 		at := strings.Index(body, "\n\n") + 2
 		return fmt.Appendf(nil, "%sContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", start, at, body[:at], len(body)-at, body[at:])
 	}
@@ -732,7 +732,7 @@
 	}
 	r.resting, r.plain = nil, true
 	if !r.dead {
-		r.ask(r.call(), declared.NonIdempotent)
+		r.ask(r.call(), fleetconfig.NonIdempotent)
 		r.run()
 	}
 	for _, c := range r.callers {
@@ -886,12 +886,12 @@
 		name, first string
 		slips
 	}{
-		{"an answer is taken for that of whoever waits", declared.Idempotent, slips{blind: true}},
-		{"an answer that broke off is ended as whole", declared.Streaming, slips{whole: true}},
-		{"what may not be repeated counts as what may", declared.NonIdempotent, slips{safe: true}},
-		{"a refusal promises, whatever has run", declared.NonIdempotent, slips{promises: true}},
-		{"a line is used again without a look at it", declared.Idempotent, slips{unseen: true}},
-		{"there is no budget for repeats", declared.Idempotent, slips{lavish: true}},
+		{"an answer is taken for that of whoever waits", fleetconfig.Idempotent, slips{blind: true}},
+		{"an answer that broke off is ended as whole", fleetconfig.Streaming, slips{whole: true}},
+		{"what may not be repeated counts as what may", fleetconfig.NonIdempotent, slips{safe: true}},
+		{"a refusal promises, whatever has run", fleetconfig.NonIdempotent, slips{promises: true}},
+		{"a line is used again without a look at it", fleetconfig.Idempotent, slips{unseen: true}},
+		{"there is no budget for repeats", fleetconfig.Idempotent, slips{lavish: true}},
 	} {
 		all = append(all, Walk{b.name, func(int) (string, int) { return legs(b.slips, [][2]string{{b.first, b.first}}, legsFine()...) }})
 	}
--- a/internal/lab/check/members.go
+++ b/internal/lab/check/members.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strings"
 
-	"notchhinge/internal/control/ballot"
+	"notchhinge/internal/control/paxos"
 )
 
 // core is three machines that hold a chain whose values change who its members are, as keepers do: a machine that lost its
@@ -24,13 +24,13 @@
 
 type box struct {
 	id  int
-	acc ballot.Acceptor
+	acc paxos.Acceptor
 	log []string
 }
 
 type opened struct {
-	ballot.Round
-	ask ballot.Ask
+	paxos.Proposer
+	ask paxos.Request
 }
 
 func newCore() *core { return newCoreOf(3) }
@@ -39,7 +39,7 @@
 	c := &core{chosen: map[int]map[string]bool{}, nextID: n + 1, open: make([]*opened, n)}
 	for i := range n {
 		b := &box{id: i + 1}
-		b.acc = ballot.Acceptor{Voter: true, Chosen: b.at}
+		b.acc = paxos.Acceptor{IsVoter: true, ChosenValue: b.at}
 		c.boxes, c.first = append(c.boxes, b), append(c.first, b.id)
 	}
 	return c
@@ -69,8 +69,8 @@
 }
 
 func (c *core) follow(b *box) {
-	b.acc.Next = uint64(len(b.log))
-	b.acc.Voter = slices.Contains(c.members(b.log), b.id) || c.eager
+	b.acc.NextIndex = uint64(len(b.log))
+	b.acc.IsVoter = slices.Contains(c.members(b.log), b.id) || c.eager
 }
 
 // names writes a change of members.
@@ -108,13 +108,13 @@
 	if c.eager {
 		known = append(slices.Clone(known), own)
 	}
-	r := &opened{Round: ballot.Round{Place: uint64(len(b.log)), Number: ballot.Number{Round: c.count, Node: c.count}, Own: []byte(own)}}
+	r := &opened{Proposer: paxos.Proposer{Index: uint64(len(b.log)), Number: paxos.ProposalNumber{Term: c.count, Proposer: c.count}, OwnValue: []byte(own)}}
 	for _, id := range c.members(known) {
-		r.Members = append(r.Members, uint64(id))
+		r.Voters = append(r.Voters, uint64(id))
 	}
-	r.Need = ballot.Majority(len(r.Members))
+	r.Quorum = paxos.Majority(len(r.Voters))
 	c.open[p] = nil
-	next, _ := c.turn(r, r.Begin(), mask, -1)
+	next, _ := c.turn(r, r.Prepare(), mask, -1)
 	if next != nil {
 		r.ask = *next
 		c.open[p] = r
@@ -125,14 +125,14 @@
 func (c *core) accept(p, mask int) {
 	r := c.open[p]
 	_, out := c.turn(r, r.ask, mask, -1)
-	if out == ballot.Pending {
+	if out == paxos.OutcomePending {
 		return
 	}
 	c.open[p] = nil
-	if out != ballot.Chosen {
+	if out != paxos.OutcomeChosen {
 		return
 	}
-	at := int(r.Place)
+	at := int(r.Index)
 	if c.chosen[at] == nil {
 		c.chosen[at] = map[string]bool{}
 	}
@@ -144,17 +144,17 @@
 }
 
 // turn has a phase reach those of a mask; answers come from those of another.
-func (c *core) turn(r *opened, ask ballot.Ask, mask, back int) (next *ballot.Ask, out ballot.Outcome) {
-	accepting := r.Accepting()
+func (c *core) turn(r *opened, ask paxos.Request, mask, back int) (next *paxos.Request, out paxos.Outcome) {
+	accepting := r.IsAccepting()
 	for i, b := range c.boxes {
-		if mask&(1<<i) == 0 || !slices.Contains(r.Members, uint64(b.id)) || next != nil || out != ballot.Pending {
+		if mask&(1<<i) == 0 || !slices.Contains(r.Voters, uint64(b.id)) || next != nil || out != paxos.OutcomePending {
 			continue
 		}
 		ans, _ := b.acc.Handle(ask)
 		if back&(1<<i) == 0 {
 			continue
 		}
-		next, out = r.Take(uint64(b.id), accepting, ans)
+		next, out = r.HandleResponse(uint64(b.id), accepting, ans)
 	}
 	return next, out
 }
@@ -175,7 +175,7 @@
 	} else {
 		c.nextID++
 	}
-	b.acc = ballot.Acceptor{Voter: c.forget || c.eager, Chosen: b.at}
+	b.acc = paxos.Acceptor{IsVoter: c.forget || c.eager, ChosenValue: b.at}
 	c.boxes[i], c.open[i] = b, nil
 }
 
@@ -198,7 +198,7 @@
 func (c *core) key() string {
 	var sb strings.Builder
 	for i, b := range c.boxes {
-		fmt.Fprintf(&sb, "%d %v %q %d %v %q;", b.id, b.acc.Voter, b.log, b.acc.Vote.Promised.Round, b.acc.Vote.Accepted.Round, b.acc.Vote.Value)
+		fmt.Fprintf(&sb, "%d %v %q %d %v %q;", b.id, b.acc.IsVoter, b.log, b.acc.State.Promised.Term, b.acc.State.Accepted.Term, b.acc.State.Value)
 		if r := c.open[i]; r != nil {
 			sb.WriteString(r.Key())
 		}
@@ -213,13 +213,13 @@
 	for _, b := range c.boxes {
 		x := *b
 		x.log = slices.Clone(b.log)
-		x.acc.Chosen = x.at
+		x.acc.ChosenValue = x.at
 		n.boxes = append(n.boxes, &x)
 	}
 	for _, r := range c.open {
 		if r != nil {
 			x := *r
-			x.Round = *r.Clone()
+			x.Proposer = *r.Clone()
 			r = &x
 		}
 		n.open = append(n.open, r)
--- a/internal/lab/check/orders.go
+++ b/internal/lab/check/orders.go
@@ -8,9 +8,9 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"notchhinge/internal/control/api"
-	"notchhinge/internal/control/chain"
-	replica "notchhinge/internal/control/core"
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
+	replica "notchhinge/internal/control/replica"
+	"notchhinge/internal/control/replog"
 )
 
 // Operators race under one number: the same revision upon the same version with another text each, at all keepers at once,
@@ -23,7 +23,7 @@
 type order struct {
 	on, revision uint64
 	text         []byte
-	digest       declared.Digest
+	digest       fleetconfig.Digest
 	lenient      bool // no keeper of this program would propose it
 	lose         int  // answers that are still to be lost on their way
 	over         bool // the operator has a clear answer
@@ -46,18 +46,18 @@
 func (o *operators) lenient(on, revision uint64, at int) {
 	x := &order{on: on, revision: revision, lenient: true, over: true}
 	var err error
-	if x.text, err = cbor.Marshal(declared.Config{
-		Revision: revision, Routes: []declared.Route{}, Services: []declared.Service{}, Limits: declared.Limits{BodyBytes: -1},
+	if x.text, err = cbor.Marshal(fleetconfig.Config{
+		Revision: revision, Routes: []fleetconfig.Route{}, Services: []fleetconfig.Service{}, Limits: fleetconfig.Limits{BodyBytes: -1},
 	}); err != nil {
 		return
 	}
-	if _, x.digest, err = declared.Decode(x.text); err != nil {
+	if _, x.digest, err = fleetconfig.Decode(x.text); err != nil {
 		return
 	}
 	o.orders = append(o.orders, x)
-	entry := (&chain.Entry{Kind: chain.Config, On: on, Text: x.text}).Encode()
-	o.hosts[at%len(o.hosts)].take(replica.Propose{Until: o.now + within, Want: func(s *chain.State) []byte {
-		if s.Stands(on, revision, x.digest) == chain.Open {
+	entry := (&replog.Entry{Kind: replog.EntryConfig, BaseRevision: on, Config: x.text}).Encode()
+	o.hosts[at%len(o.hosts)].take(replica.Propose{Until: o.now + within, Next: func(s *replog.State) []byte {
+		if s.CheckConfig(on, revision, x.digest) == replog.ConfigAcceptable {
 			return entry
 		}
 		return nil
@@ -73,12 +73,12 @@
 func (o *operators) order(on, revision uint64, variant, at, lose int) {
 	x := &order{on: on, revision: revision, lose: lose}
 	var err error
-	if x.text, err = cbor.Marshal(declared.Config{
-		Revision: revision, Routes: []declared.Route{}, Services: []declared.Service{}, Limits: declared.Limits{BodyBytes: variant},
+	if x.text, err = cbor.Marshal(fleetconfig.Config{
+		Revision: revision, Routes: []fleetconfig.Route{}, Services: []fleetconfig.Service{}, Limits: fleetconfig.Limits{BodyBytes: variant},
 	}); err != nil {
 		return
 	}
-	if _, x.digest, err = declared.Decode(x.text); err != nil {
+	if _, x.digest, err = fleetconfig.Decode(x.text); err != nil {
 		return
 	}
 	o.orders = append(o.orders, x)
@@ -122,17 +122,17 @@
 			}
 		}
 		s := h.core.State()
-		switch known := s.Stands(x.on, x.revision, x.digest); {
-		case o.broken == "refuses upon what it knows itself" && (known == chain.Late || known == chain.Low):
+		switch known := s.CheckConfig(x.on, x.revision, x.digest); {
+		case o.broken == "refuses upon what it knows itself" && (known == replog.ConfigStaleBase || known == replog.ConfigRevisionTooLow):
 			answer(api.Result{Status: http.StatusPreconditionFailed})
 			return
 		case o.broken == "judges by its form before it looks" && x.lenient:
 			answer(api.Result{Status: http.StatusBadRequest})
 			return
-		case o.broken == "keeps two of the history" && known == chain.Was && x.revision < s.History[max(len(s.History)-2, 0)].Revision:
+		case o.broken == "keeps two of the history" && known == replog.ConfigAlreadyAccepted && x.revision < s.History[max(len(s.History)-2, 0)].Revision:
 			answer(api.Result{Status: http.StatusPreconditionFailed})
 			return
-		case o.broken == "a ballot that was won is taken for one's own" && known == chain.Open:
+		case o.broken == "a ballot that was won is taken for one's own" && known == replog.ConfigAcceptable:
 			given := answer
 			once := false
 			answer = func(r api.Result) {
@@ -141,20 +141,20 @@
 					given(r)
 				}
 			}
-			next := s.Next
+			next := s.NextIndex
 			var look func()
 			look = func() {
 				if !h.up || h.life != life || once {
 					return
 				}
-				if now := h.core.State(); now.Next > next {
+				if now := h.core.State(); now.NextIndex > next {
 					answer(api.Result{Status: http.StatusOK})
 				}
 				o.in(time.Millisecond, look)
 			}
 			o.in(time.Millisecond, look)
 		}
-		h.take(replica.Put{On: x.on, Text: x.text, Until: o.now + within, Of: answer})
+		h.take(replica.ReplaceConfig{BaseRevision: x.on, Config: x.text, Until: o.now + within, Of: answer})
 	})
 }
 
@@ -204,11 +204,11 @@
 		}
 		o.breaks("version %d is read back, and nobody has sent it", r.Rev)
 	}
-	if s := h.core.State(); o.broken == "reads without a majority" && s.Text != nil {
-		of(api.Result{Status: http.StatusOK, Rev: s.Revision, Body: s.Text})
+	if s := h.core.State(); o.broken == "reads without a majority" && s.Config != nil {
+		of(api.Result{Status: http.StatusOK, Rev: s.Revision, Body: s.Config})
 		return
 	}
-	h.take(replica.Get{Until: o.now + within, Of: of})
+	h.take(replica.ReadConfig{Until: o.now + within, Of: of})
 }
 
 // agreed holds what was said against what is in the chain, as far as it is known anywhere. In the end, all of it must be: a
@@ -216,7 +216,7 @@
 func (o *operators) agreed(end bool) {
 	s := o.site.newest()
 	for _, x := range o.orders {
-		switch was := s.Was(x.revision, x.digest); {
+		switch was := s.WasAccepted(x.revision, x.digest); {
 		case was && x.refused:
 			o.breaks("number %d upon %d was refused, and is in the chain", x.revision, x.on)
 		case end && !was && x.confirmed:
@@ -312,7 +312,7 @@
 			o.breaks("number %d upon %d has no clear answer 8 s after all is well", x.revision, x.on)
 		}
 		for at := range o.hosts { // once more, at each
-			if o.site.newest().Was(x.revision, x.digest) {
+			if o.site.newest().WasAccepted(x.revision, x.digest) {
 				x.lose = 0
 				o.send(x, at)
 			}
--- a/internal/lab/check/races.go
+++ b/internal/lab/check/races.go
@@ -6,9 +6,9 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"notchhinge/internal/control/ballot"
-	"notchhinge/internal/control/chain"
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/control/paxos"
+	"notchhinge/internal/control/replog"
 )
 
 // Operators send configurations to whichever keeper they reach, two at a time upon the same version, and again where they got
@@ -29,7 +29,7 @@
 type call struct {
 	on, revision uint64
 	text         []byte
-	digest       declared.Digest
+	digest       fleetconfig.Digest
 	acked        bool
 }
 
@@ -74,8 +74,8 @@
 }
 
 // state is what a machine's chain adds up to.
-func (r *race) state(p int) *chain.State {
-	s := &chain.State{}
+func (r *race) state(p int) *replog.State {
+	s := &replog.State{}
 	for _, v := range r.boxes[p].log {
 		s.Apply([]byte(v)) // a change of members is no entry, and changes nothing but the place
 	}
@@ -100,7 +100,7 @@
 	if err != nil {
 		return
 	}
-	if _, c.digest, err = declared.Decode(text); err != nil {
+	if _, c.digest, err = fleetconfig.Decode(text); err != nil {
 		return
 	}
 	c.text = text
@@ -114,14 +114,14 @@
 	mask, back := r.reach(p)
 	if o := r.open[p]; o != nil {
 		_, out := r.turn(o, o.ask, mask, back)
-		if out == ballot.Pending {
+		if out == paxos.OutcomePending {
 			return // it waits on, or is given up with its machine
 		}
 		r.open[p] = nil
-		if out != ballot.Chosen {
+		if out != paxos.OutcomeChosen {
 			return
 		}
-		place := int(o.Place)
+		place := int(o.Index)
 		if r.chosen[place] == nil {
 			r.chosen[place] = map[string]bool{}
 		}
@@ -142,24 +142,24 @@
 			return
 		}
 	} else {
-		switch r.state(p).Stands(c.on, c.revision, c.digest) {
-		case chain.Was:
+		switch r.state(p).CheckConfig(c.on, c.revision, c.digest) {
+		case replog.ConfigAlreadyAccepted:
 			c.acked, r.at[p] = true, nil
 			return
-		case chain.Late, chain.Low:
+		case replog.ConfigStaleBase, replog.ConfigRevisionTooLow:
 			r.at[p] = nil
 			return
 		}
-		e := chain.Entry{Kind: chain.Config, Nonce: uint64(r.draw(1 << 30)), On: c.on, Text: c.text}
+		e := replog.Entry{Kind: replog.EntryConfig, Nonce: uint64(r.draw(1 << 30)), BaseRevision: c.on, Config: c.text}
 		own = string(e.Encode())
 	}
 	r.count++
-	o := &opened{Round: ballot.Round{Place: uint64(len(b.log)), Number: ballot.Number{Round: r.count, Node: r.count}, Own: []byte(own)}}
+	o := &opened{Proposer: paxos.Proposer{Index: uint64(len(b.log)), Number: paxos.ProposalNumber{Term: r.count, Proposer: r.count}, OwnValue: []byte(own)}}
 	for _, id := range r.members(b.log) {
-		o.Members = append(o.Members, uint64(id))
+		o.Voters = append(o.Voters, uint64(id))
 	}
-	o.Need = ballot.Majority(len(o.Members))
-	if next, _ := r.turn(o, o.Begin(), mask, back); next != nil {
+	o.Quorum = paxos.Majority(len(o.Voters))
+	if next, _ := r.turn(o, o.Prepare(), mask, back); next != nil {
 		o.ask = *next
 		r.open[p] = o
 	}
@@ -169,7 +169,7 @@
 // it has voted since is on it, and then so is what came before.
 func (r *race) forgetLast(p int) {
 	b := r.boxes[p]
-	if n := len(b.log); n > 0 && b.acc.Vote.Place < uint64(n) {
+	if n := len(b.log); n > 0 && b.acc.State.Index < uint64(n) {
 		b.log = slices.Clone(b.log[:n-1])
 		r.follow(b)
 	}
@@ -198,7 +198,7 @@
 	if says := r.broken(); says != "" {
 		return says
 	}
-	s := &chain.State{} // of what was chosen, whether any machine has learnt it yet or not
+	s := &replog.State{} // of what was chosen, whether any machine has learnt it yet or not
 	for place := 0; len(r.chosen[place]) > 0; place++ {
 		for v := range r.chosen[place] {
 			s.Apply([]byte(v))
@@ -212,7 +212,7 @@
 		if o := upon[c.on]; o != nil {
 			return fmt.Sprintf("upon version %d both %d and %d are acknowledged", c.on, o.revision, c.revision)
 		}
-		if upon[c.on] = c; !s.Was(c.revision, c.digest) {
+		if upon[c.on] = c; !s.WasAccepted(c.revision, c.digest) {
 			return fmt.Sprintf("version %d is acknowledged, and no chain has it", c.revision)
 		}
 	}
--- a/internal/lab/check/replacing.go
+++ b/internal/lab/check/replacing.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"notchhinge/internal/control/ballot"
+	"notchhinge/internal/control/paxos"
 )
 
 // Three voters and a standby: one of the voters leaves for good, planned (it hands its vote over, and ends once the change is
@@ -74,9 +74,9 @@
 			continue
 		}
 		left++
-		accepted = accepted || b.acc.Vote.Place == uint64(len(log)) && b.acc.Vote.Accepted != (ballot.Number{})
+		accepted = accepted || b.acc.State.Index == uint64(len(log)) && b.acc.State.Accepted != (paxos.ProposalNumber{})
 	}
-	if left < ballot.Majority(len(voters)) {
+	if left < paxos.Majority(len(voters)) {
 		return fmt.Sprintf("machine %d goes as well: of voters %v there are %d left", lost, voters, left)
 	}
 	for at := range r.chosen {
--- a/internal/lab/check/snapshots.go
+++ b/internal/lab/check/snapshots.go
@@ -17,11 +17,11 @@
 	"github.com/syndtr/goleveldb/leveldb/util"
 
 	"notchhinge/internal/control/api"
-	"notchhinge/internal/control/ballot"
-	"notchhinge/internal/control/chain"
-	keeper "notchhinge/internal/control/core"
-	"notchhinge/internal/control/declared"
-	"notchhinge/internal/control/store"
+	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/control/paxos"
+	keeper "notchhinge/internal/control/replica"
+	"notchhinge/internal/control/replog"
+	"notchhinge/internal/control/storage"
 	"notchhinge/internal/deadline"
 	"notchhinge/internal/limits"
 )
@@ -100,17 +100,17 @@
 	w       *storm
 	i       int
 	disk    *disk
-	store   *store.Store
-	node    *keeper.Node
+	store   *storage.Store
+	node    *keeper.Replica
 	up      bool
 	life    int
 	busy    bool
 	shut    bool
 	queue   []waiting
 	wakeAt  time.Duration
-	out, in time.Duration // its link is free from then on
-	next    uint64        // acknowledged by its disk
-	vote    ballot.Vote   // the newest that its disk has acknowledged
+	out, in time.Duration       // its link is free from then on
+	next    uint64              // acknowledged by its disk
+	vote    paxos.AcceptorState // the newest that its disk has acknowledged
 	id      uint64
 	most    int     // events that waited at once
 	slow    float64 // its disk takes so many times longer
@@ -169,7 +169,7 @@
 func (m *voter) start() {
 	w := m.w
 	id := w.rnd.Uint64() | 1
-	s, kept, err := store.OpenOn(m.disk.open, store.Identity{ID: id, Founder: w.head == 0})
+	s, kept, err := storage.OpenFiles(m.disk.open, storage.Identity{ID: id, IsFounder: w.head == 0})
 	if err != nil {
 		if m.disk.struck() && m.disk.fault() == syscall.ENOSPC { // the platform starts it again
 			w.in(100*time.Millisecond, func() {
@@ -184,19 +184,19 @@
 		return
 	}
 	if m.id != kept.ID {
-		m.id, m.next, m.vote = kept.ID, 0, ballot.Vote{}
+		m.id, m.next, m.vote = kept.ID, 0, paxos.AcceptorState{}
 	}
-	if v := &kept.Vote; kept.State.Next < m.next || cmp.Or(cmp.Compare(v.Place, m.vote.Place), v.Promised.Compare(m.vote.Promised),
+	if v := &kept.Acceptor; kept.State.NextIndex < m.next || cmp.Or(cmp.Compare(v.Index, m.vote.Index), v.Promised.Compare(m.vote.Promised),
 		v.Accepted.Compare(m.vote.Accepted)) < 0 {
-		w.breaksRule("member %d has state %d and vote %+v on its disk, which had acknowledged %d and %+v", m.i, kept.State.Next, v, m.next, m.vote)
+		w.breaksRule("member %d has state %d and vote %+v on its disk, which had acknowledged %d and %+v", m.i, kept.State.NextIndex, v, m.next, m.vote)
 	}
 	w.knows(m, &kept.State)
 	m.store, m.up, m.busy, m.shut, m.queue, m.wakeAt = s, true, false, false, nil, 0
 	m.life++
 	m.node = keeper.New(keeper.Config{
-		Self: chain.Member{ID: kept.ID, Name: fmt.Sprintf("k%d", m.i), Addr: stormAddr(m.i).String()}, Founder: kept.Founder, Least: w.members,
-		Life: w.rnd.Uint64(), Seed: w.rnd.Uint64(), State: kept.State, Vote: kept.Vote, Chosen: s.Place,
-		Others: func() (all []netip.AddrPort) {
+		Self: replog.Member{ID: kept.ID, Name: fmt.Sprintf("k%d", m.i), Addr: stormAddr(m.i).String()}, IsFounder: kept.IsFounder, MinVoters: w.members,
+		Incarnation: w.rnd.Uint64(), Seed: w.rnd.Uint64(), State: kept.State, Acceptor: kept.Acceptor, ChosenValue: s.ChosenValue,
+		Peers: func() (all []netip.AddrPort) {
 			for i := range w.keepers {
 				if i != m.i {
 					all = append(all, stormAddr(i))
@@ -223,19 +223,19 @@
 }
 
 // knows holds a state against what the chain adds up to.
-func (w *storm) knows(m *voter, s *chain.State) {
-	if s.Next == 0 {
+func (w *storm) knows(m *voter, s *replog.State) {
+	if s.NextIndex == 0 {
 		return
 	}
 	text := s.Encode()
 	is := sha256.Sum256(text)
 	if w.breaks == breaksStep {
-		w.texts[s.Next] = text
+		w.texts[s.NextIndex] = text
 	}
-	if was, known := w.states[s.Next]; known && was != is {
-		w.breaksRule("member %d has another state before place %d than others", m.i, s.Next)
+	if was, known := w.states[s.NextIndex]; known && was != is {
+		w.breaksRule("member %d has another state before place %d than others", m.i, s.NextIndex)
 	}
-	w.states[s.Next], w.head = is, max(w.head, s.Next)
+	w.states[s.NextIndex], w.head = is, max(w.head, s.NextIndex)
 }
 
 // take has a process take an event once it is free.
@@ -259,15 +259,15 @@
 		e, since := m.queue[0].Event, m.queue[0].since
 		m.queue = m.queue[1:]
 		switch x := e.(type) {
-		case keeper.Called:
-			if c := x.Of.(*calling); m.w.now-since > keeper.Patience(x.Kind) && m.w.breaks != breaksPatience {
+		case keeper.CallReceived:
+			if c := x.Of.(*calling); m.w.now-since > keeper.CallTimeout(x.Kind) && m.w.breaks != breaksPatience {
 				c.back(nil, errLate)
 				continue
 			}
 			m.reduce(e)
-		case keeper.Put:
-			m.works(m.w.reading(len(x.Text)), func() { m.reduce(e) })
-		case keeper.Get:
+		case keeper.ReplaceConfig:
+			m.works(m.w.reading(len(x.Config)), func() { m.reduce(e) })
+		case keeper.ReadConfig:
 			if m.w.breaks == breaksReads {
 				s := m.node.State()
 				x.Of.(func(api.Result))(api.Result{Status: 200, Rev: s.Revision})
@@ -303,7 +303,7 @@
 	if !m.up || m.busy {
 		return
 	}
-	at, ok := m.node.Next()
+	at, ok := m.node.NextTimer()
 	if at = max(at, m.w.now+time.Millisecond); !ok || m.wakeAt > m.w.now && m.wakeAt <= at {
 		return
 	}
@@ -329,24 +329,24 @@
 			m.works(w.costs(&f, m.slow), func() {
 				ok := m.write(&f)
 				if m.up {
-					m.perform(append(rest, m.node.Reduce(w.now, keeper.Wrote{ID: f.ID, OK: ok})...))
+					m.perform(append(rest, m.node.Reduce(w.now, keeper.WriteDone{ID: f.ID, Durable: ok})...))
 				}
 			})
 			return
-		case keeper.Call:
+		case keeper.SendCall:
 			w.call(m, f)
-		case keeper.Reply:
+		case keeper.SendReply:
 			c := f.Of.(*calling)
 			body := f.Body
-			if c.kind == keeper.CallState && len(body) > 0 {
+			if c.kind == keeper.CallSnapshot && len(body) > 0 {
 				if body = w.garble(body); w.breaks == breaksStep {
 					body = w.texts[c.place+1]
 				}
 			}
 			w.carry(m, c.from, len(body), func() { c.back(body, f.Err) })
-		case keeper.Answered:
+		case keeper.OperatorAnswer:
 			f.Of.(func(api.Result))(f.Result)
-		case keeper.Changed:
+		case keeper.StateChanged:
 			w.knows(m, &f.State)
 		}
 	}
@@ -359,11 +359,11 @@
 
 // costs is how long a write keeps a process: its disk's time, and what is chosen is read as well.
 func (w *storm) costs(f *keeper.Write, slow float64) time.Duration {
-	size := len(f.Vote.Value)
+	size := len(f.Acceptor.Value)
 	read := time.Duration(0)
 	switch {
-	case f.Whole:
-		size = len(f.State.Text)
+	case f.Snapshot:
+		size = len(f.State.Config)
 	case f.Value != nil:
 		size, read = len(f.Value), w.reading(len(f.Value))
 	}
@@ -376,23 +376,23 @@
 	state := m.node.State()
 	if m.shut {
 		if err = m.store.Reopen(); err == nil {
-			err = m.store.Whole(&state)
+			err = m.store.SaveSnapshot(&state)
 		}
 		if err == nil {
-			err = m.store.Vote(m.node.Vote())
+			err = m.store.SaveAcceptor(m.node.AcceptorState())
 		}
 	}
 	switch {
 	case err != nil:
-	case f.Whole && m.w.breaks == breaksOrder:
-	case f.Whole && m.w.breaks == breaksBatch:
+	case f.Snapshot && m.w.breaks == breaksOrder:
+	case f.Snapshot && m.w.breaks == breaksBatch:
 		err = m.twice(f.State)
-	case f.Whole:
-		err = m.store.Whole(f.State)
+	case f.Snapshot:
+		err = m.store.SaveSnapshot(f.State)
 	case f.Value != nil:
-		err = m.store.Chose(f.Value, f.State)
+		err = m.store.AppendChosen(f.Value, f.State)
 	default:
-		err = m.store.Vote(f.Vote)
+		err = m.store.SaveAcceptor(f.Acceptor)
 	}
 	if m.disk.dead() {
 		m.die(true)
@@ -401,16 +401,16 @@
 	if m.shut = err != nil; m.shut {
 		return false
 	}
-	if f.Whole || f.Value != nil {
-		m.next = max(m.next, f.State.Next)
+	if f.Snapshot || f.Value != nil {
+		m.next = max(m.next, f.State.NextIndex)
 	} else {
-		m.vote = f.Vote
+		m.vote = f.Acceptor
 	}
 	return true
 }
 
 // twice breaks a rule: the places go, and then the state is written.
-func (m *voter) twice(s *chain.State) error {
+func (m *voter) twice(s *replog.State) error {
 	m.store.Close()
 	files, err := m.disk.open()
 	if err != nil {
@@ -451,27 +451,27 @@
 }
 
 // call carries a call, whose answer comes back or does not in its time.
-func (w *storm) call(m *voter, c keeper.Call) {
+func (w *storm) call(m *voter, c keeper.SendCall) {
 	b := c.To.Addr().As4()
 	to, life, over := w.keepers[b[3]-1], m.life, false
 	of := &calling{from: m, kind: c.Kind}
-	if c.Kind == keeper.CallState {
+	if c.Kind == keeper.CallSnapshot {
 		w.asks++
-		of.place, _, _ = keeper.DecodePlace(c.Body) // it is the node's own
+		of.place, _, _ = keeper.DecodeIndexed(c.Body) // it is the node's own
 	}
 	of.back = func(body []byte, err error) {
 		if !over && m.life == life {
 			over = true
-			m.take(keeper.Returned{ID: c.ID, Body: body, Err: err})
+			m.take(keeper.CallReturned{ID: c.ID, Body: body, Err: err})
 		}
 	}
-	w.in(c.Within, func() { of.back(nil, errLate) })
+	w.in(c.Timeout, func() { of.back(nil, errLate) })
 	if !to.up {
 		w.in(time.Millisecond, func() { of.back(nil, errLate) })
 		return
 	}
 	w.carry(m, to, len(c.Body), func() {
-		to.take(keeper.Called{Kind: c.Kind, Body: c.Body, From: stormAddr(m.i).Addr(), Of: of})
+		to.take(keeper.CallReceived{Kind: c.Kind, Body: c.Body, From: stormAddr(m.i).Addr(), Of: of})
 	})
 }
 
@@ -479,10 +479,10 @@
 
 // text is a configuration of a revision.
 func (w *storm) text(revision uint64) []byte {
-	c := map[string]any{"revision": revision, "services": []declared.Service{{Name: "s"}}, "later": w.noise}
-	routes := make([]declared.Route, w.routes)
+	c := map[string]any{"revision": revision, "services": []fleetconfig.Service{{Name: "s"}}, "later": w.noise}
+	routes := make([]fleetconfig.Route, w.routes)
 	for i := range routes {
-		routes[i] = declared.Route{Name: fmt.Sprintf("route-%05d", i), Host: "a.example", Prefix: fmt.Sprintf("/p%05d/", i), Type: declared.Streaming,
+		routes[i] = fleetconfig.Route{Name: fmt.Sprintf("route-%05d", i), Host: "a.example", Prefix: fmt.Sprintf("/p%05d/", i), Type: fleetconfig.Streaming,
 			Timeout: 12000, Service: "s", Attempts: 2}
 	}
 	c["routes"] = routes
@@ -520,7 +520,7 @@
 			return
 		}
 		w.in(time.Second, func() { next(0) })
-		m.take(keeper.Put{On: on, Text: text, Until: w.now + 900*time.Millisecond, Of: func(r api.Result) {
+		m.take(keeper.ReplaceConfig{BaseRevision: on, Config: text, Until: w.now + 900*time.Millisecond, Of: func(r api.Result) {
 			switch {
 			case over:
 			case r.Status == 200:
@@ -543,7 +543,7 @@
 // read has the operator read the configuration at a member, until it is told.
 func (w *storm) read(m *voter, then func()) {
 	least, life := w.acked, m.life
-	m.take(keeper.Get{Until: w.now + 900*time.Millisecond, Of: func(r api.Result) {
+	m.take(keeper.ReadConfig{Until: w.now + 900*time.Millisecond, Of: func(r api.Result) {
 		switch {
 		case r.Status == 200 && r.Rev < least:
 			w.breaksRule("member %d reads version %d, and %d was acknowledged before", m.i, r.Rev, least)
@@ -589,11 +589,11 @@
 	w.read(m, func() { read = true })
 	took, ok := w.until(catchUpWithin, func() bool {
 		s := m.node.State()
-		return !m.up || read && s.Next >= before && s.Member(m.id) != nil
+		return !m.up || read && s.NextIndex >= before && s.Member(m.id) != nil
 	})
 	if w.took = max(w.took, took); !ok {
 		s := m.node.State()
-		w.breaksRule("member %d has not caught up in %v: place %d of %d, read %v, member %v", m.i, took, s.Next, w.head, read, s.Member(m.id) != nil)
+		w.breaksRule("member %d has not caught up in %v: place %d of %d, read %v, member %v", m.i, took, s.NextIndex, w.head, read, s.Member(m.id) != nil)
 	}
 }
 
@@ -655,7 +655,7 @@
 		m.disk.strike(at, 1+at%5, syscall.ENOSPC)
 		w.back(m)
 		if !m.up { // it could not be started at once
-			if _, ok := w.until(catchUpWithin, func() bool { return m.up && m.node.State().Next+limits.NodeJoinLag > w.head }); !ok {
+			if _, ok := w.until(catchUpWithin, func() bool { return m.up && m.node.State().NextIndex+limits.NodeJoinLag > w.head }); !ok {
 				w.breaksRule("member %d is not back after its disk was full", m.i)
 			}
 		}
@@ -711,13 +711,13 @@
 	w.back(m)
 	for range 12 {
 		w.play(500 * time.Millisecond)
-		if s := m.node.State(); s.Next+lacks < w.head || len(m.queue) > most {
-			w.breaksRule("slow member %d lacks %d places, and %d events wait there", m.i, w.head-s.Next, len(m.queue))
+		if s := m.node.State(); s.NextIndex+lacks < w.head || len(m.queue) > most {
+			w.breaksRule("slow member %d lacks %d places, and %d events wait there", m.i, w.head-s.NextIndex, len(m.queue))
 		}
 	}
 	m.slow = 0
 	head := w.head
-	if took, ok := w.until(downWithin, func() bool { return m.node.State().Next >= head }); !ok {
+	if took, ok := w.until(downWithin, func() bool { return m.node.State().NextIndex >= head }); !ok {
 		w.breaksRule("member %d is not back %v after its disk was slow", m.i, took)
 	}
 	m.slow = 24
--- a/internal/lab/contend/contend.go
+++ b/internal/lab/contend/contend.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"notchhinge/internal/control/ballot"
+	"notchhinge/internal/control/paxos"
 	"notchhinge/internal/deadline"
 )
 
@@ -37,7 +37,7 @@
 }
 
 type keeper struct {
-	acc   ballot.Acceptor
+	acc   paxos.Acceptor
 	log   [][]byte
 	link  time.Duration // free from then on
 	disk  time.Duration
@@ -64,7 +64,7 @@
 	p := &play{m: m, due: deadline.New[func()](), rnd: rand.New(rand.NewPCG(seed, 5)), wants: wants, out: make([]Settled, len(wants))}
 	for range m.Keepers {
 		k := &keeper{}
-		k.acc = ballot.Acceptor{Voter: true, Chosen: func(place uint64) ([]byte, bool) {
+		k.acc = paxos.Acceptor{IsVoter: true, ChosenValue: func(place uint64) ([]byte, bool) {
 			if place < uint64(len(k.log)) {
 				return k.log[place], true
 			}
@@ -137,65 +137,65 @@
 	}
 	p.out[wish].Tries++
 	k.round++
-	r := &ballot.Round{Place: uint64(len(k.log)), Number: ballot.Number{Round: k.round, Node: uint64(at) + 1}, Own: p.value(wish),
-		Need: ballot.Majority(p.m.Keepers)}
+	r := &paxos.Proposer{Index: uint64(len(k.log)), Number: paxos.ProposalNumber{Term: k.round, Proposer: uint64(at) + 1}, OwnValue: p.value(wish),
+		Quorum: paxos.Majority(p.m.Keepers)}
 	for i := range p.all {
-		r.Members = append(r.Members, uint64(i))
+		r.Voters = append(r.Voters, uint64(i))
 	}
 	over := false
-	var ask func(a ballot.Ask)
-	take := func(from int, accepting bool, ans ballot.Answer, failed bool) {
+	var ask func(a paxos.Request)
+	take := func(from int, accepting bool, ans paxos.Response, failed bool) {
 		if over {
 			return
 		}
-		var next *ballot.Ask
-		var out ballot.Outcome
+		var next *paxos.Request
+		var out paxos.Outcome
 		if failed {
-			out = r.Fail(uint64(from), accepting)
+			out = r.HandleFailure(uint64(from), accepting)
 		} else {
-			next, out = r.Take(uint64(from), accepting, ans)
+			next, out = r.HandleResponse(uint64(from), accepting, ans)
 		}
 		if next != nil {
 			ask(*next)
 		}
-		if out == ballot.Pending {
+		if out == paxos.OutcomePending {
 			return
 		}
 		over = true
 		pause := time.Duration(0)
 		switch out {
-		case ballot.Chosen:
-			p.learn(at, r.Place, r.Value)
+		case paxos.OutcomeChosen:
+			p.learn(at, r.Index, r.Value)
 			for i := range p.all {
 				if i == at {
 					continue
 				}
 				size := head + len(r.Value)
-				if r.Granted(uint64(i)) && !p.m.Whole {
+				if r.HasGranted(uint64(i)) && !p.m.Whole {
 					size = head
 				}
-				p.send(at, i, size, func() { p.learn(i, r.Place, r.Value) })
+				p.send(at, i, size, func() { p.learn(i, r.Index, r.Value) })
 			}
-		case ballot.Past:
+		case paxos.OutcomeAlreadyChosen:
 			if r.Value != nil {
-				p.learn(at, r.Place, r.Value)
+				p.learn(at, r.Index, r.Value)
 			} else {
 				pause = 20 * time.Millisecond // it catches up
 			}
-		case ballot.Overtaken:
-			k.round = max(k.round, r.Higher.Round)
-			pause = ballot.Wait(p.rnd.Int64N, try)
+		case paxos.OutcomePreempted:
+			k.round = max(k.round, r.HigherNumber.Term)
+			pause = paxos.Backoff(p.rnd.Int64N, try)
 		default:
 			pause = 20*time.Millisecond + time.Duration(p.rnd.Int64N(int64(40*time.Millisecond)))
 		}
 		p.in(pause, func() { p.attempt(at, try+1) })
 	}
-	ask = func(a ballot.Ask) {
-		accepting := a.Kind == ballot.Accept
+	ask = func(a paxos.Request) {
+		accepting := a.Kind == paxos.KindAccept
 		for i := range p.all {
 			answered := false
 			p.send(at, i, head+len(a.Value), func() {
-				p.vote(i, a, func(ans ballot.Answer, after time.Duration) {
+				p.vote(i, a, func(ans paxos.Response, after time.Duration) {
 					p.in(after, func() {
 						p.send(i, at, head+len(ans.Value), func() {
 							if !answered {
@@ -209,22 +209,22 @@
 			p.in(400*time.Millisecond, func() {
 				if !answered {
 					answered = true
-					take(i, accepting, ballot.Answer{}, true)
+					take(i, accepting, paxos.Response{}, true)
 				}
 			})
 		}
 	}
-	ask(r.Begin())
+	ask(r.Prepare())
 }
 
 // vote has a keeper answer, once its disk has what it says.
-func (p *play) vote(i int, a ballot.Ask, answer func(ballot.Answer, time.Duration)) {
+func (p *play) vote(i int, a paxos.Request, answer func(paxos.Response, time.Duration)) {
 	k := p.all[i]
-	k.round = max(k.round, a.Number.Round)
+	k.round = max(k.round, a.Number.Term)
 	ans, write := k.acc.Handle(a)
 	after := time.Duration(0)
 	if write {
-		k.disk = max(k.disk, p.now) + p.m.Sync + time.Duration(float64(len(k.acc.Vote.Value))/p.m.Disk*float64(time.Second))
+		k.disk = max(k.disk, p.now) + p.m.Sync + time.Duration(float64(len(k.acc.State.Value))/p.m.Disk*float64(time.Second))
 		after = k.disk - p.now
 	}
 	answer(ans, after)
@@ -237,6 +237,6 @@
 		return
 	}
 	k.log = append(k.log, value)
-	k.acc.Next = uint64(len(k.log))
+	k.acc.NextIndex = uint64(len(k.log))
 	k.disk = max(k.disk, p.now) + p.m.Sync + time.Duration(float64(len(value))/p.m.Disk*float64(time.Second))
 }
--- a/internal/lab/plane/cost.go
+++ b/internal/lab/plane/cost.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"notchhinge/internal/control/account"
-	"notchhinge/internal/control/duty"
 	"notchhinge/internal/control/gossip"
+	"notchhinge/internal/control/metrics"
+	"notchhinge/internal/control/singleton"
 )
 
 // What goes over the wire beside what is said: the headers of a datagram, and of a call's frame and its answer's.
@@ -32,12 +32,12 @@
 // meter counts while it is on.
 type meter struct {
 	on    bool
-	books [2]account.Book // of routers, of keepers
+	books [2]metrics.Book // of routers, of keepers
 	calls int             // of engines, at keepers
 	taken int             // bytes, at keepers
 }
 
-func (w *world) spend(from, to *machine, cause account.Cause, bytes int) {
+func (w *world) spend(from, to *machine, cause metrics.Cause, bytes int) {
 	if !w.meter.on {
 		return
 	}
@@ -52,17 +52,17 @@
 }
 
 func (w *world) spendDatagram(from, to *machine, b []byte) {
-	cause := map[gossip.Use]account.Cause{gossip.Compares: account.Digests, gossip.Shuffles: account.Shuffles, gossip.Spreads: account.News}
+	cause := map[gossip.Use]metrics.Cause{gossip.Compares: metrics.Digests, gossip.Shuffles: metrics.Shuffles, gossip.Spreads: metrics.News}
 	w.spend(from, to, cause[gossip.UseOf(b)], len(b)+datagramBytes)
 }
 
 func (w *world) spendCall(from, to *machine, kind uint8, bytes int) {
-	cause := account.Ballots
+	cause := metrics.Ballots
 	switch kind {
-	case duty.CallReport, duty.CallBook:
-		cause = account.Reports
-	case duty.CallRenew, duty.CallStand:
-		cause = account.Leases
+	case singleton.CallReport, singleton.CallBook:
+		cause = metrics.Reports
+	case singleton.CallRenew, singleton.CallStand:
+		cause = metrics.Leases
 	}
 	w.spend(from, to, cause, bytes+frameBytes)
 }
--- a/internal/lab/plane/machine.go
+++ b/internal/lab/plane/machine.go
@@ -9,13 +9,13 @@
 	"time"
 
 	"notchhinge/internal/control/api"
-	"notchhinge/internal/control/ballot"
-	"notchhinge/internal/control/chain"
-	"notchhinge/internal/control/core"
-	"notchhinge/internal/control/declared"
-	"notchhinge/internal/control/duty"
+	"notchhinge/internal/control/discovery"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/control/gossip"
-	"notchhinge/internal/control/news"
+	"notchhinge/internal/control/paxos"
+	"notchhinge/internal/control/replica"
+	"notchhinge/internal/control/replog"
+	"notchhinge/internal/control/singleton"
 	"notchhinge/internal/deadline"
 )
 
@@ -23,8 +23,8 @@
 type disk struct {
 	id      uint64 // 0 = it is empty
 	founder bool
-	vote    ballot.Vote
-	state   chain.State
+	vote    paxos.AcceptorState
+	state   replog.State
 	places  map[uint64][]byte
 }
 
@@ -37,18 +37,18 @@
 	zone   uint32
 	up     bool
 	life   int
-	news   *news.Node
-	core   *core.Node
+	news   *discovery.Node
+	core   *replica.Replica
 	disk   *disk
 	busy   bool
 	queue  []any // events that wait until the process has done with the one before
-	duty   *duty.Node
-	meter  *duty.Meter
+	duty   *singleton.Node
+	meter  *singleton.Meter
 	frozen bool
-	writes *core.Write   // what is on its way to the disk
-	full   bool          // the disk refuses what is written
-	shut   bool          // it has refused something that it has not been told since
-	step   time.Duration // its time of day is ahead by this
+	writes *replica.Write // what is on its way to the disk
+	full   bool           // the disk refuses what is written
+	shut   bool           // it has refused something that it has not been told since
+	step   time.Duration  // its time of day is ahead by this
 	wakeAt time.Duration
 	calm   time.Duration // since when nothing has happened to it or to its links
 	healed time.Duration // when a cut or a stop of it last ended
@@ -91,24 +91,24 @@
 	if m.keeper {
 		self.Flags = gossip.Keeper
 	}
-	m.news = news.New(self, w.rnd.Uint64(), w.silence, func(string) uint32 { return 0 })
+	m.news = discovery.New(self, w.rnd.Uint64(), w.silence, func(string) uint32 { return 0 })
 	m.core = nil
 	if m.keeper {
 		d := m.disk
 		if d.id == 0 {
 			d.id, d.founder, d.places = w.rnd.Uint64()|1, w.now < time.Second, map[uint64][]byte{}
 		}
-		m.core = core.New(core.Config{
-			Self: chain.Member{ID: d.id, Name: m.name, Addr: addrOf(m.i).String()}, Founder: d.founder, Least: w.least, Life: w.rnd.Uint64(),
-			Seed: w.rnd.Uint64(), State: d.state, Vote: d.vote,
-			Others: m.others,
-			Chosen: func(place uint64) ([]byte, bool) { v, ok := d.places[place]; return v, ok },
+		m.core = replica.New(replica.Config{
+			Self: replog.Member{ID: d.id, Name: m.name, Addr: addrOf(m.i).String()}, IsFounder: d.founder, MinVoters: w.least, Incarnation: w.rnd.Uint64(),
+			Seed: w.rnd.Uint64(), State: d.state, Acceptor: d.vote,
+			Peers:       m.others,
+			ChosenValue: func(place uint64) ([]byte, bool) { v, ok := d.places[place]; return v, ok },
 		})
 		s := m.core.State()
 		m.changed(&s)
-		m.duties(chain.Member{ID: d.id, Name: m.name, Addr: addrOf(m.i).String()}, d.founder, s.Next)
+		m.duties(replog.Member{ID: d.id, Name: m.name, Addr: addrOf(m.i).String()}, d.founder, s.NextIndex)
 	} else {
-		m.meter = &duty.Meter{Length: window, Source: w.rnd.Uint64()}
+		m.meter = &singleton.Meter{Length: window, Source: w.rnd.Uint64()}
 	}
 	m.take(gossip.Seeds{Addrs: w.seedsFor(m)})
 }
@@ -134,7 +134,7 @@
 }
 
 // changed tells the news who votes, as a node does.
-func (m *machine) changed(s *chain.State) {
+func (m *machine) changed(s *replog.State) {
 	if m.w.broken == "judges out of touch" {
 		m.queue = append(m.queue, gossip.Members{IDs: []uint64{gossip.Hash(m.name)}})
 		return
@@ -161,25 +161,25 @@
 		e := m.queue[0]
 		m.queue = m.queue[1:]
 		now, wall := m.w.now, m.wall().UnixMilli()
-		if c, ok := e.(core.Called); ok && duty.Owns(c.Kind) {
+		if c, ok := e.(replica.CallReceived); ok && singleton.Owns(c.Kind) {
 			e = toDuty{c}
 		}
 		switch e := e.(type) {
 		case toDuty:
 			if m.duty != nil {
 				s := m.core.State()
-				m.owe(append([]duty.Effect(nil), m.duty.Reduce(now, m.wall(), &s, e.event)...))
+				m.owe(append([]singleton.Effect(nil), m.duty.Reduce(now, m.wall(), &s, e.event)...))
 			}
 		case func():
 			e()
-		case core.Called, core.Returned, core.Put, core.Get, core.Propose, core.Dismiss, core.Leave:
+		case replica.CallReceived, replica.CallReturned, replica.ReplaceConfig, replica.ReadConfig, replica.Propose, replica.RemoveMember, replica.Leave:
 			if m.core != nil {
-				m.perform(append([]core.Effect(nil), m.core.Reduce(now, e)...))
+				m.perform(append([]replica.Effect(nil), m.core.Reduce(now, e)...))
 			}
 		case gossip.Tick:
 			m.hear(m.news.Reduce(now, wall, e))
 			if m.core != nil {
-				m.perform(append([]core.Effect(nil), m.core.Reduce(now, core.Tick{})...))
+				m.perform(append([]replica.Effect(nil), m.core.Reduce(now, replica.Tick{})...))
 			}
 		default:
 			m.hear(m.news.Reduce(now, wall, e))
@@ -195,7 +195,7 @@
 	}
 	next := m.news.Next()
 	if m.core != nil {
-		if at, ok := m.core.Next(); ok {
+		if at, ok := m.core.NextTimer(); ok {
 			next = min(next, at)
 		}
 	}
@@ -214,13 +214,13 @@
 }
 
 // hear does what news asks for.
-func (m *machine) hear(effects []news.Effect) {
+func (m *machine) hear(effects []discovery.Effect) {
 	for _, f := range effects {
 		switch f := f.(type) {
 		case gossip.Send:
 			m.w.datagram(m, m.w.at(f.To), append([]byte(nil), f.Bytes...))
-		case news.Answer:
-			f.Of.(func(news.Answer))(f)
+		case discovery.Answer:
+			f.Of.(func(discovery.Answer))(f)
 		}
 	}
 }
@@ -228,15 +228,15 @@
 var errGone = errors.New("no answer")
 
 // perform does what the state's part asks for, in order; a write takes its time, and the process does nothing else meanwhile.
-func (m *machine) perform(effects []core.Effect) {
+func (m *machine) perform(effects []replica.Effect) {
 	for len(effects) > 0 {
 		f := effects[0]
 		effects = effects[1:]
 		switch f := f.(type) {
-		case core.Write:
+		case replica.Write:
 			if m.w.broken == "answers before the disk has it" {
 				m.w.later(m, func() { m.disk.keep(&f, m.w) })
-				effects = append(effects, m.core.Reduce(m.w.now, core.Wrote{ID: f.ID, OK: true})...)
+				effects = append(effects, m.core.Reduce(m.w.now, replica.WriteDone{ID: f.ID, Durable: true})...)
 				continue
 			}
 			m.busy, m.writes = true, &f
@@ -253,28 +253,28 @@
 				ok := m.write(&f)
 				m.busy, m.writes = false, nil
 				m.queue = append([]any{func() {
-					m.perform(append(rest, m.core.Reduce(m.w.now, core.Wrote{ID: f.ID, OK: ok})...))
+					m.perform(append(rest, m.core.Reduce(m.w.now, replica.WriteDone{ID: f.ID, Durable: ok})...))
 				}}, m.queue...)
 				m.work()
 			}
 			m.w.in(m.w.sync+min(m.drag, 29*m.w.sync), written)
 			return
-		case core.Call:
+		case replica.SendCall:
 			life := m.life
 			m.w.call(m, f, func(body []byte, err error) {
 				if m.life == life {
-					m.take(core.Returned{ID: f.ID, Body: body, Err: err})
+					m.take(replica.CallReturned{ID: f.ID, Body: body, Err: err})
 				}
 			})
-		case core.Reply:
+		case replica.SendReply:
 			m.w.back(m, f)
-		case core.Answered:
+		case replica.OperatorAnswer:
 			f.Of.(func(api.Result))(f.Result)
-		case core.Proposed:
+		case replica.Proposed:
 			m.w.in(0, func() { f.Of.(func(error))(f.Err) }) // not before what else follows is done
-		case core.Left:
+		case replica.Left:
 			m.w.in(0, f.Of.(func())) // not before what else follows is done
-		case core.Changed:
+		case replica.StateChanged:
 			m.changed(&f.State)
 			m.w.chosen(&f.State)
 		}
@@ -283,7 +283,7 @@
 
 // write writes to the disk, if it takes anything. After it has refused something it is told all that stands here first, as a
 // keeper of the program does.
-func (m *machine) write(f *core.Write) bool {
+func (m *machine) write(f *replica.Write) bool {
 	if m.full {
 		m.shut = true
 		return false
@@ -291,25 +291,25 @@
 	if m.shut {
 		m.shut = false
 		state := m.core.State()
-		m.disk.keep(&core.Write{Whole: true, State: &state}, m.w)
-		m.disk.keep(&core.Write{Vote: m.core.Vote()}, m.w)
+		m.disk.keep(&replica.Write{Snapshot: true, State: &state}, m.w)
+		m.disk.keep(&replica.Write{Acceptor: m.core.AcceptorState()}, m.w)
 	}
 	m.disk.keep(f, m.w)
 	return true
 }
 
 // keep makes a write durable.
-func (d *disk) keep(f *core.Write, w *world) {
+func (d *disk) keep(f *replica.Write, w *world) {
 	switch {
-	case f.Whole:
+	case f.Snapshot:
 		d.state = *f.State
 		clear(d.places)
 	case f.Value != nil:
 		d.state = *f.State
-		d.places[f.State.Next-1] = f.Value
-		delete(d.places, f.State.Next-33)
+		d.places[f.State.NextIndex-1] = f.Value
+		delete(d.places, f.State.NextIndex-33)
 	case w.broken != "forgets its votes":
-		d.vote = f.Vote
+		d.vote = f.Acceptor
 	}
 }
 
@@ -342,7 +342,7 @@
 }
 
 // call carries a call, whose answer comes back or does not in its time.
-func (w *world) call(m *machine, c core.Call, then func(body []byte, err error)) {
+func (w *world) call(m *machine, c replica.SendCall, then func(body []byte, err error)) {
 	to, over := w.at(c.To), false
 	back := func(body []byte, err error) {
 		if !over {
@@ -350,9 +350,9 @@
 			then(body, err)
 		}
 	}
-	w.in(c.Within, func() { back(nil, errGone) })
+	w.in(c.Timeout, func() { back(nil, errGone) })
 	w.spendCall(m, to, c.Kind, len(c.Body))
-	if to == nil || w.broken == "takes nobody in" && c.Kind == core.CallJoin {
+	if to == nil || w.broken == "takes nobody in" && c.Kind == replica.CallJoin {
 		return
 	}
 	d, ok := w.link(m, to)
@@ -365,12 +365,12 @@
 			w.in(d, func() { back(nil, errGone) })
 			return
 		}
-		to.take(core.Called{Kind: c.Kind, Body: c.Body, From: addrOf(m.i).Addr(), Of: from{m, c.Kind, back}})
+		to.take(replica.CallReceived{Kind: c.Kind, Body: c.Body, From: addrOf(m.i).Addr(), Of: from{m, c.Kind, back}})
 	})
 }
 
 // back carries an answer.
-func (w *world) back(m *machine, r core.Reply) {
+func (w *world) back(m *machine, r replica.SendReply) {
 	f := r.Of.(from)
 	w.spendCall(f.m, nil, f.kind, len(r.Body)-frameBytes) // it is its caller's
 	if d, ok := w.link(m, f.m); ok {
@@ -392,7 +392,7 @@
 func newWorld(d *Day, broken string) *world {
 	w := &world{
 		day: d, broken: broken, due: deadline.New[func()](), rnd: rand.New(rand.NewPCG(d.Seed, 77)), cuts: map[[2]int]int{}, silence: 5250 * time.Millisecond, sync: 5 * time.Millisecond,
-		loss: 0.01, least: 2*d.Tolerate + 1, sent: map[declared.Digest]*change{}, upon: map[uint64]*change{}, found: map[string]Found{}, bounds: boundsOf(d.Tolerate),
+		loss: 0.01, least: 2*d.Tolerate + 1, sent: map[fleetconfig.Digest]*change{}, upon: map[uint64]*change{}, found: map[string]Found{}, bounds: boundsOf(d.Tolerate),
 		began:    map[uint64]int{},
 		platform: platform{usage: map[uint64]string{}, fences: map[string]uint64{}, holders: map[string]string{}, acts: map[string][]act{}},
 	}
--- a/internal/lab/plane/operators.go
+++ b/internal/lab/plane/operators.go
@@ -9,9 +9,9 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"notchhinge/internal/control/api"
-	"notchhinge/internal/control/chain"
-	"notchhinge/internal/control/core"
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/control/replica"
+	"notchhinge/internal/control/replog"
 )
 
 // What operators do at the most.
@@ -87,11 +87,11 @@
 // order has an operator send a configuration. variant tells apart those of one number.
 func (w *world) order(revision, on uint64, at, variant int) *change {
 	c := &change{revision: revision, on: on, first: w.now}
-	text, err := cbor.Marshal(declared.Config{Revision: revision, Routes: []declared.Route{}, Services: []declared.Service{}, Limits: declared.Limits{BodyBytes: variant}})
+	text, err := cbor.Marshal(fleetconfig.Config{Revision: revision, Routes: []fleetconfig.Route{}, Services: []fleetconfig.Service{}, Limits: fleetconfig.Limits{BodyBytes: variant}})
 	if err != nil {
 		return nil
 	}
-	_, digest, err := declared.Decode(text)
+	_, digest, err := fleetconfig.Decode(text)
 	if err != nil {
 		return nil
 	}
@@ -181,7 +181,7 @@
 			clear(api.Result{Status: http.StatusServiceUnavailable})
 			return
 		}
-		put := core.Put{On: c.on, Text: c.text, Until: w.now + withinCalls}
+		put := replica.ReplaceConfig{BaseRevision: c.on, Config: c.text, Until: w.now + withinCalls}
 		switch s := m.state(); {
 		case w.broken == "acknowledges what it has only heard":
 			put.Of = func(api.Result) {}
@@ -203,9 +203,9 @@
 }
 
 // state is what the machine has of the state.
-func (m *machine) state() chain.State {
+func (m *machine) state() replog.State {
 	if m.core == nil {
-		return chain.State{}
+		return replog.State{}
 	}
 	return m.core.State()
 }
@@ -254,8 +254,8 @@
 }
 
 // chosen notes which configuration stands in a state.
-func (w *world) chosen(s *chain.State) {
-	if s.Text == nil {
+func (w *world) chosen(s *replog.State) {
+	if s.Config == nil {
 		return
 	}
 	switch c := w.sent[s.Digest]; {
@@ -306,11 +306,11 @@
 			}
 		}
 	}
-	if w.broken == "looks for members alone" && d.taken && m.state().Next > 0 {
+	if w.broken == "looks for members alone" && d.taken && m.state().NextIndex > 0 {
 		clear(api.Result{Status: http.StatusNotFound})
 		return
 	}
-	m.take(core.Dismiss{Name: d.name, Until: w.now + withinCalls, Of: clear})
+	m.take(replica.RemoveMember{Name: d.name, Until: w.now + withinCalls, Of: clear})
 }
 
 // reads has operators read the configuration now and then, at any keeper, also one that is cut off: an answer is no older than
@@ -333,12 +333,12 @@
 			}
 		}
 		if w.broken == "reads what it has" {
-			if s := m.state(); s.Text != nil {
+			if s := m.state(); s.Config != nil {
 				read(api.Result{Status: http.StatusOK, Rev: s.Revision})
 			}
 			return
 		}
-		m.take(core.Get{Until: w.now + withinCalls, Of: read})
+		m.take(replica.ReadConfig{Until: w.now + withinCalls, Of: read})
 	})
 }
 
@@ -347,7 +347,7 @@
 	got := false
 	for try := 0; try < 20 && !got; try++ {
 		m := w.seats[w.rnd.IntN(len(w.seats))]
-		m.take(core.Get{Until: w.now + withinCalls, Of: func(r api.Result) {
+		m.take(replica.ReadConfig{Until: w.now + withinCalls, Of: func(r api.Result) {
 			if got || r.Status != http.StatusOK {
 				return
 			}
@@ -381,7 +381,7 @@
 
 // sentAs finds what was sent by its text.
 func (w *world) sentAs(text []byte) *change {
-	_, digest, err := declared.Decode(text)
+	_, digest, err := fleetconfig.Decode(text)
 	if c := w.sent[digest]; err == nil && c != nil && bytes.Equal(c.text, text) {
 		return c
 	}
--- a/internal/lab/plane/people.go
+++ b/internal/lab/plane/people.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"notchhinge/internal/control/news"
-	"notchhinge/internal/control/roster"
+	"notchhinge/internal/control/discovery"
+	"notchhinge/internal/control/endpoints"
 )
 
 // The platform's bounds, and what the oracles allow.
@@ -22,7 +22,7 @@
 	k       int
 	id      string
 	calls   uint64
-	state   roster.State
+	state   endpoints.State
 	home    *machine
 	heard   time.Duration // last call that was acknowledged
 	drained time.Duration // when that it leaves was acknowledged; 0 = it was not
@@ -50,8 +50,8 @@
 
 // leave has it say so from now on.
 func (e *engine) leave() {
-	if !e.dead && e.state == roster.Ready {
-		e.state = roster.Draining
+	if !e.dead && e.state == endpoints.Ready {
+		e.state = endpoints.Draining
 		e.call(0)
 		e.w.in(20*time.Second, func() { e.dead = true })
 	}
@@ -78,7 +78,7 @@
 			e.call(try + 1)
 		}
 	}
-	answered := func(a news.Answer) {
+	answered := func(a discovery.Answer) {
 		if !waiting || m.life != life {
 			return
 		}
@@ -91,7 +91,7 @@
 		if e.home = nil; a.Home.IsValid() {
 			e.home = w.at(a.Home)
 		}
-		if state == roster.Draining && e.drained == 0 && e.w.now-m.calm >= e.w.bounds.contact {
+		if state == endpoints.Draining && e.drained == 0 && e.w.now-m.calm >= e.w.bounds.contact {
 			e.drained = w.now
 			w.report.Drained++
 		}
@@ -102,13 +102,13 @@
 			fails()
 			return
 		}
-		b := news.Beat{Record: roster.Record{
+		b := discovery.Beat{Record: endpoints.Record{
 			ID: e.id, Service: "s", Addr: fmt.Sprintf("10.9.%d.%d:80", e.k>>8, e.k&255), Zone: "z", Slots: 4, Calls: e.calls, State: state,
-		}, Of: func(a news.Answer) { w.in(time.Millisecond, func() { answered(a) }) }}
+		}, Of: func(a discovery.Answer) { w.in(time.Millisecond, func() { answered(a) }) }}
 		if w.broken == "acknowledges a drain alone" {
-			b.Of = func(news.Answer) {}
-			w.in(time.Millisecond, func() { answered(news.Answer{}) })
-			if state == roster.Draining { // and tells nobody, as one that dies right then
+			b.Of = func(discovery.Answer) {}
+			w.in(time.Millisecond, func() { answered(discovery.Answer{}) })
+			if state == endpoints.Draining { // and tells nobody, as one that dies right then
 				return
 			}
 		}
@@ -149,9 +149,9 @@
 		}
 		r := m.news.Roster.Find(e.id)
 		switch {
-		case e.drained != 0 && w.now-e.drained > drains-grace && r != nil && r.State == roster.Ready && !r.Silent:
+		case e.drained != 0 && w.now-e.drained > drains-grace && r != nil && r.State == endpoints.Ready && !r.Silent:
 			w.breaks("DRAIN", "%s still sends %s work %v after it was acknowledged", m.name, e.id, w.now-e.drained)
-		case !e.dead && e.state == roster.Ready && e.heard != 0 && w.now-e.heard < 2*time.Second && w.now > lead+contact && (r == nil || r.Silent):
+		case !e.dead && e.state == endpoints.Ready && e.heard != 0 && w.now-e.heard < 2*time.Second && w.now > lead+contact && (r == nil || r.Silent):
 			w.breaks("SILENT", "%s holds %s for silent, which was heard %v ago", m.name, e.id, w.now-e.heard)
 		}
 	}
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/deadline"
 )
 
@@ -137,7 +137,7 @@
 	bounds   bounds
 
 	engines []*engine
-	sent    map[declared.Digest]*change
+	sent    map[fleetconfig.Digest]*change
 	open    []*change          // without an answer yet, in the order in which they were sent
 	upon    map[uint64]*change // what was acknowledged upon a version
 	lose    []int              // how many answers each of the next orders loses
--- a/internal/lab/plane/platform.go
+++ b/internal/lab/plane/platform.go
@@ -6,11 +6,11 @@
 	"net/netip"
 	"time"
 
-	"notchhinge/internal/control/chain"
-	"notchhinge/internal/control/core"
-	"notchhinge/internal/control/duty"
+	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/gossip"
-	"notchhinge/internal/control/roster"
+	"notchhinge/internal/control/replica"
+	"notchhinge/internal/control/replog"
+	"notchhinge/internal/control/singleton"
 	"notchhinge/internal/limits"
 )
 
@@ -29,7 +29,7 @@
 func (m *machine) wall() time.Time { return epoch.Add(m.w.now + m.step) }
 
 // toDuty is an event for a keeper's part in the duties.
-type toDuty struct{ event duty.Event }
+type toDuty struct{ event singleton.Event }
 
 // act is a call of a holder that the platform has taken.
 type act struct {
@@ -59,7 +59,7 @@
 	lost := w.cuts[[2]int{m.i, outside}] > 0 || w.cuts[[2]int{outside, m.i}] > 0 || w.rnd.IntN(50) == 0
 	back := func(err error) {
 		if m.life == life {
-			m.take(toDuty{duty.Took{Err: err}})
+			m.take(toDuty{singleton.Took{Err: err}})
 		}
 	}
 	if w.cuts[[2]int{m.i, outside}] <= 0 {
@@ -112,18 +112,18 @@
 }
 
 // duties makes a keeper's part in them.
-func (m *machine) duties(self chain.Member, fresh bool, next uint64) {
+func (m *machine) duties(self replog.Member, fresh bool, next uint64) {
 	w := m.w
-	c := duty.Config{
+	c := singleton.Config{
 		Self: self, Fresh: fresh && next == 0, Lease: lease, Window: window, Delay: delay, Lately: limits.NodeLately, Reports: true, Orders: true,
-		Life: w.rnd.Uint64(), Rank: time.Duration(self.ID%1000) * time.Millisecond, Others: m.others, Services: m.services, Unsure: m.core.Changing,
+		Life: w.rnd.Uint64(), Rank: time.Duration(self.ID%1000) * time.Millisecond, Others: m.others, Services: m.services, Unsure: m.core.MembershipPending,
 	}
-	m.duty = duty.New(w.now, c)
+	m.duty = singleton.New(w.now, c)
 	life := m.life
 	var tick func()
 	tick = func() {
 		if m.life == life {
-			m.take(toDuty{core.Tick{}})
+			m.take(toDuty{replica.Tick{}})
 			w.in(limits.NodeDuty, tick)
 		}
 	}
@@ -139,40 +139,40 @@
 }
 
 // services lists the only one, as this machine knows its engines.
-func (m *machine) services() []duty.Service {
-	s := duty.Service{Name: "s", Bounds: duty.Bounds{Min: 1, Max: 20}, Ready: map[string]int{}, Slots: 4}
+func (m *machine) services() []singleton.Service {
+	s := singleton.Service{Name: "s", Bounds: singleton.Bounds{Min: 1, Max: 20}, Ready: map[string]int{}, Slots: 4}
 	for _, e := range m.news.Roster.Engines("s") {
-		if s.Ready[e.Zone] += 0; e.State == roster.Ready {
+		if s.Ready[e.Zone] += 0; e.State == endpoints.Ready {
 			s.Ready[e.Zone]++
 		}
 	}
-	return []duty.Service{s}
+	return []singleton.Service{s}
 }
 
 // owe does what a keeper's part in the duties asks for.
-func (m *machine) owe(effects []duty.Effect) {
+func (m *machine) owe(effects []singleton.Effect) {
 	w := m.w
 	for _, f := range effects {
 		switch f := f.(type) {
-		case core.Call:
+		case replica.SendCall:
 			life := m.life
 			w.call(m, f, func(body []byte, err error) {
 				if m.life == life {
-					m.take(toDuty{core.Returned{ID: f.ID, Body: body, Err: err}})
+					m.take(toDuty{replica.CallReturned{ID: f.ID, Body: body, Err: err}})
 				}
 			})
-		case core.Reply:
+		case replica.SendReply:
 			w.back(m, f)
-		case duty.Propose:
+		case singleton.Propose:
 			life := m.life
-			m.queue = append(m.queue, core.Propose{Want: f.Want, Until: w.now + f.Within, Of: func(err error) {
+			m.queue = append(m.queue, replica.Propose{Next: f.Want, Until: w.now + f.Within, Of: func(err error) {
 				if m.life == life {
-					m.take(toDuty{duty.Proposed{Err: err}})
+					m.take(toDuty{singleton.Proposed{Err: err}})
 				}
 			}})
-		case duty.Usage:
+		case singleton.Usage:
 			w.toPlatform(m, f.Within, "usage", f.Fence, f.Window, fmt.Sprint(f.Counts))
-		case duty.Order:
+		case singleton.Order:
 			w.report.Orders++
 			w.toPlatform(m, f.Within, f.Service+"/"+f.Zone, f.Fence, 0, "")
 		}
@@ -189,7 +189,7 @@
 		for range w.rnd.IntN(4) {
 			tenant := fmt.Sprint("t", w.rnd.IntN(3))
 			m.meter.Began(m.wall(), tenant)
-			w.began[duty.Window(epoch.Add(w.now), window)]++
+			w.began[singleton.Window(epoch.Add(w.now), window)]++
 		}
 		keepers := m.news.Gossip.Keepers()
 		ids := make([]uint64, len(keepers))
@@ -197,13 +197,13 @@
 			ids[i] = k.ID
 		}
 		life := m.life
-		for i, p := range m.meter.Reports(m.wall(), []duty.Load{{Service: "s", Running: uint64(w.rnd.IntN(400)), Arrived: uint64(w.now / time.Second)}}, ids) {
-			w.call(m, core.Call{To: keepers[i].Addr, Kind: duty.CallReport, Body: p.Encode(), Within: limits.NodePass}, func(body []byte, err error) {
+		for i, p := range m.meter.Reports(m.wall(), []singleton.Load{{Service: "s", Running: uint64(w.rnd.IntN(400)), Arrived: uint64(w.now / time.Second)}}, ids) {
+			w.call(m, replica.SendCall{To: keepers[i].Addr, Kind: singleton.CallReport, Body: p.Encode(), Timeout: limits.NodePass}, func(body []byte, err error) {
 				if m.life != life {
 					return
 				}
 				m.take(gossip.Called{ID: keepers[i].ID, OK: err == nil})
-				if word, bad := duty.DecodeWord(body); err == nil && bad == nil {
+				if word, bad := singleton.DecodeWord(body); err == nil && bad == nil {
 					m.meter.Heard(keepers[i].ID, word, &p)
 				}
 			})
@@ -214,7 +214,7 @@
 // owed counts the windows that were due by now, and those of them that the platform has not been told of. The last one was
 // due in calm.
 func (w *world) owed() {
-	last := duty.Window(epoch.Add(w.now-delay), window) - 1
+	last := singleton.Window(epoch.Add(w.now-delay), window) - 1
 	for number, n := range w.began {
 		if number > last || n == 0 {
 			continue
@@ -223,7 +223,7 @@
 		if _, told := w.platform.usage[number]; !told {
 			w.report.Untold++
 			if number == last {
-				w.breaks("DUTY", "window %d is over for %v, in calm, and not reported", number, w.now-duty.End(number, window).Sub(epoch))
+				w.breaks("DUTY", "window %d is over for %v, in calm, and not reported", number, w.now-singleton.End(number, window).Sub(epoch))
 			}
 		}
 	}
--- a/internal/lab/plane/recover.go
+++ b/internal/lab/plane/recover.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"notchhinge/internal/control/roster"
+	"notchhinge/internal/control/endpoints"
 )
 
 // Recovery is how long after all machines have their power again each part is back. What was not back within a minute is
@@ -48,8 +48,8 @@
 				touch = touch && ok
 				continue
 			}
-			m.news.Roster.All(func(e *roster.Engine) {
-				if e.State == roster.Ready && !e.Silent {
+			m.news.Roster.All(func(e *endpoints.Engine) {
+				if e.State == endpoints.Ready && !e.Silent {
 					known++
 				}
 			})
--- a/internal/lab/plane/succession.go
+++ b/internal/lab/plane/succession.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"notchhinge/internal/control/core"
+	"notchhinge/internal/control/replica"
 	"notchhinge/internal/limits"
 )
 
@@ -32,7 +32,7 @@
 		end()
 		return
 	}
-	m.take(core.Leave{Of: end, Until: w.now + limits.NodeHandOver})
+	m.take(replica.Leave{Of: end, Until: w.now + limits.NodeHandOver})
 	w.in(stopGrace, end)
 }
 
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -14,15 +14,15 @@
 	"sync/atomic"
 	"time"
 
-	"notchhinge/internal/control/account"
-	"notchhinge/internal/control/core"
+	"notchhinge/internal/control/configcache"
 	"notchhinge/internal/control/delta"
-	"notchhinge/internal/control/duty"
+	"notchhinge/internal/control/discovery"
+	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/gossip"
-	"notchhinge/internal/control/news"
-	"notchhinge/internal/control/peer"
-	"notchhinge/internal/control/roster"
-	"notchhinge/internal/control/texts"
+	"notchhinge/internal/control/metrics"
+	"notchhinge/internal/control/replica"
+	"notchhinge/internal/control/singleton"
+	"notchhinge/internal/control/transport"
 	"notchhinge/internal/limits"
 )
 
@@ -56,25 +56,25 @@
 type router struct {
 	f     *fleet
 	zone  int
-	net   *peer.Net
+	net   *transport.Net
 	at    map[netip.Addr]place
-	book  account.Book
+	book  metrics.Book
 	start time.Time
 
 	regions atomic.Uint64 // bytes to other regions
 	wanted  atomic.Uint64 // place of the newest configuration that is known of
 	held    atomic.Uint64 // of the newest that is held
 	changed atomic.Int64  // when that one came, in ns
-	texts   texts.Texts
+	texts   configcache.Texts
 	fetch   chan gossip.Peer
 
 	mu    sync.Mutex
-	node  *news.Node
+	node  *discovery.Node
 	until time.Duration
 	wake  chan struct{}
 
 	metering sync.Mutex
-	meter    duty.Meter
+	meter    singleton.Meter
 	rnd      *rand.Rand
 	windows  map[uint64]map[string]bool // tenants with requests
 	arrived  uint64
@@ -85,14 +85,14 @@
 	addr := netip.AddrPortFrom(netip.MustParseAddr(ip), uint16(f.inner))
 	r := &router{f: f, zone: at[addr.Addr()].zone, at: at, start: time.Now(), wake: make(chan struct{}, 1), fetch: make(chan gossip.Peer, 1),
 		rnd: rand.New(rand.NewPCG(f.Seed, uint64(i)+1<<32)), windows: map[uint64]map[string]bool{}}
-	r.meter = duty.Meter{Length: window, Source: r.rnd.Uint64(), Zone: zoneName(r.zone)}
+	r.meter = singleton.Meter{Length: window, Source: r.rnd.Uint64(), Zone: zoneName(r.zone)}
 	var err error
-	if r.net, err = peer.Open(addr, r.handle); err != nil {
+	if r.net, err = transport.Open(addr, r.handle); err != nil {
 		return nil, err
 	}
 	r.net.Counted = r.counted
 	self := gossip.Peer{ID: gossip.Hash(fmt.Sprint("hollow-", i)), Addr: addr, Zone: hash32(zoneName(r.zone)), Flags: gossip.Edge}
-	r.node = news.New(self, r.rnd.Uint64(), beat*limits.NodeSilence+beat/2, hash32)
+	r.node = discovery.New(self, r.rnd.Uint64(), beat*limits.NodeSilence+beat/2, hash32)
 	return r, nil
 }
 
@@ -107,13 +107,13 @@
 
 // counted keeps the account, as a node does.
 func (r *router) counted(to netip.AddrPort, kind uint8, bytes int, datagram []byte) {
-	cause := account.Configs
+	cause := metrics.Configs
 	switch {
 	case kind == 0:
-		cause = map[gossip.Use]account.Cause{gossip.Compares: account.Digests, gossip.Shuffles: account.Shuffles, gossip.Spreads: account.News}[gossip.UseOf(datagram)]
+		cause = map[gossip.Use]metrics.Cause{gossip.Compares: metrics.Digests, gossip.Shuffles: metrics.Shuffles, gossip.Spreads: metrics.News}[gossip.UseOf(datagram)]
 		bytes += 28 // its headers
-	case duty.Owns(kind):
-		cause = account.Reports
+	case singleton.Owns(kind):
+		cause = metrics.Reports
 	}
 	there := r.at[to.Addr()]
 	r.book.Add(cause, bytes, there.zone != r.zone)
@@ -128,15 +128,15 @@
 }
 
 // turn reduces an event and does what follows.
-func (r *router) turn(e news.Event) {
+func (r *router) turn(e discovery.Event) {
 	r.mu.Lock()
 	for _, x := range r.node.Reduce(r.clock(), time.Now().UnixMilli(), e) {
 		switch x := x.(type) {
 		case gossip.Send:
 			r.net.Send(x.To, x.Bytes)
-		case news.Answer:
-			x.Of.(chan news.Answer) <- x // it has room
-		case news.Configured:
+		case discovery.Answer:
+			x.Of.(chan discovery.Answer) <- x // it has room
+		case discovery.Configured:
 			for w := r.wanted.Load(); w < x.Place && !r.wanted.CompareAndSwap(w, x.Place); w = r.wanted.Load() {
 			}
 			select {
@@ -156,11 +156,11 @@
 }
 
 // beat takes an engine's call in, as control does, and waits for its answer.
-func (r *router) beat(ctx context.Context, b *roster.Record, f *fleet) (home string, err error) {
+func (r *router) beat(ctx context.Context, b *endpoints.Record, f *fleet) (home string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	of := make(chan news.Answer, 1)
-	r.turn(news.Beat{Record: *b, Of: of})
+	of := make(chan discovery.Answer, 1)
+	r.turn(discovery.Beat{Record: *b, Of: of})
 	select {
 	case a := <-of:
 		if a.Err != nil || !a.Home.IsValid() {
@@ -220,10 +220,10 @@
 
 // handle answers other processes: configurations that are held here.
 func (r *router) handle(_ context.Context, kind uint8, _ netip.Addr, body []byte) ([]byte, error) {
-	if kind != texts.CallFetch {
+	if kind != configcache.CallFetch {
 		return nil, errNotHere
 	}
-	place, _, err := core.DecodePlace(body)
+	place, _, err := replica.DecodeIndexed(body)
 	if err != nil {
 		return nil, err
 	}
@@ -257,7 +257,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limits.NodePass)
 	defer cancel()
 	has, had := r.texts.Newest()
-	b, err := r.net.Call(ctx, to, texts.CallFetch, core.EncodePlace(has, nil))
+	b, err := r.net.Call(ctx, to, configcache.CallFetch, replica.EncodeIndexed(has, nil))
 	if err != nil {
 		return false
 	}
@@ -268,7 +268,7 @@
 	r.texts.Hold(place, r.f.texts.one(place, text))
 	r.changed.Store(time.Now().UnixNano())
 	r.held.Store(place)
-	go r.turn(news.Config{Place: place})
+	go r.turn(discovery.Config{Place: place})
 	return true
 }
 
@@ -306,9 +306,9 @@
 			r.meter.Began(now, fmt.Sprint("t", r.rnd.IntN(3)))
 		}
 	}
-	loads := make([]duty.Load, models)
+	loads := make([]singleton.Load, models)
 	for i := range loads {
-		loads[i] = duty.Load{Service: fmt.Sprint("model-", i), Running: uint64(r.rnd.IntN(400)), Arrived: r.arrived / models}
+		loads[i] = singleton.Load{Service: fmt.Sprint("model-", i), Running: uint64(r.rnd.IntN(400)), Arrived: r.arrived / models}
 	}
 	all := r.meter.Reports(now, loads, ids)
 	r.metering.Unlock()
@@ -316,9 +316,9 @@
 		go func() {
 			one, cancel := context.WithTimeout(ctx, limits.NodePass)
 			defer cancel()
-			b, err := r.net.Call(one, k.Addr, duty.CallReport, all[i].Encode())
+			b, err := r.net.Call(one, k.Addr, singleton.CallReport, all[i].Encode())
 			r.turn(gossip.Called{ID: k.ID, OK: err == nil})
-			word, bad := duty.DecodeWord(b)
+			word, bad := singleton.DecodeWord(b)
 			if err != nil || bad != nil {
 				return
 			}
@@ -333,7 +333,7 @@
 func (r *router) count(now time.Time) {
 	mean := r.f.Rate / float64(r.f.Routers) * limits.NodeReport.Seconds()
 	n := int(max(mean+math.Sqrt(mean)*r.rnd.NormFloat64()+r.rnd.Float64(), 0))
-	number := duty.Window(now, window)
+	number := singleton.Window(now, window)
 	if r.windows[number] == nil {
 		r.windows[number] = map[string]bool{}
 		delete(r.windows, number-5)
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -24,8 +24,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"notchhinge/internal/control/declared"
-	"notchhinge/internal/control/roster"
+	"notchhinge/internal/control/endpoints"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/lab/system"
 )
 
@@ -177,18 +177,18 @@
 }
 
 // Configuration is one of so many routes and tenants.
-func Configuration(revision, routes, tenants int) *declared.Config {
+func Configuration(revision, routes, tenants int) *fleetconfig.Config {
 	rnd := rand.New(rand.NewPCG(5, 5))
-	c := &declared.Config{Revision: uint64(revision)}
+	c := &fleetconfig.Config{Revision: uint64(revision)}
 	for i := range models {
-		c.Services = append(c.Services, declared.Service{Name: fmt.Sprint("model-", i), Health: "/health", MaxConns: 400, Protocol: "h1"})
+		c.Services = append(c.Services, fleetconfig.Service{Name: fmt.Sprint("model-", i), Health: "/health", MaxConns: 400, Protocol: "h1"})
 	}
 	for i := range routes {
-		c.Routes = append(c.Routes, declared.Route{Name: fmt.Sprint("route-", i), Host: fmt.Sprintf("host-%d.example", i/20), Prefix: fmt.Sprintf("/v%d/", i),
-			Type: declared.Streaming, Timeout: float64(60000 + revision*(1-min(i, 1))), Target: 390, Service: fmt.Sprint("model-", i%models), Attempts: 2, Affinity: true})
+		c.Routes = append(c.Routes, fleetconfig.Route{Name: fmt.Sprint("route-", i), Host: fmt.Sprintf("host-%d.example", i/20), Prefix: fmt.Sprintf("/v%d/", i),
+			Type: fleetconfig.Streaming, Timeout: float64(60000 + revision*(1-min(i, 1))), Target: 390, Service: fmt.Sprint("model-", i%models), Attempts: 2, Affinity: true})
 	}
 	for i := range tenants {
-		t := declared.Tenant{Name: tenantName(i), Keys: []string{fmt.Sprintf("sk-%016x%016x", rnd.Uint64(), rnd.Uint64())}, PerS: 50}
+		t := fleetconfig.Tenant{Name: tenantName(i), Keys: []string{fmt.Sprintf("sk-%016x%016x", rnd.Uint64(), rnd.Uint64())}, PerS: 50}
 		if i == revision*37%tenants {
 			t.PerS += float64(revision)
 		}
@@ -281,7 +281,7 @@
 		case i < len(e.f.real):
 			next, err = e.call(ctx, client, e.f.real[i].control, calls)
 		default:
-			next, err = e.f.hollow[i-len(e.f.real)].beat(ctx, &roster.Record{ID: e.name, Service: e.service, Addr: e.addr, Zone: e.zone, Revision: "v1", Slots: 64, Calls: uint64(calls)}, e.f)
+			next, err = e.f.hollow[i-len(e.f.real)].beat(ctx, &endpoints.Record{ID: e.name, Service: e.service, Addr: e.addr, Zone: e.zone, Revision: "v1", Slots: 64, Calls: uint64(calls)}, e.f)
 		}
 		if ctx.Err() != nil {
 			return
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -16,8 +16,8 @@
 
 	"notchhinge/internal/broker"
 	settings "notchhinge/internal/config"
-	"notchhinge/internal/control/declared"
-	"notchhinge/internal/control/roster"
+	"notchhinge/internal/control/endpoints"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/plan"
 	"notchhinge/internal/router"
@@ -48,13 +48,13 @@
 // benchNode is a node's data plane before an engine.
 func benchNode(b *testing.B, engine string) string {
 	d := newData(slog.New(slog.DiscardHandler), limits.NewNode(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100}), time.Second, 1,
-		func(string) []roster.Engine {
-			return []roster.Engine{{Record: roster.Record{ID: "i-1", Service: "s", Addr: engine}}}
+		func(string) []endpoints.Engine {
+			return []endpoints.Engine{{Record: endpoints.Record{ID: "i-1", Service: "s", Addr: engine}}}
 		})
 	go d.run(b.Context())
-	if err := d.apply(1, &declared.Config{
-		Revision: 1, Services: []declared.Service{{Name: "s"}},
-		Routes: []declared.Route{{Name: "r", Host: "h", Prefix: "/", Type: declared.Streaming, Timeout: 5000, Service: "s", Attempts: 2}},
+	if err := d.apply(1, &fleetconfig.Config{
+		Revision: 1, Services: []fleetconfig.Service{{Name: "s"}},
+		Routes: []fleetconfig.Route{{Name: "r", Host: "h", Prefix: "/", Type: fleetconfig.Streaming, Timeout: 5000, Service: "s", Attempts: 2}},
 	}); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -1,10 +1,10 @@
 package node
 
 import (
-	"notchhinge/internal/control/account"
-	"notchhinge/internal/control/core"
-	"notchhinge/internal/control/duty"
-	"notchhinge/internal/control/texts"
+	"notchhinge/internal/control/configcache"
+	"notchhinge/internal/control/metrics"
+	"notchhinge/internal/control/replica"
+	"notchhinge/internal/control/singleton"
 )
 
 // fetchSettled, with a texts.CallFetch, asks for the newest configuration that there is: a keeper says nothing before a majority
@@ -13,16 +13,16 @@
 
 // causeOf is what a call is for. The kinds of calls between processes are those of the state (core), of the duties (duty) and
 // of configurations (texts); 6, 7, 12 and 13 were the operator's, passed on.
-func causeOf(kind uint8) account.Cause {
+func causeOf(kind uint8) metrics.Cause {
 	switch kind {
-	case core.CallAsk, core.CallLearn, core.CallChosen:
-		return account.Ballots
-	case texts.CallFetch:
-		return account.Configs
-	case duty.CallReport, duty.CallBook:
-		return account.Reports
-	case duty.CallRenew, duty.CallStand:
-		return account.Leases
+	case replica.CallPaxos, replica.CallLearn, replica.CallCommit:
+		return metrics.Ballots
+	case configcache.CallFetch:
+		return metrics.Configs
+	case singleton.CallReport, singleton.CallBook:
+		return metrics.Reports
+	case singleton.CallRenew, singleton.CallStand:
+		return metrics.Leases
 	}
-	return account.States
+	return metrics.States
 }
--- a/internal/node/data.go
+++ b/internal/node/data.go
@@ -13,9 +13,9 @@
 
 	"notchhinge/internal/acquirer"
 	"notchhinge/internal/broker"
-	"notchhinge/internal/control/account"
-	"notchhinge/internal/control/declared"
-	"notchhinge/internal/control/roster"
+	"notchhinge/internal/control/endpoints"
+	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/control/metrics"
 	"notchhinge/internal/edge"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
@@ -36,9 +36,9 @@
 	issuer  *issuer.Client
 	front   *acquirer.Server
 	dialect *edge.Dialect
-	list    func(service string) []roster.Engine
+	list    func(service string) []endpoints.Engine
 	seed    uint64
-	spent   *account.Book
+	spent   *metrics.Book
 	zone    string        // this machine's
 	repeats share.Repeats // of each service; no Window = there is no such budget
 	part    share.Part    // of the extra that all routers have together, beyond the ratio
@@ -55,9 +55,9 @@
 	poke    chan struct{}
 }
 
-func newData(log *slog.Logger, lim limits.Limits, grace time.Duration, seed uint64, list func(string) []roster.Engine) *data {
+func newData(log *slog.Logger, lim limits.Limits, grace time.Duration, seed uint64, list func(string) []endpoints.Engine) *data {
 	d := &data{
-		spent: &account.Book{}, log: log, lim: lim, grace: grace, seed: seed, list: list, next: 1, modules: map[pool.ID]*policy.Balancer{},
+		spent: &metrics.Book{}, log: log, lim: lim, grace: grace, seed: seed, list: list, next: 1, modules: map[pool.ID]*policy.Balancer{},
 		classes: map[pool.ID]int{}, poke: make(chan struct{}, 1),
 	}
 	unsaid, _ := lim.Declared(0, 0, 0, 0)
@@ -85,7 +85,7 @@
 	if all := d.zones.Load(); all != nil {
 		zone = cmp.Or((*all)[addr], zone)
 	}
-	return d.spent.Counted(account.Engines, c, zone != d.zone), nil
+	return d.spent.Counted(metrics.Engines, c, zone != d.zone), nil
 }
 
 // unheard has a connection end once what was sent on it has not even been received for so long: a machine that is dark or cut
@@ -130,7 +130,7 @@
 }
 
 // apply takes a configuration over, if it is newer than the present one. Requests that have begun keep theirs.
-func (d *data) apply(place uint64, c *declared.Config) error {
+func (d *data) apply(place uint64, c *fleetconfig.Config) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	old := d.at.Load()
@@ -151,7 +151,7 @@
 		}
 	}
 	l := &c.Limits
-	bounds, less := d.lim.Declared(l.HeaderBytes, l.BodyBytes, declared.Millis(l.HeaderMS), declared.Millis(l.IdleMS))
+	bounds, less := d.lim.Declared(l.HeaderBytes, l.BodyBytes, fleetconfig.Millis(l.HeaderMS), fleetconfig.Millis(l.IdleMS))
 	if less {
 		d.log.Warn("request_limits are above what this machine holds", "max_header_bytes", bounds.HeaderBytes, "max_body_bytes",
 			bounds.BodyBytes, "header_timeout", bounds.HeadWait.String(), "idle_timeout", bounds.IdleWait.String())
@@ -236,7 +236,7 @@
 		for _, e := range d.list(name) {
 			zones[e.Addr] = e.Zone
 			h := broker.Host{Name: e.ID, Dial: e.Addr, Weight: 1}
-			if e.State == roster.Draining {
+			if e.State == endpoints.Draining {
 				h.State = policy.Draining
 			}
 			if left := time.Duration(e.WarmAt-now) * time.Millisecond; left > 0 {
--- a/internal/node/data_test.go
+++ b/internal/node/data_test.go
@@ -16,8 +16,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"notchhinge/internal/control/declared"
-	"notchhinge/internal/control/roster"
+	"notchhinge/internal/control/endpoints"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/limits"
 )
 
@@ -73,20 +73,20 @@
 	d    *data
 	addr string
 	ln   net.Listener
-	list atomic.Pointer[[]roster.Engine]
+	list atomic.Pointer[[]endpoints.Engine]
 }
 
-func at(id, service string, e *rawEngine) roster.Engine {
-	return roster.Engine{Record: roster.Record{ID: id, Service: service, Addr: e.addr}}
+func at(id, service string, e *rawEngine) endpoints.Engine {
+	return endpoints.Engine{Record: endpoints.Record{ID: id, Service: service, Addr: e.addr}}
 }
 
 // newPlane starts one under the configuration of planeConfig.
-func newPlane(t *testing.T, seed uint64, engines ...roster.Engine) *testPlane {
+func newPlane(t *testing.T, seed uint64, engines ...endpoints.Engine) *testPlane {
 	t.Helper()
 	p := &testPlane{t: t}
 	p.list.Store(&engines)
 	lim := limits.NewNode(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100})
-	p.d = newData(slog.New(slog.NewTextHandler(io.Discard, nil)), lim, time.Second, seed, func(service string) (all []roster.Engine) {
+	p.d = newData(slog.New(slog.NewTextHandler(io.Discard, nil)), lim, time.Second, seed, func(service string) (all []endpoints.Engine) {
 		for _, e := range *p.list.Load() {
 			if e.Service == service {
 				all = append(all, e)
@@ -109,30 +109,30 @@
 }
 
 // set changes the engines; what is asked from now on meets those.
-func (p *testPlane) set(engines ...roster.Engine) {
+func (p *testPlane) set(engines ...endpoints.Engine) {
 	p.list.Store(&engines)
 	p.d.mu.Lock()
 	defer p.d.mu.Unlock()
 	p.d.feed(p.d.at.Load())
 }
 
-func planeConfig() *declared.Config {
-	route := func(name, prefix, kind string) declared.Route {
-		return declared.Route{Name: name, Host: "h", Prefix: prefix, Type: kind, Timeout: 1500, Target: 100, Service: "s", Attempts: 2}
+func planeConfig() *fleetconfig.Config {
+	route := func(name, prefix, kind string) fleetconfig.Route {
+		return fleetconfig.Route{Name: name, Host: "h", Prefix: prefix, Type: kind, Timeout: 1500, Target: 100, Service: "s", Attempts: 2}
 	}
-	other := route("d", "/other/", declared.Idempotent)
+	other := route("d", "/other/", fleetconfig.Idempotent)
 	other.Service = "t"
-	long := route("e", "/long/", declared.Streaming)
+	long := route("e", "/long/", fleetconfig.Streaming)
 	long.Timeout = 20000
-	return &declared.Config{Revision: 1, Services: []declared.Service{{Name: "s"}, {Name: "t"}}, Routes: []declared.Route{
-		route("a", "/once/", declared.NonIdempotent), route("b", "/again/", declared.Idempotent), route("c", "/stream/", declared.Streaming), other, long,
+	return &fleetconfig.Config{Revision: 1, Services: []fleetconfig.Service{{Name: "s"}, {Name: "t"}}, Routes: []fleetconfig.Route{
+		route("a", "/once/", fleetconfig.NonIdempotent), route("b", "/again/", fleetconfig.Idempotent), route("c", "/stream/", fleetconfig.Streaming), other, long,
 	}}
 }
 
 // plane is a data plane with engines of service s by name; its address is returned.
 func plane(t *testing.T, seed uint64, engines map[string]*rawEngine) string {
 	t.Helper()
-	var all []roster.Engine
+	var all []endpoints.Engine
 	for id, e := range engines {
 		all = append(all, at(id, "s", e))
 	}
@@ -258,7 +258,7 @@
 // meets that, is served all the same, and has those that may not use no line that has rested.
 func TestForgottenConnections(t *testing.T) {
 	var used sync.Map // connections that have had their answer
-	engines := make([]roster.Engine, 3)
+	engines := make([]endpoints.Engine, 3)
 	for i := range engines {
 		engines[i] = at(fmt.Sprint("i-", i), "s", newRawEngine(t, func(c net.Conn, r *http.Request) bool {
 			if _, again := used.LoadOrStore(c, true); again {
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -9,13 +9,13 @@
 	"time"
 
 	"notchhinge/internal/broker"
-	"notchhinge/internal/control/account"
-	"notchhinge/internal/control/core"
-	"notchhinge/internal/control/declared"
-	"notchhinge/internal/control/duty"
+	"notchhinge/internal/control/cloudapi"
+	"notchhinge/internal/control/endpoints"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/control/gossip"
-	"notchhinge/internal/control/platform"
-	"notchhinge/internal/control/roster"
+	"notchhinge/internal/control/metrics"
+	"notchhinge/internal/control/replica"
+	"notchhinge/internal/control/singleton"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/share"
 )
@@ -23,7 +23,7 @@
 // counter is a router's duty.Meter under one lock.
 type counter struct {
 	mu    sync.Mutex
-	meter duty.Meter
+	meter singleton.Meter
 }
 
 // began counts a request.
@@ -49,13 +49,13 @@
 
 // report makes one report to every keeper.
 func (n *Node) report(ctx context.Context, c *counter) {
-	var loads []duty.Load
+	var loads []singleton.Load
 	counted := make(chan broker.Counted, 1)
 	n.data.loop.Post(broker.Audit{Of: counted})
 	select {
 	case x := <-counted:
 		for _, s := range x.Pools {
-			loads = append(loads, duty.Load{Service: s.Name, Running: uint64(s.Open) * 100, Arrived: uint64(s.Taken)})
+			loads = append(loads, singleton.Load{Service: s.Name, Running: uint64(s.Open) * 100, Arrived: uint64(s.Taken)})
 		}
 	case <-ctx.Done():
 		return
@@ -74,9 +74,9 @@
 		go func() {
 			one, cancel := context.WithTimeout(context.Background(), limits.NodePass)
 			defer cancel()
-			b, err := n.net.Call(one, k.Addr, duty.CallReport, all[i].Encode())
+			b, err := n.net.Call(one, k.Addr, singleton.CallReport, all[i].Encode())
 			n.news.turn(gossip.Called{ID: k.ID, OK: err == nil})
-			word, bad := duty.DecodeWord(b)
+			word, bad := singleton.DecodeWord(b)
 			if err != nil || bad != nil {
 				return
 			}
@@ -92,22 +92,22 @@
 type duties struct {
 	k     *keeper
 	log   *slog.Logger
-	cloud *platform.Client
+	cloud *cloudapi.Client
 	clock func() time.Duration // steady
-	spent *account.Book
+	spent *metrics.Book
 
 	mu   sync.Mutex
-	node *duty.Node
+	node *singleton.Node
 }
 
 func newDuties(n *Node) *duties {
 	b, id := &n.cfg.Bounds, n.keeper.self.ID
 	seconds := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
-	d := &duties{k: n.keeper, log: n.log, cloud: platform.New(n.cfg.Cloud.Address, n.cfg.Node), clock: n.news.clock, spent: &n.spent}
-	d.node = duty.New(d.clock(), duty.Config{
+	d := &duties{k: n.keeper, log: n.log, cloud: cloudapi.New(n.cfg.Cloud.Address, n.cfg.Node), clock: n.news.clock, spent: &n.spent}
+	d.node = singleton.New(d.clock(), singleton.Config{
 		Self: n.keeper.self, Lease: time.Duration(b.LeaseMS) * time.Millisecond, Window: seconds(b.UsageWindowS), Delay: seconds(b.UsageDelayS),
 		// A machine whose disk was wiped may have granted a lease before: only at the very first start there was none.
-		Fresh:  n.keeper.founder && n.keeper.at().Next == 0,
+		Fresh:  n.keeper.founder && n.keeper.at().NextIndex == 0,
 		Lately: share.Counts(seconds(b.RetryWindowS), limits.NodeLately), Rank: time.Duration(id%1000) * time.Millisecond, Life: rand.Uint64(),
 		Reports: n.cfg.Cloud.Has("usage_reporting"), Orders: n.cfg.Cloud.Has("autoscaler"),
 		Others: n.keeper.others, Services: n.scaled, Unsure: n.keeper.unsure,
@@ -116,7 +116,7 @@
 }
 
 // scaled lists the services whose engines are ordered.
-func (n *Node) scaled() (all []duty.Service) {
+func (n *Node) scaled() (all []singleton.Service) {
 	c := n.config()
 	if c == nil {
 		return nil
@@ -126,12 +126,12 @@
 		if svc.Scale == nil {
 			continue
 		}
-		s := duty.Service{
-			Name: svc.Name, Bounds: duty.Bounds{Min: svc.Scale.Min, Max: svc.Scale.Max, Boot: declared.Millis(svc.Scale.BootS * 1000)}, Ready: map[string]int{},
+		s := singleton.Service{
+			Name: svc.Name, Bounds: singleton.Bounds{Min: svc.Scale.Min, Max: svc.Scale.Max, Boot: fleetconfig.Millis(svc.Scale.BootS * 1000)}, Ready: map[string]int{},
 		}
 		ready, slots := 0, 0.0
 		for _, e := range n.news.list(svc.Name) {
-			if s.Ready[e.Zone] += 0; e.State == roster.Ready {
+			if s.Ready[e.Zone] += 0; e.State == endpoints.Ready {
 				s.Ready[e.Zone]++
 				ready++
 				slots += float64(e.Slots)
@@ -144,31 +144,31 @@
 }
 
 // turn reduces an event and does what follows.
-func (d *duties) turn(e duty.Event) {
+func (d *duties) turn(e singleton.Event) {
 	s := d.k.at()
 	began := time.Now() // before the lease is looked at: a process that stands still after that sends nothing once it is over
 	d.mu.Lock()
-	effects := append([]duty.Effect(nil), d.node.Reduce(d.clock(), time.Now(), &s, e)...)
+	effects := append([]singleton.Effect(nil), d.node.Reduce(d.clock(), time.Now(), &s, e)...)
 	d.mu.Unlock()
 	for _, f := range effects {
 		switch f := f.(type) {
-		case core.Call:
+		case replica.SendCall:
 			go func() {
-				body, err := within(f.Within, func(ctx context.Context) ([]byte, error) { return d.k.call(ctx, f.To, f.Kind, f.Body) })
-				d.turn(core.Returned{ID: f.ID, Body: body, Err: err})
+				body, err := within(f.Timeout, func(ctx context.Context) ([]byte, error) { return d.k.call(ctx, f.To, f.Kind, f.Body) })
+				d.turn(replica.CallReturned{ID: f.ID, Body: body, Err: err})
 			}()
-		case core.Reply:
+		case replica.SendReply:
 			f.Of.(chan answered) <- answered{f.Body, f.Err} // it has room
-		case core.Log:
-			d.log.Log(context.Background(), f.Level, f.Line, f.Args...)
-		case duty.Propose:
+		case replica.Log:
+			d.log.Log(context.Background(), f.Level, f.Message, f.Args...)
+		case singleton.Propose:
 			go func() {
 				_, err := within(f.Within, func(ctx context.Context) ([]byte, error) { return nil, d.k.propose(ctx, f.Want) })
-				d.turn(duty.Proposed{Err: err})
+				d.turn(singleton.Proposed{Err: err})
 			}()
-		case duty.Usage:
+		case singleton.Usage:
 			d.platform(began.Add(f.Within), func(ctx context.Context) error { return d.cloud.Usage(ctx, f.Fence, f.Window, f.Counts) })
-		case duty.Order:
+		case singleton.Order:
 			d.platform(began.Add(f.Within), func(ctx context.Context) error { return d.cloud.Scale(ctx, f.Fence, f.Service, f.Zone, f.Count) })
 		}
 	}
@@ -176,11 +176,11 @@
 
 // platform makes a call to the platform, until a time.
 func (d *duties) platform(until time.Time, do func(context.Context) error) {
-	d.spent.Add(account.Platform, 0, false)
+	d.spent.Add(metrics.Platform, 0, false)
 	go func() {
 		ctx, cancel := context.WithDeadline(context.Background(), until)
 		defer cancel()
-		d.turn(duty.Took{Err: do(ctx)})
+		d.turn(singleton.Took{Err: do(ctx)})
 	}()
 }
 
@@ -200,7 +200,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			d.turn(core.Tick{})
+			d.turn(replica.Tick{})
 		}
 	}
 }
@@ -208,7 +208,7 @@
 // handle answers a call of another process.
 func (d *duties) handle(kind uint8, from netip.Addr, body []byte) ([]byte, error) {
 	of := make(chan answered, 1)
-	d.turn(core.Called{Kind: kind, Body: body, From: from, Of: of})
+	d.turn(replica.CallReceived{Kind: kind, Body: body, From: from, Of: of})
 	a := <-of // it is answered at once
 	return a.body, a.err
 }
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -20,8 +20,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"notchhinge/internal/control/chain"
-	"notchhinge/internal/control/store"
+	"notchhinge/internal/control/replog"
+	"notchhinge/internal/control/storage"
 	"notchhinge/internal/limits"
 )
 
@@ -661,7 +661,7 @@
 		m.end()
 	}
 	first := f.keepers[0]
-	s, kept, err := store.Open(first.cfg["data_directory"].(string), store.Identity{ID: 1})
+	s, kept, err := storage.Open(first.cfg["data_directory"].(string), storage.Identity{ID: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -670,7 +670,7 @@
 		t.Fatal(err)
 	}
 	addr := fmt.Sprintf("%v:%d", first.cfg["ip_address"], first.cfg["internal_port_range"].([]int)[0])
-	if err := store.Import(first.cfg["data_directory"].(string), &kept.State, chain.Member{ID: 77, Name: "n0", Addr: addr}); err != nil {
+	if err := storage.RestoreBackup(first.cfg["data_directory"].(string), &kept.State, replog.Member{ID: 77, Name: "n0", Addr: addr}); err != nil {
 		t.Fatal(err)
 	}
 	first.again(false)
--- a/internal/node/hard_test.go
+++ b/internal/node/hard_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"notchhinge/internal/boot"
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/config/nodeconfig"
+	"notchhinge/internal/control/fleetconfig"
 )
 
 // seen is what an engine was shown.
@@ -138,13 +138,13 @@
 
 func TestRunningRequestOutlivesItsConfiguration(t *testing.T) {
 	// A configuration takes a running request's route, its service and its tenant's key away.
-	for name, next := range map[string]*declared.Config{
-		"the route":   {Revision: 2, Services: []declared.Service{{Name: "s"}, {Name: "t"}}},
-		"the service": {Revision: 2, Services: []declared.Service{{Name: "t"}}},
-		"all of it":   {Revision: 2, Tenants: []declared.Tenant{{Name: "x", Keys: []string{"k"}}}},
-		"the key": func() *declared.Config {
+	for name, next := range map[string]*fleetconfig.Config{
+		"the route":   {Revision: 2, Services: []fleetconfig.Service{{Name: "s"}, {Name: "t"}}},
+		"the service": {Revision: 2, Services: []fleetconfig.Service{{Name: "t"}}},
+		"all of it":   {Revision: 2, Tenants: []fleetconfig.Tenant{{Name: "x", Keys: []string{"k"}}}},
+		"the key": func() *fleetconfig.Config {
 			c := planeConfig()
-			c.Revision, c.Tenants = 2, []declared.Tenant{{Name: "x", Keys: []string{"k"}}}
+			c.Revision, c.Tenants = 2, []fleetconfig.Tenant{{Name: "x", Keys: []string{"k"}}}
 			return c
 		}(),
 	} {
@@ -185,7 +185,7 @@
 
 // ending is a node that carries traffic, to be stopped.
 func ending(p *testPlane, grace float64) (n *Node, stopped chan time.Duration) {
-	n = &Node{cfg: &boot.Settings{}, log: slog.New(slog.NewTextHandler(io.Discard, nil)), data: p.d}
+	n = &Node{cfg: &nodeconfig.Settings{}, log: slog.New(slog.NewTextHandler(io.Discard, nil)), data: p.d}
 	n.cfg.Bounds.GraceS = grace
 	stopped = make(chan time.Duration, 1)
 	began := time.Now()
--- a/internal/node/ill_test.go
+++ b/internal/node/ill_test.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"testing"
 
-	"notchhinge/internal/control/roster"
+	"notchhinge/internal/control/endpoints"
 )
 
 // fate is what came of requests.
@@ -95,7 +95,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			ill := newRawEngine(t, c.ill)
-			list := []roster.Engine{at("ill", "s", ill)}
+			list := []endpoints.Engine{at("ill", "s", ill)}
 			for i := range 4 {
 				list = append(list, at(fmt.Sprint("good-", i), "s", newRawEngine(t, good)))
 			}
--- a/internal/node/keeper.go
+++ b/internal/node/keeper.go
@@ -11,25 +11,25 @@
 	"time"
 
 	"notchhinge/internal/control/api"
-	"notchhinge/internal/control/chain"
-	"notchhinge/internal/control/core"
-	"notchhinge/internal/control/store"
+	"notchhinge/internal/control/replica"
+	"notchhinge/internal/control/replog"
+	"notchhinge/internal/control/storage"
 	"notchhinge/internal/limits"
 )
 
 // keeper is the process's core.Node under one lock, with its disk, its clock and its calls.
 type keeper struct {
 	log     *slog.Logger
-	self    chain.Member
+	self    replog.Member
 	founder bool
 	clock   func() time.Duration // steady
 	call    func(ctx context.Context, to netip.AddrPort, kind uint8, body []byte) ([]byte, error)
 	others  func() []netip.AddrPort // keepers that are known, oneself not among them
-	changed func(*chain.State)      // told of every state that follows; it must not wait
+	changed func(*replog.State)     // told of every state that follows; it must not wait
 
 	mu    turnstile
-	core  *core.Node
-	disk  *store.Store
+	core  *replica.Replica
+	disk  *storage.Store
 	shut  bool // a write has failed; the disk must be opened anew
 	ended bool // it is closed for good
 	tried time.Time
@@ -61,21 +61,21 @@
 	for id == 0 {
 		id = rand.Uint64()
 	}
-	disk, kept, err := store.Open(dir, store.Identity{ID: id, Founder: bootstrap})
+	disk, kept, err := storage.Open(dir, storage.Identity{ID: id, IsFounder: bootstrap})
 	if err != nil {
 		return nil, err
 	}
 	start := time.Now()
 	k := &keeper{
-		log: log, self: chain.Member{ID: kept.ID, Name: name, Addr: addr}, founder: kept.Founder, disk: disk,
-		clock: func() time.Duration { return time.Since(start) + time.Hour }, changed: func(*chain.State) {},
+		log: log, self: replog.Member{ID: kept.ID, Name: name, Addr: addr}, founder: kept.IsFounder, disk: disk,
+		clock: func() time.Duration { return time.Since(start) + time.Hour }, changed: func(*replog.State) {},
 		mu: make(turnstile, 1), wake: make(chan struct{}, 1), over: make(chan struct{}),
 	}
-	k.core = core.New(core.Config{
-		Self: k.self, Founder: kept.Founder, Least: 2*tolerate + 1, Life: rand.Uint64(), Seed: rand.Uint64(), State: kept.State, Vote: kept.Vote,
-		Others: func() []netip.AddrPort { return k.others() }, Chosen: disk.Place,
+	k.core = replica.New(replica.Config{
+		Self: k.self, IsFounder: kept.IsFounder, MinVoters: 2*tolerate + 1, Incarnation: rand.Uint64(), Seed: rand.Uint64(), State: kept.State, Acceptor: kept.Acceptor,
+		Peers: func() []netip.AddrPort { return k.others() }, ChosenValue: disk.ChosenValue,
 	})
-	log.Info("state read", "member", fmt.Sprintf("%016x", kept.ID), "founder", kept.Founder, "next_place", kept.State.Next,
+	log.Info("state read", "member", fmt.Sprintf("%016x", kept.ID), "founder", kept.IsFounder, "next_place", kept.State.NextIndex,
 		"revision", kept.State.Revision, "members", len(kept.State.Members))
 	return k, nil
 }
@@ -84,7 +84,7 @@
 
 // write writes to the disk. After a write that failed the disk is opened anew, at most a few times a second, and all that
 // stands here is written to it first: what was chosen meanwhile, and the vote. The lock is held.
-func (k *keeper) write(w *core.Write) error {
+func (k *keeper) write(w *replica.Write) error {
 	if k.ended {
 		return errDisk
 	}
@@ -96,26 +96,26 @@
 		state := k.core.State()
 		err := k.disk.Reopen()
 		if err == nil {
-			err = k.disk.Whole(&state)
+			err = k.disk.SaveSnapshot(&state)
 		}
 		if err == nil {
-			err = k.disk.Vote(k.core.Vote())
+			err = k.disk.SaveAcceptor(k.core.AcceptorState())
 		}
 		if err != nil {
 			k.log.Error("the disk is still not usable", "err", err)
 			return errDisk
 		}
 		k.shut = false
-		k.log.Info("the disk is usable again", "next_place", state.Next)
+		k.log.Info("the disk is usable again", "next_place", state.NextIndex)
 	}
 	var err error
 	switch {
-	case w.Whole:
-		err = k.disk.Whole(w.State)
+	case w.Snapshot:
+		err = k.disk.SaveSnapshot(w.State)
 	case w.Value != nil:
-		err = k.disk.Chose(w.Value, w.State)
+		err = k.disk.AppendChosen(w.Value, w.State)
 	default:
-		err = k.disk.Vote(w.Vote)
+		err = k.disk.SaveAcceptor(w.Acceptor)
 	}
 	if err != nil {
 		k.shut, k.tried = true, time.Now()
@@ -140,14 +140,14 @@
 }
 
 // turn reduces an event and does what follows.
-func (k *keeper) turn(e core.Event) {
+func (k *keeper) turn(e replica.Event) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.reduce(e)
 }
 
 // turnIn is turn, unless the context is over before the keeper is free.
-func (k *keeper) turnIn(ctx context.Context, e core.Event) bool {
+func (k *keeper) turnIn(ctx context.Context, e replica.Event) bool {
 	if !k.mu.lockIn(ctx) {
 		return false
 	}
@@ -157,36 +157,36 @@
 }
 
 // reduce is turn once the lock is held.
-func (k *keeper) reduce(e core.Event) {
+func (k *keeper) reduce(e replica.Event) {
 	now := k.clock()
-	effects := append([]core.Effect(nil), k.core.Reduce(now, e)...)
+	effects := append([]replica.Effect(nil), k.core.Reduce(now, e)...)
 	for ; len(effects) > 0; effects = effects[1:] {
 		switch f := effects[0].(type) {
-		case core.Write:
+		case replica.Write:
 			ok := k.write(&f) == nil
-			effects = append(effects, k.core.Reduce(now, core.Wrote{ID: f.ID, OK: ok})...)
-		case core.Call:
+			effects = append(effects, k.core.Reduce(now, replica.WriteDone{ID: f.ID, Durable: ok})...)
+		case replica.SendCall:
 			go func() {
-				ctx, cancel := context.WithTimeout(context.Background(), f.Within)
+				ctx, cancel := context.WithTimeout(context.Background(), f.Timeout)
 				defer cancel()
 				body, err := k.call(ctx, f.To, f.Kind, f.Body)
-				k.turn(core.Returned{ID: f.ID, Body: body, Err: err})
+				k.turn(replica.CallReturned{ID: f.ID, Body: body, Err: err})
 			}()
-		case core.Reply:
+		case replica.SendReply:
 			f.Of.(chan answered) <- answered{f.Body, f.Err} // it has room
-		case core.Answered:
+		case replica.OperatorAnswer:
 			f.Of.(chan api.Result) <- f.Result // likewise
-		case core.Proposed:
+		case replica.Proposed:
 			f.Of.(chan error) <- f.Err // likewise
-		case core.Left:
+		case replica.Left:
 			close(f.Of.(chan struct{}))
-		case core.Changed:
+		case replica.StateChanged:
 			k.changed(&f.State)
-		case core.Log:
-			k.log.Log(context.Background(), f.Level, f.Line, f.Args...)
+		case replica.Log:
+			k.log.Log(context.Background(), f.Level, f.Message, f.Args...)
 		}
 	}
-	if next, ok := k.core.Next(); ok && next < k.until {
+	if next, ok := k.core.NextTimer(); ok && next < k.until {
 		select {
 		case k.wake <- struct{}{}:
 		default:
@@ -202,7 +202,7 @@
 	for {
 		k.mu.Lock()
 		k.until = k.clock() + time.Minute
-		if next, ok := k.core.Next(); ok {
+		if next, ok := k.core.NextTimer(); ok {
 			k.until = min(k.until, next)
 		}
 		timer.Reset(max(k.until-k.clock(), time.Millisecond))
@@ -214,12 +214,12 @@
 			continue
 		case <-timer.C:
 		}
-		k.turn(core.Tick{})
+		k.turn(replica.Tick{})
 	}
 }
 
 // at returns the state as it is.
-func (k *keeper) at() chain.State {
+func (k *keeper) at() replog.State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.core.State()
@@ -229,13 +229,13 @@
 func (k *keeper) unsure() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.core.Changing()
+	return k.core.MembershipPending()
 }
 
 // leave hands over to those that stay, until a context is over at the latest.
 func (k *keeper) leave(ctx context.Context) {
 	of := make(chan struct{})
-	k.turn(core.Leave{Of: of, Until: k.end(ctx)})
+	k.turn(replica.Leave{Of: of, Until: k.end(ctx)})
 	select {
 	case <-of:
 	case <-ctx.Done():
@@ -256,9 +256,9 @@
 // long that newer calls have come, and by these a keeper that has fallen behind takes a state, not one place after another.
 func (k *keeper) handle(ctx context.Context, kind uint8, from netip.Addr, body []byte) ([]byte, error) {
 	of := make(chan answered, 1)
-	wait, cancel := context.WithTimeout(ctx, core.Patience(kind))
+	wait, cancel := context.WithTimeout(ctx, replica.CallTimeout(kind))
 	defer cancel()
-	if !k.turnIn(wait, core.Called{Kind: kind, Body: body, From: from, Of: of}) {
+	if !k.turnIn(wait, replica.CallReceived{Kind: kind, Body: body, From: from, Of: of}) {
 		return nil, errBusy
 	}
 	select {
@@ -270,7 +270,7 @@
 }
 
 // operate has a call of the operator answered.
-func (k *keeper) operate(ctx context.Context, event func(of chan api.Result, until time.Duration) core.Event) api.Result {
+func (k *keeper) operate(ctx context.Context, event func(of chan api.Result, until time.Duration) replica.Event) api.Result {
 	of := make(chan api.Result, 1)
 	until := k.end(ctx)
 	wait, cancel := context.WithTimeout(ctx, until-k.clock())
@@ -287,14 +287,14 @@
 }
 
 // propose has entries chosen until want says that it is done. What want keeps account of is the caller's again afterwards.
-func (k *keeper) propose(ctx context.Context, want func(*chain.State) []byte) error {
+func (k *keeper) propose(ctx context.Context, want func(*replog.State) []byte) error {
 	of := make(chan error, 1)
-	k.turn(core.Propose{Want: want, Of: of, Until: k.end(ctx)})
+	k.turn(replica.Propose{Next: want, Of: of, Until: k.end(ctx)})
 	select {
 	case err := <-of:
 		return err
 	case <-k.over:
-		return core.ErrTime
+		return replica.ErrQuorumUnavailable
 	}
 }
 
--- a/internal/node/keeper_test.go
+++ b/internal/node/keeper_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"notchhinge/internal/control/api"
-	"notchhinge/internal/control/core"
+	"notchhinge/internal/control/replica"
 )
 
 // TestNobodyWaitsForAStalledDisk: while a keeper's disk takes nothing, who calls is let go once it would wait no more, and so is
@@ -19,14 +19,16 @@
 		began := time.Now()
 		k := &keeper{mu: make(turnstile, 1), clock: func() time.Duration { return time.Since(began) }}
 		k.mu.Lock() // a write that does not come back
-		for _, kind := range []uint8{core.CallAsk, core.CallState} {
+		for _, kind := range []uint8{replica.CallPaxos, replica.CallSnapshot} {
 			at := time.Now()
-			if _, err := k.handle(context.Background(), kind, netip.Addr{}, nil); !errors.Is(err, errBusy) || time.Since(at) != core.Patience(kind) {
+			if _, err := k.handle(context.Background(), kind, netip.Addr{}, nil); !errors.Is(err, errBusy) || time.Since(at) != replica.CallTimeout(kind) {
 				t.Errorf("call %d: %v after %v", kind, err, time.Since(at))
 			}
 		}
 		at := time.Now()
-		r := k.operate(context.Background(), func(of chan api.Result, until time.Duration) core.Event { return core.Get{Of: of, Until: until} })
+		r := k.operate(context.Background(), func(of chan api.Result, until time.Duration) replica.Event {
+			return replica.ReadConfig{Of: of, Until: until}
+		})
 		if r.Status != 503 || time.Since(at) > time.Second {
 			t.Errorf("%+v after %v", r, time.Since(at))
 		}
--- a/internal/node/news.go
+++ b/internal/node/news.go
@@ -7,19 +7,19 @@
 	"sync"
 	"time"
 
+	"notchhinge/internal/control/discovery"
+	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/gossip"
-	"notchhinge/internal/control/news"
-	"notchhinge/internal/control/peer"
-	"notchhinge/internal/control/roster"
+	"notchhinge/internal/control/transport"
 )
 
 // hearsay is the process's news.Node under one lock, with its sockets and its clock.
 type hearsay struct {
-	net   *peer.Net
+	net   *transport.Net
 	clock func() time.Duration // steady
 
 	mu    sync.Mutex
-	node  *news.Node
+	node  *discovery.Node
 	wake  chan struct{}
 	until time.Duration // the timer is set to it
 
@@ -28,10 +28,10 @@
 	config  func(place uint64, from gossip.Peer) // told that there is a configuration
 }
 
-func newHearsay(n *peer.Net, self gossip.Peer, seed uint64, silence time.Duration) *hearsay {
+func newHearsay(n *transport.Net, self gossip.Peer, seed uint64, silence time.Duration) *hearsay {
 	start := time.Now()
 	return &hearsay{
-		net: n, clock: func() time.Duration { return time.Since(start) + time.Hour }, node: news.New(self, seed, silence, hash32),
+		net: n, clock: func() time.Duration { return time.Since(start) + time.Hour }, node: discovery.New(self, seed, silence, hash32),
 		wake: make(chan struct{}, 1), engines: func() {}, forgets: func() {}, config: func(uint64, gossip.Peer) {},
 	}
 }
@@ -44,20 +44,20 @@
 }
 
 // turn reduces an event and does what follows.
-func (n *hearsay) turn(e news.Event) {
+func (n *hearsay) turn(e discovery.Event) {
 	var then []func()
 	n.mu.Lock()
 	for _, f := range n.node.Reduce(n.clock(), time.Now().UnixMilli(), e) {
 		switch f := f.(type) {
 		case gossip.Send:
 			n.net.Send(f.To, f.Bytes)
-		case news.Answer:
-			f.Of.(chan news.Answer) <- f // it has room
-		case news.Engines:
+		case discovery.Answer:
+			f.Of.(chan discovery.Answer) <- f // it has room
+		case discovery.Engines:
 			then = append(then, n.engines)
-		case news.Forgets:
+		case discovery.Forgets:
 			then = append(then, n.forgets)
-		case news.Configured:
+		case discovery.Configured:
 			then = append(then, func() { n.config(f.Place, f.From) })
 		}
 	}
@@ -75,14 +75,14 @@
 }
 
 // call has an engine's call taken in, and waits for its answer.
-func (n *hearsay) call(ctx context.Context, event func(of chan news.Answer) news.Event) (news.Answer, error) {
-	of := make(chan news.Answer, 1)
+func (n *hearsay) call(ctx context.Context, event func(of chan discovery.Answer) discovery.Event) (discovery.Answer, error) {
+	of := make(chan discovery.Answer, 1)
 	n.turn(event(of))
 	select {
 	case a := <-of:
 		return a, a.Err
 	case <-ctx.Done():
-		return news.Answer{}, ctx.Err()
+		return discovery.Answer{}, ctx.Err()
 	}
 }
 
@@ -101,7 +101,7 @@
 }
 
 // list is a copy of the engines of a service that may be used.
-func (n *hearsay) list(service string) (all []roster.Engine) {
+func (n *hearsay) list(service string) (all []endpoints.Engine) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, e := range n.node.Roster.Engines(service) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -19,39 +19,39 @@
 	"sync/atomic"
 	"time"
 
-	"notchhinge/internal/boot"
-	"notchhinge/internal/control/account"
+	"notchhinge/internal/config/nodeconfig"
 	"notchhinge/internal/control/api"
-	"notchhinge/internal/control/chain"
-	"notchhinge/internal/control/core"
-	"notchhinge/internal/control/declared"
+	"notchhinge/internal/control/configcache"
 	"notchhinge/internal/control/delta"
-	"notchhinge/internal/control/duty"
+	"notchhinge/internal/control/discovery"
+	"notchhinge/internal/control/endpoints"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/control/gossip"
-	"notchhinge/internal/control/news"
-	"notchhinge/internal/control/peer"
-	"notchhinge/internal/control/roster"
-	"notchhinge/internal/control/texts"
+	"notchhinge/internal/control/metrics"
+	"notchhinge/internal/control/replica"
+	"notchhinge/internal/control/replog"
+	"notchhinge/internal/control/singleton"
+	"notchhinge/internal/control/transport"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/share"
 )
 
 // Node is a process.
 type Node struct {
-	cfg    *boot.Settings
+	cfg    *nodeconfig.Settings
 	log    *slog.Logger
-	net    *peer.Net
+	net    *transport.Net
 	news   *hearsay
 	keeper *keeper // nil where there is no disk
 	data   *data   // nil where no traffic is carried
 	duties *duties // nil where there is no disk
-	conf   atomic.Pointer[declared.Config]
-	spent  account.Book
+	conf   atomic.Pointer[fleetconfig.Config]
+	spent  metrics.Book
 	began  time.Time
 
 	holding  sync.Mutex    // one configuration is taken over at a time
 	place    atomic.Uint64 // of the newest configuration that is held here
-	texts    texts.Texts
+	texts    configcache.Texts
 	wanted   atomic.Uint64 // of the newest that is known of
 	asked    atomic.Bool   // a keeper that reached a majority has said what the newest is
 	answered atomic.Bool   // some keeper has said what it has
@@ -68,7 +68,7 @@
 
 // Run runs a process until it is stopped.
 func Run(path string, log *slog.Logger, sig Signals) error {
-	cfg, err := boot.Load(path)
+	cfg, err := nodeconfig.Load(path)
 	if err != nil {
 		return err
 	}
@@ -95,7 +95,7 @@
 	ip := netip.MustParseAddr(n.cfg.IP) // boot has checked it
 	var err error
 	for port := n.cfg.Ports[0]; port <= n.cfg.Ports[1]; port++ {
-		if n.net, err = peer.Open(netip.AddrPortFrom(ip, uint16(port)), n.handle); err == nil {
+		if n.net, err = transport.Open(netip.AddrPortFrom(ip, uint16(port)), n.handle); err == nil {
 			break
 		}
 	}
@@ -127,7 +127,7 @@
 }
 
 // config is the newest configuration that is held here; nil = none yet.
-func (n *Node) config() *declared.Config { return n.conf.Load() }
+func (n *Node) config() *fleetconfig.Config { return n.conf.Load() }
 
 // seeds are where others may be found at their own ports: on all machines these are alike.
 func (n *Node) seeds() (all []netip.AddrPort) {
@@ -153,9 +153,9 @@
 		}
 		n.data.spent, n.data.zone = &n.spent, n.cfg.Zone
 		n.news.engines, n.news.forgets = n.data.engines, n.data.forgets
-		n.data.forgot = func() { n.news.turn(news.Forgot{}) }
+		n.data.forgot = func() { n.news.turn(discovery.Forgot{}) }
 		go n.data.run(ctx)
-		c := &counter{meter: duty.Meter{Length: time.Duration(n.cfg.Bounds.UsageWindowS * float64(time.Second)), Source: rand.Uint64(), Zone: n.cfg.Zone}}
+		c := &counter{meter: singleton.Meter{Length: time.Duration(n.cfg.Bounds.UsageWindowS * float64(time.Second)), Source: rand.Uint64(), Zone: n.cfg.Zone}}
 		n.data.dialect.Began = c.began
 		if n.cfg.Cloud.Address != "" {
 			go n.reports(ctx, c)
@@ -212,7 +212,7 @@
 				return err
 			}
 		case <-sig.Reload:
-			if cfg, err := boot.Load(path); err != nil {
+			if cfg, err := nodeconfig.Load(path); err != nil {
 				n.log.Error("settings not read again", "err", err)
 			} else {
 				n.cfg.Seeds = cfg.Seeds
@@ -233,7 +233,7 @@
 	if kind == 0 {
 		// The lock of the news is held: datagrams are sent by its turn only.
 		zone, known := n.news.node.Gossip.ZoneOf(to.Addr())
-		cause := map[gossip.Use]account.Cause{gossip.Compares: account.Digests, gossip.Shuffles: account.Shuffles, gossip.Spreads: account.News}
+		cause := map[gossip.Use]metrics.Cause{gossip.Compares: metrics.Digests, gossip.Shuffles: metrics.Shuffles, gossip.Spreads: metrics.News}
 		n.spent.Add(cause[gossip.UseOf(datagram)], bytes+headers, known && zone != hash32(n.cfg.Zone))
 		return
 	}
@@ -252,7 +252,7 @@
 	for _, r := range n.spent.Rows() {
 		n.log.Log(ctx, level, "account", "cause", r.Cause, "count", r.Count, "bytes", r.Bytes, "between_zones", r.Between, "connections", r.Conns)
 	}
-	m := account.Used()
+	m := metrics.Used()
 	n.log.Log(ctx, level, "account of the machine", "processor_s", m.Processor, "memory_most_mb", m.MemoryMB, "wake_ups", m.WakeUps)
 }
 
@@ -329,14 +329,14 @@
 }
 
 // changed follows the state of a keeper. It must not wait.
-func (n *Node) changed(s *chain.State) {
+func (n *Node) changed(s *replog.State) {
 	var ids []uint64
 	for _, m := range s.Members {
 		ids = append(ids, gossip.Hash(m.Name))
 	}
 	n.news.turn(gossip.Members{IDs: ids})
-	if s.Text != nil {
-		n.hold(s.ConfigPlace, s.Text)
+	if s.Config != nil {
+		n.hold(s.ConfigIndex, s.Config)
 	}
 }
 
@@ -351,7 +351,7 @@
 	if n.data != nil { // streams go on meanwhile
 		pause = func() { time.Sleep(limits.NodeBreath) }
 	}
-	c, err := declared.Read(text, pause)
+	c, err := fleetconfig.Read(text, pause)
 	if err == nil && n.data != nil {
 		err = n.data.apply(place, c)
 	}
@@ -364,7 +364,7 @@
 	n.place.Store(place)
 	for w := n.wanted.Load(); w < place && !n.wanted.CompareAndSwap(w, place); w = n.wanted.Load() {
 	}
-	go n.news.turn(news.Config{Place: place})
+	go n.news.turn(discovery.Config{Place: place})
 }
 
 // heardOf is told that there is a configuration.
@@ -417,7 +417,7 @@
 	defer cancel()
 	has, had := n.texts.Newest()
 	for {
-		b, err := n.net.Call(ctx, to, texts.CallFetch, core.EncodePlace(has, how))
+		b, err := n.net.Call(ctx, to, configcache.CallFetch, replica.EncodeIndexed(has, how))
 		if err != nil {
 			return false
 		}
@@ -462,16 +462,16 @@
 
 // handle answers another process.
 func (n *Node) handle(ctx context.Context, kind uint8, from netip.Addr, body []byte) ([]byte, error) {
-	if kind == texts.CallFetch {
-		place, how, err := core.DecodePlace(body)
+	if kind == configcache.CallFetch {
+		place, how, err := replica.DecodeIndexed(body)
 		if err != nil {
 			return nil, err
 		}
 		if len(how) > 0 && how[0] == fetchSettled && n.keeper != nil {
 			ctx, cancel := context.WithTimeout(ctx, limits.NodeAsk)
 			defer cancel()
-			r := n.keeper.operate(ctx, func(of chan api.Result, until time.Duration) core.Event {
-				return core.Get{Of: of, Until: until, Quiet: true}
+			r := n.keeper.operate(ctx, func(of chan api.Result, until time.Duration) replica.Event {
+				return replica.ReadConfig{Of: of, Until: until, Passive: true}
 			})
 			if r.Status >= http.StatusInternalServerError { // 404: there is none yet
 				return nil, errors.New(r.Says)
@@ -484,12 +484,12 @@
 		return nil, errNotHere
 	}
 	switch kind {
-	case core.CallAsk, core.CallLearn, core.CallState, core.CallIdentity, core.CallJoin, core.CallChosen:
+	case replica.CallPaxos, replica.CallLearn, replica.CallSnapshot, replica.CallIdentity, replica.CallJoin, replica.CallCommit:
 		ctx, cancel := context.WithTimeout(ctx, limits.NodeSettle)
 		defer cancel()
 		return k.handle(ctx, kind, from, body)
 	}
-	if n.duties != nil && duty.Owns(kind) {
+	if n.duties != nil && singleton.Owns(kind) {
 		return n.duties.handle(kind, from, body)
 	}
 	return nil, fmt.Errorf("call %d is not known here", kind)
@@ -497,16 +497,16 @@
 
 // Beat implements api.Handler.
 func (n *Node) Beat(ctx context.Context, b *api.Beat) (home string, err error) {
-	r := roster.Record{
+	r := endpoints.Record{
 		ID: b.ID, Service: b.Service, Addr: b.Addr, Zone: b.Zone, Revision: b.Revision, Slots: uint64(max(b.Slots, 0)), Calls: b.Calls,
 	}
 	if b.Status == "draining" {
-		r.State = roster.Draining
+		r.State = endpoints.Draining
 	}
 	if b.ColdMS > 0 {
 		r.WarmAt = time.Now().UnixMilli() + int64(min(b.ColdMS, 3.6e6))
 	}
-	a, err := n.news.call(ctx, func(of chan news.Answer) news.Event { return news.Beat{Record: r, Of: of} })
+	a, err := n.news.call(ctx, func(of chan discovery.Answer) discovery.Event { return discovery.Beat{Record: r, Of: of} })
 	if err != nil || !a.Home.IsValid() {
 		return "", err
 	}
@@ -515,15 +515,15 @@
 
 // SignOff implements api.Handler.
 func (n *Node) SignOff(ctx context.Context, id string) error {
-	_, err := n.news.call(ctx, func(of chan news.Answer) news.Event { return news.SignOff{ID: id, Of: of} })
+	_, err := n.news.call(ctx, func(of chan discovery.Answer) discovery.Event { return discovery.SignOff{ID: id, Of: of} })
 	return err
 }
 
 // Replace implements api.Handler.
 func (n *Node) Replace(ctx context.Context, on uint64, text []byte) api.Result {
 	began := time.Now()
-	r := n.held(ctx, func(of chan api.Result, until time.Duration) core.Event {
-		return core.Put{On: on, Text: text, Of: of, Until: until}
+	r := n.held(ctx, func(of chan api.Result, until time.Duration) replica.Event {
+		return replica.ReplaceConfig{BaseRevision: on, Config: text, Of: of, Until: until}
 	})
 	n.log.Info("configuration call", "on", on, "bytes", len(text), "status", r.Status, "says", r.Says, "revision", r.Rev,
 		"took", time.Since(began).Round(time.Millisecond).String())
@@ -557,23 +557,27 @@
 
 // Describe implements api.Handler.
 func (n *Node) Describe(ctx context.Context) api.Result {
-	return n.held(ctx, func(of chan api.Result, until time.Duration) core.Event { return core.Get{Of: of, Until: until} })
+	return n.held(ctx, func(of chan api.Result, until time.Duration) replica.Event {
+		return replica.ReadConfig{Of: of, Until: until}
+	})
 }
 
 // History implements api.Handler.
 func (n *Node) History(ctx context.Context) api.Result {
-	return n.held(ctx, func(of chan api.Result, until time.Duration) core.Event { return core.History{Of: of, Until: until} })
+	return n.held(ctx, func(of chan api.Result, until time.Duration) replica.Event {
+		return replica.ReadHistory{Of: of, Until: until}
+	})
 }
 
 // Dismiss implements api.Handler.
 func (n *Node) Dismiss(ctx context.Context, name string) api.Result {
-	return n.held(ctx, func(of chan api.Result, until time.Duration) core.Event {
-		return core.Dismiss{Name: name, Of: of, Until: until}
+	return n.held(ctx, func(of chan api.Result, until time.Duration) replica.Event {
+		return replica.RemoveMember{Name: name, Of: of, Until: until}
 	})
 }
 
 // held has a call of the operator answered by the keeper here.
-func (n *Node) held(ctx context.Context, event func(of chan api.Result, until time.Duration) core.Event) api.Result {
+func (n *Node) held(ctx context.Context, event func(of chan api.Result, until time.Duration) replica.Event) api.Result {
 	if n.keeper == nil {
 		return noKeeper
 	}
@@ -602,14 +606,14 @@
 		Holder   string `json:"holder"`  // of the duties
 		Fence    uint64 `json:"fence"`
 
-		Account []account.Row   `json:"account"` // what the process has sent and taken, by cause
-		Machine account.Machine `json:"machine"`
+		Account []metrics.Row   `json:"account"` // what the process has sent and taken, by cause
+		Machine metrics.Machine `json:"machine"`
 	}
 	s := status{Node: n.cfg.Node, Zone: n.cfg.Zone, Ready: n.unready(), Place: n.place.Load(), Wanted: n.wanted.Load()}
 	if s.Ready == "" {
 		s.Ready = "yes"
 	}
-	s.Account, s.Machine = n.spent.Rows(), account.Used()
+	s.Account, s.Machine = n.spent.Rows(), metrics.Used()
 	if n.data != nil {
 		if at := n.data.at.Load(); at != nil {
 			s.Revision = at.Revision
@@ -617,8 +621,8 @@
 	}
 	if n.keeper != nil {
 		st := n.keeper.at()
-		s.Keeper, s.Chain, s.Votes, s.Members = true, st.Next, st.Member(n.keeper.self.ID) != nil, len(st.Members)
-		s.Holder, s.Fence = st.HolderName, st.HolderPlace
+		s.Keeper, s.Chain, s.Votes, s.Members = true, st.NextIndex, st.Member(n.keeper.self.ID) != nil, len(st.Members)
+		s.Holder, s.Fence = st.LeaseHolderName, st.FencingToken
 	}
 	n.news.mu.Lock()
 	defer n.news.mu.Unlock()
--- a/internal/node/staff.go
+++ b/internal/node/staff.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"notchhinge/internal/control/declared"
-	"notchhinge/internal/control/roster"
+	"notchhinge/internal/control/endpoints"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/edge"
 )
 
@@ -32,18 +32,18 @@
 	defer n.news.mu.Unlock()
 	now, wall := n.news.clock(), time.Now().UnixMilli()
 	all := []EngineView{}
-	n.news.node.Roster.All(func(e *roster.Engine) {
+	n.news.node.Roster.All(func(e *endpoints.Engine) {
 		v := EngineView{
 			ID: e.ID, Service: e.Service, Zone: e.Zone, Address: e.Addr, Revision: e.Revision, Slots: e.Slots,
 			HeardS: (now - e.Heard).Seconds(), WarmInS: max(float64(e.WarmAt-wall)/1000, 0),
 		}
-		known := c != nil && slices.ContainsFunc(c.Services, func(s declared.Service) bool { return s.Name == e.Service })
+		known := c != nil && slices.ContainsFunc(c.Services, func(s fleetconfig.Service) bool { return s.Name == e.Service })
 		switch {
-		case e.State == roster.Gone:
+		case e.State == endpoints.Gone:
 			v.State, v.Says = "gone", "it has signed off, or another has come at its address: it gets nothing"
 		case e.Silent:
 			v.State, v.Says = "silent", "others have been heard since and it has not: it gets nothing"
-		case e.State == roster.Draining:
+		case e.State == endpoints.Draining:
 			v.State, v.Says = "draining", "it gets nothing new; known sessions for a quarter of the time to drain"
 		case !known:
 			v.State, v.Says = "ready", "no configuration here names its service: it gets nothing"
@@ -71,7 +71,7 @@
 	x := explained{Explanation: n.data.dialect.Explain(r)}
 	if x.Service != "" {
 		for _, e := range n.news.list(x.Service) {
-			if e.State == roster.Draining {
+			if e.State == endpoints.Draining {
 				x.Draining = append(x.Draining, e.ID)
 			} else {
 				x.Ready = append(x.Ready, e.ID)
