--- /dev/null
+++ b/internal/batch/golden_test.go
@@ -0,0 +1,128 @@
+package batch
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"notchhinge/internal/broker"
+	"notchhinge/internal/testutil/golden"
+)
+
+// goldenSpool makes a spool folder with a job that has ended, one whose lines are partly done, one that was cancelled and
+// a file without a job.
+func goldenSpool(t *testing.T, dir string) {
+	t.Helper()
+	r := newRig(t, dir, nil)
+	r.job(lineText("a") + "not JSON\n\n" + lineText("b"))
+	out := r.after(0)
+	out[0].order.CallID = "call-a" // which is drawn
+	out[0].serve()
+	out[1].Decline(broker.Failed, 0)
+	r.after(time.Second)
+	half := r.job(fileText(3))
+	half.rec.Metadata = map[string]string{"name": "half"}
+	if err := writeJSON(filepath.Join(half.dir, jobName), half.rec); err != nil {
+		t.Fatal(err)
+	}
+	out = r.after(time.Second)
+	out[1].order.CallID = "call-id-1"
+	out[1].serve()
+	r.after(0)
+	cancelled := r.job(lineText("z"))
+	if err := r.cancel(cancelled); err != nil {
+		t.Fatal(err)
+	}
+	r.after(time.Second)
+	if _, err := r.store(r.teams[key], "alone.jsonl", strings.NewReader(lineText("alone"))); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// files lists what stands in a folder, by path.
+func files(t *testing.T, dir string) map[string]string {
+	t.Helper()
+	all := map[string]string{}
+	err := filepath.WalkDir(dir, func(path string, e os.DirEntry, err error) error {
+		if err != nil || e.IsDir() {
+			return err
+		}
+		b, err := os.ReadFile(path)
+		name, _ := filepath.Rel(dir, path)
+		all[name] = string(b)
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return all
+}
+
+// TestGoldenSpool: the front writes the files that it wrote, and takes up a folder that it wrote then: what has ended stays so,
+// and each line that was left gets its outcome.
+func TestGoldenSpool(t *testing.T) {
+	const name = "batch-folder"
+	made := t.TempDir()
+	goldenSpool(t, made)
+	if golden.Updating() {
+		golden.SaveFolder(t, name, made)
+	}
+	golden.Equal(t, "the files", files(t, golden.Path(name)), files(t, made))
+
+	r := newRig(t, golden.CopyFolder(t, name), nil)
+	states := map[string]string{}
+	var half *job
+	for _, j := range r.teams[key].jobs {
+		states[j.file.Name+" "+j.rec.Created.Format("15:04:05")+" "+j.rec.Metadata["name"]] = j.status()
+		if j.rec.Metadata["name"] == "half" {
+			half = j
+		}
+	}
+	golden.Equal(t, "the jobs", map[string]string{
+		"in.jsonl 00:16:40 ": "completed", "in.jsonl 00:16:41 half": "in_progress", "in.jsonl 00:16:42 ": "cancelled",
+	}, states)
+	out := r.after(0)
+	if len(out) != 2 {
+		t.Fatalf("%d lines are handed out", len(out))
+	}
+	for _, a := range out {
+		a.serve()
+	}
+	r.after(0)
+	golden.Equal(t, "outcomes", []string{"1 id-0 served", "2 id-1 served", "3 id-2 served"}, outcomesOf(t, half))
+}
+
+// TestGoldenSpoolRecords: each record of the golden folder is read and written to the same bytes.
+func TestGoldenSpoolRecords(t *testing.T) {
+	again := func(name string, text []byte, v any) {
+		t.Helper()
+		d := json.NewDecoder(bytes.NewReader(text))
+		d.DisallowUnknownFields()
+		if err := d.Decode(v); err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		b, err := json.Marshal(v)
+		if err != nil || !bytes.Equal(b, bytes.TrimSpace(text)) {
+			t.Errorf("%s: %v\nwant %s\ngot  %s", name, err, text, b)
+		}
+	}
+	seen := map[string]int{}
+	for name, text := range files(t, golden.Path("batch-folder")) {
+		seen[filepath.Base(name)]++
+		switch filepath.Base(name) {
+		case fileName:
+			again(name, []byte(text), &fileRecord{})
+		case jobName:
+			again(name, []byte(text), &jobRecord{})
+		case outcomesName, resultName:
+			for l := range bytes.Lines([]byte(text)) {
+				again(name, l, &Outcome{})
+			}
+		}
+	}
+	golden.Equal(t, "files by name", map[string]int{"input.jsonl": 4, "file.json": 4, "job.json": 3, "outcomes.jsonl": 3, "result.jsonl": 2}, seen)
+}
--- /dev/null
+++ b/internal/control/chain/golden_test.go
@@ -0,0 +1,79 @@
+package chain
+
+import (
+	"bytes"
+	"testing"
+
+	"notchhinge/internal/control/declared"
+	"notchhinge/internal/testutil/golden"
+)
+
+// goldenEntries are one of each kind, as they follow each other.
+func goldenEntries() []*Entry {
+	members := []Member{{ID: 0x0102030405060708, Name: "k-1", Addr: "10.0.0.1:7000"}, {ID: 2, Name: "k-2", Addr: "10.0.0.2:7000"}}
+	return []*Entry{
+		{Kind: Members, Nonce: 1, Members: members},
+		{Kind: Config, Nonce: 0xfedcba9876543210, On: 0, Text: []byte("\xa3\x68revision\x05\x66routes\x80\x68services\x80")},
+		{Kind: Holder, Nonce: 3, Node: 2, Name: "k-2"},
+		{Kind: Usage, Nonce: 4, Window: 352_800_000, Counts: []Count{{"lab", 300}, {"shop", 1}}},
+		{Kind: Nothing, Nonce: 5},
+		{Kind: Members, Nonce: 6, Members: []Member{members[0], {ID: 3, Name: "k-3", Addr: "10.0.0.3:7000"}}},
+	}
+}
+
+var goldenNames = []string{"members", "configuration", "lease-holder", "usage", "no-op", "members-replaced"}
+
+// TestGoldenEntries: each kind of entry has the bytes that it had.
+func TestGoldenEntries(t *testing.T) {
+	for i, e := range goldenEntries() {
+		t.Run(goldenNames[i], func(t *testing.T) {
+			golden.RoundTrip(t, "entry-"+goldenNames[i]+".hex", e, (*Entry).Encode, Decode)
+		})
+	}
+}
+
+// TestGoldenStates: the entries lead to the states that they led to, which have the bytes that they had in both formats.
+func TestGoldenStates(t *testing.T) {
+	s := &State{}
+	for i, name := range goldenNames {
+		s.Apply(golden.Read(t, "entry-"+name+".hex"))
+		if i == len(goldenNames)-2 {
+			first := *s
+			golden.RoundTrip(t, "state-format-1.hex", &first, (*State).Encode, DecodeState)
+		}
+	}
+	golden.RoundTrip(t, "state-format-2.hex", s, (*State).Encode, DecodeState)
+	golden.Check(t, "state-format-2-as-1.hex", s.EncodeAs(1))
+	if b := golden.Read(t, "state-format-1.hex"); b[0] != 1 {
+		t.Errorf("format %d", b[0])
+	}
+	if b := golden.Read(t, "state-format-2.hex"); b[0] != 2 {
+		t.Errorf("format %d", b[0])
+	}
+	want := &State{
+		Next: 6, Members: goldenEntries()[5].Members, Text: goldenEntries()[1].Text, Revision: 5, ConfigPlace: 1,
+		Holder: 2, HolderName: "k-2", HolderPlace: 2, Former: []string{"k-2"},
+		Windows: []Window{{Number: 352_800_000, Counts: []Count{{"lab", 300}, {"shop", 1}}}},
+	}
+	_, want.Digest, _ = declared.Decode(want.Text)
+	want.History = []Taken{{5, want.Digest}}
+	golden.Equal(t, "the state", want, s)
+}
+
+// TestGoldenHistory: a state whose history is longer than the first format holds has the bytes that it had.
+func TestGoldenHistory(t *testing.T) {
+	s := &State{}
+	s.Apply((&Entry{Kind: Members, Members: []Member{{1, "a", "10.0.0.1:1"}}}).Encode())
+	for n := range 2 * keptHistory {
+		text := append(append([]byte("\xa3\x68revision\x18"), byte(n+24)), "\x66routes\x80\x68services\x80"...)
+		s.Apply((&Entry{Kind: Config, On: s.Revision, Text: text}).Encode())
+	}
+	if len(s.Earlier) == 0 || s.Revision != 2*keptHistory+23 {
+		t.Fatalf("%d of the history in brief, revision %d", len(s.Earlier), s.Revision)
+	}
+	golden.RoundTrip(t, "state-long-history.hex", s, (*State).Encode, DecodeState)
+	golden.Check(t, "state-long-history-as-1.hex", s.EncodeAs(1))
+	if got, err := DecodeState(golden.Read(t, "state-long-history-as-1.hex")); err != nil || !bytes.Equal(got.Text, s.Text) {
+		t.Errorf("%v", err)
+	}
+}
--- /dev/null
+++ b/internal/control/duty/golden_test.go
@@ -0,0 +1,107 @@
+package duty
+
+import (
+	"net/netip"
+	"testing"
+	"time"
+
+	"notchhinge/internal/control/core"
+	"notchhinge/internal/control/form"
+	"notchhinge/internal/testutil/golden"
+)
+
+func goldenReport() *Report {
+	return &Report{
+		Source: 0x0102030405060708, Zone: "a",
+		Tally: Tally{Windows: map[uint64]map[string]uint64{
+			352_800_000: {"lab": 300, "shop": 1}, 352_800_001: {"": 7}, 352_800_002: {},
+		}},
+		Loads: []Load{{Service: "scribe", Running: 1234, Arrived: 5678, Late: 90}, {Service: "reader"}},
+	}
+}
+
+// TestGoldenReports: what routers report and keepers of the counts exchange has the bytes that it had.
+func TestGoldenReports(t *testing.T) {
+	golden.RoundTrip(t, "report.hex", goldenReport(), (*Report).Encode, DecodeReport)
+	golden.RoundTrip(t, "report-empty.hex", &Report{Source: 1, Tally: Tally{Windows: map[uint64]map[string]uint64{}}}, (*Report).Encode, DecodeReport)
+	golden.RoundTrip(t, "report-answer.hex", Word{Book: 0xfedcba9876543210, Lives: 300}, func(a Word) []byte { return a.Encode() }, DecodeWord)
+
+	book := &Book{}
+	book.Take(time.Second, goldenReport(), true)
+	book.Take(time.Second, &Report{Source: 2, Zone: "b", Tally: Tally{Windows: map[uint64]map[string]uint64{352_800_001: {"lab": 5}}}}, true)
+	golden.Check(t, "usage-table.hex", book.Encode(352_800_000, 352_800_002))
+	golden.Check(t, "usage-table-part.hex", book.Encode(352_800_001, 352_800_002))
+	other := &Book{}
+	if err := other.Merge(time.Second, golden.Read(t, "usage-table.hex")); err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "usage-table.hex", other.Encode(352_800_000, 352_800_002))
+	golden.Equal(t, "a window's sum", map[string]uint64{"": 7, "lab": 5}, other.Sum(352_800_001))
+}
+
+// TestGoldenLeases: what is asked before a lease and for one has the bytes that it had, and so have the answers.
+func TestGoldenLeases(t *testing.T) {
+	golden.Equal(t, "numbers of calls", []uint8{8, 9, 11, 15}, []uint8{CallReport, CallBook, CallRenew, CallStand})
+	k := newKeeper()
+	k.Others = func() []netip.AddrPort { return []netip.AddrPort{netip.MustParseAddrPort("10.0.0.2:1")} }
+	calls := func(name string, kind uint8) {
+		t.Helper()
+		n := 0
+		for _, c := range k.calls {
+			if c.Kind == kind {
+				golden.Check(t, name+".hex", c.Body)
+				n++
+			}
+		}
+		if n == 0 {
+			t.Fatalf("%s: not called, but %+v", name, k.calls)
+		}
+	}
+	answer := func(name string, kind uint8, body []byte) {
+		t.Helper()
+		for _, f := range k.Reduce(k.now, k.wall(), &k.state, core.Called{Kind: kind, Body: body, Of: name}) {
+			if r, ok := f.(core.Reply); ok && r.Of == name && r.Err == nil {
+				golden.Check(t, name+".hex", r.Body)
+				return
+			}
+		}
+		t.Fatalf("%s: no answer", name)
+	}
+	for n := 0; k.want == nil && n < 60; n++ {
+		k.pass(sec)
+		if k.want == nil && len(k.calls) > 0 {
+			calls("lease-candidacy", CallStand)
+			k.granted(2)
+		}
+	}
+	if k.want == nil {
+		t.Fatal("it is no candidate")
+	}
+	k.chosen()
+	calls("lease-renewal", CallRenew)
+	k.granted(2)
+
+	answer("lease-granted", CallRenew, golden.Read(t, "lease-renewal.hex"))
+	w := form.Writer{} // as an earlier program asks, which does not say whom it knows
+	w.Uint(k.state.HolderPlace)
+	w.Word(1)
+	answer("lease-granted-short", CallRenew, w.B)
+	answer("lease-rejected", CallRenew, golden.Read(t, "lease-candidacy.hex"))
+	answer("lease-candidacy-rejected", CallStand, golden.Read(t, "lease-candidacy.hex"))
+	answer("report-answered", CallReport, golden.Read(t, "report.hex"))
+
+	k.calls = nil
+	w = form.Writer{}
+	w.Uint(352_800_000)
+	w.Uint(352_800_002)
+	golden.Check(t, "usage-table-request.hex", w.B)
+	answer("usage-table-answered", CallBook, golden.Read(t, "usage-table-request.hex"))
+	k.gather(352_800_000, 352_800_002)
+	for _, f := range k.out {
+		if f, ok := f.(core.Call); ok && f.Kind == CallBook {
+			golden.Check(t, "usage-table-request.hex", f.Body)
+			return
+		}
+	}
+	t.Error("others' tables are not asked for")
+}
--- /dev/null
+++ b/internal/control/gossip/golden_test.go
@@ -0,0 +1,61 @@
+package gossip
+
+import (
+	"encoding/binary"
+	"net/netip"
+	"testing"
+
+	"notchhinge/internal/testutil/golden"
+)
+
+// TestGoldenPackets: each kind of datagram has the bytes that it had.
+func TestGoldenPackets(t *testing.T) {
+	from := Peer{ID: 0x0102030405060708, Addr: netip.MustParseAddrPort("10.1.2.3:7001"), Zone: 0x89abcdef, Flags: Keeper}
+	others := []Peer{
+		{ID: 7, Addr: netip.MustParseAddrPort("192.168.0.255:65535"), Zone: 1, Flags: Edge},
+		{ID: 1 << 63, Addr: netip.MustParseAddrPort("127.0.0.1:1"), Flags: Keeper | Edge},
+		{ID: 9, Addr: netip.MustParseAddrPort("10.0.0.9:7000"), Zone: 2},
+	}
+	items := []Item{
+		{Kind: 1, Key: "e/engine-1", Version: 300, Body: []byte("a record")}, {Kind: 4, Key: "q/engine-1", Version: 1<<60 | 1},
+	}
+	sums := make([]uint64, buckets)
+	for i := range sums {
+		sums[i] = uint64(i) * 0x0101010101010101
+	}
+	for name, p := range map[string]*packet{
+		"updates":              {kind: kindNews, from: from, items: items},
+		"updates-acknowledged": {kind: kindUrgent, from: from, items: items[:1], confirm: 300},
+		"acknowledgement":      {kind: kindConfirm, from: from, confirm: 300},
+		"heartbeats": {kind: kindSigns, from: from, hears: []uint64{7, 1 << 63}, signs: []Sign{
+			{Key: 0x1122334455667788, Count: 12, AgeMS: 400}, {Key: 1, Count: 1 << 40},
+		}},
+		"digest":               {kind: kindRoot, from: from, root: 0xfedcba9876543210},
+		"digest-buckets":       {kind: kindDigest, from: from, buckets: sums},
+		"repair-request":       {kind: kindWant, from: from, wants: []want{{bucket: 31, have: []have{{1, 2}, {1 << 63, 300}}}, {bucket: 0}}},
+		"peer-exchange":        {kind: kindShuffle, from: from, peers: others},
+		"peer-exchange-answer": {kind: kindShuffled, from: from, peers: others[:1]},
+	} {
+		t.Run(name, func(t *testing.T) {
+			golden.RoundTrip(t, name+".hex", p, (*packet).encode, decode)
+		})
+	}
+}
+
+// TestGoldenDigests: two versions that hold the same have the same digests, or they would exchange everything all the time.
+func TestGoldenDigests(t *testing.T) {
+	n := New(Peer{ID: 1, Addr: netip.MustParseAddrPort("10.0.0.1:7000")}, 1)
+	for _, i := range []Item{
+		{Kind: 1, Key: "e/engine-1", Version: 300, Body: []byte("a record")}, {Kind: 2, Key: "configuration", Version: 7},
+		{Kind: 3, Key: "forgets", Version: 1 << 40}, {Kind: 4, Key: "q/engine-1", Version: 1<<60 | 1},
+	} {
+		n.take(i)
+	}
+	b := binary.BigEndian.AppendUint64(nil, n.root())
+	for _, h := range n.hashes {
+		b = binary.BigEndian.AppendUint64(b, h)
+	}
+	b = binary.BigEndian.AppendUint64(b, Hash("e/engine-1"))
+	b = binary.BigEndian.AppendUint64(b, Mix(1, 2))
+	golden.Check(t, "digests-of-items.hex", b)
+}
--- /dev/null
+++ b/internal/control/platform/golden_test.go
@@ -0,0 +1,46 @@
+package platform
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"notchhinge/internal/testutil/golden"
+)
+
+// TestGoldenCalls: the platform gets the calls that it got. The order of a body's keys is open in both.
+func TestGoldenCalls(t *testing.T) {
+	type call struct {
+		Method, Path, Holder, Fence, Type string
+		Body                              map[string]any
+	}
+	var got []call
+	web := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		c := call{Method: r.Method, Path: r.URL.Path, Holder: r.Header.Get("X-Duty-Holder"), Fence: r.Header.Get("X-Fence-Token"), Type: r.Header.Get("Content-Type")}
+		if b, err := io.ReadAll(r.Body); err != nil || cbor.Unmarshal(b, &c.Body) != nil {
+			t.Errorf("%x: %v", b, err)
+		}
+		got = append(got, c)
+	}))
+	defer web.Close()
+	c := New(strings.TrimPrefix(web.URL, "http://"), "k-1")
+	for _, f := range []func(context.Context) error{
+		func(ctx context.Context) error { return c.Usage(ctx, 300, 352_800_000, map[string]uint64{"lab": 7}) },
+		func(ctx context.Context) error { return c.Scale(ctx, 300, "scribe", "a", 12) },
+	} {
+		if err := f(t.Context()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	golden.Equal(t, "calls", []call{
+		{"POST", "/usage-reports", "k-1", "300", "application/cbor",
+			map[string]any{"window_number": uint64(352_800_000), "counts": map[any]any{"lab": uint64(7)}}},
+		{"POST", "/scaling", "k-1", "300", "application/cbor",
+			map[string]any{"target_service": "scribe", "zone": "a", "desired_count": uint64(12)}},
+	}, got)
+}
--- /dev/null
+++ b/internal/control/roster/golden_test.go
@@ -0,0 +1,22 @@
+package roster
+
+import (
+	"testing"
+
+	"notchhinge/internal/testutil/golden"
+)
+
+// TestGoldenRecords: an engine's record has the bytes that it had, in each of its states.
+func TestGoldenRecords(t *testing.T) {
+	ready := Record{
+		ID: "engine-1", Service: "scribe", Addr: "10.0.0.5:8000", Zone: "a", Revision: "r7", Slots: 12, Calls: 300, WarmAt: 1_764_000_000_123,
+	}
+	draining, gone := ready, ready
+	draining.State, draining.Calls, draining.WarmAt = Draining, 301, 0
+	gone.State, gone.Calls = Gone, tombstone
+	for name, r := range map[string]Record{"ready": ready, "draining": draining, "gone": gone, "unknown-gone": {ID: "x", State: Gone, Calls: tombstone}} {
+		t.Run(name, func(t *testing.T) {
+			golden.RoundTrip(t, "record-"+name+".hex", r, func(r Record) []byte { return r.Encode() }, Decode)
+		})
+	}
+}
--- /dev/null
+++ b/internal/control/store/golden_test.go
@@ -0,0 +1,125 @@
+package store
+
+import (
+	"bytes"
+	"fmt"
+	"testing"
+
+	"github.com/syndtr/goleveldb/leveldb/storage"
+
+	"notchhinge/internal/control/ballot"
+	"notchhinge/internal/control/chain"
+	"notchhinge/internal/testutil/golden"
+)
+
+// goldenEntries are what is chosen one after another, and goldenState what they lead to.
+func goldenEntries() []*chain.Entry {
+	return []*chain.Entry{
+		{Kind: chain.Members, Nonce: 1, Members: []chain.Member{{ID: 7, Name: "k-1", Addr: "10.0.0.1:7000"}, {ID: 8, Name: "k-2", Addr: "10.0.0.2:7000"}}},
+		{Kind: chain.Config, Nonce: 2, Text: []byte("\xa3\x68revision\x05\x66routes\x80\x68services\x80")},
+		{Kind: chain.Holder, Nonce: 3, Node: 8, Name: "k-2"},
+		{Kind: chain.Usage, Nonce: 4, Window: 352_800_000, Counts: []chain.Count{{Tenant: "lab", N: 300}}},
+		{Kind: chain.Members, Nonce: 5, Members: []chain.Member{{ID: 7, Name: "k-1", Addr: "10.0.0.1:7000"}}},
+	}
+}
+
+func goldenState(n int) *chain.State {
+	s := &chain.State{}
+	for _, e := range goldenEntries()[:n] {
+		s.Apply(e.Encode())
+	}
+	return s
+}
+
+var goldenVote = ballot.Vote{
+	Place: 5, Promised: ballot.Number{Round: 300, Node: 0x0102030405060708}, Accepted: ballot.Number{Round: 7, Node: 2}, Value: []byte("a value"),
+}
+
+// fill writes the state up to the entry of number whole at once, the rest an entry each, and the vote.
+func fill(t *testing.T, s *Store, whole int) {
+	t.Helper()
+	state := goldenState(whole)
+	if whole > 0 {
+		if err := s.Whole(state); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for _, e := range goldenEntries()[whole:] {
+		state.Apply(e.Encode())
+		if err := s.Chose(e.Encode(), state); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := s.Vote(goldenVote); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestGoldenRecords: what is written stands under the keys and in the bytes that it had.
+func TestGoldenRecords(t *testing.T) {
+	for _, whole := range []int{0, 3, 5} {
+		files := storage.NewMemStorage()
+		s, _, err := OpenOn(func() (storage.Storage, error) { return files, nil }, Identity{ID: 7, Founder: true})
+		if err != nil {
+			t.Fatal(err)
+		}
+		fill(t, s, whole)
+		var text bytes.Buffer
+		it := s.db.NewIterator(nil, nil)
+		for it.Next() {
+			fmt.Fprintf(&text, "%q %x\n", it.Key(), it.Value())
+		}
+		it.Release()
+		s.Close()
+		golden.Check(t, fmt.Sprintf("records-state-of-%d.txt", whole), text.Bytes())
+	}
+}
+
+// TestGoldenFolder opens a folder that the program wrote, once with a journal alone and once after a restart, and finds in it
+// what was written; and goes on with it.
+func TestGoldenFolder(t *testing.T) {
+	if golden.Updating() {
+		for _, whole := range []int{0, 3} {
+			dir := t.TempDir()
+			s, _ := open(t, dir, Identity{ID: 7, Founder: true})
+			fill(t, s, whole)
+			s.Close()
+			if whole > 0 {
+				s, _ = open(t, dir, Identity{})
+				if err := s.Vote(goldenVote); err != nil {
+					t.Fatal(err)
+				}
+				s.Close()
+			}
+			golden.SaveFolder(t, fmt.Sprintf("folder-state-of-%d", whole), dir, "state/LOG", "state/LOCK")
+		}
+	}
+	for _, whole := range []int{0, 3} {
+		dir := golden.CopyFolder(t, fmt.Sprintf("folder-state-of-%d", whole))
+		s, k := open(t, dir, Identity{ID: 99})
+		golden.Equal(t, dir, &Kept{Identity{ID: 7, Founder: true}, *goldenState(5), goldenVote}, k)
+		if v, ok := s.Place(4); !ok || !bytes.Equal(v, goldenEntries()[4].Encode()) {
+			t.Errorf("%s: the last entry is %x, %v", dir, v, ok)
+		}
+		if _, ok := s.Place(0); ok != (whole == 0) {
+			t.Errorf("%s: the first entry is there: %v", dir, ok)
+		}
+		next := *goldenState(5)
+		value := (&chain.Entry{Kind: chain.Nothing, Nonce: 6}).Encode()
+		next.Apply(value)
+		if err := s.Chose(value, &next); err != nil {
+			t.Fatal(err)
+		}
+		s.Close()
+		s, k = open(t, dir, Identity{ID: 99})
+		golden.Equal(t, dir+" after another entry", next, k.State)
+		s.Close()
+	}
+}
+
+// TestGoldenBackup: a backup has the bytes that it had, and is read to the same state.
+func TestGoldenBackup(t *testing.T) {
+	for n, name := range map[int]string{4: "backup-format-1.hex", 5: "backup-format-2.hex"} {
+		golden.RoundTrip(t, name, goldenState(n), Export, ReadBackup)
+	}
+}
--- /dev/null
+++ b/internal/node/golden_test.go
@@ -0,0 +1,13 @@
+package node
+
+import (
+	"testing"
+
+	"notchhinge/internal/control/core"
+	"notchhinge/internal/testutil/golden"
+)
+
+// TestGoldenFetch: who wants the newest configuration that a majority knows of asks with the bytes that it did.
+func TestGoldenFetch(t *testing.T) {
+	golden.Equal(t, "the call", []byte{7, 1, 1}, core.EncodePlace(7, []byte{fetchSettled}))
+}
--- /dev/null
+++ b/internal/succession/golden_test.go
@@ -0,0 +1,43 @@
+package succession
+
+import (
+	"os"
+	"testing"
+
+	"notchhinge/internal/testutil/golden"
+)
+
+// TestGoldenFiles: two processes of different versions find each other by the names of files and what stands in one.
+func TestGoldenFiles(t *testing.T) {
+	dir := t.TempDir()
+	var places []*Place
+	for range 2 {
+		p, err := Claim(dir, "127.0.0.1:8080")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer p.Close()
+		places = append(places, p)
+	}
+	files := func() map[string]string {
+		entries, err := os.ReadDir(dir)
+		if err != nil {
+			t.Fatal(err)
+		}
+		all := map[string]string{}
+		for _, e := range entries {
+			b, err := os.ReadFile(dir + "/" + e.Name())
+			if err != nil {
+				t.Fatal(err)
+			}
+			all[e.Name()] = string(b)
+		}
+		return all
+	}
+	golden.Equal(t, "files at first", map[string]string{"notchhinge-127.0.0.1_8080.owner": "", "notchhinge-127.0.0.1_8080.heir": "coming"}, files())
+	if err := places[1].Say(); err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "files then", map[string]string{"notchhinge-127.0.0.1_8080.owner": "", "notchhinge-127.0.0.1_8080.heir": "ready "}, files())
+	golden.Equal(t, "the file of what is handed over", dir+"/notchhinge-127.0.0.1_8080.state", places[1].state)
+}
--- /dev/null
+++ b/internal/trace/export/golden_test.go
@@ -0,0 +1,67 @@
+package export
+
+import (
+	"bytes"
+	"context"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	tracepb "go.opentelemetry.io/proto/otlp/trace/v1"
+	"google.golang.org/protobuf/proto"
+
+	"notchhinge/internal/testutil/golden"
+	"notchhinge/internal/trace"
+)
+
+// goldenTries are an ordinary record and one in which each field is set.
+func goldenTries() []*trace.Try {
+	full := try(2, trace.ForFailed|trace.ForRetry)
+	full.Parent, full.State, full.Flags, full.Number = trace.SpanID{5}, "ot=th:8", trace.Sampled, 2
+	full.Before = trace.Link{Trace: trace.TraceID{7}, Span: trace.SpanID{8}}
+	full.Team, full.Pool, full.Session, full.Prompt, full.Tokens, full.Kept = "lab", "scribe", 300, 5000, 70, 64
+	full.Reading, full.Aim, full.Late, full.Outcome, full.Why, full.RetryAfter = 1000, time.Second, true, trace.Refused, trace.RouterFull, time.Second
+	full.Phases[trace.Hold], full.Phases[trace.Stream] = time.Millisecond, time.Second-time.Millisecond
+	full.Legs = append(full.Legs, trace.Leg{
+		Span: trace.SpanID{9}, Host: "s-2", Dial: "10.0.0.6:8000", Why: 2, Sent: 1000, Begun: 2000, Lined: 3000, Fresh: true, Written: 4000,
+		First: 500_000, Event: 600_000, Bound: 700_000, Told: 800_000, Ended: 900_000, Relay: 100, Bytes: 900, Result: 1, Said: 5, Stale: true,
+	})
+	return []*trace.Try{try(1, trace.ForShare), full}
+}
+
+// TestGoldenFile: a trace file has the bytes that it had, and is read to the same records. A newer compressor may write others;
+// what is in the file must be read all the same.
+func TestGoldenFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "traces.zst")
+	f, err := NewFile(FileOptions{Path: path, Max: 1 << 20, Files: 3, Flush: time.Hour, Queue: 1 << 20, Log: quiet()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, y := range goldenTries() {
+		f.Put(y)
+		f.flush() // a frame each
+	}
+	f.Close(context.Background())
+	b, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "file.zst.hex", b)
+	var got []*trace.Try
+	damage, err := Read(bytes.NewReader(golden.Read(t, "file.zst.hex")), func(y *trace.Try) error { got = append(got, y); return nil })
+	if err != nil || damage != (Damage{}) {
+		t.Errorf("%v %v", damage, err)
+	}
+	golden.Equal(t, "the records", goldenTries(), got)
+}
+
+// TestGoldenOTLP: a collector is sent the message that it was sent.
+func TestGoldenOTLP(t *testing.T) {
+	e := &OTLP{o: OTLPOptions{Router: "n1", Version: "1"}}
+	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&tracepb.TracesData{ResourceSpans: e.resource(goldenTries())})
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "otlp.hex", b)
+}
--- /dev/null
+++ b/internal/trace/golden_test.go
@@ -0,0 +1,70 @@
+package trace
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"notchhinge/internal/testutil/golden"
+)
+
+// goldenTry is a record in which each field is set.
+func goldenTry() *Try {
+	return &Try{
+		Trace: TraceID{1, 2, 15: 16}, Span: SpanID{3, 7: 4}, Parent: SpanID{5}, State: "ot=th:8", Flags: Sampled | Random, Number: 1,
+		Front: "calls", Team: "lab", Pool: "scribe", CallID: "call-1", Class: "chat", Session: 0x0102030405060708,
+		Prompt: 5000.5, Tokens: 70, Kept: 64.25,
+		At: 1_764_000_000_123_456_789, Reading: 1000, First: 900_000, Decided: 950_000, End: time.Millisecond, Aim: 800 * time.Millisecond,
+		Outcome: Refused, Why: RouterFull, RetryAfter: 2 * time.Second,
+		Legs: []Leg{
+			{Span: SpanID{9}, Host: "s-1", Dial: "10.0.0.5:8000", Why: 2, Sent: 1000, Begun: 2000, Lined: 3000, Fresh: true, Written: 4000,
+				First: 500_000, Event: 600_000, Bound: 700_000, Told: 800_000, Ended: 900_000, Relay: 100, Bytes: 900, Result: 1, Said: 5, Stale: true},
+			{Span: SpanID{10}, Host: "s-2", Dial: "10.0.0.6:8000", Sent: 5000, Result: None, Said: None},
+		},
+	}
+}
+
+// TestGoldenPacked: a record that waits in memory has the bytes that it had.
+func TestGoldenPacked(t *testing.T) {
+	const taken = 500
+	want := goldenTry()
+	want.reckon(taken)
+	golden.RoundTrip(t, "packed.hex", want, func(y *Try) []byte { return y.pack(nil, taken) }, unpack)
+}
+
+// TestGoldenJSON: a record in a trace file has the text that it had, with the names of outcomes, results, reasons and phases.
+func TestGoldenJSON(t *testing.T) {
+	y := goldenTry()
+	y.reckon(500)
+	y.Before, y.Number, y.Router, y.Late = Link{Trace: TraceID{7}, Span: SpanID{8}}, 2, "n1", true
+	y.Reasons = ForFailed | ForShare
+	golden.RoundTrip(t, "record.json", y, func(y *Try) []byte {
+		b, err := json.Marshal(y)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return b
+	}, func(b []byte) (*Try, error) {
+		y := &Try{}
+		return y, json.Unmarshal(b, y)
+	})
+	names := map[string][]string{"reasons": Reason(1<<len(reasonNames) - 1).Names()}
+	for o := range outcomeNames {
+		names["outcomes"] = append(names["outcomes"], Outcome(o).String())
+	}
+	for r := range resultNames {
+		names["results"] = append(names["results"], Result(r).String())
+	}
+	names["results"] = append(names["results"], None.String())
+	for w := range whyNames {
+		names["whys"] = append(names["whys"], Why(w).String())
+	}
+	for p := range Phases {
+		names["phases"] = append(names["phases"], p.String())
+	}
+	b, err := json.MarshalIndent(names, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Check(t, "names.json", b)
+}
