--- a/internal/control/replica/propose.go
+++ b/internal/control/replica/propose.go
@@ -28,7 +28,7 @@
 	p.key = n.timers.Add(max(until, n.now+1), func() {
 		if a := p.last; a != nil {
 			n.log.Warn("a place is not settled in time", "place", a.Index, "tries", p.try, "outcome", int(a.out), "number", a.Number.Term,
-				"higher", a.HigherNumber.Term, "accepting", a.IsAccepting(), "behind", len(a.LaggingVoters))
+				"higher", a.HigherNumber.Term, "accepting", a.Phase() == paxos.KindAccept, "behind", len(a.LaggingVoters))
 		}
 		n.finish(p, ErrQuorumUnavailable)
 	})
@@ -103,7 +103,6 @@
 
 // phase sends what is asked to every member, itself last.
 func (n *Replica) phase(a *attempt, ask paxos.Request) {
-	accepting := ask.Kind == paxos.KindAccept
 	own := -1
 	text := encodeAsk(&ask)
 	for i := range a.members {
@@ -113,33 +112,33 @@
 		case m.ID == n.Self.ID:
 			own = i
 		case !ok:
-			n.reply(a, m, accepting, paxos.Response{}, false)
+			n.reply(a, m, ask.Kind, paxos.Response{}, false)
 		default:
 			n.call(to, CallPaxos, text, limits.NodeAsk, func(body []byte, err error) {
 				var ans paxos.Response
 				if err == nil {
 					ans, err = decodeAnswer(body)
 				}
-				n.reply(a, m, accepting, ans, err == nil)
+				n.reply(a, m, ask.Kind, ans, err == nil)
 			})
 		}
 	}
 	if own >= 0 {
-		n.vote(ask, func(ans paxos.Response, err error) { n.reply(a, &a.members[own], accepting, ans, err == nil) })
+		n.vote(ask, func(ans paxos.Response, err error) { n.reply(a, &a.members[own], ask.Kind, ans, err == nil) })
 	}
 }
 
 // reply takes in what a member has answered, or that it has not.
-func (n *Replica) reply(a *attempt, m *replog.Member, accepting bool, ans paxos.Response, ok bool) {
+func (n *Replica) reply(a *attempt, m *replog.Member, phase paxos.RequestKind, ans paxos.Response, ok bool) {
 	if a.out != paxos.OutcomePending {
 		return
 	}
 	var next *paxos.Request
 	out := paxos.OutcomePending
 	if ok {
-		next, out = a.HandleResponse(m.ID, accepting, ans)
+		next, out = a.HandleResponse(m.ID, phase, ans)
 	} else {
-		out = a.HandleFailure(m.ID, accepting)
+		out = a.HandleFailure(m.ID, phase)
 	}
 	if next != nil {
 		n.phase(a, *next)
--- a/internal/lab/check/ballots.go
+++ b/internal/lab/check/ballots.go
@@ -48,7 +48,7 @@
 	ask     paxos.Request
 	back    bool
 	answer  paxos.Response
-	phase   bool
+	phase   paxos.RequestKind
 	by      uint64
 	repeats int
 }
@@ -101,7 +101,7 @@
 
 func (w *world) send(a *attempt, ask paxos.Request) {
 	for i := range w.members {
-		w.wires = append(w.wires, wire{to: i, from: a, ask: ask, phase: ask.Kind == paxos.KindAccept})
+		w.wires = append(w.wires, wire{to: i, from: a, ask: ask, phase: ask.Kind})
 	}
 }
 
--- a/internal/lab/check/founding.go
+++ b/internal/lab/check/founding.go
@@ -80,9 +80,9 @@
 			if next != nil || out != paxos.OutcomePending {
 				break
 			}
-			accepting := r.IsAccepting()
+			phase := r.Phase()
 			if side[id] != side[who] || draw(6) == 0 {
-				out = r.HandleFailure(id, accepting)
+				out = r.HandleFailure(id, phase)
 				continue
 			}
 			ans, write := accs[id].Handle(ask)
@@ -90,10 +90,10 @@
 				disks[id] = accs[id].State
 			}
 			if draw(6) == 0 {
-				out = r.HandleFailure(id, accepting)
+				out = r.HandleFailure(id, phase)
 				continue
 			}
-			next, out = r.HandleResponse(id, accepting, ans)
+			next, out = r.HandleResponse(id, phase, ans)
 		}
 		if next == nil {
 			if out == paxos.OutcomePending {
--- a/internal/lab/check/members.go
+++ b/internal/lab/check/members.go
@@ -145,7 +145,7 @@
 
 // turn has a phase reach those of a mask; answers come from those of another.
 func (c *core) turn(r *opened, ask paxos.Request, mask, back int) (next *paxos.Request, out paxos.Outcome) {
-	accepting := r.IsAccepting()
+	phase := r.Phase()
 	for i, b := range c.boxes {
 		if mask&(1<<i) == 0 || !slices.Contains(r.Voters, uint64(b.id)) || next != nil || out != paxos.OutcomePending {
 			continue
@@ -154,7 +154,7 @@
 		if back&(1<<i) == 0 {
 			continue
 		}
-		next, out = r.HandleResponse(uint64(b.id), accepting, ans)
+		next, out = r.HandleResponse(uint64(b.id), phase, ans)
 	}
 	return next, out
 }
