--- a/internal/node/bench_test.go
+++ b/internal/node/benchhelpers_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"bufio"
 	"context"
 	"fmt"
 	"io"
@@ -10,7 +9,7 @@
 	"net/http"
 	"os"
 	"path/filepath"
-	"strings"
+	"syscall"
 	"testing"
 	"time"
 
@@ -108,36 +107,33 @@
 	return front.Addr().String()
 }
 
-// BenchmarkRequest makes requests one after the other on one connection, to an engine on loopback: through a node, through
-// today's program, and to the engine itself, in one run.
-func BenchmarkRequest(b *testing.B) {
-	engine := benchEngine(b)
-	for _, to := range []struct {
-		name, addr, headers string
-	}{
-		{"direct", engine, ""},
-		{"serve", benchServe(b, engine), "X-Call-Id: 1f\r\nX-Call-Class: chat\r\nX-Budget: 12000m\r\nX-Call-Info: prompt_len=1,prefix_len=0,max_out=1\r\n"},
-		{"node", benchNode(b, engine), "X-Request-Id: 1f\r\nX-Deadline-Remaining-Ms: 5000\r\n"},
-	} {
-		b.Run(to.name, func(b *testing.B) {
-			c, err := net.Dial("tcp4", to.addr)
-			if err != nil {
-				b.Fatal(err)
-			}
-			defer c.Close()
-			br := bufio.NewReader(c)
-			text := "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\n" + to.headers + "Content-Length: 300\r\n\r\n" + strings.Repeat("x", 300)
-			b.ReportAllocs()
-			for b.Loop() {
-				io.WriteString(c, text)
-				resp, err := http.ReadResponse(br, nil)
-				if err != nil {
-					b.Fatal(err)
-				}
-				if n, err := io.Copy(io.Discard, resp.Body); err != nil || resp.StatusCode != 200 || n != 9 {
-					b.Fatal(resp.Status, n, err)
-				}
-			}
-		})
+// paced answers every request with a stream of an event each 35 ms, which is 28.6 a second.
+func paced(b *testing.B) string {
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
+	}
+	web := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
+		w.Header().Set("Content-Type", "text/event-stream")
+		tick := time.NewTicker(35 * time.Millisecond)
+		defer tick.Stop()
+		for r.Context().Err() == nil {
+			io.WriteString(w, "data: {\"token\":\"abcdef\"}\n\n")
+			w.(http.Flusher).Flush()
+			<-tick.C
+		}
+	})}
+	go web.Serve(ln)
+	b.Cleanup(func() { web.Close() })
+	return ln.Addr().String()
+}
+
+// spent is the processor time of this process.
+func spent() time.Duration {
+	var u syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
+		return 0
 	}
+	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
--- /dev/null
+++ b/internal/node/connections_test.go
@@ -0,0 +1,73 @@
+package node
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"sync"
+	"syscall"
+	"testing"
+
+	"golang.org/x/sys/unix"
+
+	"notchhinge/internal/control/endpoints"
+	"notchhinge/internal/limits"
+)
+
+// TestUnheardIsSet: a line to an engine ends once its machine has not even received what was sent on it for so long.
+func TestUnheardIsSet(t *testing.T) {
+	e := newRawEngine(t, says("HTTP/1.1 200 OK\nContent-Length: 0\n\n"))
+	p := newPlane(t, 1, at("i-1", "s", e))
+	c, err := p.d.dial(t.Context(), "tcp", e.addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	raw, err := c.(syscall.Conn).SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw.Control(func(fd uintptr) {
+		if ms, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT); err != nil || ms != int(limits.NodeUnheard.Milliseconds()) {
+			t.Errorf("%d ms, %v", ms, err)
+		}
+	})
+}
+
+// TestForgottenConnections: engines answer one request on a connection and forget it as it rests. A request that may run again
+// meets that, is served all the same, and has those that may not use no line that has rested.
+func TestForgottenConnections(t *testing.T) {
+	var used sync.Map // connections that have had their answer
+	engines := make([]endpoints.Engine, 3)
+	for i := range engines {
+		engines[i] = at(fmt.Sprint("i-", i), "s", newRawEngine(t, func(c net.Conn, r *http.Request) bool {
+			if _, again := used.LoadOrStore(c, true); again {
+				c.(*net.TCPConn).SetLinger(0)
+				return false
+			}
+			return says("HTTP/1.1 200 OK\nKeep-Alive: timeout=10\nContent-Length: 4\n\ngood")(c, r)
+		}))
+	}
+	p := newPlane(t, 1, engines...)
+	told := make(chan bool, 1)
+	p.d.forgot = func() {
+		p.d.forgets()
+		select {
+		case told <- true:
+		default:
+		}
+	}
+	for i, known := 0, false; !known; i++ {
+		if again := many(t, p.addr, "/again/", 1, 1); again.served.Load() != 1 {
+			t.Fatalf("request %d, which may run again, was not served", i)
+		}
+		select {
+		case <-told:
+			known = true
+		default:
+		}
+	}
+	if d := p.d.rest(); d != limits.NodeRest {
+		t.Fatalf("a line may have rested for %v", d)
+	}
+}
--- a/internal/node/data.go
+++ b/internal/node/dataplane.go
@@ -1,20 +1,16 @@
 package node
 
 import (
-	"cmp"
 	"context"
 	"log/slog"
 	"math/rand/v2"
-	"net"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"notchhinge/internal/acquirer"
 	"notchhinge/internal/broker"
 	"notchhinge/internal/control/endpoints"
-	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/control/metrics"
 	"notchhinge/internal/edge"
 	"notchhinge/internal/issuer"
@@ -23,8 +19,6 @@
 	"notchhinge/internal/service"
 	"notchhinge/internal/share"
 	"notchhinge/policy"
-
-	"golang.org/x/sys/unix"
 )
 
 // data is the data plane of a node: the front, the legs, and a module for each service.
@@ -75,25 +69,29 @@
 	return d
 }
 
-// dial opens a connection to an engine, and has it counted.
-func (d *data) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	c, err := (&net.Dialer{KeepAlive: -1, Control: unheard}).DialContext(ctx, network, addr)
-	if err != nil {
-		return nil, err
-	}
-	zone := d.zone
-	if all := d.zones.Load(); all != nil {
-		zone = cmp.Or((*all)[addr], zone)
+// run turns the loop, and feeds the modules as engines change, until the context is over.
+func (d *data) run(ctx context.Context) {
+	go d.loop.Run(ctx)
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-d.poke:
+		}
+		if at := d.at.Load(); at != nil {
+			d.mu.Lock()
+			d.feed(at)
+			d.mu.Unlock()
+		}
 	}
-	return d.spent.Counted(metrics.Engines, c, zone != d.zone), nil
 }
 
-// unheard has a connection end once what was sent on it has not even been received for so long: a machine that is dark or cut
-// off does not acknowledge, one that is merely slow does.
-func unheard(_, _ string, c syscall.RawConn) error {
-	return c.Control(func(fd uintptr) { // where a kernel does not know it, requests wait for their deadlines as they would without
-		unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limits.NodeUnheard.Milliseconds()))
-	})
+// engines says that engines have changed. It does not wait.
+func (d *data) engines() {
+	select {
+	case d.poke <- struct{}{}:
+	default:
+	}
 }
 
 // closer is what every authorisation of this front is.
@@ -129,78 +127,6 @@
 	delete(d.classes, id)
 }
 
-// apply takes a configuration over, if it is newer than the present one. Requests that have begun keep theirs.
-func (d *data) apply(place uint64, c *fleetconfig.Config) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	old := d.at.Load()
-	if old != nil && old.Place >= place {
-		return nil
-	}
-	var before map[string]*edge.Service
-	if old != nil {
-		before = old.Services()
-	}
-	next, err := edge.Compile(c, place, before, &d.next, func() { time.Sleep(limits.NodeBreath) })
-	if err != nil {
-		return err
-	}
-	for _, s := range next.Services() {
-		if err := d.set(s); err != nil {
-			return err
-		}
-	}
-	l := &c.Limits
-	bounds, less := d.lim.Declared(l.HeaderBytes, l.BodyBytes, fleetconfig.Millis(l.HeaderMS), fleetconfig.Millis(l.IdleMS))
-	if less {
-		d.log.Warn("request_limits are above what this machine holds", "max_header_bytes", bounds.HeaderBytes, "max_body_bytes",
-			bounds.BodyBytes, "header_timeout", bounds.HeadWait.String(), "idle_timeout", bounds.IdleWait.String())
-	}
-	d.bounds.Store(&bounds)
-	d.at.Store(next)
-	for name, s := range before {
-		if next.Services()[name] == nil {
-			d.loop.Post(broker.PoolEnd{Pool: s.ID})
-		}
-	}
-	d.feed(next)
-	d.log.Info("configuration in force", "revision", c.Revision, "place", place, "routes", len(c.Routes), "services", len(c.Services))
-	return nil
-}
-
-// set makes a service's module, or gives it the classes that it lacks.
-func (d *data) set(s *edge.Service) error {
-	m := d.modules[s.ID]
-	if m != nil && d.classes[s.ID] == len(s.Classes) {
-		return nil
-	}
-	classes := s.Classes
-	if len(classes) == 0 { // no route leads to it yet
-		classes = []policy.Class{{Name: "none", Aim: time.Second, Deadline: time.Second, Worth: 1}}
-	}
-	if m != nil && d.classes[s.ID] > 0 {
-		d.loop.Post(broker.Classes{Pool: s.ID, Classes: classes})
-		d.classes[s.ID] = len(s.Classes)
-		return nil
-	}
-	m, err := policy.New(edge.Settings(classes, d.grace, d.lim.Attempts), d.seed^uint64(s.ID))
-	if err != nil {
-		return err
-	}
-	d.modules[s.ID], d.classes[s.ID] = m, len(s.Classes)
-	d.issuer.Set(s.ID, issuer.Reports{}, share.Claim{})
-	d.front.Set(s.ID, share.Claim{}, share.Claim{})
-	e := broker.PoolSet{
-		Pool: s.ID, Name: s.Name, Module: m, WarmUp: edge.WarmUp, ColdFrom: edge.ColdFrom, Attempts: d.lim.Attempts, RetryAfter: d.lim.SpareAnswer,
-	}
-	if d.repeats.Window > 0 {
-		own := d.repeats
-		e.Repeats = &own
-	}
-	d.loop.Post(e)
-	return nil
-}
-
 // forgets takes in that engines forget connections that rest.
 func (d *data) forgets() { d.careful.Store(int64(d.loop.Now() + limits.NodeForgets)) }
 
@@ -226,53 +152,6 @@
 	d.loop.Post(broker.RepeatsExtra(extra))
 }
 
-// feed tells the modules which engines there are. The lock is held.
-func (d *data) feed(at *edge.Compiled) {
-	now, clock := time.Now().UnixMilli(), d.loop.Now()
-	zones := map[string]string{}
-	defer func() { d.zones.Store(&zones) }()
-	for name, s := range at.Services() {
-		l := broker.Listed{Pool: s.ID, Kind: policy.ListFull}
-		for _, e := range d.list(name) {
-			zones[e.Addr] = e.Zone
-			h := broker.Host{Name: e.ID, Dial: e.Addr, Weight: 1}
-			if e.State == endpoints.Draining {
-				h.State = policy.Draining
-			}
-			if left := time.Duration(e.WarmAt-now) * time.Millisecond; left > 0 {
-				h.BornAt = clock + min(left, edge.WarmUp) - edge.WarmUp
-			}
-			l.Hosts = append(l.Hosts, h)
-		}
-		d.loop.Post(l)
-	}
-}
-
-// engines says that engines have changed. It does not wait.
-func (d *data) engines() {
-	select {
-	case d.poke <- struct{}{}:
-	default:
-	}
-}
-
-// run turns the loop, and feeds the modules as engines change, until the context is over.
-func (d *data) run(ctx context.Context) {
-	go d.loop.Run(ctx)
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-d.poke:
-		}
-		if at := d.at.Load(); at != nil {
-			d.mu.Lock()
-			d.feed(at)
-			d.mu.Unlock()
-		}
-	}
-}
-
 // known tells whether any engine is known that a request could go to.
 func (d *data) known() bool {
 	at := d.at.Load()
--- /dev/null
+++ b/internal/node/dataplaneconfig.go
@@ -0,0 +1,108 @@
+package node
+
+import (
+	"time"
+
+	"notchhinge/internal/broker"
+	"notchhinge/internal/control/endpoints"
+	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/edge"
+	"notchhinge/internal/issuer"
+	"notchhinge/internal/limits"
+	"notchhinge/internal/share"
+	"notchhinge/policy"
+)
+
+// apply takes a configuration over, if it is newer than the present one. Requests that have begun keep theirs.
+func (d *data) apply(place uint64, c *fleetconfig.Config) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	old := d.at.Load()
+	if old != nil && old.Place >= place {
+		return nil
+	}
+	var before map[string]*edge.Service
+	if old != nil {
+		before = old.Services()
+	}
+	next, err := edge.Compile(c, place, before, &d.next, func() { time.Sleep(limits.NodeBreath) })
+	if err != nil {
+		return err
+	}
+	for _, s := range next.Services() {
+		if err := d.set(s); err != nil {
+			return err
+		}
+	}
+	l := &c.Limits
+	bounds, less := d.lim.Declared(l.HeaderBytes, l.BodyBytes, fleetconfig.Millis(l.HeaderMS), fleetconfig.Millis(l.IdleMS))
+	if less {
+		d.log.Warn("request_limits are above what this machine holds", "max_header_bytes", bounds.HeaderBytes, "max_body_bytes",
+			bounds.BodyBytes, "header_timeout", bounds.HeadWait.String(), "idle_timeout", bounds.IdleWait.String())
+	}
+	d.bounds.Store(&bounds)
+	d.at.Store(next)
+	for name, s := range before {
+		if next.Services()[name] == nil {
+			d.loop.Post(broker.PoolEnd{Pool: s.ID})
+		}
+	}
+	d.feed(next)
+	d.log.Info("configuration in force", "revision", c.Revision, "place", place, "routes", len(c.Routes), "services", len(c.Services))
+	return nil
+}
+
+// set makes a service's module, or gives it the classes that it lacks.
+func (d *data) set(s *edge.Service) error {
+	m := d.modules[s.ID]
+	if m != nil && d.classes[s.ID] == len(s.Classes) {
+		return nil
+	}
+	classes := s.Classes
+	if len(classes) == 0 { // no route leads to it yet
+		classes = []policy.Class{{Name: "none", Aim: time.Second, Deadline: time.Second, Worth: 1}}
+	}
+	if m != nil && d.classes[s.ID] > 0 {
+		d.loop.Post(broker.Classes{Pool: s.ID, Classes: classes})
+		d.classes[s.ID] = len(s.Classes)
+		return nil
+	}
+	m, err := policy.New(edge.Settings(classes, d.grace, d.lim.Attempts), d.seed^uint64(s.ID))
+	if err != nil {
+		return err
+	}
+	d.modules[s.ID], d.classes[s.ID] = m, len(s.Classes)
+	d.issuer.Set(s.ID, issuer.Reports{}, share.Claim{})
+	d.front.Set(s.ID, share.Claim{}, share.Claim{})
+	e := broker.PoolSet{
+		Pool: s.ID, Name: s.Name, Module: m, WarmUp: edge.WarmUp, ColdFrom: edge.ColdFrom, Attempts: d.lim.Attempts, RetryAfter: d.lim.SpareAnswer,
+	}
+	if d.repeats.Window > 0 {
+		own := d.repeats
+		e.Repeats = &own
+	}
+	d.loop.Post(e)
+	return nil
+}
+
+// feed tells the modules which engines there are. The lock is held.
+func (d *data) feed(at *edge.Compiled) {
+	now, clock := time.Now().UnixMilli(), d.loop.Now()
+	zones := map[string]string{}
+	defer func() { d.zones.Store(&zones) }()
+	for name, s := range at.Services() {
+		l := broker.Listed{Pool: s.ID, Kind: policy.ListFull}
+		for _, e := range d.list(name) {
+			zones[e.Addr] = e.Zone
+			h := broker.Host{Name: e.ID, Dial: e.Addr, Weight: 1}
+			if e.State == endpoints.Draining {
+				h.State = policy.Draining
+			}
+			if left := time.Duration(e.WarmAt-now) * time.Millisecond; left > 0 {
+				h.BornAt = clock + min(left, edge.WarmUp) - edge.WarmUp
+			}
+			l.Hosts = append(l.Hosts, h)
+		}
+		d.loop.Post(l)
+	}
+}
--- a/internal/node/ill_test.go
+++ b/internal/node/engines_test.go
@@ -6,57 +6,12 @@
 	"net"
 	"net/http"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 
 	"notchhinge/internal/control/endpoints"
 )
 
-// fate is what came of requests.
-type fate struct{ served, refused, failed atomic.Int64 }
-
-// many makes requests, so many at once, and counts what came of them.
-func many(t *testing.T, addr, path string, n, atOnce int) *fate {
-	f := &fate{}
-	var wait sync.WaitGroup
-	next := make(chan int)
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: atOnce}}
-	for range atOnce {
-		wait.Go(func() {
-			for i := range next {
-				req, err := http.NewRequest("POST", "http://"+addr+fmt.Sprint(path, i), strings.NewReader("{}"))
-				if err != nil {
-					t.Error(err)
-					return
-				}
-				req.Host = "h"
-				resp, err := client.Do(req)
-				if err != nil {
-					f.failed.Add(1)
-					continue
-				}
-				_, err = io.Copy(io.Discard, resp.Body)
-				resp.Body.Close()
-				switch {
-				case err == nil && resp.StatusCode == 200:
-					f.served.Add(1)
-				case resp.StatusCode == 503:
-					f.refused.Add(1)
-				default:
-					f.failed.Add(1)
-				}
-			}
-		})
-	}
-	for i := range n {
-		next <- i
-	}
-	close(next)
-	wait.Wait()
-	return f
-}
-
 func TestIllEngines(t *testing.T) {
 	// One of five is ill in a way of its own, and the beats say that all are ready. Requests that may run again are served by
 	// the others, few by that one's way; of those that may not, no more are lost than it was given.
@@ -116,3 +71,48 @@
 		})
 	}
 }
+
+func TestAddressPassesToAnotherService(t *testing.T) {
+	// An engine goes, and its address is another service's engine's, while a leg is under way there and a line that served is
+	// parked. What is asked of the new one comes on a line of its own and names it; the old service asks there no more.
+	a, b := newWatched(t), newWatched(t)
+	p := newPlane(t, 1, at("i-old", "s", a.rawEngine))
+	if resp, _, err := post(t, p.addr, "/again/1"); err != nil || resp.StatusCode != 200 {
+		t.Fatal(resp, err)
+	}
+	parked := a.seen()[0].from
+	until(t, "a parked line", func() bool { return p.d.issuer.Parked() == 1 }) // it is parked once the answer has gone to the client
+	running := openStream(t, p.addr)
+	if got := a.seen()[1]; got.from != parked || got.expect != "i-old" {
+		t.Fatalf("%+v: the parked line was wanted", got)
+	}
+	if resp, _, err := post(t, p.addr, "/again/2"); err != nil || resp.StatusCode != 200 { // parks another
+		t.Fatal(resp, err)
+	}
+	before := len(a.seen())
+	p.set(at("i-new", "t", a.rawEngine), at("i-b", "s", b.rawEngine))
+	for i := range 5 {
+		for path, want := range map[string]string{"/other/": "i-new", "/again/": "i-b", "/once/": "i-b"} {
+			if resp, _, err := post(t, p.addr, fmt.Sprint(path, i)); err != nil || resp.StatusCode != 200 {
+				t.Errorf("%s, wanted of %s: %v %v", path, want, resp, err)
+			}
+		}
+	}
+	old := map[string]bool{}
+	for i, x := range a.seen() {
+		if i < before {
+			old[x.from] = true
+		} else if x.expect != "i-new" || !strings.HasPrefix(x.path, "/other/") || old[x.from] {
+			t.Errorf("%+v on a line that served the other engine: %v", x, old[x.from])
+		}
+	}
+	for _, x := range b.seen() {
+		if x.expect != "i-b" || strings.HasPrefix(x.path, "/other/") {
+			t.Errorf("the other engine was shown %+v", x)
+		}
+	}
+	close(a.goOn)
+	if err := running.rest(); err != nil {
+		t.Errorf("the leg that was under way: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/node/metrics.go
@@ -0,0 +1,39 @@
+package node
+
+import (
+	"context"
+	"log/slog"
+	"net/netip"
+
+	"notchhinge/internal/control/gossip"
+	"notchhinge/internal/control/metrics"
+)
+
+// counted keeps the account of what goes to other processes.
+func (n *Node) counted(to netip.AddrPort, kind uint8, bytes int, datagram []byte) {
+	const headers = 28 // of a datagram
+	if kind == 0 {
+		// The lock of the news is held: datagrams are sent by its turn only.
+		zone, known := n.news.node.Gossip.ZoneOf(to.Addr())
+		cause := map[gossip.Use]metrics.Cause{gossip.Compares: metrics.Digests, gossip.Shuffles: metrics.Shuffles, gossip.Spreads: metrics.News}
+		n.spent.Add(cause[gossip.UseOf(datagram)], bytes+headers, known && zone != hash32(n.cfg.Zone))
+		return
+	}
+	n.news.mu.Lock()
+	zone, known := n.news.node.Gossip.ZoneOf(to.Addr())
+	n.news.mu.Unlock()
+	n.spent.Add(causeOf(kind), bytes, known && zone != hash32(n.cfg.Zone))
+}
+
+// settleUp writes down what the process has cost.
+func (n *Node) settleUp(level slog.Level) {
+	ctx := context.Background()
+	if !n.log.Enabled(ctx, level) {
+		return
+	}
+	for _, r := range n.spent.Rows() {
+		n.log.Log(ctx, level, "account", "cause", r.Cause, "count", r.Count, "bytes", r.Bytes, "between_zones", r.Between, "connections", r.Conns)
+	}
+	m := metrics.Used()
+	n.log.Log(ctx, level, "account of the machine", "processor_s", m.Processor, "memory_most_mb", m.MemoryMB, "wake_ups", m.WakeUps)
+}
--- /dev/null
+++ b/internal/node/operator_test.go
@@ -0,0 +1,76 @@
+package node
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// call makes a call of the control plane.
+func call(t *testing.T, method, to, path string, header map[string]string, v any) (int, []byte) {
+	t.Helper()
+	var body []byte
+	if b, ok := v.([]byte); ok {
+		body = b
+	} else if v != nil {
+		var err error
+		if body, err = cbor.Marshal(v); err != nil {
+			t.Fatal(err)
+		}
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+to+path, bytes.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for k, x := range header {
+		req.Header.Set(k, x)
+	}
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return 0, nil
+	}
+	defer resp.Body.Close()
+	b, _ := io.ReadAll(resp.Body)
+	return resp.StatusCode, b
+}
+
+// config is one with a streaming and an idempotent route of service s.
+func config(revision int, key string) []byte {
+	mode, err := cbor.CanonicalEncOptions().EncMode() // the same bytes every time
+	if err != nil {
+		return nil
+	}
+	b, err := mode.Marshal(map[string]any{
+		"revision": revision,
+		"routes": []any{
+			map[string]any{"name": "chat", "hostname": "f.example", "path_prefix": "/chat/", "route_type": "streaming", "timeout_ms": 5000,
+				"target_latency_ms": 500, "target_service": "s", "max_attempts": 2, "session_affinity": true},
+			map[string]any{"name": "read", "hostname": "f.example", "path_prefix": "/read/", "route_type": "idempotent", "timeout_ms": 3000,
+				"target_latency_ms": 500, "target_service": "s", "max_attempts": 3},
+		},
+		"services": []any{map[string]any{"name": "s", "health_path": "/h"}},
+		"tenants":  []any{map[string]any{"name": "lab", "api_keys": []any{key}}},
+	})
+	if err != nil {
+		return nil
+	}
+	return b
+}
+
+// put sends a configuration until it gets a clear answer.
+func put(t *testing.T, to string, on int, text []byte) (code int) {
+	t.Helper()
+	until(t, "a clear answer to a configuration", func() bool {
+		code, _ = call(t, "POST", to, "/Configuration.Replace", map[string]string{"X-Revision-Match": strconv.Itoa(on)}, text)
+		return code != 0 && code < 500
+	})
+	return code
+}
--- /dev/null
+++ b/internal/node/peercalls.go
@@ -0,0 +1,70 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"net/netip"
+	"time"
+
+	"notchhinge/internal/control/api"
+	"notchhinge/internal/control/configcache"
+	"notchhinge/internal/control/metrics"
+	"notchhinge/internal/control/replica"
+	"notchhinge/internal/control/singleton"
+	"notchhinge/internal/limits"
+)
+
+var errNotHere = errors.New("no state is held here")
+
+// handle answers another process.
+func (n *Node) handle(ctx context.Context, kind uint8, from netip.Addr, body []byte) ([]byte, error) {
+	if kind == configcache.CallFetch {
+		place, how, err := replica.DecodeIndexed(body)
+		if err != nil {
+			return nil, err
+		}
+		if len(how) > 0 && how[0] == fetchSettled && n.keeper != nil {
+			ctx, cancel := context.WithTimeout(ctx, limits.NodeAsk)
+			defer cancel()
+			r := n.keeper.operate(ctx, func(of chan api.Result, until time.Duration) replica.Event {
+				return replica.ReadConfig{Of: of, Until: until, Passive: true}
+			})
+			if r.Status >= http.StatusInternalServerError { // 404: there is none yet
+				return nil, errors.New(r.Says)
+			}
+		}
+		return n.texts.Answer(place), nil
+	}
+	k := n.keeper
+	if k == nil {
+		return nil, errNotHere
+	}
+	switch kind {
+	case replica.CallPaxos, replica.CallLearn, replica.CallSnapshot, replica.CallIdentity, replica.CallJoin, replica.CallCommit:
+		ctx, cancel := context.WithTimeout(ctx, limits.NodeSettle)
+		defer cancel()
+		return k.handle(ctx, kind, from, body)
+	}
+	if n.duties != nil && singleton.Owns(kind) {
+		return n.duties.handle(kind, from, body)
+	}
+	return nil, fmt.Errorf("call %d is not known here", kind)
+}
+
+// causeOf is what a call is for. The kinds of calls between processes are those of the state (core), of the duties (duty) and
+// of configurations (texts); 6, 7, 12 and 13 were the operator's, passed on.
+func causeOf(kind uint8) metrics.Cause {
+	switch kind {
+	case replica.CallPaxos, replica.CallLearn, replica.CallCommit:
+		return metrics.Ballots
+	case configcache.CallFetch:
+		return metrics.Configs
+	case singleton.CallReport, singleton.CallBook:
+		return metrics.Reports
+	case singleton.CallRenew, singleton.CallStand:
+		return metrics.Leases
+	}
+	return metrics.States
+}
--- /dev/null
+++ b/internal/node/replicadisk.go
@@ -0,0 +1,54 @@
+package node
+
+import (
+	"errors"
+	"time"
+
+	"notchhinge/internal/control/replica"
+	"notchhinge/internal/limits"
+)
+
+var errDisk = errors.New("the disk does not take what is written")
+
+// write writes to the disk. After a write that failed the disk is opened anew, at most a few times a second, and all that
+// stands here is written to it first: what was chosen meanwhile, and the vote. The lock is held.
+func (k *keeper) write(w *replica.Write) error {
+	if k.ended {
+		return errDisk
+	}
+	if k.shut {
+		if time.Since(k.tried) < limits.NodeReopen {
+			return errDisk
+		}
+		k.tried = time.Now()
+		state := k.core.State()
+		err := k.disk.Reopen()
+		if err == nil {
+			err = k.disk.SaveSnapshot(&state)
+		}
+		if err == nil {
+			err = k.disk.SaveAcceptor(k.core.AcceptorState())
+		}
+		if err != nil {
+			k.log.Error("the disk is still not usable", "err", err)
+			return errDisk
+		}
+		k.shut = false
+		k.log.Info("the disk is usable again", "next_place", state.NextIndex)
+	}
+	var err error
+	switch {
+	case w.Snapshot:
+		err = k.disk.SaveSnapshot(w.State)
+	case w.Value != nil:
+		err = k.disk.AppendChosen(w.Value, w.State)
+	default:
+		err = k.disk.SaveAcceptor(w.Acceptor)
+	}
+	if err != nil {
+		k.shut, k.tried = true, time.Now()
+		k.log.Error("the disk refuses a write; this keeper has no vote until it is opened anew", "err", err)
+		return errDisk
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/node/shutdown.go
@@ -0,0 +1,51 @@
+package node
+
+import (
+	"context"
+	"net"
+	"time"
+
+	"notchhinge/internal/limits"
+)
+
+// stop ends a process in order: the platform's entry is told first, and what comes until it has noticed is served.
+func (n *Node) stop(ctx context.Context, front net.Listener) {
+	n.stopping.Store(true)
+	n.log.Info("stopping")
+	began := time.Now()
+	end := began.Add(time.Duration(n.cfg.Bounds.GraceS*float64(time.Second)) - limits.NodeLeast)
+	handed := make(chan struct{})
+	go func() {
+		defer close(handed)
+		if n.keeper == nil {
+			return
+		}
+		left, cancel := context.WithDeadline(ctx, earlier(began.Add(limits.NodeHandOver), end))
+		defer cancel()
+		n.keeper.leave(left)
+		n.log.Info("handed over", "after", time.Since(began).Round(time.Millisecond).String())
+	}()
+	defer func() { <-handed }()
+	if n.data == nil {
+		return
+	}
+	ctx, cancel := context.WithDeadline(ctx, end)
+	defer cancel()
+	n.data.front.Drain()
+	time.Sleep(limits.NodeFront)
+	n.data.front.CloseIdle()
+	time.Sleep(100 * time.Millisecond)
+	front.Close()
+	n.data.front.CloseIdle()
+	n.data.loop.Idle(ctx)
+	n.data.front.CloseIdle()
+	n.data.front.Wait(ctx)
+	n.log.Info("stopped", "after", time.Since(began).Round(time.Millisecond).String(), "connections_left", n.data.front.Conns())
+}
+
+func earlier(x, y time.Time) time.Time {
+	if y.Before(x) {
+		return y
+	}
+	return x
+}
--- /dev/null
+++ b/internal/node/startup.go
@@ -0,0 +1,154 @@
+package node
+
+import (
+	"context"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"net/netip"
+	"time"
+
+	"notchhinge/internal/config/nodeconfig"
+	"notchhinge/internal/control/api"
+	"notchhinge/internal/control/discovery"
+	"notchhinge/internal/control/gossip"
+	"notchhinge/internal/control/singleton"
+	"notchhinge/internal/control/transport"
+	"notchhinge/internal/limits"
+	"notchhinge/internal/share"
+)
+
+// open opens the sockets and the disk.
+func (n *Node) open(ctx context.Context) error {
+	ip := netip.MustParseAddr(n.cfg.IP) // boot has checked it
+	var err error
+	for port := n.cfg.Ports[0]; port <= n.cfg.Ports[1]; port++ {
+		if n.net, err = transport.Open(netip.AddrPortFrom(ip, uint16(port)), n.handle); err == nil {
+			break
+		}
+	}
+	if err != nil {
+		return err
+	}
+	self := gossip.Peer{ID: gossip.Hash(n.cfg.Node), Addr: n.net.Addr(), Zone: hash32(n.cfg.Zone)}
+	if n.cfg.Keeper() {
+		self.Flags |= gossip.Keeper
+		if n.keeper, err = openKeeper(n.log, n.cfg.Data, n.cfg.Node, n.net.Addr().String(), n.cfg.Bootstrap, n.cfg.Tolerance.Machines); err != nil {
+			return err
+		}
+		n.keeper.call = n.net.Call
+		n.keeper.others = func() (all []netip.AddrPort) {
+			for _, p := range n.news.keepers() {
+				all = append(all, p.Addr)
+			}
+			return all
+		}
+	}
+	if n.cfg.Listeners.Frontend != "" {
+		self.Flags |= gossip.Edge
+	}
+	silence := n.cfg.Beat()*limits.NodeSilence + n.cfg.Beat()/2
+	n.news = newHearsay(n.net, self, rand.Uint64(), silence)
+	n.news.config = n.heardOf
+	n.net.Counted = n.counted
+	return nil
+}
+
+// seeds are where others may be found at their own ports: on all machines these are alike.
+func (n *Node) seeds() (all []netip.AddrPort) {
+	for _, s := range n.cfg.Seeds {
+		if a, err := netip.ParseAddrPort(s); err == nil {
+			all = append(all, netip.AddrPortFrom(a.Addr(), uint16(n.cfg.Ports[0])))
+		}
+	}
+	return all
+}
+
+// serve runs the parts.
+func (n *Node) serve(ctx context.Context, path string, sig Signals) error {
+	failed := make(chan error, 4)
+	if n.cfg.Listeners.Frontend != "" {
+		lim := limits.NewNode(limits.Machine{Cores: n.cfg.Limits.Cores, MemoryMB: n.cfg.Limits.MemoryMB, Sockets: n.cfg.Limits.Files})
+		drain := time.Duration(n.cfg.Bounds.DrainMS) * time.Millisecond
+		n.data = newData(n.log, lim, limits.DrainGrace(drain), rand.Uint64(), n.news.list)
+		if b := n.cfg.Bounds; b.RetryWindowS > 0 {
+			window := time.Duration(b.RetryWindowS * float64(time.Second))
+			n.data.part = share.Part{Whole: b.RetryExtra, First: b.RetryExtra / limits.NodeRetryParts, Window: window, Hold: limits.NodePart}
+			n.data.repeats = share.Repeats{Ratio: b.RetryRatio / 2, Window: window, Extra: n.data.part.First}
+		}
+		n.data.spent, n.data.zone = &n.spent, n.cfg.Zone
+		n.news.engines, n.news.forgets = n.data.engines, n.data.forgets
+		n.data.forgot = func() { n.news.turn(discovery.Forgot{}) }
+		go n.data.run(ctx)
+		c := &counter{meter: singleton.Meter{Length: time.Duration(n.cfg.Bounds.UsageWindowS * float64(time.Second)), Source: rand.Uint64(), Zone: n.cfg.Zone}}
+		n.data.dialect.Began = c.began
+		if n.cfg.Cloud.Address != "" {
+			go n.reports(ctx, c)
+		}
+	}
+	go n.fetch(ctx)
+	if n.keeper != nil {
+		n.keeper.changed = n.changed
+		s := n.keeper.at()
+		n.changed(&s)
+		go n.keeper.run(ctx)
+		if n.cfg.Cloud.Address != "" {
+			n.duties = newDuties(n)
+			go n.duties.run(ctx)
+		}
+	}
+	go n.net.Serve(ctx)
+	go n.news.run(ctx, n.seeds())
+	go n.start(ctx)
+	if addr := n.cfg.Listeners.Control; addr != "" {
+		ln, err := net.Listen("tcp4", addr)
+		if err != nil {
+			return err
+		}
+		web := api.Server(n)
+		defer web.Close()
+		go func() { failed <- api.Serve(web, ln) }()
+	}
+	var front net.Listener
+	if n.data != nil {
+		ready, err := net.Listen("tcp4", n.cfg.Listeners.Readiness)
+		if err != nil {
+			return err
+		}
+		defer ready.Close()
+		web := &http.Server{Handler: http.HandlerFunc(n.readiness), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 10 * time.Second}
+		defer web.Close()
+		go func() { failed <- web.Serve(ready) }()
+		if front, err = net.Listen("tcp4", n.cfg.Listeners.Frontend); err != nil {
+			return err
+		}
+		defer front.Close()
+		go func() { n.data.front.Serve(front) }()
+	}
+	n.log.Info("started", "class", n.cfg.Class, "zone", n.cfg.Zone, "bootstrap", n.cfg.Bootstrap)
+	accounts := time.NewTicker(limits.NodeAccount)
+	defer accounts.Stop()
+	for {
+		select {
+		case <-accounts.C:
+			n.settleUp(slog.LevelDebug)
+		case err := <-failed:
+			if err != nil {
+				return err
+			}
+		case <-sig.Reload:
+			if cfg, err := nodeconfig.Load(path); err != nil {
+				n.log.Error("settings not read again", "err", err)
+			} else {
+				n.cfg.Seeds = cfg.Seeds
+				n.news.turn(gossip.Seeds{Addrs: n.seeds()})
+				n.log.Info("settings read again")
+			}
+		case <-sig.Stop:
+			n.stop(ctx, front)
+			n.settleUp(slog.LevelInfo)
+			return nil
+		}
+	}
+}
--- a/internal/node/staff.go
+++ b/internal/node/status.go
@@ -8,9 +8,55 @@
 
 	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/control/metrics"
 	"notchhinge/internal/edge"
 )
 
+// Status implements api.Handler.
+func (n *Node) Status() any {
+	type status struct {
+		Node     string `json:"node"`
+		Zone     string `json:"zone"`
+		Ready    string `json:"ready"`
+		Place    uint64 `json:"place"`
+		Wanted   uint64 `json:"newest_place"`
+		Peers    int    `json:"peers"`
+		Keepers  int    `json:"keepers"`
+		Engines  int    `json:"engines"`
+		Items    int    `json:"items"`
+		Revision uint64 `json:"revision"`
+		Keeper   bool   `json:"keeper"`
+		Chain    uint64 `json:"chain"`   // places that a keeper knows
+		Votes    bool   `json:"votes"`   // the keeper is a member
+		Members  int    `json:"members"` // of the core, as the keeper knows them
+		Holder   string `json:"holder"`  // of the duties
+		Fence    uint64 `json:"fence"`
+
+		Account []metrics.Row   `json:"account"` // what the process has sent and taken, by cause
+		Machine metrics.Machine `json:"machine"`
+	}
+	s := status{Node: n.cfg.Node, Zone: n.cfg.Zone, Ready: n.unready(), Place: n.place.Load(), Wanted: n.wanted.Load()}
+	if s.Ready == "" {
+		s.Ready = "yes"
+	}
+	s.Account, s.Machine = n.spent.Rows(), metrics.Used()
+	if n.data != nil {
+		if at := n.data.at.Load(); at != nil {
+			s.Revision = at.Revision
+		}
+	}
+	if n.keeper != nil {
+		st := n.keeper.at()
+		s.Keeper, s.Chain, s.Votes, s.Members = true, st.NextIndex, st.Member(n.keeper.self.ID) != nil, len(st.Members)
+		s.Holder, s.Fence = st.LeaseHolderName, st.FencingToken
+	}
+	n.news.mu.Lock()
+	defer n.news.mu.Unlock()
+	s.Peers, s.Keepers = len(n.news.node.Gossip.Peers()), len(n.news.node.Gossip.Keepers())
+	s.Engines, s.Items = n.news.node.Roster.Len(), n.news.node.Gossip.Items()
+	return s
+}
+
 // EngineView is an engine as this process knows it, for the staff.
 type EngineView struct {
 	ID       string  `json:"id"`
--- a/internal/node/events_bench_test.go
+++ b/internal/node/stream_bench_test.go
@@ -5,37 +5,13 @@
 	"context"
 	"io"
 	"net"
-	"net/http"
 	"strconv"
 	"strings"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 )
 
-// paced answers every request with a stream of an event each 35 ms, which is 28.6 a second.
-func paced(b *testing.B) string {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
-	}
-	web := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
-		w.Header().Set("Content-Type", "text/event-stream")
-		tick := time.NewTicker(35 * time.Millisecond)
-		defer tick.Stop()
-		for r.Context().Err() == nil {
-			io.WriteString(w, "data: {\"token\":\"abcdef\"}\n\n")
-			w.(http.Flusher).Flush()
-			<-tick.C
-		}
-	})}
-	go web.Serve(ln)
-	b.Cleanup(func() { web.Close() })
-	return ln.Addr().String()
-}
-
 // BenchmarkEvents has so many streams under way at once, an event each 35 ms on each, to the engine itself and through a
 // router; an iteration is a second of it. us/event is the processor time of this process; what the router takes is the
 // difference of the two.
@@ -94,12 +70,3 @@
 		}
 	}
 }
-
-// spent is the processor time of this process.
-func spent() time.Duration {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
-		return 0
-	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
-}
--- /dev/null
+++ b/internal/node/testplane_test.go
@@ -0,0 +1,86 @@
+package node
+
+import (
+	"io"
+	"log/slog"
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"notchhinge/internal/control/endpoints"
+	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/limits"
+)
+
+// testPlane is a data plane of its own.
+type testPlane struct {
+	t    *testing.T
+	d    *data
+	addr string
+	ln   net.Listener
+	list atomic.Pointer[[]endpoints.Engine]
+}
+
+func at(id, service string, e *rawEngine) endpoints.Engine {
+	return endpoints.Engine{Record: endpoints.Record{ID: id, Service: service, Addr: e.addr}}
+}
+
+// newPlane starts one under the configuration of planeConfig.
+func newPlane(t *testing.T, seed uint64, engines ...endpoints.Engine) *testPlane {
+	t.Helper()
+	p := &testPlane{t: t}
+	p.list.Store(&engines)
+	lim := limits.NewNode(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100})
+	p.d = newData(slog.New(slog.NewTextHandler(io.Discard, nil)), lim, time.Second, seed, func(service string) (all []endpoints.Engine) {
+		for _, e := range *p.list.Load() {
+			if e.Service == service {
+				all = append(all, e)
+			}
+		}
+		return all
+	})
+	go p.d.run(t.Context())
+	if err := p.d.apply(1, planeConfig()); err != nil {
+		t.Fatal(err)
+	}
+	var err error
+	if p.ln, err = net.Listen("tcp4", "127.0.0.1:0"); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { p.ln.Close() })
+	p.addr = p.ln.Addr().String()
+	go p.d.front.Serve(p.ln)
+	return p
+}
+
+// set changes the engines; what is asked from now on meets those.
+func (p *testPlane) set(engines ...endpoints.Engine) {
+	p.list.Store(&engines)
+	p.d.mu.Lock()
+	defer p.d.mu.Unlock()
+	p.d.feed(p.d.at.Load())
+}
+
+func planeConfig() *fleetconfig.Config {
+	route := func(name, prefix, kind string) fleetconfig.Route {
+		return fleetconfig.Route{Name: name, Host: "h", Prefix: prefix, Type: kind, Timeout: 1500, Target: 100, Service: "s", Attempts: 2}
+	}
+	other := route("d", "/other/", fleetconfig.Idempotent)
+	other.Service = "t"
+	long := route("e", "/long/", fleetconfig.Streaming)
+	long.Timeout = 20000
+	return &fleetconfig.Config{Revision: 1, Services: []fleetconfig.Service{{Name: "s"}, {Name: "t"}}, Routes: []fleetconfig.Route{
+		route("a", "/once/", fleetconfig.NonIdempotent), route("b", "/again/", fleetconfig.Idempotent), route("c", "/stream/", fleetconfig.Streaming), other, long,
+	}}
+}
+
+// plane is a data plane with engines of service s by name; its address is returned.
+func plane(t *testing.T, seed uint64, engines map[string]*rawEngine) string {
+	t.Helper()
+	var all []endpoints.Engine
+	for id, e := range engines {
+		all = append(all, at(id, "s", e))
+	}
+	return newPlane(t, seed, all...).addr
+}
--- /dev/null
+++ b/internal/node/usagereport.go
@@ -0,0 +1,80 @@
+package node
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"notchhinge/internal/broker"
+	"notchhinge/internal/control/gossip"
+	"notchhinge/internal/control/singleton"
+	"notchhinge/internal/limits"
+)
+
+// counter is a router's duty.Meter under one lock.
+type counter struct {
+	mu    sync.Mutex
+	meter singleton.Meter
+}
+
+// began counts a request.
+func (c *counter) began(tenant string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.meter.Began(time.Now(), tenant)
+}
+
+// reports tells keepers what this router has counted, and how much it has at engines, until the context is over.
+func (n *Node) reports(ctx context.Context, c *counter) {
+	tick := time.NewTicker(limits.NodeReport)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.C:
+		}
+		n.report(ctx, c)
+	}
+}
+
+// report makes one report to every keeper.
+func (n *Node) report(ctx context.Context, c *counter) {
+	var loads []singleton.Load
+	counted := make(chan broker.Counted, 1)
+	n.data.loop.Post(broker.Audit{Of: counted})
+	select {
+	case x := <-counted:
+		for _, s := range x.Pools {
+			loads = append(loads, singleton.Load{Service: s.Name, Running: uint64(s.Open) * 100, Arrived: uint64(s.Taken)})
+		}
+	case <-ctx.Done():
+		return
+	}
+	asked := n.data.loop.Now()
+	n.data.parts(asked, 0)
+	keepers := n.news.keepers()
+	ids := make([]uint64, len(keepers))
+	for i, k := range keepers {
+		ids[i] = k.ID
+	}
+	c.mu.Lock()
+	all := c.meter.Reports(time.Now(), loads, ids)
+	c.mu.Unlock()
+	for i, k := range keepers {
+		go func() {
+			one, cancel := context.WithTimeout(context.Background(), limits.NodePass)
+			defer cancel()
+			b, err := n.net.Call(one, k.Addr, singleton.CallReport, all[i].Encode())
+			n.news.turn(gossip.Called{ID: k.ID, OK: err == nil})
+			word, bad := singleton.DecodeWord(b)
+			if err != nil || bad != nil {
+				return
+			}
+			n.data.parts(asked, int(word.Lives))
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			c.meter.Heard(k.ID, word, &all[i])
+		}()
+	}
+}
