--- a/internal/control/cloudapi/platform.go
+++ b/internal/control/cloudapi/cloudapi.go
@@ -42,13 +42,13 @@
 // ErrRejected is an answer that the same call will get again.
 var ErrRejected = errors.New("the platform rejects the call")
 
-// Usage reports a window.
-func (c *Client) Usage(ctx context.Context, fence, window uint64, counts map[string]uint64) error {
+// ReportUsage reports a window.
+func (c *Client) ReportUsage(ctx context.Context, fence, window uint64, counts map[string]uint64) error {
 	return c.post(ctx, "/usage-reports", fence, map[string]any{"window_number": window, "counts": counts})
 }
 
-// Scale orders engines.
-func (c *Client) Scale(ctx context.Context, fence uint64, service, zone string, count int) error {
+// ScaleEngines orders engines.
+func (c *Client) ScaleEngines(ctx context.Context, fence uint64, service, zone string, count int) error {
 	return c.post(ctx, "/scaling", fence, map[string]any{"target_service": service, "zone": zone, "desired_count": count})
 }
 
--- a/internal/control/cloudapi/platform_test.go
+++ b/internal/control/cloudapi/cloudapi_test.go
@@ -44,7 +44,7 @@
 		}
 	}()
 	c := New(ln.Addr().String(), "k")
-	if err := c.Scale(t.Context(), 3, "s", "z", 2); err != nil {
+	if err := c.ScaleEngines(t.Context(), 3, "s", "z", 2); err != nil {
 		t.Fatal(err)
 	}
 	c.client.CloseIdleConnections()
@@ -53,13 +53,13 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if err := c.Scale(ctx, 3, "s", "z", 2); !errors.Is(err, context.DeadlineExceeded) {
+	if err := c.ScaleEngines(ctx, 3, "s", "z", 2); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("a call without an answer: %v", err)
 	}
 	if err := <-ends; !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("one that was given up ends with %v, and what waits is sent yet", err)
 	}
-	if err := c.Scale(ctx, 3, "s", "z", 2); err == nil {
+	if err := c.ScaleEngines(ctx, 3, "s", "z", 2); err == nil {
 		t.Errorf("a call after its time: %v", err)
 	}
 }
--- a/internal/control/cloudapi/golden_test.go
+++ b/internal/control/cloudapi/golden_test.go
@@ -30,8 +30,10 @@
 	defer web.Close()
 	c := New(strings.TrimPrefix(web.URL, "http://"), "k-1")
 	for _, f := range []func(context.Context) error{
-		func(ctx context.Context) error { return c.Usage(ctx, 300, 352_800_000, map[string]uint64{"lab": 7}) },
-		func(ctx context.Context) error { return c.Scale(ctx, 300, "scribe", "a", 12) },
+		func(ctx context.Context) error {
+			return c.ReportUsage(ctx, 300, 352_800_000, map[string]uint64{"lab": 7})
+		},
+		func(ctx context.Context) error { return c.ScaleEngines(ctx, 300, "scribe", "a", 12) },
 	} {
 		if err := f(t.Context()); err != nil {
 			t.Fatal(err)
--- a/internal/control/metrics/account.go
+++ b/internal/control/metrics/metrics.go
@@ -16,16 +16,16 @@
 
 // The causes.
 const (
-	Engines  Cause = iota // clients' requests and answers, at the lines to engines
-	News                  // engines and configurations passed on, and signs of life
-	Digests               // compared so that gaps are mended
-	Shuffles              // partial views
-	Ballots               // asked, answered, and what was chosen told on
-	States                // keepers that catch up, found and take members in
-	Configs               // fetched by routers, and the operator's calls passed on
-	Reports               // routers' counts and loads, and the books of keepers
-	Leases                // the holder's time
-	Platform              // calls to the platform
+	CauseEngines   Cause = iota // clients' requests and answers, at the lines to engines
+	CauseGossip                 // engines and configurations passed on, and signs of life
+	CauseDigests                // compared so that gaps are mended
+	CauseShuffles               // partial views
+	CausePaxos                  // asked, answered, and what was chosen told on
+	CauseSnapshots              // keepers that catch up, found and take members in
+	CauseConfigs                // fetched by routers, and the operator's calls passed on
+	CauseUsage                  // routers' counts and loads, and the books of keepers
+	CauseLeases                 // the holder's time
+	CausePlatform               // calls to the platform
 	causes
 )
 
@@ -42,20 +42,20 @@
 
 // Row is what was counted for one cause.
 type Row struct {
-	Cause   string `json:"cause"`
-	Count   uint64 `json:"count"`   // calls, datagrams, or requests written to engines
-	Bytes   uint64 `json:"bytes"`   // both ways
-	Between uint64 `json:"between"` // of these, from one zone to another
-	Conns   uint64 `json:"connections"`
+	Cause       string `json:"cause"`
+	Count       uint64 `json:"count"`   // calls, datagrams, or requests written to engines
+	Bytes       uint64 `json:"bytes"`   // both ways
+	CrossZone   uint64 `json:"between"` // of these, from one zone to another
+	Connections uint64 `json:"connections"`
 }
 
 type row struct{ count, bytes, between, conns atomic.Uint64 }
 
-// Book holds the counts of a process. The zero Book is empty.
-type Book struct{ rows [causes]row }
+// Traffic holds the counts of a process. The zero Book is empty.
+type Traffic struct{ rows [causes]row }
 
 // Add counts an exchange of so many bytes; between says that it goes to another zone.
-func (b *Book) Add(c Cause, bytes int, between bool) {
+func (b *Traffic) Add(c Cause, bytes int, between bool) {
 	r := &b.rows[c]
 	r.count.Add(1)
 	r.bytes.Add(uint64(bytes))
@@ -64,15 +64,15 @@
 	}
 }
 
-// Conn counts a connection that was opened.
-func (b *Book) Conn(c Cause) { b.rows[c].conns.Add(1) }
+// AddConnection counts a connection that was opened.
+func (b *Traffic) AddConnection(c Cause) { b.rows[c].conns.Add(1) }
 
 // Rows lists what was counted; causes without anything are left out.
-func (b *Book) Rows() (all []Row) {
+func (b *Traffic) Rows() (all []Row) {
 	for c := range b.rows {
 		r := &b.rows[c]
 		x := Row{names[c], r.count.Load(), r.bytes.Load(), r.between.Load(), r.conns.Load()}
-		if x.Count+x.Bytes+x.Conns > 0 {
+		if x.Count+x.Bytes+x.Connections > 0 {
 			all = append(all, x)
 		}
 	}
@@ -86,9 +86,9 @@
 	between bool
 }
 
-// Counted has a connection counted; another kind than TCP is returned as it is. Each write counts as one.
-func (b *Book) Counted(c Cause, nc net.Conn, between bool) net.Conn {
-	b.Conn(c)
+// Wrap has a connection counted; another kind than TCP is returned as it is. Each write counts as one.
+func (b *Traffic) Wrap(c Cause, nc net.Conn, between bool) net.Conn {
+	b.AddConnection(c)
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
 		return nc
@@ -116,20 +116,20 @@
 	return n, err
 }
 
-// Machine is what the process has used of its machine.
-type Machine struct {
-	Processor float64 `json:"processor_s"`
-	MemoryMB  float64 `json:"memory_most_mb"`
-	WakeUps   int64   `json:"wake_ups"` // of its threads, that waited by themselves
+// Process is what the process has used of its machine.
+type Process struct {
+	CPUSeconds float64 `json:"processor_s"`
+	MemoryMB   float64 `json:"memory_most_mb"`
+	WakeUps    int64   `json:"wake_ups"` // of its threads, that waited by themselves
 }
 
-// Used asks the system. What it does not say is 0.
-func Used() (m Machine) {
+// ReadProcess asks the system. What it does not say is 0.
+func ReadProcess() (m Process) {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return m
 	}
-	m.Processor = (time.Duration(u.Utime.Nano()) + time.Duration(u.Stime.Nano())).Seconds()
+	m.CPUSeconds = (time.Duration(u.Utime.Nano()) + time.Duration(u.Stime.Nano())).Seconds()
 	m.MemoryMB = float64(u.Maxrss) / 1024
 	m.WakeUps = u.Nvcsw
 	return m
--- a/internal/control/metrics/account_test.go
+++ b/internal/control/metrics/metrics_test.go
@@ -25,8 +25,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var b Book
-	c := b.Counted(Engines, nc, true)
+	var b Traffic
+	c := b.Wrap(CauseEngines, nc, true)
 	if _, err := io.WriteString(c, "twelve bytes"); err != nil {
 		t.Fatal(err)
 	}
@@ -34,13 +34,13 @@
 		t.Fatal(err)
 	}
 	c.Close()
-	b.Add(Reports, 100, false)
-	b.Add(Reports, 50, true)
+	b.Add(CauseUsage, 100, false)
+	b.Add(CauseUsage, 50, true)
 	want := []Row{{"engines", 1, 24, 24, 1}, {"reports", 2, 150, 50, 0}}
 	if diff := cmp.Diff(want, b.Rows()); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
-	if m := Used(); m.Processor <= 0 || m.MemoryMB <= 0 {
+	if m := ReadProcess(); m.CPUSeconds <= 0 || m.MemoryMB <= 0 {
 		t.Errorf("%+v", m)
 	}
 	if s := Cause(200).String(); s != "cause 200" {
--- a/internal/control/singleton/duty.go
+++ b/internal/control/singleton/duty.go
@@ -22,22 +22,24 @@
 	mostName    = 256
 )
 
-// Tally counts requests by window and tenant. One that counts has its own; others keep the highest counts they have seen of
+// Counters counts requests by window and tenant. One that counts has its own; others keep the highest counts they have seen of
 // it, so that a tally may be sent as often as one likes and in any order.
-type Tally struct {
+type Counters struct {
 	Windows map[uint64]map[string]uint64
 }
 
-// Window is the number of the usage window that a time falls into.
-func Window(at time.Time, length time.Duration) uint64 { return uint64(at.UnixNano() / int64(length)) }
+// WindowAt is the number of the usage window that a time falls into.
+func WindowAt(at time.Time, length time.Duration) uint64 {
+	return uint64(at.UnixNano() / int64(length))
+}
 
-// End is when a window is over.
-func End(number uint64, length time.Duration) time.Time {
+// WindowEnd is when a window is over.
+func WindowEnd(number uint64, length time.Duration) time.Time {
 	return time.Unix(0, int64(number+1)*int64(length))
 }
 
 // Add counts a request.
-func (t *Tally) Add(window uint64, tenant string, n uint64) {
+func (t *Counters) Add(window uint64, tenant string, n uint64) {
 	if t.Windows == nil {
 		t.Windows = map[uint64]map[string]uint64{}
 	}
@@ -49,8 +51,8 @@
 	w[tenant] += n
 }
 
-// Forget drops windows before a number.
-func (t *Tally) Forget(before uint64) {
+// DropBefore drops windows before a number.
+func (t *Counters) DropBefore(before uint64) {
 	for k := range t.Windows {
 		if k < before {
 			delete(t.Windows, k)
@@ -59,7 +61,7 @@
 }
 
 // Encode writes a tally.
-func (t *Tally) Encode(w *encoding.Writer) {
+func (t *Counters) Encode(w *encoding.Writer) {
 	numbers := make([]uint64, 0, len(t.Windows))
 	for k := range t.Windows {
 		numbers = append(numbers, k)
@@ -71,7 +73,7 @@
 	w.Uvarint(uint64(len(numbers)))
 	for _, k := range numbers {
 		w.Uvarint(k)
-		counts := Counts(t.Windows[k])
+		counts := SortedCounts(t.Windows[k])
 		w.Uvarint(uint64(len(counts)))
 		for _, c := range counts {
 			w.String(c.Tenant)
@@ -80,9 +82,9 @@
 	}
 }
 
-// DecodeTally reads a tally.
-func DecodeTally(r *encoding.Reader) Tally {
-	t := Tally{Windows: map[uint64]map[string]uint64{}}
+// DecodeCounters reads a tally.
+func DecodeCounters(r *encoding.Reader) Counters {
+	t := Counters{Windows: map[uint64]map[string]uint64{}}
 	for range r.Length(mostWindows, 2) {
 		w := map[string]uint64{}
 		t.Windows[r.Uvarint()] = w
@@ -94,8 +96,8 @@
 	return t
 }
 
-// Counts lists a window's counts by tenant, in their order.
-func Counts(w map[string]uint64) []replog.TenantCount {
+// SortedCounts lists a window's counts by tenant, in their order.
+func SortedCounts(w map[string]uint64) []replog.TenantCount {
 	all := make([]replog.TenantCount, 0, len(w))
 	for tenant, n := range w {
 		all = append(all, replog.TenantCount{Tenant: tenant, Requests: n})
@@ -114,18 +116,18 @@
 
 // Report is what a router tells the keepers.
 type Report struct {
-	Source uint64 // a life of a router
-	Zone   string
-	Tally  Tally
-	Loads  []Load
+	Incarnation uint64 // a life of a router
+	Zone        string
+	Counters    Counters
+	Loads       []Load
 }
 
 // Encode writes a report.
 func (p *Report) Encode() []byte {
 	w := encoding.Writer{}
-	w.Fixed64(p.Source)
+	w.Fixed64(p.Incarnation)
 	w.String(p.Zone)
-	p.Tally.Encode(&w)
+	p.Counters.Encode(&w)
 	w.Uvarint(uint64(len(p.Loads)))
 	for _, l := range p.Loads {
 		w.String(l.Service)
@@ -144,44 +146,44 @@
 }
 
 func readReport(r *encoding.Reader) *Report {
-	p := &Report{Source: r.Fixed64(), Zone: r.String(mostName), Tally: DecodeTally(r)}
+	p := &Report{Incarnation: r.Fixed64(), Zone: r.String(mostName), Counters: DecodeCounters(r)}
 	for range r.Length(mostTenants, 4) {
 		p.Loads = append(p.Loads, Load{r.String(mostName), r.Uvarint(), r.Uvarint(), r.Uvarint()})
 	}
 	return p
 }
 
-// Word is a keeper's answer to a report.
-type Word struct {
-	Book  uint64 // a life of the keeper's book: another one has nothing of what was reported before
-	Lives uint64 // of routers that have reported lately, this one's among them; 0 = it cannot say
+// Ack is a keeper's answer to a report.
+type Ack struct {
+	TableID uint64 // a life of the keeper's book: another one has nothing of what was reported before
+	Routers uint64 // of routers that have reported lately, this one's among them; 0 = it cannot say
 }
 
 // Encode writes a word.
-func (a *Word) Encode() []byte {
+func (a *Ack) Encode() []byte {
 	w := encoding.Writer{}
-	w.Fixed64(a.Book)
-	w.Uvarint(a.Lives)
+	w.Fixed64(a.TableID)
+	w.Uvarint(a.Routers)
 	return w.Buf
 }
 
-// DecodeWord reads a word.
-func DecodeWord(b []byte) (a Word, err error) {
+// DecodeAck reads a word.
+func DecodeAck(b []byte) (a Ack, err error) {
 	r := encoding.Reader{Buf: b}
-	a = Word{Book: r.Fixed64(), Lives: r.Uvarint()}
+	a = Ack{TableID: r.Fixed64(), Routers: r.Uvarint()}
 	return a, r.Finish()
 }
 
-// Told is what a keeper has said that it has of a router's counts. It is told what is more than that, so that a report does
+// ackedCounters is what a keeper has said that it has of a router's counts. It is told what is more than that, so that a report does
 // not grow with all that was counted, and all of it once its book is another.
-type Told struct {
+type ackedCounters struct {
 	book uint64
-	has  Tally
+	has  Counters
 }
 
 // Rest returns what it lacks of a tally.
-func (t *Told) Rest(all *Tally) Tally {
-	rest := Tally{}
+func (t *ackedCounters) Rest(all *Counters) Counters {
+	rest := Counters{}
 	for number, counts := range all.Windows {
 		for tenant, n := range counts {
 			if n > t.has.Windows[number][tenant] {
@@ -193,9 +195,9 @@
 }
 
 // Heard notes its answer to a report of so much.
-func (t *Told) Heard(a Word, sent *Tally) {
-	if a.Book != t.book {
-		t.book, t.has = a.Book, Tally{}
+func (t *ackedCounters) Heard(a Ack, sent *Counters) {
+	if a.TableID != t.book {
+		t.book, t.has = a.TableID, Counters{}
 	}
 	for number, counts := range sent.Windows {
 		for tenant, n := range counts {
@@ -207,10 +209,10 @@
 }
 
 // Forget drops windows before a number.
-func (t *Told) Forget(before uint64) { t.has.Forget(before) }
+func (t *ackedCounters) Forget(before uint64) { t.has.DropBefore(before) }
 
-// Book is what a keeper knows of all routers: of each life its newest report. Books merge in any order.
-type Book struct {
+// Table is what a keeper knows of all routers: of each life its newest report. Books merge in any order.
+type Table struct {
 	sources map[uint64]*source
 }
 
@@ -220,30 +222,30 @@
 }
 
 // Take takes a report in.
-func (b *Book) Take(now time.Duration, p *Report, fresh bool) {
+func (b *Table) Take(now time.Duration, p *Report, fresh bool) {
 	if b.sources == nil {
 		b.sources = map[uint64]*source{}
 	}
-	s := b.sources[p.Source]
+	s := b.sources[p.Incarnation]
 	if s == nil {
 		if len(b.sources) >= mostSources {
 			return
 		}
-		s = &source{Report: Report{Source: p.Source, Zone: p.Zone, Tally: Tally{Windows: map[uint64]map[string]uint64{}}}}
-		b.sources[p.Source] = s
+		s = &source{Report: Report{Incarnation: p.Incarnation, Zone: p.Zone, Counters: Counters{Windows: map[uint64]map[string]uint64{}}}}
+		b.sources[p.Incarnation] = s
 	}
-	for k, w := range p.Tally.Windows {
-		mine := s.Tally.Windows[k]
+	for k, w := range p.Counters.Windows {
+		mine := s.Counters.Windows[k]
 		if mine == nil {
 			mine = map[string]uint64{}
-			s.Tally.Windows[k] = mine
+			s.Counters.Windows[k] = mine
 		}
 		for tenant, n := range w {
 			mine[tenant] = max(mine[tenant], n)
 		}
 	}
-	for len(s.Tally.Windows) > keptWindows { // one that sends nonsense must not fill the memory
-		delete(s.Tally.Windows, slices.Min(slices.Collect(maps.Keys(s.Tally.Windows))))
+	for len(s.Counters.Windows) > keptWindows { // one that sends nonsense must not fill the memory
+		delete(s.Counters.Windows, slices.Min(slices.Collect(maps.Keys(s.Counters.Windows))))
 	}
 	if fresh {
 		s.at, s.Loads = now, p.Loads
@@ -251,28 +253,28 @@
 }
 
 // Sum adds up a window over all lives.
-func (b *Book) Sum(window uint64) map[string]uint64 {
+func (b *Table) Sum(window uint64) map[string]uint64 {
 	sum := map[string]uint64{}
 	for _, s := range b.sources {
-		for tenant, n := range s.Tally.Windows[window] {
+		for tenant, n := range s.Counters.Windows[window] {
 			sum[tenant] += n
 		}
 	}
 	return sum
 }
 
-// Forget drops windows before a number, and lives that have nothing left.
-func (b *Book) Forget(now time.Duration, before uint64) {
+// DropBefore drops windows before a number, and lives that have nothing left.
+func (b *Table) DropBefore(now time.Duration, before uint64) {
 	for id, s := range b.sources {
-		s.Tally.Forget(before)
-		if len(s.Tally.Windows) == 0 && now-s.at > time.Minute {
+		s.Counters.DropBefore(before)
+		if len(s.Counters.Windows) == 0 && now-s.at > time.Minute {
 			delete(b.sources, id)
 		}
 	}
 }
 
 // Loads adds up what routers that were heard lately have of each service.
-func (b *Book) Loads(now time.Duration) map[string]Load {
+func (b *Table) Loads(now time.Duration) map[string]Load {
 	sum := map[string]Load{}
 	for _, s := range b.sources {
 		if now-s.at > 3*time.Second {
@@ -286,8 +288,8 @@
 	return sum
 }
 
-// Lives tells how many lives of routers have been heard of within a time.
-func (b *Book) Lives(now, within time.Duration) (n int) {
+// LiveRouters tells how many lives of routers have been heard of within a time.
+func (b *Table) LiveRouters(now, within time.Duration) (n int) {
 	for _, s := range b.sources {
 		if now-s.at <= within {
 			n++
@@ -297,11 +299,11 @@
 }
 
 // Encode writes what a book holds of the windows from a number up to before another, for another keeper.
-func (b *Book) Encode(from, to uint64) []byte {
+func (b *Table) Encode(from, to uint64) []byte {
 	w := encoding.Writer{}
 	some := map[uint64]map[uint64]map[string]uint64{}
 	for id, s := range b.sources {
-		for k, x := range s.Tally.Windows {
+		for k, x := range s.Counters.Windows {
 			if k >= from && k < to && len(x) > 0 {
 				if some[id] == nil {
 					some[id] = map[uint64]map[string]uint64{}
@@ -312,14 +314,14 @@
 	}
 	w.Uvarint(uint64(len(some)))
 	for _, id := range slices.Sorted(maps.Keys(some)) {
-		r := Report{Source: id, Zone: b.sources[id].Zone, Tally: Tally{Windows: some[id]}}
+		r := Report{Incarnation: id, Zone: b.sources[id].Zone, Counters: Counters{Windows: some[id]}}
 		w.Bytes(r.Encode())
 	}
 	return w.Buf
 }
 
 // Merge takes another keeper's book in.
-func (b *Book) Merge(now time.Duration, text []byte) error {
+func (b *Table) Merge(now time.Duration, text []byte) error {
 	r := encoding.Reader{Buf: text}
 	for range r.Length(mostSources, 1) {
 		p, err := DecodeReport(r.Bytes(1 << 20))
@@ -334,49 +336,49 @@
 // Grants is a member's part of the holder's lease. What it granted bars every other holder for as long as the lease lasts by
 // this member's own steady clock; a member that has just started may have granted one before, and waits as long.
 type Grants struct {
-	Lease   time.Duration
-	Started time.Duration // steady; until Started+Lease nobody new is voted for, unless Fresh
-	Fresh   bool          // there was no holder before this start
-	holder  uint64
-	at      time.Duration
-	granted bool
+	Duration     time.Duration
+	StartedAt    time.Duration // steady; until Started+Lease nobody new is voted for, unless Fresh
+	NeverGranted bool          // there was no holder before this start
+	holder       uint64
+	at           time.Duration
+	granted      bool
 }
 
-// Bars tells whether a new holder must not be voted for.
-func (g *Grants) Bars(now time.Duration, holder uint64) bool {
-	if g.granted && holder != g.holder && now < g.at+g.Lease {
+// Blocks tells whether a new holder must not be voted for.
+func (g *Grants) Blocks(now time.Duration, holder uint64) bool {
+	if g.granted && holder != g.holder && now < g.at+g.Duration {
 		return true
 	}
-	return !g.Fresh && !g.granted && now < g.Started+g.Lease
+	return !g.NeverGranted && !g.granted && now < g.StartedAt+g.Duration
 }
 
-// Ask extends the lease of who asks, unless another's may run. Two who both hold themselves for the holder (one has not
+// Grant extends the lease of who asks, unless another's may run. Two who both hold themselves for the holder (one has not
 // heard yet that another was agreed) can't both have a majority of grants: each member gives its own to one at a time.
-func (g *Grants) Ask(now time.Duration, holder uint64) bool {
-	if g.Bars(now, holder) {
+func (g *Grants) Grant(now time.Duration, holder uint64) bool {
+	if g.Blocks(now, holder) {
 		return false
 	}
 	g.holder, g.at, g.granted = holder, now, true
 	return true
 }
 
-// Silent tells how long no holder has asked.
-func (g *Grants) Silent(now time.Duration) time.Duration {
+// Idle tells how long no holder has asked.
+func (g *Grants) Idle(now time.Duration) time.Duration {
 	if !g.granted {
-		return now - g.Started
+		return now - g.StartedAt
 	}
 	return now - g.at
 }
 
-// Held is the holder's part: it counts from when it asked, and stops a margin before any member would let another in.
-type Held struct {
-	Lease  time.Duration
-	Margin time.Duration
-	until  time.Duration
+// Holder is the holder's part: it counts from when it asked, and stops a margin before any member would let another in.
+type Holder struct {
+	Duration time.Duration
+	Margin   time.Duration
+	until    time.Duration
 }
 
-// Extended notes that a majority has granted what was asked for at a time.
-func (h *Held) Extended(asked time.Duration) { h.until = max(h.until, asked+h.Lease-h.Margin) }
+// Extend notes that a majority has granted what was asked for at a time.
+func (h *Holder) Extend(asked time.Duration) { h.until = max(h.until, asked+h.Duration-h.Margin) }
 
-// Left tells for how long the holder may still act.
-func (h *Held) Left(now time.Duration) time.Duration { return h.until - now }
+// Remaining tells for how long the holder may still act.
+func (h *Holder) Remaining(now time.Duration) time.Duration { return h.until - now }
--- a/internal/control/singleton/duty_test.go
+++ b/internal/control/singleton/duty_test.go
@@ -15,24 +15,24 @@
 
 func TestWindows(t *testing.T) {
 	at := time.Unix(1_000_004, 999_999_999)
-	if n := Window(at, 5*sec); n != 200_000 || !End(n, 5*sec).Equal(time.Unix(1_000_005, 0)) {
-		t.Errorf("window %d ends at %v", n, End(n, 5*sec))
+	if n := WindowAt(at, 5*sec); n != 200_000 || !WindowEnd(n, 5*sec).Equal(time.Unix(1_000_005, 0)) {
+		t.Errorf("window %d ends at %v", n, WindowEnd(n, 5*sec))
 	}
 }
 
 // TestBooksMergeInAnyOrder: reports may be lost, late, repeated and passed on between keepers; the sum is that of the newest.
 func TestBooksMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		books := [2]Book{}
+		books := [2]Table{}
 		want := map[string]uint64{}
-		routers := [3]Tally{}
+		routers := [3]Counters{}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			r := rapid.IntRange(0, 2).Draw(t, "router")
 			tenant := rapid.SampledFrom([]string{"k", "l"}).Draw(t, "tenant")
 			routers[r].Add(9, tenant, 1)
 			want[tenant]++
 			if rapid.Bool().Draw(t, "told") {
-				p := Report{Source: uint64(r + 1), Tally: routers[r]}
+				p := Report{Incarnation: uint64(r + 1), Counters: routers[r]}
 				got, err := DecodeReport(p.Encode())
 				if err != nil {
 					t.Fatal(err)
@@ -41,7 +41,7 @@
 			}
 		}
 		for r := range routers { // the last word of each reaches one
-			p := Report{Source: uint64(r + 1), Tally: routers[r]}
+			p := Report{Incarnation: uint64(r + 1), Counters: routers[r]}
 			books[r%2].Take(sec, &p, true)
 		}
 		for range 2 {
@@ -59,14 +59,14 @@
 // starts anew with an empty book, and after a report that is answered its book has all.
 func TestReportsOfTheRest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var book Book
-		var told Told
+		var book Table
+		var told ackedCounters
 		life := uint64(1)
-		all := Tally{}
+		all := Counters{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
-				book, life = Book{}, life+1
+				book, life = Table{}, life+1
 			case 1, 2:
 				all.Add(uint64(rapid.IntRange(7, 9).Draw(t, "window")), rapid.SampledFrom([]string{"k", "l"}).Draw(t, "tenant"), 1)
 			default:
@@ -74,7 +74,7 @@
 				if rapid.Bool().Draw(t, "lost") {
 					continue
 				}
-				got, err := DecodeReport((&Report{Source: 1, Tally: rest}).Encode())
+				got, err := DecodeReport((&Report{Incarnation: 1, Counters: rest}).Encode())
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -82,13 +82,13 @@
 				if rapid.Bool().Draw(t, "the answer is lost") {
 					continue
 				}
-				word, err := DecodeWord((&Word{Book: life, Lives: uint64(book.Lives(sec, sec))}).Encode())
-				if err != nil || word.Lives != 1 {
+				word, err := DecodeAck((&Ack{TableID: life, Routers: uint64(book.LiveRouters(sec, sec))}).Encode())
+				if err != nil || word.Routers != 1 {
 					t.Fatal(word, err)
 				}
 				told.Heard(word, &rest)
 				rest = told.Rest(&all) // what a book that is new lacks goes with the next one
-				book.Take(sec, &Report{Source: 1, Tally: rest}, true)
+				book.Take(sec, &Report{Incarnation: 1, Counters: rest}, true)
 				told.Heard(word, &rest)
 				for number, counts := range all.Windows {
 					if diff := cmp.Diff(counts, book.Sum(number)); diff != "" {
@@ -105,16 +105,16 @@
 
 // TestBooksAreBounded: a book is kept for ever, whoever forgets or not.
 func TestBooksAreBounded(t *testing.T) {
-	var b Book
+	var b Table
 	for window := range uint64(1000) {
-		tally := Tally{}
+		tally := Counters{}
 		tally.Add(window, "k", 1)
-		b.Take(sec, &Report{Source: 1, Tally: tally}, true)
+		b.Take(sec, &Report{Incarnation: 1, Counters: tally}, true)
 	}
-	if n := len(b.sources[1].Tally.Windows); n != keptWindows || b.Sum(999)["k"] != 1 {
+	if n := len(b.sources[1].Counters.Windows); n != keptWindows || b.Sum(999)["k"] != 1 {
 		t.Errorf("%d windows are kept", n)
 	}
-	if b.Lives(sec+time.Minute, time.Minute) != 1 || b.Lives(2*time.Minute, time.Minute) != 0 {
+	if b.LiveRouters(sec+time.Minute, time.Minute) != 1 || b.LiveRouters(2*time.Minute, time.Minute) != 0 {
 		t.Error("lives")
 	}
 }
@@ -127,16 +127,16 @@
 		now := time.Minute
 		members := make([]Grants, 3)
 		for i := range members {
-			members[i] = Grants{Lease: lease, Fresh: true}
+			members[i] = Grants{Duration: lease, NeverGranted: true}
 		}
-		held := map[uint64]*Held{}
+		held := map[uint64]*Holder{}
 		var ever []uint64 // whoever was voted in; each may believe that it still is
 		for range rapid.IntRange(5, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond
 			node := uint64(rapid.IntRange(1, 3).Draw(t, "node"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0: // a member starts again and has forgotten what it granted
-				members[node-1] = Grants{Lease: lease, Started: now}
+				members[node-1] = Grants{Duration: lease, StartedAt: now}
 			case 1: // somebody is voted in, whatever leases there are
 				ever = append(ever, node)
 			default: // one who was voted in asks for more
@@ -146,7 +146,7 @@
 				node = ever[rapid.IntRange(0, len(ever)-1).Draw(t, "who")]
 				granted := 0
 				for i := range members {
-					if rapid.Bool().Draw(t, "reached") && members[i].Ask(now, node) {
+					if rapid.Bool().Draw(t, "reached") && members[i].Grant(now, node) {
 						granted++
 					}
 				}
@@ -154,12 +154,12 @@
 					continue
 				}
 				if held[node] == nil {
-					held[node] = &Held{Lease: lease, Margin: 300 * time.Millisecond}
+					held[node] = &Holder{Duration: lease, Margin: 300 * time.Millisecond}
 				}
-				held[node].Extended(now)
+				held[node].Extend(now)
 				for id, h := range held {
-					if id != node && h.Left(now) > 0 {
-						t.Fatalf("%d holds while %d holds for %v", node, id, h.Left(now))
+					if id != node && h.Remaining(now) > 0 {
+						t.Fatalf("%d holds while %d holds for %v", node, id, h.Remaining(now))
 					}
 				}
 			}
@@ -179,26 +179,26 @@
 		return n
 	}
 	have := map[string]int{"a": 8, "b": 8, "c": 8}
-	if w := s.Want(sec, Demand{}, b, zones, have); w != nil {
+	if w := s.Targets(sec, Demand{}, b, zones, have); w != nil {
 		t.Errorf("before any traffic %v is ordered", w)
 	}
 	now := 10 * sec
 	step := func(d time.Duration, running float64) (w map[string]int) {
 		for end := now + d; now < end; now += 500 * time.Millisecond {
-			w = s.Want(now, Demand{Running: running, Arrived: running}, b, zones, have)
+			w = s.Targets(now, Demand{Running: running, Arrived: running}, b, zones, have)
 		}
 		return w
 	}
 	if w := step(2*sec, 60); sum(w) != 24 {
 		t.Errorf("after 2 s of traffic fewer than there are: %v", w)
 	}
-	if w := (&Scaler{Scale: f}).Want(now, Demand{Running: 120}, b, zones, have); sum(w) != 30 {
+	if w := (&Scaler{Scale: f}).Targets(now, Demand{Running: 120}, b, zones, have); sum(w) != 30 {
 		t.Errorf("too few at the first sight of traffic: %v", w)
 	}
-	if w := (&Scaler{Scale: f}).Want(now, Demand{Running: 48, Slots: 4}, b, zones, have); sum(w) != 24 {
+	if w := (&Scaler{Scale: f}).Targets(now, Demand{Running: 48, Slots: 4}, b, zones, have); sum(w) != 24 {
 		t.Errorf("48 running at engines of 4 slots, half of which are wanted in use: %v", w)
 	}
-	if w := (&Scaler{Scale: f}).Want(now, Demand{Running: 120, Slots: 16}, b, zones, map[string]int{}); sum(w) != 15 {
+	if w := (&Scaler{Scale: f}).Targets(now, Demand{Running: 120, Slots: 16}, b, zones, map[string]int{}); sum(w) != 15 {
 		t.Errorf("120 running at engines of 16 slots, half of which are wanted in use: %v", w)
 	}
 	if w := step(8*sec, 60); sum(w) != 15 {
@@ -219,8 +219,8 @@
 }
 
 func FuzzReport(f *testing.F) {
-	p := Report{Source: 1, Zone: "z", Loads: []Load{{"s", 1, 2, 3}}}
-	p.Tally.Add(5, "k", 2)
+	p := Report{Incarnation: 1, Zone: "z", Loads: []Load{{"s", 1, 2, 3}}}
+	p.Counters.Add(5, "k", 2)
 	f.Add(p.Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if p, err := DecodeReport(b); err == nil {
@@ -229,7 +229,7 @@
 			}
 		}
 		r := encoding.Reader{Buf: b}
-		DecodeTally(&r)
-		(&Book{}).Merge(0, b)
+		DecodeCounters(&r)
+		(&Table{}).Merge(0, b)
 	})
 }
--- a/internal/control/singleton/golden_test.go
+++ b/internal/control/singleton/golden_test.go
@@ -12,8 +12,8 @@
 
 func goldenReport() *Report {
 	return &Report{
-		Source: 0x0102030405060708, Zone: "a",
-		Tally: Tally{Windows: map[uint64]map[string]uint64{
+		Incarnation: 0x0102030405060708, Zone: "a",
+		Counters: Counters{Windows: map[uint64]map[string]uint64{
 			352_800_000: {"lab": 300, "shop": 1}, 352_800_001: {"": 7}, 352_800_002: {},
 		}},
 		Loads: []Load{{Service: "scribe", Running: 1234, Arrived: 5678, Late: 90}, {Service: "reader"}},
@@ -23,15 +23,15 @@
 // TestGoldenReports: what routers report and keepers of the counts exchange has the bytes that it had.
 func TestGoldenReports(t *testing.T) {
 	golden.RoundTrip(t, "report.hex", goldenReport(), (*Report).Encode, DecodeReport)
-	golden.RoundTrip(t, "report-empty.hex", &Report{Source: 1, Tally: Tally{Windows: map[uint64]map[string]uint64{}}}, (*Report).Encode, DecodeReport)
-	golden.RoundTrip(t, "report-answer.hex", Word{Book: 0xfedcba9876543210, Lives: 300}, func(a Word) []byte { return a.Encode() }, DecodeWord)
+	golden.RoundTrip(t, "report-empty.hex", &Report{Incarnation: 1, Counters: Counters{Windows: map[uint64]map[string]uint64{}}}, (*Report).Encode, DecodeReport)
+	golden.RoundTrip(t, "report-answer.hex", Ack{TableID: 0xfedcba9876543210, Routers: 300}, func(a Ack) []byte { return a.Encode() }, DecodeAck)
 
-	book := &Book{}
+	book := &Table{}
 	book.Take(time.Second, goldenReport(), true)
-	book.Take(time.Second, &Report{Source: 2, Zone: "b", Tally: Tally{Windows: map[uint64]map[string]uint64{352_800_001: {"lab": 5}}}}, true)
+	book.Take(time.Second, &Report{Incarnation: 2, Zone: "b", Counters: Counters{Windows: map[uint64]map[string]uint64{352_800_001: {"lab": 5}}}}, true)
 	golden.Check(t, "usage-table.hex", book.Encode(352_800_000, 352_800_002))
 	golden.Check(t, "usage-table-part.hex", book.Encode(352_800_001, 352_800_002))
-	other := &Book{}
+	other := &Table{}
 	if err := other.Merge(time.Second, golden.Read(t, "usage-table.hex")); err != nil {
 		t.Fatal(err)
 	}
@@ -41,9 +41,9 @@
 
 // TestGoldenLeases: what is asked before a lease and for one has the bytes that it had, and so have the answers.
 func TestGoldenLeases(t *testing.T) {
-	golden.Equal(t, "numbers of calls", []uint8{8, 9, 11, 15}, []uint8{CallReport, CallBook, CallRenew, CallStand})
+	golden.Equal(t, "numbers of calls", []uint8{8, 9, 11, 15}, []uint8{CallUsageReport, CallUsageTable, CallRenewLease, CallCheckCandidacy})
 	k := newKeeper()
-	k.Others = func() []netip.AddrPort { return []netip.AddrPort{netip.MustParseAddrPort("10.0.0.2:1")} }
+	k.Peers = func() []netip.AddrPort { return []netip.AddrPort{netip.MustParseAddrPort("10.0.0.2:1")} }
 	calls := func(name string, kind uint8) {
 		t.Helper()
 		n := 0
@@ -70,7 +70,7 @@
 	for n := 0; k.want == nil && n < 60; n++ {
 		k.pass(sec)
 		if k.want == nil && len(k.calls) > 0 {
-			calls("lease-candidacy", CallStand)
+			calls("lease-candidacy", CallCheckCandidacy)
 			k.granted(2)
 		}
 	}
@@ -78,27 +78,27 @@
 		t.Fatal("it is no candidate")
 	}
 	k.chosen()
-	calls("lease-renewal", CallRenew)
+	calls("lease-renewal", CallRenewLease)
 	k.granted(2)
 
-	answer("lease-granted", CallRenew, golden.Read(t, "lease-renewal.hex"))
+	answer("lease-granted", CallRenewLease, golden.Read(t, "lease-renewal.hex"))
 	w := encoding.Writer{} // as an earlier program asks, which does not say whom it knows
 	w.Uvarint(k.state.FencingToken)
 	w.Fixed64(1)
-	answer("lease-granted-short", CallRenew, w.Buf)
-	answer("lease-rejected", CallRenew, golden.Read(t, "lease-candidacy.hex"))
-	answer("lease-candidacy-rejected", CallStand, golden.Read(t, "lease-candidacy.hex"))
-	answer("report-answered", CallReport, golden.Read(t, "report.hex"))
+	answer("lease-granted-short", CallRenewLease, w.Buf)
+	answer("lease-rejected", CallRenewLease, golden.Read(t, "lease-candidacy.hex"))
+	answer("lease-candidacy-rejected", CallCheckCandidacy, golden.Read(t, "lease-candidacy.hex"))
+	answer("report-answered", CallUsageReport, golden.Read(t, "report.hex"))
 
 	k.calls = nil
 	w = encoding.Writer{}
 	w.Uvarint(352_800_000)
 	w.Uvarint(352_800_002)
 	golden.Check(t, "usage-table-request.hex", w.Buf)
-	answer("usage-table-answered", CallBook, golden.Read(t, "usage-table-request.hex"))
+	answer("usage-table-answered", CallUsageTable, golden.Read(t, "usage-table-request.hex"))
 	k.gather(352_800_000, 352_800_002)
 	for _, f := range k.out {
-		if f, ok := f.(replica.SendCall); ok && f.Kind == CallBook {
+		if f, ok := f.(replica.SendCall); ok && f.Kind == CallUsageTable {
 			golden.Check(t, "usage-table-request.hex", f.Body)
 			return
 		}
--- a/internal/control/singleton/node.go
+++ b/internal/control/singleton/node.go
@@ -19,25 +19,25 @@
 
 // The kinds of calls between processes that concern the duties. Other numbers are other owners'.
 const (
-	CallReport uint8 = 8  // a router's counts and loads: Report, answered by Word
-	CallBook   uint8 = 9  // what a keeper has heard of these, from a window up to another
-	CallRenew  uint8 = 11 // the holder asks for more time: its fence, its member, and which members it knows
-	CallStand  uint8 = 15 // would another holder's lease be in the way: the newest fence and who wants to follow
+	CallUsageReport    uint8 = 8  // a router's counts and loads: Report, answered by Word
+	CallUsageTable     uint8 = 9  // what a keeper has heard of these, from a window up to another
+	CallRenewLease     uint8 = 11 // the holder asks for more time: its fence, its member, and which members it knows
+	CallCheckCandidacy uint8 = 15 // would another holder's lease be in the way: the newest fence and who wants to follow
 )
 
-// Owns tells whether a kind of call is of the duties.
-func Owns(kind uint8) bool {
-	return kind == CallReport || kind == CallBook || kind == CallRenew || kind == CallStand
+// OwnsCall tells whether a kind of call is of the duties.
+func OwnsCall(kind uint8) bool {
+	return kind == CallUsageReport || kind == CallUsageTable || kind == CallRenewLease || kind == CallCheckCandidacy
 }
 
 // Event is something that happened: core.Tick, core.Called, core.Returned, or one of these.
 type Event any
 
 type (
-	// Proposed: what a Propose wanted is settled, or could not be.
-	Proposed struct{ Err error }
-	// Took: the platform has answered what was last sent to it, or has not in its time.
-	Took struct{ Err error }
+	// ProposalDone: what a Propose wanted is settled, or could not be.
+	ProposalDone struct{ Err error }
+	// PlatformAnswered: the platform has answered what was last sent to it, or has not in its time.
+	PlatformAnswered struct{ Err error }
 )
 
 // Effect is something to be done: core.Call, core.Reply, core.Log, or one of these. Of Propose, Usage and Order at most one
@@ -47,21 +47,21 @@
 type (
 	// Propose has what Want returns chosen, until it returns nil; Proposed comes back.
 	Propose struct {
-		Want   func(*replog.State) []byte
-		Within time.Duration
+		Next    func(*replog.State) []byte
+		Timeout time.Duration
 	}
-	// Usage reports a window to the platform; Took comes back.
-	Usage struct {
-		Fence, Window uint64
-		Counts        map[string]uint64
-		Within        time.Duration
+	// ReportUsage reports a window to the platform; Took comes back.
+	ReportUsage struct {
+		FencingToken, Window uint64
+		Counts               map[string]uint64
+		Timeout              time.Duration
 	}
-	// Order engines from the platform; Took comes back.
-	Order struct {
-		Fence         uint64
+	// ScaleEngines engines from the platform; Took comes back.
+	ScaleEngines struct {
+		FencingToken  uint64
 		Service, Zone string
-		Count         int
-		Within        time.Duration
+		Engines       int
+		Timeout       time.Duration
 		running       int // what it was reckoned from
 	}
 )
@@ -76,31 +76,31 @@
 
 // Config is what a keeper is told.
 type Config struct {
-	Self    replog.Member
-	Fresh   bool // nobody can have been granted a lease before this start
-	Lease   time.Duration
-	Window  time.Duration // of usage
-	Delay   time.Duration // after its end a window is due
-	Lately  time.Duration // a router that has reported so lately counts as there; who holds the duties for less does not say how many
-	Reports bool          // usage is owed
-	Orders  bool          // engines are ordered
-	Life    uint64        // of the book
-	Rank    time.Duration // so much later than others it stands, so that not all do at once
-	Others  func() []netip.AddrPort
-	// Unsure tells whether a change of members has been accepted here that may have been chosen already; nil = never.
-	Unsure func() bool
+	Self           replog.Member
+	NeverGranted   bool // nobody can have been granted a lease before this start
+	LeaseDuration  time.Duration
+	UsageWindow    time.Duration // of usage
+	UsageDelay     time.Duration // after its end a window is due
+	RouterWindow   time.Duration // a router that has reported so lately counts as there; who holds the duties for less does not say how many
+	ReportsUsage   bool          // usage is owed
+	ScalesEngines  bool          // engines are ordered
+	Incarnation    uint64        // of the book
+	CandidacyDelay time.Duration // so much later than others it stands, so that not all do at once
+	Peers          func() []netip.AddrPort
+	// MembershipPending tells whether a change of members has been accepted here that may have been chosen already; nil = never.
+	MembershipPending func() bool
 	// Services are those whose engines may be ordered, as they are now.
 	Services func() []Service
 }
 
-// Node is a keeper's part in the duties: it keeps the book of what routers report, grants and asks for leases, stands for
+// Controller is a keeper's part in the duties: it keeps the book of what routers report, grants and asks for leases, stands for
 // holder where there is none, and as the holder has usage agreed and sent, and engines ordered. It is a reducer: given
 // clocks and what its effects have come to, the same events have the same effects. It is not safe for concurrent use.
-type Node struct {
+type Controller struct {
 	Config
-	book   Book
+	book   Table
 	grants Grants
-	held   Held
+	held   Holder
 
 	now   time.Duration
 	wall  time.Time
@@ -124,25 +124,25 @@
 	before  map[string]Load // of the last look
 	looked  time.Duration
 	ordered map[string]int // by service and zone, as the platform last took it
-	orders  []Order        // that are to be sent
+	orders  []ScaleEngines // that are to be sent
 }
 
 // New returns a keeper's part.
-func New(now time.Duration, c Config) *Node {
-	return &Node{
-		Config: c, held: Held{Lease: c.Lease, Margin: limits.NodeLeaseMargin}, grants: Grants{Lease: c.Lease, Started: now, Fresh: c.Fresh},
-		calls: map[uint64]func([]byte, error){}, nonce: rand.New(rand.NewPCG(c.Life, c.Self.ID)), sent: map[uint64]bool{},
+func New(now time.Duration, c Config) *Controller {
+	return &Controller{
+		Config: c, held: Holder{Duration: c.LeaseDuration, Margin: limits.NodeLeaseMargin}, grants: Grants{Duration: c.LeaseDuration, StartedAt: now, NeverGranted: c.NeverGranted},
+		calls: map[uint64]func([]byte, error){}, nonce: rand.New(rand.NewPCG(c.Incarnation, c.Self.ID)), sent: map[uint64]bool{},
 		scalers: map[string]*Scaler{}, before: map[string]Load{}, ordered: map[string]int{},
 	}
 }
 
 // Reduce takes an event in, upon the newest state that is known here. The effects are valid until the next call.
-func (n *Node) Reduce(now time.Duration, wall time.Time, s *replog.State, e Event) []Effect {
+func (n *Controller) Reduce(now time.Duration, wall time.Time, s *replog.State, e Event) []Effect {
 	n.now, n.wall = max(n.now, now), wall
 	if s.NextIndex >= n.state.NextIndex {
 		founds, was := n.state.NextIndex == 0, n.state.Member(n.Self.ID) != nil
-		if n.state = *s; !was && s.Member(n.Self.ID) != nil && !(founds && n.grants.Fresh) {
-			n.grants = Grants{Lease: n.Lease, Started: n.now} // those in whose place it came may have granted a lease
+		if n.state = *s; !was && s.Member(n.Self.ID) != nil && !(founds && n.grants.NeverGranted) {
+			n.grants = Grants{Duration: n.LeaseDuration, StartedAt: n.now} // those in whose place it came may have granted a lease
 		}
 	}
 	clear(n.out)
@@ -159,27 +159,27 @@
 			delete(n.calls, e.ID)
 			then(e.Body, e.Err)
 		}
-	case Proposed:
+	case ProposalDone:
 		n.over(e.Err)
-	case Took:
+	case PlatformAnswered:
 		n.over(e.Err)
 	}
 	n.work()
 	return n.out
 }
 
-func (n *Node) over(err error) {
+func (n *Controller) over(err error) {
 	if then := n.then; then != nil {
 		n.then = nil
 		then(err)
 	}
 }
 
-func (n *Node) log(level slog.Level, line string, args ...any) {
+func (n *Controller) log(level slog.Level, line string, args ...any) {
 	n.out = append(n.out, replica.Log{Level: level, Message: line, Args: args})
 }
 
-func (n *Node) call(to netip.AddrPort, kind uint8, body []byte, then func(body []byte, err error)) {
+func (n *Controller) call(to netip.AddrPort, kind uint8, body []byte, then func(body []byte, err error)) {
 	n.id++
 	n.calls[n.id] = then
 	n.out = append(n.out, replica.SendCall{ID: n.id, To: to, Kind: kind, Body: body, Timeout: limits.NodeAsk})
@@ -188,34 +188,34 @@
 var errKind = errors.New("no call of the duties'")
 
 // answer answers another process.
-func (n *Node) answer(kind uint8, body []byte) ([]byte, error) {
+func (n *Controller) answer(kind uint8, body []byte) ([]byte, error) {
 	switch kind {
-	case CallReport:
+	case CallUsageReport:
 		p, err := DecodeReport(body)
 		if err != nil {
 			return nil, err
 		}
 		n.book.Take(n.now, p, true)
-		word := Word{Book: n.Life, Lives: uint64(n.lives())}
+		word := Ack{TableID: n.Incarnation, Routers: uint64(n.lives())}
 		return word.Encode(), nil
-	case CallBook:
+	case CallUsageTable:
 		r := encoding.Reader{Buf: body}
 		from, to := r.Uvarint(), r.Uvarint()
 		if err := r.Finish(); err != nil {
 			return nil, err
 		}
 		return n.book.Encode(from, to), nil
-	case CallRenew, CallStand:
+	case CallRenewLease, CallCheckCandidacy:
 		r := encoding.Reader{Buf: body}
 		place, node := r.Uvarint(), r.Fixed64()
 		known := voters(n.state.Members)
-		if kind == CallRenew && len(r.Buf) > 0 { // an earlier program does not say
+		if kind == CallRenewLease && len(r.Buf) > 0 { // an earlier program does not say
 			known = r.Fixed64()
 		}
 		if err := r.Finish(); err != nil {
 			return nil, err
 		}
-		if kind == CallRenew && n.grant(place, node, known) || kind == CallStand && n.free(place, node) {
+		if kind == CallRenewLease && n.grant(place, node, known) || kind == CallCheckCandidacy && n.free(place, node) {
 			return []byte{1}, nil
 		}
 		return []byte{0}, nil
@@ -225,26 +225,26 @@
 
 // lives tells how many lives of routers share what may be sent again, as share.Part wants it: by one who counts, and only once
 // it has heard of all that may have used their parts within a window. At the very first start nobody has. 0 = it does not say.
-func (n *Node) lives() int {
-	if _, ok := n.holds(); !ok || n.now-n.fenceAt < n.Lately && !n.first {
+func (n *Controller) lives() int {
+	if _, ok := n.holds(); !ok || n.now-n.fenceAt < n.RouterWindow && !n.first {
 		return 0
 	}
-	return n.book.Lives(n.now, n.Lately)
+	return n.book.LiveRouters(n.now, n.RouterWindow)
 }
 
 // grant gives the holder more time, if it is that here as well, and counts its majority among the members that are known
 // here. A change of members is accepted by a majority of those before it: each of these gives no more grants among them, and
 // who is new grants none for a lease. So when a majority of the members that follow can grant a lease, the last one that was
 // granted among those before has passed, though the holder and some of them may be cut off and know nothing of the change.
-func (n *Node) grant(place, node, known uint64) bool {
+func (n *Controller) grant(place, node, known uint64) bool {
 	s := &n.state
 	switch {
 	case s.FencingToken != place || s.LeaseHolder != node || s.Member(n.Self.ID) == nil || known != voters(s.Members):
 		return false
-	case n.Unsure != nil && n.Unsure():
+	case n.MembershipPending != nil && n.MembershipPending():
 		return false
 	}
-	return n.grants.Ask(n.now, node)
+	return n.grants.Grant(n.now, node)
 }
 
 // voters is a hash of who the members are.
@@ -257,27 +257,27 @@
 }
 
 // free tells whether no other holder's lease would be in the way of one who wants to follow the newest that is known here.
-func (n *Node) free(place, node uint64) bool {
-	return n.state.FencingToken == place && !n.grants.Bars(n.now, node)
+func (n *Controller) free(place, node uint64) bool {
+	return n.state.FencingToken == place && !n.grants.Blocks(n.now, node)
 }
 
 // holds tells whether it may call the platform, and for how long: what is on its way must arrive before another may act.
-func (n *Node) holds() (left time.Duration, ok bool) {
-	left = n.held.Left(n.now) - limits.NodeLeaseCall
+func (n *Controller) holds() (left time.Duration, ok bool) {
+	left = n.held.Remaining(n.now) - limits.NodeLeaseCall
 	return left, left > 0 && n.state.LeaseHolder == n.Self.ID
 }
 
 // tick does what is due twice a second.
-func (n *Node) tick() {
+func (n *Controller) tick() {
 	_, oldest := n.spans()
-	n.book.Forget(n.now, oldest)
+	n.book.DropBefore(n.now, oldest)
 	n.stopped, n.asked = false, n.waits > 0
 	s := &n.state
 	if s.NextIndex == 0 || s.Member(n.Self.ID) == nil {
 		return
 	}
 	if s.FencingToken != n.fence {
-		n.first = n.Fresh && n.fence == 0 && s.LeaseHolder == n.Self.ID
+		n.first = n.NeverGranted && n.fence == 0 && s.LeaseHolder == n.Self.ID
 		n.fence, n.fenceAt = s.FencingToken, n.now
 	}
 	if s.LeaseHolder != n.Self.ID {
@@ -294,14 +294,14 @@
 // The members are asked before the ballot, and not in it: a value that one of them has accepted must be brought to its end
 // by whoever comes next, and one that the others must not accept would close the chain for everybody. What keeps two from
 // acting is the leases alone.
-func (n *Node) stand() {
-	silent := min(n.grants.Silent(n.now), n.now-n.fenceAt)
-	if n.then != nil || n.grants.Bars(n.now, n.Self.ID) || n.state.LeaseHolder != 0 && silent < n.Lease+n.Rank {
+func (n *Controller) stand() {
+	silent := min(n.grants.Idle(n.now), n.now-n.fenceAt)
+	if n.then != nil || n.grants.Blocks(n.now, n.Self.ID) || n.state.LeaseHolder != 0 && silent < n.LeaseDuration+n.CandidacyDelay {
 		return
 	}
 	place, self := n.state.FencingToken, n.Self
 	value := (&replog.Entry{Kind: replog.EntryLeaseHolder, Nonce: n.nonce.Uint64(), HolderID: self.ID, HolderName: self.Name}).Encode()
-	n.poll(CallStand, n.free(place, self.ID), func() {
+	n.poll(CallCheckCandidacy, n.free(place, self.ID), func() {
 		if n.then != nil || n.state.FencingToken != place {
 			return
 		}
@@ -319,25 +319,25 @@
 	})
 }
 
-func (n *Node) propose(want func(*replog.State) []byte, then func(error)) {
+func (n *Controller) propose(want func(*replog.State) []byte, then func(error)) {
 	n.then = then
-	n.out = append(n.out, Propose{Want: want, Within: limits.NodeSettle})
+	n.out = append(n.out, Propose{Next: want, Timeout: limits.NodeSettle})
 }
 
 // extend asks the members for more time, from now on.
-func (n *Node) extend() {
+func (n *Controller) extend() {
 	asked := n.now
-	n.poll(CallRenew, n.grant(n.state.FencingToken, n.Self.ID, voters(n.state.Members)), func() { n.held.Extended(asked) })
+	n.poll(CallRenewLease, n.grant(n.state.FencingToken, n.Self.ID, voters(n.state.Members)), func() { n.held.Extend(asked) })
 }
 
 // poll asks the members something about this keeper and the newest holder, and does what follows once a majority has said
 // yes; own is its own word. What was asked before does not count any more.
-func (n *Node) poll(kind uint8, own bool, then func()) {
+func (n *Controller) poll(kind uint8, own bool, then func()) {
 	s := &n.state
 	w := encoding.Writer{}
 	w.Uvarint(s.FencingToken)
 	w.Fixed64(n.Self.ID)
-	if kind == CallRenew {
+	if kind == CallRenewLease {
 		w.Fixed64(voters(s.Members))
 	}
 	n.polls++
@@ -366,11 +366,11 @@
 }
 
 // work begins the next thing that the holder owes, if nothing is under way.
-func (n *Node) work() {
+func (n *Controller) work() {
 	if _, ok := n.holds(); !ok || n.then != nil || n.waits > 0 || n.stopped {
 		return
 	}
-	if n.Reports && n.usage() || !n.Orders {
+	if n.ReportsUsage && n.usage() || !n.ScalesEngines {
 		return
 	}
 	if len(n.orders) == 0 && n.now-n.looked >= limits.NodeScale {
@@ -380,20 +380,20 @@
 }
 
 // stop ends what is done until the next tick.
-func (n *Node) stop(line string, args ...any) {
+func (n *Controller) stop(line string, args ...any) {
 	n.stopped = true
 	n.log(slog.LevelWarn, line, args...)
 }
 
 // spans are the window from which on usage is not due yet, and the oldest that is sent still.
-func (n *Node) spans() (newest, oldest uint64) {
-	return Window(n.wall.Add(-n.Delay*3/10), n.Window), // over for a while: what was counted last has come
-		Window(n.wall.Add(-3*n.Delay-n.Window), n.Window) // what the platform has not taken by then nobody sends any more
+func (n *Controller) spans() (newest, oldest uint64) {
+	return WindowAt(n.wall.Add(-n.UsageDelay*3/10), n.UsageWindow), // over for a while: what was counted last has come
+		WindowAt(n.wall.Add(-3*n.UsageDelay-n.UsageWindow), n.UsageWindow) // what the platform has not taken by then nobody sends any more
 }
 
 // usage has the figures of windows that are over agreed, and sends them until the platform has taken them. It tells whether
 // something is under way.
-func (n *Node) usage() bool {
+func (n *Controller) usage() bool {
 	newest, oldest := n.spans()
 	due := newest - min(newest, 3) // what was heard of windows before that is known here
 	for number := oldest; number < newest; number++ {
@@ -410,7 +410,7 @@
 				return true
 			}
 		}
-		counts := Counts(n.book.Sum(number))
+		counts := SortedCounts(n.book.Sum(number))
 		if len(counts) == 0 {
 			continue // nothing began in it, as far as anybody knows
 		}
@@ -428,7 +428,7 @@
 }
 
 // report sends a window's figures.
-func (n *Node) report(w *replog.UsageWindow) {
+func (n *Controller) report(w *replog.UsageWindow) {
 	number, counts := w.Number, map[string]uint64{}
 	for _, c := range w.Counts {
 		counts[c.Tenant] = c.Requests
@@ -446,18 +446,18 @@
 			}
 		}
 	}
-	n.out = append(n.out, Usage{Fence: n.state.FencingToken, Window: number, Counts: counts, Within: left})
+	n.out = append(n.out, ReportUsage{FencingToken: n.state.FencingToken, Window: number, Counts: counts, Timeout: left})
 }
 
 // gather takes in what other keepers have heard of the windows from a number up to before another.
-func (n *Node) gather(from, to uint64) {
+func (n *Controller) gather(from, to uint64) {
 	n.asked = true
 	w := encoding.Writer{}
 	w.Uvarint(from)
 	w.Uvarint(to)
-	for _, at := range n.Others() {
+	for _, at := range n.Peers() {
 		n.waits++
-		n.call(at, CallBook, w.Buf, func(b []byte, err error) {
+		n.call(at, CallUsageTable, w.Buf, func(b []byte, err error) {
 			n.waits--
 			if err != nil {
 				return
@@ -470,7 +470,7 @@
 }
 
 // look reckons which engines are wanted, and which of that the platform has not been told.
-func (n *Node) look() {
+func (n *Controller) look() {
 	loads, lapse := n.book.Loads(n.now), (n.now - n.looked).Seconds()
 	n.looked = n.now
 	for _, svc := range n.Services() {
@@ -487,34 +487,34 @@
 		}
 		slices.Sort(zones)
 		d := Demand{Running: float64(load.Running) / 100, Arrived: max(float64(load.Arrived)-float64(before.Arrived), 0) / lapse, Slots: svc.Slots}
-		wanted := sc.Want(n.now, d, svc.Bounds, zones, svc.Ready)
+		wanted := sc.Targets(n.now, d, svc.Bounds, zones, svc.Ready)
 		for _, z := range zones {
 			count, ok := wanted[z]
 			last, known := n.ordered[svc.Name+"/"+z]
 			if !ok || known && count == last || !known && count == svc.Ready[z] {
 				continue
 			}
-			n.orders = append(n.orders, Order{Service: svc.Name, Zone: z, Count: count, running: int(d.Running)})
+			n.orders = append(n.orders, ScaleEngines{Service: svc.Name, Zone: z, Engines: count, running: int(d.Running)})
 		}
 	}
 }
 
 // order sends the next order.
-func (n *Node) order() {
+func (n *Controller) order() {
 	if len(n.orders) == 0 {
 		return
 	}
 	o := n.orders[0]
 	n.orders = n.orders[1:]
-	o.Fence = n.state.FencingToken
-	o.Within, _ = n.holds()
+	o.FencingToken = n.state.FencingToken
+	o.Timeout, _ = n.holds()
 	n.then = func(err error) {
 		if err != nil {
 			n.log(slog.LevelWarn, "engines not ordered yet", "service", o.Service, "zone", o.Zone, "err", err)
 			return
 		}
-		n.ordered[o.Service+"/"+o.Zone] = o.Count
-		n.log(slog.LevelInfo, "engines ordered", "service", o.Service, "zone", o.Zone, "count", o.Count, "running", o.running)
+		n.ordered[o.Service+"/"+o.Zone] = o.Engines
+		n.log(slog.LevelInfo, "engines ordered", "service", o.Service, "zone", o.Zone, "count", o.Engines, "running", o.running)
 	}
 	n.out = append(n.out, o)
 }
--- a/internal/control/singleton/node_test.go
+++ b/internal/control/singleton/node_test.go
@@ -14,7 +14,7 @@
 
 // keeper is a Node among three members, whose effects a test answers by hand.
 type keeper struct {
-	*Node
+	*Controller
 	now   time.Duration
 	state replog.State
 	calls []replica.SendCall
@@ -26,9 +26,9 @@
 	k := &keeper{now: time.Minute, state: replog.State{NextIndex: 1, Members: []replog.Member{
 		{ID: 1, Name: "a", Addr: "10.0.0.1:1"}, {ID: 2, Name: "b", Addr: "10.0.0.2:1"}, {ID: 3, Name: "c", Addr: "10.0.0.3:1"},
 	}}}
-	k.Node = New(k.now, Config{
-		Self: k.state.Members[0], Fresh: true, Lease: 3 * sec, Window: 5 * sec, Delay: 10 * sec, Lately: 10 * sec, Reports: true, Orders: true, Life: 7,
-		Others: func() []netip.AddrPort { return nil },
+	k.Controller = New(k.now, Config{
+		Self: k.state.Members[0], NeverGranted: true, LeaseDuration: 3 * sec, UsageWindow: 5 * sec, UsageDelay: 10 * sec, RouterWindow: 10 * sec, ReportsUsage: true, ScalesEngines: true, Incarnation: 7,
+		Peers: func() []netip.AddrPort { return nil },
 		Services: func() []Service {
 			return []Service{{Name: "s", Bounds: Bounds{Min: 1, Max: 9}, Ready: map[string]int{"y": 1, "z": 1}, Slots: 4}}
 		},
@@ -44,11 +44,11 @@
 		case replica.SendCall:
 			k.calls = append(k.calls, f)
 		case Propose:
-			k.want = f.Want
-		case Usage:
-			k.sent = append(k.sent, fmt.Sprint("usage ", f.Fence, f.Counts))
-		case Order:
-			k.sent = append(k.sent, fmt.Sprint("order ", f.Fence, f.Zone, f.Count))
+			k.want = f.Next
+		case ReportUsage:
+			k.sent = append(k.sent, fmt.Sprint("usage ", f.FencingToken, f.Counts))
+		case ScaleEngines:
+			k.sent = append(k.sent, fmt.Sprint("order ", f.FencingToken, f.Zone, f.Engines))
 		}
 	}
 }
@@ -60,7 +60,7 @@
 		if value := want(&k.state); value != nil {
 			k.state.Apply(value)
 		}
-		k.take(Proposed{})
+		k.take(ProposalDone{})
 	}
 }
 
@@ -69,7 +69,7 @@
 	all := k.calls
 	k.calls = nil
 	for i, c := range all {
-		if c.Kind == CallRenew || c.Kind == CallStand {
+		if c.Kind == CallRenewLease || c.Kind == CallCheckCandidacy {
 			yes := byte(0)
 			if i < n {
 				yes = 1
@@ -88,10 +88,10 @@
 // agreed is sent, again until it is taken.
 func TestHolder(t *testing.T) {
 	k := newKeeper()
-	tally := Tally{}
-	tally.Add(Window(k.wall(), 5*sec), "t", 4)
-	p := Report{Source: 9, Tally: tally, Loads: []Load{{Service: "s", Running: 1000, Arrived: 10}}}
-	report := func() { k.take(replica.CallReceived{Kind: CallReport, Body: p.Encode()}) }
+	tally := Counters{}
+	tally.Add(WindowAt(k.wall(), 5*sec), "t", 4)
+	p := Report{Incarnation: 9, Counters: tally, Loads: []Load{{Service: "s", Running: 1000, Arrived: 10}}}
+	report := func() { k.take(replica.CallReceived{Kind: CallUsageReport, Body: p.Encode()}) }
 	report()
 	k.pass(sec)
 	if k.granted(0); k.want != nil {
@@ -117,8 +117,8 @@
 	if len(k.sent) != 1 {
 		t.Fatalf("two calls at a time: %v", k.sent)
 	}
-	k.take(Took{})
-	k.take(Took{Err: errors.New("busy")})
+	k.take(PlatformAnswered{})
+	k.take(PlatformAnswered{Err: errors.New("busy")})
 	k.sent = nil
 	report()
 	k.pass(sec / 2)
@@ -126,7 +126,7 @@
 	if fmt.Sprint(k.sent) != "[order 1z4]" {
 		t.Fatalf("of the orders that one was not taken of, %v is sent", k.sent)
 	}
-	k.take(Took{})
+	k.take(PlatformAnswered{})
 	for range 20 { // until the window is over for long enough
 		k.pass(sec / 2)
 		k.granted(2)
@@ -135,9 +135,9 @@
 	if len(k.sent) == 0 || k.sent[len(k.sent)-1] != "usage 1 map[t:4]" {
 		t.Fatalf("sent %v", k.sent)
 	}
-	tally.Add(Window(k.wall(), 5*sec)-2, "t", 1) // word of it that comes too late changes nothing
+	tally.Add(WindowAt(k.wall(), 5*sec)-2, "t", 1) // word of it that comes too late changes nothing
 	report()
-	k.take(Took{Err: errors.New("lost")})
+	k.take(PlatformAnswered{Err: errors.New("lost")})
 	k.sent = nil
 	if k.granted(2); len(k.sent) != 0 {
 		t.Fatalf("%v is sent again at once", k.sent)
@@ -146,10 +146,10 @@
 	if fmt.Sprint(k.sent) != "[usage 1 map[t:4]]" {
 		t.Fatalf("sent %v", k.sent)
 	}
-	k.take(Took{})
+	k.take(PlatformAnswered{})
 	k.calls, k.sent = nil, nil
 	k.pass(2500 * time.Millisecond) // of the lease nobody has given more since
-	k.take(Took{})
+	k.take(PlatformAnswered{})
 	if len(k.sent) != 0 {
 		t.Fatalf("under a lease that is nearly over %v is sent", k.sent)
 	}
@@ -169,15 +169,15 @@
 		t.Fatal("no answer")
 		return false
 	}
-	if ask(CallRenew, 1, 3) || ask(CallRenew, 2, 2) || !ask(CallRenew, 1, 2) {
+	if ask(CallRenewLease, 1, 3) || ask(CallRenewLease, 2, 2) || !ask(CallRenewLease, 1, 2) {
 		t.Error("a lease is for who was agreed, at its place")
 	}
 	k.now += 2 * sec
-	if ask(CallStand, 1, 3) || !ask(CallStand, 1, 2) {
+	if ask(CallCheckCandidacy, 1, 3) || !ask(CallCheckCandidacy, 1, 2) {
 		t.Error("under a lease another may not stand, and its holder may")
 	}
 	k.now += 2 * sec
-	if ask(CallStand, 0, 3) || !ask(CallStand, 1, 3) {
+	if ask(CallCheckCandidacy, 0, 3) || !ask(CallCheckCandidacy, 1, 3) {
 		t.Error("after it whoever knows the newest holder may stand")
 	}
 }
@@ -190,7 +190,7 @@
 		w.Uvarint(k.state.FencingToken)
 		w.Fixed64(2)
 		w.Fixed64(voters)
-		for _, f := range k.Reduce(k.now, k.wall(), &k.state, replica.CallReceived{Kind: CallRenew, Body: w.Buf}) {
+		for _, f := range k.Reduce(k.now, k.wall(), &k.state, replica.CallReceived{Kind: CallRenewLease, Body: w.Buf}) {
 			if r, ok := f.(replica.SendReply); ok && r.Err == nil {
 				return len(r.Body) == 1 && r.Body[0] == 1
 			}
@@ -218,7 +218,7 @@
 		t.Error("granted to who knows of other members")
 	}
 	changing := false
-	k.Unsure = func() bool { return changing }
+	k.MembershipPending = func() bool { return changing }
 	if changing = true; ask(k, voters(k.state.Members)) {
 		t.Error("granted with other members accepted")
 	}
@@ -232,16 +232,16 @@
 func TestWhoSaysHowManyThereAre(t *testing.T) {
 	for _, fresh := range []bool{true, false} {
 		k := newKeeper()
-		k.Node.Fresh, k.Node.grants.Fresh = fresh, fresh
+		k.Controller.NeverGranted, k.Controller.grants.NeverGranted = fresh, fresh
 		said := func() uint64 {
-			p := Report{Source: 9}
-			for _, f := range k.Reduce(k.now, k.wall(), &k.state, replica.CallReceived{Kind: CallReport, Body: p.Encode()}) {
+			p := Report{Incarnation: 9}
+			for _, f := range k.Reduce(k.now, k.wall(), &k.state, replica.CallReceived{Kind: CallUsageReport, Body: p.Encode()}) {
 				if r, ok := f.(replica.SendReply); ok {
-					word, err := DecodeWord(r.Body)
+					word, err := DecodeAck(r.Body)
 					if err != nil {
 						t.Fatal(err)
 					}
-					return word.Lives
+					return word.Routers
 				}
 			}
 			return 99
@@ -259,7 +259,7 @@
 				since = k.now
 			}
 			want := uint64(0)
-			if since > 0 && (fresh || k.now-k.fenceAt >= k.Lately) {
+			if since > 0 && (fresh || k.now-k.fenceAt >= k.RouterWindow) {
 				want = 1
 			}
 			if n := said(); n != want {
--- a/internal/control/singleton/scale.go
+++ b/internal/control/singleton/scale.go
@@ -35,11 +35,11 @@
 	total int
 }
 
-// Want takes what there is and returns the wanted numbers by zone, or nil as long as too little is known: before there is
+// Targets takes what there is and returns the wanted numbers by zone, or nil as long as too little is known: before there is
 // traffic nobody can say what it needs. In its first moments it may only want more than there is, since engines that are not
 // known yet are no reason to have fewer. zones lists the zones in which the service runs, in their order; have is how many
 // engines are ready in each.
-func (s *Scaler) Want(now time.Duration, d Demand, b Bounds, zones []string, have map[string]int) map[string]int {
+func (s *Scaler) Targets(now time.Duration, d Demand, b Bounds, zones []string, have map[string]int) map[string]int {
 	if s.seen == 0 {
 		if d.Arrived <= 0 && d.Running <= 0 {
 			return nil
--- a/internal/control/singleton/scale_bench_test.go
+++ b/internal/control/singleton/scale_bench_test.go
@@ -13,9 +13,9 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	z := rand.NewZipf(rnd, 1.01, 1, 13999)
 	for i := range routers {
-		p := &Report{Source: uint64(i + 1), Zone: "zone-00", Loads: make([]Load, 5)}
+		p := &Report{Incarnation: uint64(i + 1), Zone: "zone-00", Loads: make([]Load, 5)}
 		for range 150 {
-			p.Tally.Add(7, fmt.Sprintf("tenant-%05d", z.Uint64()), 1)
+			p.Counters.Add(7, fmt.Sprintf("tenant-%05d", z.Uint64()), 1)
 		}
 		for j := range p.Loads {
 			p.Loads[j].Service = fmt.Sprint("model-", j)
@@ -35,7 +35,7 @@
 			texts = append(texts, p.Encode())
 		}
 		b.Run(fmt.Sprintf("report/%d", routers), func(b *testing.B) {
-			book, i := &Book{}, 0
+			book, i := &Table{}, 0
 			before := heap()
 			for b.Loop() {
 				p, err := DecodeReport(texts[i%routers])
@@ -53,7 +53,7 @@
 			b.ReportMetric(float64(len(texts[0])), "report-bytes")
 			runtime.KeepAlive(book)
 		})
-		book := &Book{}
+		book := &Table{}
 		for _, p := range reports {
 			book.Take(time.Second, p, true)
 		}
@@ -67,7 +67,7 @@
 		b.Run(fmt.Sprintf("sum/%d", routers), func(b *testing.B) {
 			n := 0
 			for b.Loop() {
-				n = len(Counts(book.Sum(7)))
+				n = len(SortedCounts(book.Sum(7)))
 			}
 			b.ReportMetric(float64(n), "tenants")
 		})
--- a/internal/lab/check/cuts.go
+++ b/internal/lab/check/cuts.go
@@ -46,7 +46,7 @@
 	up     bool
 	life   int
 	core   *replica.Replica
-	duty   *singleton.Node
+	duty   *singleton.Controller
 	state  replog.State // as the disk has it
 	vote   paxos.AcceptorState
 	places map[uint64][]byte
@@ -223,7 +223,7 @@
 	if !h.up {
 		return
 	}
-	if c, ok := e.(replica.CallReceived); ok && singleton.Owns(c.Kind) {
+	if c, ok := e.(replica.CallReceived); ok && singleton.OwnsCall(c.Kind) {
 		h.owe(e)
 		return
 	}
@@ -305,7 +305,7 @@
 
 // call carries a call there, and its answer back.
 func (s *site) call(from *host, c replica.SendCall, then func(body []byte, err error)) {
-	if s.broken == "a lease among members that nobody names" && c.Kind == singleton.CallRenew {
+	if s.broken == "a lease among members that nobody names" && c.Kind == singleton.CallRenewLease {
 		c.Body = c.Body[:len(c.Body)-8] // as an earlier program asks
 	}
 	over := false
@@ -348,19 +348,19 @@
 func (h *host) startDuties(others []netip.AddrPort) {
 	s, life := h.s, h.life
 	c := singleton.Config{
-		Self: h.member(), Lease: lease, Window: 5 * time.Second, Delay: 10 * time.Second, Lately: limits.NodeLately, Orders: true, Life: s.ids,
-		Rank: time.Duration(h.id) * 100 * time.Millisecond, Others: func() []netip.AddrPort { return others },
+		Self: h.member(), LeaseDuration: lease, UsageWindow: 5 * time.Second, UsageDelay: 10 * time.Second, RouterWindow: limits.NodeLately, ScalesEngines: true, Incarnation: s.ids,
+		CandidacyDelay: time.Duration(h.id) * 100 * time.Millisecond, Peers: func() []netip.AddrPort { return others },
 		Services: func() []singleton.Service {
 			n := 1 + int(s.now/time.Second)%9
 			return []singleton.Service{{Name: "s", Bounds: singleton.Bounds{Min: n, Max: n}, Ready: map[string]int{"z": 1}, Slots: 4}}
 		},
 	}
 	if s.broken != "a lease among members that may be others by now" {
-		c.Unsure = h.core.MembershipPending
+		c.MembershipPending = h.core.MembershipPending
 	}
 	h.duty = singleton.New(s.now, c)
 	h.anew = func() {
-		c.Fresh = true
+		c.NeverGranted = true
 		h.duty = singleton.New(s.now, c)
 	}
 	h.votes = h.state.Member(h.id) != nil
@@ -369,8 +369,8 @@
 		if h.life != life {
 			return
 		}
-		report := singleton.Report{Source: 1, Loads: []singleton.Load{{Service: "s", Running: 400, Arrived: uint64(s.now / time.Millisecond)}}}
-		h.owe(replica.CallReceived{Kind: singleton.CallReport, Body: report.Encode(), Of: func([]byte, error) {}})
+		report := singleton.Report{Incarnation: 1, Loads: []singleton.Load{{Service: "s", Running: 400, Arrived: uint64(s.now / time.Millisecond)}}}
+		h.owe(replica.CallReceived{Kind: singleton.CallUsageReport, Body: report.Encode(), Of: func([]byte, error) {}})
 		h.owe(replica.Tick{})
 		s.in(limits.NodeDuty, tick)
 	}
@@ -400,16 +400,16 @@
 		case replica.SendReply:
 			f.Of.(func([]byte, error))(f.Body, f.Err)
 		case singleton.Propose:
-			h.take(replica.Propose{Next: f.Want, Until: s.now + f.Within, Of: func(err error) {
+			h.take(replica.Propose{Next: f.Next, Until: s.now + f.Timeout, Of: func(err error) {
 				if h.life == life {
-					h.owe(singleton.Proposed{Err: err})
+					h.owe(singleton.ProposalDone{Err: err})
 				}
 			}})
-		case singleton.Order: // the platform can always be reached, and takes every call
-			s.in(time.Millisecond, func() { s.act(h, f.Fence) })
+		case singleton.ScaleEngines: // the platform can always be reached, and takes every call
+			s.in(time.Millisecond, func() { s.act(h, f.FencingToken) })
 			s.in(2*time.Millisecond, func() {
 				if h.life == life {
-					h.owe(singleton.Took{})
+					h.owe(singleton.PlatformAnswered{})
 				}
 			})
 		}
--- a/internal/lab/plane/cost.go
+++ b/internal/lab/plane/cost.go
@@ -32,9 +32,9 @@
 // meter counts while it is on.
 type meter struct {
 	on    bool
-	books [2]metrics.Book // of routers, of keepers
-	calls int             // of engines, at keepers
-	taken int             // bytes, at keepers
+	books [2]metrics.Traffic // of routers, of keepers
+	calls int                // of engines, at keepers
+	taken int                // bytes, at keepers
 }
 
 func (w *world) spend(from, to *machine, cause metrics.Cause, bytes int) {
@@ -52,17 +52,17 @@
 }
 
 func (w *world) spendDatagram(from, to *machine, b []byte) {
-	cause := map[gossip.Use]metrics.Cause{gossip.Compares: metrics.Digests, gossip.Shuffles: metrics.Shuffles, gossip.Spreads: metrics.News}
+	cause := map[gossip.Use]metrics.Cause{gossip.Compares: metrics.CauseDigests, gossip.Shuffles: metrics.CauseShuffles, gossip.Spreads: metrics.CauseGossip}
 	w.spend(from, to, cause[gossip.UseOf(b)], len(b)+datagramBytes)
 }
 
 func (w *world) spendCall(from, to *machine, kind uint8, bytes int) {
-	cause := metrics.Ballots
+	cause := metrics.CausePaxos
 	switch kind {
-	case singleton.CallReport, singleton.CallBook:
-		cause = metrics.Reports
-	case singleton.CallRenew, singleton.CallStand:
-		cause = metrics.Leases
+	case singleton.CallUsageReport, singleton.CallUsageTable:
+		cause = metrics.CauseUsage
+	case singleton.CallRenewLease, singleton.CallCheckCandidacy:
+		cause = metrics.CauseLeases
 	}
 	w.spend(from, to, cause, bytes+frameBytes)
 }
--- a/internal/lab/plane/machine.go
+++ b/internal/lab/plane/machine.go
@@ -42,7 +42,7 @@
 	disk   *disk
 	busy   bool
 	queue  []any // events that wait until the process has done with the one before
-	duty   *singleton.Node
+	duty   *singleton.Controller
 	meter  *singleton.Meter
 	frozen bool
 	writes *replica.Write // what is on its way to the disk
@@ -108,7 +108,7 @@
 		m.changed(&s)
 		m.duties(replog.Member{ID: d.id, Name: m.name, Addr: addrOf(m.i).String()}, d.founder, s.NextIndex)
 	} else {
-		m.meter = &singleton.Meter{Length: window, Source: w.rnd.Uint64()}
+		m.meter = &singleton.Meter{WindowLength: window, Incarnation: w.rnd.Uint64()}
 	}
 	m.take(gossip.Seeds{Addrs: w.seedsFor(m)})
 }
@@ -161,7 +161,7 @@
 		e := m.queue[0]
 		m.queue = m.queue[1:]
 		now, wall := m.w.now, m.wall().UnixMilli()
-		if c, ok := e.(replica.CallReceived); ok && singleton.Owns(c.Kind) {
+		if c, ok := e.(replica.CallReceived); ok && singleton.OwnsCall(c.Kind) {
 			e = toDuty{c}
 		}
 		switch e := e.(type) {
--- a/internal/lab/plane/platform.go
+++ b/internal/lab/plane/platform.go
@@ -59,7 +59,7 @@
 	lost := w.cuts[[2]int{m.i, outside}] > 0 || w.cuts[[2]int{outside, m.i}] > 0 || w.rnd.IntN(50) == 0
 	back := func(err error) {
 		if m.life == life {
-			m.take(toDuty{singleton.Took{Err: err}})
+			m.take(toDuty{singleton.PlatformAnswered{Err: err}})
 		}
 	}
 	if w.cuts[[2]int{m.i, outside}] <= 0 {
@@ -115,8 +115,8 @@
 func (m *machine) duties(self replog.Member, fresh bool, next uint64) {
 	w := m.w
 	c := singleton.Config{
-		Self: self, Fresh: fresh && next == 0, Lease: lease, Window: window, Delay: delay, Lately: limits.NodeLately, Reports: true, Orders: true,
-		Life: w.rnd.Uint64(), Rank: time.Duration(self.ID%1000) * time.Millisecond, Others: m.others, Services: m.services, Unsure: m.core.MembershipPending,
+		Self: self, NeverGranted: fresh && next == 0, LeaseDuration: lease, UsageWindow: window, UsageDelay: delay, RouterWindow: limits.NodeLately, ReportsUsage: true, ScalesEngines: true,
+		Incarnation: w.rnd.Uint64(), CandidacyDelay: time.Duration(self.ID%1000) * time.Millisecond, Peers: m.others, Services: m.services, MembershipPending: m.core.MembershipPending,
 	}
 	m.duty = singleton.New(w.now, c)
 	life := m.life
@@ -165,16 +165,16 @@
 			w.back(m, f)
 		case singleton.Propose:
 			life := m.life
-			m.queue = append(m.queue, replica.Propose{Next: f.Want, Until: w.now + f.Within, Of: func(err error) {
+			m.queue = append(m.queue, replica.Propose{Next: f.Next, Until: w.now + f.Timeout, Of: func(err error) {
 				if m.life == life {
-					m.take(toDuty{singleton.Proposed{Err: err}})
+					m.take(toDuty{singleton.ProposalDone{Err: err}})
 				}
 			}})
-		case singleton.Usage:
-			w.toPlatform(m, f.Within, "usage", f.Fence, f.Window, fmt.Sprint(f.Counts))
-		case singleton.Order:
+		case singleton.ReportUsage:
+			w.toPlatform(m, f.Timeout, "usage", f.FencingToken, f.Window, fmt.Sprint(f.Counts))
+		case singleton.ScaleEngines:
 			w.report.Orders++
-			w.toPlatform(m, f.Within, f.Service+"/"+f.Zone, f.Fence, 0, "")
+			w.toPlatform(m, f.Timeout, f.Service+"/"+f.Zone, f.FencingToken, 0, "")
 		}
 	}
 }
@@ -188,8 +188,8 @@
 		}
 		for range w.rnd.IntN(4) {
 			tenant := fmt.Sprint("t", w.rnd.IntN(3))
-			m.meter.Began(m.wall(), tenant)
-			w.began[singleton.Window(epoch.Add(w.now), window)]++
+			m.meter.CountRequest(m.wall(), tenant)
+			w.began[singleton.WindowAt(epoch.Add(w.now), window)]++
 		}
 		keepers := m.news.Gossip.Keepers()
 		ids := make([]uint64, len(keepers))
@@ -198,13 +198,13 @@
 		}
 		life := m.life
 		for i, p := range m.meter.Reports(m.wall(), []singleton.Load{{Service: "s", Running: uint64(w.rnd.IntN(400)), Arrived: uint64(w.now / time.Second)}}, ids) {
-			w.call(m, replica.SendCall{To: keepers[i].Addr, Kind: singleton.CallReport, Body: p.Encode(), Timeout: limits.NodePass}, func(body []byte, err error) {
+			w.call(m, replica.SendCall{To: keepers[i].Addr, Kind: singleton.CallUsageReport, Body: p.Encode(), Timeout: limits.NodePass}, func(body []byte, err error) {
 				if m.life != life {
 					return
 				}
 				m.take(gossip.Called{ID: keepers[i].ID, OK: err == nil})
-				if word, bad := singleton.DecodeWord(body); err == nil && bad == nil {
-					m.meter.Heard(keepers[i].ID, word, &p)
+				if word, bad := singleton.DecodeAck(body); err == nil && bad == nil {
+					m.meter.HandleAck(keepers[i].ID, word, &p)
 				}
 			})
 		}
@@ -214,7 +214,7 @@
 // owed counts the windows that were due by now, and those of them that the platform has not been told of. The last one was
 // due in calm.
 func (w *world) owed() {
-	last := singleton.Window(epoch.Add(w.now-delay), window) - 1
+	last := singleton.WindowAt(epoch.Add(w.now-delay), window) - 1
 	for number, n := range w.began {
 		if number > last || n == 0 {
 			continue
@@ -223,7 +223,7 @@
 		if _, told := w.platform.usage[number]; !told {
 			w.report.Untold++
 			if number == last {
-				w.breaks("DUTY", "window %d is over for %v, in calm, and not reported", number, w.now-singleton.End(number, window).Sub(epoch))
+				w.breaks("DUTY", "window %d is over for %v, in calm, and not reported", number, w.now-singleton.WindowEnd(number, window).Sub(epoch))
 			}
 		}
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -58,7 +58,7 @@
 	zone  int
 	net   *transport.Net
 	at    map[netip.Addr]place
-	book  metrics.Book
+	book  metrics.Traffic
 	start time.Time
 
 	regions atomic.Uint64 // bytes to other regions
@@ -85,7 +85,7 @@
 	addr := netip.AddrPortFrom(netip.MustParseAddr(ip), uint16(f.inner))
 	r := &router{f: f, zone: at[addr.Addr()].zone, at: at, start: time.Now(), wake: make(chan struct{}, 1), fetch: make(chan gossip.Peer, 1),
 		rnd: rand.New(rand.NewPCG(f.Seed, uint64(i)+1<<32)), windows: map[uint64]map[string]bool{}}
-	r.meter = singleton.Meter{Length: window, Source: r.rnd.Uint64(), Zone: zoneName(r.zone)}
+	r.meter = singleton.Meter{WindowLength: window, Incarnation: r.rnd.Uint64(), Zone: zoneName(r.zone)}
 	var err error
 	if r.net, err = transport.Open(addr, r.handle); err != nil {
 		return nil, err
@@ -107,13 +107,13 @@
 
 // counted keeps the account, as a node does.
 func (r *router) counted(to netip.AddrPort, kind uint8, bytes int, datagram []byte) {
-	cause := metrics.Configs
+	cause := metrics.CauseConfigs
 	switch {
 	case kind == 0:
-		cause = map[gossip.Use]metrics.Cause{gossip.Compares: metrics.Digests, gossip.Shuffles: metrics.Shuffles, gossip.Spreads: metrics.News}[gossip.UseOf(datagram)]
+		cause = map[gossip.Use]metrics.Cause{gossip.Compares: metrics.CauseDigests, gossip.Shuffles: metrics.CauseShuffles, gossip.Spreads: metrics.CauseGossip}[gossip.UseOf(datagram)]
 		bytes += 28 // its headers
-	case singleton.Owns(kind):
-		cause = metrics.Reports
+	case singleton.OwnsCall(kind):
+		cause = metrics.CauseUsage
 	}
 	there := r.at[to.Addr()]
 	r.book.Add(cause, bytes, there.zone != r.zone)
@@ -303,7 +303,7 @@
 		r.count(now)
 	} else { // as few as in the model
 		for range r.rnd.IntN(4) {
-			r.meter.Began(now, fmt.Sprint("t", r.rnd.IntN(3)))
+			r.meter.CountRequest(now, fmt.Sprint("t", r.rnd.IntN(3)))
 		}
 	}
 	loads := make([]singleton.Load, models)
@@ -316,15 +316,15 @@
 		go func() {
 			one, cancel := context.WithTimeout(ctx, limits.NodePass)
 			defer cancel()
-			b, err := r.net.Call(one, k.Addr, singleton.CallReport, all[i].Encode())
+			b, err := r.net.Call(one, k.Addr, singleton.CallUsageReport, all[i].Encode())
 			r.turn(gossip.Called{ID: k.ID, OK: err == nil})
-			word, bad := singleton.DecodeWord(b)
+			word, bad := singleton.DecodeAck(b)
 			if err != nil || bad != nil {
 				return
 			}
 			r.metering.Lock()
 			defer r.metering.Unlock()
-			r.meter.Heard(k.ID, word, &all[i])
+			r.meter.HandleAck(k.ID, word, &all[i])
 		}()
 	}
 }
@@ -333,14 +333,14 @@
 func (r *router) count(now time.Time) {
 	mean := r.f.Rate / float64(r.f.Routers) * limits.NodeReport.Seconds()
 	n := int(max(mean+math.Sqrt(mean)*r.rnd.NormFloat64()+r.rnd.Float64(), 0))
-	number := singleton.Window(now, window)
+	number := singleton.WindowAt(now, window)
 	if r.windows[number] == nil {
 		r.windows[number] = map[string]bool{}
 		delete(r.windows, number-5)
 	}
 	for range n {
 		tenant := tenantName(r.f.tenants.next(r.rnd))
-		r.meter.Began(now, tenant)
+		r.meter.CountRequest(now, tenant)
 		r.windows[number][tenant] = true
 	}
 	r.arrived += uint64(n)
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -345,12 +345,12 @@
 		f.peak = true
 		f.mu.Unlock()
 		pause(ctx, 5*time.Second)
-		first := singleton.Window(time.Now(), window) + 1
+		first := singleton.WindowAt(time.Now(), window) + 1
 		if err := f.part(ctx, r, "peak", f.Calm, func() {}); err != nil {
 			return err
 		}
 		pause(ctx, 3*window) // the last window of the part is due by then
-		r.Windows, r.Owed = f.platform.windows(first, singleton.Window(time.Now().Add(-delay-2*time.Second), window))
+		r.Windows, r.Owed = f.platform.windows(first, singleton.WindowAt(time.Now().Add(-delay-2*time.Second), window))
 		r.Distinct = f.distinct()
 	}
 	if f.Changes > 0 {
@@ -393,7 +393,7 @@
 		rows := map[string]uint64{}
 		for _, x := range r.book.Rows() {
 			rows[x.Cause] = x.Bytes
-			c.zones += x.Between
+			c.zones += x.CrossZone
 		}
 		c.regions += r.regions.Load()
 		c.hollow = append(c.hollow, rows)
@@ -415,7 +415,7 @@
 		c.beats, c.unheard = c.beats+e.acked, c.unheard+e.failed
 		e.mu.Unlock()
 	}
-	c.lab = metrics.Used().Processor
+	c.lab = metrics.ReadProcess().CPUSeconds
 	return c, nil
 }
 
@@ -477,7 +477,7 @@
 
 // distinct is how many tenants had requests in a usage window, a mean over what routers still remember.
 func (f *fleet) distinct() int {
-	now, n, sum := singleton.Window(time.Now(), window), 0, 0
+	now, n, sum := singleton.WindowAt(time.Now(), window), 0, 0
 	for number := now - 3; number < now; number++ {
 		seen := map[string]bool{}
 		for _, r := range f.hollow {
--- a/internal/node/dataplane.go
+++ b/internal/node/dataplane.go
@@ -32,7 +32,7 @@
 	dialect *edge.Dialect
 	list    func(service string) []endpoints.Engine
 	seed    uint64
-	spent   *metrics.Book
+	spent   *metrics.Traffic
 	zone    string        // this machine's
 	repeats share.Repeats // of each service; no Window = there is no such budget
 	part    share.Part    // of the extra that all routers have together, beyond the ratio
@@ -51,7 +51,7 @@
 
 func newData(log *slog.Logger, lim limits.Limits, grace time.Duration, seed uint64, list func(string) []endpoints.Engine) *data {
 	d := &data{
-		spent: &metrics.Book{}, log: log, lim: lim, grace: grace, seed: seed, list: list, next: 1, modules: map[pool.ID]*policy.Balancer{},
+		spent: &metrics.Traffic{}, log: log, lim: lim, grace: grace, seed: seed, list: list, next: 1, modules: map[pool.ID]*policy.Balancer{},
 		classes: map[pool.ID]int{}, poke: make(chan struct{}, 1),
 	}
 	unsaid, _ := lim.Declared(0, 0, 0, 0)
--- a/internal/node/enginedial.go
+++ b/internal/node/enginedial.go
@@ -22,7 +22,7 @@
 	if all := d.zones.Load(); all != nil {
 		zone = cmp.Or((*all)[addr], zone)
 	}
-	return d.spent.Counted(metrics.Engines, c, zone != d.zone), nil
+	return d.spent.Wrap(metrics.CauseEngines, c, zone != d.zone), nil
 }
 
 // unheard has a connection end once what was sent on it has not even been received for so long: a machine that is dark or cut
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -15,7 +15,7 @@
 	if kind == 0 {
 		// The lock of the news is held: datagrams are sent by its turn only.
 		zone, known := n.news.node.Gossip.ZoneOf(to.Addr())
-		cause := map[gossip.Use]metrics.Cause{gossip.Compares: metrics.Digests, gossip.Shuffles: metrics.Shuffles, gossip.Spreads: metrics.News}
+		cause := map[gossip.Use]metrics.Cause{gossip.Compares: metrics.CauseDigests, gossip.Shuffles: metrics.CauseShuffles, gossip.Spreads: metrics.CauseGossip}
 		n.spent.Add(cause[gossip.UseOf(datagram)], bytes+headers, known && zone != hash32(n.cfg.Zone))
 		return
 	}
@@ -32,8 +32,8 @@
 		return
 	}
 	for _, r := range n.spent.Rows() {
-		n.log.Log(ctx, level, "account", "cause", r.Cause, "count", r.Count, "bytes", r.Bytes, "between_zones", r.Between, "connections", r.Conns)
+		n.log.Log(ctx, level, "account", "cause", r.Cause, "count", r.Count, "bytes", r.Bytes, "between_zones", r.CrossZone, "connections", r.Connections)
 	}
-	m := metrics.Used()
-	n.log.Log(ctx, level, "account of the machine", "processor_s", m.Processor, "memory_most_mb", m.MemoryMB, "wake_ups", m.WakeUps)
+	m := metrics.ReadProcess()
+	n.log.Log(ctx, level, "account of the machine", "processor_s", m.CPUSeconds, "memory_most_mb", m.MemoryMB, "wake_ups", m.WakeUps)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,7 +28,7 @@
 	data   *data   // nil where no traffic is carried
 	duties *duties // nil where there is no disk
 	conf   atomic.Pointer[fleetconfig.Config]
-	spent  metrics.Book
+	spent  metrics.Traffic
 	began  time.Time
 
 	holding  sync.Mutex    // one configuration is taken over at a time
--- a/internal/node/peercalls.go
+++ b/internal/node/peercalls.go
@@ -47,7 +47,7 @@
 		defer cancel()
 		return k.handle(ctx, kind, from, body)
 	}
-	if n.duties != nil && singleton.Owns(kind) {
+	if n.duties != nil && singleton.OwnsCall(kind) {
 		return n.duties.handle(kind, from, body)
 	}
 	return nil, fmt.Errorf("call %d is not known here", kind)
@@ -58,13 +58,13 @@
 func causeOf(kind uint8) metrics.Cause {
 	switch kind {
 	case replica.CallPaxos, replica.CallLearn, replica.CallCommit:
-		return metrics.Ballots
+		return metrics.CausePaxos
 	case configcache.CallFetch:
-		return metrics.Configs
-	case singleton.CallReport, singleton.CallBook:
-		return metrics.Reports
-	case singleton.CallRenew, singleton.CallStand:
-		return metrics.Leases
+		return metrics.CauseConfigs
+	case singleton.CallUsageReport, singleton.CallUsageTable:
+		return metrics.CauseUsage
+	case singleton.CallRenewLease, singleton.CallCheckCandidacy:
+		return metrics.CauseLeases
 	}
-	return metrics.States
+	return metrics.CauseSnapshots
 }
--- a/internal/node/singletonhost.go
+++ b/internal/node/singletonhost.go
@@ -24,10 +24,10 @@
 	log   *slog.Logger
 	cloud *cloudapi.Client
 	clock func() time.Duration // steady
-	spent *metrics.Book
+	spent *metrics.Traffic
 
 	mu   sync.Mutex
-	node *singleton.Node
+	node *singleton.Controller
 }
 
 func newDuties(n *Node) *duties {
@@ -35,12 +35,12 @@
 	seconds := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
 	d := &duties{k: n.keeper, log: n.log, cloud: cloudapi.New(n.cfg.Cloud.Address, n.cfg.Node), clock: n.news.clock, spent: &n.spent}
 	d.node = singleton.New(d.clock(), singleton.Config{
-		Self: n.keeper.self, Lease: time.Duration(b.LeaseMS) * time.Millisecond, Window: seconds(b.UsageWindowS), Delay: seconds(b.UsageDelayS),
+		Self: n.keeper.self, LeaseDuration: time.Duration(b.LeaseMS) * time.Millisecond, UsageWindow: seconds(b.UsageWindowS), UsageDelay: seconds(b.UsageDelayS),
 		// A machine whose disk was wiped may have granted a lease before: only at the very first start there was none.
-		Fresh:  n.keeper.founder && n.keeper.at().NextIndex == 0,
-		Lately: share.Counts(seconds(b.RetryWindowS), limits.NodeLately), Rank: time.Duration(id%1000) * time.Millisecond, Life: rand.Uint64(),
-		Reports: n.cfg.Cloud.Has("usage_reporting"), Orders: n.cfg.Cloud.Has("autoscaler"),
-		Others: n.keeper.others, Services: n.scaled, Unsure: n.keeper.unsure,
+		NeverGranted: n.keeper.founder && n.keeper.at().NextIndex == 0,
+		RouterWindow: share.Counts(seconds(b.RetryWindowS), limits.NodeLately), CandidacyDelay: time.Duration(id%1000) * time.Millisecond, Incarnation: rand.Uint64(),
+		ReportsUsage: n.cfg.Cloud.Has("usage_reporting"), ScalesEngines: n.cfg.Cloud.Has("autoscaler"),
+		Peers: n.keeper.others, Services: n.scaled, MembershipPending: n.keeper.unsure,
 	})
 	return d
 }
@@ -93,24 +93,26 @@
 			d.log.Log(context.Background(), f.Level, f.Message, f.Args...)
 		case singleton.Propose:
 			go func() {
-				_, err := within(f.Within, func(ctx context.Context) ([]byte, error) { return nil, d.k.propose(ctx, f.Want) })
-				d.turn(singleton.Proposed{Err: err})
+				_, err := within(f.Timeout, func(ctx context.Context) ([]byte, error) { return nil, d.k.propose(ctx, f.Next) })
+				d.turn(singleton.ProposalDone{Err: err})
 			}()
-		case singleton.Usage:
-			d.platform(began.Add(f.Within), func(ctx context.Context) error { return d.cloud.Usage(ctx, f.Fence, f.Window, f.Counts) })
-		case singleton.Order:
-			d.platform(began.Add(f.Within), func(ctx context.Context) error { return d.cloud.Scale(ctx, f.Fence, f.Service, f.Zone, f.Count) })
+		case singleton.ReportUsage:
+			d.platform(began.Add(f.Timeout), func(ctx context.Context) error { return d.cloud.ReportUsage(ctx, f.FencingToken, f.Window, f.Counts) })
+		case singleton.ScaleEngines:
+			d.platform(began.Add(f.Timeout), func(ctx context.Context) error {
+				return d.cloud.ScaleEngines(ctx, f.FencingToken, f.Service, f.Zone, f.Engines)
+			})
 		}
 	}
 }
 
 // platform makes a call to the platform, until a time.
 func (d *duties) platform(until time.Time, do func(context.Context) error) {
-	d.spent.Add(metrics.Platform, 0, false)
+	d.spent.Add(metrics.CausePlatform, 0, false)
 	go func() {
 		ctx, cancel := context.WithDeadline(context.Background(), until)
 		defer cancel()
-		d.turn(singleton.Took{Err: do(ctx)})
+		d.turn(singleton.PlatformAnswered{Err: do(ctx)})
 	}()
 }
 
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -81,7 +81,7 @@
 		n.news.engines, n.news.forgets = n.data.engines, n.data.forgets
 		n.data.forgot = func() { n.news.turn(discovery.Forgot{}) }
 		go n.data.run(ctx)
-		c := &counter{meter: singleton.Meter{Length: time.Duration(n.cfg.Bounds.UsageWindowS * float64(time.Second)), Source: rand.Uint64(), Zone: n.cfg.Zone}}
+		c := &counter{meter: singleton.Meter{WindowLength: time.Duration(n.cfg.Bounds.UsageWindowS * float64(time.Second)), Incarnation: rand.Uint64(), Zone: n.cfg.Zone}}
 		n.data.dialect.Began = c.began
 		if n.cfg.Cloud.Address != "" {
 			go n.reports(ctx, c)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -33,13 +33,13 @@
 		Fence    uint64 `json:"fence"`
 
 		Account []metrics.Row   `json:"account"` // what the process has sent and taken, by cause
-		Machine metrics.Machine `json:"machine"`
+		Machine metrics.Process `json:"machine"`
 	}
 	s := status{Node: n.cfg.Node, Zone: n.cfg.Zone, Ready: n.unready(), Place: n.place.Load(), Wanted: n.wanted.Load()}
 	if s.Ready == "" {
 		s.Ready = "yes"
 	}
-	s.Account, s.Machine = n.spent.Rows(), metrics.Used()
+	s.Account, s.Machine = n.spent.Rows(), metrics.ReadProcess()
 	if n.data != nil {
 		if at := n.data.at.Load(); at != nil {
 			s.Revision = at.Revision
--- a/internal/node/usagereport.go
+++ b/internal/node/usagereport.go
@@ -21,7 +21,7 @@
 func (c *counter) began(tenant string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.meter.Began(time.Now(), tenant)
+	c.meter.CountRequest(time.Now(), tenant)
 }
 
 // reports tells keepers what this router has counted, and how much it has at engines, until the context is over.
@@ -65,16 +65,16 @@
 		go func() {
 			one, cancel := context.WithTimeout(context.Background(), limits.NodePass)
 			defer cancel()
-			b, err := n.net.Call(one, k.Addr, singleton.CallReport, all[i].Encode())
+			b, err := n.net.Call(one, k.Addr, singleton.CallUsageReport, all[i].Encode())
 			n.news.turn(gossip.Called{ID: k.ID, OK: err == nil})
-			word, bad := singleton.DecodeWord(b)
+			word, bad := singleton.DecodeAck(b)
 			if err != nil || bad != nil {
 				return
 			}
-			n.data.parts(asked, int(word.Lives))
+			n.data.parts(asked, int(word.Routers))
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.meter.Heard(k.ID, word, &all[i])
+			c.meter.HandleAck(k.ID, word, &all[i])
 		}()
 	}
 }
