--- /dev/null
+++ b/internal/admission/gate_test.go
@@ -0,0 +1,114 @@
+package admission
+
+import (
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+const tick = 10 * time.Millisecond
+
+// backend serves a number of requests a second and rejects the others.
+type backend struct {
+	perSecond float64
+	available float64
+}
+
+// play sends requests at a rate a second for each priority, and returns the share of each that was served in the second half.
+func play(g *Gate, b *backend, rates map[int]float64, from, length time.Duration) map[int]float64 {
+	due, arrived, served := map[int]float64{}, map[int]int{}, map[int]int{}
+	for now := from; now < from+length; now += tick {
+		b.available = min(b.available+b.perSecond*tick.Seconds(), b.perSecond/10+1)
+		for _, priority := range []int{0, 1, 5, 9} { // the order within a tick favours none for long
+			for due[priority] += rates[priority] * tick.Seconds(); due[priority] >= 1; due[priority]-- {
+				late := now >= from+length/2
+				if late {
+					arrived[priority]++
+				}
+				if !g.Admit(now, priority) {
+					continue
+				}
+				if b.available < 1 {
+					g.RequestRejected(now)
+					continue
+				}
+				b.available--
+				g.RequestServed(now)
+				if late {
+					served[priority]++
+				}
+			}
+		}
+	}
+	shares := map[int]float64{}
+	for r, n := range arrived {
+		shares[r] = float64(served[r]) / float64(n)
+	}
+	return shares
+}
+
+func TestLowestPrioritiesAreShedFirst(t *testing.T) {
+	g := &Gate{}
+	e := &backend{perSecond: 100}
+	rates := map[int]float64{0: 30, 1: 30, 5: 30, 9: 60}
+	got := play(g, e, rates, 0, 20*time.Second)
+	if got[0] < 0.95 || got[1] < 0.95 || got[5] < 0.8 || got[9] > 0.5 {
+		t.Errorf("150 a second at engines for 100: %v", got)
+	}
+	// With enough capacity everything is served again, after some time.
+	e.perSecond = 400
+	got = play(g, e, rates, 20*time.Second, 100*time.Second)
+	for r, s := range got {
+		if s < 1 {
+			t.Errorf("enough for all, and priority %d gets %v", r, s)
+		}
+	}
+}
+
+func TestNothingIsShedWithoutOverload(t *testing.T) {
+	for name, c := range map[string]struct {
+		per   float64
+		rates map[int]float64
+		want  uint64 // rejected by the gate
+	}{
+		"enough for all":     {1000, map[int]float64{0: 50, 9: 50}, 0},
+		"one priority alone": {10, map[int]float64{5: 100}, 0},
+		"no engine at all":   {0, map[int]float64{0: 50, 9: 50}, 0}, // an outage says nothing of what can be served
+	} {
+		g := &Gate{}
+		play(g, &backend{perSecond: c.per}, c.rates, 0, 10*time.Second)
+		if g.Rejected != c.want {
+			t.Errorf("%s: %d were rejected", name, g.Rejected)
+		}
+	}
+}
+
+func TestTenantPriorityGoesBeforeRoutePriority(t *testing.T) {
+	for _, c := range [][4]int{{0, 9, 1, 0}, {1, 0, 1, 1}, {0, 1023, 1, 0}, {-5, 3, 0, 4}} {
+		if Priority(c[0], c[1]) >= Priority(c[2], c[3]) {
+			t.Errorf("tenant %d, route %d is not higher than %d, %d", c[0], c[1], c[2], c[3])
+		}
+	}
+}
+
+func TestHighestPriorityIsNeverShed(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		g := &Gate{}
+		now := time.Duration(0)
+		for range 300 {
+			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
+			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			case 0:
+				g.RequestRejected(now)
+			case 1:
+				g.RequestServed(now)
+			default:
+				priority := rapid.IntRange(0, 5).Draw(t, "priority")
+				if !g.Admit(now, priority) && priority == 0 {
+					t.Fatal("the highest priority was rejected")
+				}
+			}
+		}
+	})
+}
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"notchhinge/internal/deadline"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/pool"
 	"notchhinge/internal/share"
+	"notchhinge/internal/timerqueue"
 	"notchhinge/internal/trace"
 	"notchhinge/policy"
 )
@@ -21,7 +21,7 @@
 	now     time.Duration
 	effects []Effect
 	later   []func() // outcomes that a module is told once it has returned from the present call
-	due     *deadline.Queue[due]
+	due     *timerqueue.Queue[due]
 	lastID  policy.RequestID
 	auths   map[policy.RequestID]*auth
 	byParty map[Acquirer]*auth
@@ -42,7 +42,7 @@
 	from     Acquirer
 	name     string
 	deadline time.Duration
-	key      deadline.Key
+	key      timerqueue.Key
 	attempts int // legs that it may have
 	legs     []*leg
 	bound    *leg
@@ -58,7 +58,7 @@
 	id    LegID
 	host  policy.ReplicaID
 	at    time.Duration
-	key   deadline.Key
+	key   timerqueue.Key
 	ended bool // its one outcome was told
 	stale bool // its line was at fault
 	// arrived: it was answered, though by another host than was meant
@@ -78,7 +78,7 @@
 // New returns a broker that has no pool yet.
 func New(lim limits.Limits) *Broker {
 	return &Broker{
-		lim: lim, due: deadline.New[due](), pools: map[pool.ID]*instance{}, places: share.New(int64(lim.Open)),
+		lim: lim, due: timerqueue.New[due](), pools: map[pool.ID]*instance{}, places: share.New(int64(lim.Open)),
 		auths: map[policy.RequestID]*auth{}, byParty: map[Acquirer]*auth{}, names: map[name]bool{},
 		counts: Counters{Outcomes: map[policy.Result]int{}},
 	}
@@ -94,7 +94,7 @@
 func (k keeper) Keep(t *trace.Try)     { k.b.do(Keep{t}) }
 
 // Next tells when the broker wants a Tick.
-func (b *Broker) Next() (at time.Duration, ok bool) { return b.due.Next() }
+func (b *Broker) Next() (at time.Duration, ok bool) { return b.due.NextDue() }
 
 // Open tells how many authorisations wait for the end of their answer.
 func (b *Broker) Open() int { return len(b.byParty) }
@@ -105,7 +105,7 @@
 	b.now = max(b.now, now) // the module's clock never goes back
 	clear(b.effects)
 	b.effects = b.effects[:0]
-	for d, ok := b.due.Due(b.now); ok; d, ok = b.due.Due(b.now) {
+	for d, ok := b.due.PopDue(b.now); ok; d, ok = b.due.PopDue(b.now) {
 		b.fire(d)
 		b.settle()
 	}
--- a/internal/control/replica/core.go
+++ b/internal/control/replica/core.go
@@ -16,8 +16,8 @@
 	"notchhinge/internal/control/api"
 	"notchhinge/internal/control/paxos"
 	"notchhinge/internal/control/replog"
-	"notchhinge/internal/deadline"
 	"notchhinge/internal/limits"
+	"notchhinge/internal/timerqueue"
 )
 
 // Event is something that happened.
@@ -162,7 +162,7 @@
 	round   uint64 // the highest seen
 	rnd     *rand.Rand
 	now     time.Duration
-	timers  *deadline.Queue[func()]
+	timers  *timerqueue.Queue[func()]
 	calls   map[uint64]func(body []byte, err error)
 	writes  map[uint64]func(ok bool)
 	id      uint64
@@ -181,7 +181,7 @@
 // New returns a keeper's part with what its disk has.
 func New(c Config) *Replica {
 	n := &Replica{
-		Config: c, state: c.State, rnd: rand.New(rand.NewPCG(c.Seed, c.Incarnation)), timers: deadline.New[func()](), round: c.Acceptor.Promised.Term,
+		Config: c, state: c.State, rnd: rand.New(rand.NewPCG(c.Seed, c.Incarnation)), timers: timerqueue.New[func()](), round: c.Acceptor.Promised.Term,
 		calls: map[uint64]func([]byte, error){}, writes: map[uint64]func(bool){},
 	}
 	n.log.n = n
@@ -199,7 +199,7 @@
 func (n *Replica) AcceptorState() paxos.AcceptorState { return n.acc.State }
 
 // NextTimer tells when the node wants a Tick.
-func (n *Replica) NextTimer() (at time.Duration, ok bool) { return n.timers.Next() }
+func (n *Replica) NextTimer() (at time.Duration, ok bool) { return n.timers.NextDue() }
 
 // Reduce takes an event in. The effects are valid until the next call.
 func (n *Replica) Reduce(now time.Duration, e Event) []Effect {
@@ -232,7 +232,7 @@
 	case Propose:
 		n.propose(e.Next, e.Until, func(err error) { n.do(Proposed{e.Of, err}) })
 	}
-	for f, ok := n.timers.Due(n.now); ok; f, ok = n.timers.Due(n.now) {
+	for f, ok := n.timers.PopDue(n.now); ok; f, ok = n.timers.PopDue(n.now) {
 		f()
 	}
 	return n.out
--- a/internal/control/replica/members_test.go
+++ b/internal/control/replica/members_test.go
@@ -12,14 +12,14 @@
 	"notchhinge/internal/control/api"
 	"notchhinge/internal/control/paxos"
 	"notchhinge/internal/control/replog"
-	"notchhinge/internal/deadline"
+	"notchhinge/internal/timerqueue"
 )
 
 // cell is keepers on one clock: calls take a millisecond, writes are durable at once.
 type cell struct {
 	t      *testing.T
 	now    time.Duration
-	due    *deadline.Queue[func()]
+	due    *timerqueue.Queue[func()]
 	nodes  map[netip.AddrPort]*Replica
 	disks  map[netip.AddrPort]map[uint64][]byte
 	last   byte
@@ -29,7 +29,7 @@
 }
 
 func newCell(t *testing.T, keepers, least int) *cell {
-	c := &cell{t: t, now: time.Second, due: deadline.New[func()](), nodes: map[netip.AddrPort]*Replica{}, disks: map[netip.AddrPort]map[uint64][]byte{},
+	c := &cell{t: t, now: time.Second, due: timerqueue.New[func()](), nodes: map[netip.AddrPort]*Replica{}, disks: map[netip.AddrPort]map[uint64][]byte{},
 		left: map[string]time.Duration{}}
 	for range keepers {
 		c.start(least, true)
@@ -79,9 +79,9 @@
 
 func (c *cell) run(d time.Duration) {
 	end := c.now + d
-	for at, ok := c.due.Next(); ok && at <= end; at, ok = c.due.Next() {
+	for at, ok := c.due.NextDue(); ok && at <= end; at, ok = c.due.NextDue() {
 		c.now = at
-		f, _ := c.due.Due(at)
+		f, _ := c.due.PopDue(at)
 		f()
 	}
 	c.now = end
--- a/internal/control/replica/propose.go
+++ b/internal/control/replica/propose.go
@@ -8,15 +8,15 @@
 
 	"notchhinge/internal/control/paxos"
 	"notchhinge/internal/control/replog"
-	"notchhinge/internal/deadline"
 	"notchhinge/internal/limits"
+	"notchhinge/internal/timerqueue"
 )
 
 // proposal is something that is wanted chosen. One at a time is proposed here.
 type proposal struct {
 	want func(*replog.State) []byte
 	done func(error)
-	key  deadline.Key
+	key  timerqueue.Key
 	try  int
 	over bool
 	last *attempt
@@ -215,7 +215,7 @@
 type read struct {
 	quiet bool // nothing is proposed for its sake
 	until time.Duration
-	key   deadline.Key
+	key   timerqueue.Key
 	over  bool
 	done  func(error)
 }
@@ -276,7 +276,7 @@
 // settleRound makes sure of it once.
 func (n *Replica) settleRound(until time.Duration, done func(error)) {
 	ended := false
-	var key deadline.Key
+	var key timerqueue.Key
 	then := func(err error) {
 		if !ended {
 			ended = true
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -17,11 +17,11 @@
 	"github.com/cespare/xxhash/v2"
 
 	"notchhinge/internal/acquirer"
+	"notchhinge/internal/admission"
 	"notchhinge/internal/broker"
 	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/pool"
-	"notchhinge/internal/rank"
 	"notchhinge/internal/route"
 	"notchhinge/internal/service"
 	"notchhinge/internal/trace"
@@ -74,10 +74,10 @@
 	gate *gate
 }
 
-// gate is a service's rank.Gate, for all connections.
+// gate is a service's admission.Gate, shared by all connections.
 type gate struct {
 	mu sync.Mutex
-	g  rank.Gate
+	g  admission.Gate
 }
 
 func (g *gate) admit(now time.Duration, of int) bool {
@@ -86,7 +86,7 @@
 	return g.g.Admit(now, of)
 }
 
-func (g *gate) note(f func(*rank.Gate)) {
+func (g *gate) note(f func(*admission.Gate)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f(&g.g)
@@ -307,7 +307,7 @@
 	if r.tenant != nil {
 		of = r.tenant.Priority
 	}
-	if !r.to.gate.admit(d.Clock(), rank.Of(of, r.route.Priority)) {
+	if !r.to.gate.admit(d.Clock(), admission.Priority(of, r.route.Priority)) {
 		return acquirer.Message{}, &acquirer.Refusal{
 			Status: http.StatusServiceUnavailable, Reason: "yields: not all can be served, and others come first", Retry: time.Second,
 		}
@@ -394,7 +394,7 @@
 		return acquirer.Reply{Head: []byte("HTTP/1.1 200 OK\r\n"), Length: -1}
 	}
 	if r, ok := m.Of.(*request); ok {
-		r.to.gate.note(func(g *rank.Gate) { g.Served(d.Clock()) })
+		r.to.gate.note(func(g *admission.Gate) { g.RequestServed(d.Clock()) })
 		if d.Began != nil && r.tenant != nil {
 			d.Began(r.tenant.Name)
 		}
@@ -448,7 +448,7 @@
 	*acquirer.Refusal, *acquirer.Kept) {
 	const least = 200 * time.Millisecond
 	if r, ok := m.Of.(*request); ok && !mayHaveRun {
-		r.to.gate.note(func(g *rank.Gate) { g.Turned(d.Clock()) })
+		r.to.gate.note(func(g *admission.Gate) { g.RequestRejected(d.Clock()) })
 	}
 	switch {
 	case !mayHaveRun:
--- a/internal/lab/check/cuts.go
+++ b/internal/lab/check/cuts.go
@@ -13,8 +13,8 @@
 	replica "notchhinge/internal/control/replica"
 	"notchhinge/internal/control/replog"
 	"notchhinge/internal/control/singleton"
-	"notchhinge/internal/deadline"
 	"notchhinge/internal/limits"
+	"notchhinge/internal/timerqueue"
 )
 
 // site is keepers as the program has them (core.Node, and duty.Node where duties are owed) in simulated time, with links that
@@ -23,7 +23,7 @@
 type site struct {
 	draw   func(n int) int
 	now    time.Duration
-	due    *deadline.Queue[func()]
+	due    *timerqueue.Queue[func()]
 	hosts  []*host
 	blind  map[[2]int]bool // who does not hear whom: from, to
 	broken string          // a rule that is broken on purpose; "" = none
@@ -63,7 +63,7 @@
 
 // newSite starts so many keepers that have founded a core, and further ones that may be taken in.
 func newSite(draw func(n int) int, n, further int, broken string) *site {
-	s := &site{draw: draw, due: deadline.New[func()](), blind: map[[2]int]bool{}, broken: broken, ids: 1, now: time.Hour, holder: map[uint64]int{}}
+	s := &site{draw: draw, due: timerqueue.New[func()](), blind: map[[2]int]bool{}, broken: broken, ids: 1, now: time.Hour, holder: map[uint64]int{}}
 	s.closed, s.duties = further > 0, further > 0
 	var all []replog.Member
 	for i := range n + further {
@@ -84,9 +84,9 @@
 // run plays for a time, or until a rule is broken.
 func (s *site) run(d time.Duration) {
 	until := s.now + d
-	for at, ok := s.due.Next(); ok && at <= until && s.found == ""; at, ok = s.due.Next() {
+	for at, ok := s.due.NextDue(); ok && at <= until && s.found == ""; at, ok = s.due.NextDue() {
 		s.now = at
-		do, _ := s.due.Due(at)
+		do, _ := s.due.PopDue(at)
 		do()
 	}
 	s.now = until
--- a/internal/lab/check/snapshots.go
+++ b/internal/lab/check/snapshots.go
@@ -22,8 +22,8 @@
 	keeper "notchhinge/internal/control/replica"
 	"notchhinge/internal/control/replog"
 	"notchhinge/internal/control/storage"
-	"notchhinge/internal/deadline"
 	"notchhinge/internal/limits"
+	"notchhinge/internal/timerqueue"
 )
 
 // storm is keepers, each the program's own core.Node with its own store on a disk of ours, while one operator changes the
@@ -34,7 +34,7 @@
 	stormOf
 	rnd     *rand.Rand
 	now     time.Duration
-	due     *deadline.Queue[func()]
+	due     *timerqueue.Queue[func()]
 	keepers []*voter
 	states  map[uint64][sha256.Size]byte // by the next place: what the chain adds up to
 	texts   map[uint64][]byte            // these states, where a rule is broken that wants them
@@ -117,7 +117,7 @@
 }
 
 func newStorm(of stormOf, seed uint64) *storm {
-	w := &storm{stormOf: of, rnd: rand.New(rand.NewPCG(seed, 33)), due: deadline.New[func()](), states: map[uint64][sha256.Size]byte{},
+	w := &storm{stormOf: of, rnd: rand.New(rand.NewPCG(seed, 33)), due: timerqueue.New[func()](), states: map[uint64][sha256.Size]byte{},
 		texts: map[uint64][]byte{}, garble: func(b []byte) []byte { return b }}
 	for i := range of.members + of.spares {
 		w.keepers = append(w.keepers, &voter{w: w, i: i, disk: newDisk()})
@@ -147,13 +147,13 @@
 func (w *storm) until(most time.Duration, so func() bool) (time.Duration, bool) {
 	began := w.now
 	for !so() {
-		at, ok := w.due.Next()
+		at, ok := w.due.NextDue()
 		if !ok || at > began+most || w.wrong != "" {
 			w.now = max(w.now, min(began+most, at))
 			return w.now - began, false
 		}
 		w.now = at
-		do, _ := w.due.Due(at)
+		do, _ := w.due.PopDue(at)
 		do()
 	}
 	return w.now - began, true
--- a/internal/lab/contend/contend.go
+++ b/internal/lab/contend/contend.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"notchhinge/internal/control/paxos"
-	"notchhinge/internal/deadline"
+	"notchhinge/internal/timerqueue"
 )
 
 // Machines are the keepers of a fleet.
@@ -50,7 +50,7 @@
 	m     Machines
 	rnd   *rand.Rand
 	now   time.Duration
-	due   *deadline.Queue[func()]
+	due   *timerqueue.Queue[func()]
 	all   []*keeper
 	wants []Wish
 	out   []Settled
@@ -61,7 +61,7 @@
 
 // Play plays wishes until all are settled, or an hour has passed.
 func Play(m Machines, wants []Wish, seed uint64) []Settled {
-	p := &play{m: m, due: deadline.New[func()](), rnd: rand.New(rand.NewPCG(seed, 5)), wants: wants, out: make([]Settled, len(wants))}
+	p := &play{m: m, due: timerqueue.New[func()](), rnd: rand.New(rand.NewPCG(seed, 5)), wants: wants, out: make([]Settled, len(wants))}
 	for range m.Keepers {
 		k := &keeper{}
 		k.acc = paxos.Acceptor{IsVoter: true, ChosenValue: func(place uint64) ([]byte, bool) {
@@ -80,12 +80,12 @@
 		})
 	}
 	for p.done < len(wants) && p.now < time.Hour {
-		at, ok := p.due.Next()
+		at, ok := p.due.NextDue()
 		if !ok {
 			break
 		}
 		p.now = at
-		do, _ := p.due.Due(at)
+		do, _ := p.due.PopDue(at)
 		do()
 	}
 	return p.out
--- a/internal/lab/plane/machine.go
+++ b/internal/lab/plane/machine.go
@@ -16,7 +16,7 @@
 	"notchhinge/internal/control/replica"
 	"notchhinge/internal/control/replog"
 	"notchhinge/internal/control/singleton"
-	"notchhinge/internal/deadline"
+	"notchhinge/internal/timerqueue"
 )
 
 // disk is what a keeper's disk holds for good.
@@ -391,7 +391,7 @@
 // newWorld makes the machines of a day.
 func newWorld(d *Day, broken string) *world {
 	w := &world{
-		day: d, broken: broken, due: deadline.New[func()](), rnd: rand.New(rand.NewPCG(d.Seed, 77)), cuts: map[[2]int]int{}, silence: 5250 * time.Millisecond, sync: 5 * time.Millisecond,
+		day: d, broken: broken, due: timerqueue.New[func()](), rnd: rand.New(rand.NewPCG(d.Seed, 77)), cuts: map[[2]int]int{}, silence: 5250 * time.Millisecond, sync: 5 * time.Millisecond,
 		loss: 0.01, least: 2*d.Tolerate + 1, sent: map[fleetconfig.Digest]*change{}, upon: map[uint64]*change{}, found: map[string]Found{}, bounds: boundsOf(d.Tolerate),
 		began:    map[uint64]int{},
 		platform: platform{usage: map[uint64]string{}, fences: map[string]uint64{}, holders: map[string]string{}, acts: map[string][]act{}},
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"notchhinge/internal/control/fleetconfig"
-	"notchhinge/internal/deadline"
+	"notchhinge/internal/timerqueue"
 )
 
 // Day is what is played.
@@ -120,7 +120,7 @@
 	broken   string // a rule that is broken on purpose; "" = none
 	rnd      *rand.Rand
 	now      time.Duration
-	due      *deadline.Queue[func()]
+	due      *timerqueue.Queue[func()]
 	machines []*machine
 	cuts     map[[2]int]int // from, to: how many cuts lie there
 	silence  time.Duration
@@ -165,10 +165,10 @@
 
 // run plays until a time.
 func (w *world) run(until time.Duration) {
-	for at, ok := w.due.Next(); ok && at <= until; at, ok = w.due.Next() {
+	for at, ok := w.due.NextDue(); ok && at <= until; at, ok = w.due.NextDue() {
 		w.now = at
 		w.report.Events++
-		do, _ := w.due.Due(at)
+		do, _ := w.due.PopDue(at)
 		do()
 	}
 	w.now = until
