--- a/cmd/notchlab/capacity.go
+++ b/cmd/notchlab/capacity.go
@@ -33,7 +33,8 @@
 	fmt.Fprintln(w, "ROUTERS\tENGINES\tPROCESS\tCAUSE\tBYTES/S")
 	r := report.Result{Name: "capacity", About: "What the control plane of a fleet sends in calm, by the model.", Seed: c.Seed, Simulated: true}
 	sent := report.Chart{File: "sent.svg", Title: "control bytes a second", X: "routers", Y: "bytes a second", Series: []report.Series{
-		{Name: "sent by a router"}, {Name: "sent by a keeper"}, {Name: "taken by a keeper"}}}
+		{Name: "sent by a router"}, {Name: "sent by a keeper"}, {Name: "taken by a keeper"},
+	}}
 	for i, x := range all {
 		row := func(who, cause string, bytes float64) {
 			fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%.0f\n", c.Routers[i], c.Engines[i], who, cause, bytes)
--- a/cmd/notchlab/scale.go
+++ b/cmd/notchlab/scale.go
@@ -31,8 +31,10 @@
 
 // Run plays a control plane of the size on loopback, and holds it against the model's figures for it.
 func (c scaleCmd) Run(ctx context.Context) error {
-	o := scale.Options{Keepers: c.Keepers, Real: c.Real, Routers: c.Routers, Engines: c.Engines, Zones: c.Zones, Tenants: c.Tenants, Routes: c.Routes, Rate: c.Rate,
-		Calm: c.Calm, Changes: c.Changes, Every: c.Every, Seed: c.Seed, Out: os.Stdout}
+	o := scale.Options{
+		Keepers: c.Keepers, Real: c.Real, Routers: c.Routers, Engines: c.Engines, Zones: c.Zones, Tenants: c.Tenants, Routes: c.Routes, Rate: c.Rate,
+		Calm: c.Calm, Changes: c.Changes, Every: c.Every, Seed: c.Seed, Out: os.Stdout,
+	}
 	if err := o.Check(); err != nil {
 		return badFile{err}
 	}
--- a/cmd/notchlab/sim.go
+++ b/cmd/notchlab/sim.go
@@ -130,8 +130,15 @@
 			to *float64
 			of float64
 		}{
-			{&m.InAim, p.InAim}, {&m.Late, p.Late}, {&m.Refused, p.Refused}, {&m.Failed, p.Failed}, {&m.P50, p.P50}, {&m.P99, p.P99}, {&m.Kept, p.Kept},
-			{&m.Busiest, p.Busiest}, {&m.Legs, p.Legs},
+			{&m.InAim, p.InAim},
+			{&m.Late, p.Late},
+			{&m.Refused, p.Refused},
+			{&m.Failed, p.Failed},
+			{&m.P50, p.P50},
+			{&m.P99, p.P99},
+			{&m.Kept, p.Kept},
+			{&m.Busiest, p.Busiest},
+			{&m.Legs, p.Legs},
 		} {
 			*x.to += x.of / n
 		}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -82,9 +82,18 @@
 			call   string
 			status int
 		}{
-			{"GET /healthcheck", 200}, {"POST /healthcheck/fail", 200}, {"POST /healthcheck/fail", 200}, {"GET /healthcheck", 503},
-			{"POST /healthcheck/ok", 200}, {"POST /healthcheck/ok", 200}, {"GET /healthcheck?x=1", 200},
-			{"POST /healthcheck", 405}, {"GET /healthcheck/fail", 405}, {"DELETE /healthcheck/ok", 405}, {"GET /health", 404}, {"GET /", 404},
+			{"GET /healthcheck", 200},
+			{"POST /healthcheck/fail", 200},
+			{"POST /healthcheck/fail", 200},
+			{"GET /healthcheck", 503},
+			{"POST /healthcheck/ok", 200},
+			{"POST /healthcheck/ok", 200},
+			{"GET /healthcheck?x=1", 200},
+			{"POST /healthcheck", 405},
+			{"GET /healthcheck/fail", 405},
+			{"DELETE /healthcheck/ok", 405},
+			{"GET /health", 404},
+			{"GET /", 404},
 		} {
 			if r := call(t, l, c.call+" HTTP/1.1\r\nHost: x\r\n\r\n"); r.StatusCode != c.status {
 				t.Errorf("%s: %d, %d is wanted", c.call, r.StatusCode, c.status)
--- a/internal/batch/desk.go
+++ b/internal/batch/desk.go
@@ -250,8 +250,10 @@
 	now := d.now()
 	p, err := d.lead(w)
 	if err != nil { // the routes or the pool's classes were changed since the batch was made
-		d.record(w.job, w.line, &Outcome{CustomID: w.id, Outcome: failed, Tries: w.tries,
-			Error: &OutcomeError{"no_route", err.Error()}})
+		d.record(w.job, w.line, &Outcome{
+			CustomID: w.id, Outcome: failed, Tries: w.tries,
+			Error: &OutcomeError{"no_route", err.Error()},
+		})
 		return
 	}
 	w.request.ExpiresIn = min(w.class.Deadline, w.until-now)
@@ -293,8 +295,10 @@
 }
 
 func (d *Desk) giveUp(w *try) {
-	d.record(w.job, w.line, &Outcome{CustomID: w.id, Outcome: refused, Tries: w.tries,
-		Error: &OutcomeError{"declined", "declined until the line's deadline"}})
+	d.record(w.job, w.line, &Outcome{
+		CustomID: w.id, Outcome: refused, Tries: w.tries,
+		Error: &OutcomeError{"declined", "declined until the line's deadline"},
+	})
 }
 
 // ended takes the end of an attempt; each has one. The rest of the turn follows from it.
@@ -312,11 +316,15 @@
 	switch how.kind {
 	case endServed:
 		t.window = min(t.window+1/t.window, float64(t.AtOnce))
-		d.record(w.job, w.line, &Outcome{CustomID: w.id, Outcome: served, Tries: w.tries,
-			Response: &Response{StatusCode: 200, RequestID: a.order.CallID, Body: how.body}})
+		d.record(w.job, w.line, &Outcome{
+			CustomID: w.id, Outcome: served, Tries: w.tries,
+			Response: &Response{StatusCode: 200, RequestID: a.order.CallID, Body: how.body},
+		})
 	case endFailed:
-		d.record(w.job, w.line, &Outcome{CustomID: w.id, Outcome: failed, Tries: w.tries,
-			Error: &OutcomeError{how.code, how.reason}})
+		d.record(w.job, w.line, &Outcome{
+			CustomID: w.id, Outcome: failed, Tries: w.tries,
+			Error: &OutcomeError{how.code, how.reason},
+		})
 	case endRefused:
 		t.window = max(t.window/2, 1) // what is declined must not be asked for at the same pace
 		fallthrough
@@ -412,8 +420,10 @@
 	done := j.done // the job lets go of it at its end
 	for n := range done {
 		if !done[n] {
-			d.record(j, n, &Outcome{CustomID: j.customID(n, d.lim.LineBytes), Outcome: failed, Tries: tries[n],
-				Error: &OutcomeError{"cancelled", "the batch was cancelled"}})
+			d.record(j, n, &Outcome{
+				CustomID: j.customID(n, d.lim.LineBytes), Outcome: failed, Tries: tries[n],
+				Error: &OutcomeError{"cancelled", "the batch was cancelled"},
+			})
 		}
 	}
 }
@@ -426,8 +436,10 @@
 		class = t.Classes[0]
 	}
 	if !slices.Contains(t.Classes, class) {
-		return nil, &problem{status: 400, code: "unknown_class", param: "metadata.class",
-			text: fmt.Sprintf("class %q is not in the contract", class)}
+		return nil, &problem{
+			status: 400, code: "unknown_class", param: "metadata.class",
+			text: fmt.Sprintf("class %q is not in the contract", class),
+		}
 	}
 	home := filepath.Join(d.cfg.Spool, t.Team, fileID)
 	var file fileRecord
@@ -436,8 +448,10 @@
 	}
 	if old := t.jobs[fileID]; old != nil {
 		if old.rec.Class != class {
-			return nil, &problem{status: 409, code: "other_batch", param: "metadata.class",
-				text: "this file is a batch already, of class " + old.rec.Class}
+			return nil, &problem{
+				status: 409, code: "other_batch", param: "metadata.class",
+				text: "this file is a batch already, of class " + old.rec.Class,
+			}
 		}
 		return old, nil
 	}
@@ -445,14 +459,18 @@
 		return nil, &problem{status: 503, code: "stopping", text: "the router is stopping"}
 	}
 	if len(t.queue) >= d.lim.TeamJobs {
-		return nil, &problem{status: 429, code: "too_many_batches", text: "too many batches of this team are not at their end",
-			retryAfter: d.lim.DeclineWait}
+		return nil, &problem{
+			status: 429, code: "too_many_batches", text: "too many batches of this team are not at their end",
+			retryAfter: d.lim.DeclineWait,
+		}
 	}
 	now := d.wall()
 	left, free := d.budget(t, now)
 	if file.Tokens > left {
-		p := &problem{status: 429, code: "budget_spent",
-			text: fmt.Sprintf("the file needs %d tokens; %d are left of the budget", file.Tokens, max(left, 0))}
+		p := &problem{
+			status: 429, code: "budget_spent",
+			text: fmt.Sprintf("the file needs %d tokens; %d are left of the budget", file.Tokens, max(left, 0)),
+		}
 		if file.Tokens <= t.BudgetTokens {
 			p.retryAfter = free
 		}
--- a/internal/batch/desk_test.go
+++ b/internal/batch/desk_test.go
@@ -170,8 +170,10 @@
 	if j.done != nil || j.ends != nil || j.input != nil {
 		t.Error("a batch that has ended still holds what it needed at work")
 	}
-	same(t, "result", []string{"1 a served", "2  failed invalid_line", "3 b failed timed_out", "4 c failed invalid_line",
-		"5  failed line_too_long", "6 d refused declined", "7 e served (2 tries)"}, outcomesOf(t, j))
+	same(t, "result", []string{
+		"1 a served", "2  failed invalid_line", "3 b failed timed_out", "4 c failed invalid_line",
+		"5  failed line_too_long", "6 d refused declined", "7 e served (2 tries)",
+	}, outcomesOf(t, j))
 }
 
 func TestDeclinesSlowTheTeamDown(t *testing.T) {
--- a/internal/batch/http_test.go
+++ b/internal/batch/http_test.go
@@ -176,8 +176,10 @@
 		{"no such file", "POST", "/v1/batches", js, create("file-none"), 404, "no_such_file"},
 		{"a path as file", "POST", "/v1/batches", js, create("file-../crews"), 404, "no_such_file"},
 		{"first batch", "POST", "/v1/batches", js, create(file), 200, ""},
-		{"same file as another class", "POST", "/v1/batches", js,
-			strings.Replace(create(file), "}", `,"metadata":{"class":"doc-lookup"}}`, 1), 409, "other_batch"},
+		{
+			"same file as another class", "POST", "/v1/batches", js,
+			strings.Replace(create(file), "}", `,"metadata":{"class":"doc-lookup"}}`, 1), 409, "other_batch",
+		},
 		{"budget spent", "POST", "/v1/batches", js, create(costly), 429, "budget_spent"},
 		{"no such batch", "GET", "/v1/batches/batch_none", "", "", 404, "no_such_batch"},
 		{"cancel no such batch", "POST", "/v1/batches/none/cancel", "", "", 404, "no_such_batch"},
--- a/internal/batch/line.go
+++ b/internal/batch/line.go
@@ -219,7 +219,8 @@
 		Usage   json.RawMessage `json:"usage,omitempty"`
 	}{
 		c.id, "chat.completion", c.created, c.model,
-		[]choice{{0, message{"assistant", c.text.String()}, or(c.finish, "stop")}}, c.usage,
+		[]choice{{0, message{"assistant", c.text.String()}, or(c.finish, "stop")}},
+		c.usage,
 	})
 	return b
 }
--- a/internal/batch/spool.go
+++ b/internal/batch/spool.go
@@ -110,8 +110,10 @@
 		return fileRecord{}, &problem{status: 400, code: "broken_upload", text: "the upload broke off"}
 	}
 	if n > d.lim.FileBytes {
-		return fileRecord{}, &problem{status: 413, code: "file_too_large",
-			text: fmt.Sprintf("a file may hold %d bytes", d.lim.FileBytes)}
+		return fileRecord{}, &problem{
+			status: 413, code: "file_too_large",
+			text: fmt.Sprintf("a file may hold %d bytes", d.lim.FileBytes),
+		}
 	}
 	if _, err := tmp.Seek(0, io.SeekStart); err != nil {
 		return fileRecord{}, err
@@ -124,8 +126,10 @@
 		}
 		l, q, _, err := parseLine(text, &t.Contract)
 		if first := seen[l.CustomID]; first != 0 && l.CustomID != "" {
-			return &problem{status: 400, code: "duplicate_custom_id", param: "file",
-				text: fmt.Sprintf("lines %d and %d have the same custom_id %q", first, at, l.CustomID)}
+			return &problem{
+				status: 400, code: "duplicate_custom_id", param: "file",
+				text: fmt.Sprintf("lines %d and %d have the same custom_id %q", first, at, l.CustomID),
+			}
 		}
 		seen[l.CustomID] = at
 		if err == nil {
--- a/internal/broker/pools_test.go
+++ b/internal/broker/pools_test.go
@@ -18,8 +18,10 @@
 // pools gives a rig two pools more, 1 and 2, and takes the first away.
 func pools(t *testing.T, change func(*limits.Limits)) *rig {
 	r := newRig(t, 0, change)
-	r.Reduce(r.now, PoolSet{Pool: 1, Name: "one", Module: module(t), WarmUp: 10 * sec, ColdFrom: 0.5, Places: share.Claim{Guarantee: 2, Most: 3},
-		RetryAfter: 700 * time.Millisecond})
+	r.Reduce(r.now, PoolSet{
+		Pool: 1, Name: "one", Module: module(t), WarmUp: 10 * sec, ColdFrom: 0.5, Places: share.Claim{Guarantee: 2, Most: 3},
+		RetryAfter: 700 * time.Millisecond,
+	})
 	r.Reduce(r.now, PoolSet{Pool: 2, Name: "two", Module: module(t), WarmUp: 10 * sec, ColdFrom: 0.5, Places: share.Claim{Guarantee: 2}})
 	r.Reduce(r.now, PoolEnd{Pool: 0})
 	return r
@@ -290,8 +292,10 @@
 			}
 			lists[next] = map[string]Host{}
 			live = append(live, next)
-			reduce(PoolSet{Pool: next, Name: fmt.Sprint("p", next), Module: m, WarmUp: sec, ColdFrom: 0.5,
-				Places: share.Claim{Guarantee: int64(rapid.IntRange(0, 3).Draw(t, "guarantee")), Most: int64(rapid.IntRange(3, 12).Draw(t, "most"))}})
+			reduce(PoolSet{
+				Pool: next, Name: fmt.Sprint("p", next), Module: m, WarmUp: sec, ColdFrom: 0.5,
+				Places: share.Claim{Guarantee: int64(rapid.IntRange(0, 3).Draw(t, "guarantee")), Most: int64(rapid.IntRange(3, 12).Draw(t, "most"))},
+			})
 			next++
 		}
 		add()
@@ -321,8 +325,10 @@
 						continue
 					}
 					name := fmt.Sprint("b", i)
-					h := Host{Name: name, Dial: name, Weight: 1, State: policy.State(rapid.IntRange(0, 2).Draw(t, "state")),
-						BornAt: time.Duration(rapid.IntRange(1, 2).Draw(t, "born"))}
+					h := Host{
+						Name: name, Dial: name, Weight: 1, State: policy.State(rapid.IntRange(0, 2).Draw(t, "state")),
+						BornAt: time.Duration(rapid.IntRange(1, 2).Draw(t, "born")),
+					}
 					before, had := lists[p][name]
 					key := [2]any{p, name}
 					h.BornAt = max(h.BornAt, births[key]) // no discovery goes back to a process of before
@@ -357,7 +363,8 @@
 				n++
 				calls[n] = &call{pool: p}
 				reduce(Taken{From: n, Pool: p, Name: fmt.Sprint(n % 7), At: now, Request: policy.Request{
-					Session: uint64(rapid.IntRange(0, 5).Draw(t, "session")), ExpiresIn: 2 * sec}})
+					Session: uint64(rapid.IntRange(0, 5).Draw(t, "session")), ExpiresIn: 2 * sec,
+				}})
 			case 8:
 				if len(order) > 0 {
 					id := rapid.SampledFrom(order).Draw(t, "leg")
--- a/internal/broker/scale_test.go
+++ b/internal/broker/scale_test.go
@@ -23,8 +23,10 @@
 			before := heap()
 			c, now := New(lim), 1000*sec
 			for p := range n {
-				c.Reduce(now, PoolSet{Pool: pool.ID(p), Name: fmt.Sprint("p", p), Module: module(b), WarmUp: sec, ColdFrom: 0.5,
-					Places: share.Claim{Guarantee: int64(lim.Open / n / 2)}})
+				c.Reduce(now, PoolSet{
+					Pool: pool.ID(p), Name: fmt.Sprint("p", p), Module: module(b), WarmUp: sec, ColdFrom: 0.5,
+					Places: share.Claim{Guarantee: int64(lim.Open / n / 2)},
+				})
 				l := Listed{Pool: pool.ID(p), Kind: policy.ListFull}
 				for i := range boxes {
 					l.Hosts = append(l.Hosts, Host{Name: fmt.Sprintf("b%d-%d", p, i), Dial: fmt.Sprintf("127.0.%d.%d:80", p, i), Weight: 1})
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -23,10 +23,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := []any{c.Name, c.Listen, c.Discovery, c.Seed, c.Known.Seq, len(c.Known.Hosts), c.Zones, c.Columns, c.Piggyback,
-		len(c.Settings.Classes), c.Limits.ConnectWait, c.Limits.IssuerIdle, c.Limits.Attempts}
-	want := []any{"n1", "127.0.0.7:5000", "127.0.0.1:8500", uint64(0x8c1f30d27a5be964), uint64(41), 1, []string{"room"},
-		[]string{"x1", "concurrent"}, false, 3, 100 * time.Millisecond, 4 * time.Second, 4}
+	got := []any{
+		c.Name, c.Listen, c.Discovery, c.Seed, c.Known.Seq, len(c.Known.Hosts), c.Zones, c.Columns, c.Piggyback,
+		len(c.Settings.Classes), c.Limits.ConnectWait, c.Limits.IssuerIdle, c.Limits.Attempts,
+	}
+	want := []any{
+		"n1", "127.0.0.7:5000", "127.0.0.1:8500", uint64(0x8c1f30d27a5be964), uint64(41), 1,
+		[]string{"room"},
+		[]string{"x1", "concurrent"},
+		false, 3, 100 * time.Millisecond, 4 * time.Second, 4,
+	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -445,7 +445,8 @@
 
 // Close implements acquirer.Dialect. 429 and 503 promise that the request has not run and never will.
 func (d *Dialect) Close(m *acquirer.Message, why broker.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *acquirer.Kept) (
-	*acquirer.Refusal, *acquirer.Kept) {
+	*acquirer.Refusal, *acquirer.Kept,
+) {
 	const least = 200 * time.Millisecond
 	if r, ok := m.Of.(*request); ok && !mayHaveRun {
 		r.to.gate.note(func(g *admission.Gate) { g.RequestRejected(d.Clock()) })
--- a/internal/issuer/issuer.go
+++ b/internal/issuer/issuer.go
@@ -417,7 +417,8 @@
 
 // stream passes a stream on once the leg is bound, and tells whether the line can serve again.
 func (c *Client) stream(ctx context.Context, ln *line, resp *http.Response, l *leg, e broker.SendLeg, to Customer,
-	end *broker.LegEnded) bool {
+	end *broker.LegEnded,
+) bool {
 	ev := events{from: resp.Body, most: c.Lim.EventBytes, buf: make([]byte, 0, c.Lim.ReadBuffer)}
 	part, err := ev.next()
 	if len(part) == 0 {
@@ -489,7 +490,8 @@
 // plain passes an answer on that is no series of events, and tells whether the line can serve again. What fits into the
 // buffer is read whole before the leg begins: should it break off, another host may be asked.
 func (c *Client) plain(ctx context.Context, ln *line, resp *http.Response, l *leg, e broker.SendLeg, to Customer,
-	end *broker.LegEnded) bool {
+	end *broker.LegEnded,
+) bool {
 	ln.SetReadDeadline(time.Now().Add(c.Lim.AnswerWait))
 	size := int64(2 * c.Lim.ReadBuffer) // of one that does not tell its length
 	if resp.ContentLength >= 0 {
--- a/internal/issuer/issuer_test.go
+++ b/internal/issuer/issuer_test.go
@@ -30,10 +30,14 @@
 }
 
 func (c *customer) Order() *Order {
-	return &Order{Method: "POST", Target: "/v1/chat/completions?q=%41", Host: "origin.svc", CallID: "9b1f03aa5c7e2d41",
-		ContentType: "application/json", Body: c.body, Once: c.once}
+	return &Order{
+		Method: "POST", Target: "/v1/chat/completions?q=%41", Host: "origin.svc", CallID: "9b1f03aa5c7e2d41",
+		ContentType: "application/json", Body: c.body, Once: c.once,
+	}
 }
+
 func (c *customer) Relay(events []byte) error { c.got = append(c.got, string(events)); return c.err }
+
 func (c *customer) Finish(whole bool) error {
 	c.got = append(c.got, map[bool]string{true: "whole", false: "broken"}[whole])
 	return nil
@@ -50,7 +54,8 @@
 	d := &desk{}
 	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024},
 		limits.Site{ConnectTimeout: 100 * time.Millisecond, IdleClose: 5 * time.Second})
-	d.Client = New(Config{Lim: lim, Dial: dial,
+	d.Client = New(Config{
+		Lim: lim, Dial: dial,
 		Reports: Reports{Columns: []string{"x1", "concurrent"}, Stats: true, Piggyback: true},
 		Post: func(e broker.Event) {
 			switch e := e.(type) {
@@ -61,7 +66,8 @@
 			default:
 				d.events = append(d.events, e)
 			}
-		}})
+		},
+	})
 	return d
 }
 
--- a/internal/issuer/trace_test.go
+++ b/internal/issuer/trace_test.go
@@ -32,8 +32,10 @@
 			t.Fatalf("%+v", d.ends)
 		}
 		h, ms := time.Hour, time.Millisecond
-		want := trace.Times{Begun: h, Lined: h, Fresh: true, Written: h, First: h + 300*ms, Event: h + 500*ms, Bound: h + 500*ms,
-			Ended: h + 500*ms, Bytes: d.ends[0].Times.Bytes, Tokens: 7}
+		want := trace.Times{
+			Begun: h, Lined: h, Fresh: true, Written: h, First: h + 300*ms, Event: h + 500*ms, Bound: h + 500*ms,
+			Ended: h + 500*ms, Bytes: d.ends[0].Times.Bytes, Tokens: 7,
+		}
 		if diff := cmp.Diff(want, *d.ends[0].Times); diff != "" {
 			t.Errorf("(-want +got):\n%s", diff)
 		}
--- a/internal/lab/check/cuts_test.go
+++ b/internal/lab/check/cuts_test.go
@@ -33,10 +33,16 @@
 	for k, kind := range []plane.Kind{plane.Cut, plane.Mute, plane.Deaf, plane.Split} {
 		on := sides[k%2]
 		d := plane.Day{Seed: uint64(k), Keepers: 5, Routers: 5, Engines: 8, Tolerate: 2, Length: 32 * sec, Troubles: []plane.Trouble{
-			{At: 2 * sec, Kind: plane.Change}, {At: 3 * sec, For: 20 * sec, Kind: kind, On: on},
-			{At: 5 * sec, Kind: plane.Race}, {At: 7 * sec, For: 2 * sec, Kind: plane.Kill, On: on}, {At: 9 * sec, Kind: plane.Leave, On: []int{k}},
-			{At: 12 * sec, Kind: plane.Race}, {At: 13 * sec, For: 3 * sec, Kind: plane.Kill, On: []int{8, 9}},
-			{At: 18 * sec, For: sec, Kind: plane.Kill, On: on}, {At: 22 * sec, Kind: plane.Race}, {At: 28 * sec, Kind: plane.Race},
+			{At: 2 * sec, Kind: plane.Change},
+			{At: 3 * sec, For: 20 * sec, Kind: kind, On: on},
+			{At: 5 * sec, Kind: plane.Race},
+			{At: 7 * sec, For: 2 * sec, Kind: plane.Kill, On: on},
+			{At: 9 * sec, Kind: plane.Leave, On: []int{k}},
+			{At: 12 * sec, Kind: plane.Race},
+			{At: 13 * sec, For: 3 * sec, Kind: plane.Kill, On: []int{8, 9}},
+			{At: 18 * sec, For: sec, Kind: plane.Kill, On: on},
+			{At: 22 * sec, Kind: plane.Race},
+			{At: 28 * sec, Kind: plane.Race},
 		}}
 		r := d.Play("")
 		if len(r.Found) > 0 || r.Acked < 5 { // one before it, one of each race
--- a/internal/lab/check/legs.go
+++ b/internal/lab/check/legs.go
@@ -192,7 +192,8 @@
 }
 
 func (d frontDialect) Close(m *acquirer.Message, why broker.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *acquirer.Kept) (
-	*acquirer.Refusal, *acquirer.Kept) {
+	*acquirer.Refusal, *acquirer.Kept,
+) {
 	return d.Dialect.Close(m, why, retryAfter, mayHaveRun && !d.promises, kept)
 }
 
--- a/internal/lab/experiment/collector.go
+++ b/internal/lab/experiment/collector.go
@@ -25,8 +25,13 @@
 	var served []float64
 	chart := report.Chart{File: "first.svg", Title: "Until the first event, by the collector's state", X: "ms", Y: "share of answers"}
 	unaccounted := 0
-	for _, v := range []variant{{"takes", standin.Takes, true}, {"not there", standin.Takes, false}, {"hangs", standin.Hangs, true},
-		{"busy (429)", standin.Busy, true}, {"503", standin.Down, true}} {
+	for _, v := range []variant{
+		{"takes", standin.Takes, true},
+		{"not there", standin.Takes, false},
+		{"hangs", standin.Hangs, true},
+		{"busy (429)", standin.Busy, true},
+		{"503", standin.Down, true},
+	} {
 		c, err := standin.StartCollector("127.0.0.1:0")
 		if err != nil {
 			return err
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -119,8 +119,10 @@
 		return err
 	}
 	res.Add("tries traced", float64(n["taken"]), "", fmt.Sprintf("%d kept, %d of them ordinary; %d decided early for want of memory", n["kept"], n["share"], n["early"]))
-	res.Charts = append(res.Charts, report.Chart{File: "throughput.svg", Title: "Requests a second with one full core", X: "pair",
-		Y: "requests a second", Series: rates[:]})
+	res.Charts = append(res.Charts, report.Chart{
+		File: "throughput.svg", Title: "Requests a second with one full core", X: "pair",
+		Y: "requests a second", Series: rates[:],
+	})
 	return nil
 }
 
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -151,8 +151,10 @@
 }
 
 // kinds run the kinds of experiments; known are their bars.
-var kinds = map[string]func(context.Context, *run) error{"tracing": tracing, "cost": cost, "collector": collector,
-	"services": services, "reloads": reloads, "shared": shared}
+var kinds = map[string]func(context.Context, *run) error{
+	"tracing": tracing, "cost": cost, "collector": collector,
+	"services": services, "reloads": reloads, "shared": shared,
+}
 
 var known = map[string]map[string]bool{
 	"tracing":   {"requests": true, "phase_error_ms": true, "share_error": true},
@@ -199,9 +201,11 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &run{File: f, o: o, dir: dir, length: time.Duration(f.Traffic.Length), rounds: f.Rounds,
+	r := &run{
+		File: f, o: o, dir: dir, length: time.Duration(f.Traffic.Length), rounds: f.Rounds,
 		classes: load.Classes(f.Fleet.Speed, f.Fleet.Size),
-		result:  &report.Result{Name: f.Name, About: f.About, Seed: f.Seed, Short: o.Short}}
+		result:  &report.Result{Name: f.Name, About: f.About, Seed: f.Seed, Short: o.Short},
+	}
 	scale := 1.0
 	if o.Short {
 		scale = float64(f.Short.Length) / float64(f.Traffic.Length)
--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -496,8 +496,10 @@
 		report.NewBar("lost, doubled or invented answers", float64(wrong), "", 0, 0, fmt.Sprintf("of %d tries", len(tries))),
 		report.NewBar("legs to a pool that the route did not name", float64(misled), "", 0, 0, fmt.Sprintf("of %d", checked)),
 		report.NewBar("memory grown from the second tenth to the last", grown, "MB", -math.MaxFloat64, r.Bars["memory_mb"], ""))
-	res.Charts = append(res.Charts, report.Chart{File: "memory.svg", Title: "Resident memory over reloads", X: "reloads", Y: "MB",
-		Series: []report.Series{{Name: "router", Points: memory}}})
+	res.Charts = append(res.Charts, report.Chart{
+		File: "memory.svg", Title: "Resident memory over reloads", X: "reloads", Y: "MB",
+		Series: []report.Series{{Name: "router", Points: memory}},
+	})
 	return nil
 }
 
--- a/internal/lab/experiment/tracing.go
+++ b/internal/lab/experiment/tracing.go
@@ -231,10 +231,14 @@
 			fmt.Sprintf("%d of %d, %g set", shared, ordinary, r.Trace.Share)),
 	)
 	res.Charts = append(res.Charts,
-		report.Chart{File: "first.svg", Title: "Until the first event, by the clients", X: "ms", Y: "share of answers",
-			Series: []report.Series{report.CDF("all", begun)}},
-		report.Chart{File: "phases.svg", Title: "Router's account against the client's", X: "ms of difference", Y: "share of traces",
-			Series: []report.Series{report.CDF("whole time", off)}},
+		report.Chart{
+			File: "first.svg", Title: "Until the first event, by the clients", X: "ms", Y: "share of answers",
+			Series: []report.Series{report.CDF("all", begun)},
+		},
+		report.Chart{
+			File: "phases.svg", Title: "Router's account against the client's", X: "ms of difference", Y: "share of traces",
+			Series: []report.Series{report.CDF("whole time", off)},
+		},
 		r.timeline(tries))
 }
 
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -146,8 +146,10 @@
 	var grades []m
 	var perK, tokens []int64
 	for _, c := range f.o.Classes {
-		grades = append(grades, m{"name": c.Name, "objective": us(c.Aim), "deadline": us(c.Deadline), "dedupWindow": 5000000,
-			"effect": "pure", "group": "all", "lateWorth": 0, "worth": c.Worth, "streaming": true})
+		grades = append(grades, m{
+			"name": c.Name, "objective": us(c.Aim), "deadline": us(c.Deadline), "dedupWindow": 5000000,
+			"effect": "pure", "group": "all", "lateWorth": 0, "worth": c.Worth, "streaming": true,
+		})
 		perK, tokens = append(perK, us(c.AimPerKTokens)), append(tokens, us(c.TokenAim))
 	}
 	cfg, err := json.MarshalIndent(m{
@@ -156,8 +158,10 @@
 		"settings": m{
 			"azs": []string{"room"}, "discovery": "subscribe", "weights": "silent", "zone": 0, "me": i, "replicasOfMe": len(f.o.Routers),
 			"grades": grades, "familyInfo": m{"aimUsPer1000PromptTokens": perK, "tokenAim": tokens, "resume": true},
-			"limits": m{"cancel": true, "connectTimeout": 200000, "idleClose": 5000000, "maxOpen": 20000, "maxRetryAfter": 500000,
-				"mostTries": 4, "probes": true, "retryAfter": true},
+			"limits": m{
+				"cancel": true, "connectTimeout": 200000, "idleClose": 5000000, "maxOpen": 20000, "maxRetryAfter": 500000,
+				"mostTries": 4, "probes": true, "retryAfter": true,
+			},
 			"prices": m{}, "report": m{"columns": []string{"x1", "concurrent"}, "how": "pull"},
 			"rules": m{"askWithin": 10000000, "coldFrom": f.o.Params.ColdShare, "drainGrace": 500000, "warmUp": us(f.o.Params.WarmUp)},
 		},
--- a/internal/lab/fleet/trouble.go
+++ b/internal/lab/fleet/trouble.go
@@ -27,8 +27,10 @@
 	Drain   = "drain"
 )
 
-var faults = []standin.Fault{standin.StallFirst, standin.StallStream, standin.Reset, standin.Refuse, standin.Break,
-	standin.SlowConnect, standin.Pause}
+var faults = []standin.Fault{
+	standin.StallFirst, standin.StallStream, standin.Reset, standin.Refuse, standin.Break,
+	standin.SlowConnect, standin.Pause,
+}
 
 // Check says what is wrong with a trouble in a fleet of so many boxes.
 func (t *Trouble) Check(boxes int) error {
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -136,16 +136,22 @@
 // aimed are troubles beside those that are drawn, where these alone take hundreds of days.
 var aimed = map[string][]Trouble{
 	"LOST": {
-		{At: 4 * time.Second, Kind: Change}, {At: 4 * time.Second, For: time.Second, Kind: Aimed},
-		{At: 20 * time.Second, Kind: Change}, {At: 20 * time.Second, For: time.Second, Kind: Aimed},
+		{At: 4 * time.Second, Kind: Change},
+		{At: 4 * time.Second, For: time.Second, Kind: Aimed},
+		{At: 20 * time.Second, Kind: Change},
+		{At: 20 * time.Second, For: time.Second, Kind: Aimed},
 	},
 	"AVAILABLE": {
-		{At: time.Second, For: time.Second, Kind: Replace, On: []int{0}}, {At: 10 * time.Second, For: time.Second, Kind: Replace, On: []int{1}},
-		{At: 18 * time.Second, For: 16 * time.Second, Kind: Kill, On: []int{2, 3}}, {At: 20 * time.Second, Kind: Change},
+		{At: time.Second, For: time.Second, Kind: Replace, On: []int{0}},
+		{At: 10 * time.Second, For: time.Second, Kind: Replace, On: []int{1}},
+		{At: 18 * time.Second, For: 16 * time.Second, Kind: Kill, On: []int{2, 3}},
+		{At: 20 * time.Second, Kind: Change},
 	},
 	"CONFIG": {
-		{At: 3 * time.Second, Kind: Lost}, {At: 3 * time.Second, Kind: Change},
-		{At: 5 * time.Second, For: time.Second, Kind: Replace, On: []int{0}}, {At: 14 * time.Second, Kind: Dismiss, On: []int{0}},
+		{At: 3 * time.Second, Kind: Lost},
+		{At: 3 * time.Second, Kind: Change},
+		{At: 5 * time.Second, For: time.Second, Kind: Replace, On: []int{0}},
+		{At: 14 * time.Second, Kind: Dismiss, On: []int{0}},
 	},
 	"DRAIN":   {{At: 12 * time.Second, Kind: Leave, On: []int{1, 2, 3}}},
 	"CURRENT": {{At: 3 * time.Second, For: 12 * time.Second, Kind: Cut, On: []int{0, 1}}, {At: 9 * time.Second, Kind: Change}},
--- a/internal/lab/scale/page.go
+++ b/internal/lab/scale/page.go
@@ -130,25 +130,39 @@
 	core := events * r.perEvent(382) / 1e4
 	factor := func(today, budget float64) string { return num(today / budget) }
 	rows := [][]string{
-		{"3.5% of a core for control", num(r.at("scale", "changes: real router, processor")) + "% with a change each 5 s", factor(r.at("scale", "changes: real router, processor"), aimCore),
-			"partial views, reports of differences; a configuration in pieces of 32. Of a whole core of this machine"},
-		{"64 MB for control", num(r.at("scale", "changes: real router, memory, the most")) + " MB, the whole process without traffic", factor(r.at("scale", "changes: real router, memory, the most"), aimMB),
-			"four texts, one table; what traffic adds is not in it"},
-		{"11 kB/s of control", num(control) + " B/s, of which " + num(perS) + " are configurations", factor(control, aimBytes),
-			"**none yet** at this text: its difference is not found; another level of the compressor would (cause 2)"},
-		{"a change in force everywhere within 4 s", num(r.worst("scale")) + " ms, the worst of five, on one machine; " + num(r.worst("scale-trial-1")) + ", " + num(r.worst("scale-trial-2")) + " and " + num(r.worst("scale-trial-3")) + " in trials", factor(max(r.worst("scale"), r.worst("scale-trial-1"), r.worst("scale-trial-2"), r.worst("scale-trial-3")), aimInForce) + " (the worst)",
-			"**none yet** beside usage that cannot be agreed (cause 1), or between regions (cause 3)"},
-		{"the same, no usage", num(r.worst("scale-homes")) + " ms; " + num(r.worst("scale-homes-trial")) + " in a trial", factor(max(r.worst("scale-homes"), r.worst("scale-homes-trial")), aimInForce) + " (the worst)",
-			"ballots, gossip of the place, fetched from who has told; round trips of 0.1 ms"},
+		{
+			"3.5% of a core for control", num(r.at("scale", "changes: real router, processor")) + "% with a change each 5 s", factor(r.at("scale", "changes: real router, processor"), aimCore),
+			"partial views, reports of differences; a configuration in pieces of 32. Of a whole core of this machine",
+		},
+		{
+			"64 MB for control", num(r.at("scale", "changes: real router, memory, the most")) + " MB, the whole process without traffic", factor(r.at("scale", "changes: real router, memory, the most"), aimMB),
+			"four texts, one table; what traffic adds is not in it",
+		},
+		{
+			"11 kB/s of control", num(control) + " B/s, of which " + num(perS) + " are configurations", factor(control, aimBytes),
+			"**none yet** at this text: its difference is not found; another level of the compressor would (cause 2)",
+		},
+		{
+			"a change in force everywhere within 4 s", num(r.worst("scale")) + " ms, the worst of five, on one machine; " + num(r.worst("scale-trial-1")) + ", " + num(r.worst("scale-trial-2")) + " and " + num(r.worst("scale-trial-3")) + " in trials", factor(max(r.worst("scale"), r.worst("scale-trial-1"), r.worst("scale-trial-2"), r.worst("scale-trial-3")), aimInForce) + " (the worst)",
+			"**none yet** beside usage that cannot be agreed (cause 1), or between regions (cause 3)",
+		},
+		{
+			"the same, no usage", num(r.worst("scale-homes")) + " ms; " + num(r.worst("scale-homes-trial")) + " in a trial", factor(max(r.worst("scale-homes"), r.worst("scale-homes-trial")), aimInForce) + " (the worst)",
+			"ballots, gossip of the place, fetched from who has told; round trips of 0.1 ms",
+		},
 		{"8,500 changes a day", fmt.Sprintf("one each %.1f s", changeEveryS), "-", "one log: beside a usage window each 5 s"},
 		{"seven machines for control", num(r.at("scale", "peak: keeper, processor, the most")) + "% of a core, " + num(r.at("scale", "changes: keeper, memory, the most")) + " MB, " +
 			num(r.at("scale", "peak: keeper, all")) + " B/s the mean sends", "-", "engines' homes; every keeper hears of each engine"},
-		{"usage windows reported", fmt.Sprintf("%.0f of %.0f", r.at("scale", "peak: usage windows reported"), r.at("scale", "peak: usage windows due")), "-",
-			"**none yet** above 4,096 tenants a window (cause 1)"},
+		{
+			"usage windows reported", fmt.Sprintf("%.0f of %.0f", r.at("scale", "peak: usage windows reported"), r.at("scale", "peak: usage windows due")), "-",
+			"**none yet** above 4,096 tenants a window (cause 1)",
+		},
 		{"10,000 requests a second", num(aimRequests/aimRouters) + " a second and router, " + num(r.bench("node.Request/node", "ns/op")/1e6) + " ms each through a router with its engine and client (" +
 			num(r.bench("node.Request/direct", "ns/op")/1e6) + " without)", "-", "routers share nothing per request"},
-		{"3.6 million tokens a second", num(events) + " events a second and router, " + num(r.perEvent(382)) + " µs each: " + num(core) + "% of a core", "-",
-			"no budget of its own; a router of 0.16 of a core carries " + num(16/core) + " of it"},
+		{
+			"3.6 million tokens a second", num(events) + " events a second and router, " + num(r.perEvent(382)) + " µs each: " + num(core) + "% of a core", "-",
+			"no budget of its own; a router of 0.16 of a core carries " + num(16/core) + " of it",
+		},
 		{"first token within 0.39 s for 95 in 100", "not measured at this size", "?", "see the sweeps below"},
 		{"35 ms between tokens for 95 in 100", "not measured at this size", "?", "see the sweeps below; an engine's own pause is assumed to be nearly all of it"},
 	}
@@ -158,17 +172,27 @@
 func roles(r *Results) (string, error) {
 	var rows [][]string
 	for _, x := range []struct{ what, name, unit string }{
-		{"hollow router sends", "router, all", "B/s"}, {"of it reports to keepers", "router, reports", "B/s"}, {"of it news and signs", "router, news", "B/s"},
-		{"of it configurations", "router, configurations", "B/s"}, {"of a router's bytes to another zone", "of a router's bytes, to another zone", "%"},
+		{"hollow router sends", "router, all", "B/s"},
+		{"of it reports to keepers", "router, reports", "B/s"},
+		{"of it news and signs", "router, news", "B/s"},
+		{"of it configurations", "router, configurations", "B/s"},
+		{"of a router's bytes to another zone", "of a router's bytes, to another zone", "%"},
 		{"of a router's bytes to another region", "of a router's bytes, to another region", "%"},
-		{"real router, processor", "real router, processor", "% of a core"}, {"real router, memory, most", "real router, memory, the most", "MB"},
+		{"real router, processor", "real router, processor", "% of a core"},
+		{"real router, memory, most", "real router, memory, the most", "MB"},
 		{"real router, descriptors, most", "real router, descriptors, the most", ""},
-		{"keeper sends", "keeper, all", "B/s"}, {"of it news and signs", "keeper, news", "B/s"}, {"of it ballots", "keeper, ballots", "B/s"},
-		{"of it books", "keeper, reports", "B/s"}, {"routers with a keeper, both ways", "routers with a keeper, both ways", "B/s"},
-		{"keeper, processor, mean", "keeper, processor", "% of a core"}, {"keeper, processor, most", "keeper, processor, the most", "% of a core"},
-		{"keeper, memory, most", "keeper, memory, the most", "MB"}, {"keeper, descriptors, most", "keeper, descriptors, the most", ""},
+		{"keeper sends", "keeper, all", "B/s"},
+		{"of it news and signs", "keeper, news", "B/s"},
+		{"of it ballots", "keeper, ballots", "B/s"},
+		{"of it books", "keeper, reports", "B/s"},
+		{"routers with a keeper, both ways", "routers with a keeper, both ways", "B/s"},
+		{"keeper, processor, mean", "keeper, processor", "% of a core"},
+		{"keeper, processor, most", "keeper, processor, the most", "% of a core"},
+		{"keeper, memory, most", "keeper, memory, the most", "MB"},
+		{"keeper, descriptors, most", "keeper, descriptors, the most", ""},
 		{"keeper, disk, most", "keeper, disk, the most", "MB"},
-		{"beats of engines", "beats acknowledged", "a second"}, {"not acknowledged within a second", "beats not acknowledged within a second", ""},
+		{"beats of engines", "beats acknowledged", "a second"},
+		{"not acknowledged within a second", "beats not acknowledged within a second", ""},
 		{"slowest acknowledged beat", "slowest acknowledged beat", "ms"},
 	} {
 		row := []string{x.what, x.unit}
@@ -199,12 +223,17 @@
 	sizes := []float64{30, 100, 330}
 	runs := []string{"scale-30", "scale-100", "scale"}
 	for _, x := range []struct{ what, name, unit string }{
-		{"router sends, calm", "calm: router, all", "B/s"}, {"router sends, peak", "peak: router, all", "B/s"},
-		{"real router, processor, peak", "peak: real router, processor", "% of a core"}, {"real router, memory, most", "peak: real router, memory, the most", "MB"},
-		{"keeper sends, calm", "calm: keeper, all", "B/s"}, {"keeper's news, calm", "calm: keeper, news", "B/s"},
+		{"router sends, calm", "calm: router, all", "B/s"},
+		{"router sends, peak", "peak: router, all", "B/s"},
+		{"real router, processor, peak", "peak: real router, processor", "% of a core"},
+		{"real router, memory, most", "peak: real router, memory, the most", "MB"},
+		{"keeper sends, calm", "calm: keeper, all", "B/s"},
+		{"keeper's news, calm", "calm: keeper, news", "B/s"},
 		{"routers with a keeper, both ways, peak", "peak: routers with a keeper, both ways", "B/s"},
-		{"keeper, processor, calm", "calm: keeper, processor", "% of a core"}, {"keeper, processor, peak", "peak: keeper, processor", "% of a core"},
-		{"keeper, memory, calm, most", "calm: keeper, memory, the most", "MB"}, {"keeper, descriptors, calm", "calm: keeper, descriptors, the most", ""},
+		{"keeper, processor, calm", "calm: keeper, processor", "% of a core"},
+		{"keeper, processor, peak", "peak: keeper, processor", "% of a core"},
+		{"keeper, memory, calm, most", "calm: keeper, memory, the most", "MB"},
+		{"keeper, descriptors, calm", "calm: keeper, descriptors, the most", ""},
 		{"tenants with requests in a window", "peak: tenants with requests in a window", ""},
 		{"all engines known everywhere, from the start", "all engines known at all hollow routers", "s"},
 	} {
@@ -336,11 +365,16 @@
 	const was, is = "scale", "scale-mended-trial"
 	var rows [][]string
 	for _, x := range []struct{ what, name, unit string }{
-		{"usage windows due", "peak: usage windows due", ""}, {"reported", "peak: usage windows reported", ""},
-		{"keeper sends, peak", "peak: keeper, all", "B/s"}, {"of it ballots", "peak: keeper, ballots", "B/s"}, {"of it books", "peak: keeper, reports", "B/s"},
+		{"usage windows due", "peak: usage windows due", ""},
+		{"reported", "peak: usage windows reported", ""},
+		{"keeper sends, peak", "peak: keeper, all", "B/s"},
+		{"of it ballots", "peak: keeper, ballots", "B/s"},
+		{"of it books", "peak: keeper, reports", "B/s"},
 		{"keeper sends, with changes", "changes: keeper, all", "B/s"},
-		{"router sends, peak", "peak: router, all", "B/s"}, {"router sends, with a change each 5 s", "changes: router, all", "B/s"},
-		{"keeper, processor, peak, the most", "peak: keeper, processor, the most", "% of a core"}, {"keeper, memory, the most", "changes: keeper, memory, the most", "MB"},
+		{"router sends, peak", "peak: router, all", "B/s"},
+		{"router sends, with a change each 5 s", "changes: router, all", "B/s"},
+		{"keeper, processor, peak, the most", "peak: keeper, processor, the most", "% of a core"},
+		{"keeper, memory, the most", "changes: keeper, memory, the most", "MB"},
 		{"beats not acknowledged, with changes", "changes: beats not acknowledged within a second", ""},
 	} {
 		rows = append(rows, []string{x.what, x.unit, num(r.at(was, x.name)), num(r.at(is, x.name))})
@@ -386,11 +420,15 @@
 	between := aimRouters * r.at("scale", "peak: router, all") * r.at("scale", "peak: of a router's bytes, to another region") / 100
 	whole := r.perChange("scale-homes")
 	rows := [][]string{
-		{"events through a router", fmt.Sprintf("%s a second on %s streams at once, %s%% of a core", num(events), num(events*aimGap/1000), num(events*r.perEvent(382)/1e4)),
-			fmt.Sprintf("3.6 million / 330; %s µs each (`node.Events`, measured at that size)", num(r.perEvent(382))), "an event a token; 35 ms apart"},
+		{
+			"events through a router", fmt.Sprintf("%s a second on %s streams at once, %s%% of a core", num(events), num(events*aimGap/1000), num(events*r.perEvent(382)/1e4)),
+			fmt.Sprintf("3.6 million / 330; %s µs each (`node.Events`, measured at that size)", num(r.perEvent(382))), "an event a token; 35 ms apart",
+		},
 		{"its link", fmt.Sprintf("%s MB a second to clients, as much from engines", num(events*170/1e6)), "events x 170 bytes", "100 bytes of an event and 70 of headers; a packet each"},
-		{"requests at a router's core", fmt.Sprintf("%s ms of a core a second", num(aimRequests/aimRouters*r.bench("broker.Hosts/300_boxes/4000_prefixes", "ns/op")/1e6)),
-			"30 a second, 300 engines and 4,000 prefixes of a model (`broker.Hosts`)", "models share traffic evenly"},
+		{
+			"requests at a router's core", fmt.Sprintf("%s ms of a core a second", num(aimRequests/aimRouters*r.bench("broker.Hosts/300_boxes/4000_prefixes", "ns/op")/1e6)),
+			"30 a second, 300 engines and 4,000 prefixes of a model (`broker.Hosts`)", "models share traffic evenly",
+		},
 		{"a configuration's digest at a keeper", fmt.Sprintf("%s ms twice a change, %s%% of a core", num(digest), num(2*digest/changeEveryS/10)), "`declared.Tenants/digest`, a change each 10.2 s", ""},
 		{"ballots for one change, all keepers", fmt.Sprintf("%s MB, %s times the text", num(ballots/1e6), num(ballots/text)), "scale-homes, changes", "six others: six times the text is the least"},
 		{"a change at the routers, all", fmt.Sprintf("%s MB: %s kB each", num(whole*aimRouters/1e6), num(whole/1e3)), "scale-homes, changes", ""},
@@ -398,13 +436,19 @@
 		{"a window's books to the holder", fmt.Sprintf("%s MB from six others, each 5 s", num(6*r.bench("duty.Book/write/330", "book-bytes")/1e6)), "`duty.Book/write`", ""},
 		{"beats at a keeper", fmt.Sprintf("%s a second if each engine has a home", num(aimEngines/1.5/7)), "1,500 / 1.5 s / 7", "15 of 22 zones have none: 68 in 100 of beats come to routers"},
 		{"pairs of router and engine", fmt.Sprintf("%s; one is met each %s s", num(pairs), num(pairs/aimRequests)), "330 x 1,500 / 10,000", ""},
-		{"requests that find a connection open", fmt.Sprintf("%s%%; else %s new connections a second, %s a router", num(100*(1-math.Exp(-idle*aimRequests/pairs))), num(aimRequests*math.Exp(-idle*aimRequests/pairs)), num(aimRequests*math.Exp(-idle*aimRequests/pairs)/aimRouters)),
-			"1 - exp(-10 s / 49.5 s)", "uniform draw; engines keep an idle one 10 s; fewer new ones where prefixes gather traffic"},
+		{
+			"requests that find a connection open", fmt.Sprintf("%s%%; else %s new connections a second, %s a router", num(100*(1-math.Exp(-idle*aimRequests/pairs))), num(aimRequests*math.Exp(-idle*aimRequests/pairs)), num(aimRequests*math.Exp(-idle*aimRequests/pairs)/aimRouters)),
+			"1 - exp(-10 s / 49.5 s)", "uniform draw; engines keep an idle one 10 s; fewer new ones where prefixes gather traffic",
+		},
 		{"descriptors of a router", fmt.Sprintf("%s for streams, both sides, %s idle", num(2*events*aimGap/1000), num(aimRequests/aimRouters*idle)), "streams at once; requests a second x 10 s", "likewise"},
-		{"prompts' tokens kept, 330 routers that draw for themselves", num(law.At(aimRouters)),
-			fmt.Sprintf("`lab/results/chunks`: exponent %.2f, residual %.0f%%, 96 routers and %.2f measured, extrapolated 3.4 times", law.Exponent, 100*law.Residual, kept[5]), "that trial's 48 engines and popularity"},
-		{"sessions at a router", fmt.Sprintf("%s if each keeps to one router; %s of the last ten minutes if none does: %s MB", num(float64(aimSessions)/aimRouters), num(aimRequests/aimRouters*resting), num(aimRequests/aimRouters*resting*session/1e6)),
-			"2.5 million / 330; 30 a second x 600 s x `broker.Sessions`; a table holds 65,536", ""},
+		{
+			"prompts' tokens kept, 330 routers that draw for themselves", num(law.At(aimRouters)),
+			fmt.Sprintf("`lab/results/chunks`: exponent %.2f, residual %.0f%%, 96 routers and %.2f measured, extrapolated 3.4 times", law.Exponent, 100*law.Residual, kept[5]), "that trial's 48 engines and popularity",
+		},
+		{
+			"sessions at a router", fmt.Sprintf("%s if each keeps to one router; %s of the last ten minutes if none does: %s MB", num(float64(aimSessions)/aimRouters), num(aimRequests/aimRouters*resting), num(aimRequests/aimRouters*resting*session/1e6)),
+			"2.5 million / 330; 30 a second x 600 s x `broker.Sessions`; a table holds 65,536", "",
+		},
 		{"requests of a session that come to the router of the one before", fmt.Sprintf("%s%% where clients pick any", num(100.0/aimRouters)), "1 / 330; a session asks each 250 s (2.5 million / 10,000)", "clients pick a router anew for each"},
 		{"control bytes between regions, of all routers", fmt.Sprintf("%s MB a second", num(between/1e6)), "peak: 330 x bytes x part to another region", "six of seven others are elsewhere: views do not know regions"},
 		{"a restart", fmt.Sprintf("%s kB of configuration, %s kB of engines; %s MB a day for 230", num(whole/1e3), num(aimEngines*0.1), num(aimRestarts*(whole+aimEngines*100)/1e6)), "scale-homes", "100 bytes an engine's record"},
@@ -416,8 +460,10 @@
 func usage(r *Results) (string, error) {
 	var rows [][]string
 	for i, run := range []string{"scale-30", "scale-100", "scale"} {
-		rows = append(rows, []string{[]string{"30", "100", "330"}[i], num(r.at(run, "peak: tenants with requests in a window")), num(r.at(run, "peak: usage windows due")),
-			num(r.at(run, "peak: usage windows reported")), num(r.at(run, "peak: keeper, ballots")), num(r.at(run, "peak: keeper, reports"))})
+		rows = append(rows, []string{
+			[]string{"30", "100", "330"}[i], num(r.at(run, "peak: tenants with requests in a window")), num(r.at(run, "peak: usage windows due")),
+			num(r.at(run, "peak: usage windows reported")), num(r.at(run, "peak: keeper, ballots")), num(r.at(run, "peak: keeper, reports")),
+		})
 	}
 	return table([]string{"routers", "tenants with requests in a window", "windows due", "reported", "a keeper's ballots, B/s", "a keeper's books, B/s"}, rows), nil
 }
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -288,8 +288,10 @@
 		wait.Go(func() { r.run(ctx) })
 	}
 	for i := range f.Engines {
-		e := &engine{f: f, name: fmt.Sprintf("engine-%05d", i), service: fmt.Sprint("model-", i%models), addr: fmt.Sprintf("10.%d.%d.1:8000", i/250, i%250),
-			zone: zoneName(i % f.Zones), rnd: rand.New(rand.NewPCG(f.Seed, uint64(i)))}
+		e := &engine{
+			f: f, name: fmt.Sprintf("engine-%05d", i), service: fmt.Sprint("model-", i%models), addr: fmt.Sprintf("10.%d.%d.1:8000", i/250, i%250),
+			zone: zoneName(i % f.Zones), rnd: rand.New(rand.NewPCG(f.Seed, uint64(i))),
+		}
 		f.engines = append(f.engines, e)
 		wait.Go(func() { e.run(ctx) })
 	}
@@ -437,8 +439,10 @@
 		return err
 	}
 	s := to.at.Sub(from.at).Seconds()
-	p := Part{Name: name, Seconds: s, Hollow: Rows{}, Keeper: Rows{}, Beats: float64(to.beats-from.beats) / s, Unheard: to.unheard - from.unheard,
-		Lab: (to.lab - from.lab) / s, ToKeeper: float64(to.taken-from.taken) / s / float64(f.Keepers)}
+	p := Part{
+		Name: name, Seconds: s, Hollow: Rows{}, Keeper: Rows{}, Beats: float64(to.beats-from.beats) / s, Unheard: to.unheard - from.unheard,
+		Lab: (to.lab - from.lab) / s, ToKeeper: float64(to.taken-from.taken) / s / float64(f.Keepers),
+	}
 	sent := 0.0
 	for i := range f.hollow {
 		own := 0.0
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -59,8 +59,10 @@
 	if out, err := exec.Command("go", "build", "-o", binary, "notchhinge/cmd/notchhinge").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	r, err := Run(t.Context(), Options{Binary: binary, Dir: dir, Keepers: 3, Real: 1, Routers: 8, Engines: 12, Zones: 4, Tenants: 50, Routes: 5, Rate: 0,
-		Calm: 2 * time.Second, Changes: 1, Every: time.Second, Seed: 1, Out: io.Discard})
+	r, err := Run(t.Context(), Options{
+		Binary: binary, Dir: dir, Keepers: 3, Real: 1, Routers: 8, Engines: 12, Zones: 4, Tenants: 50, Routes: 5, Rate: 0,
+		Calm: 2 * time.Second, Changes: 1, Every: time.Second, Seed: 1, Out: io.Discard,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/system/parts.go
+++ b/internal/lab/system/parts.go
@@ -65,8 +65,10 @@
 func (e *engine) beat(s *system) bool {
 	e.mu.Lock()
 	e.calls++
-	v := map[string]any{"target_service": "lab", "address": e.addr, "zone": e.zone, "revision": "v1", "capacity_slots": engineSlots,
-		"status": e.state, "warmup_remaining_ms": 0, "call_count": e.calls}
+	v := map[string]any{
+		"target_service": "lab", "address": e.addr, "zone": e.zone, "revision": "v1", "capacity_slots": engineSlots,
+		"status": e.state, "warmup_remaining_ms": 0, "call_count": e.calls,
+	}
 	e.mu.Unlock()
 	m := s.machines[rand.IntN(len(s.machines))]
 	code, _, err := Call("POST", "http://"+m.control+"/Instances.Heartbeat/"+e.id, nil, v)
--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -177,8 +177,10 @@
 		"seed_nodes": s.seeds, "bootstrap": first, "heartbeat_interval_ms": beat.Milliseconds(), "listeners": listeners,
 		"request_limits":  map[string]any{"cpu_fraction": 1, "cpu_cores": 1, "memory_mb": 256, "max_open_files": 2048},
 		"fault_tolerance": map[string]any{"machines": 1},
-		"bounds": map[string]any{"drain_timeout_ms": drain.Milliseconds(), "grace_period_s": 6, "lease_ms": 1500, "usage_window_s": 2,
-			"usage_delay_s": 2, "retry_budget_ratio": 0.2, "retry_window_s": 10, "retry_extra": 20},
+		"bounds": map[string]any{
+			"drain_timeout_ms": drain.Milliseconds(), "grace_period_s": 6, "lease_ms": 1500, "usage_window_s": 2,
+			"usage_delay_s": 2, "retry_budget_ratio": 0.2, "retry_window_s": 10, "retry_extra": 20,
+		},
 		"cloud_api": map[string]any{"address": s.platform.addr, "duties": []string{"usage_reporting", "autoscaler"}},
 	}
 	if m.keeper {
@@ -271,13 +273,17 @@
 // configure is the operator: it sends a version until there is a clear answer.
 func (s *system) configure(ctx context.Context, on, revision int, reads float64) error {
 	route := func(name, prefix, kind string, attempts int, timeout float64) map[string]any {
-		return map[string]any{"name": name, "hostname": host, "path_prefix": prefix, "route_type": kind, "timeout_ms": timeout,
-			"target_latency_ms": aim.Milliseconds(), "target_service": "lab", "max_attempts": attempts, "session_affinity": kind == "streaming"}
+		return map[string]any{
+			"name": name, "hostname": host, "path_prefix": prefix, "route_type": kind, "timeout_ms": timeout,
+			"target_latency_ms": aim.Milliseconds(), "target_service": "lab", "max_attempts": attempts, "session_affinity": kind == "streaming",
+		}
 	}
 	v := map[string]any{
 		"revision": revision,
-		"routes": []any{route("chat", "/chat/", "streaming", 2, float64(timeout.Milliseconds())), route("read", "/read/", "idempotent", 3, reads),
-			route("write", "/write/", "non_idempotent", 2, float64(timeout.Milliseconds()))},
+		"routes": []any{
+			route("chat", "/chat/", "streaming", 2, float64(timeout.Milliseconds())), route("read", "/read/", "idempotent", 3, reads),
+			route("write", "/write/", "non_idempotent", 2, float64(timeout.Milliseconds())),
+		},
 		"services": []any{map[string]any{"name": "lab", "health_path": "/health", "max_connections": 100, "protocol": "h1"}},
 		"tenants":  []any{map[string]any{"name": "newcomer", "api_keys": []string{key}}},
 	}
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -72,12 +72,16 @@
 		{"", "added [] kept [=0] moved [] ended [] renamed map[]"},
 		{two + poolOf("runs", "") + poolOf("calib", ""), "added [runs=1 calib=2] kept [] moved [] ended [=0] renamed map[]"},
 		{two + poolOf("calib", "[pool.limits]\nguarantee = 0.5") + poolOf("runs", ""), "added [] kept [calib=2 runs=1] moved [] ended [] renamed map[]"},
-		{two + poolOf("runs", "select = {blocks = [3]}") + poolOf("calib", `discovery = "127.0.0.1:9"`),
-			"added [] kept [runs=1 calib=2] moved [runs=1 calib=2] ended [] renamed map[]"},
+		{
+			two + poolOf("runs", "select = {blocks = [3]}") + poolOf("calib", `discovery = "127.0.0.1:9"`),
+			"added [] kept [runs=1 calib=2] moved [runs=1 calib=2] ended [] renamed map[]",
+		},
 		{serviceOf("runs", `pool = "fast"`) + poolOf("fast", `was = "runs"`), "added [] kept [fast=1] moved [fast=1] ended [calib=2] renamed map[runs:fast]"},
 		{two + poolOf("runs", `was = "fast"`) + poolOf("calib", ""), "added [calib=3] kept [runs=1] moved [] ended [] renamed map[fast:runs]"},
-		{two + poolOf("runs", "[[pool.class]]\nname = \"doc-lookup\"\naim = \"1s\"") + poolOf("calib", ""),
-			"added [runs=4] kept [calib=3] moved [] ended [runs=1] renamed map[]"}, // a module keeps to its settings
+		{
+			two + poolOf("runs", "[[pool.class]]\nname = \"doc-lookup\"\naim = \"1s\"") + poolOf("calib", ""),
+			"added [runs=4] kept [calib=3] moved [] ended [runs=1] renamed map[]",
+		}, // a module keeps to its settings
 		{"", "added [=5] kept [] moved [] ended [runs=4 calib=3] renamed map[]"},
 	} {
 		next := make1(t, c.text, p)
@@ -110,8 +114,13 @@
 	}
 	a, b, lines := p.Pools[0], p.Pools[1], float64(cfg.Limits.IssuerConns)
 	got := []any{a.Places, a.Lines, a.Legs, a.RetryAfter, b.Lines, b.RetryAfter, b.Legs}
-	want := []any{share.Claim{Guarantee: 7, Most: 7}, share.Claim{Guarantee: int64(0.4 * lines), Most: int64(0.5*lines + 0.5)}, 2, 2 * time.Second,
-		share.Claim{Guarantee: int64(0.15 * lines), Most: int64(lines)}, cfg.Limits.SpareAnswer, 0}
+	want := []any{
+		share.Claim{Guarantee: 7, Most: 7},
+		share.Claim{Guarantee: int64(0.4 * lines), Most: int64(0.5*lines + 0.5)},
+		2, 2 * time.Second,
+		share.Claim{Guarantee: int64(0.15 * lines), Most: int64(lines)},
+		cfg.Limits.SpareAnswer, 0,
+	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
@@ -148,16 +157,24 @@
 		want []string
 	}{
 		"settings": {one + poolOf("a", fmt.Sprintf("settings = %q", bad)), []string{":8: pool[0].settings: "}},
-		"every class": {one + poolOf("a", "[[pool.class]]\nname = \"x\"\n[[pool.class]]\nname = \"y\""),
-			[]string{`:9: pool[0].class[0].name: class "x" is not in the pool's settings`, `:11: pool[0].class[1].name: class "y"`}},
-		"a class without time": {one + poolOf("a", "[[pool.class]]\nname = \"doc-lookup\"\nworth = 1.0\ndeadline = \"0s\""),
-			[]string{":11: pool[0].class[0].deadline: a time above 0"}},
-		"a contract's classes": {one + poolOf("a", "[[pool.class]]\nname = \"doc-lookup\"") + "[[contract]]\nteam = \"t\"\nkey_env = \"K\"\nservice = \"s\"\n" +
-			"classes = [\"shift-agent\"]\nlines = 1\nat_once = 1\nbudget_tokens = 1\nbudget_period = \"1h\"\nline_deadline = \"1m\"\n",
-			[]string{`:14: contract[0].classes: pool "a" of service "s" has no class "shift-agent"`}},
-		"a contract without a service or a route": {one + poolOf("a", "") + "[[contract]]\nteam = \"t\"\nkey_env = \"K\"\n" +
-			"classes = [\"chat\"]\nlines = 1\nat_once = 1\nbudget_tokens = 1\nbudget_period = \"1h\"\nline_deadline = \"1m\"\n",
-			[]string{`:12: contract[0].classes: no route takes lines of class "chat": POST batch.notchhinge/v1/chat/completions`}},
+		"every class": {
+			one + poolOf("a", "[[pool.class]]\nname = \"x\"\n[[pool.class]]\nname = \"y\""),
+			[]string{`:9: pool[0].class[0].name: class "x" is not in the pool's settings`, `:11: pool[0].class[1].name: class "y"`},
+		},
+		"a class without time": {
+			one + poolOf("a", "[[pool.class]]\nname = \"doc-lookup\"\nworth = 1.0\ndeadline = \"0s\""),
+			[]string{":11: pool[0].class[0].deadline: a time above 0"},
+		},
+		"a contract's classes": {
+			one + poolOf("a", "[[pool.class]]\nname = \"doc-lookup\"") + "[[contract]]\nteam = \"t\"\nkey_env = \"K\"\nservice = \"s\"\n" +
+				"classes = [\"shift-agent\"]\nlines = 1\nat_once = 1\nbudget_tokens = 1\nbudget_period = \"1h\"\nline_deadline = \"1m\"\n",
+			[]string{`:14: contract[0].classes: pool "a" of service "s" has no class "shift-agent"`},
+		},
+		"a contract without a service or a route": {
+			one + poolOf("a", "") + "[[contract]]\nteam = \"t\"\nkey_env = \"K\"\n" +
+				"classes = [\"chat\"]\nlines = 1\nat_once = 1\nbudget_tokens = 1\nbudget_period = \"1h\"\nline_deadline = \"1m\"\n",
+			[]string{`:12: contract[0].classes: no route takes lines of class "chat": POST batch.notchhinge/v1/chat/completions`},
+		},
 		"discoveries": {many, []string{":1: pool[0]: 20 discoveries; there is room for 10"}},
 	} {
 		f, err := settings.Parse([]byte(c.text), "f", nil)
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -55,7 +55,8 @@
 		"down":          {true, []broker.Event{failed, broker.Note("discovery: unexpected EOF")}},
 		"silent":        {true, []broker.Event{failed, broker.Note("discovery: read pipe: i/o timeout")}},
 		"nonsense": {true, []broker.Event{
-			failed, broker.Note(`discovery: host "s-5b": health "Odd" is unknown`)}},
+			failed, broker.Note(`discovery: host "s-5b": health "Odd" is unknown`),
+		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -86,23 +86,51 @@
 		routes   []Route
 		want     []string
 	}{
-		"a tie": {nil, []Route{{Service: "a", Host: "A.b", Prefix: "/x/"}, {Service: "a", Host: "a.B.", Prefix: "/x"}},
-			[]string{"route 1: : could match what route 0 matches, and neither is more specific"}},
-		"headers that overlap": {nil, []Route{{Service: "a", Header: map[string]string{"X": "1"}}, {Service: "a", Header: map[string]string{"Y": "1"}}},
-			[]string{"route 1: : could match what route 0 matches, and neither is more specific"}},
-		"any path twice": {nil, []Route{{Service: "a"}, {Service: "a", Prefix: "/"}},
-			[]string{"route 1: : could match what route 0 matches, and neither is more specific"}},
-		"patterns": {nil, []Route{{Service: "a", Host: "a:80"}, {Service: "a", Host: "a.*.b"}, {Service: "a", Path: "x"},
-			{Service: "a", Path: "/a/../b"}, {Service: "a", Path: "/a", Prefix: "/a"}, {Service: "a", Header: map[string]string{"X": ""}}},
-			[]string{`route 0: host: "a:80" has a port; routes do not look at ports`,
+		"a tie": {
+			nil,
+			[]Route{{Service: "a", Host: "A.b", Prefix: "/x/"}, {Service: "a", Host: "a.B.", Prefix: "/x"}},
+			[]string{"route 1: : could match what route 0 matches, and neither is more specific"},
+		},
+		"headers that overlap": {
+			nil,
+			[]Route{{Service: "a", Header: map[string]string{"X": "1"}}, {Service: "a", Header: map[string]string{"Y": "1"}}},
+			[]string{"route 1: : could match what route 0 matches, and neither is more specific"},
+		},
+		"any path twice": {
+			nil,
+			[]Route{{Service: "a"}, {Service: "a", Prefix: "/"}},
+			[]string{"route 1: : could match what route 0 matches, and neither is more specific"},
+		},
+		"patterns": {
+			nil,
+			[]Route{
+				{Service: "a", Host: "a:80"},
+				{Service: "a", Host: "a.*.b"},
+				{Service: "a", Path: "x"},
+				{Service: "a", Path: "/a/../b"},
+				{Service: "a", Path: "/a", Prefix: "/a"},
+				{Service: "a", Header: map[string]string{"X": ""}},
+			},
+			[]string{
+				`route 0: host: "a:80" has a port; routes do not look at ports`,
 				`route 1: host: "a.*.b" is no host; a name, an address, or *. and a name are wanted`,
 				`route 2: path: "x": the path is malformed`, `route 3: path: "/a/../b": the path can be read in two ways`,
-				`route 4: prefix: a route has a path or a prefix, not both`, `route 5: header: names and values must not be empty`}},
-		"services": {[]Service{{Name: "a", Shares: []Share{{Pool: "nowhere", Weight: 1}}}, {Name: "a", Shares: []Share{{Pool: "p"}}},
-			{Name: "c", Shares: []Share{{Pool: "p", Weight: 1}, {Pool: "p", Weight: math.NaN()}}}}, []Route{{Service: "b"}},
-			[]string{`service 0: split: there is no pool "nowhere"`, `service 1: name: "a" is another service already`,
+				`route 4: prefix: a route has a path or a prefix, not both`, `route 5: header: names and values must not be empty`,
+			},
+		},
+		"services": {
+			[]Service{
+				{Name: "a", Shares: []Share{{Pool: "nowhere", Weight: 1}}},
+				{Name: "a", Shares: []Share{{Pool: "p"}}},
+				{Name: "c", Shares: []Share{{Pool: "p", Weight: 1}, {Pool: "p", Weight: math.NaN()}}},
+			},
+			[]Route{{Service: "b"}},
+			[]string{
+				`service 0: split: there is no pool "nowhere"`, `service 1: name: "a" is another service already`,
 				`service 1: split: one pool at least must have a weight above 0`, `service 2: split: pool "p" is named twice`,
-				`route 0: service: there is no service "b"`}},
+				`route 0: service: there is no service "b"`,
+			},
+		},
 	} {
 		if c.services == nil {
 			c.services = services(c.routes)
@@ -210,8 +238,10 @@
 	for _, c := range tb.Explain(&Query{Host: "runs.example.org", Path: "/x", Method: "POST"}, 9) {
 		got = append(got, c.Route.Service+": "+c.Why)
 	}
-	want := []string{"runs: wins: host runs.example.org, method POST", "rest: loses: the winner's host is exact",
-		`calib: does not match: host runs.example.org is not calib.example.org; class "" is not "fit"`}
+	want := []string{
+		"runs: wins: host runs.example.org, method POST", "rest: loses: the winner's host is exact",
+		`calib: does not match: host runs.example.org is not calib.example.org; class "" is not "fit"`,
+	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -104,8 +104,10 @@
 
 // account adds what became of the records to the counters that are printed.
 func (t *traces) account(c *trace.Counters) []any {
-	args := []any{"taken", c.Taken, "kept", c.Kept, "share", c.Share, "dropped", c.Dropped, "early", c.Early,
-		"limited", c.Limited, "linked", c.Linked, "held", c.Held}
+	args := []any{
+		"taken", c.Taken, "kept", c.Kept, "share", c.Share, "dropped", c.Dropped, "early", c.Early,
+		"limited", c.Limited, "linked", c.Linked, "held", c.Held,
+	}
 	for i, s := range t.sinks {
 		e := s.Counters()
 		args = append(args, t.names[i]+"_put", e.Put, t.names[i]+"_sent", e.Sent, t.names[i]+"_spans", e.Spans,
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -33,8 +33,10 @@
 		text string
 		want []string // the beginnings of the faults
 	}{
-		"all at once": {"[trace]\nshare = 2.0\nshar = 1\n\n[trace.otlp]\nendpoint = \"ftp://x\"\n",
-			[]string{"f:2: trace.share: ", "f:3: trace.shar: is no key", "f:6: trace.otlp.endpoint: "}},
+		"all at once": {
+			"[trace]\nshare = 2.0\nshar = 1\n\n[trace.otlp]\nendpoint = \"ftp://x\"\n",
+			[]string{"f:2: trace.share: ", "f:3: trace.shar: is no key", "f:6: trace.otlp.endpoint: "},
+		},
 		"inline":            {"trace = {share = 0.5,\n margn = \"1s\"}\n", []string{"f:2: trace.margn: is no key"}},
 		"missing":           {"[trace.otlp]\n", []string{"f:1: trace.otlp: missing property 'endpoint'"}},
 		"a time":            {"[trace]\nmargin = \"soon\"\n", []string{"f:2: trace.margin: "}},
@@ -103,12 +105,18 @@
 		"of no service": {head + "[[pool]]\nname = \"p\"\n[[pool]]\nname = \"q\"\n", []string{`f:12: pool[1].name: no service leads to pool "q"`}},
 		"twice":         {head + "[[pool]]\nname = \"p\"\n[[pool]]\nname = \"p\"\n", []string{`f:12: pool[1].name: "p" is another pool already`}},
 		"only pools":    {"[[pool]]\nname = \"p\"\n", []string{"f:1: pool[0]: pools need one [[service]]"}},
-		"a tie": {head + "[[service.route]]\nhost = \"A.B.\"\n[[pool]]\nname = \"p\"\n",
-			[]string{"f:9: service[0].route[2]: could match what route 0 matches"}},
-		"the second service's route": {head + "[[service]]\nname = \"t\"\npool = \"p\"\n[[service.route]]\npath = \"/a\"\n[[service.route]]\npath = \"/a//b\"\n[[pool]]\nname = \"p\"\n",
-			[]string{"f:15: service[1].route[1].path: \"/a//b\": the path can be read in two ways"}},
-		"a split": {"[[service]]\nname = \"s\"\nsplit = [{pool = \"p\", weight = 0},\n {pool = \"x\", weight = 1, heavy = 1}]\n[[service.route]]\n[[pool]]\nname = \"p\"\n",
-			[]string{"f:4: service[0].split[1].heavy: is no key"}},
+		"a tie": {
+			head + "[[service.route]]\nhost = \"A.B.\"\n[[pool]]\nname = \"p\"\n",
+			[]string{"f:9: service[0].route[2]: could match what route 0 matches"},
+		},
+		"the second service's route": {
+			head + "[[service]]\nname = \"t\"\npool = \"p\"\n[[service.route]]\npath = \"/a\"\n[[service.route]]\npath = \"/a//b\"\n[[pool]]\nname = \"p\"\n",
+			[]string{"f:15: service[1].route[1].path: \"/a//b\": the path can be read in two ways"},
+		},
+		"a split": {
+			"[[service]]\nname = \"s\"\nsplit = [{pool = \"p\", weight = 0},\n {pool = \"x\", weight = 1, heavy = 1}]\n[[service.route]]\n[[pool]]\nname = \"p\"\n",
+			[]string{"f:4: service[0].split[1].heavy: is no key"},
+		},
 		"both":       {"[[service]]\nname = \"s\"\npool = \"p\"\nsplit = [{pool = \"p\", weight = 1}]\n[[service.route]]\n[[pool]]\nname = \"p\"\n", []string{"f:4: service[0].split: a service has a pool or a split"}},
 		"guarantees": {head + "[[pool]]\nname = \"p\"\nlimits = {guarantee = 0.7, most = 0.6}\n", []string{"f:11: pool[0].limits.guarantee: 0.7 is above"}},
 		"patterns":   {head + "[[pool]]\nname = \"p\"\ndiscovery = \"x\"\n[pool.select]\nnames = [\"[\"]\n", []string{"f:11: pool[0].discovery: ", "f:13: pool[0].select.names: "}},
--- a/internal/trace/export/otlp.go
+++ b/internal/trace/export/otlp.go
@@ -261,8 +261,15 @@
 	for _, e := range []struct {
 		name string
 		at   time.Duration
-	}{{"begun", l.Begun}, {"line", l.Lined}, {"written", l.Written}, {"first_byte", l.First}, {"first_event", l.Event},
-		{"bound", l.Bound}, {"told", l.Told}} {
+	}{
+		{"begun", l.Begun},
+		{"line", l.Lined},
+		{"written", l.Written},
+		{"first_byte", l.First},
+		{"first_event", l.Event},
+		{"bound", l.Bound},
+		{"told", l.Told},
+	} {
 		if e.at != 0 {
 			s.Events = append(s.Events, &tracepb.Span_Event{TimeUnixNano: at(e.at), Name: "notchhinge." + e.name})
 		}
--- a/internal/trace/pack_test.go
+++ b/internal/trace/pack_test.go
@@ -18,8 +18,10 @@
 			At: d("at"), Reading: d("reading"), First: d("first"), End: d("end"), Aim: d("aim"), Outcome: Served, Why: RouterFull,
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "legs") {
-			want.Legs = append(want.Legs, Leg{Span: SpanID{9}, Host: s("host"), Dial: s("dial"), Sent: d("sent"), Told: d("told"),
-				Relay: d("relay"), Bytes: 900, Result: None, Said: 2, Fresh: true})
+			want.Legs = append(want.Legs, Leg{
+				Span: SpanID{9}, Host: s("host"), Dial: s("dial"), Sent: d("sent"), Told: d("told"),
+				Relay: d("relay"), Bytes: 900, Result: None, Said: 2, Fresh: true,
+			})
 		}
 		taken := d("taken")
 		b := want.pack(nil, taken)
--- a/internal/trace/show/show.go
+++ b/internal/trace/show/show.go
@@ -279,8 +279,15 @@
 	for _, stage := range []struct {
 		end time.Duration
 		is  trace.Phase
-	}{{l.Begun, trace.Line}, {l.Lined, connect}, {l.Written, trace.Write}, {l.First, trace.Wait}, {l.Event, trace.Head},
-		{l.Bound, trace.Bind}, {over, trace.Stream}} {
+	}{
+		{l.Begun, trace.Line},
+		{l.Lined, connect},
+		{l.Written, trace.Write},
+		{l.First, trace.Wait},
+		{l.Event, trace.Head},
+		{l.Bound, trace.Bind},
+		{over, trace.Stream},
+	} {
 		end := min(stage.end, over)
 		if stage.end == 0 {
 			end = over
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -231,8 +231,10 @@
 	return p, nil
 }
 
-var results = map[uint16]policy.Result{100: policy.OK, 301: policy.Error, 302: policy.Full, 303: policy.TimedOut,
-	304: policy.ConnectFailed, 305: policy.Reset, 306: policy.Cancelled, 307: policy.Moot}
+var results = map[uint16]policy.Result{
+	100: policy.OK, 301: policy.Error, 302: policy.Full, 303: policy.TimedOut,
+	304: policy.ConnectFailed, 305: policy.Reset, 306: policy.Cancelled, 307: policy.Moot,
+}
 
 func result(code uint16) (policy.Result, error) {
 	res, ok := results[code]
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -66,12 +66,18 @@
 
 var (
 	effects = map[string]policy.Effect{"pure": policy.Safe, "token": policy.Keyed, "side_effect": policy.Unsafe}
-	groups  = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
-		"cell": policy.GroupCell}
-	weights = map[string]policy.Weights{"": policy.NoWeights, "silent": policy.NoWeights,
-		"nominal": policy.SizeWeights, "rough": policy.SizeWeights, "live": policy.LiveWeights}
-	columns = map[string]string{"concurrent": "inflight", "depth": "queue", "load_share": "util",
-		"mean_ms": "latency_ms", "tps": "qps", "err_ps": "eps", "x0": "x0", "x1": "x1"}
+	groups  = map[string]policy.Group{
+		"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
+		"cell": policy.GroupCell,
+	}
+	weights = map[string]policy.Weights{
+		"": policy.NoWeights, "silent": policy.NoWeights,
+		"nominal": policy.SizeWeights, "rough": policy.SizeWeights, "live": policy.LiveWeights,
+	}
+	columns = map[string]string{
+		"concurrent": "inflight", "depth": "queue", "load_share": "util",
+		"mean_ms": "latency_ms", "tps": "qps", "err_ps": "eps", "x0": "x0", "x1": "x1",
+	}
 )
 
 // ParseSettings reads the settings object of a Launch.
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -69,11 +69,15 @@
 		Classes: []Class{
 			{Name: "safe", Aim: sec, Deadline: 10 * sec, Worth: 1, Streaming: true},
 			{Name: "unsafe", Aim: sec, Deadline: 10 * sec, Worth: 1, Effect: Unsafe},
-			{Name: "keyed", Aim: sec, Deadline: 10 * sec, Worth: 1,
-				Effect: Keyed, Group: GroupZone, DedupWindow: 2 * sec},
+			{
+				Name: "keyed", Aim: sec, Deadline: 10 * sec, Worth: 1,
+				Effect: Keyed, Group: GroupZone, DedupWindow: 2 * sec,
+			},
+		},
+		Limits: Limits{
+			Cancel: true, MaxAttempts: 3,
+			MaxRetryAfter: sec,
 		},
-		Limits: Limits{Cancel: true, MaxAttempts: 3,
-			MaxRetryAfter: sec},
 		CrossZone:  0.1,
 		DrainGrace: 500 * ms, ColdFrom: 0.2, WarmUp: 20 * sec, AskWithin: 10 * sec, AskDiscovery: true,
 	}
@@ -234,8 +238,13 @@
 		result Result
 		sends  int
 		end    string
-	}{{Full, 2, ""}, {ConnectFailed, 2, ""},
-		{Error, 1, "fail 1"}, {Reset, 1, "fail 1"}, {TimedOut, 1, "fail 1"}} {
+	}{
+		{Full, 2, ""},
+		{ConnectFailed, 2, ""},
+		{Error, 1, "fail 1"},
+		{Reset, 1, "fail 1"},
+		{TimedOut, 1, "fail 1"},
+	} {
 		b, a := start(t, settings(), fleetOf(9))
 		b.Arrive(t0, a, req(1, 1, 7))
 		b.Finished(t0+ms, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: tc.result})
@@ -980,8 +989,10 @@
 		id := RequestID(i + 1)
 		b.Arrive(t0+Time(i)*sec, a, req(id, 1, 0))
 		if a.ends(id) == 0 {
-			b.Finished(t0+Time(i)*sec, a, Outcome{ID: id, Replica: a.last(t).to,
-				Result: OK, Elapsed: 4 * sec, Ended: true})
+			b.Finished(t0+Time(i)*sec, a, Outcome{
+				ID: id, Replica: a.last(t).to,
+				Result: OK, Elapsed: 4 * sec, Ended: true,
+			})
 		}
 	}
 	if b.shed == 0 {
