--- a/internal/declaration/golden_test.go
+++ b/internal/declaration/golden_test.go
@@ -12,10 +12,14 @@
 	c := &fleetconfig.Config{
 		Revision: 300,
 		Routes: []fleetconfig.Route{
-			{Name: "chat", Host: "a.example", Prefix: "/chat/", Type: fleetconfig.Streaming, Timeout: 12000, Target: 800, Priority: 1,
-				Service: "scribe", Attempts: 2, Public: true, Affinity: true, Resume: true},
-			{Name: "read", Host: "a.example", Prefix: "/", Type: fleetconfig.Idempotent, Timeout: 2500.5,
-				Split: []fleetconfig.Share{{Service: "scribe", Weight: 1}, {Service: "reader", Weight: 0.5}}},
+			{
+				Name: "chat", Host: "a.example", Prefix: "/chat/", Type: fleetconfig.Streaming, Timeout: 12000, Target: 800, Priority: 1,
+				Service: "scribe", Attempts: 2, Public: true, Affinity: true, Resume: true,
+			},
+			{
+				Name: "read", Host: "a.example", Prefix: "/", Type: fleetconfig.Idempotent, Timeout: 2500.5,
+				Split: []fleetconfig.Share{{Service: "scribe", Weight: 1}, {Service: "reader", Weight: 0.5}},
+			},
 			{Name: "write", Host: "b.example", Prefix: "/", Type: fleetconfig.NonIdempotent, Timeout: 100, Service: "reader"},
 		},
 		Services: []fleetconfig.Service{
--- a/internal/edge/compile_bench_test.go
+++ b/internal/edge/compile_bench_test.go
@@ -19,8 +19,10 @@
 			c.Services = append(c.Services, fleetconfig.Service{Name: fmt.Sprint("s", i)})
 		}
 		for i := range n {
-			c.Routes = append(c.Routes, fleetconfig.Route{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i/5), Prefix: fmt.Sprintf("/p%d/", i),
-				Type: fleetconfig.Streaming, Timeout: 12000, Target: 800, Service: fmt.Sprint("s", i%9), Attempts: 2})
+			c.Routes = append(c.Routes, fleetconfig.Route{
+				Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i/5), Prefix: fmt.Sprintf("/p%d/", i),
+				Type: fleetconfig.Streaming, Timeout: 12000, Target: 800, Service: fmt.Sprint("s", i%9), Attempts: 2,
+			})
 			c.Tenants = append(c.Tenants, fleetconfig.Tenant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("k", i)}})
 		}
 		text, err := cbor.Marshal(c)
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -1,17 +1,17 @@
 package edge
 
 import (
-	"fmt"
-
 	"bufio"
 	"bytes"
-	"github.com/fxamacker/cbor/v2"
-	"github.com/google/go-cmp/cmp"
+	"fmt"
 	"net/http"
 	"strings"
 	"testing"
 	"time"
 
+	"github.com/fxamacker/cbor/v2"
+	"github.com/google/go-cmp/cmp"
+
 	"notchhinge/internal/acquirer"
 	"notchhinge/internal/broker"
 	"notchhinge/internal/control/fleetconfig"
@@ -29,8 +29,10 @@
 			{Name: "wide", Host: "a.example", Prefix: "/", Type: fleetconfig.Idempotent, Timeout: 2500, Target: 1000, Service: "t", Attempts: 3},
 			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Type: fleetconfig.Streaming, Timeout: 12000, Target: 800, Affinity: true, Service: "s", Attempts: 2},
 			{Name: "open", Host: "a.example", Prefix: "/open/", Type: fleetconfig.NonIdempotent, Timeout: 1000, Public: true, Service: "t"},
-			{Name: "split", Host: "b.example", Prefix: "/", Type: fleetconfig.Idempotent, Timeout: 1000,
-				Split: []fleetconfig.Share{{Service: "s", Weight: 1}, {Service: "t", Weight: 3}}},
+			{
+				Name: "split", Host: "b.example", Prefix: "/", Type: fleetconfig.Idempotent, Timeout: 1000,
+				Split: []fleetconfig.Share{{Service: "s", Weight: 1}, {Service: "t", Weight: 3}},
+			},
 		},
 		Tenants: []fleetconfig.Tenant{{Name: "k", Keys: []string{"one", "two"}}},
 	}
@@ -186,8 +188,13 @@
 		kept   *acquirer.Kept
 		want   int // 0 = what was kept
 	}{
-		{broker.Refused, false, nil, 503}, {broker.Failed, false, nil, 503}, {broker.Refused, true, nil, 502}, {broker.Failed, true, nil, 504},
-		{broker.Failed, true, kept, 0}, {broker.Refused, true, kept, 0}, {broker.Refused, false, kept, 503},
+		{broker.Refused, false, nil, 503},
+		{broker.Failed, false, nil, 503},
+		{broker.Refused, true, nil, 502},
+		{broker.Failed, true, nil, 504},
+		{broker.Failed, true, kept, 0},
+		{broker.Refused, true, kept, 0},
+		{broker.Refused, false, kept, 503},
 	} {
 		no, instead := d.Close(&acquirer.Message{}, c.why, 0, c.mayRun, c.kept)
 		switch {
@@ -225,9 +232,16 @@
 		r    *http.Response
 		want policy.Result
 	}{
-		{answer(200), policy.OK}, {answer(404), policy.OK}, {answer(500), policy.Error}, {answer(503), policy.Error},
-		{answer(429), policy.Error}, {answer(503, "X-Not-Executed", "1"), policy.Full}, {answer(429, "X-Not-Executed", "1"), policy.Full},
-		{answer(421), policy.ConnectFailed}, {answer(400, "X-Not-Executed", "1"), policy.OK}, {answer(504), policy.Error},
+		{answer(200), policy.OK},
+		{answer(404), policy.OK},
+		{answer(500), policy.Error},
+		{answer(503), policy.Error},
+		{answer(429), policy.Error},
+		{answer(503, "X-Not-Executed", "1"), policy.Full},
+		{answer(429, "X-Not-Executed", "1"), policy.Full},
+		{answer(421), policy.ConnectFailed},
+		{answer(400, "X-Not-Executed", "1"), policy.OK},
+		{answer(504), policy.Error},
 	} {
 		if got := (Legs{}).Judge(c.r); got != c.want {
 			t.Errorf("%d %v: %v, %v is wanted", c.r.StatusCode, c.r.Header, got, c.want)
@@ -410,8 +424,10 @@
 func TestLargeConfigurationsArePausedIn(t *testing.T) {
 	c := conf()
 	for i := range 1000 {
-		c.Routes = append(c.Routes, fleetconfig.Route{Name: fmt.Sprint("r", i), Host: "many.example", Prefix: fmt.Sprintf("/%d/", i),
-			Type: fleetconfig.Idempotent, Timeout: 1000, Service: c.Services[0].Name})
+		c.Routes = append(c.Routes, fleetconfig.Route{
+			Name: fmt.Sprint("r", i), Host: "many.example", Prefix: fmt.Sprintf("/%d/", i),
+			Type: fleetconfig.Idempotent, Timeout: 1000, Service: c.Services[0].Name,
+		})
 		c.Tenants = append(c.Tenants, fleetconfig.Tenant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("key-", i)}})
 	}
 	text, err := cbor.Marshal(c)
--- a/internal/edge/tenants_bench_test.go
+++ b/internal/edge/tenants_bench_test.go
@@ -19,8 +19,10 @@
 	for _, n := range []int{1400, 4600, 14000} {
 		c := &fleetconfig.Config{Revision: 1, Services: []fleetconfig.Service{{Name: "s"}}}
 		for i := range 100 {
-			c.Routes = append(c.Routes, fleetconfig.Route{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i/20), Prefix: fmt.Sprintf("/p%d/", i),
-				Type: fleetconfig.Streaming, Timeout: 60000, Target: 390, Service: "s", Attempts: 2})
+			c.Routes = append(c.Routes, fleetconfig.Route{
+				Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i/20), Prefix: fmt.Sprintf("/p%d/", i),
+				Type: fleetconfig.Streaming, Timeout: 60000, Target: 390, Service: "s", Attempts: 2,
+			})
 		}
 		for i := range n {
 			c.Tenants = append(c.Tenants, fleetconfig.Tenant{Name: fmt.Sprintf("tenant-%05d", i), Keys: []string{fmt.Sprintf("sk-%032x", i*0x9e3779b1)}, PerS: 50})
--- a/internal/lab/contend/contend.go
+++ b/internal/lab/contend/contend.go
@@ -137,8 +137,10 @@
 	}
 	p.out[wish].Tries++
 	k.round++
-	r := &paxos.Proposer{Index: uint64(len(k.log)), Number: paxos.ProposalNumber{Term: k.round, Proposer: uint64(at) + 1}, OwnValue: p.value(wish),
-		Quorum: paxos.Majority(p.m.Keepers)}
+	r := &paxos.Proposer{
+		Index: uint64(len(k.log)), Number: paxos.ProposalNumber{Term: k.round, Proposer: uint64(at) + 1}, OwnValue: p.value(wish),
+		Quorum: paxos.Majority(p.m.Keepers),
+	}
 	for i := range p.all {
 		r.Voters = append(r.Voters, uint64(i))
 	}
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -184,8 +184,10 @@
 		c.Services = append(c.Services, fleetconfig.Service{Name: fmt.Sprint("model-", i), Health: "/health", MaxConns: 400, Protocol: "h1"})
 	}
 	for i := range routes {
-		c.Routes = append(c.Routes, fleetconfig.Route{Name: fmt.Sprint("route-", i), Host: fmt.Sprintf("host-%d.example", i/20), Prefix: fmt.Sprintf("/v%d/", i),
-			Type: fleetconfig.Streaming, Timeout: float64(60000 + revision*(1-min(i, 1))), Target: 390, Service: fmt.Sprint("model-", i%models), Attempts: 2, Affinity: true})
+		c.Routes = append(c.Routes, fleetconfig.Route{
+			Name: fmt.Sprint("route-", i), Host: fmt.Sprintf("host-%d.example", i/20), Prefix: fmt.Sprintf("/v%d/", i),
+			Type: fleetconfig.Streaming, Timeout: float64(60000 + revision*(1-min(i, 1))), Target: 390, Service: fmt.Sprint("model-", i%models), Attempts: 2, Affinity: true,
+		})
 	}
 	for i := range tenants {
 		t := fleetconfig.Tenant{Name: tenantName(i), Keys: []string{fmt.Sprintf("sk-%016x%016x", rnd.Uint64(), rnd.Uint64())}, PerS: 50}
@@ -307,8 +309,10 @@
 }
 
 func (e *engine) call(ctx context.Context, client *http.Client, at string, calls int) (home string, err error) {
-	body, err := cbor.Marshal(map[string]any{"target_service": e.service, "address": e.addr, "zone": e.zone, "revision": "v1", "capacity_slots": 64,
-		"status": "ready", "warmup_remaining_ms": 0, "call_count": calls})
+	body, err := cbor.Marshal(map[string]any{
+		"target_service": e.service, "address": e.addr, "zone": e.zone, "revision": "v1", "capacity_slots": 64,
+		"status": "ready", "warmup_remaining_ms": 0, "call_count": calls,
+	})
 	if err != nil {
 		return "", err
 	}
