--- a/cmd/notchhinge/state_test.go
+++ b/cmd/notchhinge/state_test.go
@@ -47,7 +47,7 @@
 		t.Fatal(err)
 	}
 	state := &replog.State{}
-	state.Apply((&replog.Entry{Kind: replog.EntryMembers, Members: []replog.Member{{ID: 7, Name: "a", Addr: "10.0.0.1:1"}}}).Encode())
+	state.Apply(replog.Entry{Payload: replog.MembersChange{Members: []replog.Member{{ID: 7, Name: "a", Addr: "10.0.0.1:1"}}}}.Encode())
 	if err := errors.Join(s.SaveSnapshot(state), s.Close()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/delta/delta.go
+++ b/internal/control/delta/delta.go
@@ -24,11 +24,11 @@
 	headSize = 1 + 8 + 8
 )
 
-// ErrBase is a delta upon another base than the one that is given.
-var ErrBase = errors.New("delta: it is upon another text")
+// ErrWrongBase is a delta upon another base than the one that is given.
+var ErrWrongBase = errors.New("delta: it is upon another text")
 
-// ErrBroken is what is no delta, or is one whose text is not what it was made of.
-var ErrBroken = errors.New("delta: it cannot be read")
+// ErrCorrupt is what is no delta, or is one whose text is not what it was made of.
+var ErrCorrupt = errors.New("delta: it cannot be read")
 
 // Encode writes text, upon base if that is not nil. The shortest form is taken.
 func Encode(base, text []byte) []byte {
@@ -73,37 +73,37 @@
 // Decode reads a text of most bytes at the most.
 func Decode(base, b []byte, most int) ([]byte, error) {
 	if len(b) == 0 {
-		return nil, ErrBroken
+		return nil, ErrCorrupt
 	}
 	if b[0] == plain {
 		if len(b)-1 > most {
-			return nil, fmt.Errorf("%w: it is too long", ErrBroken)
+			return nil, fmt.Errorf("%w: it is too long", ErrCorrupt)
 		}
 		return b[1:], nil
 	}
 	if b[0] > upon || len(b) < headSize {
-		return nil, ErrBroken
+		return nil, ErrCorrupt
 	}
 	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(most) + 32<<20)}
 	if b[0] == upon {
 		if binary.BigEndian.Uint64(b[1:]) != xxhash.Sum64(base) {
-			return nil, ErrBase
+			return nil, ErrWrongBase
 		}
 		options = append(options, zstd.WithDecoderDictRaw(baseID, base))
 	}
 	d, err := zstd.NewReader(nil, options...)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrBroken, err)
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	defer d.Close()
 	text, err := d.DecodeAll(b[headSize:], nil)
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf("%w: %w", ErrBroken, err)
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	case len(text) > most:
-		return nil, fmt.Errorf("%w: it is too long", ErrBroken)
+		return nil, fmt.Errorf("%w: it is too long", ErrCorrupt)
 	case xxhash.Sum64(text) != binary.BigEndian.Uint64(b[9:]):
-		return nil, fmt.Errorf("%w: its checksum is wrong", ErrBroken)
+		return nil, fmt.Errorf("%w: its checksum is wrong", ErrCorrupt)
 	}
 	return text, nil
 }
--- a/internal/control/delta/delta_test.go
+++ b/internal/control/delta/delta_test.go
@@ -36,14 +36,14 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := Decode(many(5000, 7), on, len(text)); !errors.Is(err, ErrBase) {
+	if _, err := Decode(many(5000, 7), on, len(text)); !errors.Is(err, ErrWrongBase) {
 		t.Errorf("upon another text: %v", err)
 	}
-	if _, err := Decode(base, on, len(text)-1); !errors.Is(err, ErrBroken) {
+	if _, err := Decode(base, on, len(text)-1); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("too long: %v", err)
 	}
 	on[len(on)-1] ^= 1
-	if _, err := Decode(base, on, len(text)); !errors.Is(err, ErrBroken) {
+	if _, err := Decode(base, on, len(text)); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("a flipped bit: %v", err)
 	}
 }
--- a/internal/control/replica/core_test.go
+++ b/internal/control/replica/core_test.go
@@ -112,7 +112,7 @@
 	former, now := replog.State{NextIndex: 5, Members: members(1, 2, 3)}, replog.State{NextIndex: 6, Members: members(4, 5, 6)}
 	newest := now
 	newest.NextIndex, newest.Revision, newest.Config = 7, 9, []byte("newest")
-	change := (&replog.Entry{Kind: replog.EntryMembers, Members: now.Members}).Encode()
+	change := replog.Entry{Payload: replog.MembersChange{Members: now.Members}}.Encode()
 	for name, former3 := range map[string]func(ask paxos.Request) paxos.Response{ // what the former members say
 		"they know it": func(paxos.Request) paxos.Response {
 			return paxos.Response{Verdict: paxos.VerdictReported, NextIndex: now.NextIndex}
@@ -238,7 +238,7 @@
 	for _, quiet := range []bool{true, false} {
 		members := []replog.Member{{ID: 1, Name: "k-1", Addr: "10.0.0.1:7000"}, {ID: 2, Name: "k-2", Addr: "10.0.0.2:7000"}, {ID: 3, Name: "k-3", Addr: "10.0.0.3:7000"}}
 		n := New(Config{Self: members[0], MinVoters: 3, Incarnation: 9, State: replog.State{NextIndex: 5, Members: members}, Peers: func() []netip.AddrPort { return nil },
-			ChosenValue: func(uint64) ([]byte, bool) { return (&replog.Entry{Kind: replog.EntryNoop}).Encode(), true }})
+			ChosenValue: func(uint64) ([]byte, bool) { return replog.Entry{Payload: replog.Noop{}}.Encode(), true }})
 		began, ballots, status := time.Second, 0, 0
 		effects := append([]Effect(nil), n.Reduce(began, ReadConfig{Of: "get", Until: began + 900*time.Millisecond, Passive: quiet})...)
 		for at := began; at < began+time.Second; at += 10 * time.Millisecond {
--- a/internal/control/replica/members.go
+++ b/internal/control/replica/members.go
@@ -173,7 +173,7 @@
 		if fails = err; err != nil || voters == nil {
 			return nil
 		}
-		return (&replog.Entry{Kind: replog.EntryMembers, Nonce: n.rnd.Uint64(), Members: voters}).Encode()
+		return replog.Entry{Nonce: n.rnd.Uint64(), Payload: replog.MembersChange{Members: voters}}.Encode()
 	}, until, func(err error) {
 		switch {
 		case err != nil:
@@ -193,7 +193,7 @@
 		if s.NextIndex > at {
 			return nil
 		}
-		return (&replog.Entry{Kind: replog.EntryNoop, Nonce: n.rnd.Uint64()}).Encode()
+		return replog.Entry{Nonce: n.rnd.Uint64(), Payload: replog.Noop{}}.Encode()
 	}, until, done)
 }
 
@@ -217,7 +217,7 @@
 		return
 	}
 	if value, ok := n.ChosenValue(n.state.NextIndex - 1); ok {
-		if e, err := replog.Decode(value); err != nil || e.Kind != replog.EntryMembers {
+		if !isMembersChange(value) {
 			return
 		}
 	}
@@ -231,8 +231,14 @@
 	if v.Index != n.state.NextIndex || v.Accepted == (paxos.ProposalNumber{}) {
 		return false
 	}
-	e, err := replog.Decode(v.Value)
-	return err == nil && e.Kind == replog.EntryMembers
+	return isMembersChange(v.Value)
+}
+
+// isMembersChange reports whether a value of the log is a change of members.
+func isMembersChange(value []byte) bool {
+	e, err := replog.Decode(value)
+	_, ok := e.Payload.(replog.MembersChange)
+	return err == nil && ok
 }
 
 // accepted sees to it that a change of members that was accepted here is decided, should its proposer be gone.
@@ -244,7 +250,7 @@
 		if n.state.NextIndex != place || !n.MembershipPending() {
 			return
 		}
-		nothing := (&replog.Entry{Kind: replog.EntryNoop, Nonce: n.rnd.Uint64()}).Encode()
+		nothing := replog.Entry{Nonce: n.rnd.Uint64(), Payload: replog.Noop{}}.Encode()
 		n.propose(func(s *replog.State) []byte {
 			if s.NextIndex > place {
 				return nil
--- a/internal/control/replica/members_test.go
+++ b/internal/control/replica/members_test.go
@@ -366,7 +366,7 @@
 // TestAChangeIsKnownToBeOpen: who has accepted other members says so until the place is decided.
 func TestAChangeIsKnownToBeOpen(t *testing.T) {
 	n := keeper(true)
-	value := (&replog.Entry{Kind: replog.EntryMembers, Members: []replog.Member{n.Self, {ID: 9, Name: "k-9", Addr: "10.0.0.9:7000"}}}).Encode()
+	value := replog.Entry{Payload: replog.MembersChange{Members: []replog.Member{n.Self, {ID: 9, Name: "k-9", Addr: "10.0.0.9:7000"}}}}.Encode()
 	if n.MembershipPending() {
 		t.Error("nothing is accepted yet")
 	}
--- a/internal/control/replica/operate.go
+++ b/internal/control/replica/operate.go
@@ -34,7 +34,7 @@
 		n.invalid(e, c.Revision, digest, err)
 		return
 	}
-	entry := replog.Entry{Kind: replog.EntryConfig, Nonce: n.rnd.Uint64(), BaseRevision: e.BaseRevision, Config: e.Config}
+	entry := replog.Entry{Nonce: n.rnd.Uint64(), Payload: replog.ConfigChange{BaseRevision: e.BaseRevision, Config: e.Config}}
 	value := entry.Encode()
 	var res api.Result
 	propose := func() {
--- a/internal/control/replica/propose.go
+++ b/internal/control/replica/propose.go
@@ -359,7 +359,7 @@
 				again(100*time.Millisecond + time.Duration(n.rnd.Int64N(int64(100*time.Millisecond))))
 			default:
 				// Something was accepted for the place that is open, and may have been chosen: it is brought to its end.
-				nothing := (&replog.Entry{Kind: replog.EntryNoop, Nonce: n.rnd.Uint64()}).Encode()
+				nothing := replog.Entry{Nonce: n.rnd.Uint64(), Payload: replog.Noop{}}.Encode()
 				n.propose(func(now *replog.State) []byte {
 					if now.NextIndex >= need {
 						return nil
--- a/internal/control/replica/tend.go
+++ b/internal/control/replica/tend.go
@@ -152,7 +152,7 @@
 		n.look()
 		return
 	}
-	own := (&replog.Entry{Kind: replog.EntryMembers, Nonce: n.rnd.Uint64(), Members: founders}).Encode()
+	own := replog.Entry{Nonce: n.rnd.Uint64(), Payload: replog.MembersChange{Members: founders}}.Encode()
 	r := paxos.Proposer{Index: 0, OwnValue: own, Quorum: len(founders)}
 	for _, m := range founders {
 		r.Voters = append(r.Voters, m.ID)
@@ -160,15 +160,17 @@
 	// What one of them has accepted before may be of another set, whose members must then all accept it.
 	r.IsValidValue = func(value []byte) bool {
 		e, err := replog.Decode(value)
-		return err == nil && slices.Equal(e.Members, founders)
+		change, ok := e.Payload.(replog.MembersChange)
+		return err == nil && ok && slices.Equal(change.Members, founders)
 	}
 	n.attempt(r, founders, try, func(a *attempt) {
 		switch a.out {
 		case paxos.OutcomeChosen:
 			n.log.Info("the core is founded", "members", len(founders))
 		case paxos.OutcomeInvalidValue:
-			if e, err := replog.Decode(a.Value); err == nil && e.Kind == replog.EntryMembers && len(e.Members) > 0 {
-				founders = e.Members
+			e, err := replog.Decode(a.Value)
+			if change, ok := e.Payload.(replog.MembersChange); err == nil && ok && len(change.Members) > 0 {
+				founders = change.Members
 			}
 		}
 		n.found(founders, try+1)
--- /dev/null
+++ b/internal/control/replog/codec.go
@@ -0,0 +1,257 @@
+package replog
+
+import (
+	"errors"
+
+	"notchhinge/internal/control/encoding"
+	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/limits"
+)
+
+// ErrUnknownVersion is returned for an entry or a state in a format of another version, or an entry of an unknown kind.
+var ErrUnknownVersion = errors.New("replog: unknown format version")
+
+// Versions of the formats.
+const (
+	entryVersion      = 1
+	firstStateVersion = 1
+	// StateVersion is the newest format of a state that DecodeState reads.
+	StateVersion = 2
+)
+
+// Bounds of what is decoded.
+const (
+	maxMembers   = 64
+	maxNameBytes = 256 // names of members and tenants, and addresses
+	maxCounts    = 4096
+)
+
+// Smallest encodings, in bytes. A length that the rest of the input cannot hold is rejected before anything is allocated.
+const (
+	minMemberBytes    = 10
+	minCountBytes     = 2
+	minHistoryBytes   = 2
+	minWindowBytes    = 2
+	minCompactedBytes = 17
+	minNameBytes      = 1
+)
+
+// entryKind is the kind of an entry as encoded.
+type entryKind uint8
+
+const (
+	kindNoop entryKind = iota
+	kindMembers
+	kindConfig
+	kindLease
+	kindUsage
+)
+
+func (Noop) kind() entryKind          { return kindNoop }
+func (MembersChange) kind() entryKind { return kindMembers }
+func (ConfigChange) kind() entryKind  { return kindConfig }
+func (LeaseGrant) kind() entryKind    { return kindLease }
+func (UsageReport) kind() entryKind   { return kindUsage }
+
+// Encode returns the entry as it is proposed, sent and stored.
+func (e Entry) Encode() []byte {
+	w := encoding.Writer{}
+	w.Byte(entryVersion)
+	w.Byte(byte(e.Payload.kind()))
+	w.Fixed64(e.Nonce)
+	switch p := e.Payload.(type) {
+	case MembersChange:
+		writeMembers(&w, p.Members)
+	case ConfigChange:
+		w.Uvarint(p.BaseRevision)
+		w.Bytes(p.Config)
+	case LeaseGrant:
+		w.Fixed64(p.HolderID)
+		w.String(p.HolderName)
+	case UsageReport:
+		w.Uvarint(p.Window)
+		writeCounts(&w, p.Counts)
+	}
+	return w.Buf
+}
+
+// Decode reads an entry. The entry refers to b. The error is ErrUnknownVersion or one of package encoding.
+func Decode(b []byte) (Entry, error) {
+	r := encoding.Reader{Buf: b}
+	if v := r.Byte(); v != entryVersion && r.Err == nil {
+		return Entry{}, ErrUnknownVersion
+	}
+	kind := entryKind(r.Byte())
+	e := Entry{Nonce: r.Fixed64()}
+	switch kind {
+	case kindNoop:
+		e.Payload = Noop{}
+	case kindMembers:
+		e.Payload = MembersChange{Members: readMembers(&r)}
+	case kindConfig:
+		e.Payload = ConfigChange{BaseRevision: r.Uvarint(), Config: r.Bytes(fleetconfig.MostBytes)}
+	case kindLease:
+		e.Payload = LeaseGrant{HolderID: r.Fixed64(), HolderName: r.String(maxNameBytes)}
+	case kindUsage:
+		e.Payload = UsageReport{Window: r.Uvarint(), Counts: readCounts(&r)}
+	default:
+		return Entry{}, ErrUnknownVersion
+	}
+	if err := r.Finish(); err != nil {
+		return Entry{}, err
+	}
+	return e, nil
+}
+
+// Encode returns the state in the first format, which the previous release reads, for as long as that holds all of it, and
+// else in the second one, which the previous release rejects as a whole with ErrUnknownVersion.
+func (s *State) Encode() []byte {
+	if len(s.CompactedHistory) > 0 || len(s.History) > minHistory || len(s.FormerMembers) > 0 {
+		return s.encode(StateVersion)
+	}
+	return s.encode(firstStateVersion)
+}
+
+// EncodeAs returns the state for a reader of formats up to maxVersion. The first format holds the newest 64 configurations
+// of the history alone, and no former members.
+func (s *State) EncodeAs(maxVersion byte) []byte {
+	if maxVersion >= StateVersion {
+		return s.Encode()
+	}
+	return s.encode(firstStateVersion)
+}
+
+func (s *State) encode(version byte) []byte {
+	w := encoding.Writer{}
+	w.Byte(version)
+	w.Uvarint(s.NextIndex)
+	writeMembers(&w, s.Members)
+	w.Uvarint(s.Revision)
+	w.Uvarint(s.ConfigIndex)
+	w.Bytes(s.Digest[:])
+	w.Bytes(s.Config)
+	history := s.History
+	if version == firstStateVersion {
+		history = newest(history, minHistory)
+	}
+	writeHistory(&w, history)
+	w.Fixed64(s.LeaseHolder)
+	w.String(s.LeaseHolderName)
+	w.Uvarint(s.FencingToken)
+	w.Uvarint(uint64(len(s.UsageWindows)))
+	for _, x := range s.UsageWindows {
+		w.Uvarint(x.Number)
+		writeCounts(&w, x.Counts)
+	}
+	if version == firstStateVersion {
+		return w.Buf
+	}
+	writeCompacted(&w, s.CompactedHistory)
+	w.Uvarint(uint64(len(s.FormerMembers)))
+	for _, name := range s.FormerMembers {
+		w.String(name)
+	}
+	return w.Buf
+}
+
+// DecodeState reads a state of either format. The state refers to b. The error is ErrUnknownVersion or one of package
+// encoding.
+func DecodeState(b []byte) (*State, error) {
+	r := encoding.Reader{Buf: b}
+	version := r.Byte()
+	if r.Err == nil && version != firstStateVersion && version != StateVersion {
+		return nil, ErrUnknownVersion
+	}
+	s := &State{NextIndex: r.Uvarint()}
+	s.Members = readMembers(&r)
+	s.Revision, s.ConfigIndex = r.Uvarint(), r.Uvarint()
+	copy(s.Digest[:], r.Bytes(len(s.Digest)))
+	if s.Config = r.Bytes(fleetconfig.MostBytes); len(s.Config) == 0 {
+		s.Config = nil
+	}
+	s.History = readHistory(&r)
+	s.LeaseHolder, s.LeaseHolderName, s.FencingToken = r.Fixed64(), r.String(maxNameBytes), r.Uvarint()
+	for range r.Length(maxUsageWindows, minWindowBytes) {
+		s.UsageWindows = append(s.UsageWindows, UsageWindow{Number: r.Uvarint(), Counts: readCounts(&r)})
+	}
+	if version == firstStateVersion {
+		return s, r.Finish()
+	}
+	s.CompactedHistory = readCompacted(&r)
+	for range r.Length(maxFormerMembers, minNameBytes) {
+		s.FormerMembers = append(s.FormerMembers, r.String(maxNameBytes))
+	}
+	return s, r.Finish()
+}
+
+func writeMembers(w *encoding.Writer, members []Member) {
+	w.Uvarint(uint64(len(members)))
+	for _, m := range members {
+		w.Fixed64(m.ID)
+		w.String(m.Name)
+		w.String(m.Addr)
+	}
+}
+
+func readMembers(r *encoding.Reader) (members []Member) {
+	for range r.Length(maxMembers, minMemberBytes) {
+		members = append(members, Member{ID: r.Fixed64(), Name: r.String(maxNameBytes), Addr: r.String(maxNameBytes)})
+	}
+	return members
+}
+
+func writeCounts(w *encoding.Writer, counts []TenantCount) {
+	w.Uvarint(uint64(len(counts)))
+	for _, c := range counts {
+		w.String(c.Tenant)
+		w.Uvarint(c.Requests)
+	}
+}
+
+func readCounts(r *encoding.Reader) (counts []TenantCount) {
+	for range r.Length(maxCounts, minCountBytes) {
+		counts = append(counts, TenantCount{Tenant: r.String(maxNameBytes), Requests: r.Uvarint()})
+	}
+	return counts
+}
+
+func writeHistory(w *encoding.Writer, history []AcceptedConfig) {
+	w.Uvarint(uint64(len(history)))
+	for _, c := range history {
+		w.Uvarint(c.Revision)
+		w.Bytes(c.Digest[:])
+	}
+}
+
+func readHistory(r *encoding.Reader) (history []AcceptedConfig) {
+	for range r.Length(2*minHistory, minHistoryBytes) {
+		c := AcceptedConfig{Revision: r.Uvarint()}
+		copy(c.Digest[:], r.Bytes(len(c.Digest)))
+		history = append(history, c)
+	}
+	return history
+}
+
+// writeCompacted writes each revision as its distance from the one before; revisions rise.
+func writeCompacted(w *encoding.Writer, history []CompactedConfig) {
+	w.Uvarint(uint64(len(history)))
+	previous := uint64(0)
+	for _, c := range history {
+		w.Uvarint(c.Revision - previous)
+		previous = c.Revision
+		w.Buf = append(w.Buf, c.Digest[:]...)
+	}
+}
+
+func readCompacted(r *encoding.Reader) (history []CompactedConfig) {
+	previous := uint64(0)
+	for range r.Length(limits.NodeHistory, minCompactedBytes) {
+		c := CompactedConfig{Revision: previous + r.Uvarint()}
+		for i := range c.Digest {
+			c.Digest[i] = r.Byte()
+		}
+		previous = c.Revision
+		history = append(history, c)
+	}
+	return history
+}
--- a/internal/control/replog/golden_test.go
+++ b/internal/control/replog/golden_test.go
@@ -9,15 +9,15 @@
 )
 
 // goldenEntries are one of each kind, as they follow each other.
-func goldenEntries() []*Entry {
+func goldenEntries() []Entry {
 	members := []Member{{ID: 0x0102030405060708, Name: "k-1", Addr: "10.0.0.1:7000"}, {ID: 2, Name: "k-2", Addr: "10.0.0.2:7000"}}
-	return []*Entry{
-		{Kind: EntryMembers, Nonce: 1, Members: members},
-		{Kind: EntryConfig, Nonce: 0xfedcba9876543210, BaseRevision: 0, Config: []byte("\xa3\x68revision\x05\x66routes\x80\x68services\x80")},
-		{Kind: EntryLeaseHolder, Nonce: 3, HolderID: 2, HolderName: "k-2"},
-		{Kind: EntryUsage, Nonce: 4, Window: 352_800_000, Counts: []TenantCount{{"lab", 300}, {"shop", 1}}},
-		{Kind: EntryNoop, Nonce: 5},
-		{Kind: EntryMembers, Nonce: 6, Members: []Member{members[0], {ID: 3, Name: "k-3", Addr: "10.0.0.3:7000"}}},
+	return []Entry{
+		{Nonce: 1, Payload: MembersChange{Members: members}},
+		{Nonce: 0xfedcba9876543210, Payload: ConfigChange{BaseRevision: 0, Config: []byte("\xa3\x68revision\x05\x66routes\x80\x68services\x80")}},
+		{Nonce: 3, Payload: LeaseGrant{HolderID: 2, HolderName: "k-2"}},
+		{Nonce: 4, Payload: UsageReport{Window: 352_800_000, Counts: []TenantCount{{"lab", 300}, {"shop", 1}}}},
+		{Nonce: 5, Payload: Noop{}},
+		{Nonce: 6, Payload: MembersChange{Members: []Member{members[0], {ID: 3, Name: "k-3", Addr: "10.0.0.3:7000"}}}},
 	}
 }
 
@@ -27,7 +27,7 @@
 func TestGoldenEntries(t *testing.T) {
 	for i, e := range goldenEntries() {
 		t.Run(goldenNames[i], func(t *testing.T) {
-			golden.RoundTrip(t, "entry-"+goldenNames[i]+".hex", e, (*Entry).Encode, Decode)
+			golden.RoundTrip(t, "entry-"+goldenNames[i]+".hex", e, Entry.Encode, Decode)
 		})
 	}
 }
@@ -51,7 +51,7 @@
 		t.Errorf("format %d", b[0])
 	}
 	want := &State{
-		NextIndex: 6, Members: goldenEntries()[5].Members, Config: goldenEntries()[1].Config, Revision: 5, ConfigIndex: 1,
+		NextIndex: 6, Members: goldenEntries()[5].Payload.(MembersChange).Members, Config: goldenEntries()[1].Payload.(ConfigChange).Config, Revision: 5, ConfigIndex: 1,
 		LeaseHolder: 2, LeaseHolderName: "k-2", FencingToken: 2, FormerMembers: []string{"k-2"},
 		UsageWindows: []UsageWindow{{Number: 352_800_000, Counts: []TenantCount{{"lab", 300}, {"shop", 1}}}},
 	}
@@ -63,13 +63,13 @@
 // TestGoldenHistory: a state whose history is longer than the first format holds has the bytes that it had.
 func TestGoldenHistory(t *testing.T) {
 	s := &State{}
-	s.Apply((&Entry{Kind: EntryMembers, Members: []Member{{1, "a", "10.0.0.1:1"}}}).Encode())
-	for n := range 2 * keptHistory {
+	s.Apply(Entry{Payload: MembersChange{Members: []Member{{1, "a", "10.0.0.1:1"}}}}.Encode())
+	for n := range 2 * minHistory {
 		text := append(append([]byte("\xa3\x68revision\x18"), byte(n+24)), "\x66routes\x80\x68services\x80"...)
-		s.Apply((&Entry{Kind: EntryConfig, BaseRevision: s.Revision, Config: text}).Encode())
+		s.Apply(Entry{Payload: ConfigChange{BaseRevision: s.Revision, Config: text}}.Encode())
 	}
-	if len(s.CompactedHistory) == 0 || s.Revision != 2*keptHistory+23 {
-		t.Fatalf("%d of the history in brief, revision %d", len(s.CompactedHistory), s.Revision)
+	if len(s.CompactedHistory) == 0 || s.Revision != 2*minHistory+23 {
+		t.Fatalf("%d compacted, revision %d", len(s.CompactedHistory), s.Revision)
 	}
 	golden.RoundTrip(t, "state-long-history.hex", s, (*State).Encode, DecodeState)
 	golden.Check(t, "state-long-history-as-1.hex", s.EncodeAs(1))
--- /dev/null
+++ b/internal/control/replog/history_test.go
@@ -0,0 +1,76 @@
+package replog
+
+import (
+	"bytes"
+	"testing"
+
+	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/limits"
+)
+
+// TestLateRepeatsAreRecognised: a configuration is known to have been accepted after thousands of others, also by a replica
+// that has read the state from its disk or from another replica, and another configuration with its revision is not. The
+// size of the history is bounded.
+func TestLateRepeatsAreRecognised(t *testing.T) {
+	const accepted = limits.NodeHistory + 1000
+	s := &State{}
+	d := make([]fleetconfig.Digest, accepted)
+	for n := range accepted {
+		config := encodedConfig(t, 3*n+1)
+		_, d[n], _ = fleetconfig.Decode(config)
+		apply(s, ConfigChange{s.Revision, config})
+		if n%700 == 0 { // as a replica that restarts or catches up
+			b := s.Encode()
+			got, err := DecodeState(b)
+			if err != nil || !bytes.Equal(got.Encode(), b) {
+				t.Fatalf("after %d: %v", n, err)
+			}
+			s = got
+		}
+	}
+	for n := range accepted {
+		revision, isKept := uint64(3*n+1), n >= accepted-limits.NodeHistory
+		if was := s.WasAccepted(revision, d[n]); was != isKept && (isKept || was != (revision >= s.OldestRevision())) {
+			t.Errorf("revision %d of %d, the oldest kept %d: %v", revision, s.Revision, s.OldestRevision(), was)
+		}
+		if s.WasAccepted(revision, d[(n+1)%accepted]) {
+			t.Errorf("another configuration with revision %d counts as accepted", revision)
+		}
+	}
+	b := s.Encode()
+	if len(b) > 80<<10 || len(s.History)+len(s.CompactedHistory) > limits.NodeHistory+2*minHistory {
+		t.Errorf("%d bytes, %d and %d configurations", len(b), len(s.History), len(s.CompactedHistory))
+	}
+	first := s.EncodeAs(1)
+	if b[0] != StateVersion || first[0] != firstStateVersion || len(first) > 4<<10 {
+		t.Errorf("format %d, %d bytes; for an earlier program format %d, %d bytes", b[0], len(b), first[0], len(first))
+	}
+	if got, err := DecodeState(first); err != nil || !got.WasAccepted(s.Revision, d[accepted-1]) || len(got.History) != minHistory {
+		t.Errorf("%v %v", got, err)
+	}
+}
+
+// BenchmarkHistory measures one accepted configuration, the encoding and a look-up, with a full history.
+func BenchmarkHistory(b *testing.B) {
+	s := &State{}
+	for n := range limits.NodeHistory + 200 {
+		s.appendHistory(AcceptedConfig{Revision: uint64(n + 1)})
+	}
+	b.Run("append", func(b *testing.B) {
+		b.ReportAllocs()
+		for n := 0; b.Loop(); n++ {
+			s.appendHistory(AcceptedConfig{Revision: uint64(n + 9000)})
+		}
+	})
+	b.Run("encode", func(b *testing.B) {
+		for b.Loop() {
+			s.Encode()
+		}
+		b.ReportMetric(float64(len(s.Encode())), "bytes")
+	})
+	b.Run("was_accepted", func(b *testing.B) {
+		for b.Loop() {
+			s.WasAccepted(777, fleetconfig.Digest{})
+		}
+	})
+}
--- /dev/null
+++ b/internal/control/replog/state.go
@@ -0,0 +1,122 @@
+package replog
+
+import (
+	"cmp"
+	"slices"
+
+	"notchhinge/internal/control/fleetconfig"
+)
+
+// State is the sum of all entries below NextIndex. A copy by assignment is a snapshot: Apply replaces slices and does not
+// write into them.
+type State struct {
+	NextIndex        uint64   // index of the first entry that is not in it
+	Members          []Member // the voters
+	Config           []byte   // current configuration, as the operator sent it; nil before the first
+	Revision         uint64   // of Config
+	Digest           fleetconfig.Digest
+	ConfigIndex      uint64            // index that accepted Config
+	History          []AcceptedConfig  // newest configurations, oldest first; the last one is the current one
+	CompactedHistory []CompactedConfig // those before them, oldest first
+	LeaseHolder      uint64            // Member.ID; 0 = the lease was never granted
+	LeaseHolderName  string
+	FencingToken     uint64        // index of the grant
+	UsageWindows     []UsageWindow // newest ones, by number
+	FormerMembers    []string      // names that once had a vote and have none now, latest removal last
+}
+
+// UsageWindow is a usage window whose counts are agreed.
+type UsageWindow struct {
+	Number uint64
+	Counts []TenantCount
+}
+
+const (
+	maxFormerMembers = 64 // as many as an entry can name members
+	maxUsageWindows  = 24 // a new lease holder reports again those that the previous one could not
+)
+
+// Apply adds the entry at NextIndex. An entry that cannot be decoded, or whose condition fails, changes nothing but
+// NextIndex.
+//
+// Every replica must come to the same state, those of an earlier version included. Whether a configuration makes sense is
+// therefore checked by its proposer alone: were it checked here, a stricter version would diverge from a more lenient one.
+func (s *State) Apply(value []byte) {
+	index := s.NextIndex
+	s.NextIndex++
+	if e, err := Decode(value); err == nil {
+		e.Payload.apply(s, index)
+	}
+}
+
+func (Noop) apply(*State, uint64) {}
+
+func (p MembersChange) apply(s *State, _ uint64) {
+	if len(p.Members) > 0 {
+		s.setMembers(p.Members)
+	}
+}
+
+func (p ConfigChange) apply(s *State, index uint64) {
+	c, digest, err := fleetconfig.Decode(p.Config)
+	if err != nil || p.BaseRevision != s.Revision || c.Revision <= s.Revision {
+		return
+	}
+	s.Config, s.Revision, s.Digest, s.ConfigIndex = p.Config, c.Revision, digest, index
+	s.appendHistory(AcceptedConfig{Revision: c.Revision, Digest: digest})
+}
+
+func (p LeaseGrant) apply(s *State, index uint64) {
+	s.LeaseHolder, s.LeaseHolderName, s.FencingToken = p.HolderID, p.HolderName, index
+}
+
+// apply ignores a window that is agreed or older than all that are kept: it may have been agreed and dropped.
+func (p UsageReport) apply(s *State, _ uint64) {
+	if s.AgreedUsage(p.Window) != nil || len(s.UsageWindows) > 0 && p.Window < s.UsageWindows[0].Number {
+		return
+	}
+	windows := append(slices.Clone(s.UsageWindows), UsageWindow{Number: p.Window, Counts: p.Counts})
+	slices.SortFunc(windows, func(x, y UsageWindow) int { return cmp.Compare(x.Number, y.Number) })
+	s.UsageWindows = newest(windows, maxUsageWindows)
+}
+
+// setMembers replaces the voters and keeps the names of those that lose their vote, so that a repeated request to remove one
+// is recognised as done.
+func (s *State) setMembers(members []Member) {
+	hasName := func(members []Member, name string) bool {
+		return slices.ContainsFunc(members, func(m Member) bool { return m.Name == name })
+	}
+	former := slices.DeleteFunc(slices.Clone(s.FormerMembers), func(name string) bool { return hasName(members, name) })
+	for _, m := range s.Members {
+		if !hasName(members, m.Name) {
+			former = append(former, m.Name)
+		}
+	}
+	if former = newest(former, maxFormerMembers); len(former) == 0 {
+		former = nil
+	}
+	s.FormerMembers, s.Members = former, members
+}
+
+// Member returns the voter with an id, or nil.
+func (s *State) Member(id uint64) *Member {
+	for i := range s.Members {
+		if s.Members[i].ID == id {
+			return &s.Members[i]
+		}
+	}
+	return nil
+}
+
+// AgreedUsage returns a usage window whose counts are agreed and still kept, or nil.
+func (s *State) AgreedUsage(number uint64) *UsageWindow {
+	for i := range s.UsageWindows {
+		if s.UsageWindows[i].Number == number {
+			return &s.UsageWindows[i]
+		}
+	}
+	return nil
+}
+
+// newest returns the last n elements of a list, or all if there are fewer.
+func newest[T any](list []T, n int) []T { return list[max(len(list)-n, 0):] }
--- /dev/null
+++ b/internal/control/replog/state_test.go
@@ -0,0 +1,139 @@
+package replog
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/google/go-cmp/cmp"
+
+	"notchhinge/internal/control/fleetconfig"
+)
+
+// encodedConfig returns a configuration of a revision, without routes, as an operator sends it.
+func encodedConfig(t testing.TB, revision int) []byte {
+	t.Helper()
+	b, err := cbor.Marshal(map[string]any{"revision": revision, "routes": []any{}, "services": []any{}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// apply applies an entry with a payload.
+func apply(s *State, p Payload) { s.Apply(Entry{Payload: p}.Encode()) }
+
+func TestStateIsTheSumOfItsEntries(t *testing.T) {
+	members := []Member{{1, "a", "10.0.0.1:1"}, {2, "b", "10.0.0.2:1"}, {3, "c", "10.0.0.3:1"}}
+	s := &State{}
+	for _, p := range []Payload{
+		MembersChange{members},
+		ConfigChange{0, encodedConfig(t, 3)},
+		ConfigChange{0, encodedConfig(t, 4)}, // lost its race
+		ConfigChange{3, encodedConfig(t, 3)}, // its revision is not above the current one
+		ConfigChange{3, []byte{0xff}},        // cannot be decoded
+		LeaseGrant{2, "b"},
+		UsageReport{9, []TenantCount{{"k", 5}}},
+		UsageReport{9, []TenantCount{{"k", 6}}}, // the first report stands
+		ConfigChange{3, encodedConfig(t, 8)},
+		Noop{},
+	} {
+		apply(s, p)
+	}
+	s.Apply([]byte("not an entry"))
+	if s.NextIndex != 11 || s.Revision != 8 || s.ConfigIndex != 8 || s.LeaseHolder != 2 || s.FencingToken != 5 || s.Member(3) == nil || s.Member(9) != nil {
+		t.Errorf("%+v", s)
+	}
+	if w := s.AgreedUsage(9); w == nil || w.Counts[0].Requests != 5 || s.AgreedUsage(8) != nil {
+		t.Errorf("%+v", w)
+	}
+	if len(s.History) != 2 || !s.WasAccepted(3, s.History[0].Digest) || s.WasAccepted(4, s.History[0].Digest) {
+		t.Errorf("%+v", s.History)
+	}
+	got, err := DecodeState(s.Encode())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(s, got); diff != "" {
+		t.Errorf("(-want +got):\n%s", diff)
+	}
+}
+
+func TestStateIsBounded(t *testing.T) {
+	s := &State{}
+	apply(s, MembersChange{[]Member{{1, "a", "x"}}})
+	for n := range 500 {
+		apply(s, UsageReport{uint64(n), []TenantCount{{"k", 1}}})
+		apply(s, ConfigChange{uint64(n), encodedConfig(t, n+1)})
+	}
+	if len(s.UsageWindows) != maxUsageWindows || len(s.History) != minHistory+500%minHistory || s.Revision != 500 || len(s.Encode()) > 16<<10 {
+		t.Errorf("%d windows, %d configurations, %d bytes", len(s.UsageWindows), len(s.History), len(s.Encode()))
+	}
+	// A window older than all that are kept must not be agreed a second time.
+	if apply(s, UsageReport{3, []TenantCount{{"k", 99}}}); s.AgreedUsage(3) != nil {
+		t.Error("a window that was agreed and dropped is agreed again")
+	}
+}
+
+// TestCopiesOfAStateDoNotChange: a state is handed out as a copy while entries are applied to it.
+func TestCopiesOfAStateDoNotChange(t *testing.T) {
+	s := State{}
+	for _, window := range []uint64{9, 5, 7, 3} {
+		before := s
+		numbers := func() (all []uint64) {
+			for _, w := range before.UsageWindows {
+				all = append(all, w.Number)
+			}
+			return all
+		}
+		want := fmt.Sprint(numbers())
+		apply(&s, UsageReport{window, []TenantCount{{"k", window}}})
+		if got := fmt.Sprint(numbers()); got != want {
+			t.Errorf("windows of a copy were %s, and are %s", want, got)
+		}
+	}
+}
+
+func TestFormerMembersAreKeptAndBounded(t *testing.T) {
+	s := State{}
+	member := func(i int) Member { return Member{ID: uint64(i + 1), Name: fmt.Sprint("k-", i), Addr: "x"} }
+	setMembers := func(members ...Member) { apply(&s, MembersChange{members}) }
+	setMembers(member(0), member(1))
+	setMembers(member(0), member(2))
+	setMembers(member(1), member(2))
+	if diff := cmp.Diff([]string{"k-0"}, s.FormerMembers); diff != "" {
+		t.Errorf("(-want +got):\n%s", diff)
+	}
+	for i := range 200 {
+		setMembers(member(i))
+	}
+	got, err := DecodeState(s.Encode())
+	if err != nil || len(got.FormerMembers) != maxFormerMembers || got.FormerMembers[maxFormerMembers-1] != "k-198" {
+		t.Errorf("%d names, %v", len(got.FormerMembers), err)
+	}
+}
+
+// TestFirstFormatIsReadAndWrittenUnchanged reads a state of the program that kept 64 configurations of the history: 70 were
+// accepted, with odd revisions. What the state holds is written byte for byte as that program writes it.
+func TestFirstFormatIsReadAndWrittenUnchanged(t *testing.T) {
+	b, err := os.ReadFile("testdata/state.v1")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, err := DecodeState(b)
+	if err != nil || s.NextIndex != 73 || s.Revision != 139 || len(s.History) != 64 || s.OldestRevision() != 13 || s.LeaseHolder != 2 || s.AgreedUsage(9) == nil {
+		t.Fatalf("%v: %+v", err, s)
+	}
+	if !bytes.Equal(s.Encode(), b) || !bytes.Equal(s.EncodeAs(StateVersion), b) {
+		t.Error("encoded again, it differs")
+	}
+	_, d, _ := fleetconfig.Decode(encodedConfig(t, 13))
+	for n := 141; n < 341; n += 2 { // and continues
+		apply(s, ConfigChange{s.Revision, encodedConfig(t, n)})
+	}
+	if !s.WasAccepted(13, d) || s.Encode()[0] != StateVersion {
+		t.Error("the history of the earlier program is lost")
+	}
+}
--- a/internal/control/singleton/node.go
+++ b/internal/control/singleton/node.go
@@ -300,7 +300,7 @@
 		return
 	}
 	place, self := n.state.FencingToken, n.Self
-	value := (&replog.Entry{Kind: replog.EntryLeaseHolder, Nonce: n.nonce.Uint64(), HolderID: self.ID, HolderName: self.Name}).Encode()
+	value := replog.Entry{Nonce: n.nonce.Uint64(), Payload: replog.LeaseGrant{HolderID: self.ID, HolderName: self.Name}}.Encode()
 	n.poll(CallCheckCandidacy, n.free(place, self.ID), func() {
 		if n.then != nil || n.state.FencingToken != place {
 			return
@@ -415,7 +415,7 @@
 			continue // nothing began in it, as far as anybody knows
 		}
 		self := n.Self.ID
-		value := (&replog.Entry{Kind: replog.EntryUsage, Nonce: n.nonce.Uint64(), Window: number, Counts: counts}).Encode()
+		value := replog.Entry{Nonce: n.nonce.Uint64(), Payload: replog.UsageReport{Window: number, Counts: counts}}.Encode()
 		n.propose(func(s *replog.State) []byte {
 			if s.AgreedUsage(number) != nil || s.LeaseHolder != self {
 				return nil
--- a/internal/control/singleton/node_test.go
+++ b/internal/control/singleton/node_test.go
@@ -158,7 +158,7 @@
 // TestGrants: a member gives its lease to the holder that it knows of, and votes for no other while that lasts.
 func TestGrants(t *testing.T) {
 	k := newKeeper()
-	k.state.Apply((&replog.Entry{Kind: replog.EntryLeaseHolder, HolderID: 2, HolderName: "b"}).Encode())
+	k.state.Apply(replog.Entry{Payload: replog.LeaseGrant{HolderID: 2, HolderName: "b"}}.Encode())
 	ask := func(kind, place, node byte) bool {
 		w := []byte{place, 0, 0, 0, 0, 0, 0, 0, node}
 		for _, f := range k.Reduce(k.now, k.wall(), &k.state, replica.CallReceived{Kind: kind, Body: w}) {
--- a/internal/control/storage/golden_test.go
+++ b/internal/control/storage/golden_test.go
@@ -13,13 +13,13 @@
 )
 
 // goldenEntries are what is chosen one after another, and goldenState what they lead to.
-func goldenEntries() []*replog.Entry {
-	return []*replog.Entry{
-		{Kind: replog.EntryMembers, Nonce: 1, Members: []replog.Member{{ID: 7, Name: "k-1", Addr: "10.0.0.1:7000"}, {ID: 8, Name: "k-2", Addr: "10.0.0.2:7000"}}},
-		{Kind: replog.EntryConfig, Nonce: 2, Config: []byte("\xa3\x68revision\x05\x66routes\x80\x68services\x80")},
-		{Kind: replog.EntryLeaseHolder, Nonce: 3, HolderID: 8, HolderName: "k-2"},
-		{Kind: replog.EntryUsage, Nonce: 4, Window: 352_800_000, Counts: []replog.TenantCount{{Tenant: "lab", Requests: 300}}},
-		{Kind: replog.EntryMembers, Nonce: 5, Members: []replog.Member{{ID: 7, Name: "k-1", Addr: "10.0.0.1:7000"}}},
+func goldenEntries() []replog.Entry {
+	return []replog.Entry{
+		{Nonce: 1, Payload: replog.MembersChange{Members: []replog.Member{{ID: 7, Name: "k-1", Addr: "10.0.0.1:7000"}, {ID: 8, Name: "k-2", Addr: "10.0.0.2:7000"}}}},
+		{Nonce: 2, Payload: replog.ConfigChange{Config: []byte("\xa3\x68revision\x05\x66routes\x80\x68services\x80")}},
+		{Nonce: 3, Payload: replog.LeaseGrant{HolderID: 8, HolderName: "k-2"}},
+		{Nonce: 4, Payload: replog.UsageReport{Window: 352_800_000, Counts: []replog.TenantCount{{Tenant: "lab", Requests: 300}}}},
+		{Nonce: 5, Payload: replog.MembersChange{Members: []replog.Member{{ID: 7, Name: "k-1", Addr: "10.0.0.1:7000"}}}},
 	}
 }
 
@@ -105,7 +105,7 @@
 			t.Errorf("%s: the first entry is there: %v", dir, ok)
 		}
 		next := *goldenState(5)
-		value := (&replog.Entry{Kind: replog.EntryNoop, Nonce: 6}).Encode()
+		value := replog.Entry{Nonce: 6, Payload: replog.Noop{}}.Encode()
 		next.Apply(value)
 		if err := s.AppendChosen(value, &next); err != nil {
 			t.Fatal(err)
--- a/internal/control/storage/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -33,9 +33,9 @@
 	vote := paxos.AcceptorState{}
 	n := 0
 	for place := range uint64(80) {
-		e := &replog.Entry{Kind: replog.EntryUsage, Nonce: place, Window: place, Counts: []replog.TenantCount{{Tenant: "k", Requests: place}}}
+		e := replog.Entry{Nonce: place, Payload: replog.UsageReport{Window: place, Counts: []replog.TenantCount{{Tenant: "k", Requests: place}}}}
 		if place == 0 {
-			e = &replog.Entry{Kind: replog.EntryMembers, Members: []replog.Member{{ID: 7, Name: "a", Addr: "x"}}}
+			e = replog.Entry{Payload: replog.MembersChange{Members: []replog.Member{{ID: 7, Name: "a", Addr: "x"}}}}
 		}
 		vote = paxos.AcceptorState{Index: place, Promised: paxos.ProposalNumber{Term: place + 1, Proposer: 3}}
 		for _, accepted := range []bool{false, true} {
--- a/internal/lab/check/cuts.go
+++ b/internal/lab/check/cuts.go
@@ -73,7 +73,7 @@
 		all = append(all, h.member())
 	}
 	for _, h := range s.hosts {
-		h.state.Apply((&replog.Entry{Kind: replog.EntryMembers, Members: all[:n]}).Encode())
+		h.state.Apply(replog.Entry{Payload: replog.MembersChange{Members: all[:n]}}.Encode())
 		h.start()
 	}
 	return s
@@ -449,13 +449,13 @@
 		return side
 	}
 	s.hosts[s.draw(len(s.hosts))].take(replica.Propose{Until: s.now + within, Of: func(error) {}, Next: func(x *replog.State) []byte {
-		e := &replog.Entry{Kind: replog.EntryMembers, Nonce: uint64(s.draw(1 << 30)), Members: slices.Clone(x.Members)}
-		at := slices.IndexFunc(e.Members, func(m replog.Member) bool { return m.ID == out.ID })
+		nonce, members := uint64(s.draw(1<<30)), slices.Clone(x.Members)
+		at := slices.IndexFunc(members, func(m replog.Member) bool { return m.ID == out.ID })
 		if at < 0 || x.Member(in.id) != nil {
 			return nil
 		}
-		e.Members[at] = in.member()
-		return e.Encode()
+		members[at] = in.member()
+		return replog.Entry{Nonce: nonce, Payload: replog.MembersChange{Members: members}}.Encode()
 	}})
 	return side
 }
--- a/internal/lab/check/disk.go
+++ b/internal/lab/check/disk.go
@@ -313,12 +313,12 @@
 func script() (all []moment, values [][]byte) {
 	var m moment
 	for place := range uint64(36) {
-		e := &replog.Entry{Kind: replog.EntryConfig, Nonce: place, BaseRevision: place, Config: bytes.Repeat([]byte{byte(place)}, 30_000)} // read by nobody
+		e := replog.Entry{Nonce: place, Payload: replog.ConfigChange{BaseRevision: place, Config: bytes.Repeat([]byte{byte(place)}, 30_000)}} // read by nobody
 		if place%4 == 0 {
-			e = &replog.Entry{Kind: replog.EntryUsage, Nonce: place, Window: place, Counts: []replog.TenantCount{{Tenant: "k", Requests: place}}}
+			e = replog.Entry{Nonce: place, Payload: replog.UsageReport{Window: place, Counts: []replog.TenantCount{{Tenant: "k", Requests: place}}}}
 		}
 		if place == 0 {
-			e = &replog.Entry{Kind: replog.EntryMembers, Members: []replog.Member{{ID: 7, Name: "a", Addr: "x"}}}
+			e = replog.Entry{Payload: replog.MembersChange{Members: []replog.Member{{ID: 7, Name: "a", Addr: "x"}}}}
 		}
 		m.vote = paxos.AcceptorState{Index: place, Promised: paxos.ProposalNumber{Term: place + 1, Proposer: 3}}
 		all, values = append(all, m), append(values, nil)
--- a/internal/lab/check/orders.go
+++ b/internal/lab/check/orders.go
@@ -55,7 +55,7 @@
 		return
 	}
 	o.orders = append(o.orders, x)
-	entry := (&replog.Entry{Kind: replog.EntryConfig, BaseRevision: on, Config: x.text}).Encode()
+	entry := replog.Entry{Payload: replog.ConfigChange{BaseRevision: on, Config: x.text}}.Encode()
 	o.hosts[at%len(o.hosts)].take(replica.Propose{Until: o.now + within, Next: func(s *replog.State) []byte {
 		if s.CheckConfig(on, revision, x.digest) == replog.ConfigAcceptable {
 			return entry
--- a/internal/lab/check/races.go
+++ b/internal/lab/check/races.go
@@ -150,7 +150,7 @@
 			r.at[p] = nil
 			return
 		}
-		e := replog.Entry{Kind: replog.EntryConfig, Nonce: uint64(r.draw(1 << 30)), BaseRevision: c.on, Config: c.text}
+		e := replog.Entry{Nonce: uint64(r.draw(1 << 30)), Payload: replog.ConfigChange{BaseRevision: c.on, Config: c.text}}
 		own = string(e.Encode())
 	}
 	r.count++
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -263,7 +263,7 @@
 	}
 	place, text, err := r.texts.Read(b, had)
 	if err != nil || len(text) == 0 || place <= r.held.Load() {
-		return err == nil || errors.Is(err, delta.ErrBase)
+		return err == nil || errors.Is(err, delta.ErrWrongBase)
 	}
 	r.texts.Hold(place, r.f.texts.one(place, text))
 	r.changed.Store(time.Now().UnixNano())
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -113,7 +113,7 @@
 			return false
 		}
 		place, text, err := n.texts.Read(b, had)
-		if errors.Is(err, delta.ErrBase) && has > 0 { // two who hold different texts for one place would be a fault: it must not last
+		if errors.Is(err, delta.ErrWrongBase) && has > 0 { // two who hold different texts for one place would be a fault: it must not last
 			has, had = 0, nil
 			continue
 		}
