--- a/internal/control/discovery/news.go
+++ b/internal/control/discovery/news.go
@@ -34,65 +34,65 @@
 type Event any
 
 type (
-	// Beat is an engine's call; an Answer comes back with Of.
-	Beat struct {
+	// Heartbeat is an engine's call; an Answer comes back with Of.
+	Heartbeat struct {
 		Record endpoints.Record
 		Of     any
 	}
-	// SignOff is an engine's last call; likewise.
-	SignOff struct {
-		ID string
-		Of any
+	// Deregister is an engine's last call; likewise.
+	Deregister struct {
+		EndpointID string
+		Of         any
 	}
-	// Config: a configuration is held here.
-	Config struct{ Place uint64 }
-	// Forgot: an engine has forgotten a connection that rested.
-	Forgot struct{}
+	// ConfigStored: a configuration is held here.
+	ConfigStored struct{ Index uint64 }
+	// IdleDropObserved: an engine has forgotten a connection that rested.
+	IdleDropObserved struct{}
 )
 
 // Effect is something to be done: a gossip.Send, or one of these.
 type Effect any
 
 type (
-	// Answer a call: acknowledged, or not. Home is a keeper for the engine's later calls; the zero one = no matter.
-	Answer struct {
-		Of   any
-		Err  error
-		Home netip.AddrPort
+	// Reply a call: acknowledged, or not. Home is a keeper for the engine's later calls; the zero one = no matter.
+	Reply struct {
+		Of          any
+		Err         error
+		HomeReplica netip.AddrPort
 	}
-	// Engines: those that may be used have changed.
-	Engines struct{}
-	// Forgets: somewhere an engine has forgotten a connection that rested; others may do so, too.
-	Forgets struct{}
-	// Configured: there is a configuration, which From has told.
-	Configured struct {
-		Place uint64
+	// EndpointsChanged: those that may be used have changed.
+	EndpointsChanged struct{}
+	// IdleDropReported: somewhere an engine has forgotten a connection that rested; others may do so, too.
+	IdleDropReported struct{}
+	// ConfigAnnounced: there is a configuration, which From has told.
+	ConfigAnnounced struct {
+		Index uint64
 		From  gossip.Peer
 	}
 )
 
 // Errors of answers. The caller goes on to another router.
 var (
-	ErrUnheard = errors.New("no others have heard it in time")
-	ErrAlone   = errors.New("out of touch with the keepers")
-	ErrFull    = errors.New("too many engines are known here")
+	ErrNotAcknowledged  = errors.New("no others have heard it in time")
+	ErrNoQuorumContact  = errors.New("out of touch with the keepers")
+	ErrTooManyEndpoints = errors.New("too many engines are known here")
 )
 
 // Node is one process's part. It is not safe for concurrent use.
 type Node struct {
-	Gossip *gossip.Node
-	Roster *endpoints.Roster
-	self   gossip.Peer
-	names  map[uint64]string          // of engines' ids, by their hashes
-	sure   map[string]endpoints.State // what others have of an engine that leaves, as they have said to this one
-	zone   func(string) uint32
-	sweep  time.Duration
-	forgot time.Duration // when others were last told, or told this one, that engines forget
-	now    time.Duration
-	wall   int64
-	dirty  bool
-	queue  []gossip.Event
-	out    []Effect
+	Gossip    *gossip.Node
+	Endpoints *endpoints.Registry
+	self      gossip.Peer
+	names     map[uint64]string          // of engines' ids, by their hashes
+	sure      map[string]endpoints.State // what others have of an engine that leaves, as they have said to this one
+	zone      func(string) uint32
+	sweep     time.Duration
+	forgot    time.Duration // when others were last told, or told this one, that engines forget
+	now       time.Duration
+	wall      int64
+	dirty     bool
+	queue     []gossip.Event
+	out       []Effect
 }
 
 // wait is an engine's word that waits until others have heard it.
@@ -106,21 +106,21 @@
 // tell theirs.
 func New(self gossip.Peer, seed uint64, silence time.Duration, zone func(string) uint32) *Node {
 	n := &Node{
-		Gossip: gossip.New(self, seed), Roster: endpoints.New(silence), self: self, names: map[uint64]string{},
+		Gossip: gossip.New(self, seed), Endpoints: endpoints.New(silence), self: self, names: map[uint64]string{},
 		sure: map[string]endpoints.State{}, zone: zone,
 	}
-	n.Gossip.Stale = func(i *gossip.Item) bool {
+	n.Gossip.IsStale = func(i *gossip.Item) bool {
 		if i.Kind != itemEngine {
 			return false
 		}
 		r, err := endpoints.Decode(i.Body)
-		return err != nil || engineKey+r.ID != i.Key || r.Stale(n.wall)
+		return err != nil || engineKey+r.ID != i.Key || r.IsStale(n.wall)
 	}
 	return n
 }
 
-// Next tells when the node wants a gossip.Tick.
-func (n *Node) Next() time.Duration { return min(n.Gossip.Next(), n.sweep) }
+// NextTimer tells when the node wants a gossip.Tick.
+func (n *Node) NextTimer() time.Duration { return min(n.Gossip.NextTimer(), n.sweep) }
 
 // Reduce takes an event in. The effects are valid until the next call.
 func (n *Node) Reduce(now time.Duration, wall int64, e Event) []Effect {
@@ -128,16 +128,16 @@
 	clear(n.out)
 	n.out = n.out[:0]
 	switch e := e.(type) {
-	case Beat:
+	case Heartbeat:
 		n.beat(e)
-	case SignOff:
+	case Deregister:
 		n.signOff(e)
-	case Config:
+	case ConfigStored:
 		w := encoding.Writer{}
-		w.Uvarint(e.Place)
-		n.publish(gossip.Item{Kind: itemConfig, Key: configKey, Version: e.Place, Body: w.Buf})
-	case Forgot:
-		n.out = append(n.out, Forgets{})
+		w.Uvarint(e.Index)
+		n.publish(gossip.Item{Kind: itemConfig, Key: configKey, Version: e.Index, Body: w.Buf})
+	case IdleDropObserved:
+		n.out = append(n.out, IdleDropReported{})
 		if last, _ := n.Gossip.Item(forgetsKey); n.forgot == 0 || n.now-n.forgot > limits.NodeForgetsNews {
 			n.forgot = n.now
 			n.publish(gossip.Item{Kind: itemForgets, Key: forgetsKey, Version: max(last.Version+1, uint64(max(n.wall, 0)))})
@@ -153,7 +153,7 @@
 	}
 	if n.dirty {
 		n.dirty = false
-		n.out = append(n.out, Engines{})
+		n.out = append(n.out, EndpointsChanged{})
 	}
 	return n.out
 }
@@ -165,19 +165,19 @@
 		n.queue = n.queue[1:]
 		for _, f := range n.Gossip.Reduce(n.now, e) {
 			switch f := f.(type) {
-			case gossip.Send:
+			case gossip.SendPacket:
 				n.out = append(n.out, f)
-			case gossip.Learnt:
+			case gossip.ItemLearned:
 				n.learnt(f)
-			case gossip.Alive:
-				if id, ok := n.names[f.Sign.Key]; ok {
+			case gossip.HeartbeatLearned:
+				if id, ok := n.names[f.Heartbeat.Key]; ok {
 					n.heard(id, func() {
-						if n.Roster.Alive(n.now, id, f.Sign.Count, time.Duration(f.Sign.AgeMS)*time.Millisecond) {
-							n.queue = append(n.queue, gossip.Relay{Sign: f.Sign, From: f.From})
+						if n.Endpoints.MergeHeartbeat(n.now, id, f.Heartbeat.Sequence, time.Duration(f.Heartbeat.AgeMS)*time.Millisecond) {
+							n.queue = append(n.queue, gossip.RelayHeartbeat{Heartbeat: f.Heartbeat, From: f.From})
 						}
 					})
 				}
-			case gossip.Confirmed:
+			case gossip.BroadcastCompleted:
 				n.confirmed(f)
 			}
 		}
@@ -188,13 +188,13 @@
 // publish tells others of items at once.
 func (n *Node) publish(items ...gossip.Item) {
 	if len(items) > 0 {
-		n.queue = append(n.queue, gossip.Publish{Urgent: true, Items: items})
+		n.queue = append(n.queue, gossip.Broadcast{Urgent: true, Items: items})
 	}
 }
 
 // engineItem makes an engine's record news.
 func engineItem(r *endpoints.Record) gossip.Item {
-	return gossip.Item{Kind: itemEngine, Key: engineKey + r.ID, Version: r.Calls<<2 | uint64(r.State), Body: r.Encode()}
+	return gossip.Item{Kind: itemEngine, Key: engineKey + r.ID, Version: r.CallCount<<2 | uint64(r.State), Body: r.Encode()}
 }
 
 // silentItem says that an engine's calls have stopped, or go on.
@@ -207,14 +207,14 @@
 }
 
 // learnt takes in an item from elsewhere.
-func (n *Node) learnt(l gossip.Learnt) {
+func (n *Node) learnt(l gossip.ItemLearned) {
 	switch i := &l.Item; i.Kind {
 	case itemEngine:
 		r, err := endpoints.Decode(i.Body)
 		if err != nil {
 			return // it was read before it was taken
 		}
-		if len(n.Roster.Merge(n.now, r)) > 0 {
+		if len(n.Endpoints.Merge(n.now, r)) > 0 {
 			n.dirty = true
 			n.names[gossip.Hash(r.ID)] = r.ID
 		}
@@ -225,77 +225,77 @@
 		n.hush(i.Key[len(silentKey):], i.Version)
 	case itemForgets:
 		n.forgot = n.now
-		n.out = append(n.out, Forgets{})
+		n.out = append(n.out, IdleDropReported{})
 	case itemConfig:
-		n.out = append(n.out, Configured{i.Version, l.From})
+		n.out = append(n.out, ConfigAnnounced{i.Version, l.From})
 	}
 }
 
 // hush takes in others' word that an engine is silent, or is not. Who knows better says so.
 func (n *Node) hush(id string, version uint64) {
-	n.dirty = n.Roster.Hush(n.now, id, version>>1, version&1 > 0) || n.dirty
-	if e := n.Roster.Find(id); e != nil && version&1 > 0 && e.Newest > version>>1 && !e.Silent && e.State != endpoints.Gone {
-		n.publish(silentItem(id, e.Newest, false))
+	n.dirty = n.Endpoints.MergeSuspicion(n.now, id, version>>1, version&1 > 0) || n.dirty
+	if e := n.Endpoints.Find(id); e != nil && version&1 > 0 && e.LatestCall > version>>1 && !e.Suspect && e.State != endpoints.StateGone {
+		n.publish(silentItem(id, e.LatestCall, false))
 	}
 }
 
 // heard notes a sign of life. Of one that was held for silent it is news.
 func (n *Node) heard(id string, take func()) {
-	e := n.Roster.Find(id)
-	was := e != nil && e.Silent
-	if take(); was && !e.Silent {
+	e := n.Endpoints.Find(id)
+	was := e != nil && e.Suspect
+	if take(); was && !e.Suspect {
 		n.dirty = true
-		n.publish(silentItem(id, e.Newest, false))
+		n.publish(silentItem(id, e.LatestCall, false))
 	}
 }
 
 // beat takes an engine's call in.
-func (n *Node) beat(b Beat) {
-	if _, ok := n.Gossip.InTouch(); !ok { // its sign of life would reach nobody who judges, and its word nobody who acts on it
-		n.out = append(n.out, Answer{Of: b.Of, Err: ErrAlone})
+func (n *Node) beat(b Heartbeat) {
+	if _, ok := n.Gossip.QuorumContact(); !ok { // its sign of life would reach nobody who judges, and its word nobody who acts on it
+		n.out = append(n.out, Reply{Of: b.Of, Err: ErrNoQuorumContact})
 		return
 	}
 	r := &b.Record
 	n.heard(r.ID, func() {
-		news, fresh := n.Roster.Beat(n.now, *r, n.wall)
+		news, fresh := n.Endpoints.Heartbeat(n.now, *r, n.wall)
 		n.names[gossip.Hash(r.ID)] = r.ID
 		for i := range news {
 			n.dirty = true
-			if c := &news[i]; c.ID != r.ID || c.State == endpoints.Ready { // of one that leaves others are told below
+			if c := &news[i]; c.ID != r.ID || c.State == endpoints.StateReady { // of one that leaves others are told below
 				n.publish(engineItem(c))
 			}
 		}
 		if fresh {
-			n.queue = append(n.queue, gossip.Heard{Sign: gossip.Sign{Key: gossip.Hash(r.ID), Count: r.Calls}})
+			n.queue = append(n.queue, gossip.HeartbeatObserved{Heartbeat: gossip.Heartbeat{Key: gossip.Hash(r.ID), Sequence: r.CallCount}})
 		}
 	})
-	switch e := n.Roster.Find(r.ID); {
+	switch e := n.Endpoints.Find(r.ID); {
 	case e == nil:
-		n.out = append(n.out, Answer{Of: b.Of, Err: ErrFull})
-	case r.State == endpoints.Ready && n.alone(): // what it says is news all the same, but nobody who judges hears that it lives
-		n.out = append(n.out, Answer{Of: b.Of, Err: ErrAlone})
-	case r.State != endpoints.Ready && e.State != endpoints.Ready:
+		n.out = append(n.out, Reply{Of: b.Of, Err: ErrTooManyEndpoints})
+	case r.State == endpoints.StateReady && n.alone(): // what it says is news all the same, but nobody who judges hears that it lives
+		n.out = append(n.out, Reply{Of: b.Of, Err: ErrNoQuorumContact})
+	case r.State != endpoints.StateReady && e.State != endpoints.StateReady:
 		n.assure(&e.Record, b.Of)
 	default:
-		n.out = append(n.out, Answer{Of: b.Of, Home: n.home(r)})
+		n.out = append(n.out, Reply{Of: b.Of, HomeReplica: n.home(r)})
 	}
 }
 
 // alone tells whether this is a router that knows of no keeper that answers; one that has just started knows of none yet.
 func (n *Node) alone() bool {
-	return n.self.Flags&gossip.Keeper == 0 && len(n.Gossip.Answering()) == 0
+	return n.self.Flags&gossip.FlagReplica == 0 && len(n.Gossip.ResponsiveReplicas()) == 0
 }
 
 // signOff takes an engine's last call in.
-func (n *Node) signOff(s SignOff) {
-	if _, ok := n.Gossip.InTouch(); !ok {
-		n.out = append(n.out, Answer{Of: s.Of, Err: ErrAlone})
+func (n *Node) signOff(s Deregister) {
+	if _, ok := n.Gossip.QuorumContact(); !ok {
+		n.out = append(n.out, Reply{Of: s.Of, Err: ErrNoQuorumContact})
 		return
 	}
-	n.dirty = len(n.Roster.SignOff(n.now, s.ID, n.wall)) > 0 || n.dirty
-	e := n.Roster.Find(s.ID)
+	n.dirty = len(n.Endpoints.Deregister(n.now, s.EndpointID, n.wall)) > 0 || n.dirty
+	e := n.Endpoints.Find(s.EndpointID)
 	if e == nil {
-		n.out = append(n.out, Answer{Of: s.Of, Err: ErrFull})
+		n.out = append(n.out, Reply{Of: s.Of, Err: ErrTooManyEndpoints})
 		return
 	}
 	n.assure(&e.Record, s.Of)
@@ -305,24 +305,24 @@
 // process, whoever told them first: he may be dead by now, and they with him.
 func (n *Node) assure(r *endpoints.Record, of any) {
 	if n.sure[r.ID] >= r.State {
-		n.out = append(n.out, Answer{Of: of, Home: n.home(r)})
+		n.out = append(n.out, Reply{Of: of, HomeReplica: n.home(r)})
 		return
 	}
-	n.queue = append(n.queue, gossip.Publish{
-		Urgent: true, Of: &wait{of, r.ID, *r}, Need: limits.NodeHeard, Items: []gossip.Item{engineItem(r)},
+	n.queue = append(n.queue, gossip.Broadcast{
+		Urgent: true, Of: &wait{of, r.ID, *r}, MinAcks: limits.NodeHeard, Items: []gossip.Item{engineItem(r)},
 	})
 }
 
 // confirmed answers a call that waited for others.
-func (n *Node) confirmed(f gossip.Confirmed) {
+func (n *Node) confirmed(f gossip.BroadcastCompleted) {
 	w, ok := f.Of.(*wait)
 	switch {
 	case !ok:
-	case !f.Enough:
-		n.out = append(n.out, Answer{Of: w.of, Err: ErrUnheard})
+	case !f.Sufficient:
+		n.out = append(n.out, Reply{Of: w.of, Err: ErrNotAcknowledged})
 	default:
 		n.sure[w.id] = max(n.sure[w.id], w.record.State)
-		n.out = append(n.out, Answer{Of: w.of, Home: n.home(&w.record)})
+		n.out = append(n.out, Reply{Of: w.of, HomeReplica: n.home(&w.record)})
 	}
 }
 
@@ -331,14 +331,14 @@
 func (n *Node) home(r *endpoints.Record) (at netip.AddrPort) {
 	zone, best := n.zone(r.Zone), uint64(0)
 	consider := func(p gossip.Peer) {
-		if score := gossip.Mix(p.ID, gossip.Hash(r.ID)); p.Zone == zone && (!at.IsValid() || score > best) {
+		if score := gossip.CombineHashes(p.ID, gossip.Hash(r.ID)); p.Zone == zone && (!at.IsValid() || score > best) {
 			at, best = p.Addr, score
 		}
 	}
-	if n.self.Flags&gossip.Keeper != 0 {
+	if n.self.Flags&gossip.FlagReplica != 0 {
 		consider(n.self)
 	}
-	for _, p := range n.Gossip.Answering() {
+	for _, p := range n.Gossip.ResponsiveReplicas() {
 		consider(p)
 	}
 	return at
@@ -347,22 +347,22 @@
 // tidy looks for engines that have fallen silent, and forgets what is over. Only a keeper judges, and only once it has heard
 // for as long as that takes what the others hear.
 func (n *Node) tidy() {
-	d, ok := n.Gossip.InTouch()
-	judge := ok && n.self.Flags&gossip.Keeper != 0 && d >= n.Roster.Silence()
-	silent, lost, forgotten := n.Roster.Sweep(n.now, judge)
+	d, ok := n.Gossip.QuorumContact()
+	judge := ok && n.self.Flags&gossip.FlagReplica != 0 && d >= n.Endpoints.HeartbeatTimeout()
+	silent, lost, forgotten := n.Endpoints.Sweep(n.now, judge)
 	for _, id := range silent {
 		n.dirty = true
-		n.publish(silentItem(id, n.Roster.Find(id).Newest, true))
+		n.publish(silentItem(id, n.Endpoints.Find(id).LatestCall, true))
 	}
 	for _, id := range lost {
-		for _, r := range n.Roster.Lose(n.now, id, n.wall) {
+		for _, r := range n.Endpoints.MarkFailed(n.now, id, n.wall) {
 			n.dirty = true
 			n.publish(engineItem(&r))
 		}
 	}
 	for _, id := range forgotten {
-		n.Gossip.Forget(engineKey + id)
-		n.Gossip.Forget(silentKey + id)
+		n.Gossip.RemoveItem(engineKey + id)
+		n.Gossip.RemoveItem(silentKey + id)
 		delete(n.names, gossip.Hash(id))
 		delete(n.sure, id)
 	}
--- a/internal/control/discovery/news_test.go
+++ b/internal/control/discovery/news_test.go
@@ -22,27 +22,27 @@
 	nodes   []*Node
 	now     time.Duration
 	lost    func(from, to int) bool
-	answers map[any]Answer
+	answers map[any]Reply
 	forgets []int // of each node
 	sent    []int // bytes
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{now: time.Hour, answers: map[any]Answer{}, forgets: make([]int, n), sent: make([]int, n), lost: func(int, int) bool { return false }}
+	f := &fleet{now: time.Hour, answers: map[any]Reply{}, forgets: make([]int, n), sent: make([]int, n), lost: func(int, int) bool { return false }}
 	var voters []uint64
 	for i := range n {
-		self := gossip.Peer{ID: gossip.Hash(fmt.Sprint("n", i)), Addr: addr(i), Zone: uint32(i % 3), Flags: gossip.Edge}
+		self := gossip.Peer{ID: gossip.Hash(fmt.Sprint("n", i)), Addr: addr(i), Zone: uint32(i % 3), Flags: gossip.FlagRouter}
 		if i < keepers {
-			self.Flags = gossip.Keeper
+			self.Flags = gossip.FlagReplica
 			voters = append(voters, self.ID)
 		}
 		f.nodes = append(f.nodes, New(self, uint64(i), silence, func(z string) uint32 { return uint32(len(z)) }))
 	}
 	for i := range n {
 		if i < keepers {
-			f.do(i, gossip.Members{IDs: voters})
+			f.do(i, gossip.VotersChanged{IDs: voters})
 		}
-		f.do(i, gossip.Seeds{Addrs: []netip.AddrPort{addr(0), addr(1)}})
+		f.do(i, gossip.SeedsChanged{Addrs: []netip.AddrPort{addr(0), addr(1)}})
 	}
 	f.pass(10 * time.Second)
 	return f
@@ -61,15 +61,15 @@
 		from := queue[0].to
 		for _, x := range f.nodes[from].Reduce(f.now, f.now.Milliseconds(), queue[0].e) {
 			switch x := x.(type) {
-			case gossip.Send:
-				f.sent[from] += len(x.Bytes) + 28
+			case gossip.SendPacket:
+				f.sent[from] += len(x.Payload) + 28
 				a := x.To.Addr().As4()
 				if to := int(a[2])<<8 | int(a[3]); to < len(f.nodes) && !f.lost(from, to) {
-					queue = append(queue, word{to, gossip.Packet{Bytes: x.Bytes}})
+					queue = append(queue, word{to, gossip.PacketReceived{Payload: x.Payload}})
 				}
-			case Answer:
+			case Reply:
 				f.answers[x.Of] = x
-			case Forgets:
+			case IdleDropReported:
 				f.forgets[from]++
 			}
 		}
@@ -80,7 +80,7 @@
 	for end := f.now + d; f.now < end; {
 		f.now += 100 * time.Millisecond
 		for i, n := range f.nodes {
-			if n.Next() <= f.now {
+			if n.NextTimer() <= f.now {
 				f.do(i, gossip.Tick{})
 			}
 		}
@@ -88,13 +88,13 @@
 }
 
 func record(k int, calls uint64, s endpoints.State) endpoints.Record {
-	return endpoints.Record{ID: fmt.Sprint("i-", k), Service: "s", Addr: fmt.Sprintf("10.9.0.%d:80", k), Zone: strings.Repeat("z", k%3), Calls: calls, State: s}
+	return endpoints.Record{ID: fmt.Sprint("i-", k), Service: "s", Addr: fmt.Sprintf("10.9.0.%d:80", k), Zone: strings.Repeat("z", k%3), CallCount: calls, State: s}
 }
 
 // beat has an engine call a node, and returns the answer if there is one yet.
-func (f *fleet) beat(node, k int, calls uint64, s endpoints.State) (Answer, bool) {
+func (f *fleet) beat(node, k int, calls uint64, s endpoints.State) (Reply, bool) {
 	of := new(int)
-	f.do(node, Beat{Record: record(k, calls, s), Of: of})
+	f.do(node, Heartbeat{Record: record(k, calls, s), Of: of})
 	a, ok := f.answers[of]
 	return a, ok
 }
@@ -102,7 +102,7 @@
 // used counts the nodes that use an engine.
 func (f *fleet) used(k int) (n int) {
 	for _, x := range f.nodes {
-		for _, e := range x.Roster.Engines("s") {
+		for _, e := range x.Endpoints.Live("s") {
 			if e.ID == fmt.Sprint("i-", k) {
 				n++
 			}
@@ -116,8 +116,8 @@
 	f := newFleet(30)
 	home := map[int]int{}
 	for k := range 4 {
-		a, ok := f.beat(20+k, k, 1, endpoints.Ready)
-		if !ok || a.Err != nil || a.Home != addr(k%3) {
+		a, ok := f.beat(20+k, k, 1, endpoints.StateReady)
+		if !ok || a.Err != nil || a.HomeReplica != addr(k%3) {
 			t.Fatalf("engine %d: %+v, its home is to be keeper %d, of its zone", k, a, k%3)
 		}
 		home[k] = k % 3
@@ -125,14 +125,14 @@
 	for calls := uint64(2); calls < 8; calls++ { // engine 3 says nothing more
 		f.pass(1500 * time.Millisecond)
 		for k := range 3 {
-			f.beat(home[k], k, calls, endpoints.Ready)
+			f.beat(home[k], k, calls, endpoints.StateReady)
 		}
 	}
 	f.pass(time.Second)
 	if f.used(0) != 30 || f.used(3) != 0 {
 		t.Errorf("used by %d and by %d of 30", f.used(0), f.used(3))
 	}
-	f.beat(25, 3, 2, endpoints.Ready)
+	f.beat(25, 3, 2, endpoints.StateReady)
 	f.pass(time.Second)
 	if f.used(3) != 30 {
 		t.Errorf("one that calls again is used by %d of 30", f.used(3))
@@ -143,24 +143,24 @@
 func TestCutKeeperNeitherJudgesNorAnswers(t *testing.T) {
 	f := newFleet(12)
 	for k := range 3 {
-		f.beat(k, k, 1, endpoints.Ready)
+		f.beat(k, k, 1, endpoints.StateReady)
 	}
 	for name, lost := range map[string]func(from, to int) bool{
 		"both ways": func(from, to int) bool { return (from == 0) != (to == 0) && from < keepers && to < keepers },
 		"one way":   func(from, to int) bool { return from == 0 && to < keepers },
 	} {
 		f.lost = lost
-		calls := f.nodes[1].Roster.Find("i-1").Newest
+		calls := f.nodes[1].Endpoints.Find("i-1").LatestCall
 		refused := 0
 		for range 8 {
 			f.pass(1500 * time.Millisecond)
 			calls++
 			for k := range 3 {
 				at := k
-				if a, ok := f.beat(k, k, calls, endpoints.Ready); !ok || errors.Is(a.Err, ErrAlone) { // it calls another
+				if a, ok := f.beat(k, k, calls, endpoints.StateReady); !ok || errors.Is(a.Err, ErrNoQuorumContact) { // it calls another
 					refused++
 					at = 5 + k
-					f.beat(at, k, calls, endpoints.Ready)
+					f.beat(at, k, calls, endpoints.StateReady)
 				}
 			}
 		}
@@ -175,7 +175,7 @@
 		f.lost = func(int, int) bool { return false }
 		f.pass(6 * time.Second)
 		for k := range 3 {
-			f.beat(k, k, calls+1, endpoints.Ready)
+			f.beat(k, k, calls+1, endpoints.StateReady)
 		}
 	}
 }
@@ -185,12 +185,12 @@
 func TestWhoIsGoneIsForgotten(t *testing.T) {
 	f := newFleet(12)
 	for k := range 40 {
-		f.beat(k%12, k, 1, endpoints.Ready)
+		f.beat(k%12, k, 1, endpoints.StateReady)
 	}
-	f.beat(1, 40, 1, endpoints.Ready)
+	f.beat(1, 40, 1, endpoints.StateReady)
 	for k := range 40 {
 		of := new(int)
-		f.do((k+3)%12, SignOff{ID: fmt.Sprint("i-", k), Of: of})
+		f.do((k+3)%12, Deregister{EndpointID: fmt.Sprint("i-", k), Of: of})
 		if a, ok := f.answers[of]; !ok || a.Err != nil {
 			t.Fatalf("%+v %v", a, ok)
 		}
@@ -203,19 +203,19 @@
 	}
 	for range 50 {
 		f.pass(1500 * time.Millisecond)
-		f.beat(1, 40, uint64(f.now.Milliseconds()), endpoints.Ready)
+		f.beat(1, 40, uint64(f.now.Milliseconds()), endpoints.StateReady)
 	}
 	for i, n := range f.nodes {
-		if n.Roster.Len() != 1 || n.Gossip.Items() > 2 {
-			t.Errorf("node %d knows %d engines, %d items", i, n.Roster.Len(), n.Gossip.Items())
+		if n.Endpoints.Len() != 1 || n.Gossip.ItemCount() > 2 {
+			t.Errorf("node %d knows %d engines, %d items", i, n.Endpoints.Len(), n.Gossip.ItemCount())
 		}
 	}
 }
 
 func TestAllHearOfForgottenConnections(t *testing.T) {
 	f := newFleet(30)
-	f.do(9, Forgot{})
-	f.do(9, Forgot{}) // not news so soon
+	f.do(9, IdleDropObserved{})
+	f.do(9, IdleDropObserved{}) // not news so soon
 	f.pass(time.Second)
 	for i, n := range f.forgets {
 		if n != 1 && i != 9 {
@@ -232,7 +232,7 @@
 			f := newFleet(keepers + size)
 			engines := 4 * size
 			for k := range engines {
-				f.beat(keepers+k%size, k, 1, endpoints.Ready)
+				f.beat(keepers+k%size, k, 1, endpoints.StateReady)
 			}
 			f.pass(5 * time.Second)
 			clear(f.sent)
@@ -240,7 +240,7 @@
 			for b.Loop() {
 				calls++
 				for k := range engines {
-					f.beat(k%keepers, k, calls, endpoints.Ready)
+					f.beat(k%keepers, k, calls, endpoints.StateReady)
 				}
 				f.pass(1500 * time.Millisecond)
 				seconds += 1.5
--- a/internal/control/discovery/scale_bench_test.go
+++ b/internal/control/discovery/scale_bench_test.go
@@ -18,7 +18,7 @@
 		make1 := func() *fleet {
 			f := newFleet(keepers + 1)
 			for k := range engines {
-				f.beat(k%keepers, k, 1, endpoints.Ready)
+				f.beat(k%keepers, k, 1, endpoints.StateReady)
 			}
 			f.pass(2 * time.Second)
 			nodes = append(nodes, f.nodes...)
@@ -30,8 +30,8 @@
 		b.Run(fmt.Sprintf("beat/%d", engines), func(b *testing.B) {
 			i := 0
 			for b.Loop() {
-				r := record(i%engines, uint64(2+i/engines), endpoints.Ready)
-				f.nodes[0].Reduce(f.now, f.now.Milliseconds(), Beat{Record: r})
+				r := record(i%engines, uint64(2+i/engines), endpoints.StateReady)
+				f.nodes[0].Reduce(f.now, f.now.Milliseconds(), Heartbeat{Record: r})
 				i++
 			}
 			b.ReportMetric(held, "B/engine")
--- a/internal/control/gossip/format.go
+++ b/internal/control/gossip/format.go
@@ -17,8 +17,8 @@
 
 // The flags of a peer.
 const (
-	Keeper uint8 = 1 << iota // it holds the state
-	Edge                     // it carries traffic
+	FlagReplica uint8 = 1 << iota // it holds the state
+	FlagRouter                    // it carries traffic
 )
 
 // Item is a piece of news that is kept and compared: of one key the higher version stands, and of two bodies of one version
@@ -30,11 +30,11 @@
 	Body    []byte
 }
 
-// Sign is a sign of life: a call of what a key names was heard so long ago.
-type Sign struct {
-	Key   uint64 // a hash of the key
-	Count uint64
-	AgeMS uint64
+// Heartbeat is a sign of life: a call of what a key names was heard so long ago.
+type Heartbeat struct {
+	Key      uint64 // a hash of the key
+	Sequence uint64
+	AgeMS    uint64
 }
 
 // packet is what goes over the wire.
@@ -42,7 +42,7 @@
 	kind  uint8
 	from  Peer
 	items []Item
-	signs []Sign
+	signs []Heartbeat
 	peers []Peer
 	// Of a digest: the hash of each bucket of items. Of want: the buckets that differ, with the versions in them.
 	buckets []uint64
@@ -80,14 +80,14 @@
 const (
 	formVersion = 2
 	buckets     = 32
-	// MostPacket is the longest datagram: below what any link here splits up.
-	MostPacket = 1400
-	mostItems  = 256
-	mostSigns  = 512
-	mostPeers  = 32
-	mostHaves  = 256
-	mostKey    = 256
-	mostBody   = 1200
+	// MaxPacketBytes is the longest datagram: below what any link here splits up.
+	MaxPacketBytes = 1400
+	mostItems      = 256
+	mostSigns      = 512
+	mostPeers      = 32
+	mostHaves      = 256
+	mostKey        = 256
+	mostBody       = 1200
 )
 
 var errForm = errors.New("gossip: not of this format")
@@ -140,7 +140,7 @@
 		w.Uvarint(uint64(len(p.signs)))
 		for _, s := range p.signs {
 			w.Fixed64(s.Key)
-			w.Uvarint(s.Count)
+			w.Uvarint(s.Sequence)
 			w.Uvarint(s.AgeMS)
 		}
 	case kindConfirm:
@@ -190,7 +190,7 @@
 			p.hears = append(p.hears, r.Fixed64())
 		}
 		for range r.Length(mostSigns, 10) {
-			p.signs = append(p.signs, Sign{r.Fixed64(), r.Uvarint(), r.Uvarint()})
+			p.signs = append(p.signs, Heartbeat{r.Fixed64(), r.Uvarint(), r.Uvarint()})
 		}
 	case kindConfirm:
 		p.confirm = r.Uvarint()
--- a/internal/control/gossip/golden_test.go
+++ b/internal/control/gossip/golden_test.go
@@ -10,10 +10,10 @@
 
 // TestGoldenPackets: each kind of datagram has the bytes that it had.
 func TestGoldenPackets(t *testing.T) {
-	from := Peer{ID: 0x0102030405060708, Addr: netip.MustParseAddrPort("10.1.2.3:7001"), Zone: 0x89abcdef, Flags: Keeper}
+	from := Peer{ID: 0x0102030405060708, Addr: netip.MustParseAddrPort("10.1.2.3:7001"), Zone: 0x89abcdef, Flags: FlagReplica}
 	others := []Peer{
-		{ID: 7, Addr: netip.MustParseAddrPort("192.168.0.255:65535"), Zone: 1, Flags: Edge},
-		{ID: 1 << 63, Addr: netip.MustParseAddrPort("127.0.0.1:1"), Flags: Keeper | Edge},
+		{ID: 7, Addr: netip.MustParseAddrPort("192.168.0.255:65535"), Zone: 1, Flags: FlagRouter},
+		{ID: 1 << 63, Addr: netip.MustParseAddrPort("127.0.0.1:1"), Flags: FlagReplica | FlagRouter},
 		{ID: 9, Addr: netip.MustParseAddrPort("10.0.0.9:7000"), Zone: 2},
 	}
 	items := []Item{
@@ -27,8 +27,8 @@
 		"updates":              {kind: kindNews, from: from, items: items},
 		"updates-acknowledged": {kind: kindUrgent, from: from, items: items[:1], confirm: 300},
 		"acknowledgement":      {kind: kindConfirm, from: from, confirm: 300},
-		"heartbeats": {kind: kindSigns, from: from, hears: []uint64{7, 1 << 63}, signs: []Sign{
-			{Key: 0x1122334455667788, Count: 12, AgeMS: 400}, {Key: 1, Count: 1 << 40},
+		"heartbeats": {kind: kindSigns, from: from, hears: []uint64{7, 1 << 63}, signs: []Heartbeat{
+			{Key: 0x1122334455667788, Sequence: 12, AgeMS: 400}, {Key: 1, Sequence: 1 << 40},
 		}},
 		"digest":               {kind: kindRoot, from: from, root: 0xfedcba9876543210},
 		"digest-buckets":       {kind: kindDigest, from: from, buckets: sums},
@@ -56,6 +56,6 @@
 		b = binary.BigEndian.AppendUint64(b, h)
 	}
 	b = binary.BigEndian.AppendUint64(b, Hash("e/engine-1"))
-	b = binary.BigEndian.AppendUint64(b, Mix(1, 2))
+	b = binary.BigEndian.AppendUint64(b, CombineHashes(1, 2))
 	golden.Check(t, "digests-of-items.hex", b)
 }
--- a/internal/control/gossip/gossip.go
+++ b/internal/control/gossip/gossip.go
@@ -20,100 +20,100 @@
 
 // The figures. All are per node, whatever the size of the fleet.
 const (
-	Fanout       = 3  // others that a piece of news is passed on to
-	viewSize     = 16 // peers in the view
-	shuffled     = 6  // of them in one shuffle
-	Every        = 400 * time.Millisecond
-	compare      = 400 * time.Millisecond // between two digests: of those whom news has missed, few must be left after a second
-	compareAgain = 150 * time.Millisecond // after a digest that was not answered, or that differed: either may have been lost on its way
-	compareMore  = 2                      // times in a row
-	shuffleGap   = 2 * time.Second        // between two shuffles
-	deaf         = 4 * time.Second        // a peer that was asked and has said nothing for so long leaves the view
-	confirmFor   = 300 * time.Millisecond // urgent news waits so long for words back, and then asks others
-	urges        = 2                      // times that it asks: an engine waits a second
-	mostQueue    = 4096
-	touch        = 4 * Every        // keepers that have not heard each other for so long are out of touch
-	keeperGone   = 3 * time.Minute  // one that nothing was heard of for so long is forgotten
-	keeperTold   = 30 * time.Second // others are told only of one that was heard here so lately
-	oddKeeper    = 8                // one of so many digests goes to a keeper
-	reaches      = 4                // one of so many shuffles asks somebody beyond the view as well
-	mostLost     = 16               // peers that do not answer any more, and may be there again
+	Fanout            = 3  // others that a piece of news is passed on to
+	viewSize          = 16 // peers in the view
+	shuffled          = 6  // of them in one shuffle
+	BroadcastInterval = 400 * time.Millisecond
+	compare           = 400 * time.Millisecond // between two digests: of those whom news has missed, few must be left after a second
+	compareAgain      = 150 * time.Millisecond // after a digest that was not answered, or that differed: either may have been lost on its way
+	compareMore       = 2                      // times in a row
+	shuffleGap        = 2 * time.Second        // between two shuffles
+	deaf              = 4 * time.Second        // a peer that was asked and has said nothing for so long leaves the view
+	confirmFor        = 300 * time.Millisecond // urgent news waits so long for words back, and then asks others
+	urges             = 2                      // times that it asks: an engine waits a second
+	mostQueue         = 4096
+	touch             = 4 * BroadcastInterval // keepers that have not heard each other for so long are out of touch
+	keeperGone        = 3 * time.Minute       // one that nothing was heard of for so long is forgotten
+	keeperTold        = 30 * time.Second      // others are told only of one that was heard here so lately
+	oddKeeper         = 8                     // one of so many digests goes to a keeper
+	reaches           = 4                     // one of so many shuffles asks somebody beyond the view as well
+	mostLost          = 16                    // peers that do not answer any more, and may be there again
 )
 
 // Event is something that happened.
 type Event interface{ event() }
 
 type (
-	// Packet has come.
-	Packet struct{ Bytes []byte }
+	// PacketReceived has come.
+	PacketReceived struct{ Payload []byte }
 	// Tick: something may be due.
 	Tick struct{}
-	// Publish brings news of this node's. Urgent news goes out at once, known here or not.
-	Publish struct {
-		Items  []Item
-		Urgent bool
-		Of     any // with Urgent: Confirmed comes back with it
-		Need   int // words wanted before that; 0 = none, and no Confirmed
-	}
-	// Heard is a sign of life that this node has heard itself; keepers are told of it.
-	Heard struct{ Sign Sign }
-	// Relay passes a sign of life that From has told to the keepers that do not hear From.
-	Relay struct {
-		Sign Sign
-		From uint64
-	}
-	// Members are the keepers that vote, by their ids.
-	Members struct{ IDs []uint64 }
-	// Seeds are addresses where others may be found.
-	Seeds struct{ Addrs []netip.AddrPort }
-	// Called: a call to a peer has been answered, or has not.
-	Called struct {
-		ID uint64
-		OK bool
+	// Broadcast brings news of this node's. Urgent news goes out at once, known here or not.
+	Broadcast struct {
+		Items   []Item
+		Urgent  bool
+		Of      any // with Urgent: Confirmed comes back with it
+		MinAcks int // words wanted before that; 0 = none, and no Confirmed
+	}
+	// HeartbeatObserved is a sign of life that this node has heard itself; keepers are told of it.
+	HeartbeatObserved struct{ Heartbeat Heartbeat }
+	// RelayHeartbeat passes a sign of life that From has told to the keepers that do not hear From.
+	RelayHeartbeat struct {
+		Heartbeat Heartbeat
+		From      uint64
+	}
+	// VotersChanged are the keepers that vote, by their ids.
+	VotersChanged struct{ IDs []uint64 }
+	// SeedsChanged are addresses where others may be found.
+	SeedsChanged struct{ Addrs []netip.AddrPort }
+	// CallCompleted: a call to a peer has been answered, or has not.
+	CallCompleted struct {
+		PeerID   uint64
+		Answered bool
 	}
 )
 
-func (Packet) event()  {}
-func (Tick) event()    {}
-func (Publish) event() {}
-func (Heard) event()   {}
-func (Relay) event()   {}
-func (Seeds) event()   {}
-func (Called) event()  {}
-func (Members) event() {}
+func (PacketReceived) event()    {}
+func (Tick) event()              {}
+func (Broadcast) event()         {}
+func (HeartbeatObserved) event() {}
+func (RelayHeartbeat) event()    {}
+func (SeedsChanged) event()      {}
+func (CallCompleted) event()     {}
+func (VotersChanged) event()     {}
 
 // Effect is something to be done.
 type Effect interface{ effect() }
 
 type (
-	// Send a datagram.
-	Send struct {
-		To    netip.AddrPort
-		Bytes []byte
+	// SendPacket a datagram.
+	SendPacket struct {
+		To      netip.AddrPort
+		Payload []byte
 	}
-	// Learnt: an item that is new here, from elsewhere.
-	Learnt struct {
+	// ItemLearned: an item that is new here, from elsewhere.
+	ItemLearned struct {
 		Item Item
 		From Peer
 	}
-	// Alive: a sign of life from elsewhere.
-	Alive struct {
-		Sign Sign
-		From uint64
+	// HeartbeatLearned: a sign of life from elsewhere.
+	HeartbeatLearned struct {
+		Heartbeat Heartbeat
+		From      uint64
 	}
-	// Confirmed: urgent news has reached N others. With Enough these are as many as were wanted, or all there are; else too
+	// BroadcastCompleted: urgent news has reached N others. With Enough these are as many as were wanted, or all there are; else too
 	// few have answered in time.
-	Confirmed struct {
-		Of     any
-		N      int
-		Enough bool
+	BroadcastCompleted struct {
+		Of         any
+		Acks       int
+		Sufficient bool
 	}
 )
 
-func (Send) effect()      {}
-func (Learnt) effect()    {}
-func (Alive) effect()     {}
-func (Confirmed) effect() {}
+func (SendPacket) effect()         {}
+func (ItemLearned) effect()        {}
+func (HeartbeatLearned) effect()   {}
+func (BroadcastCompleted) effect() {}
 
 // entry is a peer in the view.
 type entry struct {
@@ -130,7 +130,7 @@
 
 // toldSign is a sign of life that another keeper has told, and when it came. The sign's age is the time that it was heard.
 type toldSign struct {
-	Sign
+	Heartbeat
 	at time.Duration
 }
 
@@ -159,9 +159,9 @@
 	items     map[string]*Item
 	hashes    [buckets]uint64 // of the items in each
 	members   [buckets]map[string]bool
-	fresh     []Item            // to be passed on
-	signs     map[uint64]*Sign  // to be passed on; AgeMS is the time of the call then
-	relays    map[uint64][]Sign // likewise, to one keeper alone
+	fresh     []Item                 // to be passed on
+	signs     map[uint64]*Heartbeat  // to be passed on; AgeMS is the time of the call then
+	relays    map[uint64][]Heartbeat // likewise, to one keeper alone
 	now       time.Duration
 	nextNew   time.Duration
 	nextCmp   time.Duration
@@ -172,8 +172,8 @@
 	confirm   uint64
 	waiting   map[uint64]*pending
 	out       []Effect
-	// Stale tells of an item that is over, so that it is not taken in from others any more; nil = none is.
-	Stale func(*Item) bool
+	// IsStale tells of an item that is over, so that it is not taken in from others any more; nil = none is.
+	IsStale func(*Item) bool
 	// SentBytes and SentPackets count what has left.
 	SentBytes, SentPackets uint64
 }
@@ -182,7 +182,7 @@
 func New(self Peer, seed uint64) *Node {
 	n := &Node{
 		self: self, rnd: rand.New(rand.NewPCG(seed, self.ID)), view: map[uint64]*entry{}, keepers: map[uint64]*entry{},
-		items: map[string]*Item{}, signs: map[uint64]*Sign{}, relays: map[uint64][]Sign{}, waiting: map[uint64]*pending{}, since: -1,
+		items: map[string]*Item{}, signs: map[uint64]*Heartbeat{}, relays: map[uint64][]Heartbeat{}, waiting: map[uint64]*pending{}, since: -1,
 	}
 	for i := range n.members {
 		n.members[i] = map[string]bool{}
@@ -193,8 +193,8 @@
 // Hash names a key in digests and signs of life.
 func Hash(key string) uint64 { return xxhash.Sum64String(key) }
 
-// Mix makes one number of two, for choices that all make alike.
-func Mix(a, b uint64) uint64 {
+// CombineHashes makes one number of two, for choices that all make alike.
+func CombineHashes(a, b uint64) uint64 {
 	var x [16]byte
 	binary.BigEndian.PutUint64(x[:8], a)
 	binary.BigEndian.PutUint64(x[8:], b)
@@ -207,24 +207,24 @@
 	clear(n.out)
 	n.out = n.out[:0]
 	switch e := e.(type) {
-	case Packet:
-		if p, err := decode(e.Bytes); err == nil && p.from.ID != n.self.ID && p.from.Addr.IsValid() {
+	case PacketReceived:
+		if p, err := decode(e.Payload); err == nil && p.from.ID != n.self.ID && p.from.Addr.IsValid() {
 			n.packet(p)
 		}
-	case Publish:
+	case Broadcast:
 		n.publish(e)
-	case Heard:
-		n.sign(e.Sign)
-	case Relay:
+	case HeartbeatObserved:
+		n.sign(e.Heartbeat)
+	case RelayHeartbeat:
 		n.relay(e)
-	case Members:
+	case VotersChanged:
 		n.voters = e.IDs
-	case Seeds:
+	case SeedsChanged:
 		n.seeds = e.Addrs
 		n.join()
-	case Called:
-		if k := n.keepers[e.ID]; k != nil {
-			if k.mute = !e.OK; e.OK {
+	case CallCompleted:
+		if k := n.keepers[e.PeerID]; k != nil {
+			if k.mute = !e.Answered; e.Answered {
 				k.heard = n.now
 			}
 		}
@@ -251,8 +251,8 @@
 	n.send(p[0].Peer, &packet{kind: kindRoot, root: n.root()})
 }
 
-// Next tells when the node wants a Tick.
-func (n *Node) Next() time.Duration {
+// NextTimer tells when the node wants a Tick.
+func (n *Node) NextTimer() time.Duration {
 	next := min(n.nextCmp, n.nextShf)
 	if n.compared != 0 && n.more > 0 {
 		next = min(next, n.nextAgain)
@@ -273,7 +273,7 @@
 		}
 	}
 	if n.now >= n.nextNew && n.pending() {
-		n.nextNew = n.now + Every
+		n.nextNew = n.now + BroadcastInterval
 		n.spread()
 		n.tellKeepers()
 	}
@@ -295,23 +295,23 @@
 
 // pending tells whether there is something to pass on. Keepers always have each other to tell that they are there.
 func (n *Node) pending() bool {
-	return len(n.fresh) > 0 || len(n.signs) > 0 || n.self.Flags&Keeper != 0 && len(n.keepers) > 0
+	return len(n.fresh) > 0 || len(n.signs) > 0 || n.self.Flags&FlagReplica != 0 && len(n.keepers) > 0
 }
 
 // tellKeepers sends the signs of life that have come since the last time to every keeper.
 func (n *Node) tellKeepers() {
-	aged := func(s Sign) Sign {
-		return Sign{s.Key, s.Count, uint64(max(int64(n.now/time.Millisecond)-int64(s.AgeMS), 0))}
+	aged := func(s Heartbeat) Heartbeat {
+		return Heartbeat{s.Key, s.Sequence, uint64(max(int64(n.now/time.Millisecond)-int64(s.AgeMS), 0))}
 	}
-	signs := make([]Sign, 0, len(n.signs))
+	signs := make([]Heartbeat, 0, len(n.signs))
 	for _, s := range n.signs {
 		signs = append(signs, aged(*s))
 	}
-	slices.SortFunc(signs, func(x, y Sign) int { return cmp.Compare(x.Key, y.Key) })
+	slices.SortFunc(signs, func(x, y Heartbeat) int { return cmp.Compare(x.Key, y.Key) })
 	clear(n.signs)
 	var hears []uint64
 	for _, id := range sorted(n.keepers) {
-		if k := n.keepers[id]; n.self.Flags&Keeper != 0 && k.signs != 0 && n.now-k.signs <= touch && len(hears) < mostPeers {
+		if k := n.keepers[id]; n.self.Flags&FlagReplica != 0 && k.signs != 0 && n.now-k.signs <= touch && len(hears) < mostPeers {
 			hears = append(hears, id)
 		}
 	}
@@ -334,11 +334,11 @@
 
 // relay keeps a sign of life for the keepers that do not hear who has told it. Each that hears both of two who do not hear
 // each other is their go-between: else one would hold an engine for silent that calls the other.
-func (n *Node) relay(e Relay) {
-	if n.self.Flags&Keeper == 0 {
+func (n *Node) relay(e RelayHeartbeat) {
+	if n.self.Flags&FlagReplica == 0 {
 		return
 	}
-	s := e.Sign
+	s := e.Heartbeat
 	s.AgeMS = uint64(max(int64(n.now/time.Millisecond)-int64(s.AgeMS), 0))
 	for id, k := range n.keepers {
 		if id != e.From && k.signs != 0 && n.now-k.signs <= touch && !slices.Contains(k.heeds, e.From) && len(n.relays[id]) < mostQueue {
@@ -350,10 +350,10 @@
 // bridge keeps what a keeper tells, and where it says that it hears another one no more, what that one has told since they may
 // have lost each other: it hears of that only now, and a sign is told once.
 func (n *Node) bridge(k *entry, p *packet) {
-	if n.self.Flags&Keeper == 0 {
+	if n.self.Flags&FlagReplica == 0 {
 		return
 	}
-	const gap = touch + 2*Every
+	const gap = touch + 2*BroadcastInterval
 	k.told = slices.DeleteFunc(k.told, func(s toldSign) bool { return n.now-s.at > gap })
 	for _, s := range p.signs {
 		s.AgeMS = uint64(max(int64(n.now/time.Millisecond)-int64(s.AgeMS), 0))
@@ -368,7 +368,7 @@
 		}
 		for _, s := range other.told {
 			if n.now-s.at <= gap && len(n.relays[k.ID]) < mostQueue {
-				n.relays[k.ID] = append(n.relays[k.ID], s.Sign)
+				n.relays[k.ID] = append(n.relays[k.ID], s.Heartbeat)
 			}
 		}
 	}
@@ -390,11 +390,11 @@
 	}
 }
 
-// InTouch tells for how long a keeper has been in touch with a majority of keepers, both ways; false = it is not. One that
+// QuorumContact tells for how long a keeper has been in touch with a majority of keepers, both ways; false = it is not. One that
 // does not know who they are, since its disk is new, is not; who is no keeper always is.
-func (n *Node) InTouch() (d time.Duration, ok bool) {
+func (n *Node) QuorumContact() (d time.Duration, ok bool) {
 	if len(n.voters) == 0 {
-		return 0, n.self.Flags&Keeper == 0
+		return 0, n.self.Flags&FlagReplica == 0
 	}
 	if n.since < 0 {
 		return 0, false
@@ -439,7 +439,7 @@
 // answers asks each time.
 func (n *Node) reach() {
 	n.shuffles++
-	if far := slices.Concat(n.seeds, n.lost); len(far) > 0 && (n.shuffles%reaches == 0 || len(n.Answering()) == 0) {
+	if far := slices.Concat(n.seeds, n.lost); len(far) > 0 && (n.shuffles%reaches == 0 || len(n.ResponsiveReplicas()) == 0) {
 		n.sendTo(far[n.rnd.IntN(len(far))], &packet{kind: kindShuffle, peers: n.sample(shuffled)})
 	}
 }
@@ -508,7 +508,7 @@
 	b := p.encode()
 	n.SentBytes += uint64(len(b)) + 28
 	n.SentPackets++
-	n.out = append(n.out, Send{to, b})
+	n.out = append(n.out, SendPacket{to, b})
 }
 
 // met notes that a peer is there.
@@ -516,7 +516,7 @@
 	if p.ID == n.self.ID || !p.Addr.IsValid() || p.Addr.Port() == 0 {
 		return
 	}
-	if p.Flags&Keeper != 0 {
+	if p.Flags&FlagReplica != 0 {
 		if k := n.keepers[p.ID]; k != nil {
 			k.Peer = p
 		} else if len(n.keepers) < mostPeers {
@@ -551,8 +551,8 @@
 	switch p.kind {
 	case kindNews, kindUrgent:
 		for _, i := range p.items {
-			if (n.Stale == nil || !n.Stale(&i)) && n.take(i) {
-				n.out = append(n.out, Learnt{i, p.from})
+			if (n.IsStale == nil || !n.IsStale(&i)) && n.take(i) {
+				n.out = append(n.out, ItemLearned{i, p.from})
 				n.pass(i)
 			}
 		}
@@ -572,7 +572,7 @@
 			n.feel()
 		}
 		for _, s := range p.signs {
-			n.out = append(n.out, Alive{s, p.from.ID})
+			n.out = append(n.out, HeartbeatLearned{s, p.from.ID})
 		}
 	case kindConfirm:
 		if p.confirm == 0 && p.from.ID == n.compared {
@@ -601,7 +601,7 @@
 					x.have = append(x.have, have{Hash(k), n.items[k].Version})
 				}
 			}
-			if size += 4 + 13*len(x.have); size > MostPacket-64 && len(wants) > 0 {
+			if size += 4 + 13*len(x.have); size > MaxPacketBytes-64 && len(wants) > 0 {
 				break // the rest at another time
 			}
 			wants = append(wants, x)
@@ -660,7 +660,7 @@
 func (n *Node) sendItems(to netip.AddrPort, items []Item, kind uint8, confirm uint64) {
 	for len(items) > 0 {
 		size, k := 64, 0
-		for k < len(items) && k < mostItems && (k == 0 || size+items[k].size() <= MostPacket) {
+		for k < len(items) && k < mostItems && (k == 0 || size+items[k].size() <= MaxPacketBytes) {
 			size += items[k].size()
 			k++
 		}
@@ -672,7 +672,7 @@
 // root stands for all items at once. Most comparisons find nothing, and should cost little.
 func (n *Node) root() (sum uint64) {
 	for _, h := range n.hashes {
-		sum = Mix(sum, h)
+		sum = CombineHashes(sum, h)
 	}
 	return sum
 }
@@ -710,9 +710,9 @@
 	return d.Sum64()
 }
 
-// Forget drops an item that is over everywhere. Its owner does so at a time of its own; who still has it may bring it back,
+// RemoveItem drops an item that is over everywhere. Its owner does so at a time of its own; who still has it may bring it back,
 // and it must do no harm then.
-func (n *Node) Forget(key string) {
+func (n *Node) RemoveItem(key string) {
 	if i := n.items[key]; i != nil {
 		b := int(Hash(key) % buckets)
 		n.hashes[b] ^= i.hash()
@@ -721,7 +721,7 @@
 	}
 }
 
-func (n *Node) publish(e Publish) {
+func (n *Node) publish(e Broadcast) {
 	var fresh []Item
 	for _, i := range e.Items {
 		if n.take(i) {
@@ -738,9 +738,9 @@
 			others++
 		}
 	}
-	p := &pending{of: e.Of, items: e.Items, need: min(e.Need, max(others, 1)), got: map[uint64]bool{}, asked: map[uint64]*entry{}}
+	p := &pending{of: e.Of, items: e.Items, need: min(e.MinAcks, max(others, 1)), got: map[uint64]bool{}, asked: map[uint64]*entry{}}
 	n.confirm++
-	if e.Need > 0 {
+	if e.MinAcks > 0 {
 		n.waiting[n.confirm] = p
 	}
 	n.urge(n.confirm, p)
@@ -752,7 +752,7 @@
 	if n.confirmed(id, p); p.tries >= urges || len(to) == 0 && p.tries > 0 {
 		if n.waiting[id] != nil {
 			delete(n.waiting, id)
-			n.out = append(n.out, Confirmed{p.of, len(p.got), false})
+			n.out = append(n.out, BroadcastCompleted{p.of, len(p.got), false})
 		}
 		return
 	}
@@ -770,7 +770,7 @@
 func (n *Node) confirmed(id uint64, p *pending) {
 	var carries, away, router, abroad bool // others were asked; they have answered
 	for of, e := range p.asked {
-		isRouter, isAway := e.Flags&Keeper == 0, e.Zone != n.self.Zone
+		isRouter, isAway := e.Flags&FlagReplica == 0, e.Zone != n.self.Zone
 		carries, away = carries || isRouter, away || isAway
 		if p.got[of] {
 			router, abroad = router || isRouter, abroad || isAway
@@ -779,7 +779,7 @@
 	alone := len(n.view) == 0 && len(n.keepers) == 0 && !slices.ContainsFunc(n.seeds, func(a netip.AddrPort) bool { return a != n.self.Addr })
 	if n.waiting[id] != nil && (alone || len(p.got) >= p.need && router == carries && abroad == away) {
 		delete(n.waiting, id)
-		n.out = append(n.out, Confirmed{p.of, len(p.got), true})
+		n.out = append(n.out, BroadcastCompleted{p.of, len(p.got), true})
 	}
 }
 
@@ -797,8 +797,8 @@
 	n.rnd.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	zones := map[uint32]bool{n.self.Zone: true}
 	for _, want := range []func(e *entry) bool{
-		func(e *entry) bool { return e.Flags&Keeper != 0 && n.answers(e) },
-		func(e *entry) bool { return e.Flags&Keeper == 0 },
+		func(e *entry) bool { return e.Flags&FlagReplica != 0 && n.answers(e) },
+		func(e *entry) bool { return e.Flags&FlagReplica == 0 },
 		func(e *entry) bool { return !zones[e.Zone] },
 		func(e *entry) bool { return !zones[e.Zone] },
 		func(e *entry) bool { return true },
@@ -840,13 +840,13 @@
 }
 
 // sign keeps a sign of life to be passed on.
-func (n *Node) sign(s Sign) {
+func (n *Node) sign(s Heartbeat) {
 	at := uint64(max(int64(n.now/time.Millisecond)-int64(s.AgeMS), 0))
-	if old := n.signs[s.Key]; old != nil && old.Count >= s.Count {
+	if old := n.signs[s.Key]; old != nil && old.Sequence >= s.Sequence {
 		return
 	}
 	if len(n.signs) < mostQueue {
-		n.signs[s.Key] = &Sign{s.Key, s.Count, at}
+		n.signs[s.Key] = &Heartbeat{s.Key, s.Sequence, at}
 	}
 }
 
@@ -862,8 +862,8 @@
 	n.fresh = nil
 }
 
-// Keepers lists those that hold the state: the ones that answer first, those of one's own zone before others.
-func (n *Node) Keepers() (all []Peer) {
+// Replicas lists those that hold the state: the ones that answer first, those of one's own zone before others.
+func (n *Node) Replicas() (all []Peer) {
 	ids := sorted(n.keepers)
 	slices.SortStableFunc(ids, func(x, y uint64) int {
 		a, b := n.keepers[x], n.keepers[y]
@@ -891,8 +891,8 @@
 	return !e.mute && (e.asked == 0 || n.now-e.asked <= deaf) && n.now-max(e.heard, e.known) <= keeperGone
 }
 
-// Answering lists the keepers that are likely to answer.
-func (n *Node) Answering() (all []Peer) {
+// ResponsiveReplicas lists the keepers that are likely to answer.
+func (n *Node) ResponsiveReplicas() (all []Peer) {
 	for _, id := range sorted(n.keepers) {
 		if k := n.keepers[id]; n.answers(k) {
 			all = append(all, k.Peer)
@@ -921,28 +921,28 @@
 	return 0, false
 }
 
-// Use is what a datagram is for.
-type Use uint8
+// Purpose is what a datagram is for.
+type Purpose uint8
 
 // The uses.
 const (
-	Spreads Use = iota // news, signs of life, and words back
-	Compares
-	Shuffles
+	PurposeDissemination Purpose = iota // news, signs of life, and words back
+	PurposeAntiEntropy
+	PurposeShuffle
 )
 
-// UseOf tells what a datagram of this package is for.
-func UseOf(b []byte) Use {
+// PurposeOf tells what a datagram of this package is for.
+func PurposeOf(b []byte) Purpose {
 	if len(b) < 4 {
-		return Spreads
+		return PurposeDissemination
 	}
 	switch b[3] {
 	case kindDigest, kindWant, kindRoot:
-		return Compares
+		return PurposeAntiEntropy
 	case kindShuffle, kindShuffled:
-		return Shuffles
+		return PurposeShuffle
 	}
-	return Spreads
+	return PurposeDissemination
 }
 
 // Item returns an item that is kept.
@@ -953,8 +953,8 @@
 	return Item{}, false
 }
 
-// Items tells how many items are kept.
-func (n *Node) Items() int { return len(n.items) }
+// ItemCount tells how many items are kept.
+func (n *Node) ItemCount() int { return len(n.items) }
 
 // Each calls f with every item.
 func (n *Node) Each(f func(Item)) {
--- a/internal/control/gossip/gossip_test.go
+++ b/internal/control/gossip/gossip_test.go
@@ -32,7 +32,7 @@
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000)
 		self := Peer{ID: uint64(i + 1), Addr: addr, Zone: uint32(i % 3)}
 		if i < 3 {
-			self.Flags = Keeper
+			self.Flags = FlagReplica
 		}
 		f.nodes = append(f.nodes, New(self, seed))
 		f.byAddr[addr] = i
@@ -43,7 +43,7 @@
 		seeds = append(seeds, f.nodes[i].self.Addr)
 	}
 	for i := range n {
-		f.do(i, Seeds{seeds})
+		f.do(i, SeedsChanged{seeds})
 	}
 	return f
 }
@@ -60,7 +60,7 @@
 	for len(queue) > 0 {
 		d := queue[0]
 		queue = queue[1:]
-		f.one(d.to, Packet{d.b}, &queue)
+		f.one(d.to, PacketReceived{d.b}, &queue)
 	}
 }
 
@@ -70,24 +70,24 @@
 		e, events = events[0], events[1:]
 		for _, x := range f.nodes[i].Reduce(f.now, e) {
 			switch x := x.(type) {
-			case Send:
+			case SendPacket:
 				f.packets++
 				to, ok := f.byAddr[x.To]
-				if len(x.Bytes) > MostPacket+300 {
-					panic(fmt.Sprintf("a datagram of %d bytes", len(x.Bytes)))
+				if len(x.Payload) > MaxPacketBytes+300 {
+					panic(fmt.Sprintf("a datagram of %d bytes", len(x.Payload)))
 				}
 				if ok && !f.cut[i] && !f.cut[to] && !f.mute[i] && !f.deaf[to] && (f.apart == nil || !f.apart(i, to)) && f.rnd.Float64() >= f.loss {
-					*queue = append(*queue, delivery{to, x.Bytes})
+					*queue = append(*queue, delivery{to, x.Payload})
 				}
-			case Learnt:
+			case ItemLearned:
 				f.learnt[i][x.Item.Key] = x.Item.Version
-			case Alive:
-				if x.Sign.Count > f.alive[i][x.Sign.Key] {
-					f.alive[i][x.Sign.Key] = x.Sign.Count
-					events = append(events, Relay{Sign: x.Sign, From: x.From})
+			case HeartbeatLearned:
+				if x.Heartbeat.Sequence > f.alive[i][x.Heartbeat.Key] {
+					f.alive[i][x.Heartbeat.Key] = x.Heartbeat.Sequence
+					events = append(events, RelayHeartbeat{Heartbeat: x.Heartbeat, From: x.From})
 				}
-			case Confirmed:
-				f.confirm[x.Of] = x.N
+			case BroadcastCompleted:
+				f.confirm[x.Of] = x.Acks
 			}
 		}
 	}
@@ -98,7 +98,7 @@
 	for end := f.now + d; f.now < end; {
 		f.now += 50 * time.Millisecond
 		for i, n := range f.nodes {
-			if n.Next() <= f.now {
+			if n.NextTimer() <= f.now {
 				f.do(i, Tick{})
 			}
 		}
@@ -119,7 +119,7 @@
 		f := newFleet(size, 7)
 		f.loss = 0.05
 		f.pass(6 * time.Second)
-		f.do(size-1, Publish{Items: []Item{{Kind: 1, Key: "k", Version: 3, Body: []byte("b")}}, Urgent: true, Of: "k", Need: 2})
+		f.do(size-1, Broadcast{Items: []Item{{Kind: 1, Key: "k", Version: 3, Body: []byte("b")}}, Urgent: true, Of: "k", MinAcks: 2})
 		f.pass(1200 * time.Millisecond) // limits.NodeSpread
 		if n := f.have("k", 3); n < size*97/100 {
 			t.Errorf("%d nodes: after 1.2 s %d have the news", size, n)
@@ -139,10 +139,10 @@
 	f.pass(5 * time.Second)
 	f.cut[9] = true
 	for i := range 40 {
-		f.do(i%9, Publish{Items: []Item{{Kind: 1, Key: fmt.Sprint("k", i), Version: 1, Body: make([]byte, 100)}}})
+		f.do(i%9, Broadcast{Items: []Item{{Kind: 1, Key: fmt.Sprint("k", i), Version: 1, Body: make([]byte, 100)}}})
 	}
 	f.pass(5 * time.Second)
-	f.do(9, Publish{Items: []Item{{Kind: 1, Key: "own", Version: 1}}})
+	f.do(9, Broadcast{Items: []Item{{Kind: 1, Key: "own", Version: 1}}})
 	if len(f.nodes[9].items) != 1 {
 		t.Fatalf("%d items reach who is cut off", len(f.nodes[9].items))
 	}
@@ -166,10 +166,10 @@
 		f.pass(5 * time.Second)
 		cut(f)[9] = true
 		for i := range 20 {
-			f.do(i%9, Publish{Items: []Item{{Kind: 1, Key: fmt.Sprint("k", i), Version: 1}}, Urgent: true, Of: i, Need: 2})
+			f.do(i%9, Broadcast{Items: []Item{{Kind: 1, Key: fmt.Sprint("k", i), Version: 1}}, Urgent: true, Of: i, MinAcks: 2})
 			f.pass(300 * time.Millisecond)
 		}
-		f.do(9, Publish{Items: []Item{{Kind: 1, Key: "own", Version: 1}}})
+		f.do(9, Broadcast{Items: []Item{{Kind: 1, Key: "own", Version: 1}}})
 		f.pass(2 * time.Second)
 		for i := range 20 {
 			if n := f.have(fmt.Sprint("k", i), 1); n < 13 {
@@ -193,7 +193,7 @@
 func (f *fleet) restart(i int, seeds ...int) {
 	f.nodes[i] = New(f.nodes[i].self, uint64(1000+i)+uint64(f.now))
 	f.learnt[i], f.alive[i] = map[string]uint64{}, map[uint64]uint64{}
-	f.do(i, Seeds{addrs(seeds)})
+	f.do(i, SeedsChanged{addrs(seeds)})
 }
 
 func addrs(seeds []int) (all []netip.AddrPort) {
@@ -209,7 +209,7 @@
 	f.nodes = append(f.nodes, New(Peer{ID: uint64(i + 1), Addr: addrs([]int{i})[0]}, uint64(i)))
 	f.byAddr[addrs([]int{i})[0]] = i
 	f.learnt, f.alive = append(f.learnt, map[string]uint64{}), append(f.alive, map[uint64]uint64{})
-	f.do(i, Seeds{addrs(seeds)})
+	f.do(i, SeedsChanged{addrs(seeds)})
 	return i
 }
 
@@ -218,7 +218,7 @@
 	// first, a node finds the others as soon as one is.
 	f := newFleet(14, 8)
 	f.pass(5 * time.Second)
-	f.do(4, Publish{Items: []Item{{Kind: 1, Key: "k", Version: 1}}})
+	f.do(4, Broadcast{Items: []Item{{Kind: 1, Key: "k", Version: 1}}})
 	f.cut[0] = true
 	f.restart(9, 0, 500, 2)
 	newcomer := f.add(0, 500, 501)
@@ -242,7 +242,7 @@
 	f := newFleet(42, 4)
 	f.pass(6 * time.Second)
 	for i := range 30 {
-		f.do(i, Publish{Items: []Item{{Kind: 1, Key: fmt.Sprint("k", i), Version: 2}}})
+		f.do(i, Broadcast{Items: []Item{{Kind: 1, Key: fmt.Sprint("k", i), Version: 2}}})
 	}
 	f.pass(3 * time.Second)
 	for i := 1; i < 42; i += 3 {
@@ -250,11 +250,11 @@
 	}
 	f.pass(10 * time.Second)
 	for i, n := range f.nodes {
-		if len(n.items) != 30 || len(n.view) < 4 || len(n.Keepers()) < 2 {
-			t.Errorf("node %d has %d of 30 items, knows %d others and %d keepers", i, len(n.items), len(n.view), len(n.Keepers()))
+		if len(n.items) != 30 || len(n.view) < 4 || len(n.Replicas()) < 2 {
+			t.Errorf("node %d has %d of 30 items, knows %d others and %d keepers", i, len(n.items), len(n.view), len(n.Replicas()))
 		}
 	}
-	f.do(7, Publish{Items: []Item{{Kind: 1, Key: "k7", Version: 3}}}) // one of those that started anew
+	f.do(7, Broadcast{Items: []Item{{Kind: 1, Key: "k7", Version: 3}}}) // one of those that started anew
 	f.pass(1200 * time.Millisecond)
 	if n := f.have("k7", 3); n < 40 {
 		t.Errorf("news of one of them has reached %d of 42", n)
@@ -264,9 +264,9 @@
 func TestOldNewsIsNotTakenBack(t *testing.T) {
 	f := newFleet(5, 1)
 	f.pass(3 * time.Second)
-	f.do(0, Publish{Items: []Item{{Kind: 1, Key: "k", Version: 5, Body: []byte("new")}}})
+	f.do(0, Broadcast{Items: []Item{{Kind: 1, Key: "k", Version: 5, Body: []byte("new")}}})
 	f.pass(3 * time.Second)
-	f.do(4, Publish{Items: []Item{{Kind: 1, Key: "k", Version: 4, Body: []byte("old")}}})
+	f.do(4, Broadcast{Items: []Item{{Kind: 1, Key: "k", Version: 4, Body: []byte("old")}}})
 	f.pass(3 * time.Second)
 	if n := f.have("k", 5); n != 5 {
 		t.Errorf("%d of 5 have the newest", n)
@@ -278,7 +278,7 @@
 	f := newFleet(60, 5)
 	f.pass(4 * time.Second)
 	for _, i := range []int{0, 2, 40} {
-		f.do(i, Heard{Sign{Key: uint64(77 + i), Count: 9}})
+		f.do(i, HeartbeatObserved{Heartbeat{Key: uint64(77 + i), Sequence: 9}})
 	}
 	f.pass(time.Second)
 	for i, a := range f.alive {
@@ -296,15 +296,15 @@
 	f := newFleet(6, 5)
 	f.apart = func(i, k int) bool { return min(i, k) == 0 && max(i, k) == 1 }
 	f.pass(6 * time.Second)
-	f.do(0, Heard{Sign{Key: 77, Count: 9}})
-	f.pass(3 * Every)
+	f.do(0, HeartbeatObserved{Heartbeat{Key: 77, Sequence: 9}})
+	f.pass(3 * BroadcastInterval)
 	if f.alive[1][77] != 9 || f.alive[2][77] != 9 || f.alive[4][77] != 0 {
 		t.Errorf("a sign of life that keeper 0 has heard: %v", f.alive)
 	}
 	f.apart = nil
-	f.pass(4 * Every)
+	f.pass(4 * BroadcastInterval)
 	for i, n := range f.nodes {
-		if n.relay(Relay{Sign: Sign{Key: 78, Count: 1}, From: 1}); len(n.relays) > 0 {
+		if n.relay(RelayHeartbeat{Heartbeat: Heartbeat{Key: 78, Sequence: 1}, From: 1}); len(n.relays) > 0 {
 			t.Errorf("node %d passes on what all have heard: %v", i, n.relays)
 		}
 	}
@@ -324,17 +324,17 @@
 			if i < 2 {
 				last = f.nodes[0].self.Addr
 			}
-			f.do(i, Seeds{[]netip.AddrPort{f.nodes[0].self.Addr, f.nodes[1].self.Addr, last}})
+			f.do(i, SeedsChanged{[]netip.AddrPort{f.nodes[0].self.Addr, f.nodes[1].self.Addr, last}})
 		}
 		f.pass(3 * time.Second)
 		n := f.nodes[2]
-		if len(n.Keepers()) != 0 || len(n.Peers()) < 2 {
-			t.Fatalf("it knows %d keepers and %d others", len(n.Keepers()), len(n.Peers()))
+		if len(n.Replicas()) != 0 || len(n.Peers()) < 2 {
+			t.Fatalf("it knows %d keepers and %d others", len(n.Replicas()), len(n.Peers()))
 		}
 		f.apart = func(i, k int) bool { return min(i, k) < 2 && max(i, k) > 2 }
 		f.pass(2 * time.Second)
-		if len(n.Keepers()) != 2 {
-			t.Errorf("seed %d: two seconds after the cut it knows %d keepers", seed, len(n.Keepers()))
+		if len(n.Replicas()) != 2 {
+			t.Errorf("seed %d: two seconds after the cut it knows %d keepers", seed, len(n.Replicas()))
 		}
 	}
 }
@@ -345,13 +345,13 @@
 	f := newFleet(6, 5)
 	f.pass(4 * time.Second)
 	n := f.nodes[5]
-	keepers := len(n.Answering())
+	keepers := len(n.ResponsiveReplicas())
 	for _, ok := range []bool{false, true} {
-		for _, k := range n.Keepers() {
-			f.do(5, Called{k.ID, ok})
+		for _, k := range n.Replicas() {
+			f.do(5, CallCompleted{k.ID, ok})
 		}
 		f.pass(2 * time.Second)
-		if got := len(n.Answering()); keepers != 3 || ok && got != keepers || !ok && got != 0 {
+		if got := len(n.ResponsiveReplicas()); keepers != 3 || ok && got != keepers || !ok && got != 0 {
 			t.Errorf("answered %v: %d of %d keepers are said to answer", ok, got, keepers)
 		}
 	}
@@ -365,8 +365,8 @@
 		f.pass(6 * time.Second)
 		f.apart = func(i, k int) bool { return min(i, k) == 0 && max(i, k) == 1 }
 		f.pass(wait)
-		f.do(0, Heard{Sign{Key: 77, Count: 9}})
-		f.pass(touch + 4*Every)
+		f.do(0, HeartbeatObserved{Heartbeat{Key: 77, Sequence: 9}})
+		f.pass(touch + 4*BroadcastInterval)
 		if f.alive[1][77] != 9 {
 			t.Errorf("what was heard %v after they were parted has not come: %v", wait, f.alive)
 		}
@@ -380,10 +380,10 @@
 	f.pass(5 * time.Second)
 	f.apart = func(i, k int) bool { return i%2 != k%2 }
 	f.pass(keeperGone + 20*time.Second)
-	f.do(1, Publish{Items: []Item{{Kind: 1, Key: "k", Version: 1}}})
+	f.do(1, Broadcast{Items: []Item{{Kind: 1, Key: "k", Version: 1}}})
 	f.pass(5 * time.Second)
-	if n := f.have("k", 1); n != 45 || len(f.nodes[0].Keepers()) != 1 {
-		t.Fatalf("%d have it, and keeper 0 knows %d others", n, len(f.nodes[0].Keepers()))
+	if n := f.have("k", 1); n != 45 || len(f.nodes[0].Replicas()) != 1 {
+		t.Fatalf("%d have it, and keeper 0 knows %d others", n, len(f.nodes[0].Replicas()))
 	}
 	f.apart = nil
 	f.pass(time.Minute)
@@ -402,12 +402,12 @@
 	} {
 		f := newFleet(20, 6)
 		for i := range f.nodes {
-			f.do(i, Members{[]uint64{1, 2, 3}})
+			f.do(i, VotersChanged{[]uint64{1, 2, 3}})
 		}
 		feels := func(want ...bool) {
 			t.Helper()
 			for i, w := range want {
-				if _, ok := f.nodes[i].InTouch(); ok != w {
+				if _, ok := f.nodes[i].QuorumContact(); ok != w {
 					t.Errorf("%s: keeper %d in touch: %v at %v", name, i, ok, f.now)
 				}
 			}
@@ -415,12 +415,12 @@
 		f.pass(4 * time.Second)
 		feels(true, true, true)
 		cut(f)[1] = true
-		f.pass(touch + 3*Every)
+		f.pass(touch + 3*BroadcastInterval)
 		feels(true, false, true)
 		clear(cut(f))
-		f.pass(2 * Every)
+		f.pass(2 * BroadcastInterval)
 		feels(true, true, true)
-		if d, _ := f.nodes[1].InTouch(); d > 2*Every {
+		if d, _ := f.nodes[1].QuorumContact(); d > 2*BroadcastInterval {
 			t.Errorf("%s: in touch for %v again", name, d)
 		}
 	}
@@ -459,8 +459,8 @@
 		if i < 3 {
 			want = 2
 		}
-		if len(n.Keepers()) != want {
-			t.Errorf("node %d knows %d keepers", i, len(n.Keepers()))
+		if len(n.Replicas()) != want {
+			t.Errorf("node %d knows %d keepers", i, len(n.Replicas()))
 		}
 	}
 }
@@ -469,7 +469,7 @@
 	n := New(Peer{ID: 1, Addr: netip.MustParseAddrPort("10.0.0.1:7000")}, 1)
 	p := packet{kind: kindNews, from: n.self, items: []Item{{Kind: 1, Key: "k", Version: 2, Body: []byte("x")}}}
 	f.Add(p.encode())
-	p = packet{kind: kindSigns, from: n.self, hears: []uint64{4}, signs: []Sign{{1, 2, 3}}}
+	p = packet{kind: kindSigns, from: n.self, hears: []uint64{4}, signs: []Heartbeat{{1, 2, 3}}}
 	f.Add(p.encode())
 	for kind := kindNews; kind <= kindRoot; kind++ {
 		p := packet{kind: kind, from: Peer{ID: 2, Addr: netip.MustParseAddrPort("10.0.0.2:7000")}, buckets: make([]uint64, buckets),
@@ -485,7 +485,7 @@
 			t.Errorf("what was read cannot be read again: %v", err)
 		}
 		n := New(Peer{ID: 1, Addr: netip.MustParseAddrPort("10.0.0.1:7000")}, 1)
-		n.Reduce(time.Second, Packet{b})
+		n.Reduce(time.Second, PacketReceived{b})
 		n.Reduce(time.Minute, Tick{})
 	})
 }
@@ -522,22 +522,22 @@
 	f := newFleet(60, 5)
 	f.pass(4 * time.Second)
 	n := f.nodes[30]
-	if len(n.Keepers()) != 3 {
-		t.Fatalf("%d keepers are known", len(n.Keepers()))
+	if len(n.Replicas()) != 3 {
+		t.Fatalf("%d keepers are known", len(n.Replicas()))
 	}
-	first := n.Keepers()[0].ID
-	f.do(30, Called{ID: first, OK: false})
-	if all := n.Answering(); len(all) != 2 || n.Keepers()[2].ID != first {
-		t.Errorf("one that has not answered a call: %v, the last is %v", all, n.Keepers()[2].ID)
+	first := n.Replicas()[0].ID
+	f.do(30, CallCompleted{PeerID: first, Answered: false})
+	if all := n.ResponsiveReplicas(); len(all) != 2 || n.Replicas()[2].ID != first {
+		t.Errorf("one that has not answered a call: %v, the last is %v", all, n.Replicas()[2].ID)
 	}
-	f.do(30, Called{ID: first, OK: true})
-	if n.Keepers()[0].ID != first {
+	f.do(30, CallCompleted{PeerID: first, Answered: true})
+	if n.Replicas()[0].ID != first {
 		t.Error("one that answers again does not come first")
 	}
-	for _, k := range n.Keepers() {
-		f.do(30, Called{ID: k.ID, OK: false})
+	for _, k := range n.Replicas() {
+		f.do(30, CallCompleted{PeerID: k.ID, Answered: false})
 	}
-	if len(n.Answering()) != 0 || len(n.Keepers()) != 3 {
+	if len(n.ResponsiveReplicas()) != 0 || len(n.Replicas()) != 3 {
 		t.Error("where none answers nobody is sent there, and this node still tries all")
 	}
 }
@@ -547,11 +547,11 @@
 func TestKeepersAreInTouchAtOnce(t *testing.T) {
 	f := newFleet(12, 3)
 	for i := range f.nodes {
-		f.do(i, Members{[]uint64{1, 2, 3}})
+		f.do(i, VotersChanged{[]uint64{1, 2, 3}})
 	}
-	f.pass(Every + 50*time.Millisecond)
+	f.pass(BroadcastInterval + 50*time.Millisecond)
 	for i, n := range f.nodes[:3] {
-		if _, ok := n.InTouch(); !ok {
+		if _, ok := n.QuorumContact(); !ok {
 			t.Errorf("keeper %d is not in touch after %v", i, f.now)
 		}
 	}
--- a/internal/lab/check/leaving.go
+++ b/internal/lab/check/leaving.go
@@ -53,9 +53,9 @@
 
 // start starts a process with nothing in its memory.
 func (h *hall) start(i int) {
-	self := gossip.Peer{ID: gossip.Hash(fmt.Sprint("n", i)), Addr: hallAddr(i), Zone: uint32(i % leaveZones), Flags: gossip.Edge}
+	self := gossip.Peer{ID: gossip.Hash(fmt.Sprint("n", i)), Addr: hallAddr(i), Zone: uint32(i % leaveZones), Flags: gossip.FlagRouter}
 	if i < leaveKeepers {
-		self.Flags = gossip.Keeper
+		self.Flags = gossip.FlagReplica
 	}
 	h.nodes[i] = discovery.New(self, uint64(h.draw(1<<30)), 5250*time.Millisecond, func(string) uint32 { return 0 })
 	if i < leaveKeepers {
@@ -63,19 +63,19 @@
 		for k := range leaveKeepers {
 			ids = append(ids, gossip.Hash(fmt.Sprint("n", k)))
 		}
-		h.take(i, gossip.Members{IDs: ids})
+		h.take(i, gossip.VotersChanged{IDs: ids})
 	}
-	h.take(i, gossip.Seeds{Addrs: []netip.AddrPort{hallAddr(0), hallAddr(1), hallAddr(leaveKeepers)}})
+	h.take(i, gossip.SeedsChanged{Addrs: []netip.AddrPort{hallAddr(0), hallAddr(1), hallAddr(leaveKeepers)}})
 }
 
 // take has a process take an event.
 func (h *hall) take(i int, e discovery.Event) {
 	for _, f := range h.nodes[i].Reduce(h.now, h.now.Milliseconds(), e) {
 		switch f := f.(type) {
-		case gossip.Send:
+		case gossip.SendPacket:
 			to := int(f.To.Addr().As4()[3]) - 1
-			h.wires = append(h.wires, parcel{i, to, f.Bytes})
-		case discovery.Answer:
+			h.wires = append(h.wires, parcel{i, to, f.Payload})
+		case discovery.Reply:
 			h.answers[f.Of] = f.Err
 		}
 	}
@@ -91,13 +91,13 @@
 		p := h.wires[at]
 		h.wires = append(h.wires[:at], h.wires[at+1:]...)
 		if h.calm || h.draw(10) > 0 {
-			h.take(p.to, gossip.Packet{Bytes: p.b})
+			h.take(p.to, gossip.PacketReceived{Payload: p.b})
 		}
 		return
 	}
 	h.now += 20 * time.Millisecond
 	for i, n := range h.nodes {
-		if n.Next() <= h.now {
+		if n.NextTimer() <= h.now {
 			h.take(i, gossip.Tick{})
 		}
 	}
@@ -132,10 +132,10 @@
 	h.hasty = hasty
 	call := func(i int, calls uint64, s endpoints.State) any {
 		of := new(int)
-		h.take(i, discovery.Beat{Of: of, Record: endpoints.Record{ID: "e", Service: "s", Addr: "10.1.0.1:80", Zone: "z", Calls: calls, State: s}})
+		h.take(i, discovery.Heartbeat{Of: of, Record: endpoints.Record{ID: "e", Service: "s", Addr: "10.1.0.1:80", Zone: "z", CallCount: calls, State: s}})
 		return of
 	}
-	call(draw(leaveNodes), 3, endpoints.Ready)
+	call(draw(leaveNodes), 3, endpoints.StateReady)
 	h.pass(2 * time.Second)
 	h.calm = false
 	calls, who := uint64(3), 0
@@ -147,7 +147,7 @@
 			calls++
 		}
 		who = draw(leaveNodes)
-		of := call(who, calls, endpoints.Draining)
+		of := call(who, calls, endpoints.StateDraining)
 		dies := draw(60) // a moment between hearing and answering, or none
 		answered, err := hasty, error(nil)
 		for n := 0; !answered && n < 1000 && n != dies; n++ {
@@ -173,8 +173,8 @@
 		h.die(func(i int) bool { return i == who || i%leaveZones == who%leaveZones })
 	case 3: // all who know, or may: then its next call tells others
 		h.die(func(i int) bool {
-			e := h.nodes[i].Roster.Find("e")
-			return i == who || e != nil && e.State != endpoints.Ready
+			e := h.nodes[i].Endpoints.Find("e")
+			return i == who || e != nil && e.State != endpoints.StateReady
 		})
 		again = true
 	}
@@ -185,7 +185,7 @@
 	for h.now < acked+within {
 		if again && h.now >= acked+leaveBeat {
 			calls++
-			if err, ok := h.answers[call(draw(leaveNodes), calls, endpoints.Draining)]; !ok || err == nil {
+			if err, ok := h.answers[call(draw(leaveNodes), calls, endpoints.StateDraining)]; !ok || err == nil {
 				again = false
 			}
 		}
@@ -196,7 +196,7 @@
 	}
 
 	for i, n := range h.nodes[leaveKeepers:] { // keepers send no work
-		if e := n.Roster.Find("e"); e != nil && e.State == endpoints.Ready {
+		if e := n.Endpoints.Find("e"); e != nil && e.State == endpoints.StateReady {
 			return fmt.Sprintf("process %d still sends it work %v after it was acknowledged by %d", i+leaveKeepers, within, who)
 		}
 	}
--- a/internal/lab/plane/cost.go
+++ b/internal/lab/plane/cost.go
@@ -52,8 +52,8 @@
 }
 
 func (w *world) spendDatagram(from, to *machine, b []byte) {
-	cause := map[gossip.Use]metrics.Cause{gossip.Compares: metrics.CauseDigests, gossip.Shuffles: metrics.CauseShuffles, gossip.Spreads: metrics.CauseGossip}
-	w.spend(from, to, cause[gossip.UseOf(b)], len(b)+datagramBytes)
+	cause := map[gossip.Purpose]metrics.Cause{gossip.PurposeAntiEntropy: metrics.CauseDigests, gossip.PurposeShuffle: metrics.CauseShuffles, gossip.PurposeDissemination: metrics.CauseGossip}
+	w.spend(from, to, cause[gossip.PurposeOf(b)], len(b)+datagramBytes)
 }
 
 func (w *world) spendCall(from, to *machine, kind uint8, bytes int) {
--- a/internal/lab/plane/machine.go
+++ b/internal/lab/plane/machine.go
@@ -87,9 +87,9 @@
 	w := m.w
 	m.up, m.busy, m.queue, m.wakeAt, m.frozen, m.shut, m.leaving, m.since = true, false, nil, 0, false, false, false, w.now
 	m.life++
-	self := gossip.Peer{ID: gossip.Hash(m.name), Addr: addrOf(m.i), Zone: m.zone, Flags: gossip.Edge}
+	self := gossip.Peer{ID: gossip.Hash(m.name), Addr: addrOf(m.i), Zone: m.zone, Flags: gossip.FlagRouter}
 	if m.keeper {
-		self.Flags = gossip.Keeper
+		self.Flags = gossip.FlagReplica
 	}
 	m.news = discovery.New(self, w.rnd.Uint64(), w.silence, func(string) uint32 { return 0 })
 	m.core = nil
@@ -110,7 +110,7 @@
 	} else {
 		m.meter = &singleton.Meter{WindowLength: window, Incarnation: w.rnd.Uint64()}
 	}
-	m.take(gossip.Seeds{Addrs: w.seedsFor(m)})
+	m.take(gossip.SeedsChanged{Addrs: w.seedsFor(m)})
 }
 
 // die ends the process. What was on its way to the disk is there afterwards or is not.
@@ -136,14 +136,14 @@
 // changed tells the news who votes, as a node does.
 func (m *machine) changed(s *replog.State) {
 	if m.w.broken == "judges out of touch" {
-		m.queue = append(m.queue, gossip.Members{IDs: []uint64{gossip.Hash(m.name)}})
+		m.queue = append(m.queue, gossip.VotersChanged{IDs: []uint64{gossip.Hash(m.name)}})
 		return
 	}
 	var ids []uint64
 	for _, x := range s.Members {
 		ids = append(ids, gossip.Hash(x.Name))
 	}
-	m.queue = append(m.queue, gossip.Members{IDs: ids})
+	m.queue = append(m.queue, gossip.VotersChanged{IDs: ids})
 }
 
 // take has the process take an event, or keeps it until it is free.
@@ -193,7 +193,7 @@
 	if !m.up || m.frozen {
 		return
 	}
-	next := m.news.Next()
+	next := m.news.NextTimer()
 	if m.core != nil {
 		if at, ok := m.core.NextTimer(); ok {
 			next = min(next, at)
@@ -217,10 +217,10 @@
 func (m *machine) hear(effects []discovery.Effect) {
 	for _, f := range effects {
 		switch f := f.(type) {
-		case gossip.Send:
-			m.w.datagram(m, m.w.at(f.To), append([]byte(nil), f.Bytes...))
-		case discovery.Answer:
-			f.Of.(func(discovery.Answer))(f)
+		case gossip.SendPacket:
+			m.w.datagram(m, m.w.at(f.To), append([]byte(nil), f.Payload...))
+		case discovery.Reply:
+			f.Of.(func(discovery.Reply))(f)
 		}
 	}
 }
@@ -335,7 +335,7 @@
 		life := to.life
 		w.in(d, func() {
 			if to.life == life {
-				to.take(gossip.Packet{Bytes: b})
+				to.take(gossip.PacketReceived{Payload: b})
 			}
 		})
 	}
--- a/internal/lab/plane/operators.go
+++ b/internal/lab/plane/operators.go
@@ -131,7 +131,7 @@
 	}
 	m := w.machines[at]
 	if m.up && !m.keeper {
-		all := m.news.Gossip.Answering()
+		all := m.news.Gossip.ResponsiveReplicas()
 		if len(all) == 0 {
 			w.again(c)
 			return
--- a/internal/lab/plane/people.go
+++ b/internal/lab/plane/people.go
@@ -50,8 +50,8 @@
 
 // leave has it say so from now on.
 func (e *engine) leave() {
-	if !e.dead && e.state == endpoints.Ready {
-		e.state = endpoints.Draining
+	if !e.dead && e.state == endpoints.StateReady {
+		e.state = endpoints.StateDraining
 		e.call(0)
 		e.w.in(20*time.Second, func() { e.dead = true })
 	}
@@ -78,7 +78,7 @@
 			e.call(try + 1)
 		}
 	}
-	answered := func(a discovery.Answer) {
+	answered := func(a discovery.Reply) {
 		if !waiting || m.life != life {
 			return
 		}
@@ -88,10 +88,10 @@
 		}
 		waiting = false
 		e.heard = w.now
-		if e.home = nil; a.Home.IsValid() {
-			e.home = w.at(a.Home)
+		if e.home = nil; a.HomeReplica.IsValid() {
+			e.home = w.at(a.HomeReplica)
 		}
-		if state == endpoints.Draining && e.drained == 0 && e.w.now-m.calm >= e.w.bounds.contact {
+		if state == endpoints.StateDraining && e.drained == 0 && e.w.now-m.calm >= e.w.bounds.contact {
 			e.drained = w.now
 			w.report.Drained++
 		}
@@ -102,13 +102,13 @@
 			fails()
 			return
 		}
-		b := discovery.Beat{Record: endpoints.Record{
-			ID: e.id, Service: "s", Addr: fmt.Sprintf("10.9.%d.%d:80", e.k>>8, e.k&255), Zone: "z", Slots: 4, Calls: e.calls, State: state,
-		}, Of: func(a discovery.Answer) { w.in(time.Millisecond, func() { answered(a) }) }}
+		b := discovery.Heartbeat{Record: endpoints.Record{
+			ID: e.id, Service: "s", Addr: fmt.Sprintf("10.9.%d.%d:80", e.k>>8, e.k&255), Zone: "z", Slots: 4, CallCount: e.calls, State: state,
+		}, Of: func(a discovery.Reply) { w.in(time.Millisecond, func() { answered(a) }) }}
 		if w.broken == "acknowledges a drain alone" {
-			b.Of = func(discovery.Answer) {}
-			w.in(time.Millisecond, func() { answered(discovery.Answer{}) })
-			if state == endpoints.Draining { // and tells nobody, as one that dies right then
+			b.Of = func(discovery.Reply) {}
+			w.in(time.Millisecond, func() { answered(discovery.Reply{}) })
+			if state == endpoints.StateDraining { // and tells nobody, as one that dies right then
 				return
 			}
 		}
@@ -147,11 +147,11 @@
 		if !m.up || m.frozen || w.now-m.calm < contact || !w.calmFor(contact) || w.apart(m) || !w.informed(m) {
 			continue
 		}
-		r := m.news.Roster.Find(e.id)
+		r := m.news.Endpoints.Find(e.id)
 		switch {
-		case e.drained != 0 && w.now-e.drained > drains-grace && r != nil && r.State == endpoints.Ready && !r.Silent:
+		case e.drained != 0 && w.now-e.drained > drains-grace && r != nil && r.State == endpoints.StateReady && !r.Suspect:
 			w.breaks("DRAIN", "%s still sends %s work %v after it was acknowledged", m.name, e.id, w.now-e.drained)
-		case !e.dead && e.state == endpoints.Ready && e.heard != 0 && w.now-e.heard < 2*time.Second && w.now > lead+contact && (r == nil || r.Silent):
+		case !e.dead && e.state == endpoints.StateReady && e.heard != 0 && w.now-e.heard < 2*time.Second && w.now > lead+contact && (r == nil || r.Suspect):
 			w.breaks("SILENT", "%s holds %s for silent, which was heard %v ago", m.name, e.id, w.now-e.heard)
 		}
 	}
--- a/internal/lab/plane/platform.go
+++ b/internal/lab/plane/platform.go
@@ -132,7 +132,7 @@
 
 // others are the keepers that are known here.
 func (m *machine) others() (all []netip.AddrPort) {
-	for _, p := range m.news.Gossip.Keepers() {
+	for _, p := range m.news.Gossip.Replicas() {
 		all = append(all, p.Addr)
 	}
 	return all
@@ -141,8 +141,8 @@
 // services lists the only one, as this machine knows its engines.
 func (m *machine) services() []singleton.Service {
 	s := singleton.Service{Name: "s", Bounds: singleton.Bounds{Min: 1, Max: 20}, Ready: map[string]int{}, Slots: 4}
-	for _, e := range m.news.Roster.Engines("s") {
-		if s.Ready[e.Zone] += 0; e.State == endpoints.Ready {
+	for _, e := range m.news.Endpoints.Live("s") {
+		if s.Ready[e.Zone] += 0; e.State == endpoints.StateReady {
 			s.Ready[e.Zone]++
 		}
 	}
@@ -191,7 +191,7 @@
 			m.meter.CountRequest(m.wall(), tenant)
 			w.began[singleton.WindowAt(epoch.Add(w.now), window)]++
 		}
-		keepers := m.news.Gossip.Keepers()
+		keepers := m.news.Gossip.Replicas()
 		ids := make([]uint64, len(keepers))
 		for i, k := range keepers {
 			ids[i] = k.ID
@@ -202,7 +202,7 @@
 				if m.life != life {
 					return
 				}
-				m.take(gossip.Called{ID: keepers[i].ID, OK: err == nil})
+				m.take(gossip.CallCompleted{PeerID: keepers[i].ID, Answered: err == nil})
 				if word, bad := singleton.DecodeAck(body); err == nil && bad == nil {
 					m.meter.HandleAck(keepers[i].ID, word, &p)
 				}
--- a/internal/lab/plane/recover.go
+++ b/internal/lab/plane/recover.go
@@ -44,12 +44,12 @@
 		touch, known := true, 0
 		for _, m := range w.machines {
 			if m.keeper {
-				_, ok := m.news.Gossip.InTouch()
+				_, ok := m.news.Gossip.QuorumContact()
 				touch = touch && ok
 				continue
 			}
-			m.news.Roster.All(func(e *endpoints.Engine) {
-				if e.State == endpoints.Ready && !e.Silent {
+			m.news.Endpoints.All(func(e *endpoints.Endpoint) {
+				if e.State == endpoints.StateReady && !e.Suspect {
 					known++
 				}
 			})
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	r.net.Counted = r.counted
-	self := gossip.Peer{ID: gossip.Hash(fmt.Sprint("hollow-", i)), Addr: addr, Zone: hash32(zoneName(r.zone)), Flags: gossip.Edge}
+	self := gossip.Peer{ID: gossip.Hash(fmt.Sprint("hollow-", i)), Addr: addr, Zone: hash32(zoneName(r.zone)), Flags: gossip.FlagRouter}
 	r.node = discovery.New(self, r.rnd.Uint64(), beat*limits.NodeSilence+beat/2, hash32)
 	return r, nil
 }
@@ -110,7 +110,7 @@
 	cause := metrics.CauseConfigs
 	switch {
 	case kind == 0:
-		cause = map[gossip.Use]metrics.Cause{gossip.Compares: metrics.CauseDigests, gossip.Shuffles: metrics.CauseShuffles, gossip.Spreads: metrics.CauseGossip}[gossip.UseOf(datagram)]
+		cause = map[gossip.Purpose]metrics.Cause{gossip.PurposeAntiEntropy: metrics.CauseDigests, gossip.PurposeShuffle: metrics.CauseShuffles, gossip.PurposeDissemination: metrics.CauseGossip}[gossip.PurposeOf(datagram)]
 		bytes += 28 // its headers
 	case singleton.OwnsCall(kind):
 		cause = metrics.CauseUsage
@@ -132,12 +132,12 @@
 	r.mu.Lock()
 	for _, x := range r.node.Reduce(r.clock(), time.Now().UnixMilli(), e) {
 		switch x := x.(type) {
-		case gossip.Send:
-			r.net.Send(x.To, x.Bytes)
-		case discovery.Answer:
-			x.Of.(chan discovery.Answer) <- x // it has room
-		case discovery.Configured:
-			for w := r.wanted.Load(); w < x.Place && !r.wanted.CompareAndSwap(w, x.Place); w = r.wanted.Load() {
+		case gossip.SendPacket:
+			r.net.Send(x.To, x.Payload)
+		case discovery.Reply:
+			x.Of.(chan discovery.Reply) <- x // it has room
+		case discovery.ConfigAnnounced:
+			for w := r.wanted.Load(); w < x.Index && !r.wanted.CompareAndSwap(w, x.Index); w = r.wanted.Load() {
 			}
 			select {
 			case r.fetch <- x.From:
@@ -145,7 +145,7 @@
 			}
 		}
 	}
-	sooner := r.node.Next() < r.until
+	sooner := r.node.NextTimer() < r.until
 	r.mu.Unlock()
 	if sooner {
 		select {
@@ -159,14 +159,14 @@
 func (r *router) beat(ctx context.Context, b *endpoints.Record, f *fleet) (home string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	of := make(chan discovery.Answer, 1)
-	r.turn(discovery.Beat{Record: *b, Of: of})
+	of := make(chan discovery.Reply, 1)
+	r.turn(discovery.Heartbeat{Record: *b, Of: of})
 	select {
 	case a := <-of:
-		if a.Err != nil || !a.Home.IsValid() {
+		if a.Err != nil || !a.HomeReplica.IsValid() {
 			return "", a.Err
 		}
-		return netip.AddrPortFrom(a.Home.Addr(), uint16(f.control)).String(), nil
+		return netip.AddrPortFrom(a.HomeReplica.Addr(), uint16(f.control)).String(), nil
 	case <-ctx.Done():
 		return "", ctx.Err()
 	}
@@ -176,13 +176,13 @@
 func (r *router) engines() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.node.Roster.Len()
+	return r.node.Endpoints.Len()
 }
 
 func (r *router) keepers() []gossip.Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.node.Gossip.Keepers()
+	return r.node.Gossip.Replicas()
 }
 
 // run runs its parts until the context is over.
@@ -190,19 +190,19 @@
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	wait.Go(func() { r.net.Serve(ctx) })
-	wait.Go(func() { r.net.Datagrams(func(b []byte) { r.turn(gossip.Packet{Bytes: b}) }) })
+	wait.Go(func() { r.net.Datagrams(func(b []byte) { r.turn(gossip.PacketReceived{Payload: b}) }) })
 	wait.Go(func() { r.fetches(ctx) })
 	wait.Go(func() { r.reports(ctx) })
 	var seeds []netip.AddrPort
 	for k := range min(3, r.f.Keepers) {
 		seeds = append(seeds, netip.AddrPortFrom(netip.MustParseAddr(r.f.real[k].ip), uint16(r.f.inner)))
 	}
-	r.turn(gossip.Seeds{Addrs: seeds})
+	r.turn(gossip.SeedsChanged{Addrs: seeds})
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		r.mu.Lock()
-		r.until = r.node.Next()
+		r.until = r.node.NextTimer()
 		r.mu.Unlock()
 		timer.Reset(max(r.until-r.clock(), time.Millisecond))
 		select {
@@ -268,7 +268,7 @@
 	r.texts.Hold(place, r.f.texts.one(place, text))
 	r.changed.Store(time.Now().UnixNano())
 	r.held.Store(place)
-	go r.turn(discovery.Config{Place: place})
+	go r.turn(discovery.ConfigStored{Index: place})
 	return true
 }
 
@@ -317,7 +317,7 @@
 			one, cancel := context.WithTimeout(ctx, limits.NodePass)
 			defer cancel()
 			b, err := r.net.Call(one, k.Addr, singleton.CallUsageReport, all[i].Encode())
-			r.turn(gossip.Called{ID: k.ID, OK: err == nil})
+			r.turn(gossip.CallCompleted{PeerID: k.ID, Answered: err == nil})
 			word, bad := singleton.DecodeAck(b)
 			if err != nil || bad != nil {
 				return
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -283,7 +283,7 @@
 		case i < len(e.f.real):
 			next, err = e.call(ctx, client, e.f.real[i].control, calls)
 		default:
-			next, err = e.f.hollow[i-len(e.f.real)].beat(ctx, &endpoints.Record{ID: e.name, Service: e.service, Addr: e.addr, Zone: e.zone, Revision: "v1", Slots: 64, Calls: uint64(calls)}, e.f)
+			next, err = e.f.hollow[i-len(e.f.real)].beat(ctx, &endpoints.Record{ID: e.name, Service: e.service, Addr: e.addr, Zone: e.zone, Revision: "v1", Slots: 64, CallCount: uint64(calls)}, e.f)
 		}
 		if ctx.Err() != nil {
 			return
--- a/internal/node/benchhelpers_test.go
+++ b/internal/node/benchhelpers_test.go
@@ -47,8 +47,8 @@
 // benchNode is a node's data plane before an engine.
 func benchNode(b *testing.B, engine string) string {
 	d := newData(slog.New(slog.DiscardHandler), limits.NewNode(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100}), time.Second, 1,
-		func(string) []endpoints.Engine {
-			return []endpoints.Engine{{Record: endpoints.Record{ID: "i-1", Service: "s", Addr: engine}}}
+		func(string) []endpoints.Endpoint {
+			return []endpoints.Endpoint{{Record: endpoints.Record{ID: "i-1", Service: "s", Addr: engine}}}
 		})
 	go d.run(b.Context())
 	if err := d.apply(1, &fleetconfig.Config{
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -25,7 +25,7 @@
 	for _, m := range s.Members {
 		ids = append(ids, gossip.Hash(m.Name))
 	}
-	n.news.turn(gossip.Members{IDs: ids})
+	n.news.turn(gossip.VotersChanged{IDs: ids})
 	if s.Config != nil {
 		n.hold(s.ConfigIndex, s.Config)
 	}
@@ -55,7 +55,7 @@
 	n.place.Store(place)
 	for w := n.wanted.Load(); w < place && !n.wanted.CompareAndSwap(w, place); w = n.wanted.Load() {
 	}
-	go n.news.turn(discovery.Config{Place: place})
+	go n.news.turn(discovery.ConfigStored{Index: place})
 }
 
 // heardOf is told that there is a configuration.
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -38,7 +38,7 @@
 // meets that, is served all the same, and has those that may not use no line that has rested.
 func TestForgottenConnections(t *testing.T) {
 	var used sync.Map // connections that have had their answer
-	engines := make([]endpoints.Engine, 3)
+	engines := make([]endpoints.Endpoint, 3)
 	for i := range engines {
 		engines[i] = at(fmt.Sprint("i-", i), "s", newRawEngine(t, func(c net.Conn, r *http.Request) bool {
 			if _, again := used.LoadOrStore(c, true); again {
--- a/internal/node/dataplane.go
+++ b/internal/node/dataplane.go
@@ -30,7 +30,7 @@
 	issuer  *issuer.Client
 	front   *acquirer.Server
 	dialect *edge.Dialect
-	list    func(service string) []endpoints.Engine
+	list    func(service string) []endpoints.Endpoint
 	seed    uint64
 	spent   *metrics.Traffic
 	zone    string        // this machine's
@@ -49,7 +49,7 @@
 	poke    chan struct{}
 }
 
-func newData(log *slog.Logger, lim limits.Limits, grace time.Duration, seed uint64, list func(string) []endpoints.Engine) *data {
+func newData(log *slog.Logger, lim limits.Limits, grace time.Duration, seed uint64, list func(string) []endpoints.Endpoint) *data {
 	d := &data{
 		spent: &metrics.Traffic{}, log: log, lim: lim, grace: grace, seed: seed, list: list, next: 1, modules: map[pool.ID]*policy.Balancer{},
 		classes: map[pool.ID]int{}, poke: make(chan struct{}, 1),
--- a/internal/node/dataplaneconfig.go
+++ b/internal/node/dataplaneconfig.go
@@ -95,10 +95,10 @@
 		for _, e := range d.list(name) {
 			zones[e.Addr] = e.Zone
 			h := broker.Host{Name: e.ID, Dial: e.Addr, Weight: 1}
-			if e.State == endpoints.Draining {
+			if e.State == endpoints.StateDraining {
 				h.State = policy.Draining
 			}
-			if left := time.Duration(e.WarmAt-now) * time.Millisecond; left > 0 {
+			if left := time.Duration(e.WarmAtMS-now) * time.Millisecond; left > 0 {
 				h.BornAt = clock + min(left, edge.WarmUp) - edge.WarmUp
 			}
 			l.Hosts = append(l.Hosts, h)
--- a/internal/node/discoveryhost.go
+++ b/internal/node/discoveryhost.go
@@ -49,19 +49,19 @@
 	n.mu.Lock()
 	for _, f := range n.node.Reduce(n.clock(), time.Now().UnixMilli(), e) {
 		switch f := f.(type) {
-		case gossip.Send:
-			n.net.Send(f.To, f.Bytes)
-		case discovery.Answer:
-			f.Of.(chan discovery.Answer) <- f // it has room
-		case discovery.Engines:
+		case gossip.SendPacket:
+			n.net.Send(f.To, f.Payload)
+		case discovery.Reply:
+			f.Of.(chan discovery.Reply) <- f // it has room
+		case discovery.EndpointsChanged:
 			then = append(then, n.engines)
-		case discovery.Forgets:
+		case discovery.IdleDropReported:
 			then = append(then, n.forgets)
-		case discovery.Configured:
-			then = append(then, func() { n.config(f.Place, f.From) })
+		case discovery.ConfigAnnounced:
+			then = append(then, func() { n.config(f.Index, f.From) })
 		}
 	}
-	sooner := n.node.Next() < n.until
+	sooner := n.node.NextTimer() < n.until
 	n.mu.Unlock()
 	for _, f := range then {
 		f()
@@ -75,14 +75,14 @@
 }
 
 // call has an engine's call taken in, and waits for its answer.
-func (n *hearsay) call(ctx context.Context, event func(of chan discovery.Answer) discovery.Event) (discovery.Answer, error) {
-	of := make(chan discovery.Answer, 1)
+func (n *hearsay) call(ctx context.Context, event func(of chan discovery.Reply) discovery.Event) (discovery.Reply, error) {
+	of := make(chan discovery.Reply, 1)
 	n.turn(event(of))
 	select {
 	case a := <-of:
 		return a, a.Err
 	case <-ctx.Done():
-		return discovery.Answer{}, ctx.Err()
+		return discovery.Reply{}, ctx.Err()
 	}
 }
 
@@ -90,21 +90,21 @@
 func (n *hearsay) keepers() []gossip.Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.node.Gossip.Keepers()
+	return n.node.Gossip.Replicas()
 }
 
 // reachable lists the keepers that are likely to answer.
 func (n *hearsay) reachable() []gossip.Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.node.Gossip.Answering()
+	return n.node.Gossip.ResponsiveReplicas()
 }
 
 // list is a copy of the engines of a service that may be used.
-func (n *hearsay) list(service string) (all []endpoints.Engine) {
+func (n *hearsay) list(service string) (all []endpoints.Endpoint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, e := range n.node.Roster.Engines(service) {
+	for _, e := range n.node.Endpoints.Live(service) {
 		all = append(all, *e)
 	}
 	return all
@@ -112,13 +112,13 @@
 
 // run takes datagrams and keeps time until the context is over.
 func (n *hearsay) run(ctx context.Context, seeds []netip.AddrPort) {
-	go n.net.Datagrams(func(b []byte) { n.turn(gossip.Packet{Bytes: b}) })
-	n.turn(gossip.Seeds{Addrs: seeds})
+	go n.net.Datagrams(func(b []byte) { n.turn(gossip.PacketReceived{Payload: b}) })
+	n.turn(gossip.SeedsChanged{Addrs: seeds})
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		n.mu.Lock()
-		n.until = n.node.Next()
+		n.until = n.node.NextTimer()
 		n.mu.Unlock()
 		timer.Reset(max(n.until-n.clock(), time.Millisecond))
 		select {
--- a/internal/node/engines_test.go
+++ b/internal/node/engines_test.go
@@ -50,7 +50,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			ill := newRawEngine(t, c.ill)
-			list := []endpoints.Engine{at("ill", "s", ill)}
+			list := []endpoints.Endpoint{at("ill", "s", ill)}
 			for i := range 4 {
 				list = append(list, at(fmt.Sprint("good-", i), "s", newRawEngine(t, good)))
 			}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -15,8 +15,8 @@
 	if kind == 0 {
 		// The lock of the news is held: datagrams are sent by its turn only.
 		zone, known := n.news.node.Gossip.ZoneOf(to.Addr())
-		cause := map[gossip.Use]metrics.Cause{gossip.Compares: metrics.CauseDigests, gossip.Shuffles: metrics.CauseShuffles, gossip.Spreads: metrics.CauseGossip}
-		n.spent.Add(cause[gossip.UseOf(datagram)], bytes+headers, known && zone != hash32(n.cfg.Zone))
+		cause := map[gossip.Purpose]metrics.Cause{gossip.PurposeAntiEntropy: metrics.CauseDigests, gossip.PurposeShuffle: metrics.CauseShuffles, gossip.PurposeDissemination: metrics.CauseGossip}
+		n.spent.Add(cause[gossip.PurposeOf(datagram)], bytes+headers, known && zone != hash32(n.cfg.Zone))
 		return
 	}
 	n.news.mu.Lock()
--- a/internal/node/singletonhost.go
+++ b/internal/node/singletonhost.go
@@ -61,7 +61,7 @@
 		}
 		ready, slots := 0, 0.0
 		for _, e := range n.news.list(svc.Name) {
-			if s.Ready[e.Zone] += 0; e.State == endpoints.Ready {
+			if s.Ready[e.Zone] += 0; e.State == endpoints.StateReady {
 				s.Ready[e.Zone]++
 				ready++
 				slots += float64(e.Slots)
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -33,7 +33,7 @@
 	}
 	self := gossip.Peer{ID: gossip.Hash(n.cfg.Node), Addr: n.net.Addr(), Zone: hash32(n.cfg.Zone)}
 	if n.cfg.Keeper() {
-		self.Flags |= gossip.Keeper
+		self.Flags |= gossip.FlagReplica
 		if n.keeper, err = openKeeper(n.log, n.cfg.Data, n.cfg.Node, n.net.Addr().String(), n.cfg.Bootstrap, n.cfg.Tolerance.Machines); err != nil {
 			return err
 		}
@@ -46,7 +46,7 @@
 		}
 	}
 	if n.cfg.Listeners.Frontend != "" {
-		self.Flags |= gossip.Edge
+		self.Flags |= gossip.FlagRouter
 	}
 	silence := n.cfg.Beat()*limits.NodeSilence + n.cfg.Beat()/2
 	n.news = newHearsay(n.net, self, rand.Uint64(), silence)
@@ -79,7 +79,7 @@
 		}
 		n.data.spent, n.data.zone = &n.spent, n.cfg.Zone
 		n.news.engines, n.news.forgets = n.data.engines, n.data.forgets
-		n.data.forgot = func() { n.news.turn(discovery.Forgot{}) }
+		n.data.forgot = func() { n.news.turn(discovery.IdleDropObserved{}) }
 		go n.data.run(ctx)
 		c := &counter{meter: singleton.Meter{WindowLength: time.Duration(n.cfg.Bounds.UsageWindowS * float64(time.Second)), Incarnation: rand.Uint64(), Zone: n.cfg.Zone}}
 		n.data.dialect.Began = c.began
@@ -142,7 +142,7 @@
 				n.log.Error("settings not read again", "err", err)
 			} else {
 				n.cfg.Seeds = cfg.Seeds
-				n.news.turn(gossip.Seeds{Addrs: n.seeds()})
+				n.news.turn(gossip.SeedsChanged{Addrs: n.seeds()})
 				n.log.Info("settings read again")
 			}
 		case <-sig.Stop:
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -52,8 +52,8 @@
 	}
 	n.news.mu.Lock()
 	defer n.news.mu.Unlock()
-	s.Peers, s.Keepers = len(n.news.node.Gossip.Peers()), len(n.news.node.Gossip.Keepers())
-	s.Engines, s.Items = n.news.node.Roster.Len(), n.news.node.Gossip.Items()
+	s.Peers, s.Keepers = len(n.news.node.Gossip.Peers()), len(n.news.node.Gossip.Replicas())
+	s.Engines, s.Items = n.news.node.Endpoints.Len(), n.news.node.Gossip.ItemCount()
 	return s
 }
 
@@ -78,18 +78,18 @@
 	defer n.news.mu.Unlock()
 	now, wall := n.news.clock(), time.Now().UnixMilli()
 	all := []EngineView{}
-	n.news.node.Roster.All(func(e *endpoints.Engine) {
+	n.news.node.Endpoints.All(func(e *endpoints.Endpoint) {
 		v := EngineView{
 			ID: e.ID, Service: e.Service, Zone: e.Zone, Address: e.Addr, Revision: e.Revision, Slots: e.Slots,
-			HeardS: (now - e.Heard).Seconds(), WarmInS: max(float64(e.WarmAt-wall)/1000, 0),
+			HeardS: (now - e.LastHeartbeat).Seconds(), WarmInS: max(float64(e.WarmAtMS-wall)/1000, 0),
 		}
 		known := c != nil && slices.ContainsFunc(c.Services, func(s fleetconfig.Service) bool { return s.Name == e.Service })
 		switch {
-		case e.State == endpoints.Gone:
+		case e.State == endpoints.StateGone:
 			v.State, v.Says = "gone", "it has signed off, or another has come at its address: it gets nothing"
-		case e.Silent:
+		case e.Suspect:
 			v.State, v.Says = "silent", "others have been heard since and it has not: it gets nothing"
-		case e.State == endpoints.Draining:
+		case e.State == endpoints.StateDraining:
 			v.State, v.Says = "draining", "it gets nothing new; known sessions for a quarter of the time to drain"
 		case !known:
 			v.State, v.Says = "ready", "no configuration here names its service: it gets nothing"
@@ -117,7 +117,7 @@
 	x := explained{Explanation: n.data.dialect.Explain(r)}
 	if x.Service != "" {
 		for _, e := range n.news.list(x.Service) {
-			if e.State == endpoints.Draining {
+			if e.State == endpoints.StateDraining {
 				x.Draining = append(x.Draining, e.ID)
 			} else {
 				x.Ready = append(x.Ready, e.ID)
--- a/internal/node/testplane_test.go
+++ b/internal/node/testplane_test.go
@@ -19,20 +19,20 @@
 	d    *data
 	addr string
 	ln   net.Listener
-	list atomic.Pointer[[]endpoints.Engine]
+	list atomic.Pointer[[]endpoints.Endpoint]
 }
 
-func at(id, service string, e *rawEngine) endpoints.Engine {
-	return endpoints.Engine{Record: endpoints.Record{ID: id, Service: service, Addr: e.addr}}
+func at(id, service string, e *rawEngine) endpoints.Endpoint {
+	return endpoints.Endpoint{Record: endpoints.Record{ID: id, Service: service, Addr: e.addr}}
 }
 
 // newPlane starts one under the configuration of planeConfig.
-func newPlane(t *testing.T, seed uint64, engines ...endpoints.Engine) *testPlane {
+func newPlane(t *testing.T, seed uint64, engines ...endpoints.Endpoint) *testPlane {
 	t.Helper()
 	p := &testPlane{t: t}
 	p.list.Store(&engines)
 	lim := limits.NewNode(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100})
-	p.d = newData(slog.New(slog.NewTextHandler(io.Discard, nil)), lim, time.Second, seed, func(service string) (all []endpoints.Engine) {
+	p.d = newData(slog.New(slog.NewTextHandler(io.Discard, nil)), lim, time.Second, seed, func(service string) (all []endpoints.Endpoint) {
 		for _, e := range *p.list.Load() {
 			if e.Service == service {
 				all = append(all, e)
@@ -55,7 +55,7 @@
 }
 
 // set changes the engines; what is asked from now on meets those.
-func (p *testPlane) set(engines ...endpoints.Engine) {
+func (p *testPlane) set(engines ...endpoints.Endpoint) {
 	p.list.Store(&engines)
 	p.d.mu.Lock()
 	defer p.d.mu.Unlock()
@@ -78,7 +78,7 @@
 // plane is a data plane with engines of service s by name; its address is returned.
 func plane(t *testing.T, seed uint64, engines map[string]*rawEngine) string {
 	t.Helper()
-	var all []endpoints.Engine
+	var all []endpoints.Endpoint
 	for id, e := range engines {
 		all = append(all, at(id, "s", e))
 	}
--- a/internal/node/usagereport.go
+++ b/internal/node/usagereport.go
@@ -66,7 +66,7 @@
 			one, cancel := context.WithTimeout(context.Background(), limits.NodePass)
 			defer cancel()
 			b, err := n.net.Call(one, k.Addr, singleton.CallUsageReport, all[i].Encode())
-			n.news.turn(gossip.Called{ID: k.ID, OK: err == nil})
+			n.news.turn(gossip.CallCompleted{PeerID: k.ID, Answered: err == nil})
 			word, bad := singleton.DecodeAck(b)
 			if err != nil || bad != nil {
 				return
