--- a/cmd/notchhinge/configs.go
+++ b/cmd/notchhinge/configs.go
@@ -128,7 +128,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	c, _, err := fleetconfig.Decode(b)
+	c, _, err := fleetconfig.DecodeWithDigest(b)
 	return c, b, err
 }
 
--- a/cmd/notchhinge/fleet.go
+++ b/cmd/notchhinge/fleet.go
@@ -65,7 +65,7 @@
 
 // answered reads an answer of the control plane; one that is not 200 is an error with what it says.
 func answered(resp *http.Response) ([]byte, error) {
-	b, err := io.ReadAll(io.LimitReader(resp.Body, fleetconfig.MostBytes+1))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, fleetconfig.MaxBytes+1))
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/notchhinge/main.go
+++ b/cmd/notchhinge/main.go
@@ -161,7 +161,7 @@
 	if err != nil || len(f.Services) == 0 && f.Control == nil {
 		return p, err
 	}
-	cfg.Limits = cfg.Limits.WithFeeds(len(p.Discoveries()))
+	cfg.Limits = cfg.Limits.WithEndpointSources(len(p.Discoveries()))
 	return plan.Make(cfg, f, nil) // its parts are of what is left
 }
 
@@ -203,18 +203,18 @@
 // Run runs a process of the fleet until SIGTERM; SIGHUP has its settings read again.
 func (n nodeCmd) Run(c *cli) error {
 	if n.Check {
-		s, err := nodeconfig.Load(os.Getenv(nodeconfig.Variable))
+		s, err := nodeconfig.Load(os.Getenv(nodeconfig.EnvVar))
 		if err != nil {
 			return badConfig{err}
 		}
-		fmt.Printf("%s on %s in %s: keeper %v, traffic %v\n", s.Node, s.IP, s.Zone, s.Keeper(), s.Listeners.Frontend != "")
+		fmt.Printf("%s on %s in %s: keeper %v, traffic %v\n", s.NodeName, s.IPAddress, s.Zone, s.IsReplica(), s.Listeners.Frontend != "")
 		return nil
 	}
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reload, syscall.SIGHUP)
-	err := node.Run(os.Getenv(nodeconfig.Variable), c.logger(), node.Signals{Stop: stop, Reload: reload})
-	if faults := (nodeconfig.Faults{}); errors.As(err, &faults) {
+	err := node.Run(os.Getenv(nodeconfig.EnvVar), c.logger(), node.Signals{Stop: stop, Reload: reload})
+	if faults := (nodeconfig.FieldErrors{}); errors.As(err, &faults) {
 		return badConfig{err}
 	}
 	return err
--- a/cmd/notchhinge/state.go
+++ b/cmd/notchhinge/state.go
@@ -82,9 +82,9 @@
 		return err
 	}
 	if k.State.Config != nil {
-		conf, digest, err := fleetconfig.Decode(k.State.Config)
+		conf, digest, err := fleetconfig.DecodeWithDigest(k.State.Config)
 		if err == nil {
-			err = conf.Check()
+			err = conf.Validate()
 		}
 		if err == nil && (digest != k.State.Digest || conf.Revision != k.State.Revision) {
 			err = errors.New("the configuration is not the one that its digest and revision name")
--- a/cmd/notchhinge/state_test.go
+++ b/cmd/notchhinge/state_test.go
@@ -30,7 +30,7 @@
 func run(t *testing.T, settings string, args ...string) (int, string) {
 	t.Helper()
 	c := command(goodConfig, args...)
-	c.Env = append(c.Env, nodeconfig.Variable+"="+settings)
+	c.Env = append(c.Env, nodeconfig.EnvVar+"="+settings)
 	out, err := c.CombinedOutput()
 	if exit := (*exec.ExitError)(nil); errors.As(err, &exit) {
 		return exit.ExitCode(), string(out)
@@ -88,7 +88,7 @@
 			t.Errorf("%s: exit code %d\n%s", args, code, out)
 		}
 	}
-	if code, out := run(t, "", "node"); code == 0 || !strings.Contains(out, nodeconfig.Variable) {
+	if code, out := run(t, "", "node"); code == 0 || !strings.Contains(out, nodeconfig.EnvVar) {
 		t.Errorf("without settings: %d %s", code, out)
 	}
 }
@@ -146,30 +146,30 @@
 	asked   int
 }
 
-func (f *fakeFleet) Elsewhere() string { return "" }
-func (f *fakeFleet) Replace(_ context.Context, on uint64, text []byte) api.Result {
+func (f *fakeFleet) RedirectTarget() string { return "" }
+func (f *fakeFleet) ReplaceConfig(_ context.Context, on uint64, text []byte) api.Result {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.asked++
 	if f.fails > 0 {
 		f.fails--
-		return api.Result{Status: 503, Says: "no keeper has settled it"}
+		return api.Result{Status: 503, Message: "no keeper has settled it"}
 	}
 	if f.other {
 		f.rev, f.other = f.rev+5, false
 	}
-	c, _, err := fleetconfig.Decode(text)
+	c, _, err := fleetconfig.DecodeWithDigest(text)
 	if err == nil {
-		err = c.Check()
+		err = c.Validate()
 	}
 	switch {
 	case err != nil:
-		return api.Result{Status: 400, Says: err.Error()}
+		return api.Result{Status: 400, Message: err.Error()}
 	case on != f.rev:
-		return api.Result{Status: 412, Says: fmt.Sprintf("version %d is current, not %d", f.rev, on)}
+		return api.Result{Status: 412, Message: fmt.Sprintf("version %d is current, not %d", f.rev, on)}
 	}
 	f.rev, f.text = c.Revision, text
-	return api.Result{Status: 200, Rev: c.Revision}
+	return api.Result{Status: 200, Revision: c.Revision}
 }
 
 // set says what comes next, and returns how often it was asked.
@@ -180,19 +180,19 @@
 	return f.asked
 }
 
-func (f *fakeFleet) Describe(context.Context) api.Result {
+func (f *fakeFleet) DescribeConfig(context.Context) api.Result {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.text == nil {
-		return api.Result{Status: 404, Says: "there is no configuration yet"}
+		return api.Result{Status: 404, Message: "there is no configuration yet"}
 	}
-	c, _, _ := fleetconfig.Decode(f.text)
+	c, _, _ := fleetconfig.DecodeWithDigest(f.text)
 	c.Revision = f.rev
 	b, _ := declaration.Encode(c)
-	return api.Result{Status: 200, Rev: f.rev, Body: b}
+	return api.Result{Status: 200, Revision: f.rev, Body: b}
 }
 
-func (f *fakeFleet) History(context.Context) api.Result {
+func (f *fakeFleet) ConfigHistory(context.Context) api.Result {
 	return api.Result{Status: 200, Body: []byte(`[{"revision":1,"digest":"ab"}]`)}
 }
 
@@ -209,7 +209,7 @@
 // TestConfigWalk is a user's: a file is checked and planned, applied, changed, applied, and rolled back.
 func TestConfigWalk(t *testing.T) {
 	f := &fakeFleet{}
-	web := httptest.NewServer(api.Handle(f))
+	web := httptest.NewServer(api.NewHandler(f))
 	defer web.Close()
 	at := strings.TrimPrefix(web.URL, "http://")
 	dir := t.TempDir()
--- a/internal/acquirer/acquirer.go
+++ b/internal/acquirer/acquirer.go
@@ -31,7 +31,7 @@
 	Now     broker.Clock
 	Ready   func() bool // whether the router knows of issuer hosts
 	// Bounds are what messages keep to at present; nil = the limits', for good.
-	Bounds func() limits.Bounds
+	Bounds func() limits.RequestBounds
 	Trace  bool // journeys are recorded: contexts are read, and the writing of answers is told
 }
 
@@ -56,13 +56,13 @@
 // New returns a front. Its pools have no claims yet.
 func New(o Options) *Server {
 	s := &Server{
-		Options: o, bodies: share.New(o.Lim.BodiesBytes), calls: share.New(int64(o.Lim.AcquirerConns + o.Lim.SpareConns)),
+		Options: o, bodies: share.New(o.Lim.TotalBodyBytes), calls: share.New(int64(o.Lim.ClientConns + o.Lim.RejectConns)),
 	}
 	if s.Dialect == nil {
 		s.Dialect = platform{s}
 	}
 	if s.Bounds == nil {
-		s.Bounds = s.Lim.Bounds
+		s.Bounds = s.Lim.DefaultBounds
 	}
 	return s
 }
@@ -125,7 +125,7 @@
 	s.conns[c] = struct{}{}
 	most := s.Most()
 	c.spare = len(s.conns) > most && !s.makeRoom(c.came)
-	full := len(s.conns) > most+s.Lim.SpareConns
+	full := len(s.conns) > most+s.Lim.RejectConns
 	s.mu.Unlock()
 	if full {
 		s.Post(broker.Declined{}) // not even a word to decline it has room
@@ -176,7 +176,7 @@
 func (s *Server) Yield(to bool) { s.yielding.Store(to) }
 
 // Most tells how many connections there may be.
-func (s *Server) Most() int { return s.Lim.AcquirerConns - int(s.fewer.Load()) }
+func (s *Server) Most() int { return s.Lim.ClientConns - int(s.fewer.Load()) }
 
 // Conns tells how many connections there are.
 func (s *Server) Conns() int {
@@ -191,7 +191,7 @@
 // Resize changes how many connections there may be. Of those that are too many the idle ones are closed at once; others
 // go with their answers, as each that comes makes room.
 func (s *Server) Resize(most int) {
-	s.fewer.Store(int64(s.Lim.AcquirerConns - most))
+	s.fewer.Store(int64(s.Lim.ClientConns - most))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for now := time.Now(); len(s.conns) > most && s.makeRoom(now); {
@@ -291,7 +291,7 @@
 // take takes room for a message of a pool, or says what it is declined with.
 func (s *Server) take(w *Way, body int64) (room, *Refusal) {
 	r := room{nowhere, body}
-	retry := s.Lim.SpareAnswer
+	retry := s.Lim.OverloadRetryAfter
 	if w.Pool != nil {
 		r.pool = int(w.Pool.ID)
 		if w.Pool.RetryAfter > 0 {
@@ -335,7 +335,7 @@
 			}
 			if !s.more(&held, min(held.body, most-held.body)) {
 				s.release(held)
-				return nil, held, &Refusal{Status: http.StatusServiceUnavailable, Reason: "no room", Retry: s.Lim.SpareAnswer, unread: true}
+				return nil, held, &Refusal{Status: http.StatusServiceUnavailable, Reason: "no room", Retry: s.Lim.OverloadRetryAfter, unread: true}
 			}
 		}
 	}
--- a/internal/acquirer/acquirer_test.go
+++ b/internal/acquirer/acquirer_test.go
@@ -48,8 +48,8 @@
 func play(t *testing.T, file string) {
 	var events []broker.Event
 	var open *authorisation
-	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{LongestDeadline: 12 * time.Second})
-	lim.BodyBytes, lim.BodiesBytes, lim.AcquirerConns = 64, 100, 1
+	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{MaxDeadline: 12 * time.Second})
+	lim.BodyBytes, lim.TotalBodyBytes, lim.ClientConns = 64, 100, 1
 	s := New(Options{
 		Lim: lim, Routes: plain("chat", "batch"), Ready: func() bool { return true },
 		Now: func() time.Duration { return 0 },
@@ -136,7 +136,7 @@
 			Lim: limits.New(limits.Machine{MemoryMB: 192, Sockets: 1024}, limits.Site{}), Ready: func() bool { return true },
 			Post: func(broker.Event) {}, Now: func() time.Duration { return 0 }, Routes: plain("chat"),
 		})
-		s.Lim.AcquirerConns, s.Lim.SpareConns = 3, 0
+		s.Lim.ClientConns, s.Lim.RejectConns = 3, 0
 		open := func() net.Conn {
 			near, far := net.Pipe()
 			go s.ServeConn(near)
--- a/internal/acquirer/answer.go
+++ b/internal/acquirer/answer.go
@@ -189,7 +189,7 @@
 }
 
 func (c *conn) write(b []byte) error {
-	c.SetWriteDeadline(time.Now().Add(c.s.Lim.WriteWait))
+	c.SetWriteDeadline(time.Now().Add(c.s.Lim.ClientWriteTimeout))
 	_, err := c.Write(b)
 	return err
 }
--- a/internal/acquirer/bounds_test.go
+++ b/internal/acquirer/bounds_test.go
@@ -29,12 +29,12 @@
 }
 
 // bounded is a server whose bounds can be changed.
-func bounded(b *atomic.Pointer[limits.Bounds], body time.Duration) *Server {
+func bounded(b *atomic.Pointer[limits.RequestBounds], body time.Duration) *Server {
 	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{})
-	lim.HeadBytes = 1 << 10
+	lim.RequestHeadBytes = 1 << 10
 	s := New(Options{
 		Lim: lim, Routes: plain("chat"), Ready: func() bool { return true }, Now: func() time.Duration { return 0 },
-		Bounds: func() limits.Bounds { return *b.Load() },
+		Bounds: func() limits.RequestBounds { return *b.Load() },
 		Post: func(e broker.Event) {
 			if e, ok := e.(broker.Taken); ok {
 				go e.From.(*authorisation).Decline(broker.Refused, time.Second)
@@ -62,8 +62,8 @@
 func TestBoundsFollowTheConfiguration(t *testing.T) {
 	// What a message may have is what the bounds say as it comes in, on connections that were there before, too.
 	synctest.Test(t, func(t *testing.T) {
-		b := &atomic.Pointer[limits.Bounds]{}
-		b.Store(&limits.Bounds{HeadBytes: 24 << 10, HeaderBytes: 16 << 10, BodyBytes: 1000, HeadWait: time.Second, IdleWait: 5 * time.Second})
+		b := &atomic.Pointer[limits.RequestBounds]{}
+		b.Store(&limits.RequestBounds{HeadBytes: 24 << 10, HeaderBytes: 16 << 10, BodyBytes: 1000, ReadTimeout: time.Second, IdleTimeout: 5 * time.Second})
 		s := bounded(b, 0)
 		near, far := net.Pipe()
 		ended := make(chan struct{})
@@ -120,8 +120,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := &atomic.Pointer[limits.Bounds]{}
-				b.Store(&limits.Bounds{HeadBytes: 8 << 10, BodyBytes: 1000, HeadWait: 3 * time.Second, IdleWait: 7 * time.Second})
+				b := &atomic.Pointer[limits.RequestBounds]{}
+				b.Store(&limits.RequestBounds{HeadBytes: 8 << 10, BodyBytes: 1000, ReadTimeout: 3 * time.Second, IdleTimeout: 7 * time.Second})
 				s := bounded(b, c.body)
 				near, far := net.Pipe()
 				sent := make(chan struct{})
@@ -160,10 +160,10 @@
 func TestGrowingHeadsHaveABound(t *testing.T) {
 	// Heads that are within the bounds take room; where there is none they are told to come back, and nothing is left counted.
 	synctest.Test(t, func(t *testing.T) {
-		b := &atomic.Pointer[limits.Bounds]{}
-		b.Store(&limits.Bounds{HeadBytes: 72 << 10, HeaderBytes: 64 << 10, BodyBytes: 1000, HeadWait: time.Second, IdleWait: time.Second})
+		b := &atomic.Pointer[limits.RequestBounds]{}
+		b.Store(&limits.RequestBounds{HeadBytes: 72 << 10, HeaderBytes: 64 << 10, BodyBytes: 1000, ReadTimeout: time.Second, IdleTimeout: time.Second})
 		s := bounded(b, 0)
-		s.bodies.Take(nowhere, s.Lim.BodiesBytes-4<<10)
+		s.bodies.Take(nowhere, s.Lim.TotalBodyBytes-4<<10)
 		near, far := net.Pipe()
 		go s.ServeConn(near)
 		go io.WriteString(far, message(40<<10, 1))
@@ -173,8 +173,8 @@
 		}
 		far.Close()
 		synctest.Wait()
-		if left := s.bodies.Used(); left != s.Lim.BodiesBytes-4<<10 {
-			t.Errorf("%d bytes are counted, not %d", left, s.Lim.BodiesBytes-4<<10)
+		if left := s.bodies.Used(); left != s.Lim.TotalBodyBytes-4<<10 {
+			t.Errorf("%d bytes are counted, not %d", left, s.Lim.TotalBodyBytes-4<<10)
 		}
 	})
 }
--- a/internal/acquirer/conn.go
+++ b/internal/acquirer/conn.go
@@ -34,7 +34,7 @@
 
 func newConn(s *Server, nc net.Conn) *conn {
 	// A head is looked at as a whole before it is parsed, so that the buffer is what bounds it; it grows to the bounds.
-	return &conn{Conn: nc, s: s, br: bufio.NewReaderSize(nc, s.Lim.HeadBytes), came: time.Now()}
+	return &conn{Conn: nc, s: s, br: bufio.NewReaderSize(nc, s.Lim.RequestHeadBytes), came: time.Now()}
 }
 
 func (c *conn) setBusy(b bool) {
@@ -43,7 +43,7 @@
 	if !b {
 		c.idle = time.Now()
 		// Closing on a message that crosses it is harmless: its acquirer sends that one again.
-		c.SetReadDeadline(c.idle.Add(c.s.Bounds().IdleWait))
+		c.SetReadDeadline(c.idle.Add(c.s.Bounds().IdleTimeout))
 	}
 	c.mu.Unlock()
 }
@@ -66,14 +66,14 @@
 	if c.asked {
 		return c.idle, true, !c.busy
 	}
-	return c.came, false, now.Sub(c.came) > c.s.Lim.FreshWait
+	return c.came, false, now.Sub(c.came) > c.s.Lim.NewConnGrace
 }
 
 // serve takes messages one after another. While an answer is on its way it already waits for the next
 // message, since that is how it learns that the acquirer has gone.
 func (c *conn) serve() {
 	var open *authorisation
-	c.SetReadDeadline(c.came.Add(c.s.Bounds().HeadWait))
+	c.SetReadDeadline(c.came.Add(c.s.Bounds().ReadTimeout))
 	defer c.shrink()
 	for first := true; ; first = false {
 		_, err := c.br.Peek(1)
@@ -125,7 +125,7 @@
 var errNoRoom = errors.New("there is no room for a head")
 
 // head looks at the head that comes next. Its buffer grows as far as the bounds go and room is left.
-func (c *conn) head(b *limits.Bounds) ([]byte, error) {
+func (c *conn) head(b *limits.RequestBounds) ([]byte, error) {
 	for {
 		head, err := framing.Head(c.br)
 		line := bytes.IndexByte(head, '\n') + 1
@@ -153,7 +153,7 @@
 func (c *conn) read(from time.Time) (*authorisation, *Refusal) {
 	bounds := c.s.Bounds()
 	defer c.SetReadDeadline(time.Time{})
-	c.SetReadDeadline(from.Add(bounds.HeadWait))
+	c.SetReadDeadline(from.Add(bounds.ReadTimeout))
 	head, err := c.head(&bounds)
 	var req *http.Request
 	switch {
@@ -174,7 +174,7 @@
 		return nil, c.bad(http.StatusRequestHeaderFieldsTooLarge, "the head is too long")
 	case errors.Is(err, errNoRoom):
 		d := c.bad(http.StatusServiceUnavailable, "no room")
-		d.Retry = c.s.Lim.SpareAnswer
+		d.Retry = c.s.Lim.OverloadRetryAfter
 		return nil, d
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, c.bad(http.StatusRequestTimeout, "the head took too long")
@@ -234,7 +234,7 @@
 	if c.spare {
 		c.s.Post(broker.Declined{})
 		return nil, &Refusal{
-			Status: http.StatusServiceUnavailable, Reason: "too many connections", Retry: c.s.Lim.SpareAnswer, Close: true,
+			Status: http.StatusServiceUnavailable, Reason: "too many connections", Retry: c.s.Lim.OverloadRetryAfter, Close: true,
 		}
 	}
 	m, d := c.s.Dialect.Accept(req, w, body)
--- a/internal/acquirer/services_test.go
+++ b/internal/acquirer/services_test.go
@@ -36,7 +36,7 @@
 		&service.Pool{ID: 2, Name: "calib", Classes: []policy.Class{{Name: "fit"}, {Name: "chat"}}, MaxBudget: time.Minute, RetryAfter: 250 * time.Millisecond})
 	synctest.Test(t, func(t *testing.T) {
 		events := make(chan broker.Event, 64)
-		lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{LongestDeadline: time.Second})
+		lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{MaxDeadline: time.Second})
 		s := New(Options{
 			Lim: lim, Routes: func() *service.Directory { return at }, Ready: func() bool { return true },
 			Now: func() time.Duration { return 0 },
--- a/internal/acquirer/trace_test.go
+++ b/internal/acquirer/trace_test.go
@@ -17,7 +17,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		events := make(chan broker.Event, 16)
 		s := New(Options{
-			Lim:    limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{LongestDeadline: time.Second}),
+			Lim:    limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{MaxDeadline: time.Second}),
 			Routes: plain("chat"), Ready: func() bool { return true }, Trace: true,
 			Now:  func() time.Duration { return time.Hour },
 			Post: func(e broker.Event) { events <- e },
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -57,7 +57,7 @@
 			return nil
 		}
 		if err != nil {
-			time.Sleep(limits.AdminPause) // out of descriptors, or a caller that was gone at once
+			time.Sleep(limits.AdminAcceptBackoff) // out of descriptors, or a caller that was gone at once
 			continue
 		}
 		c := &caller{Conn: nc}
@@ -73,7 +73,7 @@
 func (s *Server) enter(c *caller) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.callers) >= limits.AdminCallers {
+	if len(s.callers) >= limits.AdminConns {
 		s.callers[0].Close()
 		s.callers = s.callers[1:]
 	}
@@ -101,7 +101,7 @@
 
 // serve takes one call in and answers it.
 func (s *Server) serve(c net.Conn) {
-	c.SetDeadline(time.Now().Add(limits.AdminWait))
+	c.SetDeadline(time.Now().Add(limits.AdminTimeout))
 	status, says := s.read(c)
 	if status == 0 {
 		return // nobody is there to be told
@@ -120,7 +120,7 @@
 
 // read reads a call and does it.
 func (s *Server) read(c net.Conn) (status int, says string) {
-	br := bufio.NewReaderSize(c, limits.AdminHead)
+	br := bufio.NewReaderSize(c, limits.AdminHeadBytes)
 	head, err := framing.Head(br)
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -104,7 +104,7 @@
 		st.ending = true
 		for text, status := range map[string]int{
 			"POST /healthcheck/ok HTTP/1.1\r\nHost: x\r\n\r\n":                                                409,
-			"GET /healthcheck HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("x", limits.AdminHead):             431,
+			"GET /healthcheck HTTP/1.1\r\nHost: x\r\nX: " + strings.Repeat("x", limits.AdminHeadBytes):        431,
 			"GET /healthcheck HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n": 400,
 			"GET /healthcheck\r\n\r\n": 400,
 		} {
@@ -122,7 +122,7 @@
 		go s.Serve(l)
 		defer l.Close()
 		var slow []net.Conn
-		for range 3 * limits.AdminCallers { // far more than there are places for
+		for range 3 * limits.AdminConns { // far more than there are places for
 			c := l.dial()
 			slow = append(slow, c)
 			go io.WriteString(c, "GET /heal")
@@ -135,13 +135,13 @@
 			t.Errorf("a good call took %v", d)
 		}
 		synctest.Wait()
-		if n := s.Callers(); n > limits.AdminCallers {
+		if n := s.Callers(); n > limits.AdminConns {
 			t.Errorf("%d callers are kept", n)
 		}
-		time.Sleep(limits.AdminWait)
+		time.Sleep(limits.AdminTimeout)
 		synctest.Wait()
 		if n := s.Callers(); n != 0 {
-			t.Errorf("%d callers are kept after %v of silence", n, limits.AdminWait)
+			t.Errorf("%d callers are kept after %v of silence", n, limits.AdminTimeout)
 		}
 		for _, c := range slow {
 			c.Close()
--- a/internal/batch/desk.go
+++ b/internal/batch/desk.go
@@ -219,7 +219,7 @@
 	err := j.use()
 	var text []byte
 	if err == nil {
-		text, err = readLine(j.input, j.spans[n], d.lim.LineBytes)
+		text, err = readLine(j.input, j.spans[n], d.lim.BatchItemBytes)
 	}
 	if err != nil {
 		d.stall(j, err)
@@ -330,7 +330,7 @@
 		fallthrough
 	case endBroken:
 		if again <= 0 {
-			again = d.lim.DeclineWait
+			again = d.lim.BatchRetryDelay
 		}
 		if at := d.now() + again; at < w.until {
 			w.waiting = true
@@ -421,7 +421,7 @@
 	for n := range done {
 		if !done[n] {
 			d.record(j, n, &Outcome{
-				CustomID: j.customID(n, d.lim.LineBytes), Outcome: failed, Tries: tries[n],
+				CustomID: j.customID(n, d.lim.BatchItemBytes), Outcome: failed, Tries: tries[n],
 				Error: &OutcomeError{"cancelled", "the batch was cancelled"},
 			})
 		}
@@ -458,10 +458,10 @@
 	if d.stopping {
 		return nil, &problem{status: 503, code: "stopping", text: "the router is stopping"}
 	}
-	if len(t.queue) >= d.lim.TeamJobs {
+	if len(t.queue) >= d.lim.BatchJobsPerTeam {
 		return nil, &problem{
 			status: 429, code: "too_many_batches", text: "too many batches of this team are not at their end",
-			retryAfter: d.lim.DeclineWait,
+			retryAfter: d.lim.BatchRetryDelay,
 		}
 	}
 	now := d.wall()
--- a/internal/batch/desk_test.go
+++ b/internal/batch/desk_test.go
@@ -44,7 +44,7 @@
 	}
 	r := &rig{t: t, at: 1000 * time.Second}
 	lim := limits.New(limits.Machine{MemoryMB: 192, Sockets: 1024}, limits.Site{})
-	lim.LineBytes = 1000
+	lim.BatchItemBytes = 1000
 	at := service.Plain(&service.Pool{Classes: []policy.Class{
 		{Name: "doc-lookup", Deadline: 6 * time.Second}, {Name: "batch-summary", Deadline: 12 * time.Second},
 	}})
--- a/internal/batch/http.go
+++ b/internal/batch/http.go
@@ -143,7 +143,7 @@
 
 // postFile takes a form with the parts purpose and file, in either order.
 func (d *Desk) postFile(t *team, w http.ResponseWriter, r *http.Request) error {
-	r.Body = http.MaxBytesReader(w, r.Body, d.lim.FileBytes+d.lim.JSONBytes)
+	r.Body = http.MaxBytesReader(w, r.Body, d.lim.BatchFileBytes+d.lim.BatchMessageBytes)
 	form, err := r.MultipartReader()
 	if err != nil {
 		return bad("", "a form of type multipart/form-data is wanted")
@@ -251,7 +251,7 @@
 		CompletionWindow string            `json:"completion_window"`
 		Metadata         map[string]string `json:"metadata"`
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, d.lim.JSONBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, d.lim.BatchMessageBytes))
 	if err != nil {
 		return &problem{status: http.StatusRequestEntityTooLarge, code: "too_large", text: "the message is too large"}
 	}
@@ -386,7 +386,7 @@
 		if err := out.Flush(); err != nil {
 			return nil
 		}
-		idle := time.NewTimer(d.lim.FeedIdle)
+		idle := time.NewTimer(d.lim.BatchFeedKeepAlive)
 		select {
 		case <-changed:
 		case <-idle.C:
--- a/internal/batch/http_test.go
+++ b/internal/batch/http_test.go
@@ -151,7 +151,7 @@
 
 func TestErrors(t *testing.T) {
 	c := newClient(newRig(t, t.TempDir(), func(k *Contract) { k.BudgetTokens = 59 }))
-	c.lim.FileBytes = 4000
+	c.lim.BatchFileBytes = 4000
 	_, body := c.upload(fileText(2))
 	file := field(t, body, "id")
 	_, body = c.upload(fileText(4))
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	defer input.Close()
-	j.spans, err = index(input, d.lim.LineBytes, func(int, []byte) error { return nil })
+	j.spans, err = index(input, d.lim.BatchItemBytes, func(int, []byte) error { return nil })
 	if err == nil && len(j.spans) != len(j.done) {
 		err = errors.New(dir + ": the input file has changed")
 	}
--- a/internal/batch/spool.go
+++ b/internal/batch/spool.go
@@ -105,14 +105,14 @@
 	defer os.Remove(tmp.Name())
 	defer tmp.Close()
 	sum := sha256.New()
-	n, err := io.Copy(io.MultiWriter(tmp, sum), io.LimitReader(r, d.lim.FileBytes+1))
+	n, err := io.Copy(io.MultiWriter(tmp, sum), io.LimitReader(r, d.lim.BatchFileBytes+1))
 	if err != nil {
 		return fileRecord{}, &problem{status: 400, code: "broken_upload", text: "the upload broke off"}
 	}
-	if n > d.lim.FileBytes {
+	if n > d.lim.BatchFileBytes {
 		return fileRecord{}, &problem{
 			status: 413, code: "file_too_large",
-			text: fmt.Sprintf("a file may hold %d bytes", d.lim.FileBytes),
+			text: fmt.Sprintf("a file may hold %d bytes", d.lim.BatchFileBytes),
 		}
 	}
 	if _, err := tmp.Seek(0, io.SeekStart); err != nil {
@@ -120,7 +120,7 @@
 	}
 	rec := fileRecord{ID: contentID(t.Team, sum.Sum(nil)), Name: name, Bytes: n, Uploaded: d.wall()}
 	seen := map[string]int{}
-	spans, err := index(tmp, d.lim.LineBytes, func(at int, text []byte) error {
+	spans, err := index(tmp, d.lim.BatchItemBytes, func(at int, text []byte) error {
 		if at > t.Lines {
 			return &problem{status: 413, code: "too_many_lines", text: fmt.Sprintf("a file of this team may hold %d lines", t.Lines)}
 		}
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -78,7 +78,7 @@
 // New returns a broker that has no pool yet.
 func New(lim limits.Limits) *Broker {
 	return &Broker{
-		lim: lim, due: timerqueue.New[due](), pools: map[pool.ID]*instance{}, places: share.New(int64(lim.Open)),
+		lim: lim, due: timerqueue.New[due](), pools: map[pool.ID]*instance{}, places: share.New(int64(lim.ConcurrentRequests)),
 		auths: map[policy.RequestID]*auth{}, byParty: map[Acquirer]*auth{}, names: map[name]bool{},
 		counts: Counters{Outcomes: map[policy.Result]int{}},
 	}
@@ -219,7 +219,7 @@
 	if p == nil {
 		// It was routed to a pool that has gone since, its last authorisation with it: it never ran.
 		b.counts.Declined++
-		b.do(Decline{To: e.From, RetryAfter: b.lim.SpareAnswer})
+		b.do(Decline{To: e.From, RetryAfter: b.lim.OverloadRetryAfter})
 		return
 	}
 	if b.names[name{p.id, e.Name}] {
@@ -281,7 +281,7 @@
 // very moment of its deadline, and mostly a little before that is noticed here: then its legs have timed out, which
 // the module must hear, or it would learn nothing of an overload, nor of a host that hangs.
 func (b *Broker) left(a *auth) policy.Result {
-	if a.bound == nil && b.now >= a.deadline-b.lim.LeaveSlack {
+	if a.bound == nil && b.now >= a.deadline-b.lim.DeadlineTolerance {
 		return policy.TimedOut
 	}
 	return policy.Cancelled
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -43,7 +43,7 @@
 func newRig(t *testing.T, hosts int, change func(*limits.Limits)) *rig {
 	t.Helper()
 	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024},
-		limits.Site{ConnectTimeout: sec / 10, IdleClose: 5 * sec, MaxAttempts: 3, LongestDeadline: 10 * sec})
+		limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
 	if change != nil {
 		change(&lim)
 	}
@@ -210,7 +210,7 @@
 
 func TestNoRoom(t *testing.T) {
 	// More authorisations than there are descriptors are declined before the module hears of them.
-	r := newRig(t, 2, func(l *limits.Limits) { l.Open = 1 })
+	r := newRig(t, 2, func(l *limits.Limits) { l.ConcurrentRequests = 1 })
 	r.turn(0, taken("a", r.now, 4*sec))
 	r.expect(0, taken("b", r.now, 4*sec), "decline b refused after 500ms")
 	if c := r.pools[0].counts; c.Taken != 1 || c.Declined != 1 {
@@ -327,7 +327,7 @@
 		t.Errorf("beyond its part: %v", again)
 	}
 	for lives := 1; lives < 2000; lives++ { // all start anew within a window: the old ones' parts and the new ones'
-		if sum := float64(lives)/limits.RetryParts(lives) + float64(lives)/limits.RetryParts(2*lives); sum > 1.0001 {
+		if sum := float64(lives)/limits.RetryShares(lives) + float64(lives)/limits.RetryShares(2*lives); sum > 1.0001 {
 			t.Fatalf("%d routers that start anew may send %.2f of the whole", lives, sum)
 		}
 	}
--- a/internal/broker/hosts_bench_test.go
+++ b/internal/broker/hosts_bench_test.go
@@ -14,7 +14,7 @@
 // hostsRig is a core with one pool of so many boxes.
 func hostsRig(b *testing.B, boxes int) (*Broker, time.Duration) {
 	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 512, Sockets: 65536},
-		limits.Site{ConnectTimeout: sec / 10, IdleClose: 5 * sec, MaxAttempts: 3, LongestDeadline: 10 * sec})
+		limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
 	c, now := New(lim), 1000*sec
 	c.Reduce(now, PoolSet{Module: module(b), WarmUp: sec, ColdFrom: 0.5})
 	l := Listed{Kind: policy.ListFull}
--- a/internal/broker/pool.go
+++ b/internal/broker/pool.go
@@ -53,10 +53,10 @@
 	}
 	p.name, p.attempts, p.retryAfter, p.leaving = e.Name, e.Attempts, e.RetryAfter, false
 	if p.attempts == 0 {
-		p.attempts = b.lim.Attempts
+		p.attempts = b.lim.MaxAttempts
 	}
 	if p.retryAfter == 0 {
-		p.retryAfter = b.lim.SpareAnswer
+		p.retryAfter = b.lim.OverloadRetryAfter
 	}
 	p.set = &trace.Set{Pool: e.Name, Classes: e.Classes}
 	if e.Repeats != nil && (p.repeats == nil || *e.Repeats != *p.repeats) {
@@ -67,7 +67,7 @@
 
 // shareBoxes begins to keep account of boxes that pools share; with one pool there is nothing to account for.
 func (b *Broker) shareBoxes() {
-	b.boxes = pool.NewBoxes(b.lim.BoxOverlap)
+	b.boxes = pool.NewBoxes(b.lim.DrainPrecedence)
 	for _, p := range b.pools {
 		for id, h := range p.hosts {
 			b.boxes.Told(b.now, p.id, h.box(), pool.Told{Replica: id, State: h.State, BornAt: h.BornAt})
--- a/internal/broker/pools_test.go
+++ b/internal/broker/pools_test.go
@@ -55,7 +55,7 @@
 }
 
 func TestAPoolAtItsLimitIsRefusedItsOwnWayAndTheOtherServed(t *testing.T) {
-	r := pools(t, func(l *limits.Limits) { l.Open = 5 })
+	r := pools(t, func(l *limits.Limits) { l.ConcurrentRequests = 5 })
 	r.turn(0, hosts(1, "a", "b"))
 	r.turn(0, hosts(2, "c", "d"))
 	for i := range 3 {
@@ -218,8 +218,8 @@
 func TestPoolsKeepTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 128},
-			limits.Site{ConnectTimeout: sec / 10, IdleClose: 5 * sec, MaxAttempts: 3, LongestDeadline: 10 * sec})
-		lim.Open = 12
+			limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
+		lim.ConcurrentRequests = 12
 		b := New(lim)
 		now := 1000 * sec
 		type call struct {
@@ -244,7 +244,7 @@
 					if c == nil || c.pool != f.Pool || !listed || c.answers > 0 || c.gone {
 						t.Fatalf("a leg of pool %d to %s for %+v; its list: %v", f.Pool, f.Dial, c, lists[f.Pool])
 					}
-					if at, is := ended[f.Dial]; is && now >= at+sec/2 && h.BornAt <= endOf[f.Dial] && now < at+lim.BoxOverlap {
+					if at, is := ended[f.Dial]; is && now >= at+sec/2 && h.BornAt <= endOf[f.Dial] && now < at+lim.DrainPrecedence {
 						t.Fatalf("a leg to %s, %v after its end was told", f.Dial, now-at)
 					}
 					legs[f.Leg] = &out{f.From.(int)}
@@ -343,7 +343,7 @@
 						if _, is := ended[name]; !is || born > endOf[name] || born == endOf[name] && h.State > endIs[name] {
 							ended[name], endOf[name], endBy[name], endIs[name] = now, born, p, h.State
 						}
-					} else if h.State == policy.Ready && (born > endOf[name] || now > ended[name]+lim.BoxOverlap ||
+					} else if h.State == policy.Ready && (born > endOf[name] || now > ended[name]+lim.DrainPrecedence ||
 						p == endBy[name]) {
 						delete(ended, name)
 						delete(endOf, name)
--- a/internal/broker/scale_test.go
+++ b/internal/broker/scale_test.go
@@ -19,13 +19,13 @@
 		b.Run(fmt.Sprintf("%d pools of 20 boxes", n), func(b *testing.B) {
 			const boxes = 20
 			lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 512, Sockets: 65536},
-				limits.Site{ConnectTimeout: sec / 10, IdleClose: 5 * sec, MaxAttempts: 3, LongestDeadline: 10 * sec})
+				limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
 			before := heap()
 			c, now := New(lim), 1000*sec
 			for p := range n {
 				c.Reduce(now, PoolSet{
 					Pool: pool.ID(p), Name: fmt.Sprint("p", p), Module: module(b), WarmUp: sec, ColdFrom: 0.5,
-					Places: share.Claim{Guarantee: int64(lim.Open / n / 2)},
+					Places: share.Claim{Guarantee: int64(lim.ConcurrentRequests / n / 2)},
 				})
 				l := Listed{Pool: pool.ID(p), Kind: policy.ListFull}
 				for i := range boxes {
--- a/internal/broker/trace_test.go
+++ b/internal/broker/trace_test.go
@@ -61,7 +61,7 @@
 }
 
 func TestJourneyOfWhatTheModuleNeverSees(t *testing.T) {
-	r := newRig(t, 1, func(l *limits.Limits) { l.Open = 1 })
+	r := newRig(t, 1, func(l *limits.Limits) { l.ConcurrentRequests = 1 })
 	traced(r, trace.Options{})
 	r.keeps(0, taken("a", r.now, 4*sec))
 	kept, _ := r.keeps(0, taken("b", r.now, 4*sec))
@@ -84,7 +84,7 @@
 	for name, on := range map[string]bool{"off": false, "on": true} {
 		b.Run(name, func(b *testing.B) {
 			lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024},
-				limits.Site{ConnectTimeout: sec / 10, IdleClose: 5 * sec, MaxAttempts: 3, LongestDeadline: 10 * sec})
+				limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
 			x := New(lim)
 			x.Reduce(1000*sec, PoolSet{Module: module(b), WarmUp: sec, ColdFrom: 0.5})
 			r := &rig{Broker: x, now: 1000 * sec}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -183,8 +183,8 @@
 		Limits: limits.New(
 			limits.Machine{Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets},
 			limits.Site{
-				ConnectTimeout: micros(r.Limits.ConnectTimeout), IdleClose: micros(r.Limits.IdleClose),
-				MaxOpen: r.Limits.MaxOpen, MaxAttempts: m.Settings.Limits.MaxAttempts, LongestDeadline: longest,
+				ConnectTimeout: micros(r.Limits.ConnectTimeout), UpstreamIdleClose: micros(r.Limits.IdleClose),
+				MaxConcurrentRequests: r.Limits.MaxOpen, MaxAttempts: m.Settings.Limits.MaxAttempts, MaxDeadline: longest,
 			}),
 	}
 	if c.Admin != "" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,7 +25,7 @@
 	}
 	got := []any{
 		c.Name, c.Listen, c.Discovery, c.Seed, c.Known.Seq, len(c.Known.Hosts), c.Zones, c.Columns, c.Piggyback,
-		len(c.Settings.Classes), c.Limits.ConnectWait, c.Limits.IssuerIdle, c.Limits.Attempts,
+		len(c.Settings.Classes), c.Limits.ConnectTimeout, c.Limits.UpstreamIdleTimeout, c.Limits.MaxAttempts,
 	}
 	want := []any{
 		"n1", "127.0.0.7:5000", "127.0.0.1:8500", uint64(0x8c1f30d27a5be964), uint64(41), 1,
@@ -55,12 +55,12 @@
 		t.Fatal(err)
 	}
 	with, err := Load(env("BALANCER_CONFIG", "testdata/config.json", "BALANCER_ADMIN", "127.0.0.1:9"))
-	if err != nil || with.Admin != "127.0.0.1:9" || with.Limits.AcquirerConns >= without.Limits.AcquirerConns {
+	if err != nil || with.Admin != "127.0.0.1:9" || with.Limits.ClientConns >= without.Limits.ClientConns {
 		t.Errorf("%+v, %v", with, err)
 	}
 	// Two processes together keep to one router's descriptors.
 	l := with.Limits
-	if both := l.Shared(); 2*(both.Acquirers+both.Lines+l.SpareConns+24+17) > 1024 {
+	if both := l.TakeoverCapacity(); 2*(both.ClientConns+both.UpstreamConns+l.RejectConns+24+17) > 1024 {
 		t.Errorf("%+v each", both)
 	}
 }
@@ -71,11 +71,11 @@
 		t.Fatal(err)
 	}
 	l := c.Limits
-	if all := l.AcquirerConns + l.SpareConns + l.IssuerConns; all > 1024-16 || l.Open > l.IssuerConns {
-		t.Errorf("%d connections of 1024 descriptors, %d open for %d lines", all, l.Open, l.IssuerConns)
+	if all := l.ClientConns + l.RejectConns + l.UpstreamConns; all > 1024-16 || l.ConcurrentRequests > l.UpstreamConns {
+		t.Errorf("%d connections of 1024 descriptors, %d open for %d lines", all, l.ConcurrentRequests, l.UpstreamConns)
 	}
-	if l.MemoryBytes+l.BodiesBytes > 192<<20 {
-		t.Errorf("a heap of %d and bodies of %d exceed the memory", l.MemoryBytes, l.BodiesBytes)
+	if l.HeapBytes+l.TotalBodyBytes > 192<<20 {
+		t.Errorf("a heap of %d and bodies of %d exceed the memory", l.HeapBytes, l.TotalBodyBytes)
 	}
 }
 
@@ -127,8 +127,8 @@
 	}
 	if b, err := c.LoadBatch("../../deploy/batch.toml", func(name string) string { return "key of " + name }); err != nil {
 		t.Errorf("the file under deploy: %v", err)
-	} else if l := c.Limits.WithBatch(b.Files()); l.AcquirerConns+l.IssuerConns+l.BatchConns+b.Files() >
-		c.Limits.AcquirerConns+c.Limits.IssuerConns || l.Open > l.IssuerConns {
+	} else if l := c.Limits.WithBatch(b.Files()); l.ClientConns+l.UpstreamConns+l.BatchConns+b.Files() >
+		c.Limits.ClientConns+c.Limits.UpstreamConns || l.ConcurrentRequests > l.UpstreamConns {
 		t.Errorf("the batch front's descriptors are not made room for: %+v", l)
 	}
 	const contract = "\n[[contract]]\nteam='crews'\nkey_env='K'\nclasses=['batch-summary']\nlines=9\nat_once=2\n" +
--- a/internal/config/nodeconfig/boot_test.go
+++ b/internal/config/nodeconfig/boot_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !s.Keeper() || s.Bounds.LeaseMS != 2000 || s.Bounds.DrainMS != 3000 || !s.Cloud.Has("autoscaler") || s.Cloud.Has("usage_reporting") {
+	if !s.IsReplica() || s.Bounds.LeaseMS != 2000 || s.Bounds.DrainTimeoutMS != 3000 || !s.CloudAPI.HasRole("autoscaler") || s.CloudAPI.HasRole("usage_reporting") {
 		t.Errorf("%+v", s)
 	}
 	if s, err := Parse([]byte(strings.Replace(good, `"/data"`, "null", 1))); err == nil {
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	_, err := Load(path)
-	if f := (Faults{}); !errors.As(err, &f) || len(f) != 2 || !strings.Contains(f[0].Error(), path) {
+	if f := (FieldErrors{}); !errors.As(err, &f) || len(f) != 2 || !strings.Contains(f[0].Error(), path) {
 		t.Errorf("%v", err)
 	}
 	for _, path := range []string{"", "none.json"} {
--- a/internal/control/api/api.go
+++ b/internal/control/api/api.go
@@ -31,41 +31,41 @@
 	idleWait  = 30 * time.Second
 )
 
-// Beat is an engine's report.
-type Beat struct {
-	ID       string  `cbor:"-"`
-	Service  string  `cbor:"target_service"`
-	Addr     string  `cbor:"address"`
-	Zone     string  `cbor:"zone"`
-	Revision string  `cbor:"revision"`
-	Slots    float64 `cbor:"capacity_slots"`
-	Status   string  `cbor:"status"`
-	ColdMS   float64 `cbor:"warmup_remaining_ms"`
-	Calls    uint64  `cbor:"call_count"`
+// Heartbeat is an engine's report.
+type Heartbeat struct {
+	ID                string  `cbor:"-"`
+	TargetService     string  `cbor:"target_service"`
+	Address           string  `cbor:"address"`
+	Zone              string  `cbor:"zone"`
+	Revision          string  `cbor:"revision"`
+	CapacitySlots     float64 `cbor:"capacity_slots"`
+	Status            string  `cbor:"status"`
+	WarmupRemainingMS float64 `cbor:"warmup_remaining_ms"`
+	CallCount         uint64  `cbor:"call_count"`
 }
 
 // Result is an answer to the operator.
 type Result struct {
-	Status int
-	Says   string // with an error
-	Body   []byte // a configuration
-	Rev    uint64 // its number
+	Status   int
+	Message  string // with an error
+	Body     []byte // a configuration
+	Revision uint64 // its number
 }
 
 // Handler does what calls ask for. Each method may wait for as long as its context lasts.
 type Handler interface {
-	// Elsewhere is the control address that settles what concerns the state, where this process does not hold it; "" = it
+	// RedirectTarget is the control address that settles what concerns the state, where this process does not hold it; "" = it
 	// does, or nobody is known who does. The caller is sent there before its body is read.
-	Elsewhere() string
-	// Beat returns the address for the engine's later beats; "" = any.
-	Beat(ctx context.Context, b *Beat) (home string, err error)
-	SignOff(ctx context.Context, id string) error
-	Replace(ctx context.Context, on uint64, text []byte) Result
-	Describe(ctx context.Context) Result
-	// History is for the staff: the configurations that were taken, as JSON.
-	History(ctx context.Context) Result
-	// Dismiss takes a keeper out that is gone for good, by its name.
-	Dismiss(ctx context.Context, name string) Result
+	RedirectTarget() string
+	// Heartbeat returns the address for the engine's later beats; "" = any.
+	Heartbeat(ctx context.Context, b *Heartbeat) (home string, err error)
+	Deregister(ctx context.Context, id string) error
+	ReplaceConfig(ctx context.Context, on uint64, text []byte) Result
+	DescribeConfig(ctx context.Context) Result
+	// ConfigHistory is for the staff: the configurations that were taken, as JSON.
+	ConfigHistory(ctx context.Context) Result
+	// RemoveMember takes a keeper out that is gone for good, by its name.
+	RemoveMember(ctx context.Context, name string) Result
 	// Status is for the staff: the state of this process as JSON.
 	Status() any
 	// Engines is for the staff: those that are known here, as JSON.
@@ -78,8 +78,8 @@
 	h Handler
 }
 
-// Server returns what answers calls; Serve has it do so at a listener.
-func Server(h Handler) *http.Server {
+// NewServer returns what answers calls; Serve has it do so at a listener.
+func NewServer(h Handler) *http.Server {
 	s := &server{h: h}
 	return &http.Server{
 		Handler: s.mux(), ReadHeaderTimeout: headWait, ReadTimeout: headWait + bodyWait, IdleTimeout: idleWait, MaxHeaderBytes: 16 << 10,
@@ -95,8 +95,8 @@
 	return err
 }
 
-// Handle is the handler of calls, without a listener.
-func Handle(h Handler) http.Handler { return (&server{h: h}).mux() }
+// NewHandler is the handler of calls, without a listener.
+func NewHandler(h Handler) http.Handler { return (&server{h: h}).mux() }
 
 func (s *server) mux() http.Handler {
 	mux := http.NewServeMux()
@@ -146,7 +146,7 @@
 	if !ok {
 		return
 	}
-	beat := &Beat{}
+	beat := &Heartbeat{}
 	if err := cbor.Unmarshal(b, beat); err != nil {
 		refuse(w, http.StatusBadRequest, "body: "+err.Error())
 		return
@@ -156,18 +156,18 @@
 	case beat.ID == "" || len(beat.ID) > 200:
 		refuse(w, http.StatusBadRequest, "instance_id: 1 to 200 bytes are wanted")
 		return
-	case beat.Service == "" || len(beat.Service) > 200 || len(beat.Zone) > 200 || len(beat.Revision) > 200:
+	case beat.TargetService == "" || len(beat.TargetService) > 200 || len(beat.Zone) > 200 || len(beat.Revision) > 200:
 		refuse(w, http.StatusBadRequest, "target_service, zone, revision: they are too long, or the first is missing")
 		return
 	case beat.Status != "ready" && beat.Status != "draining":
 		refuse(w, http.StatusBadRequest, "status: ready or draining is wanted")
 		return
 	}
-	if _, _, err := net.SplitHostPort(beat.Addr); err != nil || len(beat.Addr) > 200 {
+	if _, _, err := net.SplitHostPort(beat.Address); err != nil || len(beat.Address) > 200 {
 		refuse(w, http.StatusBadRequest, "address: an address with a port is wanted")
 		return
 	}
-	home, err := s.h.Beat(r.Context(), beat)
+	home, err := s.h.Heartbeat(r.Context(), beat)
 	if err != nil {
 		refuse(w, http.StatusServiceUnavailable, err.Error())
 		return
@@ -188,7 +188,7 @@
 		refuse(w, http.StatusBadRequest, "instance_id: 1 to 200 bytes are wanted")
 		return
 	}
-	if err := s.h.SignOff(r.Context(), id); err != nil {
+	if err := s.h.Deregister(r.Context(), id); err != nil {
 		refuse(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
@@ -200,7 +200,7 @@
 // read; what comes of that all the same is taken in, lest its sender be reset before it has seen the answer.
 func (s *server) settled(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		to := s.h.Elsewhere()
+		to := s.h.RedirectTarget()
 		if to == "" {
 			next(w, r)
 			return
@@ -213,7 +213,7 @@
 		w.Header().Set("Content-Length", "0")
 		w.WriteHeader(http.StatusTemporaryRedirect)
 		rc.Flush()
-		io.Copy(io.Discard, io.LimitReader(r.Body, fleetconfig.MostBytes)) // ReadTimeout bounds it
+		io.Copy(io.Discard, io.LimitReader(r.Body, fleetconfig.MaxBytes)) // ReadTimeout bounds it
 	}
 }
 
@@ -223,19 +223,19 @@
 		refuse(w, http.StatusBadRequest, "X-Revision-Match: the number of a version is wanted")
 		return
 	}
-	b, ok := body(w, r, fleetconfig.MostBytes)
+	b, ok := body(w, r, fleetconfig.MaxBytes)
 	if !ok {
 		return
 	}
-	s.result(w, s.h.Replace(r.Context(), on, b))
+	s.result(w, s.h.ReplaceConfig(r.Context(), on, b))
 }
 
 func (s *server) describe(w http.ResponseWriter, r *http.Request) {
-	s.result(w, s.h.Describe(r.Context()))
+	s.result(w, s.h.DescribeConfig(r.Context()))
 }
 
 func (s *server) history(w http.ResponseWriter, r *http.Request) {
-	x := s.h.History(r.Context())
+	x := s.h.ConfigHistory(r.Context())
 	if x.Status != http.StatusOK {
 		s.result(w, x)
 		return
@@ -250,21 +250,21 @@
 		refuse(w, http.StatusBadRequest, "name: 1 to 200 bytes are wanted")
 		return
 	}
-	s.result(w, s.h.Dismiss(r.Context(), name))
+	s.result(w, s.h.RemoveMember(r.Context(), name))
 }
 
 func (s *server) result(w http.ResponseWriter, x Result) {
 	switch {
 	case x.Body != nil:
 		w.Header().Set("Content-Type", "application/cbor")
-		w.Header().Set("X-Revision", strconv.FormatUint(x.Rev, 10))
+		w.Header().Set("X-Revision", strconv.FormatUint(x.Revision, 10))
 		w.Header().Set("Content-Length", strconv.Itoa(len(x.Body)))
 		w.WriteHeader(x.Status)
 		w.Write(x.Body)
 	case x.Status >= 300:
-		refuse(w, x.Status, x.Says)
+		refuse(w, x.Status, x.Message)
 	default:
-		answer(w, x.Status, map[string]uint64{"revision": x.Rev})
+		answer(w, x.Status, map[string]uint64{"revision": x.Revision})
 	}
 }
 
--- a/internal/control/api/api_test.go
+++ b/internal/control/api/api_test.go
@@ -20,7 +20,7 @@
 
 // handler notes what it was asked.
 type handler struct {
-	beats []Beat
+	beats []Heartbeat
 	offs  []string
 	on    uint64
 	text  []byte
@@ -28,36 +28,38 @@
 	other string
 }
 
-func (h *handler) Elsewhere() string { return h.other }
+func (h *handler) RedirectTarget() string { return h.other }
 
-func (h *handler) Beat(_ context.Context, b *Beat) (string, error) {
+func (h *handler) Heartbeat(_ context.Context, b *Heartbeat) (string, error) {
 	h.beats = append(h.beats, *b)
 	return h.other, h.fail
 }
-func (h *handler) SignOff(_ context.Context, id string) error {
+func (h *handler) Deregister(_ context.Context, id string) error {
 	h.offs = append(h.offs, id)
 	return h.fail
 }
-func (h *handler) Replace(_ context.Context, on uint64, text []byte) Result {
+func (h *handler) ReplaceConfig(_ context.Context, on uint64, text []byte) Result {
 	h.on, h.text = on, text
 	if on == 7 {
-		return Result{Status: 412, Says: "version 9 is current"}
+		return Result{Status: 412, Message: "version 9 is current"}
 	}
-	return Result{Status: 200, Rev: 3}
+	return Result{Status: 200, Revision: 3}
 }
-func (h *handler) Describe(context.Context) Result {
-	return Result{Status: 200, Rev: 3, Body: []byte{0xa0}}
+func (h *handler) DescribeConfig(context.Context) Result {
+	return Result{Status: 200, Revision: 3, Body: []byte{0xa0}}
 }
-func (h *handler) Dismiss(_ context.Context, name string) Result {
+func (h *handler) RemoveMember(_ context.Context, name string) Result {
 	if name != "k-1" {
-		return Result{Status: 404, Says: "no member"}
+		return Result{Status: 404, Message: "no member"}
 	}
-	return Result{Status: 200, Rev: 3}
+	return Result{Status: 200, Revision: 3}
 }
-func (h *handler) History(context.Context) Result { return Result{Status: 200, Body: []byte("[]")} }
-func (h *handler) Engines() any                   { return []int{} }
-func (h *handler) Explain(r *http.Request) any    { return r.Host }
-func (h *handler) Status() any                    { return map[string]int{"x": 1} }
+func (h *handler) ConfigHistory(context.Context) Result {
+	return Result{Status: 200, Body: []byte("[]")}
+}
+func (h *handler) Engines() any                { return []int{} }
+func (h *handler) Explain(r *http.Request) any { return r.Host }
+func (h *handler) Status() any                 { return map[string]int{"x": 1} }
 
 func marshal(t *testing.T, v any) []byte {
 	t.Helper()
@@ -85,7 +87,7 @@
 			r.Header.Set(header[i], header[i+1])
 		}
 		w := httptest.NewRecorder()
-		Handle(h).ServeHTTP(w, r)
+		NewHandler(h).ServeHTTP(w, r)
 		return w
 	}
 	for _, c := range []struct {
@@ -110,7 +112,7 @@
 		{"a lost race", "POST", "/Configuration.Replace", []byte{0xa0}, []string{"X-Revision-Match", "7"}, 412},
 		{"upon nothing", "POST", "/Configuration.Replace", []byte{0xa0}, nil, 400},
 		{"upon no number", "POST", "/Configuration.Replace", []byte{0xa0}, []string{"X-Revision-Match", "-1"}, 400},
-		{"far too large", "POST", "/Configuration.Replace", make([]byte, fleetconfig.MostBytes+1), []string{"X-Revision-Match", "5"}, 413},
+		{"far too large", "POST", "/Configuration.Replace", make([]byte, fleetconfig.MaxBytes+1), []string{"X-Revision-Match", "5"}, 413},
 		{"read back", "GET", "/Configuration.Describe", nil, nil, 200},
 		{"status", "GET", "/fleet/status", nil, nil, 200},
 		{"engines", "GET", "/fleet/engines", nil, nil, 200},
@@ -126,7 +128,7 @@
 			t.Errorf("%s: %d, %d is wanted: %s", c.name, w.Code, c.want, w.Body)
 		}
 	}
-	if len(h.beats) != 2 || h.beats[0].ID != "i-1" || h.beats[0].Slots != 4 || h.beats[0].ColdMS != 12.5 || h.beats[1].Status != "draining" {
+	if len(h.beats) != 2 || h.beats[0].ID != "i-1" || h.beats[0].CapacitySlots != 4 || h.beats[0].WarmupRemainingMS != 12.5 || h.beats[1].Status != "draining" {
 		t.Errorf("%+v", h.beats)
 	}
 	if len(h.offs) != 1 || h.on != 7 {
@@ -145,7 +147,7 @@
 // sender is told where to go while nearly all of the body is still to come, and again on the same connection.
 func TestSentElsewhereBeforeItsBody(t *testing.T) {
 	h := &handler{other: "10.0.0.4:8080"}
-	web := httptest.NewServer(Handle(h))
+	web := httptest.NewServer(NewHandler(h))
 	defer web.Close()
 	c, err := net.Dial("tcp4", web.Listener.Addr().String())
 	if err != nil {
--- a/internal/control/configcache/golden_test.go
+++ b/internal/control/configcache/golden_test.go
@@ -20,27 +20,27 @@
 // TestGoldenAnswers: who asks for the newest configuration gets the bytes that it got, and reads the text from them.
 func TestGoldenAnswers(t *testing.T) {
 	golden.Equal(t, "number of the call", uint8(5), CallFetch)
-	var from Texts
-	golden.Check(t, "answer-none.hex", from.Answer(0))
-	from.Hold(10, []byte("a short text"))
-	golden.Check(t, "answer-short.hex", from.Answer(0))
-	from.Hold(20, goldenText(1))
-	from.Hold(300, goldenText(2))
+	var from Cache
+	golden.Check(t, "answer-none.hex", from.EncodeReply(0))
+	from.Add(10, []byte("a short text"))
+	golden.Check(t, "answer-short.hex", from.EncodeReply(0))
+	from.Add(20, goldenText(1))
+	from.Add(300, goldenText(2))
 	for _, c := range []struct {
 		name string
 		has  uint64
 		had  []byte
 	}{{"compressed", 0, nil}, {"difference", 20, goldenText(1)}} {
-		golden.Check(t, "answer-"+c.name+".hex", from.Answer(c.has))
-		place, text, err := new(Texts).Read(golden.Read(t, "answer-"+c.name+".hex"), c.had)
+		golden.Check(t, "answer-"+c.name+".hex", from.EncodeReply(c.has))
+		place, text, err := new(Cache).DecodeReply(golden.Read(t, "answer-"+c.name+".hex"), c.had)
 		if err != nil || place != 300 || !bytes.Equal(text, goldenText(2)) {
 			t.Errorf("%s: %d %q %v", c.name, place, text, err)
 		}
 	}
-	place, text, err := new(Texts).Read(golden.Read(t, "answer-short.hex"), nil)
+	place, text, err := new(Cache).DecodeReply(golden.Read(t, "answer-short.hex"), nil)
 	if err != nil || place != 10 || string(text) != "a short text" {
 		t.Errorf("short: %d %q %v", place, text, err)
 	}
-	golden.Check(t, "answer-none.hex", from.Answer(300))
+	golden.Check(t, "answer-none.hex", from.EncodeReply(300))
 	golden.Check(t, "request.hex", replica.EncodeIndexed(20, nil))
 }
--- a/internal/control/configcache/texts.go
+++ b/internal/control/configcache/texts.go
@@ -15,8 +15,8 @@
 // Answer, read by Read.
 const CallFetch uint8 = 5
 
-// Texts are what is kept. The zero Texts holds none. It is safe for concurrent use.
-type Texts struct {
+// Cache are what is kept. The zero Texts holds none. It is safe for concurrent use.
+type Cache struct {
 	mu   sync.Mutex
 	all  []held            // the newest last
 	sent map[uint64][]byte // what was made for those that have the text of a place, for the newest
@@ -27,8 +27,8 @@
 	text  []byte
 }
 
-// Hold keeps a text that is newer than those that are kept.
-func (t *Texts) Hold(place uint64, text []byte) {
+// Add keeps a text that is newer than those that are kept.
+func (t *Cache) Add(place uint64, text []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.all = append(t.all, held{place, text})
@@ -36,7 +36,7 @@
 	for _, h := range t.all {
 		bytes += len(h.text)
 	}
-	for len(t.all) > 1 && (len(t.all) > limits.NodeTexts || bytes > limits.NodeTextBytes) {
+	for len(t.all) > 1 && (len(t.all) > limits.CachedConfigs || bytes > limits.CachedConfigBytes) {
 		bytes -= len(t.all[0].text)
 		t.all = append([]held(nil), t.all[1:]...)
 	}
@@ -44,7 +44,7 @@
 }
 
 // Newest returns the newest text; place 0 = there is none.
-func (t *Texts) Newest() (place uint64, text []byte) {
+func (t *Cache) Newest() (place uint64, text []byte) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if n := len(t.all); n > 0 {
@@ -53,8 +53,8 @@
 	return 0, nil
 }
 
-// Answer is what somebody is sent who has the text of a place (0 = none): the newest, upon that where it is kept here.
-func (t *Texts) Answer(has uint64) []byte {
+// EncodeReply is what somebody is sent who has the text of a place (0 = none): the newest, upon that where it is kept here.
+func (t *Cache) EncodeReply(has uint64) []byte {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := len(t.all)
@@ -78,12 +78,12 @@
 	return replica.EncodeIndexed(t.all[n-1].place, b)
 }
 
-// Read reads an answer, by who had asked with a text.
-func (t *Texts) Read(b, had []byte) (place uint64, text []byte, err error) {
+// DecodeReply reads an answer, by who had asked with a text.
+func (t *Cache) DecodeReply(b, had []byte) (place uint64, text []byte, err error) {
 	place, d, err := replica.DecodeIndexed(b)
 	if err != nil || place == 0 {
 		return 0, nil, err
 	}
-	text, err = delta.Decode(had, d, fleetconfig.MostBytes)
+	text, err = delta.Decode(had, d, fleetconfig.MaxBytes)
 	return place, text, err
 }
--- a/internal/control/discovery/news.go
+++ b/internal/control/discovery/news.go
@@ -138,7 +138,7 @@
 		n.publish(gossip.Item{Kind: itemConfig, Key: configKey, Version: e.Index, Body: w.Buf})
 	case IdleDropObserved:
 		n.out = append(n.out, IdleDropReported{})
-		if last, _ := n.Gossip.Item(forgetsKey); n.forgot == 0 || n.now-n.forgot > limits.NodeForgetsNews {
+		if last, _ := n.Gossip.Item(forgetsKey); n.forgot == 0 || n.now-n.forgot > limits.StaleConnGossipInterval {
 			n.forgot = n.now
 			n.publish(gossip.Item{Kind: itemForgets, Key: forgetsKey, Version: max(last.Version+1, uint64(max(n.wall, 0)))})
 		}
@@ -147,7 +147,7 @@
 	}
 	n.turn()
 	if n.now >= n.sweep {
-		n.sweep = n.now + limits.NodeSweep
+		n.sweep = n.now + limits.FailureSweepInterval
 		n.tidy()
 		n.turn()
 	}
@@ -309,7 +309,7 @@
 		return
 	}
 	n.queue = append(n.queue, gossip.Broadcast{
-		Urgent: true, Of: &wait{of, r.ID, *r}, MinAcks: limits.NodeHeard, Items: []gossip.Item{engineItem(r)},
+		Urgent: true, Of: &wait{of, r.ID, *r}, MinAcks: limits.DrainAckPeers, Items: []gossip.Item{engineItem(r)},
 	})
 }
 
--- a/internal/control/fleetconfig/declared.go
+++ b/internal/control/fleetconfig/declared.go
@@ -15,80 +15,80 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MostBytes bounds a configuration: thousands of routes at some 250 bytes.
-const MostBytes = 8 << 20
+// MaxBytes bounds a configuration: thousands of routes at some 250 bytes.
+const MaxBytes = 8 << 20
 
 // Config is a configuration: on the wire in CBOR, in users' files in TOML (package declaration). Its tags are of both, and of
 // the schema of the files.
 type Config struct {
-	Revision uint64    `cbor:"revision" toml:"revision" jsonschema:"minimum=0,description=number of the version; left out in a file it is the next one"`
-	Routes   []Route   `cbor:"routes" toml:"routes" jsonschema:"description=Which requests lead where. Of several the longest path_prefix counts."`
-	Services []Service `cbor:"services" toml:"services" jsonschema:"description=What engines serve."`
-	Limits   Limits    `cbor:"request_limits" toml:"request_limits" jsonschema:"description=What clients may send."`
-	Tenants  []Tenant  `cbor:"tenants,omitempty" toml:"tenants" jsonschema:"description=Who may ask. Without any nobody needs a key."`
+	Revision      uint64        `cbor:"revision" toml:"revision" jsonschema:"minimum=0,description=number of the version; left out in a file it is the next one"`
+	Routes        []Route       `cbor:"routes" toml:"routes" jsonschema:"description=Which requests lead where. Of several the longest path_prefix counts."`
+	Services      []Service     `cbor:"services" toml:"services" jsonschema:"description=What engines serve."`
+	RequestLimits RequestLimits `cbor:"request_limits" toml:"request_limits" jsonschema:"description=What clients may send."`
+	Tenants       []Tenant      `cbor:"tenants,omitempty" toml:"tenants" jsonschema:"description=Who may ask. Without any nobody needs a key."`
 }
 
 // Route leads requests of a host to services.
 type Route struct {
-	Name     string  `cbor:"name" toml:"name" jsonschema:"required,minLength=1,description=a name of the route"`
-	Host     string  `cbor:"hostname" toml:"hostname" jsonschema:"required,minLength=1,description=the host that is asked for"`
-	Prefix   string  `cbor:"path_prefix" toml:"path_prefix" jsonschema:"required,pattern=^/(.*/)?$,description=what the path begins with; it begins and ends with a slash"`
-	Type     string  `cbor:"route_type" toml:"route_type" jsonschema:"required,enum=idempotent,enum=non_idempotent,enum=streaming,description=what may be sent again; one of idempotent and non_idempotent and streaming"`
-	Timeout  float64 `cbor:"timeout_ms" toml:"timeout_ms" jsonschema:"required,exclusiveMinimum=0,description=the longest time that a request is held"`
-	Target   float64 `cbor:"target_latency_ms" toml:"target_latency_ms" jsonschema:"minimum=0,description=the time within which an answer earns its full worth"`
-	Priority int     `cbor:"priority" toml:"priority" jsonschema:"minimum=0,description=rank; 0 is highest"`
-	Service  string  `cbor:"target_service,omitempty" toml:"target_service" jsonschema:"description=the service; or traffic_split"`
-	Split    []Share `cbor:"traffic_split,omitempty" toml:"traffic_split" jsonschema:"description=several services with their weights; or target_service"`
-	Attempts int     `cbor:"max_attempts" toml:"max_attempts" jsonschema:"minimum=0,description=the most engines that one request is sent to"`
-	Public   bool    `cbor:"public" toml:"public" jsonschema:"description=no key is needed"`
-	Affinity bool    `cbor:"session_affinity" toml:"session_affinity" jsonschema:"description=requests that share a prompt's beginning keep to an engine"`
-	Resume   bool    `cbor:"resumable" toml:"resumable" jsonschema:"description=a stream may be taken up again"`
+	Name            string            `cbor:"name" toml:"name" jsonschema:"required,minLength=1,description=a name of the route"`
+	Hostname        string            `cbor:"hostname" toml:"hostname" jsonschema:"required,minLength=1,description=the host that is asked for"`
+	PathPrefix      string            `cbor:"path_prefix" toml:"path_prefix" jsonschema:"required,pattern=^/(.*/)?$,description=what the path begins with; it begins and ends with a slash"`
+	Type            string            `cbor:"route_type" toml:"route_type" jsonschema:"required,enum=idempotent,enum=non_idempotent,enum=streaming,description=what may be sent again; one of idempotent and non_idempotent and streaming"`
+	TimeoutMS       float64           `cbor:"timeout_ms" toml:"timeout_ms" jsonschema:"required,exclusiveMinimum=0,description=the longest time that a request is held"`
+	TargetLatencyMS float64           `cbor:"target_latency_ms" toml:"target_latency_ms" jsonschema:"minimum=0,description=the time within which an answer earns its full worth"`
+	Priority        int               `cbor:"priority" toml:"priority" jsonschema:"minimum=0,description=rank; 0 is highest"`
+	TargetService   string            `cbor:"target_service,omitempty" toml:"target_service" jsonschema:"description=the service; or traffic_split"`
+	TrafficSplit    []WeightedService `cbor:"traffic_split,omitempty" toml:"traffic_split" jsonschema:"description=several services with their weights; or target_service"`
+	MaxAttempts     int               `cbor:"max_attempts" toml:"max_attempts" jsonschema:"minimum=0,description=the most engines that one request is sent to"`
+	Public          bool              `cbor:"public" toml:"public" jsonschema:"description=no key is needed"`
+	SessionAffinity bool              `cbor:"session_affinity" toml:"session_affinity" jsonschema:"description=requests that share a prompt's beginning keep to an engine"`
+	Resumable       bool              `cbor:"resumable" toml:"resumable" jsonschema:"description=a stream may be taken up again"`
 }
 
-// Share is a service's part of a route.
-type Share struct {
+// WeightedService is a service's part of a route.
+type WeightedService struct {
 	Service string  `cbor:"target_service" toml:"target_service" jsonschema:"required,description=the service"`
 	Weight  float64 `cbor:"weight" toml:"weight" jsonschema:"required,minimum=0,description=its weight against the others'"`
 }
 
 // Service is what engines serve.
 type Service struct {
-	Name     string `cbor:"name" toml:"name" jsonschema:"required,minLength=1,description=the name that engines give"`
-	Health   string `cbor:"health_path" toml:"health_path" jsonschema:"description=the path that a probe asks for"`
-	MaxConns int    `cbor:"max_connections" toml:"max_connections" jsonschema:"minimum=0,description=the connections that one engine takes from all callers"`
-	Protocol string `cbor:"protocol" toml:"protocol" jsonschema:"enum=h1,description=h1"`
-	TLS      bool   `cbor:"tls_enabled" toml:"tls_enabled" jsonschema:"description=engines speak TLS"`
-	Scale    *Scale `cbor:"autoscaling,omitempty" toml:"autoscaling" jsonschema:"description=the numbers of engines in each zone. Without this table they stay as they are."`
+	Name           string       `cbor:"name" toml:"name" jsonschema:"required,minLength=1,description=the name that engines give"`
+	HealthPath     string       `cbor:"health_path" toml:"health_path" jsonschema:"description=the path that a probe asks for"`
+	MaxConnections int          `cbor:"max_connections" toml:"max_connections" jsonschema:"minimum=0,description=the connections that one engine takes from all callers"`
+	Protocol       string       `cbor:"protocol" toml:"protocol" jsonschema:"enum=h1,description=h1"`
+	TLSEnabled     bool         `cbor:"tls_enabled" toml:"tls_enabled" jsonschema:"description=engines speak TLS"`
+	Autoscaling    *Autoscaling `cbor:"autoscaling,omitempty" toml:"autoscaling" jsonschema:"description=the numbers of engines in each zone. Without this table they stay as they are."`
 }
 
-// Scale bounds the engines of a service in each zone.
-type Scale struct {
-	Min   int     `cbor:"min_instances" toml:"min_instances" jsonschema:"required,minimum=0,description=at the least"`
-	Max   int     `cbor:"max_instances" toml:"max_instances" jsonschema:"required,minimum=0,description=at the most"`
-	BootS float64 `cbor:"boot_timeout_s" toml:"boot_timeout_s" jsonschema:"minimum=0,description=seconds until a new one serves"`
+// Autoscaling bounds the engines of a service in each zone.
+type Autoscaling struct {
+	MinInstances int     `cbor:"min_instances" toml:"min_instances" jsonschema:"required,minimum=0,description=at the least"`
+	MaxInstances int     `cbor:"max_instances" toml:"max_instances" jsonschema:"required,minimum=0,description=at the most"`
+	BootTimeoutS float64 `cbor:"boot_timeout_s" toml:"boot_timeout_s" jsonschema:"minimum=0,description=seconds until a new one serves"`
 }
 
-// Limits bound what clients send. 0 is unsaid: the program's own bound holds.
-type Limits struct {
-	HeaderBytes int     `cbor:"max_header_bytes" toml:"max_header_bytes" jsonschema:"minimum=0,description=bytes of headers"`
-	BodyBytes   int     `cbor:"max_body_bytes" toml:"max_body_bytes" jsonschema:"minimum=0,description=bytes of a body"`
-	HeaderMS    float64 `cbor:"header_timeout_ms" toml:"header_timeout_ms" jsonschema:"minimum=0,description=the time for a head"`
-	IdleMS      float64 `cbor:"idle_timeout_ms" toml:"idle_timeout_ms" jsonschema:"minimum=0,description=the time between two requests on a connection"`
+// RequestLimits bound what clients send. 0 is unsaid: the program's own bound holds.
+type RequestLimits struct {
+	MaxHeaderBytes  int     `cbor:"max_header_bytes" toml:"max_header_bytes" jsonschema:"minimum=0,description=bytes of headers"`
+	MaxBodyBytes    int     `cbor:"max_body_bytes" toml:"max_body_bytes" jsonschema:"minimum=0,description=bytes of a body"`
+	HeaderTimeoutMS float64 `cbor:"header_timeout_ms" toml:"header_timeout_ms" jsonschema:"minimum=0,description=the time for a head"`
+	IdleTimeoutMS   float64 `cbor:"idle_timeout_ms" toml:"idle_timeout_ms" jsonschema:"minimum=0,description=the time between two requests on a connection"`
 }
 
 // Tenant is who a key belongs to.
 type Tenant struct {
 	Name     string   `cbor:"name" toml:"name" jsonschema:"required,minLength=1,description=the name that engines are shown"`
-	Keys     []string `cbor:"api_keys" toml:"api_keys" jsonschema:"description=its keys; env:NAME and file:PATH stand for what is kept elsewhere"`
+	APIKeys  []string `cbor:"api_keys" toml:"api_keys" jsonschema:"description=its keys; env:NAME and file:PATH stand for what is kept elsewhere"`
 	Priority int      `cbor:"priority" toml:"priority" jsonschema:"minimum=0,description=rank; 0 is highest"`
-	PerS     float64  `cbor:"rate_per_s" toml:"rate_per_s" jsonschema:"minimum=0,description=requests a second"`
+	RatePerS float64  `cbor:"rate_per_s" toml:"rate_per_s" jsonschema:"minimum=0,description=requests a second"`
 }
 
 // The types of routes.
 const (
-	Idempotent    = "idempotent"
-	NonIdempotent = "non_idempotent"
-	Streaming     = "streaming"
+	RouteIdempotent    = "idempotent"
+	RouteNonIdempotent = "non_idempotent"
+	RouteStreaming     = "streaming"
 )
 
 // Digest names a configuration by its meaning: two encodings of one share it.
@@ -117,9 +117,9 @@
 // ErrInvalid is a configuration that must not be taken.
 var ErrInvalid = errors.New("the configuration is invalid")
 
-// Decode reads a configuration and its digest. The digest costs as much as all the rest.
-func Decode(b []byte) (*Config, Digest, error) {
-	c, err := Read(b, nil)
+// DecodeWithDigest reads a configuration and its digest. The digest costs as much as all the rest.
+func DecodeWithDigest(b []byte) (*Config, Digest, error) {
+	c, err := Decode(b, nil)
 	if err != nil {
 		return nil, Digest{}, err
 	}
@@ -134,14 +134,14 @@
 	return c, sha256.Sum256(canonical), nil
 }
 
-// Some is how many routes or tenants are worked on between two pauses.
-const Some = 32
+// YieldInterval is how many routes or tenants are worked on between two pauses.
+const YieldInterval = 32
 
-// Read reads a configuration, and pauses now and then: thousands of routes take a router of a sixth of a core longer than a
+// Decode reads a configuration, and pauses now and then: thousands of routes take a router of a sixth of a core longer than a
 // stream may stand still. nil = it does not pause.
-func Read(b []byte, pause func()) (*Config, error) {
-	if len(b) > MostBytes {
-		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrInvalid, len(b), MostBytes)
+func Decode(b []byte, pause func()) (*Config, error) {
+	if len(b) > MaxBytes {
+		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrInvalid, len(b), MaxBytes)
 	}
 	if len(b) == 0 || b[0]>>5 != 5 { // CBOR's major type of a map
 		return nil, fmt.Errorf("%w: a map is wanted", ErrInvalid)
@@ -150,13 +150,13 @@
 		Revision uint64            `cbor:"revision"`
 		Routes   []cbor.RawMessage `cbor:"routes"`
 		Services []Service         `cbor:"services"`
-		Limits   Limits            `cbor:"request_limits"`
+		Limits   RequestLimits     `cbor:"request_limits"`
 		Tenants  []cbor.RawMessage `cbor:"tenants,omitempty"`
 	}
 	if err := decoding.Unmarshal(b, &parts); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
-	c := &Config{Revision: parts.Revision, Services: parts.Services, Limits: parts.Limits}
+	c := &Config{Revision: parts.Revision, Services: parts.Services, RequestLimits: parts.Limits}
 	var err error
 	if c.Routes, err = list[Route]("routes", parts.Routes, pause); err == nil {
 		c.Tenants, err = list[Tenant]("tenants", parts.Tenants, pause)
@@ -173,21 +173,21 @@
 		if err := decoding.Unmarshal(b, &all[i]); err != nil {
 			return nil, fmt.Errorf("%w: %s[%d]: %w", ErrInvalid, name, i, err)
 		}
-		if pause != nil && i%Some == Some-1 {
+		if pause != nil && i%YieldInterval == YieldInterval-1 {
 			pause()
 		}
 	}
 	return all, nil
 }
 
-// Fault is one thing that is wrong with a configuration.
-type Fault struct {
-	Path []string // to the field: names, and numbers of what stands in a list
-	Name string   // of the route, service or tenant that it is in; "" = none
-	Says string
+// FieldError is one thing that is wrong with a configuration.
+type FieldError struct {
+	Path    []string // to the field: names, and numbers of what stands in a list
+	Owner   string   // of the route, service or tenant that it is in; "" = none
+	Message string
 }
 
-func (f Fault) String() string {
+func (f FieldError) String() string {
 	at := ""
 	for _, p := range f.Path {
 		if _, err := strconv.Atoi(p); err == nil {
@@ -199,16 +199,16 @@
 		}
 		at += p
 	}
-	if f.Name != "" {
-		at += " (" + f.Name + ")"
+	if f.Owner != "" {
+		at += " (" + f.Owner + ")"
 	}
-	return at + ": " + f.Says
+	return at + ": " + f.Message
 }
 
-// Faults is everything that is wrong with a configuration.
-type Faults []Fault
+// FieldErrors is everything that is wrong with a configuration.
+type FieldErrors []FieldError
 
-func (f Faults) Error() string {
+func (f FieldErrors) Error() string {
 	var all []string
 	for _, x := range f {
 		all = append(all, x.String())
@@ -217,15 +217,15 @@
 }
 
 // Is has errors.Is find ErrInvalid.
-func (f Faults) Is(err error) bool { return err == ErrInvalid }
+func (f FieldErrors) Is(err error) bool { return err == ErrInvalid }
 
-// Check says what is wrong with a configuration by itself.
-func (c *Config) Check() error {
-	var faults Faults
+// Validate says what is wrong with a configuration by itself.
+func (c *Config) Validate() error {
+	var faults FieldErrors
 	name := ""
 	bad := func(path []string, format string, args ...any) {
 		if len(faults) < 64 { // a file of thousands of routes may be wrong throughout
-			faults = append(faults, Fault{path, name, fmt.Sprintf(format, args...)})
+			faults = append(faults, FieldError{path, name, fmt.Sprintf(format, args...)})
 		}
 	}
 	if c.Revision == 0 {
@@ -235,8 +235,8 @@
 		key   string
 		value float64
 	}{
-		{"max_header_bytes", float64(c.Limits.HeaderBytes)}, {"max_body_bytes", float64(c.Limits.BodyBytes)},
-		{"header_timeout_ms", c.Limits.HeaderMS}, {"idle_timeout_ms", c.Limits.IdleMS},
+		{"max_header_bytes", float64(c.RequestLimits.MaxHeaderBytes)}, {"max_body_bytes", float64(c.RequestLimits.MaxBodyBytes)},
+		{"header_timeout_ms", c.RequestLimits.HeaderTimeoutMS}, {"idle_timeout_ms", c.RequestLimits.IdleTimeoutMS},
 	} {
 		if !(l.value >= 0) {
 			bad([]string{"request_limits", l.key}, "0 or more is wanted, not %v", l.value)
@@ -253,8 +253,8 @@
 			bad(at("name"), "it is another service's")
 		}
 		services[s.Name] = true
-		if k := s.Scale; k != nil && (k.Min < 0 || k.Max < k.Min) {
-			bad(at("autoscaling"), "min_instances %d, max_instances %d: 0 or more, and no more than the other, are wanted", k.Min, k.Max)
+		if k := s.Autoscaling; k != nil && (k.MinInstances < 0 || k.MaxInstances < k.MinInstances) {
+			bad(at("autoscaling"), "min_instances %d, max_instances %d: 0 or more, and no more than the other, are wanted", k.MinInstances, k.MaxInstances)
 		}
 	}
 	type place struct{ host, prefix string }
@@ -262,33 +262,33 @@
 	for i, r := range c.Routes {
 		at := func(key ...string) []string { return append([]string{"routes", strconv.Itoa(i)}, key...) }
 		name = r.Name
-		host := strings.ToLower(r.Host)
-		if r.Host == "" {
+		host := strings.ToLower(r.Hostname)
+		if r.Hostname == "" {
 			bad(at("hostname"), "a host is wanted")
 		}
-		if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-			bad(at("path_prefix"), "%q does not begin and end with a slash", r.Prefix)
+		if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
+			bad(at("path_prefix"), "%q does not begin and end with a slash", r.PathPrefix)
 		}
-		if before, twice := places[place{host, r.Prefix}]; twice {
+		if before, twice := places[place{host, r.PathPrefix}]; twice {
 			bad(at("path_prefix"), "routes[%d] (%s) has the same host and path_prefix", before, c.Routes[before].Name)
 		}
-		places[place{host, r.Prefix}] = i
-		if r.Type != Idempotent && r.Type != NonIdempotent && r.Type != Streaming {
-			bad(at("route_type"), "%q is none; %s, %s or %s is wanted", r.Type, Idempotent, NonIdempotent, Streaming)
+		places[place{host, r.PathPrefix}] = i
+		if r.Type != RouteIdempotent && r.Type != RouteNonIdempotent && r.Type != RouteStreaming {
+			bad(at("route_type"), "%q is none; %s, %s or %s is wanted", r.Type, RouteIdempotent, RouteNonIdempotent, RouteStreaming)
 		}
-		if !(r.Timeout > 0) || math.IsInf(r.Timeout, 0) {
-			bad(at("timeout_ms"), "above 0 is wanted, not %v", r.Timeout)
+		if !(r.TimeoutMS > 0) || math.IsInf(r.TimeoutMS, 0) {
+			bad(at("timeout_ms"), "above 0 is wanted, not %v", r.TimeoutMS)
 		}
-		if r.Target < 0 {
-			bad(at("target_latency_ms"), "0 or more is wanted, not %v", r.Target)
+		if r.TargetLatencyMS < 0 {
+			bad(at("target_latency_ms"), "0 or more is wanted, not %v", r.TargetLatencyMS)
 		}
-		if r.Attempts < 0 {
-			bad(at("max_attempts"), "0 or more is wanted, not %d", r.Attempts)
+		if r.MaxAttempts < 0 {
+			bad(at("max_attempts"), "0 or more is wanted, not %d", r.MaxAttempts)
 		}
 		sum := 0.0
-		for k, s := range r.Shares() {
+		for k, s := range r.Targets() {
 			in := func(key string) []string {
-				if len(r.Split) == 0 {
+				if len(r.TrafficSplit) == 0 {
 					return at(key)
 				}
 				return at("traffic_split", strconv.Itoa(k), key)
@@ -314,7 +314,7 @@
 			bad(at("name"), "it is empty or another tenant's")
 		}
 		names[t.Name] = true
-		for _, k := range t.Keys {
+		for _, k := range t.APIKeys {
 			if other, twice := keys[k]; twice && other != t.Name {
 				bad(at("api_keys"), "a key is tenant %q's too", other)
 			}
@@ -327,15 +327,15 @@
 	return nil
 }
 
-// Shares are the services that a route leads to.
-func (r *Route) Shares() []Share {
-	if len(r.Split) > 0 {
-		return r.Split
+// Targets are the services that a route leads to.
+func (r *Route) Targets() []WeightedService {
+	if len(r.TrafficSplit) > 0 {
+		return r.TrafficSplit
 	}
-	return []Share{{r.Service, 1}}
+	return []WeightedService{{r.TargetService, 1}}
 }
 
-// Millis makes a duration of a number of milliseconds.
-func Millis(ms float64) time.Duration {
+// Milliseconds makes a duration of a number of milliseconds.
+func Milliseconds(ms float64) time.Duration {
 	return time.Duration(min(ms, float64(math.MaxInt64/2)/1e6) * float64(time.Millisecond))
 }
--- a/internal/control/fleetconfig/declared_test.go
+++ b/internal/control/fleetconfig/declared_test.go
@@ -35,19 +35,19 @@
 }
 
 func TestGood(t *testing.T) {
-	c, _, err := Decode(marshal(t, good()))
-	if err != nil || c.Check() != nil {
-		t.Fatalf("%v, %v", err, c.Check())
+	c, _, err := DecodeWithDigest(marshal(t, good()))
+	if err != nil || c.Validate() != nil {
+		t.Fatalf("%v, %v", err, c.Validate())
 	}
-	if c.Revision != 7 || len(c.Routes) != 2 || len(c.Routes[0].Shares()) != 2 || c.Routes[1].Shares()[0].Service != "t" ||
-		c.Services[0].Scale.Max != 9 || c.Tenants[0].Keys[1] != "two" {
+	if c.Revision != 7 || len(c.Routes) != 2 || len(c.Routes[0].Targets()) != 2 || c.Routes[1].Targets()[0].Service != "t" ||
+		c.Services[0].Autoscaling.MaxInstances != 9 || c.Tenants[0].APIKeys[1] != "two" {
 		t.Errorf("%+v", c)
 	}
 }
 
 func TestDigestIsOfTheMeaning(t *testing.T) {
 	v := good()
-	_, d1, _ := Decode(marshal(t, v))
+	_, d1, _ := DecodeWithDigest(marshal(t, v))
 	sorted, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
 		t.Fatal(err)
@@ -56,11 +56,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, d2, err := Decode(b); err != nil || d1 != d2 {
+	if _, d2, err := DecodeWithDigest(b); err != nil || d1 != d2 {
 		t.Errorf("two encodings of one configuration differ: %v", err)
 	}
 	v["routes"].([]any)[1].(map[string]any)["later_field"] = []any{1, 3}
-	if _, d3, _ := Decode(marshal(t, v)); d3 == d1 {
+	if _, d3, _ := DecodeWithDigest(marshal(t, v)); d3 == d1 {
 		t.Error("a field that is not known is no part of the digest")
 	}
 }
@@ -84,9 +84,9 @@
 	} {
 		v := good()
 		change(v)
-		c, _, err := Decode(marshal(t, v))
+		c, _, err := DecodeWithDigest(marshal(t, v))
 		if err == nil {
-			err = c.Check()
+			err = c.Validate()
 		}
 		if !errors.Is(err, ErrInvalid) || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: %v", name, err)
@@ -97,16 +97,16 @@
 		"nothing": nil, "cut off": whole[:len(whole)-3], "more behind": append(append([]byte{}, whole...), 0), "a list": {0x80},
 		"a key twice": {0xa2, 0x61, 'a', 1, 0x61, 'a', 2}, "text": []byte("{}"),
 	} {
-		if _, _, err := Decode(b); !errors.Is(err, ErrInvalid) {
+		if _, _, err := DecodeWithDigest(b); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	// Every fault is told at once.
 	v := good()
 	route(v, 0)["timeout_ms"], route(v, 1)["target_service"] = 0, "none"
-	c, _, _ := Decode(marshal(t, v))
-	if f, ok := c.Check().(Faults); !ok || len(f) < 2 {
-		t.Errorf("%v", c.Check())
+	c, _, _ := DecodeWithDigest(marshal(t, v))
+	if f, ok := c.Validate().(FieldErrors); !ok || len(f) < 2 {
+		t.Errorf("%v", c.Validate())
 	}
 }
 
@@ -118,8 +118,8 @@
 	f.Add(b)
 	f.Add([]byte{0xbf, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if c, _, err := Decode(b); err == nil {
-			c.Check()
+		if c, _, err := DecodeWithDigest(b); err == nil {
+			c.Validate()
 		}
 	})
 }
--- a/internal/control/fleetconfig/scale_bench_test.go
+++ b/internal/control/fleetconfig/scale_bench_test.go
@@ -13,7 +13,7 @@
 	for _, n := range []int{1400, 4600, 14000} {
 		c := &Config{Revision: 1, Services: []Service{{Name: "s"}}}
 		for i := range n {
-			c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprintf("tenant-%05d", i), Keys: []string{fmt.Sprintf("sk-%032x", i*0x9e3779b1)}, PerS: 50})
+			c.Tenants = append(c.Tenants, Tenant{Name: fmt.Sprintf("tenant-%05d", i), APIKeys: []string{fmt.Sprintf("sk-%032x", i*0x9e3779b1)}, RatePerS: 50})
 		}
 		text, err := cbor.Marshal(c)
 		if err != nil {
@@ -25,9 +25,9 @@
 				for b.Loop() {
 					var err error
 					if what == "read" {
-						_, err = Read(text, nil)
+						_, err = Decode(text, nil)
 					} else {
-						_, _, err = Decode(text)
+						_, _, err = DecodeWithDigest(text)
 					}
 					if err != nil {
 						b.Fatal(err)
--- a/internal/control/replica/calls.go
+++ b/internal/control/replica/calls.go
@@ -25,18 +25,18 @@
 func CallTimeout(kind uint8) time.Duration {
 	switch kind {
 	case CallSnapshot, CallReachable:
-		return 2 * limits.NodeAsk
+		return 2 * limits.ReplicaCallTimeout
 	case CallJoin:
 		return settleWithin
 	}
-	return limits.NodeAsk
+	return limits.ReplicaCallTimeout
 }
 
 // joinFull answers who wants to be a member while there are as many as are wanted and none of them is silent.
 const joinFull = 1
 
 // mostValue bounds the value of a place.
-const mostValue = fleetconfig.MostBytes + 4096
+const mostValue = fleetconfig.MaxBytes + 4096
 
 // optional is nil for nothing.
 func optional(b []byte) []byte {
--- a/internal/control/replica/core.go
+++ b/internal/control/replica/core.go
@@ -426,7 +426,7 @@
 			f()
 		}
 	}
-	n.call(from, CallSnapshot, EncodeIndexed(n.state.NextIndex, []byte{replog.StateVersion}), 2*limits.NodeAsk, func(body []byte, err error) {
+	n.call(from, CallSnapshot, EncodeIndexed(n.state.NextIndex, []byte{replog.StateVersion}), 2*limits.ReplicaCallTimeout, func(body []byte, err error) {
 		if err != nil || len(body) == 0 {
 			then()
 			return
--- a/internal/control/replica/core_test.go
+++ b/internal/control/replica/core_test.go
@@ -154,7 +154,7 @@
 				effects = append(effects, n.Reduce(at, CallReturned{ID: f.ID, Body: body})...)
 			}
 		}
-		if len(said) != 1 || said[0].Rev != 9 {
+		if len(said) != 1 || said[0].Revision != 9 {
 			t.Errorf("%s: %+v; what the new members have acknowledged is version 9", name, said)
 		}
 	}
@@ -201,7 +201,7 @@
 			case SendCall:
 				calls = append(calls, f)
 			case OperatorAnswer:
-				if answered++; f.Rev != 7 || f.Status != http.StatusOK {
+				if answered++; f.Revision != 7 || f.Status != http.StatusOK {
 					t.Errorf("%+v", f.Result)
 				}
 			}
--- a/internal/control/replica/members.go
+++ b/internal/control/replica/members.go
@@ -58,7 +58,7 @@
 	if _, known := silent[from]; !known {
 		silent[from] = silence{since: sent}
 	}
-	if len(silent) > limits.NodeSilent { // of those that were replaced long ago
+	if len(silent) > limits.MaxUnresponsiveReplicas { // of those that were replaced long ago
 		voters := map[netip.AddrPort]bool{}
 		for i := range n.state.Members {
 			if to, ok := addr(&n.state.Members[i]); ok {
@@ -76,7 +76,7 @@
 	for i := range s.Members {
 		to, ok := addr(&s.Members[i])
 		x, silent := n.members.silent[to]
-		if alike && (x.asked == 0 || n.now-x.asked > limits.NodeDoubted) {
+		if alike && (x.asked == 0 || n.now-x.asked > limits.UnreachableReportTTL) {
 			continue
 		}
 		if ok && silent && x.since <= since && s.Members[i].ID != n.Self.ID {
@@ -89,7 +89,7 @@
 // doubt asks the voters that answer whether one answers them that is silent here, and notes that it does not answer any of them. Two keepers may
 // be cut off from each other alone: who is heard by another has its vote for good reason.
 func (n *Replica) doubt(then func()) {
-	at := n.longestSilent(&n.state, limits.NodeGone, false)
+	at := n.longestSilent(&n.state, limits.VoterReplaceDelay, false)
 	if at < 0 {
 		then()
 		return
@@ -114,7 +114,7 @@
 			continue
 		}
 		left++
-		n.call(to, CallReachable, []byte(whom.String()), 2*limits.NodeAsk, func(body []byte, err error) {
+		n.call(to, CallReachable, []byte(whom.String()), 2*limits.ReplicaCallTimeout, func(body []byte, err error) {
 			heard = heard || err == nil && len(body) == 1 && body[0] == 1
 			end()
 		})
@@ -153,7 +153,7 @@
 		n.log.Info("taking a member in", "name", m.Name, "member", member(m.ID), "members", len(voters)+1)
 		return append(voters, m), nil
 	default:
-		if at = n.longestSilent(s, limits.NodeGone, true); at < 0 {
+		if at = n.longestSilent(s, limits.VoterReplaceDelay, true); at < 0 {
 			return nil, errFull
 		}
 		to, _ := addr(&voters[at])
@@ -282,7 +282,7 @@
 // itself. Where changes are made all the time only that one can have a further one settled, between two of them: another's
 // ballot for a few bytes is in the way of its large ones, and loses against them.
 func (n *Replica) proposer(i *identity, from netip.Addr) (to netip.AddrPort, ok bool) {
-	if own, ok := addr(&i.Member); !ok || own.Addr() != from || n.now-n.toldAt > limits.NodeAsk || n.teller == from || len(n.queue) > 0 {
+	if own, ok := addr(&i.Member); !ok || own.Addr() != from || n.now-n.toldAt > limits.ReplicaCallTimeout || n.teller == from || len(n.queue) > 0 {
 		return to, false
 	}
 	all := n.Peers()
@@ -296,14 +296,14 @@
 // admit has a keeper taken in that asks for a vote, if there is a place for it, or notes it as a candidate for the next that
 // becomes free. Who asks has caught up but for a few places, so that a majority does not come to depend on who knows nothing.
 func (n *Replica) admit(i identity, done func(error)) {
-	if n.state.Member(n.Self.ID) == nil || i.next+limits.NodeJoinLag < n.state.NextIndex {
+	if n.state.Member(n.Self.ID) == nil || i.next+limits.MaxJoinLag < n.state.NextIndex {
 		done(errBehind)
 		return
 	}
 	if n.state.Member(i.ID) == nil {
 		c := &n.members.candidates
-		*c = slices.DeleteFunc(*c, func(x candidate) bool { return x.ID == i.ID || x.Name == i.Name || n.now-x.at > limits.NodeCandidate })
-		if *c = append(*c, candidate{i.Member, n.now}); len(*c) > limits.NodeCandidates {
+		*c = slices.DeleteFunc(*c, func(x candidate) bool { return x.ID == i.ID || x.Name == i.Name || n.now-x.at > limits.JoinRequestTTL })
+		if *c = append(*c, candidate{i.Member, n.now}); len(*c) > limits.MaxJoinRequests {
 			*c = (*c)[1:]
 		}
 	}
@@ -337,20 +337,20 @@
 	end := func() { m.watching = false }
 	look = func() {
 		m.candidates = slices.DeleteFunc(m.candidates, func(x candidate) bool {
-			return n.now-x.at > limits.NodeCandidate || n.state.Member(x.ID) != nil
+			return n.now-x.at > limits.JoinRequestTTL || n.state.Member(x.ID) != nil
 		})
 		if len(m.candidates) == 0 || n.state.Member(n.Self.ID) == nil || n.longestSilent(&n.state, 0, false) < 0 {
 			end()
 			return
 		}
 		n.probe(func() {
-			if len(m.candidates) == 0 || n.longestSilent(&n.state, limits.NodeGone, true) < 0 {
-				n.after(limits.NodeWatch, look)
+			if len(m.candidates) == 0 || n.longestSilent(&n.state, limits.VoterReplaceDelay, true) < 0 {
+				n.after(limits.VoterCheckInterval, look)
 				return
 			}
 			first := m.candidates[0].Member
 			n.change(func(s *replog.State) ([]replog.Member, error) { return n.seat(s, first) }, n.now+settleWithin, func(error) {
-				n.after(limits.NodeWatch, look)
+				n.after(limits.VoterCheckInterval, look)
 			})
 		})
 	}
@@ -366,7 +366,7 @@
 	}
 	n.probe(func() {
 		n.change(func(s *replog.State) ([]replog.Member, error) {
-			at := n.longestSilent(s, limits.NodeSurplus, true)
+			at := n.longestSilent(s, limits.SurplusVoterRemovalDelay, true)
 			if at < 0 || len(s.Members) <= n.MinVoters {
 				return nil, nil
 			}
@@ -381,7 +381,7 @@
 // keeper, is done: the chain keeps the names of those that had a vote.
 func (n *Replica) dismiss(e RemoveMember) {
 	if n.state.Member(n.Self.ID) == nil {
-		n.do(OperatorAnswer{e.Of, api.Result{Status: http.StatusServiceUnavailable, Says: "this keeper is no member itself"}})
+		n.do(OperatorAnswer{e.Of, api.Result{Status: http.StatusServiceUnavailable, Message: "this keeper is no member itself"}})
 		return
 	}
 	n.settle(e.Until, false, func(err error) {
@@ -394,11 +394,11 @@
 			left := slices.DeleteFunc(slices.Clone(s.Members), func(m replog.Member) bool { return m.Name == e.Name })
 			switch {
 			case len(left) == len(s.Members) && slices.Contains(s.FormerMembers, e.Name):
-				res = api.Result{Status: http.StatusOK, Rev: s.Revision}
+				res = api.Result{Status: http.StatusOK, Revision: s.Revision}
 			case len(left) == len(s.Members):
-				res = api.Result{Status: http.StatusNotFound, Says: fmt.Sprintf("no member is named %q", e.Name)}
+				res = api.Result{Status: http.StatusNotFound, Message: fmt.Sprintf("no member is named %q", e.Name)}
 			case len(left) < n.MinVoters:
-				res = api.Result{Status: http.StatusConflict, Says: fmt.Sprintf("%d members would be left; %d are wanted", len(left), n.MinVoters)}
+				res = api.Result{Status: http.StatusConflict, Message: fmt.Sprintf("%d members would be left; %d are wanted", len(left), n.MinVoters)}
 			default:
 				n.log.Info("taking a member out", "name", e.Name, "left", len(left))
 				return left, nil
@@ -437,7 +437,7 @@
 			if ok {
 				switch {
 				case n.state.Member(i.ID) == nil:
-					if i.next+limits.NodeJoinLag >= n.state.NextIndex && i.next > 0 {
+					if i.next+limits.MaxJoinLag >= n.state.NextIndex && i.next > 0 {
 						standby = &i.Member
 					}
 				case i.next < n.state.NextIndex:
--- a/internal/control/replica/operate.go
+++ b/internal/control/replica/operate.go
@@ -13,7 +13,7 @@
 // answer answers the operator: what f makes of it, or that it is not settled.
 func (n *Replica) answer(of any, err error, f func() api.Result) {
 	if err != nil {
-		n.do(OperatorAnswer{of, api.Result{Status: http.StatusServiceUnavailable, Says: err.Error()}})
+		n.do(OperatorAnswer{of, api.Result{Status: http.StatusServiceUnavailable, Message: err.Error()}})
 		return
 	}
 	n.do(OperatorAnswer{of, f()})
@@ -25,12 +25,12 @@
 // ballot, or settle where the operator names a version that is not known here, or where this program takes for invalid what
 // an earlier one may have taken.
 func (n *Replica) put(e ReplaceConfig) {
-	c, digest, err := fleetconfig.Decode(e.Config)
+	c, digest, err := fleetconfig.DecodeWithDigest(e.Config)
 	if err != nil { // then no member has taken it: Apply reads it alike
-		n.do(OperatorAnswer{e.Of, api.Result{Status: http.StatusBadRequest, Says: err.Error()}})
+		n.do(OperatorAnswer{e.Of, api.Result{Status: http.StatusBadRequest, Message: err.Error()}})
 		return
 	}
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		n.invalid(e, c.Revision, digest, err)
 		return
 	}
@@ -43,16 +43,16 @@
 			case replog.ConfigAcceptable:
 				return value
 			case replog.ConfigAlreadyAccepted:
-				res = api.Result{Status: http.StatusOK, Rev: c.Revision}
+				res = api.Result{Status: http.StatusOK, Revision: c.Revision}
 			case replog.ConfigStaleBase:
-				res = api.Result{Status: http.StatusPreconditionFailed, Rev: s.Revision,
-					Says: fmt.Sprintf("X-Revision-Match: version %d is current, not %d", s.Revision, e.BaseRevision)}
+				res = api.Result{Status: http.StatusPreconditionFailed, Revision: s.Revision,
+					Message: fmt.Sprintf("X-Revision-Match: version %d is current, not %d", s.Revision, e.BaseRevision)}
 				if c.Revision < s.OldestRevision() {
-					res.Says += fmt.Sprintf("; whether %d was ever taken is not known any more", c.Revision)
+					res.Message += fmt.Sprintf("; whether %d was ever taken is not known any more", c.Revision)
 				}
 			case replog.ConfigRevisionTooLow:
 				res = api.Result{Status: http.StatusBadRequest,
-					Says: fmt.Sprintf("revision: %d is not above the current one, %d", c.Revision, s.Revision)}
+					Message: fmt.Sprintf("revision: %d is not above the current one, %d", c.Revision, s.Revision)}
 			}
 			return nil
 		}, e.Until, func(err error) { n.answer(e.Of, err, func() api.Result { return res }) })
@@ -74,9 +74,9 @@
 func (n *Replica) invalid(e ReplaceConfig, revision uint64, d fleetconfig.Digest, fault error) {
 	taken := func() api.Result {
 		if n.state.WasAccepted(revision, d) {
-			return api.Result{Status: http.StatusOK, Rev: revision}
+			return api.Result{Status: http.StatusOK, Revision: revision}
 		}
-		return api.Result{Status: http.StatusBadRequest, Says: fault.Error()}
+		return api.Result{Status: http.StatusBadRequest, Message: fault.Error()}
 	}
 	if revision <= n.state.Revision {
 		n.do(OperatorAnswer{e.Of, taken()})
@@ -95,9 +95,9 @@
 	n.settle(e.Until, e.Passive, func(err error) {
 		n.answer(e.Of, err, func() api.Result {
 			if n.state.Config == nil {
-				return api.Result{Status: http.StatusNotFound, Says: "there is no configuration yet"}
+				return api.Result{Status: http.StatusNotFound, Message: "there is no configuration yet"}
 			}
-			return api.Result{Status: http.StatusOK, Rev: n.state.Revision, Body: n.state.Config}
+			return api.Result{Status: http.StatusOK, Revision: n.state.Revision, Body: n.state.Config}
 		})
 	})
 }
@@ -116,9 +116,9 @@
 			}
 			b, err := json.Marshal(all)
 			if err != nil {
-				return api.Result{Status: http.StatusInternalServerError, Says: err.Error()}
+				return api.Result{Status: http.StatusInternalServerError, Message: err.Error()}
 			}
-			return api.Result{Status: http.StatusOK, Rev: n.state.Revision, Body: b}
+			return api.Result{Status: http.StatusOK, Revision: n.state.Revision, Body: b}
 		})
 	})
 }
--- a/internal/control/replica/propose.go
+++ b/internal/control/replica/propose.go
@@ -114,7 +114,7 @@
 		case !ok:
 			n.reply(a, m, ask.Kind, paxos.Response{}, false)
 		default:
-			n.call(to, CallPaxos, text, limits.NodeAsk, func(body []byte, err error) {
+			n.call(to, CallPaxos, text, limits.ReplicaCallTimeout, func(body []byte, err error) {
 				var ans paxos.Response
 				if err == nil {
 					ans, err = decodeAnswer(body)
@@ -192,12 +192,12 @@
 		if a.HasGranted(m.ID) {
 			kind, b = CallCommit, named
 		}
-		n.call(to, kind, b, limits.NodeAsk, nil)
+		n.call(to, kind, b, limits.ReplicaCallTimeout, nil)
 	}
 	for i := range n.state.Members { // and those whom it has made members
 		m := &n.state.Members[i]
 		if to, ok := addr(m); ok && m.ID != n.Self.ID && !slices.ContainsFunc(a.members, func(x replog.Member) bool { return x.ID == m.ID }) {
-			n.call(to, CallLearn, whole, limits.NodeAsk, nil)
+			n.call(to, CallLearn, whole, limits.ReplicaCallTimeout, nil)
 		}
 	}
 }
@@ -206,7 +206,7 @@
 func (n *Replica) bring(id uint64, members []replog.Member) {
 	for i := range members {
 		if to, ok := addr(&members[i]); ok && members[i].ID == id && id != n.Self.ID {
-			n.call(to, CallLearn, EncodeIndexed(n.state.NextIndex, nil), limits.NodeAsk, nil)
+			n.call(to, CallLearn, EncodeIndexed(n.state.NextIndex, nil), limits.ReplicaCallTimeout, nil)
 		}
 	}
 }
@@ -385,7 +385,7 @@
 				heard(m, paxos.Response{}, false)
 			default:
 				query := encodeAsk(&paxos.Request{Kind: paxos.KindQuery})
-				n.call(to, CallPaxos, query, limits.NodeAsk, func(body []byte, err error) {
+				n.call(to, CallPaxos, query, limits.ReplicaCallTimeout, func(body []byte, err error) {
 					var ans paxos.Response
 					if err == nil {
 						ans, err = decodeAnswer(body)
--- a/internal/control/replica/tend.go
+++ b/internal/control/replica/tend.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	settleWithin = limits.NodeSettle
+	settleWithin = limits.OperatorCallTimeout
 	foundWithin  = 3 * time.Second // one set of founders; and so long only the first of them tries
 )
 
@@ -37,19 +37,19 @@
 	state := &n.state
 	switch {
 	case state.NextIndex == 0 && n.IsFounder:
-		n.after(limits.NodeFounding, n.gather)
+		n.after(limits.FoundingInterval, n.gather)
 	case state.NextIndex == 0 || !n.tend.looked: // what it has on its disk may be old
-		n.after(limits.NodeFounding, n.lookAtOne)
+		n.after(limits.FoundingInterval, n.lookAtOne)
 	case state.Member(n.Self.ID) == nil:
-		n.after(limits.NodeJoin, n.lookAtOne)
+		n.after(limits.JoinRetryInterval, n.lookAtOne)
 	default:
-		n.after(limits.NodeCatchUp, n.lookAtOne)
+		n.after(limits.CatchUpInterval, n.lookAtOne)
 	}
 }
 
 // who asks a keeper who it is.
 func (n *Replica) who(to netip.AddrPort, then func(i identity, ok bool)) {
-	n.call(to, CallIdentity, nil, limits.NodeAsk, func(body []byte, err error) {
+	n.call(to, CallIdentity, nil, limits.ReplicaCallTimeout, func(body []byte, err error) {
 		var i identity
 		if err == nil {
 			i, err = decodeIdentity(body)
@@ -97,7 +97,7 @@
 			n.log.Info("not taken in as a member yet", "by", to.String(), "err", err)
 		}
 		if err == nil && len(body) == 1 && body[0] == joinFull {
-			n.after(limits.NodeStandby, n.lookAtOne)
+			n.after(limits.LearnerRetryInterval, n.lookAtOne)
 			return
 		}
 		n.look()
@@ -137,7 +137,7 @@
 	}
 	slices.SortFunc(founders, func(x, y replog.Member) int { return cmp.Compare(x.Name, y.Name) })
 	first := founders[0].ID == n.Self.ID || n.now-t.began > foundWithin
-	if len(founders) < n.MinVoters || n.now-t.stable < limits.NodeStable || !first || n.state.NextIndex > 0 {
+	if len(founders) < n.MinVoters || n.now-t.stable < limits.FoundingQuietPeriod || !first || n.state.NextIndex > 0 {
 		n.look()
 		return
 	}
--- a/internal/control/replog/codec.go
+++ b/internal/control/replog/codec.go
@@ -89,7 +89,7 @@
 	case kindMembers:
 		e.Payload = MembersChange{Members: readMembers(&r)}
 	case kindConfig:
-		e.Payload = ConfigChange{BaseRevision: r.Uvarint(), Config: r.Bytes(fleetconfig.MostBytes)}
+		e.Payload = ConfigChange{BaseRevision: r.Uvarint(), Config: r.Bytes(fleetconfig.MaxBytes)}
 	case kindLease:
 		e.Payload = LeaseGrant{HolderID: r.Fixed64(), HolderName: r.String(maxNameBytes)}
 	case kindUsage:
@@ -166,7 +166,7 @@
 	s.Members = readMembers(&r)
 	s.Revision, s.ConfigIndex = r.Uvarint(), r.Uvarint()
 	copy(s.Digest[:], r.Bytes(len(s.Digest)))
-	if s.Config = r.Bytes(fleetconfig.MostBytes); len(s.Config) == 0 {
+	if s.Config = r.Bytes(fleetconfig.MaxBytes); len(s.Config) == 0 {
 		s.Config = nil
 	}
 	s.History = readHistory(&r)
@@ -245,7 +245,7 @@
 
 func readCompacted(r *encoding.Reader) (history []CompactedConfig) {
 	previous := uint64(0)
-	for range r.Length(limits.NodeHistory, minCompactedBytes) {
+	for range r.Length(limits.ConfigHistoryEntries, minCompactedBytes) {
 		c := CompactedConfig{Revision: previous + r.Uvarint()}
 		for i := range c.Digest {
 			c.Digest[i] = r.Byte()
--- a/internal/control/replog/golden_test.go
+++ b/internal/control/replog/golden_test.go
@@ -55,7 +55,7 @@
 		LeaseHolder: 2, LeaseHolderName: "k-2", FencingToken: 2, FormerMembers: []string{"k-2"},
 		UsageWindows: []UsageWindow{{Number: 352_800_000, Counts: []TenantCount{{"lab", 300}, {"shop", 1}}}},
 	}
-	_, want.Digest, _ = fleetconfig.Decode(want.Config)
+	_, want.Digest, _ = fleetconfig.DecodeWithDigest(want.Config)
 	want.History = []AcceptedConfig{{5, want.Digest}}
 	golden.Equal(t, "the state", want, s)
 }
--- a/internal/control/replog/history.go
+++ b/internal/control/replog/history.go
@@ -35,7 +35,7 @@
 	if len(s.History) < 2*minHistory {
 		return
 	}
-	s.CompactedHistory = slices.Clone(newest(s.CompactedHistory, limits.NodeHistory-minHistory))
+	s.CompactedHistory = slices.Clone(newest(s.CompactedHistory, limits.ConfigHistoryEntries-minHistory))
 	for _, c := range s.History[:minHistory] {
 		s.CompactedHistory = append(s.CompactedHistory, c.compact())
 	}
--- a/internal/control/replog/history_test.go
+++ b/internal/control/replog/history_test.go
@@ -12,12 +12,12 @@
 // that has read the state from its disk or from another replica, and another configuration with its revision is not. The
 // size of the history is bounded.
 func TestLateRepeatsAreRecognised(t *testing.T) {
-	const accepted = limits.NodeHistory + 1000
+	const accepted = limits.ConfigHistoryEntries + 1000
 	s := &State{}
 	d := make([]fleetconfig.Digest, accepted)
 	for n := range accepted {
 		config := encodedConfig(t, 3*n+1)
-		_, d[n], _ = fleetconfig.Decode(config)
+		_, d[n], _ = fleetconfig.DecodeWithDigest(config)
 		apply(s, ConfigChange{s.Revision, config})
 		if n%700 == 0 { // as a replica that restarts or catches up
 			b := s.Encode()
@@ -29,7 +29,7 @@
 		}
 	}
 	for n := range accepted {
-		revision, isKept := uint64(3*n+1), n >= accepted-limits.NodeHistory
+		revision, isKept := uint64(3*n+1), n >= accepted-limits.ConfigHistoryEntries
 		if was := s.WasAccepted(revision, d[n]); was != isKept && (isKept || was != (revision >= s.OldestRevision())) {
 			t.Errorf("revision %d of %d, the oldest kept %d: %v", revision, s.Revision, s.OldestRevision(), was)
 		}
@@ -38,7 +38,7 @@
 		}
 	}
 	b := s.Encode()
-	if len(b) > 80<<10 || len(s.History)+len(s.CompactedHistory) > limits.NodeHistory+2*minHistory {
+	if len(b) > 80<<10 || len(s.History)+len(s.CompactedHistory) > limits.ConfigHistoryEntries+2*minHistory {
 		t.Errorf("%d bytes, %d and %d configurations", len(b), len(s.History), len(s.CompactedHistory))
 	}
 	first := s.EncodeAs(1)
@@ -53,7 +53,7 @@
 // BenchmarkHistory measures one accepted configuration, the encoding and a look-up, with a full history.
 func BenchmarkHistory(b *testing.B) {
 	s := &State{}
-	for n := range limits.NodeHistory + 200 {
+	for n := range limits.ConfigHistoryEntries + 200 {
 		s.appendHistory(AcceptedConfig{Revision: uint64(n + 1)})
 	}
 	b.Run("append", func(b *testing.B) {
--- a/internal/control/replog/state.go
+++ b/internal/control/replog/state.go
@@ -58,7 +58,7 @@
 }
 
 func (p ConfigChange) apply(s *State, index uint64) {
-	c, digest, err := fleetconfig.Decode(p.Config)
+	c, digest, err := fleetconfig.DecodeWithDigest(p.Config)
 	if err != nil || p.BaseRevision != s.Revision || c.Revision <= s.Revision {
 		return
 	}
--- a/internal/control/replog/state_test.go
+++ b/internal/control/replog/state_test.go
@@ -129,7 +129,7 @@
 	if !bytes.Equal(s.Encode(), b) || !bytes.Equal(s.EncodeAs(StateVersion), b) {
 		t.Error("encoded again, it differs")
 	}
-	_, d, _ := fleetconfig.Decode(encodedConfig(t, 13))
+	_, d, _ := fleetconfig.DecodeWithDigest(encodedConfig(t, 13))
 	for n := 141; n < 341; n += 2 { // and continues
 		apply(s, ConfigChange{s.Revision, encodedConfig(t, n)})
 	}
--- a/internal/control/singleton/duty_test.go
+++ b/internal/control/singleton/duty_test.go
@@ -168,10 +168,10 @@
 }
 
 func TestScaler(t *testing.T) {
-	f := limits.Scale{Share: 0.5, PerEngine: 4, Settle: 3 * sec, Calm: 5 * sec, Smooth: sec}
+	f := limits.AutoscaleTuning{TargetUtilization: 0.5, TargetRunningPerEngine: 4, MinObservation: 3 * sec, ScaleDownDelay: 5 * sec, SmoothingTime: sec}
 	zones := []string{"a", "b", "c"}
 	b := Bounds{Min: 2, Max: 10}
-	s := Scaler{Scale: f}
+	s := Scaler{AutoscaleTuning: f}
 	sum := func(w map[string]int) (n int) {
 		for _, k := range w {
 			n += k
@@ -192,13 +192,13 @@
 	if w := step(2*sec, 60); sum(w) != 24 {
 		t.Errorf("after 2 s of traffic fewer than there are: %v", w)
 	}
-	if w := (&Scaler{Scale: f}).Targets(now, Demand{Running: 120}, b, zones, have); sum(w) != 30 {
+	if w := (&Scaler{AutoscaleTuning: f}).Targets(now, Demand{Running: 120}, b, zones, have); sum(w) != 30 {
 		t.Errorf("too few at the first sight of traffic: %v", w)
 	}
-	if w := (&Scaler{Scale: f}).Targets(now, Demand{Running: 48, Slots: 4}, b, zones, have); sum(w) != 24 {
+	if w := (&Scaler{AutoscaleTuning: f}).Targets(now, Demand{Running: 48, Slots: 4}, b, zones, have); sum(w) != 24 {
 		t.Errorf("48 running at engines of 4 slots, half of which are wanted in use: %v", w)
 	}
-	if w := (&Scaler{Scale: f}).Targets(now, Demand{Running: 120, Slots: 16}, b, zones, map[string]int{}); sum(w) != 15 {
+	if w := (&Scaler{AutoscaleTuning: f}).Targets(now, Demand{Running: 120, Slots: 16}, b, zones, map[string]int{}); sum(w) != 15 {
 		t.Errorf("120 running at engines of 16 slots, half of which are wanted in use: %v", w)
 	}
 	if w := step(8*sec, 60); sum(w) != 15 {
--- a/internal/control/singleton/meter.go
+++ b/internal/control/singleton/meter.go
@@ -25,7 +25,7 @@
 
 // Reports makes one for each keeper, of what it has not said that it has. A keeper that is not among them is forgotten.
 func (m *Meter) Reports(wall time.Time, loads []Load, keepers []uint64) []Report {
-	before := WindowAt(wall.Add(-limits.NodeUsageKept), m.WindowLength)
+	before := WindowAt(wall.Add(-limits.UsageRetention), m.WindowLength)
 	m.tally.DropBefore(before)
 	if m.told == nil {
 		m.told = map[uint64]*ackedCounters{}
--- a/internal/control/singleton/node.go
+++ b/internal/control/singleton/node.go
@@ -130,7 +130,7 @@
 // New returns a keeper's part.
 func New(now time.Duration, c Config) *Controller {
 	return &Controller{
-		Config: c, held: Holder{Duration: c.LeaseDuration, Margin: limits.NodeLeaseMargin}, grants: Grants{Duration: c.LeaseDuration, StartedAt: now, NeverGranted: c.NeverGranted},
+		Config: c, held: Holder{Duration: c.LeaseDuration, Margin: limits.LeaseMargin}, grants: Grants{Duration: c.LeaseDuration, StartedAt: now, NeverGranted: c.NeverGranted},
 		calls: map[uint64]func([]byte, error){}, nonce: rand.New(rand.NewPCG(c.Incarnation, c.Self.ID)), sent: map[uint64]bool{},
 		scalers: map[string]*Scaler{}, before: map[string]Load{}, ordered: map[string]int{},
 	}
@@ -182,7 +182,7 @@
 func (n *Controller) call(to netip.AddrPort, kind uint8, body []byte, then func(body []byte, err error)) {
 	n.id++
 	n.calls[n.id] = then
-	n.out = append(n.out, replica.SendCall{ID: n.id, To: to, Kind: kind, Body: body, Timeout: limits.NodeAsk})
+	n.out = append(n.out, replica.SendCall{ID: n.id, To: to, Kind: kind, Body: body, Timeout: limits.ReplicaCallTimeout})
 }
 
 var errKind = errors.New("no call of the duties'")
@@ -263,7 +263,7 @@
 
 // holds tells whether it may call the platform, and for how long: what is on its way must arrive before another may act.
 func (n *Controller) holds() (left time.Duration, ok bool) {
-	left = n.held.Remaining(n.now) - limits.NodeLeaseCall
+	left = n.held.Remaining(n.now) - limits.LeaseCallReserve
 	return left, left > 0 && n.state.LeaseHolder == n.Self.ID
 }
 
@@ -321,7 +321,7 @@
 
 func (n *Controller) propose(want func(*replog.State) []byte, then func(error)) {
 	n.then = then
-	n.out = append(n.out, Propose{Next: want, Timeout: limits.NodeSettle})
+	n.out = append(n.out, Propose{Next: want, Timeout: limits.OperatorCallTimeout})
 }
 
 // extend asks the members for more time, from now on.
@@ -373,7 +373,7 @@
 	if n.ReportsUsage && n.usage() || !n.ScalesEngines {
 		return
 	}
-	if len(n.orders) == 0 && n.now-n.looked >= limits.NodeScale {
+	if len(n.orders) == 0 && n.now-n.looked >= limits.AutoscaleInterval {
 		n.look()
 	}
 	n.order()
@@ -478,7 +478,7 @@
 		n.before[svc.Name] = load
 		sc := n.scalers[svc.Name]
 		if sc == nil {
-			sc = &Scaler{Scale: limits.Scaling()}
+			sc = &Scaler{AutoscaleTuning: limits.DefaultAutoscaleTuning()}
 			n.scalers[svc.Name] = sc
 		}
 		var zones []string
--- a/internal/control/singleton/scale.go
+++ b/internal/control/singleton/scale.go
@@ -23,7 +23,7 @@
 // Scaler wants numbers of engines for one service. It goes up at once, and down once less has been enough for a while: an
 // engine too few costs worth for as long as another takes to boot.
 type Scaler struct {
-	limits.Scale
+	limits.AutoscaleTuning
 	mean  float64
 	seen  time.Duration // since traffic was first seen
 	last  time.Duration
@@ -47,19 +47,19 @@
 		s.seen, s.last, s.mean = now, now, d.Running
 	}
 	if dt := now - s.last; dt > 0 {
-		s.mean += (d.Running - s.mean) * (1 - math.Exp(-float64(dt)/float64(s.Smooth)))
+		s.mean += (d.Running - s.mean) * (1 - math.Exp(-float64(dt)/float64(s.SmoothingTime)))
 		s.last = now
 	}
 	if len(zones) == 0 {
 		return nil
 	}
-	per := s.PerEngine
+	per := s.TargetRunningPerEngine
 	if d.Slots > 0 {
-		per = max(s.Share*d.Slots, 0.5)
+		per = max(s.TargetUtilization*d.Slots, 0.5)
 	}
 	total := int(math.Ceil(s.mean / per))
 	s.peaks = append(s.peaks, peak{now, total})
-	for len(s.peaks) > 1 && now-s.peaks[0].at > s.Calm {
+	for len(s.peaks) > 1 && now-s.peaks[0].at > s.ScaleDownDelay {
 		s.peaks = s.peaks[1:]
 	}
 	for _, p := range s.peaks {
@@ -72,7 +72,7 @@
 			n++
 		}
 		n = min(max(n, b.Min, 1), max(b.Max, 1))
-		if now-s.seen < s.Settle {
+		if now-s.seen < s.MinObservation {
 			n = max(n, have[z])
 		}
 		wanted[z] = n
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -283,7 +283,7 @@
 		return nil
 	}
 	s.since++
-	if s.bytes += len(value); s.since < limits.NodePlaces && s.bytes < limits.NodePlaceBytes {
+	if s.bytes += len(value); s.since < limits.LogTailEntries && s.bytes < limits.LogTailBytes {
 		return s.put(place(state.NextIndex-1), value)
 	}
 	return s.SaveSnapshot(state)
--- a/internal/control/storage/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -176,7 +176,7 @@
 func TestPlacesAreBounded(t *testing.T) {
 	s, _ := open(t, t.TempDir(), Identity{ID: 7})
 	defer s.Close()
-	large := make([]byte, limits.NodePlaceBytes/4)
+	large := make([]byte, limits.LogTailBytes/4)
 	for next := range uint64(6) {
 		if err := s.AppendChosen(large, &replog.State{NextIndex: next + 1}); err != nil {
 			t.Fatal(err)
--- a/internal/control/transport/peer.go
+++ b/internal/control/transport/peer.go
@@ -17,29 +17,29 @@
 
 // The bounds.
 const (
-	MostFrame  = 9 << 20          // a configuration with what goes around it
-	mostConns  = 1024             // from others at once: two of each of 500; then the one that was used longest ago goes
-	idle       = 20 * time.Second // a connection on which nothing is asked
-	keptIdle   = 15 * time.Second // the same at the caller's, who must be first
-	dialWait   = 600 * time.Millisecond
-	frameBytes = 8
-	version    = 1
+	MaxFrameBytes = 9 << 20          // a configuration with what goes around it
+	mostConns     = 1024             // from others at once: two of each of 500; then the one that was used longest ago goes
+	idle          = 20 * time.Second // a connection on which nothing is asked
+	keptIdle      = 15 * time.Second // the same at the caller's, who must be first
+	dialWait      = 600 * time.Millisecond
+	frameBytes    = 8
+	version       = 1
 )
 
-// ErrRefused is an answer that is none: the other could not do what was asked, and says why.
-var ErrRefused = errors.New("refused")
+// ErrRemote is an answer that is none: the other could not do what was asked, and says why.
+var ErrRemote = errors.New("refused")
 
 // Handler answers calls. It may wait; each call has a goroutine.
 type Handler func(ctx context.Context, kind uint8, from netip.Addr, body []byte) ([]byte, error)
 
-// Net is a process's sockets.
-type Net struct {
+// Transport is a process's sockets.
+type Transport struct {
 	udp    *net.UDPConn
 	ln     *net.TCPListener
 	handle Handler
-	// Counted is told of every exchange that begins here: a call's bytes both ways, or a datagram's (kind 0, with what it
+	// OnExchange is told of every exchange that begins here: a call's bytes both ways, or a datagram's (kind 0, with what it
 	// holds). It must not wait; nil is nobody. It is set before anything is sent.
-	Counted func(to netip.AddrPort, kind uint8, bytes int, datagram []byte)
+	OnExchange func(to netip.AddrPort, kind uint8, bytes int, datagram []byte)
 
 	mu    sync.Mutex
 	idle  map[netip.AddrPort][]*kept
@@ -55,7 +55,7 @@
 }
 
 // Open opens the sockets at an address.
-func Open(addr netip.AddrPort, h Handler) (*Net, error) {
+func Open(addr netip.AddrPort, h Handler) (*Transport, error) {
 	ln, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(addr))
 	if err != nil {
 		return nil, fmt.Errorf("peer: %w", err)
@@ -68,14 +68,14 @@
 		ln.Close()
 		return nil, fmt.Errorf("peer: %w", err)
 	}
-	return &Net{udp: udp, ln: ln, handle: h, idle: map[netip.AddrPort][]*kept{}, conns: map[net.Conn]time.Time{}, most: mostConns}, nil
+	return &Transport{udp: udp, ln: ln, handle: h, idle: map[netip.AddrPort][]*kept{}, conns: map[net.Conn]time.Time{}, most: mostConns}, nil
 }
 
 // Addr is where the sockets are.
-func (n *Net) Addr() netip.AddrPort { return n.ln.Addr().(*net.TCPAddr).AddrPort() }
+func (n *Transport) Addr() netip.AddrPort { return n.ln.Addr().(*net.TCPAddr).AddrPort() }
 
 // Close closes the sockets.
-func (n *Net) Close() {
+func (n *Transport) Close() {
 	n.udp.Close()
 	n.ln.Close()
 	n.mu.Lock()
@@ -92,16 +92,16 @@
 	}
 }
 
-// Send sends a datagram. It may get lost.
-func (n *Net) Send(to netip.AddrPort, b []byte) {
-	if n.Counted != nil {
-		n.Counted(to, 0, len(b), b)
+// SendDatagram sends a datagram. It may get lost.
+func (n *Transport) SendDatagram(to netip.AddrPort, b []byte) {
+	if n.OnExchange != nil {
+		n.OnExchange(to, 0, len(b), b)
 	}
 	n.udp.WriteToUDPAddrPort(b, to)
 }
 
-// Datagrams hands datagrams to take until the socket is closed. The bytes are take's own.
-func (n *Net) Datagrams(take func([]byte)) {
+// ServeDatagrams hands datagrams to take until the socket is closed. The bytes are take's own.
+func (n *Transport) ServeDatagrams(take func([]byte)) {
 	buf := make([]byte, 64<<10)
 	for {
 		k, _, err := n.udp.ReadFromUDPAddrPort(buf)
@@ -116,8 +116,8 @@
 	}
 }
 
-// Serve answers calls until the socket is closed.
-func (n *Net) Serve(ctx context.Context) {
+// ServeCalls answers calls until the socket is closed.
+func (n *Transport) ServeCalls(ctx context.Context) {
 	for {
 		c, err := n.ln.AcceptTCP()
 		if errors.Is(err, net.ErrClosed) {
@@ -150,7 +150,7 @@
 }
 
 // makeRoom closes the connection that was used longest ago; its caller finds another. The lock is held.
-func (n *Net) makeRoom() bool {
+func (n *Transport) makeRoom() bool {
 	var oldest net.Conn
 	for c, used := range n.conns {
 		if !used.IsZero() && (oldest == nil || used.Before(n.conns[oldest])) {
@@ -166,7 +166,7 @@
 }
 
 // used notes that a call begins or ends on a connection.
-func (n *Net) used(c net.Conn, at time.Time) {
+func (n *Transport) used(c net.Conn, at time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if _, there := n.conns[c]; there {
@@ -175,7 +175,7 @@
 }
 
 // answer answers the calls of a connection.
-func (n *Net) answer(ctx context.Context, c *net.TCPConn) {
+func (n *Transport) answer(ctx context.Context, c *net.TCPConn) {
 	from := c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr()
 	for {
 		c.SetReadDeadline(time.Now().Add(idle))
@@ -202,7 +202,7 @@
 		return 0, nil, err
 	}
 	size := binary.BigEndian.Uint32(h[4:])
-	if h[0] != 'n' || h[1] != 'h' || h[2] != version || size > MostFrame {
+	if h[0] != 'n' || h[1] != 'h' || h[2] != version || size > MaxFrameBytes {
 		return 0, nil, errors.New("peer: not of this format")
 	}
 	// Memory is taken as bytes come, lest a head that lies have much of it.
@@ -221,7 +221,7 @@
 }
 
 func write(w io.Writer, kind uint8, body []byte) error {
-	if len(body) > MostFrame {
+	if len(body) > MaxFrameBytes {
 		return errors.New("peer: too long")
 	}
 	b := make([]byte, frameBytes, frameBytes+len(body))
@@ -233,25 +233,25 @@
 
 // Call asks another and waits for its answer, within the context's time: who is cut off is noticed by that, and its
 // connection is not used again. (TCP_USER_TIMEOUT would notice later than any call here may take.)
-func (n *Net) Call(ctx context.Context, to netip.AddrPort, kind uint8, body []byte) ([]byte, error) {
+func (n *Transport) Call(ctx context.Context, to netip.AddrPort, kind uint8, body []byte) ([]byte, error) {
 	c, again, err := n.get(ctx, to)
 	if err != nil {
 		return nil, fmt.Errorf("peer: %v: %w", to, err)
 	}
 	out, err := n.ask(ctx, c, kind, body)
-	if err != nil && again && !errors.Is(err, ErrRefused) && ctx.Err() == nil && !errors.Is(err, errTime) {
+	if err != nil && again && !errors.Is(err, ErrRemote) && ctx.Err() == nil && !errors.Is(err, errTime) {
 		// A connection that was kept may have ended long ago.
 		if c, err = n.dial(ctx, to); err == nil {
 			out, err = n.ask(ctx, c, kind, body)
 		}
 	}
-	if n.Counted != nil {
-		n.Counted(to, kind, 2*frameBytes+len(body)+len(out), nil)
+	if n.OnExchange != nil {
+		n.OnExchange(to, kind, 2*frameBytes+len(body)+len(out), nil)
 	}
-	if err != nil && !errors.Is(err, ErrRefused) {
+	if err != nil && !errors.Is(err, ErrRemote) {
 		return nil, fmt.Errorf("peer: %v: %w", to, err)
 	}
-	if err == nil || errors.Is(err, ErrRefused) {
+	if err == nil || errors.Is(err, ErrRemote) {
 		n.put(to, c)
 	}
 	return out, err
@@ -259,7 +259,7 @@
 
 var errTime = errors.New("no answer in time")
 
-func (n *Net) ask(ctx context.Context, c net.Conn, kind uint8, body []byte) ([]byte, error) {
+func (n *Transport) ask(ctx context.Context, c net.Conn, kind uint8, body []byte) ([]byte, error) {
 	until, ok := ctx.Deadline()
 	if !ok {
 		until = time.Now().Add(idle)
@@ -282,13 +282,13 @@
 		return nil, err
 	}
 	if got == 0 {
-		return nil, fmt.Errorf("%w: %s", ErrRefused, out)
+		return nil, fmt.Errorf("%w: %s", ErrRemote, out)
 	}
 	return out, nil
 }
 
 // get returns a connection; again says that it was kept from before.
-func (n *Net) get(ctx context.Context, to netip.AddrPort) (c net.Conn, again bool, err error) {
+func (n *Transport) get(ctx context.Context, to netip.AddrPort) (c net.Conn, again bool, err error) {
 	for {
 		n.mu.Lock()
 		all := n.idle[to]
@@ -309,12 +309,12 @@
 	}
 }
 
-func (n *Net) dial(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
+func (n *Transport) dial(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialWait, KeepAlive: -1}
 	return d.DialContext(ctx, "tcp4", to.String())
 }
 
-func (n *Net) put(to netip.AddrPort, c net.Conn) {
+func (n *Transport) put(to netip.AddrPort, c net.Conn) {
 	const few = 2
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/control/transport/peer_test.go
+++ b/internal/control/transport/peer_test.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-func open(t *testing.T, h Handler) *Net {
+func open(t *testing.T, h Handler) *Transport {
 	t.Helper()
 	n, err := Open(netip.MustParseAddrPort("127.0.0.1:0"), h)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(n.Close)
-	go n.Serve(t.Context())
+	go n.ServeCalls(t.Context())
 	return n
 }
 
@@ -39,7 +39,7 @@
 			t.Errorf("%d bytes: %d bytes back, %v", len(body), len(got), err)
 		}
 	}
-	if _, err := a.Call(t.Context(), b.Addr(), 9, nil); !errors.Is(err, ErrRefused) {
+	if _, err := a.Call(t.Context(), b.Addr(), 9, nil); !errors.Is(err, ErrRemote) {
 		t.Errorf("%v", err)
 	}
 	if len(a.idle[b.Addr()]) != 1 {
@@ -92,14 +92,14 @@
 		return append(binary.BigEndian.AppendUint32(b, size), body...)
 	}
 	for name, b := range map[string][]byte{
-		"magic": frame("xx", 1, 0, ""), "version": frame("nh", 2, 0, ""), "too long": frame("nh", 1, MostFrame+1, ""),
+		"magic": frame("xx", 1, 0, ""), "version": frame("nh", 2, 0, ""), "too long": frame("nh", 1, MaxFrameBytes+1, ""),
 		"cut off": frame("nh", 1, 9, "x"), "nothing": nil,
 	} {
 		if _, _, err := read(bytes.NewReader(b)); err == nil {
 			t.Errorf("%s is taken", name)
 		}
 	}
-	if err := write(io.Discard, 1, make([]byte, MostFrame+1)); err == nil {
+	if err := write(io.Discard, 1, make([]byte, MaxFrameBytes+1)); err == nil {
 		t.Error("a frame over the bound is written")
 	}
 }
@@ -107,8 +107,8 @@
 func TestDatagrams(t *testing.T) {
 	a, b := open(t, echo), open(t, echo)
 	got := make(chan []byte, 1)
-	go b.Datagrams(func(x []byte) { got <- x })
-	a.Send(b.Addr(), []byte("news"))
+	go b.ServeDatagrams(func(x []byte) { got <- x })
+	a.SendDatagram(b.Addr(), []byte("news"))
 	if x := <-got; string(x) != "news" {
 		t.Errorf("%q", x)
 	}
@@ -130,7 +130,7 @@
 	b.mu.Lock()
 	b.most = 3
 	b.mu.Unlock()
-	var callers []*Net
+	var callers []*Transport
 	for range 8 {
 		callers = append(callers, open(t, echo))
 	}
--- a/internal/declaration/declaration_test.go
+++ b/internal/declaration/declaration_test.go
@@ -2,11 +2,13 @@
 
 import (
 	"bytes"
+	stdcmp "cmp"
 	"encoding/json"
 	"errors"
 	"flag"
 	"os"
 	"path/filepath"
+	"reflect"
 	"strings"
 	"testing"
 
@@ -21,7 +23,12 @@
 var update = flag.Bool("update", false, "write deploy/configuration.schema.json anew")
 
 func TestSchemaIsOfTheTypes(t *testing.T) {
-	r := jsonschema.Reflector{FieldNameTag: "toml", RequiredFromJSONSchemaTags: true, ExpandedStruct: true, Anonymous: true}
+	// The names under $defs stay as published; schemas of users may refer to them.
+	published := map[string]string{"WeightedService": "Share", "Autoscaling": "Scale", "RequestLimits": "Limits"}
+	r := jsonschema.Reflector{
+		FieldNameTag: "toml", RequiredFromJSONSchemaTags: true, ExpandedStruct: true, Anonymous: true,
+		Namer: func(t reflect.Type) string { return stdcmp.Or(published[t.Name()], t.Name()) },
+	}
 	s := r.Reflect(&fleetconfig.Config{})
 	s.ID, s.Title = "", "a configuration of the fleet"
 	text, err := json.MarshalIndent(s, "", "  ")
@@ -82,8 +89,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Numbered || f.Routes[1].Timeout != 2500.5 || f.Routes[1].Split[0].Service != "scribe" || f.Services[0].Scale.Max != 12 ||
-		!cmp.Equal(f.Tenants[0].Keys[:2], []string{"one", "two"}) || !cmp.Equal(f.Unread, []string{"file:lab.key"}) {
+	if f.Numbered || f.Routes[1].TimeoutMS != 2500.5 || f.Routes[1].TrafficSplit[0].Service != "scribe" || f.Services[0].Autoscaling.MaxInstances != 12 ||
+		!cmp.Equal(f.Tenants[0].APIKeys[:2], []string{"one", "two"}) || !cmp.Equal(f.Unread, []string{"file:lab.key"}) {
 		t.Errorf("%+v", f.Config)
 	}
 	// The wire's form is the same every time, and says the same.
@@ -93,8 +100,8 @@
 		t.Fatal(err)
 	}
 	again, _ := Encode(f.Config)
-	c, _, err := fleetconfig.Decode(b)
-	if err != nil || c.Check() != nil || !cmp.Equal(c, f.Config) || !bytes.Equal(b, again) {
+	c, _, err := fleetconfig.DecodeWithDigest(b)
+	if err != nil || c.Validate() != nil || !cmp.Equal(c, f.Config) || !bytes.Equal(b, again) {
 		t.Errorf("%v %s", err, cmp.Diff(f.Config, c))
 	}
 	path := filepath.Join(t.TempDir(), "a.cbor")
@@ -104,7 +111,7 @@
 	if g, err := Read(path, env); err != nil || !g.Numbered || !cmp.Equal(g.Config, f.Config) {
 		t.Errorf("from CBOR: %+v %v", g, err)
 	}
-	for _, k := range Hidden(f.Config).Tenants[0].Keys {
+	for _, k := range Hidden(f.Config).Tenants[0].APIKeys {
 		if k == "one" || k == "two" {
 			t.Error("a key is shown")
 		}
--- a/internal/declaration/diff.go
+++ b/internal/declaration/diff.go
@@ -39,24 +39,24 @@
 	if a == nil {
 		a = &fleetconfig.Config{}
 	}
-	all = append(all, pairs("route", a.Routes, b.Routes, func(r *fleetconfig.Route) string { return strings.ToLower(r.Host) + r.Prefix }, routeText)...)
+	all = append(all, pairs("route", a.Routes, b.Routes, func(r *fleetconfig.Route) string { return strings.ToLower(r.Hostname) + r.PathPrefix }, routeText)...)
 	all = append(all, pairs("service", a.Services, b.Services, func(s *fleetconfig.Service) string { return s.Name },
 		func(s *fleetconfig.Service) string {
-			return fmt.Sprintf("%s, %d connections", cmp.Or(s.Protocol, "h1"), s.MaxConns)
+			return fmt.Sprintf("%s, %d connections", cmp.Or(s.Protocol, "h1"), s.MaxConnections)
 		})...)
 	all = append(all, pairs("tenant", a.Tenants, b.Tenants, func(t *fleetconfig.Tenant) string { return t.Name },
 		func(t *fleetconfig.Tenant) string {
-			return fmt.Sprintf("%d keys, priority %d", len(t.Keys), t.Priority)
+			return fmt.Sprintf("%d keys, priority %d", len(t.APIKeys), t.Priority)
 		})...)
-	all = append(all, fields("request_limits", "", reflect.ValueOf(a.Limits), reflect.ValueOf(b.Limits))...)
+	all = append(all, fields("request_limits", "", reflect.ValueOf(a.RequestLimits), reflect.ValueOf(b.RequestLimits))...)
 	return all
 }
 
 func routeText(r *fleetconfig.Route) string {
-	return fmt.Sprintf("%s, %s -> %s, %v ms", r.Name, r.Type, shares(r.Shares()), r.Timeout)
+	return fmt.Sprintf("%s, %s -> %s, %v ms", r.Name, r.Type, shares(r.Targets()), r.TimeoutMS)
 }
 
-func shares(all []fleetconfig.Share) string {
+func shares(all []fleetconfig.WeightedService) string {
 	var s []string
 	for _, x := range all {
 		s = append(s, fmt.Sprintf("%s:%v", x.Service, x.Weight))
@@ -111,13 +111,13 @@
 
 func show(v any) string {
 	switch v := v.(type) {
-	case []fleetconfig.Share:
+	case []fleetconfig.WeightedService:
 		return shares(v)
-	case *fleetconfig.Scale:
+	case *fleetconfig.Autoscaling:
 		if v == nil {
 			return ""
 		}
-		return fmt.Sprintf("%d to %d, boot %v s", v.Min, v.Max, v.BootS)
+		return fmt.Sprintf("%d to %d, boot %v s", v.MinInstances, v.MaxInstances, v.BootTimeoutS)
 	}
 	return fmt.Sprint(v)
 }
--- a/internal/declaration/file.go
+++ b/internal/declaration/file.go
@@ -41,9 +41,9 @@
 func Parse(text []byte, path string, getenv func(string) string) (*File, error) {
 	f := &File{Config: &fleetconfig.Config{}, Path: path}
 	if filepath.Ext(path) == ".cbor" || len(text) > 0 && text[0] >= 0xa0 && text[0] <= 0xbf { // a map, which begins no TOML
-		c, _, err := fleetconfig.Decode(text)
+		c, _, err := fleetconfig.DecodeWithDigest(text)
 		if err == nil {
-			err = c.Check()
+			err = c.Validate()
 		}
 		f.Config, f.Numbered = c, true
 		return f, lines(nil, path, err)
@@ -60,7 +60,7 @@
 	}
 	f.Numbered = f.Revision > 0
 	for i := range f.Tenants {
-		for k, key := range f.Tenants[i].Keys {
+		for k, key := range f.Tenants[i].APIKeys {
 			got, err := elsewhere(key, filepath.Dir(path), getenv)
 			switch {
 			case errors.Is(err, errUnread):
@@ -68,13 +68,13 @@
 			case err != nil:
 				faults = append(faults, from.Fault([]string{"tenants", fmt.Sprint(i), "api_keys"}, "%v", err))
 			default:
-				f.Tenants[i].Keys[k] = got
+				f.Tenants[i].APIKeys[k] = got
 			}
 		}
 	}
 	checked := *f.Config
 	checked.Revision = max(checked.Revision, 1) // the next one, which is not known here
-	if err := lines(from, path, checked.Check()); err != nil {
+	if err := lines(from, path, checked.Validate()); err != nil {
 		var more settings.Faults
 		if !errors.As(err, &more) {
 			return nil, err
@@ -118,7 +118,7 @@
 
 // lines makes faults of a configuration faults of a file.
 func lines(from *settings.Source, path string, err error) error {
-	var faults fleetconfig.Faults
+	var faults fleetconfig.FieldErrors
 	if !errors.As(err, &faults) {
 		if err != nil {
 			return settings.Faults{{File: path, Says: err.Error()}}
@@ -127,11 +127,11 @@
 	}
 	var all settings.Faults
 	for _, x := range faults {
-		f := settings.Fault{File: path, Key: strings.TrimSuffix(x.String(), ": "+x.Says), Says: x.Says}
+		f := settings.Fault{File: path, Key: strings.TrimSuffix(x.String(), ": "+x.Message), Says: x.Message}
 		if from != nil {
-			f = from.Fault(x.Path, "%s", x.Says)
-			if x.Name != "" {
-				f.Key += " (" + x.Name + ")"
+			f = from.Fault(x.Path, "%s", x.Message)
+			if x.Owner != "" {
+				f.Key += " (" + x.Owner + ")"
 			}
 		}
 		all = append(all, f)
@@ -153,7 +153,7 @@
 	out := *c
 	out.Tenants = nil
 	for _, t := range c.Tenants {
-		t.Keys = []string{fmt.Sprintf("(%d keys)", len(t.Keys))}
+		t.APIKeys = []string{fmt.Sprintf("(%d keys)", len(t.APIKeys))}
 		out.Tenants = append(out.Tenants, t)
 	}
 	return &out
--- a/internal/declaration/golden_test.go
+++ b/internal/declaration/golden_test.go
@@ -13,21 +13,21 @@
 		Revision: 300,
 		Routes: []fleetconfig.Route{
 			{
-				Name: "chat", Host: "a.example", Prefix: "/chat/", Type: fleetconfig.Streaming, Timeout: 12000, Target: 800, Priority: 1,
-				Service: "scribe", Attempts: 2, Public: true, Affinity: true, Resume: true,
+				Name: "chat", Hostname: "a.example", PathPrefix: "/chat/", Type: fleetconfig.RouteStreaming, TimeoutMS: 12000, TargetLatencyMS: 800, Priority: 1,
+				TargetService: "scribe", MaxAttempts: 2, Public: true, SessionAffinity: true, Resumable: true,
 			},
 			{
-				Name: "read", Host: "a.example", Prefix: "/", Type: fleetconfig.Idempotent, Timeout: 2500.5,
-				Split: []fleetconfig.Share{{Service: "scribe", Weight: 1}, {Service: "reader", Weight: 0.5}},
+				Name: "read", Hostname: "a.example", PathPrefix: "/", Type: fleetconfig.RouteIdempotent, TimeoutMS: 2500.5,
+				TrafficSplit: []fleetconfig.WeightedService{{Service: "scribe", Weight: 1}, {Service: "reader", Weight: 0.5}},
 			},
-			{Name: "write", Host: "b.example", Prefix: "/", Type: fleetconfig.NonIdempotent, Timeout: 100, Service: "reader"},
+			{Name: "write", Hostname: "b.example", PathPrefix: "/", Type: fleetconfig.RouteNonIdempotent, TimeoutMS: 100, TargetService: "reader"},
 		},
 		Services: []fleetconfig.Service{
-			{Name: "scribe", Health: "/health", MaxConns: 110, Protocol: "h1", Scale: &fleetconfig.Scale{Min: 2, Max: 12, BootS: 7.5}},
-			{Name: "reader", TLS: true},
+			{Name: "scribe", HealthPath: "/health", MaxConnections: 110, Protocol: "h1", Autoscaling: &fleetconfig.Autoscaling{MinInstances: 2, MaxInstances: 12, BootTimeoutS: 7.5}},
+			{Name: "reader", TLSEnabled: true},
 		},
-		Limits:  fleetconfig.Limits{HeaderBytes: 8192, BodyBytes: 1_000_000, HeaderMS: 500, IdleMS: 15_000.5},
-		Tenants: []fleetconfig.Tenant{{Name: "lab", Keys: []string{"one", "two"}, Priority: 2, PerS: 0.5}},
+		RequestLimits: fleetconfig.RequestLimits{MaxHeaderBytes: 8192, MaxBodyBytes: 1_000_000, HeaderTimeoutMS: 500, IdleTimeoutMS: 15_000.5},
+		Tenants:       []fleetconfig.Tenant{{Name: "lab", APIKeys: []string{"one", "two"}, Priority: 2, RatePerS: 0.5}},
 	}
 	golden.RoundTrip(t, "configuration.cbor.hex", c, func(c *fleetconfig.Config) []byte {
 		b, err := Encode(c)
@@ -36,7 +36,7 @@
 		}
 		return b
 	}, func(b []byte) (*fleetconfig.Config, error) {
-		got, digest, err := fleetconfig.Decode(b)
+		got, digest, err := fleetconfig.DecodeWithDigest(b)
 		golden.Check(t, "configuration.digest.hex", digest[:])
 		return got, err
 	})
--- a/internal/edge/compile_bench_test.go
+++ b/internal/edge/compile_bench_test.go
@@ -20,10 +20,10 @@
 		}
 		for i := range n {
 			c.Routes = append(c.Routes, fleetconfig.Route{
-				Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i/5), Prefix: fmt.Sprintf("/p%d/", i),
-				Type: fleetconfig.Streaming, Timeout: 12000, Target: 800, Service: fmt.Sprint("s", i%9), Attempts: 2,
+				Name: fmt.Sprint("r", i), Hostname: fmt.Sprintf("h%d.example", i/5), PathPrefix: fmt.Sprintf("/p%d/", i),
+				Type: fleetconfig.RouteStreaming, TimeoutMS: 12000, TargetLatencyMS: 800, TargetService: fmt.Sprint("s", i%9), MaxAttempts: 2,
 			})
-			c.Tenants = append(c.Tenants, fleetconfig.Tenant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("k", i)}})
+			c.Tenants = append(c.Tenants, fleetconfig.Tenant{Name: fmt.Sprint("t", i), APIKeys: []string{fmt.Sprint("k", i)}})
 		}
 		text, err := cbor.Marshal(c)
 		if err != nil {
@@ -33,7 +33,7 @@
 			b.ReportAllocs()
 			b.SetBytes(int64(len(text)))
 			for b.Loop() {
-				c, err := fleetconfig.Read(text, nil)
+				c, err := fleetconfig.Decode(text, nil)
 				next := pool.ID(1)
 				if err == nil {
 					_, err = Compile(c, 1, nil, &next, nil)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -105,11 +105,11 @@
 // Class is what the module knows of a route.
 func Class(r *fleetconfig.Route) policy.Class {
 	c := policy.Class{
-		Name: fmt.Sprintf("%s/%v/%d/%d", r.Type, r.Target, r.Priority, r.Attempts), Aim: fleetconfig.Millis(cmp.Or(r.Target, r.Timeout)),
-		Deadline: fleetconfig.Millis(r.Timeout), Worth: math.Exp2(-float64(min(max(r.Priority, 0), 8))), LateWorth: 1,
-		Effect: policy.Unsafe, Streaming: r.Type == fleetconfig.Streaming, MaxAttempts: max(r.Attempts, 1),
+		Name: fmt.Sprintf("%s/%v/%d/%d", r.Type, r.TargetLatencyMS, r.Priority, r.MaxAttempts), Aim: fleetconfig.Milliseconds(cmp.Or(r.TargetLatencyMS, r.TimeoutMS)),
+		Deadline: fleetconfig.Milliseconds(r.TimeoutMS), Worth: math.Exp2(-float64(min(max(r.Priority, 0), 8))), LateWorth: 1,
+		Effect: policy.Unsafe, Streaming: r.Type == fleetconfig.RouteStreaming, MaxAttempts: max(r.MaxAttempts, 1),
 	}
-	if r.Type == fleetconfig.Idempotent {
+	if r.Type == fleetconfig.RouteIdempotent {
 		c.Effect = policy.Safe
 	}
 	return c
@@ -132,10 +132,10 @@
 
 // silent is how long clients of the platform wait for the next sign of a stream: two seconds, or four times the aim.
 func silent(r *fleetconfig.Route) time.Duration {
-	if r.Type != fleetconfig.Streaming {
+	if r.Type != fleetconfig.RouteStreaming {
 		return math.MaxInt64
 	}
-	return max(2*time.Second, 4*fleetconfig.Millis(r.Target))
+	return max(2*time.Second, 4*fleetconfig.Milliseconds(r.TargetLatencyMS))
 }
 
 // Compile works a configuration out. Services that it names and before has not are made with numbers from next on. It
@@ -160,10 +160,10 @@
 	var routes []route.Route
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		l := leads{Route: r, class: map[pool.ID]int{}, timeout: fleetconfig.Millis(r.Timeout), silence: silent(r)}
+		l := leads{Route: r, class: map[pool.ID]int{}, timeout: fleetconfig.Milliseconds(r.TimeoutMS), silence: silent(r)}
 		name := strconv.Itoa(i)
 		s := route.Service{Name: name}
-		for _, share := range r.Shares() {
+		for _, share := range r.Targets() {
 			to := out.services[share.Service]
 			if to == nil {
 				return nil, fmt.Errorf("route %s: there is no service %q", r.Name, share.Service)
@@ -171,14 +171,14 @@
 			l.class[to.ID] = to.class(r)
 			s.Shares = append(s.Shares, route.Share{Pool: share.Service, Weight: share.Weight})
 		}
-		host, err := route.Host(r.Host)
+		host, err := route.Host(r.Hostname)
 		if err != nil {
 			return nil, fmt.Errorf("route %s: %w", r.Name, err)
 		}
 		services = append(services, s)
-		routes = append(routes, route.Route{Service: name, Host: host, Prefix: r.Prefix})
+		routes = append(routes, route.Route{Service: name, Host: host, Prefix: r.PathPrefix})
 		out.routes = append(out.routes, l)
-		if i%fleetconfig.Some == fleetconfig.Some-1 {
+		if i%fleetconfig.YieldInterval == fleetconfig.YieldInterval-1 {
 			pause()
 		}
 	}
@@ -195,10 +195,10 @@
 	out.table = table
 	for i := range c.Tenants {
 		t := &c.Tenants[i]
-		if i%fleetconfig.Some == fleetconfig.Some-1 {
+		if i%fleetconfig.YieldInterval == fleetconfig.YieldInterval-1 {
 			pause()
 		}
-		for _, k := range t.Keys {
+		for _, k := range t.APIKeys {
 			h := xxhash.Sum64String(k)
 			out.keys[h] = append(out.keys[h], &key{k, t})
 		}
@@ -283,7 +283,7 @@
 		if err != nil || !(v > 0) {
 			return w, &acquirer.Refusal{Status: http.StatusBadRequest, Reason: "bad_deadline: " + deadlineHeader + " is no number above 0"}
 		}
-		left = min(left, fleetconfig.Millis(v))
+		left = min(left, fleetconfig.Milliseconds(v))
 	}
 	r.until = now.Add(left)
 	number := to.Pool(d.Conversation())
@@ -312,19 +312,19 @@
 			Status: http.StatusServiceUnavailable, Reason: "yields: not all can be served, and others come first", Retry: time.Second,
 		}
 	}
-	m := acquirer.Message{Of: r, Attempts: r.route.Attempts}
+	m := acquirer.Message{Of: r, Attempts: r.route.MaxAttempts}
 	m.Request = policy.Request{Class: r.route.class[w.Pool.ID], ExpiresIn: min(left, r.route.silence)}
 	prefix := ""
 	if p := req.Header[prefixHeader]; len(p) == 1 {
 		prefix = p[0]
 	}
-	if r.route.Affinity && prefix != "" {
+	if r.route.SessionAffinity && prefix != "" {
 		m.Request.Session, m.Request.Prefix = d.session(d.Salt, r, w.Pool.Name, prefix), d.session(0, r, w.Pool.Name, prefix)
 	}
 	m.Order = issuer.Order{
 		Method: req.Method, Target: w.Target, Host: w.Host, Body: body, Until: r.until, Header: passedOn(req.Header, r.tenant),
 		Counted: req.ContentLength != 0 || len(req.TransferEncoding) > 0, CallID: req.Header.Get(idHeader),
-		Once: r.route.Type != fleetconfig.Idempotent,
+		Once: r.route.Type != fleetconfig.RouteIdempotent,
 	}
 	return m, nil
 }
@@ -332,7 +332,7 @@
 // session is what stands for one: requests of a route, service and tenant that share the beginning of their prompt.
 func (d *Dialect) session(salt uint64, r *request, service, prefix string) uint64 {
 	h := xxhash.NewWithSeed(salt)
-	for _, s := range []string{r.route.Host, r.route.Prefix, service, "", prefix} {
+	for _, s := range []string{r.route.Hostname, r.route.PathPrefix, service, "", prefix} {
 		h.WriteString(s)
 		h.Write([]byte{0})
 	}
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -26,15 +26,15 @@
 		Revision: 3,
 		Services: []fleetconfig.Service{{Name: "s"}, {Name: "t"}},
 		Routes: []fleetconfig.Route{
-			{Name: "wide", Host: "a.example", Prefix: "/", Type: fleetconfig.Idempotent, Timeout: 2500, Target: 1000, Service: "t", Attempts: 3},
-			{Name: "deep", Host: "a.example", Prefix: "/x/y/", Type: fleetconfig.Streaming, Timeout: 12000, Target: 800, Affinity: true, Service: "s", Attempts: 2},
-			{Name: "open", Host: "a.example", Prefix: "/open/", Type: fleetconfig.NonIdempotent, Timeout: 1000, Public: true, Service: "t"},
+			{Name: "wide", Hostname: "a.example", PathPrefix: "/", Type: fleetconfig.RouteIdempotent, TimeoutMS: 2500, TargetLatencyMS: 1000, TargetService: "t", MaxAttempts: 3},
+			{Name: "deep", Hostname: "a.example", PathPrefix: "/x/y/", Type: fleetconfig.RouteStreaming, TimeoutMS: 12000, TargetLatencyMS: 800, SessionAffinity: true, TargetService: "s", MaxAttempts: 2},
+			{Name: "open", Hostname: "a.example", PathPrefix: "/open/", Type: fleetconfig.RouteNonIdempotent, TimeoutMS: 1000, Public: true, TargetService: "t"},
 			{
-				Name: "split", Host: "b.example", Prefix: "/", Type: fleetconfig.Idempotent, Timeout: 1000,
-				Split: []fleetconfig.Share{{Service: "s", Weight: 1}, {Service: "t", Weight: 3}},
+				Name: "split", Hostname: "b.example", PathPrefix: "/", Type: fleetconfig.RouteIdempotent, TimeoutMS: 1000,
+				TrafficSplit: []fleetconfig.WeightedService{{Service: "s", Weight: 1}, {Service: "t", Weight: 3}},
 			},
 		},
-		Tenants: []fleetconfig.Tenant{{Name: "k", Keys: []string{"one", "two"}}},
+		Tenants: []fleetconfig.Tenant{{Name: "k", APIKeys: []string{"one", "two"}}},
 	}
 }
 
@@ -279,7 +279,7 @@
 	}
 	c := conf()
 	c.Revision = 9
-	c.Routes[1].Target = 700 // another class of s
+	c.Routes[1].TargetLatencyMS = 700 // another class of s
 	c.Services = append(c.Services, fleetconfig.Service{Name: "u"})
 	second, err := Compile(c, 2, first.Services(), &next, nil)
 	if err != nil {
@@ -301,7 +301,7 @@
 func TestDrainFits(t *testing.T) {
 	const drain = 3 * time.Second
 	connect := 500 * time.Millisecond
-	if sum := limits.DrainGrace(drain) + limits.NodeSpread + connect; sum > drain {
+	if sum := limits.DrainGrace(drain) + limits.GossipSpreadTime + connect; sum > drain {
 		t.Errorf("%v of %v", sum, drain)
 	}
 }
@@ -372,7 +372,7 @@
 	// More come than can be served: whoever ranks lower is told at once to come again, the tenant's rank before the route's, and
 	// not once it is over. Other services are not concerned.
 	c := conf()
-	c.Tenants = []fleetconfig.Tenant{{Name: "k", Keys: []string{"one"}}, {Name: "low", Keys: []string{"two"}, Priority: 1}}
+	c.Tenants = []fleetconfig.Tenant{{Name: "k", APIKeys: []string{"one"}}, {Name: "low", APIKeys: []string{"two"}, Priority: 1}}
 	c.Routes[1].Priority = 7
 	at := compile(t, c)
 	now := time.Duration(0)
@@ -425,27 +425,27 @@
 	c := conf()
 	for i := range 1000 {
 		c.Routes = append(c.Routes, fleetconfig.Route{
-			Name: fmt.Sprint("r", i), Host: "many.example", Prefix: fmt.Sprintf("/%d/", i),
-			Type: fleetconfig.Idempotent, Timeout: 1000, Service: c.Services[0].Name,
+			Name: fmt.Sprint("r", i), Hostname: "many.example", PathPrefix: fmt.Sprintf("/%d/", i),
+			Type: fleetconfig.RouteIdempotent, TimeoutMS: 1000, TargetService: c.Services[0].Name,
 		})
-		c.Tenants = append(c.Tenants, fleetconfig.Tenant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("key-", i)}})
+		c.Tenants = append(c.Tenants, fleetconfig.Tenant{Name: fmt.Sprint("t", i), APIKeys: []string{fmt.Sprint("key-", i)}})
 	}
 	text, err := cbor.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	pauses := 0
-	got, err := fleetconfig.Read(text, func() { pauses++ })
-	if err != nil || pauses < 2000/fleetconfig.Some-1 {
+	got, err := fleetconfig.Decode(text, func() { pauses++ })
+	if err != nil || pauses < 2000/fleetconfig.YieldInterval-1 {
 		t.Fatalf("read in %d pauses, %v", pauses, err)
 	}
-	whole, _, err := fleetconfig.Decode(text)
+	whole, _, err := fleetconfig.DecodeWithDigest(text)
 	if diff := cmp.Diff(whole, got); diff != "" || err != nil {
 		t.Errorf("%v (-whole +in parts):\n%s", err, diff)
 	}
 	pauses = 0
 	next := pool.ID(1)
-	if _, err := Compile(got, 1, nil, &next, func() { pauses++ }); err != nil || pauses < 2000/fleetconfig.Some-1 {
+	if _, err := Compile(got, 1, nil, &next, func() { pauses++ }); err != nil || pauses < 2000/fleetconfig.YieldInterval-1 {
 		t.Errorf("compiled in %d pauses, %v", pauses, err)
 	}
 }
--- a/internal/edge/explain.go
+++ b/internal/edge/explain.go
@@ -8,19 +8,19 @@
 
 // Explanation is what would become of a request.
 type Explanation struct {
-	Revision uint64              `json:"revision"`
-	Route    string              `json:"route,omitempty"`
-	Host     string              `json:"hostname,omitempty"`
-	Prefix   string              `json:"path_prefix,omitempty"`
-	Type     string              `json:"route_type,omitempty"`
-	Tenant   string              `json:"tenant,omitempty"`
-	Shares   []fleetconfig.Share `json:"split,omitempty"`
-	Service  string              `json:"service,omitempty"` // of a split, this time's
-	Class    string              `json:"class,omitempty"`
-	Session  bool                `json:"session"` // known sessions go by the table, others are drawn
-	LeftMS   int64               `json:"left_ms,omitempty"`
-	Status   int                 `json:"status,omitempty"` // it is refused with
-	Refused  string              `json:"refused,omitempty"`
+	Revision uint64                        `json:"revision"`
+	Route    string                        `json:"route,omitempty"`
+	Host     string                        `json:"hostname,omitempty"`
+	Prefix   string                        `json:"path_prefix,omitempty"`
+	Type     string                        `json:"route_type,omitempty"`
+	Tenant   string                        `json:"tenant,omitempty"`
+	Shares   []fleetconfig.WeightedService `json:"split,omitempty"`
+	Service  string                        `json:"service,omitempty"` // of a split, this time's
+	Class    string                        `json:"class,omitempty"`
+	Session  bool                          `json:"session"` // known sessions go by the table, others are drawn
+	LeftMS   int64                         `json:"left_ms,omitempty"`
+	Status   int                           `json:"status,omitempty"` // it is refused with
+	Refused  string                        `json:"refused,omitempty"`
 }
 
 // Explain says what would become of a request, by its head. Nothing is sent or kept.
@@ -32,7 +32,7 @@
 	w, no := d.Lead(req)
 	if no == nil {
 		r := w.Of.(*request)
-		x.Route, x.Host, x.Prefix, x.Type, x.Shares = r.route.Name, r.route.Host, r.route.Prefix, r.route.Type, r.route.Shares()
+		x.Route, x.Host, x.Prefix, x.Type, x.Shares = r.route.Name, r.route.Hostname, r.route.PathPrefix, r.route.Type, r.route.Targets()
 		x.Service = w.Pool.Name
 		if r.tenant != nil {
 			x.Tenant = r.tenant.Name
--- a/internal/edge/smuggle_test.go
+++ b/internal/edge/smuggle_test.go
@@ -26,10 +26,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		d := dialect(t)
-		lim := limits.NewNode(limits.Machine{Cores: 1, MemoryMB: 184, Sockets: 1024})
+		lim := limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 184, Sockets: 1024})
 		front := acquirer.New(acquirer.Options{
 			Lim: lim, Dialect: d, Routes: func() *service.Directory { return nil }, Now: func() time.Duration { return 0 }, Ready: func() bool { return true },
-			Bounds: func() limits.Bounds { b, _ := lim.Declared(16384, 1<<20, 3*time.Second, 15*time.Second); return b },
+			Bounds: func() limits.RequestBounds {
+				b, _ := lim.ConfiguredBounds(16384, 1<<20, 3*time.Second, 15*time.Second)
+				return b
+			},
 			Post: func(e broker.Event) {
 				x, ok := e.(broker.Taken)
 				if !ok {
--- a/internal/edge/stutter_test.go
+++ b/internal/edge/stutter_test.go
@@ -92,7 +92,7 @@
 func play(t *testing.T, n int, say func(id string, first bool) []string) (all []*asker, results []policy.Result) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &stutterer{say: say}
-		lim := limits.NewNode(limits.Machine{Cores: 1, MemoryMB: 184, Sockets: 1024})
+		lim := limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 184, Sockets: 1024})
 		var c *issuer.Client
 		ended := make(chan policy.Result, 1)
 		c = issuer.New(issuer.Config{Lim: lim, Dialect: Legs{}, Dial: s.dial, Post: func(e broker.Event) {
--- a/internal/edge/tenants_bench_test.go
+++ b/internal/edge/tenants_bench_test.go
@@ -20,12 +20,12 @@
 		c := &fleetconfig.Config{Revision: 1, Services: []fleetconfig.Service{{Name: "s"}}}
 		for i := range 100 {
 			c.Routes = append(c.Routes, fleetconfig.Route{
-				Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i/20), Prefix: fmt.Sprintf("/p%d/", i),
-				Type: fleetconfig.Streaming, Timeout: 60000, Target: 390, Service: "s", Attempts: 2,
+				Name: fmt.Sprint("r", i), Hostname: fmt.Sprintf("h%d.example", i/20), PathPrefix: fmt.Sprintf("/p%d/", i),
+				Type: fleetconfig.RouteStreaming, TimeoutMS: 60000, TargetLatencyMS: 390, TargetService: "s", MaxAttempts: 2,
 			})
 		}
 		for i := range n {
-			c.Tenants = append(c.Tenants, fleetconfig.Tenant{Name: fmt.Sprintf("tenant-%05d", i), Keys: []string{fmt.Sprintf("sk-%032x", i*0x9e3779b1)}, PerS: 50})
+			c.Tenants = append(c.Tenants, fleetconfig.Tenant{Name: fmt.Sprintf("tenant-%05d", i), APIKeys: []string{fmt.Sprintf("sk-%032x", i*0x9e3779b1)}, RatePerS: 50})
 		}
 		text, err := cbor.Marshal(c)
 		if err != nil {
@@ -34,14 +34,14 @@
 		for _, how := range []string{"at once", "paused"} {
 			var pause func()
 			if how == "paused" {
-				pause = func() { time.Sleep(limits.NodeBreath) }
+				pause = func() { time.Sleep(limits.ConfigYieldPause) }
 			}
 			b.Run(fmt.Sprintf("%s/%d", how, n), func(b *testing.B) {
 				b.ReportAllocs()
 				var held any
 				before := heap()
 				for b.Loop() {
-					c, err := fleetconfig.Read(text, pause)
+					c, err := fleetconfig.Decode(text, pause)
 					next := pool.ID(1)
 					if err == nil {
 						held, err = Compile(c, 1, nil, &next, pause)
--- a/internal/issuer/issuer.go
+++ b/internal/issuer/issuer.go
@@ -124,7 +124,7 @@
 	return &Client{
 		Config: c, legs: map[broker.LegID]*leg{}, pools: map[pool.ID]*Reports{},
 		lines: lines{
-			lim: c.Lim, dial: c.Dial, post: c.Post, idle: map[dest][]*line{}, stock: share.New(int64(c.Lim.IssuerConns)),
+			lim: c.Lim, dial: c.Dial, post: c.Post, idle: map[dest][]*line{}, stock: share.New(int64(c.Lim.UpstreamConns)),
 		},
 	}
 }
@@ -310,7 +310,7 @@
 	if c.Rest != nil && customer.Order().Once {
 		most = c.Rest()
 	}
-	ln, err := c.lines.get(ctx, dest{e.Host, e.Dial, e.Pool}, min(c.Lim.ConnectWait, e.Wait), most)
+	ln, err := c.lines.get(ctx, dest{e.Host, e.Dial, e.Pool}, min(c.Lim.ConnectTimeout, e.Wait), most)
 	if err != nil {
 		end.Result = policy.ConnectFailed
 		return
@@ -393,9 +393,9 @@
 
 // forgot finds out whether a host that has ended a line takes new ones, or has ended itself. The new one is parked.
 func (c *Client) forgot(to dest) {
-	ctx, cancel := context.WithTimeout(context.Background(), c.Lim.ConnectWait)
+	ctx, cancel := context.WithTimeout(context.Background(), c.Lim.ConnectTimeout)
 	defer cancel()
-	if ln, err := c.lines.get(ctx, to, c.Lim.ConnectWait, 0); err == nil {
+	if ln, err := c.lines.get(ctx, to, c.Lim.ConnectTimeout, 0); err == nil {
 		c.lines.put(ln)
 		c.Forgot()
 	}
@@ -419,7 +419,7 @@
 func (c *Client) stream(ctx context.Context, ln *line, resp *http.Response, l *leg, e broker.SendLeg, to Customer,
 	end *broker.LegEnded,
 ) bool {
-	ev := events{from: resp.Body, most: c.Lim.EventBytes, buf: make([]byte, 0, c.Lim.ReadBuffer)}
+	ev := events{from: resp.Body, most: c.Lim.StreamEventBytes, buf: make([]byte, 0, c.Lim.ControlReadBytes)}
 	part, err := ev.next()
 	if len(part) == 0 {
 		// An answer without any event is not a stream; one that breaks before its first event is a reset.
@@ -454,7 +454,7 @@
 			break
 		}
 		now := time.Now()
-		ln.SetReadDeadline(now.Add(c.Lim.StreamWait))
+		ln.SetReadDeadline(now.Add(c.Lim.StreamIdleTimeout))
 		if l.times != nil {
 			l.times.Relay += now.Sub(relay)
 		}
@@ -492,10 +492,10 @@
 func (c *Client) plain(ctx context.Context, ln *line, resp *http.Response, l *leg, e broker.SendLeg, to Customer,
 	end *broker.LegEnded,
 ) bool {
-	ln.SetReadDeadline(time.Now().Add(c.Lim.AnswerWait))
-	size := int64(2 * c.Lim.ReadBuffer) // of one that does not tell its length
+	ln.SetReadDeadline(time.Now().Add(c.Lim.FirstEventTimeout))
+	size := int64(2 * c.Lim.ControlReadBytes) // of one that does not tell its length
 	if resp.ContentLength >= 0 {
-		size = min(resp.ContentLength+1, int64(c.Lim.EventBytes))
+		size = min(resp.ContentLength+1, int64(c.Lim.StreamEventBytes))
 	}
 	buf := make([]byte, size)
 	n, err := io.ReadFull(resp.Body, buf)
@@ -533,7 +533,7 @@
 		if err != nil {
 			return c.finish(resp, e, to, err, end)
 		}
-		ln.SetReadDeadline(time.Now().Add(c.Lim.StreamWait))
+		ln.SetReadDeadline(time.Now().Add(c.Lim.StreamIdleTimeout))
 		n, err = resp.Body.Read(buf)
 	}
 }
@@ -614,14 +614,14 @@
 }
 
 func (c *Client) probe(to dest, r *Reports) (policy.Result, policy.Report) {
-	ctx, cancel := context.WithTimeout(context.Background(), c.Lim.ProbeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), c.Lim.HealthCheckTimeout)
 	defer cancel()
-	ln, err := c.lines.get(ctx, to, c.Lim.ConnectWait, 0)
+	ln, err := c.lines.get(ctx, to, c.Lim.ConnectTimeout, 0)
 	if err != nil {
 		return policy.ConnectFailed, policy.Report{}
 	}
 	path := c.Dialect.Probe(r)
-	until := time.Now().Add(c.Lim.ProbeWait)
+	until := time.Now().Add(c.Lim.HealthCheckTimeout)
 	ln.SetDeadline(until)
 	if _, err := io.WriteString(ln, "GET "+path+" HTTP/1.1\r\nHost: "+to.addr+"\r\n\r\n"); err != nil {
 		ln.Close()
@@ -630,9 +630,9 @@
 	resp, _, err := c.readResponse(ln, nil, until)
 	var body []byte
 	if err == nil {
-		body, err = io.ReadAll(io.LimitReader(resp.Body, int64(c.Lim.ReadBuffer)))
+		body, err = io.ReadAll(io.LimitReader(resp.Body, int64(c.Lim.ControlReadBytes)))
 	}
-	if err != nil || resp.Close || len(body) >= c.Lim.ReadBuffer {
+	if err != nil || resp.Close || len(body) >= c.Lim.ControlReadBytes {
 		ln.Close()
 	} else {
 		c.lines.put(ln)
@@ -673,12 +673,12 @@
 // line of such a host is not used again. How long it is silent before the answer is the broker's to bound, or until's;
 // from the answer's first byte to its first event it has AnswerWait. first is when its first byte was there.
 func (c *Client) readResponse(ln *line, o *Order, until time.Time) (_ *http.Response, first time.Time, _ error) {
-	for range c.Lim.Interim + 1 {
+	for range c.Lim.MaxInterimResponses + 1 {
 		if _, err := ln.br.Peek(1); err != nil {
 			return nil, first, err
 		}
 		first = time.Now()
-		if soon := first.Add(c.Lim.AnswerWait); until.IsZero() || soon.Before(until) {
+		if soon := first.Add(c.Lim.FirstEventTimeout); until.IsZero() || soon.Before(until) {
 			ln.SetReadDeadline(soon)
 		}
 		head, err := framing.Head(ln.br)
@@ -705,7 +705,7 @@
 			if whose == Nobodys {
 				return nil, first, errSpoilt
 			}
-			if n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, limits.Surplus)); err != nil || n == limits.Surplus || resp.Close {
+			if n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, limits.MaxDiscardedBody)); err != nil || n == limits.MaxDiscardedBody || resp.Close {
 				return nil, first, cmp.Or(err, errSpoilt) // nothing more comes, or too much
 			}
 		}
--- a/internal/issuer/issuer_test.go
+++ b/internal/issuer/issuer_test.go
@@ -53,7 +53,7 @@
 func newDesk(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *desk {
 	d := &desk{}
 	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024},
-		limits.Site{ConnectTimeout: 100 * time.Millisecond, IdleClose: 5 * time.Second})
+		limits.Site{ConnectTimeout: 100 * time.Millisecond, UpstreamIdleClose: 5 * time.Second})
 	d.Client = New(Config{
 		Lim: lim, Dial: dial,
 		Reports: Reports{Columns: []string{"x1", "concurrent"}, Stats: true, Piggyback: true},
@@ -259,7 +259,7 @@
 			play(t, conn, "served")
 			synctest.Wait()
 		}
-		idle := d.Lim.IssuerIdle
+		idle := d.Lim.UpstreamIdleTimeout
 		want := []broker.Event{broker.Parked{Line: 1, Idle: idle}, broker.Parked{Line: 2, Idle: idle}}
 		if diff := cmp.Diff(want, d.events); diff != "" || len(far) != 0 {
 			t.Errorf("parked, %d more connections (-want +got):\n%s", len(far), diff)
--- a/internal/issuer/lines.go
+++ b/internal/issuer/lines.go
@@ -83,7 +83,7 @@
 		p.release(to.pool)
 		return nil, err
 	}
-	l := &line{Conn: conn, br: bufio.NewReaderSize(conn, p.lim.AnswerHead), to: to}
+	l := &line{Conn: conn, br: bufio.NewReaderSize(conn, p.lim.ResponseHeadBytes), to: to}
 	l.closed = func() { p.release(to.pool) }
 	return l, nil
 }
@@ -164,15 +164,15 @@
 // idleOf is how long a line may wait for its next order.
 func (p *lines) idleOf(l *line) time.Duration {
 	if l.idle == 0 {
-		return p.lim.IssuerIdle
+		return p.lim.UpstreamIdleTimeout
 	}
-	return min(l.idle, p.lim.IssuerIdle)
+	return min(l.idle, p.lim.UpstreamIdleTimeout)
 }
 
 // put parks a line that can serve again; the broker has it hung up before the host would.
 func (p *lines) put(l *line) {
 	p.mu.Lock()
-	if l.br.Buffered() > 0 || l.unclean || l.idle < 0 || len(p.idle[l.to]) >= p.lim.IdlePerHost {
+	if l.br.Buffered() > 0 || l.unclean || l.idle < 0 || len(p.idle[l.to]) >= p.lim.IdlePerEndpoint {
 		p.mu.Unlock()
 		l.Close()
 		return
--- a/internal/lab/check/cuts.go
+++ b/internal/lab/check/cuts.go
@@ -340,7 +340,7 @@
 const (
 	cutMost  = 20 * time.Second
 	patience = time.Second // of an operator, for an answer
-	within   = limits.NodeSettle
+	within   = limits.OperatorCallTimeout
 	lease    = 3 * time.Second
 )
 
@@ -348,7 +348,7 @@
 func (h *host) startDuties(others []netip.AddrPort) {
 	s, life := h.s, h.life
 	c := singleton.Config{
-		Self: h.member(), LeaseDuration: lease, UsageWindow: 5 * time.Second, UsageDelay: 10 * time.Second, RouterWindow: limits.NodeLately, ScalesEngines: true, Incarnation: s.ids,
+		Self: h.member(), LeaseDuration: lease, UsageWindow: 5 * time.Second, UsageDelay: 10 * time.Second, RouterWindow: limits.RouterReportRetention, ScalesEngines: true, Incarnation: s.ids,
 		CandidacyDelay: time.Duration(h.id) * 100 * time.Millisecond, Peers: func() []netip.AddrPort { return others },
 		Services: func() []singleton.Service {
 			n := 1 + int(s.now/time.Second)%9
@@ -372,7 +372,7 @@
 		report := singleton.Report{Incarnation: 1, Loads: []singleton.Load{{Service: "s", Running: 400, Arrived: uint64(s.now / time.Millisecond)}}}
 		h.owe(replica.CallReceived{Kind: singleton.CallUsageReport, Body: report.Encode(), Of: func([]byte, error) {}})
 		h.owe(replica.Tick{})
-		s.in(limits.NodeDuty, tick)
+		s.in(limits.SingletonTickInterval, tick)
 	}
 	s.in(time.Duration(s.draw(500))*time.Millisecond, tick)
 }
--- a/internal/lab/check/legs.go
+++ b/internal/lab/check/legs.go
@@ -119,13 +119,13 @@
 
 func newRouter(pick func(int) int, breaks slips, engines, repeats int) *router {
 	r := &router{slips: breaks, pick: pick, now: time.Hour, outside: 2, repeats: repeats}
-	lim := limits.NewNode(limits.Machine{Cores: 1, MemoryMB: 184, Sockets: 1024})
-	lim.AnswerHead, lim.HeadBytes, lim.ReadBuffer = 2<<10, 1<<10, 1<<10 // as much as is sent here
+	lim := limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 184, Sockets: 1024})
+	lim.ResponseHeadBytes, lim.RequestHeadBytes, lim.ControlReadBytes = 2<<10, 1<<10, 1<<10 // as much as is sent here
 	clock := func() time.Duration { return r.now }
 	c := &fleetconfig.Config{Revision: 1, Services: []fleetconfig.Service{{Name: "s"}}}
 	for _, kind := range legKinds {
 		c.Routes = append(c.Routes, fleetconfig.Route{
-			Name: kind, Host: "h", Prefix: "/" + kind + "/", Type: kind, Timeout: 5000, Target: 1000, Service: "s", Attempts: 3, Public: true,
+			Name: kind, Hostname: "h", PathPrefix: "/" + kind + "/", Type: kind, TimeoutMS: 5000, TargetLatencyMS: 1000, TargetService: "s", MaxAttempts: 3, Public: true,
 		})
 	}
 	next := pool.ID(1)
@@ -141,7 +141,7 @@
 			classes[i].Effect = policy.Safe
 		}
 	}
-	m, err := policy.New(edge.Settings(classes, time.Second, lim.Attempts), 1)
+	m, err := policy.New(edge.Settings(classes, time.Second, lim.MaxAttempts), 1)
 	if err != nil {
 		r.wrong = err.Error()
 		return r
@@ -156,7 +156,7 @@
 			Now: func() *edge.Compiled { return at }, Conversation: func() uint64 { return 1 }, Clock: clock,
 		}, r.promises},
 	})
-	set := broker.PoolSet{Pool: s.ID, Name: "s", Module: m, WarmUp: edge.WarmUp, ColdFrom: edge.ColdFrom, Attempts: lim.Attempts}
+	set := broker.PoolSet{Pool: s.ID, Name: "s", Module: m, WarmUp: edge.WarmUp, ColdFrom: edge.ColdFrom, Attempts: lim.MaxAttempts}
 	if !r.lavish {
 		set.Repeats = &share.Repeats{Extra: float64(r.repeats), Window: 10 * time.Second}
 	}
@@ -170,7 +170,7 @@
 	return r
 }
 
-var legKinds = []string{fleetconfig.NonIdempotent, fleetconfig.Streaming, fleetconfig.Idempotent}
+var legKinds = []string{fleetconfig.RouteNonIdempotent, fleetconfig.RouteStreaming, fleetconfig.RouteIdempotent}
 
 // legDialect is the legs' own, but for a rule that may be broken.
 type legDialect struct {
@@ -335,7 +335,7 @@
 
 // ask has a client send a request.
 func (r *router) ask(c *caller, kind string) *asked {
-	q := &asked{id: fmt.Sprintf("r%04d", len(r.asked)), once: kind != fleetconfig.Idempotent, path: "/" + kind + "/x", from: c}
+	q := &asked{id: fmt.Sprintf("r%04d", len(r.asked)), once: kind != fleetconfig.RouteIdempotent, path: "/" + kind + "/x", from: c}
 	r.asked = append(r.asked, q)
 	c.asks = q
 	c.in = fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline-Remaining-Ms: 5000\r\nContent-Length: 9\r\n\r\nask %s", q.path, q.id, q.id)
@@ -468,7 +468,7 @@
 	body := fmt.Sprintf("id: 0\ndata: %s %d\n\nid: 1\ndata: end of %s\n\n", q.id, n, q.id)
 	q.answers = append(q.answers, seal+" "+body)
 	start := "HTTP/1.1 200 OK\r\nX-Response-Seal: " + seal + "\r\nX-Request-Id: " + q.id + "\r\nKeep-Alive: timeout=10\r\n" + head
-	if strings.Contains(q.path, fleetconfig.Streaming) {
+	if strings.Contains(q.path, fleetconfig.RouteStreaming) {
 		at := strings.Index(body, "\n\n") + 2
 		return fmt.Appendf(nil, "%sContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", start, at, body[:at], len(body)-at, body[at:])
 	}
@@ -733,7 +733,7 @@
 	}
 	r.resting, r.plain = nil, true
 	if !r.dead {
-		r.ask(r.call(), fleetconfig.NonIdempotent)
+		r.ask(r.call(), fleetconfig.RouteNonIdempotent)
 		r.run()
 	}
 	for _, c := range r.callers {
@@ -887,12 +887,12 @@
 		name, first string
 		slips
 	}{
-		{"an answer is taken for that of whoever waits", fleetconfig.Idempotent, slips{blind: true}},
-		{"an answer that broke off is ended as whole", fleetconfig.Streaming, slips{whole: true}},
-		{"what may not be repeated counts as what may", fleetconfig.NonIdempotent, slips{safe: true}},
-		{"a refusal promises, whatever has run", fleetconfig.NonIdempotent, slips{promises: true}},
-		{"a line is used again without a look at it", fleetconfig.Idempotent, slips{unseen: true}},
-		{"there is no budget for repeats", fleetconfig.Idempotent, slips{lavish: true}},
+		{"an answer is taken for that of whoever waits", fleetconfig.RouteIdempotent, slips{blind: true}},
+		{"an answer that broke off is ended as whole", fleetconfig.RouteStreaming, slips{whole: true}},
+		{"what may not be repeated counts as what may", fleetconfig.RouteNonIdempotent, slips{safe: true}},
+		{"a refusal promises, whatever has run", fleetconfig.RouteNonIdempotent, slips{promises: true}},
+		{"a line is used again without a look at it", fleetconfig.RouteIdempotent, slips{unseen: true}},
+		{"there is no budget for repeats", fleetconfig.RouteIdempotent, slips{lavish: true}},
 	} {
 		all = append(all, Walk{b.name, func(int) (string, int) { return legs(b.slips, [][2]string{{b.first, b.first}}, legsFine()...) }})
 	}
--- a/internal/lab/check/orders.go
+++ b/internal/lab/check/orders.go
@@ -47,11 +47,11 @@
 	x := &order{on: on, revision: revision, lenient: true, over: true}
 	var err error
 	if x.text, err = cbor.Marshal(fleetconfig.Config{
-		Revision: revision, Routes: []fleetconfig.Route{}, Services: []fleetconfig.Service{}, Limits: fleetconfig.Limits{BodyBytes: -1},
+		Revision: revision, Routes: []fleetconfig.Route{}, Services: []fleetconfig.Service{}, RequestLimits: fleetconfig.RequestLimits{MaxBodyBytes: -1},
 	}); err != nil {
 		return
 	}
-	if _, x.digest, err = fleetconfig.Decode(x.text); err != nil {
+	if _, x.digest, err = fleetconfig.DecodeWithDigest(x.text); err != nil {
 		return
 	}
 	o.orders = append(o.orders, x)
@@ -74,11 +74,11 @@
 	x := &order{on: on, revision: revision, lose: lose}
 	var err error
 	if x.text, err = cbor.Marshal(fleetconfig.Config{
-		Revision: revision, Routes: []fleetconfig.Route{}, Services: []fleetconfig.Service{}, Limits: fleetconfig.Limits{BodyBytes: variant},
+		Revision: revision, Routes: []fleetconfig.Route{}, Services: []fleetconfig.Service{}, RequestLimits: fleetconfig.RequestLimits{MaxBodyBytes: variant},
 	}); err != nil {
 		return
 	}
-	if _, x.digest, err = fleetconfig.Decode(x.text); err != nil {
+	if _, x.digest, err = fleetconfig.DecodeWithDigest(x.text); err != nil {
 		return
 	}
 	o.orders = append(o.orders, x)
@@ -173,7 +173,7 @@
 		x.refused = true
 	}
 	if x.confirmed && x.refused {
-		o.breaks("number %d upon %d is refused by somebody and confirmed by somebody (keeper %d says %d: %s)", x.revision, x.on, h.i, r.Status, r.Says)
+		o.breaks("number %d upon %d is refused by somebody and confirmed by somebody (keeper %d says %d: %s)", x.revision, x.on, h.i, r.Status, r.Message)
 	}
 }
 
@@ -191,21 +191,21 @@
 		if r.Status == http.StatusNotFound && floor == 0 {
 			return
 		}
-		if r.Rev < floor {
-			o.breaks("keeper %d says that version %d is the newest, and %d was confirmed before it was asked", h.i, r.Rev, floor)
+		if r.Revision < floor {
+			o.breaks("keeper %d says that version %d is the newest, and %d was confirmed before it was asked", h.i, r.Revision, floor)
 		}
 		for _, x := range o.orders {
-			if x.revision == r.Rev && bytes.Equal(x.text, r.Body) {
+			if x.revision == r.Revision && bytes.Equal(x.text, r.Body) {
 				if x.refused {
-					o.breaks("version %d is read back, and was refused", r.Rev)
+					o.breaks("version %d is read back, and was refused", r.Revision)
 				}
 				return
 			}
 		}
-		o.breaks("version %d is read back, and nobody has sent it", r.Rev)
+		o.breaks("version %d is read back, and nobody has sent it", r.Revision)
 	}
 	if s := h.core.State(); o.broken == "reads without a majority" && s.Config != nil {
-		of(api.Result{Status: http.StatusOK, Rev: s.Revision, Body: s.Config})
+		of(api.Result{Status: http.StatusOK, Revision: s.Revision, Body: s.Config})
 		return
 	}
 	h.take(replica.ReadConfig{Until: o.now + within, Of: of})
--- a/internal/lab/check/races.go
+++ b/internal/lab/check/races.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return
 	}
-	if _, c.digest, err = fleetconfig.Decode(text); err != nil {
+	if _, c.digest, err = fleetconfig.DecodeWithDigest(text); err != nil {
 		return
 	}
 	c.text = text
--- a/internal/lab/check/snapshots.go
+++ b/internal/lab/check/snapshots.go
@@ -270,7 +270,7 @@
 		case keeper.ReadConfig:
 			if m.w.breaks == breaksReads {
 				s := m.node.State()
-				x.Of.(func(api.Result))(api.Result{Status: 200, Rev: s.Revision})
+				x.Of.(func(api.Result))(api.Result{Status: 200, Revision: s.Revision})
 				continue
 			}
 			m.reduce(e)
@@ -482,8 +482,8 @@
 	c := map[string]any{"revision": revision, "services": []fleetconfig.Service{{Name: "s"}}, "later": w.noise}
 	routes := make([]fleetconfig.Route, w.routes)
 	for i := range routes {
-		routes[i] = fleetconfig.Route{Name: fmt.Sprintf("route-%05d", i), Host: "a.example", Prefix: fmt.Sprintf("/p%05d/", i), Type: fleetconfig.Streaming,
-			Timeout: 12000, Service: "s", Attempts: 2}
+		routes[i] = fleetconfig.Route{Name: fmt.Sprintf("route-%05d", i), Hostname: "a.example", PathPrefix: fmt.Sprintf("/p%05d/", i), Type: fleetconfig.RouteStreaming,
+			TimeoutMS: 12000, TargetService: "s", MaxAttempts: 2}
 	}
 	c["routes"] = routes
 	b, err := cbor.Marshal(c)
@@ -530,7 +530,7 @@
 			case r.Status == 503:
 				next(20 * time.Millisecond)
 			default:
-				w.breaksRule("change %d upon %d is answered %d: %s", revision, on, r.Status, r.Says)
+				w.breaksRule("change %d upon %d is answered %d: %s", revision, on, r.Status, r.Message)
 			}
 		}})
 	}
@@ -545,8 +545,8 @@
 	least, life := w.acked, m.life
 	m.take(keeper.ReadConfig{Until: w.now + 900*time.Millisecond, Of: func(r api.Result) {
 		switch {
-		case r.Status == 200 && r.Rev < least:
-			w.breaksRule("member %d reads version %d, and %d was acknowledged before", m.i, r.Rev, least)
+		case r.Status == 200 && r.Revision < least:
+			w.breaksRule("member %d reads version %d, and %d was acknowledged before", m.i, r.Revision, least)
 		case r.Status == 200:
 			then()
 		case m.life == life:
@@ -612,7 +612,7 @@
 		if how == "replaced" { // a voter's place is free only once it has been silent for so long
 			m = w.keepers[of.members]
 			w.changes(0)
-			w.play(limits.NodeGone + limits.NodeWatch)
+			w.play(limits.VoterReplaceDelay + limits.VoterCheckInterval)
 		}
 		w.play(time.Duration(w.rnd.Int64N(int64(of.gap))))
 		w.back(m)
@@ -655,7 +655,7 @@
 		m.disk.strike(at, 1+at%5, syscall.ENOSPC)
 		w.back(m)
 		if !m.up { // it could not be started at once
-			if _, ok := w.until(catchUpWithin, func() bool { return m.up && m.node.State().NextIndex+limits.NodeJoinLag > w.head }); !ok {
+			if _, ok := w.until(catchUpWithin, func() bool { return m.up && m.node.State().NextIndex+limits.MaxJoinLag > w.head }); !ok {
 				w.breaksRule("member %d is not back after its disk was full", m.i)
 			}
 		}
@@ -699,7 +699,7 @@
 func slowed(of stormOf, seed uint64) *storm {
 	const (
 		most       = 64 // events that wait
-		lacks      = limits.NodeJoinLag
+		lacks      = limits.MaxJoinLag
 		ackWithin  = 5 * time.Second // ack_ms of the control sites
 		downWithin = 500 * time.Millisecond
 	)
--- a/internal/lab/plane/operators.go
+++ b/internal/lab/plane/operators.go
@@ -87,11 +87,11 @@
 // order has an operator send a configuration. variant tells apart those of one number.
 func (w *world) order(revision, on uint64, at, variant int) *change {
 	c := &change{revision: revision, on: on, first: w.now}
-	text, err := cbor.Marshal(fleetconfig.Config{Revision: revision, Routes: []fleetconfig.Route{}, Services: []fleetconfig.Service{}, Limits: fleetconfig.Limits{BodyBytes: variant}})
+	text, err := cbor.Marshal(fleetconfig.Config{Revision: revision, Routes: []fleetconfig.Route{}, Services: []fleetconfig.Service{}, RequestLimits: fleetconfig.RequestLimits{MaxBodyBytes: variant}})
 	if err != nil {
 		return nil
 	}
-	_, digest, err := fleetconfig.Decode(text)
+	_, digest, err := fleetconfig.DecodeWithDigest(text)
 	if err != nil {
 		return nil
 	}
@@ -189,7 +189,7 @@
 			come(api.Result{Status: http.StatusOK})
 			return
 		case w.broken == "knows no order again" && s.Revision > c.on:
-			come(api.Result{Status: http.StatusPreconditionFailed, Rev: s.Revision})
+			come(api.Result{Status: http.StatusPreconditionFailed, Revision: s.Revision})
 			return
 		}
 		life := m.life
@@ -328,13 +328,13 @@
 		}
 		life = m.life
 		read := func(r api.Result) {
-			if m.life == life && r.Status == http.StatusOK && r.Rev < newest {
-				w.breaks("CURRENT", "%s hands out version %d, and %d was acknowledged before that was asked for", m.name, r.Rev, newest)
+			if m.life == life && r.Status == http.StatusOK && r.Revision < newest {
+				w.breaks("CURRENT", "%s hands out version %d, and %d was acknowledged before that was asked for", m.name, r.Revision, newest)
 			}
 		}
 		if w.broken == "reads what it has" {
 			if s := m.state(); s.Config != nil {
-				read(api.Result{Status: http.StatusOK, Rev: s.Revision})
+				read(api.Result{Status: http.StatusOK, Revision: s.Revision})
 			}
 			return
 		}
@@ -352,15 +352,15 @@
 				return
 			}
 			got = true
-			w.report.Revision = r.Rev
+			w.report.Revision = r.Revision
 			c := w.sentAs(r.Body)
 			switch {
-			case c == nil || c.revision != r.Rev:
-				w.breaks("CONFIG", "version %d is read back, and is not what was sent", r.Rev)
+			case c == nil || c.revision != r.Revision:
+				w.breaks("CONFIG", "version %d is read back, and is not what was sent", r.Revision)
 			case c.refused:
-				w.breaks("CONFIG", "version %d is read back, and was refused", r.Rev)
-			case r.Rev < w.newest:
-				w.breaks("LOST", "version %d is read back, %d was acknowledged", r.Rev, w.newest)
+				w.breaks("CONFIG", "version %d is read back, and was refused", r.Revision)
+			case r.Revision < w.newest:
+				w.breaks("LOST", "version %d is read back, %d was acknowledged", r.Revision, w.newest)
 			}
 		}})
 		w.run(w.now + time.Second)
@@ -381,7 +381,7 @@
 
 // sentAs finds what was sent by its text.
 func (w *world) sentAs(text []byte) *change {
-	_, digest, err := fleetconfig.Decode(text)
+	_, digest, err := fleetconfig.DecodeWithDigest(text)
 	if c := w.sent[digest]; err == nil && c != nil && bytes.Equal(c.text, text) {
 		return c
 	}
--- a/internal/lab/plane/platform.go
+++ b/internal/lab/plane/platform.go
@@ -115,7 +115,7 @@
 func (m *machine) duties(self replog.Member, fresh bool, next uint64) {
 	w := m.w
 	c := singleton.Config{
-		Self: self, NeverGranted: fresh && next == 0, LeaseDuration: lease, UsageWindow: window, UsageDelay: delay, RouterWindow: limits.NodeLately, ReportsUsage: true, ScalesEngines: true,
+		Self: self, NeverGranted: fresh && next == 0, LeaseDuration: lease, UsageWindow: window, UsageDelay: delay, RouterWindow: limits.RouterReportRetention, ReportsUsage: true, ScalesEngines: true,
 		Incarnation: w.rnd.Uint64(), CandidacyDelay: time.Duration(self.ID%1000) * time.Millisecond, Peers: m.others, Services: m.services, MembershipPending: m.core.MembershipPending,
 	}
 	m.duty = singleton.New(w.now, c)
@@ -124,10 +124,10 @@
 	tick = func() {
 		if m.life == life {
 			m.take(toDuty{replica.Tick{}})
-			w.in(limits.NodeDuty, tick)
+			w.in(limits.SingletonTickInterval, tick)
 		}
 	}
-	w.in(limits.NodeDuty, tick)
+	w.in(limits.SingletonTickInterval, tick)
 }
 
 // others are the keepers that are known here.
@@ -181,7 +181,7 @@
 
 // reports has a router count requests and tell every keeper, twice a second.
 func (w *world) reports(m *machine) {
-	w.in(limits.NodeReport, func() {
+	w.in(limits.RouterReportInterval, func() {
 		w.reports(m)
 		if !m.up || m.frozen {
 			return
@@ -198,7 +198,7 @@
 		}
 		life := m.life
 		for i, p := range m.meter.Reports(m.wall(), []singleton.Load{{Service: "s", Running: uint64(w.rnd.IntN(400)), Arrived: uint64(w.now / time.Second)}}, ids) {
-			w.call(m, replica.SendCall{To: keepers[i].Addr, Kind: singleton.CallUsageReport, Body: p.Encode(), Timeout: limits.NodePass}, func(body []byte, err error) {
+			w.call(m, replica.SendCall{To: keepers[i].Addr, Kind: singleton.CallUsageReport, Body: p.Encode(), Timeout: limits.ReplicaFailoverTimeout}, func(body []byte, err error) {
 				if m.life != life {
 					return
 				}
--- a/internal/lab/plane/succession.go
+++ b/internal/lab/plane/succession.go
@@ -32,7 +32,7 @@
 		end()
 		return
 	}
-	m.take(replica.Leave{Of: end, Until: w.now + limits.NodeHandOver})
+	m.take(replica.Leave{Of: end, Until: w.now + limits.ReplicaLeaveTimeout})
 	w.in(stopGrace, end)
 }
 
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -56,7 +56,7 @@
 type router struct {
 	f     *fleet
 	zone  int
-	net   *transport.Net
+	net   *transport.Transport
 	at    map[netip.Addr]place
 	book  metrics.Traffic
 	start time.Time
@@ -65,7 +65,7 @@
 	wanted  atomic.Uint64 // place of the newest configuration that is known of
 	held    atomic.Uint64 // of the newest that is held
 	changed atomic.Int64  // when that one came, in ns
-	texts   configcache.Texts
+	texts   configcache.Cache
 	fetch   chan gossip.Peer
 
 	mu    sync.Mutex
@@ -90,9 +90,9 @@
 	if r.net, err = transport.Open(addr, r.handle); err != nil {
 		return nil, err
 	}
-	r.net.Counted = r.counted
+	r.net.OnExchange = r.counted
 	self := gossip.Peer{ID: gossip.Hash(fmt.Sprint("hollow-", i)), Addr: addr, Zone: hash32(zoneName(r.zone)), Flags: gossip.FlagRouter}
-	r.node = discovery.New(self, r.rnd.Uint64(), beat*limits.NodeSilence+beat/2, hash32)
+	r.node = discovery.New(self, r.rnd.Uint64(), beat*limits.MissedHeartbeats+beat/2, hash32)
 	return r, nil
 }
 
@@ -133,7 +133,7 @@
 	for _, x := range r.node.Reduce(r.clock(), time.Now().UnixMilli(), e) {
 		switch x := x.(type) {
 		case gossip.SendPacket:
-			r.net.Send(x.To, x.Payload)
+			r.net.SendDatagram(x.To, x.Payload)
 		case discovery.Reply:
 			x.Of.(chan discovery.Reply) <- x // it has room
 		case discovery.ConfigAnnounced:
@@ -189,8 +189,8 @@
 func (r *router) run(ctx context.Context) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
-	wait.Go(func() { r.net.Serve(ctx) })
-	wait.Go(func() { r.net.Datagrams(func(b []byte) { r.turn(gossip.PacketReceived{Payload: b}) }) })
+	wait.Go(func() { r.net.ServeCalls(ctx) })
+	wait.Go(func() { r.net.ServeDatagrams(func(b []byte) { r.turn(gossip.PacketReceived{Payload: b}) }) })
 	wait.Go(func() { r.fetches(ctx) })
 	wait.Go(func() { r.reports(ctx) })
 	var seeds []netip.AddrPort
@@ -227,7 +227,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return r.texts.Answer(place), nil
+	return r.texts.EncodeReply(place), nil
 }
 
 // fetches gets configurations that are known of and not held.
@@ -254,18 +254,18 @@
 
 // get asks another for a configuration that is newer than the one here. It tells whether it answered.
 func (r *router) get(ctx context.Context, to netip.AddrPort) bool {
-	ctx, cancel := context.WithTimeout(ctx, limits.NodePass)
+	ctx, cancel := context.WithTimeout(ctx, limits.ReplicaFailoverTimeout)
 	defer cancel()
 	has, had := r.texts.Newest()
 	b, err := r.net.Call(ctx, to, configcache.CallFetch, replica.EncodeIndexed(has, nil))
 	if err != nil {
 		return false
 	}
-	place, text, err := r.texts.Read(b, had)
+	place, text, err := r.texts.DecodeReply(b, had)
 	if err != nil || len(text) == 0 || place <= r.held.Load() {
 		return err == nil || errors.Is(err, delta.ErrWrongBase)
 	}
-	r.texts.Hold(place, r.f.texts.one(place, text))
+	r.texts.Add(place, r.f.texts.one(place, text))
 	r.changed.Store(time.Now().UnixNano())
 	r.held.Store(place)
 	go r.turn(discovery.ConfigStored{Index: place})
@@ -274,8 +274,8 @@
 
 // reports tells keepers what this router would have counted, until the context is over.
 func (r *router) reports(ctx context.Context) {
-	pause(ctx, time.Duration(r.rnd.Int64N(int64(limits.NodeReport)))) // routers have not all started at one moment
-	tick := time.NewTicker(limits.NodeReport)
+	pause(ctx, time.Duration(r.rnd.Int64N(int64(limits.RouterReportInterval)))) // routers have not all started at one moment
+	tick := time.NewTicker(limits.RouterReportInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -314,7 +314,7 @@
 	r.metering.Unlock()
 	for i, k := range keepers {
 		go func() {
-			one, cancel := context.WithTimeout(ctx, limits.NodePass)
+			one, cancel := context.WithTimeout(ctx, limits.ReplicaFailoverTimeout)
 			defer cancel()
 			b, err := r.net.Call(one, k.Addr, singleton.CallUsageReport, all[i].Encode())
 			r.turn(gossip.CallCompleted{PeerID: k.ID, Answered: err == nil})
@@ -331,7 +331,7 @@
 
 // count counts what came since the last report at the peak: as many as a mean router has, more or less. The lock is held.
 func (r *router) count(now time.Time) {
-	mean := r.f.Rate / float64(r.f.Routers) * limits.NodeReport.Seconds()
+	mean := r.f.Rate / float64(r.f.Routers) * limits.RouterReportInterval.Seconds()
 	n := int(max(mean+math.Sqrt(mean)*r.rnd.NormFloat64()+r.rnd.Float64(), 0))
 	number := singleton.WindowAt(now, window)
 	if r.windows[number] == nil {
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -181,18 +181,18 @@
 	rnd := rand.New(rand.NewPCG(5, 5))
 	c := &fleetconfig.Config{Revision: uint64(revision)}
 	for i := range models {
-		c.Services = append(c.Services, fleetconfig.Service{Name: fmt.Sprint("model-", i), Health: "/health", MaxConns: 400, Protocol: "h1"})
+		c.Services = append(c.Services, fleetconfig.Service{Name: fmt.Sprint("model-", i), HealthPath: "/health", MaxConnections: 400, Protocol: "h1"})
 	}
 	for i := range routes {
 		c.Routes = append(c.Routes, fleetconfig.Route{
-			Name: fmt.Sprint("route-", i), Host: fmt.Sprintf("host-%d.example", i/20), Prefix: fmt.Sprintf("/v%d/", i),
-			Type: fleetconfig.Streaming, Timeout: float64(60000 + revision*(1-min(i, 1))), Target: 390, Service: fmt.Sprint("model-", i%models), Attempts: 2, Affinity: true,
+			Name: fmt.Sprint("route-", i), Hostname: fmt.Sprintf("host-%d.example", i/20), PathPrefix: fmt.Sprintf("/v%d/", i),
+			Type: fleetconfig.RouteStreaming, TimeoutMS: float64(60000 + revision*(1-min(i, 1))), TargetLatencyMS: 390, TargetService: fmt.Sprint("model-", i%models), MaxAttempts: 2, SessionAffinity: true,
 		})
 	}
 	for i := range tenants {
-		t := fleetconfig.Tenant{Name: tenantName(i), Keys: []string{fmt.Sprintf("sk-%016x%016x", rnd.Uint64(), rnd.Uint64())}, PerS: 50}
+		t := fleetconfig.Tenant{Name: tenantName(i), APIKeys: []string{fmt.Sprintf("sk-%016x%016x", rnd.Uint64(), rnd.Uint64())}, RatePerS: 50}
 		if i == revision*37%tenants {
-			t.PerS += float64(revision)
+			t.RatePerS += float64(revision)
 		}
 		c.Tenants = append(c.Tenants, t)
 	}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -245,7 +245,7 @@
 		if w.Variant != "design" {
 			continue
 		}
-		lim := limits.NewNode(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 1 << 16})
+		lim := limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 1 << 16})
 		r.b = broker.New(lim)
 		class := policy.Class{Name: "chat", Aim: aim, Deadline: 12 * time.Second, Worth: 1, LateWorth: 1, Effect: policy.Unsafe, Streaming: true, MaxAttempts: attempts}
 		m, err := policy.New(edge.Settings([]policy.Class{class}, limits.DrainGrace(3*time.Second), attempts), mix(w.Seed, uint64(i)+100))
--- a/internal/node/benchhelpers_test.go
+++ b/internal/node/benchhelpers_test.go
@@ -46,14 +46,14 @@
 
 // benchNode is a node's data plane before an engine.
 func benchNode(b *testing.B, engine string) string {
-	d := newData(slog.New(slog.DiscardHandler), limits.NewNode(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100}), time.Second, 1,
+	d := newData(slog.New(slog.DiscardHandler), limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100}), time.Second, 1,
 		func(string) []endpoints.Endpoint {
 			return []endpoints.Endpoint{{Record: endpoints.Record{ID: "i-1", Service: "s", Addr: engine}}}
 		})
 	go d.run(b.Context())
 	if err := d.apply(1, &fleetconfig.Config{
 		Revision: 1, Services: []fleetconfig.Service{{Name: "s"}},
-		Routes: []fleetconfig.Route{{Name: "r", Host: "h", Prefix: "/", Type: fleetconfig.Streaming, Timeout: 5000, Service: "s", Attempts: 2}},
+		Routes: []fleetconfig.Route{{Name: "r", Hostname: "h", PathPrefix: "/", Type: fleetconfig.RouteStreaming, TimeoutMS: 5000, TargetService: "s", MaxAttempts: 2}},
 	}); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -40,9 +40,9 @@
 	}
 	var pause func()
 	if n.data != nil { // streams go on meanwhile
-		pause = func() { time.Sleep(limits.NodeBreath) }
+		pause = func() { time.Sleep(limits.ConfigYieldPause) }
 	}
-	c, err := fleetconfig.Read(text, pause)
+	c, err := fleetconfig.Decode(text, pause)
 	if err == nil && n.data != nil {
 		err = n.data.apply(place, c)
 	}
@@ -51,7 +51,7 @@
 		return
 	}
 	n.conf.Store(c)
-	n.texts.Hold(place, text)
+	n.texts.Add(place, text)
 	n.place.Store(place)
 	for w := n.wanted.Load(); w < place && !n.wanted.CompareAndSwap(w, place); w = n.wanted.Load() {
 	}
@@ -104,7 +104,7 @@
 	if settled {
 		how = []byte{fetchSettled}
 	}
-	ctx, cancel := context.WithTimeout(ctx, limits.NodePass)
+	ctx, cancel := context.WithTimeout(ctx, limits.ReplicaFailoverTimeout)
 	defer cancel()
 	has, had := n.texts.Newest()
 	for {
@@ -112,7 +112,7 @@
 		if err != nil {
 			return false
 		}
-		place, text, err := n.texts.Read(b, had)
+		place, text, err := n.texts.DecodeReply(b, had)
 		if errors.Is(err, delta.ErrWrongBase) && has > 0 { // two who hold different texts for one place would be a fault: it must not last
 			has, had = 0, nil
 			continue
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	raw.Control(func(fd uintptr) {
-		if ms, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT); err != nil || ms != int(limits.NodeUnheard.Milliseconds()) {
+		if ms, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT); err != nil || ms != int(limits.UpstreamUserTimeout.Milliseconds()) {
 			t.Errorf("%d ms, %v", ms, err)
 		}
 	})
@@ -67,7 +67,7 @@
 		default:
 		}
 	}
-	if d := p.d.rest(); d != limits.NodeRest {
+	if d := p.d.rest(); d != limits.StaleConnMaxIdle {
 		t.Fatalf("a line may have rested for %v", d)
 	}
 }
--- a/internal/node/dataplane.go
+++ b/internal/node/dataplane.go
@@ -40,9 +40,9 @@
 	forgot  func()       // told that an engine has forgotten a connection; it must not wait
 	careful atomic.Int64 // until then, by the loop's clock, connections that have rested are not for every request
 	at      atomic.Pointer[edge.Compiled]
-	bounds  atomic.Pointer[limits.Bounds]     // of the present configuration
-	zones   atomic.Pointer[map[string]string] // of engines, by address
-	mu      sync.Mutex                        // one change of configuration or engines at a time
+	bounds  atomic.Pointer[limits.RequestBounds] // of the present configuration
+	zones   atomic.Pointer[map[string]string]    // of engines, by address
+	mu      sync.Mutex                           // one change of configuration or engines at a time
 	next    pool.ID
 	modules map[pool.ID]*policy.Balancer
 	classes map[pool.ID]int
@@ -54,7 +54,7 @@
 		spent: &metrics.Traffic{}, log: log, lim: lim, grace: grace, seed: seed, list: list, next: 1, modules: map[pool.ID]*policy.Balancer{},
 		classes: map[pool.ID]int{}, poke: make(chan struct{}, 1),
 	}
-	unsaid, _ := lim.Declared(0, 0, 0, 0)
+	unsaid, _ := lim.ConfiguredBounds(0, 0, 0, 0)
 	d.bounds.Store(&unsaid)
 	d.loop = broker.NewLoop(broker.New(lim), broker.UnixClock(), d.perform)
 	d.issuer = issuer.New(issuer.Config{
@@ -64,7 +64,7 @@
 	d.dialect = &edge.Dialect{Now: d.at.Load, Salt: seed, Conversation: rand.Uint64, Clock: d.loop.Now}
 	d.front = acquirer.New(acquirer.Options{
 		Lim: lim, Dialect: d.dialect, Routes: func() *service.Directory { return nil }, Post: d.loop.Post, Now: d.loop.Now,
-		Ready: func() bool { return true }, Bounds: func() limits.Bounds { return *d.bounds.Load() },
+		Ready: func() bool { return true }, Bounds: func() limits.RequestBounds { return *d.bounds.Load() },
 	})
 	return d
 }
@@ -128,12 +128,12 @@
 }
 
 // forgets takes in that engines forget connections that rest.
-func (d *data) forgets() { d.careful.Store(int64(d.loop.Now() + limits.NodeForgets)) }
+func (d *data) forgets() { d.careful.Store(int64(d.loop.Now() + limits.StaleConnCaution)) }
 
 // rest is how long a connection may have rested that a request uses which must not run twice; 0 = no matter.
 func (d *data) rest() time.Duration {
 	if int64(d.loop.Now()) < d.careful.Load() {
-		return limits.NodeRest
+		return limits.StaleConnMaxIdle
 	}
 	return 0
 }
--- a/internal/node/dataplaneconfig.go
+++ b/internal/node/dataplaneconfig.go
@@ -25,7 +25,7 @@
 	if old != nil {
 		before = old.Services()
 	}
-	next, err := edge.Compile(c, place, before, &d.next, func() { time.Sleep(limits.NodeBreath) })
+	next, err := edge.Compile(c, place, before, &d.next, func() { time.Sleep(limits.ConfigYieldPause) })
 	if err != nil {
 		return err
 	}
@@ -34,11 +34,11 @@
 			return err
 		}
 	}
-	l := &c.Limits
-	bounds, less := d.lim.Declared(l.HeaderBytes, l.BodyBytes, fleetconfig.Millis(l.HeaderMS), fleetconfig.Millis(l.IdleMS))
+	l := &c.RequestLimits
+	bounds, less := d.lim.ConfiguredBounds(l.MaxHeaderBytes, l.MaxBodyBytes, fleetconfig.Milliseconds(l.HeaderTimeoutMS), fleetconfig.Milliseconds(l.IdleTimeoutMS))
 	if less {
 		d.log.Warn("request_limits are above what this machine holds", "max_header_bytes", bounds.HeaderBytes, "max_body_bytes",
-			bounds.BodyBytes, "header_timeout", bounds.HeadWait.String(), "idle_timeout", bounds.IdleWait.String())
+			bounds.BodyBytes, "header_timeout", bounds.ReadTimeout.String(), "idle_timeout", bounds.IdleTimeout.String())
 	}
 	d.bounds.Store(&bounds)
 	d.at.Store(next)
@@ -67,7 +67,7 @@
 		d.classes[s.ID] = len(s.Classes)
 		return nil
 	}
-	m, err := policy.New(edge.Settings(classes, d.grace, d.lim.Attempts), d.seed^uint64(s.ID))
+	m, err := policy.New(edge.Settings(classes, d.grace, d.lim.MaxAttempts), d.seed^uint64(s.ID))
 	if err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 	d.issuer.Set(s.ID, issuer.Reports{}, share.Claim{})
 	d.front.Set(s.ID, share.Claim{}, share.Claim{})
 	e := broker.PoolSet{
-		Pool: s.ID, Name: s.Name, Module: m, WarmUp: edge.WarmUp, ColdFrom: edge.ColdFrom, Attempts: d.lim.Attempts, RetryAfter: d.lim.SpareAnswer,
+		Pool: s.ID, Name: s.Name, Module: m, WarmUp: edge.WarmUp, ColdFrom: edge.ColdFrom, Attempts: d.lim.MaxAttempts, RetryAfter: d.lim.OverloadRetryAfter,
 	}
 	if d.repeats.Window > 0 {
 		own := d.repeats
--- a/internal/node/discoveryhost.go
+++ b/internal/node/discoveryhost.go
@@ -15,7 +15,7 @@
 
 // hearsay is the process's news.Node under one lock, with its sockets and its clock.
 type hearsay struct {
-	net   *transport.Net
+	net   *transport.Transport
 	clock func() time.Duration // steady
 
 	mu    sync.Mutex
@@ -28,7 +28,7 @@
 	config  func(place uint64, from gossip.Peer) // told that there is a configuration
 }
 
-func newHearsay(n *transport.Net, self gossip.Peer, seed uint64, silence time.Duration) *hearsay {
+func newHearsay(n *transport.Transport, self gossip.Peer, seed uint64, silence time.Duration) *hearsay {
 	start := time.Now()
 	return &hearsay{
 		net: n, clock: func() time.Duration { return time.Since(start) + time.Hour }, node: discovery.New(self, seed, silence, hash32),
@@ -50,7 +50,7 @@
 	for _, f := range n.node.Reduce(n.clock(), time.Now().UnixMilli(), e) {
 		switch f := f.(type) {
 		case gossip.SendPacket:
-			n.net.Send(f.To, f.Payload)
+			n.net.SendDatagram(f.To, f.Payload)
 		case discovery.Reply:
 			f.Of.(chan discovery.Reply) <- f // it has room
 		case discovery.EndpointsChanged:
@@ -112,7 +112,7 @@
 
 // run takes datagrams and keeps time until the context is over.
 func (n *hearsay) run(ctx context.Context, seeds []netip.AddrPort) {
-	go n.net.Datagrams(func(b []byte) { n.turn(gossip.PacketReceived{Payload: b}) })
+	go n.net.ServeDatagrams(func(b []byte) { n.turn(gossip.PacketReceived{Payload: b}) })
 	n.turn(gossip.SeedsChanged{Addrs: seeds})
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/node/enginedial.go
+++ b/internal/node/enginedial.go
@@ -29,6 +29,6 @@
 // off does not acknowledge, one that is merely slow does.
 func unheard(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) { // where a kernel does not know it, requests wait for their deadlines as they would without
-		unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limits.NodeUnheard.Milliseconds()))
+		unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limits.UpstreamUserTimeout.Milliseconds()))
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -20,9 +20,9 @@
 
 // Node is a process.
 type Node struct {
-	cfg    *nodeconfig.Settings
+	cfg    *nodeconfig.Config
 	log    *slog.Logger
-	net    *transport.Net
+	net    *transport.Transport
 	news   *hearsay
 	keeper *keeper // nil where there is no disk
 	data   *data   // nil where no traffic is carried
@@ -33,7 +33,7 @@
 
 	holding  sync.Mutex    // one configuration is taken over at a time
 	place    atomic.Uint64 // of the newest configuration that is held here
-	texts    configcache.Texts
+	texts    configcache.Cache
 	wanted   atomic.Uint64 // of the newest that is known of
 	asked    atomic.Bool   // a keeper that reached a majority has said what the newest is
 	answered atomic.Bool   // some keeper has said what it has
@@ -54,9 +54,9 @@
 	if err != nil {
 		return err
 	}
-	log = log.With("node", cfg.Node)
-	runtime.GOMAXPROCS(max(1, int(cfg.Limits.Cores+0.5)))
-	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20 * 6 / 10)
+	log = log.With("node", cfg.NodeName)
+	runtime.GOMAXPROCS(max(1, int(cfg.Machine.CPUCores+0.5)))
+	debug.SetMemoryLimit(int64(cfg.Machine.MemoryMB) << 20 * 6 / 10)
 	n := &Node{cfg: cfg, log: log, began: time.Now(), fetching: make(chan gossip.Peer, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/node/peercalls.go
+++ b/internal/node/peercalls.go
@@ -26,16 +26,16 @@
 			return nil, err
 		}
 		if len(how) > 0 && how[0] == fetchSettled && n.keeper != nil {
-			ctx, cancel := context.WithTimeout(ctx, limits.NodeAsk)
+			ctx, cancel := context.WithTimeout(ctx, limits.ReplicaCallTimeout)
 			defer cancel()
 			r := n.keeper.operate(ctx, func(of chan api.Result, until time.Duration) replica.Event {
 				return replica.ReadConfig{Of: of, Until: until, Passive: true}
 			})
 			if r.Status >= http.StatusInternalServerError { // 404: there is none yet
-				return nil, errors.New(r.Says)
+				return nil, errors.New(r.Message)
 			}
 		}
-		return n.texts.Answer(place), nil
+		return n.texts.EncodeReply(place), nil
 	}
 	k := n.keeper
 	if k == nil {
@@ -43,7 +43,7 @@
 	}
 	switch kind {
 	case replica.CallPaxos, replica.CallLearn, replica.CallSnapshot, replica.CallIdentity, replica.CallJoin, replica.CallCommit:
-		ctx, cancel := context.WithTimeout(ctx, limits.NodeSettle)
+		ctx, cancel := context.WithTimeout(ctx, limits.OperatorCallTimeout)
 		defer cancel()
 		return k.handle(ctx, kind, from, body)
 	}
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -26,9 +26,9 @@
 		return "no traffic here"
 	case n.data.at.Load() == nil:
 		return "no configuration yet"
-	case !n.asked.Load() && !n.answered.Load() && time.Since(n.began) < limits.NodeUnasked:
+	case !n.asked.Load() && !n.answered.Load() && time.Since(n.began) < limits.ReadyWithoutReplicaAfter:
 		return "no keeper has said yet which configuration is the newest"
-	case !n.asked.Load() && time.Since(n.began) < limits.NodeUnsettled:
+	case !n.asked.Load() && time.Since(n.began) < limits.ReadyWithoutQuorumAfter:
 		return "no keeper that reaches a majority has said yet which configuration is the newest"
 	case n.place.Load() < n.wanted.Load():
 		return "a newer configuration is on its way"
--- a/internal/node/replicadisk.go
+++ b/internal/node/replicadisk.go
@@ -17,7 +17,7 @@
 		return errDisk
 	}
 	if k.shut {
-		if time.Since(k.tried) < limits.NodeReopen {
+		if time.Since(k.tried) < limits.DiskReopenInterval {
 			return errDisk
 		}
 		k.tried = time.Now()
--- a/internal/node/replicahost.go
+++ b/internal/node/replicahost.go
@@ -203,7 +203,7 @@
 	if at, ok := ctx.Deadline(); ok {
 		return k.clock() + time.Until(at)
 	}
-	return k.clock() + limits.NodeSettle
+	return k.clock() + limits.OperatorCallTimeout
 }
 
 var errBusy = errors.New("the disk takes its time")
@@ -232,13 +232,13 @@
 	wait, cancel := context.WithTimeout(ctx, until-k.clock())
 	defer cancel()
 	if !k.turnIn(wait, event(of, until)) {
-		return api.Result{Status: http.StatusServiceUnavailable, Says: errBusy.Error()}
+		return api.Result{Status: http.StatusServiceUnavailable, Message: errBusy.Error()}
 	}
 	select {
 	case r := <-of:
 		return r
 	case <-k.over:
-		return api.Result{Status: http.StatusServiceUnavailable, Says: "it is ending"}
+		return api.Result{Status: http.StatusServiceUnavailable, Message: "it is ending"}
 	}
 }
 
--- a/internal/node/runningrequests_test.go
+++ b/internal/node/runningrequests_test.go
@@ -11,10 +11,10 @@
 	for name, next := range map[string]*fleetconfig.Config{
 		"the route":   {Revision: 2, Services: []fleetconfig.Service{{Name: "s"}, {Name: "t"}}},
 		"the service": {Revision: 2, Services: []fleetconfig.Service{{Name: "t"}}},
-		"all of it":   {Revision: 2, Tenants: []fleetconfig.Tenant{{Name: "x", Keys: []string{"k"}}}},
+		"all of it":   {Revision: 2, Tenants: []fleetconfig.Tenant{{Name: "x", APIKeys: []string{"k"}}}},
 		"the key": func() *fleetconfig.Config {
 			c := planeConfig()
-			c.Revision, c.Tenants = 2, []fleetconfig.Tenant{{Name: "x", Keys: []string{"k"}}}
+			c.Revision, c.Tenants = 2, []fleetconfig.Tenant{{Name: "x", APIKeys: []string{"k"}}}
 			return c
 		}(),
 	} {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -13,14 +13,14 @@
 	n.stopping.Store(true)
 	n.log.Info("stopping")
 	began := time.Now()
-	end := began.Add(time.Duration(n.cfg.Bounds.GraceS*float64(time.Second)) - limits.NodeLeast)
+	end := began.Add(time.Duration(n.cfg.Bounds.GracePeriodS*float64(time.Second)) - limits.ShutdownReserve)
 	handed := make(chan struct{})
 	go func() {
 		defer close(handed)
 		if n.keeper == nil {
 			return
 		}
-		left, cancel := context.WithDeadline(ctx, earlier(began.Add(limits.NodeHandOver), end))
+		left, cancel := context.WithDeadline(ctx, earlier(began.Add(limits.ReplicaLeaveTimeout), end))
 		defer cancel()
 		n.keeper.leave(left)
 		n.log.Info("handed over", "after", time.Since(began).Round(time.Millisecond).String())
@@ -32,7 +32,7 @@
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	n.data.front.Drain()
-	time.Sleep(limits.NodeFront)
+	time.Sleep(limits.ReadinessDrainDelay)
 	n.data.front.CloseIdle()
 	time.Sleep(100 * time.Millisecond)
 	front.Close()
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -15,8 +15,8 @@
 
 // ending is a node that carries traffic, to be stopped.
 func ending(p *testPlane, grace float64) (n *Node, stopped chan time.Duration) {
-	n = &Node{cfg: &nodeconfig.Settings{}, log: slog.New(slog.NewTextHandler(io.Discard, nil)), data: p.d}
-	n.cfg.Bounds.GraceS = grace
+	n = &Node{cfg: &nodeconfig.Config{}, log: slog.New(slog.NewTextHandler(io.Discard, nil)), data: p.d}
+	n.cfg.Bounds.GracePeriodS = grace
 	stopped = make(chan time.Duration, 1)
 	began := time.Now()
 	go func() {
--- a/internal/node/singletonhost.go
+++ b/internal/node/singletonhost.go
@@ -33,13 +33,13 @@
 func newDuties(n *Node) *duties {
 	b, id := &n.cfg.Bounds, n.keeper.self.ID
 	seconds := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
-	d := &duties{k: n.keeper, log: n.log, cloud: cloudapi.New(n.cfg.Cloud.Address, n.cfg.Node), clock: n.news.clock, spent: &n.spent}
+	d := &duties{k: n.keeper, log: n.log, cloud: cloudapi.New(n.cfg.CloudAPI.Address, n.cfg.NodeName), clock: n.news.clock, spent: &n.spent}
 	d.node = singleton.New(d.clock(), singleton.Config{
 		Self: n.keeper.self, LeaseDuration: time.Duration(b.LeaseMS) * time.Millisecond, UsageWindow: seconds(b.UsageWindowS), UsageDelay: seconds(b.UsageDelayS),
 		// A machine whose disk was wiped may have granted a lease before: only at the very first start there was none.
 		NeverGranted: n.keeper.founder && n.keeper.at().NextIndex == 0,
-		RouterWindow: share.Counts(seconds(b.RetryWindowS), limits.NodeLately), CandidacyDelay: time.Duration(id%1000) * time.Millisecond, Incarnation: rand.Uint64(),
-		ReportsUsage: n.cfg.Cloud.Has("usage_reporting"), ScalesEngines: n.cfg.Cloud.Has("autoscaler"),
+		RouterWindow: share.Counts(seconds(b.RetryWindowS), limits.RouterReportRetention), CandidacyDelay: time.Duration(id%1000) * time.Millisecond, Incarnation: rand.Uint64(),
+		ReportsUsage: n.cfg.CloudAPI.HasRole("usage_reporting"), ScalesEngines: n.cfg.CloudAPI.HasRole("autoscaler"),
 		Peers: n.keeper.others, Services: n.scaled, MembershipPending: n.keeper.unsure,
 	})
 	return d
@@ -53,11 +53,11 @@
 	}
 	for i := range c.Services {
 		svc := &c.Services[i]
-		if svc.Scale == nil {
+		if svc.Autoscaling == nil {
 			continue
 		}
 		s := singleton.Service{
-			Name: svc.Name, Bounds: singleton.Bounds{Min: svc.Scale.Min, Max: svc.Scale.Max, Boot: fleetconfig.Millis(svc.Scale.BootS * 1000)}, Ready: map[string]int{},
+			Name: svc.Name, Bounds: singleton.Bounds{Min: svc.Autoscaling.MinInstances, Max: svc.Autoscaling.MaxInstances, Boot: fleetconfig.Milliseconds(svc.Autoscaling.BootTimeoutS * 1000)}, Ready: map[string]int{},
 		}
 		ready, slots := 0, 0.0
 		for _, e := range n.news.list(svc.Name) {
@@ -125,7 +125,7 @@
 
 // run keeps time until the context is over.
 func (d *duties) run(ctx context.Context) {
-	tick := time.NewTicker(limits.NodeDuty)
+	tick := time.NewTicker(limits.SingletonTickInterval)
 	defer tick.Stop()
 	for {
 		select {
