--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -21,9 +21,9 @@
 
 // open opens the sockets and the disk.
 func (n *Node) open(ctx context.Context) error {
-	ip := netip.MustParseAddr(n.cfg.IP) // boot has checked it
+	ip := netip.MustParseAddr(n.cfg.IPAddress) // boot has checked it
 	var err error
-	for port := n.cfg.Ports[0]; port <= n.cfg.Ports[1]; port++ {
+	for port := n.cfg.InternalPorts[0]; port <= n.cfg.InternalPorts[1]; port++ {
 		if n.net, err = transport.Open(netip.AddrPortFrom(ip, uint16(port)), n.handle); err == nil {
 			break
 		}
@@ -31,10 +31,10 @@
 	if err != nil {
 		return err
 	}
-	self := gossip.Peer{ID: gossip.Hash(n.cfg.Node), Addr: n.net.Addr(), Zone: hash32(n.cfg.Zone)}
-	if n.cfg.Keeper() {
+	self := gossip.Peer{ID: gossip.Hash(n.cfg.NodeName), Addr: n.net.Addr(), Zone: hash32(n.cfg.Zone)}
+	if n.cfg.IsReplica() {
 		self.Flags |= gossip.FlagReplica
-		if n.keeper, err = openKeeper(n.log, n.cfg.Data, n.cfg.Node, n.net.Addr().String(), n.cfg.Bootstrap, n.cfg.Tolerance.Machines); err != nil {
+		if n.keeper, err = openKeeper(n.log, n.cfg.DataDir, n.cfg.NodeName, n.net.Addr().String(), n.cfg.Bootstrap, n.cfg.FaultTolerance.Machines); err != nil {
 			return err
 		}
 		n.keeper.call = n.net.Call
@@ -48,18 +48,18 @@
 	if n.cfg.Listeners.Frontend != "" {
 		self.Flags |= gossip.FlagRouter
 	}
-	silence := n.cfg.Beat()*limits.NodeSilence + n.cfg.Beat()/2
+	silence := n.cfg.HeartbeatInterval()*limits.MissedHeartbeats + n.cfg.HeartbeatInterval()/2
 	n.news = newHearsay(n.net, self, rand.Uint64(), silence)
 	n.news.config = n.heardOf
-	n.net.Counted = n.counted
+	n.net.OnExchange = n.counted
 	return nil
 }
 
 // seeds are where others may be found at their own ports: on all machines these are alike.
 func (n *Node) seeds() (all []netip.AddrPort) {
-	for _, s := range n.cfg.Seeds {
+	for _, s := range n.cfg.SeedNodes {
 		if a, err := netip.ParseAddrPort(s); err == nil {
-			all = append(all, netip.AddrPortFrom(a.Addr(), uint16(n.cfg.Ports[0])))
+			all = append(all, netip.AddrPortFrom(a.Addr(), uint16(n.cfg.InternalPorts[0])))
 		}
 	}
 	return all
@@ -69,13 +69,13 @@
 func (n *Node) serve(ctx context.Context, path string, sig Signals) error {
 	failed := make(chan error, 4)
 	if n.cfg.Listeners.Frontend != "" {
-		lim := limits.NewNode(limits.Machine{Cores: n.cfg.Limits.Cores, MemoryMB: n.cfg.Limits.MemoryMB, Sockets: n.cfg.Limits.Files})
-		drain := time.Duration(n.cfg.Bounds.DrainMS) * time.Millisecond
+		lim := limits.NewFleetRouter(limits.Machine{Cores: n.cfg.Machine.CPUCores, MemoryMB: n.cfg.Machine.MemoryMB, Sockets: n.cfg.Machine.MaxOpenFiles})
+		drain := time.Duration(n.cfg.Bounds.DrainTimeoutMS) * time.Millisecond
 		n.data = newData(n.log, lim, limits.DrainGrace(drain), rand.Uint64(), n.news.list)
 		if b := n.cfg.Bounds; b.RetryWindowS > 0 {
 			window := time.Duration(b.RetryWindowS * float64(time.Second))
-			n.data.part = share.Part{Whole: b.RetryExtra, First: b.RetryExtra / limits.NodeRetryParts, Window: window, Hold: limits.NodePart}
-			n.data.repeats = share.Repeats{Ratio: b.RetryRatio / 2, Window: window, Extra: n.data.part.First}
+			n.data.part = share.Part{Whole: b.RetryExtra, First: b.RetryExtra / limits.InitialRetryShares, Window: window, Hold: limits.RetryShareTTL}
+			n.data.repeats = share.Repeats{Ratio: b.RetryBudgetRatio / 2, Window: window, Extra: n.data.part.First}
 		}
 		n.data.spent, n.data.zone = &n.spent, n.cfg.Zone
 		n.news.engines, n.news.forgets = n.data.engines, n.data.forgets
@@ -83,7 +83,7 @@
 		go n.data.run(ctx)
 		c := &counter{meter: singleton.Meter{WindowLength: time.Duration(n.cfg.Bounds.UsageWindowS * float64(time.Second)), Incarnation: rand.Uint64(), Zone: n.cfg.Zone}}
 		n.data.dialect.Began = c.began
-		if n.cfg.Cloud.Address != "" {
+		if n.cfg.CloudAPI.Address != "" {
 			go n.reports(ctx, c)
 		}
 	}
@@ -93,20 +93,20 @@
 		s := n.keeper.at()
 		n.changed(&s)
 		go n.keeper.run(ctx)
-		if n.cfg.Cloud.Address != "" {
+		if n.cfg.CloudAPI.Address != "" {
 			n.duties = newDuties(n)
 			go n.duties.run(ctx)
 		}
 	}
-	go n.net.Serve(ctx)
+	go n.net.ServeCalls(ctx)
 	go n.news.run(ctx, n.seeds())
 	go n.start(ctx)
-	if addr := n.cfg.Listeners.Control; addr != "" {
+	if addr := n.cfg.Listeners.ControlPlane; addr != "" {
 		ln, err := net.Listen("tcp4", addr)
 		if err != nil {
 			return err
 		}
-		web := api.Server(n)
+		web := api.NewServer(n)
 		defer web.Close()
 		go func() { failed <- api.Serve(web, ln) }()
 	}
@@ -126,8 +126,8 @@
 		defer front.Close()
 		go func() { n.data.front.Serve(front) }()
 	}
-	n.log.Info("started", "class", n.cfg.Class, "zone", n.cfg.Zone, "bootstrap", n.cfg.Bootstrap)
-	accounts := time.NewTicker(limits.NodeAccount)
+	n.log.Info("started", "class", n.cfg.MachineClass, "zone", n.cfg.Zone, "bootstrap", n.cfg.Bootstrap)
+	accounts := time.NewTicker(limits.MetricsLogInterval)
 	defer accounts.Stop()
 	for {
 		select {
@@ -141,7 +141,7 @@
 			if cfg, err := nodeconfig.Load(path); err != nil {
 				n.log.Error("settings not read again", "err", err)
 			} else {
-				n.cfg.Seeds = cfg.Seeds
+				n.cfg.SeedNodes = cfg.SeedNodes
 				n.news.turn(gossip.SeedsChanged{Addrs: n.seeds()})
 				n.log.Info("settings read again")
 			}
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -49,7 +49,7 @@
 		ready = now
 		return revision == 2 && !strings.Contains(ready, "no keeper has")
 	})
-	if !strings.Contains(ready, "majority") && time.Since(began) < limits.NodeUnsettled/2 {
+	if !strings.Contains(ready, "majority") && time.Since(began) < limits.ReadyWithoutQuorumAfter/2 {
 		t.Errorf("it is ready with an old configuration: %q", ready)
 	}
 	until(t, "it serves all the same where there is no majority", func() bool { ready, _ := status(); return strings.Contains(ready, "engine") })
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -35,7 +35,7 @@
 		Account []metrics.Row   `json:"account"` // what the process has sent and taken, by cause
 		Machine metrics.Process `json:"machine"`
 	}
-	s := status{Node: n.cfg.Node, Zone: n.cfg.Zone, Ready: n.unready(), Place: n.place.Load(), Wanted: n.wanted.Load()}
+	s := status{Node: n.cfg.NodeName, Zone: n.cfg.Zone, Ready: n.unready(), Place: n.place.Load(), Wanted: n.wanted.Load()}
 	if s.Ready == "" {
 		s.Ready = "yes"
 	}
--- a/internal/node/testplane_test.go
+++ b/internal/node/testplane_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	p := &testPlane{t: t}
 	p.list.Store(&engines)
-	lim := limits.NewNode(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100})
+	lim := limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100})
 	p.d = newData(slog.New(slog.NewTextHandler(io.Discard, nil)), lim, time.Second, seed, func(service string) (all []endpoints.Endpoint) {
 		for _, e := range *p.list.Load() {
 			if e.Service == service {
@@ -64,14 +64,14 @@
 
 func planeConfig() *fleetconfig.Config {
 	route := func(name, prefix, kind string) fleetconfig.Route {
-		return fleetconfig.Route{Name: name, Host: "h", Prefix: prefix, Type: kind, Timeout: 1500, Target: 100, Service: "s", Attempts: 2}
+		return fleetconfig.Route{Name: name, Hostname: "h", PathPrefix: prefix, Type: kind, TimeoutMS: 1500, TargetLatencyMS: 100, TargetService: "s", MaxAttempts: 2}
 	}
-	other := route("d", "/other/", fleetconfig.Idempotent)
-	other.Service = "t"
-	long := route("e", "/long/", fleetconfig.Streaming)
-	long.Timeout = 20000
+	other := route("d", "/other/", fleetconfig.RouteIdempotent)
+	other.TargetService = "t"
+	long := route("e", "/long/", fleetconfig.RouteStreaming)
+	long.TimeoutMS = 20000
 	return &fleetconfig.Config{Revision: 1, Services: []fleetconfig.Service{{Name: "s"}, {Name: "t"}}, Routes: []fleetconfig.Route{
-		route("a", "/once/", fleetconfig.NonIdempotent), route("b", "/again/", fleetconfig.Idempotent), route("c", "/stream/", fleetconfig.Streaming), other, long,
+		route("a", "/once/", fleetconfig.RouteNonIdempotent), route("b", "/again/", fleetconfig.RouteIdempotent), route("c", "/stream/", fleetconfig.RouteStreaming), other, long,
 	}}
 }
 
--- a/internal/node/usagereport.go
+++ b/internal/node/usagereport.go
@@ -26,7 +26,7 @@
 
 // reports tells keepers what this router has counted, and how much it has at engines, until the context is over.
 func (n *Node) reports(ctx context.Context, c *counter) {
-	tick := time.NewTicker(limits.NodeReport)
+	tick := time.NewTicker(limits.RouterReportInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -63,7 +63,7 @@
 	c.mu.Unlock()
 	for i, k := range keepers {
 		go func() {
-			one, cancel := context.WithTimeout(context.Background(), limits.NodePass)
+			one, cancel := context.WithTimeout(context.Background(), limits.ReplicaFailoverTimeout)
 			defer cancel()
 			b, err := n.net.Call(one, k.Addr, singleton.CallUsageReport, all[i].Encode())
 			n.news.turn(gossip.CallCompleted{PeerID: k.ID, Answered: err == nil})
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -72,9 +72,9 @@
 		p.Directory = service.New(table, true, views...)
 		faults = p.contracts(f)
 	}
-	if feeds := p.Discoveries(); len(feeds) > cfg.Limits.Feeds && running != nil {
+	if feeds := p.Discoveries(); len(feeds) > cfg.Limits.EndpointSources && running != nil {
 		faults = append(faults, f.Fault([]string{"pool", "0"}, "%d discoveries; there is room for %d until the next start", len(feeds),
-			cfg.Limits.Feeds))
+			cfg.Limits.EndpointSources))
 	}
 	if len(faults) > 0 {
 		return nil, faults.Sorted()
@@ -85,7 +85,7 @@
 // plain is the platform's case: one pool with the platform's own settings. Its module stays whatever the settings say
 // later, as the platform has it.
 func (p *Plan) plain(cfg *config.Config, running *Plan) {
-	q := Pool{Discovery: cfg.Discovery, Module: cfg.Module, Seed: cfg.Seed, RetryAfter: cfg.Limits.SpareAnswer}
+	q := Pool{Discovery: cfg.Discovery, Module: cfg.Module, Seed: cfg.Seed, RetryAfter: cfg.Limits.OverloadRetryAfter}
 	if old := running.named(""); old != nil {
 		q.ID, q.Module, q.Seed = old.ID, old.Module, old.Seed
 	} else {
@@ -93,7 +93,7 @@
 	}
 	p.Pools = []Pool{q}
 	view := q.view()
-	view.MaxBudget = cfg.Limits.MaxBudget
+	view.MaxBudget = cfg.Limits.MaxRequestTimeout
 	p.Directory = service.Plain(view)
 }
 
@@ -236,7 +236,7 @@
 // limit sets a pool's parts of the process.
 func (q *Pool) limit(l *limits.Limits, s *settings.PoolLimits, guarantee float64) {
 	most := 1.0
-	q.RetryAfter, q.Turns = l.SpareAnswer, max(guarantee, 0.01)
+	q.RetryAfter, q.Turns = l.OverloadRetryAfter, max(guarantee, 0.01)
 	if s == nil {
 		s = &settings.PoolLimits{}
 	}
@@ -255,10 +255,10 @@
 		c.Guarantee = min(c.Guarantee, c.Most)
 		return c
 	}
-	q.Places = part(int64(l.Open), int64(s.Open))
-	q.Lines = part(int64(l.IssuerConns), int64(s.Lines))
-	q.Bodies = part(l.BodiesBytes, int64(s.BodyMB)<<20)
-	q.Calls = part(int64(l.AcquirerConns), 0)
+	q.Places = part(int64(l.ConcurrentRequests), int64(s.Open))
+	q.Lines = part(int64(l.UpstreamConns), int64(s.Lines))
+	q.Bodies = part(l.TotalBodyBytes, int64(s.BodyMB)<<20)
+	q.Calls = part(int64(l.ClientConns), 0)
 }
 
 // view is a pool as the fronts see it.
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Limits = c.Limits.WithFeeds(2)
+	c.Limits = c.Limits.WithEndpointSources(2)
 	return c
 }
 
@@ -109,17 +109,17 @@
 	for _, q := range p.Pools {
 		claims = append(claims, q.Lines)
 	}
-	if err := share.Check(int64(cfg.Limits.IssuerConns), claims); err != nil {
+	if err := share.Check(int64(cfg.Limits.UpstreamConns), claims); err != nil {
 		t.Error(err)
 	}
-	a, b, lines := p.Pools[0], p.Pools[1], float64(cfg.Limits.IssuerConns)
+	a, b, lines := p.Pools[0], p.Pools[1], float64(cfg.Limits.UpstreamConns)
 	got := []any{a.Places, a.Lines, a.Legs, a.RetryAfter, b.Lines, b.RetryAfter, b.Legs}
 	want := []any{
 		share.Claim{Guarantee: 7, Most: 7},
 		share.Claim{Guarantee: int64(0.4 * lines), Most: int64(0.5*lines + 0.5)},
 		2, 2 * time.Second,
 		share.Claim{Guarantee: int64(0.15 * lines), Most: int64(lines)},
-		cfg.Limits.SpareAnswer, 0,
+		cfg.Limits.OverloadRetryAfter, 0,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -127,11 +127,11 @@
 		if err := c.Deliver(kind, l); err != nil {
 			return err
 		}
-		if len(l.Hosts) == 0 && time.Since(began) < c.Lim.WatchPause {
+		if len(l.Hosts) == 0 && time.Since(began) < c.Lim.WatchRetryDelay {
 			// Answers that do not wait must not make calls without end; the watch still goes on.
 			select {
 			case <-ctx.Done():
-			case <-time.After(c.Lim.WatchPause):
+			case <-time.After(c.Lim.WatchRetryDelay):
 			}
 		}
 	}
@@ -139,21 +139,21 @@
 
 func (c *Client) call(ctx context.Context) (l List, err error) {
 	if c.conn == nil {
-		dctx, cancel := context.WithTimeout(ctx, c.Lim.WatchSlack)
+		dctx, cancel := context.WithTimeout(ctx, c.Lim.WatchResponseGrace)
 		defer cancel()
 		conn, err := c.Dial(dctx, "tcp", c.Addr)
 		if err != nil {
 			return l, err
 		}
-		c.conn, c.br = conn, bufio.NewReaderSize(conn, c.Lim.ReadBuffer)
+		c.conn, c.br = conn, bufio.NewReaderSize(conn, c.Lim.ControlReadBytes)
 	}
 	conn := c.conn
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	path, wait := "/registry/instances", c.Lim.WatchSlack
+	path, wait := "/registry/instances", c.Lim.WatchResponseGrace
 	if c.known {
-		path += "?after=" + strconv.FormatUint(c.seq, 10) + "&wait_ms=" + strconv.FormatInt(c.Lim.WatchWait.Milliseconds(), 10)
-		wait += c.Lim.WatchWait
+		path += "?after=" + strconv.FormatUint(c.seq, 10) + "&wait_ms=" + strconv.FormatInt(c.Lim.WatchTimeout.Milliseconds(), 10)
+		wait += c.Lim.WatchTimeout
 	}
 	if err := c.conn.SetDeadline(time.Now().Add(wait)); err != nil {
 		return l, err
@@ -166,13 +166,13 @@
 		return l, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, c.Lim.ListBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, c.Lim.EndpointListBytes+1))
 	switch {
 	case err != nil:
 		return l, err
 	case resp.StatusCode != http.StatusOK:
 		return l, fmt.Errorf("answered %s", resp.Status)
-	case int64(len(body)) > c.Lim.ListBytes:
+	case int64(len(body)) > c.Lim.EndpointListBytes:
 		return l, errors.New("the list is too long")
 	}
 	if err := json.Unmarshal(body, &l); err != nil {
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -86,9 +86,9 @@
 		reply(w, a)
 	})
 	lim := r.cfg.Limits
-	web := &http.Server{Handler: mux, ReadHeaderTimeout: lim.MessageWait, IdleTimeout: lim.IdleWait, MaxHeaderBytes: lim.HeadBytes}
+	web := &http.Server{Handler: mux, ReadHeaderTimeout: lim.RequestReadTimeout, IdleTimeout: lim.ClientIdleTimeout, MaxHeaderBytes: lim.RequestHeadBytes}
 	go func() {
-		if err := web.Serve(netutil.LimitListener(r.control, limits.ControlConns)); !errors.Is(err, http.ErrServerClosed) {
+		if err := web.Serve(netutil.LimitListener(r.control, limits.ControlSocketConns)); !errors.Is(err, http.ErrServerClosed) {
 			served <- err
 		}
 	}()
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -83,7 +83,7 @@
 		return false, "draining"
 	case !r.ready.Load():
 		return false, "starting: no issuer host is known yet"
-	case r.ops.place != nil && r.ops.place.Role() == succession.Heir && time.Since(r.ops.began) < limits.HeirYes:
+	case r.ops.place != nil && r.ops.place.Role() == succession.Heir && time.Since(r.ops.began) < limits.TakeoverReadyTimeout:
 		return false, "taking over: the process before this one has work left"
 	}
 	return true, "ok"
@@ -102,7 +102,7 @@
 	done := make(chan struct{})
 	r.ops.sweep = done
 	go func() {
-		wait := time.NewTimer(r.cfg.Limits.DrainIdle)
+		wait := time.NewTimer(r.cfg.Limits.DrainIdleDelay)
 		defer wait.Stop()
 		for {
 			select {
@@ -111,7 +111,7 @@
 			case <-wait.C:
 			}
 			r.front.SweepIdle()
-			wait.Reset(limits.DrainSweep)
+			wait.Reset(limits.DrainSweepInterval)
 		}
 	}()
 }
@@ -165,7 +165,7 @@
 		return nil
 	}
 	if r.ops.place = p; p.Role() == succession.Heir {
-		r.resize(r.cfg.Limits.Shared())
+		r.resize(r.cfg.Limits.TakeoverCapacity())
 	}
 	return nil
 }
@@ -184,9 +184,9 @@
 	for _, f := range r.allFeeds() {
 		f.AskNow()
 	}
-	limit := time.NewTimer(limits.HeirList)
+	limit := time.NewTimer(limits.TakeoverListTimeout)
 	defer limit.Stop()
-	look := time.NewTicker(limits.HeirLook)
+	look := time.NewTicker(limits.TakeoverPollInterval)
 	defer look.Stop()
 wait:
 	for {
@@ -199,7 +199,7 @@
 		case <-look.C:
 			if p.Succeed() {
 				r.log.Info("the other process has ended")
-				r.resize(r.cfg.Limits.Whole())
+				r.resize(r.cfg.Limits.FullCapacity())
 				return succession.Listen(r.cfg.Listen, false)
 			}
 		case <-sig.Stop:
@@ -222,7 +222,7 @@
 
 // inherit waits for what the owner has learnt, and teaches it to the modules.
 func (r *Router) inherit(ctx context.Context, p *succession.Place) {
-	for until := time.Now().Add(limits.HeirLegacy); ; time.Sleep(limits.HeirLook / 10) {
+	for until := time.Now().Add(limits.TakeoverStateTimeout); ; time.Sleep(limits.TakeoverPollInterval / 10) {
 		b, ok := p.HandedOver()
 		if !ok && ctx.Err() == nil && time.Now().Before(until) {
 			continue
@@ -273,28 +273,28 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	yield := func() {}
-	go p.Watch(ctx, limits.HeirLook, func(s succession.Sight) {
+	go p.Watch(ctx, limits.TakeoverPollInterval, func(s succession.Sight) {
 		if r.ops.stopping.Load() {
 			return
 		}
 		switch s {
 		case succession.Coming:
 			r.log.Info("an heir has come; it gets half of the room")
-			r.resize(r.cfg.Limits.Shared())
+			r.resize(r.cfg.Limits.TakeoverCapacity())
 			r.bequeath(ctx)
 		case succession.Ready:
 			r.log.Info("the heir is ready; nothing more is accepted here, and connections end with their answers")
-			r.resize(r.cfg.Limits.Shared())
+			r.resize(r.cfg.Limits.TakeoverCapacity())
 			yield = r.yield(ctx)
 		case succession.Nobody:
 			r.log.Warn("the heir has gone; serving on alone")
 			yield()
 			r.resume(served)
-			r.resize(r.cfg.Limits.Whole())
+			r.resize(r.cfg.Limits.FullCapacity())
 		}
 	}, func() {
 		r.log.Info("the process before this one has ended; serving alone")
-		r.resize(r.cfg.Limits.Whole())
+		r.resize(r.cfg.Limits.FullCapacity())
 	})
 	return cancel
 }
@@ -304,7 +304,7 @@
 func (r *Router) yield(ctx context.Context) (stop func()) {
 	ctx, stop = context.WithCancel(ctx)
 	r.front.Yield(true)
-	time.Sleep(limits.QueueDry)
+	time.Sleep(limits.AcceptQueueDrainTime)
 	r.ops.door().Close()
 	r.ops.yielded.Store(true)
 	go func() {
@@ -312,7 +312,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(limits.DrainSweep):
+			case <-time.After(limits.DrainSweepInterval):
 			}
 		}
 		if ctx.Err() == nil && r.desk == nil { // batches end with SIGTERM alone
@@ -337,8 +337,8 @@
 }
 
 // resize changes what the process may use.
-func (r *Router) resize(m limits.Room) {
-	debug.SetMemoryLimit(m.Memory)
-	r.front.Resize(m.Acquirers)
-	r.issuer.Resize(m.Lines)
+func (r *Router) resize(m limits.Capacity) {
+	debug.SetMemoryLimit(m.HeapBytes)
+	r.front.Resize(m.ClientConns)
+	r.issuer.Resize(m.UpstreamConns)
 }
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -78,14 +78,14 @@
 				t.Errorf("a connection that came late: %d, and goes on: %v", a.StatusCode, !a.Close)
 			}
 			for name, gone := range map[string]<-chan time.Time{"never asked": idleGone, "idle": usedGone} {
-				if after := (<-gone).Sub(began); after < r.cfg.Limits.DrainIdle || after > time.Second {
+				if after := (<-gone).Sub(began); after < r.cfg.Limits.DrainIdleDelay || after > time.Second {
 					t.Errorf("%s: closed after %v", name, after)
 				}
 			}
 			// One that comes out of turn and says nothing is not held either.
 			odd := must(front.dial())
 			at := time.Now()
-			if after := (<-closed(odd)).Sub(at); after < r.cfg.Limits.FreshWait || after > time.Second {
+			if after := (<-closed(odd)).Sub(at); after < r.cfg.Limits.NewConnGrace || after > time.Second {
 				t.Errorf("a silent connection was closed after %v", after)
 			}
 			if err := r.OK(); err != nil || ask(t, front) != 200 {
@@ -167,7 +167,7 @@
 		}
 	}
 	next := start(t, dir, listen)
-	if next.limits() != next.cfg.Limits.Shared() {
+	if next.limits() != next.cfg.Limits.TakeoverCapacity() {
 		t.Errorf("an heir has %+v", next.limits())
 	}
 	if ok, why := next.Serving(); ok {
@@ -203,8 +203,8 @@
 }
 
 // limits is the room that a router keeps to.
-func (r *Router) limits() limits.Room {
-	return limits.Room{Acquirers: r.front.Most(), Lines: r.issuer.Most(), Memory: r.cfg.Limits.Shared().Memory}
+func (r *Router) limits() limits.Capacity {
+	return limits.Capacity{ClientConns: r.front.Most(), UpstreamConns: r.issuer.Most(), HeapBytes: r.cfg.Limits.TakeoverCapacity().HeapBytes}
 }
 
 func TestLegacy(t *testing.T) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -95,7 +95,7 @@
 	go r.desk.Run(halt)
 	lim := r.cfg.Limits
 	web := &http.Server{
-		Handler: r.desk.Handler(), ReadHeaderTimeout: lim.MessageWait, IdleTimeout: lim.APIIdle, MaxHeaderBytes: lim.HeadBytes,
+		Handler: r.desk.Handler(), ReadHeaderTimeout: lim.RequestReadTimeout, IdleTimeout: lim.BatchIdleTimeout, MaxHeaderBytes: lim.RequestHeadBytes,
 	}
 	go func() {
 		if err := web.Serve(netutil.LimitListener(r.door, lim.BatchConns)); !errors.Is(err, http.ErrServerClosed) {
@@ -103,7 +103,7 @@
 		}
 	}()
 	return func() {
-		ctx, cancel := context.WithTimeout(context.Background(), lim.BatchDrain)
+		ctx, cancel := context.WithTimeout(context.Background(), lim.BatchDrainTimeout)
 		defer cancel()
 		if web.Shutdown(ctx) != nil {
 			web.Close() // feeds stay open as long as their batch; their clients take them up again
@@ -200,7 +200,7 @@
 // Serve runs the router until it is stopped and owes nothing more.
 func (r *Router) Serve(sig Signals) error {
 	runtime.GOMAXPROCS(r.cfg.Limits.Procs)
-	debug.SetMemoryLimit(r.cfg.Limits.MemoryBytes)
+	debug.SetMemoryLimit(r.cfg.Limits.HeapBytes)
 	if r.cfg.Admin != "" {
 		ln, err := net.Listen("tcp", r.cfg.Admin)
 		if err != nil {
@@ -291,9 +291,9 @@
 	began := time.Now()
 	r.front.Drain()
 	if !r.ops.yielded.Load() { // else the heir listens, and what was idle here has had its time
-		time.Sleep(r.cfg.Limits.DrainIdle)
+		time.Sleep(r.cfg.Limits.DrainIdleDelay)
 		r.front.CloseIdle()
-		time.Sleep(r.cfg.Limits.DrainListen - time.Since(began))
+		time.Sleep(r.cfg.Limits.DrainListenerDelay - time.Since(began))
 	}
 	r.ops.door().Close()
 	r.front.CloseIdle()
--- a/internal/router/services_test.go
+++ b/internal/router/services_test.go
@@ -77,7 +77,7 @@
 	path := filepath.Join(t.TempDir(), "f")
 	var log strings.Builder
 	cfg := load(t)
-	cfg.Limits = cfg.Limits.WithFeeds(2)
+	cfg.Limits = cfg.Limits.WithEndpointSources(2)
 	reread := func(running *plan.Plan) (*config.Config, *plan.Plan, error) {
 		f, err := settings.Load(path, nil)
 		if err != nil {
--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -31,7 +31,7 @@
 func TraceOptions(cfg *config.Config, p *plan.Plan, s *settings.Trace) trace.Options {
 	o := trace.Options{
 		Router: cfg.Name, Seed: cfg.Seed, Share: *s.Share, PerSecond: *s.PerSecond, Margin: time.Duration(*s.Margin),
-		TellAll: s.TellHosts == "all", Steps: s.MemoryMB << 20 / trace.StepBytes, Linger: cfg.Limits.TraceLinger,
+		TellAll: s.TellHosts == "all", Steps: s.MemoryMB << 20 / trace.StepBytes, Linger: cfg.Limits.TraceCompletionGrace,
 	}
 	for _, q := range p.Pools {
 		for _, c := range q.Module.Settings.Classes {
--- a/internal/share/part.go
+++ b/internal/share/part.go
@@ -39,7 +39,7 @@
 	if !p.told || now >= p.asked+p.Hold || now < p.since+p.Window/2 {
 		return p.First
 	}
-	return max(p.Whole/limits.RetryParts(p.lives), p.First)
+	return max(p.Whole/limits.RetryShares(p.lives), p.First)
 }
 
 // Counts tells for how long a life counts after it was last heard of, and how long who begins to count says nothing.
