--- a/cmd/notchhinge/main.go
+++ b/cmd/notchhinge/main.go
@@ -189,8 +189,8 @@
 	for _, q := range p.Pools {
 		if q.Name != "" {
 			fmt.Printf("pool %s: list of %s, %d classes, open %d to %d, lines %d to %d, bodies %d to %d bytes\n", q.Name, q.Discovery,
-				len(q.Module.Settings.Classes), q.Places.Guarantee, q.Places.Most, q.Lines.Guarantee, q.Lines.Most,
-				q.Bodies.Guarantee, q.Bodies.Most)
+				len(q.Module.Settings.Classes), q.Places.Guarantee, q.Places.Max, q.Lines.Guarantee, q.Lines.Max,
+				q.Bodies.Guarantee, q.Bodies.Max)
 		}
 	}
 	return nil
--- a/internal/acquirer/acquirer.go
+++ b/internal/acquirer/acquirer.go
@@ -17,8 +17,8 @@
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/pool"
+	"notchhinge/internal/quota"
 	"notchhinge/internal/service"
-	"notchhinge/internal/share"
 	"notchhinge/policy"
 )
 
@@ -46,8 +46,8 @@
 	wg       sync.WaitGroup
 
 	roomMu sync.Mutex
-	bodies *share.Stock // bytes of bodies held, by pool
-	calls  *share.Stock // messages that are coming in or open, by pool
+	bodies *quota.Quota // bytes of bodies held, by pool
+	calls  *quota.Quota // messages that are coming in or open, by pool
 }
 
 // nowhere holds what is led to no pool.
@@ -56,7 +56,7 @@
 // New returns a front. Its pools have no claims yet.
 func New(o Options) *Server {
 	s := &Server{
-		Options: o, bodies: share.New(o.Lim.TotalBodyBytes), calls: share.New(int64(o.Lim.ClientConns + o.Lim.RejectConns)),
+		Options: o, bodies: quota.New(o.Lim.TotalBodyBytes), calls: quota.New(int64(o.Lim.ClientConns + o.Lim.RejectConns)),
 	}
 	if s.Dialect == nil {
 		s.Dialect = platform{s}
@@ -68,26 +68,26 @@
 }
 
 // Set gives a pool its parts of the room for bodies, in bytes, and of the calls that may be coming in or open at once.
-func (s *Server) Set(id pool.ID, bodies, calls share.Claim) {
+func (s *Server) Set(id pool.ID, bodies, calls quota.Claim) {
 	s.roomMu.Lock()
 	defer s.roomMu.Unlock()
-	s.bodies.Set(int(id), bodies)
-	s.calls.Set(int(id), calls)
+	s.bodies.SetClaim(int(id), bodies)
+	s.calls.SetClaim(int(id), calls)
 }
 
 // End takes a pool's parts away.
 func (s *Server) End(id pool.ID) {
 	s.roomMu.Lock()
 	defer s.roomMu.Unlock()
-	s.bodies.End(int(id))
-	s.calls.End(int(id))
+	s.bodies.EndClaim(int(id))
+	s.calls.EndClaim(int(id))
 }
 
 // Bodies tells how many bytes of bodies a pool holds.
 func (s *Server) Bodies(id pool.ID) int64 {
 	s.roomMu.Lock()
 	defer s.roomMu.Unlock()
-	return s.bodies.Held(int(id))
+	return s.bodies.Reserved(int(id))
 }
 
 // room is what a message has taken of the stocks.
@@ -304,7 +304,7 @@
 		if s.bodies.Take(r.pool, body) {
 			return r, nil
 		}
-		s.calls.Give(r.pool, 1)
+		s.calls.Release(r.pool, 1)
 	}
 	return room{}, &Refusal{Status: http.StatusServiceUnavailable, Reason: "no room", Retry: retry, unread: true}
 }
@@ -370,8 +370,8 @@
 func (s *Server) release(r room) {
 	s.roomMu.Lock()
 	defer s.roomMu.Unlock()
-	s.bodies.Give(r.pool, r.body)
-	s.calls.Give(r.pool, 1)
+	s.bodies.Release(r.pool, r.body)
+	s.calls.Release(r.pool, 1)
 }
 
 // grow takes room for the buffer of a connection.
@@ -384,5 +384,5 @@
 func (s *Server) shrink(bytes int64) {
 	s.roomMu.Lock()
 	defer s.roomMu.Unlock()
-	s.bodies.Give(nowhere, bytes)
+	s.bodies.Release(nowhere, bytes)
 }
--- a/internal/acquirer/services_test.go
+++ b/internal/acquirer/services_test.go
@@ -10,9 +10,9 @@
 	"notchhinge/internal/broker"
 	"notchhinge/internal/exchange"
 	"notchhinge/internal/limits"
+	"notchhinge/internal/quota"
 	"notchhinge/internal/route"
 	"notchhinge/internal/service"
-	"notchhinge/internal/share"
 	"notchhinge/policy"
 )
 
@@ -46,7 +46,7 @@
 				}
 			},
 		})
-		s.Set(2, share.Claim{Most: 30}, share.Claim{})
+		s.Set(2, quota.Claim{Max: 30}, quota.Claim{})
 		near, far := net.Pipe()
 		ended := make(chan struct{})
 		go func() { s.ServeConn(near); close(ended) }()
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -5,7 +5,7 @@
 
 	"notchhinge/internal/limits"
 	"notchhinge/internal/pool"
-	"notchhinge/internal/share"
+	"notchhinge/internal/quota"
 	"notchhinge/internal/timerqueue"
 	"notchhinge/internal/trace"
 	"notchhinge/policy"
@@ -16,7 +16,7 @@
 	lim     limits.Limits
 	pools   map[pool.ID]*instance
 	leaving bool         // one of the pools at least
-	places  *share.Stock // of open authorisations, by pool
+	places  *quota.Quota // of open authorisations, by pool
 	boxes   *pool.Boxes  // nil as long as there is one pool
 	now     time.Duration
 	effects []Effect
@@ -78,7 +78,7 @@
 // New returns a broker that has no pool yet.
 func New(lim limits.Limits) *Broker {
 	return &Broker{
-		lim: lim, due: timerqueue.New[due](), pools: map[pool.ID]*instance{}, places: share.New(int64(lim.ConcurrentRequests)),
+		lim: lim, due: timerqueue.New[due](), pools: map[pool.ID]*instance{}, places: quota.New(int64(lim.ConcurrentRequests)),
 		auths: map[policy.RequestID]*auth{}, byParty: map[Acquirer]*auth{}, names: map[name]bool{},
 		counts: Counters{Outcomes: map[policy.Result]int{}},
 	}
@@ -175,7 +175,7 @@
 	case RepeatsExtra:
 		for _, p := range b.pools {
 			if p.repeats != nil {
-				p.repeats.Extra = float64(e)
+				p.repeats.Allowance = float64(e)
 			}
 		}
 	case Parked:
@@ -239,7 +239,7 @@
 	p.counts.Taken++
 	p.held++
 	if p.repeats != nil {
-		p.repeats.Saw(b.now)
+		p.repeats.CountRequest(b.now)
 	}
 	b.lastID++
 	a := &auth{id: b.lastID, pool: p, from: e.From, deadline: min(e.At, b.now) + e.Request.ExpiresIn, attempts: p.attempts}
@@ -293,7 +293,7 @@
 	b.due.Remove(a.key)
 	delete(b.byParty, a.from)
 	delete(b.names, name{a.pool.id, a.name})
-	b.places.Give(int(a.pool.id), 1)
+	b.places.Release(int(a.pool.id), 1)
 	b.forget(a)
 }
 
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 
 	"notchhinge/internal/limits"
-	"notchhinge/internal/share"
+	"notchhinge/internal/retrybudget"
 	"notchhinge/policy"
 )
 
@@ -316,7 +316,7 @@
 // TestPartOfTheBudgetChanges: a router is told how many share what may be sent again; it holds from the next repeat on.
 func TestPartOfTheBudgetChanges(t *testing.T) {
 	r := newRig(t, 3, nil)
-	r.Reduce(r.now, PoolSet{Repeats: &share.Repeats{Extra: 5, Window: 10 * sec}})
+	r.Reduce(r.now, PoolSet{Repeats: &retrybudget.Budget{Allowance: 5, Window: 10 * sec}})
 	r.expect(0, taken("a", r.now, 4*sec), "send 1.0 for 4s")
 	if again := r.turn(0, LegEnded{Leg: LegID{1, 0}, Result: policy.Full}); len(again) != 1 || again[0] != "send 1.1 for 4s" {
 		t.Fatalf("within its part: %v", again)
@@ -337,7 +337,7 @@
 func TestMisdirectedCounts(t *testing.T) {
 	for _, arrived := range []bool{false, true} {
 		r := newRig(t, 3, nil)
-		r.Reduce(r.now, PoolSet{Repeats: &share.Repeats{Extra: 1, Window: 10 * sec}})
+		r.Reduce(r.now, PoolSet{Repeats: &retrybudget.Budget{Allowance: 1, Window: 10 * sec}})
 		r.expect(0, taken("a", r.now, 4*sec), "send 1.0 for 4s")
 		r.expect(0, LegEnded{Leg: LegID{1, 0}, Result: policy.ConnectFailed, Arrived: arrived}, "send 1.1 for 4s")
 		again := r.turn(0, LegEnded{Leg: LegID{1, 1}, Result: policy.ConnectFailed, Arrived: arrived})
--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -6,7 +6,8 @@
 	"time"
 
 	"notchhinge/internal/pool"
-	"notchhinge/internal/share"
+	"notchhinge/internal/quota"
+	"notchhinge/internal/retrybudget"
 	"notchhinge/internal/trace"
 	"notchhinge/policy"
 )
@@ -119,12 +120,12 @@
 		Module     *policy.Balancer // the pool's from now on
 		WarmUp     time.Duration    // of the module's settings, as the next
 		ColdFrom   float64
-		Classes    []trace.Class  // where journeys are recorded
-		Places     share.Claim    // to open authorisations
-		Turns      float64        // weight of its turns against other pools'; 0 = 1
-		Attempts   int            // legs of one authorisation; 0 = as the limits say
-		RetryAfter time.Duration  // with what is declined for want of a place; 0 = as the limits say
-		Repeats    *share.Repeats // its part of what may be sent again; nil = the module alone says
+		Classes    []trace.Class       // where journeys are recorded
+		Places     quota.Claim         // to open authorisations
+		Turns      float64             // weight of its turns against other pools'; 0 = 1
+		Attempts   int                 // legs of one authorisation; 0 = as the limits say
+		RetryAfter time.Duration       // with what is declined for want of a place; 0 = as the limits say
+		Repeats    *retrybudget.Budget // its part of what may be sent again; nil = the module alone says
 	}
 	// Classes gives a pool's module further classes; those it has stay.
 	Classes struct {
@@ -273,5 +274,5 @@
 	Ready   int // of the hosts
 	Held    int // authorisations with anything out, those included that have their answer
 	Leaving bool
-	Places  share.Claim
+	Places  quota.Claim
 }
--- a/internal/broker/loop.go
+++ b/internal/broker/loop.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"notchhinge/internal/share"
+	"notchhinge/internal/quota"
 )
 
 // Clock reads the time; it never goes back.
@@ -31,7 +31,7 @@
 
 	fair  atomic.Bool // there are several pools, and authorisations go through lanes
 	mu    sync.Mutex
-	lanes *share.Lanes[Taken]
+	lanes *quota.FairQueue[Taken]
 }
 
 // turn stands in the queue of events for an authorisation that waits in a lane: as many as wait, but whichever is next
@@ -45,7 +45,7 @@
 	return &Loop{
 		broker: b, clock: clock, perform: perform,
 		events: make(chan Event, 1024), stopped: make(chan struct{}), idle: make(chan chan struct{}),
-		lanes: share.NewLanes[Taken](),
+		lanes: quota.NewFairQueue[Taken](),
 	}
 }
 
@@ -100,14 +100,14 @@
 		}
 	case PoolSet:
 		l.mu.Lock()
-		l.lanes.Weigh(int(e.Pool), e.Turns)
+		l.lanes.SetWeight(int(e.Pool), e.Turns)
 		l.mu.Unlock()
 		l.reduce(e)
 		l.fair.Store(len(l.broker.pools) > 1 || l.fair.Load())
 		return
 	case PoolEnd:
 		l.mu.Lock()
-		l.lanes.End(int(e.Pool))
+		l.lanes.EndFlow(int(e.Pool))
 		l.mu.Unlock()
 	}
 	l.reduce(e)
--- a/internal/broker/pool.go
+++ b/internal/broker/pool.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"notchhinge/internal/pool"
-	"notchhinge/internal/share"
+	"notchhinge/internal/retrybudget"
 	"notchhinge/internal/trace"
 	"notchhinge/policy"
 )
@@ -29,7 +29,7 @@
 	counts     Counters
 	held       int        // authorisations that are not forgotten
 	set        *trace.Set // for the journal
-	repeats    *share.Repeats
+	repeats    *retrybudget.Budget
 	leaving    bool // nothing more is routed to it; it goes with its last authorisation
 	gone       bool
 }
@@ -62,7 +62,7 @@
 	if e.Repeats != nil && (p.repeats == nil || *e.Repeats != *p.repeats) {
 		p.repeats = e.Repeats
 	}
-	b.places.Set(int(p.id), e.Places)
+	b.places.SetClaim(int(p.id), e.Places)
 }
 
 // shareBoxes begins to keep account of boxes that pools share; with one pool there is nothing to account for.
@@ -89,7 +89,7 @@
 		}
 		p.gone = true
 		delete(b.pools, id)
-		b.places.End(int(id))
+		b.places.EndClaim(int(id))
 		if b.boxes != nil {
 			b.boxes.Leave(id)
 		}
@@ -288,7 +288,7 @@
 		b.endLater(a, l, policy.Full) // as if the box itself had turned it away
 		return
 	}
-	if p.repeats != nil && a.arrived && !p.repeats.Take(b.now) {
+	if p.repeats != nil && a.arrived && !p.repeats.TryTake(b.now) {
 		// It has been at a host already, and all routers together may not send so much again.
 		b.endLater(a, l, policy.Moot)
 		return
@@ -407,7 +407,7 @@
 		p := b.pools[id]
 		all.add(&p.counts)
 		c := p.counts
-		c.Outcomes, c.Open = maps.Clone(c.Outcomes), int(b.places.Held(int(id)))
+		c.Outcomes, c.Open = maps.Clone(c.Outcomes), int(b.places.Reserved(int(id)))
 		pools = append(pools, PoolCounters{
 			Counters: c, Pool: id, Name: p.name, Hosts: len(p.hosts), Ready: p.ready, Held: p.held, Leaving: p.leaving,
 			Places: b.places.Claim(int(id)),
--- a/internal/broker/pools_test.go
+++ b/internal/broker/pools_test.go
@@ -11,7 +11,7 @@
 
 	"notchhinge/internal/limits"
 	"notchhinge/internal/pool"
-	"notchhinge/internal/share"
+	"notchhinge/internal/quota"
 	"notchhinge/policy"
 )
 
@@ -19,10 +19,10 @@
 func pools(t *testing.T, change func(*limits.Limits)) *rig {
 	r := newRig(t, 0, change)
 	r.Reduce(r.now, PoolSet{
-		Pool: 1, Name: "one", Module: module(t), WarmUp: 10 * sec, ColdFrom: 0.5, Places: share.Claim{Guarantee: 2, Most: 3},
+		Pool: 1, Name: "one", Module: module(t), WarmUp: 10 * sec, ColdFrom: 0.5, Places: quota.Claim{Guarantee: 2, Max: 3},
 		RetryAfter: 700 * time.Millisecond,
 	})
-	r.Reduce(r.now, PoolSet{Pool: 2, Name: "two", Module: module(t), WarmUp: 10 * sec, ColdFrom: 0.5, Places: share.Claim{Guarantee: 2}})
+	r.Reduce(r.now, PoolSet{Pool: 2, Name: "two", Module: module(t), WarmUp: 10 * sec, ColdFrom: 0.5, Places: quota.Claim{Guarantee: 2}})
 	r.Reduce(r.now, PoolEnd{Pool: 0})
 	return r
 }
@@ -294,7 +294,7 @@
 			live = append(live, next)
 			reduce(PoolSet{
 				Pool: next, Name: fmt.Sprint("p", next), Module: m, WarmUp: sec, ColdFrom: 0.5,
-				Places: share.Claim{Guarantee: int64(rapid.IntRange(0, 3).Draw(t, "guarantee")), Most: int64(rapid.IntRange(3, 12).Draw(t, "most"))},
+				Places: quota.Claim{Guarantee: int64(rapid.IntRange(0, 3).Draw(t, "guarantee")), Max: int64(rapid.IntRange(3, 12).Draw(t, "most"))},
 			})
 			next++
 		}
@@ -311,7 +311,7 @@
 					reduce(PoolEnd{Pool: live[i]})
 					live = append(live[:i:i], live[i+1:]...)
 				default:
-					reduce(PoolSet{Pool: live[0], Name: "again", Places: share.Claim{Most: int64(rapid.IntRange(1, 12).Draw(t, "most"))}})
+					reduce(PoolSet{Pool: live[0], Name: "again", Places: quota.Claim{Max: int64(rapid.IntRange(1, 12).Draw(t, "most"))}})
 				}
 			case 1, 2, 3: // a list
 				p := rapid.SampledFrom(live).Draw(t, "pool")
--- a/internal/broker/scale_test.go
+++ b/internal/broker/scale_test.go
@@ -8,7 +8,7 @@
 
 	"notchhinge/internal/limits"
 	"notchhinge/internal/pool"
-	"notchhinge/internal/share"
+	"notchhinge/internal/quota"
 	"notchhinge/policy"
 )
 
@@ -25,7 +25,7 @@
 			for p := range n {
 				c.Reduce(now, PoolSet{
 					Pool: pool.ID(p), Name: fmt.Sprint("p", p), Module: module(b), WarmUp: sec, ColdFrom: 0.5,
-					Places: share.Claim{Guarantee: int64(lim.ConcurrentRequests / n / 2)},
+					Places: quota.Claim{Guarantee: int64(lim.ConcurrentRequests / n / 2)},
 				})
 				l := Listed{Pool: pool.ID(p), Kind: policy.ListFull}
 				for i := range boxes {
--- a/internal/control/singleton/node.go
+++ b/internal/control/singleton/node.go
@@ -223,7 +223,7 @@
 	return nil, errKind
 }
 
-// lives tells how many lives of routers share what may be sent again, as share.Part wants it: by one who counts, and only once
+// lives tells how many lives of routers share what may be sent again, as retrybudget.Share wants it: by one who counts, and only once
 // it has heard of all that may have used their parts within a window. At the very first start nobody has. 0 = it does not say.
 func (n *Controller) lives() int {
 	if _, ok := n.holds(); !ok || n.now-n.fenceAt < n.RouterWindow && !n.first {
--- a/internal/issuer/issuer.go
+++ b/internal/issuer/issuer.go
@@ -20,7 +20,7 @@
 	"notchhinge/internal/framing"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/pool"
-	"notchhinge/internal/share"
+	"notchhinge/internal/quota"
 	"notchhinge/internal/trace"
 	"notchhinge/policy"
 )
@@ -124,18 +124,18 @@
 	return &Client{
 		Config: c, legs: map[broker.LegID]*leg{}, pools: map[pool.ID]*Reports{},
 		lines: lines{
-			lim: c.Lim, dial: c.Dial, post: c.Post, idle: map[dest][]*line{}, stock: share.New(int64(c.Lim.UpstreamConns)),
+			lim: c.Lim, dial: c.Dial, post: c.Post, idle: map[dest][]*line{}, stock: quota.New(int64(c.Lim.UpstreamConns)),
 		},
 	}
 }
 
 // Set says how a pool's hosts report, and what part of the lines is the pool's. It holds for legs sent from now on.
-func (c *Client) Set(id pool.ID, r Reports, lines share.Claim) {
+func (c *Client) Set(id pool.ID, r Reports, lines quota.Claim) {
 	c.mu.Lock()
 	c.pools[id] = &r
 	c.mu.Unlock()
 	c.lines.mu.Lock()
-	c.lines.stock.Set(int(id), lines)
+	c.lines.stock.SetClaim(int(id), lines)
 	c.lines.mu.Unlock()
 }
 
@@ -146,7 +146,7 @@
 	delete(c.pools, id)
 	c.mu.Unlock()
 	c.lines.mu.Lock()
-	c.lines.stock.End(int(id))
+	c.lines.stock.EndClaim(int(id))
 	c.lines.mu.Unlock()
 }
 
@@ -154,7 +154,7 @@
 func (c *Client) Lines(id pool.ID) int {
 	c.lines.mu.Lock()
 	defer c.lines.mu.Unlock()
-	return int(c.lines.stock.Held(int(id)))
+	return int(c.lines.stock.Reserved(int(id)))
 }
 
 // Parked tells how many lines wait for their next request.
--- a/internal/issuer/issuer_test.go
+++ b/internal/issuer/issuer_test.go
@@ -17,7 +17,7 @@
 	"notchhinge/internal/exchange"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/pool"
-	"notchhinge/internal/share"
+	"notchhinge/internal/quota"
 	"notchhinge/policy"
 )
 
@@ -407,7 +407,7 @@
 		dial, far := pipes()
 		d := newDesk(dial)
 		d.lines.stock.Resize(1)
-		d.Set(0, d.Reports, share.Claim{Guarantee: 1})
+		d.Set(0, d.Reports, quota.Claim{Guarantee: 1})
 		first, err := d.lines.get(t.Context(), dest{1, "a", 0}, time.Second, 0)
 		if err != nil {
 			t.Fatal(err)
@@ -499,7 +499,7 @@
 		d := newDesk(dial)
 		d.lines.stock.Resize(3)
 		for id := range pool.ID(2) {
-			d.Set(id, d.Reports, share.Claim{Guarantee: 1})
+			d.Set(id, d.Reports, quota.Claim{Guarantee: 1})
 		}
 		get := func(of pool.ID, host policy.ReplicaID) *line {
 			l, err := d.lines.get(t.Context(), dest{host, "a", of}, time.Second, 0)
--- a/internal/issuer/lines.go
+++ b/internal/issuer/lines.go
@@ -12,7 +12,7 @@
 	"notchhinge/internal/broker"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/pool"
-	"notchhinge/internal/share"
+	"notchhinge/internal/quota"
 	"notchhinge/policy"
 )
 
@@ -54,7 +54,7 @@
 
 	mu     sync.Mutex
 	idle   map[dest][]*line // the latest last
-	stock  *share.Stock     // of all lines, by pool
+	stock  *quota.Quota     // of all lines, by pool
 	open   int
 	number uint64
 }
@@ -111,7 +111,7 @@
 		}
 		l.once.Do(func() { // it counts no more from now on, and closed must not count it again
 			p.open--
-			p.stock.Give(int(l.to.pool), 1)
+			p.stock.Release(int(l.to.pool), 1)
 		})
 		victims = append(victims, l)
 	}
@@ -138,7 +138,7 @@
 // beyond its guarantee.
 func (p *lines) victim(of pool.ID) *line {
 	for to, s := range p.idle {
-		if to.pool == of || p.stock.Over(int(to.pool)) {
+		if to.pool == of || p.stock.IsOverGuarantee(int(to.pool)) {
 			p.keep(to, s[1:])
 			return s[0]
 		}
@@ -157,7 +157,7 @@
 func (p *lines) release(of pool.ID) {
 	p.mu.Lock()
 	p.open--
-	p.stock.Give(int(of), 1)
+	p.stock.Release(int(of), 1)
 	p.mu.Unlock()
 }
 
--- a/internal/lab/check/legs.go
+++ b/internal/lab/check/legs.go
@@ -22,8 +22,8 @@
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/pool"
+	"notchhinge/internal/retrybudget"
 	"notchhinge/internal/service"
-	"notchhinge/internal/share"
 	"notchhinge/policy"
 )
 
@@ -158,7 +158,7 @@
 	})
 	set := broker.PoolSet{Pool: s.ID, Name: "s", Module: m, WarmUp: edge.WarmUp, ColdFrom: edge.ColdFrom, Attempts: lim.MaxAttempts}
 	if !r.lavish {
-		set.Repeats = &share.Repeats{Extra: float64(r.repeats), Window: 10 * time.Second}
+		set.Repeats = &retrybudget.Budget{Allowance: float64(r.repeats), Window: 10 * time.Second}
 	}
 	r.post(set)
 	l := broker.Listed{Pool: s.ID, Kind: policy.ListFull}
--- a/internal/node/dataplane.go
+++ b/internal/node/dataplane.go
@@ -16,8 +16,8 @@
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/pool"
+	"notchhinge/internal/retrybudget"
 	"notchhinge/internal/service"
-	"notchhinge/internal/share"
 	"notchhinge/policy"
 )
 
@@ -33,9 +33,9 @@
 	list    func(service string) []endpoints.Endpoint
 	seed    uint64
 	spent   *metrics.Traffic
-	zone    string        // this machine's
-	repeats share.Repeats // of each service; no Window = there is no such budget
-	part    share.Part    // of the extra that all routers have together, beyond the ratio
+	zone    string             // this machine's
+	repeats retrybudget.Budget // of each service; no Window = there is no such budget
+	part    retrybudget.Share  // of the extra that all routers have together, beyond the ratio
 
 	forgot  func()       // told that an engine has forgotten a connection; it must not wait
 	careful atomic.Int64 // until then, by the loop's clock, connections that have rested are not for every request
@@ -143,12 +143,12 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.loop.Now()
-	d.part.Told(asked, now, lives)
-	extra := d.part.At(now)
-	if d.repeats.Window == 0 || extra == d.repeats.Extra {
+	d.part.Update(asked, now, lives)
+	extra := d.part.Allowance(now)
+	if d.repeats.Window == 0 || extra == d.repeats.Allowance {
 		return
 	}
-	d.repeats.Extra = extra
+	d.repeats.Allowance = extra
 	d.loop.Post(broker.RepeatsExtra(extra))
 }
 
--- a/internal/node/dataplaneconfig.go
+++ b/internal/node/dataplaneconfig.go
@@ -9,7 +9,7 @@
 	"notchhinge/internal/edge"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/share"
+	"notchhinge/internal/quota"
 	"notchhinge/policy"
 )
 
@@ -72,8 +72,8 @@
 		return err
 	}
 	d.modules[s.ID], d.classes[s.ID] = m, len(s.Classes)
-	d.issuer.Set(s.ID, issuer.Reports{}, share.Claim{})
-	d.front.Set(s.ID, share.Claim{}, share.Claim{})
+	d.issuer.Set(s.ID, issuer.Reports{}, quota.Claim{})
+	d.front.Set(s.ID, quota.Claim{}, quota.Claim{})
 	e := broker.PoolSet{
 		Pool: s.ID, Name: s.Name, Module: m, WarmUp: edge.WarmUp, ColdFrom: edge.ColdFrom, Attempts: d.lim.MaxAttempts, RetryAfter: d.lim.OverloadRetryAfter,
 	}
--- a/internal/node/singletonhost.go
+++ b/internal/node/singletonhost.go
@@ -15,7 +15,7 @@
 	"notchhinge/internal/control/replica"
 	"notchhinge/internal/control/singleton"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/share"
+	"notchhinge/internal/retrybudget"
 )
 
 // duties is a keeper's duty.Node under one lock, with its clocks, its calls and the platform.
@@ -38,7 +38,7 @@
 		Self: n.keeper.self, LeaseDuration: time.Duration(b.LeaseMS) * time.Millisecond, UsageWindow: seconds(b.UsageWindowS), UsageDelay: seconds(b.UsageDelayS),
 		// A machine whose disk was wiped may have granted a lease before: only at the very first start there was none.
 		NeverGranted: n.keeper.founder && n.keeper.at().NextIndex == 0,
-		RouterWindow: share.Counts(seconds(b.RetryWindowS), limits.RouterReportRetention), CandidacyDelay: time.Duration(id%1000) * time.Millisecond, Incarnation: rand.Uint64(),
+		RouterWindow: retrybudget.CountingPeriod(seconds(b.RetryWindowS), limits.RouterReportRetention), CandidacyDelay: time.Duration(id%1000) * time.Millisecond, Incarnation: rand.Uint64(),
 		ReportsUsage: n.cfg.CloudAPI.HasRole("usage_reporting"), ScalesEngines: n.cfg.CloudAPI.HasRole("autoscaler"),
 		Peers: n.keeper.others, Services: n.scaled, MembershipPending: n.keeper.unsure,
 	})
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -16,7 +16,7 @@
 	"notchhinge/internal/control/singleton"
 	"notchhinge/internal/control/transport"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/share"
+	"notchhinge/internal/retrybudget"
 )
 
 // open opens the sockets and the disk.
@@ -74,8 +74,8 @@
 		n.data = newData(n.log, lim, limits.DrainGrace(drain), rand.Uint64(), n.news.list)
 		if b := n.cfg.Bounds; b.RetryWindowS > 0 {
 			window := time.Duration(b.RetryWindowS * float64(time.Second))
-			n.data.part = share.Part{Whole: b.RetryExtra, First: b.RetryExtra / limits.InitialRetryShares, Window: window, Hold: limits.RetryShareTTL}
-			n.data.repeats = share.Repeats{Ratio: b.RetryBudgetRatio / 2, Window: window, Extra: n.data.part.First}
+			n.data.part = retrybudget.Share{Total: b.RetryExtra, Initial: b.RetryExtra / limits.InitialRetryShares, Window: window, Validity: limits.RetryShareTTL}
+			n.data.repeats = retrybudget.Budget{Ratio: b.RetryBudgetRatio / 2, Window: window, Allowance: n.data.part.Initial}
 		}
 		n.data.spent, n.data.zone = &n.spent, n.cfg.Zone
 		n.news.engines, n.news.forgets = n.data.engines, n.data.forgets
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -14,10 +14,10 @@
 	"notchhinge/internal/config"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/pool"
+	"notchhinge/internal/quota"
 	"notchhinge/internal/registry"
 	"notchhinge/internal/service"
 	"notchhinge/internal/settings"
-	"notchhinge/internal/share"
 	"notchhinge/policy"
 )
 
@@ -37,7 +37,7 @@
 	Module    config.Module
 	Seed      uint64
 
-	Places, Lines, Bodies, Calls share.Claim
+	Places, Lines, Bodies, Calls quota.Claim
 	Turns                        float64       // of the loop, against other pools
 	Legs                         int           // 0 = as the settings allow
 	RetryAfter                   time.Duration // with what there is no room for
@@ -247,12 +247,12 @@
 		q.RetryAfter = time.Duration(*s.RetryAfter)
 	}
 	q.Legs = s.Legs
-	part := func(total, bound int64) share.Claim {
-		c := share.Claim{Guarantee: int64(guarantee * float64(total)), Most: max(int64(math.Ceil(most*float64(total))), 1)}
+	part := func(total, bound int64) quota.Claim {
+		c := quota.Claim{Guarantee: int64(guarantee * float64(total)), Max: max(int64(math.Ceil(most*float64(total))), 1)}
 		if bound > 0 {
-			c.Most = min(c.Most, bound)
+			c.Max = min(c.Max, bound)
 		}
-		c.Guarantee = min(c.Guarantee, c.Most)
+		c.Guarantee = min(c.Guarantee, c.Max)
 		return c
 	}
 	q.Places = part(int64(l.ConcurrentRequests), int64(s.Open))
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -12,9 +12,9 @@
 	"github.com/google/go-cmp/cmp"
 
 	"notchhinge/internal/config"
+	"notchhinge/internal/quota"
 	"notchhinge/internal/route"
 	"notchhinge/internal/settings"
-	"notchhinge/internal/share"
 )
 
 func base(t *testing.T) *config.Config {
@@ -105,20 +105,20 @@
 	p := make1(t, serviceOf("s", `split = [{pool = "a", weight = 1}, {pool = "b", weight = 1}, {pool = "c", weight = 1}]`)+
 		poolOf("a", "[pool.limits]\nguarantee = 0.4\nmost = 0.5\nopen = 7\nlegs = 2\nretry_after = \"2s\"")+poolOf("b", "")+poolOf("c", ""), nil)
 	cfg := base(t)
-	var claims []share.Claim
+	var claims []quota.Claim
 	for _, q := range p.Pools {
 		claims = append(claims, q.Lines)
 	}
-	if err := share.Check(int64(cfg.Limits.UpstreamConns), claims); err != nil {
+	if err := quota.Check(int64(cfg.Limits.UpstreamConns), claims); err != nil {
 		t.Error(err)
 	}
 	a, b, lines := p.Pools[0], p.Pools[1], float64(cfg.Limits.UpstreamConns)
 	got := []any{a.Places, a.Lines, a.Legs, a.RetryAfter, b.Lines, b.RetryAfter, b.Legs}
 	want := []any{
-		share.Claim{Guarantee: 7, Most: 7},
-		share.Claim{Guarantee: int64(0.4 * lines), Most: int64(0.5*lines + 0.5)},
+		quota.Claim{Guarantee: 7, Max: 7},
+		quota.Claim{Guarantee: int64(0.4 * lines), Max: int64(0.5*lines + 0.5)},
 		2, 2 * time.Second,
-		share.Claim{Guarantee: int64(0.15 * lines), Most: int64(lines)},
+		quota.Claim{Guarantee: int64(0.15 * lines), Max: int64(lines)},
 		cfg.Limits.OverloadRetryAfter, 0,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
--- /dev/null
+++ b/internal/quota/quota_test.go
@@ -0,0 +1,212 @@
+package quota
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// TestQuotaKeepsGuarantees plays reservations, releases and changes of claims against a plain account.
+func TestQuotaKeepsGuarantees(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		const total = 100
+		q := New(total)
+		reserved, claims := map[int]int64{}, map[int]Claim{}
+		sum := func() (n int64) {
+			for _, h := range reserved {
+				n += h
+			}
+			return n
+		}
+		isCommitted := true // the claims and what is reserved fit together
+		for range rapid.IntRange(1, 200).Draw(t, "steps") {
+			id := rapid.IntRange(0, 3).Draw(t, "holder")
+			n := rapid.Int64Range(0, 40).Draw(t, "n")
+			switch rapid.IntRange(0, 5).Draw(t, "step") {
+			case 0, 1, 2:
+				within := reserved[id]+n <= claims[id].Guarantee
+				ok := q.Take(id, n)
+				if ok {
+					reserved[id] += n
+				}
+				if within && isCommitted && !ok {
+					t.Fatalf("holder %d was rejected %d within its guarantee: reserved %v, claims %v", id, n, reserved, claims)
+				}
+				if ok && claims[id].Max > 0 && reserved[id] > claims[id].Max {
+					t.Fatalf("holder %d has %d, more than its max", id, reserved[id])
+				}
+			case 3, 4:
+				q.Release(id, n)
+				reserved[id] -= min(n, reserved[id])
+			case 5:
+				c := Claim{Guarantee: rapid.Int64Range(0, 25).Draw(t, "guarantee")}
+				if rapid.Bool().Draw(t, "bounded") {
+					c.Max = c.Guarantee + rapid.Int64Range(0, 60).Draw(t, "beyond")
+				}
+				if rapid.IntRange(0, 4).Draw(t, "end") == 0 {
+					q.EndClaim(id)
+					c = Claim{}
+				} else {
+					q.SetClaim(id, c)
+				}
+				claims[id] = c
+				committed := int64(0)
+				for i := range 4 {
+					committed += max(reserved[i], claims[i].Guarantee)
+				}
+				isCommitted = committed <= total
+			}
+			if sum() > total {
+				t.Fatalf("%d of %d are reserved", sum(), total)
+			}
+			for i, h := range reserved {
+				if q.Reserved(i) != h {
+					t.Fatalf("holder %d has reserved %d by the quota, %d by the account", i, q.Reserved(i), h)
+				}
+			}
+			if !isCommitted {
+				committed := int64(0)
+				for i := range 4 {
+					committed += max(reserved[i], claims[i].Guarantee)
+				}
+				isCommitted = committed <= total
+			}
+		}
+		for i := range 4 {
+			q.EndClaim(i)
+			q.Release(i, reserved[i])
+		}
+		if len(q.holders) != 0 || q.committed != 0 || q.reserved != 0 {
+			t.Fatalf("left: %d holders, %d committed, %d reserved", len(q.holders), q.committed, q.reserved)
+		}
+	})
+}
+
+func TestSingleHolderIsAPlainCounter(t *testing.T) {
+	q := New(3)
+	q.SetClaim(0, Claim{Guarantee: 3})
+	for range 3 {
+		if !q.Take(0, 1) {
+			t.Fatal("rejected below the total")
+		}
+	}
+	if q.Take(0, 1) {
+		t.Error("more than the total was taken")
+	}
+	q.Release(0, 1)
+	if !q.Take(0, 1) {
+		t.Error("what was released cannot be taken")
+	}
+}
+
+func TestCheckRejectsClaimsThatCannotBeKept(t *testing.T) {
+	for _, c := range []struct {
+		claims []Claim
+		ok     bool
+	}{
+		{[]Claim{{60, 0}, {40, 50}}, true},
+		{[]Claim{{60, 0}, {41, 0}}, false},
+		{[]Claim{{10, 5}}, false},
+		{[]Claim{{-1, 0}}, false},
+	} {
+		if err := Check(100, c.claims); (err == nil) != c.ok {
+			t.Errorf("%v: %v", c.claims, err)
+		}
+	}
+}
+
+// TestFlowsShareTurnsByWeight floods one flow: the others' entries must not wait behind it, and turns go by weight.
+func TestFlowsShareTurnsByWeight(t *testing.T) {
+	q := NewFairQueue[int]()
+	q.SetWeight(1, 3)
+	q.SetWeight(2, 1)
+	for range 1000 {
+		q.Push(1, 1)
+	}
+	for range 500 {
+		q.Pop()
+	}
+	q.Push(2, 2) // behind 500 entries of the other flow
+	for n := 0; ; n++ {
+		if x, _ := q.Pop(); x == 2 {
+			if n > 1 {
+				t.Errorf("%d turns went to the full flow first", n)
+			}
+			break
+		}
+	}
+	for range 500 {
+		q.Push(2, 2)
+	}
+	count := map[int]int{}
+	for range 400 {
+		x, _ := q.Pop()
+		count[x]++
+	}
+	if count[1] < 298 || count[1] > 302 {
+		t.Errorf("of 400 turns %d went to the flow of weight 3, %d to that of weight 1", count[1], count[2])
+	}
+}
+
+// TestEndedFlowIsRemovedOnceEmpty checks a flow that has entries when it ends, and one that gets an entry afterwards.
+func TestEndedFlowIsRemovedOnceEmpty(t *testing.T) {
+	q := NewFairQueue[int]()
+	q.SetWeight(1, 2)
+	q.Push(1, 7)
+	q.EndFlow(1)
+	if x, ok := q.Pop(); x != 7 || !ok || len(q.flows) != 0 {
+		t.Errorf("%d, %v, %d flows", x, ok, len(q.flows))
+	}
+	q.Push(1, 8)
+	if _, ok := q.PopIf(func(x int) bool { return x == 8 }); !ok || len(q.flows) != 0 {
+		t.Errorf("%v, %d flows after a late entry", ok, len(q.flows))
+	}
+}
+
+func TestFlowsKeepTheirOrderAndLoseNothing(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		type entry struct{ flow, n int }
+		q := NewFairQueue[entry]()
+		last, pushed, popped := map[int]int{}, 0, 0
+		take := func(e entry, ok bool) {
+			if !ok {
+				return
+			}
+			popped++
+			if e.n <= last[e.flow] {
+				t.Fatalf("flow %d: %d after %d", e.flow, e.n, last[e.flow])
+			}
+			last[e.flow] = e.n
+		}
+		for range rapid.IntRange(0, 300).Draw(t, "steps") {
+			id := rapid.IntRange(0, 3).Draw(t, "flow")
+			switch rapid.IntRange(0, 4).Draw(t, "step") {
+			case 0, 1:
+				pushed++
+				q.Push(id, entry{id, pushed})
+			case 2:
+				take(q.Pop())
+			case 3: // the first of a flow, out of turn
+				take(q.PopIf(func(e entry) bool { return e.flow == id }))
+			case 4:
+				q.SetWeight(id, rapid.Float64Range(0, 4).Draw(t, "weight"))
+				q.EndFlow(rapid.IntRange(0, 3).Draw(t, "ended"))
+			}
+			if q.Len() != pushed-popped {
+				t.Fatalf("%d are queued; %d were pushed, %d popped", q.Len(), pushed, popped)
+			}
+		}
+		for q.Len() > 0 {
+			take(q.Pop())
+		}
+		if _, ok := q.Pop(); ok || pushed != popped {
+			t.Fatalf("pushed %d, popped %d", pushed, popped)
+		}
+		for id := range 4 {
+			q.EndFlow(id)
+		}
+		if len(q.flows) != 0 {
+			t.Fatalf("%d flows are left", len(q.flows))
+		}
+	})
+}
--- /dev/null
+++ b/internal/retrybudget/share_test.go
@@ -0,0 +1,153 @@
+package retrybudget
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// fleet is routers that retry as much as they may, and replicas that count the routers' incarnations, one of which holds the lease.
+type fleet struct {
+	rng            *rand.Rand
+	now            time.Duration
+	shares         []Share
+	budgets        []Budget
+	ids            []int // of the routers' incarnations
+	nextID         int
+	heard          [3]map[int]time.Duration // by each replica
+	cut            [3][]bool                // replicas from routers
+	holder         int
+	since          time.Duration // the holder has the lease
+	retries        []time.Duration
+	reportsAtOnce  bool // a replica that begins to count reports at once: must be found
+	reportsForever bool // a report is valid for good: likewise
+	allReport      bool // every replica reports, whether it holds the lease or not: likewise
+}
+
+const (
+	window, validity = 10 * time.Second, 3 * time.Second
+	total            = 60.0
+)
+
+func (f *fleet) restart(i int) {
+	f.shares[i] = Share{Total: total, Window: window, Validity: validity}
+	if f.reportsForever {
+		f.shares[i].Validity = time.Hour
+	}
+	f.budgets[i] = Budget{Window: window}
+	f.ids[i], f.nextID = f.nextID, f.nextID+1
+}
+
+func newFleet(seed uint64) *fleet {
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 0)), now: time.Hour, holder: 0}
+	n := 2 + f.rng.IntN(8)
+	f.shares, f.budgets, f.ids = make([]Share, n), make([]Budget, n), make([]int, n)
+	for k := range f.heard {
+		f.heard[k], f.cut[k] = map[int]time.Duration{}, make([]bool, n)
+	}
+	for i := range n {
+		f.restart(i)
+	}
+	f.since = f.now
+	return f
+}
+
+// step plays half a second.
+func (f *fleet) step() {
+	switch f.rng.IntN(60) {
+	case 0: // a partition with the holder on one side
+		chance := 1 + f.rng.IntN(7)
+		for i := range f.ids {
+			side := f.rng.IntN(8) < chance
+			for k := range f.cut {
+				f.cut[k][i] = side == (k == 0)
+			}
+		}
+	case 1:
+		for k := range f.cut {
+			clear(f.cut[k])
+		}
+	case 2:
+		f.holder, f.since = f.rng.IntN(3), f.now+3*time.Second // the lease must run out in between
+		f.heard[f.rng.IntN(3)] = map[int]time.Duration{}
+	case 3: // the holder restarts
+		f.heard[f.holder], f.since = map[int]time.Duration{}, f.now
+	case 4:
+		for i := range f.ids { // many routers restart
+			if f.rng.IntN(3) > 0 {
+				f.restart(i)
+			}
+		}
+	case 5:
+		f.restart(f.rng.IntN(len(f.ids)))
+	}
+	for i, id := range f.ids {
+		asked := f.now
+		for k := range f.heard {
+			if f.cut[k][i] {
+				continue
+			}
+			f.heard[k][id] = f.now
+			incarnations := 0
+			for _, at := range f.heard[k] {
+				if f.now-at <= CountingPeriod(window, validity) {
+					incarnations++
+				}
+			}
+			cannotSay := f.now < f.since+CountingPeriod(window, validity) && !f.reportsAtOnce || f.now < f.since || f.rng.IntN(4) == 0
+			if !f.allReport && (k != f.holder || cannotSay) {
+				incarnations = 0
+			}
+			f.shares[i].Update(asked, f.now, incarnations)
+		}
+	}
+	for i := range f.ids {
+		f.budgets[i].Allowance = f.shares[i].Allowance(f.now)
+		for f.rng.IntN(3) > 0 && f.budgets[i].TryTake(f.now) {
+			f.retries = append(f.retries, f.now)
+		}
+	}
+	f.now += 500 * time.Millisecond
+}
+
+// exceeded plays fleets and returns where there were more retries within a window than the total allows, and the most that there were.
+func exceeded(seeds uint64, breaks func(*fleet)) (found string, most int) {
+	for seed := range seeds {
+		f := newFleet(seed)
+		breaks(f)
+		for i := range f.shares {
+			f.restart(i)
+		}
+		for range 400 {
+			f.step()
+		}
+		for at, first := range f.retries {
+			n := 0
+			for n < len(f.retries)-at && f.retries[at+n] < first+window {
+				n++
+			}
+			if most = max(most, n); n > total {
+				return fmt.Sprintf("seed %d: %d retries of %v in a window", seed, n, total), most
+			}
+		}
+	}
+	return "", most
+}
+
+// TestSharesNeverExceedTheTotal plays partitions, holders that change or restart, and routers that restart by the dozen.
+func TestSharesNeverExceedTheTotal(t *testing.T) {
+	found, most := exceeded(100, func(*fleet) {})
+	if found != "" || most < total/2 {
+		t.Errorf("%q; %d at the most", found, most)
+	}
+	for name, breaks := range map[string]func(*fleet){
+		"a replica that begins to count reports at once": func(f *fleet) { f.reportsAtOnce = true },
+		"a report is valid for good":                     func(f *fleet) { f.reportsForever = true },
+		"every replica reports":                          func(f *fleet) { f.allReport = true },
+	} {
+		if found, _ := exceeded(100, breaks); found == "" {
+			t.Errorf("%s: not found", name)
+		}
+	}
+}
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -143,7 +143,7 @@
 	for _, p := range c.Pools {
 		s := PoolState{
 			Name: p.Name, ID: int(p.Pool), Leaving: p.Leaving, Hosts: p.Hosts, Ready: p.Ready, Open: p.Open,
-			Guarantee: p.Places.Guarantee, Most: p.Places.Most, Lines: r.issuer.Lines(p.Pool), Bodies: r.front.Bodies(p.Pool),
+			Guarantee: p.Places.Guarantee, Most: p.Places.Max, Lines: r.issuer.Lines(p.Pool), Bodies: r.front.Bodies(p.Pool),
 			Taken: p.Taken, Served: p.Served, Refused: p.Refused, Failed: p.Failed, Broken: p.Broken, Gone: p.Gone,
 			Declined: p.Declined, Legs: p.Legs,
 		}
