--- a/internal/control/discovery/news.go
+++ b/internal/control/discovery/news.go
@@ -93,6 +93,9 @@
 	dirty     bool
 	queue     []gossip.Event
 	out       []Effect
+
+	waiting         map[gossip.BroadcastID]*wait
+	lastBroadcastID gossip.BroadcastID
 }
 
 // wait is an engine's word that waits until others have heard it.
@@ -108,6 +111,7 @@
 	n := &Node{
 		Gossip: gossip.New(self, seed), Endpoints: endpoints.New(silence), self: self, names: map[uint64]string{},
 		sure: map[string]endpoints.State{}, zone: zone,
+		waiting: map[gossip.BroadcastID]*wait{},
 	}
 	n.Gossip.IsStale = func(i *gossip.Item) bool {
 		if i.Kind != itemEngine {
@@ -188,7 +192,7 @@
 // publish tells others of items at once.
 func (n *Node) publish(items ...gossip.Item) {
 	if len(items) > 0 {
-		n.queue = append(n.queue, gossip.Broadcast{Urgent: true, Items: items})
+		n.queue = append(n.queue, gossip.UrgentBroadcast{Items: items})
 	}
 }
 
@@ -308,14 +312,15 @@
 		n.out = append(n.out, Reply{Of: of, HomeReplica: n.home(r)})
 		return
 	}
-	n.queue = append(n.queue, gossip.Broadcast{
-		Urgent: true, Of: &wait{of, r.ID, *r}, MinAcks: limits.DrainAckPeers, Items: []gossip.Item{engineItem(r)},
-	})
+	n.lastBroadcastID++
+	n.waiting[n.lastBroadcastID] = &wait{of, r.ID, *r}
+	n.queue = append(n.queue, gossip.UrgentBroadcast{ID: n.lastBroadcastID, MinAcks: limits.DrainAckPeers, Items: []gossip.Item{engineItem(r)}})
 }
 
 // confirmed answers a call that waited for others.
 func (n *Node) confirmed(f gossip.BroadcastCompleted) {
-	w, ok := f.Of.(*wait)
+	w, ok := n.waiting[f.ID]
+	delete(n.waiting, f.ID)
 	switch {
 	case !ok:
 	case !f.Sufficient:
--- /dev/null
+++ b/internal/control/gossip/broadcast.go
@@ -0,0 +1,63 @@
+package gossip
+
+import "net/netip"
+
+// broadcast stores items of this node and queues those that are new.
+func (n *Node) broadcast(e Broadcast) {
+	for _, i := range e.Items {
+		if n.items.merge(i) {
+			n.broadcastQueue = append(n.broadcastQueue, i)
+		}
+	}
+}
+
+// learnItems stores items from another node and queues those that are new here, so that they are passed on.
+func (n *Node) learnItems(p *packet) {
+	for _, i := range p.items {
+		if n.IsStale != nil && n.IsStale(&i) || !n.items.merge(i) {
+			continue
+		}
+		n.out = append(n.out, ItemLearned{Item: i, From: p.from})
+		if len(n.broadcastQueue) < maxQueuedItems {
+			n.broadcastQueue = append(n.broadcastQueue, i)
+		}
+	}
+}
+
+// sendBroadcast sends the queued items to random peers. Without a peer they stay queued.
+func (n *Node) sendBroadcast() {
+	peers := n.randomPeers(Fanout)
+	if len(peers) == 0 {
+		return
+	}
+	for _, s := range peers {
+		n.sendItems(s.Addr, n.broadcastQueue, kindItems, 0)
+	}
+	n.broadcastQueue = nil
+}
+
+// forwardNow sends the queued items to random peers, without waiting for the next round, except to the peer that they came from.
+func (n *Node) forwardNow(except uint64) {
+	if len(n.broadcastQueue) == 0 {
+		return
+	}
+	for _, s := range n.randomPeers(Fanout) {
+		if s.ID != except {
+			n.sendItems(s.Addr, n.broadcastQueue, kindItems, 0)
+		}
+	}
+	n.broadcastQueue = nil
+}
+
+// sendItems sends items in as many datagrams as they need.
+func (n *Node) sendItems(to netip.AddrPort, items []Item, kind packetKind, ackID uint64) {
+	for len(items) > 0 {
+		size, count := packetOverhead, 0
+		for count < len(items) && count < maxItems && (count == 0 || size+items[count].size() <= MaxPacketBytes) {
+			size += items[count].size()
+			count++
+		}
+		n.send(to, &packet{kind: kind, items: items[:count], ackID: ackID})
+		items = items[count:]
+	}
+}
--- /dev/null
+++ b/internal/control/gossip/broadcast_test.go
@@ -0,0 +1,96 @@
+package gossip
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestUrgentBroadcastReachesAllNodes(t *testing.T) {
+	for _, size := range []int{2, 14, 60, 200} {
+		t.Run(fmt.Sprint(size), func(t *testing.T) {
+			const id BroadcastID = 1
+			f := newFleet(size, 7)
+			f.loss = 0.05
+			f.advance(6 * time.Second)
+			f.reduce(size-1, UrgentBroadcast{ID: id, Items: []Item{{Kind: 1, Key: "k", Version: 3, Body: []byte("b")}}, MinAcks: 2})
+			f.advance(1200 * time.Millisecond) // limits.NodeSpread
+			if n := f.holders("k", 3); n < size*97/100 {
+				t.Errorf("%d of %d nodes hold the item after 1.2 s", n, size)
+			}
+			if f.acks[id] < min(2, size-1) {
+				t.Errorf("%d acknowledgements", f.acks[id])
+			}
+			f.advance(8 * time.Second)
+			if n := f.holders("k", 3); n != size {
+				t.Errorf("anti-entropy has left %d nodes without the item", size-n)
+			}
+		})
+	}
+}
+
+func TestAntiEntropyClosesGapsAfterIsolation(t *testing.T) {
+	const isolated = 9
+	f := newFleet(14, 3)
+	f.advance(5 * time.Second)
+	f.isolated[isolated] = true
+	for i := range 40 {
+		f.reduce(i%9, Broadcast{Items: []Item{{Kind: 1, Key: fmt.Sprint("k", i), Version: 1, Body: make([]byte, 100)}}})
+	}
+	f.advance(5 * time.Second)
+	f.reduce(isolated, Broadcast{Items: []Item{testItem("own", 1)}})
+	if n := f.nodes[isolated].ItemCount(); n != 1 {
+		t.Fatalf("the isolated node holds %d items, want its own", n)
+	}
+	f.isolated[isolated] = false
+	f.advance(10 * time.Second)
+	for i, n := range f.nodes {
+		if n.ItemCount() != 41 {
+			t.Errorf("node %d holds %d of 41 items", i, n.ItemCount())
+		}
+	}
+}
+
+// TestOneWayFaultDoesNotDelayOthers: a node that is cut off in one direction does no more harm than an isolated one.
+func TestOneWayFaultDoesNotDelayOthers(t *testing.T) {
+	for name, faulty := range oneWayFaults {
+		t.Run(name, func(t *testing.T) {
+			f := newFleet(14, 3)
+			f.advance(5 * time.Second)
+			faulty(f)[9] = true
+			for i := range 20 {
+				f.reduce(i%9, UrgentBroadcast{ID: BroadcastID(i), Items: []Item{testItem(fmt.Sprint("k", i), 1)}, MinAcks: 2})
+				f.advance(300 * time.Millisecond)
+			}
+			f.reduce(9, Broadcast{Items: []Item{testItem("own", 1)}})
+			f.advance(2 * time.Second)
+			for i := range 20 {
+				if n := f.holders(fmt.Sprint("k", i), 1); n < 13 {
+					t.Errorf("%d of the 13 other nodes hold item %d", n, i)
+				}
+				if f.acks[BroadcastID(i)] < 2 {
+					t.Errorf("item %d has %d acknowledgements", i, f.acks[BroadcastID(i)])
+				}
+			}
+			clear(faulty(f))
+			f.advance(10 * time.Second)
+			for i, n := range f.nodes {
+				if n.ItemCount() != 21 {
+					t.Errorf("node %d holds %d of 21 items after the fault", i, n.ItemCount())
+				}
+			}
+		})
+	}
+}
+
+func TestOlderVersionDoesNotReplaceNewer(t *testing.T) {
+	f := newFleet(5, 1)
+	f.advance(3 * time.Second)
+	f.reduce(0, Broadcast{Items: []Item{{Kind: 1, Key: "k", Version: 5, Body: []byte("new")}}})
+	f.advance(3 * time.Second)
+	f.reduce(4, Broadcast{Items: []Item{{Kind: 1, Key: "k", Version: 4, Body: []byte("old")}}})
+	f.advance(3 * time.Second)
+	if n := f.holders("k", 5); n != 5 {
+		t.Errorf("%d of 5 nodes hold the newest version", n)
+	}
+}
--- /dev/null
+++ b/internal/control/gossip/codec_test.go
@@ -0,0 +1,34 @@
+package gossip
+
+import (
+	"net/netip"
+	"testing"
+	"time"
+)
+
+func FuzzPacket(f *testing.F) {
+	n := New(Peer{ID: 1, Addr: netip.MustParseAddrPort("10.0.0.1:7000")}, 1)
+	p := packet{kind: kindItems, from: n.self, items: []Item{{Kind: 1, Key: "k", Version: 2, Body: []byte("x")}}}
+	f.Add(p.encode())
+	p = packet{kind: kindHeartbeats, from: n.self, audible: []uint64{4}, heartbeats: []Heartbeat{{Key: 1, Sequence: 2, AgeMS: 3}}}
+	f.Add(p.encode())
+	for kind := kindItems; kind <= kindRootDigest; kind++ {
+		p := packet{
+			kind: kind, from: Peer{ID: 2, Addr: netip.MustParseAddrPort("10.0.0.2:7000")}, peers: []Peer{n.self},
+			digests: make([]uint64, bucketCount), buckets: []bucketVersions{{3, []itemVersion{{1, 2}}}},
+		}
+		f.Add(p.encode())
+	}
+	f.Fuzz(func(t *testing.T, b []byte) {
+		p, err := decode(b)
+		if err != nil {
+			return
+		}
+		if _, err := decode(p.encode()); err != nil {
+			t.Errorf("a decoded packet cannot be decoded after encoding: %v", err)
+		}
+		n := New(Peer{ID: 1, Addr: netip.MustParseAddrPort("10.0.0.1:7000")}, 1)
+		n.Reduce(time.Second, PacketReceived{b})
+		n.Reduce(time.Minute, Tick{})
+	})
+}
--- /dev/null
+++ b/internal/control/gossip/fleet_test.go
@@ -0,0 +1,178 @@
+package gossip
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/netip"
+	"time"
+)
+
+const testReplicas = 3 // the first nodes of a fleet
+
+// fleet is nodes with a simulated network. Node i has the peer id i+1 and the zone i%3.
+type fleet struct {
+	nodes          []*Node
+	byAddr         map[netip.AddrPort]int
+	now            time.Duration
+	rnd            *rand.Rand
+	packets        int
+	loss           float64             // probability that a packet is lost
+	isolated       map[int]bool        // neither sends nor receives
+	sendBlocked    map[int]bool        // receives, but nobody receives its packets
+	receiveBlocked map[int]bool        // the other way round
+	isPartitioned  func(i, k int) bool // no packets between these two; nil = none
+	heartbeats     []map[uint64]uint64 // of each node: the latest sequence that it learned, by key
+	acks           map[BroadcastID]int
+}
+
+func newFleet(size int, seed uint64) *fleet {
+	f := &fleet{
+		byAddr: map[netip.AddrPort]int{}, rnd: rand.New(rand.NewPCG(seed, 1)), acks: map[BroadcastID]int{},
+		isolated: map[int]bool{}, sendBlocked: map[int]bool{}, receiveBlocked: map[int]bool{},
+	}
+	for i := range size {
+		self := Peer{ID: uint64(i + 1), Addr: testAddr(i), Zone: uint32(i % 3)}
+		if i < testReplicas {
+			self.Flags = FlagReplica
+		}
+		f.nodes = append(f.nodes, New(self, seed))
+		f.byAddr[self.Addr] = i
+		f.heartbeats = append(f.heartbeats, map[uint64]uint64{})
+	}
+	var seeds []int
+	for i := range min(testReplicas, size) {
+		seeds = append(seeds, i)
+	}
+	for i := range size {
+		f.reduce(i, SeedsChanged{testAddrs(seeds...)})
+	}
+	return f
+}
+
+func testAddr(i int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000)
+}
+
+func testAddrs(indices ...int) (addrs []netip.AddrPort) {
+	for _, i := range indices {
+		addrs = append(addrs, testAddr(i))
+	}
+	return addrs
+}
+
+type delivery struct {
+	to      int
+	payload []byte
+}
+
+// reduce gives a node an event, and delivers all packets that follow from it.
+func (f *fleet) reduce(i int, e Event) {
+	queue := f.reduceOne(i, e)
+	for len(queue) > 0 {
+		d := queue[0]
+		queue = append(queue[1:], f.reduceOne(d.to, PacketReceived{d.payload})...)
+	}
+}
+
+// reduceOne gives a node an event, and returns the packets that are not lost.
+func (f *fleet) reduceOne(i int, e Event) (deliveries []delivery) {
+	events := []Event{e}
+	for len(events) > 0 {
+		e, events = events[0], events[1:]
+		for _, x := range f.nodes[i].Reduce(f.now, e) {
+			switch x := x.(type) {
+			case SendPacket:
+				f.packets++
+				if len(x.Payload) > MaxPacketBytes+300 {
+					panic(fmt.Sprintf("a datagram of %d bytes", len(x.Payload)))
+				}
+				if to, ok := f.byAddr[x.To]; ok && f.delivers(i, to) {
+					deliveries = append(deliveries, delivery{to, x.Payload})
+				}
+			case HeartbeatLearned:
+				if x.Heartbeat.Sequence > f.heartbeats[i][x.Heartbeat.Key] {
+					f.heartbeats[i][x.Heartbeat.Key] = x.Heartbeat.Sequence
+					events = append(events, RelayHeartbeat(x))
+				}
+			case BroadcastCompleted:
+				f.acks[x.ID] = x.Acks
+			}
+		}
+	}
+	return deliveries
+}
+
+// delivers decides whether a packet arrives.
+func (f *fleet) delivers(from, to int) bool {
+	if f.isolated[from] || f.isolated[to] || f.sendBlocked[from] || f.receiveBlocked[to] {
+		return false
+	}
+	if f.isPartitioned != nil && f.isPartitioned(from, to) {
+		return false
+	}
+	return f.rnd.Float64() >= f.loss
+}
+
+// advance lets time pass.
+func (f *fleet) advance(d time.Duration) {
+	for end := f.now + d; f.now < end; {
+		f.now += 50 * time.Millisecond
+		for i, n := range f.nodes {
+			if n.NextTimer() <= f.now {
+				f.reduce(i, Tick{})
+			}
+		}
+	}
+}
+
+// restart replaces a node by one without memory, which gets the seeds.
+func (f *fleet) restart(i int, seeds ...int) {
+	f.nodes[i] = New(f.nodes[i].self, uint64(1000+i)+uint64(f.now))
+	f.heartbeats[i] = map[uint64]uint64{}
+	f.reduce(i, SeedsChanged{testAddrs(seeds...)})
+}
+
+// add adds a node that gets the seeds, and returns its index.
+func (f *fleet) add(seeds ...int) int {
+	i := len(f.nodes)
+	f.nodes = append(f.nodes, New(Peer{ID: uint64(i + 1), Addr: testAddr(i)}, uint64(i)))
+	f.byAddr[testAddr(i)] = i
+	f.heartbeats = append(f.heartbeats, map[uint64]uint64{})
+	f.reduce(i, SeedsChanged{testAddrs(seeds...)})
+	return i
+}
+
+// setVoters tells all nodes that the replicas vote.
+func (f *fleet) setVoters() {
+	var ids []uint64
+	for i := range testReplicas {
+		ids = append(ids, uint64(i+1))
+	}
+	for i := range f.nodes {
+		f.reduce(i, VotersChanged{ids})
+	}
+}
+
+func (n *Node) holds(key string) bool {
+	_, ok := n.Item(key)
+	return ok
+}
+
+// holders counts the nodes that hold a version of an item.
+func (f *fleet) holders(key string, version uint64) (count int) {
+	for _, n := range f.nodes {
+		if i, ok := n.Item(key); ok && i.Version == version {
+			count++
+		}
+	}
+	return count
+}
+
+// testItem is an item without a body.
+func testItem(key string, version uint64) Item { return Item{Kind: 1, Key: key, Version: version} }
+
+// oneWayFaults cut off a node in one direction: indices in the returned set are cut off.
+var oneWayFaults = map[string]func(f *fleet) map[int]bool{
+	"send blocked":    func(f *fleet) map[int]bool { return f.sendBlocked },
+	"receive blocked": func(f *fleet) map[int]bool { return f.receiveBlocked },
+}
--- a/internal/control/gossip/golden_test.go
+++ b/internal/control/gossip/golden_test.go
@@ -8,7 +8,7 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// TestGoldenPackets: each kind of datagram has the bytes that it had.
+// TestGoldenPackets: the bytes of each kind of datagram stay as they are, since processes of two releases talk to each other.
 func TestGoldenPackets(t *testing.T) {
 	from := Peer{ID: 0x0102030405060708, Addr: netip.MustParseAddrPort("10.1.2.3:7001"), Zone: 0x89abcdef, Flags: FlagReplica}
 	others := []Peer{
@@ -19,22 +19,22 @@
 	items := []Item{
 		{Kind: 1, Key: "e/engine-1", Version: 300, Body: []byte("a record")}, {Kind: 4, Key: "q/engine-1", Version: 1<<60 | 1},
 	}
-	sums := make([]uint64, buckets)
-	for i := range sums {
-		sums[i] = uint64(i) * 0x0101010101010101
+	digests := make([]uint64, bucketCount)
+	for i := range digests {
+		digests[i] = uint64(i) * 0x0101010101010101
 	}
 	for name, p := range map[string]*packet{
-		"updates":              {kind: kindNews, from: from, items: items},
-		"updates-acknowledged": {kind: kindUrgent, from: from, items: items[:1], confirm: 300},
-		"acknowledgement":      {kind: kindConfirm, from: from, confirm: 300},
-		"heartbeats": {kind: kindSigns, from: from, hears: []uint64{7, 1 << 63}, signs: []Heartbeat{
+		"updates":              {kind: kindItems, from: from, items: items},
+		"updates-acknowledged": {kind: kindUrgentItems, from: from, items: items[:1], ackID: 300},
+		"acknowledgement":      {kind: kindAck, from: from, ackID: 300},
+		"heartbeats": {kind: kindHeartbeats, from: from, audible: []uint64{7, 1 << 63}, heartbeats: []Heartbeat{
 			{Key: 0x1122334455667788, Sequence: 12, AgeMS: 400}, {Key: 1, Sequence: 1 << 40},
 		}},
-		"digest":               {kind: kindRoot, from: from, root: 0xfedcba9876543210},
-		"digest-buckets":       {kind: kindDigest, from: from, buckets: sums},
-		"repair-request":       {kind: kindWant, from: from, wants: []want{{bucket: 31, have: []have{{1, 2}, {1 << 63, 300}}}, {bucket: 0}}},
+		"digest":               {kind: kindRootDigest, from: from, root: 0xfedcba9876543210},
+		"digest-buckets":       {kind: kindBucketDigests, from: from, digests: digests},
+		"repair-request":       {kind: kindVersions, from: from, buckets: []bucketVersions{{bucket: 31, versions: []itemVersion{{1, 2}, {1 << 63, 300}}}, {bucket: 0}}},
 		"peer-exchange":        {kind: kindShuffle, from: from, peers: others},
-		"peer-exchange-answer": {kind: kindShuffled, from: from, peers: others[:1]},
+		"peer-exchange-answer": {kind: kindShuffleReply, from: from, peers: others[:1]},
 	} {
 		t.Run(name, func(t *testing.T) {
 			golden.RoundTrip(t, name+".hex", p, (*packet).encode, decode)
@@ -42,18 +42,20 @@
 	}
 }
 
-// TestGoldenDigests: two versions that hold the same have the same digests, or they would exchange everything all the time.
+// TestGoldenDigests: two releases that hold the same items have the same digests; otherwise they would exchange all items all the time.
 func TestGoldenDigests(t *testing.T) {
 	n := New(Peer{ID: 1, Addr: netip.MustParseAddrPort("10.0.0.1:7000")}, 1)
 	for _, i := range []Item{
-		{Kind: 1, Key: "e/engine-1", Version: 300, Body: []byte("a record")}, {Kind: 2, Key: "configuration", Version: 7},
-		{Kind: 3, Key: "forgets", Version: 1 << 40}, {Kind: 4, Key: "q/engine-1", Version: 1<<60 | 1},
+		{Kind: 1, Key: "e/engine-1", Version: 300, Body: []byte("a record")},
+		{Kind: 2, Key: "configuration", Version: 7},
+		{Kind: 3, Key: "forgets", Version: 1 << 40},
+		{Kind: 4, Key: "q/engine-1", Version: 1<<60 | 1},
 	} {
-		n.take(i)
+		n.items.merge(i)
 	}
-	b := binary.BigEndian.AppendUint64(nil, n.root())
-	for _, h := range n.hashes {
-		b = binary.BigEndian.AppendUint64(b, h)
+	b := binary.BigEndian.AppendUint64(nil, n.items.rootDigest())
+	for _, d := range n.items.digests {
+		b = binary.BigEndian.AppendUint64(b, d)
 	}
 	b = binary.BigEndian.AppendUint64(b, Hash("e/engine-1"))
 	b = binary.BigEndian.AppendUint64(b, CombineHashes(1, 2))
--- /dev/null
+++ b/internal/control/gossip/heartbeats.go
@@ -0,0 +1,155 @@
+package gossip
+
+import (
+	"net/netip"
+	"slices"
+	"time"
+)
+
+// Heartbeat says that an endpoint sent the heartbeat Sequence, AgeMS milliseconds ago.
+type Heartbeat struct {
+	Key      uint64 // [Hash] of the endpoint's key
+	Sequence uint64
+	AgeMS    uint64
+}
+
+// observation is a heartbeat whose age is replaced by the time at which it was sent, in ms of this node's clock.
+type observation struct {
+	key, sequence uint64
+	sentAtMS      uint64
+}
+
+// reportedHeartbeat is a heartbeat that a replica has reported.
+type reportedHeartbeat struct {
+	observation
+	reportedAt time.Duration
+}
+
+// nowMS is the time in ms.
+func (n *Node) nowMS() int64 { return int64(n.now / time.Millisecond) }
+
+// observe turns the age of a heartbeat into a time. Ages beyond the start of the clock count as its start.
+func (n *Node) observe(h Heartbeat) observation {
+	return observation{key: h.Key, sequence: h.Sequence, sentAtMS: uint64(max(n.nowMS()-int64(h.AgeMS), 0))}
+}
+
+// heartbeat turns the time of an observation into an age.
+func (n *Node) heartbeat(o observation) Heartbeat {
+	return Heartbeat{Key: o.key, Sequence: o.sequence, AgeMS: uint64(max(n.nowMS()-int64(o.sentAtMS), 0))}
+}
+
+// queueHeartbeat queues a heartbeat for all replicas. Of one endpoint only the latest is kept.
+func (n *Node) queueHeartbeat(h Heartbeat) {
+	if old, ok := n.heartbeatQueue[h.Key]; ok && old.sequence >= h.Sequence {
+		return
+	}
+	if len(n.heartbeatQueue) < maxQueuedHeartbeats {
+		n.heartbeatQueue[h.Key] = n.observe(h)
+	}
+}
+
+// relayHeartbeat queues a heartbeat for the replicas that do not hear the one that reported it. Without a relay, of two replicas
+// that do not hear each other one would suspect the endpoints that send their heartbeats to the other.
+func (n *Node) relayHeartbeat(e RelayHeartbeat) {
+	if !n.self.isReplica() {
+		return
+	}
+	o := n.observe(e.Heartbeat)
+	for id, r := range n.replicas {
+		if id != e.From && r.isAudible(n.now) && !slices.Contains(r.audible, e.From) {
+			n.queueRelay(id, o)
+		}
+	}
+}
+
+func (n *Node) queueRelay(replica uint64, o observation) {
+	if len(n.relayQueue[replica]) < maxQueuedHeartbeats {
+		n.relayQueue[replica] = append(n.relayQueue[replica], o)
+	}
+}
+
+// sendHeartbeats sends the queued heartbeats to every replica. Replicas also get an empty packet, since the packets show who
+// is in contact with whom.
+func (n *Node) sendHeartbeats() {
+	queued := make([]Heartbeat, 0, len(n.heartbeatQueue))
+	for _, key := range sortedKeys(n.heartbeatQueue) {
+		queued = append(queued, n.heartbeat(n.heartbeatQueue[key]))
+	}
+	clear(n.heartbeatQueue)
+	audible := n.audibleReplicas()
+	for _, id := range sortedKeys(n.replicas) {
+		heartbeats := slices.Clip(queued)
+		for _, o := range n.relayQueue[id] {
+			heartbeats = append(heartbeats, n.heartbeat(o))
+		}
+		n.sendHeartbeatsTo(n.replicas[id].Addr, heartbeats, audible)
+	}
+	clear(n.relayQueue)
+	n.updateContact()
+}
+
+// sendHeartbeatsTo sends heartbeats in as many packets as they need, at least one.
+func (n *Node) sendHeartbeatsTo(replica netip.AddrPort, heartbeats []Heartbeat, audible []uint64) {
+	for {
+		count := min(len(heartbeats), heartbeatsPerPacket)
+		n.send(replica, &packet{kind: kindHeartbeats, audible: audible, heartbeats: heartbeats[:count]})
+		if heartbeats = heartbeats[count:]; len(heartbeats) == 0 {
+			return
+		}
+	}
+}
+
+// handleHeartbeats takes in the heartbeats that another node reports, and from a replica also whom it hears.
+func (n *Node) handleHeartbeats(p *packet) {
+	if r := n.replicas[p.from.ID]; r != nil {
+		if !r.isAudible(n.now) {
+			n.nextBroadcast = n.now // it waits to learn whether it is heard, and others wait for the list of replicas that this one hears
+		}
+		n.recordReported(r, p)
+		n.relayMissed(r, p)
+		r.lastHeartbeats, r.audible = max(n.now, 1), p.audible
+		r.hearsUsAt = 0
+		if slices.Contains(p.audible, n.self.ID) {
+			r.hearsUsAt = n.now
+		}
+		n.updateContact()
+	}
+	for _, h := range p.heartbeats {
+		n.out = append(n.out, HeartbeatLearned{Heartbeat: h, From: p.from.ID})
+	}
+}
+
+// relayWindow covers the time that two replicas need to notice that they have lost contact, and to say so.
+const relayWindow = quorumTimeout + 2*BroadcastInterval
+
+// recordReported keeps the heartbeats that a replica reports until the relay window is over.
+func (n *Node) recordReported(r *replicaState, p *packet) {
+	if !n.self.isReplica() {
+		return
+	}
+	r.reported = slices.DeleteFunc(r.reported, func(h reportedHeartbeat) bool { return n.now-h.reportedAt > relayWindow })
+	for _, h := range p.heartbeats {
+		if len(r.reported) < maxQueuedHeartbeats {
+			r.reported = append(r.reported, reportedHeartbeat{observation: n.observe(h), reportedAt: n.now})
+		}
+	}
+}
+
+// relayMissed queues, for a replica that says that it hears another one no more, what that one has reported within the relay
+// window: the loss of contact is known only now, and a heartbeat is reported once.
+func (n *Node) relayMissed(r *replicaState, p *packet) {
+	if !n.self.isReplica() {
+		return
+	}
+	for _, id := range r.audible {
+		other := n.replicas[id]
+		if other == nil || id == n.self.ID || slices.Contains(p.audible, id) {
+			continue
+		}
+		for _, h := range other.reported {
+			if n.now-h.reportedAt <= relayWindow {
+				n.queueRelay(r.ID, h.observation)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/control/gossip/urgent.go
@@ -0,0 +1,169 @@
+package gossip
+
+import (
+	"slices"
+	"time"
+)
+
+// urgentBroadcast is an urgent broadcast that waits for acknowledgements.
+type urgentBroadcast struct {
+	id       BroadcastID
+	items    []Item
+	minAcks  int
+	asked    map[uint64]*peerState // by peer id
+	acked    map[uint64]bool
+	attempts int
+	deadline time.Duration // of the current attempt
+}
+
+// startUrgent stores items and sends them at once.
+func (n *Node) startUrgent(e UrgentBroadcast) {
+	for _, i := range e.Items {
+		n.items.merge(i)
+	}
+	u := &urgentBroadcast{
+		id: e.ID, items: e.Items, minAcks: min(e.MinAcks, max(n.knownPeers(), 1)),
+		asked: map[uint64]*peerState{}, acked: map[uint64]bool{},
+	}
+	n.lastAckID++
+	if e.MinAcks > 0 {
+		n.urgent[n.lastAckID] = u
+	}
+	n.attemptUrgent(n.lastAckID, u)
+}
+
+// knownPeers counts the peers in the view and the replicas beyond it.
+func (n *Node) knownPeers() int {
+	count := len(n.view)
+	for id := range n.replicas {
+		if n.view[id] == nil {
+			count++
+		}
+	}
+	return count
+}
+
+// runUrgentTimers starts the next attempt of the broadcasts whose acknowledgements are overdue.
+func (n *Node) runUrgentTimers() {
+	for _, ackID := range sortedKeys(n.urgent) {
+		if u := n.urgent[ackID]; n.now >= u.deadline {
+			n.attemptUrgent(ackID, u)
+		}
+	}
+}
+
+// attemptUrgent sends an urgent broadcast to peers that have not been sent it yet, or ends it if attempts or peers are exhausted.
+func (n *Node) attemptUrgent(ackID uint64, u *urgentBroadcast) {
+	targets := n.urgentTargets(u.asked)
+	n.completeIfAcked(ackID, u)
+	if u.attempts >= urgentAttempts || len(targets) == 0 && u.attempts > 0 {
+		if n.urgent[ackID] != nil {
+			n.completeUrgent(ackID, false)
+		}
+		return
+	}
+	u.attempts++
+	u.deadline = n.now + ackTimeout
+	for _, s := range targets {
+		u.asked[s.ID] = s
+		s.expectAnswer(n.now)
+		n.sendItems(s.Addr, u.items, kindUrgentItems, ackID)
+	}
+}
+
+// handleUrgentItems acknowledges urgent items and passes on what is new at once.
+func (n *Node) handleUrgentItems(p *packet) {
+	n.learnItems(p)
+	n.send(p.from.Addr, &packet{kind: kindAck, ackID: p.ackID})
+	n.forwardNow(p.from.ID)
+}
+
+// handleAck takes in an acknowledgement: of an urgent broadcast, or, with number 0, that the peer has the same items.
+func (n *Node) handleAck(p *packet) {
+	if p.ackID == 0 && p.from.ID == n.compareWith {
+		n.compareWith = 0
+	}
+	if u := n.urgent[p.ackID]; u != nil {
+		u.acked[p.from.ID] = true
+		n.completeIfAcked(p.ackID, u)
+	}
+}
+
+// completeIfAcked ends an urgent broadcast that has enough acknowledgements, or that has nobody to go to.
+func (n *Node) completeIfAcked(ackID uint64, u *urgentBroadcast) {
+	if n.urgent[ackID] == nil {
+		return
+	}
+	if n.isAlone() || len(u.acked) >= u.minAcks && u.ackedAcrossDomains(n.self.Zone) {
+		n.completeUrgent(ackID, true)
+	}
+}
+
+func (n *Node) completeUrgent(ackID uint64, isSufficient bool) {
+	u := n.urgent[ackID]
+	delete(n.urgent, ackID)
+	n.out = append(n.out, BroadcastCompleted{ID: u.id, Acks: len(u.acked), Sufficient: isSufficient})
+}
+
+// isAlone reports whether this node knows of no other process and has nowhere to ask for one.
+func (n *Node) isAlone() bool {
+	for _, addr := range n.seeds {
+		if addr != n.self.Addr {
+			return false
+		}
+	}
+	return len(n.view) == 0 && len(n.replicas) == 0
+}
+
+// ackedAcrossDomains reports whether the acknowledgements do not come from replicas alone, nor from the zone home alone, if
+// others were asked: all replicas, or all processes of a zone, may fail together.
+func (u *urgentBroadcast) ackedAcrossDomains(home uint32) bool {
+	var askedRouter, askedAway, ackedRouter, ackedAway bool
+	for id, s := range u.asked {
+		isRouter, isAway := !s.isReplica(), s.Zone != home
+		askedRouter, askedAway = askedRouter || isRouter, askedAway || isAway
+		if u.acked[id] {
+			ackedRouter, ackedAway = ackedRouter || isRouter, ackedAway || isAway
+		}
+	}
+	return ackedRouter == askedRouter && ackedAway == askedAway
+}
+
+// urgentTargets draws up to urgentFanout peers that were not asked yet: a responsive replica, a peer that is none, then peers
+// of further zones, so that a node that has the items survives the loss of all replicas or of a zone.
+func (n *Node) urgentTargets(asked map[uint64]*peerState) []*peerState {
+	candidates := n.urgentCandidates(asked)
+	n.rnd.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+	zones := map[uint32]bool{n.self.Zone: true}
+	isReplica := func(s *peerState) bool { return s.isReplica() && n.isResponsive(s) }
+	isRouter := func(s *peerState) bool { return !s.isReplica() }
+	isElsewhere := func(s *peerState) bool { return !zones[s.Zone] }
+	isAny := func(*peerState) bool { return true }
+	var targets []*peerState
+	for _, fits := range []func(*peerState) bool{isReplica, isRouter, isElsewhere, isElsewhere, isAny, isAny, isAny} {
+		at := slices.IndexFunc(candidates, fits)
+		if at < 0 || len(targets) == urgentFanout {
+			continue
+		}
+		target := candidates[at]
+		candidates = slices.Delete(candidates, at, at+1)
+		targets, zones[target.Zone] = append(targets, target), true
+	}
+	return targets
+}
+
+// urgentCandidates lists the peers of the view and then the replicas beyond it, each ordered by id, without those in asked.
+func (n *Node) urgentCandidates(asked map[uint64]*peerState) []*peerState {
+	var candidates []*peerState
+	for _, id := range sortedKeys(n.view) {
+		if asked[id] == nil {
+			candidates = append(candidates, n.view[id])
+		}
+	}
+	for _, id := range sortedKeys(n.replicas) {
+		if asked[id] == nil && n.view[id] == nil {
+			candidates = append(candidates, &n.replicas[id].peerState)
+		}
+	}
+	return candidates
+}
