--- a/internal/node/benchhelpers_test.go
+++ b/internal/node/benchhelpers_test.go
@@ -46,12 +46,12 @@
 
 // benchNode is a node's data plane before an engine.
 func benchNode(b *testing.B, engine string) string {
-	d := newData(slog.New(slog.DiscardHandler), limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100}), time.Second, 1,
+	d := newDataPlane(slog.New(slog.DiscardHandler), limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100}), time.Second, 1,
 		func(string) []endpoints.Endpoint {
 			return []endpoints.Endpoint{{Record: endpoints.Record{ID: "i-1", Service: "s", Addr: engine}}}
 		})
 	go d.run(b.Context())
-	if err := d.apply(1, &fleetconfig.Config{
+	if err := d.applyConfig(1, &fleetconfig.Config{
 		Revision: 1, Services: []fleetconfig.Service{{Name: "s"}},
 		Routes: []fleetconfig.Route{{Name: "r", Hostname: "h", PathPrefix: "/", Type: fleetconfig.RouteStreaming, TimeoutMS: 5000, TargetService: "s", MaxAttempts: 2}},
 	}); err != nil {
@@ -62,7 +62,7 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { front.Close() })
-	go d.front.Serve(front)
+	go d.frontend.Serve(front)
 	return front.Addr().String()
 }
 
--- a/internal/node/discoveryhost.go
+++ b/internal/node/discoveryhost.go
@@ -13,26 +13,26 @@
 	"notchhinge/internal/control/transport"
 )
 
-// hearsay is the process's news.Node under one lock, with its sockets and its clock.
-type hearsay struct {
-	net   *transport.Transport
-	clock func() time.Duration // steady
+// discoveryHost is the process's news.Node under one lock, with its sockets and its clock.
+type discoveryHost struct {
+	transport *transport.Transport
+	clock     func() time.Duration // steady
 
-	mu    sync.Mutex
-	node  *discovery.Node
-	wake  chan struct{}
-	until time.Duration // the timer is set to it
+	mu      sync.Mutex
+	reducer *discovery.Node
+	wake    chan struct{}
+	timerAt time.Duration // the timer is set to it
 
-	engines func()                               // told, without the lock, that engines have changed; it must not wait
-	forgets func()                               // told that engines forget connections that rest
-	config  func(place uint64, from gossip.Peer) // told that there is a configuration
+	onEndpointsChanged func()                               // told, without the lock, that engines have changed; it must not wait
+	onStaleConnections func()                               // told that engines forget connections that rest
+	onConfigAnnounced  func(place uint64, from gossip.Peer) // told that there is a configuration
 }
 
-func newHearsay(n *transport.Transport, self gossip.Peer, seed uint64, silence time.Duration) *hearsay {
+func newDiscoveryHost(n *transport.Transport, self gossip.Peer, seed uint64, silence time.Duration) *discoveryHost {
 	start := time.Now()
-	return &hearsay{
-		net: n, clock: func() time.Duration { return time.Since(start) + time.Hour }, node: discovery.New(self, seed, silence, hash32),
-		wake: make(chan struct{}, 1), engines: func() {}, forgets: func() {}, config: func(uint64, gossip.Peer) {},
+	return &discoveryHost{
+		transport: n, clock: func() time.Duration { return time.Since(start) + time.Hour }, reducer: discovery.New(self, seed, silence, hash32),
+		wake: make(chan struct{}, 1), onEndpointsChanged: func() {}, onStaleConnections: func() {}, onConfigAnnounced: func(uint64, gossip.Peer) {},
 	}
 }
 
@@ -43,25 +43,25 @@
 	return h.Sum32()
 }
 
-// turn reduces an event and does what follows.
-func (n *hearsay) turn(e discovery.Event) {
+// step reduces an event and does what follows.
+func (n *discoveryHost) step(e discovery.Event) {
 	var then []func()
 	n.mu.Lock()
-	for _, f := range n.node.Reduce(n.clock(), time.Now().UnixMilli(), e) {
+	for _, f := range n.reducer.Reduce(n.clock(), time.Now().UnixMilli(), e) {
 		switch f := f.(type) {
 		case gossip.SendPacket:
-			n.net.SendDatagram(f.To, f.Payload)
+			n.transport.SendDatagram(f.To, f.Payload)
 		case discovery.Reply:
 			f.Of.(chan discovery.Reply) <- f // it has room
 		case discovery.EndpointsChanged:
-			then = append(then, n.engines)
+			then = append(then, n.onEndpointsChanged)
 		case discovery.IdleDropReported:
-			then = append(then, n.forgets)
+			then = append(then, n.onStaleConnections)
 		case discovery.ConfigAnnounced:
-			then = append(then, func() { n.config(f.Index, f.From) })
+			then = append(then, func() { n.onConfigAnnounced(f.Index, f.From) })
 		}
 	}
-	sooner := n.node.NextTimer() < n.until
+	sooner := n.reducer.NextTimer() < n.timerAt
 	n.mu.Unlock()
 	for _, f := range then {
 		f()
@@ -74,10 +74,10 @@
 	}
 }
 
-// call has an engine's call taken in, and waits for its answer.
-func (n *hearsay) call(ctx context.Context, event func(of chan discovery.Reply) discovery.Event) (discovery.Reply, error) {
+// ask has an engine's call taken in, and waits for its answer.
+func (n *discoveryHost) ask(ctx context.Context, event func(of chan discovery.Reply) discovery.Event) (discovery.Reply, error) {
 	of := make(chan discovery.Reply, 1)
-	n.turn(event(of))
+	n.step(event(of))
 	select {
 	case a := <-of:
 		return a, a.Err
@@ -86,41 +86,41 @@
 	}
 }
 
-// keepers lists those that hold the state, the best to ask first.
-func (n *hearsay) keepers() []gossip.Peer {
+// replicas lists those that hold the state, the best to ask first.
+func (n *discoveryHost) replicas() []gossip.Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.node.Gossip.Replicas()
+	return n.reducer.Gossip.Replicas()
 }
 
-// reachable lists the keepers that are likely to answer.
-func (n *hearsay) reachable() []gossip.Peer {
+// reachableReplicas lists the keepers that are likely to answer.
+func (n *discoveryHost) reachableReplicas() []gossip.Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.node.Gossip.ResponsiveReplicas()
+	return n.reducer.Gossip.ResponsiveReplicas()
 }
 
-// list is a copy of the engines of a service that may be used.
-func (n *hearsay) list(service string) (all []endpoints.Endpoint) {
+// endpoints is a copy of the engines of a service that may be used.
+func (n *discoveryHost) endpoints(service string) (all []endpoints.Endpoint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, e := range n.node.Endpoints.Live(service) {
+	for _, e := range n.reducer.Endpoints.Live(service) {
 		all = append(all, *e)
 	}
 	return all
 }
 
 // run takes datagrams and keeps time until the context is over.
-func (n *hearsay) run(ctx context.Context, seeds []netip.AddrPort) {
-	go n.net.ServeDatagrams(func(b []byte) { n.turn(gossip.PacketReceived{Payload: b}) })
-	n.turn(gossip.SeedsChanged{Addrs: seeds})
+func (n *discoveryHost) run(ctx context.Context, seeds []netip.AddrPort) {
+	go n.transport.ServeDatagrams(func(b []byte) { n.step(gossip.PacketReceived{Payload: b}) })
+	n.step(gossip.SeedsChanged{Addrs: seeds})
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		n.mu.Lock()
-		n.until = n.node.NextTimer()
+		n.timerAt = n.reducer.NextTimer()
 		n.mu.Unlock()
-		timer.Reset(max(n.until-n.clock(), time.Millisecond))
+		timer.Reset(max(n.timerAt-n.clock(), time.Millisecond))
 		select {
 		case <-ctx.Done():
 			return
@@ -128,6 +128,6 @@
 			continue
 		case <-timer.C:
 		}
-		n.turn(gossip.Tick{})
+		n.step(gossip.Tick{})
 	}
 }
--- a/internal/node/enginecalls.go
+++ b/internal/node/enginecalls.go
@@ -20,15 +20,15 @@
 	if b.WarmupRemainingMS > 0 {
 		r.WarmAtMS = time.Now().UnixMilli() + int64(min(b.WarmupRemainingMS, 3.6e6))
 	}
-	a, err := n.news.call(ctx, func(of chan discovery.Reply) discovery.Event { return discovery.Heartbeat{Record: r, Of: of} })
+	a, err := n.discovery.ask(ctx, func(of chan discovery.Reply) discovery.Event { return discovery.Heartbeat{Record: r, Of: of} })
 	if err != nil || !a.HomeReplica.IsValid() {
 		return "", err
 	}
-	return n.control(a.HomeReplica), nil
+	return n.controlAddr(a.HomeReplica), nil
 }
 
 // Deregister implements api.Handler.
 func (n *Node) Deregister(ctx context.Context, id string) error {
-	_, err := n.news.call(ctx, func(of chan discovery.Reply) discovery.Event { return discovery.Deregister{EndpointID: id, Of: of} })
+	_, err := n.discovery.ask(ctx, func(of chan discovery.Reply) discovery.Event { return discovery.Deregister{EndpointID: id, Of: of} })
 	return err
 }
--- a/internal/node/engines_test.go
+++ b/internal/node/engines_test.go
@@ -81,7 +81,7 @@
 		t.Fatal(resp, err)
 	}
 	parked := a.seen()[0].from
-	until(t, "a parked line", func() bool { return p.d.issuer.Parked() == 1 }) // it is parked once the answer has gone to the client
+	until(t, "a parked line", func() bool { return p.d.upstream.Parked() == 1 }) // it is parked once the answer has gone to the client
 	running := openStream(t, p.addr)
 	if got := a.seen()[1]; got.from != parked || got.expect != "i-old" {
 		t.Fatalf("%+v: the parked line was wanted", got)
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -9,5 +9,5 @@
 
 // TestGoldenFetch: who wants the newest configuration that a majority knows of asks with the bytes that it did.
 func TestGoldenFetch(t *testing.T) {
-	golden.Equal(t, "the call", []byte{7, 1, 1}, replica.EncodeIndexed(7, []byte{fetchSettled}))
+	golden.Equal(t, "the call", []byte{7, 1, 1}, replica.EncodeIndexed(7, []byte{fetchConfirmed}))
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -9,29 +9,29 @@
 	"notchhinge/internal/control/metrics"
 )
 
-// counted keeps the account of what goes to other processes.
-func (n *Node) counted(to netip.AddrPort, kind uint8, bytes int, datagram []byte) {
+// countTraffic keeps the account of what goes to other processes.
+func (n *Node) countTraffic(to netip.AddrPort, kind uint8, bytes int, datagram []byte) {
 	const headers = 28 // of a datagram
 	if kind == 0 {
 		// The lock of the news is held: datagrams are sent by its turn only.
-		zone, known := n.news.node.Gossip.ZoneOf(to.Addr())
+		zone, known := n.discovery.reducer.Gossip.ZoneOf(to.Addr())
 		cause := map[gossip.Purpose]metrics.Cause{gossip.PurposeAntiEntropy: metrics.CauseDigests, gossip.PurposeShuffle: metrics.CauseShuffles, gossip.PurposeDissemination: metrics.CauseGossip}
-		n.spent.Add(cause[gossip.PurposeOf(datagram)], bytes+headers, known && zone != hash32(n.cfg.Zone))
+		n.traffic.Add(cause[gossip.PurposeOf(datagram)], bytes+headers, known && zone != hash32(n.cfg.Zone))
 		return
 	}
-	n.news.mu.Lock()
-	zone, known := n.news.node.Gossip.ZoneOf(to.Addr())
-	n.news.mu.Unlock()
-	n.spent.Add(causeOf(kind), bytes, known && zone != hash32(n.cfg.Zone))
+	n.discovery.mu.Lock()
+	zone, known := n.discovery.reducer.Gossip.ZoneOf(to.Addr())
+	n.discovery.mu.Unlock()
+	n.traffic.Add(causeOf(kind), bytes, known && zone != hash32(n.cfg.Zone))
 }
 
-// settleUp writes down what the process has cost.
-func (n *Node) settleUp(level slog.Level) {
+// logTraffic writes down what the process has cost.
+func (n *Node) logTraffic(level slog.Level) {
 	ctx := context.Background()
 	if !n.log.Enabled(ctx, level) {
 		return
 	}
-	for _, r := range n.spent.Rows() {
+	for _, r := range n.traffic.Rows() {
 		n.log.Log(ctx, level, "account", "cause", r.Cause, "count", r.Count, "bytes", r.Bytes, "between_zones", r.CrossZone, "connections", r.Connections)
 	}
 	m := metrics.ReadProcess()
--- a/internal/node/peercalls.go
+++ b/internal/node/peercalls.go
@@ -16,39 +16,39 @@
 	"notchhinge/internal/limits"
 )
 
-var errNotHere = errors.New("no state is held here")
+var errNotReplica = errors.New("no state is held here")
 
-// handle answers another process.
-func (n *Node) handle(ctx context.Context, kind uint8, from netip.Addr, body []byte) ([]byte, error) {
+// handleCall answers another process.
+func (n *Node) handleCall(ctx context.Context, kind uint8, from netip.Addr, body []byte) ([]byte, error) {
 	if kind == configcache.CallFetch {
 		place, how, err := replica.DecodeIndexed(body)
 		if err != nil {
 			return nil, err
 		}
-		if len(how) > 0 && how[0] == fetchSettled && n.keeper != nil {
+		if len(how) > 0 && how[0] == fetchConfirmed && n.replica != nil {
 			ctx, cancel := context.WithTimeout(ctx, limits.ReplicaCallTimeout)
 			defer cancel()
-			r := n.keeper.operate(ctx, func(of chan api.Result, until time.Duration) replica.Event {
+			r := n.replica.operate(ctx, func(of chan api.Result, until time.Duration) replica.Event {
 				return replica.ReadConfig{Of: of, Until: until, Passive: true}
 			})
 			if r.Status >= http.StatusInternalServerError { // 404: there is none yet
 				return nil, errors.New(r.Message)
 			}
 		}
-		return n.texts.EncodeReply(place), nil
+		return n.configCache.EncodeReply(place), nil
 	}
-	k := n.keeper
+	k := n.replica
 	if k == nil {
-		return nil, errNotHere
+		return nil, errNotReplica
 	}
 	switch kind {
 	case replica.CallPaxos, replica.CallLearn, replica.CallSnapshot, replica.CallIdentity, replica.CallJoin, replica.CallCommit:
 		ctx, cancel := context.WithTimeout(ctx, limits.OperatorCallTimeout)
 		defer cancel()
-		return k.handle(ctx, kind, from, body)
+		return k.handleCall(ctx, kind, from, body)
 	}
-	if n.duties != nil && singleton.OwnsCall(kind) {
-		return n.duties.handle(kind, from, body)
+	if n.singleton != nil && singleton.OwnsCall(kind) {
+		return n.singleton.handleCall(kind, from, body)
 	}
 	return nil, fmt.Errorf("call %d is not known here", kind)
 }
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -8,31 +8,31 @@
 	"notchhinge/internal/limits"
 )
 
-// readiness says whether clients are wanted here.
-func (n *Node) readiness(w http.ResponseWriter, _ *http.Request) {
-	if why := n.unready(); why != "" {
+// serveReadiness says whether clients are wanted here.
+func (n *Node) serveReadiness(w http.ResponseWriter, _ *http.Request) {
+	if why := n.notReadyReason(); why != "" {
 		http.Error(w, why, http.StatusServiceUnavailable)
 		return
 	}
 	io.WriteString(w, "ok\n")
 }
 
-// unready says why a router is not ready; "" = it is.
-func (n *Node) unready() string {
+// notReadyReason says why a router is not ready; "" = it is.
+func (n *Node) notReadyReason() string {
 	switch {
 	case n.stopping.Load():
 		return "stopping"
-	case n.data == nil:
+	case n.dataPlane == nil:
 		return "no traffic here"
-	case n.data.at.Load() == nil:
+	case n.dataPlane.routes.Load() == nil:
 		return "no configuration yet"
-	case !n.asked.Load() && !n.answered.Load() && time.Since(n.began) < limits.ReadyWithoutReplicaAfter:
+	case !n.quorumConfirmed.Load() && !n.replicaAnswered.Load() && time.Since(n.startedAt) < limits.ReadyWithoutReplicaAfter:
 		return "no keeper has said yet which configuration is the newest"
-	case !n.asked.Load() && time.Since(n.began) < limits.ReadyWithoutQuorumAfter:
+	case !n.quorumConfirmed.Load() && time.Since(n.startedAt) < limits.ReadyWithoutQuorumAfter:
 		return "no keeper that reaches a majority has said yet which configuration is the newest"
-	case n.place.Load() < n.wanted.Load():
+	case n.currentIndex.Load() < n.newestIndex.Load():
 		return "a newer configuration is on its way"
-	case !n.data.known():
+	case !n.dataPlane.hasEndpoints():
 		return "no engine is known yet"
 	}
 	return ""
--- a/internal/node/replicadisk.go
+++ b/internal/node/replicadisk.go
@@ -8,32 +8,32 @@
 	"notchhinge/internal/limits"
 )
 
-var errDisk = errors.New("the disk does not take what is written")
+var errDiskUnavailable = errors.New("the disk does not take what is written")
 
-// write writes to the disk. After a write that failed the disk is opened anew, at most a few times a second, and all that
+// persist writes to the disk. After a write that failed the disk is opened anew, at most a few times a second, and all that
 // stands here is written to it first: what was chosen meanwhile, and the vote. The lock is held.
-func (k *keeper) write(w *replica.Write) error {
-	if k.ended {
-		return errDisk
+func (k *replicaHost) persist(w *replica.Write) error {
+	if k.diskClosed {
+		return errDiskUnavailable
 	}
-	if k.shut {
-		if time.Since(k.tried) < limits.DiskReopenInterval {
-			return errDisk
+	if k.diskFailed {
+		if time.Since(k.reopenedAt) < limits.DiskReopenInterval {
+			return errDiskUnavailable
 		}
-		k.tried = time.Now()
-		state := k.core.State()
+		k.reopenedAt = time.Now()
+		state := k.reducer.State()
 		err := k.disk.Reopen()
 		if err == nil {
 			err = k.disk.SaveSnapshot(&state)
 		}
 		if err == nil {
-			err = k.disk.SaveAcceptor(k.core.AcceptorState())
+			err = k.disk.SaveAcceptor(k.reducer.AcceptorState())
 		}
 		if err != nil {
 			k.log.Error("the disk is still not usable", "err", err)
-			return errDisk
+			return errDiskUnavailable
 		}
-		k.shut = false
+		k.diskFailed = false
 		k.log.Info("the disk is usable again", "next_place", state.NextIndex)
 	}
 	var err error
@@ -46,9 +46,9 @@
 		err = k.disk.SaveAcceptor(w.Acceptor)
 	}
 	if err != nil {
-		k.shut, k.tried = true, time.Now()
+		k.diskFailed, k.reopenedAt = true, time.Now()
 		k.log.Error("the disk refuses a write; this keeper has no vote until it is opened anew", "err", err)
-		return errDisk
+		return errDiskUnavailable
 	}
 	return nil
 }
--- a/internal/node/replicahost_test.go
+++ b/internal/node/replicahost_test.go
@@ -17,11 +17,11 @@
 func TestNobodyWaitsForAStalledDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		k := &keeper{mu: make(turnstile, 1), clock: func() time.Duration { return time.Since(began) }}
+		k := &replicaHost{mu: make(contextMutex, 1), clock: func() time.Duration { return time.Since(began) }}
 		k.mu.Lock() // a write that does not come back
 		for _, kind := range []uint8{replica.CallPaxos, replica.CallSnapshot} {
 			at := time.Now()
-			if _, err := k.handle(context.Background(), kind, netip.Addr{}, nil); !errors.Is(err, errBusy) || time.Since(at) != replica.CallTimeout(kind) {
+			if _, err := k.handleCall(context.Background(), kind, netip.Addr{}, nil); !errors.Is(err, errDiskBusy) || time.Since(at) != replica.CallTimeout(kind) {
 				t.Errorf("call %d: %v after %v", kind, err, time.Since(at))
 			}
 		}
--- a/internal/node/runningrequests_test.go
+++ b/internal/node/runningrequests_test.go
@@ -26,7 +26,7 @@
 			for range 20 {
 				running = append(running, openStream(t, p.addr))
 			}
-			if err := p.d.apply(2, next); err != nil {
+			if err := p.d.applyConfig(2, next); err != nil {
 				t.Fatal(err)
 			}
 			want := 404
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -8,8 +8,8 @@
 	"notchhinge/internal/limits"
 )
 
-// stop ends a process in order: the platform's entry is told first, and what comes until it has noticed is served.
-func (n *Node) stop(ctx context.Context, front net.Listener) {
+// shutDown ends a process in order: the platform's entry is told first, and what comes until it has noticed is served.
+func (n *Node) shutDown(ctx context.Context, front net.Listener) {
 	n.stopping.Store(true)
 	n.log.Info("stopping")
 	began := time.Now()
@@ -17,30 +17,30 @@
 	handed := make(chan struct{})
 	go func() {
 		defer close(handed)
-		if n.keeper == nil {
+		if n.replica == nil {
 			return
 		}
 		left, cancel := context.WithDeadline(ctx, earlier(began.Add(limits.ReplicaLeaveTimeout), end))
 		defer cancel()
-		n.keeper.leave(left)
+		n.replica.handOver(left)
 		n.log.Info("handed over", "after", time.Since(began).Round(time.Millisecond).String())
 	}()
 	defer func() { <-handed }()
-	if n.data == nil {
+	if n.dataPlane == nil {
 		return
 	}
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	n.data.front.Drain()
+	n.dataPlane.frontend.Drain()
 	time.Sleep(limits.ReadinessDrainDelay)
-	n.data.front.CloseIdle()
+	n.dataPlane.frontend.CloseIdle()
 	time.Sleep(100 * time.Millisecond)
 	front.Close()
-	n.data.front.CloseIdle()
-	n.data.loop.Idle(ctx)
-	n.data.front.CloseIdle()
-	n.data.front.Wait(ctx)
-	n.log.Info("stopped", "after", time.Since(began).Round(time.Millisecond).String(), "connections_left", n.data.front.Conns())
+	n.dataPlane.frontend.CloseIdle()
+	n.dataPlane.loop.Idle(ctx)
+	n.dataPlane.frontend.CloseIdle()
+	n.dataPlane.frontend.Wait(ctx)
+	n.log.Info("stopped", "after", time.Since(began).Round(time.Millisecond).String(), "connections_left", n.dataPlane.frontend.Conns())
 }
 
 func earlier(x, y time.Time) time.Time {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -15,12 +15,12 @@
 
 // ending is a node that carries traffic, to be stopped.
 func ending(p *testPlane, grace float64) (n *Node, stopped chan time.Duration) {
-	n = &Node{cfg: &nodeconfig.Config{}, log: slog.New(slog.NewTextHandler(io.Discard, nil)), data: p.d}
+	n = &Node{cfg: &nodeconfig.Config{}, log: slog.New(slog.NewTextHandler(io.Discard, nil)), dataPlane: p.d}
 	n.cfg.Bounds.GracePeriodS = grace
 	stopped = make(chan time.Duration, 1)
 	began := time.Now()
 	go func() {
-		n.stop(context.Background(), p.ln)
+		n.shutDown(context.Background(), p.ln)
 		stopped <- time.Since(began)
 	}()
 	until(p.t, "it stops", n.stopping.Load)
@@ -39,7 +39,7 @@
 	}
 	n, stopped := ending(p, 20)
 	says := httptest.NewRecorder()
-	if n.readiness(says, nil); says.Code != 503 {
+	if n.serveReadiness(says, nil); says.Code != 503 {
 		t.Errorf("readiness says %d", says.Code)
 	}
 	for i := range 20 {
@@ -62,7 +62,7 @@
 	if took := <-stopped; took > 15*time.Second {
 		t.Errorf("it ended after %v", took)
 	}
-	if left := p.d.front.Conns(); left != 0 {
+	if left := p.d.frontend.Conns(); left != 0 {
 		t.Errorf("%d connections are left", left)
 	}
 	if c, err := net.Dial("tcp4", p.addr); err == nil {
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -24,22 +24,22 @@
 	ip := netip.MustParseAddr(n.cfg.IPAddress) // boot has checked it
 	var err error
 	for port := n.cfg.InternalPorts[0]; port <= n.cfg.InternalPorts[1]; port++ {
-		if n.net, err = transport.Open(netip.AddrPortFrom(ip, uint16(port)), n.handle); err == nil {
+		if n.transport, err = transport.Open(netip.AddrPortFrom(ip, uint16(port)), n.handleCall); err == nil {
 			break
 		}
 	}
 	if err != nil {
 		return err
 	}
-	self := gossip.Peer{ID: gossip.Hash(n.cfg.NodeName), Addr: n.net.Addr(), Zone: hash32(n.cfg.Zone)}
+	self := gossip.Peer{ID: gossip.Hash(n.cfg.NodeName), Addr: n.transport.Addr(), Zone: hash32(n.cfg.Zone)}
 	if n.cfg.IsReplica() {
 		self.Flags |= gossip.FlagReplica
-		if n.keeper, err = openKeeper(n.log, n.cfg.DataDir, n.cfg.NodeName, n.net.Addr().String(), n.cfg.Bootstrap, n.cfg.FaultTolerance.Machines); err != nil {
+		if n.replica, err = openReplica(n.log, n.cfg.DataDir, n.cfg.NodeName, n.transport.Addr().String(), n.cfg.Bootstrap, n.cfg.FaultTolerance.Machines); err != nil {
 			return err
 		}
-		n.keeper.call = n.net.Call
-		n.keeper.others = func() (all []netip.AddrPort) {
-			for _, p := range n.news.keepers() {
+		n.replica.call = n.transport.Call
+		n.replica.peers = func() (all []netip.AddrPort) {
+			for _, p := range n.discovery.replicas() {
 				all = append(all, p.Addr)
 			}
 			return all
@@ -49,9 +49,9 @@
 		self.Flags |= gossip.FlagRouter
 	}
 	silence := n.cfg.HeartbeatInterval()*limits.MissedHeartbeats + n.cfg.HeartbeatInterval()/2
-	n.news = newHearsay(n.net, self, rand.Uint64(), silence)
-	n.news.config = n.heardOf
-	n.net.OnExchange = n.counted
+	n.discovery = newDiscoveryHost(n.transport, self, rand.Uint64(), silence)
+	n.discovery.onConfigAnnounced = n.onConfigAnnounced
+	n.transport.OnExchange = n.countTraffic
 	return nil
 }
 
@@ -71,36 +71,36 @@
 	if n.cfg.Listeners.Frontend != "" {
 		lim := limits.NewFleetRouter(limits.Machine{Cores: n.cfg.Machine.CPUCores, MemoryMB: n.cfg.Machine.MemoryMB, Sockets: n.cfg.Machine.MaxOpenFiles})
 		drain := time.Duration(n.cfg.Bounds.DrainTimeoutMS) * time.Millisecond
-		n.data = newData(n.log, lim, limits.DrainGrace(drain), rand.Uint64(), n.news.list)
+		n.dataPlane = newDataPlane(n.log, lim, limits.DrainGrace(drain), rand.Uint64(), n.discovery.endpoints)
 		if b := n.cfg.Bounds; b.RetryWindowS > 0 {
 			window := time.Duration(b.RetryWindowS * float64(time.Second))
-			n.data.part = retrybudget.Share{Total: b.RetryExtra, Initial: b.RetryExtra / limits.InitialRetryShares, Window: window, Validity: limits.RetryShareTTL}
-			n.data.repeats = retrybudget.Budget{Ratio: b.RetryBudgetRatio / 2, Window: window, Allowance: n.data.part.Initial}
+			n.dataPlane.retryShare = retrybudget.Share{Total: b.RetryExtra, Initial: b.RetryExtra / limits.InitialRetryShares, Window: window, Validity: limits.RetryShareTTL}
+			n.dataPlane.retryBudget = retrybudget.Budget{Ratio: b.RetryBudgetRatio / 2, Window: window, Allowance: n.dataPlane.retryShare.Initial}
 		}
-		n.data.spent, n.data.zone = &n.spent, n.cfg.Zone
-		n.news.engines, n.news.forgets = n.data.engines, n.data.forgets
-		n.data.forgot = func() { n.news.turn(discovery.IdleDropObserved{}) }
-		go n.data.run(ctx)
-		c := &counter{meter: singleton.Meter{WindowLength: time.Duration(n.cfg.Bounds.UsageWindowS * float64(time.Second)), Incarnation: rand.Uint64(), Zone: n.cfg.Zone}}
-		n.data.dialect.Began = c.began
+		n.dataPlane.traffic, n.dataPlane.zone = &n.traffic, n.cfg.Zone
+		n.discovery.onEndpointsChanged, n.discovery.onStaleConnections = n.dataPlane.notifyEndpointsChanged, n.dataPlane.limitRest
+		n.dataPlane.onStaleConnection = func() { n.discovery.step(discovery.IdleDropObserved{}) }
+		go n.dataPlane.run(ctx)
+		c := &usageMeter{meter: singleton.Meter{WindowLength: time.Duration(n.cfg.Bounds.UsageWindowS * float64(time.Second)), Incarnation: rand.Uint64(), Zone: n.cfg.Zone}}
+		n.dataPlane.dialect.Began = c.countRequest
 		if n.cfg.CloudAPI.Address != "" {
-			go n.reports(ctx, c)
+			go n.reportLoop(ctx, c)
 		}
 	}
-	go n.fetch(ctx)
-	if n.keeper != nil {
-		n.keeper.changed = n.changed
-		s := n.keeper.at()
-		n.changed(&s)
-		go n.keeper.run(ctx)
+	go n.fetchLoop(ctx)
+	if n.replica != nil {
+		n.replica.onStateChanged = n.onStateChanged
+		s := n.replica.state()
+		n.onStateChanged(&s)
+		go n.replica.run(ctx)
 		if n.cfg.CloudAPI.Address != "" {
-			n.duties = newDuties(n)
-			go n.duties.run(ctx)
+			n.singleton = newSingletonHost(n)
+			go n.singleton.run(ctx)
 		}
 	}
-	go n.net.ServeCalls(ctx)
-	go n.news.run(ctx, n.seeds())
-	go n.start(ctx)
+	go n.transport.ServeCalls(ctx)
+	go n.discovery.run(ctx, n.seeds())
+	go n.findNewest(ctx)
 	if addr := n.cfg.Listeners.ControlPlane; addr != "" {
 		ln, err := net.Listen("tcp4", addr)
 		if err != nil {
@@ -111,20 +111,20 @@
 		go func() { failed <- api.Serve(web, ln) }()
 	}
 	var front net.Listener
-	if n.data != nil {
+	if n.dataPlane != nil {
 		ready, err := net.Listen("tcp4", n.cfg.Listeners.Readiness)
 		if err != nil {
 			return err
 		}
 		defer ready.Close()
-		web := &http.Server{Handler: http.HandlerFunc(n.readiness), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 10 * time.Second}
+		web := &http.Server{Handler: http.HandlerFunc(n.serveReadiness), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 10 * time.Second}
 		defer web.Close()
 		go func() { failed <- web.Serve(ready) }()
 		if front, err = net.Listen("tcp4", n.cfg.Listeners.Frontend); err != nil {
 			return err
 		}
 		defer front.Close()
-		go func() { n.data.front.Serve(front) }()
+		go func() { n.dataPlane.frontend.Serve(front) }()
 	}
 	n.log.Info("started", "class", n.cfg.MachineClass, "zone", n.cfg.Zone, "bootstrap", n.cfg.Bootstrap)
 	accounts := time.NewTicker(limits.MetricsLogInterval)
@@ -132,7 +132,7 @@
 	for {
 		select {
 		case <-accounts.C:
-			n.settleUp(slog.LevelDebug)
+			n.logTraffic(slog.LevelDebug)
 		case err := <-failed:
 			if err != nil {
 				return err
@@ -142,12 +142,12 @@
 				n.log.Error("settings not read again", "err", err)
 			} else {
 				n.cfg.SeedNodes = cfg.SeedNodes
-				n.news.turn(gossip.SeedsChanged{Addrs: n.seeds()})
+				n.discovery.step(gossip.SeedsChanged{Addrs: n.seeds()})
 				n.log.Info("settings read again")
 			}
 		case <-sig.Stop:
-			n.stop(ctx, front)
-			n.settleUp(slog.LevelInfo)
+			n.shutDown(ctx, front)
+			n.logTraffic(slog.LevelInfo)
 			return nil
 		}
 	}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -35,25 +35,25 @@
 		Account []metrics.Row   `json:"account"` // what the process has sent and taken, by cause
 		Machine metrics.Process `json:"machine"`
 	}
-	s := status{Node: n.cfg.NodeName, Zone: n.cfg.Zone, Ready: n.unready(), Place: n.place.Load(), Wanted: n.wanted.Load()}
+	s := status{Node: n.cfg.NodeName, Zone: n.cfg.Zone, Ready: n.notReadyReason(), Place: n.currentIndex.Load(), Wanted: n.newestIndex.Load()}
 	if s.Ready == "" {
 		s.Ready = "yes"
 	}
-	s.Account, s.Machine = n.spent.Rows(), metrics.ReadProcess()
-	if n.data != nil {
-		if at := n.data.at.Load(); at != nil {
+	s.Account, s.Machine = n.traffic.Rows(), metrics.ReadProcess()
+	if n.dataPlane != nil {
+		if at := n.dataPlane.routes.Load(); at != nil {
 			s.Revision = at.Revision
 		}
 	}
-	if n.keeper != nil {
-		st := n.keeper.at()
-		s.Keeper, s.Chain, s.Votes, s.Members = true, st.NextIndex, st.Member(n.keeper.self.ID) != nil, len(st.Members)
+	if n.replica != nil {
+		st := n.replica.state()
+		s.Keeper, s.Chain, s.Votes, s.Members = true, st.NextIndex, st.Member(n.replica.self.ID) != nil, len(st.Members)
 		s.Holder, s.Fence = st.LeaseHolderName, st.FencingToken
 	}
-	n.news.mu.Lock()
-	defer n.news.mu.Unlock()
-	s.Peers, s.Keepers = len(n.news.node.Gossip.Peers()), len(n.news.node.Gossip.Replicas())
-	s.Engines, s.Items = n.news.node.Endpoints.Len(), n.news.node.Gossip.ItemCount()
+	n.discovery.mu.Lock()
+	defer n.discovery.mu.Unlock()
+	s.Peers, s.Keepers = len(n.discovery.reducer.Gossip.Peers()), len(n.discovery.reducer.Gossip.Replicas())
+	s.Engines, s.Items = n.discovery.reducer.Endpoints.Len(), n.discovery.reducer.Gossip.ItemCount()
 	return s
 }
 
@@ -74,11 +74,11 @@
 // Engines implements api.Handler.
 func (n *Node) Engines() any {
 	c := n.config()
-	n.news.mu.Lock()
-	defer n.news.mu.Unlock()
-	now, wall := n.news.clock(), time.Now().UnixMilli()
+	n.discovery.mu.Lock()
+	defer n.discovery.mu.Unlock()
+	now, wall := n.discovery.clock(), time.Now().UnixMilli()
 	all := []EngineView{}
-	n.news.node.Endpoints.All(func(e *endpoints.Endpoint) {
+	n.discovery.reducer.Endpoints.All(func(e *endpoints.Endpoint) {
 		v := EngineView{
 			ID: e.ID, Service: e.Service, Zone: e.Zone, Address: e.Addr, Revision: e.Revision, Slots: e.Slots,
 			HeardS: (now - e.LastHeartbeat).Seconds(), WarmInS: max(float64(e.WarmAtMS-wall)/1000, 0),
@@ -111,12 +111,12 @@
 		Ready    []string `json:"ready,omitempty"`
 		Draining []string `json:"draining,omitempty"`
 	}
-	if n.data == nil {
+	if n.dataPlane == nil {
 		return map[string]string{"refused": "no traffic is carried here: ask a router"}
 	}
-	x := explained{Explanation: n.data.dialect.Explain(r)}
+	x := explained{Explanation: n.dataPlane.dialect.Explain(r)}
 	if x.Service != "" {
-		for _, e := range n.news.list(x.Service) {
+		for _, e := range n.discovery.endpoints(x.Service) {
 			if e.State == endpoints.StateDraining {
 				x.Draining = append(x.Draining, e.ID)
 			} else {
--- a/internal/node/testplane_test.go
+++ b/internal/node/testplane_test.go
@@ -16,7 +16,7 @@
 // testPlane is a data plane of its own.
 type testPlane struct {
 	t    *testing.T
-	d    *data
+	d    *dataPlane
 	addr string
 	ln   net.Listener
 	list atomic.Pointer[[]endpoints.Endpoint]
@@ -32,7 +32,7 @@
 	p := &testPlane{t: t}
 	p.list.Store(&engines)
 	lim := limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100})
-	p.d = newData(slog.New(slog.NewTextHandler(io.Discard, nil)), lim, time.Second, seed, func(service string) (all []endpoints.Endpoint) {
+	p.d = newDataPlane(slog.New(slog.NewTextHandler(io.Discard, nil)), lim, time.Second, seed, func(service string) (all []endpoints.Endpoint) {
 		for _, e := range *p.list.Load() {
 			if e.Service == service {
 				all = append(all, e)
@@ -41,7 +41,7 @@
 		return all
 	})
 	go p.d.run(t.Context())
-	if err := p.d.apply(1, planeConfig()); err != nil {
+	if err := p.d.applyConfig(1, planeConfig()); err != nil {
 		t.Fatal(err)
 	}
 	var err error
@@ -50,7 +50,7 @@
 	}
 	t.Cleanup(func() { p.ln.Close() })
 	p.addr = p.ln.Addr().String()
-	go p.d.front.Serve(p.ln)
+	go p.d.frontend.Serve(p.ln)
 	return p
 }
 
@@ -59,7 +59,7 @@
 	p.list.Store(&engines)
 	p.d.mu.Lock()
 	defer p.d.mu.Unlock()
-	p.d.feed(p.d.at.Load())
+	p.d.publishEndpoints(p.d.routes.Load())
 }
 
 func planeConfig() *fleetconfig.Config {
--- a/internal/node/usagereport.go
+++ b/internal/node/usagereport.go
@@ -11,21 +11,21 @@
 	"notchhinge/internal/limits"
 )
 
-// counter is a router's duty.Meter under one lock.
-type counter struct {
+// usageMeter is a router's duty.Meter under one lock.
+type usageMeter struct {
 	mu    sync.Mutex
 	meter singleton.Meter
 }
 
-// began counts a request.
-func (c *counter) began(tenant string) {
+// countRequest counts a request.
+func (c *usageMeter) countRequest(tenant string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.meter.CountRequest(time.Now(), tenant)
 }
 
-// reports tells keepers what this router has counted, and how much it has at engines, until the context is over.
-func (n *Node) reports(ctx context.Context, c *counter) {
+// reportLoop tells keepers what this router has counted, and how much it has at engines, until the context is over.
+func (n *Node) reportLoop(ctx context.Context, c *usageMeter) {
 	tick := time.NewTicker(limits.RouterReportInterval)
 	defer tick.Stop()
 	for {
@@ -34,15 +34,15 @@
 			return
 		case <-tick.C:
 		}
-		n.report(ctx, c)
+		n.sendReports(ctx, c)
 	}
 }
 
-// report makes one report to every keeper.
-func (n *Node) report(ctx context.Context, c *counter) {
+// sendReports makes one report to every keeper.
+func (n *Node) sendReports(ctx context.Context, c *usageMeter) {
 	var loads []singleton.Load
 	counted := make(chan broker.Counted, 1)
-	n.data.loop.Post(broker.Audit{Of: counted})
+	n.dataPlane.loop.Post(broker.Audit{Of: counted})
 	select {
 	case x := <-counted:
 		for _, s := range x.Pools {
@@ -51,9 +51,9 @@
 	case <-ctx.Done():
 		return
 	}
-	asked := n.data.loop.Now()
-	n.data.parts(asked, 0)
-	keepers := n.news.keepers()
+	asked := n.dataPlane.loop.Now()
+	n.dataPlane.updateRetryShare(asked, 0)
+	keepers := n.discovery.replicas()
 	ids := make([]uint64, len(keepers))
 	for i, k := range keepers {
 		ids[i] = k.ID
@@ -65,13 +65,13 @@
 		go func() {
 			one, cancel := context.WithTimeout(context.Background(), limits.ReplicaFailoverTimeout)
 			defer cancel()
-			b, err := n.net.Call(one, k.Addr, singleton.CallUsageReport, all[i].Encode())
-			n.news.turn(gossip.CallCompleted{PeerID: k.ID, Answered: err == nil})
+			b, err := n.transport.Call(one, k.Addr, singleton.CallUsageReport, all[i].Encode())
+			n.discovery.step(gossip.CallCompleted{PeerID: k.ID, Answered: err == nil})
 			word, bad := singleton.DecodeAck(b)
 			if err != nil || bad != nil {
 				return
 			}
-			n.data.parts(asked, int(word.Routers))
+			n.dataPlane.updateRetryShare(asked, int(word.Routers))
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.meter.HandleAck(k.ID, word, &all[i])
