--- a/internal/control/delta/delta.go
+++ b/internal/control/delta/delta.go
@@ -1,5 +1,9 @@
-// Package delta writes a text as what differs from one that the other has, where that pays: a configuration of thousands of
-// routes changes in a few places at a time. It is pure. A delta says itself what it is made upon, and a wrong base is found out.
+// Package delta encodes data relative to a base that the receiver already has. A configuration of thousands of routes
+// changes in a few places at a time; its delta is a small fraction of it. The package is pure.
+//
+// An encoding is one byte for the format, and for the compressed formats the xxHash64 of the base and of the data, 8 bytes
+// each, big-endian, followed by a Zstandard frame (RFC 8878). In formatDelta the base is the frame's raw dictionary. The
+// hashes detect a wrong base and corrupt data.
 package delta
 
 import (
@@ -11,99 +15,109 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// The forms: the text itself; compressed; compressed with the base as what went before.
+// Formats, as encoded.
 const (
-	plain byte = iota
-	packed
-	upon
+	formatPlain      byte = iota // the data itself
+	formatCompressed             // compressed without a base
+	formatDelta                  // compressed with the base as a dictionary
 )
 
 const (
-	small    = 512 // bytes below which nothing is tried
-	baseID   = 1   // of the dictionary that a base is
-	headSize = 1 + 8 + 8
+	minBytes      = 512      // data or a base below that is not worth a compression
+	maxWindow     = 16 << 20 // bytes that the compressor looks back at most
+	dictionaryID  = 1        // of the base
+	headBytes     = 1 + 8 + 8
+	extraDecoding = 32 << 20 // bytes of memory that the decoder may use beyond its output
 )
 
-// ErrWrongBase is a delta upon another base than the one that is given.
-var ErrWrongBase = errors.New("delta: it is upon another text")
-
-// ErrCorrupt is what is no delta, or is one whose text is not what it was made of.
-var ErrCorrupt = errors.New("delta: it cannot be read")
+// Errors of Decode.
+var (
+	ErrWrongBase = errors.New("delta: encoded against another base")
+	ErrCorrupt   = errors.New("delta: corrupt data")
+)
 
-// Encode writes text, upon base if that is not nil. The shortest form is taken.
-func Encode(base, text []byte) []byte {
-	best := append([]byte{plain}, text...)
-	if len(text) < small {
+// Encode returns the shortest encoding of data: plain, compressed, or relative to base, which may be nil.
+func Encode(base, data []byte) []byte {
+	best := append([]byte{formatPlain}, data...)
+	if len(data) < minBytes {
 		return best
 	}
-	options := []zstd.EOption{zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(window(len(base) + len(text)))}
-	if b := squeeze(packed, nil, text, options); b != nil && len(b) < len(best) {
+	options := []zstd.EOption{
+		zstd.WithEncoderConcurrency(1),
+		zstd.WithEncoderLevel(zstd.SpeedFastest),
+		zstd.WithWindowSize(window(len(base) + len(data))),
+	}
+	if b := compress(formatCompressed, nil, data, options); b != nil && len(b) < len(best) {
 		best = b
 	}
-	if len(base) >= small {
-		if b := squeeze(upon, base, text, append(options, zstd.WithEncoderDictRaw(baseID, base))); b != nil && len(b) < len(best) {
+	if len(base) >= minBytes {
+		options = append(options, zstd.WithEncoderDictRaw(dictionaryID, base))
+		if b := compress(formatDelta, base, data, options); b != nil && len(b) < len(best) {
 			best = b
 		}
 	}
 	return best
 }
 
-// window is a power of two that reaches back over so many bytes.
+// window returns the power of two that spans n bytes, within the bounds.
 func window(n int) int {
 	w := zstd.MinWindowSize
-	for w < n && w < 16<<20 {
+	for w < n && w < maxWindow {
 		w *= 2
 	}
 	return w
 }
 
-func squeeze(form byte, base, text []byte, options []zstd.EOption) []byte {
+// compress returns nil if the compressor cannot be made; another format then serves.
+func compress(format byte, base, data []byte, options []zstd.EOption) []byte {
 	e, err := zstd.NewWriter(nil, options...)
 	if err != nil {
-		return nil // the plain form is as good
+		return nil
 	}
-	defer e.Close()
-	b := make([]byte, headSize, headSize+len(text)/4)
-	b[0] = form
+	defer func() { _ = e.Close() }() // EncodeAll leaves nothing to flush
+	b := make([]byte, headBytes, headBytes+len(data)/4)
+	b[0] = format
 	binary.BigEndian.PutUint64(b[1:], xxhash.Sum64(base))
-	binary.BigEndian.PutUint64(b[9:], xxhash.Sum64(text))
-	return e.EncodeAll(text, b)
+	binary.BigEndian.PutUint64(b[9:], xxhash.Sum64(data))
+	return e.EncodeAll(data, b)
 }
 
-// Decode reads a text of most bytes at the most.
-func Decode(base, b []byte, most int) ([]byte, error) {
-	if len(b) == 0 {
+// Decode returns the data of an encoding, at most maxBytes of it. The data of formatPlain share memory with encoded. The
+// error matches ErrWrongBase or ErrCorrupt.
+func Decode(base, encoded []byte, maxBytes int) ([]byte, error) {
+	if len(encoded) == 0 {
 		return nil, ErrCorrupt
 	}
-	if b[0] == plain {
-		if len(b)-1 > most {
-			return nil, fmt.Errorf("%w: it is too long", ErrCorrupt)
+	format := encoded[0]
+	if format == formatPlain {
+		if len(encoded)-1 > maxBytes {
+			return nil, fmt.Errorf("%w: too long", ErrCorrupt)
 		}
-		return b[1:], nil
+		return encoded[1:], nil
 	}
-	if b[0] > upon || len(b) < headSize {
+	if format > formatDelta || len(encoded) < headBytes {
 		return nil, ErrCorrupt
 	}
-	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(most) + 32<<20)}
-	if b[0] == upon {
-		if binary.BigEndian.Uint64(b[1:]) != xxhash.Sum64(base) {
+	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(maxBytes) + extraDecoding)}
+	if format == formatDelta {
+		if binary.BigEndian.Uint64(encoded[1:]) != xxhash.Sum64(base) {
 			return nil, ErrWrongBase
 		}
-		options = append(options, zstd.WithDecoderDictRaw(baseID, base))
+		options = append(options, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
 	d, err := zstd.NewReader(nil, options...)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	defer d.Close()
-	text, err := d.DecodeAll(b[headSize:], nil)
+	data, err := d.DecodeAll(encoded[headBytes:], nil)
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
-	case len(text) > most:
-		return nil, fmt.Errorf("%w: it is too long", ErrCorrupt)
-	case xxhash.Sum64(text) != binary.BigEndian.Uint64(b[9:]):
-		return nil, fmt.Errorf("%w: its checksum is wrong", ErrCorrupt)
+	case len(data) > maxBytes:
+		return nil, fmt.Errorf("%w: too long", ErrCorrupt)
+	case xxhash.Sum64(data) != binary.BigEndian.Uint64(encoded[9:]):
+		return nil, fmt.Errorf("%w: wrong checksum", ErrCorrupt)
 	}
-	return text, nil
+	return data, nil
 }
--- a/internal/control/delta/delta_test.go
+++ b/internal/control/delta/delta_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// many is a configuration of routes, as its encoding goes.
-func many(routes, changed int) []byte {
+// routesConfig returns a configuration with a number of routes, of the length of an encoded one. The route with the index
+// changed differs in its time-out; -1 = none does.
+func routesConfig(routes, changed int) []byte {
 	var b bytes.Buffer
 	for i := range routes {
 		timeout := 12000
@@ -23,62 +24,77 @@
 	return b.Bytes()
 }
 
-func TestDifferencesAreShort(t *testing.T) {
-	base, text := many(5000, -1), many(5000, 2500)
-	alone, on := Encode(nil, text), Encode(base, text)
-	t.Logf("%d bytes: %d alone, %d upon the one before", len(text), len(alone), len(on))
-	if len(on) > len(text)/100 || len(alone) > len(text)/3 {
-		t.Errorf("%d bytes: %d alone, %d upon the one before", len(text), len(alone), len(on))
+func TestDeltaIsAFractionOfTheData(t *testing.T) {
+	base, data := routesConfig(5000, -1), routesConfig(5000, 2500)
+	compressed, delta := Encode(nil, data), Encode(base, data)
+	t.Logf("%d bytes: %d compressed, %d as a delta", len(data), len(compressed), len(delta))
+	if len(delta) > len(data)/100 || len(compressed) > len(data)/3 {
+		t.Errorf("%d bytes: %d compressed, %d as a delta", len(data), len(compressed), len(delta))
 	}
-	for name, c := range map[string][2][]byte{"alone": {nil, alone}, "upon": {base, on}, "short": {base, Encode(base, []byte("x"))}} {
-		got, err := Decode(c[0], c[1], len(text))
-		if err != nil || !bytes.Equal(got, text) && name != "short" {
-			t.Errorf("%s: %v", name, err)
+}
+
+func TestDecodeReturnsTheData(t *testing.T) {
+	base, data := routesConfig(5000, -1), routesConfig(5000, 2500)
+	for name, c := range map[string]struct{ base, data []byte }{
+		"compressed": {nil, data}, "delta": {base, data}, "plain": {base, []byte("x")}, "empty": {nil, nil},
+	} {
+		got, err := Decode(c.base, Encode(c.base, c.data), len(data))
+		if err != nil || !bytes.Equal(got, c.data) {
+			t.Errorf("%s: %d bytes, %v", name, len(got), err)
 		}
 	}
-	if _, err := Decode(many(5000, 7), on, len(text)); !errors.Is(err, ErrWrongBase) {
-		t.Errorf("upon another text: %v", err)
-	}
-	if _, err := Decode(base, on, len(text)-1); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("too long: %v", err)
-	}
-	on[len(on)-1] ^= 1
-	if _, err := Decode(base, on, len(text)); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("a flipped bit: %v", err)
+}
+
+func TestDecodeRejects(t *testing.T) {
+	base, data := routesConfig(5000, -1), routesConfig(5000, 2500)
+	delta := Encode(base, data)
+	flipped := bytes.Clone(delta)
+	flipped[len(flipped)-1] ^= 1
+	for name, c := range map[string]struct {
+		base, encoded []byte
+		maxBytes      int
+		want          error
+	}{
+		"another base":        {routesConfig(5000, 7), delta, len(data), ErrWrongBase},
+		"data above a bound":  {base, delta, len(data) - 1, ErrCorrupt},
+		"plain above a bound": {nil, Encode(nil, []byte("four")), 3, ErrCorrupt},
+		"a flipped bit":       {base, flipped, len(data), ErrCorrupt},
+		"nothing":             {nil, nil, 1, ErrCorrupt},
+		"an unknown format":   {nil, []byte{formatDelta + 1}, 1, ErrCorrupt},
+		"a head alone":        {base, delta[:headBytes-1], len(data), ErrCorrupt},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := Decode(c.base, c.encoded, c.maxBytes); !errors.Is(err, c.want) {
+				t.Errorf("error %v, want %v", err, c.want)
+			}
+		})
 	}
 }
 
-func TestWhatGoesInComesOut(t *testing.T) {
+func TestDataSurviveARoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := rapid.SliceOfN(rapid.Byte(), 0, 3000).Draw(t, "base")
-		text := append([]byte{}, base...)
-		if n := len(text); n > 0 {
+		data := append([]byte{}, base...)
+		if n := len(data); n > 0 {
 			at := rapid.IntRange(0, n-1).Draw(t, "at")
-			text = append(text[:at], rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "more")...)
+			data = append(data[:at], rapid.SliceOfN(rapid.Byte(), 0, 2000).Draw(t, "more")...)
 		}
-		got, err := Decode(base, Encode(base, text), 1<<20)
-		if err != nil || !bytes.Equal(got, text) {
-			t.Fatalf("%v: %d bytes became %d", err, len(text), len(got))
+		got, err := Decode(base, Encode(base, data), 1<<20)
+		if err != nil || !bytes.Equal(got, data) {
+			t.Fatalf("%v: %d bytes became %d", err, len(data), len(got))
 		}
 	})
 }
 
 func FuzzDecode(f *testing.F) {
-	base := many(20, -1)
-	f.Add(Encode(base, many(20, 3)))
-	f.Add(Encode(nil, many(20, 3)))
-	f.Add([]byte{upon})
+	const maxBytes = 1 << 16
+	base := routesConfig(20, -1)
+	f.Add(Encode(base, routesConfig(20, 3)))
+	f.Add(Encode(nil, routesConfig(20, 3)))
+	f.Add([]byte{formatDelta})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if text, err := Decode(base, b, 1<<16); err == nil && len(text) > 1<<16 {
-			t.Error("longer than the most")
+		if data, err := Decode(base, b, maxBytes); err == nil && len(data) > maxBytes {
+			t.Errorf("%d bytes, above the bound", len(data))
 		}
 	})
 }
-
-func BenchmarkEncode(b *testing.B) {
-	base, text := many(5000, -1), many(5000, 2500)
-	b.ReportAllocs()
-	for b.Loop() {
-		Encode(base, text)
-	}
-}
