--- a/internal/control/replog/history_test.go
+++ b/internal/control/replog/history_test.go
@@ -37,6 +37,15 @@
 			t.Errorf("another configuration with revision %d counts as accepted", revision)
 		}
 	}
+	checkHistorySize(t, s)
+	if got, err := DecodeState(s.EncodeAs(1)); err != nil || !got.WasAccepted(s.Revision, d[accepted-1]) || len(got.History) != minHistory {
+		t.Errorf("in the first format: %v %v", got, err)
+	}
+}
+
+// checkHistorySize checks the length of a full history, and of its encoding in both formats.
+func checkHistorySize(t *testing.T, s *State) {
+	t.Helper()
 	b := s.Encode()
 	if len(b) > 80<<10 || len(s.History)+len(s.CompactedHistory) > limits.ConfigHistoryEntries+2*minHistory {
 		t.Errorf("%d bytes, %d and %d configurations", len(b), len(s.History), len(s.CompactedHistory))
@@ -45,9 +54,6 @@
 	if b[0] != StateVersion || first[0] != firstStateVersion || len(first) > 4<<10 {
 		t.Errorf("format %d, %d bytes; for an earlier program format %d, %d bytes", b[0], len(b), first[0], len(first))
 	}
-	if got, err := DecodeState(first); err != nil || !got.WasAccepted(s.Revision, d[accepted-1]) || len(got.History) != minHistory {
-		t.Errorf("%v %v", got, err)
-	}
 }
 
 // BenchmarkHistory measures one accepted configuration, the encoding and a look-up, with a full history.
--- a/internal/control/replog/state_test.go
+++ b/internal/control/replog/state_test.go
@@ -43,21 +43,39 @@
 		apply(s, p)
 	}
 	s.Apply([]byte("not an entry"))
-	if s.NextIndex != 11 || s.Revision != 8 || s.ConfigIndex != 8 || s.LeaseHolder != 2 || s.FencingToken != 5 || s.Member(3) == nil || s.Member(9) != nil {
-		t.Errorf("%+v", s)
-	}
-	if w := s.AgreedUsage(9); w == nil || w.Counts[0].Requests != 5 || s.AgreedUsage(8) != nil {
-		t.Errorf("%+v", w)
-	}
-	if len(s.History) != 2 || !s.WasAccepted(3, s.History[0].Digest) || s.WasAccepted(4, s.History[0].Digest) {
-		t.Errorf("%+v", s.History)
+	want := &State{
+		NextIndex: 11, Members: members, Config: encodedConfig(t, 8), Revision: 8, ConfigIndex: 8,
+		LeaseHolder: 2, LeaseHolderName: "b", FencingToken: 5, UsageWindows: []UsageWindow{{9, []TenantCount{{"k", 5}}}},
+	}
+	_, third, _ := fleetconfig.Decode(encodedConfig(t, 3))
+	_, want.Digest, _ = fleetconfig.Decode(want.Config)
+	want.History = []AcceptedConfig{{3, third}, {8, want.Digest}}
+	if diff := cmp.Diff(want, s); diff != "" {
+		t.Errorf("(-want +got):\n%s", diff)
 	}
 	got, err := DecodeState(s.Encode())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(s, got); diff != "" {
-		t.Errorf("(-want +got):\n%s", diff)
+		t.Errorf("decoded (-want +got):\n%s", diff)
+	}
+}
+
+func TestLookupsFindWhatIsThere(t *testing.T) {
+	s := State{
+		Members:      []Member{{1, "a", "10.0.0.1:1"}, {3, "c", "10.0.0.3:1"}},
+		UsageWindows: []UsageWindow{{9, []TenantCount{{"k", 5}}}},
+		History:      []AcceptedConfig{{3, fleetconfig.Digest{1}}, {8, fleetconfig.Digest{2}}},
+	}
+	if m := s.Member(3); m == nil || m.Name != "c" || s.Member(9) != nil {
+		t.Errorf("member 3 is %+v, member 9 %+v", m, s.Member(9))
+	}
+	if w := s.AgreedUsage(9); w == nil || w.Counts[0].Requests != 5 || s.AgreedUsage(8) != nil {
+		t.Errorf("window 9 is %+v, window 8 %+v", w, s.AgreedUsage(8))
+	}
+	if !s.WasAccepted(3, fleetconfig.Digest{1}) || s.WasAccepted(4, fleetconfig.Digest{1}) || s.WasAccepted(3, fleetconfig.Digest{2}) {
+		t.Error("revision 3 was accepted with the first digest, and nothing else with it")
 	}
 }
 
