--- a/internal/control/replog/doc.go
+++ b/internal/control/replog/doc.go
@@ -11,7 +11,7 @@
 // the highest one it has seen can reject an earlier holder.
 //
 // Accepted configurations are kept as history, so that a repeated request of an operator is recognised as done. Recent ones
-// have their whole digest; older ones are compacted to 16 bytes of it; there are at most limits.NodeHistory of these.
+// have their whole digest; older ones are compacted to 16 bytes of it; there are at most limits.ConfigHistoryEntries of these.
 //
 // The binary formats of entries and states are in codec.go. They are on the wire and on disk, and stay readable by the
 // previous release of the program for as long as that is possible.
