--- /dev/null
+++ b/internal/control/singleton/controller_test.go
@@ -0,0 +1,294 @@
+package singleton
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+	"testing"
+	"time"
+
+	"notchhinge/internal/control/autoscale"
+	"notchhinge/internal/control/encoding"
+	"notchhinge/internal/control/lease"
+	"notchhinge/internal/control/replog"
+	"notchhinge/internal/control/usage"
+)
+
+const sec = time.Second
+
+// harness is the Controller of the first of three members, whose effects a test answers by hand.
+type harness struct {
+	*Controller
+	now      time.Duration
+	state    replog.State
+	calls    []SendCall
+	sent     []string // to the platform
+	proposed func(*replog.State) []byte
+}
+
+func newHarness() *harness {
+	h := &harness{now: time.Minute, state: replog.State{NextIndex: 1, Members: []replog.Member{
+		{ID: 1, Name: "a", Addr: "10.0.0.1:1"}, {ID: 2, Name: "b", Addr: "10.0.0.2:1"}, {ID: 3, Name: "c", Addr: "10.0.0.3:1"},
+	}}}
+	h.Controller = New(h.now, Config{
+		Self: h.state.Members[0], NeverGranted: true, LeaseDuration: 3 * sec, UsageWindow: 5 * sec, UsageDelay: 10 * sec,
+		RouterWindow: 10 * sec, ReportsUsage: true, ScalesEngines: true, Incarnation: 7,
+		Peers: func() []netip.AddrPort { return nil },
+		Services: func() []autoscale.Service {
+			return []autoscale.Service{{Name: "s", Bounds: autoscale.Bounds{Min: 1, Max: 9}, Ready: map[string]int{"y": 1, "z": 1}, Slots: 4}}
+		},
+	})
+	return h
+}
+
+func (h *harness) wall() time.Time { return time.Unix(1000, 0).Add(h.now) }
+
+func (h *harness) reduce(e Event) {
+	for _, f := range h.Reduce(h.now, h.wall(), &h.state, e) {
+		switch f := f.(type) {
+		case SendCall:
+			h.calls = append(h.calls, f)
+		case Propose:
+			h.proposed = f.Next
+		case ReportUsage:
+			h.sent = append(h.sent, fmt.Sprint("usage ", f.FencingToken, f.Counts))
+		case ScaleEngines:
+			h.sent = append(h.sent, fmt.Sprint("scale ", f.FencingToken, f.Zone, f.Engines))
+		}
+	}
+}
+
+// call returns the answer to a call.
+func (h *harness) call(t *testing.T, kind uint8, body []byte) SendReply {
+	t.Helper()
+	for _, f := range h.Reduce(h.now, h.wall(), &h.state, CallReceived{Kind: kind, Body: body}) {
+		if r, ok := f.(SendReply); ok {
+			return r
+		}
+	}
+	t.Fatal("no answer")
+	return SendReply{}
+}
+
+// isGranted reports whether a call is answered by a grant.
+func (h *harness) isGranted(t *testing.T, kind uint8, body []byte) bool {
+	t.Helper()
+	r := h.call(t, kind, body)
+	return r.Err == nil && lease.IsGranted(r.Body)
+}
+
+// choose has what is proposed chosen.
+func (h *harness) choose() {
+	if next := h.proposed; next != nil {
+		h.proposed = nil
+		if value := next(&h.state); value != nil {
+			h.state.Apply(value)
+		}
+		h.reduce(ProposalDone{})
+	}
+}
+
+// grant has so many of the others grant what was asked of them, and the rest reject it.
+func (h *harness) grant(n int) {
+	calls := h.calls
+	h.calls = nil
+	for i, c := range calls {
+		if c.Kind == CallRenewLease || c.Kind == CallCheckCandidacy {
+			h.reduce(CallReturned{ID: c.ID, Body: lease.EncodeVerdict(i < n)})
+		}
+	}
+}
+
+func (h *harness) advance(d time.Duration) {
+	h.now += d
+	h.reduce(Tick{})
+}
+
+// elect has the Controller agreed as the holder, without a lease yet.
+func (h *harness) elect(t *testing.T) {
+	t.Helper()
+	h.advance(sec)
+	if h.grant(0); h.proposed != nil {
+		t.Fatal("it stands though others' leases may be in the way")
+	}
+	h.advance(sec)
+	h.grant(1)
+	h.choose()
+	if h.state.LeaseHolder != 1 || len(h.calls) != 2 || len(h.sent) != 0 {
+		t.Fatalf("holder %d, %d calls, sent %v", h.state.LeaseHolder, len(h.calls), h.sent)
+	}
+}
+
+// TestPlatformIsCalledOnlyUnderALease: nothing goes to the platform except under a lease that a majority has granted; one call
+// at a time; and what was agreed is sent, again until it is taken.
+func TestPlatformIsCalledOnlyUnderALease(t *testing.T) {
+	h := newHarness()
+	counters := usage.Counters{}
+	counters.Add(usage.WindowAt(h.wall(), 5*sec), "t", 4)
+	p := usage.Report{Incarnation: 9, Counters: counters, Loads: []usage.Load{{Service: "s", Running: 1000, Arrived: 10}}}
+	report := func() { h.reduce(CallReceived{Kind: CallUsageReport, Body: p.Encode()}) }
+	expect := func(when, want string) {
+		t.Helper()
+		if got := fmt.Sprint(h.sent); got != want {
+			t.Fatalf("%s %v is sent, want %v", when, got, want)
+		}
+	}
+	report()
+	h.elect(t)
+	h.grant(0)
+	h.advance(sec / 2)
+	expect("without a majority's grant", "[]")
+	h.grant(1)
+	expect("with it", "[scale 1y5]") // 10 running, 1.24 an engine: 9, 5 of them in the first zone
+	h.advance(sec / 2)
+	h.grant(2)
+	expect("while a call is in flight", "[scale 1y5]")
+	h.reduce(PlatformAnswered{})
+	h.reduce(PlatformAnswered{Err: errors.New("busy")})
+	h.sent = nil
+	report()
+	h.advance(sec / 2)
+	h.grant(2)
+	expect("of two targets, one of which was not taken,", "[scale 1z4]")
+	h.reduce(PlatformAnswered{})
+	for range 20 { // until the window is over for long enough
+		h.advance(sec / 2)
+		h.grant(2)
+	}
+	h.choose()
+	if len(h.sent) == 0 || h.sent[len(h.sent)-1] != "usage 1 map[t:4]" {
+		t.Fatalf("sent %v", h.sent)
+	}
+	counters.Add(usage.WindowAt(h.wall(), 5*sec)-2, "t", 1) // a report of it that comes too late changes nothing
+	report()
+	h.reduce(PlatformAnswered{Err: errors.New("lost")})
+	h.sent = nil
+	h.grant(2)
+	expect("at once after an error", "[]")
+	h.advance(sec / 2)
+	expect("after an error", "[usage 1 map[t:4]]")
+	h.reduce(PlatformAnswered{})
+	h.calls, h.sent = nil, nil
+	h.advance(2500 * time.Millisecond) // since the last grant
+	h.reduce(PlatformAnswered{})
+	expect("under a lease that is nearly over", "[]")
+}
+
+// TestVoterGrantsToTheAgreedHolderOnly: a member gives its lease to the holder that it knows of, and permits no other candidate
+// while that lasts.
+func TestVoterGrantsToTheAgreedHolderOnly(t *testing.T) {
+	h := newHarness()
+	h.state.Apply(replog.Entry{Payload: replog.LeaseGrant{HolderID: 2, HolderName: "b"}}.Encode())
+	ask := func(kind, token, node byte) bool {
+		t.Helper()
+		return h.isGranted(t, kind, []byte{token, 0, 0, 0, 0, 0, 0, 0, node})
+	}
+	if ask(CallRenewLease, 1, 3) || ask(CallRenewLease, 2, 2) || !ask(CallRenewLease, 1, 2) {
+		t.Error("a lease is for the agreed holder, with its fencing token")
+	}
+	h.now += 2 * sec
+	if ask(CallCheckCandidacy, 1, 3) || !ask(CallCheckCandidacy, 1, 2) {
+		t.Error("under a lease another may not stand, and its holder may")
+	}
+	h.now += 2 * sec
+	if ask(CallCheckCandidacy, 0, 3) || !ask(CallCheckCandidacy, 1, 3) {
+		t.Error("after it whoever knows the newest holder may stand")
+	}
+}
+
+// TestNewVotersGrantNothingAtOnce: who has just been given its vote grants no lease for as long as one may run that the one
+// before it has granted; who has accepted other members grants none; and none goes to who knows of other members.
+func TestNewVotersGrantNothingAtOnce(t *testing.T) {
+	ask := func(h *harness, voters uint64) bool {
+		t.Helper()
+		return h.isGranted(t, CallRenewLease, lease.Renewal{FencingToken: h.state.FencingToken, Holder: 2, Voters: voters}.Encode())
+	}
+	h := newHarness()
+	h.state.LeaseHolder, h.state.FencingToken, h.state.NextIndex = 2, 3, 4
+	all := h.state.Members
+	h.state.Members = append([]replog.Member{{ID: 8, Name: "z", Addr: "10.0.0.8:1"}}, all[1:]...)
+	h.reduce(Tick{}) // it has no vote
+	if ask(h, lease.VoterSet(h.state.Members)) {
+		t.Error("granted without a vote")
+	}
+	h.now += time.Minute
+	h.state.Members, h.state.NextIndex = all, 5
+	h.reduce(Tick{})
+	voters := lease.VoterSet(all)
+	if ask(h, voters) {
+		t.Error("granted while the lease may still be another's")
+	}
+	if h.now += 3*sec + 1; !ask(h, voters) {
+		t.Error("not granted after the length of a lease")
+	}
+	if ask(h, voters+1) {
+		t.Error("granted to a holder that knows of other members")
+	}
+	pending := false
+	h.cfg.MembershipPending = func() bool { return pending }
+	if pending = true; ask(h, voters) {
+		t.Error("granted with other members accepted")
+	}
+	if pending = false; !ask(h, voters) {
+		t.Error("not granted once that is decided")
+	}
+}
+
+// TestOnlyTheHolderCountsRouters: only the holder says how many routers there are, and not before all that it cannot have heard
+// of have left the window; the first holder ever says it at once.
+func TestOnlyTheHolderCountsRouters(t *testing.T) {
+	for _, first := range []bool{true, false} {
+		t.Run(fmt.Sprintf("first start %v", first), func(t *testing.T) {
+			h := newHarness()
+			h.cfg.NeverGranted, h.grants.NeverGranted = first, first
+			routers := func() uint64 {
+				t.Helper()
+				ack, err := usage.DecodeAck(h.call(t, CallUsageReport, (&usage.Report{Incarnation: 9}).Encode()).Body)
+				if err != nil {
+					t.Fatal(err)
+				}
+				return ack.Routers
+			}
+			if n := routers(); n != 0 {
+				t.Errorf("%d routers, of one that is not the holder", n)
+			}
+			since := time.Duration(0)
+			for range 60 {
+				h.advance(sec / 2)
+				h.grant(2)
+				h.choose()
+				h.grant(2)
+				if _, ok := h.callTimeout(); ok && since == 0 {
+					since = h.now
+				}
+				want := uint64(0)
+				if since > 0 && (first || h.now-h.holderSeenAt >= h.cfg.RouterWindow) {
+					want = 1
+				}
+				if n := routers(); n != want {
+					t.Fatalf("%v after it became the holder: %d routers, want %d", h.now-since, n, want)
+				}
+			}
+			if since == 0 {
+				t.Fatal("it never became the holder")
+			}
+			h.now += 5 * sec // without a grant
+			if n := routers(); n != 0 {
+				t.Errorf("%d routers once its lease is over", n)
+			}
+		})
+	}
+}
+
+// TestCallsAreChecked: what cannot be decoded, and what is not answered here, is an error.
+func TestCallsAreChecked(t *testing.T) {
+	h := newHarness()
+	for _, kind := range []uint8{CallUsageReport, CallUsageTable, CallRenewLease, CallCheckCandidacy} {
+		if r := h.call(t, kind, nil); !OwnsCall(kind) || !errors.Is(r.Err, encoding.ErrTruncated) {
+			t.Errorf("an empty call %d: %v", kind, r.Err)
+		}
+	}
+	if r := h.call(t, 10, nil); OwnsCall(10) || !errors.Is(r.Err, errUnknownCall) {
+		t.Errorf("a call of another package: %v", r.Err)
+	}
+}
--- /dev/null
+++ b/internal/control/usage/table.go
@@ -0,0 +1,142 @@
+package usage
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"notchhinge/internal/control/encoding"
+)
+
+// Bounds of a table.
+const (
+	maxRouters        = 4096
+	maxRouterWindows  = 64 // of one incarnation of a router; a report of nonsense must not fill the memory
+	maxReportBytes    = 1 << 20
+	loadLifetime      = 3 * time.Second // a router's loads count for so long after its last report
+	idleRouterTimeout = time.Minute     // a router without counters is forgotten after so long without a report
+)
+
+// Table is what a voter knows of all routers: the counters of each incarnation, and the loads of its last report. Tables merge in
+// any order. The zero value is empty.
+type Table struct {
+	routers map[uint64]*router // by incarnation
+}
+
+// router is one incarnation of a router.
+type router struct {
+	zone       string
+	counters   Counters
+	loads      []Load
+	reportedAt time.Duration // steady clock; 0 = it is only known from another voter's table
+}
+
+// Record takes in a report that the router itself has sent. Reports of more than 4096 incarnations are ignored.
+func (t *Table) Record(now time.Duration, p *Report) {
+	if r := t.merge(p); r != nil {
+		r.reportedAt, r.loads = now, p.Loads
+	}
+}
+
+// merge takes in the counters of a report and returns their router, nil where the table is full.
+func (t *Table) merge(p *Report) *router {
+	if t.routers == nil {
+		t.routers = map[uint64]*router{}
+	}
+	r := t.routers[p.Incarnation]
+	if r == nil {
+		if len(t.routers) >= maxRouters {
+			return nil
+		}
+		r = &router{zone: p.Zone}
+		t.routers[p.Incarnation] = r
+	}
+	r.counters.Merge(&p.Counters)
+	for len(r.counters.Windows) > maxRouterWindows {
+		delete(r.counters.Windows, slices.Min(slices.Collect(maps.Keys(r.counters.Windows))))
+	}
+	return r
+}
+
+// Sum adds up a window over all routers, by tenant.
+func (t *Table) Sum(window uint64) map[string]uint64 {
+	sum := map[string]uint64{}
+	for _, r := range t.routers {
+		for tenant, requests := range r.counters.Windows[window] {
+			sum[tenant] += requests
+		}
+	}
+	return sum
+}
+
+// DropBefore drops the windows before a number, and routers that have none left and have not reported for a minute.
+func (t *Table) DropBefore(now time.Duration, window uint64) {
+	for id, r := range t.routers {
+		r.counters.DropBefore(window)
+		if len(r.counters.Windows) == 0 && now-r.reportedAt > idleRouterTimeout {
+			delete(t.routers, id)
+		}
+	}
+}
+
+// Loads adds up, by service, the loads of routers that have reported within the last 3 s.
+func (t *Table) Loads(now time.Duration) map[string]Load {
+	sum := map[string]Load{}
+	for _, r := range t.routers {
+		if now-r.reportedAt > loadLifetime {
+			continue
+		}
+		for _, l := range r.loads {
+			x := sum[l.Service]
+			sum[l.Service] = Load{l.Service, x.Running + l.Running, x.Arrived + l.Arrived, x.Late + l.Late}
+		}
+	}
+	return sum
+}
+
+// LiveRouters counts the incarnations of routers that have reported within a time.
+func (t *Table) LiveRouters(now, within time.Duration) int {
+	live := 0
+	for _, r := range t.routers {
+		if now-r.reportedAt <= within {
+			live++
+		}
+	}
+	return live
+}
+
+// Encode returns the counters of the windows in [from, to), for another voter's Merge.
+func (t *Table) Encode(from, to uint64) []byte {
+	selected := map[uint64]Counters{}
+	for id, r := range t.routers {
+		windows := map[uint64]map[string]uint64{}
+		for number, tenants := range r.counters.Windows {
+			if number >= from && number < to && len(tenants) > 0 {
+				windows[number] = tenants
+			}
+		}
+		if len(windows) > 0 {
+			selected[id] = Counters{Windows: windows}
+		}
+	}
+	w := encoding.Writer{}
+	w.Uvarint(uint64(len(selected)))
+	for _, id := range slices.Sorted(maps.Keys(selected)) {
+		p := Report{Incarnation: id, Zone: t.routers[id].zone, Counters: selected[id]}
+		w.Bytes(p.Encode())
+	}
+	return w.Buf
+}
+
+// Merge takes in the encoded table of another voter. After an error the routers before it are merged.
+func (t *Table) Merge(encoded []byte) error {
+	r := encoding.Reader{Buf: encoded}
+	for range r.Length(maxRouters, 1) {
+		p, err := DecodeReport(r.Bytes(maxReportBytes))
+		if err != nil {
+			return err
+		}
+		t.merge(p)
+	}
+	return r.Finish()
+}
--- a/internal/control/singleton/scale_bench_test.go
+++ b/internal/control/usage/table_bench_test.go
@@ -1,4 +1,4 @@
-package singleton
+package usage
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// benchReports are a window's reports of so many routers, 150 requests each, of 14,000 tenants whose part falls with the rank.
+// benchReports are a window's reports of so many routers, 150 requests each, of 14,000 tenants whose share falls with their rank.
 func benchReports(routers int) (all []*Report) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	z := rand.NewZipf(rnd, 1.01, 1, 13999)
@@ -25,49 +25,49 @@
 	return all
 }
 
-// BenchmarkBook is a keeper's book of usage of so many routers: what a report costs it, what a window takes of the heap, and
-// what it costs to write a window for another keeper, and to add it up.
-func BenchmarkBook(b *testing.B) {
+// BenchmarkTable is a voter's table of so many routers: what a report costs it, what a window takes of the heap, and what it
+// costs to encode a window for another voter, and to add it up.
+func BenchmarkTable(b *testing.B) {
 	for _, routers := range []int{30, 100, 330} {
 		reports := benchReports(routers)
-		var texts [][]byte
+		var encoded [][]byte
 		for _, p := range reports {
-			texts = append(texts, p.Encode())
+			encoded = append(encoded, p.Encode())
 		}
 		b.Run(fmt.Sprintf("report/%d", routers), func(b *testing.B) {
-			book, i := &Table{}, 0
+			table, i := &Table{}, 0
 			before := heap()
 			for b.Loop() {
-				p, err := DecodeReport(texts[i%routers])
+				p, err := DecodeReport(encoded[i%routers])
 				if err != nil {
 					b.Fatal(err)
 				}
-				book.Take(time.Second, p, true)
+				table.Record(time.Second, p)
 				i++
 			}
 			for ; i < routers; i++ {
-				p, _ := DecodeReport(texts[i])
-				book.Take(time.Second, p, true)
+				p, _ := DecodeReport(encoded[i])
+				table.Record(time.Second, p)
 			}
 			b.ReportMetric(float64(heap()-before), "held-bytes")
-			b.ReportMetric(float64(len(texts[0])), "report-bytes")
-			runtime.KeepAlive(book)
+			b.ReportMetric(float64(len(encoded[0])), "report-bytes")
+			runtime.KeepAlive(table)
 		})
-		book := &Table{}
+		table := &Table{}
 		for _, p := range reports {
-			book.Take(time.Second, p, true)
+			table.Record(time.Second, p)
 		}
 		b.Run(fmt.Sprintf("write/%d", routers), func(b *testing.B) {
-			var text []byte
+			var window []byte
 			for b.Loop() {
-				text = book.Encode(7, 8)
+				window = table.Encode(7, 8)
 			}
-			b.ReportMetric(float64(len(text)), "book-bytes")
+			b.ReportMetric(float64(len(window)), "book-bytes")
 		})
 		b.Run(fmt.Sprintf("sum/%d", routers), func(b *testing.B) {
 			n := 0
 			for b.Loop() {
-				n = len(SortedCounts(book.Sum(7)))
+				n = len(SortedCounts(table.Sum(7)))
 			}
 			b.ReportMetric(float64(n), "tenants")
 		})
--- /dev/null
+++ b/internal/control/usage/window.go
@@ -0,0 +1,13 @@
+package usage
+
+import "time"
+
+// WindowAt returns the number of the usage window that contains a time.
+func WindowAt(at time.Time, length time.Duration) uint64 {
+	return uint64(at.UnixNano() / int64(length))
+}
+
+// WindowEnd returns the time at which a window is over.
+func WindowEnd(number uint64, length time.Duration) time.Time {
+	return time.Unix(0, int64(number+1)*int64(length))
+}
--- a/internal/lab/check/cuts.go
+++ b/internal/lab/check/cuts.go
@@ -9,10 +9,12 @@
 	"time"
 
 	"notchhinge/internal/control/api"
+	"notchhinge/internal/control/autoscale"
 	"notchhinge/internal/control/paxos"
 	replica "notchhinge/internal/control/replica"
 	"notchhinge/internal/control/replog"
 	"notchhinge/internal/control/singleton"
+	"notchhinge/internal/control/usage"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/timerqueue"
 )
@@ -224,7 +226,9 @@
 		return
 	}
 	if c, ok := e.(replica.CallReceived); ok && singleton.OwnsCall(c.Kind) {
-		h.owe(e)
+		if reply, ok := h.owe(singleton.CallReceived{Kind: c.Kind, Body: c.Body}); ok {
+			c.Of.(func([]byte, error))(reply.Body, reply.Err)
+		}
 		return
 	}
 	h.perform(h.core.Reduce(h.s.now, e))
@@ -350,9 +354,9 @@
 	c := singleton.Config{
 		Self: h.member(), LeaseDuration: lease, UsageWindow: 5 * time.Second, UsageDelay: 10 * time.Second, RouterWindow: limits.RouterReportRetention, ScalesEngines: true, Incarnation: s.ids,
 		CandidacyDelay: time.Duration(h.id) * 100 * time.Millisecond, Peers: func() []netip.AddrPort { return others },
-		Services: func() []singleton.Service {
+		Services: func() []autoscale.Service {
 			n := 1 + int(s.now/time.Second)%9
-			return []singleton.Service{{Name: "s", Bounds: singleton.Bounds{Min: n, Max: n}, Ready: map[string]int{"z": 1}, Slots: 4}}
+			return []autoscale.Service{{Name: "s", Bounds: autoscale.Bounds{Min: n, Max: n}, Ready: map[string]int{"z": 1}, Slots: 4}}
 		},
 	}
 	if s.broken != "a lease among members that may be others by now" {
@@ -369,18 +373,18 @@
 		if h.life != life {
 			return
 		}
-		report := singleton.Report{Incarnation: 1, Loads: []singleton.Load{{Service: "s", Running: 400, Arrived: uint64(s.now / time.Millisecond)}}}
-		h.owe(replica.CallReceived{Kind: singleton.CallUsageReport, Body: report.Encode(), Of: func([]byte, error) {}})
-		h.owe(replica.Tick{})
+		report := usage.Report{Incarnation: 1, Loads: []usage.Load{{Service: "s", Running: 400, Arrived: uint64(s.now / time.Millisecond)}}}
+		h.owe(singleton.CallReceived{Kind: singleton.CallUsageReport, Body: report.Encode()})
+		h.owe(singleton.Tick{})
 		s.in(limits.SingletonTickInterval, tick)
 	}
 	s.in(time.Duration(s.draw(500))*time.Millisecond, tick)
 }
 
-// owe has the keeper's part in the duties take an event, and does what follows.
-func (h *host) owe(e singleton.Event) {
+// owe has the keeper's part in the duties take an event, and does what follows. It returns the reply to a call, if there is one.
+func (h *host) owe(e singleton.Event) (reply singleton.SendReply, ok bool) {
 	if !h.up || h.duty == nil {
-		return
+		return reply, false
 	}
 	s, life := h.s, h.life
 	state := h.core.State()
@@ -391,14 +395,14 @@
 	}
 	for _, f := range append([]singleton.Effect(nil), h.duty.Reduce(s.now, time.Unix(0, 0).Add(s.now), &state, e)...) {
 		switch f := f.(type) {
-		case replica.SendCall:
-			s.call(h, f, func(body []byte, err error) {
+		case singleton.SendCall:
+			s.call(h, replica.SendCall{To: f.To, Kind: f.Kind, Body: f.Body, Timeout: f.Timeout}, func(body []byte, err error) {
 				if h.life == life {
-					h.owe(replica.CallReturned{ID: f.ID, Body: body, Err: err})
+					h.owe(singleton.CallReturned{ID: f.ID, Body: body, Err: err})
 				}
 			})
-		case replica.SendReply:
-			f.Of.(func([]byte, error))(f.Body, f.Err)
+		case singleton.SendReply:
+			reply, ok = f, true
 		case singleton.Propose:
 			h.take(replica.Propose{Next: f.Next, Until: s.now + f.Timeout, Of: func(err error) {
 				if h.life == life {
@@ -414,6 +418,7 @@
 			})
 		}
 	}
+	return reply, ok
 }
 
 // act is a holder's call at the platform, which watches rule ONE.
--- a/internal/lab/plane/machine.go
+++ b/internal/lab/plane/machine.go
@@ -16,6 +16,7 @@
 	"notchhinge/internal/control/replica"
 	"notchhinge/internal/control/replog"
 	"notchhinge/internal/control/singleton"
+	"notchhinge/internal/control/usage"
 	"notchhinge/internal/timerqueue"
 )
 
@@ -43,7 +44,7 @@
 	busy   bool
 	queue  []any // events that wait until the process has done with the one before
 	duty   *singleton.Controller
-	meter  *singleton.Meter
+	meter  *usage.Meter
 	frozen bool
 	writes *replica.Write // what is on its way to the disk
 	full   bool           // the disk refuses what is written
@@ -108,7 +109,7 @@
 		m.changed(&s)
 		m.duties(replog.Member{ID: d.id, Name: m.name, Addr: addrOf(m.i).String()}, d.founder, s.NextIndex)
 	} else {
-		m.meter = &singleton.Meter{WindowLength: window, Incarnation: w.rnd.Uint64()}
+		m.meter = &usage.Meter{WindowLength: window, Incarnation: w.rnd.Uint64()}
 	}
 	m.take(gossip.SeedsChanged{Addrs: w.seedsFor(m)})
 }
@@ -162,13 +163,13 @@
 		m.queue = m.queue[1:]
 		now, wall := m.w.now, m.wall().UnixMilli()
 		if c, ok := e.(replica.CallReceived); ok && singleton.OwnsCall(c.Kind) {
-			e = toDuty{c}
+			e = toDuty{event: singleton.CallReceived{Kind: c.Kind, Body: c.Body}, caller: c.Of}
 		}
 		switch e := e.(type) {
 		case toDuty:
 			if m.duty != nil {
 				s := m.core.State()
-				m.owe(append([]singleton.Effect(nil), m.duty.Reduce(now, m.wall(), &s, e.event)...))
+				m.owe(append([]singleton.Effect(nil), m.duty.Reduce(now, m.wall(), &s, e.event)...), e.caller)
 			}
 		case func():
 			e()
--- a/internal/lab/plane/platform.go
+++ b/internal/lab/plane/platform.go
@@ -6,11 +6,13 @@
 	"net/netip"
 	"time"
 
+	"notchhinge/internal/control/autoscale"
 	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/gossip"
 	"notchhinge/internal/control/replica"
 	"notchhinge/internal/control/replog"
 	"notchhinge/internal/control/singleton"
+	"notchhinge/internal/control/usage"
 	"notchhinge/internal/limits"
 )
 
@@ -29,7 +31,10 @@
 func (m *machine) wall() time.Time { return epoch.Add(m.w.now + m.step) }
 
 // toDuty is an event for a keeper's part in the duties.
-type toDuty struct{ event singleton.Event }
+type toDuty struct {
+	event  singleton.Event
+	caller any // who gets the reply to a call, as replica.SendReply names it
+}
 
 // act is a call of a holder that the platform has taken.
 type act struct {
@@ -59,7 +64,7 @@
 	lost := w.cuts[[2]int{m.i, outside}] > 0 || w.cuts[[2]int{outside, m.i}] > 0 || w.rnd.IntN(50) == 0
 	back := func(err error) {
 		if m.life == life {
-			m.take(toDuty{singleton.PlatformAnswered{Err: err}})
+			m.take(toDuty{event: singleton.PlatformAnswered{Err: err}})
 		}
 	}
 	if w.cuts[[2]int{m.i, outside}] <= 0 {
@@ -123,7 +128,7 @@
 	var tick func()
 	tick = func() {
 		if m.life == life {
-			m.take(toDuty{replica.Tick{}})
+			m.take(toDuty{event: singleton.Tick{}})
 			w.in(limits.SingletonTickInterval, tick)
 		}
 	}
@@ -139,35 +144,35 @@
 }
 
 // services lists the only one, as this machine knows its engines.
-func (m *machine) services() []singleton.Service {
-	s := singleton.Service{Name: "s", Bounds: singleton.Bounds{Min: 1, Max: 20}, Ready: map[string]int{}, Slots: 4}
+func (m *machine) services() []autoscale.Service {
+	s := autoscale.Service{Name: "s", Bounds: autoscale.Bounds{Min: 1, Max: 20}, Ready: map[string]int{}, Slots: 4}
 	for _, e := range m.news.Endpoints.Live("s") {
 		if s.Ready[e.Zone] += 0; e.State == endpoints.StateReady {
 			s.Ready[e.Zone]++
 		}
 	}
-	return []singleton.Service{s}
+	return []autoscale.Service{s}
 }
 
-// owe does what a keeper's part in the duties asks for.
-func (m *machine) owe(effects []singleton.Effect) {
+// owe does what a keeper's part in the duties asks for. caller is who gets the reply, if there is one.
+func (m *machine) owe(effects []singleton.Effect, caller any) {
 	w := m.w
 	for _, f := range effects {
 		switch f := f.(type) {
-		case replica.SendCall:
+		case singleton.SendCall:
 			life := m.life
-			w.call(m, f, func(body []byte, err error) {
+			w.call(m, replica.SendCall{To: f.To, Kind: f.Kind, Body: f.Body, Timeout: f.Timeout}, func(body []byte, err error) {
 				if m.life == life {
-					m.take(toDuty{replica.CallReturned{ID: f.ID, Body: body, Err: err}})
+					m.take(toDuty{event: singleton.CallReturned{ID: f.ID, Body: body, Err: err}})
 				}
 			})
-		case replica.SendReply:
-			w.back(m, f)
+		case singleton.SendReply:
+			w.back(m, replica.SendReply{Of: caller, Body: f.Body, Err: f.Err})
 		case singleton.Propose:
 			life := m.life
 			m.queue = append(m.queue, replica.Propose{Next: f.Next, Until: w.now + f.Timeout, Of: func(err error) {
 				if m.life == life {
-					m.take(toDuty{singleton.ProposalDone{Err: err}})
+					m.take(toDuty{event: singleton.ProposalDone{Err: err}})
 				}
 			}})
 		case singleton.ReportUsage:
@@ -189,7 +194,7 @@
 		for range w.rnd.IntN(4) {
 			tenant := fmt.Sprint("t", w.rnd.IntN(3))
 			m.meter.CountRequest(m.wall(), tenant)
-			w.began[singleton.WindowAt(epoch.Add(w.now), window)]++
+			w.began[usage.WindowAt(epoch.Add(w.now), window)]++
 		}
 		keepers := m.news.Gossip.Replicas()
 		ids := make([]uint64, len(keepers))
@@ -197,13 +202,13 @@
 			ids[i] = k.ID
 		}
 		life := m.life
-		for i, p := range m.meter.Reports(m.wall(), []singleton.Load{{Service: "s", Running: uint64(w.rnd.IntN(400)), Arrived: uint64(w.now / time.Second)}}, ids) {
+		for i, p := range m.meter.Reports(m.wall(), []usage.Load{{Service: "s", Running: uint64(w.rnd.IntN(400)), Arrived: uint64(w.now / time.Second)}}, ids) {
 			w.call(m, replica.SendCall{To: keepers[i].Addr, Kind: singleton.CallUsageReport, Body: p.Encode(), Timeout: limits.ReplicaFailoverTimeout}, func(body []byte, err error) {
 				if m.life != life {
 					return
 				}
 				m.take(gossip.CallCompleted{PeerID: keepers[i].ID, Answered: err == nil})
-				if word, bad := singleton.DecodeAck(body); err == nil && bad == nil {
+				if word, bad := usage.DecodeAck(body); err == nil && bad == nil {
 					m.meter.HandleAck(keepers[i].ID, word, &p)
 				}
 			})
@@ -214,7 +219,7 @@
 // owed counts the windows that were due by now, and those of them that the platform has not been told of. The last one was
 // due in calm.
 func (w *world) owed() {
-	last := singleton.WindowAt(epoch.Add(w.now-delay), window) - 1
+	last := usage.WindowAt(epoch.Add(w.now-delay), window) - 1
 	for number, n := range w.began {
 		if number > last || n == 0 {
 			continue
@@ -223,7 +228,7 @@
 		if _, told := w.platform.usage[number]; !told {
 			w.report.Untold++
 			if number == last {
-				w.breaks("DUTY", "window %d is over for %v, in calm, and not reported", number, w.now-singleton.WindowEnd(number, window).Sub(epoch))
+				w.breaks("DUTY", "window %d is over for %v, in calm, and not reported", number, w.now-usage.WindowEnd(number, window).Sub(epoch))
 			}
 		}
 	}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -23,6 +23,7 @@
 	"notchhinge/internal/control/replica"
 	"notchhinge/internal/control/singleton"
 	"notchhinge/internal/control/transport"
+	"notchhinge/internal/control/usage"
 	"notchhinge/internal/limits"
 )
 
@@ -74,7 +75,7 @@
 	wake  chan struct{}
 
 	metering sync.Mutex
-	meter    singleton.Meter
+	meter    usage.Meter
 	rnd      *rand.Rand
 	windows  map[uint64]map[string]bool // tenants with requests
 	arrived  uint64
@@ -85,7 +86,7 @@
 	addr := netip.AddrPortFrom(netip.MustParseAddr(ip), uint16(f.inner))
 	r := &router{f: f, zone: at[addr.Addr()].zone, at: at, start: time.Now(), wake: make(chan struct{}, 1), fetch: make(chan gossip.Peer, 1),
 		rnd: rand.New(rand.NewPCG(f.Seed, uint64(i)+1<<32)), windows: map[uint64]map[string]bool{}}
-	r.meter = singleton.Meter{WindowLength: window, Incarnation: r.rnd.Uint64(), Zone: zoneName(r.zone)}
+	r.meter = usage.Meter{WindowLength: window, Incarnation: r.rnd.Uint64(), Zone: zoneName(r.zone)}
 	var err error
 	if r.net, err = transport.Open(addr, r.handle); err != nil {
 		return nil, err
@@ -306,9 +307,9 @@
 			r.meter.CountRequest(now, fmt.Sprint("t", r.rnd.IntN(3)))
 		}
 	}
-	loads := make([]singleton.Load, models)
+	loads := make([]usage.Load, models)
 	for i := range loads {
-		loads[i] = singleton.Load{Service: fmt.Sprint("model-", i), Running: uint64(r.rnd.IntN(400)), Arrived: r.arrived / models}
+		loads[i] = usage.Load{Service: fmt.Sprint("model-", i), Running: uint64(r.rnd.IntN(400)), Arrived: r.arrived / models}
 	}
 	all := r.meter.Reports(now, loads, ids)
 	r.metering.Unlock()
@@ -318,7 +319,7 @@
 			defer cancel()
 			b, err := r.net.Call(one, k.Addr, singleton.CallUsageReport, all[i].Encode())
 			r.turn(gossip.CallCompleted{PeerID: k.ID, Answered: err == nil})
-			word, bad := singleton.DecodeAck(b)
+			word, bad := usage.DecodeAck(b)
 			if err != nil || bad != nil {
 				return
 			}
@@ -333,7 +334,7 @@
 func (r *router) count(now time.Time) {
 	mean := r.f.Rate / float64(r.f.Routers) * limits.RouterReportInterval.Seconds()
 	n := int(max(mean+math.Sqrt(mean)*r.rnd.NormFloat64()+r.rnd.Float64(), 0))
-	number := singleton.WindowAt(now, window)
+	number := usage.WindowAt(now, window)
 	if r.windows[number] == nil {
 		r.windows[number] = map[string]bool{}
 		delete(r.windows, number-5)
--- a/internal/lab/scale/page.go
+++ b/internal/lab/scale/page.go
@@ -31,7 +31,7 @@
 func Page(page string, r *Results) (string, error) {
 	tables := map[string]func(*Results) (string, error){
 		"budgets": budgets, "roles": roles, "model": model, "growth": growth, "benchmarks": benchmarks, "changes": changes, "orders": orders,
-		"usage": usage, "levels": levels, "mended": mended, "reckoned": reckoned, "start": start, "tidewater": sweepOf("tidewater"), "hsinmao": sweepOf("hsinmao"),
+		"usage": usageWindows, "levels": levels, "mended": mended, "reckoned": reckoned, "start": start, "tidewater": sweepOf("tidewater"), "hsinmao": sweepOf("hsinmao"),
 	}
 	var out strings.Builder
 	for page != "" {
@@ -457,7 +457,7 @@
 	return table([]string{"what", "comes to", "from", "assumed"}, rows), nil
 }
 
-func usage(r *Results) (string, error) {
+func usageWindows(r *Results) (string, error) {
 	var rows [][]string
 	for i, run := range []string{"scale-30", "scale-100", "scale"} {
 		rows = append(rows, []string{
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -23,7 +23,7 @@
 	"time"
 
 	"notchhinge/internal/control/metrics"
-	"notchhinge/internal/control/singleton"
+	"notchhinge/internal/control/usage"
 	"notchhinge/internal/lab/system"
 )
 
@@ -347,12 +347,12 @@
 		f.peak = true
 		f.mu.Unlock()
 		pause(ctx, 5*time.Second)
-		first := singleton.WindowAt(time.Now(), window) + 1
+		first := usage.WindowAt(time.Now(), window) + 1
 		if err := f.part(ctx, r, "peak", f.Calm, func() {}); err != nil {
 			return err
 		}
 		pause(ctx, 3*window) // the last window of the part is due by then
-		r.Windows, r.Owed = f.platform.windows(first, singleton.WindowAt(time.Now().Add(-delay-2*time.Second), window))
+		r.Windows, r.Owed = f.platform.windows(first, usage.WindowAt(time.Now().Add(-delay-2*time.Second), window))
 		r.Distinct = f.distinct()
 	}
 	if f.Changes > 0 {
@@ -481,7 +481,7 @@
 
 // distinct is how many tenants had requests in a usage window, a mean over what routers still remember.
 func (f *fleet) distinct() int {
-	now, n, sum := singleton.WindowAt(time.Now(), window), 0, 0
+	now, n, sum := usage.WindowAt(time.Now(), window), 0, 0
 	for number := now - 3; number < now; number++ {
 		seen := map[string]bool{}
 		for _, r := range f.hollow {
--- a/internal/node/logmessages_test.go
+++ b/internal/node/logmessages_test.go
@@ -35,8 +35,8 @@
 				if !ok {
 					return true
 				}
-				// A reducer's own log takes the level first; stop logs one of the duties that wait.
-				at := map[string][]int{"Debug": {0}, "Info": {0}, "Warn": {0}, "Error": {0}, "Log": {2}, "log": {1}, "stop": {0}}
+				// A reducer's own log takes the level first.
+				at := map[string][]int{"Debug": {0}, "Info": {0}, "Warn": {0}, "Error": {0}, "Log": {2}, "log": {1}}
 				for _, i := range at[fun.Sel.Name] {
 					if len(call.Args) <= i {
 						continue
--- a/internal/node/peercalls.go
+++ b/internal/node/peercalls.go
@@ -48,7 +48,7 @@
 		return k.handleCall(ctx, kind, from, body)
 	}
 	if n.singleton != nil && singleton.OwnsCall(kind) {
-		return n.singleton.handleCall(kind, from, body)
+		return n.singleton.handleCall(kind, body)
 	}
 	return nil, fmt.Errorf("call %d is not known here", kind)
 }
--- a/internal/node/singletonhost.go
+++ b/internal/node/singletonhost.go
@@ -4,21 +4,19 @@
 	"context"
 	"log/slog"
 	"math/rand/v2"
-	"net/netip"
 	"sync"
 	"time"
 
+	"notchhinge/internal/control/autoscale"
 	"notchhinge/internal/control/cloudapi"
 	"notchhinge/internal/control/endpoints"
-	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/control/metrics"
-	"notchhinge/internal/control/replica"
 	"notchhinge/internal/control/singleton"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/retrybudget"
 )
 
-// singletonHost is a keeper's duty.Node under one lock, with its clocks, its calls and the platform.
+// singletonHost is a voter's singleton.Controller under one lock, with its clocks, its calls and the platform.
 type singletonHost struct {
 	replica *replicaHost
 	log     *slog.Logger
@@ -46,7 +44,7 @@
 }
 
 // autoscaledServices lists the services whose engines are ordered.
-func (n *Node) autoscaledServices() (all []singleton.Service) {
+func (n *Node) autoscaledServices() (all []autoscale.Service) {
 	c := n.config()
 	if c == nil {
 		return nil
@@ -56,8 +54,8 @@
 		if svc.Autoscaling == nil {
 			continue
 		}
-		s := singleton.Service{
-			Name: svc.Name, Bounds: singleton.Bounds{Min: svc.Autoscaling.MinInstances, Max: svc.Autoscaling.MaxInstances, Boot: fleetconfig.Milliseconds(svc.Autoscaling.BootTimeoutS * 1000)}, Ready: map[string]int{},
+		s := autoscale.Service{
+			Name: svc.Name, Bounds: autoscale.Bounds{Min: svc.Autoscaling.MinInstances, Max: svc.Autoscaling.MaxInstances}, Ready: map[string]int{},
 		}
 		ready, slots := 0, 0.0
 		for _, e := range n.discovery.endpoints(svc.Name) {
@@ -73,8 +71,8 @@
 	return all
 }
 
-// step reduces an event and does what follows.
-func (d *singletonHost) step(e singleton.Event) {
+// step reduces an event and does what follows. It returns the reply to a call.
+func (d *singletonHost) step(e singleton.Event) (reply singleton.SendReply) {
 	s := d.replica.state()
 	began := time.Now() // before the lease is looked at: a process that stands still after that sends nothing once it is over
 	d.mu.Lock()
@@ -82,14 +80,14 @@
 	d.mu.Unlock()
 	for _, f := range effects {
 		switch f := f.(type) {
-		case replica.SendCall:
+		case singleton.SendCall:
 			go func() {
 				body, err := withTimeout(f.Timeout, func(ctx context.Context) ([]byte, error) { return d.replica.call(ctx, f.To, f.Kind, f.Body) })
-				d.step(replica.CallReturned{ID: f.ID, Body: body, Err: err})
+				d.step(singleton.CallReturned{ID: f.ID, Body: body, Err: err})
 			}()
-		case replica.SendReply:
-			f.Of.(chan callResult) <- callResult{f.Body, f.Err} // it has room
-		case replica.Log:
+		case singleton.SendReply:
+			reply = f
+		case singleton.Log:
 			d.log.Log(context.Background(), f.Level, f.Message, f.Args...)
 		case singleton.Propose:
 			go func() {
@@ -104,6 +102,7 @@
 			})
 		}
 	}
+	return reply
 }
 
 // callPlatform makes a call to the platform, until a time.
@@ -132,15 +131,13 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			d.step(replica.Tick{})
+			d.step(singleton.Tick{})
 		}
 	}
 }
 
 // handleCall answers a call of another process.
-func (d *singletonHost) handleCall(kind uint8, from netip.Addr, body []byte) ([]byte, error) {
-	of := make(chan callResult, 1)
-	d.step(replica.CallReceived{Kind: kind, Body: body, From: from, Of: of})
-	a := <-of // it is answered at once
-	return a.body, a.err
+func (d *singletonHost) handleCall(kind uint8, body []byte) ([]byte, error) {
+	reply := d.step(singleton.CallReceived{Kind: kind, Body: body})
+	return reply.Body, reply.Err
 }
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -13,8 +13,8 @@
 	"notchhinge/internal/control/api"
 	"notchhinge/internal/control/discovery"
 	"notchhinge/internal/control/gossip"
-	"notchhinge/internal/control/singleton"
 	"notchhinge/internal/control/transport"
+	"notchhinge/internal/control/usage"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/retrybudget"
 )
@@ -81,7 +81,7 @@
 		n.discovery.onEndpointsChanged, n.discovery.onStaleConnections = n.dataPlane.notifyEndpointsChanged, n.dataPlane.limitRest
 		n.dataPlane.onStaleConnection = func() { n.discovery.step(discovery.IdleDropObserved{}) }
 		go n.dataPlane.run(ctx)
-		c := &usageMeter{meter: singleton.Meter{WindowLength: time.Duration(n.cfg.Bounds.UsageWindowS * float64(time.Second)), Incarnation: rand.Uint64(), Zone: n.cfg.Zone}}
+		c := &usageMeter{meter: usage.Meter{WindowLength: time.Duration(n.cfg.Bounds.UsageWindowS * float64(time.Second)), Incarnation: rand.Uint64(), Zone: n.cfg.Zone}}
 		n.dataPlane.dialect.Began = c.countRequest
 		if n.cfg.CloudAPI.Address != "" {
 			go n.reportLoop(ctx, c)
--- a/internal/node/usagereport.go
+++ b/internal/node/usagereport.go
@@ -8,13 +8,14 @@
 	"notchhinge/internal/broker"
 	"notchhinge/internal/control/gossip"
 	"notchhinge/internal/control/singleton"
+	"notchhinge/internal/control/usage"
 	"notchhinge/internal/limits"
 )
 
-// usageMeter is a router's duty.Meter under one lock.
+// usageMeter is a router's usage.Meter under one lock.
 type usageMeter struct {
 	mu    sync.Mutex
-	meter singleton.Meter
+	meter usage.Meter
 }
 
 // countRequest counts a request.
@@ -40,13 +41,13 @@
 
 // sendReports makes one report to every keeper.
 func (n *Node) sendReports(ctx context.Context, c *usageMeter) {
-	var loads []singleton.Load
+	var loads []usage.Load
 	counted := make(chan broker.Counted, 1)
 	n.dataPlane.loop.Post(broker.Audit{Of: counted})
 	select {
 	case x := <-counted:
 		for _, s := range x.Pools {
-			loads = append(loads, singleton.Load{Service: s.Name, Running: uint64(s.Open) * 100, Arrived: uint64(s.Taken)})
+			loads = append(loads, usage.Load{Service: s.Name, Running: uint64(s.Open) * 100, Arrived: uint64(s.Taken)})
 		}
 	case <-ctx.Done():
 		return
@@ -67,7 +68,7 @@
 			defer cancel()
 			b, err := n.transport.Call(one, k.Addr, singleton.CallUsageReport, all[i].Encode())
 			n.discovery.step(gossip.CallCompleted{PeerID: k.ID, Answered: err == nil})
-			word, bad := singleton.DecodeAck(b)
+			word, bad := usage.DecodeAck(b)
 			if err != nil || bad != nil {
 				return
 			}
