--- a/internal/control/delta/golden_test.go
+++ b/internal/control/delta/golden_test.go
@@ -8,7 +8,7 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// TestGoldenDeltas: each format has the bytes that it had. A newer compressor may write others; what is in the files must be read
+// TestGoldenDeltas: each format has the bytes of its golden file. A newer compressor may write other bytes; the files must be decoded
 // all the same.
 func TestGoldenDeltas(t *testing.T) {
 	data := func(version int) []byte {
--- a/internal/control/replog/golden_test.go
+++ b/internal/control/replog/golden_test.go
@@ -8,7 +8,7 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// goldenEntries are one of each kind, as they follow each other.
+// goldenEntries returns entries of each kind, as they follow each other in a log.
 func goldenEntries() []Entry {
 	members := []Member{{ID: 0x0102030405060708, Name: "k-1", Addr: "10.0.0.1:7000"}, {ID: 2, Name: "k-2", Addr: "10.0.0.2:7000"}}
 	return []Entry{
@@ -23,7 +23,7 @@
 
 var goldenNames = []string{"members", "configuration", "lease-holder", "usage", "no-op", "members-replaced"}
 
-// TestGoldenEntries: each kind of entry has the bytes that it had.
+// TestGoldenEntries: each kind of entry has the bytes of its golden file.
 func TestGoldenEntries(t *testing.T) {
 	for i, e := range goldenEntries() {
 		t.Run(goldenNames[i], func(t *testing.T) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// TestGoldenStates: the entries lead to the states that they led to, which have the bytes that they had in both formats.
+// TestGoldenStates: the entries of the golden files lead to a known state, which has the bytes of the golden files in both formats.
 func TestGoldenStates(t *testing.T) {
 	s := &State{}
 	for i, name := range goldenNames {
@@ -60,13 +60,13 @@
 	golden.Equal(t, "the state", want, s)
 }
 
-// TestGoldenHistory: a state whose history is longer than the first format holds has the bytes that it had.
+// TestGoldenHistory: a state whose history is longer than the first format holds has the bytes of the golden files.
 func TestGoldenHistory(t *testing.T) {
 	s := &State{}
 	s.Apply(Entry{Payload: MembersChange{Members: []Member{{1, "a", "10.0.0.1:1"}}}}.Encode())
 	for n := range 2 * minHistory {
-		text := append(append([]byte("\xa3\x68revision\x18"), byte(n+24)), "\x66routes\x80\x68services\x80"...)
-		s.Apply(Entry{Payload: ConfigChange{BaseRevision: s.Revision, Config: text}}.Encode())
+		config := append(append([]byte("\xa3\x68revision\x18"), byte(n+24)), "\x66routes\x80\x68services\x80"...)
+		s.Apply(Entry{Payload: ConfigChange{BaseRevision: s.Revision, Config: config}}.Encode())
 	}
 	if len(s.CompactedHistory) == 0 || s.Revision != 2*minHistory+23 {
 		t.Fatalf("%d compacted, revision %d", len(s.CompactedHistory), s.Revision)
--- a/internal/control/storage/files.go
+++ b/internal/control/storage/files.go
@@ -11,7 +11,8 @@
 // syncFolder syncs the folder of the files.
 //
 // The database syncs the bytes of a journal, but its folder only together with the next manifest. What is written to a new
-// journal before that would be lost with the journal's name in a loss of power.
+// journal before that would be lost with the journal's name in a loss of power
+// (docs/incidents/2026-12-01-a-journal-without-a-name.md).
 func SyncNames(files leveldbstorage.Storage, syncFolder func() error) leveldbstorage.Storage {
 	return syncedFiles{files, syncFolder}
 }
@@ -36,7 +37,7 @@
 
 // Remove implements leveldbstorage.Storage. A file that cannot be removed stays until the next opening, which removes what no
 // manifest names. The database must not learn of the failure: a compaction that fails to write a table and then to remove it
-// would use that table in its next attempt a second later, and end the process (docs/incidents, a table that was given up).
+// would use that table in its next attempt a second later, and end the process (docs/incidents/2026-12-02-a-table-that-was-given-up.md).
 func (f syncedFiles) Remove(fd leveldbstorage.FileDesc) error {
 	_ = f.Storage.Remove(fd)
 	return nil
--- a/internal/control/storage/golden_test.go
+++ b/internal/control/storage/golden_test.go
@@ -12,7 +12,7 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// goldenEntries are what is chosen one after another, and goldenState what they lead to.
+// goldenEntries returns entries as they are chosen one after another.
 func goldenEntries() []replog.Entry {
 	return []replog.Entry{
 		{Nonce: 1, Payload: replog.MembersChange{Members: []replog.Member{{ID: 7, Name: "k-1", Addr: "10.0.0.1:7000"}, {ID: 8, Name: "k-2", Addr: "10.0.0.2:7000"}}}},
@@ -23,6 +23,7 @@
 	}
 }
 
+// goldenState returns the state of the first n of goldenEntries.
 func goldenState(n int) *replog.State {
 	s := &replog.State{}
 	for _, e := range goldenEntries()[:n] {
@@ -35,7 +36,7 @@
 	Index: 5, Promised: paxos.ProposalNumber{Term: 300, Proposer: 0x0102030405060708}, Accepted: paxos.ProposalNumber{Term: 7, Proposer: 2}, Value: []byte("a value"),
 }
 
-// writeGolden writes the state up to the entry of number whole at once, the rest an entry each, and the vote.
+// writeGolden writes a snapshot of the first entries, the others one by one, and the acceptor state.
 func writeGolden(t *testing.T, s *Store, entriesInSnapshot int) {
 	t.Helper()
 	state := goldenState(entriesInSnapshot)
@@ -55,7 +56,7 @@
 	}
 }
 
-// TestGoldenRecords: what is written stands under the keys and in the bytes that it had.
+// TestGoldenRecords: the records have the keys and the bytes of the golden files.
 func TestGoldenRecords(t *testing.T) {
 	for _, entriesInSnapshot := range []int{0, 3, 5} {
 		files := leveldbstorage.NewMemStorage()
@@ -64,19 +65,19 @@
 			t.Fatal(err)
 		}
 		writeGolden(t, s, entriesInSnapshot)
-		var text bytes.Buffer
+		var records bytes.Buffer
 		it := s.db.NewIterator(nil, nil)
 		for it.Next() {
-			fmt.Fprintf(&text, "%q %x\n", it.Key(), it.Value())
+			fmt.Fprintf(&records, "%q %x\n", it.Key(), it.Value())
 		}
 		it.Release()
 		closeStore(t, s)
-		golden.Check(t, fmt.Sprintf("records-state-of-%d.txt", entriesInSnapshot), text.Bytes())
+		golden.Check(t, fmt.Sprintf("records-state-of-%d.txt", entriesInSnapshot), records.Bytes())
 	}
 }
 
-// TestGoldenFolder opens a folder that the program wrote, once with a journal alone and once after a restart, and finds in it
-// what was written; and goes on with it.
+// TestGoldenFolder opens a folder of the golden files, one that has a journal alone and one from after a restart: what was written
+// is recovered, and the next entry can be appended.
 func TestGoldenFolder(t *testing.T) {
 	if golden.Updating() {
 		for _, entriesInSnapshot := range []int{0, 3} {
@@ -117,7 +118,7 @@
 	}
 }
 
-// TestGoldenBackup: a backup has the bytes that it had, and is read to the same state.
+// TestGoldenBackup: a backup has the bytes of the golden file, and is decoded to the same state.
 func TestGoldenBackup(t *testing.T) {
 	for n, name := range map[int]string{4: "backup-format-1.hex", 5: "backup-format-2.hex"} {
 		golden.RoundTrip(t, name, goldenState(n), EncodeBackup, DecodeBackup)
