--- /dev/null
+++ b/internal/control/transport/client.go
@@ -0,0 +1,139 @@
+package transport
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/netip"
+	"time"
+)
+
+// ErrTimeout is a call that got no response before its context ended.
+var ErrTimeout = errors.New("no response in time")
+
+// RemoteError is the error that the peer's handler returned: the call has arrived and was answered.
+type RemoteError struct {
+	Peer    netip.AddrPort
+	Message string // the text of the handler's error
+}
+
+func (e *RemoteError) Error() string { return fmt.Sprintf("rejected by %v: %s", e.Peer, e.Message) }
+
+// idleConn is an outbound connection between two calls.
+type idleConn struct {
+	net.Conn
+	since time.Time
+}
+
+// Call sends a call and waits for its response for as long as ctx allows, which is how a partition is noticed: TCP's own
+// user timeout would notice it later than any call may take. The error is a *RemoteError if the peer's handler returned
+// one; any other leaves open whether the call was executed. A connection that was kept from an earlier call may have been
+// closed by the peer; the call is then sent once more on a new one.
+func (t *Transport) Call(ctx context.Context, to netip.AddrPort, kind uint8, body []byte) ([]byte, error) {
+	c, reused, err := t.conn(ctx, to)
+	if err != nil {
+		return nil, fmt.Errorf("call %v: %w", to, err)
+	}
+	response, err := exchange(ctx, c, to, kind, body)
+	if reused && ctx.Err() == nil && isStaleConn(err) {
+		if c, err = dial(ctx, to); err == nil {
+			response, err = exchange(ctx, c, to, kind, body)
+		}
+	}
+	if t.OnExchange != nil {
+		t.OnExchange(to, kind, 2*frameHeaderBytes+len(body)+len(response), nil)
+	}
+	if err != nil && !isRemote(err) {
+		return nil, fmt.Errorf("call %v: %w", to, err)
+	}
+	t.keep(to, c)
+	return response, err
+}
+
+// isRemote reports whether the peer answered with an error.
+func isRemote(err error) bool {
+	var remote *RemoteError
+	return errors.As(err, &remote)
+}
+
+// isStaleConn reports whether a call may have failed because its connection had been closed earlier.
+func isStaleConn(err error) bool {
+	return err != nil && !isRemote(err) && !errors.Is(err, ErrTimeout)
+}
+
+// exchange sends a call on a connection and reads its response. The connection is closed unless the peer has answered.
+func exchange(ctx context.Context, c net.Conn, to netip.AddrPort, kind uint8, body []byte) ([]byte, error) {
+	deadline, ok := ctx.Deadline()
+	if !ok {
+		deadline = time.Now().Add(inboundIdleTimeout)
+	}
+	c.SetDeadline(deadline)
+	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+	defer stop()
+	kind, response, err := roundTrip(c, kind, body)
+	if err != nil {
+		c.Close()
+		var netErr net.Error
+		if errors.As(err, &netErr) && netErr.Timeout() {
+			return nil, ErrTimeout
+		}
+		return nil, err
+	}
+	if kind == kindError {
+		return nil, &RemoteError{Peer: to, Message: string(response)}
+	}
+	return response, nil
+}
+
+// roundTrip writes one frame and reads one.
+func roundTrip(c net.Conn, kind uint8, body []byte) (uint8, []byte, error) {
+	if err := writeFrame(c, kind, body); err != nil {
+		return 0, nil, err
+	}
+	return readFrame(c)
+}
+
+// conn returns a connection to a peer; reused says that it has served a call before.
+func (t *Transport) conn(ctx context.Context, to netip.AddrPort) (c net.Conn, reused bool, err error) {
+	for {
+		kept, ok := t.takeIdle(to)
+		if !ok {
+			c, err = dial(ctx, to)
+			return c, false, err
+		}
+		if time.Since(kept.since) < outboundIdleTimeout {
+			return kept.Conn, true, nil
+		}
+		kept.Close()
+	}
+}
+
+// takeIdle removes the most recently used idle connection to a peer.
+func (t *Transport) takeIdle(to netip.AddrPort) (idleConn, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	conns := t.idle[to]
+	if len(conns) == 0 {
+		return idleConn{}, false
+	}
+	last := len(conns) - 1
+	t.idle[to] = conns[:last]
+	return conns[last], true
+}
+
+func dial(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
+	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
+	return d.DialContext(ctx, "tcp4", to.String())
+}
+
+// keep puts a connection aside for the next call, unless enough are idle.
+func (t *Transport) keep(to netip.AddrPort, c net.Conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(t.idle[to]) >= maxIdlePerPeer {
+		c.Close()
+		return
+	}
+	t.idle[to] = append(t.idle[to], idleConn{c, time.Now()})
+}
