--- a/internal/control/discovery/news.go
+++ b/internal/control/discovery/news.go
@@ -237,7 +237,7 @@
 
 // hush takes in others' word that an engine is silent, or is not. Who knows better says so.
 func (n *Node) hush(id string, version uint64) {
-	n.dirty = n.Endpoints.MergeSuspicion(n.now, id, version>>1, version&1 > 0) || n.dirty
+	n.dirty = n.Endpoints.MergeSuspicion(n.now, endpoints.Suspicion{ID: id, CallCount: version >> 1, Suspect: version&1 > 0}) || n.dirty
 	if e := n.Endpoints.Find(id); e != nil && version&1 > 0 && e.LatestCall > version>>1 && !e.Suspect && e.State != endpoints.StateGone {
 		n.publish(silentItem(id, e.LatestCall, false))
 	}
@@ -354,7 +354,10 @@
 func (n *Node) tidy() {
 	d, ok := n.Gossip.QuorumContact()
 	judge := ok && n.self.Flags&gossip.FlagReplica != 0 && d >= n.Endpoints.HeartbeatTimeout()
-	silent, lost, forgotten := n.Endpoints.Sweep(n.now, judge)
+	var silent, lost []string
+	if judge {
+		silent, lost = n.Endpoints.Detect()
+	}
 	for _, id := range silent {
 		n.dirty = true
 		n.publish(silentItem(id, n.Endpoints.Find(id).LatestCall, true))
@@ -365,7 +368,7 @@
 			n.publish(engineItem(&r))
 		}
 	}
-	for _, id := range forgotten {
+	for _, id := range n.Endpoints.Expire(n.now) {
 		n.Gossip.RemoveItem(engineKey + id)
 		n.Gossip.RemoveItem(silentKey + id)
 		delete(n.names, gossip.Hash(id))
--- a/internal/control/gossip/broadcast_test.go
+++ b/internal/control/gossip/broadcast_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"notchhinge/internal/limits"
 )
 
 func TestUrgentBroadcastReachesAllNodes(t *testing.T) {
@@ -14,7 +16,7 @@
 			f.loss = 0.05
 			f.advance(6 * time.Second)
 			f.reduce(size-1, UrgentBroadcast{ID: id, Items: []Item{{Kind: 1, Key: "k", Version: 3, Body: []byte("b")}}, MinAcks: 2})
-			f.advance(1200 * time.Millisecond) // limits.NodeSpread
+			f.advance(limits.GossipSpreadTime)
 			if n := f.holders("k", 3); n < size*97/100 {
 				t.Errorf("%d of %d nodes hold the item after 1.2 s", n, size)
 			}
--- a/internal/lab/plane/recover.go
+++ b/internal/lab/plane/recover.go
@@ -48,11 +48,11 @@
 				touch = touch && ok
 				continue
 			}
-			m.news.Endpoints.All(func(e *endpoints.Endpoint) {
+			for e := range m.news.Endpoints.All() {
 				if e.State == endpoints.StateReady && !e.Suspect {
 					known++
 				}
-			})
+			}
 		}
 		all := d.Routers * d.Engines
 		note(&r.Touch, touch)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -78,7 +78,7 @@
 	defer n.discovery.mu.Unlock()
 	now, wall := n.discovery.clock(), time.Now().UnixMilli()
 	all := []EngineView{}
-	n.discovery.reducer.Endpoints.All(func(e *endpoints.Endpoint) {
+	for e := range n.discovery.reducer.Endpoints.All() {
 		v := EngineView{
 			ID: e.ID, Service: e.Service, Zone: e.Zone, Address: e.Addr, Revision: e.Revision, Slots: e.Slots,
 			HeardS: (now - e.LastHeartbeat).Seconds(), WarmInS: max(float64(e.WarmAtMS-wall)/1000, 0),
@@ -99,7 +99,7 @@
 			v.State, v.Says = "ready", "it is drawn"
 		}
 		all = append(all, v)
-	})
+	}
 	slices.SortFunc(all, func(x, y EngineView) int { return cmp.Or(cmp.Compare(x.Service, y.Service), cmp.Compare(x.ID, y.ID)) })
 	return all
 }
