--- a/internal/control/cloudapi/cloudapi.go
+++ b/internal/control/cloudapi/cloudapi.go
@@ -1,8 +1,11 @@
-// Package cloudapi makes the calls that the fleet owes the platform: HTTP/1.1 with CBOR bodies at the cloud's address. It owns
-// their form and their pace. Whether one may be made at all is its user's to know: each carries the holder and the fence that
-// it is given. An error says nothing of whether the platform has taken the call; the same call may be made again. Once its
-// context is over, what has not left of a call never does: what this machine's kernel still holds for a link that is cut is
-// thrown away with the connection, lest it arrive when another acts.
+// Package cloudapi is the client of the platform's cloud API: HTTP/1.1 with CBOR bodies.
+//
+// It owns the form of the calls and their connections. Whether a call may be made at all is for its user to know; each carries
+// the holder's name and the fencing token that it is given. An error does not say whether the platform has taken the call; the
+// same call may be made again.
+//
+// Once the context of a call is over, nothing more of it is sent: bytes that the kernel still buffers for a link that is down
+// are discarded with the connection, so that they cannot arrive while another holder acts.
 package cloudapi
 
 import (
@@ -20,55 +23,68 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Client calls the platform.
+// Errors of calls that the platform has answered.
+var (
+	// ErrBusy means that the same call may succeed later.
+	ErrBusy = errors.New("platform is busy")
+	// ErrRejected means that the same call will be rejected again.
+	ErrRejected = errors.New("platform rejects the call")
+)
+
+// Bounds of a call.
+const (
+	dialTimeout      = time.Second
+	idleTimeout      = 3 * time.Second
+	maxResponseBytes = 4 << 10
+)
+
+// Client calls the platform. It is safe for concurrent use.
 type Client struct {
-	Addr   string
-	Holder string
+	addr   string
+	holder string
 	client http.Client
 }
 
-// New returns a client.
+// New returns a client of the platform at an address (host:port). holder names this process to it.
 func New(addr, holder string) *Client {
-	return &Client{Addr: addr, Holder: holder, client: http.Client{Transport: &http.Transport{
-		DialContext:     (&net.Dialer{Timeout: time.Second, KeepAlive: -1}).DialContext,
+	return &Client{addr: addr, holder: holder, client: http.Client{Transport: &http.Transport{
+		DialContext:     (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext,
 		MaxIdleConns:    1,
-		IdleConnTimeout: 3 * time.Second,
+		IdleConnTimeout: idleTimeout,
 	}}}
 }
 
-// ErrBusy is an answer after which the same call may be made again, later.
-var ErrBusy = errors.New("the platform is busy")
+// ReportUsage reports the requests of a usage window, by tenant.
+func (c *Client) ReportUsage(ctx context.Context, fencingToken, window uint64, counts map[string]uint64) error {
+	return c.post(ctx, "/usage-reports", fencingToken, usageReport{Window: window, Counts: counts})
+}
 
-// ErrRejected is an answer that the same call will get again.
-var ErrRejected = errors.New("the platform rejects the call")
+// ScaleEngines sets the number of engines that a service should have in a zone.
+func (c *Client) ScaleEngines(ctx context.Context, fencingToken uint64, t Target) error {
+	return c.post(ctx, "/scaling", fencingToken, t)
+}
 
-// ReportUsage reports a window.
-func (c *Client) ReportUsage(ctx context.Context, fence, window uint64, counts map[string]uint64) error {
-	return c.post(ctx, "/usage-reports", fence, map[string]any{"window_number": window, "counts": counts})
+type usageReport struct {
+	Window uint64            `cbor:"window_number"`
+	Counts map[string]uint64 `cbor:"counts"`
 }
 
-// ScaleEngines orders engines.
-func (c *Client) ScaleEngines(ctx context.Context, fence uint64, service, zone string, count int) error {
-	return c.post(ctx, "/scaling", fence, map[string]any{"target_service": service, "zone": zone, "desired_count": count})
+// Target is a number of engines.
+type Target struct {
+	Service string `cbor:"target_service"`
+	Zone    string `cbor:"zone"`
+	Engines int    `cbor:"desired_count"`
 }
 
-func (c *Client) post(ctx context.Context, path string, fence uint64, v any) error {
-	body, err := cbor.Marshal(v)
-	if err != nil {
-		return fmt.Errorf("%w: %w", ErrRejected, err)
-	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Addr+path, bytes.NewReader(body))
+func (c *Client) post(ctx context.Context, path string, fencingToken uint64, v any) error {
+	req, err := c.request(ctx, path, fencingToken, v)
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrRejected, err)
 	}
-	req.GetBody = nil // nothing is sent twice behind its user's back: a lease may have ended meanwhile
-	req.Header.Set("Content-Type", "application/cbor")
-	req.Header.Set("X-Duty-Holder", c.Holder)
-	req.Header.Set("X-Fence-Token", strconv.FormatUint(fence, 10))
-	var line *net.TCPConn
+	var conn *net.TCPConn
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
-		if line, _ = i.Conn.(*net.TCPConn); line != nil {
-			line.SetLinger(0)
+		if conn, _ = i.Conn.(*net.TCPConn); conn != nil {
+			conn.SetLinger(0) // closing it discards what was not sent
 		}
 	}})
 	resp, err := c.client.Do(req.WithContext(ctx))
@@ -76,15 +92,32 @@
 		return err
 	}
 	defer resp.Body.Close()
-	says, err := io.ReadAll(io.LimitReader(resp.Body, 4<<10))
-	if err == nil && line != nil {
-		line.SetLinger(-1) // it has been answered, and may rest and end as others do
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	if err == nil && conn != nil {
+		conn.SetLinger(-1) // the call was answered: the connection may be kept, and closed in the usual way
 	}
 	switch {
-	case resp.StatusCode < 300:
+	case resp.StatusCode < http.StatusMultipleChoices:
 		return nil
-	case resp.StatusCode == http.StatusTooManyRequests, resp.StatusCode >= 500:
+	case resp.StatusCode == http.StatusTooManyRequests, resp.StatusCode >= http.StatusInternalServerError:
 		return fmt.Errorf("%w: %s", ErrBusy, resp.Status)
 	}
-	return fmt.Errorf("%w: %s: %.100q", ErrRejected, resp.Status, says)
+	return fmt.Errorf("%w: %s: %.100q", ErrRejected, resp.Status, body)
+}
+
+// request returns the HTTP request of a call.
+func (c *Client) request(ctx context.Context, path string, fencingToken uint64, v any) (*http.Request, error) {
+	body, err := cbor.Marshal(v)
+	if err != nil {
+		return nil, err
+	}
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.addr+path, bytes.NewReader(body))
+	if err != nil {
+		return nil, err
+	}
+	req.GetBody = nil // net/http must not send it again by itself: the lease may have ended meanwhile
+	req.Header.Set("Content-Type", "application/cbor")
+	req.Header.Set("X-Duty-Holder", c.holder)
+	req.Header.Set("X-Fence-Token", strconv.FormatUint(fencingToken, 10))
+	return req, nil
 }
--- a/internal/control/cloudapi/cloudapi_test.go
+++ b/internal/control/cloudapi/cloudapi_test.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// TestNothingIsSentOnceItIsOver: a call that is given up ends its connection with a reset, which throws away what waits to be
-// sent; one that was answered does not.
-func TestNothingIsSentOnceItIsOver(t *testing.T) {
+// TestNothingIsSentAfterTheContextEnds: a call that is given up ends its connection with a reset, which discards what waits to
+// be sent; one that was answered does not.
+func TestNothingIsSentAfterTheContextEnds(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	t.Cleanup(func() { ln.Close() })
 	ends := make(chan error, 2)
 	go func() {
 		for call := range 2 {
@@ -43,23 +43,24 @@
 			c.Close()
 		}
 	}()
+	target := Target{Service: "s", Zone: "z", Engines: 2}
 	c := New(ln.Addr().String(), "k")
-	if err := c.ScaleEngines(t.Context(), 3, "s", "z", 2); err != nil {
+	if err := c.ScaleEngines(t.Context(), 3, target); err != nil {
 		t.Fatal(err)
 	}
 	c.client.CloseIdleConnections()
-	if err := <-ends; err != io.EOF {
-		t.Errorf("one that was answered ends with %v", err)
+	if err := <-ends; !errors.Is(err, io.EOF) {
+		t.Errorf("the connection of a call that was answered ends with %v", err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if err := c.ScaleEngines(ctx, 3, "s", "z", 2); !errors.Is(err, context.DeadlineExceeded) {
+	if err := c.ScaleEngines(ctx, 3, target); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("a call without an answer: %v", err)
 	}
 	if err := <-ends; !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("one that was given up ends with %v, and what waits is sent yet", err)
+		t.Errorf("the connection of a call that was given up ends with %v, and what waits is still sent", err)
 	}
-	if err := c.ScaleEngines(ctx, 3, "s", "z", 2); err == nil {
-		t.Errorf("a call after its time: %v", err)
+	if err := c.ScaleEngines(ctx, 3, target); err == nil {
+		t.Error("a call after the end of its context succeeds")
 	}
 }
--- a/internal/control/cloudapi/golden_test.go
+++ b/internal/control/cloudapi/golden_test.go
@@ -13,27 +13,29 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// TestGoldenCalls: the platform gets the calls that it got. The order of a body's keys is open in both.
+// TestGoldenCalls: the platform gets the calls that it got at 38814e2. The order of a body's keys is open.
 func TestGoldenCalls(t *testing.T) {
 	type call struct {
-		Method, Path, Holder, Fence, Type string
-		Body                              map[string]any
+		Method, Path, Holder, FencingToken, ContentType string
+		Body                                            map[string]any
 	}
 	var got []call
-	web := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		c := call{Method: r.Method, Path: r.URL.Path, Holder: r.Header.Get("X-Duty-Holder"), Fence: r.Header.Get("X-Fence-Token"), Type: r.Header.Get("Content-Type")}
+	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+		c := call{Method: r.Method, Path: r.URL.Path, Holder: r.Header.Get("X-Duty-Holder"), FencingToken: r.Header.Get("X-Fence-Token"), ContentType: r.Header.Get("Content-Type")}
 		if b, err := io.ReadAll(r.Body); err != nil || cbor.Unmarshal(b, &c.Body) != nil {
 			t.Errorf("%x: %v", b, err)
 		}
 		got = append(got, c)
 	}))
-	defer web.Close()
-	c := New(strings.TrimPrefix(web.URL, "http://"), "k-1")
+	t.Cleanup(server.Close)
+	c := New(strings.TrimPrefix(server.URL, "http://"), "k-1")
 	for _, f := range []func(context.Context) error{
 		func(ctx context.Context) error {
 			return c.ReportUsage(ctx, 300, 352_800_000, map[string]uint64{"lab": 7})
 		},
-		func(ctx context.Context) error { return c.ScaleEngines(ctx, 300, "scribe", "a", 12) },
+		func(ctx context.Context) error {
+			return c.ScaleEngines(ctx, 300, Target{Service: "scribe", Zone: "a", Engines: 12})
+		},
 	} {
 		if err := f(t.Context()); err != nil {
 			t.Fatal(err)
--- a/internal/control/usage/usage_test.go
+++ b/internal/control/usage/usage_test.go
@@ -132,6 +132,6 @@
 		}
 		r := encoding.Reader{Buf: b}
 		DecodeCounters(&r)
-		(&Table{}).Merge(b)
+		_ = (&Table{}).Merge(b) // it must not panic
 	})
 }
--- a/internal/node/singletonhost.go
+++ b/internal/node/singletonhost.go
@@ -98,7 +98,7 @@
 			d.callPlatform(began.Add(f.Timeout), func(ctx context.Context) error { return d.cloud.ReportUsage(ctx, f.FencingToken, f.Window, f.Counts) })
 		case singleton.ScaleEngines:
 			d.callPlatform(began.Add(f.Timeout), func(ctx context.Context) error {
-				return d.cloud.ScaleEngines(ctx, f.FencingToken, f.Service, f.Zone, f.Engines)
+				return d.cloud.ScaleEngines(ctx, f.FencingToken, cloudapi.Target{Service: f.Service, Zone: f.Zone, Engines: f.Engines})
 			})
 		}
 	}
