--- a/internal/control/metrics/metrics.go
+++ b/internal/control/metrics/metrics.go
@@ -1,6 +1,8 @@
-// Package metrics counts what a process sends and takes on the network, by what it is for, and how much of that goes to
-// another zone, which is paid for. It is safe for concurrent use, counts only, and keeps no names. A call is counted by who
-// makes it and a datagram by who sends it, so that the accounts of all processes add up to what the fleet costs.
+// Package metrics counts what a process sends and receives on the network, by cause, and how much of that crosses zones, which
+// is paid for; and what the process uses of its machine.
+//
+// A call is counted by who makes it, with its answer, and a datagram by who sends it: the traffic of all processes adds up to
+// that of the fleet. Counters only grow, carry no names of tenants or peers, and are safe for concurrent use.
 package metrics
 
 import (
@@ -16,26 +18,29 @@
 
 // The causes.
 const (
-	CauseEngines   Cause = iota // clients' requests and answers, at the lines to engines
-	CauseGossip                 // engines and configurations passed on, and signs of life
-	CauseDigests                // compared so that gaps are mended
-	CauseShuffles               // partial views
-	CausePaxos                  // asked, answered, and what was chosen told on
-	CauseSnapshots              // keepers that catch up, found and take members in
-	CauseConfigs                // fetched by routers, and the operator's calls passed on
-	CauseUsage                  // routers' counts and loads, and the books of keepers
-	CauseLeases                 // the holder's time
+	CauseEngines   Cause = iota // requests and answers of clients, on connections to engines
+	CauseGossip                 // endpoints, configurations and heartbeats over gossip
+	CauseDigests                // anti-entropy: digests that are compared
+	CauseShuffles               // exchanges of partial views
+	CausePaxos                  // proposals, their answers, and the dissemination of what was chosen
+	CauseSnapshots              // replicas that catch up, find each other and admit members
+	CauseConfigs                // configurations that routers fetch, and forwarded calls of operators
+	CauseUsage                  // usage reports and tables
+	CauseLeases                 // requests for leases
 	CausePlatform               // calls to the platform
 	causes
 )
 
-var names = [causes]string{
-	"engines", "news", "digests", "shuffles", "ballots", "states", "configurations", "reports", "leases", "platform",
+// causeNames stand in the output and do not change.
+var causeNames = [causes]string{
+	CauseEngines: "engines", CauseGossip: "news", CauseDigests: "digests", CauseShuffles: "shuffles", CausePaxos: "ballots",
+	CauseSnapshots: "states", CauseConfigs: "configurations", CauseUsage: "reports", CauseLeases: "leases", CausePlatform: "platform",
 }
 
+// String returns the name of the cause in the output.
 func (c Cause) String() string {
 	if c < causes {
-		return names[c]
+		return causeNames[c]
 	}
 	return fmt.Sprintf("cause %d", uint8(c))
 }
@@ -43,94 +48,94 @@
 // Row is what was counted for one cause.
 type Row struct {
 	Cause       string `json:"cause"`
-	Count       uint64 `json:"count"`   // calls, datagrams, or requests written to engines
-	Bytes       uint64 `json:"bytes"`   // both ways
+	Count       uint64 `json:"count"`   // calls, datagrams, or writes to engines
+	Bytes       uint64 `json:"bytes"`   // sent and received
 	CrossZone   uint64 `json:"between"` // of these, from one zone to another
 	Connections uint64 `json:"connections"`
 }
 
-type row struct{ count, bytes, between, conns atomic.Uint64 }
+type counters struct{ count, bytes, crossZone, connections atomic.Uint64 }
 
-// Traffic holds the counts of a process. The zero Book is empty.
-type Traffic struct{ rows [causes]row }
+func (r *counters) addBytes(n int, crossZone bool) {
+	r.bytes.Add(uint64(n))
+	if crossZone {
+		r.crossZone.Add(uint64(n))
+	}
+}
 
-// Add counts an exchange of so many bytes; between says that it goes to another zone.
-func (b *Traffic) Add(c Cause, bytes int, between bool) {
-	r := &b.rows[c]
+// Traffic holds the counters of a process. The zero value has counted nothing.
+type Traffic struct{ byCause [causes]counters }
+
+// Add counts an exchange of so many bytes; crossZone says that the two sides are in different zones.
+func (t *Traffic) Add(c Cause, bytes int, crossZone bool) {
+	r := &t.byCause[c]
 	r.count.Add(1)
-	r.bytes.Add(uint64(bytes))
-	if between {
-		r.between.Add(uint64(bytes))
-	}
+	r.addBytes(bytes, crossZone)
 }
 
 // AddConnection counts a connection that was opened.
-func (b *Traffic) AddConnection(c Cause) { b.rows[c].conns.Add(1) }
-
-// Rows lists what was counted; causes without anything are left out.
-func (b *Traffic) Rows() (all []Row) {
-	for c := range b.rows {
-		r := &b.rows[c]
-		x := Row{names[c], r.count.Load(), r.bytes.Load(), r.between.Load(), r.conns.Load()}
-		if x.Count+x.Bytes+x.Connections > 0 {
-			all = append(all, x)
+func (t *Traffic) AddConnection(c Cause) { t.byCause[c].connections.Add(1) }
+
+// Rows lists what was counted, in the order of the causes; those without anything are left out.
+func (t *Traffic) Rows() []Row {
+	var rows []Row
+	for c := range t.byCause {
+		r := &t.byCause[c]
+		row := Row{causeNames[c], r.count.Load(), r.bytes.Load(), r.crossZone.Load(), r.connections.Load()}
+		if row.Count+row.Bytes+row.Connections > 0 {
+			rows = append(rows, row)
 		}
 	}
-	return all
+	return rows
 }
 
-// conn counts what goes over a connection.
-type conn struct {
+// countedConn counts what is read and written.
+type countedConn struct {
 	*net.TCPConn
-	r       *row
-	between bool
+	counters  *counters
+	crossZone bool
 }
 
-// Wrap has a connection counted; another kind than TCP is returned as it is. Each write counts as one.
-func (b *Traffic) Wrap(c Cause, nc net.Conn, between bool) net.Conn {
-	b.AddConnection(c)
+// Wrap counts a connection that was opened, and returns one that counts its bytes. Each write counts as one exchange. A
+// connection that is not TCP is returned as it is.
+func (t *Traffic) Wrap(c Cause, nc net.Conn, crossZone bool) net.Conn {
+	t.AddConnection(c)
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
 		return nc
 	}
-	return &conn{tcp, &b.rows[c], between}
+	return &countedConn{tcp, &t.byCause[c], crossZone}
 }
 
-func (c *conn) add(n int) {
-	c.r.bytes.Add(uint64(n))
-	if c.between {
-		c.r.between.Add(uint64(n))
-	}
-}
-
-func (c *conn) Read(p []byte) (int, error) {
+func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	c.add(n)
+	c.counters.addBytes(n, c.crossZone)
 	return n, err
 }
 
-func (c *conn) Write(p []byte) (int, error) {
-	c.r.count.Add(1)
+func (c *countedConn) Write(p []byte) (int, error) {
+	c.counters.count.Add(1)
 	n, err := c.TCPConn.Write(p)
-	c.add(n)
+	c.counters.addBytes(n, c.crossZone)
 	return n, err
 }
 
-// Process is what the process has used of its machine.
+// Process is what this process has used of its machine since its start.
 type Process struct {
 	CPUSeconds float64 `json:"processor_s"`
-	MemoryMB   float64 `json:"memory_most_mb"`
-	WakeUps    int64   `json:"wake_ups"` // of its threads, that waited by themselves
+	MemoryMB   float64 `json:"memory_most_mb"` // the most that was resident
+	WakeUps    int64   `json:"wake_ups"`       // voluntary context switches of its threads
 }
 
-// ReadProcess asks the system. What it does not say is 0.
-func ReadProcess() (m Process) {
+// ReadProcess asks the operating system. Where that fails it returns zeros.
+func ReadProcess() Process {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
-		return m
+		return Process{}
+	}
+	return Process{
+		CPUSeconds: (time.Duration(u.Utime.Nano()) + time.Duration(u.Stime.Nano())).Seconds(),
+		MemoryMB:   float64(u.Maxrss) / 1024,
+		WakeUps:    u.Nvcsw,
 	}
-	m.CPUSeconds = (time.Duration(u.Utime.Nano()) + time.Duration(u.Stime.Nano())).Seconds()
-	m.MemoryMB = float64(u.Maxrss) / 1024
-	m.WakeUps = u.Nvcsw
-	return m
 }
--- a/internal/control/metrics/metrics_test.go
+++ b/internal/control/metrics/metrics_test.go
@@ -1,6 +1,7 @@
 package metrics
 
 import (
+	"encoding/json"
 	"io"
 	"net"
 	"testing"
@@ -8,12 +9,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestWhatIsSentIsCounted(t *testing.T) {
+func TestTrafficOfAConnectionIsCounted(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	t.Cleanup(func() { ln.Close() })
 	go func() {
 		c, err := ln.Accept()
 		if err == nil {
@@ -21,12 +22,12 @@
 			c.Close()
 		}
 	}()
-	nc, err := net.Dial("tcp4", ln.Addr().String())
+	nc, err := (&net.Dialer{}).DialContext(t.Context(), "tcp4", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var b Traffic
-	c := b.Wrap(CauseEngines, nc, true)
+	var traffic Traffic
+	c := traffic.Wrap(CauseEngines, nc, true)
 	if _, err := io.WriteString(c, "twelve bytes"); err != nil {
 		t.Fatal(err)
 	}
@@ -34,16 +35,42 @@
 		t.Fatal(err)
 	}
 	c.Close()
-	b.Add(CauseUsage, 100, false)
-	b.Add(CauseUsage, 50, true)
+	traffic.Add(CauseUsage, 100, false)
+	traffic.Add(CauseUsage, 50, true)
 	want := []Row{{"engines", 1, 24, 24, 1}, {"reports", 2, 150, 50, 0}}
-	if diff := cmp.Diff(want, b.Rows()); diff != "" {
+	if diff := cmp.Diff(want, traffic.Rows()); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
-	if m := ReadProcess(); m.CPUSeconds <= 0 || m.MemoryMB <= 0 {
-		t.Errorf("%+v", m)
+}
+
+func TestProcessUsesItsMachine(t *testing.T) {
+	if p := ReadProcess(); p.CPUSeconds <= 0 || p.MemoryMB <= 0 {
+		t.Errorf("%+v", p)
+	}
+}
+
+// TestNamesInTheOutputStay: the names of causes and the keys of rows are read by operators' tools.
+func TestNamesInTheOutputStay(t *testing.T) {
+	want := []string{
+		"engines", "news", "digests", "shuffles", "ballots", "states", "configurations", "reports", "leases", "platform",
+		"cause 10",
+	}
+	var got []string
+	for c := range causes + 1 {
+		got = append(got, c.String())
 	}
-	if s := Cause(200).String(); s != "cause 200" {
-		t.Error(s)
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Errorf("causes (-want +got):\n%s", diff)
+	}
+	for _, c := range []struct {
+		value any
+		want  string
+	}{
+		{Row{"news", 1, 2, 3, 4}, `{"cause":"news","count":1,"bytes":2,"between":3,"connections":4}`},
+		{Process{1.5, 2.5, 3}, `{"processor_s":1.5,"memory_most_mb":2.5,"wake_ups":3}`},
+	} {
+		if b, err := json.Marshal(c.value); err != nil || string(b) != c.want {
+			t.Errorf("%s, %v; want %s", b, err, c.want)
+		}
 	}
 }
