--- a/internal/acquirer/acquirer.go
+++ b/internal/acquirer/acquirer.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"notchhinge/internal/broker"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/pool"
 	"notchhinge/internal/quota"
 	"notchhinge/internal/service"
 	"notchhinge/policy"
@@ -68,7 +68,7 @@
 }
 
 // Set gives a pool its parts of the room for bodies, in bytes, and of the calls that may be coming in or open at once.
-func (s *Server) Set(id pool.ID, bodies, calls quota.Claim) {
+func (s *Server) Set(id hoststate.PoolID, bodies, calls quota.Claim) {
 	s.roomMu.Lock()
 	defer s.roomMu.Unlock()
 	s.bodies.SetClaim(int(id), bodies)
@@ -76,7 +76,7 @@
 }
 
 // End takes a pool's parts away.
-func (s *Server) End(id pool.ID) {
+func (s *Server) End(id hoststate.PoolID) {
 	s.roomMu.Lock()
 	defer s.roomMu.Unlock()
 	s.bodies.EndClaim(int(id))
@@ -84,7 +84,7 @@
 }
 
 // Bodies tells how many bytes of bodies a pool holds.
-func (s *Server) Bodies(id pool.ID) int64 {
+func (s *Server) Bodies(id hoststate.PoolID) int64 {
 	s.roomMu.Lock()
 	defer s.roomMu.Unlock()
 	return s.bodies.Reserved(int(id))
--- a/internal/acquirer/answer.go
+++ b/internal/acquirer/answer.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"notchhinge/internal/broker"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/issuer"
-	"notchhinge/internal/pool"
 	"notchhinge/internal/trace"
 	"notchhinge/policy"
 )
@@ -26,7 +26,7 @@
 	kept   *Kept         // the last answer that was not passed on
 	keptMu sync.Mutex
 	origin *trace.Origin // nil where nothing is traced
-	pool   pool.ID
+	pool   hoststate.PoolID
 	held   room // counted until the end
 	freed  sync.Once
 	last   bool // the acquirer wants the connection closed after it
--- a/internal/batch/desk_test.go
+++ b/internal/batch/desk_test.go
@@ -15,8 +15,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"notchhinge/internal/broker"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/pool"
 	"notchhinge/internal/route"
 	"notchhinge/internal/service"
 	"notchhinge/policy"
@@ -334,7 +334,7 @@
 		var pools []*service.Pool
 		for i, n := range names {
 			services = append(services, route.Service{Name: n, Shares: []route.Share{{Pool: n, Weight: 1}}})
-			pools = append(pools, &service.Pool{ID: pool.ID(i + 1), Name: n, Classes: []policy.Class{{Name: "batch-summary", Deadline: 12 * time.Second}}})
+			pools = append(pools, &service.Pool{ID: hoststate.PoolID(i + 1), Name: n, Classes: []policy.Class{{Name: "batch-summary", Deadline: 12 * time.Second}}})
 		}
 		table, faults := route.New(services, routes, func(name string) (int, bool) { return slices.Index(names, name) + 1, true })
 		if len(faults) > 0 {
@@ -342,11 +342,11 @@
 		}
 		return service.New(table, true, pools...)
 	}
-	for name, want := range map[string]pool.ID{"calib": 2, "": 1} {
+	for name, want := range map[string]hoststate.PoolID{"calib": 2, "": 1} {
 		r := newRig(t, t.TempDir(), func(k *Contract) { k.Service, k.AtOnce = name, 1 })
 		at := directory("runs", "calib")
 		r.routes = func() *service.Directory { return at }
-		var to []pool.ID
+		var to []hoststate.PoolID
 		post := r.post
 		r.post = func(e broker.Event) {
 			if e, ok := e.(broker.Taken); ok {
@@ -360,7 +360,7 @@
 			at.Table, _ = route.New(nil, nil, nil)
 		}
 		r.after(0)
-		same(t, "pools", []pool.ID{want}, to)
+		same(t, "pools", []hoststate.PoolID{want}, to)
 		same(t, "outcomes", []string{"1 id-0 failed timed_out", "2 id-1 failed no_route"}, outcomesOf(t, j))
 	}
 }
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/pool"
 	"notchhinge/internal/quota"
 	"notchhinge/internal/timerqueue"
 	"notchhinge/internal/trace"
@@ -14,10 +14,10 @@
 // Broker is the reducer: Reduce is the only thing that changes it. It is not safe for concurrent use.
 type Broker struct {
 	lim     limits.Limits
-	pools   map[pool.ID]*instance
-	leaving bool         // one of the pools at least
-	places  *quota.Quota // of open authorisations, by pool
-	boxes   *pool.Boxes  // nil as long as there is one pool
+	pools   map[hoststate.PoolID]*instance
+	leaving bool               // one of the pools at least
+	places  *quota.Quota       // of open authorisations, by pool
+	boxes   *hoststate.Tracker // nil as long as there is one pool
 	now     time.Duration
 	effects []Effect
 	later   []func() // outcomes that a module is told once it has returned from the present call
@@ -32,7 +32,7 @@
 
 // name is the id of an open authorisation. Two services may well use one id at once.
 type name struct {
-	pool pool.ID
+	pool hoststate.PoolID
 	id   string
 }
 
@@ -78,7 +78,7 @@
 // New returns a broker that has no pool yet.
 func New(lim limits.Limits) *Broker {
 	return &Broker{
-		lim: lim, due: timerqueue.New[due](), pools: map[pool.ID]*instance{}, places: quota.New(int64(lim.ConcurrentRequests)),
+		lim: lim, due: timerqueue.New[due](), pools: map[hoststate.PoolID]*instance{}, places: quota.New(int64(lim.ConcurrentRequests)),
 		auths: map[policy.RequestID]*auth{}, byParty: map[Acquirer]*auth{}, names: map[name]bool{},
 		counts: Counters{Outcomes: map[policy.Result]int{}},
 	}
--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"notchhinge/internal/pool"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/quota"
 	"notchhinge/internal/retrybudget"
 	"notchhinge/internal/trace"
@@ -51,7 +51,7 @@
 	// Taken: an authorisation has come in whole. Its ID is the broker's to give.
 	Taken struct {
 		From    Acquirer
-		Pool    pool.ID
+		Pool    hoststate.PoolID
 		Name    string        // under which it is passed on, one open authorisation each; "" = none
 		At      time.Duration // of its last byte; its time runs from there
 		Request policy.Request
@@ -89,7 +89,7 @@
 	}
 	// Probed answers a Probe.
 	Probed struct {
-		Pool   pool.ID
+		Pool   hoststate.PoolID
 		Host   policy.ReplicaID
 		Sent   time.Duration
 		Result policy.Result
@@ -97,7 +97,7 @@
 	}
 	// Listed is news from discovery.
 	Listed struct {
-		Pool  pool.ID
+		Pool  hoststate.PoolID
 		Kind  policy.ListKind
 		Hosts []Host
 	}
@@ -115,7 +115,7 @@
 	Tick struct{}
 	// PoolSet adds a pool, or changes one that there is: all but its module and what that was made with.
 	PoolSet struct {
-		Pool       pool.ID
+		Pool       hoststate.PoolID
 		Name       string           // "" = the only one there is
 		Module     *policy.Balancer // the pool's from now on
 		WarmUp     time.Duration    // of the module's settings, as the next
@@ -129,18 +129,18 @@
 	}
 	// Classes gives a pool's module further classes; those it has stay.
 	Classes struct {
-		Pool    pool.ID
+		Pool    hoststate.PoolID
 		Classes []policy.Class
 	}
 	// PoolEnd: nothing more is routed to a pool. PoolGone follows once nothing of its is open.
-	PoolEnd struct{ Pool pool.ID }
+	PoolEnd struct{ Pool hoststate.PoolID }
 	// RepeatsExtra is what each pool's part of the common budget for repeats has beyond its share of requests, from now on.
 	RepeatsExtra float64
 	// Recall asks for what the modules have learnt.
 	Recall struct{ Of any }
 	// Taught gives a pool's module what another process's had learnt.
 	Taught struct {
-		Pool    pool.ID
+		Pool    hoststate.PoolID
 		Learned *policy.Learned
 	}
 	// Audit asks for the counters.
@@ -177,7 +177,7 @@
 type (
 	// SendLeg starts a leg at an issuer host, which may take Wait for its first event.
 	SendLeg struct {
-		Pool pool.ID
+		Pool hoststate.PoolID
 		Leg  LegID
 		From Acquirer
 		Host policy.ReplicaID
@@ -205,7 +205,7 @@
 	}
 	// Probe asks an issuer host for a sign of life.
 	Probe struct {
-		Pool pool.ID
+		Pool hoststate.PoolID
 		Host policy.ReplicaID
 		Dial string
 		Sent time.Duration
@@ -215,9 +215,9 @@
 	// Reminded answers Remind, at its time or a little later.
 	Reminded struct{ Of any }
 	// Watch asks a pool's discovery for changes from now on.
-	Watch struct{ Pool pool.ID }
+	Watch struct{ Pool hoststate.PoolID }
 	// PoolGone: a pool that was ended owes nothing more; its lines and its watch may go.
-	PoolGone struct{ Pool pool.ID }
+	PoolGone struct{ Pool hoststate.PoolID }
 	// Log is a line for the staff, of a pool or of none.
 	Log struct{ Pool, Line string }
 	// Recalled answers Recall, by the names of the pools.
@@ -268,7 +268,7 @@
 // PoolCounters tell of one pool.
 type PoolCounters struct {
 	Counters
-	Pool    pool.ID
+	Pool    hoststate.PoolID
 	Name    string
 	Hosts   int
 	Ready   int // of the hosts
--- a/internal/broker/pool.go
+++ b/internal/broker/pool.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"notchhinge/internal/pool"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/retrybudget"
 	"notchhinge/internal/trace"
 	"notchhinge/policy"
@@ -16,7 +16,7 @@
 // that what a module does can only concern its own.
 type instance struct {
 	b          *Broker
-	id         pool.ID
+	id         hoststate.PoolID
 	name       string
 	module     *policy.Balancer
 	warmUp     time.Duration
@@ -67,10 +67,10 @@
 
 // shareBoxes begins to keep account of boxes that pools share; with one pool there is nothing to account for.
 func (b *Broker) shareBoxes() {
-	b.boxes = pool.NewBoxes(b.lim.DrainPrecedence)
+	b.boxes = hoststate.NewTracker(b.lim.DrainPrecedence)
 	for _, p := range b.pools {
 		for id, h := range p.hosts {
-			b.boxes.Told(b.now, p.id, h.box(), pool.Told{Replica: id, State: h.State, BornAt: h.BornAt})
+			b.boxes.Update(b.now, p.id, h.box(), hoststate.Update{Replica: id, State: h.State, BornAt: h.BornAt})
 		}
 	}
 }
@@ -91,14 +91,14 @@
 		delete(b.pools, id)
 		b.places.EndClaim(int(id))
 		if b.boxes != nil {
-			b.boxes.Leave(id)
+			b.boxes.RemovePool(id)
 		}
 		b.counts.add(&p.counts)
 		b.do(PoolGone{id})
 	}
 }
 
-func (h *Host) box() pool.Box { return pool.Box{Name: h.Name, Dial: h.Dial} }
+func (h *Host) box() hoststate.Host { return hoststate.Host{Name: h.Name, Addr: h.Dial} }
 
 func (h *Host) replica(id policy.ReplicaID) policy.Replica {
 	return policy.Replica{ID: id, Zone: h.Zone, Cell: h.Cell, State: h.State, Weight: h.Weight, ReadyAt: h.BornAt}
@@ -111,7 +111,7 @@
 		p.counts.Lists++
 		p.counts.Lines += len(e.Hosts)
 	}
-	var words []pool.Word
+	var words []hoststate.Notification
 	listed := map[policy.ReplicaID]bool{}
 	for _, h := range e.Hosts {
 		id := p.hostID(h.Name)
@@ -127,7 +127,7 @@
 		for id, h := range p.hosts { // on a long day hosts are replaced by others without end
 			if there, told := listed[id]; told && !there || !told && e.Kind != policy.ListDelta {
 				if b.boxes != nil && !told {
-					b.boxes.Told(b.now, p.id, h.box(), pool.Told{State: policy.Gone, Left: true})
+					b.boxes.Update(b.now, p.id, h.box(), hoststate.Update{State: policy.Gone, Removed: true})
 				}
 				delete(p.hosts, id)
 				delete(p.hostNames, h.Name)
@@ -145,7 +145,7 @@
 
 // shared has what a list says of a host compared with what other pools were told of the box, and changes its state to
 // what this pool must see. It returns what the others must hear.
-func (p *instance) shared(id policy.ReplicaID, h *Host) []pool.Word {
+func (p *instance) shared(id policy.ReplicaID, h *Host) []hoststate.Notification {
 	b := p.b
 	before := p.hosts[id]
 	switch {
@@ -153,16 +153,16 @@
 	case h.State == policy.Gone:
 		h.Dial = before.Dial // that it had, whatever the last word of it says
 	case h.Dial != before.Dial: // it is elsewhere now, which is another box
-		b.boxes.Told(b.now, p.id, before.box(), pool.Told{State: policy.Gone, Left: true})
+		b.boxes.Update(b.now, p.id, before.box(), hoststate.Update{State: policy.Gone, Removed: true})
 	}
-	told := pool.Told{Replica: id, State: h.State, BornAt: h.BornAt, Left: h.Left}
-	state, words := b.boxes.Told(b.now, p.id, h.box(), told)
+	told := hoststate.Update{Replica: id, State: h.State, BornAt: h.BornAt, Removed: h.Left}
+	state, words := b.boxes.Update(b.now, p.id, h.box(), told)
 	h.State = state
 	return words
 }
 
 // pass tells modules of ends of boxes, and of such that were taken back, that other pools were told.
-func (b *Broker) pass(words []pool.Word) {
+func (b *Broker) pass(words []hoststate.Notification) {
 	for _, w := range words {
 		q := b.pools[w.Pool]
 		if q == nil || q.hosts[w.Replica] == nil {
@@ -186,7 +186,7 @@
 	if h == nil {
 		return
 	}
-	for _, s := range p.b.boxes.Others(nil, p.id, h.box()) {
+	for _, s := range p.b.boxes.OtherPools(nil, p.id, h.box()) {
 		if q := p.b.pools[s.Pool]; q != nil {
 			q.module.Probed(p.b.now, q, policy.ProbeResult{Replica: s.Replica, Result: policy.ConnectFailed})
 		}
@@ -196,22 +196,22 @@
 // tooCold tells whether a box that several pools share has had all that it may have while it is cold.
 func (p *instance) tooCold(h *Host) bool {
 	b := p.b
-	if b.boxes == nil || h.BornAt == 0 || b.now >= h.BornAt+p.warmUp || !b.boxes.Shared(h.box()) {
+	if b.boxes == nil || h.BornAt == 0 || b.now >= h.BornAt+p.warmUp || !b.boxes.IsShared(h.box()) {
 		return false
 	}
-	traffic := []pool.Traffic{p.traffic(h.BornAt)}
-	for _, s := range b.boxes.Others(nil, p.id, h.box()) {
+	traffic := []hoststate.PoolTraffic{p.traffic(h.BornAt)}
+	for _, s := range b.boxes.OtherPools(nil, p.id, h.box()) {
 		if q := b.pools[s.Pool]; q != nil {
 			traffic = append(traffic, q.traffic(h.BornAt))
 		}
 	}
-	return !b.boxes.MaySend(h.box(), h.BornAt, traffic)
+	return !b.boxes.MaySendCold(h.box(), h.BornAt, traffic)
 }
 
-func (p *instance) traffic(born time.Duration) pool.Traffic {
-	return pool.Traffic{
-		Pool: p.id, Arrived: float64(p.counts.Taken), Usual: float64(p.ready),
-		Share: pool.Warmth(p.b.now-born, p.warmUp, p.coldFrom),
+func (p *instance) traffic(born time.Duration) hoststate.PoolTraffic {
+	return hoststate.PoolTraffic{
+		Pool: p.id, Arrived: float64(p.counts.Taken), Hosts: float64(p.ready),
+		Share: hoststate.SlowStartShare(p.b.now-born, p.warmUp, p.coldFrom),
 	}
 }
 
--- a/internal/broker/pools_test.go
+++ b/internal/broker/pools_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/pool"
 	"notchhinge/internal/quota"
 	"notchhinge/policy"
 )
@@ -27,7 +27,7 @@
 	return r
 }
 
-func hosts(of pool.ID, names ...string) Listed {
+func hosts(of hoststate.PoolID, names ...string) Listed {
 	l := Listed{Pool: of, Kind: policy.ListFull}
 	for _, n := range names {
 		l.Hosts = append(l.Hosts, Host{Name: n, Dial: "at " + n, Weight: 1, BornAt: 1})
@@ -35,7 +35,7 @@
 	return l
 }
 
-func into(of pool.ID, e Taken) Taken {
+func into(of hoststate.PoolID, e Taken) Taken {
 	e.Pool = of
 	return e
 }
@@ -155,7 +155,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			id := pool.ID(i + 1)
+			id := hoststate.PoolID(i + 1)
 			b.Reduce(now, PoolSet{Pool: id, Name: fmt.Sprint(i), Module: m, WarmUp: set.WarmUp, ColdFrom: set.ColdFrom})
 			l := hosts(id, "shared")
 			for k := range rapid.IntRange(1, 3).Draw(t, "own boxes") {
@@ -170,7 +170,7 @@
 			now += time.Millisecond
 			p := rapid.IntRange(0, 1).Draw(t, "pool")
 			over -= share / usual[p]
-			for _, f := range b.Reduce(now, Taken{From: n, Pool: pool.ID(p + 1), At: now, Request: policy.Request{Session: uint64(n + 1), ExpiresIn: sec}}) {
+			for _, f := range b.Reduce(now, Taken{From: n, Pool: hoststate.PoolID(p + 1), At: now, Request: policy.Request{Session: uint64(n + 1), ExpiresIn: sec}}) {
 				if s, ok := f.(SendLeg); ok && s.Dial == "at shared" {
 					over++
 				}
@@ -223,18 +223,18 @@
 		b := New(lim)
 		now := 1000 * sec
 		type call struct {
-			pool    pool.ID
+			pool    hoststate.PoolID
 			answers int
 			gone    bool
 		}
 		type out struct{ from int }
 		calls, legs := map[int]*call{}, map[LegID]*out{}
 		order := []LegID{}
-		lists := map[pool.ID]map[string]Host{}
-		live, next, n := []pool.ID{}, pool.ID(0), 0
+		lists := map[hoststate.PoolID]map[string]Host{}
+		live, next, n := []hoststate.PoolID{}, hoststate.PoolID(0), 0
 		births := map[[2]any]time.Duration{}
 		ended := map[string]time.Duration{} // when the first pool was told that the process ends
-		endOf, endBy, endIs := map[string]time.Duration{}, map[string]pool.ID{}, map[string]policy.State{}
+		endOf, endBy, endIs := map[string]time.Duration{}, map[string]hoststate.PoolID{}, map[string]policy.State{}
 		reduce := func(e Event) {
 			for _, f := range b.Reduce(now, e) {
 				switch f := f.(type) {
@@ -359,7 +359,7 @@
 				}
 				reduce(l)
 			case 4, 5, 6, 7: // a call, by routes that may be of before
-				p := pool.ID(rapid.IntRange(0, int(next)-1).Draw(t, "pool"))
+				p := hoststate.PoolID(rapid.IntRange(0, int(next)-1).Draw(t, "pool"))
 				n++
 				calls[n] = &call{pool: p}
 				reduce(Taken{From: n, Pool: p, Name: fmt.Sprint(n % 7), At: now, Request: policy.Request{
@@ -407,7 +407,7 @@
 	})
 }
 
-func has(lists map[pool.ID]map[string]Host, name string) bool {
+func has(lists map[hoststate.PoolID]map[string]Host, name string) bool {
 	for _, l := range lists {
 		if _, in := l[name]; in {
 			return true
--- a/internal/broker/scale_test.go
+++ b/internal/broker/scale_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/pool"
 	"notchhinge/internal/quota"
 	"notchhinge/policy"
 )
@@ -24,10 +24,10 @@
 			c, now := New(lim), 1000*sec
 			for p := range n {
 				c.Reduce(now, PoolSet{
-					Pool: pool.ID(p), Name: fmt.Sprint("p", p), Module: module(b), WarmUp: sec, ColdFrom: 0.5,
+					Pool: hoststate.PoolID(p), Name: fmt.Sprint("p", p), Module: module(b), WarmUp: sec, ColdFrom: 0.5,
 					Places: quota.Claim{Guarantee: int64(lim.ConcurrentRequests / n / 2)},
 				})
-				l := Listed{Pool: pool.ID(p), Kind: policy.ListFull}
+				l := Listed{Pool: hoststate.PoolID(p), Kind: policy.ListFull}
 				for i := range boxes {
 					l.Hosts = append(l.Hosts, Host{Name: fmt.Sprintf("b%d-%d", p, i), Dial: fmt.Sprintf("127.0.%d.%d:80", p, i), Weight: 1})
 				}
@@ -39,7 +39,7 @@
 				i++
 				now += 100 * time.Microsecond
 				var leg LegID
-				for _, e := range c.Reduce(now, Taken{From: i, Pool: pool.ID(i % n), At: now, Request: policy.Request{Session: uint64(i%5000 + 1), ExpiresIn: sec}}) {
+				for _, e := range c.Reduce(now, Taken{From: i, Pool: hoststate.PoolID(i % n), At: now, Request: policy.Request{Session: uint64(i%5000 + 1), ExpiresIn: sec}}) {
 					if s, ok := e.(SendLeg); ok {
 						leg = s.Leg
 					}
--- a/internal/edge/compile_bench_test.go
+++ b/internal/edge/compile_bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"notchhinge/internal/control/fleetconfig"
-	"notchhinge/internal/pool"
+	"notchhinge/internal/hoststate"
 )
 
 // BenchmarkConfiguration takes a configuration of thousands of routes from its bytes to what requests are led by, as each
@@ -34,7 +34,7 @@
 			b.SetBytes(int64(len(text)))
 			for b.Loop() {
 				c, err := fleetconfig.Decode(text, nil)
-				next := pool.ID(1)
+				next := hoststate.PoolID(1)
 				if err == nil {
 					_, err = Compile(c, 1, nil, &next, nil)
 				}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -20,8 +20,8 @@
 	"notchhinge/internal/admission"
 	"notchhinge/internal/broker"
 	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/issuer"
-	"notchhinge/internal/pool"
 	"notchhinge/internal/route"
 	"notchhinge/internal/service"
 	"notchhinge/internal/trace"
@@ -54,7 +54,7 @@
 // leads is a route with what is worked out ahead.
 type leads struct {
 	*fleetconfig.Route
-	class   map[pool.ID]int
+	class   map[hoststate.PoolID]int
 	timeout time.Duration
 	silence time.Duration // so long a client waits for the first sign of an answer
 }
@@ -67,7 +67,7 @@
 // Service is a pool of engines: one module instance, for as long as configurations name it.
 type Service struct {
 	Name    string
-	ID      pool.ID
+	ID      hoststate.PoolID
 	Classes []policy.Class // it only ever grows
 	// View is the service as the front sees it.
 	View *service.Pool
@@ -140,7 +140,7 @@
 
 // Compile works a configuration out. Services that it names and before has not are made with numbers from next on. It
 // pauses now and then, as declared.Read does.
-func Compile(c *fleetconfig.Config, place uint64, before map[string]*Service, next *pool.ID, pause func()) (*Compiled, error) {
+func Compile(c *fleetconfig.Config, place uint64, before map[string]*Service, next *hoststate.PoolID, pause func()) (*Compiled, error) {
 	if pause == nil {
 		pause = func() {}
 	}
@@ -160,7 +160,7 @@
 	var routes []route.Route
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		l := leads{Route: r, class: map[pool.ID]int{}, timeout: fleetconfig.Milliseconds(r.TimeoutMS), silence: silent(r)}
+		l := leads{Route: r, class: map[hoststate.PoolID]int{}, timeout: fleetconfig.Milliseconds(r.TimeoutMS), silence: silent(r)}
 		name := strconv.Itoa(i)
 		s := route.Service{Name: name}
 		for _, share := range r.Targets() {
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -15,9 +15,9 @@
 	"notchhinge/internal/acquirer"
 	"notchhinge/internal/broker"
 	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/pool"
 	"notchhinge/policy"
 )
 
@@ -40,7 +40,7 @@
 
 func compile(t *testing.T, c *fleetconfig.Config) *Compiled {
 	t.Helper()
-	next := pool.ID(1)
+	next := hoststate.PoolID(1)
 	out, err := Compile(c, 4, nil, &next, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -272,7 +272,7 @@
 }
 
 func TestServicesOutliveConfigurations(t *testing.T) {
-	next := pool.ID(1)
+	next := hoststate.PoolID(1)
 	first, err := Compile(conf(), 1, nil, &next, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -315,7 +315,7 @@
 		"HTTP/1.1 421 \r\nX-Not-Executed: 1\r\nKeep-Alive: timeout=99999999999999999999\r\n\r\n")
 	f.Add("GET /open/ HTTP/1.1\r\nHost: a.example\r\nX-Deadline-Remaining-Ms: 1e400\r\n\r\n", "HTTP/1.1 503 a\r\nConnection: X-Not-Executed\r\n\r\n")
 	at := func() *Compiled {
-		next := pool.ID(1)
+		next := hoststate.PoolID(1)
 		c, err := Compile(conf(), 4, nil, &next, nil)
 		if err != nil {
 			f.Fatal(err)
@@ -444,7 +444,7 @@
 		t.Errorf("%v (-whole +in parts):\n%s", err, diff)
 	}
 	pauses = 0
-	next := pool.ID(1)
+	next := hoststate.PoolID(1)
 	if _, err := Compile(got, 1, nil, &next, func() { pauses++ }); err != nil || pauses < 2000/fleetconfig.YieldInterval-1 {
 		t.Errorf("compiled in %d pauses, %v", pauses, err)
 	}
--- a/internal/edge/tenants_bench_test.go
+++ b/internal/edge/tenants_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/pool"
 )
 
 // BenchmarkTenants takes a configuration of 100 routes and so many tenants from its bytes to what requests are led by, at once and
@@ -42,7 +42,7 @@
 				before := heap()
 				for b.Loop() {
 					c, err := fleetconfig.Decode(text, pause)
-					next := pool.ID(1)
+					next := hoststate.PoolID(1)
 					if err == nil {
 						held, err = Compile(c, 1, nil, &next, pause)
 					}
--- /dev/null
+++ b/internal/hoststate/tracker_test.go
@@ -0,0 +1,224 @@
+package hoststate
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"pgregory.net/rapid"
+
+	"notchhinge/policy"
+)
+
+const drainPrecedence = 30 * time.Second
+
+var host = Host{"b1", "127.0.0.1:9"}
+
+func ready(id policy.ReplicaID, born time.Duration) Update {
+	return Update{Replica: id, State: policy.Ready, BornAt: born}
+}
+
+func TestDrainIsNotifiedToTheOtherPoolOnce(t *testing.T) {
+	tracker := NewTracker(drainPrecedence)
+	tracker.Update(0, 1, host, ready(11, 5))
+	tracker.Update(0, 2, host, ready(21, 5))
+	state, notified := tracker.Update(1, 1, host, Update{Replica: 11, State: policy.Draining, BornAt: 5})
+	if state != policy.Draining || !cmp.Equal(notified, []Notification{{2, 21, policy.Draining}}) {
+		t.Errorf("got %v, %v", state, notified)
+	}
+	if _, notified = tracker.Update(2, 1, host, Update{Replica: 11, State: policy.Draining, BornAt: 5}); len(notified) != 0 {
+		t.Errorf("it was notified twice: %v", notified)
+	}
+	if state, _ = tracker.Update(3, 2, host, ready(21, 5)); state != policy.Draining {
+		t.Errorf("the other pool's stale list made it %v again", state)
+	}
+	if _, notified = tracker.Update(4, 1, host, Update{State: policy.Gone}); !cmp.Equal(notified, []Notification{{2, 21, policy.Gone}}) {
+		t.Errorf("gone: got %v", notified)
+	}
+	if state, _ = tracker.Update(5, 2, host, ready(21, 6)); state != policy.Ready {
+		t.Errorf("a new process at its address is %v", state)
+	}
+}
+
+func TestWithdrawnDrainIsNotified(t *testing.T) {
+	tracker := NewTracker(drainPrecedence)
+	tracker.Update(0, 1, host, ready(11, 5))
+	tracker.Update(0, 2, host, ready(21, 5))
+	tracker.Update(1, 1, host, Update{Replica: 11, State: policy.Draining, BornAt: 5})
+	state, notified := tracker.Update(2, 1, host, ready(11, 5))
+	if state != policy.Ready || !cmp.Equal(notified, []Notification{{2, 21, policy.Ready}}) {
+		t.Errorf("got %v, %v", state, notified)
+	}
+}
+
+func TestStaleListPrevailsAfterDrainPrecedence(t *testing.T) {
+	tracker := NewTracker(drainPrecedence)
+	tracker.Update(0, 1, host, ready(1, 5))
+	tracker.Update(0, 2, host, ready(2, 5))
+	tracker.Update(time.Second, 1, host, Update{State: policy.Gone})
+	if state, _ := tracker.Update(time.Second+drainPrecedence, 2, host, ready(2, 5)); state != policy.Gone {
+		t.Errorf("within the drain precedence: %v", state)
+	}
+	if state, _ := tracker.Update(time.Second+drainPrecedence+1, 2, host, ready(2, 5)); state != policy.Ready {
+		t.Errorf("after it: %v", state)
+	}
+}
+
+func TestRemovalFromASelectionIsNotNotified(t *testing.T) {
+	tracker := NewTracker(drainPrecedence)
+	tracker.Update(0, 1, host, ready(1, 5))
+	tracker.Update(0, 2, host, ready(2, 5))
+	if _, notified := tracker.Update(1, 1, host, Update{State: policy.Gone, Removed: true}); len(notified) != 0 {
+		t.Errorf("got %v", notified)
+	}
+	if state, _ := tracker.Update(2, 2, host, ready(2, 5)); state != policy.Ready {
+		t.Errorf("got %v", state)
+	}
+}
+
+func TestOneNameAtTwoAddressesIsTwoHosts(t *testing.T) {
+	tracker := NewTracker(drainPrecedence)
+	tracker.Update(0, 1, Host{"b1", "127.0.0.1:1"}, ready(1, 5))
+	tracker.Update(0, 2, Host{"b1", "127.0.0.1:2"}, ready(1, 5))
+	if _, notified := tracker.Update(1, 1, Host{"b1", "127.0.0.1:1"}, Update{State: policy.Gone}); len(notified) != 0 || tracker.Len() != 1 {
+		t.Errorf("got %v, %d hosts", notified, tracker.Len())
+	}
+}
+
+// pools plays the lists of three pools that share one host, and keeps what their modules see.
+type pools struct {
+	tracker *Tracker
+	now     time.Duration
+	sees    map[PoolID]Update
+
+	hasEnded     bool // one list reported an end, and no later process is there
+	end          Update
+	endAt        time.Duration
+	endedBy      PoolID
+	latestEnding policy.State
+}
+
+// TestNoPoolSeesAnEndedHostAsReady plays random lists of three pools: once one pool's list reported an end, no other may
+// see the host as ready until another process is there or the drain precedence has passed.
+func TestNoPoolSeesAnEndedHostAsReady(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		p := &pools{tracker: NewTracker(drainPrecedence), sees: map[PoolID]Update{}, latestEnding: policy.Ready}
+		for range rapid.IntRange(1, 60).Draw(t, "steps") {
+			p.step(t)
+		}
+		for id := range p.sees {
+			p.tracker.RemovePool(id)
+		}
+		if p.tracker.Len() != 0 {
+			t.Fatalf("%d hosts are left", p.tracker.Len())
+		}
+	})
+}
+
+// step has one pool's list say something.
+func (p *pools) step(t *rapid.T) {
+	t.Helper()
+	p.now += time.Duration(rapid.IntRange(1, 10000).Draw(t, "ms")) * time.Millisecond
+	id := PoolID(rapid.IntRange(0, 2).Draw(t, "pool"))
+	update := Update{
+		Replica: policy.ReplicaID(id), State: policy.State(rapid.IntRange(0, 2).Draw(t, "state")),
+		BornAt: time.Duration(rapid.IntRange(1, 3).Draw(t, "born")),
+	}
+	update.Removed = update.State == policy.Gone && rapid.Bool().Draw(t, "left")
+	before, had := p.sees[id]
+	state, notified := p.tracker.Update(p.now, id, host, update)
+	p.checkOwnState(t, id, update, state)
+	if update.State == policy.Gone {
+		delete(p.sees, id)
+	} else {
+		seen := update
+		seen.State = state
+		p.sees[id] = seen
+	}
+	p.notify(t, id, notified)
+	isDrain := update.State == policy.Draining && state == policy.Draining
+	if isDrain || update.State == policy.Gone && had && !update.Removed && len(p.sees) > 0 {
+		if update.State == policy.Gone {
+			update.BornAt = before.BornAt
+		}
+		p.ended(t, id, update)
+	}
+	if state == policy.Ready && update.State == policy.Ready || len(p.sees) == 0 {
+		p.hasEnded = false
+	}
+}
+
+// checkOwnState checks what the pool whose list has spoken must see.
+func (p *pools) checkOwnState(t *rapid.T, id PoolID, update Update, state policy.State) {
+	t.Helper()
+	if update.State != policy.Ready && state != update.State {
+		t.Fatalf("listed as %v, seen as %v", update.State, state)
+	}
+	isReady := update.State == policy.Ready && state == policy.Ready
+	if isReady && p.hasEnded && update.BornAt <= p.end.BornAt && p.now-p.endAt <= drainPrecedence && id != p.endedBy {
+		t.Fatalf("pool %d sees a host as ready that ended %v ago", id, p.now-p.endAt)
+	}
+}
+
+// notify takes in what the other pools are notified of.
+func (p *pools) notify(t *rapid.T, id PoolID, notified []Notification) {
+	t.Helper()
+	for _, n := range notified {
+		s, has := p.sees[n.Pool]
+		if !has || n.Pool == id || n.State != policy.Ready && s.State >= n.State {
+			t.Fatalf("pool %d is notified of %v, but has %v (%v)", n.Pool, n.State, s.State, has)
+		}
+		s.State = n.State
+		p.sees[n.Pool] = s
+	}
+}
+
+// ended notes the end that a list reported, which all other pools must see by now.
+func (p *pools) ended(t *rapid.T, id PoolID, end Update) {
+	t.Helper()
+	if !p.hasEnded || end.BornAt > p.end.BornAt || end.BornAt == p.end.BornAt && end.State > p.latestEnding {
+		p.hasEnded, p.end, p.endAt, p.endedBy, p.latestEnding = true, end, p.now, id, end.State
+	}
+	for other, s := range p.sees {
+		if s.State == policy.Ready && s.BornAt <= end.BornAt {
+			t.Fatalf("pool %d's list reported an end, and %d still sees it as ready", id, other)
+		}
+	}
+}
+
+// TestColdHostIsSentItsShareByAllPoolsTogether has two pools that ask as often as they like.
+func TestColdHostIsSentItsShareByAllPoolsTogether(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		tracker := NewTracker(drainPrecedence)
+		tracker.Update(0, 1, host, ready(1, 5))
+		tracker.Update(0, 2, host, ready(2, 5))
+		share := rapid.Float64Range(0.01, 1).Draw(t, "share")
+		hosts := [2]float64{rapid.Float64Range(1, 8).Draw(t, "hosts 1"), rapid.Float64Range(1, 8).Draw(t, "hosts 2")}
+		var arrived [2]float64
+		allowed, sent := 1.0, 0.0
+		for range rapid.IntRange(1, 300).Draw(t, "steps") {
+			p := rapid.IntRange(0, 1).Draw(t, "pool")
+			n := float64(rapid.IntRange(0, 2).Draw(t, "arrivals"))
+			arrived[p] += n
+			allowed += share * n / hosts[p]
+			if tracker.MaySendCold(host, 5, []PoolTraffic{{1, arrived[0], hosts[0], share}, {2, arrived[1], hosts[1], share}}) {
+				sent++
+			}
+			if sent > allowed+1e-9 {
+				t.Fatalf("%v were sent, %v are allowed", sent, allowed)
+			}
+		}
+	})
+}
+
+func TestSlowStartShare(t *testing.T) {
+	for _, c := range []struct {
+		age  time.Duration
+		want float64
+	}{{0, 0.2}, {5 * time.Second, 0.6}, {10 * time.Second, 1}, {time.Minute, 1}, {-time.Second, 0.2}} {
+		if got := SlowStartShare(c.age, 10*time.Second, 0.2); math.Abs(got-c.want) > 1e-9 {
+			t.Errorf("after %v: %v, want %v", c.age, got, c.want)
+		}
+	}
+}
--- a/internal/issuer/issuer.go
+++ b/internal/issuer/issuer.go
@@ -18,8 +18,8 @@
 
 	"notchhinge/internal/broker"
 	"notchhinge/internal/framing"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/pool"
 	"notchhinge/internal/quota"
 	"notchhinge/internal/trace"
 	"notchhinge/policy"
@@ -103,7 +103,7 @@
 	lines lines
 	mu    sync.Mutex
 	legs  map[broker.LegID]*leg
-	pools map[pool.ID]*Reports // where they are not the Config's
+	pools map[hoststate.PoolID]*Reports // where they are not the Config's
 }
 
 // Reports say how a pool's hosts tell of their load.
@@ -122,7 +122,7 @@
 		c.Go = func(f func()) { go f() }
 	}
 	return &Client{
-		Config: c, legs: map[broker.LegID]*leg{}, pools: map[pool.ID]*Reports{},
+		Config: c, legs: map[broker.LegID]*leg{}, pools: map[hoststate.PoolID]*Reports{},
 		lines: lines{
 			lim: c.Lim, dial: c.Dial, post: c.Post, idle: map[dest][]*line{}, stock: quota.New(int64(c.Lim.UpstreamConns)),
 		},
@@ -130,7 +130,7 @@
 }
 
 // Set says how a pool's hosts report, and what part of the lines is the pool's. It holds for legs sent from now on.
-func (c *Client) Set(id pool.ID, r Reports, lines quota.Claim) {
+func (c *Client) Set(id hoststate.PoolID, r Reports, lines quota.Claim) {
 	c.mu.Lock()
 	c.pools[id] = &r
 	c.mu.Unlock()
@@ -140,7 +140,7 @@
 }
 
 // End closes a pool's idle lines and forgets the pool. Its legs are over.
-func (c *Client) End(id pool.ID) {
+func (c *Client) End(id hoststate.PoolID) {
 	c.lines.closeIf(func(to dest) bool { return to.pool == id })
 	c.mu.Lock()
 	delete(c.pools, id)
@@ -151,7 +151,7 @@
 }
 
 // Lines tells how many lines a pool has, idle ones included.
-func (c *Client) Lines(id pool.ID) int {
+func (c *Client) Lines(id hoststate.PoolID) int {
 	c.lines.mu.Lock()
 	defer c.lines.mu.Unlock()
 	return int(c.lines.stock.Reserved(int(id)))
@@ -183,7 +183,7 @@
 }
 
 // reports is how a pool's hosts report. The lock is held.
-func (c *Client) reports(id pool.ID) *Reports {
+func (c *Client) reports(id hoststate.PoolID) *Reports {
 	if r := c.pools[id]; r != nil {
 		return r
 	}
--- a/internal/issuer/issuer_test.go
+++ b/internal/issuer/issuer_test.go
@@ -15,8 +15,8 @@
 
 	"notchhinge/internal/broker"
 	"notchhinge/internal/exchange"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/pool"
 	"notchhinge/internal/quota"
 	"notchhinge/policy"
 )
@@ -498,10 +498,10 @@
 		dial, far := pipes()
 		d := newDesk(dial)
 		d.lines.stock.Resize(3)
-		for id := range pool.ID(2) {
+		for id := range hoststate.PoolID(2) {
 			d.Set(id, d.Reports, quota.Claim{Guarantee: 1})
 		}
-		get := func(of pool.ID, host policy.ReplicaID) *line {
+		get := func(of hoststate.PoolID, host policy.ReplicaID) *line {
 			l, err := d.lines.get(t.Context(), dest{host, "a", of}, time.Second, 0)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/issuer/lines.go
+++ b/internal/issuer/lines.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"notchhinge/internal/broker"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/pool"
 	"notchhinge/internal/quota"
 	"notchhinge/policy"
 )
@@ -43,7 +43,7 @@
 type dest struct {
 	host policy.ReplicaID
 	addr string
-	pool pool.ID
+	pool hoststate.PoolID
 }
 
 // lines holds the lines that are idle and counts all of them.
@@ -136,7 +136,7 @@
 
 // victim takes out an idle line that may go for a new one of a pool: one of its own, or one that another pool has
 // beyond its guarantee.
-func (p *lines) victim(of pool.ID) *line {
+func (p *lines) victim(of hoststate.PoolID) *line {
 	for to, s := range p.idle {
 		if to.pool == of || p.stock.IsOverGuarantee(int(to.pool)) {
 			p.keep(to, s[1:])
@@ -154,7 +154,7 @@
 	p.idle[to] = s
 }
 
-func (p *lines) release(of pool.ID) {
+func (p *lines) release(of hoststate.PoolID) {
 	p.mu.Lock()
 	p.open--
 	p.stock.Release(int(of), 1)
--- a/internal/lab/check/legs.go
+++ b/internal/lab/check/legs.go
@@ -19,9 +19,9 @@
 	"notchhinge/internal/broker"
 	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/edge"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/pool"
 	"notchhinge/internal/retrybudget"
 	"notchhinge/internal/service"
 	"notchhinge/policy"
@@ -128,7 +128,7 @@
 			Name: kind, Hostname: "h", PathPrefix: "/" + kind + "/", Type: kind, TimeoutMS: 5000, TargetLatencyMS: 1000, TargetService: "s", MaxAttempts: 3, Public: true,
 		})
 	}
-	next := pool.ID(1)
+	next := hoststate.PoolID(1)
 	at, err := edge.Compile(c, 1, nil, &next, nil)
 	if err != nil {
 		r.wrong = err.Error()
--- a/internal/node/dataplane.go
+++ b/internal/node/dataplane.go
@@ -13,9 +13,9 @@
 	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/metrics"
 	"notchhinge/internal/edge"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/pool"
 	"notchhinge/internal/retrybudget"
 	"notchhinge/internal/service"
 	"notchhinge/policy"
@@ -43,16 +43,16 @@
 	bounds            atomic.Pointer[limits.RequestBounds] // of the present configuration
 	endpointZones     atomic.Pointer[map[string]string]    // of engines, by address
 	mu                sync.Mutex                           // one change of configuration or engines at a time
-	nextPool          pool.ID
-	modules           map[pool.ID]*policy.Balancer
-	classCounts       map[pool.ID]int
+	nextPool          hoststate.PoolID
+	modules           map[hoststate.PoolID]*policy.Balancer
+	classCounts       map[hoststate.PoolID]int
 	endpointsChanged  chan struct{}
 }
 
 func newDataPlane(log *slog.Logger, lim limits.Limits, grace time.Duration, seed uint64, list func(string) []endpoints.Endpoint) *dataPlane {
 	d := &dataPlane{
-		traffic: &metrics.Traffic{}, log: log, limits: lim, drainGrace: grace, seed: seed, endpoints: list, nextPool: 1, modules: map[pool.ID]*policy.Balancer{},
-		classCounts: map[pool.ID]int{}, endpointsChanged: make(chan struct{}, 1),
+		traffic: &metrics.Traffic{}, log: log, limits: lim, drainGrace: grace, seed: seed, endpoints: list, nextPool: 1, modules: map[hoststate.PoolID]*policy.Balancer{},
+		classCounts: map[hoststate.PoolID]int{}, endpointsChanged: make(chan struct{}, 1),
 	}
 	unsaid, _ := lim.ConfiguredBounds(0, 0, 0, 0)
 	d.bounds.Store(&unsaid)
@@ -118,7 +118,7 @@
 	}
 }
 
-func (d *dataPlane) poolEnded(id pool.ID) {
+func (d *dataPlane) poolEnded(id hoststate.PoolID) {
 	d.upstream.End(id)
 	d.frontend.End(id)
 	d.mu.Lock()
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"notchhinge/internal/config"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/pool"
 	"notchhinge/internal/quota"
 	"notchhinge/internal/registry"
 	"notchhinge/internal/service"
@@ -25,12 +25,12 @@
 type Plan struct {
 	Directory *service.Directory
 	Pools     []Pool // in the order of the file
-	next      pool.ID
+	next      hoststate.PoolID
 }
 
 // Pool is one pool of a plan.
 type Pool struct {
-	ID        pool.ID
+	ID        hoststate.PoolID
 	Name      string // "" = the platform's, without a file
 	Discovery string
 	Selection registry.Selection
@@ -97,7 +97,7 @@
 	p.Directory = service.Plain(view)
 }
 
-func (p *Plan) take() pool.ID {
+func (p *Plan) take() hoststate.PoolID {
 	id := p.next
 	p.next++
 	return id
@@ -117,7 +117,7 @@
 // pools makes the pools of a file.
 func (p *Plan) pools(cfg *config.Config, f *settings.File, running *Plan) (faults settings.Faults) {
 	guarantees := guarantees(f.Pools)
-	followed := map[pool.ID]bool{}
+	followed := map[hoststate.PoolID]bool{}
 	for i, s := range f.Pools {
 		at := []string{"pool", strconv.Itoa(i)}
 		q := Pool{Name: s.Name, Discovery: cfg.Discovery, Module: cfg.Module, Seed: cfg.Seed}
@@ -317,7 +317,7 @@
 // From says what leads from another plan, or from none, to this one.
 func (p *Plan) From(running *Plan) Changes {
 	c := Changes{Renamed: map[string]string{}}
-	old := map[pool.ID]*Pool{}
+	old := map[hoststate.PoolID]*Pool{}
 	if running != nil {
 		for i := range running.Pools {
 			old[running.Pools[i].ID] = &running.Pools[i]
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -6,82 +6,105 @@
 	"pgregory.net/rapid"
 )
 
+const testTotal = 100
+
+// account is a plain account of a Quota of testTotal units and up to four holders.
+type account struct {
+	quota       *Quota
+	reserved    map[int]int64
+	claims      map[int]Claim
+	isCommitted bool // the claims and what is reserved fit together
+}
+
 // TestQuotaKeepsGuarantees plays reservations, releases and changes of claims against a plain account.
 func TestQuotaKeepsGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const total = 100
-		q := New(total)
-		reserved, claims := map[int]int64{}, map[int]Claim{}
-		sum := func() (n int64) {
-			for _, h := range reserved {
-				n += h
-			}
-			return n
-		}
-		isCommitted := true // the claims and what is reserved fit together
+		a := &account{quota: New(testTotal), reserved: map[int]int64{}, claims: map[int]Claim{}, isCommitted: true}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			id := rapid.IntRange(0, 3).Draw(t, "holder")
 			n := rapid.Int64Range(0, 40).Draw(t, "n")
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1, 2:
-				within := reserved[id]+n <= claims[id].Guarantee
-				ok := q.Take(id, n)
-				if ok {
-					reserved[id] += n
-				}
-				if within && isCommitted && !ok {
-					t.Fatalf("holder %d was rejected %d within its guarantee: reserved %v, claims %v", id, n, reserved, claims)
-				}
-				if ok && claims[id].Max > 0 && reserved[id] > claims[id].Max {
-					t.Fatalf("holder %d has %d, more than its max", id, reserved[id])
-				}
+				a.take(t, id, n)
 			case 3, 4:
-				q.Release(id, n)
-				reserved[id] -= min(n, reserved[id])
+				a.quota.Release(id, n)
+				a.reserved[id] -= min(n, a.reserved[id])
 			case 5:
-				c := Claim{Guarantee: rapid.Int64Range(0, 25).Draw(t, "guarantee")}
-				if rapid.Bool().Draw(t, "bounded") {
-					c.Max = c.Guarantee + rapid.Int64Range(0, 60).Draw(t, "beyond")
-				}
-				if rapid.IntRange(0, 4).Draw(t, "end") == 0 {
-					q.EndClaim(id)
-					c = Claim{}
-				} else {
-					q.SetClaim(id, c)
-				}
-				claims[id] = c
-				committed := int64(0)
-				for i := range 4 {
-					committed += max(reserved[i], claims[i].Guarantee)
-				}
-				isCommitted = committed <= total
-			}
-			if sum() > total {
-				t.Fatalf("%d of %d are reserved", sum(), total)
-			}
-			for i, h := range reserved {
-				if q.Reserved(i) != h {
-					t.Fatalf("holder %d has reserved %d by the quota, %d by the account", i, q.Reserved(i), h)
-				}
-			}
-			if !isCommitted {
-				committed := int64(0)
-				for i := range 4 {
-					committed += max(reserved[i], claims[i].Guarantee)
-				}
-				isCommitted = committed <= total
+				a.changeClaim(t, id)
 			}
+			a.compare(t)
 		}
-		for i := range 4 {
-			q.EndClaim(i)
-			q.Release(i, reserved[i])
-		}
-		if len(q.holders) != 0 || q.committed != 0 || q.reserved != 0 {
-			t.Fatalf("left: %d holders, %d committed, %d reserved", len(q.holders), q.committed, q.reserved)
-		}
+		a.releaseAll(t)
 	})
 }
 
+func (a *account) take(t *rapid.T, id int, n int64) {
+	t.Helper()
+	isWithinGuarantee := a.reserved[id]+n <= a.claims[id].Guarantee
+	ok := a.quota.Take(id, n)
+	if ok {
+		a.reserved[id] += n
+	}
+	if isWithinGuarantee && a.isCommitted && !ok {
+		t.Fatalf("holder %d was rejected %d within its guarantee: reserved %v, claims %v", id, n, a.reserved, a.claims)
+	}
+	if ok && a.claims[id].Max > 0 && a.reserved[id] > a.claims[id].Max {
+		t.Fatalf("holder %d has %d, more than its max", id, a.reserved[id])
+	}
+}
+
+func (a *account) changeClaim(t *rapid.T, id int) {
+	t.Helper()
+	c := Claim{Guarantee: rapid.Int64Range(0, 25).Draw(t, "guarantee")}
+	if rapid.Bool().Draw(t, "bounded") {
+		c.Max = c.Guarantee + rapid.Int64Range(0, 60).Draw(t, "beyond")
+	}
+	if rapid.IntRange(0, 4).Draw(t, "end") == 0 {
+		a.quota.EndClaim(id)
+		c = Claim{}
+	} else {
+		a.quota.SetClaim(id, c)
+	}
+	a.claims[id] = c
+	a.isCommitted = a.committed() <= testTotal
+}
+
+func (a *account) committed() (sum int64) {
+	for i := range 4 {
+		sum += max(a.reserved[i], a.claims[i].Guarantee)
+	}
+	return sum
+}
+
+// compare holds the quota against the account.
+func (a *account) compare(t *rapid.T) {
+	t.Helper()
+	var sum int64
+	for i, n := range a.reserved {
+		sum += n
+		if a.quota.Reserved(i) != n {
+			t.Fatalf("holder %d has reserved %d by the quota, %d by the account", i, a.quota.Reserved(i), n)
+		}
+	}
+	if sum > testTotal {
+		t.Fatalf("%d of %d are reserved", sum, testTotal)
+	}
+	if !a.isCommitted {
+		a.isCommitted = a.committed() <= testTotal
+	}
+}
+
+func (a *account) releaseAll(t *rapid.T) {
+	t.Helper()
+	for i := range 4 {
+		a.quota.EndClaim(i)
+		a.quota.Release(i, a.reserved[i])
+	}
+	if q := a.quota; len(q.holders) != 0 || q.committed != 0 || q.reserved != 0 {
+		t.Fatalf("left: %d holders, %d committed, %d reserved", len(q.holders), q.committed, q.reserved)
+	}
+}
+
 func TestSingleHolderIsAPlainCounter(t *testing.T) {
 	q := New(3)
 	q.SetClaim(0, Claim{Guarantee: 3})
--- a/internal/registry/feed.go
+++ b/internal/registry/feed.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 
 	"notchhinge/internal/broker"
-	"notchhinge/internal/pool"
+	"notchhinge/internal/hoststate"
 	"notchhinge/policy"
 )
 
@@ -55,7 +55,7 @@
 	mu    sync.Mutex
 	known bool             // a list has come, or was given
 	list  map[string]Entry // as last held
-	pools map[pool.ID]*member
+	pools map[hoststate.PoolID]*member
 }
 
 type member struct {
@@ -66,7 +66,7 @@
 
 // NewFeed returns a feed of a discovery. c.Deliver and c.Post are the feed's.
 func NewFeed(c Client, post func(broker.Event)) *Feed {
-	f := &Feed{post: post, asked: make(chan struct{}, 1), pools: map[pool.ID]*member{}, list: map[string]Entry{}}
+	f := &Feed{post: post, asked: make(chan struct{}, 1), pools: map[hoststate.PoolID]*member{}, list: map[string]Entry{}}
 	c.Deliver, c.Post = f.take, post
 	f.Client = New(c)
 	return f
@@ -85,7 +85,7 @@
 // does nothing. After a call that failed it is the first pool alone that hears of it and whose module says when to ask
 // again: were it all of them, each failure would have as many calls follow as there are pools, and each of these would
 // fail for all.
-func (f *Feed) Ask(id pool.ID) {
+func (f *Feed) Ask(id hoststate.PoolID) {
 	if !f.failed.Load() || int64(id) == f.first.Load() {
 		f.AskNow()
 	}
@@ -122,7 +122,7 @@
 // Join gives a pool its selection from now on, whatever it had before, and at once what is known of it: as a list that is
 // as last held if it is new, and as a whole list otherwise. A pool that is not new keeps what it has as long as nothing
 // is known here.
-func (f *Feed) Join(id pool.ID, sel Selection, zones []string, first bool) {
+func (f *Feed) Join(id hoststate.PoolID, sel Selection, zones []string, first bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := &member{sel: sel, zones: zones}
@@ -147,7 +147,7 @@
 }
 
 // Leave takes a pool out and tells whether any is left.
-func (f *Feed) Leave(id pool.ID) (left bool) {
+func (f *Feed) Leave(id hoststate.PoolID) (left bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.pools, id)
@@ -158,7 +158,7 @@
 // choose finds the first pool. If that is another now and the last call failed, it has to see to the next. The lock is
 // held.
 func (f *Feed) choose() {
-	least := pool.ID(-1)
+	least := hoststate.PoolID(-1)
 	for id := range f.pools {
 		if least < 0 || id < least {
 			least = id
@@ -176,7 +176,7 @@
 	f.failed.Store(kind == policy.ListFailed)
 	if kind == policy.ListFailed {
 		if len(f.pools) > 0 {
-			f.post(broker.Listed{Pool: pool.ID(f.first.Load()), Kind: kind})
+			f.post(broker.Listed{Pool: hoststate.PoolID(f.first.Load()), Kind: kind})
 		}
 		return nil
 	}
@@ -200,7 +200,7 @@
 }
 
 // tell passes a list on to a pool as its selection has it.
-func (f *Feed) tell(id pool.ID, m *member, kind policy.ListKind, l List) error {
+func (f *Feed) tell(id hoststate.PoolID, m *member, kind policy.ListKind, l List) error {
 	hosts, err := l.Entries(m.zones)
 	if err != nil {
 		return err
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -12,8 +12,8 @@
 
 	"notchhinge/internal/broker"
 	"notchhinge/internal/exchange"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/pool"
 	"notchhinge/policy"
 )
 
@@ -198,7 +198,7 @@
 
 // TestOnePoolPacesCallsAfterAFailure: a discovery that is down is not asked once for each pool after each failure.
 func TestOnePoolPacesCallsAfterAFailure(t *testing.T) {
-	var failed []pool.ID
+	var failed []hoststate.PoolID
 	f := NewFeed(Client{}, func(e broker.Event) {
 		if l := e.(broker.Listed); l.Kind == policy.ListFailed {
 			failed = append(failed, l.Pool)
@@ -212,7 +212,7 @@
 			return false
 		}
 	}
-	for id := range pool.ID(3) {
+	for id := range hoststate.PoolID(3) {
 		f.Join(id+1, Selection{}, nil, true)
 	}
 	if f.Ask(3); !asked() {
@@ -227,11 +227,11 @@
 	}
 	f.Leave(1)
 	f.Leave(3)
-	if f.Ask(2); !asked() || !cmp.Equal(failed, []pool.ID{1, 2}) {
+	if f.Ask(2); !asked() || !cmp.Equal(failed, []hoststate.PoolID{1, 2}) {
 		t.Errorf("told of a failure: %v", failed)
 	}
 	f.Join(0, Selection{}, nil, false) // a pool of before comes from another discovery, and is the first now
-	if f.Ask(0); !asked() || !cmp.Equal(failed, []pool.ID{1, 2, 0}) {
+	if f.Ask(0); !asked() || !cmp.Equal(failed, []hoststate.PoolID{1, 2, 0}) {
 		t.Errorf("told of a failure: %v", failed)
 	}
 	f.Leave(0)
--- a/internal/retrybudget/share_test.go
+++ b/internal/retrybudget/share_test.go
@@ -55,15 +55,17 @@
 
 // step plays half a second.
 func (f *fleet) step() {
+	f.disturb()
+	f.report()
+	f.retry()
+	f.now += 500 * time.Millisecond
+}
+
+// disturb draws a fault, now and then.
+func (f *fleet) disturb() {
 	switch f.rng.IntN(60) {
-	case 0: // a partition with the holder on one side
-		chance := 1 + f.rng.IntN(7)
-		for i := range f.ids {
-			side := f.rng.IntN(8) < chance
-			for k := range f.cut {
-				f.cut[k][i] = side == (k == 0)
-			}
-		}
+	case 0:
+		f.partition()
 	case 1:
 		for k := range f.cut {
 			clear(f.cut[k])
@@ -73,8 +75,8 @@
 		f.heard[f.rng.IntN(3)] = map[int]time.Duration{}
 	case 3: // the holder restarts
 		f.heard[f.holder], f.since = map[int]time.Duration{}, f.now
-	case 4:
-		for i := range f.ids { // many routers restart
+	case 4: // many routers restart
+		for i := range f.ids {
 			if f.rng.IntN(3) > 0 {
 				f.restart(i)
 			}
@@ -82,33 +84,53 @@
 	case 5:
 		f.restart(f.rng.IntN(len(f.ids)))
 	}
+}
+
+// partition cuts routers off from replicas, with the holder on one side.
+func (f *fleet) partition() {
+	chance := 1 + f.rng.IntN(7)
+	for i := range f.ids {
+		side := f.rng.IntN(8) < chance
+		for k := range f.cut {
+			f.cut[k][i] = side == (k == 0)
+		}
+	}
+}
+
+// report has every router ask every replica that it can reach.
+func (f *fleet) report() {
 	for i, id := range f.ids {
-		asked := f.now
 		for k := range f.heard {
-			if f.cut[k][i] {
-				continue
-			}
-			f.heard[k][id] = f.now
-			incarnations := 0
-			for _, at := range f.heard[k] {
-				if f.now-at <= CountingPeriod(window, validity) {
-					incarnations++
-				}
+			if !f.cut[k][i] {
+				f.heard[k][id] = f.now
+				f.shares[i].Update(f.now, f.now, f.count(k))
 			}
-			cannotSay := f.now < f.since+CountingPeriod(window, validity) && !f.reportsAtOnce || f.now < f.since || f.rng.IntN(4) == 0
-			if !f.allReport && (k != f.holder || cannotSay) {
-				incarnations = 0
-			}
-			f.shares[i].Update(asked, f.now, incarnations)
 		}
 	}
+}
+
+// count returns the incarnations that a replica reports; 0 = it cannot say.
+func (f *fleet) count(replica int) (incarnations int) {
+	for _, at := range f.heard[replica] {
+		if f.now-at <= CountingPeriod(window, validity) {
+			incarnations++
+		}
+	}
+	cannotSay := f.now < f.since+CountingPeriod(window, validity) && !f.reportsAtOnce || f.now < f.since || f.rng.IntN(4) == 0
+	if !f.allReport && (replica != f.holder || cannotSay) {
+		return 0
+	}
+	return incarnations
+}
+
+// retry has every router retry as much as it may.
+func (f *fleet) retry() {
 	for i := range f.ids {
 		f.budgets[i].Allowance = f.shares[i].Allowance(f.now)
 		for f.rng.IntN(3) > 0 && f.budgets[i].TryTake(f.now) {
 			f.retries = append(f.retries, f.now)
 		}
 	}
-	f.now += 500 * time.Millisecond
 }
 
 // exceeded plays fleets and returns where there were more retries within a window than the total allows, and the most that there were.
--- a/internal/router/plan.go
+++ b/internal/router/plan.go
@@ -9,9 +9,9 @@
 
 	"notchhinge/internal/broker"
 	"notchhinge/internal/config"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/plan"
-	"notchhinge/internal/pool"
 	"notchhinge/internal/registry"
 	"notchhinge/internal/settings"
 	"notchhinge/policy"
@@ -23,7 +23,7 @@
 	r.applying.Lock()
 	defer r.applying.Unlock()
 	c := next.From(r.plan)
-	modules := map[pool.ID]*policy.Balancer{}
+	modules := map[hoststate.PoolID]*policy.Balancer{}
 	for _, q := range c.Added {
 		m, err := policy.New(q.Module.Settings, q.Seed)
 		if err != nil {
@@ -93,7 +93,7 @@
 }
 
 // leave takes a pool out of a feed, which ends with its last.
-func (r *Router) leave(f *registry.Feed, id pool.ID) {
+func (r *Router) leave(f *registry.Feed, id hoststate.PoolID) {
 	if f.Leave(id) {
 		return
 	}
@@ -108,7 +108,7 @@
 }
 
 // feed is where a pool has its list from.
-func (r *Router) feed(id pool.ID) *registry.Feed {
+func (r *Router) feed(id hoststate.PoolID) *registry.Feed {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.feedOf[id]
@@ -122,7 +122,7 @@
 }
 
 // gone does broker.PoolGone.
-func (r *Router) gone(id pool.ID) {
+func (r *Router) gone(id hoststate.PoolID) {
 	r.applying.Lock()
 	defer r.applying.Unlock()
 	if f := r.feed(id); f != nil {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -21,9 +21,9 @@
 	"notchhinge/internal/batch"
 	"notchhinge/internal/broker"
 	"notchhinge/internal/config"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/plan"
-	"notchhinge/internal/pool"
 	"notchhinge/internal/registry"
 	"notchhinge/internal/service"
 	"notchhinge/internal/trace"
@@ -54,7 +54,7 @@
 	first      *plan.Plan   // the one to begin with
 	mu         sync.Mutex   // never held while an event is posted: the loop takes it
 	feeds      map[string]*registry.Feed
-	feedOf     map[pool.ID]*registry.Feed
+	feedOf     map[hoststate.PoolID]*registry.Feed
 }
 
 // Dialer opens connections.
@@ -64,7 +64,7 @@
 func New(cfg *config.Config, p *plan.Plan, log *slog.Logger, dial Dialer, clock broker.Clock) *Router {
 	r := &Router{
 		cfg: cfg, log: log, dial: dial, broker: broker.New(cfg.Limits), first: p,
-		feeds: map[string]*registry.Feed{}, feedOf: map[pool.ID]*registry.Feed{},
+		feeds: map[string]*registry.Feed{}, feedOf: map[hoststate.PoolID]*registry.Feed{},
 		ops: operations{heard: make(chan struct{}), dry: make(chan struct{})},
 	}
 	r.at.Store(p.Directory)
--- a/internal/service/directory.go
+++ b/internal/service/directory.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"notchhinge/internal/pool"
+	"notchhinge/internal/hoststate"
 	"notchhinge/internal/route"
 	"notchhinge/policy"
 )
@@ -34,7 +34,7 @@
 
 // Pool is a pool as the fronts see it.
 type Pool struct {
-	ID         pool.ID
+	ID         hoststate.PoolID
 	Name       string
 	Classes    []policy.Class
 	MaxBudget  time.Duration // no authorisation waits longer, whatever it asks for
