--- a/internal/lab/scale/page.go
+++ b/internal/lab/scale/page.go
@@ -301,11 +301,11 @@
 	add("the same with a router's pauses", "edge.Tenants/paused/N", "ns/op", 1e6, "ms", aimTenants, 1400, 4600, 14000)
 	add("what a router keeps of it", "edge.Tenants/at_once/N", "held-bytes", 1e6, "MB", aimTenants, 1400, 4600, 14000)
 	add("a router's table of routes, over routes", "edge.Configuration/N", "ns/op", 1e6, "ms", 5000, 10, 1000, 5000)
-	add("a report to a keeper, at a keeper, over routers", "duty.Book/report/N", "ns/op", 1e3, "µs", aimRouters, 30, 100, 330)
-	add("a usage window in its book", "duty.Book/report/N", "held-bytes", 1e6, "MB", aimRouters, 30, 100, 330)
-	add("the same, written for another keeper", "duty.Book/write/N", "book-bytes", 1e3, "kB", aimRouters, 30, 100, 330)
-	add("writing it", "duty.Book/write/N", "ns/op", 1e6, "ms", aimRouters, 30, 100, 330)
-	add("adding it up", "duty.Book/sum/N", "ns/op", 1e6, "ms", aimRouters, 30, 100, 330)
+	add("a report to a keeper, at a keeper, over routers", "usage.Table/report/N", "ns/op", 1e3, "µs", aimRouters, 30, 100, 330)
+	add("a usage window in its book", "usage.Table/report/N", "held-bytes", 1e6, "MB", aimRouters, 30, 100, 330)
+	add("the same, written for another keeper", "usage.Table/write/N", "book-bytes", 1e3, "kB", aimRouters, 30, 100, 330)
+	add("writing it", "usage.Table/write/N", "ns/op", 1e6, "ms", aimRouters, 30, 100, 330)
+	add("adding it up", "usage.Table/sum/N", "ns/op", 1e6, "ms", aimRouters, 30, 100, 330)
 	add("an engine's beat at a keeper, over engines", "news.Engines/beat/N", "ns/op", 1e3, "µs", aimEngines, 150, 500, 1500)
 	add("a tick of a router that knows them", "news.Engines/tick/N", "ns/op", 1e3, "µs", aimEngines, 150, 500, 1500)
 	add("an engine in the heap of a process", "news.Engines/beat/N", "B/engine", 1, "B", aimEngines, 150, 500, 1500)
@@ -432,8 +432,8 @@
 		{"a configuration's digest at a keeper", fmt.Sprintf("%s ms twice a change, %s%% of a core", num(digest), num(2*digest/changeEveryS/10)), "`declared.Tenants/digest`, a change each 10.2 s", ""},
 		{"ballots for one change, all keepers", fmt.Sprintf("%s MB, %s times the text", num(ballots/1e6), num(ballots/text)), "scale-homes, changes", "six others: six times the text is the least"},
 		{"a change at the routers, all", fmt.Sprintf("%s MB: %s kB each", num(whole*aimRouters/1e6), num(whole/1e3)), "scale-homes, changes", ""},
-		{"usage book of R x T at a keeper", fmt.Sprintf("%s MB", num(windows*r.bench("duty.Book/report/330", "held-bytes")/1e6)), "`duty.Book/report`, seven windows", "150 requests a window and router, part of a tenant falls with its rank to the 1.01"},
-		{"a window's books to the holder", fmt.Sprintf("%s MB from six others, each 5 s", num(6*r.bench("duty.Book/write/330", "book-bytes")/1e6)), "`duty.Book/write`", ""},
+		{"usage book of R x T at a keeper", fmt.Sprintf("%s MB", num(windows*r.bench("usage.Table/report/330", "held-bytes")/1e6)), "`usage.Table/report`, seven windows", "150 requests a window and router, part of a tenant falls with its rank to the 1.01"},
+		{"a window's books to the holder", fmt.Sprintf("%s MB from six others, each 5 s", num(6*r.bench("usage.Table/write/330", "book-bytes")/1e6)), "`usage.Table/write`", ""},
 		{"beats at a keeper", fmt.Sprintf("%s a second if each engine has a home", num(aimEngines/1.5/7)), "1,500 / 1.5 s / 7", "15 of 22 zones have none: 68 in 100 of beats come to routers"},
 		{"pairs of router and engine", fmt.Sprintf("%s; one is met each %s s", num(pairs), num(pairs/aimRequests)), "330 x 1,500 / 10,000", ""},
 		{
--- a/internal/lab/scale/results.go
+++ b/internal/lab/scale/results.go
@@ -67,7 +67,7 @@
 				name = name[:at]
 			}
 		}
-		name = of + strings.TrimPrefix(name, "Benchmark")
+		name = currentName(of + strings.TrimPrefix(name, "Benchmark"))
 		if r.Benchmarks[name] == nil {
 			r.Benchmarks[name] = map[string]float64{}
 		}
@@ -84,6 +84,18 @@
 	return s.Err()
 }
 
+// renamedBenchmarks are benchmarks that recorded results have under an earlier name.
+var renamedBenchmarks = map[string]string{"duty.Book": "usage.Table"}
+
+// currentName returns the name that a benchmark of a recorded result has today.
+func currentName(recorded string) string {
+	benchmark, sub, _ := strings.Cut(recorded, "/")
+	if current, ok := renamedBenchmarks[benchmark]; ok {
+		return current + "/" + sub
+	}
+	return recorded
+}
+
 // row is a figure of a run.
 func (r *Results) row(run, name string) report.Row {
 	x, ok := r.runs[run][name]
