--- a/internal/control/replica/calls.go
+++ b/internal/control/replica/calls.go
@@ -1,139 +1,115 @@
 package replica
 
 import (
+	"errors"
+	"net/netip"
 	"time"
 
-	"notchhinge/internal/control/encoding"
-	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/control/paxos"
-	"notchhinge/internal/control/replog"
 	"notchhinge/internal/limits"
 )
 
-// The kinds of calls between processes that concern the state. Other numbers are other owners'.
+// CallKind is the number of a kind of call between processes, as it stands on the wire. Replicas take the kinds below; other
+// packages own 5 (configurations), 8, 9, 11 and 15 (singleton roles). 6, 7, 12 and 13 were used once and stay free.
+type CallKind uint8
+
+// The kinds of calls that replicas take.
 const (
-	CallPaxos     uint8 = 1  // a ballot's: ballot.Ask, answered by ballot.Answer
-	CallLearn     uint8 = 2  // a place and the value that was chosen for it, or only word that there is more
-	CallSnapshot  uint8 = 3  // the whole state, where it is further than a place, in the newest format that the caller says it reads
-	CallIdentity  uint8 = 4  // who a keeper is and how far it has come
-	CallJoin      uint8 = 10 // a keeper wants to be a member: identity; answered by nothing, or by joinFull
-	CallReachable uint8 = 16 // whether a keeper at an address answers there: 1, or 0
-	CallCommit    uint8 = 14 // what a member has accepted for a place, under a number, was chosen
+	CallPaxos     CallKind = 1  // paxos.Request, answered by paxos.Response
+	CallLearn     CallKind = 2  // an index and the value chosen for it; an empty value says only that the sender knows more
+	CallSnapshot  CallKind = 3  // the whole state, if it is beyond an index, in the newest format that the caller reads
+	CallIdentity  CallKind = 4  // answered by the identity of the replica
+	CallJoin      CallKind = 10 // identity of a learner that asks for a vote; answered by nothing, or by joinGroupFull
+	CallCommit    CallKind = 14 // what the callee has accepted for an index under a proposal number was chosen
+	CallReachable CallKind = 16 // whether the replica at an address answers the callee: 1, or 0
 )
 
-// CallTimeout is how long who calls waits for an answer. Who answers need not take a call that has waited for longer.
-func CallTimeout(kind uint8) time.Duration {
+// CallTimeout is how long a caller waits for the answer to a call. A callee need not take a call that has waited for longer.
+func CallTimeout(kind CallKind) time.Duration {
 	switch kind {
 	case CallSnapshot, CallReachable:
 		return 2 * limits.ReplicaCallTimeout
 	case CallJoin:
-		return settleWithin
+		return settleTimeout
 	}
 	return limits.ReplicaCallTimeout
 }
 
-// joinFull answers who wants to be a member while there are as many as are wanted and none of them is silent.
-const joinFull = 1
-
-// mostValue bounds the value of a place.
-const mostValue = fleetconfig.MaxBytes + 4096
-
-// optional is nil for nothing.
-func optional(b []byte) []byte {
-	if len(b) == 0 {
-		return nil
+// errUnknownCall answers a call of a kind that no replica takes.
+var errUnknownCall = errors.New("replica: unknown kind of call")
+
+// replyFunc answers a call of another process.
+type replyFunc func(body []byte, err error)
+
+// receiveCall handles a call of another process.
+func (r *Replica) receiveCall(c CallReceived) {
+	reply := func(body []byte, err error) { r.emit(SendReply{c.Request, body, err}) }
+	switch c.Kind {
+	case CallPaxos:
+		r.receivePaxos(c.Body, reply)
+	case CallLearn:
+		r.receiveLearn(c, reply)
+	case CallCommit:
+		r.receiveCommit(c, reply)
+	case CallSnapshot:
+		r.receiveSnapshotCall(c.Body, reply)
+	case CallReachable:
+		r.receiveReachable(c.Body, reply)
+	case CallIdentity:
+		reply(r.identity().encode(), nil)
+	case CallJoin:
+		r.receiveJoin(c, reply)
+	default:
+		reply(nil, errUnknownCall)
 	}
-	return b
-}
-
-func encodeAsk(a *paxos.Request) []byte {
-	w := encoding.Writer{}
-	w.Byte(byte(a.Kind))
-	w.Uvarint(a.Index)
-	w.Uvarint(a.Number.Term)
-	w.Fixed64(a.Number.Proposer)
-	w.Bytes(a.Value)
-	return w.Buf
-}
-
-func decodeAsk(b []byte) (a paxos.Request, err error) {
-	r := encoding.Reader{Buf: b}
-	a = paxos.Request{Kind: paxos.RequestKind(r.Byte()), Index: r.Uvarint(), Number: paxos.ProposalNumber{Term: r.Uvarint(), Proposer: r.Fixed64()}}
-	a.Value = optional(r.Bytes(mostValue))
-	return a, r.Finish()
 }
 
-func encodeAnswer(a *paxos.Response) []byte {
-	w := encoding.Writer{}
-	w.Byte(byte(a.Verdict))
-	w.Uvarint(a.NextIndex)
-	for _, n := range []paxos.ProposalNumber{a.Promised, a.Accepted} {
-		w.Uvarint(n.Term)
-		w.Fixed64(n.Proposer)
+// receivePaxos answers a proposer, once the disk has what the answer says.
+func (r *Replica) receivePaxos(body []byte, reply replyFunc) {
+	req, err := decodePaxosRequest(body)
+	if err != nil {
+		reply(nil, err)
+		return
 	}
-	w.Bytes(a.Value)
-	return w.Buf
-}
-
-func decodeAnswer(b []byte) (a paxos.Response, err error) {
-	r := encoding.Reader{Buf: b}
-	a = paxos.Response{Verdict: paxos.Verdict(r.Byte()), NextIndex: r.Uvarint()}
-	a.Promised = paxos.ProposalNumber{Term: r.Uvarint(), Proposer: r.Fixed64()}
-	a.Accepted = paxos.ProposalNumber{Term: r.Uvarint(), Proposer: r.Fixed64()}
-	a.Value = optional(r.Bytes(mostValue))
-	return a, r.Finish()
+	r.vote(req, func(resp paxos.Response, err error) {
+		if err != nil {
+			reply(nil, err)
+			return
+		}
+		reply(encodePaxosResponse(&resp), nil)
+	})
 }
 
-func encodeChosen(place uint64, n paxos.ProposalNumber) []byte {
-	w := encoding.Writer{}
-	w.Uvarint(place)
-	w.Uvarint(n.Term)
-	w.Fixed64(n.Proposer)
-	return w.Buf
-}
-
-func decodeChosen(b []byte) (place uint64, n paxos.ProposalNumber, err error) {
-	r := encoding.Reader{Buf: b}
-	place, n = r.Uvarint(), paxos.ProposalNumber{Term: r.Uvarint(), Proposer: r.Fixed64()}
-	return place, n, r.Finish()
-}
-
-// EncodeIndexed writes a place of the chain and a value that goes with it.
-func EncodeIndexed(place uint64, value []byte) []byte {
-	w := encoding.Writer{}
-	w.Uvarint(place)
-	w.Bytes(value)
-	return w.Buf
-}
-
-// DecodeIndexed reads what EncodePlace has written.
-func DecodeIndexed(b []byte) (place uint64, value []byte, err error) {
-	r := encoding.Reader{Buf: b}
-	place, value = r.Uvarint(), r.Bytes(mostValue)
-	return place, value, r.Finish()
-}
-
-// identity is who a keeper is.
-type identity struct {
-	replog.Member
-	next    uint64
-	founder bool
+// call asks for a call of another process; done is called with the answer, or with an error after the timeout. It may be nil.
+func (r *Replica) call(to netip.AddrPort, kind CallKind, body []byte, done replyFunc) {
+	r.lastID++
+	id, sentAt := CallID(r.lastID), r.now
+	r.calls[id] = func(body []byte, err error) {
+		if r.observeCall(to, sentAt, err); done != nil {
+			done(body, err)
+		}
+	}
+	r.emit(SendCall{ID: id, To: to, Kind: kind, Body: body, Timeout: CallTimeout(kind)})
 }
 
-func (i *identity) encode() []byte {
-	w := encoding.Writer{}
-	w.Fixed64(i.ID)
-	w.String(i.Name)
-	w.String(i.Addr)
-	w.Uvarint(i.next)
-	if w.Byte(0); i.founder {
-		w.Buf[len(w.Buf)-1] = 1
-	}
-	return w.Buf
+// callPaxos calls an acceptor.
+func (r *Replica) callPaxos(to netip.AddrPort, body []byte, done func(resp paxos.Response, ok bool)) {
+	r.call(to, CallPaxos, body, func(body []byte, err error) {
+		var resp paxos.Response
+		if err == nil {
+			resp, err = decodePaxosResponse(body)
+		}
+		done(resp, err == nil)
+	})
 }
 
-func decodeIdentity(b []byte) (i identity, err error) {
-	r := encoding.Reader{Buf: b}
-	i = identity{Member: replog.Member{ID: r.Fixed64(), Name: r.String(256), Addr: r.String(256)}, next: r.Uvarint(), founder: r.Byte() == 1}
-	return i, r.Finish()
+// callIdentity asks another replica for its identity.
+func (r *Replica) callIdentity(to netip.AddrPort, done func(i identity, ok bool)) {
+	r.call(to, CallIdentity, nil, func(body []byte, err error) {
+		var i identity
+		if err == nil {
+			i, err = decodeIdentity(body)
+		}
+		done(i, err == nil)
+	})
 }
--- /dev/null
+++ b/internal/control/replica/catchup.go
@@ -0,0 +1,85 @@
+package replica
+
+import (
+	"net/netip"
+	"slices"
+
+	"notchhinge/internal/control/replog"
+)
+
+// oldestStateVersion is the format of a state for callers that do not say which they read.
+const oldestStateVersion byte = 1
+
+// catchUp fetches the state of another replica as a snapshot and installs it if it is newer than the state here. A state may be
+// large: whoever else wants it while it is on its way shares the one call. done is called in either case.
+func (r *Replica) catchUp(from netip.AddrPort, done func()) {
+	waiting, requested := r.catchUps[from]
+	if r.catchUps[from] = append(waiting, done); requested {
+		return
+	}
+	body := EncodeIndexed(r.state.NextIndex, []byte{replog.StateVersion})
+	r.call(from, CallSnapshot, body, func(body []byte, err error) { r.receiveSnapshot(from, body, err) })
+}
+
+// receiveSnapshot takes the answer to a CallSnapshot; no body says that the callee knows no more.
+func (r *Replica) receiveSnapshot(from netip.AddrPort, body []byte, err error) {
+	if err != nil || len(body) == 0 {
+		r.catchUpDone(from)
+		return
+	}
+	state, err := replog.DecodeState(body)
+	if err != nil {
+		r.catchUpDone(from)
+		return
+	}
+	before := r.state.NextIndex
+	r.installSnapshot(state, func() {
+		if r.state.NextIndex > before {
+			r.log.Info("caught up", "peer", from.String(), "next_index", r.state.NextIndex, "revision", r.state.Revision)
+		}
+		r.catchUpDone(from)
+	})
+}
+
+func (r *Replica) catchUpDone(from netip.AddrPort) {
+	waiting := r.catchUps[from]
+	delete(r.catchUps, from)
+	for _, done := range waiting {
+		done()
+	}
+}
+
+// installSnapshot replaces the state with a newer one, once the disk has it. done is called in either case.
+func (r *Replica) installSnapshot(state *replog.State, done func()) {
+	if state.NextIndex <= r.state.NextIndex {
+		done()
+		return
+	}
+	r.write(Write{Snapshot: true, State: state}, func(durable bool) {
+		if durable && state.NextIndex > r.state.NextIndex {
+			membersBefore := r.state.Members
+			r.state = *state
+			r.alignAcceptor()
+			if !slices.Equal(membersBefore, state.Members) {
+				r.membershipChanged()
+			}
+			r.emit(StateChanged{r.state})
+		}
+		done()
+	})
+}
+
+// receiveSnapshotCall answers a replica that catches up: with the state, if that is beyond the caller's next index, in the
+// newest format that the caller reads. An earlier release does not say which it reads.
+func (r *Replica) receiveSnapshotCall(body []byte, reply replyFunc) {
+	index, formats, err := DecodeIndexed(body)
+	if err != nil || r.state.NextIndex <= index {
+		reply(nil, err)
+		return
+	}
+	newest := oldestStateVersion
+	if len(formats) > 0 {
+		newest = formats[0]
+	}
+	reply(r.state.EncodeAs(newest), nil)
+}
--- /dev/null
+++ b/internal/control/replica/commit.go
@@ -0,0 +1,104 @@
+package replica
+
+import (
+	"net/netip"
+	"slices"
+
+	"notchhinge/internal/control/replog"
+)
+
+// commit applies the value that was chosen for an index. It reports whether the state covers the index now: an index beyond the
+// next one cannot be applied.
+func (r *Replica) commit(index uint64, value []byte) bool {
+	if index != r.state.NextIndex {
+		return index < r.state.NextIndex
+	}
+	membersBefore := r.state.Members
+	r.state.Apply(value)
+	r.alignAcceptor()
+	if !slices.Equal(membersBefore, r.state.Members) {
+		r.membershipChanged()
+	}
+	// Nothing waits for this write. If it fails the value is chosen all the same, and the owner writes the whole state before
+	// its next write.
+	r.write(Write{Value: value}, nil)
+	r.emit(StateChanged{r.state})
+	return true
+}
+
+// announce tells the voters what an attempt has chosen: those that have accepted the value only its proposal number, the others
+// the value itself, which may be large, and so those that the value has made voters. There is no retry: who does not receive it
+// catches up.
+func (r *Replica) announce(a *attempt) {
+	number, value := encodeCommit(a.Index, a.Number), EncodeIndexed(a.Index, a.Value)
+	for i := range a.members {
+		m := &a.members[i]
+		to, ok := memberAddr(m)
+		switch {
+		case m.ID == r.Self.ID || !ok:
+		case a.HasGranted(m.ID):
+			r.call(to, CallCommit, number, nil)
+		default:
+			r.call(to, CallLearn, value, nil)
+		}
+	}
+	for i := range r.state.Members {
+		m := &r.state.Members[i]
+		wasVoter := slices.ContainsFunc(a.members, func(x replog.Member) bool { return x.ID == m.ID })
+		if to, ok := memberAddr(m); ok && m.ID != r.Self.ID && !wasVoter {
+			r.call(to, CallLearn, value, nil)
+		}
+	}
+}
+
+// notifyLagging tells a member that this replica knows more than it does, so that it catches up.
+func (r *Replica) notifyLagging(id uint64, members []replog.Member) {
+	for i := range members {
+		if to, ok := memberAddr(&members[i]); ok && members[i].ID == id && id != r.Self.ID {
+			r.call(to, CallLearn, EncodeIndexed(r.state.NextIndex, nil), nil)
+		}
+	}
+}
+
+// receiveLearn takes the value that was chosen for an index, or the message that the caller knows more.
+func (r *Replica) receiveLearn(c CallReceived, reply replyFunc) {
+	index, value, err := DecodeIndexed(c.Body)
+	if reply(nil, err); err == nil {
+		r.learn(c.From, index, value)
+	}
+}
+
+// receiveCommit takes the message that the value which was accepted for an index under a proposal number was chosen. A value
+// that this replica has not accepted is fetched.
+func (r *Replica) receiveCommit(c CallReceived, reply replyFunc) {
+	index, number, err := decodeCommit(c.Body)
+	if reply(nil, err); err != nil || index < r.state.NextIndex {
+		return
+	}
+	var value []byte
+	if accepted := &r.acceptor.State; accepted.Index == index && accepted.Accepted == number {
+		value = accepted.Value
+	}
+	r.learn(c.From, index, value)
+}
+
+// learn commits a value that was chosen, or catches up with the sender if the value is missing or beyond the next index.
+func (r *Replica) learn(from netip.Addr, index uint64, value []byte) {
+	r.committer, r.committedAt = from, r.now
+	if len(value) > 0 && r.commit(index, value) {
+		return
+	}
+	if to, ok := r.peerAt(from); ok {
+		r.catchUp(to, func() {})
+	}
+}
+
+// peerAt returns the first peer at an IP address.
+func (r *Replica) peerAt(ip netip.Addr) (netip.AddrPort, bool) {
+	peers := r.Peers()
+	i := slices.IndexFunc(peers, func(a netip.AddrPort) bool { return a.Addr() == ip })
+	if i < 0 {
+		return netip.AddrPort{}, false
+	}
+	return peers[i], true
+}
--- /dev/null
+++ b/internal/control/replica/failuredetector.go
@@ -0,0 +1,148 @@
+package replica
+
+import (
+	"maps"
+	"net/netip"
+	"time"
+
+	"notchhinge/internal/control/replog"
+	"notchhinge/internal/limits"
+)
+
+// The failure detector knows a peer only by the calls that it answers or misses. A voter that has missed them for a while is
+// suspected. Before it loses its vote the other voters are asked: the suspicion is confirmed if it answers none of them, since
+// two replicas may be partitioned from each other alone.
+
+// suspicion is of a peer that has not answered since a time.
+type suspicion struct {
+	since       time.Duration // when the first call that it has missed was sent
+	confirmedAt time.Duration // when the other voters last confirmed that it does not answer them; 0 = never
+}
+
+// observeCall notes what a call of a peer has come to. It was sent at sentAt.
+func (r *Replica) observeCall(peer netip.AddrPort, sentAt time.Duration, err error) {
+	suspects := r.membership.suspects
+	if err == nil {
+		delete(suspects, peer)
+		return
+	}
+	if _, isSuspected := suspects[peer]; !isSuspected {
+		suspects[peer] = suspicion{since: sentAt}
+	}
+	if len(suspects) > limits.MaxUnresponsiveReplicas {
+		r.forgetFormerPeers()
+	}
+}
+
+// forgetFormerPeers drops the suspects that are not voters, most of which were replaced long ago.
+func (r *Replica) forgetFormerPeers() {
+	isVoter := map[netip.AddrPort]bool{}
+	for i := range r.state.Members {
+		if addr, ok := memberAddr(&r.state.Members[i]); ok {
+			isVoter[addr] = true
+		}
+	}
+	maps.DeleteFunc(r.membership.suspects, func(peer netip.AddrPort, _ suspicion) bool { return !isVoter[peer] })
+}
+
+// longestSuspected returns the index of the voter that has been suspected for longest, and at least for minAge; -1 if there is
+// none.
+func (r *Replica) longestSuspected(s *replog.State, minAge time.Duration) int {
+	return r.longestSuspectedOf(s, minAge, func(suspicion) bool { return true })
+}
+
+// longestConfirmed is longestSuspected among the voters whose suspicion the other voters have lately confirmed.
+func (r *Replica) longestConfirmed(s *replog.State, minAge time.Duration) int {
+	return r.longestSuspectedOf(s, minAge, func(x suspicion) bool {
+		return x.confirmedAt != 0 && r.now-x.confirmedAt <= limits.UnreachableReportTTL
+	})
+}
+
+func (r *Replica) longestSuspectedOf(s *replog.State, minAge time.Duration, counts func(suspicion) bool) int {
+	found, latest := -1, r.now-minAge
+	for i := range s.Members {
+		m := &s.Members[i]
+		addr, ok := memberAddr(m)
+		x, isSuspected := r.membership.suspects[addr]
+		if ok && isSuspected && counts(x) && x.since <= latest && m.ID != r.Self.ID {
+			found, latest = i, x.since-1
+		}
+	}
+	return found
+}
+
+// probeVoters asks every other voter for its identity, so that it is known which are suspected, and then the others about the
+// one that has been suspected for longest. done is called once all have answered or have not.
+func (r *Replica) probeVoters(done func()) {
+	pending := 1
+	answered := func(identity, bool) {
+		if pending--; pending == 0 {
+			r.confirmSuspicion(done)
+		}
+	}
+	for _, to := range r.peerVoters() {
+		pending++
+		r.callIdentity(to, answered)
+	}
+	answered(identity{}, true)
+}
+
+// confirmSuspicion asks the voters that answer here whether the voter that has been suspected for longest answers them.
+func (r *Replica) confirmSuspicion(done func()) {
+	i := r.longestSuspected(&r.state, limits.VoterReplaceDelay)
+	if i < 0 {
+		done()
+		return
+	}
+	suspect, _ := memberAddr(&r.state.Members[i])
+	c := &confirmation{replica: r, suspect: suspect, pending: 1, done: done}
+	for _, to := range r.peerVoters() {
+		if _, isSuspected := r.membership.suspects[to]; isSuspected {
+			continue
+		}
+		c.pending++
+		r.call(to, CallReachable, []byte(suspect.String()), func(body []byte, err error) {
+			c.isReachable = c.isReachable || err == nil && len(body) == 1 && body[0] == 1
+			c.answered()
+		})
+	}
+	c.answered()
+}
+
+// confirmation asks voters about a suspect.
+type confirmation struct {
+	replica     *Replica
+	suspect     netip.AddrPort
+	pending     int // answers that are still to come, and one for the end of sending
+	isReachable bool
+	done        func()
+}
+
+func (c *confirmation) answered() {
+	if c.pending--; c.pending > 0 {
+		return
+	}
+	suspects := c.replica.membership.suspects
+	if x, isSuspected := suspects[c.suspect]; c.isReachable {
+		delete(suspects, c.suspect)
+	} else if isSuspected {
+		suspects[c.suspect] = suspicion{x.since, c.replica.now}
+	}
+	c.done()
+}
+
+// receiveReachable answers whether the replica at an address answers this one.
+func (r *Replica) receiveReachable(body []byte, reply replyFunc) {
+	to, err := netip.ParseAddrPort(string(body))
+	if err != nil {
+		reply(nil, err)
+		return
+	}
+	r.callIdentity(to, func(_ identity, ok bool) {
+		answer := byte(0)
+		if ok {
+			answer = 1
+		}
+		reply([]byte{answer}, nil)
+	})
+}
--- a/internal/control/replica/golden_test.go
+++ b/internal/control/replica/golden_test.go
@@ -14,14 +14,14 @@
 func TestGoldenCalls(t *testing.T) {
 	number, lower := paxos.ProposalNumber{Term: 300, Proposer: 0x0102030405060708}, paxos.ProposalNumber{Term: 7, Proposer: 2}
 	value := []byte("a value")
-	for name, a := range map[string]paxos.Request{
+	for name, req := range map[string]paxos.Request{
 		"prepare": {Kind: paxos.KindPrepare, Index: 1000, Number: number},
 		"accept":  {Kind: paxos.KindAccept, Index: 1000, Number: number, Value: value},
 		"query":   {Kind: paxos.KindQuery, Index: 1000},
 	} {
-		golden.RoundTrip(t, "request-"+name+".hex", a, func(a paxos.Request) []byte { return encodeAsk(&a) }, decodeAsk)
+		golden.RoundTrip(t, "request-"+name+".hex", req, func(req paxos.Request) []byte { return encodePaxosRequest(&req) }, decodePaxosRequest)
 	}
-	for name, a := range map[string]paxos.Response{
+	for name, resp := range map[string]paxos.Response{
 		"granted":       {Verdict: paxos.VerdictGranted, NextIndex: 1000},
 		"granted-value": {Verdict: paxos.VerdictGranted, NextIndex: 1000, Accepted: lower, Value: value},
 		"rejected":      {Verdict: paxos.VerdictRejected, NextIndex: 1000, Promised: number},
@@ -30,62 +30,70 @@
 		"no-vote":       {Verdict: paxos.VerdictNotVoter, NextIndex: 1000},
 		"known":         {Verdict: paxos.VerdictReported, NextIndex: 1000, Accepted: lower},
 	} {
-		golden.RoundTrip(t, "answer-"+name+".hex", a, func(a paxos.Response) []byte { return encodeAnswer(&a) }, decodeAnswer)
+		encode := func(resp paxos.Response) []byte { return encodePaxosResponse(&resp) }
+		golden.RoundTrip(t, "answer-"+name+".hex", resp, encode, decodePaxosResponse)
 	}
 	for name, i := range map[string]identity{
-		"founder": {Member: replog.Member{ID: 0x0102030405060708, Name: "k-1", Addr: "10.0.0.1:7000"}, next: 1000, founder: true},
+		"founder": {Member: replog.Member{ID: 0x0102030405060708, Name: "k-1", Addr: "10.0.0.1:7000"}, nextIndex: 1000, isFounder: true},
 		"other":   {Member: replog.Member{ID: 2, Name: "k-2", Addr: "10.0.0.2:7000"}},
 	} {
-		golden.RoundTrip(t, "identity-"+name+".hex", i, func(i identity) []byte { return i.encode() }, decodeIdentity)
+		golden.RoundTrip(t, "identity-"+name+".hex", i, identity.encode, decodeIdentity)
 	}
 
-	type chosen struct {
-		place  uint64
+	type commit struct {
+		index  uint64
 		number paxos.ProposalNumber
 	}
-	golden.RoundTrip(t, "chosen.hex", chosen{1000, number}, func(c chosen) []byte { return encodeChosen(c.place, c.number) },
-		func(b []byte) (c chosen, err error) { c.place, c.number, err = decodeChosen(b); return c, err })
+	golden.RoundTrip(t, "chosen.hex", commit{1000, number}, func(c commit) []byte { return encodeCommit(c.index, c.number) },
+		func(b []byte) (c commit, err error) { c.index, c.number, err = decodeCommit(b); return c, err })
 
 	type entry struct {
-		place uint64
+		index uint64
 		value []byte
 	}
 	for name, e := range map[string]entry{"entry": {1000, value}, "entry-notice": {1001, []byte{}}, "state-request": {1000, []byte{replog.StateVersion}}} {
-		golden.RoundTrip(t, name+".hex", e, func(e entry) []byte { return EncodeIndexed(e.place, e.value) },
-			func(b []byte) (e entry, err error) { e.place, e.value, err = DecodeIndexed(b); return e, err })
+		golden.RoundTrip(t, name+".hex", e, func(e entry) []byte { return EncodeIndexed(e.index, e.value) },
+			func(b []byte) (e entry, err error) { e.index, e.value, err = DecodeIndexed(b); return e, err })
 	}
 }
 
 // TestGoldenNumbersOfCalls: the numbers under which calls are known, and their one-byte answers.
 func TestGoldenNumbersOfCalls(t *testing.T) {
-	golden.Equal(t, "numbers", []uint8{1, 2, 3, 4, 10, 16, 14, 1},
-		[]uint8{CallPaxos, CallLearn, CallSnapshot, CallIdentity, CallJoin, CallReachable, CallCommit, joinFull})
+	golden.Equal(t, "numbers", []uint8{1, 2, 3, 4, 10, 16, 14, 1}, []uint8{
+		uint8(CallPaxos), uint8(CallLearn), uint8(CallSnapshot), uint8(CallIdentity), uint8(CallJoin), uint8(CallReachable),
+		uint8(CallCommit), joinGroupFull,
+	})
 }
 
 // TestGoldenReplies: a replica that is called with the bytes of a golden file replies with those of another.
 func TestGoldenReplies(t *testing.T) {
-	n := keeper(true)
-	n.state.FormerMembers = []string{"k-0"} // which the second format alone holds
+	r := newSingle(true)
+	r.state.FormerMembers = []string{"k-0"} // which the second format alone holds
 	reply := func(name string, c CallReceived) {
 		t.Helper()
-		said, _ := replies(n, time.Second, c, true)
-		if len(said) != 1 || said[0].(SendReply).Err != nil {
-			t.Fatalf("%s: %+v", name, said)
+		answers, _ := reduce(r, time.Second, c, true)
+		if len(answers) != 1 || answers[0].(SendReply).Err != nil {
+			t.Fatalf("%s: %+v", name, answers)
 		}
-		golden.Check(t, name+".hex", said[0].(SendReply).Body)
+		golden.Check(t, name+".hex", answers[0].(SendReply).Body)
 	}
-	n.Reduce(time.Second, Tick{})
+	r.Reduce(time.Second, Tick{})
 	reply("reply-identity", CallReceived{Kind: CallIdentity})
 	reply("reply-state-format-2", CallReceived{Kind: CallSnapshot, Body: EncodeIndexed(0, []byte{replog.StateVersion})})
 	reply("reply-state-format-1", CallReceived{Kind: CallSnapshot, Body: EncodeIndexed(0, nil)})
 	reply("reply-state-none", CallReceived{Kind: CallSnapshot, Body: golden.Read(t, "state-request.hex")})
-	reply("reply-prepare", CallReceived{Kind: CallPaxos, Body: encodeAsk(&paxos.Request{Kind: paxos.KindPrepare, Index: 1, Number: paxos.ProposalNumber{Term: 3, Proposer: 5}})})
+	prepare := paxos.Request{Kind: paxos.KindPrepare, Index: 1, Number: paxos.ProposalNumber{Term: 3, Proposer: 5}}
+	reply("reply-prepare", CallReceived{Kind: CallPaxos, Body: encodePaxosRequest(&prepare)})
 	reply("reply-chosen", CallReceived{Kind: CallCommit, Body: golden.Read(t, "chosen.hex")})
 
+}
+
+// TestGoldenReachableReplies: a replica that is asked whether another answers it replies with one byte.
+func TestGoldenReachableReplies(t *testing.T) {
 	for name, err := range map[string]error{"reply-reachable": nil, "reply-unreachable": errors.New("no answer")} {
-		n := keeper(true)
+		r := newSingle(true)
 		var asked []SendCall
-		for _, f := range n.Reduce(time.Second, CallReceived{Kind: CallReachable, Body: []byte("10.0.0.2:7000"), Of: name}) {
+		for _, f := range r.Reduce(time.Second, CallReceived{Kind: CallReachable, Body: []byte("10.0.0.2:7000"), Request: 7}) {
 			if f, ok := f.(SendCall); ok && f.Kind == CallIdentity && f.To.String() == "10.0.0.2:7000" {
 				asked = append(asked, f)
 			}
@@ -93,8 +101,8 @@
 		if len(asked) != 1 || len(asked[0].Body) > 0 {
 			t.Fatalf("%s: calls %+v", name, asked)
 		}
-		for _, f := range n.Reduce(time.Second, CallReturned{ID: asked[0].ID, Body: golden.Read(t, "identity-other.hex"), Err: err}) {
-			if f, ok := f.(SendReply); ok && f.Of == name {
+		for _, f := range r.Reduce(time.Second, CallReturned{ID: asked[0].ID, Body: golden.Read(t, "identity-other.hex"), Err: err}) {
+			if f, ok := f.(SendReply); ok && f.Request == 7 {
 				golden.Check(t, name+".hex", f.Body)
 				name = ""
 			}
--- /dev/null
+++ b/internal/control/replica/membership_test.go
@@ -0,0 +1,173 @@
+package replica
+
+import (
+	"fmt"
+	"net/http"
+	"net/netip"
+	"slices"
+	"testing"
+	"time"
+)
+
+// TestLearnersReplaceFailedVoters: after as many replacements in a row as may come, all voters run, so that the loss of any f of
+// them leaves a majority.
+func TestLearnersReplaceFailedVoters(t *testing.T) {
+	for _, voters := range []int{3, 5} {
+		t.Run(fmt.Sprint(voters, " voters"), func(t *testing.T) {
+			c, revision := newCluster(t, voters, voters), uint64(0)
+			for i := range 5 {
+				c.kill(c.running()[i%2])
+				if i%2 == 1 { // a learner that fails at once, before or after it has the vote
+					c.run(time.Second)
+					r := c.start(voters, false)
+					c.run(time.Duration(i) * 500 * time.Millisecond)
+					c.kill(r)
+				}
+				c.run(time.Second)
+				c.start(voters, false)
+				c.run(6 * time.Second)
+				c.requireVoters(voters)
+				res := c.replaceConfig(c.running()[0], revision, revision+24)
+				if res.Status != http.StatusOK {
+					t.Fatalf("replacement %d: %+v", i, res)
+				}
+				revision += 24
+			}
+			for range voters / 2 {
+				c.kill(c.running()[0])
+			}
+			requireOK(t, fmt.Sprint("after ", voters/2, " losses"), c.replaceConfig(c.running()[0], revision, revision+24))
+		})
+	}
+}
+
+// TestIsolatedVoterReturnsAsLearner: a voter that was only out of reach while another took its vote is a learner, and takes the
+// next free vote.
+func TestIsolatedVoterReturnsAsLearner(t *testing.T) {
+	c := newCluster(t, 5, 5)
+	isolated, failed := c.running()[1], c.running()[2]
+	c.isolated = c.addr(isolated)
+	c.run(500 * time.Millisecond)
+	c.kill(failed) // later, so that the other has been suspected for longest
+	c.run(time.Second)
+	c.start(5, false)
+	c.run(8 * time.Second)
+	if got := c.voters(); slices.Contains(got, isolated.Self.Name) || len(got) != 5 {
+		t.Fatalf("%v", got)
+	}
+	c.isolated = netip.AddrPort{}
+	c.run(8 * time.Second)
+	c.requireVoters(5)
+	if got := c.voters(); !slices.Contains(got, isolated.Self.Name) || slices.Contains(got, failed.Self.Name) {
+		t.Errorf("%v", got)
+	}
+}
+
+// TestPartialPartitionKeepsVote: a voter that a single replica does not reach keeps its vote; one that nobody reaches is replaced.
+func TestPartialPartitionKeepsVote(t *testing.T) {
+	c := newCluster(t, 5, 5)
+	one, other := c.running()[0], c.running()[1]
+	c.partitioned = [2]netip.AddrPort{c.addr(one), c.addr(other)}
+	learner := c.start(5, false)
+	c.run(20 * time.Second)
+	if got := c.voters(); slices.Contains(got, learner.Self.Name) {
+		t.Errorf("%v", got)
+	}
+	c.kill(other)
+	c.run(8 * time.Second)
+	if got := c.voters(); !slices.Contains(got, learner.Self.Name) || slices.Contains(got, other.Self.Name) {
+		t.Errorf("%v", got)
+	}
+}
+
+// TestMembershipChangeOutlivesProposer: a change of membership whose proposer fails, before or after it was chosen, is decided and
+// finished by others, though the new voter fails as well and nobody asks for anything.
+func TestMembershipChangeOutlivesProposer(t *testing.T) {
+	pending := 0
+	for after := time.Duration(0); after < 12*time.Millisecond; after += 500 * time.Microsecond {
+		t.Run(after.String(), func(t *testing.T) {
+			c := newCluster(t, 5, 5)
+			learner := c.failDuringChange(after)
+			if slices.ContainsFunc(c.running(), (*Replica).MembershipPending) {
+				pending++
+			}
+			c.run(1500 * time.Millisecond)
+			for _, r := range c.running() {
+				if r.MembershipPending() {
+					t.Errorf("%s has accepted voters that are not decided", r.Self.Name)
+				}
+				if r.state.Member(learner.Self.ID) != nil && r.state.NextIndex <= r.membership.unfinished {
+					t.Errorf("%s knows of a change that is not finished", r.Self.Name)
+				}
+			}
+			c.run(8 * time.Second)
+			requireOK(t, "configuration", c.replaceConfig(c.running()[0], 0, 30))
+			if got := c.voters(); len(got) != 5 {
+				t.Errorf("voters %v", got)
+			}
+		})
+	}
+	if pending == 0 {
+		t.Error("no change was pending when its proposer failed")
+	}
+}
+
+// failDuringChange kills a replica, and the learner that it makes a voter, so long after that has asked it. It returns the learner.
+func (c *cluster) failDuringChange(after time.Duration) *Replica {
+	proposer, failed := c.running()[0], c.running()[1]
+	learner := c.start(5, false)
+	c.run(4 * time.Second)
+	c.kill(failed)
+	c.run(time.Second)
+	proposer.membership.suspects[c.addr(failed)] = suspicion{c.now - 5*time.Second, c.now}
+	c.handle(proposer, CallReceived{
+		Kind: CallJoin, Body: learner.identity().encode(), Request: c.calls.Add(caller{replica: learner}),
+	})
+	c.run(after)
+	c.kill(proposer)
+	c.kill(learner)
+	for _, r := range c.running() {
+		r.membership.candidates = nil
+	}
+	return learner
+}
+
+// TestRemoveMemberIsIdempotent: a member is removed however often and wherever that is requested, and never below MinVoters.
+func TestRemoveMemberIsIdempotent(t *testing.T) {
+	c := newCluster(t, 4, 3)
+	failed := c.running()[3]
+	c.kill(failed)
+	remove := func(at *Replica, name string) int {
+		return c.operate(at, func(id RequestID, deadline time.Duration) Event {
+			return RemoveMember{Request: id, Name: name, Deadline: deadline}
+		}).Status
+	}
+	for i := range 3 {
+		if got := remove(c.running()[i], failed.Self.Name); got != http.StatusOK {
+			t.Errorf("request %d: %d", i, got)
+		}
+	}
+	if got := remove(c.running()[0], "k-9"); got != http.StatusNotFound {
+		t.Errorf("unknown name: %d", got)
+	}
+	if got := remove(c.running()[0], "k-2"); got != http.StatusConflict {
+		t.Errorf("two would be left: %d", got)
+	}
+	c.requireVoters(3)
+}
+
+// TestSurplusVotersAreRemoved: of more voters than there should be, those that have failed for long lose their votes.
+func TestSurplusVotersAreRemoved(t *testing.T) {
+	c := newCluster(t, 5, 3)
+	for range 3 { // one at a time: each leaves a majority
+		c.kill(c.running()[0])
+		c.run(20 * time.Second)
+		if got := c.voters(); len(got) < 3 {
+			t.Fatalf("%v", got)
+		}
+		if len(c.running()) == 3 {
+			break
+		}
+	}
+	c.requireVoters(3)
+}
--- /dev/null
+++ b/internal/control/replica/operator_test.go
@@ -0,0 +1,86 @@
+package replica
+
+import (
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"notchhinge/internal/control/api"
+	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/control/replog"
+)
+
+// The shortest configurations of revisions 4, 5 and 7.
+var (
+	config4 = []byte("\xa3\x68revision\x04\x66routes\x80\x68services\x80")
+	config5 = []byte("\xa3\x68revision\x05\x66routes\x80\x68services\x80")
+	config7 = []byte("\xa3\x68revision\x07\x66routes\x80\x68services\x80")
+)
+
+// TestOperatorIsAnsweredByDeadline: a learner whose only voter does not answer answers 503 by the deadline.
+func TestOperatorIsAnsweredByDeadline(t *testing.T) {
+	r := newSingle(false)
+	r.Reduce(time.Second, ReplaceConfig{Request: 1, Config: config5, Deadline: 2 * time.Second})
+	r.Reduce(time.Second, ReadConfig{Request: 2, Deadline: 2 * time.Second})
+	answers := map[RequestID]api.Result{}
+	for now := time.Second; now <= 2*time.Second+100*time.Millisecond; now += 10 * time.Millisecond {
+		for _, f := range append([]Effect(nil), r.Reduce(now, Tick{})...) {
+			switch f := f.(type) {
+			case SendCall:
+				r.Reduce(now, CallReturned{ID: f.ID, Err: errDiskWrite})
+			case OperatorAnswer:
+				answers[f.Request] = f.Result
+			}
+		}
+	}
+	if answers[1].Status != 503 || answers[2].Status != 503 {
+		t.Errorf("%+v", answers)
+	}
+}
+
+// TestReplaceConfigStatus: each outcome of a new configuration has its HTTP status.
+func TestReplaceConfigStatus(t *testing.T) {
+	r := newSingle(true)
+	answers, _ := reduce(r, time.Second, ReplaceConfig{Config: config5, Deadline: 2 * time.Second}, true)
+	if len(answers) != 1 || answers[0].(OperatorAnswer).Status != 200 || r.State().Revision != 5 {
+		t.Fatalf("%+v", answers)
+	}
+	for _, c := range []struct {
+		name  string
+		event ReplaceConfig
+		want  int
+	}{
+		{"the same again", ReplaceConfig{Config: config5}, 200},
+		{"stale base", ReplaceConfig{BaseRevision: 3, Config: config7}, 412},
+		{"revision too low", ReplaceConfig{BaseRevision: 5, Config: config4}, 400},
+	} {
+		c.event.Deadline = 3 * time.Second
+		if answers, _ := reduce(r, 2*time.Second, c.event, true); len(answers) != 1 || answers[0].(OperatorAnswer).Status != c.want {
+			t.Errorf("%s: got %+v, want %d", c.name, answers, c.want)
+		}
+	}
+}
+
+// TestSnapshotFormatOfEarlierRelease: a caller that does not say which formats it reads is sent the first, and catches up.
+func TestSnapshotFormatOfEarlierRelease(t *testing.T) {
+	r := newSingle(true)
+	for base := range uint64(200) {
+		config, err := cbor.Marshal(fleetconfig.Config{Revision: base + 1, Routes: []fleetconfig.Route{}, Services: []fleetconfig.Service{}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		answers, _ := reduce(r, time.Second, ReplaceConfig{BaseRevision: base, Config: config, Deadline: 2 * time.Second}, true)
+		if len(answers) != 1 || answers[0].(OperatorAnswer).Status != 200 {
+			t.Fatalf("revision %d: %+v", base+1, answers)
+		}
+	}
+	for formats, want := range map[string]byte{"": 1, "\x01": 1, "\x02": 2, "\x09": 2} {
+		answers, _ := reduce(r, time.Second, CallReceived{Kind: CallSnapshot, Body: EncodeIndexed(3, []byte(formats))}, true)
+		b := answers[0].(SendReply).Body
+		s, err := replog.DecodeState(b)
+		if err != nil || b[0] != want || s.Revision != 200 || s.NextIndex != r.State().NextIndex {
+			t.Errorf("caller reads %q: %v, got format %d, want %d", formats, err, b[0], want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/control/replica/proposal.go
@@ -0,0 +1,203 @@
+package replica
+
+import (
+	"slices"
+	"time"
+
+	"notchhinge/internal/control/paxos"
+	"notchhinge/internal/control/replog"
+	"notchhinge/internal/timerqueue"
+)
+
+// Proposals of one replica are made one after the other. Each takes as many attempts as it needs: an attempt is one Paxos
+// instance at the next index, under one proposal number, and may choose another replica's value.
+
+// retryMin and retryMax bound the random delay after an attempt that no quorum has answered.
+const (
+	retryMin = 20 * time.Millisecond
+	retryMax = 60 * time.Millisecond
+)
+
+// proposal is a request to have entries chosen.
+type proposal struct {
+	next     EntryFunc
+	done     func(error)
+	timer    timerqueue.Key
+	attempts int
+	finished bool
+	latest   *attempt // nil before the first
+}
+
+// propose has entries chosen until next returns nil, and then calls done: with ErrQuorumUnavailable at the deadline, with
+// ErrNotFounded before the founding.
+func (r *Replica) propose(next EntryFunc, deadline time.Duration, done func(error)) {
+	p := &proposal{next: next, done: done}
+	p.timer = r.at(deadline, func() {
+		if p.latest != nil {
+			r.logTimeout(p)
+		}
+		r.finishProposal(p, ErrQuorumUnavailable)
+	})
+	if r.proposals = append(r.proposals, p); len(r.proposals) == 1 {
+		r.advanceProposal(p)
+	}
+}
+
+func (r *Replica) logTimeout(p *proposal) {
+	a := p.latest
+	r.log.Warn("proposal timed out", "index", a.Index, "attempt", p.attempts, "outcome", int(a.outcome), "term", a.Number.Term,
+		"higher_term", a.HigherNumber.Term, "accepting", a.Phase() == paxos.KindAccept, "lagging", len(a.LaggingVoters))
+}
+
+// finishProposal ends a proposal and starts the next one.
+func (r *Replica) finishProposal(p *proposal, err error) {
+	if p.finished {
+		return
+	}
+	p.finished = true
+	r.timers.Remove(p.timer)
+	wasFirst := r.proposals[0] == p
+	r.proposals = slices.DeleteFunc(r.proposals, func(q *proposal) bool { return q == p })
+	p.done(err)
+	if wasFirst && len(r.proposals) > 0 {
+		r.advanceProposal(r.proposals[0])
+	}
+}
+
+// advanceProposal starts the next attempt of a proposal, or finishes it if the newest state leaves nothing to propose.
+func (r *Replica) advanceProposal(p *proposal) {
+	if p.finished {
+		return
+	}
+	if r.state.NextIndex == 0 {
+		r.finishProposal(p, ErrNotFounded)
+		return
+	}
+	state := r.state
+	value := p.next(&state)
+	if value == nil {
+		r.finishProposal(p, nil)
+		return
+	}
+	retries := p.attempts
+	p.attempts++
+	proposer := paxos.Proposer{
+		Index: state.NextIndex, OwnValue: value, Voters: memberIDs(state.Members), Quorum: paxos.Majority(len(state.Members)),
+	}
+	p.latest = r.startAttempt(proposer, state.Members, retries, func(*attempt) { r.advanceProposal(p) })
+}
+
+func memberIDs(members []replog.Member) (ids []uint64) {
+	for _, m := range members {
+		ids = append(ids, m.ID)
+	}
+	return ids
+}
+
+// attempt is one attempt at an index, under one proposal number.
+type attempt struct {
+	paxos.Proposer
+	members []replog.Member
+	retries int // attempts before it, for the backoff
+	outcome paxos.Outcome
+	done    func(*attempt)
+}
+
+// startAttempt starts an attempt among members. done is called once its outcome has been dealt with: the chosen value
+// committed, or a delay waited for.
+func (r *Replica) startAttempt(p paxos.Proposer, members []replog.Member, retries int, done func(*attempt)) *attempt {
+	r.term++
+	a := &attempt{Proposer: p, members: members, done: done, retries: retries}
+	a.Number = paxos.ProposalNumber{Term: r.term, Proposer: r.Incarnation}
+	r.broadcast(a, a.Prepare())
+	return a
+}
+
+// voterResponse is what a voter has answered to one phase of an attempt.
+type voterResponse struct {
+	voter    *replog.Member
+	phase    paxos.RequestKind
+	response paxos.Response
+	ok       bool // false: there was no answer
+}
+
+// broadcast sends the request of a phase to every member, and to itself last.
+func (r *Replica) broadcast(a *attempt, req paxos.Request) {
+	var self *replog.Member
+	body := encodePaxosRequest(&req)
+	for i := range a.members {
+		m := &a.members[i]
+		to, ok := memberAddr(m)
+		switch {
+		case m.ID == r.Self.ID:
+			self = m
+		case !ok:
+			r.handleResponse(a, voterResponse{voter: m, phase: req.Kind})
+		default:
+			r.callPaxos(to, body, func(resp paxos.Response, ok bool) {
+				r.handleResponse(a, voterResponse{m, req.Kind, resp, ok})
+			})
+		}
+	}
+	if self != nil {
+		r.vote(req, func(resp paxos.Response, err error) {
+			r.handleResponse(a, voterResponse{self, req.Kind, resp, err == nil})
+		})
+	}
+}
+
+// handleResponse takes a voter's response into account, and starts the next phase or ends the attempt.
+func (r *Replica) handleResponse(a *attempt, v voterResponse) {
+	if a.outcome != paxos.OutcomePending {
+		return
+	}
+	var next *paxos.Request
+	var outcome paxos.Outcome
+	if v.ok {
+		next, outcome = a.HandleResponse(v.voter.ID, v.phase, v.response)
+	} else {
+		outcome = a.HandleFailure(v.voter.ID, v.phase)
+	}
+	if next != nil {
+		r.broadcast(a, *next)
+	}
+	if outcome != paxos.OutcomePending && a.outcome == paxos.OutcomePending {
+		a.outcome = outcome
+		r.endAttempt(a, v.voter)
+	}
+}
+
+// endAttempt deals with the outcome of an attempt; last is the voter that has answered last.
+func (r *Replica) endAttempt(a *attempt, last *replog.Member) {
+	done := func() { a.done(a) }
+	switch a.outcome {
+	case paxos.OutcomeChosen:
+		r.commit(a.Index, a.Value)
+		r.announce(a)
+		done()
+	case paxos.OutcomeAlreadyChosen:
+		r.adoptChosen(a, last, done)
+	case paxos.OutcomePreempted:
+		r.term = max(r.term, a.HigherNumber.Term)
+		r.after(paxos.Backoff(r.random.Int64N, a.retries), done)
+	default:
+		for _, id := range a.LaggingVoters { // an earlier announcement has not reached them
+			r.notifyLagging(id, a.members)
+		}
+		r.after(r.jitter(retryMin, retryMax), done)
+	}
+}
+
+// adoptChosen takes over what another proposer has had chosen for the index: the value, if the answer has it and the voter knows
+// no more than that, or else the voter's whole state.
+func (r *Replica) adoptChosen(a *attempt, from *replog.Member, done func()) {
+	if a.Value != nil && r.commit(a.Index, a.Value) && a.NextIndex <= a.Index+1 {
+		done()
+		return
+	}
+	if to, ok := memberAddr(from); ok {
+		r.catchUp(to, done)
+		return
+	}
+	r.after(retryMin, done)
+}
--- a/internal/lab/check/cuts.go
+++ b/internal/lab/check/cuts.go
@@ -55,6 +55,11 @@
 	wake   time.Duration
 	votes  bool   // is a member, as far as the duties have been told
 	anew   func() // has the part in the duties begin as if nobody had ever granted anything
+
+	// What waits for the effects that answer events of this life.
+	calls     replica.Pending[func(body []byte, err error)]
+	answers   replica.Pending[func(api.Result)]
+	proposals replica.Pending[func(error)]
 }
 
 var errAway = errors.New("no answer")
@@ -181,6 +186,8 @@
 func (h *host) start() {
 	s := h.s
 	h.up, h.wake = true, 0
+	h.calls, h.answers = replica.Pending[func([]byte, error)]{}, replica.Pending[func(api.Result)]{}
+	h.proposals = replica.Pending[func(error)]{}
 	h.life++
 	s.ids++
 	var others []netip.AddrPort
@@ -221,13 +228,15 @@
 }
 
 // take has the process take an event.
-func (h *host) take(e any) {
+func (h *host) take(e replica.Event) {
 	if !h.up {
 		return
 	}
-	if c, ok := e.(replica.CallReceived); ok && singleton.OwnsCall(c.Kind) {
-		if reply, ok := h.owe(singleton.CallReceived{Kind: c.Kind, Body: c.Body}); ok {
-			c.Of.(func([]byte, error))(reply.Body, reply.Err)
+	if c, ok := e.(replica.CallReceived); ok && singleton.OwnsCall(uint8(c.Kind)) {
+		if reply, ok := h.owe(singleton.CallReceived{Kind: uint8(c.Kind), Body: c.Body}); ok {
+			if done, ok := h.calls.Take(c.Request); ok {
+				done(reply.Body, reply.Err)
+			}
 		}
 		return
 	}
@@ -279,11 +288,17 @@
 				}
 			})
 		case replica.SendReply:
-			f.Of.(func([]byte, error))(f.Body, f.Err)
+			if reply, ok := h.calls.Take(f.Request); ok {
+				reply(f.Body, f.Err)
+			}
 		case replica.OperatorAnswer:
-			f.Of.(func(api.Result))(f.Result)
-		case replica.Proposed:
-			s.in(0, func() { f.Of.(func(error))(f.Err) })
+			if answer, ok := h.answers.Take(f.Request); ok {
+				answer(f.Result)
+			}
+		case replica.ProposeDone:
+			if done, ok := h.proposals.Take(f.Request); ok {
+				s.in(0, func() { done(f.Err) })
+			}
 		}
 		if h.life != life {
 			return
@@ -309,7 +324,7 @@
 
 // call carries a call there, and its answer back.
 func (s *site) call(from *host, c replica.SendCall, then func(body []byte, err error)) {
-	if s.broken == "a lease among members that nobody names" && c.Kind == singleton.CallRenewLease {
+	if s.broken == "a lease among members that nobody names" && uint8(c.Kind) == singleton.CallRenewLease {
 		c.Body = c.Body[:len(c.Body)-8] // as an earlier program asks
 	}
 	over := false
@@ -330,13 +345,14 @@
 		}
 	}
 	way(from, to, func() {
-		to.take(replica.CallReceived{Kind: c.Kind, Body: c.Body, From: hostAddr(from.i).Addr(), Of: func(body []byte, err error) {
+		id := to.calls.Add(func(body []byte, err error) {
 			const noVote, known = byte(paxos.VerdictNotVoter), byte(paxos.VerdictReported)
 			if s.broken == "who is no member counts" && c.Kind == replica.CallPaxos && len(body) > 0 && body[0] == noVote && c.Body[0] == byte(paxos.KindQuery) {
 				body = append([]byte{known}, body[1:]...)
 			}
 			way(to, from, func() { back(body, err) })
-		}})
+		})
+		to.take(replica.CallReceived{Kind: c.Kind, Body: c.Body, From: hostAddr(from.i).Addr(), Request: id})
 	})
 }
 
@@ -396,7 +412,7 @@
 	for _, f := range append([]singleton.Effect(nil), h.duty.Reduce(s.now, time.Unix(0, 0).Add(s.now), &state, e)...) {
 		switch f := f.(type) {
 		case singleton.SendCall:
-			s.call(h, replica.SendCall{To: f.To, Kind: f.Kind, Body: f.Body, Timeout: f.Timeout}, func(body []byte, err error) {
+			s.call(h, replica.SendCall{To: f.To, Kind: replica.CallKind(f.Kind), Body: f.Body, Timeout: f.Timeout}, func(body []byte, err error) {
 				if h.life == life {
 					h.owe(singleton.CallReturned{ID: f.ID, Body: body, Err: err})
 				}
@@ -404,11 +420,12 @@
 		case singleton.SendReply:
 			reply, ok = f, true
 		case singleton.Propose:
-			h.take(replica.Propose{Next: f.Next, Until: s.now + f.Timeout, Of: func(err error) {
+			id := h.proposals.Add(func(err error) {
 				if h.life == life {
 					h.owe(singleton.ProposalDone{Err: err})
 				}
-			}})
+			})
+			h.take(replica.Propose{Next: f.Next, Deadline: s.now + f.Timeout, Request: id})
 		case singleton.ScaleEngines: // the platform can always be reached, and takes every call
 			s.in(time.Millisecond, func() { s.act(h, f.FencingToken) })
 			s.in(2*time.Millisecond, func() {
@@ -453,7 +470,7 @@
 	if in == nil {
 		return side
 	}
-	s.hosts[s.draw(len(s.hosts))].take(replica.Propose{Until: s.now + within, Of: func(error) {}, Next: func(x *replog.State) []byte {
+	s.hosts[s.draw(len(s.hosts))].take(replica.Propose{Deadline: s.now + within, Next: func(x *replog.State) []byte {
 		nonce, members := uint64(s.draw(1<<30)), slices.Clone(x.Members)
 		at := slices.IndexFunc(members, func(m replog.Member) bool { return m.ID == out.ID })
 		if at < 0 || x.Member(in.id) != nil {
--- a/internal/lab/check/orders.go
+++ b/internal/lab/check/orders.go
@@ -56,17 +56,18 @@
 	}
 	o.orders = append(o.orders, x)
 	entry := replog.Entry{Payload: replog.ConfigChange{BaseRevision: on, Config: x.text}}.Encode()
-	o.hosts[at%len(o.hosts)].take(replica.Propose{Until: o.now + within, Next: func(s *replog.State) []byte {
+	h := o.hosts[at%len(o.hosts)]
+	h.take(replica.Propose{Deadline: o.now + within, Next: func(s *replog.State) []byte {
 		if s.CheckConfig(on, revision, x.digest) == replog.ConfigAcceptable {
 			return entry
 		}
 		return nil
-	}, Of: func(err error) {
+	}, Request: h.proposals.Add(func(err error) {
 		if err == nil { // else it may be taken later, which nobody can tell who does not propose it
 			x.over = false
 			o.send(x, at+1)
 		}
-	}})
+	})})
 }
 
 // order sends a new one.
@@ -154,7 +155,7 @@
 			}
 			o.in(time.Millisecond, look)
 		}
-		h.take(replica.ReplaceConfig{BaseRevision: x.on, Config: x.text, Until: o.now + within, Of: answer})
+		h.take(replica.ReplaceConfig{BaseRevision: x.on, Config: x.text, Deadline: o.now + within, Request: h.answers.Add(answer)})
 	})
 }
 
@@ -208,7 +209,7 @@
 		of(api.Result{Status: http.StatusOK, Revision: s.Revision, Body: s.Config})
 		return
 	}
-	h.take(replica.ReadConfig{Until: o.now + within, Of: of})
+	h.take(replica.ReadConfig{Deadline: o.now + within, Request: h.answers.Add(of)})
 }
 
 // agreed holds what was said against what is in the chain, as far as it is known anywhere. In the end, all of it must be: a
--- a/internal/lab/check/snapshots.go
+++ b/internal/lab/check/snapshots.go
@@ -114,6 +114,10 @@
 	id      uint64
 	most    int     // events that waited at once
 	slow    float64 // its disk takes so many times longer
+
+	// What waits for the effects that answer events of this life.
+	calls   keeper.Pending[*calling]
+	answers keeper.Pending[func(api.Result)]
 }
 
 func newStorm(of stormOf, seed uint64) *storm {
@@ -192,6 +196,7 @@
 	}
 	w.knows(m, &kept.State)
 	m.store, m.up, m.busy, m.shut, m.queue, m.wakeAt = s, true, false, false, nil, 0
+	m.calls, m.answers = keeper.Pending[*calling]{}, keeper.Pending[func(api.Result)]{}
 	m.life++
 	m.node = keeper.New(keeper.Config{
 		Self: replog.Member{ID: kept.ID, Name: fmt.Sprintf("k%d", m.i), Addr: stormAddr(m.i).String()}, IsFounder: kept.IsFounder, MinVoters: w.members,
@@ -260,8 +265,10 @@
 		m.queue = m.queue[1:]
 		switch x := e.(type) {
 		case keeper.CallReceived:
-			if c := x.Of.(*calling); m.w.now-since > keeper.CallTimeout(x.Kind) && m.w.breaks != breaksPatience {
-				c.back(nil, errLate)
+			if m.w.now-since > keeper.CallTimeout(x.Kind) && m.w.breaks != breaksPatience {
+				if c, ok := m.calls.Take(x.Request); ok {
+					c.back(nil, errLate)
+				}
 				continue
 			}
 			m.reduce(e)
@@ -270,7 +277,9 @@
 		case keeper.ReadConfig:
 			if m.w.breaks == breaksReads {
 				s := m.node.State()
-				x.Of.(func(api.Result))(api.Result{Status: 200, Revision: s.Revision})
+				if answer, ok := m.answers.Take(x.Request); ok {
+					answer(api.Result{Status: 200, Revision: s.Revision})
+				}
 				continue
 			}
 			m.reduce(e)
@@ -336,7 +345,10 @@
 		case keeper.SendCall:
 			w.call(m, f)
 		case keeper.SendReply:
-			c := f.Of.(*calling)
+			c, ok := m.calls.Take(f.Request)
+			if !ok {
+				continue
+			}
 			body := f.Body
 			if c.kind == keeper.CallSnapshot && len(body) > 0 {
 				if body = w.garble(body); w.breaks == breaksStep {
@@ -345,7 +357,9 @@
 			}
 			w.carry(m, c.from, len(body), func() { c.back(body, f.Err) })
 		case keeper.OperatorAnswer:
-			f.Of.(func(api.Result))(f.Result)
+			if answer, ok := m.answers.Take(f.Request); ok {
+				answer(f.Result)
+			}
 		case keeper.StateChanged:
 			w.knows(m, &f.State)
 		}
@@ -437,7 +451,7 @@
 // calling is a call that waits for its answer.
 type calling struct {
 	from  *voter
-	kind  uint8
+	kind  keeper.CallKind
 	place uint64 // with CallState: the first that is lacking
 	back  func(body []byte, err error)
 }
@@ -471,7 +485,7 @@
 		return
 	}
 	w.carry(m, to, len(c.Body), func() {
-		to.take(keeper.CallReceived{Kind: c.Kind, Body: c.Body, From: stormAddr(m.i).Addr(), Of: of})
+		to.take(keeper.CallReceived{Kind: c.Kind, Body: c.Body, From: stormAddr(m.i).Addr(), Request: to.calls.Add(of)})
 	})
 }
 
@@ -520,7 +534,7 @@
 			return
 		}
 		w.in(time.Second, func() { next(0) })
-		m.take(keeper.ReplaceConfig{BaseRevision: on, Config: text, Until: w.now + 900*time.Millisecond, Of: func(r api.Result) {
+		m.take(keeper.ReplaceConfig{BaseRevision: on, Config: text, Deadline: w.now + 900*time.Millisecond, Request: m.answers.Add(func(r api.Result) {
 			switch {
 			case over:
 			case r.Status == 200:
@@ -532,7 +546,7 @@
 			default:
 				w.breaksRule("change %d upon %d is answered %d: %s", revision, on, r.Status, r.Message)
 			}
-		}})
+		})})
 	}
 	if w.turns {
 		w.last++
@@ -543,7 +557,7 @@
 // read has the operator read the configuration at a member, until it is told.
 func (w *storm) read(m *voter, then func()) {
 	least, life := w.acked, m.life
-	m.take(keeper.ReadConfig{Until: w.now + 900*time.Millisecond, Of: func(r api.Result) {
+	m.take(keeper.ReadConfig{Deadline: w.now + 900*time.Millisecond, Request: m.answers.Add(func(r api.Result) {
 		switch {
 		case r.Status == 200 && r.Revision < least:
 			w.breaksRule("member %d reads version %d, and %d was acknowledged before", m.i, r.Revision, least)
@@ -552,7 +566,7 @@
 		case m.life == life:
 			w.in(50*time.Millisecond, func() { w.read(m, then) })
 		}
-	}})
+	})})
 }
 
 // catchUpWithin is the time that the platform gives a member that is back (catch_up_s of the control sites).
--- a/internal/lab/plane/machine.go
+++ b/internal/lab/plane/machine.go
@@ -62,12 +62,18 @@
 	since   time.Duration // when its process has started
 	drag    time.Duration // a write to its disk takes so much longer
 	stalled time.Duration // until then its disk answers nothing
+
+	// What waits for the effects that answer events of this life.
+	calls     replica.Pending[from]
+	answers   replica.Pending[func(api.Result)]
+	proposals replica.Pending[func(error)]
+	leaves    replica.Pending[func()]
 }
 
 // from is who has called, and what its answer does there.
 type from struct {
 	m    *machine
-	kind uint8
+	kind replica.CallKind
 	back func(body []byte, err error)
 }
 
@@ -87,6 +93,8 @@
 func (m *machine) start() {
 	w := m.w
 	m.up, m.busy, m.queue, m.wakeAt, m.frozen, m.shut, m.leaving, m.since = true, false, nil, 0, false, false, false, w.now
+	m.calls, m.answers = replica.Pending[from]{}, replica.Pending[func(api.Result)]{}
+	m.proposals, m.leaves = replica.Pending[func(error)]{}, replica.Pending[func()]{}
 	m.life++
 	self := gossip.Peer{ID: gossip.Hash(m.name), Addr: addrOf(m.i), Zone: m.zone, Flags: gossip.FlagRouter}
 	if m.keeper {
@@ -162,18 +170,18 @@
 		e := m.queue[0]
 		m.queue = m.queue[1:]
 		now, wall := m.w.now, m.wall().UnixMilli()
-		if c, ok := e.(replica.CallReceived); ok && singleton.OwnsCall(c.Kind) {
-			e = toDuty{event: singleton.CallReceived{Kind: c.Kind, Body: c.Body}, caller: c.Of}
+		if c, ok := e.(replica.CallReceived); ok && singleton.OwnsCall(uint8(c.Kind)) {
+			e = toDuty{event: singleton.CallReceived{Kind: uint8(c.Kind), Body: c.Body}, request: c.Request}
 		}
 		switch e := e.(type) {
 		case toDuty:
 			if m.duty != nil {
 				s := m.core.State()
-				m.owe(append([]singleton.Effect(nil), m.duty.Reduce(now, m.wall(), &s, e.event)...), e.caller)
+				m.owe(append([]singleton.Effect(nil), m.duty.Reduce(now, m.wall(), &s, e.event)...), e.request)
 			}
 		case func():
 			e()
-		case replica.CallReceived, replica.CallReturned, replica.ReplaceConfig, replica.ReadConfig, replica.Propose, replica.RemoveMember, replica.Leave:
+		case replica.Event:
 			if m.core != nil {
 				m.perform(append([]replica.Effect(nil), m.core.Reduce(now, e)...))
 			}
@@ -270,11 +278,17 @@
 		case replica.SendReply:
 			m.w.back(m, f)
 		case replica.OperatorAnswer:
-			f.Of.(func(api.Result))(f.Result)
-		case replica.Proposed:
-			m.w.in(0, func() { f.Of.(func(error))(f.Err) }) // not before what else follows is done
-		case replica.Left:
-			m.w.in(0, f.Of.(func())) // not before what else follows is done
+			if answer, ok := m.answers.Take(f.Request); ok {
+				answer(f.Result)
+			}
+		case replica.ProposeDone:
+			if done, ok := m.proposals.Take(f.Request); ok {
+				m.w.in(0, func() { done(f.Err) }) // not before what else follows is done
+			}
+		case replica.LeaveDone:
+			if done, ok := m.leaves.Take(f.Request); ok {
+				m.w.in(0, done) // not before what else follows is done
+			}
 		case replica.StateChanged:
 			m.changed(&f.State)
 			m.w.chosen(&f.State)
@@ -352,7 +366,7 @@
 		}
 	}
 	w.in(c.Timeout, func() { back(nil, errGone) })
-	w.spendCall(m, to, c.Kind, len(c.Body))
+	w.spendCall(m, to, uint8(c.Kind), len(c.Body))
 	if to == nil || w.broken == "takes nobody in" && c.Kind == replica.CallJoin {
 		return
 	}
@@ -366,14 +380,18 @@
 			w.in(d, func() { back(nil, errGone) })
 			return
 		}
-		to.take(replica.CallReceived{Kind: c.Kind, Body: c.Body, From: addrOf(m.i).Addr(), Of: from{m, c.Kind, back}})
+		id := to.calls.Add(from{m, c.Kind, back})
+		to.take(replica.CallReceived{Kind: c.Kind, Body: c.Body, From: addrOf(m.i).Addr(), Request: id})
 	})
 }
 
 // back carries an answer.
 func (w *world) back(m *machine, r replica.SendReply) {
-	f := r.Of.(from)
-	w.spendCall(f.m, nil, f.kind, len(r.Body)-frameBytes) // it is its caller's
+	f, ok := m.calls.Take(r.Request)
+	if !ok {
+		return
+	}
+	w.spendCall(f.m, nil, uint8(f.kind), len(r.Body)-frameBytes) // it is its caller's
 	if d, ok := w.link(m, f.m); ok {
 		w.in(d, func() { f.back(r.Body, r.Err) })
 	}
--- a/internal/lab/plane/operators.go
+++ b/internal/lab/plane/operators.go
@@ -181,11 +181,10 @@
 			clear(api.Result{Status: http.StatusServiceUnavailable})
 			return
 		}
-		put := replica.ReplaceConfig{BaseRevision: c.on, Config: c.text, Until: w.now + withinCalls}
+		put := replica.ReplaceConfig{BaseRevision: c.on, Config: c.text, Deadline: w.now + withinCalls}
 		switch s := m.state(); {
 		case w.broken == "acknowledges what it has only heard":
-			put.Of = func(api.Result) {}
-			m.take(put)
+			m.take(put) // nobody waits for its answer
 			come(api.Result{Status: http.StatusOK})
 			return
 		case w.broken == "knows no order again" && s.Revision > c.on:
@@ -193,11 +192,11 @@
 			return
 		}
 		life := m.life
-		put.Of = func(r api.Result) {
+		put.Request = m.answers.Add(func(r api.Result) {
 			if m.life == life {
 				come(r) // at once: what strikes at an acknowledgement comes before its word to others has
 			}
-		}
+		})
 		m.take(put)
 	})
 }
@@ -310,7 +309,7 @@
 		clear(api.Result{Status: http.StatusNotFound})
 		return
 	}
-	m.take(replica.RemoveMember{Name: d.name, Until: w.now + withinCalls, Of: clear})
+	m.take(replica.RemoveMember{Name: d.name, Deadline: w.now + withinCalls, Request: m.answers.Add(clear)})
 }
 
 // reads has operators read the configuration now and then, at any keeper, also one that is cut off: an answer is no older than
@@ -338,7 +337,7 @@
 			}
 			return
 		}
-		m.take(replica.ReadConfig{Until: w.now + withinCalls, Of: read})
+		m.take(replica.ReadConfig{Deadline: w.now + withinCalls, Request: m.answers.Add(read)})
 	})
 }
 
@@ -347,7 +346,7 @@
 	got := false
 	for try := 0; try < 20 && !got; try++ {
 		m := w.seats[w.rnd.IntN(len(w.seats))]
-		m.take(replica.ReadConfig{Until: w.now + withinCalls, Of: func(r api.Result) {
+		m.take(replica.ReadConfig{Deadline: w.now + withinCalls, Request: m.answers.Add(func(r api.Result) {
 			if got || r.Status != http.StatusOK {
 				return
 			}
@@ -362,7 +361,7 @@
 			case r.Revision < w.newest:
 				w.breaks("LOST", "version %d is read back, %d was acknowledged", r.Revision, w.newest)
 			}
-		}})
+		})})
 		w.run(w.now + time.Second)
 	}
 	if !got {
--- a/internal/lab/plane/platform.go
+++ b/internal/lab/plane/platform.go
@@ -32,8 +32,8 @@
 
 // toDuty is an event for a keeper's part in the duties.
 type toDuty struct {
-	event  singleton.Event
-	caller any // who gets the reply to a call, as replica.SendReply names it
+	event   singleton.Event
+	request replica.RequestID // of a call, whose reply it names
 }
 
 // act is a call of a holder that the platform has taken.
@@ -154,27 +154,28 @@
 	return []autoscale.Service{s}
 }
 
-// owe does what a keeper's part in the duties asks for. caller is who gets the reply, if there is one.
-func (m *machine) owe(effects []singleton.Effect, caller any) {
+// owe does what a keeper's part in the duties asks for. request is what a reply answers, if there is one.
+func (m *machine) owe(effects []singleton.Effect, request replica.RequestID) {
 	w := m.w
 	for _, f := range effects {
 		switch f := f.(type) {
 		case singleton.SendCall:
 			life := m.life
-			w.call(m, replica.SendCall{To: f.To, Kind: f.Kind, Body: f.Body, Timeout: f.Timeout}, func(body []byte, err error) {
+			w.call(m, replica.SendCall{To: f.To, Kind: replica.CallKind(f.Kind), Body: f.Body, Timeout: f.Timeout}, func(body []byte, err error) {
 				if m.life == life {
 					m.take(toDuty{event: singleton.CallReturned{ID: f.ID, Body: body, Err: err}})
 				}
 			})
 		case singleton.SendReply:
-			w.back(m, replica.SendReply{Of: caller, Body: f.Body, Err: f.Err})
+			w.back(m, replica.SendReply{Request: request, Body: f.Body, Err: f.Err})
 		case singleton.Propose:
 			life := m.life
-			m.queue = append(m.queue, replica.Propose{Next: f.Next, Until: w.now + f.Timeout, Of: func(err error) {
+			id := m.proposals.Add(func(err error) {
 				if m.life == life {
 					m.take(toDuty{event: singleton.ProposalDone{Err: err}})
 				}
-			}})
+			})
+			m.queue = append(m.queue, replica.Propose{Next: f.Next, Deadline: w.now + f.Timeout, Request: id})
 		case singleton.ReportUsage:
 			w.toPlatform(m, f.Timeout, "usage", f.FencingToken, f.Window, fmt.Sprint(f.Counts))
 		case singleton.ScaleEngines:
@@ -203,7 +204,7 @@
 		}
 		life := m.life
 		for i, p := range m.meter.Reports(m.wall(), []usage.Load{{Service: "s", Running: uint64(w.rnd.IntN(400)), Arrived: uint64(w.now / time.Second)}}, ids) {
-			w.call(m, replica.SendCall{To: keepers[i].Addr, Kind: singleton.CallUsageReport, Body: p.Encode(), Timeout: limits.ReplicaFailoverTimeout}, func(body []byte, err error) {
+			w.call(m, replica.SendCall{To: keepers[i].Addr, Kind: replica.CallKind(singleton.CallUsageReport), Body: p.Encode(), Timeout: limits.ReplicaFailoverTimeout}, func(body []byte, err error) {
 				if m.life != life {
 					return
 				}
--- a/internal/lab/plane/succession.go
+++ b/internal/lab/plane/succession.go
@@ -32,7 +32,7 @@
 		end()
 		return
 	}
-	m.take(replica.Leave{Of: end, Until: w.now + limits.ReplicaLeaveTimeout})
+	m.take(replica.Leave{Request: m.leaves.Add(end), Deadline: w.now + limits.ReplicaLeaveTimeout})
 	w.in(stopGrace, end)
 }
 
--- a/internal/node/operatorcalls.go
+++ b/internal/node/operatorcalls.go
@@ -14,8 +14,8 @@
 // ReplaceConfig implements api.Handler.
 func (n *Node) ReplaceConfig(ctx context.Context, on uint64, text []byte) api.Result {
 	began := time.Now()
-	r := n.askReplica(ctx, func(of chan api.Result, until time.Duration) replica.Event {
-		return replica.ReplaceConfig{BaseRevision: on, Config: text, Of: of, Until: until}
+	r := n.askReplica(ctx, func(id replica.RequestID, deadline time.Duration) replica.Event {
+		return replica.ReplaceConfig{BaseRevision: on, Config: text, Request: id, Deadline: deadline}
 	})
 	n.log.Info("configuration call", "on", on, "bytes", len(text), "status", r.Status, "says", r.Message, "revision", r.Revision,
 		"took", time.Since(began).Round(time.Millisecond).String())
@@ -49,27 +49,27 @@
 
 // DescribeConfig implements api.Handler.
 func (n *Node) DescribeConfig(ctx context.Context) api.Result {
-	return n.askReplica(ctx, func(of chan api.Result, until time.Duration) replica.Event {
-		return replica.ReadConfig{Of: of, Until: until}
+	return n.askReplica(ctx, func(id replica.RequestID, deadline time.Duration) replica.Event {
+		return replica.ReadConfig{Request: id, Deadline: deadline}
 	})
 }
 
 // ConfigHistory implements api.Handler.
 func (n *Node) ConfigHistory(ctx context.Context) api.Result {
-	return n.askReplica(ctx, func(of chan api.Result, until time.Duration) replica.Event {
-		return replica.ReadHistory{Of: of, Until: until}
+	return n.askReplica(ctx, func(id replica.RequestID, deadline time.Duration) replica.Event {
+		return replica.ReadHistory{Request: id, Deadline: deadline}
 	})
 }
 
 // RemoveMember implements api.Handler.
 func (n *Node) RemoveMember(ctx context.Context, name string) api.Result {
-	return n.askReplica(ctx, func(of chan api.Result, until time.Duration) replica.Event {
-		return replica.RemoveMember{Name: name, Of: of, Until: until}
+	return n.askReplica(ctx, func(id replica.RequestID, deadline time.Duration) replica.Event {
+		return replica.RemoveMember{Name: name, Request: id, Deadline: deadline}
 	})
 }
 
 // askReplica has a call of the operator answered by the keeper here.
-func (n *Node) askReplica(ctx context.Context, event func(of chan api.Result, until time.Duration) replica.Event) api.Result {
+func (n *Node) askReplica(ctx context.Context, event func(id replica.RequestID, deadline time.Duration) replica.Event) api.Result {
 	if n.replica == nil {
 		return noReplica
 	}
--- a/internal/node/peercalls.go
+++ b/internal/node/peercalls.go
@@ -8,7 +8,6 @@
 	"net/netip"
 	"time"
 
-	"notchhinge/internal/control/api"
 	"notchhinge/internal/control/configcache"
 	"notchhinge/internal/control/metrics"
 	"notchhinge/internal/control/replica"
@@ -28,8 +27,8 @@
 		if len(how) > 0 && how[0] == fetchConfirmed && n.replica != nil {
 			ctx, cancel := context.WithTimeout(ctx, limits.ReplicaCallTimeout)
 			defer cancel()
-			r := n.replica.operate(ctx, func(of chan api.Result, until time.Duration) replica.Event {
-				return replica.ReadConfig{Of: of, Until: until, Passive: true}
+			r := n.replica.operate(ctx, func(id replica.RequestID, deadline time.Duration) replica.Event {
+				return replica.ReadConfig{Request: id, Deadline: deadline, Passive: true}
 			})
 			if r.Status >= http.StatusInternalServerError { // 404: there is none yet
 				return nil, errors.New(r.Message)
@@ -41,11 +40,11 @@
 	if k == nil {
 		return nil, errNotReplica
 	}
-	switch kind {
+	switch call := replica.CallKind(kind); call {
 	case replica.CallPaxos, replica.CallLearn, replica.CallSnapshot, replica.CallIdentity, replica.CallJoin, replica.CallCommit:
 		ctx, cancel := context.WithTimeout(ctx, limits.OperatorCallTimeout)
 		defer cancel()
-		return k.handleCall(ctx, kind, from, body)
+		return k.handleCall(ctx, call, from, body)
 	}
 	if n.singleton != nil && singleton.OwnsCall(kind) {
 		return n.singleton.handleCall(kind, body)
@@ -56,9 +55,11 @@
 // causeOf is what a call is for. The kinds of calls between processes are those of the state (core), of the duties (duty) and
 // of configurations (texts); 6, 7, 12 and 13 were the operator's, passed on.
 func causeOf(kind uint8) metrics.Cause {
-	switch kind {
+	switch replica.CallKind(kind) {
 	case replica.CallPaxos, replica.CallLearn, replica.CallCommit:
 		return metrics.CausePaxos
+	}
+	switch kind {
 	case configcache.CallFetch:
 		return metrics.CauseConfigs
 	case singleton.CallUsageReport, singleton.CallUsageTable:
--- a/internal/node/replicahost.go
+++ b/internal/node/replicahost.go
@@ -17,7 +17,7 @@
 	"notchhinge/internal/limits"
 )
 
-// replicaHost is the process's core.Node under one lock, with its disk, its clock and its calls.
+// replicaHost is the process's replica.Replica under one lock, with its disk, its clock and its calls.
 type replicaHost struct {
 	log            *slog.Logger
 	self           replog.Member
@@ -36,6 +36,12 @@
 	wake       chan struct{}
 	timerAt    time.Duration // the timer is set to it
 	done       chan struct{} // closed once nobody turns it any more
+
+	// Who waits for the effects that answer events. The channels have room for one value.
+	calls     replica.Pending[chan callResult]
+	answers   replica.Pending[chan api.Result]
+	proposals replica.Pending[chan error]
+	leaves    replica.Pending[chan struct{}]
 }
 
 // contextMutex is a lock that can be waited for until a time: a keeper does nothing else while its disk takes what is written, and
@@ -102,16 +108,30 @@
 	k.stepLocked(e)
 }
 
-// stepContext is turn, unless the context is over before the keeper is free.
-func (k *replicaHost) stepContext(ctx context.Context, e replica.Event) bool {
+// request makes an event with the lock held, so that a RequestID can be chosen for it, and reduces it.
+func (k *replicaHost) request(event func() replica.Event) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.stepLocked(event())
+}
+
+// requestContext is request, unless the context is over before the lock is free.
+func (k *replicaHost) requestContext(ctx context.Context, event func() replica.Event) bool {
 	if !k.mu.LockContext(ctx) {
 		return false
 	}
 	defer k.mu.Unlock()
-	k.stepLocked(e)
+	k.stepLocked(event())
 	return true
 }
 
+// deliver sends a value to whoever waits for the answer to a request. The lock is held.
+func deliver[T any](waiting *replica.Pending[chan T], id replica.RequestID, value T) {
+	if to, ok := waiting.Take(id); ok {
+		to <- value
+	}
+}
+
 // stepLocked is turn once the lock is held.
 func (k *replicaHost) stepLocked(e replica.Event) {
 	now := k.clock()
@@ -125,17 +145,17 @@
 			go func() {
 				ctx, cancel := context.WithTimeout(context.Background(), f.Timeout)
 				defer cancel()
-				body, err := k.call(ctx, f.To, f.Kind, f.Body)
+				body, err := k.call(ctx, f.To, uint8(f.Kind), f.Body)
 				k.step(replica.CallReturned{ID: f.ID, Body: body, Err: err})
 			}()
 		case replica.SendReply:
-			f.Of.(chan callResult) <- callResult{f.Body, f.Err} // it has room
+			deliver(&k.calls, f.Request, callResult{f.Body, f.Err})
 		case replica.OperatorAnswer:
-			f.Of.(chan api.Result) <- f.Result // likewise
-		case replica.Proposed:
-			f.Of.(chan error) <- f.Err // likewise
-		case replica.Left:
-			close(f.Of.(chan struct{}))
+			deliver(&k.answers, f.Request, f.Result)
+		case replica.ProposeDone:
+			deliver(&k.proposals, f.Request, f.Err)
+		case replica.LeaveDone:
+			deliver(&k.leaves, f.Request, struct{}{})
 		case replica.StateChanged:
 			k.onStateChanged(&f.State)
 		case replica.Log:
@@ -190,10 +210,10 @@
 
 // handOver hands over to those that stay, until a context is over at the latest.
 func (k *replicaHost) handOver(ctx context.Context) {
-	of := make(chan struct{})
-	k.step(replica.Leave{Of: of, Until: k.deadline(ctx)})
+	left := make(chan struct{}, 1)
+	k.request(func() replica.Event { return replica.Leave{Request: k.leaves.Add(left), Deadline: k.deadline(ctx)} })
 	select {
-	case <-of:
+	case <-left:
 	case <-ctx.Done():
 	}
 }
@@ -210,11 +230,13 @@
 
 // handleCall answers a call of another process. What its caller has given up meanwhile is not done: it was behind other work for so
 // long that newer calls have come, and by these a keeper that has fallen behind takes a state, not one place after another.
-func (k *replicaHost) handleCall(ctx context.Context, kind uint8, from netip.Addr, body []byte) ([]byte, error) {
+func (k *replicaHost) handleCall(ctx context.Context, kind replica.CallKind, from netip.Addr, body []byte) ([]byte, error) {
 	of := make(chan callResult, 1)
 	wait, cancel := context.WithTimeout(ctx, replica.CallTimeout(kind))
 	defer cancel()
-	if !k.stepContext(wait, replica.CallReceived{Kind: kind, Body: body, From: from, Of: of}) {
+	if !k.requestContext(wait, func() replica.Event {
+		return replica.CallReceived{Kind: kind, Body: body, From: from, Request: k.calls.Add(of)}
+	}) {
 		return nil, errDiskBusy
 	}
 	select {
@@ -226,12 +248,12 @@
 }
 
 // operate has a call of the operator answered.
-func (k *replicaHost) operate(ctx context.Context, event func(of chan api.Result, until time.Duration) replica.Event) api.Result {
+func (k *replicaHost) operate(ctx context.Context, event func(id replica.RequestID, deadline time.Duration) replica.Event) api.Result {
 	of := make(chan api.Result, 1)
 	until := k.deadline(ctx)
 	wait, cancel := context.WithTimeout(ctx, until-k.clock())
 	defer cancel()
-	if !k.stepContext(wait, event(of, until)) {
+	if !k.requestContext(wait, func() replica.Event { return event(k.answers.Add(of), until) }) {
 		return api.Result{Status: http.StatusServiceUnavailable, Message: errDiskBusy.Error()}
 	}
 	select {
@@ -245,7 +267,9 @@
 // propose has entries chosen until want says that it is done. What want keeps account of is the caller's again afterwards.
 func (k *replicaHost) propose(ctx context.Context, want func(*replog.State) []byte) error {
 	of := make(chan error, 1)
-	k.step(replica.Propose{Next: want, Of: of, Until: k.deadline(ctx)})
+	k.request(func() replica.Event {
+		return replica.Propose{Next: want, Request: k.proposals.Add(of), Deadline: k.deadline(ctx)}
+	})
 	select {
 	case err := <-of:
 		return err
