--- a/internal/control/fleetconfig/scale_bench_test.go
+++ b/internal/control/fleetconfig/fleetconfig_bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// BenchmarkTenants reads a configuration of so many tenants: as a router does, and with its digest, as each keeper does when it
-// is asked to take one and again when it is chosen.
+// BenchmarkTenants decodes configurations of many tenants: as a router does ("read"), and with the digest, as each replica
+// does when it accepts one and again when it is chosen.
 func BenchmarkTenants(b *testing.B) {
 	for _, n := range []int{1400, 4600, 14000} {
 		c := &Config{Revision: 1, Services: []Service{{Name: "s"}}}
--- /dev/null
+++ b/internal/control/fleetconfig/validate.go
@@ -0,0 +1,182 @@
+package fleetconfig
+
+import (
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+)
+
+// maxFieldErrors bounds what is reported: a file of thousands of routes may be wrong throughout.
+const maxFieldErrors = 64
+
+// Validate reports everything that is wrong with a configuration by itself, as FieldErrors; nil = nothing. A configuration is
+// accepted only if it is valid.
+func (c *Config) Validate() error {
+	v := validator{}
+	if c.Revision == 0 {
+		v.addf([]string{"revision"}, "must be above 0")
+	}
+	v.requestLimits(&c.RequestLimits)
+	services := v.services(c.Services)
+	v.routes(c.Routes, services)
+	v.tenants(c.Tenants)
+	if len(v.errs) > 0 {
+		return v.errs
+	}
+	return nil
+}
+
+// validator collects errors. owner is the name of the entry that is being checked.
+type validator struct {
+	errs  FieldErrors
+	owner string
+}
+
+func (v *validator) addf(path []string, format string, args ...any) {
+	if len(v.errs) < maxFieldErrors {
+		v.errs = append(v.errs, FieldError{Path: path, Owner: v.owner, Message: fmt.Sprintf(format, args...)})
+	}
+}
+
+// entry is the path to one entry of a list.
+type entry struct {
+	list  string
+	index int
+}
+
+func (e entry) at(keys ...string) []string {
+	return append([]string{e.list, strconv.Itoa(e.index)}, keys...)
+}
+
+// nonNegative rejects numbers below 0, and NaN.
+func (v *validator) nonNegative(path []string, value float64) {
+	if !(value >= 0) {
+		v.addf(path, "must be 0 or more, not %v", value)
+	}
+}
+
+func (v *validator) requestLimits(l *RequestLimits) {
+	for _, field := range []struct {
+		key   string
+		value float64
+	}{
+		{"max_header_bytes", float64(l.MaxHeaderBytes)},
+		{"max_body_bytes", float64(l.MaxBodyBytes)},
+		{"header_timeout_ms", l.HeaderTimeoutMS},
+		{"idle_timeout_ms", l.IdleTimeoutMS},
+	} {
+		v.nonNegative([]string{"request_limits", field.key}, field.value)
+	}
+}
+
+// services returns the names of all services.
+func (v *validator) services(services []Service) map[string]bool {
+	names := map[string]bool{}
+	for i := range services {
+		s, e := &services[i], entry{"services", i}
+		v.owner = s.Name
+		switch {
+		case s.Name == "":
+			v.addf(e.at("name"), "must not be empty")
+		case names[s.Name]:
+			v.addf(e.at("name"), "another service has this name")
+		}
+		names[s.Name] = true
+		if a := s.Autoscaling; a != nil && (a.MinInstances < 0 || a.MaxInstances < a.MinInstances) {
+			v.addf(e.at("autoscaling"), "min_instances %d, max_instances %d: must be 0 or more, and the first no more than the second",
+				a.MinInstances, a.MaxInstances)
+		}
+	}
+	return names
+}
+
+// routeKey is what tells routes apart when a request is matched.
+type routeKey struct{ hostname, pathPrefix string }
+
+func (v *validator) routes(routes []Route, services map[string]bool) {
+	seen := map[routeKey]int{}
+	for i := range routes {
+		r, e := &routes[i], entry{"routes", i}
+		v.owner = r.Name
+		v.match(routes, e, seen)
+		v.behavior(r, e)
+		v.targets(r, e, services)
+	}
+}
+
+// match checks which requests a route matches, and that no other one matches the same. seen has the routes before it.
+func (v *validator) match(routes []Route, e entry, seen map[routeKey]int) {
+	r := &routes[e.index]
+	if r.Hostname == "" {
+		v.addf(e.at("hostname"), "must not be empty")
+	}
+	if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
+		v.addf(e.at("path_prefix"), "%q must begin and end with a slash", r.PathPrefix)
+	}
+	key := routeKey{strings.ToLower(r.Hostname), r.PathPrefix}
+	if first, ok := seen[key]; ok {
+		v.addf(e.at("path_prefix"), "routes[%d] (%s) has the same host and path_prefix", first, routes[first].Name)
+	}
+	seen[key] = e.index
+}
+
+// behavior checks what becomes of a route's requests.
+func (v *validator) behavior(r *Route, e entry) {
+	switch r.Type {
+	case RouteIdempotent, RouteNonIdempotent, RouteStreaming:
+	default:
+		v.addf(e.at("route_type"), "unknown type %q; must be %s, %s or %s", r.Type, RouteIdempotent, RouteNonIdempotent, RouteStreaming)
+	}
+	if !(r.TimeoutMS > 0) || math.IsInf(r.TimeoutMS, 0) {
+		v.addf(e.at("timeout_ms"), "must be above 0, not %v", r.TimeoutMS)
+	}
+	if r.TargetLatencyMS < 0 {
+		v.addf(e.at("target_latency_ms"), "must be 0 or more, not %v", r.TargetLatencyMS)
+	}
+	v.nonNegative(e.at("max_attempts"), float64(r.MaxAttempts))
+}
+
+// targets checks the services of a route and their weights.
+func (v *validator) targets(r *Route, e entry, services map[string]bool) {
+	sum := 0.0
+	for k, target := range r.Targets() {
+		at := func(key string) []string {
+			if len(r.TrafficSplit) == 0 {
+				return e.at(key)
+			}
+			return e.at("traffic_split", strconv.Itoa(k), key)
+		}
+		if !services[target.Service] {
+			v.addf(at("target_service"), "unknown service %q", target.Service)
+		}
+		if !(target.Weight >= 0) || math.IsInf(target.Weight, 0) {
+			v.addf(at("weight"), "must be 0 or more, not %v", target.Weight)
+		}
+		sum += target.Weight
+	}
+	if !(sum > 0) {
+		v.addf(e.at("traffic_split"), "the weights add up to %v; must be above 0", sum)
+	}
+}
+
+func (v *validator) tenants(tenants []Tenant) {
+	names, ownerOf := map[string]bool{}, map[string]string{}
+	for i := range tenants {
+		t, e := &tenants[i], entry{"tenants", i}
+		v.owner = t.Name
+		switch {
+		case t.Name == "":
+			v.addf(e.at("name"), "must not be empty")
+		case names[t.Name]:
+			v.addf(e.at("name"), "another tenant has this name")
+		}
+		names[t.Name] = true
+		for _, key := range t.APIKeys {
+			if other, ok := ownerOf[key]; ok && other != t.Name {
+				v.addf(e.at("api_keys"), "tenant %q has one of these keys too", other)
+			}
+			ownerOf[key] = t.Name
+		}
+	}
+}
--- a/internal/declaration/declaration_test.go
+++ b/internal/declaration/declaration_test.go
@@ -133,7 +133,7 @@
 		want []string
 	}{
 		"by the schema": {bad, []string{"f.toml:17: routes[0].path_prefix", "f.toml:21: routes[0].max_tries: is no key"}},
-		"by the checks": {worse, []string{"f.toml:20: routes[0].target_service (chat): there is no service \"none\"", "f.toml:29: routes[1].traffic_split"}},
+		"by the checks": {worse, []string{"f.toml:20: routes[0].target_service (chat): unknown service \"none\"", "f.toml:29: routes[1].traffic_split"}},
 		"no TOML":       {"[[routes]\n", []string{"f.toml:1"}},
 	} {
 		_, err := Parse([]byte(c.text), "f.toml", env)
--- a/internal/edge/explain.go
+++ b/internal/edge/explain.go
@@ -12,7 +12,7 @@
 	Route    string                        `json:"route,omitempty"`
 	Host     string                        `json:"hostname,omitempty"`
 	Prefix   string                        `json:"path_prefix,omitempty"`
-	Type     string                        `json:"route_type,omitempty"`
+	Type     fleetconfig.RouteType         `json:"route_type,omitempty"`
 	Tenant   string                        `json:"tenant,omitempty"`
 	Shares   []fleetconfig.WeightedService `json:"split,omitempty"`
 	Service  string                        `json:"service,omitempty"` // of a split, this time's
--- a/internal/lab/check/legs.go
+++ b/internal/lab/check/legs.go
@@ -125,7 +125,7 @@
 	c := &fleetconfig.Config{Revision: 1, Services: []fleetconfig.Service{{Name: "s"}}}
 	for _, kind := range legKinds {
 		c.Routes = append(c.Routes, fleetconfig.Route{
-			Name: kind, Hostname: "h", PathPrefix: "/" + kind + "/", Type: kind, TimeoutMS: 5000, TargetLatencyMS: 1000, TargetService: "s", MaxAttempts: 3, Public: true,
+			Name: kind, Hostname: "h", PathPrefix: "/" + kind + "/", Type: fleetconfig.RouteType(kind), TimeoutMS: 5000, TargetLatencyMS: 1000, TargetService: "s", MaxAttempts: 3, Public: true,
 		})
 	}
 	next := hoststate.PoolID(1)
@@ -170,7 +170,14 @@
 	return r
 }
 
-var legKinds = []string{fleetconfig.RouteNonIdempotent, fleetconfig.RouteStreaming, fleetconfig.RouteIdempotent}
+// The route types as they stand in paths and in the names of walks.
+const (
+	routeIdempotent    = string(fleetconfig.RouteIdempotent)
+	routeNonIdempotent = string(fleetconfig.RouteNonIdempotent)
+	routeStreaming     = string(fleetconfig.RouteStreaming)
+)
+
+var legKinds = []string{routeNonIdempotent, routeStreaming, routeIdempotent}
 
 // legDialect is the legs' own, but for a rule that may be broken.
 type legDialect struct {
@@ -335,7 +342,7 @@
 
 // ask has a client send a request.
 func (r *router) ask(c *caller, kind string) *asked {
-	q := &asked{id: fmt.Sprintf("r%04d", len(r.asked)), once: kind != fleetconfig.RouteIdempotent, path: "/" + kind + "/x", from: c}
+	q := &asked{id: fmt.Sprintf("r%04d", len(r.asked)), once: kind != routeIdempotent, path: "/" + kind + "/x", from: c}
 	r.asked = append(r.asked, q)
 	c.asks = q
 	c.in = fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline-Remaining-Ms: 5000\r\nContent-Length: 9\r\n\r\nask %s", q.path, q.id, q.id)
@@ -468,7 +475,7 @@
 	body := fmt.Sprintf("id: 0\ndata: %s %d\n\nid: 1\ndata: end of %s\n\n", q.id, n, q.id)
 	q.answers = append(q.answers, seal+" "+body)
 	start := "HTTP/1.1 200 OK\r\nX-Response-Seal: " + seal + "\r\nX-Request-Id: " + q.id + "\r\nKeep-Alive: timeout=10\r\n" + head
-	if strings.Contains(q.path, fleetconfig.RouteStreaming) {
+	if strings.Contains(q.path, routeStreaming) {
 		at := strings.Index(body, "\n\n") + 2
 		return fmt.Appendf(nil, "%sContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", start, at, body[:at], len(body)-at, body[at:])
 	}
@@ -733,7 +740,7 @@
 	}
 	r.resting, r.plain = nil, true
 	if !r.dead {
-		r.ask(r.call(), fleetconfig.RouteNonIdempotent)
+		r.ask(r.call(), routeNonIdempotent)
 		r.run()
 	}
 	for _, c := range r.callers {
@@ -887,12 +894,12 @@
 		name, first string
 		slips
 	}{
-		{"an answer is taken for that of whoever waits", fleetconfig.RouteIdempotent, slips{blind: true}},
-		{"an answer that broke off is ended as whole", fleetconfig.RouteStreaming, slips{whole: true}},
-		{"what may not be repeated counts as what may", fleetconfig.RouteNonIdempotent, slips{safe: true}},
-		{"a refusal promises, whatever has run", fleetconfig.RouteNonIdempotent, slips{promises: true}},
-		{"a line is used again without a look at it", fleetconfig.RouteIdempotent, slips{unseen: true}},
-		{"there is no budget for repeats", fleetconfig.RouteIdempotent, slips{lavish: true}},
+		{"an answer is taken for that of whoever waits", routeIdempotent, slips{blind: true}},
+		{"an answer that broke off is ended as whole", routeStreaming, slips{whole: true}},
+		{"what may not be repeated counts as what may", routeNonIdempotent, slips{safe: true}},
+		{"a refusal promises, whatever has run", routeNonIdempotent, slips{promises: true}},
+		{"a line is used again without a look at it", routeIdempotent, slips{unseen: true}},
+		{"there is no budget for repeats", routeIdempotent, slips{lavish: true}},
 	} {
 		all = append(all, Walk{b.name, func(int) (string, int) { return legs(b.slips, [][2]string{{b.first, b.first}}, legsFine()...) }})
 	}
--- a/internal/node/testplane_test.go
+++ b/internal/node/testplane_test.go
@@ -63,7 +63,7 @@
 }
 
 func planeConfig() *fleetconfig.Config {
-	route := func(name, prefix, kind string) fleetconfig.Route {
+	route := func(name, prefix string, kind fleetconfig.RouteType) fleetconfig.Route {
 		return fleetconfig.Route{Name: name, Hostname: "h", PathPrefix: prefix, Type: kind, TimeoutMS: 1500, TargetLatencyMS: 100, TargetService: "s", MaxAttempts: 2}
 	}
 	other := route("d", "/other/", fleetconfig.RouteIdempotent)
