--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -36,7 +36,7 @@
 		{"two operators upon one version, with cuts", func(lives int) (string, int) { return races(lives, false) }},
 		{"operators under one number, with answers lost", func(lives int) (string, int) { return orders(lives, "") }},
 		{"leases, while members are replaced in cuts", func(lives int) (string, int) { return leases(lives, "") }},
-		{"engines that leave, and who hears of it dies", func(lives int) (string, int) { return leaving(lives, false) }},
+		{"engines that drain, while processes crash", func(lives int) (string, int) { return draining(lives, false) }},
 		{"legs, every order of events of one request and one more", func(int) (string, int) { return legs(slips{}, legPairs(), legsFine()...) }},
 		{"legs, every order of events of two requests", everyTwo},
 		{"power lost at every step of a store's life", func(int) (string, int) {
@@ -76,7 +76,7 @@
 			return "", lives
 		}},
 		{"a ballot that was won is taken for one's own", func(lives int) (string, int) { return races(lives, true) }},
-		{"a drain is acknowledged before others know", func(lives int) (string, int) { return leaving(lives, true) }},
+		{"a drain is acknowledged before others know", func(lives int) (string, int) { return draining(lives, true) }},
 		broken(breaksBatch), broken(breaksOrder), broken(breaksReads), broken(breaksStep), broken(breaksPatience),
 		{"a journal's name is not durable", func(int) (string, int) {
 			faults, points := powerLost(true, 5)
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -162,14 +162,15 @@
 	}
 }
 
-// TestAcknowledgedDrainsHold: whoever dies between hearing that an engine leaves and answering, or right after it with all
-// keepers, a zone, or all who knew, nobody sends it work once its time is over. Answered as it comes, the walk finds it out.
+// TestAcknowledgedDrainsHold: whoever crashes between the announcement of a drain and the answer, or right after it with all
+// replicas, a zone, or all that knew, nobody sends the engine requests once its time is over. A drain that is acknowledged as
+// soon as it is received is found out.
 func TestAcknowledgedDrainsHold(t *testing.T) {
-	if found, seed := leaving(150, false); found != "" {
+	if found, seed := draining(150, false); found != "" {
 		t.Errorf("seed %d: %s", seed, found)
 	}
-	if found, lives := leaving(150, true); found == "" {
-		t.Errorf("answered before anybody else has heard it: not found in %d lives", lives)
+	if found, lives := draining(150, true); found == "" {
+		t.Errorf("acknowledged before anybody else knows: not found in %d walks", lives)
 	}
 }
 
