--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -84,8 +84,10 @@
 // newRouter opens a hollow router's sockets.
 func (f *fleet) newRouter(i int, ip string, at map[netip.Addr]place) (*router, error) {
 	addr := netip.AddrPortFrom(netip.MustParseAddr(ip), uint16(f.inner))
-	r := &router{f: f, zone: at[addr.Addr()].zone, at: at, start: time.Now(), wake: make(chan struct{}, 1), fetch: make(chan gossip.Peer, 1),
-		rnd: rand.New(rand.NewPCG(f.Seed, uint64(i)+1<<32)), windows: map[uint64]map[string]bool{}}
+	r := &router{
+		f: f, zone: at[addr.Addr()].zone, at: at, start: time.Now(), wake: make(chan struct{}, 1), fetch: make(chan gossip.Peer, 1),
+		rnd: rand.New(rand.NewPCG(f.Seed, uint64(i)+1<<32)), windows: map[uint64]map[string]bool{},
+	}
 	r.meter = usage.Meter{WindowLength: window, Incarnation: r.rnd.Uint64(), Zone: zoneName(r.zone)}
 	var err error
 	if r.net, err = transport.Open(addr, r.handle); err != nil {
