--- a/internal/lab/check/cuts.go
+++ b/internal/lab/check/cuts.go
@@ -9,19 +9,17 @@
 	"time"
 
 	"notchhinge/internal/control/api"
-	"notchhinge/internal/control/autoscale"
 	"notchhinge/internal/control/paxos"
-	replica "notchhinge/internal/control/replica"
+	"notchhinge/internal/control/replica"
 	"notchhinge/internal/control/replog"
 	"notchhinge/internal/control/singleton"
-	"notchhinge/internal/control/usage"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/timerqueue"
 )
 
-// site is keepers as the program has them (core.Node, and duty.Node where duties are owed) in simulated time, with links that
-// delay and are cut one way or both for about 20 s, processes that are killed at any write and start anew with their disks, and
-// disks that are lost. Nothing reads a clock: a seed's life is the same everywhere.
+// site is replicas as the program has them (replica.Replica, and singleton.Controller in walks of leases) in simulated time, with
+// links that delay and are cut one way or both for about 20 s, processes that are killed at any write and start anew with their
+// disks, and disks that are lost. Nothing reads a clock: a seed's walk is the same everywhere.
 type site struct {
 	draw   func(n int) int
 	now    time.Duration
@@ -33,28 +31,24 @@
 	found  string // the first broken rule
 	calm   bool   // nothing is killed or lost any more
 
-	closed bool // nobody is taken in by its own asking
-	duties bool // are owed
-	acts   int  // calls that the platform has taken
-	fence  uint64
-	holder map[uint64]int // by fence, who has sent it
+	closed        bool // nobody becomes a member by its own request
+	hasSingletons bool // each host has a part in the singleton roles
+	platform      platform
 }
 
 // host is a machine with a keeper on it.
 type host struct {
-	s      *site
-	i      int
-	id     uint64 // of its disk
-	up     bool
-	life   int
-	core   *replica.Replica
-	duty   *singleton.Controller
-	state  replog.State // as the disk has it
-	vote   paxos.AcceptorState
-	places map[uint64][]byte
-	wake   time.Duration
-	votes  bool   // is a member, as far as the duties have been told
-	anew   func() // has the part in the duties begin as if nobody had ever granted anything
+	s         *site
+	i         int
+	id        uint64 // of its disk
+	up        bool
+	life      int
+	core      *replica.Replica
+	state     replog.State // as the disk has it
+	vote      paxos.AcceptorState
+	places    map[uint64][]byte
+	wake      time.Duration
+	singleton *singletonHost // nil where it has no part in the singleton roles, or does not run
 
 	// What waits for the effects that answer events of this life.
 	calls     replica.Pending[func(body []byte, err error)]
@@ -70,8 +64,8 @@
 
 // newSite starts so many keepers that have founded a core, and further ones that may be taken in.
 func newSite(draw func(n int) int, n, further int, broken string) *site {
-	s := &site{draw: draw, due: timerqueue.New[func()](), blind: map[[2]int]bool{}, broken: broken, ids: 1, now: time.Hour, holder: map[uint64]int{}}
-	s.closed, s.duties = further > 0, further > 0
+	s := &site{draw: draw, due: timerqueue.New[func()](), blind: map[[2]int]bool{}, broken: broken, ids: 1, now: time.Hour}
+	s.closed, s.hasSingletons = further > 0, further > 0
 	var all []replog.Member
 	for i := range n + further {
 		h := &host{s: s, i: i}
@@ -201,15 +195,15 @@
 		Peers:       func() []netip.AddrPort { return others },
 		ChosenValue: func(place uint64) ([]byte, bool) { v, ok := h.places[place]; return v, ok },
 	})
-	if h.duty = nil; s.duties {
-		h.startDuties(others)
+	if h.singleton = nil; s.hasSingletons {
+		h.startSingleton(others)
 	}
 	h.plan()
 }
 
 // die ends the process.
 func (h *host) die() {
-	h.up, h.core, h.duty = false, nil, nil
+	h.up, h.core, h.singleton = false, nil, nil
 	h.life++
 }
 
@@ -233,10 +227,12 @@
 		return
 	}
 	if c, ok := e.(replica.CallReceived); ok && singleton.OwnsCall(uint8(c.Kind)) {
-		if reply, ok := h.owe(singleton.CallReceived{Kind: uint8(c.Kind), Body: c.Body}); ok {
-			if done, ok := h.calls.Take(c.Request); ok {
-				done(reply.Body, reply.Err)
-			}
+		if h.singleton == nil {
+			return
+		}
+		reply := h.singleton.reduce(singleton.CallReceived{Kind: uint8(c.Kind), Body: c.Body})
+		if done, ok := h.calls.Take(c.Request); ok {
+			done(reply.Body, reply.Err)
 		}
 		return
 	}
@@ -324,7 +320,7 @@
 
 // call carries a call there, and its answer back.
 func (s *site) call(from *host, c replica.SendCall, then func(body []byte, err error)) {
-	if s.broken == "a lease among members that nobody names" && uint8(c.Kind) == singleton.CallRenewLease {
+	if s.broken == brokenRenewal && uint8(c.Kind) == singleton.CallRenewLease {
 		c.Body = c.Body[:len(c.Body)-8] // as an earlier program asks
 	}
 	over := false
@@ -361,174 +357,4 @@
 	cutMost  = 20 * time.Second
 	patience = time.Second // of an operator, for an answer
 	within   = limits.OperatorCallTimeout
-	lease    = 3 * time.Second
 )
-
-// startDuties starts the keeper's part in the duties: engines of one service are ordered once a second.
-func (h *host) startDuties(others []netip.AddrPort) {
-	s, life := h.s, h.life
-	c := singleton.Config{
-		Self: h.member(), LeaseDuration: lease, UsageWindow: 5 * time.Second, UsageDelay: 10 * time.Second, RouterWindow: limits.RouterReportRetention, ScalesEngines: true, Incarnation: s.ids,
-		CandidacyDelay: time.Duration(h.id) * 100 * time.Millisecond, Peers: func() []netip.AddrPort { return others },
-		Services: func() []autoscale.Service {
-			n := 1 + int(s.now/time.Second)%9
-			return []autoscale.Service{{Name: "s", Bounds: autoscale.Bounds{Min: n, Max: n}, Ready: map[string]int{"z": 1}, Slots: 4}}
-		},
-	}
-	if s.broken != "a lease among members that may be others by now" {
-		c.MembershipPending = h.core.MembershipPending
-	}
-	h.duty = singleton.New(s.now, c)
-	h.anew = func() {
-		c.NeverGranted = true
-		h.duty = singleton.New(s.now, c)
-	}
-	h.votes = h.state.Member(h.id) != nil
-	var tick func()
-	tick = func() {
-		if h.life != life {
-			return
-		}
-		report := usage.Report{Incarnation: 1, Loads: []usage.Load{{Service: "s", Running: 400, Arrived: uint64(s.now / time.Millisecond)}}}
-		h.owe(singleton.CallReceived{Kind: singleton.CallUsageReport, Body: report.Encode()})
-		h.owe(singleton.Tick{})
-		s.in(limits.SingletonTickInterval, tick)
-	}
-	s.in(time.Duration(s.draw(500))*time.Millisecond, tick)
-}
-
-// owe has the keeper's part in the duties take an event, and does what follows. It returns the reply to a call, if there is one.
-func (h *host) owe(e singleton.Event) (reply singleton.SendReply, ok bool) {
-	if !h.up || h.duty == nil {
-		return reply, false
-	}
-	s, life := h.s, h.life
-	state := h.core.State()
-	if is := state.Member(h.id) != nil; is != h.votes {
-		if h.votes = is; is && s.broken == "a new member grants a lease at once" {
-			h.anew()
-		}
-	}
-	for _, f := range append([]singleton.Effect(nil), h.duty.Reduce(s.now, time.Unix(0, 0).Add(s.now), &state, e)...) {
-		switch f := f.(type) {
-		case singleton.SendCall:
-			s.call(h, replica.SendCall{To: f.To, Kind: replica.CallKind(f.Kind), Body: f.Body, Timeout: f.Timeout}, func(body []byte, err error) {
-				if h.life == life {
-					h.owe(singleton.CallReturned{ID: f.ID, Body: body, Err: err})
-				}
-			})
-		case singleton.SendReply:
-			reply, ok = f, true
-		case singleton.Propose:
-			id := h.proposals.Add(func(err error) {
-				if h.life == life {
-					h.owe(singleton.ProposalDone{Err: err})
-				}
-			})
-			h.take(replica.Propose{Next: f.Next, Deadline: s.now + f.Timeout, Request: id})
-		case singleton.ScaleEngines: // the platform can always be reached, and takes every call
-			s.in(time.Millisecond, func() { s.act(h, f.FencingToken) })
-			s.in(2*time.Millisecond, func() {
-				if h.life == life {
-					h.owe(singleton.PlatformAnswered{})
-				}
-			})
-		}
-	}
-	return reply, ok
-}
-
-// act is a holder's call at the platform, which watches rule ONE.
-func (s *site) act(h *host, fence uint64) {
-	s.acts++
-	if other, known := s.holder[fence]; known && other != h.i {
-		s.breaks("keepers %d and %d have both sent fence %d", other, h.i, fence)
-	}
-	s.holder[fence] = h.i
-	if fence < s.fence {
-		s.breaks("keeper %d sends fence %d, and the platform has seen %d", h.i, fence, s.fence)
-	}
-	s.fence = max(s.fence, fence)
-}
-
-// swap has a member that lives replaced by a machine that has caught up, in one change, as somebody asks of one of the others.
-// It returns the holder and the one that leaves, as a set of machines.
-func (s *site) swap() (side int) {
-	now := s.newest()
-	var in *host
-	for _, h := range s.hosts {
-		if now.Member(h.id) == nil && h.known().NextIndex == now.NextIndex {
-			in = h
-		}
-	}
-	out := now.Members[s.draw(len(now.Members))]
-	for _, h := range s.hosts {
-		if h.id == now.LeaseHolder || h.id == out.ID {
-			side |= 1 << h.i
-		}
-	}
-	if in == nil {
-		return side
-	}
-	s.hosts[s.draw(len(s.hosts))].take(replica.Propose{Deadline: s.now + within, Next: func(x *replog.State) []byte {
-		nonce, members := uint64(s.draw(1<<30)), slices.Clone(x.Members)
-		at := slices.IndexFunc(members, func(m replog.Member) bool { return m.ID == out.ID })
-		if at < 0 || x.Member(in.id) != nil {
-			return nil
-		}
-		members[at] = in.member()
-		return replog.Entry{Nonce: nonce, Payload: replog.MembersChange{Members: members}}.Encode()
-	}})
-	return side
-}
-
-// leases plays lives in which members are replaced while the holder of the duties is cut off with some of them, and returns the
-// first in which two act at once.
-func leases(lives int, broken string) (found string, seed int) {
-	for seed := range lives {
-		draw := draws(seed)
-		s := newSite(draw, 3+2*draw(2), 2, broken)
-		s.run(12 * time.Second) // somebody holds them
-		for range 10 {
-			side := s.swap()
-			if draw(3) > 0 {
-				s.run(time.Duration(draw(12000)) * time.Microsecond)
-				for range draw(3) {
-					side |= 1 << draw(len(s.hosts))
-				}
-				s.cut(side, max(draw(6)-3, 0), time.Duration(2+draw(19))*time.Second)
-			}
-			if h := s.hosts[draw(len(s.hosts))]; draw(6) == 0 && h.up {
-				h.kill(time.Duration(50+draw(3000)) * time.Millisecond)
-			}
-			s.run(time.Duration(draw(9000)) * time.Millisecond)
-		}
-		if s.heal(); s.found == "" {
-			acts := s.acts
-			if s.run(12 * time.Second); s.acts == acts {
-				s.breaks("12 s after all is well nobody acts")
-			}
-		}
-		if s.found != "" {
-			return s.found, seed
-		}
-	}
-	return "", lives
-}
-
-// brokenLeases are the rules that are broken on purpose; each must be found.
-var brokenLeases = []string{
-	"a lease among members that nobody names", "a lease among members that may be others by now", "a new member grants a lease at once",
-}
-
-// brokenSites are the walks of all that is broken on purpose at a site.
-func brokenSites() (all []Walk) {
-	add := func(walk func(int, string) (string, int), names []string) {
-		for _, broken := range names {
-			all = append(all, Walk{broken, func(lives int) (string, int) { return walk(lives, broken) }})
-		}
-	}
-	add(orders, brokenOrders)
-	add(leases, brokenLeases)
-	return all
-}
--- a/internal/lab/check/cuts_test.go
+++ b/internal/lab/check/cuts_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestLeasesWhileMembersAreReplaced: two never act as holders at once, nor one after another had followed it, while members
-// that live are replaced and the holder is cut off with some of them, which know nothing of it. Each part of what keeps it so
-// is found out where it is missing.
+// that run are replaced and the holder is partitioned with some of them, which know nothing of it. Each rule that keeps it so
+// is found out where it is broken.
 func TestLeasesWhileMembersAreReplaced(t *testing.T) {
 	if found, seed := leases(40, ""); found != "" {
 		t.Errorf("seed %d: %s", seed, found)
@@ -17,9 +17,9 @@
 	for _, broken := range brokenLeases {
 		found, lives := leases(2000, broken)
 		if found == "" {
-			t.Errorf("%s: not found in %d lives", broken, lives)
+			t.Errorf("%s: not found in %d walks", broken, lives)
 		}
-		t.Logf("%s: life %d: %s", broken, lives, found)
+		t.Logf("%s: walk %d: %s", broken, lives, found)
 	}
 }
 
--- /dev/null
+++ b/internal/lab/check/singletonhost.go
@@ -0,0 +1,94 @@
+package check
+
+import (
+	"net/netip"
+	"time"
+
+	"notchhinge/internal/control/autoscale"
+	"notchhinge/internal/control/replica"
+	"notchhinge/internal/control/singleton"
+	"notchhinge/internal/control/usage"
+	"notchhinge/internal/limits"
+)
+
+// leaseDuration is that of the leases which hosts grant.
+const leaseDuration = 3 * time.Second
+
+// singletonHost is a host's part in the singleton roles: its Controller orders engines of one service once a second. It ends
+// with the process.
+type singletonHost struct {
+	*host
+	controller *singleton.Controller
+	config     singleton.Config
+	wasVoter   bool // at the last event
+}
+
+// startSingleton starts the host's part in the singleton roles.
+func (h *host) startSingleton(peers []netip.AddrPort) {
+	s := h.s
+	c := &singletonHost{host: h, wasVoter: h.state.Member(h.id) != nil, config: singleton.Config{
+		Self: h.member(), Incarnation: s.ids, LeaseDuration: leaseDuration, CandidacyDelay: time.Duration(h.id) * 100 * time.Millisecond,
+		UsageWindow: 5 * time.Second, UsageDelay: 10 * time.Second, RouterWindow: limits.RouterReportRetention, ScalesEngines: true,
+		Peers: func() []netip.AddrPort { return peers },
+		Services: func() []autoscale.Service {
+			n := 1 + int(s.now/time.Second)%9
+			return []autoscale.Service{{Name: "s", Bounds: autoscale.Bounds{Min: n, Max: n}, Ready: map[string]int{"z": 1}, Slots: 4}}
+		},
+	}}
+	if s.broken != brokenPendingMembers {
+		c.config.MembershipPending = h.core.MembershipPending
+	}
+	c.controller = singleton.New(s.now, c.config)
+	h.singleton = c
+	s.in(time.Duration(s.draw(500))*time.Millisecond, c.tick)
+}
+
+// tick reports a router's load and lets the Controller go on, again and again while the process runs.
+func (c *singletonHost) tick() {
+	if c.host.singleton != c {
+		return
+	}
+	s := c.s
+	report := usage.Report{Incarnation: 1, Loads: []usage.Load{{Service: "s", Running: 400, Arrived: uint64(s.now / time.Millisecond)}}}
+	c.reduce(singleton.CallReceived{Kind: singleton.CallUsageReport, Body: report.Encode()})
+	c.reduce(singleton.Tick{})
+	s.in(limits.SingletonTickInterval, c.tick)
+}
+
+// reduce has the Controller take in an event, and carries out the effects. It returns the reply to a call.
+func (c *singletonHost) reduce(e singleton.Event) (reply singleton.SendReply) {
+	if c.host.singleton != c {
+		return reply // its process has ended
+	}
+	s := c.s
+	state := c.core.State()
+	isVoter := state.Member(c.id) != nil
+	if isVoter && !c.wasVoter && s.broken == brokenNewVoter {
+		c.config.NeverGranted = true
+		c.controller = singleton.New(s.now, c.config)
+	}
+	c.wasVoter = isVoter
+	effects := c.controller.Reduce(s.now, time.Unix(0, 0).Add(s.now), &state, e)
+	for _, f := range append([]singleton.Effect(nil), effects...) {
+		switch f := f.(type) {
+		case singleton.SendCall:
+			call := replica.SendCall{To: f.To, Kind: replica.CallKind(f.Kind), Body: f.Body, Timeout: f.Timeout}
+			s.call(c.host, call, func(body []byte, err error) {
+				c.reduce(singleton.CallReturned{ID: f.ID, Body: body, Err: err})
+			})
+		case singleton.SendReply:
+			reply = f
+		case singleton.Propose:
+			id := c.proposals.Add(func(err error) { c.reduce(singleton.ProposalDone{Err: err}) })
+			c.take(replica.Propose{Next: f.Next, Deadline: s.now + f.Timeout, Request: id})
+		case singleton.ScaleEngines: // the platform can always be reached, and accepts every call
+			s.in(time.Millisecond, func() {
+				if fault := s.platform.accept(c.i, f.FencingToken); fault != "" {
+					s.breaks("%s", fault)
+				}
+			})
+			s.in(2*time.Millisecond, func() { c.reduce(singleton.PlatformAnswered{}) })
+		}
+	}
+	return reply
+}
