--- a/cmd/notchhinge/state_test.go
+++ b/cmd/notchhinge/state_test.go
@@ -198,7 +198,7 @@
 }
 
 func (f *fakeFleet) Engines() any {
-	return []node.EngineView{{ID: "i-1", Service: "s", Zone: "z", Address: "10.0.0.1:80", Slots: 13, State: "ready", HeardS: 0.5, Says: "it is drawn"}}
+	return []node.EngineView{{ID: "i-1", Service: "s", Zone: "z", Address: "10.0.0.1:80", Slots: 13, State: "ready", HeardS: 0.5, Says: "it is selected"}}
 }
 
 func (f *fakeFleet) Explain(r *http.Request) any {
@@ -267,7 +267,7 @@
 	step(0, "REVISION  DIGEST\n1         ab\n", "config", "history", "--control", at)
 	step(0, `"path_prefix"`, "config", "schema")
 	step(0, "SERVICE  ENGINE  ZONE  STATE  HEARD  SLOTS  ADDRESS\ns        i-1     z     ready  0.5s   13     10.0.0.1:80\n", "engines", "list", "--control", at)
-	step(0, "i-1 of s at 10.0.0.1:80 in z, heard 0.5 s ago: ready; it is drawn", "engines", "explain", "i-1", "--control", at)
+	step(0, "i-1 of s at 10.0.0.1:80 in z, heard 0.5 s ago: ready; it is selected", "engines", "explain", "i-1", "--control", at)
 	step(1, "i-2 is not known", "engines", "explain", "i-2", "--control", at)
 	step(0, `"route": "/x?y on h.example"`, "request", "explain", "http://h.example/x?y", "--control", at, "-H", "X-Prompt-Prefix: 3, 4")
 	step(2, "is no http://HOST/PATH", "request", "explain", "/x", "--control", at)
--- a/internal/node/benchhelpers_test.go
+++ b/internal/node/benchhelpers_test.go
@@ -17,6 +17,7 @@
 	settings "notchhinge/internal/config"
 	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/control/metrics"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/plan"
 	"notchhinge/internal/router"
@@ -46,10 +47,13 @@
 
 // benchNode is a node's data plane before an engine.
 func benchNode(b *testing.B, engine string) string {
-	d := newDataPlane(slog.New(slog.DiscardHandler), limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100}), time.Second, 1,
-		func(string) []endpoints.Endpoint {
+	d := newDataPlane(dataPlaneOptions{
+		log: slog.New(slog.DiscardHandler), traffic: &metrics.Traffic{}, drainGrace: time.Second, seed: 1,
+		limits: limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100}),
+		endpoints: func(string) []endpoints.Endpoint {
 			return []endpoints.Endpoint{{Record: endpoints.Record{ID: "i-1", Service: "s", Addr: engine}}}
-		})
+		},
+	})
 	go d.run(b.Context())
 	if err := d.applyConfig(1, &fleetconfig.Config{
 		Revision: 1, Services: []fleetconfig.Service{{Name: "s"}},
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -3,7 +3,10 @@
 import (
 	"context"
 	"errors"
+	"log/slog"
 	"net/netip"
+	"sync"
+	"sync/atomic"
 	"time"
 
 	"notchhinge/internal/control/configcache"
@@ -13,142 +16,209 @@
 	"notchhinge/internal/control/gossip"
 	"notchhinge/internal/control/replica"
 	"notchhinge/internal/control/replog"
+	"notchhinge/internal/control/transport"
 	"notchhinge/internal/limits"
 )
 
-// config is the newest configuration that is held here; nil = none yet.
-func (n *Node) config() *fleetconfig.Config { return n.currentConfig.Load() }
+// Pauses between two attempts to get a configuration.
+const (
+	fetchRetryInterval   = 50 * time.Millisecond
+	confirmRetryInterval = 100 * time.Millisecond
+)
+
+// fetchMode is the option of a configcache.CallFetch: nothing, or one byte. Earlier versions of the program ignore it.
+type fetchMode byte
+
+const (
+	fetchHeld      fetchMode = iota // the newest configuration that the peer holds; it stands on the wire as no byte
+	fetchConfirmed                  // the newest there is: a replica asks a quorum first, and answers only if it reaches one
+)
+
+// encode is the option's form on the wire.
+func (m fetchMode) encode() []byte {
+	if m == fetchHeld {
+		return nil
+	}
+	return []byte{byte(m)}
+}
+
+// decodeFetchMode reads an option; what it does not know is fetchHeld.
+func decodeFetchMode(b []byte) fetchMode {
+	if len(b) > 0 && b[0] == byte(fetchConfirmed) {
+		return fetchConfirmed
+	}
+	return fetchHeld
+}
 
-// onStateChanged follows the state of a keeper. It must not wait.
-func (n *Node) onStateChanged(s *replog.State) {
+// configSync keeps the process on the newest fleet configuration. It learns of one from the replica here or by gossip,
+// fetches it from a peer, puts it in force, and announces it. Configurations are ordered by their log index.
+type configSync struct {
+	log       *slog.Logger
+	transport *transport.Transport
+	discovery *discoveryHost
+	dataPlane *dataPlane // nil unless the process has a frontend
+
+	cache           configcache.Cache // the newest ones as received, for peers that ask
+	current         atomic.Pointer[fleetconfig.Config]
+	currentIndex    atomic.Uint64    // log index of current; 0 = none
+	newestIndex     atomic.Uint64    // the highest log index that was announced
+	quorumConfirmed atomic.Bool      // since the start a replica with a quorum has reported the newest configuration
+	replicaAnswered atomic.Bool      // since the start some replica has reported what it holds
+	fetchRequests   chan gossip.Peer // who announced a newer configuration; one is pending at most
+
+	applyMu sync.Mutex // held while a configuration is put in force; it guards the order of writes to cache, current and currentIndex
+}
+
+func newConfigSync(log *slog.Logger, t *transport.Transport, d *discoveryHost) *configSync {
+	return &configSync{log: log, transport: t, discovery: d, fetchRequests: make(chan gossip.Peer, 1)}
+}
+
+// stateChanged takes over the replica's state. It is called with the replica's lock held, and does not wait for the network.
+func (n *Node) stateChanged(s *replog.State) {
 	var ids []uint64
 	for _, m := range s.Members {
 		ids = append(ids, gossip.Hash(m.Name))
 	}
 	n.discovery.step(gossip.VotersChanged{IDs: ids})
 	if s.Config != nil {
-		n.applyConfig(s.ConfigIndex, s.Config)
+		n.configs.apply(s.ConfigIndex, s.Config)
 	}
 }
 
-// applyConfig takes a configuration over, and tells others of it.
-func (n *Node) applyConfig(place uint64, text []byte) {
-	n.applyMu.Lock()
-	defer n.applyMu.Unlock()
-	if place <= n.currentIndex.Load() {
+// config is the configuration in force; nil = none yet.
+func (s *configSync) config() *fleetconfig.Config { return s.current.Load() }
+
+// isBehind tells whether a configuration newer than the one in force is known of.
+func (s *configSync) isBehind() bool { return s.currentIndex.Load() < s.newestIndex.Load() }
+
+// apply puts an encoded configuration in force if it is newer than the present one, and announces it.
+func (s *configSync) apply(index uint64, encoded []byte) {
+	s.applyMu.Lock()
+	defer s.applyMu.Unlock()
+	if index <= s.currentIndex.Load() {
 		return
 	}
-	var pause func()
-	if n.dataPlane != nil { // streams go on meanwhile
-		pause = func() { time.Sleep(limits.ConfigYieldPause) }
+	var yield func()
+	if s.dataPlane != nil { // streams are passed on meanwhile
+		yield = func() { time.Sleep(limits.ConfigYieldPause) }
 	}
-	c, err := fleetconfig.Decode(text, pause)
-	if err == nil && n.dataPlane != nil {
-		err = n.dataPlane.applyConfig(place, c)
+	c, err := fleetconfig.Decode(encoded, yield)
+	if err == nil && s.dataPlane != nil {
+		err = s.dataPlane.applyConfig(index, c)
 	}
 	if err != nil {
-		n.log.Error("configuration not taken over", "place", place, "err", err)
+		s.log.Error("configuration not applied", "index", index, "err", err)
 		return
 	}
-	n.currentConfig.Store(c)
-	n.configCache.Add(place, text)
-	n.currentIndex.Store(place)
-	for w := n.newestIndex.Load(); w < place && !n.newestIndex.CompareAndSwap(w, place); w = n.newestIndex.Load() {
-	}
-	go n.discovery.step(discovery.ConfigStored{Index: place})
+	s.current.Store(c)
+	s.cache.Add(index, encoded)
+	s.currentIndex.Store(index)
+	s.raiseNewest(index)
+	go s.discovery.step(discovery.ConfigStored{Index: index}) // the caller may hold the replica's lock, and must not wait
 }
 
-// onConfigAnnounced is told that there is a configuration.
-func (n *Node) onConfigAnnounced(place uint64, from gossip.Peer) {
-	for w := n.newestIndex.Load(); w < place && !n.newestIndex.CompareAndSwap(w, place); w = n.newestIndex.Load() {
+// raiseNewest takes note of a configuration's log index.
+func (s *configSync) raiseNewest(index uint64) {
+	for known := s.newestIndex.Load(); known < index; known = s.newestIndex.Load() {
+		if s.newestIndex.CompareAndSwap(known, index) {
+			return
+		}
 	}
-	if place <= n.currentIndex.Load() {
+}
+
+// announced takes note that a peer holds the configuration at a log index, and has run fetch it if it is newer. It does not
+// wait.
+func (s *configSync) announced(index uint64, from gossip.Peer) {
+	s.raiseNewest(index)
+	if index <= s.currentIndex.Load() {
 		return
 	}
 	select {
-	case n.fetchRequests <- from:
-	default:
+	case s.fetchRequests <- from:
+	default: // a fetch is pending, and goes on until the newest is here
 	}
 }
 
-// fetchLoop gets configurations that are known of and not held.
-func (n *Node) fetchLoop(ctx context.Context) {
+// run fetches announced configurations until ctx is done.
+func (s *configSync) run(ctx context.Context) {
 	for {
-		var from gossip.Peer
 		select {
 		case <-ctx.Done():
 			return
-		case from = <-n.fetchRequests:
-		}
-		for try := 0; n.currentIndex.Load() < n.newestIndex.Load() && ctx.Err() == nil; try++ {
-			ask := []gossip.Peer{}
-			if from.Addr.IsValid() {
-				ask = append(ask, from)
-			}
-			for _, p := range append(ask, n.discovery.replicas()...) {
-				if n.fetchFrom(ctx, p.Addr, false) && n.currentIndex.Load() >= n.newestIndex.Load() {
-					break
+		case announcer := <-s.fetchRequests:
+			for s.isBehind() && ctx.Err() == nil {
+				s.fetchNewer(ctx, announcer)
+				if s.isBehind() {
+					sleep(ctx, fetchRetryInterval)
 				}
 			}
-			if n.currentIndex.Load() < n.newestIndex.Load() {
-				sleep(ctx, 50*time.Millisecond)
-			}
 		}
 	}
 }
 
-// fetchFrom asks another for a configuration that is newer than the one here; settled: for the newest there is, which a keeper asks a
-// majority for first. It tells whether it answered. A keeper of an earlier program says what it has itself in either case.
-func (n *Node) fetchFrom(ctx context.Context, to netip.AddrPort, settled bool) bool {
-	var how []byte
-	if settled {
-		how = []byte{fetchConfirmed}
+// fetchNewer asks the announcer, if it has an address, and then the replicas, until the newest configuration is here.
+func (s *configSync) fetchNewer(ctx context.Context, announcer gossip.Peer) {
+	var peers []gossip.Peer
+	if announcer.Addr.IsValid() {
+		peers = append(peers, announcer)
+	}
+	for _, p := range append(peers, s.discovery.replicas()...) {
+		if s.fetch(ctx, p.Addr, fetchHeld) && !s.isBehind() {
+			return
+		}
 	}
+}
+
+// fetch asks a peer for a configuration newer than the one here, and puts it in force. It tells whether the peer answered,
+// which it does with nothing where it has no newer one.
+func (s *configSync) fetch(ctx context.Context, to netip.AddrPort, mode fetchMode) bool {
 	ctx, cancel := context.WithTimeout(ctx, limits.ReplicaFailoverTimeout)
 	defer cancel()
-	has, had := n.configCache.Newest()
+	baseIndex, base := s.cache.Newest()
 	for {
-		b, err := n.transport.Call(ctx, to, configcache.CallFetch, replica.EncodeIndexed(has, how))
+		reply, err := s.transport.Call(ctx, to, configcache.CallFetch, replica.EncodeIndexed(baseIndex, mode.encode()))
 		if err != nil {
 			return false
 		}
-		place, text, err := n.configCache.DecodeReply(b, had)
-		if errors.Is(err, delta.ErrWrongBase) && has > 0 { // two who hold different texts for one place would be a fault: it must not last
-			has, had = 0, nil
+		index, encoded, err := s.cache.DecodeReply(reply, base)
+		if errors.Is(err, delta.ErrWrongBase) && baseIndex > 0 {
+			// The peer has another text at this index. That would be a fault, but it must not last: the whole text is fetched.
+			baseIndex, base = 0, nil
 			continue
 		}
 		if err != nil {
-			n.log.Error("a configuration on its way cannot be read", "from", to.String(), "err", err)
+			s.log.Error("fetched configuration not decoded", "peer", to.String(), "err", err)
 			return false
 		}
-		if len(text) > 0 {
-			n.applyConfig(place, text)
+		if len(encoded) > 0 {
+			s.apply(index, encoded)
 		}
 		return true
 	}
 }
 
-// findNewest finds out at the start which configuration is the newest. It goes on until a keeper that reaches a majority has said
-// so: one that is cut off may be the only one that is known here. What that has is held meanwhile.
-func (n *Node) findNewest(ctx context.Context) {
-	for !n.quorumConfirmed.Load() && ctx.Err() == nil {
-		all := n.discovery.replicas()
-		for _, p := range all {
-			if n.fetchFrom(ctx, p.Addr, true) {
-				n.quorumConfirmed.Store(true)
-				return
-			}
+// confirmNewest finds out after the start which configuration is the newest. It goes on until a replica with a quorum has
+// said so: one that is partitioned may be the only one that is known here. What such a one holds is put in force meanwhile.
+func (s *configSync) confirmNewest(ctx context.Context) {
+	for !s.quorumConfirmed.Load() && ctx.Err() == nil {
+		replicas := s.discovery.replicas()
+		if s.fetchFromFirst(ctx, replicas, fetchConfirmed) {
+			s.quorumConfirmed.Store(true)
+			return
 		}
-		for _, p := range all {
-			if n.fetchFrom(ctx, p.Addr, false) {
-				n.replicaAnswered.Store(true)
-				break
-			}
+		if s.fetchFromFirst(ctx, replicas, fetchHeld) {
+			s.replicaAnswered.Store(true)
 		}
-		sleep(ctx, 100*time.Millisecond)
+		sleep(ctx, confirmRetryInterval)
 	}
 }
 
-// fetchConfirmed, with a texts.CallFetch, asks for the newest configuration that there is: a keeper says nothing before a majority
-// has told it that there is no newer one. An earlier program takes no notice of it.
-const fetchConfirmed byte = 1
+// fetchFromFirst fetches from the first of the replicas that answers, and tells whether any did.
+func (s *configSync) fetchFromFirst(ctx context.Context, replicas []gossip.Peer, mode fetchMode) bool {
+	for _, p := range replicas {
+		if s.fetch(ctx, p.Addr, mode) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -50,8 +50,8 @@
 	}
 	p := newPlane(t, 1, engines...)
 	told := make(chan bool, 1)
-	p.d.onStaleConnection = func() {
-		p.d.limitRest()
+	p.d.onIdleDrop = func() {
+		p.d.limitIdleReuse()
 		select {
 		case told <- true:
 		default:
@@ -67,7 +67,7 @@
 		default:
 		}
 	}
-	if d := p.d.maxRest(); d != limits.StaleConnMaxIdle {
+	if d := p.d.maxIdle(); d != limits.StaleConnMaxIdle {
 		t.Fatalf("a line may have rested for %v", d)
 	}
 }
--- a/internal/node/dataplane.go
+++ b/internal/node/dataplane.go
@@ -21,55 +21,62 @@
 	"notchhinge/policy"
 )
 
-// dataPlane is the data plane of a node: the front, the legs, and a module for each service.
-type dataPlane struct {
+// dataPlaneOptions are what a data plane is made of.
+type dataPlaneOptions struct {
 	log         *slog.Logger
 	limits      limits.Limits
-	drainGrace  time.Duration
-	loop        *broker.Loop
-	upstream    *issuer.Client
-	frontend    *acquirer.Server
-	dialect     *edge.Dialect
-	endpoints   func(service string) []endpoints.Endpoint
-	seed        uint64
+	drainGrace  time.Duration // for how long a known session still goes to a draining engine
+	seed        uint64        // of the policy modules
+	zone        string        // of this machine
 	traffic     *metrics.Traffic
-	zone        string             // this machine's
-	retryBudget retrybudget.Budget // of each service; no Window = there is no such budget
-	retryShare  retrybudget.Share  // of the extra that all routers have together, beyond the ratio
-
-	onStaleConnection func()       // told that an engine has forgotten a connection; it must not wait
-	restLimitedUntil  atomic.Int64 // until then, by the loop's clock, connections that have rested are not for every request
-	routes            atomic.Pointer[edge.Compiled]
-	bounds            atomic.Pointer[limits.RequestBounds] // of the present configuration
-	endpointZones     atomic.Pointer[map[string]string]    // of engines, by address
-	mu                sync.Mutex                           // one change of configuration or engines at a time
-	nextPool          hoststate.PoolID
-	modules           map[hoststate.PoolID]*policy.Balancer
-	classCounts       map[hoststate.PoolID]int
-	endpointsChanged  chan struct{}
+	endpoints   func(service string) []endpoints.Endpoint // those that may get requests
+	retryBudget retrybudget.Budget                        // of each service; no Window = there is no such budget
+	retryShare  retrybudget.Share                         // of the allowance that all routers have in common, beyond the ratio
+}
+
+// dataPlane serves clients: connections from them (frontend), connections to engines (upstream), the loop that decides,
+// and a policy module for each service.
+type dataPlane struct {
+	dataPlaneOptions
+	loop       *broker.Loop
+	upstream   *issuer.Client
+	frontend   *acquirer.Server
+	dialect    *edge.Dialect
+	onIdleDrop func() // an engine has dropped an idle connection without a word; it must not wait
+
+	endpointsChanged chan struct{} // run must pass the endpoints on
+	idleLimitedUntil atomic.Int64  // until then, in ns of the loop's clock, connections that idled are not for every request
+	routes           atomic.Pointer[edge.Compiled]
+	bounds           atomic.Pointer[limits.RequestBounds] // of the configuration in force
+	endpointZones    atomic.Pointer[map[string]string]    // zones of endpoints, by address
+
+	mu          sync.Mutex // held while a configuration is applied or endpoints are passed on; it guards what follows, and the retry options
+	nextPool    hoststate.PoolID
+	modules     map[hoststate.PoolID]*policy.Balancer
+	classCounts map[hoststate.PoolID]int // priority classes that a module has
 }
 
-func newDataPlane(log *slog.Logger, lim limits.Limits, grace time.Duration, seed uint64, list func(string) []endpoints.Endpoint) *dataPlane {
+func newDataPlane(o dataPlaneOptions) *dataPlane {
 	d := &dataPlane{
-		traffic: &metrics.Traffic{}, log: log, limits: lim, drainGrace: grace, seed: seed, endpoints: list, nextPool: 1, modules: map[hoststate.PoolID]*policy.Balancer{},
-		classCounts: map[hoststate.PoolID]int{}, endpointsChanged: make(chan struct{}, 1),
+		dataPlaneOptions: o, endpointsChanged: make(chan struct{}, 1),
+		nextPool: 1, modules: map[hoststate.PoolID]*policy.Balancer{}, classCounts: map[hoststate.PoolID]int{},
 	}
-	unsaid, _ := lim.ConfiguredBounds(0, 0, 0, 0)
-	d.bounds.Store(&unsaid)
-	d.loop = broker.NewLoop(broker.New(lim), broker.UnixClock(), d.perform)
+	defaults, _ := o.limits.ConfiguredBounds(0, 0, 0, 0)
+	d.bounds.Store(&defaults)
+	d.loop = broker.NewLoop(broker.New(o.limits), broker.UnixClock(), d.perform)
 	d.upstream = issuer.New(issuer.Config{
-		Lim: lim, Post: d.loop.Post, Now: d.loop.Now, Dial: d.dial, Dialect: edge.Legs{}, Rest: d.maxRest, Forgot: func() { d.onStaleConnection() },
+		Lim: o.limits, Post: d.loop.Post, Now: d.loop.Now, Dial: d.dial, Dialect: edge.Legs{}, Rest: d.maxIdle, Forgot: func() { d.onIdleDrop() },
 	})
-	d.onStaleConnection = d.limitRest
-	d.dialect = &edge.Dialect{Now: d.routes.Load, Salt: seed, Conversation: rand.Uint64, Clock: d.loop.Now}
+	d.onIdleDrop = d.limitIdleReuse
+	d.dialect = &edge.Dialect{Now: d.routes.Load, Salt: o.seed, Conversation: rand.Uint64, Clock: d.loop.Now}
 	d.frontend = acquirer.New(acquirer.Options{
-		Lim: lim, Dialect: d.dialect, Routes: func() *service.Directory { return nil }, Post: d.loop.Post, Now: d.loop.Now,
+		Lim: o.limits, Dialect: d.dialect, Routes: func() *service.Directory { return nil }, Post: d.loop.Post, Now: d.loop.Now,
 		Ready: func() bool { return true }, Bounds: func() limits.RequestBounds { return *d.bounds.Load() },
 	})
 	return d
 }
 
-// run turns the loop, and feeds the modules as engines change, until the context is over.
+// run runs the loop, and passes endpoints on to the modules when they have changed, until ctx is done.
 func (d *dataPlane) run(ctx context.Context) {
 	go d.loop.Run(ctx)
 	for {
@@ -78,15 +85,15 @@
 			return
 		case <-d.endpointsChanged:
 		}
-		if at := d.routes.Load(); at != nil {
+		if routes := d.routes.Load(); routes != nil {
 			d.mu.Lock()
-			d.publishEndpoints(at)
+			d.publishEndpoints(routes)
 			d.mu.Unlock()
 		}
 	}
 }
 
-// notifyEndpointsChanged says that engines have changed. It does not wait.
+// notifyEndpointsChanged has run pass the endpoints on. It does not wait.
 func (d *dataPlane) notifyEndpointsChanged() {
 	select {
 	case d.endpointsChanged <- struct{}{}:
@@ -94,12 +101,12 @@
 	}
 }
 
-// closer is what every authorisation of this front is.
+// closer is a client's request, as the frontend hands it to the loop.
 type closer interface {
 	Close(why broker.Verdict, retryAfter time.Duration, mayHaveRun bool)
 }
 
-// perform has an effect done by its owner. It does not wait.
+// perform has an effect of the loop carried out by its owner. It does not wait.
 func (d *dataPlane) perform(e broker.Effect) {
 	if d.upstream.Perform(e) {
 		return
@@ -118,6 +125,7 @@
 	}
 }
 
+// poolEnded frees what a service had that is no longer configured, after its last request.
 func (d *dataPlane) poolEnded(id hoststate.PoolID) {
 	d.upstream.End(id)
 	d.frontend.End(id)
@@ -127,43 +135,44 @@
 	delete(d.classCounts, id)
 }
 
-// limitRest takes in that engines forget connections that rest.
-func (d *dataPlane) limitRest() {
-	d.restLimitedUntil.Store(int64(d.loop.Now() + limits.StaleConnCaution))
+// limitIdleReuse takes note that engines drop idle connections.
+func (d *dataPlane) limitIdleReuse() {
+	d.idleLimitedUntil.Store(int64(d.loop.Now() + limits.StaleConnCaution))
 }
 
-// maxRest is how long a connection may have rested that a request uses which must not run twice; 0 = no matter.
-func (d *dataPlane) maxRest() time.Duration {
-	if int64(d.loop.Now()) < d.restLimitedUntil.Load() {
+// maxIdle is for how long a connection may have idled that carries a request that must not run twice; 0 = for any time.
+func (d *dataPlane) maxIdle() time.Duration {
+	if int64(d.loop.Now()) < d.idleLimitedUntil.Load() {
 		return limits.StaleConnMaxIdle
 	}
 	return 0
 }
 
-// updateRetryShare takes in how many lives of routers share what may be sent again, as was said to a question of a time; 0 = it was not.
-func (d *dataPlane) updateRetryShare(asked time.Duration, lives int) {
+// updateRetryShare takes over how many incarnations of routers share the retry allowance, as a replica has answered to a
+// question of the time asked, by the loop's clock; 0 = it has not answered.
+func (d *dataPlane) updateRetryShare(asked time.Duration, routers int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.loop.Now()
-	d.retryShare.Update(asked, now, lives)
-	extra := d.retryShare.Allowance(now)
-	if d.retryBudget.Window == 0 || extra == d.retryBudget.Allowance {
+	d.retryShare.Update(asked, now, routers)
+	allowance := d.retryShare.Allowance(now)
+	if d.retryBudget.Window == 0 || allowance == d.retryBudget.Allowance {
 		return
 	}
-	d.retryBudget.Allowance = extra
-	d.loop.Post(broker.RepeatsExtra(extra))
+	d.retryBudget.Allowance = allowance
+	d.loop.Post(broker.RepeatsExtra(allowance))
 }
 
-// hasEndpoints tells whether any engine is known that a request could go to.
+// hasEndpoints tells whether there is an endpoint for any of the configured services, or no service is configured.
 func (d *dataPlane) hasEndpoints() bool {
-	at := d.routes.Load()
-	if at == nil {
+	routes := d.routes.Load()
+	if routes == nil {
 		return false
 	}
-	for name := range at.Services() {
+	for name := range routes.Services() {
 		if len(d.endpoints(name)) > 0 {
 			return true
 		}
 	}
-	return len(at.Services()) == 0
+	return len(routes.Services()) == 0
 }
--- a/internal/node/dataplaneconfig.go
+++ b/internal/node/dataplaneconfig.go
@@ -13,19 +13,19 @@
 	"notchhinge/policy"
 )
 
-// applyConfig takes a configuration over, if it is newer than the present one. Requests that have begun keep theirs.
-func (d *dataPlane) applyConfig(place uint64, c *fleetconfig.Config) error {
+// applyConfig puts a configuration in force if its log index is above the present one's. Requests under way keep theirs.
+func (d *dataPlane) applyConfig(index uint64, c *fleetconfig.Config) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	old := d.routes.Load()
-	if old != nil && old.Place >= place {
+	if old != nil && old.Place >= index {
 		return nil
 	}
 	var before map[string]*edge.Service
 	if old != nil {
 		before = old.Services()
 	}
-	next, err := edge.Compile(c, place, before, &d.nextPool, func() { time.Sleep(limits.ConfigYieldPause) })
+	next, err := edge.Compile(c, index, before, &d.nextPool, func() { time.Sleep(limits.ConfigYieldPause) })
 	if err != nil {
 		return err
 	}
@@ -34,13 +34,7 @@
 			return err
 		}
 	}
-	l := &c.RequestLimits
-	bounds, less := d.limits.ConfiguredBounds(l.MaxHeaderBytes, l.MaxBodyBytes, fleetconfig.Milliseconds(l.HeaderTimeoutMS), fleetconfig.Milliseconds(l.IdleTimeoutMS))
-	if less {
-		d.log.Warn("request_limits are above what this machine holds", "max_header_bytes", bounds.HeaderBytes, "max_body_bytes",
-			bounds.BodyBytes, "header_timeout", bounds.ReadTimeout.String(), "idle_timeout", bounds.IdleTimeout.String())
-	}
-	d.bounds.Store(&bounds)
+	d.applyRequestLimits(&c.RequestLimits)
 	d.routes.Store(next)
 	for name, s := range before {
 		if next.Services()[name] == nil {
@@ -48,21 +42,31 @@
 		}
 	}
 	d.publishEndpoints(next)
-	d.log.Info("configuration in force", "revision", c.Revision, "place", place, "routes", len(c.Routes), "services", len(c.Services))
+	d.log.Info("configuration applied", "revision", c.Revision, "index", index, "routes", len(c.Routes), "services", len(c.Services))
 	return nil
 }
 
-// setPool makes a service's module, or gives it the classes that it lacks.
+// applyRequestLimits takes over what a client's message may have, as far as this machine can hold it.
+func (d *dataPlane) applyRequestLimits(l *fleetconfig.RequestLimits) {
+	bounds, isReduced := d.limits.ConfiguredBounds(l.MaxHeaderBytes, l.MaxBodyBytes, fleetconfig.Milliseconds(l.HeaderTimeoutMS), fleetconfig.Milliseconds(l.IdleTimeoutMS))
+	if isReduced {
+		d.log.Warn("request_limits reduced to what this machine holds", "max_header_bytes", bounds.HeaderBytes, "max_body_bytes",
+			bounds.BodyBytes, "header_timeout", bounds.ReadTimeout.String(), "idle_timeout", bounds.IdleTimeout.String())
+	}
+	d.bounds.Store(&bounds)
+}
+
+// setPool makes a service's policy module, or gives it the classes that it lacks. The lock is held.
 func (d *dataPlane) setPool(s *edge.Service) error {
-	m := d.modules[s.ID]
-	if m != nil && d.classCounts[s.ID] == len(s.Classes) {
+	_, exists := d.modules[s.ID]
+	if exists && d.classCounts[s.ID] == len(s.Classes) {
 		return nil
 	}
 	classes := s.Classes
 	if len(classes) == 0 { // no route leads to it yet
 		classes = []policy.Class{{Name: "none", Aim: time.Second, Deadline: time.Second, Worth: 1}}
 	}
-	if m != nil && d.classCounts[s.ID] > 0 {
+	if exists && d.classCounts[s.ID] > 0 {
 		d.loop.Post(broker.Classes{Pool: s.ID, Classes: classes})
 		d.classCounts[s.ID] = len(s.Classes)
 		return nil
@@ -78,31 +82,37 @@
 		Pool: s.ID, Name: s.Name, Module: m, WarmUp: edge.WarmUp, ColdFrom: edge.ColdFrom, Attempts: d.limits.MaxAttempts, RetryAfter: d.limits.OverloadRetryAfter,
 	}
 	if d.retryBudget.Window > 0 {
-		own := d.retryBudget
-		e.Repeats = &own
+		budget := d.retryBudget
+		e.Repeats = &budget
 	}
 	d.loop.Post(e)
 	return nil
 }
 
-// publishEndpoints tells the modules which engines there are. The lock is held.
-func (d *dataPlane) publishEndpoints(at *edge.Compiled) {
-	now, clock := time.Now().UnixMilli(), d.loop.Now()
+// publishEndpoints passes the endpoints of each service on to its module. The lock is held.
+func (d *dataPlane) publishEndpoints(routes *edge.Compiled) {
+	wallMS, now := time.Now().UnixMilli(), d.loop.Now()
 	zones := map[string]string{}
-	defer func() { d.endpointZones.Store(&zones) }()
-	for name, s := range at.Services() {
-		l := broker.Listed{Pool: s.ID, Kind: policy.ListFull}
+	for name, s := range routes.Services() {
+		list := broker.Listed{Pool: s.ID, Kind: policy.ListFull}
 		for _, e := range d.endpoints(name) {
 			zones[e.Addr] = e.Zone
-			h := broker.Host{Name: e.ID, Dial: e.Addr, Weight: 1}
-			if e.State == endpoints.StateDraining {
-				h.State = policy.Draining
-			}
-			if left := time.Duration(e.WarmAtMS-now) * time.Millisecond; left > 0 {
-				h.BornAt = clock + min(left, edge.WarmUp) - edge.WarmUp
-			}
-			l.Hosts = append(l.Hosts, h)
+			list.Hosts = append(list.Hosts, listedHost(&e, wallMS, now))
 		}
-		d.loop.Post(l)
+		d.loop.Post(list)
+	}
+	d.endpointZones.Store(&zones)
+}
+
+// listedHost is an endpoint as a policy module knows it: one that is still warming up was born as much less than
+// edge.WarmUp ago as it needs still.
+func listedHost(e *endpoints.Endpoint, wallMS int64, now time.Duration) broker.Host {
+	h := broker.Host{Name: e.ID, Dial: e.Addr, Weight: 1}
+	if e.State == endpoints.StateDraining {
+		h.State = policy.Draining
+	}
+	if left := time.Duration(e.WarmAtMS-wallMS) * time.Millisecond; left > 0 {
+		h.BornAt = now + min(left, edge.WarmUp) - edge.WarmUp
 	}
+	return h
 }
--- a/internal/node/discoveryhost.go
+++ b/internal/node/discoveryhost.go
@@ -13,121 +13,131 @@
 	"notchhinge/internal/control/transport"
 )
 
-// discoveryHost is the process's news.Node under one lock, with its sockets and its clock.
+// discoveryHost owns the process's discovery.Node: its lock, its clock and timer, and the datagrams that it sends and gets.
 type discoveryHost struct {
 	transport *transport.Transport
-	clock     func() time.Duration // steady
+	clock     func() time.Duration // monotonic
+
+	// What follows from effects, called without the lock. None of them may wait.
+	onEndpointsChanged func()                               // engines have come, gone or changed
+	onIdleDropReported func()                               // another router saw an engine drop an idle connection
+	onConfigAnnounced  func(index uint64, from gossip.Peer) // a peer holds the configuration at a log index
+
+	wake chan struct{} // has run set its timer anew
 
 	mu      sync.Mutex
 	reducer *discovery.Node
-	wake    chan struct{}
-	timerAt time.Duration // the timer is set to it
-
-	onEndpointsChanged func()                               // told, without the lock, that engines have changed; it must not wait
-	onStaleConnections func()                               // told that engines forget connections that rest
-	onConfigAnnounced  func(place uint64, from gossip.Peer) // told that there is a configuration
+	timerAt time.Duration // by clock, what run's timer is set to
 }
 
-func newDiscoveryHost(n *transport.Transport, self gossip.Peer, seed uint64, silence time.Duration) *discoveryHost {
+func newDiscoveryHost(t *transport.Transport, self gossip.Peer, seed uint64, suspectAfter time.Duration) *discoveryHost {
 	start := time.Now()
 	return &discoveryHost{
-		transport: n, clock: func() time.Duration { return time.Since(start) + time.Hour }, reducer: discovery.New(self, seed, silence, hash32),
-		wake: make(chan struct{}, 1), onEndpointsChanged: func() {}, onStaleConnections: func() {}, onConfigAnnounced: func(uint64, gossip.Peer) {},
+		transport: t, clock: func() time.Duration { return time.Since(start) + time.Hour },
+		onEndpointsChanged: func() {}, onIdleDropReported: func() {}, onConfigAnnounced: func(uint64, gossip.Peer) {},
+		wake: make(chan struct{}, 1), reducer: discovery.New(self, seed, suspectAfter, zoneHash),
 	}
 }
 
-// hash32 names a zone.
-func hash32(s string) uint32 {
+// zoneHash is a zone's name as it stands in gossip: FNV-1a, 32 bits.
+func zoneHash(zone string) uint32 {
 	h := fnv.New32a()
-	h.Write([]byte(s))
+	h.Write([]byte(zone))
 	return h.Sum32()
 }
 
-// step reduces an event and does what follows.
-func (n *discoveryHost) step(e discovery.Event) {
-	var then []func()
-	n.mu.Lock()
-	for _, f := range n.reducer.Reduce(n.clock(), time.Now().UnixMilli(), e) {
+// step reduces an event and carries out the effects.
+func (h *discoveryHost) step(e discovery.Event) {
+	var callbacks []func()
+	h.mu.Lock()
+	for _, f := range h.reducer.Reduce(h.clock(), time.Now().UnixMilli(), e) {
 		switch f := f.(type) {
 		case gossip.SendPacket:
-			n.transport.SendDatagram(f.To, f.Payload)
+			h.transport.SendDatagram(f.To, f.Payload)
 		case discovery.Reply:
 			f.Of.(chan discovery.Reply) <- f // it has room
 		case discovery.EndpointsChanged:
-			then = append(then, n.onEndpointsChanged)
+			callbacks = append(callbacks, h.onEndpointsChanged)
 		case discovery.IdleDropReported:
-			then = append(then, n.onStaleConnections)
+			callbacks = append(callbacks, h.onIdleDropReported)
 		case discovery.ConfigAnnounced:
-			then = append(then, func() { n.onConfigAnnounced(f.Index, f.From) })
+			callbacks = append(callbacks, func() { h.onConfigAnnounced(f.Index, f.From) })
 		}
 	}
-	sooner := n.reducer.NextTimer() < n.timerAt
-	n.mu.Unlock()
-	for _, f := range then {
+	isSooner := h.reducer.NextTimer() < h.timerAt
+	h.mu.Unlock()
+	for _, f := range callbacks {
 		f()
 	}
-	if sooner {
+	if isSooner {
 		select {
-		case n.wake <- struct{}{}:
+		case h.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// ask has an engine's call taken in, and waits for its answer.
-func (n *discoveryHost) ask(ctx context.Context, event func(of chan discovery.Reply) discovery.Event) (discovery.Reply, error) {
-	of := make(chan discovery.Reply, 1)
-	n.step(event(of))
+// ask has the reducer handle an engine's call, and waits for the answer.
+func (h *discoveryHost) ask(ctx context.Context, event func(answer chan discovery.Reply) discovery.Event) (discovery.Reply, error) {
+	answer := make(chan discovery.Reply, 1)
+	h.step(event(answer))
 	select {
-	case a := <-of:
-		return a, a.Err
+	case r := <-answer:
+		return r, r.Err
 	case <-ctx.Done():
 		return discovery.Reply{}, ctx.Err()
 	}
 }
 
-// replicas lists those that hold the state, the best to ask first.
-func (n *discoveryHost) replicas() []gossip.Peer {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.reducer.Gossip.Replicas()
+// replicas lists the known replicas, the best to ask first.
+func (h *discoveryHost) replicas() []gossip.Peer {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.reducer.Gossip.Replicas()
 }
 
-// reachableReplicas lists the keepers that are likely to answer.
-func (n *discoveryHost) reachableReplicas() []gossip.Peer {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.reducer.Gossip.ResponsiveReplicas()
+// responsiveReplicas lists the replicas that are likely to answer.
+func (h *discoveryHost) responsiveReplicas() []gossip.Peer {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.reducer.Gossip.ResponsiveReplicas()
 }
 
-// endpoints is a copy of the engines of a service that may be used.
-func (n *discoveryHost) endpoints(service string) (all []endpoints.Endpoint) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, e := range n.reducer.Endpoints.Live(service) {
+// endpoints copies the endpoints of a service that may get requests.
+func (h *discoveryHost) endpoints(service string) (all []endpoints.Endpoint) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, e := range h.reducer.Endpoints.Live(service) {
 		all = append(all, *e)
 	}
 	return all
 }
 
-// run takes datagrams and keeps time until the context is over.
-func (n *discoveryHost) run(ctx context.Context, seeds []netip.AddrPort) {
-	go n.transport.ServeDatagrams(func(b []byte) { n.step(gossip.PacketReceived{Payload: b}) })
-	n.step(gossip.SeedsChanged{Addrs: seeds})
+// zoneOf is the hash of the zone of a peer's address, if it is known.
+func (h *discoveryHost) zoneOf(addr netip.Addr) (zone uint32, ok bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.reducer.Gossip.ZoneOf(addr)
+}
+
+// run takes datagrams, until the transport is closed, and is the reducer's timer, until ctx is done.
+func (h *discoveryHost) run(ctx context.Context, seeds []netip.AddrPort) {
+	go h.transport.ServeDatagrams(func(b []byte) { h.step(gossip.PacketReceived{Payload: b}) })
+	h.step(gossip.SeedsChanged{Addrs: seeds})
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		n.mu.Lock()
-		n.timerAt = n.reducer.NextTimer()
-		n.mu.Unlock()
-		timer.Reset(max(n.timerAt-n.clock(), time.Millisecond))
+		h.mu.Lock()
+		h.timerAt = h.reducer.NextTimer()
+		h.mu.Unlock()
+		timer.Reset(max(h.timerAt-h.clock(), time.Millisecond))
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.wake:
+		case <-h.wake:
 			continue
 		case <-timer.C:
 		}
-		n.step(gossip.Tick{})
+		h.step(gossip.Tick{})
 	}
 }
--- a/internal/node/enginecalls.go
+++ b/internal/node/enginecalls.go
@@ -9,7 +9,10 @@
 	"notchhinge/internal/control/endpoints"
 )
 
-// Heartbeat implements api.Handler.
+// maxWarmupMS bounds what an engine may say of its warm-up: an hour.
+const maxWarmupMS = 3.6e6
+
+// Heartbeat implements api.Handler. The address is that of the replica to which the engine should send its next heartbeats.
 func (n *Node) Heartbeat(ctx context.Context, b *api.Heartbeat) (home string, err error) {
 	r := endpoints.Record{
 		ID: b.ID, Service: b.TargetService, Addr: b.Address, Zone: b.Zone, Revision: b.Revision, Slots: uint64(max(b.CapacitySlots, 0)), CallCount: b.CallCount,
@@ -18,17 +21,21 @@
 		r.State = endpoints.StateDraining
 	}
 	if b.WarmupRemainingMS > 0 {
-		r.WarmAtMS = time.Now().UnixMilli() + int64(min(b.WarmupRemainingMS, 3.6e6))
+		r.WarmAtMS = time.Now().UnixMilli() + int64(min(b.WarmupRemainingMS, maxWarmupMS))
 	}
-	a, err := n.discovery.ask(ctx, func(of chan discovery.Reply) discovery.Event { return discovery.Heartbeat{Record: r, Of: of} })
-	if err != nil || !a.HomeReplica.IsValid() {
+	reply, err := n.discovery.ask(ctx, func(answer chan discovery.Reply) discovery.Event {
+		return discovery.Heartbeat{Record: r, Of: answer}
+	})
+	if err != nil || !reply.HomeReplica.IsValid() {
 		return "", err
 	}
-	return n.controlAddr(a.HomeReplica), nil
+	return n.controlAddr(reply.HomeReplica), nil
 }
 
 // Deregister implements api.Handler.
 func (n *Node) Deregister(ctx context.Context, id string) error {
-	_, err := n.discovery.ask(ctx, func(of chan discovery.Reply) discovery.Event { return discovery.Deregister{EndpointID: id, Of: of} })
+	_, err := n.discovery.ask(ctx, func(answer chan discovery.Reply) discovery.Event {
+		return discovery.Deregister{EndpointID: id, Of: answer}
+	})
 	return err
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -9,31 +9,41 @@
 	"notchhinge/internal/control/metrics"
 )
 
-// countTraffic keeps the account of what goes to other processes.
+// datagramHeaderBytes are the IPv4 and UDP headers of a datagram.
+const datagramHeaderBytes = 28
+
+// countTraffic counts what goes to another process: a call's kind and bytes, both ways, or a datagram (kind 0).
 func (n *Node) countTraffic(to netip.AddrPort, kind uint8, bytes int, datagram []byte) {
-	const headers = 28 // of a datagram
 	if kind == 0 {
-		// The lock of the news is held: datagrams are sent by its turn only.
-		zone, known := n.discovery.reducer.Gossip.ZoneOf(to.Addr())
-		cause := map[gossip.Purpose]metrics.Cause{gossip.PurposeAntiEntropy: metrics.CauseDigests, gossip.PurposeShuffle: metrics.CauseShuffles, gossip.PurposeDissemination: metrics.CauseGossip}
-		n.traffic.Add(cause[gossip.PurposeOf(datagram)], bytes+headers, known && zone != hash32(n.cfg.Zone))
+		// The discovery's lock is held: datagrams are sent by its step only.
+		zone, ok := n.discovery.reducer.Gossip.ZoneOf(to.Addr())
+		n.traffic.Add(causeOfDatagram(datagram), bytes+datagramHeaderBytes, ok && zone != zoneHash(n.cfg.Zone))
 		return
 	}
-	n.discovery.mu.Lock()
-	zone, known := n.discovery.reducer.Gossip.ZoneOf(to.Addr())
-	n.discovery.mu.Unlock()
-	n.traffic.Add(causeOf(kind), bytes, known && zone != hash32(n.cfg.Zone))
+	zone, ok := n.discovery.zoneOf(to.Addr())
+	n.traffic.Add(causeOf(kind), bytes, ok && zone != zoneHash(n.cfg.Zone))
+}
+
+// causeOfDatagram is what a datagram is for, in the metrics.
+func causeOfDatagram(datagram []byte) metrics.Cause {
+	switch gossip.PurposeOf(datagram) {
+	case gossip.PurposeAntiEntropy:
+		return metrics.CauseDigests
+	case gossip.PurposeShuffle:
+		return metrics.CauseShuffles
+	default:
+		return metrics.CauseGossip
+	}
 }
 
-// logTraffic writes down what the process has cost.
-func (n *Node) logTraffic(level slog.Level) {
-	ctx := context.Background()
+// logMetrics logs what the process has sent and received by cause, and what it has used.
+func (n *Node) logMetrics(ctx context.Context, level slog.Level) {
 	if !n.log.Enabled(ctx, level) {
 		return
 	}
 	for _, r := range n.traffic.Rows() {
-		n.log.Log(ctx, level, "account", "cause", r.Cause, "count", r.Count, "bytes", r.Bytes, "between_zones", r.CrossZone, "connections", r.Connections)
+		n.log.Log(ctx, level, "traffic", "cause", r.Cause, "count", r.Count, "bytes", r.Bytes, "cross_zone", r.CrossZone, "connections", r.Connections)
 	}
-	m := metrics.ReadProcess()
-	n.log.Log(ctx, level, "account of the machine", "processor_s", m.CPUSeconds, "memory_most_mb", m.MemoryMB, "wake_ups", m.WakeUps)
+	p := metrics.ReadProcess()
+	n.log.Log(ctx, level, "process resources", "cpu_s", p.CPUSeconds, "max_memory_mb", p.MemoryMB, "wake_ups", p.WakeUps)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -6,68 +6,64 @@
 	"os"
 	"runtime"
 	"runtime/debug"
-	"sync"
 	"sync/atomic"
 	"time"
 
 	"notchhinge/internal/config/nodeconfig"
-	"notchhinge/internal/control/configcache"
-	"notchhinge/internal/control/fleetconfig"
-	"notchhinge/internal/control/gossip"
 	"notchhinge/internal/control/metrics"
 	"notchhinge/internal/control/transport"
 )
 
-// Node is a process.
+// Node is one process of the fleet. Its parts are set before the first goroutine starts, and stay.
 type Node struct {
-	cfg           *nodeconfig.Config
-	log           *slog.Logger
-	transport     *transport.Transport
-	discovery     *discoveryHost
-	replica       *replicaHost   // nil where there is no disk
-	dataPlane     *dataPlane     // nil where no traffic is carried
-	singleton     *singletonHost // nil where there is no disk
-	currentConfig atomic.Pointer[fleetconfig.Config]
-	traffic       metrics.Traffic
-	startedAt     time.Time
+	cfg       *nodeconfig.Config
+	log       *slog.Logger
+	startedAt time.Time
 
-	applyMu         sync.Mutex    // one configuration is taken over at a time
-	currentIndex    atomic.Uint64 // of the newest configuration that is held here
-	configCache     configcache.Cache
-	newestIndex     atomic.Uint64 // of the newest that is known of
-	quorumConfirmed atomic.Bool   // a keeper that reached a majority has said what the newest is
-	replicaAnswered atomic.Bool   // some keeper has said what it has
-	redirects       atomic.Uint32 // callers that were sent to a keeper
-	fetchRequests   chan gossip.Peer
-	stopping        atomic.Bool
+	transport *transport.Transport
+	discovery *discoveryHost
+	configs   *configSync
+	replica   *replicaHost   // nil unless the process is a replica
+	singleton *singletonHost // nil unless the process is a replica and the platform has a cloud API
+	dataPlane *dataPlane     // nil unless the process has a frontend
+
+	traffic   metrics.Traffic
+	redirects atomic.Uint32 // operators' calls that were redirected to a replica
+	stopping  atomic.Bool   // the shutdown has begun
 }
 
-// Signals are what the outside asks of a running process.
+// Signals are the signals of the operating system that a running process obeys.
 type Signals struct {
-	Stop   <-chan os.Signal
-	Reload <-chan os.Signal
+	Stop   <-chan os.Signal // shut down gracefully
+	Reload <-chan os.Signal // read the seed nodes again
 }
 
-// Run runs a process until it is stopped.
+// Run runs a process with the settings file at path until it is told to stop. The error says why it could not start, or
+// which of its servers failed.
 func Run(path string, log *slog.Logger, sig Signals) error {
 	cfg, err := nodeconfig.Load(path)
 	if err != nil {
 		return err
 	}
-	log = log.With("node", cfg.NodeName)
 	runtime.GOMAXPROCS(max(1, int(cfg.Machine.CPUCores+0.5)))
 	debug.SetMemoryLimit(int64(cfg.Machine.MemoryMB) << 20 * 6 / 10)
-	n := &Node{cfg: cfg, log: log, startedAt: time.Now(), fetchRequests: make(chan gossip.Peer, 1)}
+	n := &Node{cfg: cfg, log: log.With("node", cfg.NodeName), startedAt: time.Now()}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if err := n.open(ctx); err != nil {
 		return err
 	}
-	defer func() {
-		n.transport.Close()
-		if k := n.replica; k != nil {
-			k.close()
-		}
-	}()
+	defer n.close()
 	return n.serve(ctx, path, sig)
 }
+
+// seconds is a setting in seconds as a duration.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+
+// sleep waits for d, or until ctx is done.
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-time.After(d):
+	case <-ctx.Done():
+	}
+}
--- a/internal/node/operatorcalls.go
+++ b/internal/node/operatorcalls.go
@@ -11,42 +11,20 @@
 	"notchhinge/internal/limits"
 )
 
+// noReplicaAnswers is the answer where this process is no replica and knows none that it could redirect to.
+var noReplicaAnswers = api.Result{Status: http.StatusServiceUnavailable, Message: "no replica answers"}
+
 // ReplaceConfig implements api.Handler.
-func (n *Node) ReplaceConfig(ctx context.Context, on uint64, text []byte) api.Result {
+func (n *Node) ReplaceConfig(ctx context.Context, base uint64, encoded []byte) api.Result {
 	began := time.Now()
 	r := n.askReplica(ctx, func(id replica.RequestID, deadline time.Duration) replica.Event {
-		return replica.ReplaceConfig{BaseRevision: on, Config: text, Request: id, Deadline: deadline}
+		return replica.ReplaceConfig{BaseRevision: base, Config: encoded, Request: id, Deadline: deadline}
 	})
-	n.log.Info("configuration call", "on", on, "bytes", len(text), "status", r.Status, "says", r.Message, "revision", r.Revision,
-		"took", time.Since(began).Round(time.Millisecond).String())
+	n.log.Info("configuration replace call", "base_revision", base, "bytes", len(encoded), "status", r.Status, "answer", r.Message,
+		"revision", r.Revision, "duration", time.Since(began).Round(time.Millisecond).String())
 	return r
 }
 
-// noReplica is what is said where nobody who holds the state is in reach.
-var noReplica = api.Result{Status: http.StatusServiceUnavailable, Message: "no keeper answers"}
-
-// RedirectTarget implements api.Handler: a keeper that was heard of lately, each in its turn, so that who comes again meets
-// another.
-func (n *Node) RedirectTarget() string {
-	if n.replica != nil {
-		return ""
-	}
-	all := n.discovery.reachableReplicas()
-	if len(all) == 0 {
-		return ""
-	}
-	return n.controlAddr(all[int(n.redirects.Add(1))%len(all)].Addr)
-}
-
-// controlAddr is the control address of the process at an inner one, on all machines control has the same port. "" = it can't be told.
-func (n *Node) controlAddr(inner netip.AddrPort) string {
-	own, err := netip.ParseAddrPort(n.cfg.Listeners.ControlPlane)
-	if err != nil {
-		return ""
-	}
-	return netip.AddrPortFrom(inner.Addr(), own.Port()).String()
-}
-
 // DescribeConfig implements api.Handler.
 func (n *Node) DescribeConfig(ctx context.Context) api.Result {
 	return n.askReplica(ctx, func(id replica.RequestID, deadline time.Duration) replica.Event {
@@ -68,12 +46,35 @@
 	})
 }
 
-// askReplica has a call of the operator answered by the keeper here.
-func (n *Node) askReplica(ctx context.Context, event func(id replica.RequestID, deadline time.Duration) replica.Event) api.Result {
+// askReplica has an operator's call answered by the replica here.
+func (n *Node) askReplica(ctx context.Context, event operatorEvent) api.Result {
 	if n.replica == nil {
-		return noReplica
+		return noReplicaAnswers
 	}
 	ctx, cancel := context.WithTimeout(ctx, limits.OperatorCallTimeout)
 	defer cancel()
 	return n.replica.operate(ctx, event)
 }
+
+// RedirectTarget implements api.Handler. Replicas that are likely to answer are named in turn, so that a caller that comes
+// again meets another one.
+func (n *Node) RedirectTarget() string {
+	if n.replica != nil {
+		return ""
+	}
+	replicas := n.discovery.responsiveReplicas()
+	if len(replicas) == 0 {
+		return ""
+	}
+	return n.controlAddr(replicas[int(n.redirects.Add(1))%len(replicas)].Addr)
+}
+
+// controlAddr is the control address of the process at an internal address: the control port is the same on all machines.
+// "" = this process has none, so that the port is not known.
+func (n *Node) controlAddr(internal netip.AddrPort) string {
+	own, err := netip.ParseAddrPort(n.cfg.Listeners.ControlPlane)
+	if err != nil {
+		return ""
+	}
+	return netip.AddrPortFrom(internal.Addr(), own.Port()).String()
+}
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -8,30 +8,39 @@
 	"notchhinge/internal/limits"
 )
 
-// serveReadiness says whether clients are wanted here.
+// Reasons for a router not to be ready that end by themselves after a time (limits.ReadyWithout...).
+const (
+	reasonNoReplica = "no replica has reported the newest configuration yet"
+	reasonNoQuorum  = "no replica with a quorum has confirmed the newest configuration yet"
+)
+
+// serveReadiness answers the platform's load balancer: 200, or 503 with the reason.
 func (n *Node) serveReadiness(w http.ResponseWriter, _ *http.Request) {
-	if why := n.notReadyReason(); why != "" {
-		http.Error(w, why, http.StatusServiceUnavailable)
+	if reason := n.notReadyReason(); reason != "" {
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
-	io.WriteString(w, "ok\n")
+	_, _ = io.WriteString(w, "ok\n") // a load balancer that has gone asks again
 }
 
-// notReadyReason says why a router is not ready; "" = it is.
+// notReadyReason says why the process should get no new clients; "" = it is ready. A router that was partitioned from the
+// replicas could serve under an old configuration, so it is not ready before a replica with a quorum has confirmed the
+// newest one; but where there is none a router that serves is worth more, so that the waits are bounded.
 func (n *Node) notReadyReason() string {
+	age := time.Since(n.startedAt)
 	switch {
 	case n.stopping.Load():
-		return "stopping"
+		return "shutting down"
 	case n.dataPlane == nil:
-		return "no traffic here"
+		return "no frontend here"
 	case n.dataPlane.routes.Load() == nil:
 		return "no configuration yet"
-	case !n.quorumConfirmed.Load() && !n.replicaAnswered.Load() && time.Since(n.startedAt) < limits.ReadyWithoutReplicaAfter:
-		return "no keeper has said yet which configuration is the newest"
-	case !n.quorumConfirmed.Load() && time.Since(n.startedAt) < limits.ReadyWithoutQuorumAfter:
-		return "no keeper that reaches a majority has said yet which configuration is the newest"
-	case n.currentIndex.Load() < n.newestIndex.Load():
-		return "a newer configuration is on its way"
+	case !n.configs.quorumConfirmed.Load() && !n.configs.replicaAnswered.Load() && age < limits.ReadyWithoutReplicaAfter:
+		return reasonNoReplica
+	case !n.configs.quorumConfirmed.Load() && age < limits.ReadyWithoutQuorumAfter:
+		return reasonNoQuorum
+	case n.configs.isBehind():
+		return "a newer configuration is being fetched"
 	case !n.dataPlane.hasEndpoints():
 		return "no engine is known yet"
 	}
--- a/internal/node/replicadisk.go
+++ b/internal/node/replicadisk.go
@@ -8,47 +8,57 @@
 	"notchhinge/internal/limits"
 )
 
-var errDiskUnavailable = errors.New("the disk does not take what is written")
+var errDiskUnavailable = errors.New("storage does not take writes")
 
-// persist writes to the disk. After a write that failed the disk is opened anew, at most a few times a second, and all that
-// stands here is written to it first: what was chosen meanwhile, and the vote. The lock is held.
-func (k *replicaHost) persist(w *replica.Write) error {
-	if k.diskClosed {
+// persist carries out a write, and reopens the disk first if the write before has failed. The lock is held. An error means
+// that the write may or may not be on the disk; the replica then votes for nothing until one succeeds.
+func (h *replicaHost) persist(w *replica.Write) error {
+	if h.diskClosed {
 		return errDiskUnavailable
 	}
-	if k.diskFailed {
-		if time.Since(k.reopenedAt) < limits.DiskReopenInterval {
-			return errDiskUnavailable
-		}
-		k.reopenedAt = time.Now()
-		state := k.reducer.State()
-		err := k.disk.Reopen()
-		if err == nil {
-			err = k.disk.SaveSnapshot(&state)
-		}
-		if err == nil {
-			err = k.disk.SaveAcceptor(k.reducer.AcceptorState())
-		}
-		if err != nil {
-			k.log.Error("the disk is still not usable", "err", err)
-			return errDiskUnavailable
-		}
-		k.diskFailed = false
-		k.log.Info("the disk is usable again", "next_place", state.NextIndex)
-	}
-	var err error
+	if h.diskFailed && !h.reopenDisk() {
+		return errDiskUnavailable
+	}
+	if err := h.write(w); err != nil {
+		h.diskFailed, h.reopenedAt = true, time.Now()
+		h.log.Error("storage write failed; replica abstains until it is reopened", "err", err)
+		return errDiskUnavailable
+	}
+	return nil
+}
+
+// reopenDisk reopens a disk that has failed, at most once in limits.DiskReopenInterval, and saves on it what was chosen and
+// accepted meanwhile. It tells whether the disk may be used again.
+func (h *replicaHost) reopenDisk() bool {
+	if time.Since(h.reopenedAt) < limits.DiskReopenInterval {
+		return false
+	}
+	h.reopenedAt = time.Now()
+	state := h.reducer.State()
+	err := h.disk.Reopen()
+	if err == nil {
+		err = h.disk.SaveSnapshot(&state)
+	}
+	if err == nil {
+		err = h.disk.SaveAcceptor(h.reducer.AcceptorState())
+	}
+	if err != nil {
+		h.log.Error("storage reopen failed", "err", err)
+		return false
+	}
+	h.diskFailed = false
+	h.log.Info("storage reopened", "next_index", state.NextIndex)
+	return true
+}
+
+// write carries out a write on an open disk.
+func (h *replicaHost) write(w *replica.Write) error {
 	switch {
 	case w.Snapshot:
-		err = k.disk.SaveSnapshot(w.State)
+		return h.disk.SaveSnapshot(w.State)
 	case w.Value != nil:
-		err = k.disk.AppendChosen(w.Value, w.State)
+		return h.disk.AppendChosen(w.Value, w.State)
 	default:
-		err = k.disk.SaveAcceptor(w.Acceptor)
+		return h.disk.SaveAcceptor(w.Acceptor)
 	}
-	if err != nil {
-		k.diskFailed, k.reopenedAt = true, time.Now()
-		k.log.Error("the disk refuses a write; this keeper has no vote until it is opened anew", "err", err)
-		return errDiskUnavailable
-	}
-	return nil
 }
--- a/internal/node/replicahost.go
+++ b/internal/node/replicahost.go
@@ -17,111 +17,138 @@
 	"notchhinge/internal/limits"
 )
 
-// replicaHost is the process's replica.Replica under one lock, with its disk, its clock and its calls.
+var (
+	errDiskBusy  = errors.New("replica waits for its disk")
+	errEnding    = errors.New("replica is shutting down")
+	errNoReplica = errors.New("no replica here")
+)
+
+// peerCall makes a call to another process.
+type peerCall func(ctx context.Context, to netip.AddrPort, kind uint8, body []byte) ([]byte, error)
+
+// replicaHost owns the process's replica.Replica: its lock, its disk, its clock and timer, and the calls that it makes.
 type replicaHost struct {
+	ctx            context.Context // of the process: calls that effects ask for end with it
 	log            *slog.Logger
 	self           replog.Member
 	isFounder      bool
-	clock          func() time.Duration // steady
-	call           func(ctx context.Context, to netip.AddrPort, kind uint8, body []byte) ([]byte, error)
-	peers          func() []netip.AddrPort // keepers that are known, oneself not among them
-	onStateChanged func(*replog.State)     // told of every state that follows; it must not wait
+	clock          func() time.Duration // monotonic
+	call           peerCall
+	peers          func() []netip.AddrPort // known replicas, this one not among them
+	onStateChanged func(*replog.State)     // gets every new state, with mu held; it must not wait
 
 	mu         contextMutex
 	reducer    *replica.Replica
 	disk       *storage.Store
-	diskFailed bool // a write has failed; the disk must be opened anew
-	diskClosed bool // it is closed for good
-	reopenedAt time.Time
-	wake       chan struct{}
-	timerAt    time.Duration // the timer is set to it
-	done       chan struct{} // closed once nobody turns it any more
+	diskFailed bool          // a write has failed; the disk must be reopened
+	diskClosed bool          // the process ends
+	reopenedAt time.Time     // the last attempt to reopen the disk, or the failure
+	timerAt    time.Duration // by clock, what run's timer is set to
 
 	// Who waits for the effects that answer events. The channels have room for one value.
 	calls     replica.Pending[chan callResult]
 	answers   replica.Pending[chan api.Result]
 	proposals replica.Pending[chan error]
 	leaves    replica.Pending[chan struct{}]
+
+	wake chan struct{} // has run set its timer anew
+	done chan struct{} // closed when run has returned: timers and time-outs come no more
 }
 
-// contextMutex is a lock that can be waited for until a time: a keeper does nothing else while its disk takes what is written, and
-// who has called meanwhile and waits no more, with a configuration in its hands, is not to stand there for as long as that takes.
+// contextMutex is a lock whose wait can be given up. A replica does nothing else while its disk takes a write, and a caller
+// that has timed out meanwhile must not stay in line with a configuration in memory for as long as a stalled disk takes.
 type contextMutex chan struct{}
 
-func (t contextMutex) Lock() { t <- struct{}{} }
+// Lock waits for the lock.
+func (m contextMutex) Lock() { m <- struct{}{} }
 
-func (t contextMutex) Unlock() { <-t }
+// Unlock frees the lock.
+func (m contextMutex) Unlock() { <-m }
 
-// LockContext tells whether it could be locked before the context was over.
-func (t contextMutex) LockContext(ctx context.Context) bool {
+// LockContext waits for the lock until ctx is done, and tells whether it got it.
+func (m contextMutex) LockContext(ctx context.Context) bool {
 	select {
-	case t <- struct{}{}:
+	case m <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// openReplica opens the disk.
-func openReplica(log *slog.Logger, dir, name, addr string, bootstrap bool, tolerate int) (*replicaHost, error) {
+// replicaOptions are what a replica of this process is made of.
+type replicaOptions struct {
+	log           *slog.Logger
+	dataDir       string
+	name          string // of this machine
+	addr          string // where this process takes peers' calls
+	bootstrap     bool   // it is the fleet's first start: an empty disk may found it
+	machineFaults int    // machines that may be lost at once
+	call          peerCall
+	peers         func() []netip.AddrPort // known replicas, this one not among them
+}
+
+// openReplica opens the disk, makes a new identity if it is empty, and reads the state.
+func openReplica(ctx context.Context, o replicaOptions) (*replicaHost, error) {
 	var id uint64
 	for id == 0 {
 		id = rand.Uint64()
 	}
-	disk, kept, err := storage.Open(dir, storage.Identity{ID: id, IsFounder: bootstrap})
+	disk, recovered, err := storage.Open(o.dataDir, storage.Identity{ID: id, IsFounder: o.bootstrap})
 	if err != nil {
 		return nil, err
 	}
 	start := time.Now()
-	k := &replicaHost{
-		log: log, self: replog.Member{ID: kept.ID, Name: name, Addr: addr}, isFounder: kept.IsFounder, disk: disk,
-		clock: func() time.Duration { return time.Since(start) + time.Hour }, onStateChanged: func(*replog.State) {},
-		mu: make(contextMutex, 1), wake: make(chan struct{}, 1), done: make(chan struct{}),
+	h := &replicaHost{
+		ctx: ctx, log: o.log, self: replog.Member{ID: recovered.ID, Name: o.name, Addr: o.addr}, isFounder: recovered.IsFounder,
+		clock: func() time.Duration { return time.Since(start) + time.Hour }, call: o.call, peers: o.peers, onStateChanged: func(*replog.State) {},
+		mu: make(contextMutex, 1), disk: disk, wake: make(chan struct{}, 1), done: make(chan struct{}),
 	}
-	k.reducer = replica.New(replica.Config{
-		Self: k.self, IsFounder: kept.IsFounder, MinVoters: 2*tolerate + 1, Incarnation: rand.Uint64(), Seed: rand.Uint64(), State: kept.State, Acceptor: kept.Acceptor,
-		Peers: func() []netip.AddrPort { return k.peers() }, ChosenValue: disk.ChosenValue,
+	h.reducer = replica.New(replica.Config{
+		Self: h.self, IsFounder: recovered.IsFounder, MinVoters: 2*o.machineFaults + 1, Incarnation: rand.Uint64(), Seed: rand.Uint64(),
+		State: recovered.State, Acceptor: recovered.Acceptor, Peers: o.peers, ChosenValue: disk.ChosenValue,
 	})
-	log.Info("state read", "member", fmt.Sprintf("%016x", kept.ID), "founder", kept.IsFounder, "next_place", kept.State.NextIndex,
-		"revision", kept.State.Revision, "members", len(kept.State.Members))
-	return k, nil
+	o.log.Info("storage opened", "member", fmt.Sprintf("%016x", recovered.ID), "founder", recovered.IsFounder,
+		"next_index", recovered.State.NextIndex, "revision", recovered.State.Revision, "members", len(recovered.State.Members))
+	return h, nil
 }
 
-// close closes the disk for good.
-func (k *replicaHost) close() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.diskClosed = true
-	k.disk.Close()
+// close closes the disk. Later writes fail.
+func (h *replicaHost) close() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.diskClosed = true
+	if err := h.disk.Close(); err != nil {
+		h.log.Error("storage close failed", "err", err)
+	}
 }
 
-// callResult is what comes back to who has called.
+// callResult is the answer to a peer's call.
 type callResult struct {
 	body []byte
 	err  error
 }
 
-// step reduces an event and does what follows.
-func (k *replicaHost) step(e replica.Event) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.stepLocked(e)
+// step reduces an event and carries out the effects.
+func (h *replicaHost) step(e replica.Event) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.stepLocked(e)
 }
 
-// request makes an event with the lock held, so that a RequestID can be chosen for it, and reduces it.
-func (k *replicaHost) request(event func() replica.Event) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.stepLocked(event())
+// request makes an event with the lock held, so that a RequestID can be chosen for it, and steps it.
+func (h *replicaHost) request(event func() replica.Event) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.stepLocked(event())
 }
 
-// requestContext is request, unless the context is over before the lock is free.
-func (k *replicaHost) requestContext(ctx context.Context, event func() replica.Event) bool {
-	if !k.mu.LockContext(ctx) {
+// requestContext is request, unless ctx is done before the lock is free. It tells whether the event was reduced.
+func (h *replicaHost) requestContext(ctx context.Context, event func() replica.Event) bool {
+	if !h.mu.LockContext(ctx) {
 		return false
 	}
-	defer k.mu.Unlock()
-	k.stepLocked(event())
+	defer h.mu.Unlock()
+	h.stepLocked(event())
 	return true
 }
 
@@ -132,155 +159,164 @@
 	}
 }
 
-// stepLocked is turn once the lock is held.
-func (k *replicaHost) stepLocked(e replica.Event) {
-	now := k.clock()
-	effects := append([]replica.Effect(nil), k.reducer.Reduce(now, e)...)
+// stepLocked is step with the lock held.
+func (h *replicaHost) stepLocked(e replica.Event) {
+	now := h.clock()
+	effects := append([]replica.Effect(nil), h.reducer.Reduce(now, e)...)
 	for ; len(effects) > 0; effects = effects[1:] {
-		switch f := effects[0].(type) {
-		case replica.Write:
-			ok := k.persist(&f) == nil
-			effects = append(effects, k.reducer.Reduce(now, replica.WriteDone{ID: f.ID, Durable: ok})...)
-		case replica.SendCall:
-			go func() {
-				ctx, cancel := context.WithTimeout(context.Background(), f.Timeout)
-				defer cancel()
-				body, err := k.call(ctx, f.To, uint8(f.Kind), f.Body)
-				k.step(replica.CallReturned{ID: f.ID, Body: body, Err: err})
-			}()
-		case replica.SendReply:
-			deliver(&k.calls, f.Request, callResult{f.Body, f.Err})
-		case replica.OperatorAnswer:
-			deliver(&k.answers, f.Request, f.Result)
-		case replica.ProposeDone:
-			deliver(&k.proposals, f.Request, f.Err)
-		case replica.LeaveDone:
-			deliver(&k.leaves, f.Request, struct{}{})
-		case replica.StateChanged:
-			k.onStateChanged(&f.State)
-		case replica.Log:
-			k.log.Log(context.Background(), f.Level, f.Message, f.Args...)
+		if w, ok := effects[0].(replica.Write); ok {
+			durable := h.persist(&w) == nil
+			effects = append(effects, h.reducer.Reduce(now, replica.WriteDone{ID: w.ID, Durable: durable})...)
+			continue
 		}
+		h.perform(effects[0])
 	}
-	if next, ok := k.reducer.NextTimer(); ok && next < k.timerAt {
+	if next, ok := h.reducer.NextTimer(); ok && next < h.timerAt {
 		select {
-		case k.wake <- struct{}{}:
+		case h.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// run keeps time until the context is over.
-func (k *replicaHost) run(ctx context.Context) {
-	defer close(k.done)
+// perform carries out an effect other than a write. It does not wait: each channel has room for its one answer.
+func (h *replicaHost) perform(e replica.Effect) {
+	switch e := e.(type) {
+	case replica.SendCall:
+		go h.sendCall(e)
+	case replica.SendReply:
+		deliver(&h.calls, e.Request, callResult{e.Body, e.Err})
+	case replica.OperatorAnswer:
+		deliver(&h.answers, e.Request, e.Result)
+	case replica.ProposeDone:
+		deliver(&h.proposals, e.Request, e.Err)
+	case replica.LeaveDone:
+		deliver(&h.leaves, e.Request, struct{}{})
+	case replica.StateChanged:
+		h.onStateChanged(&e.State)
+	case replica.Log:
+		h.log.Log(h.ctx, e.Level, e.Message, e.Args...)
+	}
+}
+
+// sendCall makes a call to a peer and reports its outcome to the reducer.
+func (h *replicaHost) sendCall(e replica.SendCall) {
+	ctx, cancel := context.WithTimeout(h.ctx, e.Timeout)
+	defer cancel()
+	body, err := h.call(ctx, e.To, uint8(e.Kind), e.Body)
+	h.step(replica.CallReturned{ID: e.ID, Body: body, Err: err})
+}
+
+// run is the replica's timer, until ctx is done.
+func (h *replicaHost) run(ctx context.Context) {
+	defer close(h.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		k.mu.Lock()
-		k.timerAt = k.clock() + time.Minute
-		if next, ok := k.reducer.NextTimer(); ok {
-			k.timerAt = min(k.timerAt, next)
+		h.mu.Lock()
+		h.timerAt = h.clock() + time.Minute
+		if next, ok := h.reducer.NextTimer(); ok {
+			h.timerAt = min(h.timerAt, next)
 		}
-		timer.Reset(max(k.timerAt-k.clock(), time.Millisecond))
-		k.mu.Unlock()
+		timer.Reset(max(h.timerAt-h.clock(), time.Millisecond))
+		h.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.wake:
+		case <-h.wake:
 			continue
 		case <-timer.C:
 		}
-		k.step(replica.Tick{})
+		h.step(replica.Tick{})
 	}
 }
 
-// state returns the state as it is.
-func (k *replicaHost) state() replog.State {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.reducer.State()
+// state is the replicated state as far as it is known here.
+func (h *replicaHost) state() replog.State {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.reducer.State()
 }
 
 // membershipPending tells whether a change of members was accepted here that may have been chosen.
-func (k *replicaHost) membershipPending() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.reducer.MembershipPending()
+func (h *replicaHost) membershipPending() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.reducer.MembershipPending()
 }
 
-// handOver hands over to those that stay, until a context is over at the latest.
-func (k *replicaHost) handOver(ctx context.Context) {
+// handOver has the replica hand over its vote to the members that stay, and returns when it has, or when ctx is done.
+func (h *replicaHost) handOver(ctx context.Context) {
 	left := make(chan struct{}, 1)
-	k.request(func() replica.Event { return replica.Leave{Request: k.leaves.Add(left), Deadline: k.deadline(ctx)} })
+	h.request(func() replica.Event { return replica.Leave{Request: h.leaves.Add(left), Deadline: h.deadline(ctx)} })
 	select {
 	case <-left:
 	case <-ctx.Done():
 	}
 }
 
-// deadline is a context's end by the keeper's clock.
-func (k *replicaHost) deadline(ctx context.Context) time.Duration {
+// deadline is ctx's deadline by the replica's clock.
+func (h *replicaHost) deadline(ctx context.Context) time.Duration {
 	if at, ok := ctx.Deadline(); ok {
-		return k.clock() + time.Until(at)
+		return h.clock() + time.Until(at)
 	}
-	return k.clock() + limits.OperatorCallTimeout
+	return h.clock() + limits.OperatorCallTimeout
 }
 
-var errDiskBusy = errors.New("the disk takes its time")
-
-// handleCall answers a call of another process. What its caller has given up meanwhile is not done: it was behind other work for so
-// long that newer calls have come, and by these a keeper that has fallen behind takes a state, not one place after another.
-func (k *replicaHost) handleCall(ctx context.Context, kind replica.CallKind, from netip.Addr, body []byte) ([]byte, error) {
-	of := make(chan callResult, 1)
+// handleCall answers a peer's call. A call that waits for the lock for longer than its caller waits for the answer is
+// dropped: newer ones have come meanwhile, and by these a replica that lags takes a snapshot, not one entry after another.
+func (h *replicaHost) handleCall(ctx context.Context, kind replica.CallKind, from netip.Addr, body []byte) ([]byte, error) {
+	answer := make(chan callResult, 1)
 	wait, cancel := context.WithTimeout(ctx, replica.CallTimeout(kind))
 	defer cancel()
-	if !k.requestContext(wait, func() replica.Event {
-		return replica.CallReceived{Kind: kind, Body: body, From: from, Request: k.calls.Add(of)}
+	if !h.requestContext(wait, func() replica.Event {
+		return replica.CallReceived{Kind: kind, Body: body, From: from, Request: h.calls.Add(answer)}
 	}) {
 		return nil, errDiskBusy
 	}
 	select {
-	case a := <-of:
-		return a.body, a.err
+	case r := <-answer:
+		return r.body, r.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// operate has a call of the operator answered.
-func (k *replicaHost) operate(ctx context.Context, event func(id replica.RequestID, deadline time.Duration) replica.Event) api.Result {
-	of := make(chan api.Result, 1)
-	until := k.deadline(ctx)
-	wait, cancel := context.WithTimeout(ctx, until-k.clock())
+// operatorEvent makes the event of an operator's call, with its deadline by the replica's clock.
+type operatorEvent func(id replica.RequestID, deadline time.Duration) replica.Event
+
+// operate has an operator's call answered.
+func (h *replicaHost) operate(ctx context.Context, event operatorEvent) api.Result {
+	answer := make(chan api.Result, 1)
+	deadline := h.deadline(ctx)
+	wait, cancel := context.WithTimeout(ctx, deadline-h.clock())
 	defer cancel()
-	if !k.requestContext(wait, func() replica.Event { return event(k.answers.Add(of), until) }) {
-		return api.Result{Status: http.StatusServiceUnavailable, Message: errDiskBusy.Error()}
+	if !h.requestContext(wait, func() replica.Event { return event(h.answers.Add(answer), deadline) }) {
+		return unavailable(errDiskBusy)
 	}
 	select {
-	case r := <-of:
+	case r := <-answer:
 		return r
-	case <-k.done:
-		return api.Result{Status: http.StatusServiceUnavailable, Message: "it is ending"}
+	case <-h.done:
+		return unavailable(errEnding)
 	}
 }
 
-// propose has entries chosen until want says that it is done. What want keeps account of is the caller's again afterwards.
-func (k *replicaHost) propose(ctx context.Context, want func(*replog.State) []byte) error {
-	of := make(chan error, 1)
-	k.request(func() replica.Event {
-		return replica.Propose{Next: want, Request: k.proposals.Add(of), Deadline: k.deadline(ctx)}
+// unavailable is the answer to an operator whose call may be repeated elsewhere or later.
+func unavailable(err error) api.Result {
+	return api.Result{Status: http.StatusServiceUnavailable, Message: err.Error()}
+}
+
+// propose has entries chosen until next returns none. Between the call and its return next belongs to the replica.
+func (h *replicaHost) propose(ctx context.Context, next func(*replog.State) []byte) error {
+	result := make(chan error, 1)
+	h.request(func() replica.Event {
+		return replica.Propose{Next: next, Request: h.proposals.Add(result), Deadline: h.deadline(ctx)}
 	})
 	select {
-	case err := <-of:
+	case err := <-result:
 		return err
-	case <-k.done:
+	case <-h.done:
 		return replica.ErrQuorumUnavailable
 	}
 }
-
-func sleep(ctx context.Context, d time.Duration) {
-	select {
-	case <-time.After(d):
-	case <-ctx.Done():
-	}
-}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -8,44 +8,57 @@
 	"notchhinge/internal/limits"
 )
 
-// shutDown ends a process in order: the platform's entry is told first, and what comes until it has noticed is served.
-func (n *Node) shutDown(ctx context.Context, front net.Listener) {
+// closeIdleDelay is the time between the first closing of idle connections and the closing of the listener: a client that
+// was connecting meanwhile still gets its answer.
+const closeIdleDelay = 100 * time.Millisecond
+
+// shutDown ends the process gracefully, within grace_period_s. Readiness says no first, so that the platform's load balancer
+// sends no new connections; those that come until it has noticed are served. Meanwhile a replica hands its vote over. It
+// returns when both are done.
+func (n *Node) shutDown(ctx context.Context, frontend net.Listener) {
 	n.stopping.Store(true)
-	n.log.Info("stopping")
+	n.log.Info("shutdown started")
 	began := time.Now()
-	end := began.Add(time.Duration(n.cfg.Bounds.GracePeriodS*float64(time.Second)) - limits.ShutdownReserve)
-	handed := make(chan struct{})
+	end := began.Add(seconds(n.cfg.Bounds.GracePeriodS) - limits.ShutdownReserve)
+	left := make(chan struct{})
 	go func() {
-		defer close(handed)
-		if n.replica == nil {
-			return
-		}
-		left, cancel := context.WithDeadline(ctx, earlier(began.Add(limits.ReplicaLeaveTimeout), end))
-		defer cancel()
-		n.replica.handOver(left)
-		n.log.Info("handed over", "after", time.Since(began).Round(time.Millisecond).String())
+		defer close(left)
+		n.leaveReplicas(ctx, began, end)
 	}()
-	defer func() { <-handed }()
+	defer func() { <-left }()
 	if n.dataPlane == nil {
 		return
 	}
-	ctx, cancel := context.WithDeadline(ctx, end)
+	drainCtx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	n.dataPlane.frontend.Drain()
-	time.Sleep(limits.ReadinessDrainDelay)
-	n.dataPlane.frontend.CloseIdle()
-	time.Sleep(100 * time.Millisecond)
-	front.Close()
-	n.dataPlane.frontend.CloseIdle()
-	n.dataPlane.loop.Idle(ctx)
-	n.dataPlane.frontend.CloseIdle()
-	n.dataPlane.frontend.Wait(ctx)
-	n.log.Info("stopped", "after", time.Since(began).Round(time.Millisecond).String(), "connections_left", n.dataPlane.frontend.Conns())
+	n.dataPlane.drain(drainCtx, frontend)
+	n.log.Info("shutdown complete", "duration", time.Since(began).Round(time.Millisecond).String(), "open_connections", n.dataPlane.frontend.Conns())
 }
 
-func earlier(x, y time.Time) time.Time {
-	if y.Before(x) {
-		return y
+// leaveReplicas has the replica hand its vote over, if the process is one.
+func (n *Node) leaveReplicas(ctx context.Context, began, end time.Time) {
+	if n.replica == nil {
+		return
+	}
+	if t := began.Add(limits.ReplicaLeaveTimeout); t.Before(end) {
+		end = t
 	}
-	return x
+	ctx, cancel := context.WithDeadline(ctx, end)
+	defer cancel()
+	n.replica.handOver(ctx)
+	n.log.Info("replica left", "duration", time.Since(began).Round(time.Millisecond).String())
+}
+
+// drain serves what comes until the platform's load balancer has noticed that the process is not ready, closes the
+// listener, and waits until all requests are answered and all connections are closed, or ctx is done.
+func (d *dataPlane) drain(ctx context.Context, listener net.Listener) {
+	d.frontend.Drain()
+	time.Sleep(limits.ReadinessDrainDelay)
+	d.frontend.CloseIdle()
+	time.Sleep(closeIdleDelay)
+	_ = listener.Close() // it is closed in either case
+	d.frontend.CloseIdle()
+	d.loop.Idle(ctx)
+	d.frontend.CloseIdle()
+	d.frontend.Wait(ctx)
 }
--- a/internal/node/singletonhost.go
+++ b/internal/node/singletonhost.go
@@ -10,120 +10,150 @@
 	"notchhinge/internal/control/autoscale"
 	"notchhinge/internal/control/cloudapi"
 	"notchhinge/internal/control/endpoints"
+	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/control/metrics"
 	"notchhinge/internal/control/singleton"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/retrybudget"
 )
 
-// singletonHost is a voter's singleton.Controller under one lock, with its clocks, its calls and the platform.
+// singletonHost owns the process's singleton.Controller: its lock, its clock and ticker, the calls that it makes to peers,
+// and those to the platform while this replica holds the lease.
 type singletonHost struct {
+	ctx     context.Context // of the process: calls that effects ask for end with it
 	replica *replicaHost
 	log     *slog.Logger
 	cloud   *cloudapi.Client
-	clock   func() time.Duration // steady
+	clock   func() time.Duration // monotonic
 	traffic *metrics.Traffic
 
 	mu      sync.Mutex
 	reducer *singleton.Controller
 }
 
-func newSingletonHost(n *Node) *singletonHost {
-	b, id := &n.cfg.Bounds, n.replica.self.ID
-	seconds := func(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
-	d := &singletonHost{replica: n.replica, log: n.log, cloud: cloudapi.New(n.cfg.CloudAPI.Address, n.cfg.NodeName), clock: n.discovery.clock, traffic: &n.traffic}
-	d.reducer = singleton.New(d.clock(), singleton.Config{
-		Self: n.replica.self, LeaseDuration: time.Duration(b.LeaseMS) * time.Millisecond, UsageWindow: seconds(b.UsageWindowS), UsageDelay: seconds(b.UsageDelayS),
-		// A machine whose disk was wiped may have granted a lease before: only at the very first start there was none.
-		NeverGranted: n.replica.isFounder && n.replica.state().NextIndex == 0,
-		RouterWindow: retrybudget.CountingPeriod(seconds(b.RetryWindowS), limits.RouterReportRetention), CandidacyDelay: time.Duration(id%1000) * time.Millisecond, Incarnation: rand.Uint64(),
-		ReportsUsage: n.cfg.CloudAPI.HasRole("usage_reporting"), ScalesEngines: n.cfg.CloudAPI.HasRole("autoscaler"),
-		Peers: n.replica.peers, Services: n.autoscaledServices, MembershipPending: n.replica.membershipPending,
+func newSingletonHost(ctx context.Context, n *Node) *singletonHost {
+	h := &singletonHost{
+		ctx: ctx, replica: n.replica, log: n.log, cloud: cloudapi.New(n.cfg.CloudAPI.Address, n.cfg.NodeName), clock: n.discovery.clock, traffic: &n.traffic,
+	}
+	b := &n.cfg.Bounds
+	h.reducer = singleton.New(h.clock(), singleton.Config{
+		Self:          n.replica.self,
+		LeaseDuration: time.Duration(b.LeaseMS) * time.Millisecond,
+		UsageWindow:   seconds(b.UsageWindowS),
+		UsageDelay:    seconds(b.UsageDelayS),
+		// A machine whose disk was wiped may have granted a lease before; only at the very first start there was none.
+		NeverGranted:      n.replica.isFounder && n.replica.state().NextIndex == 0,
+		RouterWindow:      retrybudget.CountingPeriod(seconds(b.RetryWindowS), limits.RouterReportRetention),
+		CandidacyDelay:    time.Duration(n.replica.self.ID%1000) * time.Millisecond, // so that candidates do not come at once
+		Incarnation:       rand.Uint64(),
+		ReportsUsage:      n.cfg.CloudAPI.HasRole("usage_reporting"),
+		ScalesEngines:     n.cfg.CloudAPI.HasRole("autoscaler"),
+		Peers:             n.replica.peers,
+		Services:          n.autoscaledServices,
+		MembershipPending: n.replica.membershipPending,
 	})
-	return d
+	return h
 }
 
-// autoscaledServices lists the services whose engines are ordered.
+// autoscaledServices lists the services whose engines are scaled, with the endpoints that are known here.
 func (n *Node) autoscaledServices() (all []autoscale.Service) {
-	c := n.config()
+	c := n.configs.config()
 	if c == nil {
 		return nil
 	}
 	for i := range c.Services {
-		svc := &c.Services[i]
-		if svc.Autoscaling == nil {
-			continue
-		}
-		s := autoscale.Service{
-			Name: svc.Name, Bounds: autoscale.Bounds{Min: svc.Autoscaling.MinInstances, Max: svc.Autoscaling.MaxInstances}, Ready: map[string]int{},
+		if c.Services[i].Autoscaling != nil {
+			all = append(all, n.autoscaledService(&c.Services[i]))
 		}
-		ready, slots := 0, 0.0
-		for _, e := range n.discovery.endpoints(svc.Name) {
-			if s.Ready[e.Zone] += 0; e.State == endpoints.StateReady {
-				s.Ready[e.Zone]++
-				ready++
-				slots += float64(e.Slots)
-			}
-		}
-		s.Slots = slots / float64(max(ready, 1))
-		all = append(all, s)
 	}
 	return all
 }
 
-// step reduces an event and does what follows. It returns the reply to a call.
-func (d *singletonHost) step(e singleton.Event) (reply singleton.SendReply) {
-	s := d.replica.state()
-	began := time.Now() // before the lease is looked at: a process that stands still after that sends nothing once it is over
-	d.mu.Lock()
-	effects := append([]singleton.Effect(nil), d.reducer.Reduce(d.clock(), time.Now(), &s, e)...)
-	d.mu.Unlock()
+// autoscaledService counts the endpoints of a service: those that are ready in each zone where it has any, and their mean slots.
+func (n *Node) autoscaledService(c *fleetconfig.Service) autoscale.Service {
+	s := autoscale.Service{
+		Name:   c.Name,
+		Bounds: autoscale.Bounds{Min: c.Autoscaling.MinInstances, Max: c.Autoscaling.MaxInstances},
+		Ready:  map[string]int{},
+	}
+	ready, slots := 0, 0.0
+	for _, e := range n.discovery.endpoints(c.Name) {
+		if s.Ready[e.Zone] += 0; e.State == endpoints.StateReady {
+			s.Ready[e.Zone]++
+			ready++
+			slots += float64(e.Slots)
+		}
+	}
+	s.Slots = slots / float64(max(ready, 1))
+	return s
+}
+
+// step reduces an event, carries out the effects, and returns the reply if the event was a call.
+func (h *singletonHost) step(e singleton.Event) (reply singleton.SendReply) {
+	state := h.replica.state()
+	// The time is read before the lease is looked at: a process that is stopped after that calls the platform no more, since
+	// the calls' deadlines count from here.
+	began := time.Now()
+	h.mu.Lock()
+	effects := append([]singleton.Effect(nil), h.reducer.Reduce(h.clock(), time.Now(), &state, e)...)
+	h.mu.Unlock()
 	for _, f := range effects {
-		switch f := f.(type) {
-		case singleton.SendCall:
-			go func() {
-				body, err := withTimeout(f.Timeout, func(ctx context.Context) ([]byte, error) { return d.replica.call(ctx, f.To, f.Kind, f.Body) })
-				d.step(singleton.CallReturned{ID: f.ID, Body: body, Err: err})
-			}()
-		case singleton.SendReply:
-			reply = f
-		case singleton.Log:
-			d.log.Log(context.Background(), f.Level, f.Message, f.Args...)
-		case singleton.Propose:
-			go func() {
-				_, err := withTimeout(f.Timeout, func(ctx context.Context) ([]byte, error) { return nil, d.replica.propose(ctx, f.Next) })
-				d.step(singleton.ProposalDone{Err: err})
-			}()
-		case singleton.ReportUsage:
-			d.callPlatform(began.Add(f.Timeout), func(ctx context.Context) error { return d.cloud.ReportUsage(ctx, f.FencingToken, f.Window, f.Counts) })
-		case singleton.ScaleEngines:
-			d.callPlatform(began.Add(f.Timeout), func(ctx context.Context) error {
-				return d.cloud.ScaleEngines(ctx, f.FencingToken, cloudapi.Target{Service: f.Service, Zone: f.Zone, Engines: f.Engines})
-			})
+		if r, ok := f.(singleton.SendReply); ok {
+			reply = r
+			continue
 		}
+		h.perform(began, f)
 	}
 	return reply
 }
 
-// callPlatform makes a call to the platform, until a time.
-func (d *singletonHost) callPlatform(until time.Time, do func(context.Context) error) {
-	d.traffic.Add(metrics.CausePlatform, 0, false)
-	go func() {
-		ctx, cancel := context.WithDeadline(context.Background(), until)
-		defer cancel()
-		d.step(singleton.PlatformAnswered{Err: do(ctx)})
-	}()
+// perform carries out an effect other than a reply, of an event that was reduced at began. It does not wait.
+func (h *singletonHost) perform(began time.Time, e singleton.Effect) {
+	switch e := e.(type) {
+	case singleton.SendCall:
+		go h.sendCall(e)
+	case singleton.Log:
+		h.log.Log(h.ctx, e.Level, e.Message, e.Args...)
+	case singleton.Propose:
+		go h.propose(e)
+	case singleton.ReportUsage:
+		h.callPlatform(began.Add(e.Timeout), func(ctx context.Context) error {
+			return h.cloud.ReportUsage(ctx, e.FencingToken, e.Window, e.Counts)
+		})
+	case singleton.ScaleEngines:
+		h.callPlatform(began.Add(e.Timeout), func(ctx context.Context) error {
+			return h.cloud.ScaleEngines(ctx, e.FencingToken, cloudapi.Target{Service: e.Service, Zone: e.Zone, Engines: e.Engines})
+		})
+	}
+}
+
+// sendCall makes a call to a peer and reports its outcome to the reducer.
+func (h *singletonHost) sendCall(e singleton.SendCall) {
+	ctx, cancel := context.WithTimeout(h.ctx, e.Timeout)
+	defer cancel()
+	body, err := h.replica.call(ctx, e.To, e.Kind, e.Body)
+	h.step(singleton.CallReturned{ID: e.ID, Body: body, Err: err})
 }
 
-// withTimeout does something that must be over in a time.
-func withTimeout(limit time.Duration, do func(context.Context) ([]byte, error)) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+// propose has entries chosen by the replica here and reports the outcome to the reducer.
+func (h *singletonHost) propose(e singleton.Propose) {
+	ctx, cancel := context.WithTimeout(h.ctx, e.Timeout)
 	defer cancel()
-	return do(ctx)
+	h.step(singleton.ProposalDone{Err: h.replica.propose(ctx, e.Next)})
+}
+
+// callPlatform makes a call to the platform in a goroutine of its own, until a time, and reports the outcome to the reducer.
+func (h *singletonHost) callPlatform(until time.Time, do func(context.Context) error) {
+	h.traffic.Add(metrics.CausePlatform, 0, false)
+	go func() {
+		ctx, cancel := context.WithDeadline(h.ctx, until)
+		defer cancel()
+		h.step(singleton.PlatformAnswered{Err: do(ctx)})
+	}()
 }
 
-// run keeps time until the context is over.
-func (d *singletonHost) run(ctx context.Context) {
+// run is the controller's ticker, until ctx is done.
+func (h *singletonHost) run(ctx context.Context) {
 	tick := time.NewTicker(limits.SingletonTickInterval)
 	defer tick.Stop()
 	for {
@@ -131,13 +161,13 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			d.step(singleton.Tick{})
+			h.step(singleton.Tick{})
 		}
 	}
 }
 
-// handleCall answers a call of another process.
-func (d *singletonHost) handleCall(kind uint8, body []byte) ([]byte, error) {
-	reply := d.step(singleton.CallReceived{Kind: kind, Body: body})
+// handleCall answers a peer's call. The reducer answers each at once.
+func (h *singletonHost) handleCall(kind uint8, body []byte) ([]byte, error) {
+	reply := h.step(singleton.CallReceived{Kind: kind, Body: body})
 	return reply.Body, reply.Err
 }
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"fmt"
+	"io"
 	"log/slog"
 	"math/rand/v2"
 	"net"
@@ -19,136 +21,219 @@
 	"notchhinge/internal/retrybudget"
 )
 
-// open opens the sockets and the disk.
+// open opens the sockets between processes and, in a replica, the disk. It starts nothing.
 func (n *Node) open(ctx context.Context) error {
-	ip := netip.MustParseAddr(n.cfg.IPAddress) // boot has checked it
-	var err error
-	for port := n.cfg.InternalPorts[0]; port <= n.cfg.InternalPorts[1]; port++ {
-		if n.transport, err = transport.Open(netip.AddrPortFrom(ip, uint16(port)), n.handleCall); err == nil {
-			break
-		}
-	}
-	if err != nil {
+	if err := n.openTransport(); err != nil {
 		return err
 	}
-	self := gossip.Peer{ID: gossip.Hash(n.cfg.NodeName), Addr: n.transport.Addr(), Zone: hash32(n.cfg.Zone)}
+	self := gossip.Peer{ID: gossip.Hash(n.cfg.NodeName), Addr: n.transport.Addr(), Zone: zoneHash(n.cfg.Zone)}
 	if n.cfg.IsReplica() {
 		self.Flags |= gossip.FlagReplica
-		if n.replica, err = openReplica(n.log, n.cfg.DataDir, n.cfg.NodeName, n.transport.Addr().String(), n.cfg.Bootstrap, n.cfg.FaultTolerance.Machines); err != nil {
+		if err := n.openReplica(ctx); err != nil {
+			n.transport.Close()
 			return err
 		}
-		n.replica.call = n.transport.Call
-		n.replica.peers = func() (all []netip.AddrPort) {
-			for _, p := range n.discovery.replicas() {
-				all = append(all, p.Addr)
-			}
-			return all
-		}
 	}
 	if n.cfg.Listeners.Frontend != "" {
 		self.Flags |= gossip.FlagRouter
 	}
-	silence := n.cfg.HeartbeatInterval()*limits.MissedHeartbeats + n.cfg.HeartbeatInterval()/2
-	n.discovery = newDiscoveryHost(n.transport, self, rand.Uint64(), silence)
-	n.discovery.onConfigAnnounced = n.onConfigAnnounced
+	interval := n.cfg.HeartbeatInterval()
+	n.discovery = newDiscoveryHost(n.transport, self, rand.Uint64(), interval*limits.MissedHeartbeats+interval/2)
+	n.configs = newConfigSync(n.log, n.transport, n.discovery)
+	n.discovery.onConfigAnnounced = n.configs.announced
 	n.transport.OnExchange = n.countTraffic
 	return nil
 }
 
-// seeds are where others may be found at their own ports: on all machines these are alike.
-func (n *Node) seeds() (all []netip.AddrPort) {
+// openTransport opens the sockets at the first free port of the settings' range.
+func (n *Node) openTransport() error {
+	ip, err := netip.ParseAddr(n.cfg.IPAddress)
+	if err != nil {
+		return fmt.Errorf("ip_address: %w", err)
+	}
+	for port := n.cfg.InternalPorts[0]; port <= n.cfg.InternalPorts[1]; port++ {
+		if n.transport, err = transport.Open(netip.AddrPortFrom(ip, uint16(port)), n.handleCall); err == nil {
+			return nil
+		}
+	}
+	return err
+}
+
+// openReplica opens the replica's disk.
+func (n *Node) openReplica(ctx context.Context) (err error) {
+	n.replica, err = openReplica(ctx, replicaOptions{
+		log: n.log, dataDir: n.cfg.DataDir, name: n.cfg.NodeName, addr: n.transport.Addr().String(),
+		bootstrap: n.cfg.Bootstrap, machineFaults: n.cfg.FaultTolerance.Machines,
+		call: n.transport.Call,
+		peers: func() (addrs []netip.AddrPort) {
+			for _, p := range n.discovery.replicas() {
+				addrs = append(addrs, p.Addr)
+			}
+			return addrs
+		},
+	})
+	return err
+}
+
+// close closes the sockets between processes and the disk.
+func (n *Node) close() {
+	n.transport.Close()
+	if n.replica != nil {
+		n.replica.close()
+	}
+}
+
+// seeds are the seed nodes at their internal ports. The settings give their control addresses; the first internal port is
+// the same on all machines.
+func (n *Node) seeds() (addrs []netip.AddrPort) {
 	for _, s := range n.cfg.SeedNodes {
 		if a, err := netip.ParseAddrPort(s); err == nil {
-			all = append(all, netip.AddrPortFrom(a.Addr(), uint16(n.cfg.InternalPorts[0])))
+			addrs = append(addrs, netip.AddrPortFrom(a.Addr(), uint16(n.cfg.InternalPorts[0])))
 		}
 	}
-	return all
+	return addrs
 }
 
-// serve runs the parts.
+// serve starts the parts and the servers, and runs until the process is told to stop or a server fails.
 func (n *Node) serve(ctx context.Context, path string, sig Signals) error {
-	failed := make(chan error, 4)
 	if n.cfg.Listeners.Frontend != "" {
-		lim := limits.NewFleetRouter(limits.Machine{Cores: n.cfg.Machine.CPUCores, MemoryMB: n.cfg.Machine.MemoryMB, Sockets: n.cfg.Machine.MaxOpenFiles})
-		drain := time.Duration(n.cfg.Bounds.DrainTimeoutMS) * time.Millisecond
-		n.dataPlane = newDataPlane(n.log, lim, limits.DrainGrace(drain), rand.Uint64(), n.discovery.endpoints)
-		if b := n.cfg.Bounds; b.RetryWindowS > 0 {
-			window := time.Duration(b.RetryWindowS * float64(time.Second))
-			n.dataPlane.retryShare = retrybudget.Share{Total: b.RetryExtra, Initial: b.RetryExtra / limits.InitialRetryShares, Window: window, Validity: limits.RetryShareTTL}
-			n.dataPlane.retryBudget = retrybudget.Budget{Ratio: b.RetryBudgetRatio / 2, Window: window, Allowance: n.dataPlane.retryShare.Initial}
-		}
-		n.dataPlane.traffic, n.dataPlane.zone = &n.traffic, n.cfg.Zone
-		n.discovery.onEndpointsChanged, n.discovery.onStaleConnections = n.dataPlane.notifyEndpointsChanged, n.dataPlane.limitRest
-		n.dataPlane.onStaleConnection = func() { n.discovery.step(discovery.IdleDropObserved{}) }
-		go n.dataPlane.run(ctx)
-		c := &usageMeter{meter: usage.Meter{WindowLength: time.Duration(n.cfg.Bounds.UsageWindowS * float64(time.Second)), Incarnation: rand.Uint64(), Zone: n.cfg.Zone}}
-		n.dataPlane.dialect.Began = c.countRequest
-		if n.cfg.CloudAPI.Address != "" {
-			go n.reportLoop(ctx, c)
-		}
+		n.startDataPlane(ctx)
+	}
+	n.startControlPlane(ctx)
+	s := &servers{failed: make(chan error, 2)}
+	defer s.close()
+	if err := n.startServers(ctx, s); err != nil {
+		return err
+	}
+	n.log.Info("node started", "machine_class", n.cfg.MachineClass, "zone", n.cfg.Zone, "bootstrap", n.cfg.Bootstrap)
+	return n.supervise(ctx, path, sig, s)
+}
+
+// startDataPlane starts what serves clients, and the reports on it. Its goroutines end with ctx.
+func (n *Node) startDataPlane(ctx context.Context) {
+	m, b := &n.cfg.Machine, &n.cfg.Bounds
+	o := dataPlaneOptions{
+		log: n.log, traffic: &n.traffic, zone: n.cfg.Zone, seed: rand.Uint64(), endpoints: n.discovery.endpoints,
+		limits:     limits.NewFleetRouter(limits.Machine{Cores: m.CPUCores, MemoryMB: m.MemoryMB, Sockets: m.MaxOpenFiles}),
+		drainGrace: limits.DrainGrace(time.Duration(b.DrainTimeoutMS) * time.Millisecond),
 	}
-	go n.fetchLoop(ctx)
+	if b.RetryWindowS > 0 {
+		window := seconds(b.RetryWindowS)
+		o.retryShare = retrybudget.Share{Total: b.RetryExtra, Initial: b.RetryExtra / limits.InitialRetryShares, Window: window, Validity: limits.RetryShareTTL}
+		o.retryBudget = retrybudget.Budget{Ratio: b.RetryBudgetRatio / 2, Window: window, Allowance: o.retryShare.Initial}
+	}
+	n.dataPlane = newDataPlane(o)
+	n.configs.dataPlane = n.dataPlane
+	n.discovery.onEndpointsChanged, n.discovery.onIdleDropReported = n.dataPlane.notifyEndpointsChanged, n.dataPlane.limitIdleReuse
+	n.dataPlane.onIdleDrop = func() { n.discovery.step(discovery.IdleDropObserved{}) }
+	go n.dataPlane.run(ctx)
+
+	meter := &usageMeter{meter: usage.Meter{WindowLength: seconds(b.UsageWindowS), Incarnation: rand.Uint64(), Zone: n.cfg.Zone}}
+	n.dataPlane.dialect.Began = meter.countRequest
+	if n.cfg.CloudAPI.Address != "" {
+		go n.reportLoop(ctx, meter)
+	}
+}
+
+// startControlPlane starts the exchange with other processes. Its goroutines end with ctx or with the transport.
+func (n *Node) startControlPlane(ctx context.Context) {
+	go n.configs.run(ctx)
 	if n.replica != nil {
-		n.replica.onStateChanged = n.onStateChanged
+		n.replica.onStateChanged = n.stateChanged
 		s := n.replica.state()
-		n.onStateChanged(&s)
+		n.stateChanged(&s)
 		go n.replica.run(ctx)
 		if n.cfg.CloudAPI.Address != "" {
-			n.singleton = newSingletonHost(n)
+			n.singleton = newSingletonHost(ctx, n)
 			go n.singleton.run(ctx)
 		}
 	}
 	go n.transport.ServeCalls(ctx)
 	go n.discovery.run(ctx, n.seeds())
-	go n.findNewest(ctx)
+	go n.configs.confirmNewest(ctx)
+}
+
+// servers are the process's HTTP servers and their listeners.
+type servers struct {
+	failed   chan error   // what a server ended with; it has room for all
+	frontend net.Listener // nil unless the process has a frontend
+	closers  []io.Closer
+}
+
+// close closes what was opened, the latest first. The goroutines that serve end by it.
+func (s *servers) close() {
+	for i := len(s.closers) - 1; i >= 0; i-- {
+		_ = s.closers[i].Close() // a listener that the shutdown has closed says so
+	}
+}
+
+// listen opens a listener.
+func (s *servers) listen(ctx context.Context, addr string) (net.Listener, error) {
+	ln, err := (&net.ListenConfig{}).Listen(ctx, "tcp4", addr)
+	if err == nil {
+		s.closers = append(s.closers, ln)
+	}
+	return ln, err
+}
+
+// startServers opens the listeners of the settings and serves at them, until s is closed.
+func (n *Node) startServers(ctx context.Context, s *servers) error {
 	if addr := n.cfg.Listeners.ControlPlane; addr != "" {
-		ln, err := net.Listen("tcp4", addr)
+		ln, err := s.listen(ctx, addr)
 		if err != nil {
-			return err
+			return fmt.Errorf("listeners.control_plane: %w", err)
 		}
 		web := api.NewServer(n)
-		defer web.Close()
-		go func() { failed <- api.Serve(web, ln) }()
+		s.closers = append(s.closers, web)
+		go func() { s.failed <- api.Serve(web, ln) }()
 	}
-	var front net.Listener
-	if n.dataPlane != nil {
-		ready, err := net.Listen("tcp4", n.cfg.Listeners.Readiness)
-		if err != nil {
-			return err
-		}
-		defer ready.Close()
-		web := &http.Server{Handler: http.HandlerFunc(n.serveReadiness), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 10 * time.Second}
-		defer web.Close()
-		go func() { failed <- web.Serve(ready) }()
-		if front, err = net.Listen("tcp4", n.cfg.Listeners.Frontend); err != nil {
-			return err
-		}
-		defer front.Close()
-		go func() { n.dataPlane.frontend.Serve(front) }()
+	if n.dataPlane == nil {
+		return nil
+	}
+	ln, err := s.listen(ctx, n.cfg.Listeners.Readiness)
+	if err != nil {
+		return fmt.Errorf("listeners.readiness: %w", err)
+	}
+	web := &http.Server{Handler: http.HandlerFunc(n.serveReadiness), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 10 * time.Second}
+	s.closers = append(s.closers, web)
+	go func() { s.failed <- web.Serve(ln) }()
+	if s.frontend, err = s.listen(ctx, n.cfg.Listeners.Frontend); err != nil {
+		return fmt.Errorf("listeners.frontend: %w", err)
 	}
-	n.log.Info("started", "class", n.cfg.MachineClass, "zone", n.cfg.Zone, "bootstrap", n.cfg.Bootstrap)
-	accounts := time.NewTicker(limits.MetricsLogInterval)
-	defer accounts.Stop()
+	go func() { _ = n.dataPlane.frontend.Serve(s.frontend) }() // it ends when the listener is closed
+	return nil
+}
+
+// supervise obeys signals until the process is told to stop, and then shuts it down; or until a server fails.
+func (n *Node) supervise(ctx context.Context, path string, sig Signals, s *servers) error {
+	metricsTick := time.NewTicker(limits.MetricsLogInterval)
+	defer metricsTick.Stop()
 	for {
 		select {
-		case <-accounts.C:
-			n.logTraffic(slog.LevelDebug)
-		case err := <-failed:
+		case <-metricsTick.C:
+			n.logMetrics(ctx, slog.LevelDebug)
+		case err := <-s.failed:
 			if err != nil {
 				return err
 			}
 		case <-sig.Reload:
-			if cfg, err := nodeconfig.Load(path); err != nil {
-				n.log.Error("settings not read again", "err", err)
-			} else {
-				n.cfg.SeedNodes = cfg.SeedNodes
-				n.discovery.step(gossip.SeedsChanged{Addrs: n.seeds()})
-				n.log.Info("settings read again")
-			}
+			n.reloadSeeds(path)
 		case <-sig.Stop:
-			n.shutDown(ctx, front)
-			n.logTraffic(slog.LevelInfo)
+			n.shutDown(ctx, s.frontend)
+			n.logMetrics(ctx, slog.LevelInfo)
 			return nil
 		}
 	}
 }
+
+// reloadSeeds reads the settings file again and takes over its seed nodes. All other settings stay as they were.
+func (n *Node) reloadSeeds(path string) {
+	cfg, err := nodeconfig.Load(path)
+	if err != nil {
+		n.log.Error("seed nodes not reloaded", "err", err)
+		return
+	}
+	n.cfg.SeedNodes = cfg.SeedNodes
+	n.discovery.step(gossip.SeedsChanged{Addrs: n.seeds()})
+	n.log.Info("seed nodes reloaded")
+}
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -47,9 +47,9 @@
 	until(t, "it has what the keeper has that is cut off", func() bool {
 		now, revision := status()
 		ready = now
-		return revision == 2 && !strings.Contains(ready, "no keeper has")
+		return revision == 2 && ready != reasonNoReplica
 	})
-	if !strings.Contains(ready, "majority") && time.Since(began) < limits.ReadyWithoutQuorumAfter/2 {
+	if ready != reasonNoQuorum && time.Since(began) < limits.ReadyWithoutQuorumAfter/2 {
 		t.Errorf("it is ready with an old configuration: %q", ready)
 	}
 	until(t, "it serves all the same where there is no majority", func() bool { ready, _ := status(); return strings.Contains(ready, "engine") })
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -12,52 +12,56 @@
 	"notchhinge/internal/edge"
 )
 
+// status is what /fleet/status tells of this process. The keys are those that the command and operators' scripts read.
+type status struct {
+	Node         string `json:"node"`
+	Zone         string `json:"zone"`
+	Ready        string `json:"ready"`        // "yes", or why not
+	ConfigIndex  uint64 `json:"place"`        // log index of the configuration in force
+	NewestIndex  uint64 `json:"newest_place"` // the highest that was announced
+	Peers        int    `json:"peers"`
+	Replicas     int    `json:"keepers"`
+	Endpoints    int    `json:"engines"`
+	GossipItems  int    `json:"items"`
+	Revision     uint64 `json:"revision"` // of the configuration that requests begin under
+	IsReplica    bool   `json:"keeper"`
+	NextIndex    uint64 `json:"chain"` // log entries that this replica has applied
+	HasVote      bool   `json:"votes"`
+	Voters       int    `json:"members"`
+	LeaseHolder  string `json:"holder"`
+	FencingToken uint64 `json:"fence"`
+
+	Traffic []metrics.Row   `json:"account"`
+	Process metrics.Process `json:"machine"`
+}
+
 // Status implements api.Handler.
 func (n *Node) Status() any {
-	type status struct {
-		Node     string `json:"node"`
-		Zone     string `json:"zone"`
-		Ready    string `json:"ready"`
-		Place    uint64 `json:"place"`
-		Wanted   uint64 `json:"newest_place"`
-		Peers    int    `json:"peers"`
-		Keepers  int    `json:"keepers"`
-		Engines  int    `json:"engines"`
-		Items    int    `json:"items"`
-		Revision uint64 `json:"revision"`
-		Keeper   bool   `json:"keeper"`
-		Chain    uint64 `json:"chain"`   // places that a keeper knows
-		Votes    bool   `json:"votes"`   // the keeper is a member
-		Members  int    `json:"members"` // of the core, as the keeper knows them
-		Holder   string `json:"holder"`  // of the duties
-		Fence    uint64 `json:"fence"`
-
-		Account []metrics.Row   `json:"account"` // what the process has sent and taken, by cause
-		Machine metrics.Process `json:"machine"`
+	s := status{
+		Node: n.cfg.NodeName, Zone: n.cfg.Zone, Ready: cmp.Or(n.notReadyReason(), "yes"),
+		ConfigIndex: n.configs.currentIndex.Load(), NewestIndex: n.configs.newestIndex.Load(),
+		Traffic: n.traffic.Rows(), Process: metrics.ReadProcess(),
 	}
-	s := status{Node: n.cfg.NodeName, Zone: n.cfg.Zone, Ready: n.notReadyReason(), Place: n.currentIndex.Load(), Wanted: n.newestIndex.Load()}
-	if s.Ready == "" {
-		s.Ready = "yes"
-	}
-	s.Account, s.Machine = n.traffic.Rows(), metrics.ReadProcess()
 	if n.dataPlane != nil {
-		if at := n.dataPlane.routes.Load(); at != nil {
-			s.Revision = at.Revision
+		if routes := n.dataPlane.routes.Load(); routes != nil {
+			s.Revision = routes.Revision
 		}
 	}
 	if n.replica != nil {
-		st := n.replica.state()
-		s.Keeper, s.Chain, s.Votes, s.Members = true, st.NextIndex, st.Member(n.replica.self.ID) != nil, len(st.Members)
-		s.Holder, s.Fence = st.LeaseHolderName, st.FencingToken
+		state := n.replica.state()
+		s.IsReplica, s.NextIndex = true, state.NextIndex
+		s.HasVote, s.Voters = state.Member(n.replica.self.ID) != nil, len(state.Members)
+		s.LeaseHolder, s.FencingToken = state.LeaseHolderName, state.FencingToken
 	}
 	n.discovery.mu.Lock()
 	defer n.discovery.mu.Unlock()
-	s.Peers, s.Keepers = len(n.discovery.reducer.Gossip.Peers()), len(n.discovery.reducer.Gossip.Replicas())
-	s.Engines, s.Items = n.discovery.reducer.Endpoints.Len(), n.discovery.reducer.Gossip.ItemCount()
+	d := n.discovery.reducer
+	s.Peers, s.Replicas = len(d.Gossip.Peers()), len(d.Gossip.Replicas())
+	s.Endpoints, s.GossipItems = d.Endpoints.Len(), d.Gossip.ItemCount()
 	return s
 }
 
-// EngineView is an engine as this process knows it, for the staff.
+// EngineView is an engine as this process knows it: an element of /fleet/engines.
 type EngineView struct {
 	ID       string  `json:"id"`
 	Service  string  `json:"service"`
@@ -66,62 +70,78 @@
 	Revision string  `json:"revision"`
 	Slots    uint64  `json:"slots"`
 	State    string  `json:"state"`   // ready, draining, silent, gone
-	HeardS   float64 `json:"heard_s"` // ago
+	HeardS   float64 `json:"heard_s"` // since its last heartbeat
 	WarmInS  float64 `json:"warm_in_s"`
 	Says     string  `json:"says"` // why it gets requests, or none
 }
 
 // Engines implements api.Handler.
 func (n *Node) Engines() any {
-	c := n.config()
+	isConfigured := configuredServices(n.configs.config())
 	n.discovery.mu.Lock()
 	defer n.discovery.mu.Unlock()
-	now, wall := n.discovery.clock(), time.Now().UnixMilli()
+	now, wallMS := n.discovery.clock(), time.Now().UnixMilli()
 	all := []EngineView{}
 	for e := range n.discovery.reducer.Endpoints.All() {
 		v := EngineView{
 			ID: e.ID, Service: e.Service, Zone: e.Zone, Address: e.Addr, Revision: e.Revision, Slots: e.Slots,
-			HeardS: (now - e.LastHeartbeat).Seconds(), WarmInS: max(float64(e.WarmAtMS-wall)/1000, 0),
-		}
-		known := c != nil && slices.ContainsFunc(c.Services, func(s fleetconfig.Service) bool { return s.Name == e.Service })
-		switch {
-		case e.State == endpoints.StateGone:
-			v.State, v.Says = "gone", "it has signed off, or another has come at its address: it gets nothing"
-		case e.Suspect:
-			v.State, v.Says = "silent", "others have been heard since and it has not: it gets nothing"
-		case e.State == endpoints.StateDraining:
-			v.State, v.Says = "draining", "it gets nothing new; known sessions for a quarter of the time to drain"
-		case !known:
-			v.State, v.Says = "ready", "no configuration here names its service: it gets nothing"
-		case v.WarmInS > 0:
-			v.State, v.Says = "ready", "it is drawn, and is slow at first"
-		default:
-			v.State, v.Says = "ready", "it is drawn"
+			HeardS: (now - e.LastHeartbeat).Seconds(), WarmInS: max(float64(e.WarmAtMS-wallMS)/1000, 0),
 		}
+		v.State, v.Says = explainEndpoint(e, isConfigured[e.Service], v.WarmInS > 0)
 		all = append(all, v)
 	}
 	slices.SortFunc(all, func(x, y EngineView) int { return cmp.Or(cmp.Compare(x.Service, y.Service), cmp.Compare(x.ID, y.ID)) })
 	return all
 }
 
-// Explain implements api.Handler: what would become of a request, by its head.
+// configuredServices are the names of a configuration's services; c may be nil.
+func configuredServices(c *fleetconfig.Config) map[string]bool {
+	names := map[string]bool{}
+	if c != nil {
+		for i := range c.Services {
+			names[c.Services[i].Name] = true
+		}
+	}
+	return names
+}
+
+// explainEndpoint says in which state an endpoint is, and what that means for requests.
+func explainEndpoint(e *endpoints.Endpoint, isConfigured, isWarmingUp bool) (state, says string) {
+	switch {
+	case e.State == endpoints.StateGone:
+		return "gone", "it has deregistered, or another engine has come at its address: it gets nothing"
+	case e.Suspect:
+		return "silent", "its heartbeats have stopped while others' came: it gets nothing"
+	case e.State == endpoints.StateDraining:
+		return "draining", "it gets nothing new; known sessions for a quarter of the drain time"
+	case !isConfigured:
+		return "ready", "no configuration here names its service: it gets nothing"
+	case isWarmingUp:
+		return "ready", "it is selected, with less weight while it warms up"
+	default:
+		return "ready", "it is selected"
+	}
+}
+
+// Explain implements api.Handler: what would become of a request with this head.
 func (n *Node) Explain(r *http.Request) any {
-	type explained struct {
+	type explanation struct {
 		*edge.Explanation
 		Ready    []string `json:"ready,omitempty"`
 		Draining []string `json:"draining,omitempty"`
 	}
 	if n.dataPlane == nil {
-		return map[string]string{"refused": "no traffic is carried here: ask a router"}
+		return map[string]string{"refused": "no frontend here: ask a router"}
+	}
+	x := explanation{Explanation: n.dataPlane.dialect.Explain(r)}
+	if x.Service == "" {
+		return x
 	}
-	x := explained{Explanation: n.dataPlane.dialect.Explain(r)}
-	if x.Service != "" {
-		for _, e := range n.discovery.endpoints(x.Service) {
-			if e.State == endpoints.StateDraining {
-				x.Draining = append(x.Draining, e.ID)
-			} else {
-				x.Ready = append(x.Ready, e.ID)
-			}
+	for _, e := range n.discovery.endpoints(x.Service) {
+		if e.State == endpoints.StateDraining {
+			x.Draining = append(x.Draining, e.ID)
+		} else {
+			x.Ready = append(x.Ready, e.ID)
 		}
 	}
 	return x
--- a/internal/node/testplane_test.go
+++ b/internal/node/testplane_test.go
@@ -10,6 +10,7 @@
 
 	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/control/metrics"
 	"notchhinge/internal/limits"
 )
 
@@ -31,14 +32,17 @@
 	t.Helper()
 	p := &testPlane{t: t}
 	p.list.Store(&engines)
-	lim := limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100})
-	p.d = newDataPlane(slog.New(slog.NewTextHandler(io.Discard, nil)), lim, time.Second, seed, func(service string) (all []endpoints.Endpoint) {
-		for _, e := range *p.list.Load() {
-			if e.Service == service {
-				all = append(all, e)
+	p.d = newDataPlane(dataPlaneOptions{
+		log: slog.New(slog.NewTextHandler(io.Discard, nil)), traffic: &metrics.Traffic{}, drainGrace: time.Second, seed: seed,
+		limits: limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100}),
+		endpoints: func(service string) (all []endpoints.Endpoint) {
+			for _, e := range *p.list.Load() {
+				if e.Service == service {
+					all = append(all, e)
+				}
 			}
-		}
-		return all
+			return all
+		},
 	})
 	go p.d.run(t.Context())
 	if err := p.d.applyConfig(1, planeConfig()); err != nil {
--- a/internal/node/usagereport.go
+++ b/internal/node/usagereport.go
@@ -12,21 +12,28 @@
 	"notchhinge/internal/limits"
 )
 
-// usageMeter is a router's usage.Meter under one lock.
+// usageMeter is a router's usage.Meter under a lock.
 type usageMeter struct {
 	mu    sync.Mutex
 	meter usage.Meter
 }
 
-// countRequest counts a request.
-func (c *usageMeter) countRequest(tenant string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.meter.CountRequest(time.Now(), tenant)
+// countRequest counts a tenant's request.
+func (u *usageMeter) countRequest(tenant string) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.meter.CountRequest(time.Now(), tenant)
 }
 
-// reportLoop tells keepers what this router has counted, and how much it has at engines, until the context is over.
-func (n *Node) reportLoop(ctx context.Context, c *usageMeter) {
+// handleAck takes a replica's acknowledgement of a report.
+func (u *usageMeter) handleAck(replicaID uint64, ack usage.Ack, report *usage.Report) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.meter.HandleAck(replicaID, ack, report)
+}
+
+// reportLoop reports to the replicas what this router has counted and how busy its engines are, until ctx is done.
+func (n *Node) reportLoop(ctx context.Context, meter *usageMeter) {
 	tick := time.NewTicker(limits.RouterReportInterval)
 	defer tick.Stop()
 	for {
@@ -35,47 +42,66 @@
 			return
 		case <-tick.C:
 		}
-		n.sendReports(ctx, c)
+		n.sendReports(ctx, meter)
+	}
+}
+
+// sendReports sends one report to every replica. It does not wait for their answers.
+func (n *Node) sendReports(ctx context.Context, meter *usageMeter) {
+	loads, ok := n.serviceLoads(ctx)
+	if !ok {
+		return
+	}
+	asked := n.dataPlane.loop.Now()
+	n.dataPlane.updateRetryShare(asked, 0)
+	replicas := n.discovery.replicas()
+	ids := make([]uint64, len(replicas))
+	for i, r := range replicas {
+		ids[i] = r.ID
+	}
+	meter.mu.Lock()
+	reports := meter.meter.Reports(time.Now(), loads, ids)
+	meter.mu.Unlock()
+	for i, r := range replicas {
+		go n.sendReport(ctx, meter, routerReport{to: r, asked: asked, report: &reports[i]})
+	}
+}
+
+// routerReport is a report on its way to a replica.
+type routerReport struct {
+	to     gossip.Peer
+	asked  time.Duration // when it was made, by the loop's clock
+	report *usage.Report
+}
+
+// sendReport sends a report to a replica, and takes its acknowledgement over.
+func (n *Node) sendReport(ctx context.Context, meter *usageMeter, r routerReport) {
+	ctx, cancel := context.WithTimeout(ctx, limits.ReplicaFailoverTimeout)
+	defer cancel()
+	body, err := n.transport.Call(ctx, r.to.Addr, singleton.CallUsageReport, r.report.Encode())
+	n.discovery.step(gossip.CallCompleted{PeerID: r.to.ID, Answered: err == nil})
+	if err != nil {
+		return
+	}
+	ack, err := usage.DecodeAck(body)
+	if err != nil {
+		return // it is not acknowledged, and goes with the next report
 	}
+	n.dataPlane.updateRetryShare(r.asked, int(ack.Routers))
+	meter.handleAck(r.to.ID, ack, r.report)
 }
 
-// sendReports makes one report to every keeper.
-func (n *Node) sendReports(ctx context.Context, c *usageMeter) {
-	var loads []usage.Load
+// serviceLoads asks the loop what runs at each service's engines; false = ctx is done.
+func (n *Node) serviceLoads(ctx context.Context) (loads []usage.Load, ok bool) {
 	counted := make(chan broker.Counted, 1)
 	n.dataPlane.loop.Post(broker.Audit{Of: counted})
 	select {
-	case x := <-counted:
-		for _, s := range x.Pools {
+	case c := <-counted:
+		for _, s := range c.Pools {
 			loads = append(loads, usage.Load{Service: s.Name, Running: uint64(s.Open) * 100, Arrived: uint64(s.Taken)})
 		}
+		return loads, true
 	case <-ctx.Done():
-		return
-	}
-	asked := n.dataPlane.loop.Now()
-	n.dataPlane.updateRetryShare(asked, 0)
-	keepers := n.discovery.replicas()
-	ids := make([]uint64, len(keepers))
-	for i, k := range keepers {
-		ids[i] = k.ID
-	}
-	c.mu.Lock()
-	all := c.meter.Reports(time.Now(), loads, ids)
-	c.mu.Unlock()
-	for i, k := range keepers {
-		go func() {
-			one, cancel := context.WithTimeout(context.Background(), limits.ReplicaFailoverTimeout)
-			defer cancel()
-			b, err := n.transport.Call(one, k.Addr, singleton.CallUsageReport, all[i].Encode())
-			n.discovery.step(gossip.CallCompleted{PeerID: k.ID, Answered: err == nil})
-			word, bad := usage.DecodeAck(b)
-			if err != nil || bad != nil {
-				return
-			}
-			n.dataPlane.updateRetryShare(asked, int(word.Routers))
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			c.meter.HandleAck(k.ID, word, &all[i])
-		}()
+		return nil, false
 	}
 }
