--- a/cmd/notchlab/fleet.go
+++ b/cmd/notchlab/fleet.go
@@ -23,6 +23,9 @@
 	Calm    bool    `help:"Without troubles."`
 	Keep    string  `help:"Keep settings, disks and logs in this folder." type:"path" placeholder:"DIR"`
 	Router  string  `help:"The program; else the one beside this program, else it is built." placeholder:"PATH"`
+	Mixed   string  `help:"Another build of the program, which every second process runs." type:"existingfile" placeholder:"PATH"`
+
+	Exchange bool `help:"With --mixed: what starts again runs the build that it has not run before."`
 }
 
 var errBroken = errors.New("a rule is broken")
@@ -48,8 +51,8 @@
 		return err
 	}
 	r, err := system.Play(ctx, system.Options{
-		Binary: binary, Dir: dir, Routers: f.Routers, Engines: f.Engines, Rate: f.Rate, Length: time.Duration(f.Seconds) * time.Second,
-		Seed: f.Seed, Troubles: !f.Calm, Out: os.Stdout,
+		Binary: binary, Mixed: f.Mixed, Exchange: f.Exchange && f.Mixed != "", Dir: dir, Routers: f.Routers, Engines: f.Engines,
+		Rate: f.Rate, Length: time.Duration(f.Seconds) * time.Second, Seed: f.Seed, Troubles: !f.Calm, Out: os.Stdout,
 	})
 	if err != nil {
 		return err
--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -29,6 +29,8 @@
 // Options say what is played.
 type Options struct {
 	Binary   string // notchhinge
+	Mixed    string // another build of it, which every second process runs; "" = all run Binary
+	Exchange bool   // with Mixed: a process that starts again runs the build that it has not run before
 	Dir      string // for settings, disks and logs
 	Routers  int
 	Engines  int
@@ -78,6 +80,7 @@
 	front, ready, control string
 	dir                   string
 	keeper                bool
+	mixed                 bool // it runs Options.Mixed
 	cmd                   *exec.Cmd
 	log                   *os.File
 }
@@ -127,6 +130,7 @@
 		if i < 3 {
 			m.name, m.keeper = fmt.Sprintf("keeper-%d", i+1), true
 		}
+		m.mixed = o.Mixed != "" && i%2 == 1
 		s.machines = append(s.machines, m)
 		ips = append(ips, m.ip)
 	}
@@ -204,7 +208,14 @@
 			return err
 		}
 	}
-	m.cmd = exec.Command(s.Binary, "node")
+	if s.Exchange && !first {
+		m.mixed = !m.mixed
+	}
+	program := s.Binary
+	if m.mixed {
+		program = s.Mixed
+	}
+	m.cmd = exec.Command(program, "node")
 	m.cmd.Env = append(os.Environ(), "NOTCHHINGE_BOOT="+path)
 	m.cmd.Stdout, m.cmd.Stderr = m.log, m.log
 	return m.cmd.Start()
@@ -434,6 +445,9 @@
 		s.says(began, "%s drains, and ends", s.engines[0].id)
 		go s.engines[0].leave(ctx, s)
 	}
+	if s.Mixed != "" && at(0.65) {
+		s.restartOnDisk(s.machines[2], began)
+	}
 	if at(0.72) {
 		last := s.machines[len(s.machines)-1]
 		s.says(began, "%s is frozen for 1.5 s", last.name)
@@ -445,6 +459,21 @@
 		s.says(began, "%s crashes without a word", s.engines[1].id)
 		s.engines[1].crash()
 	}
+	if s.Mixed != "" && at(0.9) {
+		if err := s.configure(ctx, 2, 3, 1400); err == nil {
+			s.says(began, "revision 3 is acknowledged")
+		}
+	}
+}
+
+// restartOnDisk has a machine start again with the disk that its last process left, which may be of the other build.
+func (s *system) restartOnDisk(m *machine, began time.Time) {
+	m.kill()
+	if err := s.start(m, false); err != nil {
+		s.says(began, "%s does not start again: %v", m.name, err)
+		return
+	}
+	s.says(began, "%s is killed and starts again upon its disk", m.name)
 }
 
 // collect adds up what processes and the platform know at the end.
