--- a/internal/control/replica/acceptor.go
+++ b/internal/control/replica/acceptor.go
@@ -19,7 +19,7 @@
 func (r *Replica) vote(req paxos.Request, done func(paxos.Response, error)) {
 	r.term = max(r.term, req.Number.Term)
 	resp, changed := r.acceptor.Handle(req)
-	if !changed && (r.voteSave == 0 || resp.Verdict != paxos.VerdictGranted) {
+	if !changed && (r.voteWrite == 0 || resp.Verdict != paxos.VerdictGranted) {
 		done(resp, nil)
 		return
 	}
@@ -29,13 +29,13 @@
 			done(paxos.Response{}, errDiskWrite)
 			return
 		}
-		if r.voteSave == id {
-			r.voteSave = 0
+		if r.voteWrite == id {
+			r.voteWrite = 0
 		}
 		if req.Kind == paxos.KindAccept {
 			r.watchAcceptedMembership(req.Index)
 		}
 		done(resp, nil)
 	})
-	r.voteSave = id
+	r.voteWrite = id
 }
--- a/internal/control/replica/bootstrap.go
+++ b/internal/control/replica/bootstrap.go
@@ -28,14 +28,10 @@
 
 // pollFounders finds out which founders there are.
 func (r *Replica) pollFounders() {
-	peers := r.Peers()
 	founders := []replog.Member{r.Self}
-	pending := len(peers)
-	if pending == 0 {
-		r.considerFounding(founders)
-		return
-	}
-	for _, to := range peers {
+	calls := newFanOut(func() { r.considerFounding(founders) })
+	for _, to := range r.Peers() {
+		calls.sent()
 		r.callIdentity(to, func(i identity, ok bool) {
 			switch {
 			case !ok:
@@ -44,11 +40,10 @@
 			case i.isFounder:
 				founders = append(founders, i.Member)
 			}
-			if pending--; pending == 0 {
-				r.considerFounding(founders)
-			}
+			calls.answered()
 		})
 	}
+	calls.allSent()
 }
 
 // considerFounding founds the group if there are enough founders, no further one has come for a while, and this one is the first
--- a/internal/control/replica/calls.go
+++ b/internal/control/replica/calls.go
@@ -16,7 +16,7 @@
 // The kinds of calls that replicas take.
 const (
 	CallPaxos     CallKind = 1  // paxos.Request, answered by paxos.Response
-	CallLearn     CallKind = 2  // an index and the value chosen for it; an empty value says only that the sender knows more
+	CallLearn     CallKind = 2  // an index and the value chosen for it; without a value, notice of a longer log
 	CallSnapshot  CallKind = 3  // the whole state, if it is beyond an index, in the newest format that the caller reads
 	CallIdentity  CallKind = 4  // answered by the identity of the replica
 	CallJoin      CallKind = 10 // identity of a learner that asks for a vote; answered by nothing, or by joinGroupFull
@@ -64,7 +64,7 @@
 	}
 }
 
-// receivePaxos answers a proposer, once the disk has what the answer says.
+// receivePaxos handles a CallPaxos. The response leaves once the disk has what it says.
 func (r *Replica) receivePaxos(body []byte, reply replyFunc) {
 	req, err := decodePaxosRequest(body)
 	if err != nil {
--- a/internal/control/replica/catchup.go
+++ b/internal/control/replica/catchup.go
@@ -11,7 +11,7 @@
 const oldestStateVersion byte = 1
 
 // catchUp fetches the state of another replica as a snapshot and installs it if it is newer than the state here. A state may be
-// large: whoever else wants it while it is on its way shares the one call. done is called in either case.
+// large, so that requests for it share the call that is in flight. done is called in either case.
 func (r *Replica) catchUp(from netip.AddrPort, done func()) {
 	waiting, requested := r.catchUps[from]
 	if r.catchUps[from] = append(waiting, done); requested {
@@ -21,7 +21,7 @@
 	r.call(from, CallSnapshot, body, func(body []byte, err error) { r.receiveSnapshot(from, body, err) })
 }
 
-// receiveSnapshot takes the answer to a CallSnapshot; no body says that the callee knows no more.
+// receiveSnapshot handles the answer to a CallSnapshot; without a body the callee's log is no longer than the caller's.
 func (r *Replica) receiveSnapshot(from netip.AddrPort, body []byte, err error) {
 	if err != nil || len(body) == 0 {
 		r.catchUpDone(from)
--- a/internal/control/replica/commit.go
+++ b/internal/control/replica/commit.go
@@ -26,9 +26,9 @@
 	return true
 }
 
-// announce tells the voters what an attempt has chosen: those that have accepted the value only its proposal number, the others
-// the value itself, which may be large, and so those that the value has made voters. There is no retry: who does not receive it
-// catches up.
+// announce sends the voters what an attempt has chosen. A voter that has accepted the value is sent its proposal number alone,
+// since the value may be large; any other voter, and one that the value itself has made a voter, is sent the value. There is no
+// retry: a replica that misses an announcement catches up later.
 func (r *Replica) announce(a *attempt) {
 	number, value := encodeCommit(a.Index, a.Number), EncodeIndexed(a.Index, a.Value)
 	for i := range a.members {
@@ -51,7 +51,7 @@
 	}
 }
 
-// notifyLagging tells a member that this replica knows more than it does, so that it catches up.
+// notifyLagging sends a member the next index of this replica, so that the member catches up.
 func (r *Replica) notifyLagging(id uint64, members []replog.Member) {
 	for i := range members {
 		if to, ok := memberAddr(&members[i]); ok && members[i].ID == id && id != r.Self.ID {
@@ -60,7 +60,7 @@
 	}
 }
 
-// receiveLearn takes the value that was chosen for an index, or the message that the caller knows more.
+// receiveLearn handles a CallLearn: the value that was chosen for an index, or the notice that the caller's log is longer.
 func (r *Replica) receiveLearn(c CallReceived, reply replyFunc) {
 	index, value, err := DecodeIndexed(c.Body)
 	if reply(nil, err); err == nil {
@@ -68,8 +68,8 @@
 	}
 }
 
-// receiveCommit takes the message that the value which was accepted for an index under a proposal number was chosen. A value
-// that this replica has not accepted is fetched.
+// receiveCommit handles a CallCommit: what was accepted for an index under a proposal number was chosen. If this replica has not
+// accepted it, it catches up with the caller.
 func (r *Replica) receiveCommit(c CallReceived, reply replyFunc) {
 	index, number, err := decodeCommit(c.Body)
 	if reply(nil, err); err != nil || index < r.state.NextIndex {
--- a/internal/control/replica/event.go
+++ b/internal/control/replica/event.go
@@ -7,14 +7,14 @@
 	"notchhinge/internal/control/replog"
 )
 
-// RequestID names a request that the owner hands in, so that its answer finds whoever waits for it. The owner chooses it; see
-// Pending. Zero is for a request whose answer nobody waits for.
+// RequestID identifies a request of the owner in the effect that answers it. The owner assigns it; see Pending. Zero is for a
+// request whose answer is not awaited.
 type RequestID uint64
 
-// CallID names a call that a SendCall asks for.
+// CallID identifies a SendCall in its CallReturned.
 type CallID uint64
 
-// WriteID names a write that a Write asks for. Zero names none.
+// WriteID identifies a Write in its WriteDone. Zero identifies none.
 type WriteID uint64
 
 // EntryFunc returns the next entry to be proposed upon a state, encoded, or nil once there is nothing to propose. It is called
--- a/internal/control/replica/failuredetector.go
+++ b/internal/control/replica/failuredetector.go
@@ -74,17 +74,12 @@
 // probeVoters asks every other voter for its identity, so that it is known which are suspected, and then the others about the
 // one that has been suspected for longest. done is called once all have answered or have not.
 func (r *Replica) probeVoters(done func()) {
-	pending := 1
-	answered := func(identity, bool) {
-		if pending--; pending == 0 {
-			r.confirmSuspicion(done)
-		}
-	}
+	calls := newFanOut(func() { r.confirmSuspicion(done) })
 	for _, to := range r.peerVoters() {
-		pending++
-		r.callIdentity(to, answered)
+		calls.sent()
+		r.callIdentity(to, func(identity, bool) { calls.answered() })
 	}
-	answered(identity{}, true)
+	calls.allSent()
 }
 
 // confirmSuspicion asks the voters that answer here whether the voter that has been suspected for longest answers them.
@@ -95,40 +90,34 @@
 		return
 	}
 	suspect, _ := memberAddr(&r.state.Members[i])
-	c := &confirmation{replica: r, suspect: suspect, pending: 1, done: done}
+	isReachable := false
+	calls := newFanOut(func() {
+		r.suspicionAnswered(suspect, isReachable)
+		done()
+	})
 	for _, to := range r.peerVoters() {
 		if _, isSuspected := r.membership.suspects[to]; isSuspected {
 			continue
 		}
-		c.pending++
+		calls.sent()
 		r.call(to, CallReachable, []byte(suspect.String()), func(body []byte, err error) {
-			c.isReachable = c.isReachable || err == nil && len(body) == 1 && body[0] == 1
-			c.answered()
+			isReachable = isReachable || err == nil && len(body) == 1 && body[0] == 1
+			calls.answered()
 		})
 	}
-	c.answered()
+	calls.allSent()
 }
 
-// confirmation asks voters about a suspect.
-type confirmation struct {
-	replica     *Replica
-	suspect     netip.AddrPort
-	pending     int // answers that are still to come, and one for the end of sending
-	isReachable bool
-	done        func()
-}
-
-func (c *confirmation) answered() {
-	if c.pending--; c.pending > 0 {
+// suspicionAnswered notes what the other voters have said of a suspect: it is none if it answers one of them.
+func (r *Replica) suspicionAnswered(suspect netip.AddrPort, isReachable bool) {
+	suspects := r.membership.suspects
+	if isReachable {
+		delete(suspects, suspect)
 		return
 	}
-	suspects := c.replica.membership.suspects
-	if x, isSuspected := suspects[c.suspect]; c.isReachable {
-		delete(suspects, c.suspect)
-	} else if isSuspected {
-		suspects[c.suspect] = suspicion{x.since, c.replica.now}
+	if x, isSuspected := suspects[suspect]; isSuspected {
+		suspects[suspect] = suspicion{since: x.since, confirmedAt: r.now}
 	}
-	c.done()
 }
 
 // receiveReachable answers whether the replica at an address answers this one.
--- a/internal/control/replica/learner.go
+++ b/internal/control/replica/learner.go
@@ -10,8 +10,8 @@
 	"notchhinge/internal/limits"
 )
 
-// A learner asks some replica for a vote, again and again. One that finds no vote free stays a candidate: the replica that it
-// has asked probes the voters until one has failed whose vote the candidate can have.
+// A learner asks a random replica for a vote, at intervals. If no vote is free it becomes a candidate at that replica, which
+// probes the voters until one has failed, and then gives that voter's vote to the candidate.
 
 // candidate is a learner that has asked for a vote.
 type candidate struct {
@@ -33,7 +33,7 @@
 	})
 }
 
-// receiveJoin takes a learner's call, or forwards it to the replica that has just made a change.
+// receiveJoin handles a CallJoin of a learner, or forwards it to the replica that proposes at present.
 func (r *Replica) receiveJoin(c CallReceived, reply replyFunc) {
 	learner, err := decodeIdentity(c.Body)
 	if err != nil {
@@ -53,9 +53,9 @@
 	})
 }
 
-// busyProposer returns the replica that has changes chosen at present, if that is another one and the learner has called here
-// itself. While changes are steady that replica alone can have one more chosen between two of them: a small proposal from
-// another gets in the way of its large ones and loses against them.
+// busyProposer returns the replica that proposes at present, if it is another one and the call comes from the learner itself
+// (a call is forwarded once). Under a steady load of large proposals of one replica, a small proposal of another would
+// conflict with each of them and lose; that replica can propose it between two of its own.
 func (r *Replica) busyProposer(learner *identity, caller netip.Addr) (netip.AddrPort, bool) {
 	addr, ok := memberAddr(&learner.Member)
 	isForwarded := !ok || addr.Addr() != caller
--- a/internal/control/replica/leave.go
+++ b/internal/control/replica/leave.go
@@ -10,8 +10,8 @@
 	"notchhinge/internal/limits"
 )
 
-// leavePoll is the delay between two polls of a leaving replica.
-const leavePoll = 50 * time.Millisecond
+// leavePollInterval is the delay between two polls of a leaving replica.
+const leavePollInterval = 50 * time.Millisecond
 
 // leave hands over before the process ends: the vote to a learner, if there is one, or else what this replica knows to the
 // voters that are left. It ends at the deadline at the latest.
@@ -37,7 +37,7 @@
 	}
 }
 
-func (l *leaving) pollAgain() { l.replica.after(leavePoll, l.poll) }
+func (l *leaving) pollAgain() { l.replica.after(leavePollInterval, l.poll) }
 
 // poll asks all voters and all other replicas that are known how far they have come. A replica without a vote ends at once.
 func (l *leaving) poll() {
@@ -49,38 +49,34 @@
 		l.finish()
 		return
 	}
-	p := &leavingPoll{leaving: l, pending: 1}
+	p := &leavePoll{leaving: l}
+	calls := newFanOut(p.conclude)
 	asked := map[netip.AddrPort]bool{}
 	for _, to := range append(r.peerVoters(), r.Peers()...) {
 		if !asked[to] {
 			asked[to] = true
-			p.pending++
-			r.callIdentity(to, p.receive)
+			calls.sent()
+			r.callIdentity(to, func(i identity, ok bool) {
+				if ok {
+					p.count(i)
+				}
+				calls.answered()
+			})
 		}
 	}
-	p.receive(identity{}, false)
+	calls.allSent()
 }
 
-// leavingPoll is one poll of a leaving replica.
-type leavingPoll struct {
+// leavePoll is one poll of a leaving replica.
+type leavePoll struct {
 	*leaving
-	pending  int // answers that are still to come, and one for the end of sending
 	learner  *replog.Member
 	upToDate int      // other voters that know all that is known here
 	lagging  []uint64 // other voters that do not
 }
 
-func (p *leavingPoll) receive(i identity, ok bool) {
-	if ok {
-		p.count(i)
-	}
-	if p.pending--; p.pending == 0 && !p.finished {
-		p.conclude()
-	}
-}
-
 // count takes an answer into account. Only a learner that has nearly caught up can have the vote.
-func (p *leavingPoll) count(i identity) {
+func (p *leavePoll) count(i identity) {
 	state := &p.replica.state
 	switch {
 	case state.Member(i.ID) == nil:
@@ -95,9 +91,10 @@
 }
 
 // conclude hands the vote over, or ends once a majority has what this replica knows.
-func (p *leavingPoll) conclude() {
+func (p *leavePoll) conclude() {
 	r := p.replica
 	switch {
+	case p.finished:
 	case p.learner != nil:
 		r.handOver(*p.learner, p.deadline, func(err error) {
 			if err != nil {
--- a/internal/control/replica/membership.go
+++ b/internal/control/replica/membership.go
@@ -184,15 +184,14 @@
 		done()
 		return
 	}
-	withoutFailed := func(s *replog.State) ([]replog.Member, error) {
-		i := r.longestConfirmed(s, limits.SurplusVoterRemovalDelay)
-		if i < 0 || len(s.Members) <= r.MinVoters {
-			return nil, nil
-		}
-		r.log.Info("removing voter", "name", s.Members[i].Name, "voters", len(s.Members)-1)
-		return slices.Delete(slices.Clone(s.Members), i, i+1), nil
-	}
 	r.probeVoters(func() {
-		r.changeMembers(withoutFailed, r.now+settleTimeout, func(error) { done() })
+		r.changeMembers(func(s *replog.State) ([]replog.Member, error) {
+			i := r.longestConfirmed(s, limits.SurplusVoterRemovalDelay)
+			if i < 0 || len(s.Members) <= r.MinVoters {
+				return nil, nil
+			}
+			r.log.Info("removing voter", "name", s.Members[i].Name, "voters", len(s.Members)-1)
+			return slices.Delete(slices.Clone(s.Members), i, i+1), nil
+		}, r.now+settleTimeout, func(error) { done() })
 	})
 }
--- a/internal/control/replica/pending.go
+++ b/internal/control/replica/pending.go
@@ -1,7 +1,7 @@
 package replica
 
-// Pending is for owners: it chooses request ids, and keeps who waits for the answer of each, a channel or a function. The zero
-// value is ready. It is not safe for concurrent use.
+// Pending is a table of requests for the owner of a replica: it assigns request ids and keeps a waiter for the answer to each, a
+// channel or a callback. The zero value is ready to use. It is not safe for concurrent use.
 type Pending[T any] struct {
 	lastID  RequestID
 	waiters map[RequestID]T
@@ -17,7 +17,7 @@
 	return p.lastID
 }
 
-// Take removes and returns who waits for the answer to a request; false if nobody does.
+// Take removes and returns the waiter of a request; false if there is none.
 func (p *Pending[T]) Take(id RequestID) (waiter T, ok bool) {
 	waiter, ok = p.waiters[id]
 	delete(p.waiters, id)
--- a/internal/control/replica/read.go
+++ b/internal/control/replica/read.go
@@ -44,7 +44,7 @@
 	// readActive has an open index decided by a proposal if its own proposer has not done so after a while.
 	readActive readMode = false
 	// readPassive leaves an open index to others. Reads of routers are passive: all routers may ask all replicas at once, and
-	// proposals of them all would keep a large one from being chosen (docs/incidents, reads that kept a place open).
+	// proposals of them all would keep a large one from being chosen (docs/incidents/2026-12-02-reads-that-kept-a-place-open.md).
 	readPassive readMode = true
 )
 
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -47,13 +47,13 @@
 // Replica is one replica. It is not safe for concurrent use.
 type Replica struct {
 	Config
-	state    replog.State
-	acceptor paxos.Acceptor
-	voteSave WriteID // the write of the newest acceptor state; 0 = the disk has it
-	term     uint64  // the highest seen
-	random   *rand.Rand
-	now      time.Duration
-	timers   *timerqueue.Queue[func()]
+	state     replog.State
+	acceptor  paxos.Acceptor
+	voteWrite WriteID // the write of the newest acceptor state; 0 once it is durable
+	term      uint64  // the highest seen
+	random    *rand.Rand
+	now       time.Duration
+	timers    *timerqueue.Queue[func()]
 
 	lastID uint64 // of a call or a write
 	calls  map[CallID]replyFunc
@@ -156,7 +156,7 @@
 	return from + time.Duration(r.random.Int64N(int64(to-from)))
 }
 
-// write asks for a write; done is called once it is durable or refused, and may be nil.
+// write emits a Write; done is called once it is durable or refused, and may be nil.
 func (r *Replica) write(w Write, done func(durable bool)) WriteID {
 	r.lastID++
 	w.ID, w.Acceptor = WriteID(r.lastID), r.acceptor.State
@@ -171,7 +171,7 @@
 	return w.ID
 }
 
-// identity returns what this replica says of itself.
+// identity returns the answer to a CallIdentity.
 func (r *Replica) identity() identity {
 	return identity{Member: r.Self, nextIndex: r.state.NextIndex, isFounder: r.IsFounder}
 }
