--- a/internal/node/benchhelpers_test.go
+++ b/internal/node/benchhelpers_test.go
@@ -111,8 +111,8 @@
 	return front.Addr().String()
 }
 
-// paced answers every request with a stream of an event each 35 ms, which is 28.6 a second.
-func paced(b *testing.B) string {
+// benchPacedEngine answers every request with a stream of an event each 35 ms, which is 28.6 a second.
+func benchPacedEngine(b *testing.B) string {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -133,8 +133,8 @@
 	return ln.Addr().String()
 }
 
-// spent is the processor time of this process.
-func spent() time.Duration {
+// cpuTime is the processor time of this process.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -10,18 +10,18 @@
 	"testing"
 )
 
-var requests int
+var requestCount int
 
-// ask makes a client's request.
-func ask(t *testing.T, m *machine, path, key string, header ...string) (*http.Response, string) {
+// clientRequest makes a client's request.
+func clientRequest(t *testing.T, m *testNode, path, key string, header ...string) (*http.Response, string) {
 	t.Helper()
-	requests++
-	req, err := http.NewRequest("POST", "http://"+m.front+path, strings.NewReader(`{"q":1}`))
+	requestCount++
+	req, err := http.NewRequest("POST", "http://"+m.frontend+path, strings.NewReader(`{"q":1}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	req.Host = "f.example"
-	req.Header.Set("X-Request-Id", fmt.Sprintf("%016x", requests))
+	req.Header.Set("X-Request-Id", fmt.Sprintf("%016x", requestCount))
 	req.Header.Set("X-Credential", key)
 	req.Header.Set("X-Deadline-Remaining-Ms", "4000")
 	req.Header.Set("X-Tenant", "forged")
@@ -56,12 +56,12 @@
 	return resp, string(b), err
 }
 
-// fate is what came of requests.
-type fate struct{ served, refused, failed atomic.Int64 }
+// outcomes is what came of requests.
+type outcomes struct{ served, rejected, failed atomic.Int64 }
 
-// many makes requests, so many at once, and counts what came of them.
-func many(t *testing.T, addr, path string, n, atOnce int) *fate {
-	f := &fate{}
+// postMany makes requests, so many at once, and counts what came of them.
+func postMany(t *testing.T, addr, path string, n, atOnce int) *outcomes {
+	f := &outcomes{}
 	var wait sync.WaitGroup
 	next := make(chan int)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: atOnce}}
@@ -85,7 +85,7 @@
 				case err == nil && resp.StatusCode == 200:
 					f.served.Add(1)
 				case resp.StatusCode == 503:
-					f.refused.Add(1)
+					f.rejected.Add(1)
 				default:
 					f.failed.Add(1)
 				}
--- a/internal/node/fakeengine_test.go
+++ b/internal/node/fakeengine_test.go
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// engine is a stand-in: it runs requests that name it, and says so.
-type engine struct {
-	t     *testing.T
-	id    string
-	addr  string
-	web   *http.Server
-	mu    sync.Mutex
-	ran   map[string]int // by request id
-	last  time.Time
-	calls int
+// fakeEngine is a stand-in: it runs requests that name it, and says so.
+type fakeEngine struct {
+	t           *testing.T
+	id          string
+	addr        string
+	web         *http.Server
+	mu          sync.Mutex
+	ran         map[string]int // by request id
+	lastRequest time.Time
+	callCount   int
 }
 
-func newEngine(t *testing.T, id string) *engine {
-	e := &engine{t: t, id: id, ran: map[string]int{}}
+func newFakeEngine(t *testing.T, id string) *fakeEngine {
+	e := &fakeEngine{t: t, id: id, ran: map[string]int{}}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 		}
 		e.mu.Lock()
 		e.ran[r.Header.Get("X-Request-Id")]++
-		e.last = time.Now()
+		e.lastRequest = time.Now()
 		e.mu.Unlock()
 		w.Header().Set("X-Response-Seal", "seal-"+r.Header.Get("X-Request-Id"))
 		w.Header().Set("X-Saw-Tenant", r.Header.Get("X-Tenant"))
@@ -61,7 +61,7 @@
 	return e
 }
 
-func (e *engine) count() (n int) {
+func (e *fakeEngine) requests() (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, k := range e.ran {
@@ -70,31 +70,31 @@
 	return n
 }
 
-// beat calls a router.
-func (e *engine) beat(to, status string) {
+// heartbeat calls a router.
+func (e *fakeEngine) heartbeat(to, status string) {
 	e.t.Helper()
-	e.calls++
-	code, _ := call(e.t, "POST", to, "/Instances.Heartbeat/"+e.id, nil, map[string]any{
-		"target_service": "s", "address": e.addr, "zone": "a", "revision": "v1", "capacity_slots": 4, "status": status, "call_count": e.calls,
+	e.callCount++
+	code, _ := controlCall(e.t, "POST", to, "/Instances.Heartbeat/"+e.id, nil, map[string]any{
+		"target_service": "s", "address": e.addr, "zone": "a", "revision": "v1", "capacity_slots": 4, "status": status, "call_count": e.callCount,
 	})
 	if code != 200 {
 		e.t.Errorf("a beat got %d", code)
 	}
 }
 
-// rawEngine reads requests and lets play answer on the connection; it closes it when play says so.
-type rawEngine struct {
-	addr string
-	got  atomic.Int64
+// scriptedEngine reads requests and lets play answer on the connection; it closes it when play says so.
+type scriptedEngine struct {
+	addr     string
+	requests atomic.Int64
 }
 
-func newRawEngine(t *testing.T, play func(c net.Conn, r *http.Request) (goOn bool)) *rawEngine {
+func newScriptedEngine(t *testing.T, play func(c net.Conn, r *http.Request) (goOn bool)) *scriptedEngine {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	e := &rawEngine{addr: ln.Addr().String()}
+	e := &scriptedEngine{addr: ln.Addr().String()}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -110,7 +110,7 @@
 						return
 					}
 					io.Copy(io.Discard, r.Body)
-					e.got.Add(1)
+					e.requests.Add(1)
 					if !play(c, r) {
 						return
 					}
@@ -121,7 +121,7 @@
 	return e
 }
 
-func says(text string) func(net.Conn, *http.Request) bool {
+func respondWith(text string) func(net.Conn, *http.Request) bool {
 	return func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n"))
 		return true
@@ -129,8 +129,8 @@
 }
 
 const (
-	full   = "HTTP/1.1 503 Service Unavailable\nX-Not-Executed: 1\nContent-Length: 0\n\n"
-	wrong  = "HTTP/1.1 421 Misdirected Request\nX-Not-Executed: 1\nContent-Length: 0\n\n"
-	served = "HTTP/1.1 200 OK\nX-Response-Seal: s\nContent-Length: 4\n\ngood"
-	failed = "HTTP/1.1 500 Internal Server Error\nX-Response-Seal: f\nContent-Length: 3\n\nbad"
+	answerFull        = "HTTP/1.1 503 Service Unavailable\nX-Not-Executed: 1\nContent-Length: 0\n\n"
+	answerMisdirected = "HTTP/1.1 421 Misdirected Request\nX-Not-Executed: 1\nContent-Length: 0\n\n"
+	answerServed      = "HTTP/1.1 200 OK\nX-Response-Seal: s\nContent-Length: 4\n\ngood"
+	answerFailed      = "HTTP/1.1 500 Internal Server Error\nX-Response-Seal: f\nContent-Length: 3\n\nbad"
 )
--- a/internal/node/fakeplatform_test.go
+++ b/internal/node/fakeplatform_test.go
@@ -13,19 +13,19 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// platformStandIn takes duties, and notes every call.
-type platformStandIn struct {
-	addr   string
-	mu     sync.Mutex
-	usage  map[uint64]map[string]uint64
-	other  int // reports of a window that differ from the one before
-	fences []uint64
-	ill    func(call int) (status int, wait time.Duration) // by the number of the call; nil = it is well
-	calls  int
+// fakePlatform takes duties, and notes every call.
+type fakePlatform struct {
+	addr          string
+	mu            sync.Mutex
+	usage         map[uint64]map[string]uint64
+	conflicting   int // reports of a window that differ from the one before
+	fencingTokens []uint64
+	fault         func(call int) (status int, wait time.Duration) // by the number of the call; nil = it is well
+	calls         int
 }
 
-func newPlatform(t *testing.T) *platformStandIn {
-	p := &platformStandIn{usage: map[uint64]map[string]uint64{}}
+func newFakePlatform(t *testing.T) *fakePlatform {
+	p := &fakePlatform{usage: map[uint64]map[string]uint64{}}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -41,8 +41,8 @@
 		p.mu.Lock()
 		p.calls++
 		status, wait := 0, time.Duration(0)
-		if p.ill != nil {
-			status, wait = p.ill(p.calls)
+		if p.fault != nil {
+			status, wait = p.fault(p.calls)
 		}
 		p.mu.Unlock()
 		if wait > 0 {
@@ -57,10 +57,10 @@
 		}
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.fences = append(p.fences, fence)
+		p.fencingTokens = append(p.fencingTokens, fence)
 		if r.URL.Path == "/usage-reports" && cbor.Unmarshal(b, &x) == nil {
 			if before := p.usage[x.Window]; before != nil && fmt.Sprint(before) != fmt.Sprint(x.Counts) {
-				p.other++
+				p.conflicting++
 			}
 			p.usage[x.Window] = x.Counts
 		}
@@ -71,7 +71,7 @@
 }
 
 // reported sums what was reported of a tenant.
-func (p *platformStandIn) reported(tenant string) (n uint64) {
+func (p *fakePlatform) reported(tenant string) (n uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, w := range p.usage {
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-func TestFleet(t *testing.T) {
+func TestFleetServesAndReports(t *testing.T) {
 	f := newTestFleet(t, 2, 0)
-	one, two := newEngine(t, "i-one"), newEngine(t, "i-two")
-	edge := f.edges[0]
+	one, two := newFakeEngine(t, "i-one"), newFakeEngine(t, "i-two")
+	edge := f.routers[0]
 	// The first configuration, by way of a router that holds no state; invalid ones and races.
-	if code := put(t, edge.ctl, 0, config(3, "key-1")); code != 200 {
+	if code := replaceConfig(t, edge.control, 0, encodedConfig(3, "key-1")); code != 200 {
 		t.Fatalf("the first configuration: %d", code)
 	}
 	for what, c := range map[string]struct {
@@ -20,42 +20,42 @@
 		text []byte
 		want int
 	}{
-		"the same again":   {0, config(3, "key-1"), 200},
-		"a lost race":      {0, config(4, "key-x"), 412},
-		"not above":        {3, config(3, "key-x"), 400},
+		"the same again":   {0, encodedConfig(3, "key-1"), 200},
+		"a lost race":      {0, encodedConfig(4, "key-x"), 412},
+		"not above":        {3, encodedConfig(3, "key-x"), 400},
 		"cannot be read":   {3, []byte{0xff, 0}, 400},
-		"upon one to come": {9, config(10, "key-x"), 412},
+		"upon one to come": {9, encodedConfig(10, "key-x"), 412},
 	} {
-		for _, m := range []*machine{f.edges[1], f.keepers[1]} {
-			if code := put(t, m.ctl, c.on, c.text); code != c.want {
+		for _, m := range []*testNode{f.routers[1], f.replicas[1]} {
+			if code := replaceConfig(t, m.control, c.on, c.text); code != c.want {
 				t.Errorf("%s: %d, %d is wanted", what, code, c.want)
 			}
 		}
 	}
-	if code, _ := call(t, "POST", edge.ctl, "/Configuration.Replace", nil, config(9, "k")); code != 400 {
+	if code, _ := controlCall(t, "POST", edge.control, "/Configuration.Replace", nil, encodedConfig(9, "k")); code != 400 {
 		t.Errorf("without the version that it builds on: %d", code)
 	}
 	// Engines become known wherever they call; routers become ready.
-	one.beat(f.keepers[0].ctl, "ready")
-	two.beat(f.edges[1].ctl, "ready")
-	for _, m := range f.edges {
-		until(t, "readiness", m.isReady)
-	}
-	until(t, "both engines serve at both routers", func() bool {
-		for _, m := range f.edges {
-			ask(t, m, "/read/1", "key-1")
+	one.heartbeat(f.replicas[0].control, "ready")
+	two.heartbeat(f.routers[1].control, "ready")
+	for _, m := range f.routers {
+		waitUntil(t, "readiness", m.isReady)
+	}
+	waitUntil(t, "both engines serve at both routers", func() bool {
+		for _, m := range f.routers {
+			clientRequest(t, m, "/read/1", "key-1")
 		}
-		return one.count() > 0 && two.count() > 0
+		return one.requests() > 0 && two.requests() > 0
 	})
-	resp, body := ask(t, edge, "/read/1", "key-1")
+	resp, body := clientRequest(t, edge, "/read/1", "key-1")
 	if resp == nil || resp.StatusCode != 200 || !strings.HasPrefix(body, "answer of i-") || resp.Header.Get("X-Saw-Tenant") != "lab" ||
 		resp.Header.Get("X-Saw-Key") != "" || !strings.HasPrefix(resp.Header.Get("X-Response-Seal"), "seal-") {
 		t.Errorf("%+v %q", resp, body)
 	}
 	// The staff may ask what is known, and what would become of a request.
-	explain := func(m *machine, head string) string {
+	explain := func(m *testNode, head string) string {
 		t.Helper()
-		_, b := call(t, "POST", m.ctl, "/fleet/explain", nil, []byte(head))
+		_, b := controlCall(t, "POST", m.control, "/fleet/explain", nil, []byte(head))
 		return string(b)
 	}
 	for _, want := range []string{`"route":"chat"`, `"tenant":"lab"`, `"service":"s"`, `"session":true`, `"ready":["i-one","i-two"]`} {
@@ -66,64 +66,64 @@
 	if got := explain(edge, "GET /chat/1 HTTP/1.1\r\nHost: f.example\r\nX-Credential: none"); !strings.Contains(got, `"status":401`) || strings.Contains(got, "none") {
 		t.Errorf("a wrong key: %s", got)
 	}
-	if got := explain(f.keepers[0], "GET / HTTP/1.1\r\nHost: f.example"); !strings.Contains(got, "ask a router") {
+	if got := explain(f.replicas[0], "GET / HTTP/1.1\r\nHost: f.example"); !strings.Contains(got, "ask a router") {
 		t.Errorf("a keeper explains: %s", got)
 	}
-	if _, b := call(t, "GET", f.keepers[2].ctl, "/fleet/engines", nil, nil); bytes.Count(b, []byte(`"state":"ready","heard_s"`)) != 2 {
+	if _, b := controlCall(t, "GET", f.replicas[2].control, "/fleet/engines", nil, nil); bytes.Count(b, []byte(`"state":"ready","heard_s"`)) != 2 {
 		t.Errorf("engines known at a keeper: %s", b)
 	}
-	if _, b := call(t, "GET", edge.ctl, "/fleet/history", nil, nil); !bytes.HasPrefix(b, []byte(`[{"revision":3,`)) {
+	if _, b := controlCall(t, "GET", edge.control, "/fleet/history", nil, nil); !bytes.HasPrefix(b, []byte(`[{"revision":3,`)) {
 		t.Errorf("the history: %s", b)
 	}
 	// A session stays with its engine.
-	_, first := ask(t, edge, "/chat/1", "key-1", "X-Prompt-Prefix", "17")
+	_, first := clientRequest(t, edge, "/chat/1", "key-1", "X-Prompt-Prefix", "17")
 	for range 8 {
-		if _, again := ask(t, edge, "/chat/1", "key-1", "X-Prompt-Prefix", "17"); again != first || strings.Count(again, "id: ") != 3 {
+		if _, again := clientRequest(t, edge, "/chat/1", "key-1", "X-Prompt-Prefix", "17"); again != first || strings.Count(again, "id: ") != 3 {
 			t.Errorf("a turn of the session: %q, not %q", again, first)
 		}
 	}
 	for path, want := range map[string]int{"/none/": 404, "/read/1": 401} {
-		if resp, _ := ask(t, edge, path, "wrong"); resp == nil || resp.StatusCode != want {
+		if resp, _ := clientRequest(t, edge, path, "wrong"); resp == nil || resp.StatusCode != want {
 			t.Errorf("%s with a wrong key: %v", path, resp)
 		}
 	}
 	// A key is taken away: every router heeds it.
-	if code := put(t, f.keepers[2].ctl, 3, config(8, "key-2")); code != 200 {
+	if code := replaceConfig(t, f.replicas[2].control, 3, encodedConfig(8, "key-2")); code != 200 {
 		t.Errorf("the second configuration: %d", code)
 	}
-	for _, m := range f.edges {
-		until(t, "the new key", func() bool { r, _ := ask(t, m, "/read/1", "key-2"); return r != nil && r.StatusCode == 200 })
-		if r, _ := ask(t, m, "/read/1", "key-1"); r == nil || r.StatusCode != 401 {
+	for _, m := range f.routers {
+		waitUntil(t, "the new key", func() bool { r, _ := clientRequest(t, m, "/read/1", "key-2"); return r != nil && r.StatusCode == 200 })
+		if r, _ := clientRequest(t, m, "/read/1", "key-1"); r == nil || r.StatusCode != 401 {
 			t.Errorf("the key that was taken away: %v", r)
 		}
 	}
 	// An engine leaves: once that is acknowledged and the platform's time is over nothing reaches it.
-	two.beat(f.keepers[0].ctl, "draining")
+	two.heartbeat(f.replicas[0].control, "draining")
 	acknowledged := time.Now()
-	until(t, "the time of the drain", func() bool {
-		ask(t, f.edges[0], "/read/1", "key-2")
-		ask(t, f.edges[1], "/chat/1", "key-2", "X-Prompt-Prefix", "3")
-		one.beat(f.keepers[1].ctl, "ready")
+	waitUntil(t, "the time of the drain", func() bool {
+		clientRequest(t, f.routers[0], "/read/1", "key-2")
+		clientRequest(t, f.routers[1], "/chat/1", "key-2", "X-Prompt-Prefix", "3")
+		one.heartbeat(f.replicas[1].control, "ready")
 		return time.Since(acknowledged) > 1500*time.Millisecond
 	})
 	two.mu.Lock()
-	if late := two.last.Sub(acknowledged); late > 1200*time.Millisecond {
+	if late := two.lastRequest.Sub(acknowledged); late > 1200*time.Millisecond {
 		t.Errorf("a request reached an engine %v after it was acknowledged to drain", late)
 	}
 	two.mu.Unlock()
 	// What began is reported, one figure a window.
-	until(t, "usage", func() bool {
-		ask(t, edge, "/read/1", "key-2")
-		one.beat(f.keepers[1].ctl, "ready")
+	waitUntil(t, "usage", func() bool {
+		clientRequest(t, edge, "/read/1", "key-2")
+		one.heartbeat(f.replicas[1].control, "ready")
 		return f.platform.reported("lab") > 20
 	})
 	f.platform.mu.Lock()
-	if f.platform.other > 0 {
-		t.Errorf("%d windows were reported with two figures", f.platform.other)
+	if f.platform.conflicting > 0 {
+		t.Errorf("%d windows were reported with two figures", f.platform.conflicting)
 	}
-	for i := 1; i < len(f.platform.fences); i++ {
-		if f.platform.fences[i] < f.platform.fences[i-1] {
-			t.Errorf("fences %v", f.platform.fences)
+	for i := 1; i < len(f.platform.fencingTokens); i++ {
+		if f.platform.fencingTokens[i] < f.platform.fencingTokens[i-1] {
+			t.Errorf("fences %v", f.platform.fencingTokens)
 		}
 	}
 	f.platform.mu.Unlock()
--- a/internal/node/localfleet_test.go
+++ b/internal/node/localfleet_test.go
@@ -17,41 +17,41 @@
 // A fleet on loopback: real nodes in this process, engines, a platform and an operator of our own. Nothing waits for a fixed
 // time; each step waits until what it needs is there, and fails after a bound.
 
-const bound = 20 * time.Second
+const waitLimit = 20 * time.Second
 
-func until(t *testing.T, what string, is func() bool) {
+func waitUntil(t *testing.T, what string, is func() bool) {
 	t.Helper()
-	for end := time.Now().Add(bound); !is(); {
+	for end := time.Now().Add(waitLimit); !is(); {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %v", what, bound)
+			t.Fatalf("%s: not within %v", what, waitLimit)
 		}
 		<-time.After(5 * time.Millisecond)
 	}
 }
 
-// machine is a node's place; the process there may be stopped and started, and its disk wiped.
-type machine struct {
-	t     *testing.T
-	cfg   map[string]any
-	path  string
-	dir   string
-	stop  chan os.Signal
-	done  chan error
-	front string
-	ctl   string
-	ready string
+// testNode is a node's place; the process there may be stopped and started, and its disk wiped.
+type testNode struct {
+	t         *testing.T
+	cfg       map[string]any
+	path      string
+	dir       string
+	signals   chan os.Signal
+	done      chan error
+	frontend  string
+	control   string
+	readiness string
 }
 
 type testFleet struct {
 	t        *testing.T
-	edges    []*machine
-	keepers  []*machine
-	platform *platformStandIn
-	make     func(i int, keeper bool) *machine
+	routers  []*testNode
+	replicas []*testNode
+	platform *fakePlatform
+	newNode  func(i int, keeper bool) *testNode
 }
 
-// port returns a port that is free at an address.
-func port(t *testing.T, ip string) int {
+// freePort returns a port that is free at an address.
+func freePort(t *testing.T, ip string) int {
 	ln, err := net.Listen("tcp4", ip+":0")
 	if err != nil {
 		t.Fatal(err)
@@ -67,20 +67,20 @@
 
 // newTestFleetOf starts a fleet whose keepers are all there from the beginning on.
 func newTestFleetOf(t *testing.T, keepers, edges int, subnet byte) *testFleet {
-	f := &testFleet{t: t, platform: newPlatform(t)}
+	f := &testFleet{t: t, platform: newFakePlatform(t)}
 	ip := func(i int) string { return fmt.Sprintf("127.%d.%d.1", 40+subnet, i+1) }
-	inner := port(t, ip(0))
-	control := port(t, ip(0))
+	inner := freePort(t, ip(0))
+	control := freePort(t, ip(0))
 	for control == inner {
-		control = port(t, ip(0))
+		control = freePort(t, ip(0))
 	}
 	var seeds []string
 	for i := range 3 {
 		seeds = append(seeds, fmt.Sprintf("%s:%d", ip(i), control))
 	}
 	zones := []string{"a", "b", "c"}
-	f.make = func(i int, keeper bool) *machine {
-		m := &machine{t: t, dir: t.TempDir(), ctl: fmt.Sprintf("%s:%d", ip(i), control)}
+	f.newNode = func(i int, keeper bool) *testNode {
+		m := &testNode{t: t, dir: t.TempDir(), control: fmt.Sprintf("%s:%d", ip(i), control)}
 		m.cfg = map[string]any{
 			"node_name": fmt.Sprintf("n%d", i), "machine_class": "edge", "ip_address": ip(i), "zone": zones[i%3],
 			"internal_port_range": []int{inner, inner}, "seed_nodes": seeds, "bootstrap": true, "heartbeat_interval_ms": 300,
@@ -89,34 +89,34 @@
 			"bounds":    map[string]any{"drain_timeout_ms": 1200, "grace_period_s": 4, "lease_ms": 1200, "usage_window_s": 1, "usage_delay_s": 4},
 			"cloud_api": map[string]any{"address": f.platform.addr, "duties": []string{"usage_reporting", "autoscaler"}},
 		}
-		listeners := map[string]any{"control_plane": m.ctl}
+		listeners := map[string]any{"control_plane": m.control}
 		if keeper {
 			m.cfg["machine_class"], m.cfg["quorum_member"], m.cfg["data_directory"] = "core", true, filepath.Join(m.dir, "data")
-			f.keepers = append(f.keepers, m)
+			f.replicas = append(f.replicas, m)
 		} else {
-			m.front, m.ready = fmt.Sprintf("%s:%d", ip(i), port(t, ip(i))), fmt.Sprintf("%s:%d", ip(i), port(t, ip(i)))
-			listeners["frontend"], listeners["readiness"] = m.front, m.ready
-			f.edges = append(f.edges, m)
+			m.frontend, m.readiness = fmt.Sprintf("%s:%d", ip(i), freePort(t, ip(i))), fmt.Sprintf("%s:%d", ip(i), freePort(t, ip(i)))
+			listeners["frontend"], listeners["readiness"] = m.frontend, m.readiness
+			f.routers = append(f.routers, m)
 		}
 		m.cfg["listeners"] = listeners
 		m.path = filepath.Join(m.dir, "boot.json")
 		return m
 	}
 	for i := range keepers + edges {
-		f.make(i, i < keepers)
+		f.newNode(i, i < keepers)
 	}
 	t.Cleanup(func() {
-		for _, m := range append(f.edges, f.keepers...) {
-			m.end()
+		for _, m := range append(f.routers, f.replicas...) {
+			m.stop()
 		}
 	})
-	for _, m := range append(f.edges, f.keepers...) {
+	for _, m := range append(f.routers, f.replicas...) {
 		m.start()
 	}
 	return f
 }
 
-func (m *machine) start() {
+func (m *testNode) start() {
 	m.t.Helper()
 	b, err := json.Marshal(m.cfg)
 	if err == nil {
@@ -128,27 +128,27 @@
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	m.stop, m.done = make(chan os.Signal, 1), make(chan error, 1)
-	stop, done := m.stop, m.done
+	m.signals, m.done = make(chan os.Signal, 1), make(chan error, 1)
+	stop, done := m.signals, m.done
 	go func() {
 		done <- Run(m.path, slog.New(slog.NewTextHandler(io.Discard, nil)), Signals{Stop: stop})
 	}()
 }
 
-// end stops the process in order.
-func (m *machine) end() {
-	if m.stop == nil {
+// stop stops the process in order.
+func (m *testNode) stop() {
+	if m.signals == nil {
 		return
 	}
-	m.stop <- syscall.SIGTERM
+	m.signals <- syscall.SIGTERM
 	if err := <-m.done; err != nil {
 		m.t.Errorf("%v: %v", m.cfg["node_name"], err)
 	}
-	m.stop = nil
+	m.signals = nil
 }
 
 // again starts the process once more, as the platform does: not the first start, and perhaps with another disk.
-func (m *machine) again(wipe bool) {
+func (m *testNode) again(wipe bool) {
 	m.cfg["bootstrap"] = false
 	if wipe {
 		if err := os.RemoveAll(m.cfg["data_directory"].(string)); err != nil {
@@ -158,8 +158,8 @@
 	m.start()
 }
 
-func (m *machine) isReady() bool {
-	resp, err := http.Get("http://" + m.ready + "/readiness")
+func (m *testNode) isReady() bool {
+	resp, err := http.Get("http://" + m.readiness + "/readiness")
 	if err != nil {
 		return false
 	}
--- a/internal/node/logmessages_test.go
+++ b/internal/node/logmessages_test.go
@@ -13,9 +13,9 @@
 	"testing"
 )
 
-// TestEveryLogLineIsExplained holds docs/fleet.md against the code of a node: each message of the code stands in the page's
+// TestEveryLogMessageIsDocumented holds docs/fleet.md against the code of a node: each message of the code stands in the page's
 // table, with what it means, and each of the table's in the code.
-func TestEveryLogLineIsExplained(t *testing.T) {
+func TestEveryLogMessageIsDocumented(t *testing.T) {
 	code := map[string]string{}
 	for _, root := range []string{".", "../control", "../edge"} {
 		err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -12,8 +12,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// call makes a call of the control plane.
-func call(t *testing.T, method, to, path string, header map[string]string, v any) (int, []byte) {
+// controlCall makes a call of the control plane.
+func controlCall(t *testing.T, method, to, path string, header map[string]string, v any) (int, []byte) {
 	t.Helper()
 	var body []byte
 	if b, ok := v.([]byte); ok {
@@ -42,8 +42,8 @@
 	return resp.StatusCode, b
 }
 
-// config is one with a streaming and an idempotent route of service s.
-func config(revision int, key string) []byte {
+// encodedConfig is one with a streaming and an idempotent route of service s.
+func encodedConfig(revision int, key string) []byte {
 	mode, err := cbor.CanonicalEncOptions().EncMode() // the same bytes every time
 	if err != nil {
 		return nil
@@ -65,11 +65,11 @@
 	return b
 }
 
-// put sends a configuration until it gets a clear answer.
-func put(t *testing.T, to string, on int, text []byte) (code int) {
+// replaceConfig sends a configuration until it gets a clear answer.
+func replaceConfig(t *testing.T, to string, on int, text []byte) (code int) {
 	t.Helper()
-	until(t, "a clear answer to a configuration", func() bool {
-		code, _ = call(t, "POST", to, "/Configuration.Replace", map[string]string{"X-Revision-Match": strconv.Itoa(on)}, text)
+	waitUntil(t, "a clear answer to a configuration", func() bool {
+		code, _ = controlCall(t, "POST", to, "/Configuration.Replace", map[string]string{"X-Revision-Match": strconv.Itoa(on)}, text)
 		return code != 0 && code < 500
 	})
 	return code
--- a/internal/node/replicahost_test.go
+++ b/internal/node/replicahost_test.go
@@ -11,9 +11,9 @@
 	"notchhinge/internal/control/replica"
 )
 
-// TestNobodyWaitsForAStalledDisk: while a keeper's disk takes nothing, who calls is let go once it would wait no more, and so is
+// TestNoCallerWaitsForAStalledDisk: while a keeper's disk takes nothing, who calls is let go once it would wait no more, and so is
 // what it has sent; so a stall of any length holds no more than a moment's calls.
-func TestNobodyWaitsForAStalledDisk(t *testing.T) {
+func TestNoCallerWaitsForAStalledDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		k := &replicaHost{mu: make(contextMutex, 1), clock: func() time.Duration { return time.Since(began) }}
--- a/internal/node/runningrequests_test.go
+++ b/internal/node/runningrequests_test.go
@@ -6,7 +6,7 @@
 	"notchhinge/internal/control/fleetconfig"
 )
 
-func TestRunningRequestOutlivesItsConfiguration(t *testing.T) {
+func TestRunningRequestKeepsItsConfiguration(t *testing.T) {
 	// A configuration takes a running request's route, its service and its tenant's key away.
 	for name, next := range map[string]*fleetconfig.Config{
 		"the route":   {Revision: 2, Services: []fleetconfig.Service{{Name: "s"}, {Name: "t"}}},
@@ -20,13 +20,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			e := newWatched(t)
-			p := newPlane(t, 1, at("i-1", "s", e.rawEngine))
-			var running []*stream
+			e := newRecordingEngine(t)
+			p := newTestPlane(t, 1, endpointOf("i-1", "s", e.scriptedEngine))
+			var running []*clientStream
 			for range 20 {
 				running = append(running, openStream(t, p.addr))
 			}
-			if err := p.d.applyConfig(2, next); err != nil {
+			if err := p.dataPlane.applyConfig(2, next); err != nil {
 				t.Fatal(err)
 			}
 			want := 404
@@ -36,17 +36,17 @@
 			if resp, _, err := post(t, p.addr, "/long/2"); err != nil || resp.StatusCode != want {
 				t.Errorf("a new one: %+v %v, not %d", resp, err, want)
 			}
-			close(e.goOn)
+			close(e.resume)
 			for _, s := range running {
-				if err := s.rest(); err != nil {
+				if err := s.readRest(); err != nil {
 					t.Errorf("a running one: %v", err)
 				}
 			}
 			if len(next.Services) == 0 || next.Services[0].Name == "t" {
-				until(t, "the service's module is gone", func() bool {
-					p.d.mu.Lock()
-					defer p.d.mu.Unlock()
-					return len(p.d.modules) == len(next.Services)
+				waitUntil(t, "the service's module is gone", func() bool {
+					p.dataPlane.mu.Lock()
+					defer p.dataPlane.mu.Unlock()
+					return len(p.dataPlane.modules) == len(next.Services)
 				})
 			}
 		})
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -13,31 +13,31 @@
 	"notchhinge/internal/config/nodeconfig"
 )
 
-// ending is a node that carries traffic, to be stopped.
-func ending(p *testPlane, grace float64) (n *Node, stopped chan time.Duration) {
-	n = &Node{cfg: &nodeconfig.Config{}, log: slog.New(slog.NewTextHandler(io.Discard, nil)), dataPlane: p.d}
+// startShutdown is a node that carries traffic, to be stopped.
+func startShutdown(p *testPlane, grace float64) (n *Node, stopped chan time.Duration) {
+	n = &Node{cfg: &nodeconfig.Config{}, log: slog.New(slog.NewTextHandler(io.Discard, nil)), dataPlane: p.dataPlane}
 	n.cfg.Bounds.GracePeriodS = grace
 	stopped = make(chan time.Duration, 1)
 	began := time.Now()
 	go func() {
-		n.shutDown(context.Background(), p.ln)
+		n.shutDown(context.Background(), p.listener)
 		stopped <- time.Since(began)
 	}()
-	until(p.t, "it stops", n.stopping.Load)
+	waitUntil(p.t, "it stops", n.stopping.Load)
 	return n, stopped
 }
 
-func TestStopAmongStreams(t *testing.T) {
+func TestShutdownLetsStreamsFinish(t *testing.T) {
 	// SIGTERM comes in the midst of hundreds of streams: each comes to its end, what is asked before the platform's entry has
 	// noticed is served, and the process ends once they have.
 	t.Parallel()
-	e := newWatched(t)
-	p := newPlane(t, 1, at("i-1", "s", e.rawEngine))
-	var running []*stream
+	e := newRecordingEngine(t)
+	p := newTestPlane(t, 1, endpointOf("i-1", "s", e.scriptedEngine))
+	var running []*clientStream
 	for range 300 {
 		running = append(running, openStream(t, p.addr))
 	}
-	n, stopped := ending(p, 20)
+	n, stopped := startShutdown(p, 20)
 	says := httptest.NewRecorder()
 	if n.serveReadiness(says, nil); says.Code != 503 {
 		t.Errorf("readiness says %d", says.Code)
@@ -53,16 +53,16 @@
 		t.Fatalf("it ended after %v with %d streams open", took, len(running))
 	default:
 	}
-	close(e.goOn)
+	close(e.resume)
 	for i, s := range running {
-		if err := s.rest(); err != nil {
+		if err := s.readRest(); err != nil {
 			t.Errorf("stream %d: %v", i, err)
 		}
 	}
 	if took := <-stopped; took > 15*time.Second {
 		t.Errorf("it ended after %v", took)
 	}
-	if left := p.d.frontend.Conns(); left != 0 {
+	if left := p.dataPlane.frontend.Conns(); left != 0 {
 		t.Errorf("%d connections are left", left)
 	}
 	if c, err := net.Dial("tcp4", p.addr); err == nil {
@@ -71,15 +71,15 @@
 	}
 }
 
-func TestStopEndsInItsGrace(t *testing.T) {
+func TestShutdownEndsWithinItsGracePeriod(t *testing.T) {
 	// A stream that does not end must not hold the process until it is killed.
 	t.Parallel()
-	e := newWatched(t)
-	p := newPlane(t, 1, at("i-1", "s", e.rawEngine))
+	e := newRecordingEngine(t)
+	p := newTestPlane(t, 1, endpointOf("i-1", "s", e.scriptedEngine))
 	openStream(t, p.addr)
 	const grace = 3500 * time.Millisecond
-	if _, stopped := ending(p, grace.Seconds()); <-stopped > grace {
+	if _, stopped := startShutdown(p, grace.Seconds()); <-stopped > grace {
 		t.Error("it ended after its grace")
 	}
-	close(e.goOn)
+	close(e.resume)
 }
--- a/internal/node/stream_bench_test.go
+++ b/internal/node/stream_bench_test.go
@@ -19,7 +19,7 @@
 	for _, streams := range []int{40, 120, 382} {
 		for _, through := range []string{"direct", "node"} {
 			b.Run(through+"/"+strconv.Itoa(streams), func(b *testing.B) {
-				to := paced(b)
+				to := benchPacedEngine(b)
 				if through == "node" {
 					to = benchNode(b, to)
 				}
@@ -51,7 +51,7 @@
 				}
 				time.Sleep(500 * time.Millisecond)
 				mu.Lock()
-				before, used := events, spent()
+				before, used := events, cpuTime()
 				mu.Unlock()
 				for b.Loop() {
 					time.Sleep(time.Second)
@@ -62,7 +62,7 @@
 				if n == 0 {
 					b.Fatal("no event has come")
 				}
-				b.ReportMetric(float64((spent()-used).Microseconds())/float64(n), "us/event")
+				b.ReportMetric(float64((cpuTime()-used).Microseconds())/float64(n), "us/event")
 				b.ReportMetric(float64(n)/b.Elapsed().Seconds(), "events/s")
 				cancel()
 				wait.Wait()
--- a/internal/node/testplane_test.go
+++ b/internal/node/testplane_test.go
@@ -16,27 +16,27 @@
 
 // testPlane is a data plane of its own.
 type testPlane struct {
-	t    *testing.T
-	d    *dataPlane
-	addr string
-	ln   net.Listener
-	list atomic.Pointer[[]endpoints.Endpoint]
+	t         *testing.T
+	dataPlane *dataPlane
+	addr      string
+	listener  net.Listener
+	endpoints atomic.Pointer[[]endpoints.Endpoint]
 }
 
-func at(id, service string, e *rawEngine) endpoints.Endpoint {
+func endpointOf(id, service string, e *scriptedEngine) endpoints.Endpoint {
 	return endpoints.Endpoint{Record: endpoints.Record{ID: id, Service: service, Addr: e.addr}}
 }
 
-// newPlane starts one under the configuration of planeConfig.
-func newPlane(t *testing.T, seed uint64, engines ...endpoints.Endpoint) *testPlane {
+// newTestPlane starts one under the configuration of planeConfig.
+func newTestPlane(t *testing.T, seed uint64, engines ...endpoints.Endpoint) *testPlane {
 	t.Helper()
 	p := &testPlane{t: t}
-	p.list.Store(&engines)
-	p.d = newDataPlane(dataPlaneOptions{
+	p.endpoints.Store(&engines)
+	p.dataPlane = newDataPlane(dataPlaneOptions{
 		log: slog.New(slog.NewTextHandler(io.Discard, nil)), traffic: &metrics.Traffic{}, drainGrace: time.Second, seed: seed,
 		limits: limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100}),
 		endpoints: func(service string) (all []endpoints.Endpoint) {
-			for _, e := range *p.list.Load() {
+			for _, e := range *p.endpoints.Load() {
 				if e.Service == service {
 					all = append(all, e)
 				}
@@ -44,26 +44,26 @@
 			return all
 		},
 	})
-	go p.d.run(t.Context())
-	if err := p.d.applyConfig(1, planeConfig()); err != nil {
+	go p.dataPlane.run(t.Context())
+	if err := p.dataPlane.applyConfig(1, planeConfig()); err != nil {
 		t.Fatal(err)
 	}
 	var err error
-	if p.ln, err = net.Listen("tcp4", "127.0.0.1:0"); err != nil {
+	if p.listener, err = net.Listen("tcp4", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { p.ln.Close() })
-	p.addr = p.ln.Addr().String()
-	go p.d.frontend.Serve(p.ln)
+	t.Cleanup(func() { p.listener.Close() })
+	p.addr = p.listener.Addr().String()
+	go p.dataPlane.frontend.Serve(p.listener)
 	return p
 }
 
-// set changes the engines; what is asked from now on meets those.
-func (p *testPlane) set(engines ...endpoints.Endpoint) {
-	p.list.Store(&engines)
-	p.d.mu.Lock()
-	defer p.d.mu.Unlock()
-	p.d.publishEndpoints(p.d.routes.Load())
+// setEndpoints changes the engines; what is asked from now on meets those.
+func (p *testPlane) setEndpoints(engines ...endpoints.Endpoint) {
+	p.endpoints.Store(&engines)
+	p.dataPlane.mu.Lock()
+	defer p.dataPlane.mu.Unlock()
+	p.dataPlane.publishEndpoints(p.dataPlane.routes.Load())
 }
 
 func planeConfig() *fleetconfig.Config {
@@ -79,12 +79,12 @@
 	}}
 }
 
-// plane is a data plane with engines of service s by name; its address is returned.
-func plane(t *testing.T, seed uint64, engines map[string]*rawEngine) string {
+// planeAddr is a data plane with engines of service s by name; its address is returned.
+func planeAddr(t *testing.T, seed uint64, engines map[string]*scriptedEngine) string {
 	t.Helper()
 	var all []endpoints.Endpoint
 	for id, e := range engines {
-		all = append(all, at(id, "s", e))
+		all = append(all, endpointOf(id, "s", e))
 	}
-	return newPlane(t, seed, all...).addr
+	return newTestPlane(t, seed, all...).addr
 }
--- a/internal/node/usage_test.go
+++ b/internal/node/usage_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-func TestUsageThroughTroubles(t *testing.T) {
+func TestUsageIsReportedOnceThroughFaults(t *testing.T) {
 	// The platform is busy, then fails, then takes reports whose answer comes too late; the holder ends meanwhile, and so does
 	// its successor. Each window is reported with one figure, and all of them add up to what began.
 	f := newTestFleet(t, 1, 5)
-	e := newEngine(t, "i-1")
-	if code := put(t, f.edges[0].ctl, 0, config(3, "k")); code != 200 {
+	e := newFakeEngine(t, "i-1")
+	if code := replaceConfig(t, f.routers[0].control, 0, encodedConfig(3, "k")); code != 200 {
 		t.Fatal(code)
 	}
 	f.platform.mu.Lock()
-	f.platform.ill = func(call int) (int, time.Duration) {
+	f.platform.fault = func(call int) (int, time.Duration) {
 		switch {
 		case call <= 3:
 			return 429, 0
@@ -28,24 +28,24 @@
 		return 0, 0
 	}
 	f.platform.mu.Unlock()
-	e.beat(f.keepers[0].ctl, "ready")
-	until(t, "readiness", f.edges[0].isReady)
+	e.heartbeat(f.replicas[0].control, "ready")
+	waitUntil(t, "readiness", f.routers[0].isReady)
 	began := uint64(0)
 	asked := func(n int) {
 		for range n {
-			e.beat(f.edges[0].ctl, "ready")
-			if resp, _ := ask(t, f.edges[0], "/read/1", "k"); resp != nil && resp.StatusCode == 200 {
+			e.heartbeat(f.routers[0].control, "ready")
+			if resp, _ := clientRequest(t, f.routers[0], "/read/1", "k"); resp != nil && resp.StatusCode == 200 {
 				began++
 			}
 		}
 	}
-	holder := func() *machine {
-		for _, m := range f.keepers {
-			if m.stop == nil {
+	holder := func() *testNode {
+		for _, m := range f.replicas {
+			if m.signals == nil {
 				continue
 			}
-			_, b := call(t, "GET", m.ctl, "/fleet/status", nil, nil)
-			for _, k := range f.keepers {
+			_, b := controlCall(t, "GET", m.control, "/fleet/status", nil, nil)
+			for _, k := range f.replicas {
 				if bytes.Contains(b, fmt.Appendf(nil, `"holder":"%v"`, k.cfg["node_name"])) {
 					return k
 				}
@@ -55,24 +55,24 @@
 	}
 	for range 2 {
 		asked(20)
-		var h *machine
-		until(t, "a holder", func() bool { h = holder(); return h != nil && h.stop != nil })
-		h.end()
+		var h *testNode
+		waitUntil(t, "a holder", func() bool { h = holder(); return h != nil && h.signals != nil })
+		h.stop()
 		asked(20)
 		h.again(false)
 	}
-	until(t, "all that began is reported", func() bool {
-		e.beat(f.edges[0].ctl, "ready")
+	waitUntil(t, "all that began is reported", func() bool {
+		e.heartbeat(f.routers[0].control, "ready")
 		return f.platform.reported("lab") == began
 	})
 	f.platform.mu.Lock()
 	defer f.platform.mu.Unlock()
-	if f.platform.other > 0 || f.platform.calls < 6 {
-		t.Errorf("%d windows with two figures, in %d calls", f.platform.other, f.platform.calls)
+	if f.platform.conflicting > 0 || f.platform.calls < 6 {
+		t.Errorf("%d windows with two figures, in %d calls", f.platform.conflicting, f.platform.calls)
 	}
-	for i := 1; i < len(f.platform.fences); i++ {
-		if f.platform.fences[i] < f.platform.fences[i-1] {
-			t.Errorf("fences %v", f.platform.fences)
+	for i := 1; i < len(f.platform.fencingTokens); i++ {
+		if f.platform.fencingTokens[i] < f.platform.fencingTokens[i-1] {
+			t.Errorf("fences %v", f.platform.fencingTokens)
 		}
 	}
 }
--- a/internal/node/watchedengine_test.go
+++ b/internal/node/watchedengine_test.go
@@ -11,57 +11,57 @@
 	"testing"
 )
 
-// seen is what an engine was shown.
-type seen struct{ path, expect, from string }
+// recordedRequest is what an engine was shown.
+type recordedRequest struct{ path, expect, from string }
 
-// watched is an engine that notes what comes. Streams stop after their first event until they are let go on.
-type watched struct {
-	*rawEngine
-	mu   sync.Mutex
-	all  []seen
-	goOn chan struct{}
+// recordingEngine is an engine that notes what comes. Streams stop after their first event until they are let go on.
+type recordingEngine struct {
+	*scriptedEngine
+	mu       sync.Mutex
+	requests []recordedRequest
+	resume   chan struct{}
 }
 
-func newWatched(t *testing.T) *watched {
-	w := &watched{goOn: make(chan struct{})}
-	w.rawEngine = newRawEngine(t, func(c net.Conn, r *http.Request) bool {
+func newRecordingEngine(t *testing.T) *recordingEngine {
+	w := &recordingEngine{resume: make(chan struct{})}
+	w.scriptedEngine = newScriptedEngine(t, func(c net.Conn, r *http.Request) bool {
 		w.mu.Lock()
-		w.all = append(w.all, seen{r.URL.Path, r.Header.Get("X-Expect-Instance"), c.RemoteAddr().String()})
+		w.requests = append(w.requests, recordedRequest{r.URL.Path, r.Header.Get("X-Expect-Instance"), c.RemoteAddr().String()})
 		w.mu.Unlock()
 		if !strings.HasPrefix(r.URL.Path, "/long/") {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=60\r\nContent-Length: 4\r\n\r\ngood")
 			return true
 		}
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\nf\r\nid: 0\ndata: x\n\n\r\n")
-		<-w.goOn
+		<-w.resume
 		io.WriteString(c, "f\r\nid: 1\ndata: y\n\n\r\n0\r\n\r\n")
 		return true
 	})
 	return w
 }
 
-func (w *watched) seen() []seen {
+func (w *recordingEngine) recorded() []recordedRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]seen(nil), w.all...)
+	return append([]recordedRequest(nil), w.requests...)
 }
 
-// stream is a client's, of which the first event has come.
-type stream struct {
+// clientStream is a client's, of which the first event has come.
+type clientStream struct {
 	c  net.Conn
 	br *bufio.Reader
 	*http.Response
 	body *bufio.Reader
 }
 
-func openStream(t *testing.T, addr string) *stream {
+func openStream(t *testing.T, addr string) *clientStream {
 	t.Helper()
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	s := &stream{c: c, br: bufio.NewReader(c)}
+	s := &clientStream{c: c, br: bufio.NewReader(c)}
 	io.WriteString(c, "POST /long/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n{}")
 	if s.Response, err = http.ReadResponse(s.br, nil); err != nil || s.StatusCode != 200 {
 		t.Fatalf("%+v %v", s.Response, err)
@@ -75,8 +75,8 @@
 	return s
 }
 
-// rest reads the stream to its end.
-func (s *stream) rest() error {
+// readRest reads the stream to its end.
+func (s *clientStream) readRest() error {
 	b, err := io.ReadAll(s.body)
 	if err == nil && string(b) != "id: 1\ndata: y\n\n" {
 		err = fmt.Errorf("the rest is %q", b)
