--- a/internal/control/replica/golden_test.go
+++ b/internal/control/replica/golden_test.go
@@ -10,7 +10,7 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// TestGoldenCalls: what replicas ask each other, and the answers, have the bytes that they had.
+// TestGoldenCalls: calls between replicas and their answers keep their bytes.
 func TestGoldenCalls(t *testing.T) {
 	number, lower := paxos.ProposalNumber{Term: 300, Proposer: 0x0102030405060708}, paxos.ProposalNumber{Term: 7, Proposer: 2}
 	value := []byte("a value")
@@ -22,16 +22,16 @@
 		golden.RoundTrip(t, "request-"+name+".hex", req, func(req paxos.Request) []byte { return encodePaxosRequest(&req) }, decodePaxosRequest)
 	}
 	for name, resp := range map[string]paxos.Response{
-		"granted":       {Verdict: paxos.VerdictGranted, NextIndex: 1000},
-		"granted-value": {Verdict: paxos.VerdictGranted, NextIndex: 1000, Accepted: lower, Value: value},
-		"rejected":      {Verdict: paxos.VerdictRejected, NextIndex: 1000, Promised: number},
-		"decided":       {Verdict: paxos.VerdictAlreadyChosen, NextIndex: 1001, Value: value},
-		"behind":        {Verdict: paxos.VerdictLagging, NextIndex: 2},
-		"no-vote":       {Verdict: paxos.VerdictNotVoter, NextIndex: 1000},
-		"known":         {Verdict: paxos.VerdictReported, NextIndex: 1000, Accepted: lower},
+		"granted":        {Verdict: paxos.VerdictGranted, NextIndex: 1000},
+		"granted-value":  {Verdict: paxos.VerdictGranted, NextIndex: 1000, Accepted: lower, Value: value},
+		"rejected":       {Verdict: paxos.VerdictRejected, NextIndex: 1000, Promised: number},
+		"already-chosen": {Verdict: paxos.VerdictAlreadyChosen, NextIndex: 1001, Value: value},
+		"lagging":        {Verdict: paxos.VerdictLagging, NextIndex: 2},
+		"not-voter":      {Verdict: paxos.VerdictNotVoter, NextIndex: 1000},
+		"reported":       {Verdict: paxos.VerdictReported, NextIndex: 1000, Accepted: lower},
 	} {
 		encode := func(resp paxos.Response) []byte { return encodePaxosResponse(&resp) }
-		golden.RoundTrip(t, "answer-"+name+".hex", resp, encode, decodePaxosResponse)
+		golden.RoundTrip(t, "response-"+name+".hex", resp, encode, decodePaxosResponse)
 	}
 	for name, i := range map[string]identity{
 		"founder": {Member: replog.Member{ID: 0x0102030405060708, Name: "k-1", Addr: "10.0.0.1:7000"}, nextIndex: 1000, isFounder: true},
@@ -44,28 +44,28 @@
 		index  uint64
 		number paxos.ProposalNumber
 	}
-	golden.RoundTrip(t, "chosen.hex", commit{1000, number}, func(c commit) []byte { return encodeCommit(c.index, c.number) },
+	golden.RoundTrip(t, "commit.hex", commit{1000, number}, func(c commit) []byte { return encodeCommit(c.index, c.number) },
 		func(b []byte) (c commit, err error) { c.index, c.number, err = decodeCommit(b); return c, err })
 
 	type entry struct {
 		index uint64
 		value []byte
 	}
-	for name, e := range map[string]entry{"entry": {1000, value}, "entry-notice": {1001, []byte{}}, "state-request": {1000, []byte{replog.StateVersion}}} {
+	for name, e := range map[string]entry{"learn": {1000, value}, "learn-notice": {1001, []byte{}}, "snapshot-request": {1000, []byte{replog.StateVersion}}} {
 		golden.RoundTrip(t, name+".hex", e, func(e entry) []byte { return EncodeIndexed(e.index, e.value) },
 			func(b []byte) (e entry, err error) { e.index, e.value, err = DecodeIndexed(b); return e, err })
 	}
 }
 
-// TestGoldenNumbersOfCalls: the numbers under which calls are known, and their one-byte answers.
-func TestGoldenNumbersOfCalls(t *testing.T) {
+// TestGoldenCallKinds: the kinds of calls have their numbers on the wire, and CallJoin its one-byte answer.
+func TestGoldenCallKinds(t *testing.T) {
 	golden.Equal(t, "numbers", []uint8{1, 2, 3, 4, 10, 16, 14, 1}, []uint8{
 		uint8(CallPaxos), uint8(CallLearn), uint8(CallSnapshot), uint8(CallIdentity), uint8(CallJoin), uint8(CallReachable),
 		uint8(CallCommit), joinGroupFull,
 	})
 }
 
-// TestGoldenReplies: a replica that is called with the bytes of a golden file replies with those of another.
+// TestGoldenReplies: a call with the bytes of a golden file has the reply of another.
 func TestGoldenReplies(t *testing.T) {
 	r := newSingle(true)
 	r.state.FormerMembers = []string{"k-0"} // which the second format alone holds
@@ -79,12 +79,12 @@
 	}
 	r.Reduce(time.Second, Tick{})
 	reply("reply-identity", CallReceived{Kind: CallIdentity})
-	reply("reply-state-format-2", CallReceived{Kind: CallSnapshot, Body: EncodeIndexed(0, []byte{replog.StateVersion})})
-	reply("reply-state-format-1", CallReceived{Kind: CallSnapshot, Body: EncodeIndexed(0, nil)})
-	reply("reply-state-none", CallReceived{Kind: CallSnapshot, Body: golden.Read(t, "state-request.hex")})
+	reply("reply-snapshot-format-2", CallReceived{Kind: CallSnapshot, Body: EncodeIndexed(0, []byte{replog.StateVersion})})
+	reply("reply-snapshot-format-1", CallReceived{Kind: CallSnapshot, Body: EncodeIndexed(0, nil)})
+	reply("reply-snapshot-none", CallReceived{Kind: CallSnapshot, Body: golden.Read(t, "snapshot-request.hex")})
 	prepare := paxos.Request{Kind: paxos.KindPrepare, Index: 1, Number: paxos.ProposalNumber{Term: 3, Proposer: 5}}
 	reply("reply-prepare", CallReceived{Kind: CallPaxos, Body: encodePaxosRequest(&prepare)})
-	reply("reply-chosen", CallReceived{Kind: CallCommit, Body: golden.Read(t, "chosen.hex")})
+	reply("reply-commit", CallReceived{Kind: CallCommit, Body: golden.Read(t, "commit.hex")})
 
 }
 
