--- a/internal/lab/check/cuts.go
+++ b/internal/lab/check/cuts.go
@@ -343,7 +343,7 @@
 	way(from, to, func() {
 		id := to.calls.Add(func(body []byte, err error) {
 			const noVote, known = byte(paxos.VerdictNotVoter), byte(paxos.VerdictReported)
-			if s.broken == "who is no member counts" && c.Kind == replica.CallPaxos && len(body) > 0 && body[0] == noVote && c.Body[0] == byte(paxos.KindQuery) {
+			if s.broken == brokenVoterCount && c.Kind == replica.CallPaxos && len(body) > 0 && body[0] == noVote && c.Body[0] == byte(paxos.KindQuery) {
 				body = append([]byte{known}, body[1:]...)
 			}
 			way(to, from, func() { back(body, err) })
@@ -354,7 +354,7 @@
 
 // Lengths of the cuts and the stops of a life.
 const (
-	cutMost  = 20 * time.Second
-	patience = time.Second // of an operator, for an answer
-	within   = limits.OperatorCallTimeout
+	maxCut          = 20 * time.Second
+	operatorTimeout = time.Second // for an answer to an operator
+	within          = limits.OperatorCallTimeout
 )
