--- a/internal/acquirer/acquirer_test.go
+++ b/internal/acquirer/acquirer_test.go
@@ -89,7 +89,7 @@
 			o, q := open.Message.Order, e.Request
 			got := fmt.Sprintf("%s %s %s %s %q class=%d session=%x prefix=%x prompt=%v shared=%v most=%v in=%v repeat=%v resumed=%v",
 				o.Method, o.Target, o.Host, o.CallID, o.Body, q.Class, q.Session, q.Prefix, q.PromptTokens, q.PrefixTokens,
-				q.MaxTokens, q.ExpiresIn, q.Repeat, q.Resumed)
+				q.MaxTokens, q.Timeout, q.IsClientRetry, q.IsResumed)
 			if diff := cmp.Diff(want, got); diff != "" {
 				t.Fatalf("taken (-want +got):\n%s", diff)
 			}
--- a/internal/acquirer/head.go
+++ b/internal/acquirer/head.go
@@ -39,7 +39,7 @@
 		return q, classHeader + " names no class"
 	}
 	q.Class = class
-	if q.ExpiresIn, ok = parseBudget(h.Get(budgetHeader), most); !ok {
+	if q.Timeout, ok = parseBudget(h.Get(budgetHeader), most); !ok {
 		return q, budgetHeader + " is bad"
 	}
 	if !parseInfo(h.Get(infoHeader), &q) {
@@ -50,9 +50,9 @@
 	}
 	switch h.Get(againHeader) {
 	case "1":
-		q.Repeat = true
+		q.IsClientRetry = true
 	case "again":
-		q.Resumed = true
+		q.IsResumed = true
 	}
 	return q, ""
 }
--- a/internal/batch/attempt.go
+++ b/internal/batch/attempt.go
@@ -39,7 +39,7 @@
 
 func newAttempt(d *Desk, w *try) *attempt {
 	return &attempt{
-		desk: d, try: w, safe: w.class.Effect == policy.Safe, got: collector{most: d.lim.BatchResponseBytes},
+		desk: d, try: w, safe: w.class.Effect == policy.EffectSafe, got: collector{most: d.lim.BatchResponseBytes},
 		order: issuer.Order{
 			Method: "POST", Target: endpoint, Host: service.BatchHost, CallID: fmt.Sprintf("%016x", rand.Uint64()),
 			ContentType: "application/json", Body: w.body,
--- a/internal/batch/desk.go
+++ b/internal/batch/desk.go
@@ -256,8 +256,8 @@
 		})
 		return
 	}
-	w.request.ExpiresIn = min(w.class.Deadline, w.until-now)
-	if w.request.ExpiresIn <= 0 {
+	w.request.Timeout = min(w.class.Deadline, w.until-now)
+	if w.request.Timeout <= 0 {
 		d.giveUp(w)
 		return
 	}
--- a/internal/batch/desk_test.go
+++ b/internal/batch/desk_test.go
@@ -204,7 +204,7 @@
 		if len(out) != 1 {
 			break
 		}
-		same(t, "time for an answer", min(12*time.Second, 20*time.Second-time.Duration(tries)*3*time.Second), out[0].try.request.ExpiresIn)
+		same(t, "time for an answer", min(12*time.Second, 20*time.Second-time.Duration(tries)*3*time.Second), out[0].try.request.Timeout)
 		out[0].Decline(broker.Refused, 3*time.Second)
 	}
 	same(t, "result", []string{"1 id-0 refused (7 tries) declined"}, outcomesOf(t, j))
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -197,14 +197,14 @@
 	case Note:
 		b.do(Log{Line: string(e)})
 	case Recall:
-		all := map[string]*policy.Learned{}
+		all := map[string]*policy.Snapshot{}
 		for _, p := range b.pools {
-			all[p.name] = p.module.Learned()
+			all[p.name] = p.module.Snapshot()
 		}
 		b.do(Recalled{e.Of, all})
 	case Taught:
 		if p := b.pools[e.Pool]; p != nil && e.Learned != nil {
-			p.module.Learn(b.now, e.Learned)
+			p.module.Restore(b.now, e.Learned)
 		}
 	case Audit:
 		b.do(b.counted(e.Of))
@@ -242,7 +242,7 @@
 		p.repeats.CountRequest(b.now)
 	}
 	b.lastID++
-	a := &auth{id: b.lastID, pool: p, from: e.From, deadline: min(e.At, b.now) + e.Request.ExpiresIn, attempts: p.attempts}
+	a := &auth{id: b.lastID, pool: p, from: e.From, deadline: min(e.At, b.now) + e.Request.Timeout, attempts: p.attempts}
 	if e.Attempts > 0 {
 		a.attempts = min(a.attempts, e.Attempts)
 	}
@@ -251,7 +251,7 @@
 	if a.name = e.Name; a.name != "" {
 		b.names[name{p.id, a.name}] = true
 	}
-	e.Request.ID, e.Request.ExpiresIn = a.id, a.deadline-b.now
+	e.Request.ID, e.Request.Timeout = a.id, a.deadline-b.now
 	if b.journal != nil {
 		a.journey = b.journal.Taken(b.now, a.id, a.from, e.Name, e.At, &e.Request, e.Origin, p.set)
 	}
@@ -282,9 +282,9 @@
 // the module must hear, or it would learn nothing of an overload, nor of a host that hangs.
 func (b *Broker) left(a *auth) policy.Result {
 	if a.bound == nil && b.now >= a.deadline-b.lim.DeadlineTolerance {
-		return policy.TimedOut
+		return policy.ResultTimedOut
 	}
-	return policy.Cancelled
+	return policy.ResultCancelled
 }
 
 // close ends an authorisation towards its acquirer. Legs that still run keep it known.
@@ -336,7 +336,7 @@
 	a.pool.module.Started(b.now, a.pool, policy.Started{ID: a.id, Attempt: id.N, Replica: l.host, Elapsed: b.now - l.at})
 	for _, other := range a.legs {
 		if other != l && !other.ended {
-			b.drop(a, other, policy.Cancelled)
+			b.drop(a, other, policy.ResultCancelled)
 		}
 	}
 }
@@ -363,15 +363,15 @@
 func (b *Broker) tell(a *auth, l *leg, r policy.Result, kept float64, report policy.Report) {
 	p := a.pool
 	a.running--
-	a.arrived = a.arrived || l.arrived || r != policy.ConnectFailed && r != policy.Moot
-	a.mayRun = a.mayRun || r != policy.Full && r != policy.ConnectFailed && r != policy.Moot
+	a.arrived = a.arrived || l.arrived || r != policy.ResultConnectFailed && r != policy.ResultMoot
+	a.mayRun = a.mayRun || r != policy.ResultFull && r != policy.ResultConnectFailed && r != policy.ResultMoot
 	p.counts.Outcomes[r]++
 	if b.journal != nil {
 		b.journal.Told(b.now, a.id, a.journey, l.id.N, r, kept)
 	}
 	if a.bound == l && !a.over {
 		b.close(a)
-		if r == policy.OK {
+		if r == policy.ResultOK {
 			p.counts.Served++
 			b.closed(a, trace.Served, 0)
 		} else {
@@ -381,9 +381,9 @@
 	}
 	p.module.Finished(b.now, p, policy.Outcome{
 		ID: a.id, Attempt: l.id.N, Replica: l.host, Result: r, Elapsed: b.now - l.at,
-		Ended: a.over || a.bound != nil, KeptTokens: kept, Report: report, Stale: l.stale,
+		RequestEnded: a.over || a.bound != nil, CachedTokens: kept, Report: report, StaleConnection: l.stale,
 	})
-	if b.boxes != nil && (r == policy.Reset || r == policy.ConnectFailed) && !l.stale {
+	if b.boxes != nil && (r == policy.ResultReset || r == policy.ResultConnectFailed) && !l.stale {
 		p.unreachable(l.host)
 	}
 	b.forget(a)
@@ -394,7 +394,7 @@
 	case d.leg != nil:
 		if !d.leg.ended {
 			b.do(DropLeg{d.leg.id})
-			b.end(d.auth, d.leg, policy.TimedOut, 0, policy.Report{})
+			b.end(d.auth, d.leg, policy.ResultTimedOut, 0, policy.Report{})
 		}
 	case d.auth != nil:
 		// The legs time out with the authorisation, and the module answers then. Should it have nothing out,
@@ -402,12 +402,12 @@
 		for _, l := range d.auth.legs {
 			if !l.ended {
 				b.do(DropLeg{l.id})
-				b.end(d.auth, l, policy.TimedOut, 0, policy.Report{})
+				b.end(d.auth, l, policy.ResultTimedOut, 0, policy.Report{})
 				b.settle()
 			}
 		}
 		if !d.auth.over {
-			d.auth.pool.Because(d.auth.id, policy.Why(trace.Unanswered))
+			d.auth.pool.Explain(d.auth.id, policy.Reason(trace.Unanswered))
 			d.auth.pool.Fail(d.auth.id)
 		}
 	case d.of != nil:
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -18,9 +18,9 @@
 
 func settings() policy.Settings {
 	return policy.Settings{
-		Gateways: 1, Zones: 1, ColdFrom: 0.5, WarmUp: sec, DrainGrace: sec / 2, AskDiscovery: true, AskWithin: 10 * sec,
-		Classes: []policy.Class{{Name: "chat", Aim: sec, Deadline: 10 * sec, Worth: 1, Streaming: true}},
-		Limits:  policy.Limits{Cancel: true, Probes: true, RetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 2 * sec},
+		Routers: 1, Zones: 1, SlowStartInitial: 0.5, SlowStart: sec, DrainGrace: sec / 2, NeedsWatch: true, WatchWithin: 10 * sec,
+		Classes: []policy.Class{{Name: "chat", TargetLatency: sec, Deadline: 10 * sec, Value: 1, IsStreaming: true}},
+		Limits:  policy.Limits{CanCancel: true, CanProbe: true, SendsRetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 2 * sec},
 	}
 }
 
@@ -89,7 +89,7 @@
 }
 
 func taken(from string, at, budget time.Duration) Taken {
-	return Taken{From: from, At: at, Request: policy.Request{Session: 9, ExpiresIn: budget}}
+	return Taken{From: from, At: at, Request: policy.Request{Session: 9, Timeout: budget}}
 }
 
 func TestServedLeg(t *testing.T) {
@@ -97,9 +97,9 @@
 	r.expect(0, taken("a", r.now, 4*sec), "send 1.0 for 4s")
 	r.expect(sec, LegBegan{LegID{1, 0}}, "bind 1.0")
 	r.expect(9*sec, Tick{}) // once begun, the deadline runs no longer
-	r.expect(9*sec, LegEnded{Leg: LegID{1, 0}, Result: policy.OK})
-	r.expect(9*sec, LegEnded{Leg: LegID{1, 0}, Result: policy.Reset}) // a second outcome is none
-	if c := r.pools[0].counts; c.Served != 1 || c.Outcomes[policy.OK] != 1 || c.Outcomes[policy.Reset] != 0 || len(r.auths) != 0 {
+	r.expect(9*sec, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultOK})
+	r.expect(9*sec, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultReset}) // a second outcome is none
+	if c := r.pools[0].counts; c.Served != 1 || c.Outcomes[policy.ResultOK] != 1 || c.Outcomes[policy.ResultReset] != 0 || len(r.auths) != 0 {
 		t.Errorf("counters %+v, %d open", c, len(r.auths))
 	}
 }
@@ -111,8 +111,8 @@
 	r.expect(4*sec-1, Tick{})
 	r.expect(4*sec, Tick{}, "drop 1.0", "decline a failed after 0s")
 	r.expect(5*sec, LegBegan{LegID{1, 0}}, "drop 1.0") // too late to be the acquirer's
-	r.expect(5*sec, LegEnded{Leg: LegID{1, 0}, Result: policy.Cancelled})
-	if n := r.pools[0].counts.Outcomes[policy.TimedOut]; n != 1 || r.Open() != 0 {
+	r.expect(5*sec, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultCancelled})
+	if n := r.pools[0].counts.Outcomes[policy.ResultTimedOut]; n != 1 || r.Open() != 0 {
 		t.Errorf("%d time-outs, %d open", n, r.Open())
 	}
 }
@@ -126,7 +126,7 @@
 	r.expect(0, first, "send 1.0 for 4s")
 	r.expect(0, second, "decline b taking after 0s")
 	r.expect(sec, LegBegan{LegID{1, 0}}, "bind 1.0")
-	r.expect(sec, LegEnded{Leg: LegID{1, 0}, Result: policy.OK})
+	r.expect(sec, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultOK})
 	second.At = r.now + sec
 	r.expect(sec, second, "send 2.0 for 4s")
 }
@@ -135,9 +135,9 @@
 	// The module may go on only to hosts that it has not tried, and to three legs at the most.
 	r := newRig(t, 5, nil)
 	r.expect(0, taken("a", r.now, 4*sec), "send 1.0 for 4s")
-	r.expect(sec, LegEnded{Leg: LegID{1, 0}, Result: policy.ConnectFailed}, "send 1.1 for 3s")
-	r.expect(sec, LegEnded{Leg: LegID{1, 1}, Result: policy.Full}, "send 1.2 for 3s")
-	r.expect(sec, LegEnded{Leg: LegID{1, 2}, Result: policy.Full}, "decline a refused after 500ms")
+	r.expect(sec, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultConnectFailed}, "send 1.1 for 3s")
+	r.expect(sec, LegEnded{Leg: LegID{1, 1}, Result: policy.ResultFull}, "send 1.2 for 3s")
+	r.expect(sec, LegEnded{Leg: LegID{1, 2}, Result: policy.ResultFull}, "decline a refused after 500ms")
 	r.pools[0].Send(1, 0, 0) // over: no effect, and no leg
 	if r.pools[0].counts.Legs != 3 {
 		t.Errorf("%d legs", r.pools[0].counts.Legs)
@@ -156,7 +156,7 @@
 			t.Errorf("%s: %v", name, r.effects)
 		}
 	}
-	if n := r.pools[0].counts.Outcomes[policy.Moot]; n != 2 {
+	if n := r.pools[0].counts.Outcomes[policy.ResultMoot]; n != 2 {
 		t.Errorf("%d moot", n)
 	}
 }
@@ -172,8 +172,8 @@
 	}
 	r.expect(sec, LegBegan{LegID{1, 1}}, "bind 1.1", "drop 1.0")
 	r.expect(sec, LegBegan{LegID{1, 0}}, "drop 1.0")
-	r.expect(sec, LegEnded{Leg: LegID{1, 1}, Result: policy.Reset}) // a broken stream ends the authorisation
-	if c := r.pools[0].counts; c.Broken != 1 || c.Outcomes[policy.Cancelled] != 1 || len(r.auths) != 0 {
+	r.expect(sec, LegEnded{Leg: LegID{1, 1}, Result: policy.ResultReset}) // a broken stream ends the authorisation
+	if c := r.pools[0].counts; c.Broken != 1 || c.Outcomes[policy.ResultCancelled] != 1 || len(r.auths) != 0 {
 		t.Errorf("counters %+v, %d open", c, len(r.auths))
 	}
 }
@@ -188,7 +188,7 @@
 		}
 	}
 	r.expect(sec, Tick{}, "drop 1.1") // the first leg stays out
-	if n := r.pools[0].counts.Outcomes[policy.TimedOut]; n != 1 || r.auths[1].running != 1 {
+	if n := r.pools[0].counts.Outcomes[policy.ResultTimedOut]; n != 1 || r.auths[1].running != 1 {
 		t.Errorf("%d time-outs, %d running", n, r.auths[1].running)
 	}
 }
@@ -202,7 +202,7 @@
 		}
 		r.expect(sec, Departed{"a"}, "drop 1.0")
 		r.expect(sec, Departed{"a"})
-		if c := r.pools[0].counts; c.Gone != 1 || c.Outcomes[policy.Cancelled] != 1 || len(r.auths) != 0 {
+		if c := r.pools[0].counts; c.Gone != 1 || c.Outcomes[policy.ResultCancelled] != 1 || len(r.auths) != 0 {
 			t.Errorf("%s: counters %+v, %d open", name, c, len(r.auths))
 		}
 	}
@@ -242,7 +242,7 @@
 
 func TestGoneHostGetsNothing(t *testing.T) {
 	r := newRig(t, 1, nil)
-	r.expect(0, Listed{Kind: policy.ListDelta, Hosts: []Host{{Name: "h0", State: policy.Gone}}})
+	r.expect(0, Listed{Kind: policy.ListDelta, Hosts: []Host{{Name: "h0", State: policy.StateGone}}})
 	r.expect(0, taken("a", r.now, 4*sec), "decline a refused after 500ms")
 }
 
@@ -278,12 +278,12 @@
 		return Host{Name: fmt.Sprint("h", i), Dial: "d", Weight: 1, State: s}
 	}
 	for i := range 500 {
-		r.turn(0, Listed{Kind: policy.ListDelta, Hosts: []Host{host(i, policy.Gone), host(i+3, policy.Ready)}})
+		r.turn(0, Listed{Kind: policy.ListDelta, Hosts: []Host{host(i, policy.StateGone), host(i+3, policy.StateReady)}})
 	}
 	if len(r.pools[0].hosts) != 3 || len(r.pools[0].hostNames) != 3 {
 		t.Errorf("%d hosts, %d names after deltas", len(r.pools[0].hosts), len(r.pools[0].hostNames))
 	}
-	r.turn(0, Listed{Kind: policy.ListFull, Hosts: []Host{host(9000, policy.Ready)}})
+	r.turn(0, Listed{Kind: policy.ListFull, Hosts: []Host{host(9000, policy.StateReady)}})
 	r.turn(0, Listed{Kind: policy.ListFailed})
 	if len(r.pools[0].hosts) != 1 || len(r.pools[0].hostNames) != 1 {
 		t.Errorf("%d hosts, %d names after a whole list", len(r.pools[0].hosts), len(r.pools[0].hostNames))
@@ -296,7 +296,7 @@
 	for _, c := range []struct {
 		at   time.Duration
 		want policy.Result
-	}{{4*sec - 2*time.Millisecond, policy.TimedOut}, {3 * sec, policy.Cancelled}} {
+	}{{4*sec - 2*time.Millisecond, policy.ResultTimedOut}, {3 * sec, policy.ResultCancelled}} {
 		r := newRig(t, 2, nil)
 		r.turn(0, taken("a", r.now, 4*sec))
 		r.expect(c.at, Departed{"a"}, "drop 1.0")
@@ -308,7 +308,7 @@
 	r.turn(0, taken("a", r.now, 4*sec))
 	r.turn(sec, LegBegan{LegID{1, 0}})
 	r.turn(4*sec-1, Departed{"a"}) // in its stream, whose time is not the deadline's
-	if r.pools[0].counts.Outcomes[policy.Cancelled] != 1 {
+	if r.pools[0].counts.Outcomes[policy.ResultCancelled] != 1 {
 		t.Errorf("left in its stream: %+v", r.counts)
 	}
 }
@@ -318,12 +318,12 @@
 	r := newRig(t, 3, nil)
 	r.Reduce(r.now, PoolSet{Repeats: &retrybudget.Budget{Allowance: 5, Window: 10 * sec}})
 	r.expect(0, taken("a", r.now, 4*sec), "send 1.0 for 4s")
-	if again := r.turn(0, LegEnded{Leg: LegID{1, 0}, Result: policy.Full}); len(again) != 1 || again[0] != "send 1.1 for 4s" {
+	if again := r.turn(0, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultFull}); len(again) != 1 || again[0] != "send 1.1 for 4s" {
 		t.Fatalf("within its part: %v", again)
 	}
 	r.Reduce(r.now, RepeatsExtra(1.9)) // one was sent already
 	r.expect(sec, taken("b", r.now+sec, 4*sec), "send 2.0 for 4s")
-	if again := r.turn(sec, LegEnded{Leg: LegID{2, 0}, Result: policy.Full}); len(again) != 1 || !strings.HasPrefix(again[0], "decline b ") {
+	if again := r.turn(sec, LegEnded{Leg: LegID{2, 0}, Result: policy.ResultFull}); len(again) != 1 || !strings.HasPrefix(again[0], "decline b ") {
 		t.Errorf("beyond its part: %v", again)
 	}
 	for lives := 1; lives < 2000; lives++ { // all start anew within a window: the old ones' parts and the new ones'
@@ -339,8 +339,8 @@
 		r := newRig(t, 3, nil)
 		r.Reduce(r.now, PoolSet{Repeats: &retrybudget.Budget{Allowance: 1, Window: 10 * sec}})
 		r.expect(0, taken("a", r.now, 4*sec), "send 1.0 for 4s")
-		r.expect(0, LegEnded{Leg: LegID{1, 0}, Result: policy.ConnectFailed, Arrived: arrived}, "send 1.1 for 4s")
-		again := r.turn(0, LegEnded{Leg: LegID{1, 1}, Result: policy.ConnectFailed, Arrived: arrived})
+		r.expect(0, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultConnectFailed, Arrived: arrived}, "send 1.1 for 4s")
+		again := r.turn(0, LegEnded{Leg: LegID{1, 1}, Result: policy.ResultConnectFailed, Arrived: arrived})
 		if sent := len(again) == 1 && again[0] == "send 1.2 for 4s"; sent == arrived {
 			t.Errorf("arrived %v: %v", arrived, again)
 		}
--- a/internal/broker/events.go
+++ b/internal/broker/events.go
@@ -141,7 +141,7 @@
 	// Taught gives a pool's module what another process's had learnt.
 	Taught struct {
 		Pool    hoststate.PoolID
-		Learned *policy.Learned
+		Learned *policy.Snapshot
 	}
 	// Audit asks for the counters.
 	Audit struct{ Of any }
@@ -223,7 +223,7 @@
 	// Recalled answers Recall, by the names of the pools.
 	Recalled struct {
 		Of    any
-		Pools map[string]*policy.Learned
+		Pools map[string]*policy.Snapshot
 	}
 	// Counted answers Audit.
 	Counted struct {
--- a/internal/broker/hosts_bench_test.go
+++ b/internal/broker/hosts_bench_test.go
@@ -34,7 +34,7 @@
 		}
 	}
 	c.Reduce(now, LegBegan{leg})
-	c.Reduce(now, LegEnded{Leg: leg, Result: policy.OK})
+	c.Reduce(now, LegEnded{Leg: leg, Result: policy.ResultOK})
 }
 
 // BenchmarkHosts is what an authorisation of a new session costs the core with so many boxes in the pool, without a shared
@@ -50,7 +50,7 @@
 				one := func() {
 					i++
 					now += 30 * time.Millisecond
-					q := policy.Request{Session: uint64(i + 1), ExpiresIn: sec}
+					q := policy.Request{Session: uint64(i + 1), Timeout: sec}
 					if prefixes > 0 {
 						q.Prefix, q.PrefixTokens = z.Uint64()+1, 500
 					}
@@ -73,11 +73,11 @@
 		b.Run(fmt.Sprint(sessions), func(b *testing.B) {
 			for b.Loop() {
 				c, now := hostsRig(b, 20)
-				serve(c, now, 0, policy.Request{Session: 1, ExpiresIn: sec})
+				serve(c, now, 0, policy.Request{Session: 1, Timeout: sec})
 				before := heap()
 				for i := range sessions {
 					now += time.Millisecond
-					serve(c, now, i+1, policy.Request{Session: uint64(i + 2), ExpiresIn: sec})
+					serve(c, now, i+1, policy.Request{Session: uint64(i + 2), Timeout: sec})
 				}
 				b.ReportMetric(float64(heap()-before)/float64(sessions), "B/session")
 				runtime.KeepAlive(c)
--- a/internal/broker/pool.go
+++ b/internal/broker/pool.go
@@ -115,7 +115,7 @@
 	listed := map[policy.ReplicaID]bool{}
 	for _, h := range e.Hosts {
 		id := p.hostID(h.Name)
-		listed[id] = h.State != policy.Gone
+		listed[id] = h.State != policy.StateGone
 		if b.boxes != nil {
 			words = append(words, p.shared(id, &h)...)
 		}
@@ -127,7 +127,7 @@
 		for id, h := range p.hosts { // on a long day hosts are replaced by others without end
 			if there, told := listed[id]; told && !there || !told && e.Kind != policy.ListDelta {
 				if b.boxes != nil && !told {
-					b.boxes.Update(b.now, p.id, h.box(), hoststate.Update{State: policy.Gone, Removed: true})
+					b.boxes.Update(b.now, p.id, h.box(), hoststate.Update{State: policy.StateGone, Removed: true})
 				}
 				delete(p.hosts, id)
 				delete(p.hostNames, h.Name)
@@ -136,7 +136,7 @@
 	}
 	p.ready = 0
 	for _, h := range p.hosts {
-		if h.State == policy.Ready {
+		if h.State == policy.StateReady {
 			p.ready++
 		}
 	}
@@ -150,10 +150,10 @@
 	before := p.hosts[id]
 	switch {
 	case before == nil:
-	case h.State == policy.Gone:
+	case h.State == policy.StateGone:
 		h.Dial = before.Dial // that it had, whatever the last word of it says
 	case h.Dial != before.Dial: // it is elsewhere now, which is another box
-		b.boxes.Update(b.now, p.id, before.box(), hoststate.Update{State: policy.Gone, Removed: true})
+		b.boxes.Update(b.now, p.id, before.box(), hoststate.Update{State: policy.StateGone, Removed: true})
 	}
 	told := hoststate.Update{Replica: id, State: h.State, BornAt: h.BornAt, Removed: h.Left}
 	state, words := b.boxes.Update(b.now, p.id, h.box(), told)
@@ -169,10 +169,10 @@
 			continue
 		}
 		h := *q.hosts[w.Replica]
-		if h.State == policy.Ready {
+		if h.State == policy.StateReady {
 			q.ready--
 		}
-		if h.State = w.State; h.State == policy.Ready {
+		if h.State = w.State; h.State == policy.StateReady {
 			q.ready++
 		}
 		q.hosts[w.Replica] = &h
@@ -188,7 +188,7 @@
 	}
 	for _, s := range p.b.boxes.OtherPools(nil, p.id, h.box()) {
 		if q := p.b.pools[s.Pool]; q != nil {
-			q.module.Probed(p.b.now, q, policy.ProbeResult{Replica: s.Replica, Result: policy.ConnectFailed})
+			q.module.Probed(p.b.now, q, policy.ProbeResult{Replica: s.Replica, Result: policy.ResultConnectFailed})
 		}
 	}
 }
@@ -239,7 +239,7 @@
 	}
 	b.lastID++
 	j := b.journal.Taken(b.now, b.lastID, e.From, e.Name, e.At, &e.Request, e.Origin, p.set)
-	b.journal.Because(b.lastID, j, policy.Why(why))
+	b.journal.Because(b.lastID, j, policy.Reason(why))
 	b.journal.Closed(b.now, b.lastID, j, trace.Refused, retryAfter)
 }
 
@@ -276,21 +276,21 @@
 	}
 	if h == nil || a.over || a.bound != nil || len(a.legs) > a.attempts || until <= b.now {
 		if b.journal != nil { // it is never out, so that no word of its line will come
-			b.journal.Ended(b.now, a.id, a.journey, l.id.N, policy.Moot, false, nil)
+			b.journal.Ended(b.now, a.id, a.journey, l.id.N, policy.ResultMoot, false, nil)
 		}
-		b.endLater(a, l, policy.Moot)
+		b.endLater(a, l, policy.ResultMoot)
 		return
 	}
 	if p.tooCold(h) {
 		if b.journal != nil {
-			b.journal.Ended(b.now, a.id, a.journey, l.id.N, policy.Full, false, nil)
+			b.journal.Ended(b.now, a.id, a.journey, l.id.N, policy.ResultFull, false, nil)
 		}
-		b.endLater(a, l, policy.Full) // as if the box itself had turned it away
+		b.endLater(a, l, policy.ResultFull) // as if the box itself had turned it away
 		return
 	}
 	if p.repeats != nil && a.arrived && !p.repeats.TryTake(b.now) {
 		// It has been at a host already, and all routers together may not send so much again.
-		b.endLater(a, l, policy.Moot)
+		b.endLater(a, l, policy.ResultMoot)
 		return
 	}
 	p.counts.Legs++
@@ -305,8 +305,8 @@
 	b.do(send)
 }
 
-// Because implements policy.Actions.
-func (p *instance) Because(id policy.RequestID, why policy.Why) {
+// Explain implements policy.Actions.
+func (p *instance) Explain(id policy.RequestID, why policy.Reason) {
 	if p.b.journal == nil {
 		return
 	}
@@ -315,8 +315,8 @@
 	}
 }
 
-// Refuse implements policy.Actions.
-func (p *instance) Refuse(id policy.RequestID, retryAfter time.Duration) {
+// Reject implements policy.Actions.
+func (p *instance) Reject(id policy.RequestID, retryAfter time.Duration) {
 	p.answer(id, Refused, retryAfter)
 }
 
@@ -342,7 +342,7 @@
 	}
 	for _, l := range a.legs {
 		if !l.ended {
-			b.drop(a, l, policy.Cancelled)
+			b.drop(a, l, policy.ResultCancelled)
 		}
 	}
 }
@@ -358,7 +358,7 @@
 		b.drop(a, l, b.left(a))
 		return
 	}
-	b.drop(a, l, policy.Cancelled)
+	b.drop(a, l, policy.ResultCancelled)
 }
 
 // Probe implements policy.Actions.
@@ -372,8 +372,8 @@
 // Watch implements policy.Actions.
 func (p *instance) Watch() { p.b.do(Watch{p.id}) }
 
-// Wake implements policy.Actions.
-func (p *instance) Wake(after time.Duration, token uint64) {
+// SetTimer implements policy.Actions.
+func (p *instance) SetTimer(after time.Duration, token uint64) {
 	p.b.due.Add(p.b.now+max(after, 1), due{pool: p, token: token}) // never within the turn that asks
 }
 
--- a/internal/broker/pools_test.go
+++ b/internal/broker/pools_test.go
@@ -50,7 +50,7 @@
 	r.expect(0, into(2, y), "send 2.0 for 1s")
 	r.expect(0, into(1, z), "decline z taking after 0s")
 	r.expect(0, LegBegan{LegID{1, 0}}, "bind 1.0")
-	r.expect(0, LegEnded{Leg: LegID{1, 0}, Result: policy.OK})
+	r.expect(0, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultOK})
 	r.expect(0, into(2, z), "decline z taking after 0s") // the other is open still
 }
 
@@ -79,13 +79,13 @@
 	r.expect(0, PoolEnd{Pool: 1})
 	// What was led to it before the routes changed is taken, and tried again by its rules.
 	r.expect(0, into(1, taken("y", r.now, 4*sec)), "send 2.0 for 4s")
-	r.expect(0, LegEnded{Leg: LegID{1, 0}, Result: policy.ConnectFailed}, "send 1.1 for 4s")
+	r.expect(0, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultConnectFailed}, "send 1.1 for 4s")
 	for _, id := range []LegID{{1, 1}, {2, 0}} {
 		r.turn(0, LegBegan{id})
 		if r.pools[1] == nil {
 			t.Fatal("it went before its streams")
 		}
-		r.turn(0, LegEnded{Leg: id, Result: policy.OK})
+		r.turn(0, LegEnded{Leg: id, Result: policy.ResultOK})
 	}
 	if r.pools[1] != nil {
 		t.Error("it is still there")
@@ -103,7 +103,7 @@
 	r.turn(0, hosts(2, "shared"))
 	r.expect(0, into(2, taken("x", r.now, 4*sec)), "send 1.0 for 4s")
 	gone := hosts(1, "shared")
-	gone.Kind, gone.Hosts[0].State = policy.ListDelta, policy.Draining
+	gone.Kind, gone.Hosts[0].State = policy.ListDelta, policy.StateDraining
 	r.expect(0, gone)
 	r.turn(0, hosts(2, "shared")) // its own discovery is behind
 	r.expect(sec, into(2, taken("y", r.now+sec, 4*sec)), "decline y refused after 500ms")
@@ -129,11 +129,11 @@
 			break
 		}
 		r.turn(0, Departed{"x"})
-		r.turn(0, LegEnded{Leg: LegID{r.lastID, 0}, Result: policy.Cancelled})
+		r.turn(0, LegEnded{Leg: LegID{r.lastID, 0}, Result: policy.ResultCancelled})
 	}
-	r.turn(0, LegEnded{Leg: LegID{r.lastID, 0}, Result: policy.Reset})
+	r.turn(0, LegEnded{Leg: LegID{r.lastID, 0}, Result: policy.ResultReset})
 	for i := range 60 {
-		for _, f := range r.Reduce(r.now, into(2, Taken{From: i, At: r.now, Request: policy.Request{Session: uint64(i + 1), ExpiresIn: sec}})) {
+		for _, f := range r.Reduce(r.now, into(2, Taken{From: i, At: r.now, Request: policy.Request{Session: uint64(i + 1), Timeout: sec}})) {
 			if s, ok := f.(SendLeg); ok && s.Dial == "at shared" {
 				t.Fatal("the other pool sends to a box that reset a connection just now")
 			}
@@ -150,13 +150,13 @@
 		var usual [2]float64
 		for i := range usual {
 			set := settings()
-			set.ColdFrom, set.WarmUp = share, 1000*time.Hour
+			set.SlowStartInitial, set.SlowStart = share, 1000*time.Hour
 			m, err := policy.New(set, rapid.Uint64().Draw(t, "seed"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			id := hoststate.PoolID(i + 1)
-			b.Reduce(now, PoolSet{Pool: id, Name: fmt.Sprint(i), Module: m, WarmUp: set.WarmUp, ColdFrom: set.ColdFrom})
+			b.Reduce(now, PoolSet{Pool: id, Name: fmt.Sprint(i), Module: m, WarmUp: set.SlowStart, ColdFrom: set.SlowStartInitial})
 			l := hosts(id, "shared")
 			for k := range rapid.IntRange(1, 3).Draw(t, "own boxes") {
 				l.Hosts = append(l.Hosts, hosts(id, fmt.Sprint("own ", i, k)).Hosts...)
@@ -170,7 +170,7 @@
 			now += time.Millisecond
 			p := rapid.IntRange(0, 1).Draw(t, "pool")
 			over -= share / usual[p]
-			for _, f := range b.Reduce(now, Taken{From: n, Pool: hoststate.PoolID(p + 1), At: now, Request: policy.Request{Session: uint64(n + 1), ExpiresIn: sec}}) {
+			for _, f := range b.Reduce(now, Taken{From: n, Pool: hoststate.PoolID(p + 1), At: now, Request: policy.Request{Session: uint64(n + 1), Timeout: sec}}) {
 				if s, ok := f.(SendLeg); ok && s.Dial == "at shared" {
 					over++
 				}
@@ -336,14 +336,14 @@
 					l.Hosts = append(l.Hosts, h)
 					told[name] = h
 					born := h.BornAt
-					if h.State == policy.Gone {
+					if h.State == policy.StateGone {
 						born = before.BornAt
 					}
-					if h.State == policy.Draining || h.State == policy.Gone && had {
+					if h.State == policy.StateDraining || h.State == policy.StateGone && had {
 						if _, is := ended[name]; !is || born > endOf[name] || born == endOf[name] && h.State > endIs[name] {
 							ended[name], endOf[name], endBy[name], endIs[name] = now, born, p, h.State
 						}
-					} else if h.State == policy.Ready && (born > endOf[name] || now > ended[name]+lim.DrainPrecedence ||
+					} else if h.State == policy.StateReady && (born > endOf[name] || now > ended[name]+lim.DrainPrecedence ||
 						p == endBy[name]) {
 						delete(ended, name)
 						delete(endOf, name)
@@ -353,7 +353,7 @@
 					clear(lists[p])
 				}
 				for name, h := range told {
-					if lists[p][name] = h; h.State == policy.Gone {
+					if lists[p][name] = h; h.State == policy.StateGone {
 						delete(lists[p], name)
 					}
 				}
@@ -363,7 +363,7 @@
 				n++
 				calls[n] = &call{pool: p}
 				reduce(Taken{From: n, Pool: p, Name: fmt.Sprint(n % 7), At: now, Request: policy.Request{
-					Session: uint64(rapid.IntRange(0, 5).Draw(t, "session")), ExpiresIn: 2 * sec,
+					Session: uint64(rapid.IntRange(0, 5).Draw(t, "session")), Timeout: 2 * sec,
 				}})
 			case 8:
 				if len(order) > 0 {
@@ -387,7 +387,7 @@
 		now += 20 * sec
 		reduce(Tick{})
 		for len(order) > 0 {
-			endLeg(order[0], policy.OK)
+			endLeg(order[0], policy.ResultOK)
 		}
 		for id, c := range calls {
 			if c.answers == 0 && !c.gone {
--- a/internal/broker/scale_test.go
+++ b/internal/broker/scale_test.go
@@ -39,13 +39,13 @@
 				i++
 				now += 100 * time.Microsecond
 				var leg LegID
-				for _, e := range c.Reduce(now, Taken{From: i, Pool: hoststate.PoolID(i % n), At: now, Request: policy.Request{Session: uint64(i%5000 + 1), ExpiresIn: sec}}) {
+				for _, e := range c.Reduce(now, Taken{From: i, Pool: hoststate.PoolID(i % n), At: now, Request: policy.Request{Session: uint64(i%5000 + 1), Timeout: sec}}) {
 					if s, ok := e.(SendLeg); ok {
 						leg = s.Leg
 					}
 				}
 				c.Reduce(now, LegBegan{leg})
-				c.Reduce(now, LegEnded{Leg: leg, Result: policy.OK})
+				c.Reduce(now, LegEnded{Leg: leg, Result: policy.ResultOK})
 			}
 			b.ReportMetric(float64(grown)/float64(n), "B/pool")
 			runtime.KeepAlive(c)
--- a/internal/broker/trace_test.go
+++ b/internal/broker/trace_test.go
@@ -41,14 +41,14 @@
 		t.Fatalf("sent with %v", spans)
 	}
 	first := spans[0]
-	if _, spans = r.keeps(sec, LegEnded{Leg: LegID{1, 0}, Result: policy.Reset}); len(spans) != 1 || spans[0].Span == first.Span {
+	if _, spans = r.keeps(sec, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultReset}); len(spans) != 1 || spans[0].Span == first.Span {
 		t.Fatalf("the second leg was sent with %v", spans)
 	}
 	if kept, _ := r.keeps(5*sec, Tick{}); len(kept) != 0 {
 		t.Fatal("it left before its client had its answer")
 	}
 	r.keeps(5*sec, Answered{From: "a", At: r.now + 5*sec})
-	kept, _ := r.keeps(5*sec+sec/10, LegEnded{Leg: LegID{1, 1}, Result: policy.Cancelled})
+	kept, _ := r.keeps(5*sec+sec/10, LegEnded{Leg: LegID{1, 1}, Result: policy.ResultCancelled})
 	if len(kept) != 1 {
 		t.Fatalf("%d records", len(kept))
 	}
@@ -104,7 +104,7 @@
 				id := LegID{policy.RequestID(n), 0}
 				x.Reduce(r.now, e)
 				x.Reduce(r.now, LegBegan{id})
-				x.Reduce(r.now, LegEnded{Leg: id, Result: policy.OK})
+				x.Reduce(r.now, LegEnded{Leg: id, Result: policy.ResultOK})
 			}
 		})
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -105,12 +105,12 @@
 // Class is what the module knows of a route.
 func Class(r *fleetconfig.Route) policy.Class {
 	c := policy.Class{
-		Name: fmt.Sprintf("%s/%v/%d/%d", r.Type, r.TargetLatencyMS, r.Priority, r.MaxAttempts), Aim: fleetconfig.Milliseconds(cmp.Or(r.TargetLatencyMS, r.TimeoutMS)),
-		Deadline: fleetconfig.Milliseconds(r.TimeoutMS), Worth: math.Exp2(-float64(min(max(r.Priority, 0), 8))), LateWorth: 1,
-		Effect: policy.Unsafe, Streaming: r.Type == fleetconfig.RouteStreaming, MaxAttempts: max(r.MaxAttempts, 1),
+		Name: fmt.Sprintf("%s/%v/%d/%d", r.Type, r.TargetLatencyMS, r.Priority, r.MaxAttempts), TargetLatency: fleetconfig.Milliseconds(cmp.Or(r.TargetLatencyMS, r.TimeoutMS)),
+		Deadline: fleetconfig.Milliseconds(r.TimeoutMS), Value: math.Exp2(-float64(min(max(r.Priority, 0), 8))), LateValue: 1,
+		Effect: policy.EffectUnsafe, IsStreaming: r.Type == fleetconfig.RouteStreaming, MaxAttempts: max(r.MaxAttempts, 1),
 	}
 	if r.Type == fleetconfig.RouteIdempotent {
-		c.Effect = policy.Safe
+		c.Effect = policy.EffectSafe
 	}
 	return c
 }
@@ -125,8 +125,8 @@
 // Settings are those of a service's module. grace is how long a known session may go to an engine that drains.
 func Settings(classes []policy.Class, grace time.Duration, attempts int) policy.Settings {
 	return policy.Settings{
-		Gateways: 1, Zones: 1, Classes: classes, Weights: policy.NoWeights, DrainGrace: grace, ColdFrom: ColdFrom, WarmUp: WarmUp,
-		Limits: policy.Limits{Cancel: true, RetryAfter: true, MaxAttempts: attempts, MaxRetryAfter: time.Second},
+		Routers: 1, Zones: 1, Classes: classes, WeightMeaning: policy.WeightUnused, DrainGrace: grace, SlowStartInitial: ColdFrom, SlowStart: WarmUp,
+		Limits: policy.Limits{CanCancel: true, SendsRetryAfter: true, MaxAttempts: attempts, MaxRetryAfter: time.Second},
 	}
 }
 
@@ -313,7 +313,7 @@
 		}
 	}
 	m := acquirer.Message{Of: r, Attempts: r.route.MaxAttempts}
-	m.Request = policy.Request{Class: r.route.class[w.Pool.ID], ExpiresIn: min(left, r.route.silence)}
+	m.Request = policy.Request{Class: r.route.class[w.Pool.ID], Timeout: min(left, r.route.silence)}
 	prefix := ""
 	if p := req.Header[prefixHeader]; len(p) == 1 {
 		prefix = p[0]
@@ -435,7 +435,7 @@
 
 // Keep makes what is kept of an answer that is not passed on: nothing of one whose status promises what its engine has not said.
 func (d *Dialect) Keep(m *acquirer.Message, result policy.Result, resp *http.Response, body []byte) *acquirer.Kept {
-	if result == policy.Error && promises(resp.StatusCode) {
+	if result == policy.ResultError && promises(resp.StatusCode) {
 		return nil
 	}
 	reply := d.head(m, resp)
@@ -454,7 +454,7 @@
 	switch {
 	case !mayHaveRun:
 		return &acquirer.Refusal{Status: http.StatusServiceUnavailable, Reason: "not_run: no engine could take it", Retry: max(retryAfter, least)}, nil
-	case kept != nil && kept.Result == policy.Error:
+	case kept != nil && kept.Result == policy.ResultError:
 		return nil, kept
 	case why == broker.Failed:
 		return &acquirer.Refusal{Status: http.StatusGatewayTimeout, Reason: "no_answer: an engine has it and has not answered"}, nil
@@ -505,13 +505,13 @@
 func (Legs) Judge(resp *http.Response) policy.Result {
 	switch {
 	case resp.StatusCode == http.StatusMisdirectedRequest:
-		return policy.ConnectFailed // another engine is at the address
+		return policy.ResultConnectFailed // another engine is at the address
 	case resp.Header.Get(notRunHeader) != "" && resp.StatusCode != http.StatusBadRequest:
-		return policy.Full
+		return policy.ResultFull
 	case resp.StatusCode >= 500, promises(resp.StatusCode):
-		return policy.Error
+		return policy.ResultError
 	}
-	return policy.OK
+	return policy.ResultOK
 }
 
 // CutRuns implements issuer.Dialect: after a reset a request may have run, and nothing says that it must have come whole.
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -143,7 +143,7 @@
 	if ms := got.Header.Get("X-Deadline-Remaining-Ms"); ms > "5000" || ms < "4000" {
 		t.Errorf("%s ms are left of 5000", ms)
 	}
-	if m.Request.ExpiresIn > 3200*time.Millisecond || m.Attempts != 2 || m.Request.Session == 0 || m.Request.Prefix == 0 {
+	if m.Request.Timeout > 3200*time.Millisecond || m.Attempts != 2 || m.Request.Session == 0 || m.Request.Prefix == 0 {
 		t.Errorf("%+v", m.Request)
 	}
 }
@@ -181,7 +181,7 @@
 
 func TestWhatAnAnswerPromises(t *testing.T) {
 	d := dialect(t)
-	kept := &acquirer.Kept{Result: policy.Error}
+	kept := &acquirer.Kept{Result: policy.ResultError}
 	for _, c := range []struct {
 		why    broker.Verdict
 		mayRun bool
@@ -211,10 +211,10 @@
 	d := dialect(t)
 	for status, want := range map[int]bool{408: false, 429: false, 503: false, 500: true, 504: true, 501: true} {
 		resp := &http.Response{StatusCode: status, Status: http.StatusText(status), Header: http.Header{}}
-		if got := (Legs{}).Judge(resp); got != policy.Error {
+		if got := (Legs{}).Judge(resp); got != policy.ResultError {
 			t.Errorf("%d: %v", status, got)
 		}
-		if kept := d.Keep(&acquirer.Message{}, policy.Error, resp, nil); (kept != nil) != want {
+		if kept := d.Keep(&acquirer.Message{}, policy.ResultError, resp, nil); (kept != nil) != want {
 			t.Errorf("%d is kept: %v", status, kept)
 		}
 	}
@@ -232,16 +232,16 @@
 		r    *http.Response
 		want policy.Result
 	}{
-		{answer(200), policy.OK},
-		{answer(404), policy.OK},
-		{answer(500), policy.Error},
-		{answer(503), policy.Error},
-		{answer(429), policy.Error},
-		{answer(503, "X-Not-Executed", "1"), policy.Full},
-		{answer(429, "X-Not-Executed", "1"), policy.Full},
-		{answer(421), policy.ConnectFailed},
-		{answer(400, "X-Not-Executed", "1"), policy.OK},
-		{answer(504), policy.Error},
+		{answer(200), policy.ResultOK},
+		{answer(404), policy.ResultOK},
+		{answer(500), policy.ResultError},
+		{answer(503), policy.ResultError},
+		{answer(429), policy.ResultError},
+		{answer(503, "X-Not-Executed", "1"), policy.ResultFull},
+		{answer(429, "X-Not-Executed", "1"), policy.ResultFull},
+		{answer(421), policy.ResultConnectFailed},
+		{answer(400, "X-Not-Executed", "1"), policy.ResultOK},
+		{answer(504), policy.ResultError},
 	} {
 		if got := (Legs{}).Judge(c.r); got != c.want {
 			t.Errorf("%d %v: %v, %v is wanted", c.r.StatusCode, c.r.Header, got, c.want)
--- a/internal/edge/explain.go
+++ b/internal/edge/explain.go
@@ -39,7 +39,7 @@
 		}
 		m, refused := d.Accept(req, &w, nil)
 		no = refused
-		x.Session, x.LeftMS = m.Request.Session != 0, m.Request.ExpiresIn.Milliseconds()
+		x.Session, x.LeftMS = m.Request.Session != 0, m.Request.Timeout.Milliseconds()
 		x.Class = Class(r.route.Route).Name
 	}
 	if no != nil {
--- a/internal/edge/stutter_test.go
+++ b/internal/edge/stutter_test.go
@@ -114,7 +114,7 @@
 			default: // it waits for what does not come: the broker gives it up at its deadline
 				c.Drop(leg)
 				<-ended
-				r = policy.TimedOut
+				r = policy.ResultTimedOut
 			}
 			synctest.Wait()
 			all, results = append(all, a), append(results, r)
@@ -157,7 +157,7 @@
 					return append(out, whole(id, chunked))
 				})
 				for k, a := range all {
-					if a.body.String() != text(a.id, chunked) || !a.whole || results[k] != policy.OK {
+					if a.body.String() != text(a.id, chunked) || !a.whole || results[k] != policy.ResultOK {
 						t.Errorf("request %d: %v, %q, whole %v", k, results[k], a.body.String(), a.whole)
 					}
 				}
@@ -198,11 +198,11 @@
 		answer string
 		want   policy.Result
 	}{
-		"without an id":  {strings.Replace(whole("0000", false), "X-Request-Id: 0000\r\n", "", 1), policy.Error},
-		"with two":       {strings.Replace(whole("0000", false), "X-Request-Id: 0000\r\n", "X-Request-Id: 0000\r\nX-Request-Id: 0001\r\n", 1), policy.Error},
-		"of another":     {whole("ffff", false), policy.TimedOut},
-		"another's half": {whole("ffff", false)[:90], policy.TimedOut},
-		"others only":    {strings.Repeat(whole("ffff", false), 20), policy.Error},
+		"without an id":  {strings.Replace(whole("0000", false), "X-Request-Id: 0000\r\n", "", 1), policy.ResultError},
+		"with two":       {strings.Replace(whole("0000", false), "X-Request-Id: 0000\r\n", "X-Request-Id: 0000\r\nX-Request-Id: 0001\r\n", 1), policy.ResultError},
+		"of another":     {whole("ffff", false), policy.ResultTimedOut},
+		"another's half": {whole("ffff", false)[:90], policy.ResultTimedOut},
+		"others only":    {strings.Repeat(whole("ffff", false), 20), policy.ResultError},
 	} {
 		all, results := play(t, 1, func(string, bool) []string { return []string{c.answer} })
 		if a := all[0]; a.body.Len() > 0 || a.whole || results[0] != c.want {
--- a/internal/hoststate/tracker.go
+++ b/internal/hoststate/tracker.go
@@ -79,18 +79,18 @@
 func (t *Tracker) Update(now time.Duration, pool PoolID, host Host, update Update) (policy.State, []Notification) {
 	r := t.hosts[host]
 	if r == nil {
-		if update.State == policy.Gone {
-			return policy.Gone, nil
+		if update.State == policy.StateGone {
+			return policy.StateGone, nil
 		}
 		r = &hostRecord{}
 		t.hosts[host] = r
 	}
-	if update.State == policy.Gone {
-		return policy.Gone, t.removeFromPool(now, pool, host, update.Removed)
+	if update.State == policy.StateGone {
+		return policy.StateGone, t.removeFromPool(now, pool, host, update.Removed)
 	}
 	view := r.setView(pool, update)
-	if update.State == policy.Draining {
-		return policy.Draining, r.ended(now, pool, policy.Draining, update.BornAt)
+	if update.State == policy.StateDraining {
+		return policy.StateDraining, r.ended(now, pool, policy.StateDraining, update.BornAt)
 	}
 	return t.readyState(now, r, view)
 }
@@ -111,26 +111,26 @@
 	if selectionChanged {
 		return nil
 	}
-	return r.ended(now, pool, policy.Gone, bornAt)
+	return r.ended(now, pool, policy.StateGone, bornAt)
 }
 
 // readyState returns how a pool's module must see a host that its list calls ready.
 func (t *Tracker) readyState(now time.Duration, r *hostRecord, view *poolView) (policy.State, []Notification) {
 	end := &r.end
 	switch {
-	case end.state == policy.Ready:
+	case end.state == policy.StateReady:
 	case view.bornAt > end.bornAt: // another process than the one that ended
-		end.state = policy.Ready
+		end.state = policy.StateReady
 	case end.reportedBy == view.Pool: // withdrawn by the list that it came from
-		end.state = policy.Ready
-		return policy.Ready, r.notify(view.Pool, policy.Ready, end.bornAt)
+		end.state = policy.StateReady
+		return policy.StateReady, r.notify(view.Pool, policy.StateReady, end.bornAt)
 	case now-end.reportedAt > t.drainPrecedence: // this list had long enough to learn what the other one knew
-		end.state = policy.Ready
+		end.state = policy.StateReady
 	default:
 		view.seen = end.state
 		return end.state, nil
 	}
-	return policy.Ready, nil
+	return policy.StateReady, nil
 }
 
 // setView notes what a pool's list says of the host.
@@ -147,7 +147,7 @@
 // ended notes that the process that was born at bornAt ends, and notifies the pools that still see it in a better state.
 func (r *hostRecord) ended(now time.Duration, pool PoolID, state policy.State, bornAt time.Duration) []Notification {
 	end := &r.end
-	isKnown := end.state != policy.Ready && (end.bornAt > bornAt || end.bornAt == bornAt && end.state >= state)
+	isKnown := end.state != policy.StateReady && (end.bornAt > bornAt || end.bornAt == bornAt && end.state >= state)
 	if !isKnown {
 		*end = processEnd{state: state, bornAt: bornAt, reportedAt: now, reportedBy: pool}
 	} else if end.bornAt == bornAt {
@@ -161,7 +161,7 @@
 func (r *hostRecord) notify(pool PoolID, state policy.State, bornAt time.Duration) (all []Notification) {
 	for i := range r.pools {
 		v := &r.pools[i]
-		isWithdrawn := state == policy.Ready && v.listed == policy.Ready && v.seen != policy.Ready
+		isWithdrawn := state == policy.StateReady && v.listed == policy.StateReady && v.seen != policy.StateReady
 		if v.Pool != pool && v.bornAt <= bornAt && (v.seen < state || isWithdrawn) {
 			v.seen = state
 			all = append(all, Notification{v.Pool, v.Replica, state})
--- a/internal/hoststate/tracker_test.go
+++ b/internal/hoststate/tracker_test.go
@@ -16,27 +16,27 @@
 var host = Host{"b1", "127.0.0.1:9"}
 
 func ready(id policy.ReplicaID, born time.Duration) Update {
-	return Update{Replica: id, State: policy.Ready, BornAt: born}
+	return Update{Replica: id, State: policy.StateReady, BornAt: born}
 }
 
 func TestDrainIsNotifiedToTheOtherPoolOnce(t *testing.T) {
 	tracker := NewTracker(drainPrecedence)
 	tracker.Update(0, 1, host, ready(11, 5))
 	tracker.Update(0, 2, host, ready(21, 5))
-	state, notified := tracker.Update(1, 1, host, Update{Replica: 11, State: policy.Draining, BornAt: 5})
-	if state != policy.Draining || !cmp.Equal(notified, []Notification{{2, 21, policy.Draining}}) {
+	state, notified := tracker.Update(1, 1, host, Update{Replica: 11, State: policy.StateDraining, BornAt: 5})
+	if state != policy.StateDraining || !cmp.Equal(notified, []Notification{{2, 21, policy.StateDraining}}) {
 		t.Errorf("got %v, %v", state, notified)
 	}
-	if _, notified = tracker.Update(2, 1, host, Update{Replica: 11, State: policy.Draining, BornAt: 5}); len(notified) != 0 {
+	if _, notified = tracker.Update(2, 1, host, Update{Replica: 11, State: policy.StateDraining, BornAt: 5}); len(notified) != 0 {
 		t.Errorf("it was notified twice: %v", notified)
 	}
-	if state, _ = tracker.Update(3, 2, host, ready(21, 5)); state != policy.Draining {
+	if state, _ = tracker.Update(3, 2, host, ready(21, 5)); state != policy.StateDraining {
 		t.Errorf("the other pool's stale list made it %v again", state)
 	}
-	if _, notified = tracker.Update(4, 1, host, Update{State: policy.Gone}); !cmp.Equal(notified, []Notification{{2, 21, policy.Gone}}) {
+	if _, notified = tracker.Update(4, 1, host, Update{State: policy.StateGone}); !cmp.Equal(notified, []Notification{{2, 21, policy.StateGone}}) {
 		t.Errorf("gone: got %v", notified)
 	}
-	if state, _ = tracker.Update(5, 2, host, ready(21, 6)); state != policy.Ready {
+	if state, _ = tracker.Update(5, 2, host, ready(21, 6)); state != policy.StateReady {
 		t.Errorf("a new process at its address is %v", state)
 	}
 }
@@ -45,9 +45,9 @@
 	tracker := NewTracker(drainPrecedence)
 	tracker.Update(0, 1, host, ready(11, 5))
 	tracker.Update(0, 2, host, ready(21, 5))
-	tracker.Update(1, 1, host, Update{Replica: 11, State: policy.Draining, BornAt: 5})
+	tracker.Update(1, 1, host, Update{Replica: 11, State: policy.StateDraining, BornAt: 5})
 	state, notified := tracker.Update(2, 1, host, ready(11, 5))
-	if state != policy.Ready || !cmp.Equal(notified, []Notification{{2, 21, policy.Ready}}) {
+	if state != policy.StateReady || !cmp.Equal(notified, []Notification{{2, 21, policy.StateReady}}) {
 		t.Errorf("got %v, %v", state, notified)
 	}
 }
@@ -56,11 +56,11 @@
 	tracker := NewTracker(drainPrecedence)
 	tracker.Update(0, 1, host, ready(1, 5))
 	tracker.Update(0, 2, host, ready(2, 5))
-	tracker.Update(time.Second, 1, host, Update{State: policy.Gone})
-	if state, _ := tracker.Update(time.Second+drainPrecedence, 2, host, ready(2, 5)); state != policy.Gone {
+	tracker.Update(time.Second, 1, host, Update{State: policy.StateGone})
+	if state, _ := tracker.Update(time.Second+drainPrecedence, 2, host, ready(2, 5)); state != policy.StateGone {
 		t.Errorf("within the drain precedence: %v", state)
 	}
-	if state, _ := tracker.Update(time.Second+drainPrecedence+1, 2, host, ready(2, 5)); state != policy.Ready {
+	if state, _ := tracker.Update(time.Second+drainPrecedence+1, 2, host, ready(2, 5)); state != policy.StateReady {
 		t.Errorf("after it: %v", state)
 	}
 }
@@ -69,10 +69,10 @@
 	tracker := NewTracker(drainPrecedence)
 	tracker.Update(0, 1, host, ready(1, 5))
 	tracker.Update(0, 2, host, ready(2, 5))
-	if _, notified := tracker.Update(1, 1, host, Update{State: policy.Gone, Removed: true}); len(notified) != 0 {
+	if _, notified := tracker.Update(1, 1, host, Update{State: policy.StateGone, Removed: true}); len(notified) != 0 {
 		t.Errorf("got %v", notified)
 	}
-	if state, _ := tracker.Update(2, 2, host, ready(2, 5)); state != policy.Ready {
+	if state, _ := tracker.Update(2, 2, host, ready(2, 5)); state != policy.StateReady {
 		t.Errorf("got %v", state)
 	}
 }
@@ -81,7 +81,7 @@
 	tracker := NewTracker(drainPrecedence)
 	tracker.Update(0, 1, Host{"b1", "127.0.0.1:1"}, ready(1, 5))
 	tracker.Update(0, 2, Host{"b1", "127.0.0.1:2"}, ready(1, 5))
-	if _, notified := tracker.Update(1, 1, Host{"b1", "127.0.0.1:1"}, Update{State: policy.Gone}); len(notified) != 0 || tracker.Len() != 1 {
+	if _, notified := tracker.Update(1, 1, Host{"b1", "127.0.0.1:1"}, Update{State: policy.StateGone}); len(notified) != 0 || tracker.Len() != 1 {
 		t.Errorf("got %v, %d hosts", notified, tracker.Len())
 	}
 }
@@ -103,7 +103,7 @@
 // see the host as ready until another process is there or the drain precedence has passed.
 func TestNoPoolSeesAnEndedHostAsReady(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &pools{tracker: NewTracker(drainPrecedence), sees: map[PoolID]Update{}, latestEnding: policy.Ready}
+		p := &pools{tracker: NewTracker(drainPrecedence), sees: map[PoolID]Update{}, latestEnding: policy.StateReady}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			p.step(t)
 		}
@@ -125,11 +125,11 @@
 		Replica: policy.ReplicaID(id), State: policy.State(rapid.IntRange(0, 2).Draw(t, "state")),
 		BornAt: time.Duration(rapid.IntRange(1, 3).Draw(t, "born")),
 	}
-	update.Removed = update.State == policy.Gone && rapid.Bool().Draw(t, "left")
+	update.Removed = update.State == policy.StateGone && rapid.Bool().Draw(t, "left")
 	before, had := p.sees[id]
 	state, notified := p.tracker.Update(p.now, id, host, update)
 	p.checkOwnState(t, id, update, state)
-	if update.State == policy.Gone {
+	if update.State == policy.StateGone {
 		delete(p.sees, id)
 	} else {
 		seen := update
@@ -137,14 +137,14 @@
 		p.sees[id] = seen
 	}
 	p.notify(t, id, notified)
-	isDrain := update.State == policy.Draining && state == policy.Draining
-	if isDrain || update.State == policy.Gone && had && !update.Removed && len(p.sees) > 0 {
-		if update.State == policy.Gone {
+	isDrain := update.State == policy.StateDraining && state == policy.StateDraining
+	if isDrain || update.State == policy.StateGone && had && !update.Removed && len(p.sees) > 0 {
+		if update.State == policy.StateGone {
 			update.BornAt = before.BornAt
 		}
 		p.ended(t, id, update)
 	}
-	if state == policy.Ready && update.State == policy.Ready || len(p.sees) == 0 {
+	if state == policy.StateReady && update.State == policy.StateReady || len(p.sees) == 0 {
 		p.hasEnded = false
 	}
 }
@@ -152,10 +152,10 @@
 // checkOwnState checks what the pool whose list has spoken must see.
 func (p *pools) checkOwnState(t *rapid.T, id PoolID, update Update, state policy.State) {
 	t.Helper()
-	if update.State != policy.Ready && state != update.State {
+	if update.State != policy.StateReady && state != update.State {
 		t.Fatalf("listed as %v, seen as %v", update.State, state)
 	}
-	isReady := update.State == policy.Ready && state == policy.Ready
+	isReady := update.State == policy.StateReady && state == policy.StateReady
 	if isReady && p.hasEnded && update.BornAt <= p.end.BornAt && p.now-p.endAt <= drainPrecedence && id != p.endedBy {
 		t.Fatalf("pool %d sees a host as ready that ended %v ago", id, p.now-p.endAt)
 	}
@@ -166,7 +166,7 @@
 	t.Helper()
 	for _, n := range notified {
 		s, has := p.sees[n.Pool]
-		if !has || n.Pool == id || n.State != policy.Ready && s.State >= n.State {
+		if !has || n.Pool == id || n.State != policy.StateReady && s.State >= n.State {
 			t.Fatalf("pool %d is notified of %v, but has %v (%v)", n.Pool, n.State, s.State, has)
 		}
 		s.State = n.State
@@ -181,7 +181,7 @@
 		p.hasEnded, p.end, p.endAt, p.endedBy, p.latestEnding = true, end, p.now, id, end.State
 	}
 	for other, s := range p.sees {
-		if s.State == policy.Ready && s.BornAt <= end.BornAt {
+		if s.State == policy.StateReady && s.BornAt <= end.BornAt {
 			t.Fatalf("pool %d's list reported an end, and %d still sees it as ready", id, other)
 		}
 	}
--- a/internal/issuer/issuer.go
+++ b/internal/issuer/issuer.go
@@ -312,7 +312,7 @@
 	}
 	ln, err := c.lines.get(ctx, dest{e.Host, e.Dial, e.Pool}, min(c.Lim.ConnectTimeout, e.Wait), most)
 	if err != nil {
-		end.Result = policy.ConnectFailed
+		end.Result = policy.ResultConnectFailed
 		return
 	}
 	lined := time.Now()
@@ -325,13 +325,13 @@
 	dropped := l.dropped
 	c.mu.Unlock()
 	if dropped {
-		end.Result = policy.ConnectFailed
+		end.Result = policy.ResultConnectFailed
 		return
 	}
 	ln.SetWriteDeadline(l.began.Add(e.Wait))
 	var until time.Time
 	if n, err := ln.Write(c.Dialect.Head(customer.Order(), &e, e.Wait-lined.Sub(l.began), l.span)); err != nil && (n == 0 || !c.Dialect.CutRuns()) {
-		end.Result = policy.ConnectFailed // not enough of it is on its way to run
+		end.Result = policy.ResultConnectFailed // not enough of it is on its way to run
 		end.Stale = c.stale(ln)
 		return
 	} else if err != nil {
@@ -348,15 +348,15 @@
 	}
 	if err != nil {
 		end.Result = ended(err) // a stale line ends here too: nothing is sent again behind the module's back
-		end.Stale = end.Result == policy.Reset && ln.br.Buffered() == 0 && c.stale(ln)
+		end.Stale = end.Result == policy.ResultReset && ln.br.Buffered() == 0 && c.stale(ln)
 		return
 	}
 	if l.reports.Piggyback {
 		end.Report = ParseReport(resp.Header.Get(loadHeader), l.reports.Columns)
 	}
 	ln.idle = c.Dialect.Idle(resp)
-	if result := c.Dialect.Judge(resp); result != policy.OK {
-		end.Result, end.Arrived = result, result == policy.ConnectFailed
+	if result := c.Dialect.Judge(resp); result != policy.ResultOK {
+		end.Result, end.Arrived = result, result == policy.ResultConnectFailed
 		if k, ok := customer.(Keeper); ok && c.Dialect != (platform{}) {
 			if k.Keep(result, resp, ln) && !resp.Close {
 				keep = ln
@@ -425,7 +425,7 @@
 		// An answer without any event is not a stream; one that breaks before its first event is a reset.
 		end.Result = ended(err)
 		if errors.Is(err, io.EOF) {
-			end.Result = policy.Error
+			end.Result = policy.ResultError
 		}
 		return false
 	}
@@ -434,7 +434,7 @@
 	}
 	c.Post(broker.LegBegan{Leg: e.Leg})
 	if !l.bound(ctx) {
-		end.Result = policy.Cancelled
+		end.Result = policy.ResultCancelled
 		return false
 	}
 	tell(to, resp)
@@ -447,7 +447,7 @@
 		l.note(part, end)
 		if werr := to.Relay(part); werr != nil {
 			c.Post(broker.Departed{From: e.From})
-			end.Result = policy.Cancelled
+			end.Result = policy.ResultCancelled
 			return false
 		}
 		if err != nil {
@@ -474,15 +474,15 @@
 	// Only a framed answer shows its end; one that lasts as long as its connection may have been cut off.
 	whole := errors.Is(err, io.EOF) && (resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0)
 	if werr := to.Finish(whole); !whole {
-		end.Result = policy.Reset
+		end.Result = policy.ResultReset
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			end.Result = ended(err)
 		}
 	} else if werr != nil {
 		c.Post(broker.Departed{From: e.From})
-		end.Result = policy.Cancelled
+		end.Result = policy.ResultCancelled
 	} else {
-		end.Result = policy.OK
+		end.Result = policy.ResultOK
 	}
 	return whole && !resp.Close
 }
@@ -502,12 +502,12 @@
 	switch {
 	case err == nil:
 	case errors.Is(err, io.ErrUnexpectedEOF) && resp.ContentLength < 0 && len(resp.TransferEncoding) == 0:
-		end.Result = policy.Reset // it shows no end of its own, so that it may have been cut off
+		end.Result = policy.ResultReset // it shows no end of its own, so that it may have been cut off
 		return false
 	case errors.Is(err, io.ErrUnexpectedEOF) && (resp.ContentLength < 0 || int64(n) == resp.ContentLength):
 		// What net/http says of a chunked answer that ends early is the same error; it is told apart by asking again.
 		if _, again := resp.Body.Read(make([]byte, 1)); !errors.Is(again, io.EOF) {
-			end.Result = policy.Reset
+			end.Result = policy.ResultReset
 			return false
 		}
 		err = io.EOF
@@ -518,7 +518,7 @@
 	}
 	c.Post(broker.LegBegan{Leg: e.Leg})
 	if !l.bound(ctx) {
-		end.Result = policy.Cancelled
+		end.Result = policy.ResultCancelled
 		return err != nil && !resp.Close // it is read to its end
 	}
 	tell(to, resp)
@@ -526,7 +526,7 @@
 		if n > 0 {
 			if werr := to.Relay(part); werr != nil {
 				c.Post(broker.Departed{From: e.From})
-				end.Result = policy.Cancelled
+				end.Result = policy.ResultCancelled
 				return false
 			}
 		}
@@ -618,14 +618,14 @@
 	defer cancel()
 	ln, err := c.lines.get(ctx, to, c.Lim.ConnectTimeout, 0)
 	if err != nil {
-		return policy.ConnectFailed, policy.Report{}
+		return policy.ResultConnectFailed, policy.Report{}
 	}
 	path := c.Dialect.Probe(r)
 	until := time.Now().Add(c.Lim.HealthCheckTimeout)
 	ln.SetDeadline(until)
 	if _, err := io.WriteString(ln, "GET "+path+" HTTP/1.1\r\nHost: "+to.addr+"\r\n\r\n"); err != nil {
 		_ = ln.Close() // the write has told
-		return policy.ConnectFailed, policy.Report{}
+		return policy.ResultConnectFailed, policy.Report{}
 	}
 	resp, _, err := c.readResponse(ln, nil, until) //nolint:bodyclose // the body is read off a line that is closed or parked below
 	var body []byte
@@ -639,17 +639,17 @@
 	}
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return policy.TimedOut, policy.Report{}
+		return policy.ResultTimedOut, policy.Report{}
 	case err != nil:
-		return policy.Reset, policy.Report{}
+		return policy.ResultReset, policy.Report{}
 	case resp.StatusCode != http.StatusOK:
-		return policy.Error, policy.Report{}
+		return policy.ResultError, policy.Report{}
 	}
 	text := string(body)
 	if h := resp.Header.Get(loadHeader); h != "" {
 		text = h
 	}
-	return policy.OK, ParseReport(text, r.Columns)
+	return policy.ResultOK, ParseReport(text, r.Columns)
 }
 
 // errSpoilt is an answer that cannot be read, on a connection that works: its host lives, and may have run what
@@ -663,9 +663,9 @@
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.ErrClosedPipe), errors.As(err, &op):
-		return policy.Reset
+		return policy.ResultReset
 	}
-	return policy.Error
+	return policy.ResultError
 }
 
 // readResponse reads the head of the answer to an order (nil: to a probe), past a few interim ones and past whole answers to
--- a/internal/issuer/issuer_test.go
+++ b/internal/issuer/issuer_test.go
@@ -108,33 +108,33 @@
 		report policy.Report
 		got    []string
 	}{
-		"served":          {policy.OK, 4096, report, []string{one, last + comment, "whole"}},
-		"served_split":    {policy.OK, 4096, policy.Report{}, []string{one, last, "whole"}},
-		"error":           {policy.Error, 0, report, nil},
-		"full_503":        {policy.Full, 0, policy.Report{}, nil},
-		"full_504":        {policy.Full, 0, policy.Report{}, nil},
-		"unmarked_503":    {policy.Error, 0, policy.Report{}, nil},
-		"other_status":    {policy.Error, 0, policy.Report{}, nil},
-		"no_events":       {policy.Error, 0, policy.Report{}, nil},
-		"reset":           {policy.Reset, 0, policy.Report{}, nil},
-		"reset_in_head":   {policy.Reset, 0, policy.Report{}, nil},
-		"reset_no_event":  {policy.Reset, 0, policy.Report{}, nil},
-		"reset_in_stream": {policy.Reset, 0, policy.Report{}, []string{one, "broken"}},
-		"bad_answer":      {policy.Error, 0, policy.Report{}, nil},
-		"long_head":       {policy.Error, 0, policy.Report{}, nil},
-		"stopped_head":    {policy.Error, 0, policy.Report{}, nil},
-		"many_interim":    {policy.Error, 0, policy.Report{}, nil},
-		"two_framings":    {policy.Error, 0, policy.Report{}, nil},
-		"noise":           {policy.Error, 0, policy.Report{}, nil},
-		"bad_chunk":       {policy.Error, 0, policy.Report{}, []string{one, "broken"}},
-		"wide_chunk":      {policy.Error, 0, policy.Report{}, []string{one, "data: {}\n\n\r\n", "broken"}},
-		"huge_chunk":      {policy.Error, 0, policy.Report{}, []string{one, "broken"}},
-		"interim":         {policy.OK, 4096, report, []string{one, last + comment, "whole"}},
-		"bad_report":      {policy.OK, 4096, report, []string{one, last + comment, "whole"}},
-		"second_answer":   {policy.OK, 4096, report, []string{one, last + comment, "whole"}},
-		"cut_request":     {policy.ConnectFailed, 0, policy.Report{}, nil},
-		"unframed":        {policy.Reset, 0, policy.Report{}, []string{one, "broken"}},
-		"silent_stream":   {policy.Reset, 0, policy.Report{}, []string{one, "broken"}},
+		"served":          {policy.ResultOK, 4096, report, []string{one, last + comment, "whole"}},
+		"served_split":    {policy.ResultOK, 4096, policy.Report{}, []string{one, last, "whole"}},
+		"error":           {policy.ResultError, 0, report, nil},
+		"full_503":        {policy.ResultFull, 0, policy.Report{}, nil},
+		"full_504":        {policy.ResultFull, 0, policy.Report{}, nil},
+		"unmarked_503":    {policy.ResultError, 0, policy.Report{}, nil},
+		"other_status":    {policy.ResultError, 0, policy.Report{}, nil},
+		"no_events":       {policy.ResultError, 0, policy.Report{}, nil},
+		"reset":           {policy.ResultReset, 0, policy.Report{}, nil},
+		"reset_in_head":   {policy.ResultReset, 0, policy.Report{}, nil},
+		"reset_no_event":  {policy.ResultReset, 0, policy.Report{}, nil},
+		"reset_in_stream": {policy.ResultReset, 0, policy.Report{}, []string{one, "broken"}},
+		"bad_answer":      {policy.ResultError, 0, policy.Report{}, nil},
+		"long_head":       {policy.ResultError, 0, policy.Report{}, nil},
+		"stopped_head":    {policy.ResultError, 0, policy.Report{}, nil},
+		"many_interim":    {policy.ResultError, 0, policy.Report{}, nil},
+		"two_framings":    {policy.ResultError, 0, policy.Report{}, nil},
+		"noise":           {policy.ResultError, 0, policy.Report{}, nil},
+		"bad_chunk":       {policy.ResultError, 0, policy.Report{}, []string{one, "broken"}},
+		"wide_chunk":      {policy.ResultError, 0, policy.Report{}, []string{one, "data: {}\n\n\r\n", "broken"}},
+		"huge_chunk":      {policy.ResultError, 0, policy.Report{}, []string{one, "broken"}},
+		"interim":         {policy.ResultOK, 4096, report, []string{one, last + comment, "whole"}},
+		"bad_report":      {policy.ResultOK, 4096, report, []string{one, last + comment, "whole"}},
+		"second_answer":   {policy.ResultOK, 4096, report, []string{one, last + comment, "whole"}},
+		"cut_request":     {policy.ResultConnectFailed, 0, policy.Report{}, nil},
+		"unframed":        {policy.ResultReset, 0, policy.Report{}, []string{one, "broken"}},
+		"silent_stream":   {policy.ResultReset, 0, policy.Report{}, []string{one, "broken"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -168,8 +168,8 @@
 		runs bool
 	}
 	for at, want := range map[cut]policy.Result{
-		{0, true}: policy.ConnectFailed, {1, true}: policy.Reset, {200, true}: policy.Reset,
-		{0, false}: policy.ConnectFailed, {1, false}: policy.ConnectFailed, {200, false}: policy.ConnectFailed, // the platform's promise
+		{0, true}: policy.ResultConnectFailed, {1, true}: policy.ResultReset, {200, true}: policy.ResultReset,
+		{0, false}: policy.ResultConnectFailed, {1, false}: policy.ResultConnectFailed, {200, false}: policy.ResultConnectFailed, // the platform's promise
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			read := at.read
@@ -204,7 +204,7 @@
 		d.Send(send(0, &customer{}))
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if len(d.ends) != 1 || d.ends[0].Result != policy.Error || d.lines.open != 0 {
+		if len(d.ends) != 1 || d.ends[0].Result != policy.ResultError || d.lines.open != 0 {
 			t.Errorf("ends %v, %d lines open", d.ends, d.lines.open)
 		}
 	})
@@ -238,7 +238,7 @@
 				d.Send(send(0, &customer{}))
 				time.Sleep(time.Second)
 				synctest.Wait()
-				if len(d.ends) != 1 || d.ends[0].Result != policy.ConnectFailed || d.lines.open != 0 {
+				if len(d.ends) != 1 || d.ends[0].Result != policy.ResultConnectFailed || d.lines.open != 0 {
 					t.Errorf("ends %v after %v, %d lines open", d.ends, time.Since(began), d.lines.open)
 				}
 			})
@@ -287,7 +287,7 @@
 		d.Send(send(1, c))
 		play(t, conn, "reset")
 		synctest.Wait()
-		if len(d.ends) != 2 || d.ends[1].Result != policy.Reset || !d.ends[1].Stale || len(far) != 0 {
+		if len(d.ends) != 2 || d.ends[1].Result != policy.ResultReset || !d.ends[1].Stale || len(far) != 0 {
 			t.Errorf("ends %v, %d more connections", d.ends, len(far))
 		}
 	})
@@ -394,7 +394,7 @@
 		if diff := cmp.Diff([]broker.Event{broker.Departed{From: c}}, d.events, cmp.Comparer(func(x, y *customer) bool { return x == y })); diff != "" {
 			t.Errorf("events (-want +got):\n%s", diff)
 		}
-		if len(d.ends) != 1 || d.ends[0].Result != policy.Cancelled {
+		if len(d.ends) != 1 || d.ends[0].Result != policy.ResultCancelled {
 			t.Errorf("ends %v", d.ends)
 		}
 	})
@@ -429,10 +429,10 @@
 
 func TestProbe(t *testing.T) {
 	for name, want := range map[string]broker.Probed{
-		"probe_ok":     {Result: policy.OK, Report: policy.Report{N: 2, Values: [4]float64{0.25, 3}}},
-		"probe_error":  {Result: policy.Error},
-		"probe_silent": {Result: policy.TimedOut},
-		"probe_reset":  {Result: policy.Reset},
+		"probe_ok":     {Result: policy.ResultOK, Report: policy.Report{N: 2, Values: [4]float64{0.25, 3}}},
+		"probe_error":  {Result: policy.ResultError},
+		"probe_silent": {Result: policy.ResultTimedOut},
+		"probe_reset":  {Result: policy.ResultReset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/issuer/platform.go
+++ b/internal/issuer/platform.go
@@ -21,15 +21,15 @@
 // Judge implements Dialect.
 func (platform) Judge(resp *http.Response) policy.Result {
 	if resp.StatusCode == http.StatusOK {
-		return policy.OK
+		return policy.ResultOK
 	}
 	switch resp.StatusCode {
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if resp.Header.Get(rejectedHeader) == "1" {
-			return policy.Full
+			return policy.ResultFull
 		}
 	}
-	return policy.Error
+	return policy.ResultError
 }
 
 // Whose implements Dialect: the platform's answers do not say.
--- a/internal/lab/check/legs.go
+++ b/internal/lab/check/legs.go
@@ -138,7 +138,7 @@
 	classes := slices.Clone(s.Classes)
 	for i := range classes {
 		if r.safe {
-			classes[i].Effect = policy.Safe
+			classes[i].Effect = policy.EffectSafe
 		}
 	}
 	m, err := policy.New(edge.Settings(classes, time.Second, lim.MaxAttempts), 1)
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -246,7 +246,7 @@
 		}
 		lim := limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 1 << 16})
 		r.b = broker.New(lim)
-		class := policy.Class{Name: "chat", Aim: aim, Deadline: 12 * time.Second, Worth: 1, LateWorth: 1, Effect: policy.Unsafe, Streaming: true, MaxAttempts: attempts}
+		class := policy.Class{Name: "chat", TargetLatency: aim, Deadline: 12 * time.Second, Value: 1, LateValue: 1, Effect: policy.EffectUnsafe, IsStreaming: true, MaxAttempts: attempts}
 		m, err := policy.New(edge.Settings([]policy.Class{class}, limits.DrainGrace(3*time.Second), attempts), mix(w.Seed, uint64(i)+100))
 		if err != nil {
 			return fmt.Errorf("sim: %w", err)
@@ -367,7 +367,7 @@
 		if w.Variant == "design" {
 			salt := mix(w.Seed, uint64(c.router)+1000)
 			w.reduce(c.router, broker.Taken{From: c, Pool: 1, At: w.now, Attempts: attempts, Request: policy.Request{
-				Session: mix(uint64(c.prefix)+1, salt), Prefix: mix(uint64(c.prefix)+1, 5), ExpiresIn: patience,
+				Session: mix(uint64(c.prefix)+1, salt), Prefix: mix(uint64(c.prefix)+1, 5), Timeout: patience,
 			}})
 			return
 		}
@@ -391,7 +391,7 @@
 		}
 		l.over = true
 		if w.Variant == "design" {
-			w.over(l, policy.Full, 0)
+			w.over(l, policy.ResultFull, 0)
 			return
 		}
 		w.leave(l)
@@ -494,13 +494,13 @@
 	if w.Variant == "design" {
 		switch {
 		case e.kept == dropped:
-			w.over(l, policy.Cancelled, 0)
+			w.over(l, policy.ResultCancelled, 0)
 		case l.over:
 		case e.kept == ended:
 			l.over = true
-			r := policy.Reset
+			r := policy.ResultReset
 			if !w.written(l) {
-				r = policy.ConnectFailed
+				r = policy.ResultConnectFailed
 			}
 			w.over(l, r, 0)
 		case !e.done:
@@ -508,7 +508,7 @@
 			w.reduce(l.c.router, broker.LegBegan{Leg: l.id})
 		default:
 			l.over = true
-			w.over(l, policy.OK, e.kept)
+			w.over(l, policy.ResultOK, e.kept)
 			l.c.state = served
 		}
 		return
--- a/internal/node/dataplaneconfig.go
+++ b/internal/node/dataplaneconfig.go
@@ -64,7 +64,7 @@
 	}
 	classes := s.Classes
 	if len(classes) == 0 { // no route leads to it yet
-		classes = []policy.Class{{Name: "none", Aim: time.Second, Deadline: time.Second, Worth: 1}}
+		classes = []policy.Class{{Name: "none", TargetLatency: time.Second, Deadline: time.Second, Value: 1}}
 	}
 	if exists && d.classCounts[s.ID] > 0 {
 		d.loop.Post(broker.Classes{Pool: s.ID, Classes: classes})
@@ -109,7 +109,7 @@
 func listedHost(e *endpoints.Endpoint, wallMS int64, now time.Duration) broker.Host {
 	h := broker.Host{Name: e.ID, Dial: e.Addr, Weight: 1}
 	if e.State == endpoints.StateDraining {
-		h.State = policy.Draining
+		h.State = policy.StateDraining
 	}
 	if left := time.Duration(e.WarmAtMS-wallMS) * time.Millisecond; left > 0 {
 		h.BornAt = now + min(left, edge.WarmUp) - edge.WarmUp
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -187,10 +187,10 @@
 				continue
 			}
 			found = true
-			set(&c.Worth, s.Worth)
-			set(&c.LateWorth, s.LateWorth)
-			set(&c.Aim, (*time.Duration)(s.Aim))
-			set(&c.AimPerKTokens, (*time.Duration)(s.AimPerKTokens))
+			set(&c.Value, s.Worth)
+			set(&c.LateValue, s.LateWorth)
+			set(&c.TargetLatency, (*time.Duration)(s.Aim))
+			set(&c.TargetLatencyPerKTokens, (*time.Duration)(s.AimPerKTokens))
 			set(&c.Deadline, (*time.Duration)(s.Deadline))
 			m.Settings.Classes = append(m.Settings.Classes, c)
 			var aim time.Duration
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -134,7 +134,7 @@
 	}
 	q := p.Directory.Find(to, 0)
 	n, ok := q.Class("doc-lookup")
-	if _, other := q.Class("shift-agent"); !ok || n != 0 || other || q.Classes[0].Aim != 700*time.Millisecond || q.Classes[0].Worth != 9.5 {
+	if _, other := q.Class("shift-agent"); !ok || n != 0 || other || q.Classes[0].TargetLatency != 700*time.Millisecond || q.Classes[0].Value != 9.5 {
 		t.Errorf("%+v", q)
 	}
 }
--- a/internal/registry/feed.go
+++ b/internal/registry/feed.go
@@ -213,13 +213,13 @@
 		for i, h := range hosts {
 			switch {
 			case m.sel.Takes(&l.Hosts[i]):
-				m.has[h.Name] = h.State != policy.Gone
+				m.has[h.Name] = h.State != policy.StateGone
 			case m.has[h.Name]: // it is of the selection no more
-				h.State, h.Left = policy.Gone, h.State != policy.Gone
+				h.State, h.Left = policy.StateGone, h.State != policy.StateGone
 			default:
 				continue
 			}
-			if h.State == policy.Gone {
+			if h.State == policy.StateGone {
 				delete(m.has, h.Name)
 			}
 			some = append(some, h)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -45,11 +45,11 @@
 		h := broker.Host{Name: e.Host, Dial: e.Dial, Zone: -1, Cell: e.Block, Weight: e.Share}
 		switch e.Health {
 		case "Ready":
-			h.State = policy.Ready
+			h.State = policy.StateReady
 		case "Terminating":
-			h.State = policy.Draining
+			h.State = policy.StateDraining
 		case "Gone":
-			h.State = policy.Gone
+			h.State = policy.StateGone
 		default:
 			return nil, fmt.Errorf("host %q: health %q is unknown", e.Host, e.Health)
 		}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -33,9 +33,9 @@
 }
 
 func TestWatch(t *testing.T) {
-	ready := broker.Host{Name: "s-5b", Dial: "127.0.0.9:5000", Cell: 3, Weight: 1, State: policy.Ready}
+	ready := broker.Host{Name: "s-5b", Dial: "127.0.0.9:5000", Cell: 3, Weight: 1, State: policy.StateReady}
 	draining := ready
-	draining.State, draining.BornAt = policy.Draining, 1500*time.Millisecond
+	draining.State, draining.BornAt = policy.StateDraining, 1500*time.Millisecond
 	failed := broker.Listed{Kind: policy.ListFailed}
 	for name, c := range map[string]struct {
 		known bool
@@ -138,7 +138,7 @@
 		want := []broker.Event{
 			broker.Listed{Kind: policy.ListCached, Hosts: []broker.Host{{Name: "old", Zone: -1}}},
 			broker.Listed{Kind: policy.ListFull, Hosts: []broker.Host{
-				{Name: "s-5b", Dial: "127.0.0.9:5000", Zone: -1, Cell: 3, Weight: 1, State: policy.Ready},
+				{Name: "s-5b", Dial: "127.0.0.9:5000", Zone: -1, Cell: 3, Weight: 1, State: policy.StateReady},
 			}},
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
--- a/internal/router/legacy.go
+++ b/internal/router/legacy.go
@@ -14,7 +14,7 @@
 // legacy is what a router leaves to the process that follows it, by the names of its pools. On the wire it is a word with
 // the form's version, a checksum of the rest, and CBOR.
 type legacy struct {
-	Pools map[string]*policy.Learned
+	Pools map[string]*policy.Snapshot
 }
 
 const (
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -240,7 +240,7 @@
 		for _, q := range r.plan.Pools {
 			if k := l.Pools[q.Name]; k != nil {
 				r.loop.Post(broker.Taught{Pool: q.ID, Learned: k})
-				pins += len(k.Pins)
+				pins += len(k.Sessions)
 			}
 		}
 		r.log.Info("inherited from the process before", "bytes", len(b), "sessions", pins)
@@ -250,7 +250,7 @@
 
 // bequeath leaves what the modules have learnt to the heir.
 func (r *Router) bequeath(ctx context.Context) {
-	to := make(chan map[string]*policy.Learned, 1)
+	to := make(chan map[string]*policy.Snapshot, 1)
 	r.loop.Post(broker.Recall{Of: to})
 	select {
 	case all := <-to:
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -208,10 +208,10 @@
 }
 
 func TestLegacy(t *testing.T) {
-	l := &legacy{Pools: map[string]*policy.Learned{"": {
-		Pins:     []policy.LearnedPin{{Session: 3, To: 4, Used: 5}},
-		Replicas: []policy.LearnedReplica{{ID: 4, ReadyAt: 1, Until: 9, Size: 2}},
-		Prefixes: map[uint64]float64{7: 8}, Shed: 0.5,
+	l := &legacy{Pools: map[string]*policy.Snapshot{"": {
+		Sessions: []policy.SnapshotSession{{Session: 3, Replica: 4, Used: 5}},
+		Replicas: []policy.SnapshotReplica{{ID: 4, ReadyAt: 1, EjectedUntil: 9, Weight: 2}},
+		Prefixes: map[uint64]float64{7: 8}, ShedShare: 0.5,
 	}}}
 	b, err := l.encode()
 	if err != nil {
--- a/internal/router/plan.go
+++ b/internal/router/plan.go
@@ -56,7 +56,7 @@
 	}, q.Lines)
 	r.front.Set(q.ID, q.Bodies, q.Calls)
 	e := broker.PoolSet{
-		Pool: q.ID, Name: q.Name, Module: module, WarmUp: q.Module.Settings.WarmUp, ColdFrom: q.Module.Settings.ColdFrom,
+		Pool: q.ID, Name: q.Name, Module: module, WarmUp: q.Module.Settings.SlowStart, ColdFrom: q.Module.Settings.SlowStartInitial,
 		Classes: traceClasses(&q.Module), Places: q.Places, Turns: q.Turns, RetryAfter: q.RetryAfter,
 		Attempts: q.Module.Settings.Limits.MaxAttempts,
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -149,7 +149,7 @@
 			r.log.Info(e.Line)
 		}
 	case broker.Recalled:
-		e.Of.(chan map[string]*policy.Learned) <- e.Pools // it has room
+		e.Of.(chan map[string]*policy.Snapshot) <- e.Pools // it has room
 	case broker.Counted:
 		if to, ok := e.Of.(chan broker.Counted); ok {
 			to <- e // it has room
@@ -174,7 +174,7 @@
 
 func (r *Router) print(what string, args []any, c *broker.Counters) {
 	var legs []any
-	for result := policy.OK; result <= policy.Moot; result++ {
+	for result := policy.ResultOK; result <= policy.ResultMoot; result++ {
 		if n := c.Outcomes[result]; n > 0 {
 			legs = append(legs, slog.Int(trace.Result(result).String(), n))
 		}
--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -44,7 +44,7 @@
 // traceClasses are a module's classes as a recorder must know them.
 func traceClasses(m *config.Module) (all []trace.Class) {
 	for i, c := range m.Settings.Classes {
-		k := trace.Class{Name: c.Name, Aim: c.Aim, AimPerKTokens: c.AimPerKTokens}
+		k := trace.Class{Name: c.Name, Aim: c.TargetLatency, AimPerKTokens: c.TargetLatencyPerKTokens}
 		if i < len(m.TokenAims) {
 			k.TokenAim = m.TokenAims[i]
 		}
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -41,8 +41,8 @@
 const None Result = 0xff
 
 var resultNames = [...]string{
-	policy.OK: "ok", policy.Error: "error", policy.Full: "full", policy.TimedOut: "timed_out",
-	policy.ConnectFailed: "connect_failed", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.Moot: "moot",
+	policy.ResultOK: "ok", policy.ResultError: "error", policy.ResultFull: "full", policy.ResultTimedOut: "timed_out",
+	policy.ResultConnectFailed: "connect_failed", policy.ResultReset: "reset", policy.ResultCancelled: "cancelled", policy.ResultMoot: "moot",
 }
 
 func (r Result) String() string {
@@ -61,7 +61,7 @@
 }
 
 // Why is a policy.Why with a name, or a reason of the broker's own.
-type Why policy.Why
+type Why policy.Reason
 
 // Reasons of the broker's own, beyond those of the decision module.
 const (
@@ -71,10 +71,10 @@
 )
 
 var whyNames = [...]string{
-	policy.NoReason: "none", policy.Pinned: "pinned", policy.Drawn: "drawn", policy.Orphaned: "orphaned",
-	policy.Spilled: "spilled", policy.OverBound: "over_bound", policy.LastResort: "last_resort",
-	policy.Shedding: "shedding", policy.NoReplica: "no_replica", policy.NoRetries: "no_retries",
-	policy.NoAttempts: "no_attempts", policy.OutOfTime: "out_of_time", policy.BadRequest: "bad_request",
+	policy.ReasonNone: "none", policy.ReasonAffinity: "pinned", policy.ReasonDrawn: "drawn", policy.ReasonAffinityLost: "orphaned",
+	policy.ReasonOtherZone: "spilled", policy.ReasonOverBound: "over_bound", policy.ReasonLastResort: "last_resort",
+	policy.ReasonLoadShed: "shedding", policy.ReasonNoReplica: "no_replica", policy.ReasonRetryBudget: "no_retries",
+	policy.ReasonMaxAttempts: "no_attempts", policy.ReasonDeadline: "out_of_time", policy.ReasonBadRequest: "bad_request",
 	RouterFull: "router_full", IDTaken: "id_taken", Unanswered: "unanswered",
 }
 
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -85,7 +85,7 @@
 	step  uint32     // slot
 	id    policy.RequestID
 	from  any
-	why   policy.Why
+	why   policy.Reason
 	taken time.Duration // the reducer took it, from At
 	out   int           // legs whose own end has not come
 	over  bool          // towards its client
@@ -133,7 +133,7 @@
 		t.Class, t.Aim = c.Name, c.Aim+time.Duration(float64(c.AimPerKTokens)*q.PromptTokens/1000)
 	}
 	var parent Context
-	retry := q.Repeat || q.Resumed
+	retry := q.IsClientRetry || q.IsResumed
 	if o != nil {
 		retry = retry || o.Retry
 		if t.CallID == "" {
@@ -253,7 +253,7 @@
 			if s.session != q.Session || !s.fresh(now) {
 				break
 			}
-			if s.prompt == q.PromptTokens || q.Resumed {
+			if s.prompt == q.PromptTokens || q.IsResumed {
 				return slot
 			}
 			slot = s.before
@@ -283,7 +283,7 @@
 }
 
 // Because notes why the module acts next.
-func (r *Recorder) Because(id policy.RequestID, j *Journey, why policy.Why) {
+func (r *Recorder) Because(id policy.RequestID, j *Journey, why policy.Reason) {
 	if j.is(id) {
 		j.why = why
 	}
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -66,17 +66,17 @@
 
 // serve plays a leg to its end: first its first event, then the stream.
 func (r *rig) serve(id policy.RequestID, n int, first, stream time.Duration) {
-	r.Because(id, r.of[id], policy.Pinned)
+	r.Because(id, r.of[id], policy.ReasonAffinity)
 	r.Sent(r.now, id, r.of[id], n, "s-1", "127.0.0.2:5000")
 	sent := r.now
 	r.after(first)
 	r.Bound(r.now, id, r.of[id], n)
 	bound := r.now
 	r.after(stream)
-	r.Ended(r.now, id, r.of[id], n, policy.OK, false, &Times{
+	r.Ended(r.now, id, r.of[id], n, policy.ResultOK, false, &Times{
 		Begun: sent, Lined: sent + ms, Written: sent + 2*ms, First: bound - ms, Event: bound, Bound: bound, Ended: r.now, Tokens: 10,
 	})
-	r.Told(r.now, id, r.of[id], n, policy.OK, 64)
+	r.Told(r.now, id, r.of[id], n, policy.ResultOK, 64)
 	r.Closed(r.now, id, r.of[id], Served, 0)
 }
 
@@ -112,7 +112,7 @@
 		"late":      func(r *rig) Reason { r.serve(1, 0, 1200*ms, ms); return ForLate },
 		"slow pace": func(r *rig) Reason { r.serve(1, 0, 100*ms, 600*ms); return ForLate },
 		"refused": func(r *rig) Reason {
-			r.Because(1, r.of[1], policy.Shedding)
+			r.Because(1, r.of[1], policy.ReasonLoadShed)
 			r.Closed(r.now, 1, r.of[1], Refused, ms)
 			return ForRefused
 		},
@@ -121,18 +121,18 @@
 			for n := range 2 {
 				r.Sent(r.now, 1, r.of[1], n, "s", "d")
 				r.after(ms)
-				r.Ended(r.now, 1, r.of[1], n, policy.Reset, false, nil)
-				r.Told(r.now, 1, r.of[1], n, policy.Reset, 0)
+				r.Ended(r.now, 1, r.of[1], n, policy.ResultReset, false, nil)
+				r.Told(r.now, 1, r.of[1], n, policy.ResultReset, 0)
 			}
-			r.Because(1, r.of[1], policy.NoRetries)
+			r.Because(1, r.of[1], policy.ReasonRetryBudget)
 			r.Closed(r.now, 1, r.of[1], Failed, 0)
 			return ForFailed | ForLegs
 		},
 		"broken": func(r *rig) Reason {
 			r.Sent(r.now, 1, r.of[1], 0, "s", "d")
 			r.Bound(r.now, 1, r.of[1], 0)
-			r.Ended(r.now, 1, r.of[1], 0, policy.Reset, false, nil)
-			r.Told(r.now, 1, r.of[1], 0, policy.Reset, 0)
+			r.Ended(r.now, 1, r.of[1], 0, policy.ResultReset, false, nil)
+			r.Told(r.now, 1, r.of[1], 0, policy.ResultReset, 0)
 			r.Closed(r.now, 1, r.of[1], Broken, 0)
 			return ForBroken
 		},
@@ -219,8 +219,8 @@
 		t.Fatalf("kept %+v", r.kept)
 	}
 	r.Bound(r.now, 1, r.of[1], 0)
-	r.Ended(r.now, 1, r.of[1], 0, policy.OK, false, nil)
-	r.Told(r.now, 1, r.of[1], 0, policy.OK, 0)
+	r.Ended(r.now, 1, r.of[1], 0, policy.ResultOK, false, nil)
+	r.Told(r.now, 1, r.of[1], 0, policy.ResultOK, 0)
 	r.Closed(r.now, 1, r.of[1], Served, 0)
 	if len(r.kept) != 2 || r.kept[1].CallID != "call1" || r.kept[1].Reasons&ForLinked == 0 && r.kept[1].Reasons&ForLate == 0 {
 		t.Errorf("kept %+v", r.kept[1])
@@ -237,28 +237,28 @@
 	r.Sent(r.now, 1, r.of[1], 1, "s-2", "d2")
 	r.after(50 * ms)
 	r.Bound(r.now, 1, r.of[1], 1)
-	r.Told(r.now, 1, r.of[1], 0, policy.Cancelled, 0)
+	r.Told(r.now, 1, r.of[1], 0, policy.ResultCancelled, 0)
 	r.after(50 * ms)
-	r.Ended(r.now, 1, r.of[1], 1, policy.OK, false, nil)
-	r.Told(r.now, 1, r.of[1], 1, policy.OK, 0)
+	r.Ended(r.now, 1, r.of[1], 1, policy.ResultOK, false, nil)
+	r.Told(r.now, 1, r.of[1], 1, policy.ResultOK, 0)
 	r.Closed(r.now, 1, r.of[1], Served, 0)
 	if len(r.kept) != 0 {
 		t.Fatal("closed before the first leg's last word")
 	}
 	r.after(100 * ms)
-	r.Ended(r.now, 1, r.of[1], 0, policy.Reset, false, nil)
+	r.Ended(r.now, 1, r.of[1], 0, policy.ResultReset, false, nil)
 	if len(r.kept) != 1 {
 		t.Fatal("not closed with the last word")
 	}
 	y := r.kept[0]
-	if y.Legs[0].Result != Result(policy.Cancelled) || y.Legs[0].Said != Result(policy.Reset) || y.End != 150*ms || r.sum(y) != y.End {
+	if y.Legs[0].Result != Result(policy.ResultCancelled) || y.Legs[0].Said != Result(policy.ResultReset) || y.End != 150*ms || r.sum(y) != y.End {
 		t.Errorf("%+v, phases add up to %v", y, r.sum(y))
 	}
 	// One whose last word never comes is closed all the same.
 	r.take(2, 8, 100, nil)
 	r.Sent(r.now, 2, r.of[2], 0, "s-1", "d1")
-	r.Told(r.now, 2, r.of[2], 0, policy.TimedOut, 0)
-	r.Because(2, r.of[2], policy.OutOfTime)
+	r.Told(r.now, 2, r.of[2], 0, policy.ResultTimedOut, 0)
+	r.Because(2, r.of[2], policy.ReasonDeadline)
 	r.Closed(r.now, 2, r.of[2], Failed, 0)
 	r.after(2 * time.Second)
 	if len(r.kept) != 2 || r.kept[1].Legs[0].Said != None || r.kept[1].Why.String() != "out_of_time" {
--- a/internal/trace/show/show_test.go
+++ b/internal/trace/show/show_test.go
@@ -20,16 +20,16 @@
 func step() []*trace.Try {
 	first := &trace.Try{
 		Trace: trace.TraceID{0xab}, Span: trace.SpanID{1}, Number: 1, Router: "n1", CallID: "c1", Class: "shift-agent", Prompt: 5000,
-		At: 1000 * time.Second, End: 1000 * ms, Outcome: trace.Failed, Why: trace.Why(policy.OutOfTime), Aim: 2700 * ms,
+		At: 1000 * time.Second, End: 1000 * ms, Outcome: trace.Failed, Why: trace.Why(policy.ReasonDeadline), Aim: 2700 * ms,
 		Reasons: trace.ForFailed | trace.ForLegs,
 		Legs: []trace.Leg{
 			{
-				Host: "s-1", Why: trace.Why(policy.Pinned), Sent: 0, Begun: ms, Lined: 2 * ms, Written: 3 * ms, Told: 400 * ms, Ended: 400 * ms,
-				Result: trace.Result(policy.Reset), Said: trace.Result(policy.Reset), Stale: true,
+				Host: "s-1", Why: trace.Why(policy.ReasonAffinity), Sent: 0, Begun: ms, Lined: 2 * ms, Written: 3 * ms, Told: 400 * ms, Ended: 400 * ms,
+				Result: trace.Result(policy.ResultReset), Said: trace.Result(policy.ResultReset), Stale: true,
 			},
 			{
-				Host: "s-2", Why: trace.Why(policy.Orphaned), Sent: 400 * ms, Begun: 401 * ms, Lined: 500 * ms, Fresh: true, Written: 501 * ms,
-				Told: 1000 * ms, Ended: 1200 * ms, Result: trace.Result(policy.TimedOut), Said: trace.Result(policy.Cancelled),
+				Host: "s-2", Why: trace.Why(policy.ReasonAffinityLost), Sent: 400 * ms, Begun: 401 * ms, Lined: 500 * ms, Fresh: true, Written: 501 * ms,
+				Told: 1000 * ms, Ended: 1200 * ms, Result: trace.Result(policy.ResultTimedOut), Said: trace.Result(policy.ResultCancelled),
 			},
 		},
 	}
@@ -39,8 +39,8 @@
 		CallID: "c2", Class: "shift-agent", Prompt: 5000, Tokens: 80, At: 1001*time.Second + 200*ms, First: 200 * ms, End: 800 * ms,
 		Outcome: trace.Served, Aim: 2700 * ms, Reasons: trace.ForRetry,
 		Legs: []trace.Leg{{
-			Host: "s-2", Why: trace.Why(policy.Pinned), Begun: ms, Lined: ms, Written: ms, First: 199 * ms, Event: 199 * ms,
-			Bound: 200 * ms, Told: 800 * ms, Ended: 800 * ms, Said: trace.Result(policy.OK),
+			Host: "s-2", Why: trace.Why(policy.ReasonAffinity), Begun: ms, Lined: ms, Written: ms, First: 199 * ms, Event: 199 * ms,
+			Bound: 200 * ms, Told: 800 * ms, Ended: 800 * ms, Said: trace.Result(policy.ResultOK),
 		}},
 	}
 	second.Phases[trace.Wait], second.Phases[trace.Stream] = 198*ms, 602*ms
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -105,7 +105,7 @@
 		}
 		bal.Finished(now, h, policy.Outcome{
 			ID: policy.RequestID(r.u64(1)), Attempt: int(r.u8(9)), Replica: policy.ReplicaID(r.u32(10)), Result: res,
-			Elapsed: duration(uint64(r.u32(16))), Ended: r.u8(20) != 0, KeptTokens: float64(r.u32(21)), Report: report,
+			Elapsed: duration(uint64(r.u32(16))), RequestEnded: r.u8(20) != 0, CachedTokens: float64(r.u32(21)), Report: report,
 		})
 	case EvStarted:
 		bal.Started(now, h, policy.Started{
@@ -135,9 +135,9 @@
 		flags := r.u16(51)
 		q := policy.Request{
 			ID: policy.RequestID(r.u64(1)), Class: int(r.u16(9)), Tenant: int(r.u32(11)), Session: r.u64(15),
-			ExpiresIn: duration(uint64(r.u32(23))), Prefix: r.u64(31),
+			Timeout: duration(uint64(r.u32(23))), Prefix: r.u64(31),
 			PromptTokens: r.f32(39), PrefixTokens: r.f32(43), MaxTokens: r.f32(47),
-			Repeat: flags&repeat != 0, Resumed: flags&resumed != 0,
+			IsClientRetry: flags&repeat != 0, IsResumed: flags&resumed != 0,
 		}
 		if flags&hintValid != 0 {
 			q.Work = duration(uint64(r.u32(27)))
@@ -181,7 +181,7 @@
 	for at := 0; at < len(data); at += entrySize {
 		e := record(data[at : at+entrySize])
 		ready := e.u64(14)
-		if e.u8(9) > uint8(policy.Gone) {
+		if e.u8(9) > uint8(policy.StateGone) {
 			return fmt.Errorf("replica state %d is unknown", e.u8(9))
 		}
 		if ready > maxMicros {
@@ -232,8 +232,8 @@
 }
 
 var results = map[uint16]policy.Result{
-	100: policy.OK, 301: policy.Error, 302: policy.Full, 303: policy.TimedOut,
-	304: policy.ConnectFailed, 305: policy.Reset, 306: policy.Cancelled, 307: policy.Moot,
+	100: policy.ResultOK, 301: policy.ResultError, 302: policy.ResultFull, 303: policy.ResultTimedOut,
+	304: policy.ResultConnectFailed, 305: policy.ResultReset, 306: policy.ResultCancelled, 307: policy.ResultMoot,
 }
 
 func result(code uint16) (policy.Result, error) {
@@ -267,11 +267,11 @@
 	h.act().Assign(uint64(id), uint32(to), int32(clip(timeout, 1<<31-1)))
 }
 
-// Because implements policy.Actions. The wire has no word for it.
-func (h *Host) Because(policy.RequestID, policy.Why) {}
+// Explain implements policy.Actions. The wire has no word for it.
+func (h *Host) Explain(policy.RequestID, policy.Reason) {}
 
-// Refuse implements policy.Actions.
-func (h *Host) Refuse(id policy.RequestID, retryAfter time.Duration) {
+// Reject implements policy.Actions.
+func (h *Host) Reject(id policy.RequestID, retryAfter time.Duration) {
 	h.act().TurnAway(uint64(id), uint32(clip(retryAfter, 1<<32-1)))
 }
 
@@ -287,8 +287,8 @@
 // Watch implements policy.Actions.
 func (h *Host) Watch() { h.act().Listen(true) }
 
-// Wake implements policy.Actions.
-func (h *Host) Wake(after time.Duration, token uint64) {
+// SetTimer implements policy.Actions.
+func (h *Host) SetTimer(after time.Duration, token uint64) {
 	const most = 71 * 60 * 1000000
 	h.act().WakeAt(uint32(clip(after, most)), token)
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -65,14 +65,14 @@
 }
 
 var (
-	effects = map[string]policy.Effect{"pure": policy.Safe, "token": policy.Keyed, "side_effect": policy.Unsafe}
-	groups  = map[string]policy.Group{
+	effects = map[string]policy.Effect{"pure": policy.EffectSafe, "token": policy.EffectKeyed, "side_effect": policy.EffectUnsafe}
+	groups  = map[string]policy.DedupGroup{
 		"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
 		"cell": policy.GroupCell,
 	}
-	weights = map[string]policy.Weights{
-		"": policy.NoWeights, "silent": policy.NoWeights,
-		"nominal": policy.SizeWeights, "rough": policy.SizeWeights, "live": policy.LiveWeights,
+	weights = map[string]policy.WeightMeaning{
+		"": policy.WeightUnused, "silent": policy.WeightUnused,
+		"nominal": policy.WeightSize, "rough": policy.WeightSize, "live": policy.WeightLive,
 	}
 	columns = map[string]string{
 		"concurrent": "inflight", "depth": "queue", "load_share": "util",
@@ -87,18 +87,18 @@
 		return policy.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	s := policy.Settings{
-		Gateway: in.Me, Gateways: in.ReplicasOfMe, Zone: in.Zone, Zones: len(in.AZs),
+		Router: in.Me, Routers: in.ReplicasOfMe, Zone: in.Zone, Zones: len(in.AZs),
 		Limits: policy.Limits{
-			Cancel: in.Limits.Cancel, Probes: in.Limits.Probes, RetryAfter: in.Limits.RetryAfter,
+			CanCancel: in.Limits.Cancel, CanProbe: in.Limits.Probes, SendsRetryAfter: in.Limits.RetryAfter,
 			MaxAttempts: in.Limits.MostTries, MaxRetryAfter: in.Limits.MaxRetryAfter.duration(),
 		},
-		AskWithin: in.Rules.AskWithin.duration(), DrainGrace: in.Rules.DrainGrace.duration(),
-		ColdFrom: in.Rules.ColdFrom, WarmUp: in.Rules.WarmUp.duration(),
-		CrossZone: in.Prices.CrossZone,
+		WatchWithin: in.Rules.AskWithin.duration(), DrainGrace: in.Rules.DrainGrace.duration(),
+		SlowStartInitial: in.Rules.ColdFrom, SlowStart: in.Rules.WarmUp.duration(),
+		CrossZonePrice: in.Prices.CrossZone,
 	}
 	switch in.Discovery {
 	case "subscribe":
-		s.AskDiscovery = true
+		s.NeedsWatch = true
 	case "automatic":
 	default:
 		return s, fmt.Errorf("settings: discovery %q is unknown", in.Discovery)
@@ -107,7 +107,7 @@
 	if !ok {
 		return s, fmt.Errorf("settings: weights %q is unknown", in.Weights)
 	}
-	s.Weights = w
+	s.WeightMeaning = w
 	for i, g := range in.Grades {
 		effect, okEffect := effects[g.Effect]
 		group, okGroup := groups[g.Group]
@@ -115,12 +115,12 @@
 			return s, fmt.Errorf("settings: grades[%d] has effect %q and group %q", i, g.Effect, g.Group)
 		}
 		c := policy.Class{
-			Name: g.Name, Aim: g.Objective.duration(), Deadline: g.Deadline.duration(),
-			DedupWindow: g.DedupWindow.duration(), Worth: g.Worth, LateWorth: g.LateWorth,
-			Effect: effect, Group: group, Streaming: g.Streaming,
+			Name: g.Name, TargetLatency: g.Objective.duration(), Deadline: g.Deadline.duration(),
+			DedupWindow: g.DedupWindow.duration(), Value: g.Worth, LateValue: g.LateWorth,
+			Effect: effect, DedupGroup: group, IsStreaming: g.Streaming,
 		}
 		if i < len(in.FamilyInfo.AimPer1000) {
-			c.AimPerKTokens = in.FamilyInfo.AimPer1000[i].duration()
+			c.TargetLatencyPerKTokens = in.FamilyInfo.AimPer1000[i].duration()
 		}
 		s.Classes = append(s.Classes, c)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -326,16 +326,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Zone != 2 || s.Zones != 3 || s.Gateways != 1 || !s.AskDiscovery || s.Weights != policy.SizeWeights ||
-		s.AskWithin != 10*time.Second || s.ColdFrom != 0.17 || s.WarmUp != 23*time.Second || s.DrainGrace != 500*time.Millisecond {
+	if s.Zone != 2 || s.Zones != 3 || s.Routers != 1 || !s.NeedsWatch || s.WeightMeaning != policy.WeightSize ||
+		s.WatchWithin != 10*time.Second || s.SlowStartInitial != 0.17 || s.SlowStart != 23*time.Second || s.DrainGrace != 500*time.Millisecond {
 		t.Errorf("settings %+v", s)
 	}
 	c := s.Classes[1]
-	if c.Name != "resumen-lote" || c.Aim != 3*time.Second || c.AimPerKTokens != 30*time.Millisecond ||
-		c.Deadline != 10*time.Second || c.Effect != policy.Safe || c.Worth != 3 || !c.Streaming {
+	if c.Name != "resumen-lote" || c.TargetLatency != 3*time.Second || c.TargetLatencyPerKTokens != 30*time.Millisecond ||
+		c.Deadline != 10*time.Second || c.Effect != policy.EffectSafe || c.Value != 3 || !c.IsStreaming {
 		t.Errorf("class %+v", c)
 	}
-	if l := s.Limits; !l.Cancel || !l.Probes || !l.RetryAfter || l.MaxAttempts != 5 || l.MaxRetryAfter != 2*time.Second {
+	if l := s.Limits; !l.CanCancel || !l.CanProbe || !l.SendsRetryAfter || l.MaxAttempts != 5 || l.MaxRetryAfter != 2*time.Second {
 		t.Errorf("limits %+v", l)
 	}
 	if len(s.Tenants) != 2 || s.Tenants[1].Share != 0.5 {
--- a/policy/api.go
+++ b/policy/api.go
@@ -1,55 +1,59 @@
-// Package policy decides, for one gateway in front of a fleet of language-model
-// servers, where each request goes. Every decision is in policy.go; this file
-// holds the types that cross its border.
+// Package policy decides, for one router in front of a fleet of engines, where each request goes. Every
+// decision is in policy.go; this file holds the types of its interface. The package is pure: it has no clock,
+// socket or goroutine. Events are method calls of Balancer, decisions are calls of Actions.
 package policy
 
-import "time"
+import (
+	"errors"
+	"fmt"
+	"time"
+)
 
 // Time is a reading of the caller's clock, counted from any fixed origin. It must never go backwards.
 type Time = time.Duration
 
-// RequestID names one client try. It must be below 2^52.
+// RequestID identifies one request of a client. It must be below 2^52.
 type RequestID uint64
 
-// ReplicaID names a replica. Ids are only compared and hashed.
+// ReplicaID identifies a replica (an engine). Ids are only compared and hashed.
 type ReplicaID uint32
 
-// Effect says what repeating a request of a class does.
+// Effect is what repeating a request of a class does.
 type Effect uint8
 
-// The kinds of effect. A keyed request may be repeated within its dedup group and window.
+// The effects. A keyed request may be repeated within its dedup group and window.
 const (
-	Safe Effect = iota
-	Keyed
-	Unsafe
+	EffectSafe Effect = iota
+	EffectKeyed
+	EffectUnsafe
 )
 
-// Group is the set of replicas that discard repeats of a keyed request.
-type Group uint8
+// DedupGroup is the set of replicas that discard repetitions of a keyed request.
+type DedupGroup uint8
 
 // The dedup groups.
 const (
-	GroupAll Group = iota
+	GroupAll DedupGroup = iota
 	GroupZone
 	GroupCell
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Name          string
-	Aim           time.Duration // first token wanted within this
-	AimPerKTokens time.Duration // added to the aim for each 1,000 prompt tokens
-	Deadline      time.Duration // a client's patience over all its tries
-	DedupWindow   time.Duration // how long repeats of a keyed request are discarded
-	Worth         float64
-	LateWorth     float64 // fraction of the worth left after the aim
-	Effect        Effect
-	Group         Group
-	Streaming     bool
-	MaxAttempts   int // of one request, if fewer than the settings allow; 0 = as they say
+	Name                    string
+	TargetLatency           time.Duration // until the first token
+	TargetLatencyPerKTokens time.Duration // added for each 1,000 prompt tokens
+	Deadline                time.Duration // over all attempts of a client
+	DedupWindow             time.Duration // how long repetitions of a keyed request are discarded
+	Value                   float64
+	LateValue               float64 // fraction of the value that is left after the target
+	Effect                  Effect
+	DedupGroup              DedupGroup
+	IsStreaming             bool
+	MaxAttempts             int // of one request, if fewer than the settings allow; 0 = as many
 }
 
-// Tenant is one of those who share the fleet.
+// Tenant is one of those that share the fleet.
 type Tenant struct {
 	Name  string
 	Share float64
@@ -57,53 +61,83 @@
 
 // Limits says what the deployment permits.
 type Limits struct {
-	Cancel        bool
-	Probes        bool
-	RetryAfter    bool // clients are told how long to stay away
-	MaxAttempts   int
-	MaxRetryAfter time.Duration
+	CanCancel       bool
+	CanProbe        bool
+	SendsRetryAfter bool // rejections say when to retry
+	MaxAttempts     int
+	MaxRetryAfter   time.Duration
 }
 
-// Weights says what the weight of a replica in the list means.
-type Weights uint8
+// WeightMeaning says what the weight of a replica in the list means.
+type WeightMeaning uint8
 
 // The meanings of a replica's weight: always 1, its size (exactly or roughly), or its size over its load.
 const (
-	NoWeights Weights = iota
-	SizeWeights
-	LiveWeights
+	WeightUnused WeightMeaning = iota
+	WeightSize
+	WeightLive
 )
 
 // Settings are fixed for the life of a Balancer.
 type Settings struct {
-	Gateway  int // this gateway's number among Gateways
-	Gateways int
-	Zone     int
-	Zones    int
-	Classes  []Class
-	Tenants  []Tenant
-	Limits   Limits
-	Weights  Weights
-
-	AskDiscovery bool          // changes of the list come only after Watch or Fetch
-	AskWithin    time.Duration // a gateway must have asked within this
-
-	DrainGrace time.Duration // sends to a draining or gone replica must stop within this
-	ColdFrom   float64       // share of its capacity with which a replica starts, at least
-	WarmUp     time.Duration // and is fully warm after, at most
-
-	ReportColumns []string // meaning of Report values: inflight, queue, util, latency_ms, qps, eps, x0, x1
-	CrossZone     float64  // price of an attempt that leaves the zone, against the worth of a first try
+	Router        int // index of this router
+	Routers       int
+	Zone          int
+	Zones         int
+	Classes       []Class
+	Tenants       []Tenant
+	Limits        Limits
+	WeightMeaning WeightMeaning
+
+	NeedsWatch  bool          // changes of the list come only after Watch
+	WatchWithin time.Duration // a router must have called Watch within this time
+
+	DrainGrace       time.Duration // sends to a draining or gone replica stop within this time
+	SlowStartInitial float64       // lowest share of its capacity with which a replica starts
+	SlowStart        time.Duration // longest time until it has its full capacity
+
+	ReportColumns  []string // meaning of Report values: inflight, queue, util, latency_ms, qps, eps, x0, x1
+	CrossZonePrice float64  // of an attempt that leaves the zone, against the value of a request
+}
+
+// validate returns an error that names the setting at fault.
+func (s *Settings) validate() error {
+	for _, c := range []struct {
+		isWrong bool
+		err     string
+	}{
+		{
+			min(s.DrainGrace, s.SlowStart, s.WatchWithin, s.Limits.MaxRetryAfter) < 0,
+			"DrainGrace, SlowStart, WatchWithin and MaxRetryAfter must not be negative",
+		},
+		{len(s.Classes) == 0, "Classes must not be empty"},
+		{s.Limits.MaxAttempts < 1, "Limits.MaxAttempts must be at least 1"},
+		{!(s.SlowStartInitial > 0 && s.SlowStartInitial <= 1), "SlowStartInitial must be above 0 and at most 1"},
+		{s.Routers < 1 || s.Router < 0 || s.Router >= s.Routers, "Router must be from 0 to below Routers"},
+		{s.Zone < 0 || s.Zone >= s.Zones, "Zone must be from 0 to below Zones"},
+		{s.NeedsWatch && s.WatchWithin == 0, "WatchWithin must be above 0 where NeedsWatch is set"},
+		{len(s.ReportColumns) > len(Report{}.Values), "ReportColumns holds more columns than a Report has values"},
+	} {
+		if c.isWrong {
+			return errors.New("policy: " + c.err)
+		}
+	}
+	for _, c := range s.Classes {
+		if c.Deadline <= 0 || c.TargetLatency < 0 || c.Effect > EffectUnsafe || c.DedupGroup > GroupCell {
+			return fmt.Errorf("policy: Classes: %q: Deadline, TargetLatency, Effect or DedupGroup is wrong", c.Name)
+		}
+	}
+	return nil
 }
 
-// State is what the list says of a replica.
+// State is the state of a replica by the list.
 type State uint8
 
 // The states of a replica.
 const (
-	Ready State = iota
-	Draining
-	Gone
+	StateReady State = iota
+	StateDraining
+	StateGone
 )
 
 // Replica is one entry of the list.
@@ -113,10 +147,10 @@
 	Cell    int
 	State   State
 	Weight  float64
-	ReadyAt Time // its most recent start; 0 means long ago
+	ReadyAt Time // its most recent start; 0 = long ago
 }
 
-// ListKind says how a List relates to the one before it.
+// ListKind is how a List relates to the one before it.
 type ListKind uint8
 
 // The kinds of list: changed entries only, the whole list, the list as last held, or a failed call.
@@ -127,41 +161,41 @@
 	ListFailed
 )
 
-// List is news from discovery.
+// List is an update from discovery.
 type List struct {
 	Kind     ListKind
 	Replicas []Replica
 }
 
-// Request is one try of a client.
+// Request is one request of a client.
 type Request struct {
-	ID           RequestID
-	Class        int
-	Tenant       int
-	Session      uint64 // 0 = none
-	Prefix       uint64 // names the beginning shared with other sessions; 0 = none
-	PromptTokens float64
-	PrefixTokens float64
-	MaxTokens    float64
-	Work         time.Duration // a rough hint; 0 = none
-	ExpiresIn    time.Duration // time left until the client gives this try up
-	Repeat       bool          // marked by the client as a repeat
-	Resumed      bool          // came back after its stream broke
+	ID            RequestID
+	Class         int
+	Tenant        int
+	Session       uint64 // 0 = none
+	Prefix        uint64 // of the prompt, shared with other sessions; 0 = none
+	PromptTokens  float64
+	PrefixTokens  float64
+	MaxTokens     float64
+	Work          time.Duration // a rough hint; 0 = none
+	Timeout       time.Duration // until the client gives up
+	IsClientRetry bool          // the client says that it retries
+	IsResumed     bool          // the client resumes a broken stream
 }
 
-// Result says how an attempt or a probe ended.
+// Result is how an attempt or a probe ended.
 type Result uint8
 
 // The results. Full, ConnectFailed and Moot prove that the attempt never ran.
 const (
-	OK Result = iota
-	Error
-	Full
-	TimedOut
-	ConnectFailed
-	Reset
-	Cancelled
-	Moot
+	ResultOK Result = iota
+	ResultError
+	ResultFull
+	ResultTimedOut
+	ResultConnectFailed
+	ResultReset
+	ResultCancelled
+	ResultMoot
 )
 
 // Report is a load report, ordered as Settings.ReportColumns; N is 0 where there was none.
@@ -170,7 +204,7 @@
 	Values [4]float64
 }
 
-// Started tells that the answer to an attempt has begun: it now belongs to the client.
+// Started is the begin of the answer to an attempt: the request is bound to it.
 type Started struct {
 	ID      RequestID
 	Attempt int
@@ -178,17 +212,17 @@
 	Elapsed time.Duration // since it was sent
 }
 
-// Outcome tells how an attempt ended. Each Send receives exactly one.
+// Outcome is the end of an attempt. Each Send gets exactly one.
 type Outcome struct {
-	ID         RequestID
-	Attempt    int
-	Replica    ReplicaID
-	Result     Result
-	Elapsed    time.Duration
-	Ended      bool    // the request has its final answer, by this outcome or earlier
-	KeptTokens float64 // prompt tokens that the replica need not read again
-	Report     Report
-	Stale      bool // its connection had served before and ended without a word: no sign against the replica
+	ID              RequestID
+	Attempt         int
+	Replica         ReplicaID
+	Result          Result
+	Elapsed         time.Duration
+	RequestEnded    bool    // the request has its final answer, by this attempt or before
+	CachedTokens    float64 // prompt tokens that were in the prefix cache
+	Report          Report
+	StaleConnection bool // a reused connection was closed without an answer
 }
 
 // ProbeResult is the answer to a Probe.
@@ -199,48 +233,45 @@
 	Report  Report
 }
 
-// Why names the reason of an action, for the staff. Nothing is decided by it.
-type Why uint8
+// Reason is the reason of an action, for traces. Nothing is decided by it.
+type Reason uint8
 
-// The reasons. To send: the table has it; drawn for a new session; drawn since the table's replica may not
-// be used; drawn outside the zone; the usable ones are all over the bound of new sessions; marks ignored.
-// To refuse or fail: new sessions are being shed; no replica may be used; no further attempt is saved up, or
-// allowed; its time is over; the request is malformed.
+// The reasons of Send, then those of Reject and Fail.
 const (
-	NoReason Why = iota
-	Pinned
-	Drawn
-	Orphaned
-	Spilled
-	OverBound
-	LastResort
-	Shedding
-	NoReplica
-	NoRetries
-	NoAttempts
-	OutOfTime
-	BadRequest
+	ReasonNone         Reason = iota
+	ReasonAffinity            // the session's replica
+	ReasonDrawn               // a new session
+	ReasonAffinityLost        // the session's replica may not be used
+	ReasonOtherZone           // drawn outside of the zone
+	ReasonOverBound           // all usable replicas are over the load bound
+	ReasonLastResort          // ejections are ignored
+	ReasonLoadShed            // new sessions are rejected
+	ReasonNoReplica           // no replica may be used
+	ReasonRetryBudget         // no retry is left
+	ReasonMaxAttempts         // no further attempt is allowed
+	ReasonDeadline            // its time is over
+	ReasonBadRequest          // it is malformed
 )
 
 // Actions carries out what the balancer decides. All calls happen during a method of Balancer.
 type Actions interface {
-	// Send starts an attempt; attempts of a request are numbered 0, 1, 2 in order. A timeout of 0 lasts
+	// Send starts an attempt; the attempts of a request are numbered 0, 1, 2 in order. A timeout of 0 lasts
 	// until the client gives up.
 	Send(id RequestID, to ReplicaID, timeout time.Duration)
-	// Because says why the next Send, Refuse or Fail for a request is made. It comes right before it.
-	Because(id RequestID, why Why)
-	// Refuse is a final answer: trying again is harmless, after a wait if that is not 0.
-	Refuse(id RequestID, retryAfter time.Duration)
+	// Explain gives the reason of the next Send, Reject or Fail for a request. It is called right before it.
+	Explain(id RequestID, why Reason)
+	// Reject is a final answer: a retry is harmless, after a wait if that is not 0.
+	Reject(id RequestID, retryAfter time.Duration)
 	// Fail is a final answer that promises nothing.
 	Fail(id RequestID)
 	// Cancel stops waiting for an attempt; its Outcome still comes.
 	Cancel(id RequestID, attempt int)
-	// Probe asks a replica for a sign of life and, where there are any, a load report.
+	// Probe asks a replica for an answer and, where there are any, a load report.
 	Probe(to ReplicaID)
-	// Watch asks discovery for changes from now on. It is answered by Balancer.Listed.
+	// Watch asks discovery for changes from now on. Balancer.Listed takes in the answers.
 	Watch()
-	// Wake asks for Balancer.Timer with the token after the wait.
-	Wake(after time.Duration, token uint64)
-	// Log writes a line for the staff.
+	// SetTimer has Balancer.Timer called with the token after a wait.
+	SetTimer(after time.Duration, token uint64)
+	// Log writes a line to the log.
 	Log(line string)
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkArrive is the cost of a request and its outcome at one gateway of many, by the number of replicas.
+// BenchmarkArrive is the cost of a request and its outcome at one router of many, by the number of replicas.
 func BenchmarkArrive(b *testing.B) {
 	for _, n := range []int{8, 60} {
 		b.Run(fmt.Sprintf("replicas=%d", n), func(b *testing.B) {
@@ -20,12 +20,13 @@
 				q := req(RequestID(i+1), 0, uint64(i%5000+1))
 				q.Prefix = uint64(i%50 + 1)
 				g.Arrive(now, a, q)
-				for len(g.held) > 0 {
-					for _, to := range g.held[0].asked {
+				for len(g.awaitingProbes) > 0 {
+					for _, to := range g.awaitingProbes[0].probed {
 						g.Probed(now, a, ProbeResult{Replica: to.ID, Report: report(1)})
 					}
 				}
-				g.Finished(now+ms, a, Outcome{ID: q.ID, Replica: a.sends[len(a.sends)-1].to, Result: OK, Ended: true})
+				to := a.sends[len(a.sends)-1].to
+				g.Finished(now+ms, a, Outcome{ID: q.ID, Replica: to, Result: ResultOK, RequestEnded: true})
 				a.lines, a.sends, a.wakes = a.lines[:0], a.sends[:0], a.wakes[:0]
 			}
 		})
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// many is a deployment of so many gateways that each meets a replica seldom.
+// many is a deployment of so many routers that each meets a replica seldom.
 func many(n int) Settings {
 	s := settings()
-	s.Gateways, s.Zones, s.Limits.Probes, s.ReportColumns = n, 1, true, []string{"x1"}
+	s.Routers, s.Zones, s.Limits.CanProbe, s.ReportColumns = n, 1, true, []string{"x1"}
 	for i := range s.Classes {
-		s.Classes[i].Effect = Safe
+		s.Classes[i].Effect = EffectSafe
 	}
 	return s
 }
@@ -27,15 +27,15 @@
 // probed returns the replicas that the last request is waiting for.
 func (b *Balancer) probed(t *testing.T) (one, two *replica) {
 	t.Helper()
-	if len(b.held) != 1 || len(b.held[0].asked) != 2 {
-		t.Fatalf("%d requests wait for checks, want one, for two replicas", len(b.held))
+	if len(b.awaitingProbes) != 1 || len(b.awaitingProbes[0].probed) != 2 {
+		t.Fatalf("%d requests wait for probes, want one, for two replicas", len(b.awaitingProbes))
 	}
-	return b.held[0].asked[0], b.held[0].asked[1]
+	return b.awaitingProbes[0].probed[0], b.awaitingProbes[0].probed[1]
 }
 
 func report(load float64) Report { return Report{N: 1, Values: [4]float64{load}} }
 
-func TestOfManyGatewaysEachAsksTwoReplicasAndSendsToTheLessLoaded(t *testing.T) {
+func TestManyRoutersProbeTwoReplicasAndSendToTheLessLoaded(t *testing.T) {
 	b, a := start(t, many(80), room(40))
 	b.Arrive(t0, a, req(1, 0, 77))
 	slow, free := b.probed(t)
@@ -47,20 +47,20 @@
 	if a.last(t).to != free.ID || b.sessions.find(t0, 77) != free {
 		t.Errorf("sent to %d, the free one is %d", a.last(t).to, free.ID)
 	}
-	// What was asked a moment ago is not asked again; a few gateways know their replicas and ask nobody.
+	// What was asked a moment ago is not asked again; a few routers know their replicas and ask nobody.
 	b.Arrive(t0+4*ms, a, req(2, 0, 77+0))
 	if a.count("probe") != 2 || len(a.sends) != 2 {
 		t.Errorf("%q", a.lines)
 	}
-	c, few := start(t, many(checkFrom-1), room(40))
+	c, few := start(t, many(probeFromRouters-1), room(40))
 	c.Arrive(t0, few, req(1, 0, 77))
 	if few.count("probe") != 0 || len(few.sends) != 1 {
-		t.Errorf("of a few gateways one did %q", few.lines)
+		t.Errorf("of a few routers one did %q", few.lines)
 	}
 }
 
-func TestReplicaThatIsGoneCostsOneCheckAndNoAttempt(t *testing.T) {
-	for name, silent := range map[string]bool{"refuses": false, "silent": true} {
+func TestDeadReplicaCostsOneProbeAndNoAttempt(t *testing.T) {
+	for name, silent := range map[string]bool{"rejects": false, "silent": true} {
 		b, a := start(t, many(80), room(40))
 		b.Arrive(t0, a, req(1, 0, 77))
 		gone, there := b.probed(t)
@@ -69,11 +69,11 @@
 			t.Fatalf("%s: sent before both were heard", name)
 		}
 		if silent {
-			b.Timer(t0+checkWait, a, checkToken)
+			b.Timer(t0+probeTimeout, a, timerProbes)
 		} else {
-			b.Probed(t0+3*ms, a, ProbeResult{Replica: gone.ID, Result: ConnectFailed})
-			if gone.spell == 0 {
-				t.Error("a replica that takes no connection is not marked")
+			b.Probed(t0+3*ms, a, ProbeResult{Replica: gone.ID, Result: ResultConnectFailed})
+			if gone.duration == 0 {
+				t.Error("a replica that takes no connection is not ejected")
 			}
 		}
 		if len(a.sends) != 1 || a.last(t).to != there.ID {
@@ -82,30 +82,30 @@
 	}
 }
 
-func TestBothAskedAreGone(t *testing.T) {
+func TestBothProbedReplicasAreDead(t *testing.T) {
 	b, a := start(t, many(80), room(40))
 	b.Arrive(t0, a, req(1, 0, 77))
 	one, two := b.probed(t)
-	b.Probed(t0+ms, a, ProbeResult{Replica: one.ID, Result: ConnectFailed})
-	b.Probed(t0+ms, a, ProbeResult{Replica: two.ID, Result: ConnectFailed})
+	b.Probed(t0+ms, a, ProbeResult{Replica: one.ID, Result: ResultConnectFailed})
+	b.Probed(t0+ms, a, ProbeResult{Replica: two.ID, Result: ResultConnectFailed})
 	if to := a.last(t).to; to == one.ID || to == two.ID {
 		t.Errorf("sent to %d, which takes no connection", to)
 	}
 }
 
-func TestClientThatLeavesDuringAChecksIsForgotten(t *testing.T) {
+func TestClientThatLeavesDuringAProbeIsForgotten(t *testing.T) {
 	b, a := start(t, many(80), room(40))
 	b.Arrive(t0, a, req(1, 0, 77))
 	b.Departed(t0+ms, a, 1)
-	b.Timer(t0+checkWait, a, checkToken)
-	if len(a.sends) != 0 || a.count("cancel") != 0 || len(b.requests) != 0 || len(b.held) != 0 {
+	b.Timer(t0+probeTimeout, a, timerProbes)
+	if len(a.sends) != 0 || a.count("cancel") != 0 || len(b.requests) != 0 || len(b.awaitingProbes) != 0 {
 		t.Errorf("%q, %d requests held", a.lines, len(b.requests))
 	}
 }
 
-// What was read for a session is found again only where its turns meet at one replica, whichever gateway they
-// come through: what each gateway has counted or been reported may not lead them apart.
-func TestManyGatewaysDrawTheSameReplicaForASession(t *testing.T) {
+// What was read for a session is found again only where its turns meet at one replica, whichever router they
+// come through: what each router has counted or been reported may not lead them apart.
+func TestManyRoutersDrawTheSameReplicaForASession(t *testing.T) {
 	same, n := 0, 200
 	seen := [2]map[uint64]ReplicaID{{}, {}}
 	for g := range seen {
@@ -117,18 +117,19 @@
 		b.Listed(t0, a, List{Kind: ListFull, Replicas: room(40)})
 		for i := range n {
 			if g == 1 { // it has met another mix of prefixes, and one replica that was busy for a moment
-				b.prefixes.saw(uint64(i % 3))
-				b.reported(t0, b.fleet.byID[ReplicaID(i%40+1)], report(float64(i%7)))
+				b.prefixes.countRequest(uint64(i % 3))
+				b.recordReport(t0, b.fleet.byID[ReplicaID(i%40+1)], report(float64(i%7)))
 			}
 			q := req(RequestID(i+1), 0, uint64(1000+i))
 			q.Prefix, q.PromptTokens = uint64(i%10+1), 8000
 			b.Arrive(t0+Time(i)*sec, a, q)
-			for len(b.held) > 0 {
-				for _, to := range b.held[0].asked {
+			for len(b.awaitingProbes) > 0 {
+				for _, to := range b.awaitingProbes[0].probed {
 					b.Probed(t0+Time(i)*sec, a, ProbeResult{Replica: to.ID, Report: report(3)})
 				}
 			}
-			b.Finished(t0+Time(i)*sec+ms, a, Outcome{ID: q.ID, Replica: a.last(t).to, Result: OK, Ended: true})
+			end := Outcome{ID: q.ID, Replica: a.last(t).to, Result: ResultOK, RequestEnded: true}
+			b.Finished(t0+Time(i)*sec+ms, a, end)
 			seen[g][q.Session] = a.last(t).to
 		}
 	}
@@ -138,11 +139,11 @@
 		}
 	}
 	if same < n*8/10 {
-		t.Errorf("two gateways draw the same replica for %d of %d sessions", same, n)
+		t.Errorf("two routers draw the same replica for %d of %d sessions", same, n)
 	}
 }
 
-func TestReplicaDrawnFirstIsLeftForWhatMovingSaves(t *testing.T) {
+func TestFirstReplicaIsKeptUnlessItsBacklogExceedsAPrefill(t *testing.T) {
 	busy := func(x1, held, errors float64) Report { return Report{N: 3, Values: [4]float64{x1, held, errors}} }
 	for name, c := range map[string]struct {
 		first, second ProbeResult
@@ -152,9 +153,9 @@
 		"much to read":    {ProbeResult{Report: busy(9, 0, 0)}, ProbeResult{Report: busy(0, 0, 0)}, true},
 		"holds many":      {ProbeResult{Report: busy(0, 30, 0)}, ProbeResult{Report: busy(0, 2, 0)}, true},
 		"errs":            {ProbeResult{Report: busy(0, 0, 3)}, ProbeResult{Report: busy(20, 20, 0)}, true},
-		"probe was late":  {ProbeResult{Result: Error}, ProbeResult{Report: busy(0, 0, 0)}, false},
-		"both were late":  {ProbeResult{Result: Error}, ProbeResult{Result: Error}, false},
-		"hangs":           {ProbeResult{Result: TimedOut}, ProbeResult{Result: Error}, true},
+		"probe was late":  {ProbeResult{Result: ResultError}, ProbeResult{Report: busy(0, 0, 0)}, false},
+		"both were late":  {ProbeResult{Result: ResultError}, ProbeResult{Result: ResultError}, false},
+		"hangs":           {ProbeResult{Result: ResultTimedOut}, ProbeResult{Result: ResultError}, true},
 	} {
 		s := many(80)
 		s.ReportColumns = []string{"x1", "inflight", "eps"}
@@ -172,41 +173,41 @@
 	}
 }
 
-// A gateway with little traffic learns of an overload by late answers long after it began, and of its end
+// A router with little traffic learns of an overload by late answers long after it began, and of its end
 // long after it has passed. The two that it asks say so at once.
-func TestWhatWouldBeLateAtBothIsRefusedAtOnce(t *testing.T) {
+func TestRequestThatWouldBeLateAtBothIsRejectedAtOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		one, two ProbeResult
 		resumed  bool
-		refused  int
+		rejected int
 	}{
 		"both behind":        {ProbeResult{Report: report(9)}, ProbeResult{Report: report(7)}, false, 1},
 		"one has room":       {ProbeResult{Report: report(9)}, ProbeResult{Report: report(2)}, false, 0},
 		"the rest of stream": {ProbeResult{Report: report(9)}, ProbeResult{Report: report(7)}, true, 0},
-		"nothing is known":   {ProbeResult{Result: TimedOut}, ProbeResult{Result: TimedOut}, false, 0},
+		"nothing is known":   {ProbeResult{Result: ResultTimedOut}, ProbeResult{Result: ResultTimedOut}, false, 0},
 	} {
 		s := many(80)
-		s.Classes[0].AimPerKTokens = 40 * ms // of an aim of 1 s
+		s.Classes[0].TargetLatencyPerKTokens = 40 * ms // of an target of 1 s
 		b, a := start(t, s, room(40))
 		q := req(1, 0, 77)
-		q.Resumed = c.resumed
+		q.IsResumed = c.resumed
 		b.Arrive(t0, a, q)
 		one, two := b.probed(t)
 		c.one.Replica, c.two.Replica = one.ID, two.ID
 		b.Probed(t0+ms, a, c.one)
 		b.Probed(t0+ms, a, c.two)
-		if a.count("refuse 1") != c.refused || len(a.sends) != 1-c.refused || len(b.requests) != 1-c.refused {
+		if a.count("reject 1") != c.rejected || len(a.sends) != 1-c.rejected || len(b.requests) != 1-c.rejected {
 			t.Errorf("%s: %q", name, a.lines)
 		}
 	}
 }
 
-// all has every gateway take some requests, answers each check at once, and counts the sends to each replica.
-func all(t *testing.T, gateways, requests int, fleet func(b *Balancer) []Replica) map[ReplicaID]float64 {
+// all has every router take some requests, answers each probe at once, and counts the sends to each replica.
+func all(t *testing.T, routers, requests int, fleet func(b *Balancer) []Replica) map[ReplicaID]float64 {
 	t.Helper()
 	count := map[ReplicaID]float64{}
-	for g := range gateways {
-		b, err := New(many(gateways), uint64(g))
+	for g := range routers {
+		b, err := New(many(routers), uint64(g))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -214,8 +215,8 @@
 		b.Listed(t0, a, List{Kind: ListFull, Replicas: fleet(b)})
 		for i := range requests {
 			b.Arrive(t0, a, req(RequestID(i+1), 0, uint64(g*1000+i+1)))
-			for len(b.held) > 0 {
-				for _, to := range b.held[0].asked {
+			for len(b.awaitingProbes) > 0 {
+				for _, to := range b.awaitingProbes[0].probed {
 					b.Probed(t0, a, ProbeResult{Replica: to.ID})
 				}
 			}
@@ -225,34 +226,34 @@
 	return count
 }
 
-// Many gateways with little traffic each: tokens of each for each replica would not be saved up before it is
-// warm, and what is not sent to cold replicas pushes the warm ones over.
-func TestColdReplicasOfManyGatewaysGetTheirShare(t *testing.T) {
-	const gateways, each, n, cold = 80, 15, 40, 24
-	count := all(t, gateways, each, func(*Balancer) []Replica {
+// Many routers with little traffic each: tokens of each for each replica would not be saved up before it is
+// warm, and what is not sent to replicas in slow start pushes the warm ones over.
+func TestReplicasInSlowStartGetTheirShareFromManyRouters(t *testing.T) {
+	const routers, each, n, starting = 80, 15, 40, 24
+	count := all(t, routers, each, func(*Balancer) []Replica {
 		l := room(n)
 		for i := range l {
-			if i < cold {
+			if i < starting {
 				l[i].ReadyAt = t0
 			}
 		}
 		return l
 	})
 	var sent float64
-	for id := ReplicaID(1); id <= cold; id++ {
+	for id := ReplicaID(1); id <= starting; id++ {
 		sent += count[id]
 	}
-	from := many(gateways).ColdFrom
-	due := cold * from / (cold*from + n - cold) * gateways * each
+	from := many(routers).SlowStartInitial
+	due := starting * from / (starting*from + n - starting) * routers * each
 	if math.Abs(sent/due-1) > 0.3 {
-		t.Errorf("%.0f requests went to the cold replicas, which can do %.0f", sent, due)
+		t.Errorf("%.0f requests went to the replicas in slow start, which can do %.0f", sent, due)
 	}
 }
 
-// With everything else full, all gateways together must not push the one cold replica over.
-func TestOneColdReplicaOfManyGatewaysIsNotPushedOver(t *testing.T) {
-	const gateways, each, n = 80, 15, 40
-	count := all(t, gateways, each, func(b *Balancer) []Replica {
+// With everything else full, all routers together must not push the one replica in slow start over.
+func TestManyRoutersDoNotOverloadAReplicaInSlowStart(t *testing.T) {
+	const routers, each, n = 80, 15, 40
+	count := all(t, routers, each, func(b *Balancer) []Replica {
 		l := room(n)
 		b.Listed(t0, &recorder{}, List{Kind: ListFull, Replicas: l})
 		for _, to := range b.fleet.byID {
@@ -263,16 +264,16 @@
 		l[0].ReadyAt = t0
 		return l
 	})
-	share := float64(gateways*each) / n
-	if most := coldMost * share; count[1] > most || count[1] == 0 {
-		t.Errorf("%.0f requests went to the cold replica, at most %.0f allowed", count[1], most)
+	share := float64(routers*each) / n
+	if most := maxColdShare * share; count[1] > most || count[1] == 0 {
+		t.Errorf("%.0f requests went to the replica in slow start, at most %.0f allowed", count[1], most)
 	}
 }
 
-// Gateways that start in one millisecond, or whose discovery fails in one, must not come to it together: it
+// Routers that start in one millisecond, or whose discovery fails in one, must not come to it together: it
 // serves calls one after another and turns a crowd away.
-func TestGatewaysThatStartOrFailTogetherCallApart(t *testing.T) {
-	const gateways = 80
+func TestRoutersThatStartOrFailTogetherCallDiscoveryApart(t *testing.T) {
+	const routers = 80
 	most := func(waits []Time, in Time) int {
 		n := map[Time]int{}
 		high := 0
@@ -282,44 +283,44 @@
 		}
 		return high
 	}
-	var b [gateways]*Balancer
-	var a [gateways]*recorder
-	waits := make([]Time, gateways)
+	var b [routers]*Balancer
+	var a [routers]*recorder
+	waits := make([]Time, routers)
 	ask := func(g int) Time {
 		w := a[g].wakes[len(a[g].wakes)-1]
-		if w.token != watchToken {
-			t.Fatalf("gateway %d: %q", g, a[g].lines)
+		if w.token != timerWatch {
+			t.Fatalf("router %d: %q", g, a[g].lines)
 		}
 		return w.after
 	}
-	for g := range gateways {
+	for g := range routers {
 		var err error
-		if b[g], err = New(many(gateways), uint64(g)); err != nil {
+		if b[g], err = New(many(routers), uint64(g)); err != nil {
 			t.Fatal(err)
 		}
 		a[g] = &recorder{}
 		b[g].Listed(t0, a[g], List{Kind: ListCached, Replicas: room(40)})
 		b[g].Arrive(t0, a[g], req(1, 0, 77)) // the list at the start serves at once
 		if a[g].count("probe") != 2 {
-			t.Fatalf("gateway %d waits for discovery: %q", g, a[g].lines)
+			t.Fatalf("router %d waits for discovery: %q", g, a[g].lines)
 		}
 		a[g].wakes = a[g].wakes[:1]
 		waits[g] = ask(g)
 	}
-	if n := most(waits, 500*ms); n > gateways/4 {
-		t.Errorf("%d of %d gateways first call within half a second", n, gateways)
+	if n := most(waits, 500*ms); n > routers/4 {
+		t.Errorf("%d of %d routers first call within half a second", n, routers)
 	}
-	longest := many(gateways).AskWithin
+	longest := many(routers).WatchWithin
 	for try := range 8 {
-		for g := range gateways {
+		for g := range routers {
 			b[g].Listed(t0, a[g], List{Kind: ListFailed})
 			waits[g] = ask(g)
-			if want := min(watchRetry<<try, longest); waits[g] < want/2 || waits[g] > want {
-				t.Fatalf("failure %d: gateway %d calls after %v, wanted half of %v to all", try, g, waits[g], want)
+			if want := min(minWatchBackoff<<try, longest); waits[g] < want/2 || waits[g] > want {
+				t.Fatalf("failure %d: router %d calls after %v, wanted half of %v to all", try, g, waits[g], want)
 			}
 		}
-		if n := most(waits, 100*ms); n > gateways/2 {
-			t.Errorf("failure %d: %d of %d gateways call again within 100 ms", try, n, gateways)
+		if n := most(waits, 100*ms); n > routers/2 {
+			t.Errorf("failure %d: %d of %d routers call again within 100 ms", try, n, routers)
 		}
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,16 +1,14 @@
 package policy
 
-// All decisions of the balancer. The types, events and actions that cross its border are in api.go.
+// All decisions of the balancer. The types, events and actions of its interface are in api.go.
 //
-// The mechanism: each gateway pins a session to the replica that first served it and keeps sending it
-// there while that replica answers; new and orphaned sessions go to a random ready replica. The parts
-// below, in order: the balancer, the life of a request, the session table, the draw, replica health, load
-// reports, admission, and discovery upkeep.
+// The mechanism: a session stays with the replica that first served it while that replica answers (affinity);
+// new sessions, and those that lost their replica, go to a random ready one. In order: the balancer, the life
+// of a request, the session table, the draw, health, load reports, admission, and the watch on discovery.
 
 import (
 	"cmp"
 	"container/list"
-	"errors"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -18,77 +16,77 @@
 	"time"
 )
 
-// Shares and counts here are of the settings' own units; none comes from a deployment.
+// Shares and counts are in the units of the settings; none is chosen for a deployment.
 const (
 	maxRequestID = 1<<52 - 1
 	maxSessions  = 1 << 16          // entries of the session table; the least recently used leaves first
-	sessionIdle  = 10 * time.Minute // far past any think time, so that only abandoned sessions expire
-
-	retryShare = 0.1 // further attempts earned by each request, lest they feed an overload
-	retryBurst = 10  // and saved up at most, for a crash that hits many
-	watchRetry = time.Second
-	logEvery   = 5 * time.Second // at most one line of each kind in this
-
-	prefixSpread = 3    // a prefix is served by three times the replicas that its share of traffic needs
-	prefixNear   = 2    // with many gateways places in a prefix's order count from twice as many on
-	prefixPrior  = 5    // requests after which a first sight no longer counts for much
-	prefixMemory = 256  // requests after which older ones count half
-	maxPrefixes  = 1024 // orders kept for each part of the fleet
-
-	boundLoad    = 2                // no new session for a replica with over twice the mean of own attempts
-	boundUnsized = 1                // or over this much, where no list tells how much a replica can hold
-	reportFades  = 10 * time.Second // a report counts for less and less, and no more after this
-	spillStep    = 0.1              // a wholly late answer moves a tenth of the sessions
-
-	checkFrom  = 8                      // gateways from which each meets a replica too seldom to know how it is
-	checkWait  = 120 * time.Millisecond // for the answer to a check
-	checkFresh = 400 * time.Millisecond // no replica is checked more often
-	silent     = 1000                   // backlog of one that has not answered its check
-	crowded    = 5                      // and of one that answers that it could not in time
-	errorsMost = 0.2                    // errors a second from which one counts as silent
-	lateFrom   = 4                      // a backlog takes so many times what aims allow for reading it
-	coldMost   = 4                      // share of all sessions that a cold replica may draw, in even shares
-
-	shedAbove  = 0.08 // mean of lost worth from which new sessions are refused
-	shedUp     = 0.5  // share refused more a second, times what is lost above that
-	shedDown   = 0.1  // share refused less a second when all is well
-	shedMost   = 0.6  // some must be let in, or nothing would tell that the overload has passed
-	sharesOver = 64   // requests over which tenants' shares are reckoned; then older ones count half
-
-	closedFirst = time.Second      // first spell of a closed mark; doubles while trials go on failing
-	closedMost  = 16 * time.Second // and no longer than this
-	zoneFails   = 4                // replicas of a zone that fail in a row before the zone is closed
-	mostMarked  = 0.3              // share of the fleet that may be marked at once
-	fullSpell   = 500 * time.Millisecond
-
-	// Salts keep the coins of spilling, refusing and cold replicas apart from the draw and from each other.
-	spillSalt = 0x2545f4914f6cdd1d
-	shedSalt  = 0x8cb92ba72f3d8dd7
-	coldSalt  = 0x5bd1e9955bd1e995
+	sessionIdle  = 10 * time.Minute // far beyond any think time, so that only abandoned sessions expire
+
+	retriesPerRequest = 0.1 // retries earned by each request, lest they feed an overload
+	maxSavedRetries   = 10  // and saved up at most, for a crash that hits many requests
+	minWatchBackoff   = time.Second
+	logInterval       = 5 * time.Second // at most one line of each kind in this time
+
+	prefixSpread     = 3    // a prefix gets three times the replicas that its share of traffic needs
+	prefixNearFactor = 2    // with many routers a prefix's order counts from twice as many on
+	prefixPrior      = 5    // requests after which the first ones of a prefix no longer count for much
+	prefixMemory     = 256  // requests after which older ones count half
+	maxPrefixes      = 1024 // orders cached for each set of replicas
+
+	loadBoundSized   = 2                // no new session for a replica with over twice the mean of own attempts
+	loadBoundUnsized = 1                // or over the mean, where no list tells how much a replica can take
+	reportLifetime   = 10 * time.Second // the weight of a report falls evenly to zero in this time
+	spillStep        = 0.1              // an answer that is fully late moves a tenth of the sessions
+
+	probeFromRouters  = 8                      // from so many routers on replicas are probed before use
+	probeTimeout      = 120 * time.Millisecond // for the answer to a probe
+	probeInterval     = 400 * time.Millisecond // no replica is probed more often
+	backlogUnanswered = 1000                   // backlog of a replica that has not answered its probe
+	backlogOverloaded = 5                      // and of one that answers that it cannot in time
+	maxErrorRate      = 0.2                    // errors a second from which a replica counts as not answering
+	backlogLateFactor = 4                      // time of a backlog's prefill against what the targets allow
+	maxColdShare      = 4                      // most sessions of a replica in slow start, in even shares
+
+	shedThreshold = 0.08 // mean of lost value from which new sessions are rejected
+	shedIncrease  = 0.5  // share rejected more a second, times what is lost above that
+	shedDecrease  = 0.1  // share rejected less a second without overload
+	maxShedShare  = 0.6  // some must be admitted, or nothing would show that the overload has passed
+	tenantMemory  = 64   // requests over which tenants' shares are computed; then older ones count half
+
+	minEjection      = time.Second      // first ejection; doubled while trial requests go on failing
+	maxEjection      = 16 * time.Second // and no longer than this
+	zoneFailureLimit = 4                // replicas of a zone that fail in a row before the zone is ejected
+	maxEjectedShare  = 0.3              // share of the fleet that may be ejected at once
+	fullPause        = 500 * time.Millisecond
+
+	// Salts make the hashes of spilling, shedding and slow start independent of the draw and of each other.
+	spillSalt     = 0x2545f4914f6cdd1d
+	shedSalt      = 0x8cb92ba72f3d8dd7
+	slowStartSalt = 0x5bd1e9955bd1e995
 )
 
-// Balancer makes the decisions of one gateway. It is not safe for concurrent use.
+// Balancer makes the decisions of one router. It is not safe for concurrent use.
 type Balancer struct {
-	set        Settings
-	rnd        *rand.Rand
-	requests   map[RequestID]*request
-	sessions   sessionTable
-	fleet      fleet
-	prefixes   prefixes
-	loads      loads
-	retries    float64 // saved further attempts
-	shed       float64 // share of new sessions that is refused
-	lost       float64 // running mean of the worth that lateness loses
-	shedAt     Time
-	leastWorth float64 // of a class
-	bound      float64 // boundLoad or boundUnsized
-	arrived    float64 // requests so far
-	tenants    tenants
-	spill      float64 // share of the sessions that are drawn over the whole fleet
-	watch      watch
-	logged     map[string]Time
-	checks     bool       // replicas are asked how they are before a session is sent there
-	held       []*request // that wait for the answers
+	settings       Settings
+	rng            *rand.Rand
+	requests       map[RequestID]*request
+	sessions       sessionTable
+	fleet          fleet
+	prefixes       prefixes
+	loads          loads
+	savedRetries   float64 // retries that may be made now
+	shedShare      float64 // share of new sessions that is rejected
+	lostValue      float64 // running mean of the value that lateness loses
+	shedUpdatedAt  Time
+	minValue       float64 // lowest value of a class
+	loadBound      float64 // loadBoundSized or loadBoundUnsized
+	arrivals       float64 // requests so far
+	tenants        tenants
+	spillShare     float64 // share of the sessions that are drawn over all zones
+	watch          watch
+	loggedAt       map[string]Time
+	probesFirst    bool       // replicas are probed before a session is sent there
+	awaitingProbes []*request // requests that wait for probes
 }
 
 // New returns a balancer that knows no replicas yet, or an error that names the setting at fault.
@@ -97,153 +95,132 @@
 		return nil, err
 	}
 	b := &Balancer{
-		set:      s,
-		rnd:      rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		requests: map[RequestID]*request{},
-		sessions: sessionTable{entries: map[uint64]*list.Element{}},
-		fleet:    fleet{byID: map[ReplicaID]*replica{}, zones: map[int]zone{}},
-		prefixes: prefixes{count: map[uint64]float64{}},
-		retries:  retryBurst,
-		logged:   map[string]Time{},
-	}
-	if b.bound = boundLoad; s.Weights == NoWeights {
-		b.bound = boundUnsized
-	}
-	b.leastWorth = slices.MinFunc(s.Classes, func(x, y Class) int { return cmp.Compare(x.Worth, y.Worth) }).Worth
+		settings:     s,
+		rng:          rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		requests:     map[RequestID]*request{},
+		sessions:     sessionTable{entries: map[uint64]*list.Element{}},
+		fleet:        fleet{byID: map[ReplicaID]*replica{}, zones: map[int]zone{}},
+		prefixes:     prefixes{count: map[uint64]float64{}},
+		savedRetries: maxSavedRetries,
+		loggedAt:     map[string]Time{},
+	}
+	if b.loadBound = loadBoundSized; s.WeightMeaning == WeightUnused {
+		b.loadBound = loadBoundUnsized
+	}
+	b.minValue = slices.MinFunc(s.Classes, func(x, y Class) int { return cmp.Compare(x.Value, y.Value) }).Value
 	for _, t := range s.Tenants {
 		b.tenants.share = append(b.tenants.share, t.Share)
 		b.tenants.count = append(b.tenants.count, 0)
 	}
 	for _, c := range s.ReportColumns {
-		b.loads.use = append(b.loads.use, c != "" && c != "qps" && c != "eps")
+		b.loads.isUsed = append(b.loads.isUsed, c != "" && c != "qps" && c != "eps")
 	}
-	b.checks = s.Limits.Probes && len(s.ReportColumns) > 0 && s.Gateways >= checkFrom
+	b.probesFirst = s.Limits.CanProbe && len(s.ReportColumns) > 0 && s.Routers >= probeFromRouters
 	return b, nil
 }
 
-func (s *Settings) validate() error {
-	switch {
-	case s.DrainGrace < 0 || s.WarmUp < 0 || s.AskWithin < 0 || s.Limits.MaxRetryAfter < 0:
-		return errors.New("policy: DrainGrace, WarmUp, AskWithin and MaxRetryAfter must not be negative")
-	case len(s.Classes) == 0:
-		return errors.New("policy: Classes must not be empty")
-	case s.Limits.MaxAttempts < 1:
-		return errors.New("policy: Limits.MaxAttempts must be at least 1")
-	case !(s.ColdFrom > 0 && s.ColdFrom <= 1):
-		return errors.New("policy: ColdFrom must be above 0 and at most 1")
-	case s.Gateways < 1 || s.Gateway < 0 || s.Gateway >= s.Gateways:
-		return errors.New("policy: Gateway must be from 0 to below Gateways")
-	case s.Zone < 0 || s.Zone >= s.Zones:
-		return errors.New("policy: Zone must be from 0 to below Zones")
-	case s.AskDiscovery && s.AskWithin == 0:
-		return errors.New("policy: AskWithin must be above 0 where AskDiscovery is set")
-	case len(s.ReportColumns) > len(Report{}.Values):
-		return errors.New("policy: ReportColumns holds more columns than a Report has values")
-	}
-	for _, c := range s.Classes {
-		if c.Deadline <= 0 || c.Aim < 0 || c.Effect > Unsafe || c.Group > GroupCell {
-			return fmt.Errorf("policy: Classes: %q has a Deadline, Aim, Effect or Group out of range", c.Name)
-		}
-	}
-	return nil
-}
-
 // The life of a request: attempts, time-outs, the final answer.
 
 type request struct {
 	Request
-	class    *Class
-	seed     uint64 // of its draw and coins: the session, or any number where it names none
-	deadline Time
-	orphan   bool       // the table's replica may not be used
-	answered bool       // has its final answer, or the client left
-	asked    []*replica // drawn for it, and asked how they are
-	attempts []attempt  // one at a time: each but the last is done
+	class        *Class
+	seed         uint64 // of its draw: the session, or a random number where it names none
+	deadline     Time
+	affinityLost bool       // the session's replica may not be used
+	answered     bool       // has its final answer, or the client left
+	probed       []*replica // drawn for it, and probed
+	attempts     []attempt  // one at a time: all but the last are done
 }
 
 type attempt struct {
-	to    *replica
-	at    Time
-	done  bool
-	maybe bool // it may have run
-	stale bool // its connection was at fault, and not the replica
+	replica         *replica
+	sentAt          Time
+	done            bool
+	mayHaveRun      bool // it may have run
+	staleConnection bool // its connection was at fault, not the replica
 }
 
-// Arrive takes a request on.
+// Arrive takes in a request.
 func (b *Balancer) Arrive(now Time, a Actions, q Request) {
 	if _, known := b.requests[q.ID]; known {
 		return
 	}
-	if q.ID > maxRequestID || q.Class < 0 || q.Class >= len(b.set.Classes) || q.ExpiresIn <= 0 {
-		a.Because(q.ID, BadRequest)
+	if q.ID > maxRequestID || q.Class < 0 || q.Class >= len(b.settings.Classes) || q.Timeout <= 0 {
+		a.Explain(q.ID, ReasonBadRequest)
 		a.Fail(q.ID)
 		return
 	}
-	b.retries = min(b.retries+retryShare, retryBurst)
-	r := &request{Request: q, class: &b.set.Classes[q.Class], deadline: now + q.ExpiresIn}
+	b.savedRetries = min(b.savedRetries+retriesPerRequest, maxSavedRetries)
+	r := &request{Request: q, class: &b.settings.Classes[q.Class], deadline: now + q.Timeout}
 	if r.seed = q.Session; r.seed == 0 {
-		r.seed = b.rnd.Uint64()
+		r.seed = b.rng.Uint64()
 	}
 	b.requests[q.ID] = r
-	b.arrived++
-	b.tenants.saw(q.Tenant)
+	b.arrivals++
+	b.tenants.countRequest(q.Tenant)
 	if q.Prefix != 0 {
-		b.prefixes.saw(q.Prefix)
+		b.prefixes.countRequest(q.Prefix)
 	}
 	b.place(now, a, r)
 }
 
-// Started tells that an answer has begun.
+// Started takes in that an answer has begun.
 func (b *Balancer) Started(now Time, a Actions, e Started) {
-	b.fleet.answers(now, e.Replica)
+	b.fleet.recordAnswer(now, e.Replica)
 	if r := b.requests[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.attempts) {
-		b.learn(now, r, &r.attempts[e.Attempt], e.Elapsed)
+		b.learnLatency(now, r, &r.attempts[e.Attempt], e.Elapsed)
 	}
 }
 
-// learn judges the first token of an attempt, or that there was none for so long.
-func (b *Balancer) learn(now Time, r *request, t *attempt, elapsed time.Duration) {
-	late := min(max(2*float64(elapsed)/float64(b.aim(r))-1, 0), 1)
-	b.learnSpill(t.to, late)
-	b.learnShed(now, late*(1-r.class.LateWorth))
+// learnLatency takes in the latency of a first token, or that there was none for so long.
+func (b *Balancer) learnLatency(now Time, r *request, t *attempt, elapsed time.Duration) {
+	late := min(max(2*float64(elapsed)/float64(b.targetLatency(r))-1, 0), 1)
+	b.learnSpillShare(t.replica, late)
+	b.learnShedShare(now, late*(1-r.class.LateValue))
 }
 
-// Finished tells the outcome of an attempt.
+// Finished takes in the outcome of an attempt.
 func (b *Balancer) Finished(now Time, a Actions, o Outcome) {
-	b.outcome(now, a, &o)
+	b.recordOutcome(now, a, &o)
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].done {
 		return
 	}
 	t := &r.attempts[o.Attempt]
-	t.done, t.maybe = true, o.Result != Full && o.Result != ConnectFailed && o.Result != Moot
-	t.stale = o.Stale
-	t.to.out--
-	b.fleet.out--
-	switch {
-	case o.Result == TimedOut && t.to.answered > t.at && !r.answered: // one that hangs is no overload
-		b.learn(now, r, t, r.class.Deadline)
-	case o.Result == OK && !r.class.Streaming: // no Started told when it was answered
-		b.learn(now, r, t, o.Elapsed)
-	}
+	t.done = true
+	t.mayHaveRun = o.Result != ResultFull && o.Result != ResultConnectFailed && o.Result != ResultMoot
+	t.staleConnection = o.StaleConnection
+	t.replica.inFlight--
+	b.fleet.inFlight--
+	b.learnOutcome(now, r, t, &o)
 	switch {
-	case r.answered || o.Ended:
+	case r.answered || o.RequestEnded:
 		delete(b.requests, r.ID)
-	case o.Result == Moot || now >= r.deadline:
-		b.fail(a, r, OutOfTime)
+	case o.Result == ResultMoot || now >= r.deadline:
+		b.fail(a, r, ReasonDeadline)
 	default:
-		b.again(now, a, r)
+		b.retry(now, a, r)
+	}
+}
+
+// learnOutcome takes in the latency of an attempt that has ended, where no Started told it.
+func (b *Balancer) learnOutcome(now Time, r *request, t *attempt, o *Outcome) {
+	switch {
+	case o.Result == ResultTimedOut && t.replica.answeredAt > t.sentAt && !r.answered: // else it hangs
+		b.learnLatency(now, r, t, r.class.Deadline)
+	case o.Result == ResultOK && !r.class.IsStreaming:
+		b.learnLatency(now, r, t, o.Elapsed)
 	}
 }
 
-// Departed tells that the client is gone; nothing more is owed.
+// Departed takes in that the client has left; it gets no answer.
 func (b *Balancer) Departed(now Time, a Actions, id RequestID) {
 	r := b.requests[id]
 	if r == nil || r.answered {
 		return
 	}
-	r.answered = true // kept until its attempt's outcome has come
-	if b.set.Limits.Cancel && len(r.attempts) > 0 {
+	r.answered = true // kept until the outcome of its attempt
+	if b.settings.Limits.CanCancel && len(r.attempts) > 0 {
 		a.Cancel(id, len(r.attempts)-1)
 	}
 }
@@ -251,207 +228,209 @@
 // Timer is called when a wait set by Actions.Wake has passed.
 func (b *Balancer) Timer(now Time, a Actions, token uint64) {
 	switch token {
-	case watchToken:
+	case timerWatch:
 		a.Watch()
-	case checkToken:
-		b.settle(now, a)
+	case timerProbes:
+		b.sendProbed(now, a)
 	}
 }
 
-func (b *Balancer) aim(r *request) time.Duration {
-	return max(r.class.Aim+time.Duration(float64(r.class.AimPerKTokens)*r.PromptTokens/1000), 1)
+func (b *Balancer) targetLatency(r *request) time.Duration {
+	perKTokens := float64(r.class.TargetLatencyPerKTokens)
+	return max(r.class.TargetLatency+time.Duration(perKTokens*r.PromptTokens/1000), 1)
 }
 
 // place makes the first attempt.
 func (b *Balancer) place(now Time, a Actions, r *request) {
 	to := b.sessions.find(now, r.Session)
-	switch r.orphan = to != nil; {
-	case to == nil && b.shedding(r):
-		b.refuse(a, r, Shedding, b.set.Limits.MaxRetryAfter)
-	case to != nil && b.usable(now, to, r, pinnedTurn):
-		b.send(now, a, r, to, Pinned)
+	switch r.affinityLost = to != nil; {
+	case to == nil && b.isShedding(r):
+		b.reject(a, r, ReasonLoadShed, b.settings.Limits.MaxRetryAfter)
+	case to != nil && b.isUsable(now, to, r, purposeAffinity):
+		b.send(now, a, r, to, ReasonAffinity)
 	default:
-		b.seek(now, a, r)
+		b.sendToDrawn(now, a, r)
 	}
 }
 
-// seek sends r to a replica that is drawn. Where gateways are many it draws two and asks how they do, which
-// takes milliseconds: one that meets a replica once in half a minute would learn too late that it is slow,
-// overloaded or dead, and each of the others would learn it again.
-func (b *Balancer) seek(now Time, a Actions, r *request) {
+// sendToDrawn sends r to a replica that is drawn. Where there are many routers, and each uses a replica too
+// seldom to know its state, it draws two and probes them, which takes milliseconds.
+func (b *Balancer) sendToDrawn(now Time, a Actions, r *request) {
 	to, why := b.draw(now, r)
 	switch {
 	case to == nil:
-		b.decline(now, a, r, NoReplica)
+		b.giveUp(now, a, r, ReasonNoReplica)
 		return
-	case !b.checks || len(r.asked) > 0 || now+2*checkWait > r.deadline:
+	case !b.probesFirst || len(r.probed) > 0 || now+2*probeTimeout > r.deadline:
 		b.send(now, a, r, to, why)
 		return
 	}
-	for ; to != nil && len(r.asked) < 2; to, _ = b.draw(now, r) {
-		r.asked = append(r.asked, to)
-		if now >= to.askedAt+checkFresh {
-			to.askedAt, to.backlog = now, silent
+	for ; to != nil && len(r.probed) < 2; to, _ = b.draw(now, r) {
+		r.probed = append(r.probed, to)
+		if now >= to.probedAt+probeInterval {
+			to.probedAt, to.backlog = now, backlogUnanswered
 			a.Probe(to.ID)
-			a.Wake(checkWait, checkToken)
+			a.SetTimer(probeTimeout, timerProbes)
 		}
 	}
-	b.held = append(b.held, r)
-	b.settle(now, a)
+	b.awaitingProbes = append(b.awaitingProbes, r)
+	b.sendProbed(now, a)
 }
 
-// settle sends on what need not wait for a check any more: to the first of the two, which may have the prompt
-// of the session, unless more is to be done there before than to read it all anew at the other. Where the
-// better one would be late too, it refuses at once: what is sent there makes others late.
-func (b *Balancer) settle(now Time, a Actions) {
-	held := b.held
-	b.held = nil
+// sendProbed sends the requests that need not wait for a probe any more: to the first replica, whose prefix
+// cache may have the prompt, unless its backlog is larger than the prefill of the whole prompt at the other.
+// Where the better one would be late, too, it rejects at once: the request would make others late.
+func (b *Balancer) sendProbed(now Time, a Actions) {
+	held := b.awaitingProbes
+	b.awaitingProbes = nil
 	for _, r := range held {
-		wait := func(to *replica) bool { return to.askedAt > to.reportAt && now < to.askedAt+checkWait }
+		isWaiting := func(to *replica) bool { return to.probedAt > to.reportedAt && now < to.probedAt+probeTimeout }
 		switch {
-		case r.answered: // its client left
+		case r.answered: // its client has left
 			delete(b.requests, r.ID)
-		case slices.ContainsFunc(r.asked, wait):
-			b.held = append(b.held, r)
+		case slices.ContainsFunc(r.probed, isWaiting):
+			b.awaitingProbes = append(b.awaitingProbes, r)
 		default:
 			var best *replica
-			for _, to := range r.asked {
-				if b.usable(now, to, r, overBound) && (best == nil || to.backlog+r.PromptTokens/1000 < best.backlog) {
+			for _, to := range r.probed {
+				isBetter := best == nil || to.backlog+r.PromptTokens/1000 < best.backlog
+				if b.isUsable(now, to, r, purposeOverBound) && isBetter {
 					best = to
 				}
 			}
-			switch perK := lateFrom * float64(r.class.AimPerKTokens); {
+			switch perK := backlogLateFactor * float64(r.class.TargetLatencyPerKTokens); {
 			case best == nil:
-				b.seek(now, a, r)
-			case !r.Resumed && best.backlog < silent && best.backlog*perK > float64(b.aim(r)):
-				b.decline(now, a, r, Shedding)
+				b.sendToDrawn(now, a, r)
+			case !r.IsResumed && best.backlog < backlogUnanswered && best.backlog*perK > float64(b.targetLatency(r)):
+				b.giveUp(now, a, r, ReasonLoadShed)
 			default:
-				b.send(now, a, r, best, b.drew(best, newSession))
+				b.send(now, a, r, best, b.drawReason(best, purposeNewSession))
 			}
 		}
 	}
 }
 
-func (b *Balancer) send(now Time, a Actions, r *request, to *replica, why Why) {
-	if r.orphan && why == Drawn && len(r.attempts) == 0 {
-		why = Orphaned
+func (b *Balancer) send(now Time, a Actions, r *request, to *replica, why Reason) {
+	if r.affinityLost && why == ReasonDrawn && len(r.attempts) == 0 {
+		why = ReasonAffinityLost
 	}
-	r.asked = nil
-	r.attempts = append(r.attempts, attempt{to: to, at: now, maybe: true})
-	to.trial = to.spell > 0
-	to.out++
-	b.fleet.out++
-	to.budget-- // counts only while it is cold
-	b.sessions.pin(now, r.Session, to)
-	a.Because(r.ID, why)
+	r.probed = nil
+	r.attempts = append(r.attempts, attempt{replica: to, sentAt: now, mayHaveRun: true})
+	to.onTrial = to.duration > 0
+	to.inFlight++
+	b.fleet.inFlight++
+	to.slowStartBudget-- // counts only in slow start
+	b.sessions.assign(now, r.Session, to)
+	a.Explain(r.ID, why)
 	a.Send(r.ID, to.ID, 0)
 }
 
-// again makes a further attempt where the rules and the retry budget permit one.
-func (b *Balancer) again(now Time, a Actions, r *request) {
+// retry makes another attempt where the rules and the retry budget permit one.
+func (b *Balancer) retry(now Time, a Actions, r *request) {
 	cost := 1.0
-	if last := &r.attempts[len(r.attempts)-1]; !last.maybe || last.stale {
-		cost = 0 // it proved not to have run, or its connection was gone, and so cost no replica any work
+	if last := &r.attempts[len(r.attempts)-1]; !last.mayHaveRun || last.staleConnection {
+		cost = 0 // it has not run, or its connection was gone: it cost no replica any work
 	}
 	switch {
-	case len(r.attempts) >= cmp.Or(r.class.MaxAttempts, b.set.Limits.MaxAttempts):
-		b.decline(now, a, r, NoAttempts)
-	case b.retries < cost:
-		b.decline(now, a, r, NoRetries)
+	case len(r.attempts) >= cmp.Or(r.class.MaxAttempts, b.settings.Limits.MaxAttempts):
+		b.giveUp(now, a, r, ReasonMaxAttempts)
+	case b.savedRetries < cost:
+		b.giveUp(now, a, r, ReasonRetryBudget)
 	default:
-		b.retries -= cost
-		b.seek(now, a, r)
+		b.savedRetries -= cost
+		b.sendToDrawn(now, a, r)
 	}
 }
 
-// decline gives a final answer that serves nothing: a refusal where nothing can have run (or a repeat is
-// harmless), a failure otherwise.
-func (b *Balancer) decline(now Time, a Actions, r *request, why Why) {
-	b.log(now, a, "declined", "no replica could take a request")
-	harmless := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll || !r.mayHaveRun()
-	if harmless {
-		b.refuse(a, r, why, min(fullSpell, b.set.Limits.MaxRetryAfter))
+// giveUp ends r without a result: rejected where nothing has run or a repetition is harmless, else failed.
+func (b *Balancer) giveUp(now Time, a Actions, r *request, why Reason) {
+	b.log(now, a, "rejected", "no replica could take a request")
+	c := r.class
+	if c.Effect == EffectSafe || c.Effect == EffectKeyed && c.DedupGroup == GroupAll || !r.mayHaveRun() {
+		b.reject(a, r, why, min(fullPause, b.settings.Limits.MaxRetryAfter))
 	} else {
 		b.fail(a, r, why)
 	}
 }
 
-func (b *Balancer) refuse(a Actions, r *request, why Why, wait time.Duration) {
+func (b *Balancer) reject(a Actions, r *request, why Reason, wait time.Duration) {
 	delete(b.requests, r.ID)
-	a.Because(r.ID, why)
-	if !b.set.Limits.RetryAfter {
+	a.Explain(r.ID, why)
+	if !b.settings.Limits.SendsRetryAfter {
 		wait = 0
 	}
-	a.Refuse(r.ID, wait)
+	a.Reject(r.ID, wait)
 }
 
-func (b *Balancer) fail(a Actions, r *request, why Why) {
+func (b *Balancer) fail(a Actions, r *request, why Reason) {
 	delete(b.requests, r.ID)
-	a.Because(r.ID, why)
+	a.Explain(r.ID, why)
 	a.Fail(r.ID)
 }
 
-// coin throws the request's coin of a kind: the same for all requests of its session, at all gateways.
-func (r *request) coin(salt uint64) float64 { return unit(mix(r.seed, salt)) }
+// coin is a random number of a kind in (0, 1): the same for all requests of a session, at all routers.
+func (r *request) coin(salt uint64) float64 { return unitInterval(hashPair(r.seed, salt)) }
 
 func (r *request) mayHaveRun() bool {
-	return slices.ContainsFunc(r.attempts, func(t attempt) bool { return t.maybe })
+	return slices.ContainsFunc(r.attempts, func(t attempt) bool { return t.mayHaveRun })
 }
 
-// mayGo says whether the class of r permits another attempt at to, given the attempts before.
-func (r *request) mayGo(now Time, to *replica) bool {
-	if slices.Contains(r.asked, to) {
+// permits reports whether the class of r permits another attempt at a replica after those before.
+func (r *request) permits(now Time, to *replica) bool {
+	if slices.Contains(r.probed, to) {
 		return false
 	}
 	for i := range r.attempts {
 		t := &r.attempts[i]
 		switch {
-		case t.to == to && !t.stale:
-			return false // it had its chance
-		case !t.maybe || r.class.Effect == Safe:
-		case r.class.Effect == Unsafe || now >= t.at+r.class.DedupWindow:
+		case t.replica == to && !t.staleConnection:
+			return false // it was tried
+		case !t.mayHaveRun || r.class.Effect == EffectSafe:
+		case r.class.Effect == EffectUnsafe || now >= t.sentAt+r.class.DedupWindow:
+			return false
+		case r.class.DedupGroup == GroupZone && t.replica.Zone != to.Zone:
 			return false
-		case r.class.Group == GroupZone && t.to.Zone != to.Zone, r.class.Group == GroupCell && t.to.Cell != to.Cell:
+		case r.class.DedupGroup == GroupCell && t.replica.Cell != to.Cell:
 			return false
 		}
 	}
 	return true
 }
 
-// The session table: which replica serves a session. Bounded; idle entries expire.
+// The session table: which replica serves a session. It is bounded; idle entries expire.
 
 type sessionTable struct {
 	entries map[uint64]*list.Element
 	recent  list.List // of *pin, most recently used first
 }
 
-type pin struct {
+type sessionEntry struct {
 	session uint64
-	to      *replica
-	used    Time
+	replica *replica
+	usedAt  Time
 }
 
 func (t *sessionTable) find(now Time, session uint64) *replica {
 	e := t.entries[session]
-	if session == 0 || e == nil || now-e.Value.(*pin).used > sessionIdle {
+	if session == 0 || e == nil || now-e.Value.(*sessionEntry).usedAt > sessionIdle {
 		return nil
 	}
-	return e.Value.(*pin).to
+	return e.Value.(*sessionEntry).replica
 }
 
-func (t *sessionTable) pin(now Time, session uint64, to *replica) {
+func (t *sessionTable) assign(now Time, session uint64, to *replica) {
 	if session == 0 {
 		return
 	}
 	if e := t.entries[session]; e != nil {
-		*e.Value.(*pin) = pin{session, to, now}
+		*e.Value.(*sessionEntry) = sessionEntry{session, to, now}
 		t.recent.MoveToFront(e)
 	} else {
-		t.entries[session] = t.recent.PushFront(&pin{session, to, now})
+		t.entries[session] = t.recent.PushFront(&sessionEntry{session, to, now})
 	}
 	for last := t.recent.Back(); last != nil; last = t.recent.Back() {
-		p := last.Value.(*pin)
-		if t.recent.Len() <= maxSessions && now-p.used <= sessionIdle {
+		p := last.Value.(*sessionEntry)
+		if t.recent.Len() <= maxSessions && now-p.usedAt <= sessionIdle {
 			break
 		}
 		t.recent.Remove(last)
@@ -459,98 +438,99 @@
 	}
 }
 
-// The draw: a random ready replica for a new or orphaned session.
+// The draw: a random ready replica for a session that has none.
 
-// draw returns a replica that r may go to, or nil. Where closed marks leave none, they are ignored:
-// with every port seemingly closed the marks are the likelier fault.
+// draw returns a replica that r may go to, or nil. Where ejections leave none, they are ignored.
 //
 // The draw is seeded by the session (weighted rendezvous hashing): over sessions it is random, in proportion
-// to the replicas' weights, yet gateways that share nothing, and restarted ones, draw alike. It prevents that
-// a conversation whose turns reach several gateways has its kept prompt read anew at each.
-func (b *Balancer) draw(now Time, r *request) (*replica, Why) {
-	for _, want := range []purpose{newSession, overBound, lastResort} {
-		for _, p := range b.reach(r) {
+// to the replicas' weights, yet routers that share nothing, and restarted ones, draw alike. So a conversation
+// whose turns reach several routers finds its prompt in one replica's prefix cache.
+func (b *Balancer) draw(now Time, r *request) (*replica, Reason) {
+	for _, want := range []purpose{purposeNewSession, purposeOverBound, purposeLastResort} {
+		for _, p := range b.replicaSets(r) {
 			list, n := p.replicas, len(p.replicas)
 			if r.Prefix != 0 && n > 0 {
-				list = p.order(r.Prefix)
-				if !b.checks {
-					n = b.prefixes.width(r.Prefix, n)
+				list = p.ordered(r.Prefix)
+				if !b.probesFirst {
+					n = b.prefixes.replicasFor(r.Prefix, n)
 				}
 			}
 			for _, some := range [][]*replica{list[:n], list[n:]} {
 				if to := b.pick(now, r, some, want); to != nil {
-					return to, b.drew(to, want)
+					return to, b.drawReason(to, want)
 				}
 			}
 		}
 	}
-	return nil, NoReplica
+	return nil, ReasonNoReplica
 }
 
-// drew says what a draw was, for the staff.
-func (b *Balancer) drew(to *replica, want purpose) Why {
+// drawReason returns the reason of a draw, for traces.
+func (b *Balancer) drawReason(to *replica, want purpose) Reason {
 	switch {
-	case want == lastResort:
-		return LastResort
-	case want == overBound:
-		return OverBound
-	case to.Zone != b.set.Zone:
-		return Spilled
+	case want == purposeLastResort:
+		return ReasonLastResort
+	case want == purposeOverBound:
+		return ReasonOverBound
+	case to.Zone != b.settings.Zone:
+		return ReasonOtherZone
 	}
-	return Drawn
+	return ReasonDrawn
 }
 
-// pick returns the first in the session's order that r may go to.
+// pick returns the first replica in the session's order that r may go to.
 func (b *Balancer) pick(now Time, r *request, some []*replica, want purpose) *replica {
 	var best *replica
 	lowest := math.Inf(1)
-	near := prefixNear * float64(b.prefixes.width(r.Prefix, len(some)))
+	near := prefixNearFactor * float64(b.prefixes.replicasFor(r.Prefix, len(some)))
 	for i, to := range some {
-		s := rank(r.seed, to)
+		s := rendezvousScore(r.seed, to)
 		switch {
-		case !b.checks:
-			s /= to.room(now)
-		case r.Prefix != 0: // in the prefix's order
+		case !b.probesFirst:
+			s /= to.capacityFactor(now)
+		case r.Prefix != 0: // weighed by the prefix's order
 			s *= near + float64(i)
 		}
-		if s < lowest && r.mayGo(now, to) && b.usable(now, to, r, want) {
+		if s < lowest && r.permits(now, to) && b.isUsable(now, to, r, want) {
 			best, lowest = to, s
 		}
 	}
 	return best
 }
 
-// rank orders replicas at random by the seed, in proportion to their weights.
-func rank(seed uint64, to *replica) float64 {
-	return -math.Log(unit(mix(seed, uint64(to.ID)))) / to.size
+// rendezvousScore orders replicas at random by the seed, in proportion to their weights; the lowest is first.
+func rendezvousScore(seed uint64, to *replica) float64 {
+	return -math.Log(unitInterval(hashPair(seed, uint64(to.ID)))) / to.smoothedWeight
 }
 
-// part is a part of the fleet to draw from.
-type part struct {
+// replicaSet is a set of replicas to draw from.
+type replicaSet struct {
 	replicas []*replica
-	orders   map[uint64][]*replica // the same, ranked by prefix; made on demand
+	byPrefix map[uint64][]*replica // the same, ordered by prefix; made on demand
 }
 
-func (p *part) order(prefix uint64) []*replica {
-	if o := p.orders[prefix]; o != nil {
+func (p *replicaSet) ordered(prefix uint64) []*replica {
+	if o := p.byPrefix[prefix]; o != nil {
 		return o
 	}
 	o := slices.Clone(p.replicas)
-	slices.SortFunc(o, func(x, y *replica) int { return cmp.Compare(rank(prefix, x), rank(prefix, y)) })
-	if p.orders == nil || len(p.orders) > maxPrefixes {
-		p.orders = map[uint64][]*replica{}
+	slices.SortFunc(o, func(x, y *replica) int {
+		return cmp.Compare(rendezvousScore(prefix, x), rendezvousScore(prefix, y))
+	})
+	if p.byPrefix == nil || len(p.byPrefix) > maxPrefixes {
+		p.byPrefix = map[uint64][]*replica{}
 	}
-	p.orders[prefix] = o
+	p.byPrefix[prefix] = o
 	return o
 }
 
-// prefixes counts the shared beginnings seen lately.
+// prefixes counts the recent requests of each shared prefix.
 type prefixes struct {
 	count map[uint64]float64
 	total float64
 }
 
-func (p *prefixes) saw(prefix uint64) {
+func (p *prefixes) countRequest(prefix uint64) {
 	if p.total >= prefixMemory {
 		p.total = 0
 		for k, n := range p.count {
@@ -566,212 +546,214 @@
 	p.total++
 }
 
-// width says how many of n replicas serve a prefix: its share of the traffic with room to spare. While little
-// has been seen any prefix may be popular, so that a new one starts wide.
-func (p *prefixes) width(prefix uint64, n int) int {
+// replicasFor returns how many of n replicas serve a prefix: its share of the traffic, with a reserve. A new
+// one, which may become popular, starts with many.
+func (p *prefixes) replicasFor(prefix uint64, n int) int {
 	share := p.count[prefix] / (p.total + prefixPrior)
 	return min(n, int(math.Ceil(float64(n)*share*prefixSpread)))
 }
 
-// reach lists where to look, in order. Leaving the zone has a price, so its replicas come first; but for the
-// share of sessions that spills the whole fleet is one. It prevents that a zone runs full while others have
-// room: at least what a zone with less than an even share of the fleet lacks is spilled.
-func (b *Balancer) reach(r *request) []*part {
-	lacks := 1 - b.fleet.nearShare*float64(b.set.Zones)
-	if len(b.loads.use) == 0 {
-		lacks = max(lacks, 2*b.shed) // no report shows whether the zone is full; that sessions are refused does
+// replicaSets lists the sets to draw from, in order: this zone first, since leaving it has a price. Sessions
+// that spill are drawn over all zones, lest one be full while others have capacity: at least what a zone with
+// less than an even share of the fleet lacks is spilled.
+func (b *Balancer) replicaSets(r *request) []*replicaSet {
+	lacks := 1 - b.fleet.sameZoneShare*float64(b.settings.Zones)
+	if len(b.loads.isUsed) == 0 {
+		lacks = max(lacks, 2*b.shedShare) // no report shows a full zone, but shedding does
 	}
-	if r.coin(spillSalt) < max(b.spill, lacks) {
-		return []*part{&b.fleet.all}
+	if r.coin(spillSalt) < max(b.spillShare, lacks) {
+		return []*replicaSet{&b.fleet.all}
 	}
-	return []*part{&b.fleet.near, &b.fleet.far}
+	return []*replicaSet{&b.fleet.sameZone, &b.fleet.otherZones}
 }
 
-// learnSpill moves the spilled share by how late an answer was, from 0 (half its aim gone, or less) to 1 (all
-// of it): up while lateness in the zone exceeds that elsewhere by more than the price of crossing, else down.
-func (b *Balancer) learnSpill(to *replica, late float64) {
-	near := 1 - b.spill
-	if to.Zone == b.set.Zone {
-		b.spill += spillStep * (late - b.set.CrossZone)
+// learnSpillShare moves the spilled share by how late an answer was, from 0 (within half of its target) to 1
+// (past it): up while lateness here exceeds that elsewhere by more than the price of crossing, else down.
+func (b *Balancer) learnSpillShare(to *replica, late float64) {
+	near := 1 - b.spillShare
+	if to.Zone == b.settings.Zone {
+		b.spillShare += spillStep * (late - b.settings.CrossZonePrice)
 	} else {
-		b.spill -= spillStep * late * min(near/max(b.spill, 0.01), 10)
+		b.spillShare -= spillStep * late * min(near/max(b.spillShare, 0.01), 10)
 	}
-	b.spill = min(max(b.spill, 0), 1)
+	b.spillShare = min(max(b.spillShare, 0), 1)
 }
 
-// Replica health: what this gateway knows of each replica.
+// Replica health: what this router knows of each replica.
 
 type fleet struct {
-	byID      map[ReplicaID]*replica
-	near, far part // listed as ready, in the own zone and elsewhere, in the order of their ids
-	all       part // both
-	zones     map[int]zone
-	out       int     // attempts out at any of them
-	usual     float64 // number of ready replicas, or how many there were lately if more
-	nearShare float64 // share of the listed weight that is in the own zone
+	byID                 map[ReplicaID]*replica
+	sameZone, otherZones replicaSet // listed as ready, here and elsewhere, in the order of their ids
+	all                  replicaSet // both
+	zones                map[int]zone
+	inFlight             int     // attempts at any of them
+	usualReplicas        float64 // number of ready replicas, or of late if there were more
+	sameZoneShare        float64 // share of the listed weight that is in this zone
 }
 
-// closed is the mark of a replica, or of a zone, that does not answer.
-type closed struct {
-	until Time          // nothing is sent to it before
-	spell time.Duration // the last spell; 0 = not marked
+// ejection keeps requests from a replica, or from a zone, that does not answer.
+type ejection struct {
+	until    Time          // nothing is sent there before
+	duration time.Duration // of the last one; 0 = not ejected
 }
 
-func (c *closed) mark(now Time) {
-	c.spell = min(max(2*c.spell, closedFirst), closedMost)
-	c.until = now + c.spell
+func (c *ejection) extend(now Time) {
+	c.duration = min(max(2*c.duration, minEjection), maxEjection)
+	c.until = now + c.duration
 }
 
-// zone is what this gateway knows of a zone as a whole.
+// zone is what this router knows of a zone as a whole.
 type zone struct {
-	closed
-	failed int // marks of its replicas since any of them answered
+	ejection
+	failures int // ejections of its replicas since any of them answered
 }
 
 type replica struct {
 	Replica
-	drainAt Time // when this gateway was told that it drains
-	closed
-	size      float64 // its listed weight, evened out over time where that moves with load
-	out       int     // attempts of this gateway that are out there
-	trial     bool    // the mark has lapsed and one request is out to test it
-	fullUntil Time    // it turned a request away and need not be asked for a moment
-	coldUntil Time
-	budget    float64 // attempts that it may still be sent while it is cold
-	budgetAt  float64 // requests that had arrived when the budget was last reckoned
-	askedAt   Time    // last check
-	answered  Time    // last sign of life
-	errors    int     // since then
-	reportAt  Time
-	backlog   float64 // thousands of prompt tokens, or their like, to be done there first, by its last report
-	load      float64 // by its last report, against the mean of all reports seen; 0 = no report yet
+	drainingSince Time // when the list first said so
+	ejection
+	smoothedWeight    float64 // its listed weight, a running mean where that follows the load
+	inFlight          int     // attempts of this router
+	onTrial           bool    // after an ejection, while one request tests it
+	fullUntil         Time    // it rejected a request and need not be asked for a moment
+	slowStartUntil    Time
+	slowStartBudget   float64 // attempts that it may still be sent in slow start
+	slowStartBudgetAt float64 // arrivals when the budget was last computed
+	probedAt          Time    // last probe
+	answeredAt        Time    // last answer
+	errors            int     // since then
+	reportedAt        Time
+	backlog           float64 // thousands of prompt tokens, or equal work, ahead by its last report
+	load              float64 // by its last report, against the mean of all reports; 0 = no report yet
 }
 
 // purpose is what a replica is wanted for.
 type purpose uint8
 
 const (
-	pinnedTurn purpose = iota
-	newSession
-	overBound  // every usable one is over the bound of new sessions: that is no reason to try one that is marked
-	lastResort // nothing was usable: marks are ignored, drains and cold budgets never
+	purposeAffinity purpose = iota
+	purposeNewSession
+	purposeOverBound  // all usable ones are over the load bound: no reason to try an ejected one
+	purposeLastResort // nothing was usable: ejections are ignored, drains and slow start never
 )
 
-// usable is the one owner of the question: may r go to this replica now?
-func (b *Balancer) usable(now Time, to *replica, r *request, p purpose) bool {
+// isUsable is the one place that decides whether r may go to a replica now.
+func (b *Balancer) isUsable(now Time, to *replica, r *request, p purpose) bool {
 	switch {
-	case to.State == Gone:
+	case to.State == StateGone:
 		return false
-	case to.State == Draining && (p != pinnedTurn || now >= to.drainAt+b.set.DrainGrace):
+	case to.State == StateDraining && (p != purposeAffinity || now >= to.drainingSince+b.settings.DrainGrace):
 		return false
-	case p == lastResort:
-	case to.trial || now < max(to.until, to.fullUntil, b.fleet.zones[to.Zone].until):
+	case p == purposeLastResort:
+	case to.onTrial || now < max(to.until, to.fullUntil, b.fleet.zones[to.Zone].until):
 		return false
-	case p == newSession && float64(to.out) > b.bound*float64(b.fleet.out)/float64(len(b.fleet.all.replicas))+1:
+	case p == purposeNewSession && b.isOverLoadBound(to):
 		return false
 	}
-	return !b.cold(now, to, r)
+	return !b.isTooCold(now, to, r)
 }
 
-// cold says whether a replica that started lately is too cold for r. It takes a share of its usual traffic
-// that grows evenly while it warms up, pinned sessions included. A coin seeded by session and replica
-// chooses, so that all gateways agree; a budget caps what this gateway sends, whatever the load beside it.
-// It prevents that a restarted replica is pushed over by its pinned sessions, by a popular prefix, or by
-// what full replicas turn away.
-func (b *Balancer) cold(now Time, to *replica, r *request) bool {
-	if now >= to.coldUntil {
+func (b *Balancer) isOverLoadBound(to *replica) bool {
+	mean := float64(b.fleet.inFlight) / float64(len(b.fleet.all.replicas))
+	return float64(to.inFlight) > b.loadBound*mean+1
+}
+
+// isTooCold reports whether a replica in slow start may not take r. It takes a share of its usual traffic,
+// affinity included, that grows evenly. A coin by session and replica chooses, so that all routers agree; a
+// budget bounds what this router sends. So sessions, a popular prefix or what others reject cannot flood it.
+func (b *Balancer) isTooCold(now Time, to *replica, r *request) bool {
+	if now >= to.slowStartUntil {
 		return false
 	}
-	warm := max(1-float64(to.coldUntil-now)/float64(b.set.WarmUp), 0)
-	share := b.set.ColdFrom + (1-b.set.ColdFrom)*min(warm, 1)
-	if b.checks { // too little arrives here to save a whole attempt up: the draw bounds what all gateways send
-		return r.coin(coldSalt^uint64(to.ID)) >= share || rank(r.seed, to)*to.size > coldMost/b.fleet.usual
+	warm := max(1-float64(to.slowStartUntil-now)/float64(b.settings.SlowStart), 0)
+	share := b.settings.SlowStartInitial + (1-b.settings.SlowStartInitial)*min(warm, 1)
+	if b.probesFirst { // too few requests arrive here to save up a whole attempt: the draw is the bound
+		drawn := rendezvousScore(r.seed, to)*to.smoothedWeight <= maxColdShare/b.fleet.usualReplicas
+		return r.coin(slowStartSalt^uint64(to.ID)) >= share || !drawn
 	}
-	to.budget = min(to.budget+share*(b.arrived-to.budgetAt)/b.fleet.usual, 1)
-	to.budgetAt = b.arrived
-	return to.budget < 1 || r.coin(coldSalt^uint64(to.ID)) >= share
+	to.slowStartBudget = min(to.slowStartBudget+share*(b.arrivals-to.slowStartBudgetAt)/b.fleet.usualReplicas, 1)
+	to.slowStartBudgetAt = b.arrivals
+	return to.slowStartBudget < 1 || r.coin(slowStartSalt^uint64(to.ID)) >= share
 }
 
-// answers notes a sign of life.
-func (f *fleet) answers(now Time, id ReplicaID) {
+// recordAnswer notes that a replica has answered.
+func (f *fleet) recordAnswer(now Time, id ReplicaID) {
 	if to := f.byID[id]; to != nil {
-		to.closed, to.trial, to.answered, to.errors = closed{}, false, now, 0
+		to.ejection, to.onTrial, to.answeredAt, to.errors = ejection{}, false, now, 0
 		f.zones[to.Zone] = zone{}
 	}
 }
 
-// outcome notes what the end of an attempt says of its replica.
-func (b *Balancer) outcome(now Time, a Actions, o *Outcome) {
+// recordOutcome notes what the end of an attempt says about its replica.
+func (b *Balancer) recordOutcome(now Time, a Actions, o *Outcome) {
 	to := b.fleet.byID[o.Replica]
 	if to == nil {
 		return
 	}
-	to.trial = false
-	b.reported(now, to, o.Report)
+	to.onTrial = false
+	b.recordReport(now, to, o.Report)
 	switch o.Result {
-	case OK:
-		b.fleet.answers(now, o.Replica)
-	case Error:
-		// Fast errors must not go on attracting sessions. One error may be the request's own fault.
+	case ResultOK:
+		b.fleet.recordAnswer(now, o.Replica)
+	case ResultError:
+		// Fast errors must not attract sessions. A single error may be the request's own fault.
 		if to.errors++; to.errors >= 2 {
-			b.mark(now, a, to, "errors")
+			b.eject(now, a, to, "errors")
 		}
-	case TimedOut:
-		// A replica that hangs keeps its port open, and its sessions would stay for ever. It is told from a slow
-		// request by having answered nobody meanwhile.
-		if to.answered <= now-o.Elapsed {
-			b.mark(now, a, to, "no answer")
+	case ResultTimedOut:
+		// Unlike a replica with one slow request, one that hangs has answered nobody meanwhile.
+		if to.answeredAt <= now-o.Elapsed {
+			b.eject(now, a, to, "no answer")
 		}
-	case Full:
-		to.fullUntil = now + fullSpell
-	case ConnectFailed, Reset:
-		if !o.Stale {
-			b.mark(now, a, to, "no connection")
+	case ResultFull:
+		to.fullUntil = now + fullPause
+	case ResultConnectFailed, ResultReset:
+		if !o.StaleConnection {
+			b.eject(now, a, to, "no connection")
 		}
 	}
 }
 
-// mark closes a replica for a spell, unless too much of the fleet is marked already: then the cause is
-// likelier shared, and the rest could not carry the load. When one replica of a zone after the other fails
-// and none answers, the zone (unless it is the only one) is closed as one: a gateway with little traffic
-// would take too long to find each replica of a cut-off zone out.
-func (b *Balancer) mark(now Time, a Actions, to *replica, why string) {
+// eject keeps requests from a replica for a while, unless too much of the fleet is ejected: a shared cause is
+// likelier then, and the rest could not take the load. When replicas of a zone fail in a row and none
+// answers, the zone (unless it is the only one) is ejected: with little traffic it takes long to try each.
+func (b *Balancer) eject(now Time, a Actions, to *replica, why string) {
 	f := &b.fleet
-	to.trial = false
+	to.onTrial = false
 	if now < to.until {
 		return
 	}
 	z := f.zones[to.Zone]
-	if z.failed++; b.set.Zones > 1 && z.failed >= zoneFails && now >= z.until {
-		z.closed.mark(now)
-		b.log(now, a, "zone", fmt.Sprintf("zone %d: nothing answers; closed for %v", to.Zone, z.spell))
+	if z.failures++; b.settings.Zones > 1 && z.failures >= zoneFailureLimit && now >= z.until {
+		z.ejection.extend(now)
+		b.log(now, a, "zone", fmt.Sprintf("zone %d: nothing answers; ejected for %v", to.Zone, z.duration))
 	}
 	f.zones[to.Zone] = z
-	marked := 0
+	ejected := 0
 	for _, other := range f.all.replicas {
-		if other.spell > 0 {
-			marked++
+		if other.duration > 0 {
+			ejected++
 		}
 	}
-	if to.spell == 0 && float64(marked) >= mostMarked*float64(len(f.all.replicas)) {
+	if to.duration == 0 && float64(ejected) >= maxEjectedShare*float64(len(f.all.replicas)) {
 		return
 	}
-	to.closed.mark(now)
-	b.log(now, a, "closed", fmt.Sprintf("replica %d: %s; closed for %v", to.ID, why, to.spell))
+	to.ejection.extend(now)
+	b.log(now, a, "ejected", fmt.Sprintf("replica %d: %s; ejected for %v", to.ID, why, to.duration))
 }
 
 // Load reports.
 
-// loads turns reports into a load that can be compared between replicas.
+// loads turns reports into loads that can be compared between replicas.
 type loads struct {
-	use  []bool // columns that grow with the work a replica holds
-	mean [4]float64
+	isUsed []bool // columns that grow with the work of a replica
+	mean   [4]float64
 }
 
-// take returns the mean of a report's usable columns, each against its running mean.
-func (l *loads) take(p Report) float64 {
+// relativeLoad returns the mean of a report's used columns, each against its running mean.
+func (l *loads) relativeLoad(p Report) float64 {
 	var sum, n float64
-	for i, use := range l.use {
+	for i, use := range l.isUsed {
 		if i >= p.N || !use || !(p.Values[i] >= 0 && p.Values[i] <= math.MaxFloat32) { // a NaN would spread
 			continue
 		}
@@ -787,82 +769,81 @@
 	return sum / max(n, 1)
 }
 
-// room is how much more (or less) than its size a replica should draw, by its last report. A report fades
-// with age: a stale one must not herd the gateways to, or away from, a replica.
-func (to *replica) room(now Time) float64 {
-	fresh := 1 - float64(now-to.reportAt)/float64(reportFades)
+// capacityFactor is how much more (or less) than its weight a replica should draw, by its last report, which
+// counts less with age: a stale one must not send all routers to one replica, or all away from it.
+func (to *replica) capacityFactor(now Time) float64 {
+	fresh := 1 - float64(now-to.reportedAt)/float64(reportLifetime)
 	if to.load == 0 || fresh <= 0 {
 		return 1
 	}
 	f := 2 / (1 + to.load)
-	if to.coldUntil > now {
-		f = min(f, 1) // an empty replica that is cold reports little load and must not attract more
+	if to.slowStartUntil > now {
+		f = min(f, 1) // an empty replica in slow start reports little load
 	}
 	return 1 + (f*f-1)*fresh
 }
 
-// Probed tells the result of a probe.
+// Probed takes in the result of a probe.
 func (b *Balancer) Probed(now Time, a Actions, p ProbeResult) {
 	to := b.fleet.byID[p.Replica]
 	if to == nil {
 		return
 	}
-	if p.Result == ConnectFailed {
-		b.mark(now, a, to, "no connection")
+	if p.Result == ResultConnectFailed {
+		b.eject(now, a, to, "no connection")
 	}
-	to.reportAt = now
+	to.reportedAt = now
 	switch p.Result {
-	case OK:
+	case ResultOK:
 		to.backlog = 0
-	case Error:
-		to.backlog = crowded
+	case ResultError:
+		to.backlog = backlogOverloaded
 	}
-	b.reported(now, to, p.Report)
-	b.settle(now, a)
+	b.recordReport(now, to, p.Report)
+	b.sendProbed(now, a)
 }
 
-// reported takes a load report.
-func (b *Balancer) reported(now Time, to *replica, p Report) {
+// recordReport takes in a load report.
+func (b *Balancer) recordReport(now Time, to *replica, p Report) {
 	if p.N == 0 {
 		return
 	}
-	to.load, to.reportAt = b.loads.take(p), now
+	to.load, to.reportedAt = b.loads.relativeLoad(p), now
 	to.backlog = 0
-	for i, c := range b.set.ReportColumns[:min(p.N, len(b.set.ReportColumns))] {
+	for i, c := range b.settings.ReportColumns[:min(p.N, len(b.settings.ReportColumns))] {
 		switch v := p.Values[i]; {
 		case c == "x1" && v >= 0:
 			to.backlog += v
-		case c == "inflight" && v >= 0: // each slows the others down
+		case c == "inflight" && v >= 0: // each slows down the others
 			to.backlog += v / 2
-		case c == "eps" && v > errorsMost:
-			to.backlog += silent
+		case c == "eps" && v > maxErrorRate:
+			to.backlog += backlogUnanswered
 		}
 	}
 }
 
 // Admission.
 
-// shedding says whether a new session is refused at once, to keep the rest in time. The coin is thrown by
-// session, so that a client's repeats, here or elsewhere, do not get in by trying again.
-func (b *Balancer) shedding(r *request) bool {
-	if b.shed <= 0 {
+// isShedding reports whether a new session is rejected, to keep the rest in time. A retry gets the same coin.
+func (b *Balancer) isShedding(r *request) bool {
+	if b.shedShare <= 0 {
 		return false
 	}
-	share := b.tenants.refuse(r.Tenant, b.shed)
-	return r.coin(shedSalt) < share*b.leastWorth/r.class.Worth
+	share := b.tenants.rejectShare(r.Tenant, b.shedShare)
+	return r.coin(shedSalt) < share*b.minValue/r.class.Value
 }
 
-// tenants counts the recent requests of each tenant against its share.
+// tenants counts the recent requests of each tenant, against its share.
 type tenants struct {
 	share, count []float64
 	total        float64
 }
 
-func (t *tenants) saw(tenant int) {
+func (t *tenants) countRequest(tenant int) {
 	if tenant < 0 || tenant >= len(t.count) {
 		return
 	}
-	if t.total >= sharesOver {
+	if t.total >= tenantMemory {
 		for i := range t.count {
 			t.count[i] /= 2
 		}
@@ -872,8 +853,8 @@
 	t.total++
 }
 
-// refuse splits a share to be refused between the tenants: what a tenant sends beyond its share goes first.
-func (t *tenants) refuse(tenant int, share float64) float64 {
+// rejectShare divides a share to be rejected between the tenants: what is beyond a tenant's share goes first.
+func (t *tenants) rejectShare(tenant int, share float64) float64 {
 	if tenant < 0 || tenant >= len(t.count) || t.total == 0 {
 		return share
 	}
@@ -888,100 +869,106 @@
 	return own + (1-own)*(share-beyond)/(1-beyond)
 }
 
-// learnShed moves the refused share: up while lateness loses worth, down evenly while answers are in time.
-// The way down takes seconds, so that a passed overload does not go on refusing.
-func (b *Balancer) learnShed(now Time, lost float64) {
-	dt := lapse(now, &b.shedAt)
-	b.lost += (lost - b.lost) / 8
-	if b.lost > shedAbove {
-		b.shed += shedUp * dt * (b.lost - shedAbove)
+// learnShedShare moves the rejected share: up while lateness loses value, else evenly down.
+// The way down takes seconds, so that shedding ends with the overload.
+func (b *Balancer) learnShedShare(now Time, lost float64) {
+	dt := secondsSince(now, &b.shedUpdatedAt)
+	b.lostValue += (lost - b.lostValue) / 8
+	if b.lostValue > shedThreshold {
+		b.shedShare += shedIncrease * dt * (b.lostValue - shedThreshold)
 	} else {
-		b.shed -= shedDown * dt
+		b.shedShare -= shedDecrease * dt
 	}
-	b.shed = min(max(b.shed, 0), shedMost)
+	b.shedShare = min(max(b.shedShare, 0), maxShedShare)
 }
 
-// Discovery upkeep.
+// The watch on discovery.
 
-const (
-	watchToken = 0
-	checkToken = 1
-)
+const timerWatch, timerProbes = 0, 1 // tokens of timers
 
 type watch struct {
-	begun   bool
-	waiting time.Duration // wait before the next call after a failure
+	started bool
+	backoff time.Duration // wait before the next call after a failure
 }
 
-// Listed takes news of the list of replicas.
+// Listed takes in an update of the list of replicas.
 func (b *Balancer) Listed(now Time, a Actions, l List) {
 	if l.Kind == ListFailed {
-		b.watch.waiting = min(max(2*b.watch.waiting, watchRetry), b.set.AskWithin)
-		b.wakeToAsk(a, b.watch.waiting/2, b.watch.waiting)
+		b.watch.backoff = min(max(2*b.watch.backoff, minWatchBackoff), b.settings.WatchWithin)
+		b.scheduleWatch(a, b.watch.backoff/2, b.watch.backoff)
 		b.log(now, a, "discovery", "discovery failed a call; asking again later")
 		return
 	}
-	b.updateFleet(now, l)
+	b.updateReplicas(now, l)
 	if l.Kind != ListCached {
-		b.watch.waiting = 0
+		b.watch.backoff = 0
 	}
-	if !b.watch.begun {
-		// Gateways that start together must not ask together: discovery turns a crowd away.
-		b.watch.begun = true
-		b.wakeToAsk(a, 0, b.set.AskWithin/2)
+	if !b.watch.started {
+		// Routers that start together must not ask together: discovery rejects a crowd.
+		b.watch.started = true
+		b.scheduleWatch(a, 0, b.settings.WatchWithin/2)
 	}
 }
 
-// wakeToAsk asks for the timer of the next call, somewhere from least to most from now.
-func (b *Balancer) wakeToAsk(a Actions, least, most time.Duration) {
-	if b.set.AskDiscovery {
-		a.Wake(least+time.Duration(b.rnd.Int64N(int64(most-least)+1)), watchToken)
+// scheduleWatch sets the timer of the next call, at a random time between two bounds.
+func (b *Balancer) scheduleWatch(a Actions, minWait, maxWait time.Duration) {
+	if b.settings.NeedsWatch {
+		a.SetTimer(minWait+time.Duration(b.rng.Int64N(int64(maxWait-minWait)+1)), timerWatch)
 	}
 }
 
-func (b *Balancer) updateFleet(now Time, l List) {
+func (b *Balancer) updateReplicas(now Time, l List) {
 	f := &b.fleet
 	listed := map[ReplicaID]bool{}
-	live := b.set.Weights == LiveWeights
 	for _, e := range l.Replicas {
-		to, known := f.byID[e.ID]
-		if !known {
-			to = &replica{}
-			f.byID[e.ID] = to
-		}
-		if e.State != Ready && to.State == Ready {
-			to.drainAt = now
-		}
-		if !(e.Weight > 0) {
-			e.Weight = 1
-		}
-		if !known || e.ReadyAt != to.ReadyAt { // a new process: what was known of the old one is void
-			// The budget starts anywhere below one attempt, so that many gateways with little traffic each
-			// do not all send their first at once.
-			*to = replica{drainAt: to.drainAt, out: to.out, budget: b.rnd.Float64(), budgetAt: b.arrived}
-		}
-		to.coldUntil = 0
-		if e.ReadyAt != 0 {
-			to.coldUntil = e.ReadyAt + b.set.WarmUp
-		}
-		size := to.size
-		to.Replica = e
-		if to.size = e.Weight; live && size > 0 {
-			to.size = size + (to.size-size)/16
-		}
+		b.updateReplica(now, e)
 		listed[e.ID] = true
 	}
 	for id, to := range f.byID {
 		if l.Kind != ListDelta && !listed[id] {
-			to.State = Gone
+			to.State = StateGone
 		}
-		if to.State == Gone {
-			delete(f.byID, id) // table entries and attempts may still refer to it
+		if to.State == StateGone {
+			delete(f.byID, id) // the session table and attempts may still refer to it
 		}
 	}
-	f.near, f.far, f.all = part{}, part{}, part{}
+	f.rebuild(b.settings.Zone)
+}
+
+// updateReplica takes in one entry of the list.
+func (b *Balancer) updateReplica(now Time, e Replica) {
+	to, known := b.fleet.byID[e.ID]
+	if !known {
+		to = &replica{}
+		b.fleet.byID[e.ID] = to
+	}
+	if e.State != StateReady && to.State == StateReady {
+		to.drainingSince = now
+	}
+	if !(e.Weight > 0) {
+		e.Weight = 1
+	}
+	if !known || e.ReadyAt != to.ReadyAt { // another process: what was known of the one before is void
+		// The budget starts below one attempt, so that many routers do not send their first one at once.
+		*to = replica{drainingSince: to.drainingSince, inFlight: to.inFlight}
+		to.slowStartBudget, to.slowStartBudgetAt = b.rng.Float64(), b.arrivals
+	}
+	to.slowStartUntil = 0
+	if e.ReadyAt != 0 {
+		to.slowStartUntil = e.ReadyAt + b.settings.SlowStart
+	}
+	before := to.smoothedWeight
+	to.Replica, to.smoothedWeight = e, e.Weight
+	if b.settings.WeightMeaning == WeightLive && before > 0 {
+		to.smoothedWeight = before + (e.Weight-before)/16
+	}
+}
+
+// rebuild makes the sets to draw from anew.
+func (f *fleet) rebuild(ownZone int) {
+	f.sameZone, f.otherZones, f.all = replicaSet{}, replicaSet{}, replicaSet{}
 	for _, to := range f.byID {
-		if to.State == Ready {
+		if to.State == StateReady {
 			f.all.replicas = append(f.all.replicas, to)
 		}
 	}
@@ -989,38 +976,38 @@
 	var near, sum float64
 	for _, to := range f.all.replicas {
 		sum += to.Weight
-		if to.Zone == b.set.Zone {
+		if to.Zone == ownZone {
 			near += to.Weight
-			f.near.replicas = append(f.near.replicas, to)
+			f.sameZone.replicas = append(f.sameZone.replicas, to)
 		} else {
-			f.far.replicas = append(f.far.replicas, to)
+			f.otherZones.replicas = append(f.otherZones.replicas, to)
 		}
 	}
-	f.usual = max(float64(len(f.all.replicas)), f.usual*0.99)
-	f.nearShare = near / max(sum, 1e-9)
+	f.usualReplicas = max(float64(len(f.all.replicas)), f.usualReplicas*0.99)
+	f.sameZoneShare = near / max(sum, 1e-9)
 }
 
-// log writes a line unless one of its kind was written lately.
+// log writes a line, unless one of its kind was written lately.
 func (b *Balancer) log(now Time, a Actions, kind, line string) {
-	if last, ok := b.logged[kind]; ok && now-last < logEvery {
+	if last, ok := b.loggedAt[kind]; ok && now-last < logInterval {
 		return
 	}
-	b.logged[kind] = now
+	b.loggedAt[kind] = now
 	a.Log(line)
 }
 
-// lapse returns the seconds since last, one at most, and moves it to now.
-func lapse(now Time, last *Time) float64 {
+// secondsSince returns the seconds since last, one at most, and sets last to now.
+func secondsSince(now Time, last *Time) float64 {
 	dt := min(now-*last, time.Second).Seconds()
 	*last = now
 	return dt
 }
 
-// mix hashes two words; unit maps a hash into (0, 1).
-func mix(x, y uint64) uint64 {
+// hashPair hashes two words; unit maps a hash into (0, 1).
+func hashPair(x, y uint64) uint64 {
 	x = (x ^ y*0x9e3779b97f4a7c15) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>32) * 0x94d049bb133111eb
 	return x ^ x>>29
 }
 
-func unit(h uint64) float64 { return (float64(h>>11) + 0.5) / (1 << 53) }
+func unitInterval(h uint64) float64 { return (float64(h>>11) + 0.5) / (1 << 53) }
