--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -15,7 +15,7 @@
 
 // recorder keeps what the balancer does, as lines, and what it sent last.
 type recorder struct {
-	why   Why // of the latest action
+	why   Reason // of the latest action
 	lines []string
 	sends []send
 	wakes []wake
@@ -36,19 +36,19 @@
 	r.lines = append(r.lines, fmt.Sprintf(format, args...))
 }
 
-func (r *recorder) Because(id RequestID, why Why) { r.why = why }
+func (r *recorder) Explain(id RequestID, why Reason) { r.why = why }
 
 func (r *recorder) Send(id RequestID, to ReplicaID, timeout time.Duration) {
 	r.add("send %d to %d for %v", id, to, timeout)
 	r.sends = append(r.sends, send{id, to, timeout})
 }
-func (r *recorder) Refuse(id RequestID, retryAfter time.Duration) { r.add("refuse %d", id) }
+func (r *recorder) Reject(id RequestID, retryAfter time.Duration) { r.add("reject %d", id) }
 func (r *recorder) Fail(id RequestID)                             { r.add("fail %d", id) }
 func (r *recorder) Cancel(id RequestID, attempt int)              { r.add("cancel %d/%d", id, attempt) }
 func (r *recorder) Probe(to ReplicaID)                            { r.add("probe %d", to) }
 func (r *recorder) Watch()                                        { r.add("watch") }
 func (r *recorder) Log(line string)                               {}
-func (r *recorder) Wake(after time.Duration, token uint64) {
+func (r *recorder) SetTimer(after time.Duration, token uint64) {
 	r.add("wake %v %d", after, token)
 	r.wakes = append(r.wakes, wake{after, token})
 }
@@ -65,21 +65,22 @@
 
 func settings() Settings {
 	return Settings{
-		Gateways: 4, Zones: 2, Weights: SizeWeights,
+		Routers: 4, Zones: 2, WeightMeaning: WeightSize,
 		Classes: []Class{
-			{Name: "safe", Aim: sec, Deadline: 10 * sec, Worth: 1, Streaming: true},
-			{Name: "unsafe", Aim: sec, Deadline: 10 * sec, Worth: 1, Effect: Unsafe},
+			{Name: "safe", TargetLatency: sec, Deadline: 10 * sec, Value: 1, IsStreaming: true},
+			{Name: "unsafe", TargetLatency: sec, Deadline: 10 * sec, Value: 1, Effect: EffectUnsafe},
 			{
-				Name: "keyed", Aim: sec, Deadline: 10 * sec, Worth: 1,
-				Effect: Keyed, Group: GroupZone, DedupWindow: 2 * sec,
+				Name: "keyed", TargetLatency: sec, Deadline: 10 * sec, Value: 1,
+				Effect: EffectKeyed, DedupGroup: GroupZone, DedupWindow: 2 * sec,
 			},
 		},
 		Limits: Limits{
-			Cancel: true, MaxAttempts: 3,
+			CanCancel: true, MaxAttempts: 3,
 			MaxRetryAfter: sec,
 		},
-		CrossZone:  0.1,
-		DrainGrace: 500 * ms, ColdFrom: 0.2, WarmUp: 20 * sec, AskWithin: 10 * sec, AskDiscovery: true,
+		CrossZonePrice: 0.1,
+		DrainGrace:     500 * ms, SlowStartInitial: 0.2, SlowStart: 20 * sec,
+		WatchWithin: 10 * sec, NeedsWatch: true,
 	}
 }
 
@@ -110,20 +111,20 @@
 const t0 = 100 * sec
 
 func req(id RequestID, class int, session uint64) Request {
-	return Request{ID: id, Class: class, Session: session, PromptTokens: 500, ExpiresIn: 5 * sec}
+	return Request{ID: id, Class: class, Session: session, PromptTokens: 500, Timeout: 5 * sec}
 }
 
-func (a *recorder) last(t *testing.T) send {
+func (r *recorder) last(t *testing.T) send {
 	t.Helper()
-	if len(a.sends) == 0 {
+	if len(r.sends) == 0 {
 		t.Fatal("nothing was sent")
 	}
-	return a.sends[len(a.sends)-1]
+	return r.sends[len(r.sends)-1]
 }
 
 // ends counts the final answers that the balancer gave to a request.
-func (a *recorder) ends(id RequestID) int {
-	return a.count(fmt.Sprintf("refuse %d", id)) + a.count(fmt.Sprintf("fail %d", id))
+func (r *recorder) ends(id RequestID) int {
+	return r.count(fmt.Sprintf("reject %d", id)) + r.count(fmt.Sprintf("fail %d", id))
 }
 
 func TestSessionStaysWithItsReplica(t *testing.T) {
@@ -134,7 +135,7 @@
 		now := t0 + Time(i)*sec
 		b.Arrive(now, a, req(RequestID(i+2), 0, 77))
 		if got := a.last(t).to; got != first {
-			t.Fatalf("turn %d went to %d, the session is pinned to %d", i, got, first)
+			t.Fatalf("turn %d went to %d, the session is assigned to %d", i, got, first)
 		}
 	}
 }
@@ -157,7 +158,7 @@
 	b, a := start(t, settings(), fleetOf(9))
 	b.Arrive(t0, a, req(1, 0, 77))
 	first := a.last(t).to
-	b.Finished(t0+10*ms, a, Outcome{ID: 1, Attempt: 0, Replica: first, Result: ConnectFailed})
+	b.Finished(t0+10*ms, a, Outcome{ID: 1, Attempt: 0, Replica: first, Result: ResultConnectFailed})
 	second := a.last(t).to
 	if len(a.sends) != 2 || second == first {
 		t.Fatalf("sends %v: want a second attempt elsewhere", a.sends)
@@ -176,34 +177,34 @@
 	}{
 		{"times out at the deadline", func(b *Balancer, a *recorder) {
 			b.Arrive(t0, a, req(1, 0, 7))
-			b.Finished(t0+5*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: TimedOut})
+			b.Finished(t0+5*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultTimedOut})
 		}, 1},
 		{"served", func(b *Balancer, a *recorder) {
 			b.Arrive(t0, a, req(1, 0, 7))
 			b.Started(t0+sec, a, Started{ID: 1, Replica: a.sends[0].to})
-			b.Finished(t0+2*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: OK, Ended: true})
+			b.Finished(t0+2*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultOK, RequestEnded: true})
 		}, 0},
 		{"the stream breaks", func(b *Balancer, a *recorder) {
 			b.Arrive(t0, a, req(1, 0, 7))
 			b.Started(t0+sec, a, Started{ID: 1, Replica: a.sends[0].to})
-			b.Finished(t0+2*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: Reset, Ended: true})
+			b.Finished(t0+2*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultReset, RequestEnded: true})
 		}, 0},
 		{"the client leaves", func(b *Balancer, a *recorder) {
 			b.Arrive(t0, a, req(1, 0, 7))
 			b.Departed(t0+sec, a, 1)
-			b.Finished(t0+sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: Cancelled, Ended: true})
+			b.Finished(t0+sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultCancelled, RequestEnded: true})
 		}, 0},
 		{"all attempts are used", func(b *Balancer, a *recorder) {
 			b.Arrive(t0, a, req(1, 0, 7))
 			for i := range 3 {
-				b.Finished(t0+Time(i)*ms, a, Outcome{ID: 1, Attempt: i, Replica: a.sends[i].to, Result: Full})
+				b.Finished(t0+Time(i)*ms, a, Outcome{ID: 1, Attempt: i, Replica: a.sends[i].to, Result: ResultFull})
 			}
 		}, 1},
 		{"expires on arrival", func(b *Balancer, a *recorder) {
 			b.Arrive(t0, a, Request{ID: 1})
 		}, 1},
 		{"of an unknown class", func(b *Balancer, a *recorder) {
-			b.Arrive(t0, a, Request{ID: 1, Class: 99, ExpiresIn: sec})
+			b.Arrive(t0, a, Request{ID: 1, Class: 99, Timeout: sec})
 		}, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -216,7 +217,7 @@
 				t.Errorf("the request is still held: %+v", b.requests[1])
 			}
 			n := len(a.sends)
-			b.Finished(t0+6*sec, a, Outcome{ID: 1, Replica: 1, Result: Error})
+			b.Finished(t0+6*sec, a, Outcome{ID: 1, Replica: 1, Result: ResultError})
 			b.Departed(t0+6*sec, a, 1)
 			if len(a.sends) != n || a.ends(1) != tc.own {
 				t.Errorf("late events moved a finished request: %q", a.lines)
@@ -228,8 +229,8 @@
 func TestNoReplicaAtAll(t *testing.T) {
 	b, a := start(t, settings(), nil)
 	b.Arrive(t0, a, req(1, 1, 7))
-	if a.count("refuse 1") != 1 || len(a.sends) != 0 {
-		t.Errorf("got %q, want one refusal", a.lines)
+	if a.count("reject 1") != 1 || len(a.sends) != 0 {
+		t.Errorf("got %q, want one rejection", a.lines)
 	}
 }
 
@@ -239,11 +240,11 @@
 		sends  int
 		end    string
 	}{
-		{Full, 2, ""},
-		{ConnectFailed, 2, ""},
-		{Error, 1, "fail 1"},
-		{Reset, 1, "fail 1"},
-		{TimedOut, 1, "fail 1"},
+		{ResultFull, 2, ""},
+		{ResultConnectFailed, 2, ""},
+		{ResultError, 1, "fail 1"},
+		{ResultReset, 1, "fail 1"},
+		{ResultTimedOut, 1, "fail 1"},
 	} {
 		b, a := start(t, settings(), fleetOf(9))
 		b.Arrive(t0, a, req(1, 1, 7))
@@ -258,11 +259,11 @@
 	b, a := start(t, settings(), fleetOf(12))
 	b.Arrive(t0, a, req(1, 2, 7))
 	zone := func(id ReplicaID) int { return b.fleet.byID[id].Zone }
-	b.Finished(t0+ms, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: Error})
+	b.Finished(t0+ms, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultError})
 	if len(a.sends) != 2 || zone(a.sends[0].to) != zone(a.sends[1].to) {
 		t.Fatalf("sends %v: want a repeat in the same zone", a.sends)
 	}
-	b.Finished(t0+2*sec, a, Outcome{ID: 1, Attempt: 1, Replica: a.sends[1].to, Result: Error})
+	b.Finished(t0+2*sec, a, Outcome{ID: 1, Attempt: 1, Replica: a.sends[1].to, Result: ResultError})
 	if len(a.sends) != 2 || a.count("fail 1") != 1 {
 		t.Errorf("after the window: %q", a.lines)
 	}
@@ -274,8 +275,8 @@
 	b.Arrive(t0, a, req(1, 0, 77))
 	to := a.last(t).to
 	drained := fleet[to-1]
-	drained.State = Draining
-	// The watch fails meanwhile: what was told stays in force.
+	drained.State = StateDraining
+	// The watch fails meanwhile: the last list stays in force.
 	b.Listed(t0+sec, a, List{Kind: ListDelta, Replicas: []Replica{drained}})
 	b.Listed(t0+sec, a, List{Kind: ListFailed})
 	b.Arrive(t0+sec+499*ms, a, req(2, 0, 77))
@@ -313,22 +314,22 @@
 	}
 }
 
-// A restarted replica is sent its cold share at most, with its pinned sessions counted.
-func TestColdReplicaGetsItsShareOfPinnedAndNewSessions(t *testing.T) {
+// A restarted replica is sent its slow start share at most, with its known sessions counted.
+func TestReplicaInSlowStartGetsItsShareOfKnownAndNewSessions(t *testing.T) {
 	fleet := fleetOf(8)
 	b, a := start(t, settings(), fleet)
 	const n = 4000
 	for i := range n {
 		b.Arrive(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
 	}
-	cold := a.sends[0].to
+	starting := a.sends[0].to
 	warmCount := 0
 	for _, s := range a.sends {
-		if s.to == cold {
+		if s.to == starting {
 			warmCount++
 		}
 	}
-	restarted := fleet[cold-1]
+	restarted := fleet[starting-1]
 	restarted.ReadyAt = t0 + sec
 	b.Listed(t0+2*sec, a, List{Kind: ListDelta, Replicas: []Replica{restarted}})
 	a.sends = nil
@@ -337,17 +338,17 @@
 	}
 	got := 0
 	for _, s := range a.sends {
-		if s.to == cold {
+		if s.to == starting {
 			got++
 		}
 	}
 	// At an age of 1 s of 20 the share is 0.24 of the usual traffic.
 	if usual := float64(warmCount); float64(got) > 0.32*usual || got == 0 {
-		t.Errorf("%d requests went to the cold replica, which usually takes %d", got, warmCount)
+		t.Errorf("%d requests went to the replica in slow start, which usually takes %d", got, warmCount)
 	}
 }
 
-func TestWatchIsSpreadAndRetriedWithGrowingWaits(t *testing.T) {
+func TestWatchIsSpreadAndRetriedWithBackoff(t *testing.T) {
 	waits := map[time.Duration]bool{}
 	for seed := range uint64(50) {
 		b, err := New(settings(), seed)
@@ -369,8 +370,8 @@
 		for range 6 {
 			b.Listed(t0+2*sec, a, List{Kind: ListFailed})
 			w := a.wakes[len(a.wakes)-1].after
-			if w > settings().AskWithin {
-				t.Fatalf("a wait of %v outlasts AskWithin", w)
+			if w > settings().WatchWithin {
+				t.Fatalf("a wait of %v outlasts WatchWithin", w)
 			}
 			most = max(most, w)
 		}
@@ -379,13 +380,13 @@
 		}
 	}
 	if len(waits) < 40 {
-		t.Errorf("only %d different first waits over 50 gateways", len(waits))
+		t.Errorf("only %d different first waits over 50 routers", len(waits))
 	}
 }
 
-func TestPushedListIsNotAskedFor(t *testing.T) {
+func TestPushedListIsNotWatched(t *testing.T) {
 	s := settings()
-	s.AskDiscovery = false
+	s.NeedsWatch = false
 	_, a := start(t, s, fleetOf(3))
 	if len(a.lines) != 0 {
 		t.Errorf("got %q", a.lines)
@@ -395,7 +396,7 @@
 func TestSessionTableIsBoundedAndExpires(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(3))
 	for i := range maxSessions + 1000 {
-		b.sessions.pin(t0, uint64(i+1), b.fleet.byID[1])
+		b.sessions.assign(t0, uint64(i+1), b.fleet.byID[1])
 	}
 	if n := len(b.sessions.entries); n != maxSessions || b.sessions.recent.Len() != n {
 		t.Errorf("%d entries, want %d", n, maxSessions)
@@ -403,7 +404,7 @@
 	if b.sessions.find(t0, 1) != nil || b.sessions.find(t0, maxSessions+1000) == nil {
 		t.Error("the oldest entry should have left, the newest should be there")
 	}
-	b.sessions.pin(t0+sessionIdle+sec, 5, b.fleet.byID[1])
+	b.sessions.assign(t0+sessionIdle+sec, 5, b.fleet.byID[1])
 	if n := len(b.sessions.entries); n != 1 {
 		t.Errorf("%d entries after the idle time, want 1", n)
 	}
@@ -427,11 +428,11 @@
 	for name, change := range map[string]func(*Settings){
 		"Classes":            func(s *Settings) { s.Classes = nil },
 		"Limits.MaxAttempts": func(s *Settings) { s.Limits.MaxAttempts = 0 },
-		"ColdFrom":           func(s *Settings) { s.ColdFrom = 0 },
-		"Gateway":            func(s *Settings) { s.Gateway = 4 },
+		"SlowStartInitial":   func(s *Settings) { s.SlowStartInitial = 0 },
+		"Router":             func(s *Settings) { s.Router = 4 },
 		"Zone":               func(s *Settings) { s.Zone = -1 },
-		"AskWithin":          func(s *Settings) { s.AskWithin = 0 },
-		"WarmUp":             func(s *Settings) { s.WarmUp = -1 },
+		"WatchWithin":        func(s *Settings) { s.WatchWithin = 0 },
+		"SlowStart":          func(s *Settings) { s.SlowStart = -1 },
 		"DrainGrace":         func(s *Settings) { s.DrainGrace = -1 },
 		"MaxRetryAfter":      func(s *Settings) { s.Limits.MaxRetryAfter = -1 },
 		"ReportColumns":      func(s *Settings) { s.ReportColumns = make([]string, 5) },
@@ -445,7 +446,7 @@
 	}
 }
 
-func TestGatewaysDrawAlikeForOneSession(t *testing.T) {
+func TestRoutersDrawAlikeForOneSession(t *testing.T) {
 	counts := map[ReplicaID]int{}
 	for session := uint64(1); session <= 3000; session++ {
 		b1, err1 := New(settings(), 1)
@@ -470,7 +471,7 @@
 	}
 }
 
-func TestReportsShiftTheDrawAndFade(t *testing.T) {
+func TestReportsShiftTheDrawAndExpire(t *testing.T) {
 	s := settings()
 	s.ReportColumns = []string{"eps", "util"}
 	share := func(now Time, coldSince Time) float64 {
@@ -479,7 +480,7 @@
 			b.Finished(t0, a, Outcome{ID: 1e9, Replica: 1, Report: Report{N: 2, Values: [4]float64{0, 0.9}}})
 			b.Finished(t0, a, Outcome{ID: 1e9, Replica: 2, Report: Report{N: 2, Values: [4]float64{9, 0.1}}})
 		}
-		b.fleet.byID[2].coldUntil = coldSince
+		b.fleet.byID[2].slowStartUntil = coldSince
 		n := 0
 		for i := range 2000 {
 			b.Arrive(now, a, req(RequestID(i+1), 0, uint64(i+1)))
@@ -492,16 +493,16 @@
 	if got := share(t0, 0); got < 0.75 {
 		t.Errorf("the idle replica drew %.2f of the sessions, the busy one the rest", got)
 	}
-	if got := share(t0+reportFades, 0); got < 0.45 || got > 0.55 {
+	if got := share(t0+reportLifetime, 0); got < 0.45 || got > 0.55 {
 		t.Errorf("by a stale report the idle replica drew %.2f", got)
 	}
-	// A cold replica is idle because it is cold: it may only lose by its report.
-	if got := share(t0, t0+settings().WarmUp); got > 0.2 {
-		t.Errorf("a cold idle replica drew %.2f", got)
+	// A replica in slow start is idle because it is starting: it may only lose by its report.
+	if got := share(t0, t0+settings().SlowStart); got > 0.2 {
+		t.Errorf("a starting idle replica drew %.2f", got)
 	}
 }
 
-func TestPopularPrefixesHaveWiderLists(t *testing.T) {
+func TestPopularPrefixesGetMoreReplicas(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(60))
 	used := map[uint64]map[ReplicaID]bool{1: {}, 2: {}}
 	for i := range 400 {
@@ -557,7 +558,7 @@
 		b.Arrive(t0, a, req(RequestID(i+1), 0, uint64(i+1)*31))
 		b.Started(t0+3*sec, a, Started{ID: RequestID(i + 1), Replica: a.last(t).to, Elapsed: 3 * sec})
 	}
-	high := b.spill
+	high := b.spillShare
 	if high < 0.5 {
 		t.Errorf("spilled share %.2f after late answers only", high)
 	}
@@ -565,8 +566,8 @@
 		b.Arrive(t0, a, req(RequestID(i+100), 0, uint64(i+100)*31))
 		b.Started(t0+9*ms, a, Started{ID: RequestID(i + 100), Replica: a.last(t).to, Elapsed: 9 * ms})
 	}
-	if b.spill >= high && b.set.CrossZone > 0 {
-		t.Errorf("spilled share %.2f after prompt answers, %.2f before", b.spill, high)
+	if b.spillShare >= high && b.settings.CrossZonePrice > 0 {
+		t.Errorf("spilled share %.2f after prompt answers, %.2f before", b.spillShare, high)
 	}
 }
 
@@ -580,43 +581,43 @@
 		b.Arrive(now, a, req(id, 0, uint64(i+1)*31))
 		b.Started(now, a, Started{ID: id, Replica: a.last(t).to, Elapsed: 2 * sec})
 	}
-	if b.shed != shedMost {
-		t.Fatalf("share refused is %.2f after late answers only", b.shed)
+	if b.shedShare != maxShedShare {
+		t.Fatalf("share rejected is %.2f after late answers only", b.shedShare)
 	}
-	n := a.count("refuse")
+	n := a.count("reject")
 	b.Arrive(now, a, req(900, 0, 4242))
-	if a.count("refuse") != n {
-		t.Error("a session with kept prompts was refused")
+	if a.count("reject") != n {
+		t.Error("a session with kept prompts was rejected")
 	}
-	refused := 0
+	rejected := 0
 	for i := range 200 {
 		first, again := RequestID(1000+2*i), RequestID(1001+2*i)
 		b.Arrive(now, a, req(first, 0, uint64(i+7000)))
 		if a.ends(first) == 1 {
-			refused++
+			rejected++
 			b.Arrive(now, a, req(again, 0, uint64(i+7000)))
 			if a.count(fmt.Sprintf("send %d ", again)) != 0 {
-				t.Error("a refused session got in by trying again")
+				t.Error("a rejected session got in by trying again")
 			}
 		}
 	}
-	if refused < 80 || refused > 160 {
-		t.Errorf("%d of 200 new sessions refused, want about %v", refused, 200*shedMost)
+	if rejected < 80 || rejected > 160 {
+		t.Errorf("%d of 200 new sessions rejected, want about %v", rejected, 200*maxShedShare)
 	}
 }
 
-func TestHungReplicaIsMarkedUntilItAnswers(t *testing.T) {
+func TestHungReplicaIsEjectedUntilItAnswers(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(9))
 	b.Arrive(t0, a, req(1, 0, 77))
 	hung := a.last(t).to
-	b.Finished(t0+5*sec, a, Outcome{ID: 1, Replica: hung, Result: TimedOut, Elapsed: 5 * sec})
+	b.Finished(t0+5*sec, a, Outcome{ID: 1, Replica: hung, Result: ResultTimedOut, Elapsed: 5 * sec})
 	b.Arrive(t0+5*sec, a, req(2, 0, 77))
 	if a.last(t).to == hung {
 		t.Fatal("a session stayed with a replica that hangs")
 	}
-	// Its spell over, one request tries it, and while that is out no other.
-	now := t0 + 5*sec + closedFirst
-	b.fleet.out = 1000 // so that the bound on own attempts is out of the way
+	// Its ejection over, one request tries it, and while that is out no other.
+	now := t0 + 5*sec + minEjection
+	b.fleet.inFlight = 1000 // so that the bound on own attempts is out of the way
 	a.sends = nil
 	for i := range 300 {
 		b.Arrive(now, a, req(RequestID(10+i), 0, uint64(500+i)))
@@ -628,32 +629,33 @@
 		}
 	}
 	if tried != 1 {
-		t.Errorf("%d requests tried a replica whose mark had lapsed, want 1", tried)
+		t.Errorf("%d requests tried a replica whose ejection had lapsed, want 1", tried)
 	}
 	b.Started(now+ms, a, Started{ID: 1, Replica: hung, Elapsed: 2 * sec})
-	if !b.usable(now+ms, b.fleet.byID[hung], b.requests[2], newSession) {
-		t.Error("an answer did not clear the mark")
+	if !b.isUsable(now+ms, b.fleet.byID[hung], b.requests[2], purposeNewSession) {
+		t.Error("an answer did not clear the ejection")
 	}
 }
 
-func TestStaleConnectionIsNoSignAgainstItsReplica(t *testing.T) {
+func TestStaleConnectionDoesNotEjectItsReplica(t *testing.T) {
 	// A replica may close connections that it keeps at any time: that closes no replica, drives no session away
-	// from its kept prompt, and uses up none of what is saved for a crash.
+	// from its cached prompt, and uses up none of what is saved for a crash.
 	b, a := start(t, settings(), fleetOf(1))
 	b.Arrive(t0, a, req(1, 0, 77))
-	saved := b.retries
-	b.Finished(t0+ms, a, Outcome{ID: 1, Replica: 1, Result: Reset, Stale: true})
-	if len(a.sends) != 2 || b.fleet.byID[1].spell != 0 || b.retries != saved {
-		t.Errorf("%d sends, mark %v, %v of %v saved", len(a.sends), b.fleet.byID[1].spell, b.retries, saved)
+	saved := b.savedRetries
+	b.Finished(t0+ms, a, Outcome{ID: 1, Replica: 1, Result: ResultReset, StaleConnection: true})
+	if len(a.sends) != 2 || b.fleet.byID[1].duration != 0 || b.savedRetries != saved {
+		ejection := b.fleet.byID[1].duration
+		t.Errorf("%d sends, ejection %v, %v of %v saved", len(a.sends), ejection, b.savedRetries, saved)
 	}
-	b.Finished(t0+2*ms, a, Outcome{ID: 1, Attempt: 1, Replica: 1, Result: Reset})
-	if len(a.sends) != 2 || b.fleet.byID[1].spell == 0 {
-		t.Errorf("a reset of a new connection: %d sends, mark %v", len(a.sends), b.fleet.byID[1].spell)
+	b.Finished(t0+2*ms, a, Outcome{ID: 1, Attempt: 1, Replica: 1, Result: ResultReset})
+	if len(a.sends) != 2 || b.fleet.byID[1].duration == 0 {
+		t.Errorf("a reset of a new connection: %d sends, ejection %v", len(a.sends), b.fleet.byID[1].duration)
 	}
 }
 
-func TestHungReplicaRefusesNobody(t *testing.T) {
-	// Time-outs at a replica that hangs are no overload: refusing new sessions would not help the ones it holds.
+func TestHungReplicaShedsNobody(t *testing.T) {
+	// Time-outs at a replica that hangs are no overload: shedding new sessions would not help the ones it holds.
 	for name, answers := range map[string]bool{"hung": false, "overloaded": true} {
 		b, a := start(t, settings(), fleetOf(1))
 		for i := range 40 {
@@ -662,60 +664,60 @@
 		for i := range 40 {
 			now := t0 + 5*sec + Time(i)*sec/4
 			if answers {
-				b.fleet.answers(now-ms, 1)
+				b.fleet.recordAnswer(now-ms, 1)
 			}
-			b.Finished(now, a, Outcome{ID: RequestID(i + 1), Replica: 1, Result: TimedOut, Elapsed: now - t0})
+			b.Finished(now, a, Outcome{ID: RequestID(i + 1), Replica: 1, Result: ResultTimedOut, Elapsed: now - t0})
 		}
-		if refuses := b.shed > 0; refuses != answers {
-			t.Errorf("%s: new sessions are refused: %v", name, refuses)
+		if rejects := b.shedShare > 0; rejects != answers {
+			t.Errorf("%s: new sessions are rejected: %v", name, rejects)
 		}
 	}
 }
 
-func TestBeingTurnedAwayRefusesNobody(t *testing.T) {
+func TestRejectionsOfReplicasShedNobody(t *testing.T) {
 	// A replica that drains turns all away while others have room: that is no overload; the request goes on.
 	b, a := start(t, settings(), fleetOf(9))
 	for i := range 40 {
 		now, id := t0+Time(i)*sec/4, RequestID(i+1)
 		b.Arrive(now, a, req(id, 0, uint64(id)))
-		b.Finished(now, a, Outcome{ID: id, Replica: a.last(t).to, Result: Full})
+		b.Finished(now, a, Outcome{ID: id, Replica: a.last(t).to, Result: ResultFull})
 	}
-	if b.shed > 0 || len(a.sends) < 80 {
-		t.Errorf("%v of the new sessions are refused, %d sends", b.shed, len(a.sends))
+	if b.shedShare > 0 || len(a.sends) < 80 {
+		t.Errorf("%v of the new sessions are rejected, %d sends", b.shedShare, len(a.sends))
 	}
 }
 
-func TestTimeOutAtAnAnsweringReplicaMarksNothing(t *testing.T) {
+func TestTimeOutAtAnAnsweringReplicaEjectsNothing(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(1))
 	b.Arrive(t0, a, req(1, 0, 77))
 	b.Started(t0+2*ms, a, Started{ID: 2, Replica: 1, Elapsed: ms})
-	b.Finished(t0+5*sec, a, Outcome{ID: 1, Replica: 1, Result: TimedOut, Elapsed: 5 * sec})
-	if to := b.fleet.byID[1]; to.spell != 0 {
-		t.Error("a replica that answers others was marked for one heavy request")
+	b.Finished(t0+5*sec, a, Outcome{ID: 1, Replica: 1, Result: ResultTimedOut, Elapsed: 5 * sec})
+	if to := b.fleet.byID[1]; to.duration != 0 {
+		t.Error("a replica that answers others was ejected for one heavy request")
 	}
 }
 
-func TestNeverTooMuchOfTheFleetIsMarked(t *testing.T) {
+func TestNeverTooMuchOfTheFleetIsEjected(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(10))
 	for _, to := range b.fleet.all.replicas {
-		b.mark(t0, a, to, "test")
+		b.eject(t0, a, to, "test")
 	}
-	marked := 0
+	ejected := 0
 	for _, to := range b.fleet.all.replicas {
-		if to.spell > 0 {
-			marked++
+		if to.duration > 0 {
+			ejected++
 		}
 	}
-	if marked != 3 {
-		t.Errorf("%d of 10 replicas marked at once, want 3", marked)
+	if ejected != 3 {
+		t.Errorf("%d of 10 replicas ejected at once, want 3", ejected)
 	}
 }
 
-// Full replicas beside it, a popular prefix and its pins must not push a cold replica over.
-func TestColdBudgetHoldsWhateverTheLoad(t *testing.T) {
+// Full replicas beside it, a popular prefix and its pins must not push a replica in slow start over.
+func TestSlowStartBudgetHoldsWhateverTheLoad(t *testing.T) {
 	fleet := fleetOf(10)
-	total, gateways := 0, 40
-	for g := range gateways {
+	total, routers := 0, 40
+	for g := range routers {
 		b, err := New(settings(), uint64(g))
 		if err != nil {
 			t.Fatal(err)
@@ -737,9 +739,9 @@
 			}
 		}
 	}
-	// 400 requests: an even share is 40, of which a cold replica may have ColdFrom.
-	if most := 40 * settings().ColdFrom; float64(total) > 1.5*most || total == 0 {
-		t.Errorf("%d requests went to the cold replica, want about %.0f at most", total, most)
+	// 400 requests: an even share is 40, of which a replica in slow start may have SlowStartInitial.
+	if most := 40 * settings().SlowStartInitial; float64(total) > 1.5*most || total == 0 {
+		t.Errorf("%d requests went to the replica in slow start, want about %.0f at most", total, most)
 	}
 }
 
@@ -747,7 +749,7 @@
 	b, a := start(t, settings(), fleetOf(9))
 	b.Arrive(t0, a, req(1, 0, 77))
 	full := a.last(t).to
-	b.Finished(t0+ms, a, Outcome{ID: 1, Replica: full, Result: Full})
+	b.Finished(t0+ms, a, Outcome{ID: 1, Replica: full, Result: ResultFull})
 	for i := range 50 {
 		b.Arrive(t0+2*ms, a, req(RequestID(10+i), 0, uint64(i+1)))
 		if a.last(t).to == full {
@@ -756,9 +758,9 @@
 	}
 }
 
-func TestLiveWeightsAreEvenedOut(t *testing.T) {
+func TestLiveWeightsAreSmoothed(t *testing.T) {
 	s := settings()
-	s.Weights = LiveWeights
+	s.WeightMeaning = WeightLive
 	b, a := start(t, s, fleetOf(9))
 	before := map[uint64]ReplicaID{}
 	for i := range uint64(300) {
@@ -783,46 +785,46 @@
 	}
 }
 
-func TestRefusingEndsSoonAfterTheOverload(t *testing.T) {
+func TestSheddingEndsSoonAfterTheOverload(t *testing.T) {
 	b, _ := start(t, settings(), fleetOf(9))
 	now := t0
 	for range 100 {
 		now += 100 * ms
-		b.learnShed(now, 1)
+		b.learnShedShare(now, 1)
 	}
-	if b.shed != shedMost {
-		t.Fatalf("share refused is %.2f in overload", b.shed)
+	if b.shedShare != maxShedShare {
+		t.Fatalf("share rejected is %.2f in overload", b.shedShare)
 	}
 	for range 100 {
 		now += 100 * ms
-		b.learnShed(now, 0)
+		b.learnShedShare(now, 0)
 	}
-	if b.shed != 0 {
-		t.Errorf("share refused is still %.2f ten seconds after the overload", b.shed)
+	if b.shedShare != 0 {
+		t.Errorf("share rejected is still %.2f ten seconds after the overload", b.shedShare)
 	}
 }
 
-func TestCutOffZoneIsClosedAsOne(t *testing.T) {
+func TestZoneThatIsCutOffIsEjectedAsAWhole(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(30))
-	zone0 := b.fleet.near.replicas
-	for i := range zoneFails {
-		b.mark(t0, a, zone0[i], "test")
+	zone0 := b.fleet.sameZone.replicas
+	for i := range zoneFailureLimit {
+		b.eject(t0, a, zone0[i], "test")
 	}
 	for i := range 10 {
 		b.Arrive(t0+ms, a, req(RequestID(i+1), 0, uint64(i+1)))
 		if to := b.fleet.byID[a.last(t).to]; to.Zone == 0 {
-			t.Fatalf("sent to replica %d of a zone in which %d failed in a row", to.ID, zoneFails)
+			t.Fatalf("sent to replica %d of a zone in which %d failed in a row", to.ID, zoneFailureLimit)
 		}
 	}
 	b.Started(t0+2*ms, a, Started{ID: 1, Replica: zone0[9].ID})
-	if !b.usable(t0+2*ms, zone0[9], b.requests[1], newSession) {
+	if !b.isUsable(t0+2*ms, zone0[9], b.requests[1], purposeNewSession) {
 		t.Error("an answer from the zone did not open it")
 	}
 }
 
-func TestLoneZoneIsNeverClosedAsOne(t *testing.T) {
+func TestOnlyZoneIsNeverEjected(t *testing.T) {
 	// That would close the whole fleet: every session would be sent as a last resort, which asks for no
-	// marks, and so to the very replicas that fail.
+	// ejections, and so to the very replicas that fail.
 	s := settings()
 	s.Zones = 1
 	fleet := fleetOf(30)
@@ -830,42 +832,43 @@
 		fleet[i].Zone = 0
 	}
 	b, a := start(t, s, fleet)
-	for i := range zoneFails {
-		b.mark(t0, a, b.fleet.near.replicas[i], "test")
+	for i := range zoneFailureLimit {
+		b.eject(t0, a, b.fleet.sameZone.replicas[i], "test")
 	}
 	for i := range 200 {
 		b.Arrive(t0+ms, a, req(RequestID(i+1), 0, uint64(i+1)))
-		if to := b.fleet.byID[a.last(t).to]; to.spell > 0 {
+		if to := b.fleet.byID[a.last(t).to]; to.duration > 0 {
 			t.Fatalf("sent to replica %d, which is closed", to.ID)
 		}
 	}
 }
 
-func TestTrafficBeyondAShareIsRefusedFirst(t *testing.T) {
+func TestTrafficBeyondAShareIsRejectedFirst(t *testing.T) {
 	x := tenants{share: []float64{0.5, 0.5}, count: []float64{0, 0}}
 	for i := range 60 {
-		x.saw(i % 3 / 2) // tenant 0 sends two thirds
+		x.countRequest(i % 3 / 2) // tenant 0 sends two thirds
 	}
-	if got := x.refuse(1, 0.1); got != 0 {
-		t.Errorf("a tenant within its share is refused %.2f", got)
+	if got := x.rejectShare(1, 0.1); got != 0 {
+		t.Errorf("a tenant within its share is rejected %.2f", got)
 	}
-	if got := x.refuse(0, 0.1); got < 0.14 || got > 0.16 {
-		t.Errorf("the tenant beyond its share is refused %.2f, want 0.15 for a tenth of all", got)
+	if got := x.rejectShare(0, 0.1); got < 0.14 || got > 0.16 {
+		t.Errorf("the tenant beyond its share is rejected %.2f, want 0.15 for a tenth of all", got)
 	}
-	if a, b := x.refuse(0, 0.5), x.refuse(1, 0.5); b <= 0 || a <= b || 2*a/3+b/3 < 0.49 || 2*a/3+b/3 > 0.51 {
-		t.Errorf("of half of all, %.2f and %.2f are refused", a, b)
+	a, b := x.rejectShare(0, 0.5), x.rejectShare(1, 0.5)
+	if b <= 0 || a <= b || 2*a/3+b/3 < 0.49 || 2*a/3+b/3 > 0.51 {
+		t.Errorf("of half of all, %.2f and %.2f are rejected", a, b)
 	}
-	if got := x.refuse(7, 0.3); got != 0.3 {
-		t.Errorf("a request without a tenant is refused %.2f", got)
+	if got := x.rejectShare(7, 0.3); got != 0.3 {
+		t.Errorf("a request without a tenant is rejected %.2f", got)
 	}
 }
 
-func TestRefusingSpillsWhereNothingIsReported(t *testing.T) {
+func TestSheddingSpillsWhereNothingIsReported(t *testing.T) {
 	for _, columns := range [][]string{nil, {"util"}} {
 		s := settings()
 		s.ReportColumns = columns
 		b, a := start(t, s, fleetOf(9))
-		b.shed = 0.3
+		b.shedShare = 0.3
 		far := 0
 		for i := range 1000 {
 			b.Arrive(t0, a, req(RequestID(i+1), 0, uint64(i+1)*31))
@@ -879,22 +882,22 @@
 	}
 }
 
-func TestFastErrorsCloseAReplica(t *testing.T) {
+func TestFastErrorsEjectAReplica(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(9))
-	b.Finished(t0, a, Outcome{ID: 900, Replica: 1, Result: Error, Elapsed: ms})
-	if b.fleet.byID[1].spell != 0 {
-		t.Fatal("one error marked a replica")
+	b.Finished(t0, a, Outcome{ID: 900, Replica: 1, Result: ResultError, Elapsed: ms})
+	if b.fleet.byID[1].duration != 0 {
+		t.Fatal("one error ejected a replica")
 	}
-	b.Finished(t0+sec, a, Outcome{ID: 901, Replica: 1, Result: Error, Elapsed: ms})
+	b.Finished(t0+sec, a, Outcome{ID: 901, Replica: 1, Result: ResultError, Elapsed: ms})
 	for i := range 100 {
 		b.Arrive(t0+sec, a, req(RequestID(i+1), 0, uint64(i+1)))
 		if a.last(t).to == 1 {
 			t.Fatal("a replica that answers errors was sent a new session")
 		}
 	}
-	b.Finished(t0+2*sec, a, Outcome{ID: 902, Replica: 1, Result: OK, Elapsed: ms})
-	if b.fleet.byID[1].spell != 0 {
-		t.Error("an answer did not clear the mark")
+	b.Finished(t0+2*sec, a, Outcome{ID: 902, Replica: 1, Result: ResultOK, Elapsed: ms})
+	if b.fleet.byID[1].duration != 0 {
+		t.Error("an answer did not clear the ejection")
 	}
 }
 
@@ -920,11 +923,11 @@
 		b.Listed(now, a, List{Kind: ListFull, Replicas: fleet})
 		b.Arrive(now, a, req(RequestID(11+2*i), 0, uint64(900+i)))
 	}
-	b.Finished(t0+6*sec, a, Outcome{ID: 1, Replica: to, Result: OK, Ended: true})
+	b.Finished(t0+6*sec, a, Outcome{ID: 1, Replica: to, Result: ResultOK, RequestEnded: true})
 	if b.requests[1] != nil {
 		t.Error("the request that was out at the flapping replica is still held")
 	}
-	if got := b.fleet.byID[to].out; got < 0 {
+	if got := b.fleet.byID[to].inFlight; got < 0 {
 		t.Errorf("the replica that returned counts %d attempts out", got)
 	}
 }
@@ -933,7 +936,7 @@
 	b, a := start(t, settings(), fleetOf(9))
 	b.Arrive(t0, a, req(1, 0, 77))
 	later := t0 + 30*24*time.Hour
-	b.Finished(later, a, Outcome{ID: 1, Replica: a.last(t).to, Result: Error, Elapsed: sec})
+	b.Finished(later, a, Outcome{ID: 1, Replica: a.last(t).to, Result: ResultError, Elapsed: sec})
 	if len(a.sends) != 1 || a.ends(1) != 1 {
 		t.Errorf("after its deadline a request got %q", a.lines)
 	}
@@ -941,12 +944,12 @@
 	if len(a.sends) != 2 || len(b.sessions.entries) != 1 {
 		t.Errorf("after the jump: %q and %d sessions", a.lines, len(b.sessions.entries))
 	}
-	if b.shed < 0 || b.shed > shedMost || b.spill < 0 || b.spill > 1 {
-		t.Errorf("shares out of range: shed %v, spill %v", b.shed, b.spill)
+	if b.shedShare < 0 || b.shedShare > maxShedShare || b.spillShare < 0 || b.spillShare > 1 {
+		t.Errorf("shares out of range: shed %v, spill %v", b.shedShare, b.spillShare)
 	}
 }
 
-func TestReportsThatAreNoNumbersAreIgnored(t *testing.T) {
+func TestReportsThatAreNotNumbersAreIgnored(t *testing.T) {
 	s := settings()
 	s.ReportColumns = []string{"util", "x0"}
 	b, a := start(t, s, fleetOf(9))
@@ -961,10 +964,10 @@
 	}
 }
 
-func TestBoundIsTighterWhereNoSizesAreListed(t *testing.T) {
-	most := func(w Weights) int {
+func TestLoadBoundIsTighterWhereNoWeightsAreListed(t *testing.T) {
+	most := func(w WeightMeaning) int {
 		s := settings()
-		s.Weights = w
+		s.WeightMeaning = w
 		b, a := start(t, s, fleetOf(8))
 		counts := map[ReplicaID]int{}
 		for i := range 240 {
@@ -978,12 +981,12 @@
 		return high
 	}
 	// 240 attempts at 8 replicas: at most the mean of 30, and one.
-	if sized, unsized := most(SizeWeights), most(NoWeights); unsized > 31 || unsized >= sized {
+	if sized, unsized := most(WeightSize), most(WeightUnused); unsized > 31 || unsized >= sized {
 		t.Errorf("of 240 attempts out, one of 8 replicas holds %d with sizes listed, %d without", sized, unsized)
 	}
 }
 
-func TestLatenessOfAnswersThatAreNotStreamed(t *testing.T) {
+func TestLatenessOfAnswersWithoutAStream(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(9))
 	for i := range 30 {
 		id := RequestID(i + 1)
@@ -991,35 +994,35 @@
 		if a.ends(id) == 0 {
 			b.Finished(t0+Time(i)*sec, a, Outcome{
 				ID: id, Replica: a.last(t).to,
-				Result: OK, Elapsed: 4 * sec, Ended: true,
+				Result: ResultOK, Elapsed: 4 * sec, RequestEnded: true,
 			})
 		}
 	}
-	if b.shed == 0 {
+	if b.shedShare == 0 {
 		t.Error("late answers of a class that is not streamed went unnoticed")
 	}
 }
 
-func TestFullHouseDoesNotTryMarkedReplicas(t *testing.T) {
-	// Every replica that may be used is over the bound of new sessions: that is no reason to ignore the mark of
-	// one that does not answer. Guards a deploy, where cold replicas keep the mean low.
+func TestFullFleetDoesNotTryEjectedReplicas(t *testing.T) {
+	// Every replica that may be used is over the load bound: that is no reason to ignore the ejection of
+	// one that does not answer. Guards a deploy, where replicas in slow start keep the mean low.
 	s := settings()
-	s.Weights, s.WarmUp = NoWeights, 100*sec
+	s.WeightMeaning, s.SlowStart = WeightUnused, 100*sec
 	replicas := fleetOf(8)
 	for i := 2; i < len(replicas); i++ {
-		replicas[i].ReadyAt = t0 // cold: they take next to nothing
+		replicas[i].ReadyAt = t0 // starting: they take next to nothing
 	}
 	b, a := start(t, s, replicas)
-	marked := replicas[0].ID
-	b.mark(t0, a, b.fleet.byID[marked], "no connection")
+	ejected := replicas[0].ID
+	b.eject(t0, a, b.fleet.byID[ejected], "no connection")
 	over := 0
 	for i := range 40 {
 		b.Arrive(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
-		if a.why == OverBound {
+		if a.why == ReasonOverBound {
 			over++
 		}
-		if a.last(t).to == marked || a.why == LastResort {
-			t.Fatalf("request %d went to replica %d: %v, the marked one is %d", i+1, a.last(t).to, a.why, marked)
+		if a.last(t).to == ejected || a.why == ReasonLastResort {
+			t.Fatalf("request %d went to replica %d: %v, the ejected one is %d", i+1, a.last(t).to, a.why, ejected)
 		}
 	}
 	if over == 0 {
@@ -1027,11 +1030,11 @@
 	}
 }
 
-func TestClientThatLeftAtItsDeadlineTellsOfItsReplicaOnly(t *testing.T) {
-	// Its time-out marks a replica that answers nobody, but is no sign of overload: that refused a third of the
-	// requests on a recorded incident.
+func TestClientThatLeftAtItsDeadlineCountsForItsReplicaOnly(t *testing.T) {
+	// Its time-out ejects a replica that answers nobody, but is no sign of overload: that rejected a third of
+	// the requests on a recorded incident.
 	s := settings()
-	s.Classes[0].Effect = Safe
+	s.Classes[0].Effect = EffectSafe
 	b, a := start(t, s, fleetOf(4))
 	for i := range 200 {
 		id, at := RequestID(i+1), t0+time.Duration(i)*sec/10
@@ -1039,16 +1042,18 @@
 		to := a.last(t).to
 		b.Started(at+sec, a, Started{ID: 9999, Replica: to}) // it answers others
 		b.Departed(at+5*sec, a, id)
-		b.Finished(at+5*sec, a, Outcome{ID: id, Replica: to, Result: TimedOut, Elapsed: 5 * sec, Ended: true})
+		end := Outcome{ID: id, Replica: to, Result: ResultTimedOut, Elapsed: 5 * sec, RequestEnded: true}
+		b.Finished(at+5*sec, a, end)
 	}
-	if b.shed != 0 {
-		t.Errorf("a share of %v is refused", b.shed)
+	if b.shedShare != 0 {
+		t.Errorf("a share of %v is rejected", b.shedShare)
 	}
 	b.Arrive(t0+100*sec, a, req(1000, 0, 1000))
 	hung := a.last(t).to
 	b.Departed(t0+105*sec, a, 1000)
-	b.Finished(t0+105*sec, a, Outcome{ID: 1000, Replica: hung, Result: TimedOut, Elapsed: 5 * sec, Ended: true})
-	if b.fleet.byID[hung].spell == 0 {
-		t.Error("a replica that answers nobody is not marked")
+	end := Outcome{ID: 1000, Replica: hung, Result: ResultTimedOut, Elapsed: 5 * sec, RequestEnded: true}
+	b.Finished(t0+105*sec, a, end)
+	if b.fleet.byID[hung].duration == 0 {
+		t.Error("a replica that answers nobody is not ejected")
 	}
 }
