--- /dev/null
+++ b/internal/control/discovery/fleet_test.go
@@ -0,0 +1,140 @@
+package discovery
+
+import (
+	"fmt"
+	"net/netip"
+	"strings"
+	"time"
+
+	"notchhinge/internal/control/endpoints"
+	"notchhinge/internal/control/gossip"
+)
+
+const (
+	heartbeatTimeout  = 5 * time.Second
+	heartbeatInterval = 1500 * time.Millisecond
+	testReplicas      = 3 // the first nodes of a fleet
+)
+
+// fleet is nodes with a simulated network that delivers at once. Node i has the zone i%3.
+type fleet struct {
+	nodes       []*Node
+	now         time.Duration
+	isLost      func(from, to int) bool // packets that are lost
+	lastRequest RequestID
+	replies     map[RequestID]Reply
+	idleDrops   []int // reports to each node
+	sentBytes   []int // by each node
+}
+
+func newFleet(size int) *fleet {
+	f := &fleet{now: time.Hour, replies: map[RequestID]Reply{}, idleDrops: make([]int, size), sentBytes: make([]int, size)}
+	f.heal()
+	var voters []uint64
+	for i := range size {
+		self := gossip.Peer{ID: gossip.Hash(fmt.Sprint("n", i)), Addr: testAddr(i), Zone: uint32(i % 3), Flags: gossip.FlagRouter}
+		if i < testReplicas {
+			self.Flags = gossip.FlagReplica
+			voters = append(voters, self.ID)
+		}
+		f.nodes = append(f.nodes, New(self, uint64(i), heartbeatTimeout, func(z string) uint32 { return uint32(len(z)) }))
+	}
+	for i := range size {
+		if i < testReplicas {
+			f.reduce(i, Gossip{gossip.VotersChanged{IDs: voters}})
+		}
+		f.reduce(i, Gossip{gossip.SeedsChanged{Addrs: testAddrs(0, 1)}})
+	}
+	f.advance(10 * time.Second)
+	return f
+}
+
+func testAddr(i int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000)
+}
+
+func testAddrs(indices ...int) (addrs []netip.AddrPort) {
+	for _, i := range indices {
+		addrs = append(addrs, testAddr(i))
+	}
+	return addrs
+}
+
+// heal ends all faults of the network.
+func (f *fleet) heal() { f.isLost = func(int, int) bool { return false } }
+
+// reduce gives a node an event, and delivers all packets that follow from it.
+func (f *fleet) reduce(i int, e Event) {
+	type delivery struct {
+		to    int
+		event Event
+	}
+	for queue := []delivery{{i, e}}; len(queue) > 0; queue = queue[1:] {
+		from := queue[0].to
+		for _, x := range f.nodes[from].Reduce(f.now, f.now.Milliseconds(), queue[0].event) {
+			switch x := x.(type) {
+			case SendPacket:
+				f.sentBytes[from] += len(x.Payload) + 28
+				a := x.To.Addr().As4()
+				if to := int(a[2])<<8 | int(a[3]); to < len(f.nodes) && !f.isLost(from, to) {
+					queue = append(queue, delivery{to, Gossip{gossip.PacketReceived{Payload: x.Payload}}})
+				}
+			case Reply:
+				f.replies[x.Request] = x
+			case IdleDropReported:
+				f.idleDrops[from]++
+			}
+		}
+	}
+}
+
+// advance lets time pass.
+func (f *fleet) advance(d time.Duration) {
+	for end := f.now + d; f.now < end; {
+		f.now += 100 * time.Millisecond
+		for i, n := range f.nodes {
+			if n.NextTimer() <= f.now {
+				f.reduce(i, Gossip{gossip.Tick{}})
+			}
+		}
+	}
+}
+
+func endpointID(k int) string { return fmt.Sprint("i-", k) }
+
+// testRecord is the record of endpoint k, whose zone is k%3.
+func testRecord(k int, callCount uint64, s endpoints.State) endpoints.Record {
+	return endpoints.Record{
+		ID: endpointID(k), Service: "s", Addr: fmt.Sprintf("10.9.0.%d:80", k), Zone: strings.Repeat("z", k%3), CallCount: callCount, State: s,
+	}
+}
+
+// heartbeat sends a heartbeat of endpoint k to a node, and returns the reply if there is one yet.
+func (f *fleet) heartbeat(node, k int, callCount uint64, s endpoints.State) (Reply, bool) {
+	f.lastRequest++
+	request := f.lastRequest
+	f.reduce(node, Heartbeat{Request: request, Record: testRecord(k, callCount, s)})
+	reply, ok := f.replies[request]
+	return reply, ok
+}
+
+// deregister deregisters endpoint k at a node, and returns the reply if there is one yet.
+func (f *fleet) deregister(node, k int) (Reply, bool) {
+	f.lastRequest++
+	request := f.lastRequest
+	f.reduce(node, Deregister{Request: request, EndpointID: endpointID(k)})
+	reply, ok := f.replies[request]
+	return reply, ok
+}
+
+// liveAt counts the nodes at which endpoint k is live.
+func (f *fleet) liveAt(k int) (count int) {
+	for _, n := range f.nodes {
+		for _, e := range n.Endpoints.Live("s") {
+			if e.ID == endpointID(k) {
+				count++
+			}
+		}
+	}
+	return count
+}
--- a/internal/control/discovery/golden_test.go
+++ b/internal/control/discovery/golden_test.go
@@ -1,7 +1,6 @@
 package discovery
 
 import (
-	"net/netip"
 	"testing"
 	"time"
 
@@ -10,80 +9,92 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// TestGoldenItems: what a process makes known leaves in the datagrams that it left in, and a process that gets such a datagram
-// knows the same.
-func TestGoldenItems(t *testing.T) {
-	const acknowledged = 6 // the kind of a datagram with items that wants an answer
-	wall := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC).UnixMilli()
-	at := func(n byte) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 7000) }
-	zone := func(name string) uint32 { return uint32(len(name)) }
-	a := New(gossip.Peer{ID: 1, Addr: at(1), Zone: 1, Flags: gossip.FlagRouter}, 1, 5*time.Second, zone)
-	b := New(gossip.Peer{ID: 2, Addr: at(2), Zone: 1, Flags: gossip.FlagRouter}, 2, 5*time.Second, zone)
-	for _, f := range b.Reduce(time.Second, wall, gossip.SeedsChanged{Addrs: []netip.AddrPort{at(1)}}) {
-		if f, ok := f.(gossip.SendPacket); ok && f.To == at(1) {
-			a.Reduce(time.Second, wall, gossip.PacketReceived{Payload: f.Payload})
+// goldenPair is a node whose datagrams are compared with golden files, and a node that gets the bytes of these files.
+type goldenPair struct {
+	from, to *Node
+	now      time.Duration
+	wallMS   int64
+}
+
+func newGoldenPair(t *testing.T) *goldenPair {
+	t.Helper()
+	zoneHash := func(name string) uint32 { return uint32(len(name)) }
+	p := &goldenPair{now: time.Second, wallMS: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC).UnixMilli()}
+	p.from = New(gossip.Peer{ID: 1, Addr: testAddr(1), Zone: 1, Flags: gossip.FlagRouter}, 1, heartbeatTimeout, zoneHash)
+	p.to = New(gossip.Peer{ID: 2, Addr: testAddr(2), Zone: 1, Flags: gossip.FlagRouter}, 2, heartbeatTimeout, zoneHash)
+	for _, f := range p.to.Reduce(p.now, p.wallMS, Gossip{gossip.SeedsChanged{Addrs: testAddrs(1)}}) {
+		if f, ok := f.(SendPacket); ok && f.To == testAddr(1) {
+			p.from.Reduce(p.now, p.wallMS, Gossip{gossip.PacketReceived{Payload: f.Payload}})
 		}
 	}
-	if len(a.Gossip.Peers()) != 1 {
-		t.Fatalf("peers: %v", a.Gossip.Peers())
+	if len(p.from.Gossip.Peers()) != 1 {
+		t.Fatalf("peers: %v", p.from.Gossip.Peers())
 	}
-	record := endpoints.Record{ID: "engine-1", Service: "scribe", Addr: "10.0.0.5:8000", Zone: "a", Revision: "r7", Slots: 12, CallCount: 300}
-	now := time.Second
-	sent := func(name string, e Event) []Effect {
-		t.Helper()
-		now += time.Millisecond
-		var got []gossip.SendPacket
-		for _, f := range a.Reduce(now, wall, e) {
-			if f, ok := f.(gossip.SendPacket); ok && f.Payload[3] == acknowledged {
-				got = append(got, f)
-			}
-		}
-		if len(got) != 1 || got[0].To != at(2) {
-			t.Fatalf("%s: datagrams %v", name, got)
+	return p
+}
+
+// send gives the one node an event, after which it must send the datagram of a golden file, and the other node that file. It
+// returns the effects there.
+func (p *goldenPair) send(t *testing.T, name string, e Event) []Effect {
+	t.Helper()
+	const kindUrgentItems = 6 // of a datagram
+	p.now += time.Millisecond
+	var got []SendPacket
+	for _, f := range p.from.Reduce(p.now, p.wallMS, e) {
+		if f, ok := f.(SendPacket); ok && f.Payload[3] == kindUrgentItems {
+			got = append(got, f)
 		}
-		golden.Check(t, name+".hex", got[0].Payload)
-		return b.Reduce(now, wall, gossip.PacketReceived{Payload: golden.Read(t, name+".hex")})
 	}
-	has := func(name string, effects []Effect, is func(Effect) bool) {
-		t.Helper()
-		for _, f := range effects {
-			if is(f) {
-				return
-			}
+	if len(got) != 1 || got[0].To != testAddr(2) {
+		t.Fatalf("%s: datagrams %v", name, got)
+	}
+	golden.Check(t, name+".hex", got[0].Payload)
+	return p.to.Reduce(p.now, p.wallMS, Gossip{gossip.PacketReceived{Payload: golden.Read(t, name+".hex")}})
+}
+
+// effect returns the first effect of a type.
+func effect[E Effect](t *testing.T, effects []Effect) (found E) {
+	t.Helper()
+	for _, f := range effects {
+		if f, ok := f.(E); ok {
+			return f
 		}
-		t.Errorf("%s: %+v", name, effects)
 	}
+	t.Errorf("no %T in %+v", found, effects)
+	return found
+}
 
-	sent("item-endpoint", Heartbeat{Record: record})
-	e := b.Endpoints.Find(record.ID)
+// TestGoldenItems: items leave in the same datagrams as before, and a process that receives such a datagram learns the same.
+func TestGoldenItems(t *testing.T) {
+	p := newGoldenPair(t)
+	record := endpoints.Record{ID: "engine-1", Service: "scribe", Addr: "10.0.0.5:8000", Zone: "a", Revision: "r7", Slots: 12, CallCount: 300}
+	p.send(t, "item-endpoint", Heartbeat{Record: record})
+	e := p.to.Endpoints.Find(record.ID)
 	if e == nil {
-		t.Fatal("the engine is not known")
+		t.Fatal("the endpoint is not known")
 	}
 	golden.Equal(t, "the record", record, e.Record)
 
-	a.publish(silentItem(record.ID, record.CallCount, true))
-	if sent("item-endpoint-failed", gossip.Tick{}); !e.Suspect {
-		t.Error("the engine does not count as failed")
+	p.from.publish(suspicionItem(endpoints.Suspicion{ID: record.ID, CallCount: record.CallCount, Suspect: true}))
+	if p.send(t, "item-endpoint-failed", Gossip{gossip.Tick{}}); !e.Suspect {
+		t.Error("the endpoint is not suspect")
 	}
-	a.publish(silentItem(record.ID, record.CallCount+1, false))
-	if sent("item-endpoint-alive", gossip.Tick{}); e.Suspect {
-		t.Error("the engine counts as failed still")
+	p.from.publish(suspicionItem(endpoints.Suspicion{ID: record.ID, CallCount: record.CallCount + 1}))
+	if p.send(t, "item-endpoint-alive", Gossip{gossip.Tick{}}); e.Suspect {
+		t.Error("the endpoint is still suspect")
 	}
 
-	has("a configuration", sent("item-configuration", ConfigStored{Index: 7}), func(f Effect) bool {
-		c, ok := f.(ConfigAnnounced)
-		return ok && c.Index == 7 && c.From.ID == 1
-	})
-	has("an engine that forgets connections", sent("item-forgotten-connections", IdleDropObserved{}), func(f Effect) bool {
-		_, ok := f.(IdleDropReported)
-		return ok
-	})
+	c := effect[ConfigAnnounced](t, p.send(t, "item-configuration", ConfigStored{Index: 7}))
+	if c.Index != 7 || c.From.ID != 1 {
+		t.Errorf("%+v", c)
+	}
+	effect[IdleDropReported](t, p.send(t, "item-forgotten-connections", IdleDropObserved{}))
 
 	record.State, record.CallCount = endpoints.StateDraining, 302
-	sent("item-endpoint-draining", Heartbeat{Record: record})
-	golden.Equal(t, "the record of one that leaves", record, b.Endpoints.Find(record.ID).Record)
-	sent("item-endpoint-gone", Deregister{EndpointID: record.ID})
-	if r := b.Endpoints.Find(record.ID); r.State != endpoints.StateGone || r.WarmAtMS != wall {
+	p.send(t, "item-endpoint-draining", Heartbeat{Record: record})
+	golden.Equal(t, "the record of a draining endpoint", record, p.to.Endpoints.Find(record.ID).Record)
+	p.send(t, "item-endpoint-gone", Deregister{EndpointID: record.ID})
+	if r := p.to.Endpoints.Find(record.ID); r.State != endpoints.StateGone || r.WarmAtMS != p.wallMS {
 		t.Errorf("%+v", r)
 	}
 }
--- a/internal/control/endpoints/failure.go
+++ b/internal/control/endpoints/failure.go
@@ -44,12 +44,12 @@
 // endpoint, since a process that is cut off receives none and must not suspect all.
 func (s *Registry) Detect() (suspects, failed []string) {
 	for id, e := range s.byID {
-		silence := s.lastHeartbeat - e.LastHeartbeat
+		elapsed := s.lastHeartbeat - e.LastHeartbeat
 		switch {
 		case e.State == StateGone:
-		case silence > expiry:
+		case elapsed > expiry:
 			failed = append(failed, id)
-		case !e.Suspect && silence > s.heartbeatTimeout:
+		case !e.Suspect && elapsed > s.heartbeatTimeout:
 			e.Suspect = true
 			suspects = append(suspects, id)
 		}
--- a/internal/control/gossip/fleet_test.go
+++ b/internal/control/gossip/fleet_test.go
@@ -142,7 +142,7 @@
 	return i
 }
 
-// setVoters tells all nodes that the replicas vote.
+// setVoters makes the replicas voters at all nodes.
 func (f *fleet) setVoters() {
 	var ids []uint64
 	for i := range testReplicas {
--- a/internal/control/gossip/replicas.go
+++ b/internal/control/gossip/replicas.go
@@ -31,7 +31,7 @@
 }
 
 // isResponsive reports whether a replica is likely to answer: no request to it is overdue, and the latest call was answered.
-// In a large fleet its packets come too seldom to tell.
+// In a large fleet its packets are too rare to show it.
 func (n *Node) isResponsive(s *peerState) bool {
 	return !s.callFailed && !s.isOverdue(n.now) && !s.isExpired(n.now)
 }
--- a/internal/lab/check/draining.go
+++ b/internal/lab/check/draining.go
@@ -33,7 +33,7 @@
 	nodes    []*discovery.Node
 	now      time.Duration
 	packets  []packet // in flight
-	replies  map[any]error
+	replies  map[discovery.RequestID]error
 	reliable bool // nothing is lost or late
 }
 
@@ -45,7 +45,7 @@
 // newGossipFleet returns a fleet that has run for 4 s over a reliable network.
 func newGossipFleet(draw func(n int) int) *gossipFleet {
 	f := &gossipFleet{
-		draw: draw, nodes: make([]*discovery.Node, drainProcesses), replies: map[any]error{}, reliable: true, now: time.Hour,
+		draw: draw, nodes: make([]*discovery.Node, drainProcesses), replies: map[discovery.RequestID]error{}, reliable: true, now: time.Hour,
 	}
 	for i := range f.nodes {
 		f.start(i)
@@ -71,20 +71,20 @@
 		for k := range drainReplicas {
 			voters = append(voters, id(k))
 		}
-		f.reduce(i, gossip.VotersChanged{IDs: voters})
+		f.reduce(i, discovery.Gossip{Event: gossip.VotersChanged{IDs: voters}})
 	}
-	f.reduce(i, gossip.SeedsChanged{Addrs: []netip.AddrPort{gossipAddr(0), gossipAddr(1), gossipAddr(drainReplicas)}})
+	f.reduce(i, discovery.Gossip{Event: gossip.SeedsChanged{Addrs: []netip.AddrPort{gossipAddr(0), gossipAddr(1), gossipAddr(drainReplicas)}}})
 }
 
 // reduce has a process take in an event.
 func (f *gossipFleet) reduce(i int, e discovery.Event) {
 	for _, effect := range f.nodes[i].Reduce(f.now, f.now.Milliseconds(), e) {
 		switch effect := effect.(type) {
-		case gossip.SendPacket:
+		case discovery.SendPacket:
 			to := int(effect.To.Addr().As4()[3]) - 1
 			f.packets = append(f.packets, packet{i, to, effect.Payload})
 		case discovery.Reply:
-			f.replies[effect.Of] = effect.Err
+			f.replies[effect.Request] = effect.Err
 		}
 	}
 }
@@ -99,14 +99,14 @@
 		p := f.packets[at]
 		f.packets = slices.Delete(f.packets, at, at+1)
 		if f.reliable || f.draw(10) > 0 {
-			f.reduce(p.to, gossip.PacketReceived{Payload: p.payload})
+			f.reduce(p.to, discovery.Gossip{Event: gossip.PacketReceived{Payload: p.payload}})
 		}
 		return
 	}
 	f.now += 20 * time.Millisecond
 	for i, n := range f.nodes {
 		if n.NextTimer() <= f.now {
-			f.reduce(i, gossip.Tick{})
+			f.reduce(i, discovery.Gossip{Event: gossip.Tick{}})
 		}
 	}
 }
@@ -131,18 +131,19 @@
 // drainWalk is the life of one engine that drains.
 type drainWalk struct {
 	*gossipFleet
-	calls uint64 // the number of the engine's newest call
+	calls       uint64 // the number of the engine's newest call
+	lastRequest discovery.RequestID
 	// ackedEarly breaks a rule on purpose: a drain counts as acknowledged as soon as it was received.
 	ackedEarly bool
 }
 
-// announce has the engine call a process, and returns what identifies the reply.
-func (w *drainWalk) announce(to int, s endpoints.State) any {
-	call := new(int)
-	w.reduce(to, discovery.Heartbeat{Of: call, Record: endpoints.Record{
+// announce has the engine call a process, and returns the id of the request.
+func (w *drainWalk) announce(to int, s endpoints.State) discovery.RequestID {
+	w.lastRequest++
+	w.reduce(to, discovery.Heartbeat{Request: w.lastRequest, Record: endpoints.Record{
 		ID: "e", Service: "s", Addr: "10.1.0.1:80", Zone: "z", CallCount: w.calls, State: s,
 	}})
-	return call
+	return w.lastRequest
 }
 
 // drain has the engine announce its drain until a process has acknowledged it, and returns that process. A process that crashes
--- a/internal/lab/plane/machine.go
+++ b/internal/lab/plane/machine.go
@@ -39,6 +39,10 @@
 	up     bool
 	life   int
 	news   *discovery.Node
+
+	lastRequest discovery.RequestID
+	replies     map[discovery.RequestID]func(discovery.Reply) // of requests in flight at its process
+
 	core   *replica.Replica
 	disk   *disk
 	busy   bool
@@ -119,7 +123,8 @@
 	} else {
 		m.meter = &usage.Meter{WindowLength: window, Incarnation: w.rnd.Uint64()}
 	}
-	m.take(gossip.SeedsChanged{Addrs: w.seedsFor(m)})
+	m.replies = map[discovery.RequestID]func(discovery.Reply){}
+	m.take(discovery.Gossip{Event: gossip.SeedsChanged{Addrs: w.seedsFor(m)}})
 }
 
 // die ends the process. What was on its way to the disk is there afterwards or is not.
@@ -139,20 +144,29 @@
 	}
 	m.frozen, m.healed, m.wakeAt = false, m.w.now, 0
 	m.w.shake(m)
-	m.take(gossip.Tick{})
+	m.take(tick{})
+}
+
+// tick is the timer of a process.
+type tick struct{}
+
+// nextRequest numbers a request to this machine's process.
+func (m *machine) nextRequest() discovery.RequestID {
+	m.lastRequest++
+	return m.lastRequest
 }
 
 // changed tells the news who votes, as a node does.
 func (m *machine) changed(s *replog.State) {
 	if m.w.broken == "judges out of touch" {
-		m.queue = append(m.queue, gossip.VotersChanged{IDs: []uint64{gossip.Hash(m.name)}})
+		m.queue = append(m.queue, discovery.Gossip{Event: gossip.VotersChanged{IDs: []uint64{gossip.Hash(m.name)}}})
 		return
 	}
 	var ids []uint64
 	for _, x := range s.Members {
 		ids = append(ids, gossip.Hash(x.Name))
 	}
-	m.queue = append(m.queue, gossip.VotersChanged{IDs: ids})
+	m.queue = append(m.queue, discovery.Gossip{Event: gossip.VotersChanged{IDs: ids}})
 }
 
 // take has the process take an event, or keeps it until it is free.
@@ -185,12 +199,12 @@
 			if m.core != nil {
 				m.perform(append([]replica.Effect(nil), m.core.Reduce(now, e)...))
 			}
-		case gossip.Tick:
-			m.hear(m.news.Reduce(now, wall, e))
+		case tick:
+			m.hear(m.news.Reduce(now, wall, discovery.Gossip{Event: gossip.Tick{}}))
 			if m.core != nil {
 				m.perform(append([]replica.Effect(nil), m.core.Reduce(now, replica.Tick{})...))
 			}
-		default:
+		case discovery.Event:
 			m.hear(m.news.Reduce(now, wall, e))
 		}
 	}
@@ -217,7 +231,7 @@
 	m.w.in(next-m.w.now, func() {
 		if m.life == life && m.wakeAt == next {
 			m.wakeAt = 0
-			m.take(gossip.Tick{})
+			m.take(tick{})
 		}
 	})
 }
@@ -226,10 +240,13 @@
 func (m *machine) hear(effects []discovery.Effect) {
 	for _, f := range effects {
 		switch f := f.(type) {
-		case gossip.SendPacket:
+		case discovery.SendPacket:
 			m.w.datagram(m, m.w.at(f.To), append([]byte(nil), f.Payload...))
 		case discovery.Reply:
-			f.Of.(func(discovery.Reply))(f)
+			if onReply := m.replies[f.Request]; onReply != nil {
+				delete(m.replies, f.Request)
+				onReply(f)
+			}
 		}
 	}
 }
@@ -350,7 +367,7 @@
 		life := to.life
 		w.in(d, func() {
 			if to.life == life {
-				to.take(gossip.PacketReceived{Payload: b})
+				to.take(discovery.Gossip{Event: gossip.PacketReceived{Payload: b}})
 			}
 		})
 	}
--- a/internal/lab/plane/people.go
+++ b/internal/lab/plane/people.go
@@ -102,11 +102,12 @@
 			fails()
 			return
 		}
-		b := discovery.Heartbeat{Record: endpoints.Record{
+		b := discovery.Heartbeat{Request: m.nextRequest(), Record: endpoints.Record{
 			ID: e.id, Service: "s", Addr: fmt.Sprintf("10.9.%d.%d:80", e.k>>8, e.k&255), Zone: "z", Slots: 4, CallCount: e.calls, State: state,
-		}, Of: func(a discovery.Reply) { w.in(time.Millisecond, func() { answered(a) }) }}
+		}}
+		m.replies[b.Request] = func(a discovery.Reply) { w.in(time.Millisecond, func() { answered(a) }) }
 		if w.broken == "acknowledges a drain alone" {
-			b.Of = func(discovery.Reply) {}
+			delete(m.replies, b.Request)
 			w.in(time.Millisecond, func() { answered(discovery.Reply{}) })
 			if state == endpoints.StateDraining { // and tells nobody, as one that dies right then
 				return
--- a/internal/lab/plane/platform.go
+++ b/internal/lab/plane/platform.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"notchhinge/internal/control/autoscale"
+	"notchhinge/internal/control/discovery"
 	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/gossip"
 	"notchhinge/internal/control/replica"
@@ -208,7 +209,7 @@
 				if m.life != life {
 					return
 				}
-				m.take(gossip.CallCompleted{PeerID: keepers[i].ID, Answered: err == nil})
+				m.take(discovery.Gossip{Event: gossip.CallCompleted{PeerID: keepers[i].ID, Answered: err == nil}})
 				if word, bad := usage.DecodeAck(body); err == nil && bad == nil {
 					m.meter.HandleAck(keepers[i].ID, word, &p)
 				}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -74,6 +74,9 @@
 	until time.Duration
 	wake  chan struct{}
 
+	lastRequest discovery.RequestID                          // under mu
+	replies     map[discovery.RequestID]chan discovery.Reply // of requests in flight, under mu
+
 	metering sync.Mutex
 	meter    usage.Meter
 	rnd      *rand.Rand
@@ -87,6 +90,7 @@
 	r := &router{
 		f: f, zone: at[addr.Addr()].zone, at: at, start: time.Now(), wake: make(chan struct{}, 1), fetch: make(chan gossip.Peer, 1),
 		rnd: rand.New(rand.NewPCG(f.Seed, uint64(i)+1<<32)), windows: map[uint64]map[string]bool{},
+		replies: map[discovery.RequestID]chan discovery.Reply{},
 	}
 	r.meter = usage.Meter{WindowLength: window, Incarnation: r.rnd.Uint64(), Zone: zoneName(r.zone)}
 	var err error
@@ -135,10 +139,12 @@
 	r.mu.Lock()
 	for _, x := range r.node.Reduce(r.clock(), time.Now().UnixMilli(), e) {
 		switch x := x.(type) {
-		case gossip.SendPacket:
+		case discovery.SendPacket:
 			r.net.SendDatagram(x.To, x.Payload)
 		case discovery.Reply:
-			x.Of.(chan discovery.Reply) <- x // it has room
+			if reply, ok := r.replies[x.Request]; ok {
+				reply <- x // has room for the one reply of a request
+			}
 		case discovery.ConfigAnnounced:
 			for w := r.wanted.Load(); w < x.Index && !r.wanted.CompareAndSwap(w, x.Index); w = r.wanted.Load() {
 			}
@@ -162,10 +168,20 @@
 func (r *router) beat(ctx context.Context, b *endpoints.Record, f *fleet) (home string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	of := make(chan discovery.Reply, 1)
-	r.turn(discovery.Heartbeat{Record: *b, Of: of})
+	reply := make(chan discovery.Reply, 1)
+	r.mu.Lock()
+	r.lastRequest++
+	request := r.lastRequest
+	r.replies[request] = reply
+	r.mu.Unlock()
+	defer func() {
+		r.mu.Lock()
+		delete(r.replies, request)
+		r.mu.Unlock()
+	}()
+	r.turn(discovery.Heartbeat{Request: request, Record: *b})
 	select {
-	case a := <-of:
+	case a := <-reply:
 		if a.Err != nil || !a.HomeReplica.IsValid() {
 			return "", a.Err
 		}
@@ -193,14 +209,16 @@
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	wait.Go(func() { r.net.ServeCalls(ctx) })
-	wait.Go(func() { r.net.ServeDatagrams(func(b []byte) { r.turn(gossip.PacketReceived{Payload: b}) }) })
+	wait.Go(func() {
+		r.net.ServeDatagrams(func(b []byte) { r.turn(discovery.Gossip{Event: gossip.PacketReceived{Payload: b}}) })
+	})
 	wait.Go(func() { r.fetches(ctx) })
 	wait.Go(func() { r.reports(ctx) })
 	var seeds []netip.AddrPort
 	for k := range min(3, r.f.Keepers) {
 		seeds = append(seeds, netip.AddrPortFrom(netip.MustParseAddr(r.f.real[k].ip), uint16(r.f.inner)))
 	}
-	r.turn(gossip.SeedsChanged{Addrs: seeds})
+	r.turn(discovery.Gossip{Event: gossip.SeedsChanged{Addrs: seeds}})
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -215,7 +233,7 @@
 			continue
 		case <-timer.C:
 		}
-		r.turn(gossip.Tick{})
+		r.turn(discovery.Gossip{Event: gossip.Tick{}})
 	}
 }
 
@@ -320,7 +338,7 @@
 			one, cancel := context.WithTimeout(ctx, limits.ReplicaFailoverTimeout)
 			defer cancel()
 			b, err := r.net.Call(one, k.Addr, singleton.CallUsageReport, all[i].Encode())
-			r.turn(gossip.CallCompleted{PeerID: k.ID, Answered: err == nil})
+			r.turn(discovery.Gossip{Event: gossip.CallCompleted{PeerID: k.ID, Answered: err == nil}})
 			word, bad := usage.DecodeAck(b)
 			if err != nil || bad != nil {
 				return
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -79,7 +79,7 @@
 	for _, m := range s.Members {
 		ids = append(ids, gossip.Hash(m.Name))
 	}
-	n.discovery.step(gossip.VotersChanged{IDs: ids})
+	n.discovery.step(discovery.Gossip{Event: gossip.VotersChanged{IDs: ids}})
 	if s.Config != nil {
 		n.configs.apply(s.ConfigIndex, s.Config)
 	}
--- a/internal/node/discoveryhost.go
+++ b/internal/node/discoveryhost.go
@@ -25,9 +25,11 @@
 
 	wake chan struct{} // has run set its timer anew
 
-	mu      sync.Mutex
-	reducer *discovery.Node
-	timerAt time.Duration // by clock, what run's timer is set to
+	mu          sync.Mutex
+	reducer     *discovery.Node
+	timerAt     time.Duration // by clock, what run's timer is set to
+	lastRequest discovery.RequestID
+	replies     map[discovery.RequestID]chan discovery.Reply // of requests in flight
 }
 
 func newDiscoveryHost(t *transport.Transport, self gossip.Peer, seed uint64, suspectAfter time.Duration) *discoveryHost {
@@ -36,6 +38,7 @@
 		transport: t, clock: func() time.Duration { return time.Since(start) + time.Hour },
 		onEndpointsChanged: func() {}, onIdleDropReported: func() {}, onConfigAnnounced: func(uint64, gossip.Peer) {},
 		wake: make(chan struct{}, 1), reducer: discovery.New(self, seed, suspectAfter, zoneHash),
+		replies: map[discovery.RequestID]chan discovery.Reply{},
 	}
 }
 
@@ -52,10 +55,12 @@
 	h.mu.Lock()
 	for _, f := range h.reducer.Reduce(h.clock(), time.Now().UnixMilli(), e) {
 		switch f := f.(type) {
-		case gossip.SendPacket:
+		case discovery.SendPacket:
 			h.transport.SendDatagram(f.To, f.Payload)
 		case discovery.Reply:
-			f.Of.(chan discovery.Reply) <- f // it has room
+			if reply, ok := h.replies[f.Request]; ok {
+				reply <- f // has room for the one reply of a request
+			}
 		case discovery.EndpointsChanged:
 			callbacks = append(callbacks, h.onEndpointsChanged)
 		case discovery.IdleDropReported:
@@ -77,12 +82,22 @@
 	}
 }
 
-// ask has the reducer handle an engine's call, and waits for the answer.
-func (h *discoveryHost) ask(ctx context.Context, event func(answer chan discovery.Reply) discovery.Event) (discovery.Reply, error) {
-	answer := make(chan discovery.Reply, 1)
-	h.step(event(answer))
+// ask has the reducer handle an engine's call, and waits for the reply.
+func (h *discoveryHost) ask(ctx context.Context, event func(discovery.RequestID) discovery.Event) (discovery.Reply, error) {
+	reply := make(chan discovery.Reply, 1)
+	h.mu.Lock()
+	h.lastRequest++
+	request := h.lastRequest
+	h.replies[request] = reply
+	h.mu.Unlock()
+	defer func() {
+		h.mu.Lock()
+		delete(h.replies, request)
+		h.mu.Unlock()
+	}()
+	h.step(event(request))
 	select {
-	case r := <-answer:
+	case r := <-reply:
 		return r, r.Err
 	case <-ctx.Done():
 		return discovery.Reply{}, ctx.Err()
@@ -122,8 +137,8 @@
 
 // run takes datagrams, until the transport is closed, and is the reducer's timer, until ctx is done.
 func (h *discoveryHost) run(ctx context.Context, seeds []netip.AddrPort) {
-	go h.transport.ServeDatagrams(func(b []byte) { h.step(gossip.PacketReceived{Payload: b}) })
-	h.step(gossip.SeedsChanged{Addrs: seeds})
+	go h.transport.ServeDatagrams(func(b []byte) { h.step(discovery.Gossip{Event: gossip.PacketReceived{Payload: b}}) })
+	h.step(discovery.Gossip{Event: gossip.SeedsChanged{Addrs: seeds}})
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -138,6 +153,6 @@
 			continue
 		case <-timer.C:
 		}
-		h.step(gossip.Tick{})
+		h.step(discovery.Gossip{Event: gossip.Tick{}})
 	}
 }
--- a/internal/node/enginecalls.go
+++ b/internal/node/enginecalls.go
@@ -23,8 +23,8 @@
 	if b.WarmupRemainingMS > 0 {
 		r.WarmAtMS = time.Now().UnixMilli() + int64(min(b.WarmupRemainingMS, maxWarmupMS))
 	}
-	reply, err := n.discovery.ask(ctx, func(answer chan discovery.Reply) discovery.Event {
-		return discovery.Heartbeat{Record: r, Of: answer}
+	reply, err := n.discovery.ask(ctx, func(request discovery.RequestID) discovery.Event {
+		return discovery.Heartbeat{Request: request, Record: r}
 	})
 	if err != nil || !reply.HomeReplica.IsValid() {
 		return "", err
@@ -34,8 +34,8 @@
 
 // Deregister implements api.Handler.
 func (n *Node) Deregister(ctx context.Context, id string) error {
-	_, err := n.discovery.ask(ctx, func(answer chan discovery.Reply) discovery.Event {
-		return discovery.Deregister{EndpointID: id, Of: answer}
+	_, err := n.discovery.ask(ctx, func(request discovery.RequestID) discovery.Event {
+		return discovery.Deregister{Request: request, EndpointID: id}
 	})
 	return err
 }
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -234,6 +234,6 @@
 		return
 	}
 	n.cfg.SeedNodes = cfg.SeedNodes
-	n.discovery.step(gossip.SeedsChanged{Addrs: n.seeds()})
+	n.discovery.step(discovery.Gossip{Event: gossip.SeedsChanged{Addrs: n.seeds()}})
 	n.log.Info("seed nodes reloaded")
 }
--- a/internal/node/usagereport.go
+++ b/internal/node/usagereport.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"notchhinge/internal/broker"
+	"notchhinge/internal/control/discovery"
 	"notchhinge/internal/control/gossip"
 	"notchhinge/internal/control/singleton"
 	"notchhinge/internal/control/usage"
@@ -79,7 +80,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limits.ReplicaFailoverTimeout)
 	defer cancel()
 	body, err := n.transport.Call(ctx, r.to.Addr, singleton.CallUsageReport, r.report.Encode())
-	n.discovery.step(gossip.CallCompleted{PeerID: r.to.ID, Answered: err == nil})
+	n.discovery.step(discovery.Gossip{Event: gossip.CallCompleted{PeerID: r.to.ID, Answered: err == nil}})
 	if err != nil {
 		return
 	}
