--- a/internal/control/configcache/golden_test.go
+++ b/internal/control/configcache/golden_test.go
@@ -17,9 +17,9 @@
 	return b.Bytes()
 }
 
-// TestGoldenAnswers: who asks for the newest configuration gets the bytes that it got, and reads the text from them.
-func TestGoldenAnswers(t *testing.T) {
-	golden.Equal(t, "number of the call", uint8(5), CallFetch)
+// TestGoldenReplies: replies keep their bytes, and are decoded to the same configurations.
+func TestGoldenReplies(t *testing.T) {
+	golden.Equal(t, "kind of the call", uint8(5), CallFetch)
 	var from Cache
 	golden.Check(t, "answer-none.hex", from.EncodeReply(0))
 	from.Add(10, []byte("a short text"))
@@ -32,14 +32,14 @@
 		had  []byte
 	}{{"compressed", 0, nil}, {"difference", 20, goldenText(1)}} {
 		golden.Check(t, "answer-"+c.name+".hex", from.EncodeReply(c.has))
-		place, text, err := new(Cache).DecodeReply(golden.Read(t, "answer-"+c.name+".hex"), c.had)
-		if err != nil || place != 300 || !bytes.Equal(text, goldenText(2)) {
-			t.Errorf("%s: %d %q %v", c.name, place, text, err)
+		index, text, err := DecodeReply(golden.Read(t, "answer-"+c.name+".hex"), c.had)
+		if err != nil || index != 300 || !bytes.Equal(text, goldenText(2)) {
+			t.Errorf("%s: %d %q %v", c.name, index, text, err)
 		}
 	}
-	place, text, err := new(Cache).DecodeReply(golden.Read(t, "answer-short.hex"), nil)
-	if err != nil || place != 10 || string(text) != "a short text" {
-		t.Errorf("short: %d %q %v", place, text, err)
+	index, text, err := DecodeReply(golden.Read(t, "answer-short.hex"), nil)
+	if err != nil || index != 10 || string(text) != "a short text" {
+		t.Errorf("short: %d %q %v", index, text, err)
 	}
 	golden.Check(t, "answer-none.hex", from.EncodeReply(300))
 	golden.Check(t, "request.hex", replica.EncodeIndexed(20, nil))
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -282,7 +282,7 @@
 	if err != nil {
 		return false
 	}
-	place, text, err := r.texts.DecodeReply(b, had)
+	place, text, err := configcache.DecodeReply(b, had)
 	if err != nil || len(text) == 0 || place <= r.held.Load() {
 		return err == nil || errors.Is(err, delta.ErrWrongBase)
 	}
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -180,7 +180,7 @@
 		if err != nil {
 			return false
 		}
-		index, encoded, err := s.cache.DecodeReply(reply, base)
+		index, encoded, err := configcache.DecodeReply(reply, base)
 		if errors.Is(err, delta.ErrWrongBase) && baseIndex > 0 {
 			// The peer has another text at this index. That would be a fault, but it must not last: the whole text is fetched.
 			baseIndex, base = 0, nil
