--- a/internal/control/discovery/fleet_test.go
+++ b/internal/control/discovery/fleet_test.go
@@ -30,9 +30,9 @@
 func newFleet(size int) *fleet {
 	f := &fleet{now: time.Hour, replies: map[RequestID]Reply{}, idleDrops: make([]int, size), sentBytes: make([]int, size)}
 	f.heal()
-	var voters []uint64
+	var voters []gossip.PeerID
 	for i := range size {
-		self := gossip.Peer{ID: gossip.Hash(fmt.Sprint("n", i)), Addr: testAddr(i), Zone: uint32(i % 3), Flags: gossip.FlagRouter}
+		self := gossip.Peer{ID: gossip.PeerIDOf(fmt.Sprint("n", i)), Addr: testAddr(i), Zone: uint32(i % 3), Flags: gossip.FlagRouter}
 		if i < testReplicas {
 			self.Flags = gossip.FlagReplica
 			voters = append(voters, self.ID)
--- a/internal/control/discovery/heartbeat.go
+++ b/internal/control/discovery/heartbeat.go
@@ -126,7 +126,7 @@
 		candidates = append(candidates, n.self)
 	}
 	for _, p := range append(candidates, n.Gossip.ResponsiveReplicas()...) {
-		score := gossip.CombineHashes(p.ID, gossip.Hash(r.ID))
+		score := gossip.CombineHashes(uint64(p.ID), gossip.Hash(r.ID))
 		if p.Zone == zone && (!home.IsValid() || score > highest) {
 			home, highest = p.Addr, score
 		}
--- a/internal/control/gossip/broadcast.go
+++ b/internal/control/gossip/broadcast.go
@@ -37,7 +37,7 @@
 }
 
 // forwardNow sends the queued items to random peers, without waiting for the next round, except to the peer that they came from.
-func (n *Node) forwardNow(except uint64) {
+func (n *Node) forwardNow(except PeerID) {
 	if len(n.broadcastQueue) == 0 {
 		return
 	}
@@ -50,14 +50,14 @@
 }
 
 // sendItems sends items in as many datagrams as they need.
-func (n *Node) sendItems(to netip.AddrPort, items []Item, kind packetKind, ackID uint64) {
+func (n *Node) sendItems(to netip.AddrPort, items []Item, kind packetKind, ack ackID) {
 	for len(items) > 0 {
 		size, count := packetOverhead, 0
 		for count < len(items) && count < maxItems && (count == 0 || size+items[count].size() <= MaxPacketBytes) {
 			size += items[count].size()
 			count++
 		}
-		n.send(to, &packet{kind: kind, items: items[:count], ackID: ackID})
+		n.send(to, &packet{kind: kind, items: items[:count], ackID: ack})
 		items = items[count:]
 	}
 }
--- a/internal/control/gossip/codec.go
+++ b/internal/control/gossip/codec.go
@@ -37,9 +37,9 @@
 	from Peer
 
 	items      []Item           // kindItems, kindUrgentItems
-	ackID      uint64           // kindUrgentItems, kindAck; 0 = answers a comparison
+	ackID      ackID            // kindUrgentItems, kindAck; 0 = answers a comparison
 	heartbeats []Heartbeat      // kindHeartbeats
-	audible    []uint64         // kindHeartbeats of a replica: the replicas that it hears
+	audible    []PeerID         // kindHeartbeats of a replica: the replicas that it hears
 	peers      []Peer           // kindShuffle, kindShuffleReply
 	root       uint64           // kindRootDigest
 	digests    []uint64         // kindBucketDigests: one of each bucket
@@ -63,12 +63,12 @@
 	writePeer(&w, &p.from)
 	switch p.kind {
 	case kindItems, kindUrgentItems:
-		w.Uvarint(p.ackID)
+		w.Uvarint(uint64(p.ackID))
 		writeItems(&w, p.items)
 	case kindHeartbeats:
 		writeHeartbeats(&w, p)
 	case kindAck:
-		w.Uvarint(p.ackID)
+		w.Uvarint(uint64(p.ackID))
 	case kindRootDigest:
 		w.Fixed64(p.root)
 	case kindBucketDigests:
@@ -96,12 +96,12 @@
 	p.from = readPeer(&r)
 	switch p.kind {
 	case kindItems, kindUrgentItems:
-		p.ackID = r.Uvarint()
+		p.ackID = ackID(r.Uvarint())
 		p.items = readItems(&r)
 	case kindHeartbeats:
 		readHeartbeats(&r, p)
 	case kindAck:
-		p.ackID = r.Uvarint()
+		p.ackID = ackID(r.Uvarint())
 	case kindRootDigest:
 		p.root = r.Fixed64()
 	case kindBucketDigests:
@@ -120,7 +120,7 @@
 }
 
 func writePeer(w *encoding.Writer, p *Peer) {
-	w.Fixed64(p.ID)
+	w.Fixed64(uint64(p.ID))
 	a := p.Addr.Addr().As4()
 	w.Buf = append(w.Buf, a[:]...)
 	w.Uvarint(uint64(p.Addr.Port()))
@@ -129,7 +129,7 @@
 }
 
 func readPeer(r *encoding.Reader) (p Peer) {
-	p.ID = r.Fixed64()
+	p.ID = PeerID(r.Fixed64())
 	var a [4]byte
 	for i := range a {
 		a[i] = r.Byte()
@@ -175,7 +175,7 @@
 func writeHeartbeats(w *encoding.Writer, p *packet) {
 	w.Uvarint(uint64(len(p.audible)))
 	for _, id := range p.audible {
-		w.Fixed64(id)
+		w.Fixed64(uint64(id))
 	}
 	w.Uvarint(uint64(len(p.heartbeats)))
 	for _, h := range p.heartbeats {
@@ -187,7 +187,7 @@
 
 func readHeartbeats(r *encoding.Reader, p *packet) {
 	for range r.Length(maxPeers, 8) {
-		p.audible = append(p.audible, r.Fixed64())
+		p.audible = append(p.audible, PeerID(r.Fixed64()))
 	}
 	for range r.Length(maxHeartbeats, 10) {
 		p.heartbeats = append(p.heartbeats, Heartbeat{Key: r.Fixed64(), Sequence: r.Uvarint(), AgeMS: r.Uvarint()})
--- a/internal/control/gossip/codec_test.go
+++ b/internal/control/gossip/codec_test.go
@@ -10,7 +10,7 @@
 	n := New(Peer{ID: 1, Addr: netip.MustParseAddrPort("10.0.0.1:7000")}, 1)
 	p := packet{kind: kindItems, from: n.self, items: []Item{{Kind: 1, Key: "k", Version: 2, Body: []byte("x")}}}
 	f.Add(p.encode())
-	p = packet{kind: kindHeartbeats, from: n.self, audible: []uint64{4}, heartbeats: []Heartbeat{{Key: 1, Sequence: 2, AgeMS: 3}}}
+	p = packet{kind: kindHeartbeats, from: n.self, audible: []PeerID{4}, heartbeats: []Heartbeat{{Key: 1, Sequence: 2, AgeMS: 3}}}
 	f.Add(p.encode())
 	for kind := kindItems; kind <= kindRootDigest; kind++ {
 		p := packet{
--- a/internal/control/gossip/event.go
+++ b/internal/control/gossip/event.go
@@ -25,15 +25,15 @@
 	// RelayHeartbeat passes a heartbeat that the peer From has reported to the replicas that do not hear From.
 	RelayHeartbeat struct {
 		Heartbeat Heartbeat
-		From      uint64
+		From      PeerID
 	}
 	// VotersChanged names the replicas that vote, by their peer ids.
-	VotersChanged struct{ IDs []uint64 }
+	VotersChanged struct{ IDs []PeerID }
 	// SeedsChanged names addresses where other processes may be found.
 	SeedsChanged struct{ Addrs []netip.AddrPort }
 	// CallCompleted says whether a call to a peer, outside gossip, was answered.
 	CallCompleted struct {
-		PeerID   uint64
+		PeerID   PeerID
 		Answered bool
 	}
 )
@@ -65,7 +65,7 @@
 	// HeartbeatLearned is a heartbeat that the peer From has reported.
 	HeartbeatLearned struct {
 		Heartbeat Heartbeat
-		From      uint64
+		From      PeerID
 	}
 	// BroadcastCompleted ends an urgent broadcast that Acks other nodes have acknowledged. With Sufficient these are as many
 	// as were asked for, or all there are; without it too few have answered in time.
--- a/internal/control/gossip/fleet_test.go
+++ b/internal/control/gossip/fleet_test.go
@@ -31,7 +31,7 @@
 		isolated: map[int]bool{}, sendBlocked: map[int]bool{}, receiveBlocked: map[int]bool{},
 	}
 	for i := range size {
-		self := Peer{ID: uint64(i + 1), Addr: testAddr(i), Zone: uint32(i % 3)}
+		self := Peer{ID: PeerID(i + 1), Addr: testAddr(i), Zone: uint32(i % 3)}
 		if i < testReplicas {
 			self.Flags = FlagReplica
 		}
@@ -135,7 +135,7 @@
 // add adds a node that gets the seeds, and returns its index.
 func (f *fleet) add(seeds ...int) int {
 	i := len(f.nodes)
-	f.nodes = append(f.nodes, New(Peer{ID: uint64(i + 1), Addr: testAddr(i)}, uint64(i)))
+	f.nodes = append(f.nodes, New(Peer{ID: PeerID(i + 1), Addr: testAddr(i)}, uint64(i)))
 	f.byAddr[testAddr(i)] = i
 	f.heartbeats = append(f.heartbeats, map[uint64]uint64{})
 	f.reduce(i, SeedsChanged{testAddrs(seeds...)})
@@ -144,9 +144,9 @@
 
 // setVoters makes the replicas voters at all nodes.
 func (f *fleet) setVoters() {
-	var ids []uint64
+	var ids []PeerID
 	for i := range testReplicas {
-		ids = append(ids, uint64(i+1))
+		ids = append(ids, PeerID(i+1))
 	}
 	for i := range f.nodes {
 		f.reduce(i, VotersChanged{ids})
--- a/internal/control/gossip/golden_test.go
+++ b/internal/control/gossip/golden_test.go
@@ -27,7 +27,7 @@
 		"updates":              {kind: kindItems, from: from, items: items},
 		"updates-acknowledged": {kind: kindUrgentItems, from: from, items: items[:1], ackID: 300},
 		"acknowledgement":      {kind: kindAck, from: from, ackID: 300},
-		"heartbeats": {kind: kindHeartbeats, from: from, audible: []uint64{7, 1 << 63}, heartbeats: []Heartbeat{
+		"heartbeats": {kind: kindHeartbeats, from: from, audible: []PeerID{7, 1 << 63}, heartbeats: []Heartbeat{
 			{Key: 0x1122334455667788, Sequence: 12, AgeMS: 400}, {Key: 1, Sequence: 1 << 40},
 		}},
 		"digest":               {kind: kindRootDigest, from: from, root: 0xfedcba9876543210},
--- a/internal/control/gossip/heartbeats.go
+++ b/internal/control/gossip/heartbeats.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func (n *Node) queueRelay(replica uint64, o observation) {
+func (n *Node) queueRelay(replica PeerID, o observation) {
 	if len(n.relayQueue[replica]) < maxQueuedHeartbeats {
 		n.relayQueue[replica] = append(n.relayQueue[replica], o)
 	}
@@ -89,7 +89,7 @@
 }
 
 // sendHeartbeatsTo sends heartbeats in as many packets as they need, at least one.
-func (n *Node) sendHeartbeatsTo(replica netip.AddrPort, heartbeats []Heartbeat, audible []uint64) {
+func (n *Node) sendHeartbeatsTo(replica netip.AddrPort, heartbeats []Heartbeat, audible []PeerID) {
 	for {
 		count := min(len(heartbeats), heartbeatsPerPacket)
 		n.send(replica, &packet{kind: kindHeartbeats, audible: audible, heartbeats: heartbeats[:count]})
--- a/internal/control/gossip/node.go
+++ b/internal/control/gossip/node.go
@@ -18,28 +18,28 @@
 	now  time.Duration
 	out  []Effect
 
-	view         map[uint64]*peerState
-	replicas     map[uint64]*replicaState // known beside the view
+	view         map[PeerID]*peerState
+	replicas     map[PeerID]*replicaState // known beside the view
 	seeds        []netip.AddrPort
 	lostPeers    []netip.AddrPort // addresses of dropped peers, the latest last
 	shuffleCount int
 	nextShuffle  time.Duration
 
 	items       itemStore
-	compareWith uint64 // the peer that was sent a digest and has not said that it has the same; 0 = none
+	compareWith PeerID // the peer that was sent a digest and has not said that it has the same; 0 = none
 	retriesLeft int    // of the current comparison
 	nextCompare time.Duration
 	nextRetry   time.Duration // of the current comparison
 
 	broadcastQueue []Item
 	nextBroadcast  time.Duration // also of heartbeats
-	urgent         map[uint64]*urgentBroadcast
-	lastAckID      uint64
+	urgent         map[ackID]*urgentBroadcast
+	lastAckID      ackID
 
 	heartbeatQueue map[uint64]observation   // by the heartbeat's key
-	relayQueue     map[uint64][]observation // by the replica that they are for
+	relayQueue     map[PeerID][]observation // by the replica that they are for
 
-	voters       []uint64      // peer ids; nil = unknown
+	voters       []PeerID      // nil = unknown
 	contactSince time.Duration // in contact with a majority of the voters; noContact = not
 
 	// IsStale reports whether an item is obsolete, so that it is not taken over from other nodes any more. nil = none is.
@@ -55,13 +55,13 @@
 func New(self Peer, seed uint64) *Node {
 	return &Node{
 		self:           self,
-		rnd:            rand.New(rand.NewPCG(seed, self.ID)),
-		view:           map[uint64]*peerState{},
-		replicas:       map[uint64]*replicaState{},
+		rnd:            rand.New(rand.NewPCG(seed, uint64(self.ID))),
+		view:           map[PeerID]*peerState{},
+		replicas:       map[PeerID]*replicaState{},
 		items:          newItemStore(),
-		urgent:         map[uint64]*urgentBroadcast{},
+		urgent:         map[ackID]*urgentBroadcast{},
 		heartbeatQueue: map[uint64]observation{},
-		relayQueue:     map[uint64][]observation{},
+		relayQueue:     map[PeerID][]observation{},
 		contactSince:   noContact,
 	}
 }
@@ -178,6 +178,9 @@
 // Hash returns the hash of a key that digests and heartbeats carry.
 func Hash(key string) uint64 { return xxhash.Sum64String(key) }
 
+// PeerIDOf returns the id of a process, the hash of its name.
+func PeerIDOf(name string) PeerID { return PeerID(Hash(name)) }
+
 // CombineHashes hashes two numbers into one. Nodes that combine the same numbers make the same choice.
 func CombineHashes(a, b uint64) uint64 {
 	var x [16]byte
--- a/internal/control/gossip/quorum.go
+++ b/internal/control/gossip/quorum.go
@@ -35,11 +35,11 @@
 }
 
 // audibleReplicas lists the replicas that this replica hears, ordered by id; nil if it is none.
-func (n *Node) audibleReplicas() []uint64 {
+func (n *Node) audibleReplicas() []PeerID {
 	if !n.self.isReplica() {
 		return nil
 	}
-	var ids []uint64
+	var ids []PeerID
 	for _, id := range sortedKeys(n.replicas) {
 		if n.replicas[id].isAudible(n.now) && len(ids) < maxPeers {
 			ids = append(ids, id)
--- a/internal/control/gossip/replicas.go
+++ b/internal/control/gossip/replicas.go
@@ -11,7 +11,7 @@
 	peerState
 	lastHeartbeats time.Duration       // when its last heartbeat packet came; 0 = never
 	hearsUsAt      time.Duration       // when it last said that it hears this node; 0 = its last packet did not say so
-	audible        []uint64            // the replicas that it hears, as its last packet said
+	audible        []PeerID            // the replicas that it hears, as its last packet said
 	reported       []reportedHeartbeat // heartbeats that it reported lately
 }
 
@@ -48,7 +48,7 @@
 		return rank
 	}
 	ids := sortedKeys(n.replicas)
-	slices.SortStableFunc(ids, func(x, y uint64) int { return rank(n.replicas[x]) - rank(n.replicas[y]) })
+	slices.SortStableFunc(ids, func(x, y PeerID) int { return rank(n.replicas[x]) - rank(n.replicas[y]) })
 	var peers []Peer
 	for _, id := range ids {
 		peers = append(peers, n.replicas[id].Peer)
--- a/internal/control/gossip/urgent.go
+++ b/internal/control/gossip/urgent.go
@@ -5,13 +5,16 @@
 	"time"
 )
 
+// ackID correlates urgent items and their acknowledgement on the wire. Numbers begin at 1; 0 answers a comparison.
+type ackID uint64
+
 // urgentBroadcast is an urgent broadcast that waits for acknowledgements.
 type urgentBroadcast struct {
 	id       BroadcastID
 	items    []Item
 	minAcks  int
-	asked    map[uint64]*peerState // by peer id
-	acked    map[uint64]bool
+	asked    map[PeerID]*peerState
+	acked    map[PeerID]bool
 	attempts int
 	deadline time.Duration // of the current attempt
 }
@@ -23,7 +26,7 @@
 	}
 	u := &urgentBroadcast{
 		id: e.ID, items: e.Items, minAcks: min(e.MinAcks, max(n.knownPeers(), 1)),
-		asked: map[uint64]*peerState{}, acked: map[uint64]bool{},
+		asked: map[PeerID]*peerState{}, acked: map[PeerID]bool{},
 	}
 	n.lastAckID++
 	if e.MinAcks > 0 {
@@ -45,20 +48,20 @@
 
 // runUrgentTimers starts the next attempt of the broadcasts whose acknowledgements are overdue.
 func (n *Node) runUrgentTimers() {
-	for _, ackID := range sortedKeys(n.urgent) {
-		if u := n.urgent[ackID]; n.now >= u.deadline {
-			n.attemptUrgent(ackID, u)
+	for _, ack := range sortedKeys(n.urgent) {
+		if u := n.urgent[ack]; n.now >= u.deadline {
+			n.attemptUrgent(ack, u)
 		}
 	}
 }
 
 // attemptUrgent sends an urgent broadcast to peers that have not been sent it yet, or ends it if attempts or peers are exhausted.
-func (n *Node) attemptUrgent(ackID uint64, u *urgentBroadcast) {
+func (n *Node) attemptUrgent(ack ackID, u *urgentBroadcast) {
 	targets := n.urgentTargets(u.asked)
-	n.completeIfAcked(ackID, u)
+	n.completeIfAcked(ack, u)
 	if u.attempts >= urgentAttempts || len(targets) == 0 && u.attempts > 0 {
-		if n.urgent[ackID] != nil {
-			n.completeUrgent(ackID, false)
+		if n.urgent[ack] != nil {
+			n.completeUrgent(ack, false)
 		}
 		return
 	}
@@ -67,7 +70,7 @@
 	for _, s := range targets {
 		u.asked[s.ID] = s
 		s.expectAnswer(n.now)
-		n.sendItems(s.Addr, u.items, kindUrgentItems, ackID)
+		n.sendItems(s.Addr, u.items, kindUrgentItems, ack)
 	}
 }
 
@@ -90,18 +93,18 @@
 }
 
 // completeIfAcked ends an urgent broadcast that has enough acknowledgements, or that has nobody to go to.
-func (n *Node) completeIfAcked(ackID uint64, u *urgentBroadcast) {
-	if n.urgent[ackID] == nil {
+func (n *Node) completeIfAcked(ack ackID, u *urgentBroadcast) {
+	if n.urgent[ack] == nil {
 		return
 	}
 	if n.isAlone() || len(u.acked) >= u.minAcks && u.ackedAcrossDomains(n.self.Zone) {
-		n.completeUrgent(ackID, true)
+		n.completeUrgent(ack, true)
 	}
 }
 
-func (n *Node) completeUrgent(ackID uint64, isSufficient bool) {
-	u := n.urgent[ackID]
-	delete(n.urgent, ackID)
+func (n *Node) completeUrgent(ack ackID, isSufficient bool) {
+	u := n.urgent[ack]
+	delete(n.urgent, ack)
 	n.out = append(n.out, BroadcastCompleted{ID: u.id, Acks: len(u.acked), Sufficient: isSufficient})
 }
 
@@ -131,7 +134,7 @@
 
 // urgentTargets draws up to urgentFanout peers that were not asked yet: a responsive replica, a peer that is none, then peers
 // of further zones, so that a node that has the items survives the loss of all replicas or of a zone.
-func (n *Node) urgentTargets(asked map[uint64]*peerState) []*peerState {
+func (n *Node) urgentTargets(asked map[PeerID]*peerState) []*peerState {
 	candidates := n.urgentCandidates(asked)
 	n.rnd.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	zones := map[uint32]bool{n.self.Zone: true}
@@ -153,7 +156,7 @@
 }
 
 // urgentCandidates lists the peers of the view and then the replicas beyond it, each ordered by id, without those in asked.
-func (n *Node) urgentCandidates(asked map[uint64]*peerState) []*peerState {
+func (n *Node) urgentCandidates(asked map[PeerID]*peerState) []*peerState {
 	var candidates []*peerState
 	for _, id := range sortedKeys(n.view) {
 		if asked[id] == nil {
--- a/internal/control/gossip/view.go
+++ b/internal/control/gossip/view.go
@@ -5,9 +5,12 @@
 	"time"
 )
 
+// PeerID identifies a process: the hash of its name, see [PeerIDOf].
+type PeerID uint64
+
 // Peer is a process as other processes know it.
 type Peer struct {
-	ID    uint64         // hash of its name
+	ID    PeerID
 	Addr  netip.AddrPort // of calls and datagrams alike
 	Zone  uint32         // hash of its zone's name
 	Flags uint8
--- a/internal/lab/check/draining.go
+++ b/internal/lab/check/draining.go
@@ -60,14 +60,14 @@
 
 // start starts a process with nothing in its memory.
 func (f *gossipFleet) start(i int) {
-	id := func(i int) uint64 { return gossip.Hash(fmt.Sprint("n", i)) }
+	id := func(i int) gossip.PeerID { return gossip.PeerIDOf(fmt.Sprint("n", i)) }
 	self := gossip.Peer{ID: id(i), Addr: gossipAddr(i), Zone: uint32(i % drainZones), Flags: gossip.FlagRouter}
 	if i < drainReplicas {
 		self.Flags = gossip.FlagReplica
 	}
 	f.nodes[i] = discovery.New(self, uint64(f.draw(1<<30)), 5250*time.Millisecond, func(string) uint32 { return 0 })
 	if i < drainReplicas {
-		var voters []uint64
+		var voters []gossip.PeerID
 		for k := range drainReplicas {
 			voters = append(voters, id(k))
 		}
--- a/internal/lab/plane/machine.go
+++ b/internal/lab/plane/machine.go
@@ -100,7 +100,7 @@
 	m.calls, m.answers = replica.Pending[from]{}, replica.Pending[func(api.Result)]{}
 	m.proposals, m.leaves = replica.Pending[func(error)]{}, replica.Pending[func()]{}
 	m.life++
-	self := gossip.Peer{ID: gossip.Hash(m.name), Addr: addrOf(m.i), Zone: m.zone, Flags: gossip.FlagRouter}
+	self := gossip.Peer{ID: gossip.PeerIDOf(m.name), Addr: addrOf(m.i), Zone: m.zone, Flags: gossip.FlagRouter}
 	if m.keeper {
 		self.Flags = gossip.FlagReplica
 	}
@@ -159,12 +159,12 @@
 // changed tells the news who votes, as a node does.
 func (m *machine) changed(s *replog.State) {
 	if m.w.broken == "judges out of touch" {
-		m.queue = append(m.queue, discovery.Gossip{Event: gossip.VotersChanged{IDs: []uint64{gossip.Hash(m.name)}}})
+		m.queue = append(m.queue, discovery.Gossip{Event: gossip.VotersChanged{IDs: []gossip.PeerID{gossip.PeerIDOf(m.name)}}})
 		return
 	}
-	var ids []uint64
+	var ids []gossip.PeerID
 	for _, x := range s.Members {
-		ids = append(ids, gossip.Hash(x.Name))
+		ids = append(ids, gossip.PeerIDOf(x.Name))
 	}
 	m.queue = append(m.queue, discovery.Gossip{Event: gossip.VotersChanged{IDs: ids}})
 }
--- a/internal/lab/plane/platform.go
+++ b/internal/lab/plane/platform.go
@@ -201,7 +201,7 @@
 		keepers := m.news.Gossip.Replicas()
 		ids := make([]uint64, len(keepers))
 		for i, k := range keepers {
-			ids[i] = k.ID
+			ids[i] = uint64(k.ID)
 		}
 		life := m.life
 		for i, p := range m.meter.Reports(m.wall(), []usage.Load{{Service: "s", Running: uint64(w.rnd.IntN(400)), Arrived: uint64(w.now / time.Second)}}, ids) {
@@ -211,7 +211,7 @@
 				}
 				m.take(discovery.Gossip{Event: gossip.CallCompleted{PeerID: keepers[i].ID, Answered: err == nil}})
 				if word, bad := usage.DecodeAck(body); err == nil && bad == nil {
-					m.meter.HandleAck(keepers[i].ID, word, &p)
+					m.meter.HandleAck(uint64(keepers[i].ID), word, &p)
 				}
 			})
 		}
--- a/internal/lab/scale/hollow.go
+++ b/internal/lab/scale/hollow.go
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	r.net.OnExchange = r.counted
-	self := gossip.Peer{ID: gossip.Hash(fmt.Sprint("hollow-", i)), Addr: addr, Zone: hash32(zoneName(r.zone)), Flags: gossip.FlagRouter}
+	self := gossip.Peer{ID: gossip.PeerIDOf(fmt.Sprint("hollow-", i)), Addr: addr, Zone: hash32(zoneName(r.zone)), Flags: gossip.FlagRouter}
 	r.node = discovery.New(self, r.rnd.Uint64(), beat*limits.MissedHeartbeats+beat/2, hash32)
 	return r, nil
 }
@@ -317,7 +317,7 @@
 	keepers := r.keepers()
 	ids := make([]uint64, len(keepers))
 	for i, k := range keepers {
-		ids[i] = k.ID
+		ids[i] = uint64(k.ID)
 	}
 	r.metering.Lock()
 	if peak {
@@ -345,7 +345,7 @@
 			}
 			r.metering.Lock()
 			defer r.metering.Unlock()
-			r.meter.HandleAck(k.ID, word, &all[i])
+			r.meter.HandleAck(uint64(k.ID), word, &all[i])
 		}()
 	}
 }
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -75,9 +75,9 @@
 
 // stateChanged takes over the replica's state. It is called with the replica's lock held, and does not wait for the network.
 func (n *Node) stateChanged(s *replog.State) {
-	var ids []uint64
+	var ids []gossip.PeerID
 	for _, m := range s.Members {
-		ids = append(ids, gossip.Hash(m.Name))
+		ids = append(ids, gossip.PeerIDOf(m.Name))
 	}
 	n.discovery.step(discovery.Gossip{Event: gossip.VotersChanged{IDs: ids}})
 	if s.Config != nil {
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -26,7 +26,7 @@
 	if err := n.openTransport(); err != nil {
 		return err
 	}
-	self := gossip.Peer{ID: gossip.Hash(n.cfg.NodeName), Addr: n.transport.Addr(), Zone: zoneHash(n.cfg.Zone)}
+	self := gossip.Peer{ID: gossip.PeerIDOf(n.cfg.NodeName), Addr: n.transport.Addr(), Zone: zoneHash(n.cfg.Zone)}
 	if n.cfg.IsReplica() {
 		self.Flags |= gossip.FlagReplica
 		if err := n.openReplica(ctx); err != nil {
--- a/internal/node/usagereport.go
+++ b/internal/node/usagereport.go
@@ -58,7 +58,7 @@
 	replicas := n.discovery.replicas()
 	ids := make([]uint64, len(replicas))
 	for i, r := range replicas {
-		ids[i] = r.ID
+		ids[i] = uint64(r.ID)
 	}
 	meter.mu.Lock()
 	reports := meter.meter.Reports(time.Now(), loads, ids)
@@ -89,7 +89,7 @@
 		return // it is not acknowledged, and goes with the next report
 	}
 	n.dataPlane.updateRetryShare(r.asked, int(ack.Routers))
-	meter.handleAck(r.to.ID, ack, r.report)
+	meter.handleAck(uint64(r.to.ID), ack, r.report)
 }
 
 // serviceLoads asks the loop what runs at each service's engines; false = ctx is done.
