--- a/cmd/notchhinge/main.go
+++ b/cmd/notchhinge/main.go
@@ -16,9 +16,9 @@
 
 	"notchhinge/deploy"
 	"notchhinge/internal/batch"
-	"notchhinge/internal/broker"
 	"notchhinge/internal/config"
 	"notchhinge/internal/config/nodeconfig"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/node"
 	"notchhinge/internal/plan"
 	"notchhinge/internal/router"
@@ -110,7 +110,7 @@
 	if err != nil {
 		return badConfig{err}
 	}
-	r := router.New(cfg, p, log, (&net.Dialer{}).DialContext, broker.UnixClock())
+	r := router.New(cfg, p, log, (&net.Dialer{}).DialContext, dispatch.UnixClock())
 	if f.Trace != nil {
 		if err := r.Trace(f.Trace, programVersion()); err != nil {
 			return err
--- a/internal/acquirer/acquirer.go
+++ b/internal/acquirer/acquirer.go
@@ -13,7 +13,7 @@
 	"sync/atomic"
 	"time"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
@@ -27,8 +27,8 @@
 	Lim     limits.Limits
 	Dialect Dialect
 	Routes  func() *service.Directory // at present; it may be asked at any time
-	Post    func(broker.Event)
-	Now     broker.Clock
+	Post    func(dispatch.Event)
+	Now     dispatch.Clock
 	Ready   func() bool // whether the router knows of issuer hosts
 	// Bounds are what messages keep to at present; nil = the limits', for good.
 	Bounds func() limits.RequestBounds
@@ -128,7 +128,7 @@
 	full := len(s.conns) > most+s.Lim.RejectConns
 	s.mu.Unlock()
 	if full {
-		s.Post(broker.Declined{}) // not even a word to decline it has room
+		s.Post(dispatch.RejectedByFrontend{}) // not even a word to decline it has room
 	}
 	defer func() {
 		s.mu.Lock()
@@ -269,7 +269,7 @@
 	// Head writes the head of an answer that is passed on, up to the empty line but for what concerns the connection.
 	Head(m *Message, resp *http.Response) Reply
 	// Close says how an authorisation ends that nothing served; kept is the last answer that was not passed on, if any.
-	Close(m *Message, why broker.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *Kept) (*Refusal, *Kept)
+	Close(m *Message, why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *Kept) (*Refusal, *Kept)
 	// Keep makes what is kept of an answer that is not passed on.
 	Keep(m *Message, result policy.Result, resp *http.Response, body []byte) *Kept
 }
--- a/internal/acquirer/acquirer_test.go
+++ b/internal/acquirer/acquirer_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/exchange"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/service"
@@ -46,15 +46,15 @@
 }
 
 func play(t *testing.T, file string) {
-	var events []broker.Event
+	var events []dispatch.Event
 	var open *authorisation
 	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{MaxDeadline: 12 * time.Second})
 	lim.BodyBytes, lim.TotalBodyBytes, lim.ClientConns = 64, 100, 1
 	s := New(Options{
 		Lim: lim, Routes: plain("chat", "batch"), Ready: func() bool { return true },
 		Now: func() time.Duration { return 0 },
-		Post: func(e broker.Event) {
-			if _, counted := e.(broker.Declined); !counted {
+		Post: func(e dispatch.Event) {
+			if _, counted := e.(dispatch.RejectedByFrontend); !counted {
 				events = append(events, e)
 			}
 		},
@@ -67,7 +67,7 @@
 		preset = 60
 		s.bodies.Take(nowhere, preset)
 	}
-	next := func() broker.Event {
+	next := func() dispatch.Event {
 		synctest.Wait()
 		if len(events) == 0 {
 			return nil
@@ -81,11 +81,11 @@
 	go func() { s.ServeConn(near); close(ended) }()
 	exchange.Play(t, far, file, exchange.Does{
 		"taken": func(want string) {
-			e, ok := next().(broker.Taken)
+			e, ok := next().(dispatch.RequestReceived)
 			if !ok {
 				t.Fatal("nothing was taken")
 			}
-			open = e.From.(*authorisation)
+			open = e.Client.(*authorisation)
 			o, q := open.Message.Order, e.Request
 			got := fmt.Sprintf("%s %s %s %s %q class=%d session=%x prefix=%x prompt=%v shared=%v most=%v in=%v repeat=%v resumed=%v",
 				o.Method, o.Target, o.Host, o.CallID, o.Body, q.Class, q.Session, q.Prefix, q.PromptTokens, q.PrefixTokens,
@@ -100,20 +100,20 @@
 			}
 		},
 		"departed": func(string) {
-			if e, ok := next().(broker.Departed); !ok || e.From != open {
+			if e, ok := next().(dispatch.ClientLeft); !ok || e.Client != open {
 				t.Fatal("not told that the acquirer has gone")
 			}
 		},
 		"relay":  func(text string) { go func() { _ = open.Relay([]byte(text + "\n\n")) }() },
 		"finish": func(string) { go func() { _ = open.Finish(true) }() },
 		"break":  func(string) { go func() { _ = open.Finish(false) }() },
-		"fail":   func(string) { go open.Decline(broker.Failed, 0) },
+		"fail":   func(string) { go open.Decline(dispatch.VerdictFailed, 0) },
 		"refuse": func(text string) {
 			d, err := time.ParseDuration(text)
 			if err != nil {
 				t.Fatal(err)
 			}
-			go open.Decline(broker.Refused, d)
+			go open.Decline(dispatch.VerdictRejected, d)
 		},
 		"drain": func(string) { s.Drain() },
 		"idle":  func(string) { synctest.Wait(); s.CloseIdle() },
@@ -134,7 +134,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Options{
 			Lim: limits.New(limits.Machine{MemoryMB: 192, Sockets: 1024}, limits.Site{}), Ready: func() bool { return true },
-			Post: func(broker.Event) {}, Now: func() time.Duration { return 0 }, Routes: plain("chat"),
+			Post: func(dispatch.Event) {}, Now: func() time.Duration { return 0 }, Routes: plain("chat"),
 		})
 		s.Lim.ClientConns, s.Lim.RejectConns = 3, 0
 		open := func() net.Conn {
@@ -190,9 +190,9 @@
 			s := New(Options{
 				Lim:    limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{}),
 				Routes: plain("chat"), Ready: func() bool { return true }, Now: func() time.Duration { return 0 },
-				Post: func(e broker.Event) {
-					if e, ok := e.(broker.Taken); ok {
-						go e.From.(*authorisation).Decline(broker.Refused, 0)
+				Post: func(e dispatch.Event) {
+					if e, ok := e.(dispatch.RequestReceived); ok {
+						go e.Client.(*authorisation).Decline(dispatch.VerdictRejected, 0)
 					}
 				},
 			})
--- a/internal/acquirer/answer.go
+++ b/internal/acquirer/answer.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/trace"
@@ -137,12 +137,12 @@
 }
 
 // Decline does broker.Decline where it makes no difference whether a leg may have run.
-func (a *authorisation) Decline(why broker.Verdict, retryAfter time.Duration) {
+func (a *authorisation) Decline(why dispatch.Verdict, retryAfter time.Duration) {
 	a.Close(why, retryAfter, false)
 }
 
 // Close does broker.Decline.
-func (a *authorisation) Close(why broker.Verdict, retryAfter time.Duration, mayHaveRun bool) {
+func (a *authorisation) Close(why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool) {
 	a.keptMu.Lock()
 	kept := a.kept
 	a.keptMu.Unlock()
@@ -158,7 +158,7 @@
 		keep = a.conn.answer(d)
 	}
 	if a.origin != nil {
-		a.conn.s.Post(broker.Answered{From: a, At: a.conn.s.Now()})
+		a.conn.s.Post(dispatch.RejectionWritten{Client: a, At: a.conn.s.Now()})
 	}
 	a.end(keep)
 }
--- a/internal/acquirer/bounds_test.go
+++ b/internal/acquirer/bounds_test.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/limits"
 )
 
@@ -35,9 +35,9 @@
 	s := New(Options{
 		Lim: lim, Routes: plain("chat"), Ready: func() bool { return true }, Now: func() time.Duration { return 0 },
 		Bounds: func() limits.RequestBounds { return *b.Load() },
-		Post: func(e broker.Event) {
-			if e, ok := e.(broker.Taken); ok {
-				go e.From.(*authorisation).Decline(broker.Refused, time.Second)
+		Post: func(e dispatch.Event) {
+			if e, ok := e.(dispatch.RequestReceived); ok {
+				go e.Client.(*authorisation).Decline(dispatch.VerdictRejected, time.Second)
 			}
 		},
 	})
--- a/internal/acquirer/conn.go
+++ b/internal/acquirer/conn.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/framing"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/trace"
@@ -79,7 +79,7 @@
 		_, err := c.br.Peek(1)
 		if open != nil {
 			if err != nil && !open.finished() {
-				c.s.Post(broker.Departed{From: open})
+				c.s.Post(dispatch.ClientLeft{Client: open})
 				open.release()
 				return
 			}
@@ -105,8 +105,8 @@
 			if open.origin != nil {
 				open.origin.Begun = begun
 			}
-			c.s.Post(broker.Taken{
-				From: open, Pool: open.pool, Name: open.Name, At: open.at, Request: open.Request, Attempts: open.Attempts,
+			c.s.Post(dispatch.RequestReceived{
+				Client: open, Pool: open.pool, ClientRequestID: open.Name, ReceivedAt: open.at, Request: open.Request, MaxAttempts: open.Attempts,
 				Origin: open.origin,
 			})
 			continue
@@ -194,7 +194,7 @@
 	}
 	body, held, d := c.s.body(req, &w, int64(bounds.BodyBytes))
 	if d != nil {
-		c.s.Post(broker.Declined{})
+		c.s.Post(dispatch.RejectedByFrontend{})
 		return nil, d
 	}
 	at := c.s.Now()
@@ -215,7 +215,7 @@
 
 // bad declines a message after which the connection cannot go on.
 func (c *conn) bad(status int, reason string) *Refusal {
-	c.s.Post(broker.Declined{})
+	c.s.Post(dispatch.RejectedByFrontend{})
 	return &Refusal{Status: status, Reason: reason, unread: true}
 }
 
@@ -223,23 +223,23 @@
 func (c *conn) accept(req *http.Request, w *Way, d *Refusal, body []byte) (*authorisation, *Refusal) {
 	if d != nil {
 		if !d.quiet {
-			c.s.Post(broker.Declined{})
+			c.s.Post(dispatch.RejectedByFrontend{})
 		}
 		return nil, d
 	}
 	if !req.ProtoAtLeast(1, 1) {
-		c.s.Post(broker.Declined{}) // it could not take an answer in chunks
+		c.s.Post(dispatch.RejectedByFrontend{}) // it could not take an answer in chunks
 		return nil, &Refusal{Status: http.StatusHTTPVersionNotSupported, Reason: "HTTP/1.1 is wanted", Close: true}
 	}
 	if c.spare {
-		c.s.Post(broker.Declined{})
+		c.s.Post(dispatch.RejectedByFrontend{})
 		return nil, &Refusal{
 			Status: http.StatusServiceUnavailable, Reason: "too many connections", Retry: c.s.Lim.OverloadRetryAfter, Close: true,
 		}
 	}
 	m, d := c.s.Dialect.Accept(req, w, body)
 	if d != nil {
-		c.s.Post(broker.Declined{})
+		c.s.Post(dispatch.RejectedByFrontend{})
 		return nil, d
 	}
 	a, origin := c.s.authorisation(req.Header)
--- a/internal/acquirer/platform.go
+++ b/internal/acquirer/platform.go
@@ -7,7 +7,7 @@
 
 	"golang.org/x/net/http/httpguts"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/route"
 	"notchhinge/policy"
@@ -123,11 +123,11 @@
 func (platform) Keep(*Message, policy.Result, *http.Response, []byte) *Kept { return nil }
 
 // Close implements Dialect.
-func (platform) Close(_ *Message, why broker.Verdict, retryAfter time.Duration, _ bool, _ *Kept) (*Refusal, *Kept) {
+func (platform) Close(_ *Message, why dispatch.Verdict, retryAfter time.Duration, _ bool, _ *Kept) (*Refusal, *Kept) {
 	switch why {
-	case broker.Failed:
+	case dispatch.VerdictFailed:
 		return &Refusal{Status: http.StatusGatewayTimeout, Reason: "not served in time", Retry: retryAfter}, nil
-	case broker.Taking:
+	case dispatch.VerdictDuplicateID:
 		return &Refusal{Status: http.StatusConflict, Reason: "this id is that of an open request", Retry: retryAfter}, nil
 	}
 	return &Refusal{Status: http.StatusServiceUnavailable, Reason: "try again", Retry: retryAfter}, nil
--- a/internal/acquirer/services_test.go
+++ b/internal/acquirer/services_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/exchange"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/quota"
@@ -35,13 +35,13 @@
 		&service.Pool{ID: 1, Name: "runs", Classes: []policy.Class{{Name: "chat"}}, MaxBudget: time.Minute},
 		&service.Pool{ID: 2, Name: "calib", Classes: []policy.Class{{Name: "fit"}, {Name: "chat"}}, MaxBudget: time.Minute, RetryAfter: 250 * time.Millisecond})
 	synctest.Test(t, func(t *testing.T) {
-		events := make(chan broker.Event, 64)
+		events := make(chan dispatch.Event, 64)
 		lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{MaxDeadline: time.Second})
 		s := New(Options{
 			Lim: lim, Routes: func() *service.Directory { return at }, Ready: func() bool { return true },
 			Now: func() time.Duration { return 0 },
-			Post: func(e broker.Event) {
-				if _, counted := e.(broker.Declined); !counted {
+			Post: func(e dispatch.Event) {
+				if _, counted := e.(dispatch.RejectedByFrontend); !counted {
 					events <- e
 				}
 			},
@@ -52,12 +52,12 @@
 		go func() { s.ServeConn(near); close(ended) }()
 		exchange.Play(t, far, "testdata/parts/services.txt", exchange.Does{
 			"led": func(want string) {
-				e := (<-events).(broker.Taken)
-				a := e.From.(*authorisation)
+				e := (<-events).(dispatch.RequestReceived)
+				a := e.Client.(*authorisation)
 				if got := fmt.Sprintf("pool %d class %d as %s %s", e.Pool, e.Request.Class, a.Message.Order.Host, a.Message.Order.Target); got != want {
 					t.Errorf("%s, want %s", got, want)
 				}
-				go a.Decline(broker.Refused, 0)
+				go a.Decline(dispatch.VerdictRejected, 0)
 			},
 			"nothing": func(string) {
 				synctest.Wait()
--- a/internal/acquirer/trace_test.go
+++ b/internal/acquirer/trace_test.go
@@ -8,35 +8,35 @@
 	"testing/synctest"
 	"time"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/exchange"
 	"notchhinge/internal/limits"
 )
 
 func TestTraceContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		events := make(chan broker.Event, 16)
+		events := make(chan dispatch.Event, 16)
 		s := New(Options{
 			Lim:    limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{MaxDeadline: time.Second}),
 			Routes: plain("chat"), Ready: func() bool { return true }, Trace: true,
 			Now:  func() time.Duration { return time.Hour },
-			Post: func(e broker.Event) { events <- e },
+			Post: func(e dispatch.Event) { events <- e },
 		})
 		near, far := net.Pipe()
 		go s.ServeConn(near)
 		var open *authorisation
 		exchange.Play(t, far, "testdata/parts/traced.txt", exchange.Does{
 			"origin": func(want string) {
-				e := (<-events).(broker.Taken)
-				open = e.From.(*authorisation)
+				e := (<-events).(dispatch.RequestReceived)
+				open = e.Client.(*authorisation)
 				got := fmt.Sprintf("%v %v %d %s", e.Origin.Trace, e.Origin.Span, e.Origin.Flags, cmp.Or(e.Origin.State, "-"))
 				if got != want || e.Origin.Begun != time.Hour || !e.Origin.Tells {
 					t.Errorf("origin %s, wanted %s: %+v", got, want, e.Origin)
 				}
 			},
-			"refuse": func(string) { go open.Decline(broker.Refused, time.Second/2) },
+			"refuse": func(string) { go open.Decline(dispatch.VerdictRejected, time.Second/2) },
 			"answered": func(string) {
-				if e := (<-events).(broker.Answered); e.From != open || e.At != time.Hour {
+				if e := (<-events).(dispatch.RejectionWritten); e.Client != open || e.At != time.Hour {
 					t.Errorf("answered: %+v", e)
 				}
 			},
--- a/internal/batch/attempt.go
+++ b/internal/batch/attempt.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"time"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/service"
 	"notchhinge/policy"
@@ -73,8 +73,8 @@
 }
 
 // Decline is the broker's final answer that serves nothing.
-func (a *attempt) Decline(why broker.Verdict, retryAfter time.Duration) {
-	if why != broker.Refused {
+func (a *attempt) Decline(why dispatch.Verdict, retryAfter time.Duration) {
+	if why != dispatch.VerdictRejected {
 		a.desk.ended(a, end{kind: endFailed, code: "timed_out", reason: "not served in time"})
 		return
 	}
--- a/internal/batch/desk.go
+++ b/internal/batch/desk.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/service"
 	"notchhinge/internal/trace"
@@ -25,8 +25,8 @@
 	Config *Config
 	Lim    limits.Limits
 	Routes func() *service.Directory // at present
-	Post   func(broker.Event)
-	Now    broker.Clock
+	Post   func(dispatch.Event)
+	Now    dispatch.Clock
 	Log    *slog.Logger
 	Trace  bool // journeys are recorded
 }
@@ -36,8 +36,8 @@
 	cfg    *Config
 	lim    limits.Limits
 	routes func() *service.Directory
-	post   func(broker.Event)
-	now    broker.Clock
+	post   func(dispatch.Event)
+	now    dispatch.Clock
 	log    *slog.Logger
 	trace  bool
 
@@ -264,7 +264,7 @@
 	w.tries++
 	w.out = newAttempt(d, w)
 	w.job.team.out++
-	d.post(broker.Taken{From: w.out, Pool: p.ID, At: now, Request: w.request, Origin: d.origin(w)})
+	d.post(dispatch.RequestReceived{Client: w.out, Pool: p.ID, ReceivedAt: now, Request: w.request, Origin: d.origin(w)})
 }
 
 // lead finds the pool that a line goes to: its service's, or that of its route.
@@ -334,7 +334,7 @@
 		}
 		if at := d.now() + again; at < w.until {
 			w.waiting = true
-			d.post(broker.Remind{At: at, Of: w})
+			d.post(dispatch.SetReminder{At: at, Token: w})
 		} else {
 			d.giveUp(w)
 		}
@@ -404,7 +404,7 @@
 	if a := w.out; a != nil {
 		w.out = nil
 		w.job.team.out--
-		d.post(broker.Departed{From: a})
+		d.post(dispatch.ClientLeft{Client: a})
 	}
 	delete(w.job.trying, w.line)
 }
--- a/internal/batch/desk_test.go
+++ b/internal/batch/desk_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/route"
@@ -29,7 +29,7 @@
 	t   *testing.T
 	at  time.Duration
 	out []*attempt
-	due []broker.Remind
+	due []dispatch.SetReminder
 }
 
 const key = "secret"
@@ -52,13 +52,13 @@
 	d, err := NewDesk(Options{
 		Config: &Config{Spool: spool, Contracts: []Contract{k}}, Lim: lim,
 		Routes: func() *service.Directory { return at }, Now: func() time.Duration { return r.at }, Log: slog.New(slog.DiscardHandler),
-		Post: func(e broker.Event) {
+		Post: func(e dispatch.Event) {
 			switch e := e.(type) {
-			case broker.Taken:
-				r.out = append(r.out, e.From.(*attempt))
-			case broker.Remind:
+			case dispatch.RequestReceived:
+				r.out = append(r.out, e.Client.(*attempt))
+			case dispatch.SetReminder:
 				r.due = append(r.due, e)
-			case broker.Departed:
+			case dispatch.ClientLeft:
 				r.out = append(r.out, nil) // called off
 			}
 		},
@@ -79,7 +79,7 @@
 	r.due = nil
 	for _, e := range due {
 		if e.At <= r.at {
-			e.Of.(*try).Due()
+			e.Token.(*try).Due()
 		} else {
 			r.due = append(r.due, e)
 		}
@@ -160,9 +160,9 @@
 	out := r.after(0)
 	same(t, "handed out", 4, len(out))
 	out[0].serve()
-	out[1].Decline(broker.Failed, 0)
+	out[1].Decline(dispatch.VerdictFailed, 0)
 	out[1].serve() // a second end is none
-	out[2].Decline(broker.Refused, time.Minute)
+	out[2].Decline(dispatch.VerdictRejected, time.Minute)
 	_ = out[3].Finish(false) // broke; it is tried again whole
 	again := r.after(time.Second)
 	same(t, "handed out again", 1, len(again))
@@ -185,10 +185,10 @@
 	out := r.after(0)
 	same(t, "at once", 4, len(out))
 	for _, a := range out[:3] {
-		a.Decline(broker.Refused, 2*time.Second)
+		a.Decline(dispatch.VerdictRejected, 2*time.Second)
 	}
 	same(t, "while one is out", 0, len(r.after(time.Second)))
-	out[3].Decline(broker.Refused, 2*time.Second)
+	out[3].Decline(dispatch.VerdictRejected, 2*time.Second)
 	same(t, "after four declines", 1, len(r.after(time.Second-1)))
 	r.out[0].serve()
 	next := r.after(time.Second)
@@ -205,7 +205,7 @@
 			break
 		}
 		same(t, "time for an answer", min(12*time.Second, 20*time.Second-time.Duration(tries)*3*time.Second), out[0].try.request.Timeout)
-		out[0].Decline(broker.Refused, 3*time.Second)
+		out[0].Decline(dispatch.VerdictRejected, 3*time.Second)
 	}
 	same(t, "result", []string{"1 id-0 refused (7 tries) declined"}, outcomesOf(t, j))
 }
@@ -236,7 +236,7 @@
 	j := r.job(fileText(5))
 	out := r.after(0)
 	out[1].serve()
-	out[2].Decline(broker.Failed, 0)
+	out[2].Decline(dispatch.VerdictFailed, 0)
 	notes := filepath.Join(j.dir, outcomesName)
 	f, err := os.OpenFile(notes, os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
@@ -294,7 +294,7 @@
 	out := r.after(0)
 	out[1].serve()
 	out[3].serve()
-	out[0].Decline(broker.Refused, time.Second)
+	out[0].Decline(dispatch.VerdictRejected, time.Second)
 	r.after(time.Second)
 	if err := r.cancel(j); err != nil {
 		t.Fatal(err)
@@ -351,14 +351,14 @@
 		r.routes = func() *service.Directory { return at }
 		var to []hoststate.PoolID
 		post := r.post
-		r.post = func(e broker.Event) {
-			if e, ok := e.(broker.Taken); ok {
+		r.post = func(e dispatch.Event) {
+			if e, ok := e.(dispatch.RequestReceived); ok {
 				to = append(to, e.Pool)
 			}
 			post(e)
 		}
 		j := r.job(fileText(2))
-		r.after(0)[0].Decline(broker.Failed, 0)
+		r.after(0)[0].Decline(dispatch.VerdictFailed, 0)
 		if at = directory("other"); name == "" {
 			at.Table, _ = route.New(nil, nil, nil)
 		}
--- a/internal/batch/http_test.go
+++ b/internal/batch/http_test.go
@@ -17,7 +17,7 @@
 	"github.com/getkin/kin-openapi/routers/legacy"
 	"go.yaml.in/yaml/v4"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 )
 
 // client calls the handlers and holds every answer against the description.
@@ -121,7 +121,7 @@
 	same(t, "no result yet", 404, status)
 	for i, a := range c.after(0) {
 		if i == 0 {
-			a.Decline(broker.Failed, 0)
+			a.Decline(dispatch.VerdictFailed, 0)
 			continue
 		}
 		a.serve()
--- a/internal/batch/proof_test.go
+++ b/internal/batch/proof_test.go
@@ -20,8 +20,8 @@
 	"testing"
 
 	"notchhinge/internal/batch"
-	"notchhinge/internal/broker"
 	"notchhinge/internal/config"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/plan"
 	"notchhinge/internal/registry"
 	"notchhinge/internal/router"
@@ -123,7 +123,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := router.New(cfg, p, slog.New(log), (&net.Dialer{}).DialContext, broker.UnixClock())
+	r := router.New(cfg, p, slog.New(log), (&net.Dialer{}).DialContext, dispatch.UnixClock())
 	var doors [2]net.Listener
 	for i := range doors {
 		if doors[i], err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
--- a/internal/broker/broker.go
+++ b/internal/dispatch/broker.go
@@ -1,4 +1,4 @@
-package broker
+package dispatch
 
 import (
 	"time"
@@ -11,8 +11,8 @@
 	"notchhinge/policy"
 )
 
-// Broker is the reducer: Reduce is the only thing that changes it. It is not safe for concurrent use.
-type Broker struct {
+// Dispatcher is the reducer: Reduce is the only thing that changes it. It is not safe for concurrent use.
+type Dispatcher struct {
 	lim     limits.Limits
 	pools   map[hoststate.PoolID]*instance
 	leaving bool               // one of the pools at least
@@ -24,7 +24,7 @@
 	due     *timerqueue.Queue[due]
 	lastID  policy.RequestID
 	auths   map[policy.RequestID]*auth
-	byParty map[Acquirer]*auth
+	byParty map[Client]*auth
 	names   map[name]bool   // of open authorisations
 	counts  Counters        // of what no pool there is took
 	journal *trace.Recorder // nil where nothing is traced
@@ -39,7 +39,7 @@
 type auth struct {
 	id       policy.RequestID
 	pool     *instance
-	from     Acquirer
+	from     Client
 	name     string
 	deadline time.Duration
 	key      timerqueue.Key
@@ -55,7 +55,7 @@
 }
 
 type leg struct {
-	id    LegID
+	id    AttemptID
 	host  policy.ReplicaID
 	at    time.Duration
 	key   timerqueue.Key
@@ -76,32 +76,32 @@
 }
 
 // New returns a broker that has no pool yet.
-func New(lim limits.Limits) *Broker {
-	return &Broker{
+func New(lim limits.Limits) *Dispatcher {
+	return &Dispatcher{
 		lim: lim, due: timerqueue.New[due](), pools: map[hoststate.PoolID]*instance{}, places: quota.New(int64(lim.ConcurrentRequests)),
-		auths: map[policy.RequestID]*auth{}, byParty: map[Acquirer]*auth{}, names: map[name]bool{},
+		auths: map[policy.RequestID]*auth{}, byParty: map[Client]*auth{}, names: map[name]bool{},
 		counts: Counters{Outcomes: map[policy.Result]int{}},
 	}
 }
 
 // Trace has the journeys of all further authorisations recorded. It is called before the first event.
-func (b *Broker) Trace(o trace.Options) { b.journal = trace.New(o, keeper{b}) }
+func (b *Dispatcher) Trace(o trace.Options) { b.journal = trace.New(o, keeper{b}) }
 
 // keeper is the broker as the recorder sees it.
-type keeper struct{ b *Broker }
+type keeper struct{ b *Dispatcher }
 
 func (k keeper) Wake(at time.Duration) { k.b.due.Add(max(at, k.b.now+1), due{of: k.b.journal}) }
-func (k keeper) Keep(t *trace.Try)     { k.b.do(Keep{t}) }
+func (k keeper) Keep(t *trace.Try)     { k.b.do(ExportTrace{t}) }
 
 // Next tells when the broker wants a Tick.
-func (b *Broker) Next() (at time.Duration, ok bool) { return b.due.NextDue() }
+func (b *Dispatcher) Next() (at time.Duration, ok bool) { return b.due.NextDue() }
 
 // Open tells how many authorisations wait for the end of their answer.
-func (b *Broker) Open() int { return len(b.byParty) }
+func (b *Dispatcher) Open() int { return len(b.byParty) }
 
 // Reduce takes an event in and returns what is to be done. All that is due by now comes first. The effects
 // are valid until the next call.
-func (b *Broker) Reduce(now time.Duration, e Event) []Effect {
+func (b *Dispatcher) Reduce(now time.Duration, e Event) []Effect {
 	b.now = max(b.now, now) // the module's clock never goes back
 	clear(b.effects)
 	b.effects = b.effects[:0]
@@ -118,7 +118,7 @@
 }
 
 // settle tells the module what its own actions have brought about.
-func (b *Broker) settle() {
+func (b *Dispatcher) settle() {
 	for len(b.later) > 0 {
 		f := b.later[0]
 		b.later = b.later[1:]
@@ -127,143 +127,143 @@
 	b.later = nil
 }
 
-func (b *Broker) do(e Effect) { b.effects = append(b.effects, e) }
+func (b *Dispatcher) do(e Effect) { b.effects = append(b.effects, e) }
 
-func (b *Broker) take(e Event) {
+func (b *Dispatcher) take(e Event) {
 	switch e := e.(type) {
-	case Taken:
+	case RequestReceived:
 		b.taken(e)
-	case Declined:
-		b.counts.Declined++
-	case Departed:
-		b.departed(e.From)
-	case LegBegan:
-		b.began(e.Leg)
-	case LegEnded:
-		a, l := b.leg(e.Leg)
+	case RejectedByFrontend:
+		b.counts.RejectedByFrontend++
+	case ClientLeft:
+		b.departed(e.Client)
+	case AttemptStarted:
+		b.began(e.Attempt)
+	case AttemptEnded:
+		a, l := b.leg(e.Attempt)
 		if b.journal != nil && a != nil {
-			b.journal.Ended(b.now, a.id, a.journey, e.Leg.N, e.Result, e.Stale, e.Times)
+			b.journal.Ended(b.now, a.id, a.journey, e.Attempt.Index, e.Result, e.StaleConnection, e.Times)
 		} else if b.journal != nil {
-			b.journal.Late(b.now, e.Leg.Auth, e.Leg.N, e.Result, e.Stale, e.Times)
+			b.journal.Late(b.now, e.Attempt.Request, e.Attempt.Index, e.Result, e.StaleConnection, e.Times)
 		}
 		if l != nil && !l.ended {
-			l.stale, l.arrived = e.Stale, e.Arrived
-			b.end(a, l, e.Result, e.Kept, e.Report)
+			l.stale, l.arrived = e.StaleConnection, e.ReachedOtherHost
+			b.end(a, l, e.Result, e.CachedTokens, e.Report)
 		}
-	case Probed:
+	case ProbeDone:
 		if p := b.pools[e.Pool]; p != nil {
 			p.module.Probed(b.now, p, policy.ProbeResult{
 				Replica: e.Host, Result: e.Result, Elapsed: b.now - e.Sent, Report: e.Report,
 			})
 		}
-	case Listed:
+	case EndpointsListed:
 		if p := b.pools[e.Pool]; p != nil {
 			p.listed(e)
 		}
-	case PoolSet:
+	case ConfigurePool:
 		b.poolSet(e)
-	case Classes:
+	case AddClasses:
 		if p := b.pools[e.Pool]; p != nil {
 			if err := p.module.SetClasses(e.Classes); err != nil {
 				b.do(Log{p.name, err.Error()})
 			}
 		}
-	case PoolEnd:
+	case EndPool:
 		if p := b.pools[e.Pool]; p != nil {
 			p.leaving, b.leaving = true, true
 		}
-	case RepeatsExtra:
+	case RetryAllowance:
 		for _, p := range b.pools {
 			if p.repeats != nil {
 				p.repeats.Allowance = float64(e)
 			}
 		}
-	case Parked:
-		b.due.Add(b.now+e.Idle, due{line: e.Line})
-	case Remind:
-		b.due.Add(e.At, due{of: e.Of})
-	case Answered:
+	case ConnectionIdle:
+		b.due.Add(b.now+e.Idle, due{line: e.Connection})
+	case SetReminder:
+		b.due.Add(e.At, due{of: e.Token})
+	case RejectionWritten:
 		if b.journal != nil {
-			b.journal.Answered(b.now, e.From, e.At)
+			b.journal.Answered(b.now, e.Client, e.At)
 		}
-	case Drain:
+	case StartDrain:
 		if b.journal != nil {
 			b.journal.Drain(b.now)
 		}
-	case Flush:
+	case FlushTraces:
 		if b.journal != nil {
 			b.journal.Flush(b.now)
 		}
-	case Note:
-		b.do(Log{Line: string(e)})
-	case Recall:
+	case LogLine:
+		b.do(Log{Message: string(e)})
+	case GetSnapshots:
 		all := map[string]*policy.Snapshot{}
 		for _, p := range b.pools {
 			all[p.name] = p.module.Snapshot()
 		}
-		b.do(Recalled{e.Of, all})
-	case Taught:
-		if p := b.pools[e.Pool]; p != nil && e.Learned != nil {
-			p.module.Restore(b.now, e.Learned)
+		b.do(Snapshots{e.ReplyTo, all})
+	case RestoreSnapshot:
+		if p := b.pools[e.Pool]; p != nil && e.Snapshot != nil {
+			p.module.Restore(b.now, e.Snapshot)
 		}
-	case Audit:
-		b.do(b.counted(e.Of))
+	case GetCounters:
+		b.do(b.counted(e.ReplyTo))
 	}
 }
 
-func (b *Broker) taken(e Taken) {
-	if b.byParty[e.From] != nil {
+func (b *Dispatcher) taken(e RequestReceived) {
+	if b.byParty[e.Client] != nil {
 		return
 	}
 	p := b.pools[e.Pool]
 	if p == nil {
 		// It was routed to a pool that has gone since, its last authorisation with it: it never ran.
-		b.counts.Declined++
-		b.do(Decline{To: e.From, RetryAfter: b.lim.OverloadRetryAfter})
+		b.counts.RejectedByFrontend++
+		b.do(Reject{Client: e.Client, RetryAfter: b.lim.OverloadRetryAfter})
 		return
 	}
-	if b.names[name{p.id, e.Name}] {
-		p.counts.Declined++
+	if b.names[name{p.id, e.ClientRequestID}] {
+		p.counts.RejectedByFrontend++
 		p.turnedDown(&e, trace.IDTaken, 0)
-		b.do(Decline{To: e.From, Why: Taking})
+		b.do(Reject{Client: e.Client, Verdict: VerdictDuplicateID})
 		return
 	}
 	if !b.places.Take(int(p.id), 1) {
 		// More would need more descriptors than there are, or than there are for this pool; the module need not know
 		// of what cannot be sent.
-		p.counts.Declined++
+		p.counts.RejectedByFrontend++
 		p.turnedDown(&e, trace.RouterFull, p.retryAfter)
-		b.do(Decline{To: e.From, RetryAfter: p.retryAfter})
+		b.do(Reject{Client: e.Client, RetryAfter: p.retryAfter})
 		return
 	}
-	p.counts.Taken++
+	p.counts.Received++
 	p.held++
 	if p.repeats != nil {
 		p.repeats.CountRequest(b.now)
 	}
 	b.lastID++
-	a := &auth{id: b.lastID, pool: p, from: e.From, deadline: min(e.At, b.now) + e.Request.Timeout, attempts: p.attempts}
-	if e.Attempts > 0 {
-		a.attempts = min(a.attempts, e.Attempts)
+	a := &auth{id: b.lastID, pool: p, from: e.Client, deadline: min(e.ReceivedAt, b.now) + e.Request.Timeout, attempts: p.attempts}
+	if e.MaxAttempts > 0 {
+		a.attempts = min(a.attempts, e.MaxAttempts)
 	}
 	a.key = b.due.Add(a.deadline, due{auth: a})
 	b.auths[a.id], b.byParty[a.from] = a, a
-	if a.name = e.Name; a.name != "" {
+	if a.name = e.ClientRequestID; a.name != "" {
 		b.names[name{p.id, a.name}] = true
 	}
 	e.Request.ID, e.Request.Timeout = a.id, a.deadline-b.now
 	if b.journal != nil {
-		a.journey = b.journal.Taken(b.now, a.id, a.from, e.Name, e.At, &e.Request, e.Origin, p.set)
+		a.journey = b.journal.Taken(b.now, a.id, a.from, e.ClientRequestID, e.ReceivedAt, &e.Request, e.Origin, p.set)
 	}
 	p.module.Arrive(b.now, p, e.Request)
 }
 
-func (b *Broker) departed(from Acquirer) {
+func (b *Dispatcher) departed(from Client) {
 	a := b.byParty[from]
 	if a == nil {
 		return
 	}
-	a.pool.counts.Gone++
+	a.pool.counts.ClientsLeft++
 	a.gone = true
 	b.close(a)
 	b.closed(a, trace.Gone, 0)
@@ -280,7 +280,7 @@
 // left is the outcome of the legs of an acquirer that has gone. One that waits as long as it said it would goes in the
 // very moment of its deadline, and mostly a little before that is noticed here: then its legs have timed out, which
 // the module must hear, or it would learn nothing of an overload, nor of a host that hangs.
-func (b *Broker) left(a *auth) policy.Result {
+func (b *Dispatcher) left(a *auth) policy.Result {
 	if a.bound == nil && b.now >= a.deadline-b.lim.DeadlineTolerance {
 		return policy.ResultTimedOut
 	}
@@ -288,7 +288,7 @@
 }
 
 // close ends an authorisation towards its acquirer. Legs that still run keep it known.
-func (b *Broker) close(a *auth) {
+func (b *Dispatcher) close(a *auth) {
 	a.over = true
 	b.due.Remove(a.key)
 	delete(b.byParty, a.from)
@@ -298,42 +298,42 @@
 }
 
 // closed tells the journal how an authorisation ended towards its acquirer.
-func (b *Broker) closed(a *auth, o trace.Outcome, retryAfter time.Duration) {
+func (b *Dispatcher) closed(a *auth, o trace.Outcome, retryAfter time.Duration) {
 	if b.journal != nil {
 		b.journal.Closed(b.now, a.id, a.journey, o, retryAfter)
 	}
 }
 
-func (b *Broker) forget(a *auth) {
+func (b *Dispatcher) forget(a *auth) {
 	if a.over && a.running == 0 && b.auths[a.id] != nil {
 		delete(b.auths, a.id)
 		a.pool.held--
 	}
 }
 
-func (b *Broker) leg(id LegID) (*auth, *leg) {
-	a := b.auths[id.Auth]
-	if a == nil || id.N < 0 || id.N >= len(a.legs) {
+func (b *Dispatcher) leg(id AttemptID) (*auth, *leg) {
+	a := b.auths[id.Request]
+	if a == nil || id.Index < 0 || id.Index >= len(a.legs) {
 		return nil, nil
 	}
-	return a, a.legs[id.N]
+	return a, a.legs[id.Index]
 }
 
 // began binds the authorisation to the leg whose first event came first; the others are called off.
-func (b *Broker) began(id LegID) {
+func (b *Dispatcher) began(id AttemptID) {
 	a, l := b.leg(id)
 	if l == nil || l.ended || a.over || a.bound != nil {
-		b.do(DropLeg{id})
+		b.do(CancelAttempt{id})
 		return
 	}
 	a.bound = l
 	b.due.Remove(a.key)
 	b.due.Remove(l.key)
-	b.do(Bind{id})
+	b.do(BindAttempt{id})
 	if b.journal != nil {
-		b.journal.Bound(b.now, a.id, a.journey, id.N)
+		b.journal.Bound(b.now, a.id, a.journey, id.Index)
 	}
-	a.pool.module.Started(b.now, a.pool, policy.Started{ID: a.id, Attempt: id.N, Replica: l.host, Elapsed: b.now - l.at})
+	a.pool.module.Started(b.now, a.pool, policy.Started{ID: a.id, Attempt: id.Index, Replica: l.host, Elapsed: b.now - l.at})
 	for _, other := range a.legs {
 		if other != l && !other.ended {
 			b.drop(a, other, policy.ResultCancelled)
@@ -342,32 +342,32 @@
 }
 
 // drop abandons a leg and tells its outcome, once the module has returned.
-func (b *Broker) drop(a *auth, l *leg, r policy.Result) {
-	b.do(DropLeg{l.id})
+func (b *Dispatcher) drop(a *auth, l *leg, r policy.Result) {
+	b.do(CancelAttempt{l.id})
 	b.endLater(a, l, r)
 }
 
-func (b *Broker) endLater(a *auth, l *leg, r policy.Result) {
+func (b *Dispatcher) endLater(a *auth, l *leg, r policy.Result) {
 	l.ended = true
 	b.due.Remove(l.key)
 	b.later = append(b.later, func() { b.tell(a, l, r, 0, policy.Report{}) })
 }
 
-func (b *Broker) end(a *auth, l *leg, r policy.Result, kept float64, p policy.Report) {
+func (b *Dispatcher) end(a *auth, l *leg, r policy.Result, kept float64, p policy.Report) {
 	l.ended = true
 	b.due.Remove(l.key)
 	b.tell(a, l, r, kept, p)
 }
 
 // tell gives the module the one outcome of a leg. The end of a bound leg, whole or not, ends the authorisation.
-func (b *Broker) tell(a *auth, l *leg, r policy.Result, kept float64, report policy.Report) {
+func (b *Dispatcher) tell(a *auth, l *leg, r policy.Result, kept float64, report policy.Report) {
 	p := a.pool
 	a.running--
 	a.arrived = a.arrived || l.arrived || r != policy.ResultConnectFailed && r != policy.ResultMoot
 	a.mayRun = a.mayRun || r != policy.ResultFull && r != policy.ResultConnectFailed && r != policy.ResultMoot
 	p.counts.Outcomes[r]++
 	if b.journal != nil {
-		b.journal.Told(b.now, a.id, a.journey, l.id.N, r, kept)
+		b.journal.Told(b.now, a.id, a.journey, l.id.Index, r, kept)
 	}
 	if a.bound == l && !a.over {
 		b.close(a)
@@ -380,7 +380,7 @@
 		}
 	}
 	p.module.Finished(b.now, p, policy.Outcome{
-		ID: a.id, Attempt: l.id.N, Replica: l.host, Result: r, Elapsed: b.now - l.at,
+		ID: a.id, Attempt: l.id.Index, Replica: l.host, Result: r, Elapsed: b.now - l.at,
 		RequestEnded: a.over || a.bound != nil, CachedTokens: kept, Report: report, StaleConnection: l.stale,
 	})
 	if b.boxes != nil && (r == policy.ResultReset || r == policy.ResultConnectFailed) && !l.stale {
@@ -389,11 +389,11 @@
 	b.forget(a)
 }
 
-func (b *Broker) fire(d due) {
+func (b *Dispatcher) fire(d due) {
 	switch {
 	case d.leg != nil:
 		if !d.leg.ended {
-			b.do(DropLeg{d.leg.id})
+			b.do(CancelAttempt{d.leg.id})
 			b.end(d.auth, d.leg, policy.ResultTimedOut, 0, policy.Report{})
 		}
 	case d.auth != nil:
@@ -401,7 +401,7 @@
 		// it is answered here, lest an acquirer wait for ever.
 		for _, l := range d.auth.legs {
 			if !l.ended {
-				b.do(DropLeg{l.id})
+				b.do(CancelAttempt{l.id})
 				b.end(d.auth, l, policy.ResultTimedOut, 0, policy.Report{})
 				b.settle()
 			}
@@ -415,9 +415,9 @@
 			b.journal.Due(b.now)
 			return
 		}
-		b.do(Reminded{d.of})
+		b.do(ReminderDue{d.of})
 	case d.line != 0:
-		b.do(HangUp{d.line})
+		b.do(CloseIdleConnection{d.line})
 	case !d.pool.gone:
 		d.pool.module.Timer(b.now, d.pool, d.token)
 	}
--- a/internal/broker/broker_test.go
+++ b/internal/dispatch/broker_test.go
@@ -1,4 +1,4 @@
-package broker
+package dispatch
 
 import (
 	"fmt"
@@ -26,7 +26,7 @@
 
 // rig is a broker with hosts and the effects of its last turn, one word each.
 type rig struct {
-	*Broker
+	*Dispatcher
 	t   *testing.T
 	now time.Duration
 }
@@ -47,11 +47,11 @@
 	if change != nil {
 		change(&lim)
 	}
-	r := &rig{Broker: New(lim), t: t, now: 1000 * sec}
-	r.Reduce(r.now, PoolSet{Module: module(t), WarmUp: sec, ColdFrom: 0.5})
-	var l Listed
+	r := &rig{Dispatcher: New(lim), t: t, now: 1000 * sec}
+	r.Reduce(r.now, ConfigurePool{Module: module(t), SlowStart: sec, SlowStartInitial: 0.5})
+	var l EndpointsListed
 	for i := range hosts {
-		l.Hosts = append(l.Hosts, Host{Name: fmt.Sprint("h", i), Dial: fmt.Sprint("d", i), Weight: 1})
+		l.Hosts = append(l.Hosts, Host{Name: fmt.Sprint("h", i), Addr: fmt.Sprint("d", i), Weight: 1})
 	}
 	l.Kind = policy.ListFull
 	r.Reduce(r.now, l)
@@ -62,20 +62,20 @@
 	var words []string
 	for _, f := range r.Reduce(r.now+at, e) {
 		switch f := f.(type) {
-		case SendLeg:
-			words = append(words, fmt.Sprintf("send %d.%d for %v", f.Leg.Auth, f.Leg.N, f.Wait))
-		case Bind:
-			words = append(words, fmt.Sprintf("bind %d.%d", f.Leg.Auth, f.Leg.N))
-		case DropLeg:
-			words = append(words, fmt.Sprintf("drop %d.%d", f.Leg.Auth, f.Leg.N))
-		case Decline:
-			words = append(words, fmt.Sprintf("decline %v %s after %v", f.To, [...]string{"refused", "failed", "taking"}[f.Why], f.RetryAfter))
-		case HangUp:
-			words = append(words, fmt.Sprintf("hang up %d", f.Line))
-		case Reminded:
-			words = append(words, fmt.Sprint("remind ", f.Of))
-		case Probe:
-			words = append(words, "probe "+f.Dial)
+		case StartAttempt:
+			words = append(words, fmt.Sprintf("send %d.%d for %v", f.Attempt.Request, f.Attempt.Index, f.Timeout))
+		case BindAttempt:
+			words = append(words, fmt.Sprintf("bind %d.%d", f.Attempt.Request, f.Attempt.Index))
+		case CancelAttempt:
+			words = append(words, fmt.Sprintf("drop %d.%d", f.Attempt.Request, f.Attempt.Index))
+		case Reject:
+			words = append(words, fmt.Sprintf("decline %v %s after %v", f.Client, [...]string{"refused", "failed", "taking"}[f.Verdict], f.RetryAfter))
+		case CloseIdleConnection:
+			words = append(words, fmt.Sprintf("hang up %d", f.Connection))
+		case ReminderDue:
+			words = append(words, fmt.Sprint("remind ", f.Token))
+		case SendProbe:
+			words = append(words, "probe "+f.Addr)
 		}
 	}
 	return words
@@ -88,17 +88,17 @@
 	}
 }
 
-func taken(from string, at, budget time.Duration) Taken {
-	return Taken{From: from, At: at, Request: policy.Request{Session: 9, Timeout: budget}}
+func taken(from string, at, budget time.Duration) RequestReceived {
+	return RequestReceived{Client: from, ReceivedAt: at, Request: policy.Request{Session: 9, Timeout: budget}}
 }
 
 func TestServedLeg(t *testing.T) {
 	r := newRig(t, 2, nil)
 	r.expect(0, taken("a", r.now, 4*sec), "send 1.0 for 4s")
-	r.expect(sec, LegBegan{LegID{1, 0}}, "bind 1.0")
+	r.expect(sec, AttemptStarted{AttemptID{1, 0}}, "bind 1.0")
 	r.expect(9*sec, Tick{}) // once begun, the deadline runs no longer
-	r.expect(9*sec, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultOK})
-	r.expect(9*sec, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultReset}) // a second outcome is none
+	r.expect(9*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultOK})
+	r.expect(9*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultReset}) // a second outcome is none
 	if c := r.pools[0].counts; c.Served != 1 || c.Outcomes[policy.ResultOK] != 1 || c.Outcomes[policy.ResultReset] != 0 || len(r.auths) != 0 {
 		t.Errorf("counters %+v, %d open", c, len(r.auths))
 	}
@@ -110,8 +110,8 @@
 	r.expect(sec, taken("a", r.now, 4*sec), "send 1.0 for 3s") // its time runs from its last byte
 	r.expect(4*sec-1, Tick{})
 	r.expect(4*sec, Tick{}, "drop 1.0", "decline a failed after 0s")
-	r.expect(5*sec, LegBegan{LegID{1, 0}}, "drop 1.0") // too late to be the acquirer's
-	r.expect(5*sec, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultCancelled})
+	r.expect(5*sec, AttemptStarted{AttemptID{1, 0}}, "drop 1.0") // too late to be the acquirer's
+	r.expect(5*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultCancelled})
 	if n := r.pools[0].counts.Outcomes[policy.ResultTimedOut]; n != 1 || r.Open() != 0 {
 		t.Errorf("%d time-outs, %d open", n, r.Open())
 	}
@@ -122,12 +122,12 @@
 	r := newRig(t, 2, nil)
 	second := taken("b", r.now, 4*sec)
 	first := taken("a", r.now, 4*sec)
-	first.Name, second.Name = "9b1f", "9b1f"
+	first.ClientRequestID, second.ClientRequestID = "9b1f", "9b1f"
 	r.expect(0, first, "send 1.0 for 4s")
 	r.expect(0, second, "decline b taking after 0s")
-	r.expect(sec, LegBegan{LegID{1, 0}}, "bind 1.0")
-	r.expect(sec, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultOK})
-	second.At = r.now + sec
+	r.expect(sec, AttemptStarted{AttemptID{1, 0}}, "bind 1.0")
+	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultOK})
+	second.ReceivedAt = r.now + sec
 	r.expect(sec, second, "send 2.0 for 4s")
 }
 
@@ -135,19 +135,19 @@
 	// The module may go on only to hosts that it has not tried, and to three legs at the most.
 	r := newRig(t, 5, nil)
 	r.expect(0, taken("a", r.now, 4*sec), "send 1.0 for 4s")
-	r.expect(sec, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultConnectFailed}, "send 1.1 for 3s")
-	r.expect(sec, LegEnded{Leg: LegID{1, 1}, Result: policy.ResultFull}, "send 1.2 for 3s")
-	r.expect(sec, LegEnded{Leg: LegID{1, 2}, Result: policy.ResultFull}, "decline a refused after 500ms")
+	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed}, "send 1.1 for 3s")
+	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultFull}, "send 1.2 for 3s")
+	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 2}, Result: policy.ResultFull}, "decline a refused after 500ms")
 	r.pools[0].Send(1, 0, 0) // over: no effect, and no leg
-	if r.pools[0].counts.Legs != 3 {
-		t.Errorf("%d legs", r.pools[0].counts.Legs)
+	if r.pools[0].counts.Attempts != 3 {
+		t.Errorf("%d legs", r.pools[0].counts.Attempts)
 	}
 }
 
 func TestMootSends(t *testing.T) {
 	r := newRig(t, 2, nil)
 	r.turn(0, taken("a", r.now, 4*sec))
-	r.turn(0, LegBegan{LegID{1, 0}})
+	r.turn(0, AttemptStarted{AttemptID{1, 0}})
 	for name, host := range map[string]policy.ReplicaID{"bound": r.pools[0].hostID("h1"), "unknown host": 1} {
 		r.effects = nil
 		r.pools[0].Send(1, host, 0)
@@ -170,9 +170,9 @@
 			r.pools[0].Send(1, id, 0)
 		}
 	}
-	r.expect(sec, LegBegan{LegID{1, 1}}, "bind 1.1", "drop 1.0")
-	r.expect(sec, LegBegan{LegID{1, 0}}, "drop 1.0")
-	r.expect(sec, LegEnded{Leg: LegID{1, 1}, Result: policy.ResultReset}) // a broken stream ends the authorisation
+	r.expect(sec, AttemptStarted{AttemptID{1, 1}}, "bind 1.1", "drop 1.0")
+	r.expect(sec, AttemptStarted{AttemptID{1, 0}}, "drop 1.0")
+	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultReset}) // a broken stream ends the authorisation
 	if c := r.pools[0].counts; c.Broken != 1 || c.Outcomes[policy.ResultCancelled] != 1 || len(r.auths) != 0 {
 		t.Errorf("counters %+v, %d open", c, len(r.auths))
 	}
@@ -198,11 +198,11 @@
 		r := newRig(t, 2, nil)
 		r.turn(0, taken("a", r.now, 4*sec))
 		if begun {
-			r.turn(0, LegBegan{LegID{1, 0}})
+			r.turn(0, AttemptStarted{AttemptID{1, 0}})
 		}
-		r.expect(sec, Departed{"a"}, "drop 1.0")
-		r.expect(sec, Departed{"a"})
-		if c := r.pools[0].counts; c.Gone != 1 || c.Outcomes[policy.ResultCancelled] != 1 || len(r.auths) != 0 {
+		r.expect(sec, ClientLeft{"a"}, "drop 1.0")
+		r.expect(sec, ClientLeft{"a"})
+		if c := r.pools[0].counts; c.ClientsLeft != 1 || c.Outcomes[policy.ResultCancelled] != 1 || len(r.auths) != 0 {
 			t.Errorf("%s: counters %+v, %d open", name, c, len(r.auths))
 		}
 	}
@@ -213,7 +213,7 @@
 	r := newRig(t, 2, func(l *limits.Limits) { l.ConcurrentRequests = 1 })
 	r.turn(0, taken("a", r.now, 4*sec))
 	r.expect(0, taken("b", r.now, 4*sec), "decline b refused after 500ms")
-	if c := r.pools[0].counts; c.Taken != 1 || c.Declined != 1 {
+	if c := r.pools[0].counts; c.Received != 1 || c.RejectedByFrontend != 1 {
 		t.Errorf("counters %+v", c)
 	}
 }
@@ -227,14 +227,14 @@
 
 func TestParkedLineIsHungUp(t *testing.T) {
 	r := newRig(t, 0, nil)
-	r.expect(0, Parked{3, 4 * sec})
+	r.expect(0, ConnectionIdle{3, 4 * sec})
 	r.expect(4*sec-1, Tick{})
 	r.expect(4*sec, Tick{}, "hang up 3") // a second before the host would
 }
 
 func TestReminder(t *testing.T) {
 	r := newRig(t, 0, nil)
-	r.expect(0, Remind{At: r.now + sec, Of: "line"})
+	r.expect(0, SetReminder{At: r.now + sec, Token: "line"})
 	r.expect(sec-1, Tick{})
 	r.expect(sec, Tick{}, "remind line")
 	r.expect(2*sec, Tick{})
@@ -242,7 +242,7 @@
 
 func TestGoneHostGetsNothing(t *testing.T) {
 	r := newRig(t, 1, nil)
-	r.expect(0, Listed{Kind: policy.ListDelta, Hosts: []Host{{Name: "h0", State: policy.StateGone}}})
+	r.expect(0, EndpointsListed{Kind: policy.ListDelta, Hosts: []Host{{Name: "h0", State: policy.StateGone}}})
 	r.expect(0, taken("a", r.now, 4*sec), "decline a refused after 500ms")
 }
 
@@ -275,16 +275,16 @@
 	// Guards against growth on a day on which hosts are replaced by others, one after the other.
 	r := newRig(t, 3, nil)
 	host := func(i int, s policy.State) Host {
-		return Host{Name: fmt.Sprint("h", i), Dial: "d", Weight: 1, State: s}
+		return Host{Name: fmt.Sprint("h", i), Addr: "d", Weight: 1, State: s}
 	}
 	for i := range 500 {
-		r.turn(0, Listed{Kind: policy.ListDelta, Hosts: []Host{host(i, policy.StateGone), host(i+3, policy.StateReady)}})
+		r.turn(0, EndpointsListed{Kind: policy.ListDelta, Hosts: []Host{host(i, policy.StateGone), host(i+3, policy.StateReady)}})
 	}
 	if len(r.pools[0].hosts) != 3 || len(r.pools[0].hostNames) != 3 {
 		t.Errorf("%d hosts, %d names after deltas", len(r.pools[0].hosts), len(r.pools[0].hostNames))
 	}
-	r.turn(0, Listed{Kind: policy.ListFull, Hosts: []Host{host(9000, policy.StateReady)}})
-	r.turn(0, Listed{Kind: policy.ListFailed})
+	r.turn(0, EndpointsListed{Kind: policy.ListFull, Hosts: []Host{host(9000, policy.StateReady)}})
+	r.turn(0, EndpointsListed{Kind: policy.ListFailed})
 	if len(r.pools[0].hosts) != 1 || len(r.pools[0].hostNames) != 1 {
 		t.Errorf("%d hosts, %d names after a whole list", len(r.pools[0].hosts), len(r.pools[0].hostNames))
 	}
@@ -299,15 +299,15 @@
 	}{{4*sec - 2*time.Millisecond, policy.ResultTimedOut}, {3 * sec, policy.ResultCancelled}} {
 		r := newRig(t, 2, nil)
 		r.turn(0, taken("a", r.now, 4*sec))
-		r.expect(c.at, Departed{"a"}, "drop 1.0")
-		if r.pools[0].counts.Outcomes[c.want] != 1 || r.pools[0].counts.Gone != 1 {
+		r.expect(c.at, ClientLeft{"a"}, "drop 1.0")
+		if r.pools[0].counts.Outcomes[c.want] != 1 || r.pools[0].counts.ClientsLeft != 1 {
 			t.Errorf("left after %v: %+v", c.at, r.counts)
 		}
 	}
 	r := newRig(t, 2, nil)
 	r.turn(0, taken("a", r.now, 4*sec))
-	r.turn(sec, LegBegan{LegID{1, 0}})
-	r.turn(4*sec-1, Departed{"a"}) // in its stream, whose time is not the deadline's
+	r.turn(sec, AttemptStarted{AttemptID{1, 0}})
+	r.turn(4*sec-1, ClientLeft{"a"}) // in its stream, whose time is not the deadline's
 	if r.pools[0].counts.Outcomes[policy.ResultCancelled] != 1 {
 		t.Errorf("left in its stream: %+v", r.counts)
 	}
@@ -316,14 +316,14 @@
 // TestPartOfTheBudgetChanges: a router is told how many share what may be sent again; it holds from the next repeat on.
 func TestPartOfTheBudgetChanges(t *testing.T) {
 	r := newRig(t, 3, nil)
-	r.Reduce(r.now, PoolSet{Repeats: &retrybudget.Budget{Allowance: 5, Window: 10 * sec}})
+	r.Reduce(r.now, ConfigurePool{RetryBudget: &retrybudget.Budget{Allowance: 5, Window: 10 * sec}})
 	r.expect(0, taken("a", r.now, 4*sec), "send 1.0 for 4s")
-	if again := r.turn(0, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultFull}); len(again) != 1 || again[0] != "send 1.1 for 4s" {
+	if again := r.turn(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultFull}); len(again) != 1 || again[0] != "send 1.1 for 4s" {
 		t.Fatalf("within its part: %v", again)
 	}
-	r.Reduce(r.now, RepeatsExtra(1.9)) // one was sent already
+	r.Reduce(r.now, RetryAllowance(1.9)) // one was sent already
 	r.expect(sec, taken("b", r.now+sec, 4*sec), "send 2.0 for 4s")
-	if again := r.turn(sec, LegEnded{Leg: LegID{2, 0}, Result: policy.ResultFull}); len(again) != 1 || !strings.HasPrefix(again[0], "decline b ") {
+	if again := r.turn(sec, AttemptEnded{Attempt: AttemptID{2, 0}, Result: policy.ResultFull}); len(again) != 1 || !strings.HasPrefix(again[0], "decline b ") {
 		t.Errorf("beyond its part: %v", again)
 	}
 	for lives := 1; lives < 2000; lives++ { // all start anew within a window: the old ones' parts and the new ones'
@@ -337,10 +337,10 @@
 func TestMisdirectedCounts(t *testing.T) {
 	for _, arrived := range []bool{false, true} {
 		r := newRig(t, 3, nil)
-		r.Reduce(r.now, PoolSet{Repeats: &retrybudget.Budget{Allowance: 1, Window: 10 * sec}})
+		r.Reduce(r.now, ConfigurePool{RetryBudget: &retrybudget.Budget{Allowance: 1, Window: 10 * sec}})
 		r.expect(0, taken("a", r.now, 4*sec), "send 1.0 for 4s")
-		r.expect(0, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultConnectFailed, Arrived: arrived}, "send 1.1 for 4s")
-		again := r.turn(0, LegEnded{Leg: LegID{1, 1}, Result: policy.ResultConnectFailed, Arrived: arrived})
+		r.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed, ReachedOtherHost: arrived}, "send 1.1 for 4s")
+		again := r.turn(0, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultConnectFailed, ReachedOtherHost: arrived})
 		if sent := len(again) == 1 && again[0] == "send 1.2 for 4s"; sent == arrived {
 			t.Errorf("arrived %v: %v", arrived, again)
 		}
--- a/internal/broker/hosts_bench_test.go
+++ b/internal/dispatch/hosts_bench_test.go
@@ -1,4 +1,4 @@
-package broker
+package dispatch
 
 import (
 	"fmt"
@@ -12,29 +12,29 @@
 )
 
 // hostsRig is a core with one pool of so many boxes.
-func hostsRig(b *testing.B, boxes int) (*Broker, time.Duration) {
+func hostsRig(b *testing.B, boxes int) (*Dispatcher, time.Duration) {
 	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 512, Sockets: 65536},
 		limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
 	c, now := New(lim), 1000*sec
-	c.Reduce(now, PoolSet{Module: module(b), WarmUp: sec, ColdFrom: 0.5})
-	l := Listed{Kind: policy.ListFull}
+	c.Reduce(now, ConfigurePool{Module: module(b), SlowStart: sec, SlowStartInitial: 0.5})
+	l := EndpointsListed{Kind: policy.ListFull}
 	for i := range boxes {
-		l.Hosts = append(l.Hosts, Host{Name: fmt.Sprint("b", i), Dial: fmt.Sprintf("127.0.%d.%d:80", i/200, i%200), Weight: 1})
+		l.Hosts = append(l.Hosts, Host{Name: fmt.Sprint("b", i), Addr: fmt.Sprintf("127.0.%d.%d:80", i/200, i%200), Weight: 1})
 	}
 	c.Reduce(now, l)
 	return c, now
 }
 
 // serve takes an authorisation to its end.
-func serve(c *Broker, now time.Duration, i int, q policy.Request) {
-	var leg LegID
-	for _, e := range c.Reduce(now, Taken{From: i, At: now, Request: q}) {
-		if s, ok := e.(SendLeg); ok {
-			leg = s.Leg
+func serve(c *Dispatcher, now time.Duration, i int, q policy.Request) {
+	var leg AttemptID
+	for _, e := range c.Reduce(now, RequestReceived{Client: i, ReceivedAt: now, Request: q}) {
+		if s, ok := e.(StartAttempt); ok {
+			leg = s.Attempt
 		}
 	}
-	c.Reduce(now, LegBegan{leg})
-	c.Reduce(now, LegEnded{Leg: leg, Result: policy.ResultOK})
+	c.Reduce(now, AttemptStarted{leg})
+	c.Reduce(now, AttemptEnded{Attempt: leg, Result: policy.ResultOK})
 }
 
 // BenchmarkHosts is what an authorisation of a new session costs the core with so many boxes in the pool, without a shared
--- a/internal/broker/loop.go
+++ b/internal/dispatch/loop.go
@@ -1,4 +1,4 @@
-package broker
+package dispatch
 
 import (
 	"context"
@@ -22,7 +22,7 @@
 
 // Loop turns a Broker: one goroutine reduces events, in the order they were posted, and has the effects done.
 type Loop struct {
-	broker  *Broker
+	broker  *Dispatcher
 	clock   Clock
 	perform func(Effect)
 	events  chan Event
@@ -31,7 +31,7 @@
 
 	fair  atomic.Bool // there are several pools, and authorisations go through lanes
 	mu    sync.Mutex
-	lanes *quota.FairQueue[Taken]
+	lanes *quota.FairQueue[RequestReceived]
 }
 
 // turn stands in the queue of events for an authorisation that waits in a lane: as many as wait, but whichever is next
@@ -41,17 +41,17 @@
 func (turn) event() {}
 
 // NewLoop returns a loop over b. perform must not wait, nor post.
-func NewLoop(b *Broker, clock Clock, perform func(Effect)) *Loop {
+func NewLoop(b *Dispatcher, clock Clock, perform func(Effect)) *Loop {
 	return &Loop{
 		broker: b, clock: clock, perform: perform,
 		events: make(chan Event, 1024), stopped: make(chan struct{}), idle: make(chan chan struct{}),
-		lanes: quota.NewFairQueue[Taken](),
+		lanes: quota.NewFairQueue[RequestReceived](),
 	}
 }
 
 // Post hands an event in. After the loop's end it is dropped.
 func (l *Loop) Post(e Event) {
-	if t, ok := e.(Taken); ok && l.fair.Load() {
+	if t, ok := e.(RequestReceived); ok && l.fair.Load() {
 		l.mu.Lock()
 		l.lanes.Push(int(t.Pool), t)
 		l.mu.Unlock()
@@ -91,21 +91,21 @@
 			l.reduce(t)
 		}
 		return
-	case Departed:
+	case ClientLeft:
 		// It may still wait for its turn, and must not be taken after its acquirer was thought gone.
 		if l.fair.Load() {
-			if t, ok := l.pop(e.From); ok {
+			if t, ok := l.pop(e.Client); ok {
 				l.reduce(t)
 			}
 		}
-	case PoolSet:
+	case ConfigurePool:
 		l.mu.Lock()
-		l.lanes.SetWeight(int(e.Pool), e.Turns)
+		l.lanes.SetWeight(int(e.Pool), e.TurnWeight)
 		l.mu.Unlock()
 		l.reduce(e)
 		l.fair.Store(len(l.broker.pools) > 1 || l.fair.Load())
 		return
-	case PoolEnd:
+	case EndPool:
 		l.mu.Lock()
 		l.lanes.EndFlow(int(e.Pool))
 		l.mu.Unlock()
@@ -120,13 +120,13 @@
 }
 
 // pop takes the next authorisation out of the lanes, or that of an acquirer.
-func (l *Loop) pop(from Acquirer) (Taken, bool) {
+func (l *Loop) pop(from Client) (RequestReceived, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if from == nil {
 		return l.lanes.Pop()
 	}
-	return l.lanes.PopIf(func(t Taken) bool { return t.From == from })
+	return l.lanes.PopIf(func(t RequestReceived) bool { return t.Client == from })
 }
 
 // Run turns the loop until the context is over.
--- a/internal/broker/pool.go
+++ b/internal/dispatch/pool.go
@@ -1,4 +1,4 @@
-package broker
+package dispatch
 
 import (
 	"hash/fnv"
@@ -15,7 +15,7 @@
 // instance is a pool at work: a module of its own and the hosts that it knows. It is the module's policy.Actions, so
 // that what a module does can only concern its own.
 type instance struct {
-	b          *Broker
+	b          *Dispatcher
 	id         hoststate.PoolID
 	name       string
 	module     *policy.Balancer
@@ -37,21 +37,21 @@
 var _ policy.Actions = (*instance)(nil)
 
 // poolSet adds a pool, or changes what a pool may have.
-func (b *Broker) poolSet(e PoolSet) {
+func (b *Dispatcher) poolSet(e ConfigurePool) {
 	p := b.pools[e.Pool]
 	if p == nil {
 		if e.Module == nil {
 			return
 		}
 		p = &instance{
-			b: b, id: e.Pool, module: e.Module, warmUp: e.WarmUp, coldFrom: e.ColdFrom, hosts: map[policy.ReplicaID]*Host{},
+			b: b, id: e.Pool, module: e.Module, warmUp: e.SlowStart, coldFrom: e.SlowStartInitial, hosts: map[policy.ReplicaID]*Host{},
 			hostNames: map[string]policy.ReplicaID{}, counts: Counters{Outcomes: map[policy.Result]int{}},
 		}
 		if b.pools[p.id] = p; b.boxes == nil && len(b.pools) > 1 {
 			b.shareBoxes()
 		}
 	}
-	p.name, p.attempts, p.retryAfter, p.leaving = e.Name, e.Attempts, e.RetryAfter, false
+	p.name, p.attempts, p.retryAfter, p.leaving = e.Name, e.MaxAttempts, e.RetryAfter, false
 	if p.attempts == 0 {
 		p.attempts = b.lim.MaxAttempts
 	}
@@ -59,14 +59,14 @@
 		p.retryAfter = b.lim.OverloadRetryAfter
 	}
 	p.set = &trace.Set{Pool: e.Name, Classes: e.Classes}
-	if e.Repeats != nil && (p.repeats == nil || *e.Repeats != *p.repeats) {
-		p.repeats = e.Repeats
+	if e.RetryBudget != nil && (p.repeats == nil || *e.RetryBudget != *p.repeats) {
+		p.repeats = e.RetryBudget
 	}
-	b.places.SetClaim(int(p.id), e.Places)
+	b.places.SetClaim(int(p.id), e.RequestQuota)
 }
 
 // shareBoxes begins to keep account of boxes that pools share; with one pool there is nothing to account for.
-func (b *Broker) shareBoxes() {
+func (b *Dispatcher) shareBoxes() {
 	b.boxes = hoststate.NewTracker(b.lim.DrainPrecedence)
 	for _, p := range b.pools {
 		for id, h := range p.hosts {
@@ -76,7 +76,7 @@
 }
 
 // endPools has pools that leave go, once nothing of theirs is open.
-func (b *Broker) endPools() {
+func (b *Dispatcher) endPools() {
 	b.leaving = false
 	for _, id := range slices.Sorted(maps.Keys(b.pools)) {
 		p := b.pools[id]
@@ -94,22 +94,22 @@
 			b.boxes.RemovePool(id)
 		}
 		b.counts.add(&p.counts)
-		b.do(PoolGone{id})
+		b.do(PoolEnded{id})
 	}
 }
 
-func (h *Host) box() hoststate.Host { return hoststate.Host{Name: h.Name, Addr: h.Dial} }
+func (h *Host) box() hoststate.Host { return hoststate.Host{Name: h.Name, Addr: h.Addr} }
 
 func (h *Host) replica(id policy.ReplicaID) policy.Replica {
 	return policy.Replica{ID: id, Zone: h.Zone, Cell: h.Cell, State: h.State, Weight: h.Weight, ReadyAt: h.BornAt}
 }
 
-func (p *instance) listed(e Listed) {
+func (p *instance) listed(e EndpointsListed) {
 	b := p.b
 	l := policy.List{Kind: e.Kind}
 	if e.Kind != policy.ListFailed && e.Kind != policy.ListCached {
 		p.counts.Lists++
-		p.counts.Lines += len(e.Hosts)
+		p.counts.ListEntries += len(e.Hosts)
 	}
 	var words []hoststate.Notification
 	listed := map[policy.ReplicaID]bool{}
@@ -151,18 +151,18 @@
 	switch {
 	case before == nil:
 	case h.State == policy.StateGone:
-		h.Dial = before.Dial // that it had, whatever the last word of it says
-	case h.Dial != before.Dial: // it is elsewhere now, which is another box
+		h.Addr = before.Addr // that it had, whatever the last word of it says
+	case h.Addr != before.Addr: // it is elsewhere now, which is another box
 		b.boxes.Update(b.now, p.id, before.box(), hoststate.Update{State: policy.StateGone, Removed: true})
 	}
-	told := hoststate.Update{Replica: id, State: h.State, BornAt: h.BornAt, Removed: h.Left}
+	told := hoststate.Update{Replica: id, State: h.State, BornAt: h.BornAt, Removed: h.Removed}
 	state, words := b.boxes.Update(b.now, p.id, h.box(), told)
 	h.State = state
 	return words
 }
 
 // pass tells modules of ends of boxes, and of such that were taken back, that other pools were told.
-func (b *Broker) pass(words []hoststate.Notification) {
+func (b *Dispatcher) pass(words []hoststate.Notification) {
 	for _, w := range words {
 		q := b.pools[w.Pool]
 		if q == nil || q.hosts[w.Replica] == nil {
@@ -210,7 +210,7 @@
 
 func (p *instance) traffic(born time.Duration) hoststate.PoolTraffic {
 	return hoststate.PoolTraffic{
-		Pool: p.id, Arrived: float64(p.counts.Taken), Hosts: float64(p.ready),
+		Pool: p.id, Arrived: float64(p.counts.Received), Hosts: float64(p.ready),
 		Share: hoststate.SlowStartShare(p.b.now-born, p.warmUp, p.coldFrom),
 	}
 }
@@ -232,13 +232,13 @@
 }
 
 // turnedDown records an authorisation that the module never sees.
-func (p *instance) turnedDown(e *Taken, why trace.Why, retryAfter time.Duration) {
+func (p *instance) turnedDown(e *RequestReceived, why trace.Why, retryAfter time.Duration) {
 	b := p.b
 	if b.journal == nil {
 		return
 	}
 	b.lastID++
-	j := b.journal.Taken(b.now, b.lastID, e.From, e.Name, e.At, &e.Request, e.Origin, p.set)
+	j := b.journal.Taken(b.now, b.lastID, e.Client, e.ClientRequestID, e.ReceivedAt, &e.Request, e.Origin, p.set)
 	b.journal.Because(b.lastID, j, policy.Reason(why))
 	b.journal.Closed(b.now, b.lastID, j, trace.Refused, retryAfter)
 }
@@ -258,7 +258,7 @@
 	if a == nil {
 		return
 	}
-	l := &leg{id: LegID{id, len(a.legs)}, host: to, at: b.now}
+	l := &leg{id: AttemptID{id, len(a.legs)}, host: to, at: b.now}
 	a.legs = append(a.legs, l)
 	a.running++
 	h := p.hosts[to]
@@ -268,7 +268,7 @@
 		if h != nil {
 			host = *h
 		}
-		span = b.journal.Sent(b.now, a.id, a.journey, l.id.N, host.Name, host.Dial)
+		span = b.journal.Sent(b.now, a.id, a.journey, l.id.Index, host.Name, host.Addr)
 	}
 	until := a.deadline
 	if timeout != 0 {
@@ -276,14 +276,14 @@
 	}
 	if h == nil || a.over || a.bound != nil || len(a.legs) > a.attempts || until <= b.now {
 		if b.journal != nil { // it is never out, so that no word of its line will come
-			b.journal.Ended(b.now, a.id, a.journey, l.id.N, policy.ResultMoot, false, nil)
+			b.journal.Ended(b.now, a.id, a.journey, l.id.Index, policy.ResultMoot, false, nil)
 		}
 		b.endLater(a, l, policy.ResultMoot)
 		return
 	}
 	if p.tooCold(h) {
 		if b.journal != nil {
-			b.journal.Ended(b.now, a.id, a.journey, l.id.N, policy.ResultFull, false, nil)
+			b.journal.Ended(b.now, a.id, a.journey, l.id.Index, policy.ResultFull, false, nil)
 		}
 		b.endLater(a, l, policy.ResultFull) // as if the box itself had turned it away
 		return
@@ -293,13 +293,13 @@
 		b.endLater(a, l, policy.ResultMoot)
 		return
 	}
-	p.counts.Legs++
+	p.counts.Attempts++
 	if until < a.deadline {
 		l.key = b.due.Add(until, due{auth: a, leg: l})
 	}
-	send := SendLeg{Pool: p.id, Leg: l.id, From: a.from, Host: to, Name: h.Name, Dial: h.Dial, Wait: until - b.now}
+	send := StartAttempt{Pool: p.id, Attempt: l.id, Client: a.from, Host: to, HostName: h.Name, Addr: h.Addr, Timeout: until - b.now}
 	if b.journal != nil {
-		b.do(SendTraced{send, span})
+		b.do(StartTracedAttempt{send, span})
 		return
 	}
 	b.do(send)
@@ -317,25 +317,25 @@
 
 // Reject implements policy.Actions.
 func (p *instance) Reject(id policy.RequestID, retryAfter time.Duration) {
-	p.answer(id, Refused, retryAfter)
+	p.answer(id, VerdictRejected, retryAfter)
 }
 
 // Fail implements policy.Actions.
-func (p *instance) Fail(id policy.RequestID) { p.answer(id, Failed, 0) }
+func (p *instance) Fail(id policy.RequestID) { p.answer(id, VerdictFailed, 0) }
 
 func (p *instance) answer(id policy.RequestID, why Verdict, retryAfter time.Duration) {
 	b, a := p.b, p.auth(id)
 	if a == nil || a.over || a.bound != nil {
 		return // an answer for what is over is no fault and does nothing
 	}
-	if why == Failed {
+	if why == VerdictFailed {
 		p.counts.Failed++
 	} else {
-		p.counts.Refused++
+		p.counts.Rejected++
 	}
-	b.do(Decline{To: a.from, Why: why, RetryAfter: retryAfter, MayHaveRun: a.mayRun || a.running > 0})
+	b.do(Reject{Client: a.from, Verdict: why, RetryAfter: retryAfter, MayHaveRun: a.mayRun || a.running > 0})
 	b.close(a)
-	if why == Failed {
+	if why == VerdictFailed {
 		b.closed(a, trace.Failed, 0)
 	} else {
 		b.closed(a, trace.Refused, retryAfter)
@@ -350,7 +350,7 @@
 // Cancel implements policy.Actions.
 func (p *instance) Cancel(id policy.RequestID, attempt int) {
 	b := p.b
-	a, l := b.leg(LegID{id, attempt})
+	a, l := b.leg(AttemptID{id, attempt})
 	if l == nil || a.pool != p || l.ended || a.bound == l && !a.gone {
 		return // a begun stream is the acquirer's
 	}
@@ -365,12 +365,12 @@
 func (p *instance) Probe(to policy.ReplicaID) {
 	if h := p.hosts[to]; h != nil {
 		p.counts.Probes++
-		p.b.do(Probe{Pool: p.id, Host: to, Dial: h.Dial, Sent: p.b.now})
+		p.b.do(SendProbe{Pool: p.id, Host: to, Addr: h.Addr, Sent: p.b.now})
 	}
 }
 
 // Watch implements policy.Actions.
-func (p *instance) Watch() { p.b.do(Watch{p.id}) }
+func (p *instance) Watch() { p.b.do(WatchEndpoints{p.id}) }
 
 // SetTimer implements policy.Actions.
 func (p *instance) SetTimer(after time.Duration, token uint64) {
@@ -382,24 +382,24 @@
 
 // add adds another pool's counters.
 func (c *Counters) add(o *Counters) {
-	c.Taken += o.Taken
-	c.Declined += o.Declined
-	c.Legs += o.Legs
+	c.Received += o.Received
+	c.RejectedByFrontend += o.RejectedByFrontend
+	c.Attempts += o.Attempts
 	for r, n := range o.Outcomes {
 		c.Outcomes[r] += n
 	}
 	c.Served += o.Served
 	c.Broken += o.Broken
-	c.Refused += o.Refused
+	c.Rejected += o.Rejected
 	c.Failed += o.Failed
-	c.Gone += o.Gone
+	c.ClientsLeft += o.ClientsLeft
 	c.Probes += o.Probes
 	c.Lists += o.Lists
-	c.Lines += o.Lines
+	c.ListEntries += o.ListEntries
 }
 
 // counted answers Audit. What it returns is another goroutine's to read.
-func (b *Broker) counted(of any) Counted {
+func (b *Dispatcher) counted(of any) CountersReport {
 	all := b.counts
 	all.Outcomes = maps.Clone(all.Outcomes)
 	var pools []PoolCounters
@@ -409,8 +409,8 @@
 		c := p.counts
 		c.Outcomes, c.Open = maps.Clone(c.Outcomes), int(b.places.Reserved(int(id)))
 		pools = append(pools, PoolCounters{
-			Counters: c, Pool: id, Name: p.name, Hosts: len(p.hosts), Ready: p.ready, Held: p.held, Leaving: p.leaving,
-			Places: b.places.Claim(int(id)),
+			Counters: c, Pool: id, Name: p.name, Hosts: len(p.hosts), Ready: p.ready, Unfinished: p.held, IsEnding: p.leaving,
+			RequestQuota: b.places.Claim(int(id)),
 		})
 	}
 	all.Open = b.Open()
@@ -418,5 +418,5 @@
 		t := b.journal.Counters()
 		all.Traces = &t
 	}
-	return Counted{Of: of, Counters: all, Pools: pools}
+	return CountersReport{ReplyTo: of, Counters: all, Pools: pools}
 }
--- a/internal/broker/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -1,4 +1,4 @@
-package broker
+package dispatch
 
 import (
 	"fmt"
@@ -18,24 +18,24 @@
 // pools gives a rig two pools more, 1 and 2, and takes the first away.
 func pools(t *testing.T, change func(*limits.Limits)) *rig {
 	r := newRig(t, 0, change)
-	r.Reduce(r.now, PoolSet{
-		Pool: 1, Name: "one", Module: module(t), WarmUp: 10 * sec, ColdFrom: 0.5, Places: quota.Claim{Guarantee: 2, Max: 3},
+	r.Reduce(r.now, ConfigurePool{
+		Pool: 1, Name: "one", Module: module(t), SlowStart: 10 * sec, SlowStartInitial: 0.5, RequestQuota: quota.Claim{Guarantee: 2, Max: 3},
 		RetryAfter: 700 * time.Millisecond,
 	})
-	r.Reduce(r.now, PoolSet{Pool: 2, Name: "two", Module: module(t), WarmUp: 10 * sec, ColdFrom: 0.5, Places: quota.Claim{Guarantee: 2}})
-	r.Reduce(r.now, PoolEnd{Pool: 0})
+	r.Reduce(r.now, ConfigurePool{Pool: 2, Name: "two", Module: module(t), SlowStart: 10 * sec, SlowStartInitial: 0.5, RequestQuota: quota.Claim{Guarantee: 2}})
+	r.Reduce(r.now, EndPool{Pool: 0})
 	return r
 }
 
-func hosts(of hoststate.PoolID, names ...string) Listed {
-	l := Listed{Pool: of, Kind: policy.ListFull}
+func hosts(of hoststate.PoolID, names ...string) EndpointsListed {
+	l := EndpointsListed{Pool: of, Kind: policy.ListFull}
 	for _, n := range names {
-		l.Hosts = append(l.Hosts, Host{Name: n, Dial: "at " + n, Weight: 1, BornAt: 1})
+		l.Hosts = append(l.Hosts, Host{Name: n, Addr: "at " + n, Weight: 1, BornAt: 1})
 	}
 	return l
 }
 
-func into(of hoststate.PoolID, e Taken) Taken {
+func into(of hoststate.PoolID, e RequestReceived) RequestReceived {
 	e.Pool = of
 	return e
 }
@@ -45,12 +45,12 @@
 	r.turn(0, hosts(1, "a"))
 	r.turn(0, hosts(2, "b"))
 	x, y, z := taken("x", r.now, sec), taken("y", r.now, sec), taken("z", r.now, sec)
-	x.Name, y.Name, z.Name = "id", "id", "id"
+	x.ClientRequestID, y.ClientRequestID, z.ClientRequestID = "id", "id", "id"
 	r.expect(0, into(1, x), "send 1.0 for 1s")
 	r.expect(0, into(2, y), "send 2.0 for 1s")
 	r.expect(0, into(1, z), "decline z taking after 0s")
-	r.expect(0, LegBegan{LegID{1, 0}}, "bind 1.0")
-	r.expect(0, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultOK})
+	r.expect(0, AttemptStarted{AttemptID{1, 0}}, "bind 1.0")
+	r.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultOK})
 	r.expect(0, into(2, z), "decline z taking after 0s") // the other is open still
 }
 
@@ -67,7 +67,7 @@
 	}
 	r.expect(0, into(2, taken("y2", r.now, sec)), "decline y2 refused after 500ms") // all five are out
 	c := r.counted(nil)
-	if len(c.Pools) != 2 || c.Pools[0].Open != 3 || c.Pools[1].Open != 2 || c.Counters.Declined != 2 || c.Counters.Taken != 5 {
+	if len(c.Pools) != 2 || c.Pools[0].Open != 3 || c.Pools[1].Open != 2 || c.Counters.RejectedByFrontend != 2 || c.Counters.Received != 5 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -76,22 +76,22 @@
 	r := pools(t, nil)
 	r.turn(0, hosts(1, "a", "b"))
 	r.expect(0, into(1, taken("x", r.now, 4*sec)), "send 1.0 for 4s")
-	r.expect(0, PoolEnd{Pool: 1})
+	r.expect(0, EndPool{Pool: 1})
 	// What was led to it before the routes changed is taken, and tried again by its rules.
 	r.expect(0, into(1, taken("y", r.now, 4*sec)), "send 2.0 for 4s")
-	r.expect(0, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultConnectFailed}, "send 1.1 for 4s")
-	for _, id := range []LegID{{1, 1}, {2, 0}} {
-		r.turn(0, LegBegan{id})
+	r.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed}, "send 1.1 for 4s")
+	for _, id := range []AttemptID{{1, 1}, {2, 0}} {
+		r.turn(0, AttemptStarted{id})
 		if r.pools[1] == nil {
 			t.Fatal("it went before its streams")
 		}
-		r.turn(0, LegEnded{Leg: id, Result: policy.ResultOK})
+		r.turn(0, AttemptEnded{Attempt: id, Result: policy.ResultOK})
 	}
 	if r.pools[1] != nil {
 		t.Error("it is still there")
 	}
 	r.expect(0, into(1, taken("z", r.now, 4*sec)), "decline z refused after 500ms")
-	if c := r.counted(nil).Counters; c.Taken != 2 || c.Served != 2 || c.Declined != 1 {
+	if c := r.counted(nil).Counters; c.Received != 2 || c.Served != 2 || c.RejectedByFrontend != 1 {
 		t.Errorf("the counters of what has gone: %+v", c)
 	}
 	r.expect(time.Minute, Tick{}) // its module's timers are nobody's
@@ -121,20 +121,20 @@
 	for e.Request.Session = 1; ; e.Request.Session++ { // one whose conversation is drawn to the shared box
 		var to string
 		for _, f := range r.Reduce(r.now, into(1, e)) {
-			if s, ok := f.(SendLeg); ok {
-				to = s.Dial
+			if s, ok := f.(StartAttempt); ok {
+				to = s.Addr
 			}
 		}
 		if to == "at shared" {
 			break
 		}
-		r.turn(0, Departed{"x"})
-		r.turn(0, LegEnded{Leg: LegID{r.lastID, 0}, Result: policy.ResultCancelled})
+		r.turn(0, ClientLeft{"x"})
+		r.turn(0, AttemptEnded{Attempt: AttemptID{r.lastID, 0}, Result: policy.ResultCancelled})
 	}
-	r.turn(0, LegEnded{Leg: LegID{r.lastID, 0}, Result: policy.ResultReset})
+	r.turn(0, AttemptEnded{Attempt: AttemptID{r.lastID, 0}, Result: policy.ResultReset})
 	for i := range 60 {
-		for _, f := range r.Reduce(r.now, into(2, Taken{From: i, At: r.now, Request: policy.Request{Session: uint64(i + 1), Timeout: sec}})) {
-			if s, ok := f.(SendLeg); ok && s.Dial == "at shared" {
+		for _, f := range r.Reduce(r.now, into(2, RequestReceived{Client: i, ReceivedAt: r.now, Request: policy.Request{Session: uint64(i + 1), Timeout: sec}})) {
+			if s, ok := f.(StartAttempt); ok && s.Addr == "at shared" {
 				t.Fatal("the other pool sends to a box that reset a connection just now")
 			}
 		}
@@ -156,7 +156,7 @@
 				t.Fatal(err)
 			}
 			id := hoststate.PoolID(i + 1)
-			b.Reduce(now, PoolSet{Pool: id, Name: fmt.Sprint(i), Module: m, WarmUp: set.SlowStart, ColdFrom: set.SlowStartInitial})
+			b.Reduce(now, ConfigurePool{Pool: id, Name: fmt.Sprint(i), Module: m, SlowStart: set.SlowStart, SlowStartInitial: set.SlowStartInitial})
 			l := hosts(id, "shared")
 			for k := range rapid.IntRange(1, 3).Draw(t, "own boxes") {
 				l.Hosts = append(l.Hosts, hosts(id, fmt.Sprint("own ", i, k)).Hosts...)
@@ -170,8 +170,8 @@
 			now += time.Millisecond
 			p := rapid.IntRange(0, 1).Draw(t, "pool")
 			over -= share / usual[p]
-			for _, f := range b.Reduce(now, Taken{From: n, Pool: hoststate.PoolID(p + 1), At: now, Request: policy.Request{Session: uint64(n + 1), Timeout: sec}}) {
-				if s, ok := f.(SendLeg); ok && s.Dial == "at shared" {
+			for _, f := range b.Reduce(now, RequestReceived{Client: n, Pool: hoststate.PoolID(p + 1), ReceivedAt: now, Request: policy.Request{Session: uint64(n + 1), Timeout: sec}}) {
+				if s, ok := f.(StartAttempt); ok && s.Addr == "at shared" {
 					over++
 				}
 			}
@@ -189,9 +189,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := pools(t, nil)
 		var order []string
-		l := NewLoop(r.Broker, func() time.Duration { return r.now }, func(e Effect) {
-			if d, ok := e.(Decline); ok {
-				order = append(order, d.To.(string))
+		l := NewLoop(r.Dispatcher, func() time.Duration { return r.now }, func(e Effect) {
+			if d, ok := e.(Reject); ok {
+				order = append(order, d.Client.(string))
 			}
 		})
 		l.fair.Store(true)
@@ -199,7 +199,7 @@
 			l.Post(into(1, taken(fmt.Sprint("x", i), r.now, sec)))
 		}
 		l.Post(into(2, taken("y", r.now, sec)))
-		l.Post(Departed{From: "x99"})
+		l.Post(ClientLeft{Client: "x99"})
 		go l.Run(t.Context())
 		synctest.Wait()
 		at := map[string]int{}
@@ -228,8 +228,8 @@
 			gone    bool
 		}
 		type out struct{ from int }
-		calls, legs := map[int]*call{}, map[LegID]*out{}
-		order := []LegID{}
+		calls, legs := map[int]*call{}, map[AttemptID]*out{}
+		order := []AttemptID{}
 		lists := map[hoststate.PoolID]map[string]Host{}
 		live, next, n := []hoststate.PoolID{}, hoststate.PoolID(0), 0
 		births := map[[2]any]time.Duration{}
@@ -238,22 +238,22 @@
 		reduce := func(e Event) {
 			for _, f := range b.Reduce(now, e) {
 				switch f := f.(type) {
-				case SendLeg:
-					c := calls[f.From.(int)]
-					h, listed := lists[f.Pool][f.Dial]
+				case StartAttempt:
+					c := calls[f.Client.(int)]
+					h, listed := lists[f.Pool][f.Addr]
 					if c == nil || c.pool != f.Pool || !listed || c.answers > 0 || c.gone {
-						t.Fatalf("a leg of pool %d to %s for %+v; its list: %v", f.Pool, f.Dial, c, lists[f.Pool])
+						t.Fatalf("a leg of pool %d to %s for %+v; its list: %v", f.Pool, f.Addr, c, lists[f.Pool])
 					}
-					if at, is := ended[f.Dial]; is && now >= at+sec/2 && h.BornAt <= endOf[f.Dial] && now < at+lim.DrainPrecedence {
-						t.Fatalf("a leg to %s, %v after its end was told", f.Dial, now-at)
+					if at, is := ended[f.Addr]; is && now >= at+sec/2 && h.BornAt <= endOf[f.Addr] && now < at+lim.DrainPrecedence {
+						t.Fatalf("a leg to %s, %v after its end was told", f.Addr, now-at)
 					}
-					legs[f.Leg] = &out{f.From.(int)}
-					order = append(order, f.Leg)
-				case Bind:
-					calls[legs[f.Leg].from].answers++
-				case Decline:
-					calls[f.To.(int)].answers++
-				case PoolGone:
+					legs[f.Attempt] = &out{f.Client.(int)}
+					order = append(order, f.Attempt)
+				case BindAttempt:
+					calls[legs[f.Attempt].from].answers++
+				case Reject:
+					calls[f.Client.(int)].answers++
+				case PoolEnded:
 					for _, c := range calls {
 						if c.pool == f.Pool && c.answers == 0 && !c.gone {
 							t.Fatalf("pool %d went before its authorisations", f.Pool)
@@ -274,14 +274,14 @@
 				}
 			}
 		}
-		endLeg := func(id LegID, r policy.Result) {
+		endLeg := func(id AttemptID, r policy.Result) {
 			for i := range order {
 				if order[i] == id {
 					order = append(order[:i:i], order[i+1:]...)
 					break
 				}
 			}
-			reduce(LegEnded{Leg: id, Result: r})
+			reduce(AttemptEnded{Attempt: id, Result: r})
 		}
 		add := func() {
 			s := settings()
@@ -292,9 +292,9 @@
 			}
 			lists[next] = map[string]Host{}
 			live = append(live, next)
-			reduce(PoolSet{
-				Pool: next, Name: fmt.Sprint("p", next), Module: m, WarmUp: sec, ColdFrom: 0.5,
-				Places: quota.Claim{Guarantee: int64(rapid.IntRange(0, 3).Draw(t, "guarantee")), Max: int64(rapid.IntRange(3, 12).Draw(t, "most"))},
+			reduce(ConfigurePool{
+				Pool: next, Name: fmt.Sprint("p", next), Module: m, SlowStart: sec, SlowStartInitial: 0.5,
+				RequestQuota: quota.Claim{Guarantee: int64(rapid.IntRange(0, 3).Draw(t, "guarantee")), Max: int64(rapid.IntRange(3, 12).Draw(t, "most"))},
 			})
 			next++
 		}
@@ -308,14 +308,14 @@
 					add()
 				case len(live) > 1:
 					i := rapid.IntRange(0, len(live)-1).Draw(t, "which")
-					reduce(PoolEnd{Pool: live[i]})
+					reduce(EndPool{Pool: live[i]})
 					live = append(live[:i:i], live[i+1:]...)
 				default:
-					reduce(PoolSet{Pool: live[0], Name: "again", Places: quota.Claim{Max: int64(rapid.IntRange(1, 12).Draw(t, "most"))}})
+					reduce(ConfigurePool{Pool: live[0], Name: "again", RequestQuota: quota.Claim{Max: int64(rapid.IntRange(1, 12).Draw(t, "most"))}})
 				}
 			case 1, 2, 3: // a list
 				p := rapid.SampledFrom(live).Draw(t, "pool")
-				l := Listed{Pool: p, Kind: policy.ListDelta}
+				l := EndpointsListed{Pool: p, Kind: policy.ListDelta}
 				if rapid.IntRange(0, 3).Draw(t, "whole") == 0 {
 					l.Kind = policy.ListFull
 				}
@@ -326,7 +326,7 @@
 					}
 					name := fmt.Sprint("b", i)
 					h := Host{
-						Name: name, Dial: name, Weight: 1, State: policy.State(rapid.IntRange(0, 2).Draw(t, "state")),
+						Name: name, Addr: name, Weight: 1, State: policy.State(rapid.IntRange(0, 2).Draw(t, "state")),
 						BornAt: time.Duration(rapid.IntRange(1, 2).Draw(t, "born")),
 					}
 					before, had := lists[p][name]
@@ -362,13 +362,13 @@
 				p := hoststate.PoolID(rapid.IntRange(0, int(next)-1).Draw(t, "pool"))
 				n++
 				calls[n] = &call{pool: p}
-				reduce(Taken{From: n, Pool: p, Name: fmt.Sprint(n % 7), At: now, Request: policy.Request{
+				reduce(RequestReceived{Client: n, Pool: p, ClientRequestID: fmt.Sprint(n % 7), ReceivedAt: now, Request: policy.Request{
 					Session: uint64(rapid.IntRange(0, 5).Draw(t, "session")), Timeout: 2 * sec,
 				}})
 			case 8:
 				if len(order) > 0 {
 					id := rapid.SampledFrom(order).Draw(t, "leg")
-					reduce(LegBegan{id})
+					reduce(AttemptStarted{id})
 				}
 			case 9, 10:
 				if len(order) > 0 {
@@ -380,7 +380,7 @@
 					if calls[c].answers == 0 {
 						calls[c].gone = true
 					}
-					reduce(Departed{From: c})
+					reduce(ClientLeft{Client: c})
 				}
 			}
 		}
@@ -395,7 +395,7 @@
 			}
 		}
 		for _, p := range live {
-			reduce(PoolEnd{Pool: p})
+			reduce(EndPool{Pool: p})
 		}
 		if len(b.pools)+len(b.auths)+len(b.byParty)+len(b.names)+b.boxesLen() != 0 || b.places.Used() != 0 {
 			t.Fatalf("left: %d pools, %d authorisations, %d names, %d boxes, %d places", len(b.pools), len(b.auths), len(b.names),
@@ -416,7 +416,7 @@
 	return false
 }
 
-func (b *Broker) boxesLen() int {
+func (b *Dispatcher) boxesLen() int {
 	if b.boxes == nil {
 		return 0
 	}
--- a/internal/broker/scale_test.go
+++ b/internal/dispatch/scale_test.go
@@ -1,4 +1,4 @@
-package broker
+package dispatch
 
 import (
 	"fmt"
@@ -23,13 +23,13 @@
 			before := heap()
 			c, now := New(lim), 1000*sec
 			for p := range n {
-				c.Reduce(now, PoolSet{
-					Pool: hoststate.PoolID(p), Name: fmt.Sprint("p", p), Module: module(b), WarmUp: sec, ColdFrom: 0.5,
-					Places: quota.Claim{Guarantee: int64(lim.ConcurrentRequests / n / 2)},
+				c.Reduce(now, ConfigurePool{
+					Pool: hoststate.PoolID(p), Name: fmt.Sprint("p", p), Module: module(b), SlowStart: sec, SlowStartInitial: 0.5,
+					RequestQuota: quota.Claim{Guarantee: int64(lim.ConcurrentRequests / n / 2)},
 				})
-				l := Listed{Pool: hoststate.PoolID(p), Kind: policy.ListFull}
+				l := EndpointsListed{Pool: hoststate.PoolID(p), Kind: policy.ListFull}
 				for i := range boxes {
-					l.Hosts = append(l.Hosts, Host{Name: fmt.Sprintf("b%d-%d", p, i), Dial: fmt.Sprintf("127.0.%d.%d:80", p, i), Weight: 1})
+					l.Hosts = append(l.Hosts, Host{Name: fmt.Sprintf("b%d-%d", p, i), Addr: fmt.Sprintf("127.0.%d.%d:80", p, i), Weight: 1})
 				}
 				c.Reduce(now, l)
 			}
@@ -38,14 +38,14 @@
 			for b.Loop() {
 				i++
 				now += 100 * time.Microsecond
-				var leg LegID
-				for _, e := range c.Reduce(now, Taken{From: i, Pool: hoststate.PoolID(i % n), At: now, Request: policy.Request{Session: uint64(i%5000 + 1), Timeout: sec}}) {
-					if s, ok := e.(SendLeg); ok {
-						leg = s.Leg
+				var leg AttemptID
+				for _, e := range c.Reduce(now, RequestReceived{Client: i, Pool: hoststate.PoolID(i % n), ReceivedAt: now, Request: policy.Request{Session: uint64(i%5000 + 1), Timeout: sec}}) {
+					if s, ok := e.(StartAttempt); ok {
+						leg = s.Attempt
 					}
 				}
-				c.Reduce(now, LegBegan{leg})
-				c.Reduce(now, LegEnded{Leg: leg, Result: policy.ResultOK})
+				c.Reduce(now, AttemptStarted{leg})
+				c.Reduce(now, AttemptEnded{Attempt: leg, Result: policy.ResultOK})
 			}
 			b.ReportMetric(float64(grown)/float64(n), "B/pool")
 			runtime.KeepAlive(c)
--- a/internal/broker/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -1,4 +1,4 @@
-package broker
+package dispatch
 
 import (
 	"testing"
@@ -11,7 +11,7 @@
 
 func traced(r *rig, o trace.Options) {
 	o.Router, o.Window, o.Linger, o.Steps, o.Seed = "n1", 10*sec, 2*sec, 1000, 5
-	r.Reduce(r.now, PoolSet{Classes: []trace.Class{{Name: "chat", Aim: sec}}})
+	r.Reduce(r.now, ConfigurePool{Classes: []trace.Class{{Name: "chat", Aim: sec}}})
 	r.Trace(o)
 }
 
@@ -19,9 +19,9 @@
 func (r *rig) keeps(at time.Duration, e Event) (kept []*trace.Try, spans []trace.Context) {
 	for _, f := range r.Reduce(r.now+at, e) {
 		switch f := f.(type) {
-		case Keep:
-			kept = append(kept, f.Try)
-		case SendTraced:
+		case ExportTrace:
+			kept = append(kept, f.Trace)
+		case StartTracedAttempt:
 			spans = append(spans, f.Span.Context)
 		}
 	}
@@ -35,20 +35,20 @@
 	traced(r, trace.Options{})
 	parent, _ := trace.ParseParent("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01")
 	e := taken("a", r.now, 4*sec)
-	e.Name, e.Origin = "call", &trace.Origin{Context: parent, Front: "calls", Tells: true}
+	e.ClientRequestID, e.Origin = "call", &trace.Origin{Context: parent, Front: "calls", Tells: true}
 	_, spans := r.keeps(10*time.Millisecond, e)
 	if len(spans) != 1 || spans[0].Trace != parent.Trace || spans[0].Span == parent.Span {
 		t.Fatalf("sent with %v", spans)
 	}
 	first := spans[0]
-	if _, spans = r.keeps(sec, LegEnded{Leg: LegID{1, 0}, Result: policy.ResultReset}); len(spans) != 1 || spans[0].Span == first.Span {
+	if _, spans = r.keeps(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultReset}); len(spans) != 1 || spans[0].Span == first.Span {
 		t.Fatalf("the second leg was sent with %v", spans)
 	}
 	if kept, _ := r.keeps(5*sec, Tick{}); len(kept) != 0 {
 		t.Fatal("it left before its client had its answer")
 	}
-	r.keeps(5*sec, Answered{From: "a", At: r.now + 5*sec})
-	kept, _ := r.keeps(5*sec+sec/10, LegEnded{Leg: LegID{1, 1}, Result: policy.ResultCancelled})
+	r.keeps(5*sec, RejectionWritten{Client: "a", At: r.now + 5*sec})
+	kept, _ := r.keeps(5*sec+sec/10, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultCancelled})
 	if len(kept) != 1 {
 		t.Fatalf("%d records", len(kept))
 	}
@@ -74,7 +74,7 @@
 	r := newRig(t, 1, nil)
 	traced(r, trace.Options{})
 	r.keeps(0, taken("a", r.now, 4*sec))
-	if kept, _ := r.keeps(sec, Flush{}); len(kept) != 1 || kept[0].Outcome != trace.Open {
+	if kept, _ := r.keeps(sec, FlushTraces{}); len(kept) != 1 || kept[0].Outcome != trace.Open {
 		t.Errorf("%+v", kept)
 	}
 }
@@ -86,12 +86,12 @@
 			lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024},
 				limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
 			x := New(lim)
-			x.Reduce(1000*sec, PoolSet{Module: module(b), WarmUp: sec, ColdFrom: 0.5})
-			r := &rig{Broker: x, now: 1000 * sec}
+			x.Reduce(1000*sec, ConfigurePool{Module: module(b), SlowStart: sec, SlowStartInitial: 0.5})
+			r := &rig{Dispatcher: x, now: 1000 * sec}
 			if on {
 				traced(r, trace.Options{Share: 0.01})
 			}
-			x.Reduce(r.now, Listed{Kind: policy.ListFull, Hosts: []Host{{Name: "h", Dial: "d", Weight: 1}}})
+			x.Reduce(r.now, EndpointsListed{Kind: policy.ListFull, Hosts: []Host{{Name: "h", Addr: "d", Weight: 1}}})
 			var origin *trace.Origin
 			if on {
 				origin = &trace.Origin{}
@@ -101,10 +101,10 @@
 				r.now += 100 * time.Microsecond
 				e := taken("a", r.now, 4*sec)
 				e.Request.Session, e.Origin = uint64(n), origin
-				id := LegID{policy.RequestID(n), 0}
+				id := AttemptID{policy.RequestID(n), 0}
 				x.Reduce(r.now, e)
-				x.Reduce(r.now, LegBegan{id})
-				x.Reduce(r.now, LegEnded{Leg: id, Result: policy.ResultOK})
+				x.Reduce(r.now, AttemptStarted{id})
+				x.Reduce(r.now, AttemptEnded{Attempt: id, Result: policy.ResultOK})
 			}
 		})
 	}
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -18,8 +18,8 @@
 
 	"notchhinge/internal/acquirer"
 	"notchhinge/internal/admission"
-	"notchhinge/internal/broker"
 	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/route"
@@ -251,7 +251,7 @@
 	// Conversation spreads requests over a split; it is asked for each request.
 	Conversation func() uint64
 	// Clock is steady, for who waits when not all can be served.
-	Clock broker.Clock
+	Clock dispatch.Clock
 }
 
 var _ acquirer.Dialect = (*Dialect)(nil)
@@ -444,7 +444,7 @@
 }
 
 // Close implements acquirer.Dialect. 429 and 503 promise that the request has not run and never will.
-func (d *Dialect) Close(m *acquirer.Message, why broker.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *acquirer.Kept) (
+func (d *Dialect) Close(m *acquirer.Message, why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *acquirer.Kept) (
 	*acquirer.Refusal, *acquirer.Kept,
 ) {
 	const least = 200 * time.Millisecond
@@ -456,7 +456,7 @@
 		return &acquirer.Refusal{Status: http.StatusServiceUnavailable, Reason: "not_run: no engine could take it", Retry: max(retryAfter, least)}, nil
 	case kept != nil && kept.Result == policy.ResultError:
 		return nil, kept
-	case why == broker.Failed:
+	case why == dispatch.VerdictFailed:
 		return &acquirer.Refusal{Status: http.StatusGatewayTimeout, Reason: "no_answer: an engine has it and has not answered"}, nil
 	}
 	return &acquirer.Refusal{Status: http.StatusBadGateway, Reason: "no_answer: an engine has had it"}, nil
@@ -468,7 +468,7 @@
 var _ issuer.Dialect = Legs{}
 
 // Head implements issuer.Dialect. The time that is left is the client's, whatever a leg may take for its first sign.
-func (Legs) Head(o *issuer.Order, e *broker.SendLeg, _ time.Duration, _ *trace.Context) []byte {
+func (Legs) Head(o *issuer.Order, e *dispatch.StartAttempt, _ time.Duration, _ *trace.Context) []byte {
 	b := make([]byte, 0, 512+len(o.Header)+len(o.Body))
 	b = append(b, o.Method...)
 	b = append(b, ' ')
@@ -480,7 +480,7 @@
 	b = append(b, deadlineHeader+": "...)
 	b = strconv.AppendInt(b, max(time.Until(o.Until).Milliseconds(), 1), 10)
 	b = append(b, "\r\n"+expectHeader+": "...)
-	b = append(b, e.Name...)
+	b = append(b, e.HostName...)
 	if o.Counted {
 		b = append(b, "\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, int64(len(o.Body)), 10)
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -13,8 +13,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"notchhinge/internal/acquirer"
-	"notchhinge/internal/broker"
 	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
@@ -124,7 +124,7 @@
 	if no != nil {
 		t.Fatal(no)
 	}
-	text := string(Legs{}.Head(&m.Order, &broker.SendLeg{Name: "i-1"}, 0, nil))
+	text := string(Legs{}.Head(&m.Order, &dispatch.StartAttempt{HostName: "i-1"}, 0, nil))
 	got, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
 		t.Fatal(err)
@@ -183,18 +183,18 @@
 	d := dialect(t)
 	kept := &acquirer.Kept{Result: policy.ResultError}
 	for _, c := range []struct {
-		why    broker.Verdict
+		why    dispatch.Verdict
 		mayRun bool
 		kept   *acquirer.Kept
 		want   int // 0 = what was kept
 	}{
-		{broker.Refused, false, nil, 503},
-		{broker.Failed, false, nil, 503},
-		{broker.Refused, true, nil, 502},
-		{broker.Failed, true, nil, 504},
-		{broker.Failed, true, kept, 0},
-		{broker.Refused, true, kept, 0},
-		{broker.Refused, false, kept, 503},
+		{dispatch.VerdictRejected, false, nil, 503},
+		{dispatch.VerdictFailed, false, nil, 503},
+		{dispatch.VerdictRejected, true, nil, 502},
+		{dispatch.VerdictFailed, true, nil, 504},
+		{dispatch.VerdictFailed, true, kept, 0},
+		{dispatch.VerdictRejected, true, kept, 0},
+		{dispatch.VerdictRejected, false, kept, 503},
 	} {
 		no, instead := d.Close(&acquirer.Message{}, c.why, 0, c.mayRun, c.kept)
 		switch {
@@ -336,7 +336,7 @@
 		if no != nil {
 			return
 		}
-		head := Legs{}.Head(&m.Order, &broker.SendLeg{Name: "i-1"}, time.Second, nil)
+		head := Legs{}.Head(&m.Order, &dispatch.StartAttempt{HostName: "i-1"}, time.Second, nil)
 		shown, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(head)))
 		if err != nil {
 			t.Fatalf("%q is shown, which does not read: %v", head, err)
@@ -396,7 +396,7 @@
 			if key == "one" {
 				d.Head(&m, &http.Response{StatusCode: 200, Status: "200 OK"})
 			} else {
-				d.Close(&m, broker.Refused, time.Second, false, nil)
+				d.Close(&m, dispatch.VerdictRejected, time.Second, false, nil)
 			}
 		}
 	}
--- a/internal/edge/smuggle_test.go
+++ b/internal/edge/smuggle_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"notchhinge/internal/acquirer"
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/service"
@@ -33,18 +33,18 @@
 				b, _ := lim.ConfiguredBounds(16384, 1<<20, 3*time.Second, 15*time.Second)
 				return b
 			},
-			Post: func(e broker.Event) {
-				x, ok := e.(broker.Taken)
+			Post: func(e dispatch.Event) {
+				x, ok := e.(dispatch.RequestReceived)
 				if !ok {
 					return
 				}
-				o := x.From.(interface{ Order() *issuer.Order }).Order()
+				o := x.Client.(interface{ Order() *issuer.Order }).Order()
 				mu.Lock()
 				got = append(got, taken{o.Target, string(o.Body), string(o.Header)})
 				mu.Unlock()
-				go x.From.(interface {
-					Close(why broker.Verdict, retryAfter time.Duration, mayHaveRun bool)
-				}).Close(broker.Refused, time.Second, false)
+				go x.Client.(interface {
+					Close(why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool)
+				}).Close(dispatch.VerdictRejected, time.Second, false)
 			},
 		})
 		near, far := net.Pipe()
--- a/internal/edge/stutter_test.go
+++ b/internal/edge/stutter_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"testing/synctest"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
 	"notchhinge/policy"
@@ -95,18 +95,18 @@
 		lim := limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 184, Sockets: 1024})
 		var c *issuer.Client
 		ended := make(chan policy.Result, 1)
-		c = issuer.New(issuer.Config{Lim: lim, Dialect: Legs{}, Dial: s.dial, Post: func(e broker.Event) {
+		c = issuer.New(issuer.Config{Lim: lim, Dialect: Legs{}, Dial: s.dial, Post: func(e dispatch.Event) {
 			switch e := e.(type) {
-			case broker.LegBegan:
-				c.Bind(e.Leg)
-			case broker.LegEnded:
+			case dispatch.AttemptStarted:
+				c.Bind(e.Attempt)
+			case dispatch.AttemptEnded:
 				ended <- e.Result
 			}
 		}})
 		for k := range n {
 			a := &asker{id: fmt.Sprintf("%04x", k)}
-			leg := broker.LegID{Auth: policy.RequestID(k + 1)}
-			c.Send(broker.SendLeg{Leg: leg, From: a, Dial: "d", Name: "i-1", Wait: 12e9})
+			leg := dispatch.AttemptID{Request: policy.RequestID(k + 1)}
+			c.Send(dispatch.StartAttempt{Attempt: leg, Client: a, Addr: "d", HostName: "i-1", Timeout: 12e9})
 			synctest.Wait()
 			var r policy.Result
 			select {
--- a/internal/issuer/issuer.go
+++ b/internal/issuer/issuer.go
@@ -16,7 +16,7 @@
 	"sync"
 	"time"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/framing"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
@@ -53,7 +53,7 @@
 // Dialect is what messages to and from issuer hosts look like. A Client without one speaks the platform's.
 type Dialect interface {
 	// Head writes an order out, body and all, with the time that is left of its budget and the span that it belongs to.
-	Head(o *Order, e *broker.SendLeg, left time.Duration, span *trace.Context) []byte
+	Head(o *Order, e *dispatch.StartAttempt, left time.Duration, span *trace.Context) []byte
 	// Whose tells what an answer is an answer to: a host that stutters sends others than the one to this order.
 	Whose(o *Order, resp *http.Response) Whose
 	// Judge says what an answer's head makes of the leg; what it calls OK is passed on.
@@ -84,8 +84,8 @@
 	Lim     limits.Limits
 	Dialect Dialect
 	Reports
-	Post func(broker.Event)
-	Now  broker.Clock // for the times of traced legs
+	Post func(dispatch.Event)
+	Now  dispatch.Clock // for the times of traced legs
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 	// Rest is how long a line may have rested at present that an order uses which must not run twice; 0 = no matter. nil =
 	// it never matters.
@@ -102,7 +102,7 @@
 	Config
 	lines lines
 	mu    sync.Mutex
-	legs  map[broker.LegID]*leg
+	legs  map[dispatch.AttemptID]*leg
 	pools map[hoststate.PoolID]*Reports // where they are not the Config's
 }
 
@@ -122,7 +122,7 @@
 		c.Go = func(f func()) { go f() }
 	}
 	return &Client{
-		Config: c, legs: map[broker.LegID]*leg{}, pools: map[hoststate.PoolID]*Reports{},
+		Config: c, legs: map[dispatch.AttemptID]*leg{}, pools: map[hoststate.PoolID]*Reports{},
 		lines: lines{
 			lim: c.Lim, dial: c.Dial, post: c.Post, idle: map[dest][]*line{}, stock: quota.New(int64(c.Lim.UpstreamConns)),
 		},
@@ -208,37 +208,37 @@
 func (l *leg) stamp(at *time.Duration, t time.Time) { *at = l.at + t.Sub(l.began) }
 
 // Send does broker.SendLeg. It does not wait.
-func (c *Client) Send(e broker.SendLeg) { c.send(e, nil) }
+func (c *Client) Send(e dispatch.StartAttempt) { c.send(e, nil) }
 
 // SendTraced does broker.SendTraced. It does not wait.
-func (c *Client) SendTraced(e broker.SendTraced) { c.send(e.SendLeg, e.Span) }
+func (c *Client) SendTraced(e dispatch.StartTracedAttempt) { c.send(e.StartAttempt, e.Span) }
 
-func (c *Client) send(e broker.SendLeg, span *trace.Carried) {
+func (c *Client) send(e dispatch.StartAttempt, span *trace.Carried) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &leg{cancel: cancel, verdict: make(chan struct{}, 1)}
 	if span != nil {
 		l.span, l.times = &span.Context, &span.Times
 	}
 	c.mu.Lock()
-	c.legs[e.Leg], l.reports = l, c.reports(e.Pool)
+	c.legs[e.Attempt], l.reports = l, c.reports(e.Pool)
 	c.mu.Unlock()
 	c.Go(func() { c.run(ctx, l, e) })
 }
 
 // Perform does an effect that concerns legs and lines, and tells whether it was one. It does not wait.
-func (c *Client) Perform(e broker.Effect) bool {
+func (c *Client) Perform(e dispatch.Effect) bool {
 	switch e := e.(type) {
-	case broker.SendLeg:
+	case dispatch.StartAttempt:
 		c.Send(e)
-	case broker.SendTraced:
+	case dispatch.StartTracedAttempt:
 		c.SendTraced(e)
-	case broker.Bind:
-		c.Bind(e.Leg)
-	case broker.DropLeg:
-		c.Drop(e.Leg)
-	case broker.HangUp:
-		c.HangUp(e.Line)
-	case broker.Probe:
+	case dispatch.BindAttempt:
+		c.Bind(e.Attempt)
+	case dispatch.CancelAttempt:
+		c.Drop(e.Attempt)
+	case dispatch.CloseIdleConnection:
+		c.HangUp(e.Connection)
+	case dispatch.SendProbe:
 		c.Probe(e)
 	default:
 		return false
@@ -247,14 +247,14 @@
 }
 
 // Bind does broker.Bind.
-func (c *Client) Bind(id broker.LegID) {
+func (c *Client) Bind(id dispatch.AttemptID) {
 	if l := c.find(id); l != nil {
 		l.verdict <- struct{}{} // at most one Bind a leg, so that there is room
 	}
 }
 
 // Drop does broker.DropLeg: the leg's line is closed, whatever it is at.
-func (c *Client) Drop(id broker.LegID) {
+func (c *Client) Drop(id dispatch.AttemptID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l := c.legs[id]
@@ -268,7 +268,7 @@
 	}
 }
 
-func (c *Client) find(id broker.LegID) *leg {
+func (c *Client) find(id dispatch.AttemptID) *leg {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.legs[id]
@@ -280,13 +280,13 @@
 // Close closes the idle lines.
 func (c *Client) Close() { c.lines.closeIf(func(dest) bool { return true }) }
 
-func (c *Client) run(ctx context.Context, l *leg, e broker.SendLeg) {
-	end := broker.LegEnded{Leg: e.Leg}
+func (c *Client) run(ctx context.Context, l *leg, e dispatch.StartAttempt) {
+	end := dispatch.AttemptEnded{Attempt: e.Attempt}
 	var keep *line
 	defer func() {
 		l.cancel()
 		c.mu.Lock()
-		delete(c.legs, e.Leg)
+		delete(c.legs, e.Attempt)
 		dropped := l.dropped
 		c.mu.Unlock()
 		if l.span != nil {
@@ -305,12 +305,12 @@
 		l.at = c.Now()
 		l.times.Begun = l.at
 	}
-	customer := e.From.(Customer)
+	customer := e.Client.(Customer)
 	most := time.Duration(0)
 	if c.Rest != nil && customer.Order().Once {
 		most = c.Rest()
 	}
-	ln, err := c.lines.get(ctx, dest{e.Host, e.Dial, e.Pool}, min(c.Lim.ConnectTimeout, e.Wait), most)
+	ln, err := c.lines.get(ctx, dest{e.Host, e.Addr, e.Pool}, min(c.Lim.ConnectTimeout, e.Timeout), most)
 	if err != nil {
 		end.Result = policy.ResultConnectFailed
 		return
@@ -328,11 +328,11 @@
 		end.Result = policy.ResultConnectFailed
 		return
 	}
-	ln.SetWriteDeadline(l.began.Add(e.Wait))
+	ln.SetWriteDeadline(l.began.Add(e.Timeout))
 	var until time.Time
-	if n, err := ln.Write(c.Dialect.Head(customer.Order(), &e, e.Wait-lined.Sub(l.began), l.span)); err != nil && (n == 0 || !c.Dialect.CutRuns()) {
+	if n, err := ln.Write(c.Dialect.Head(customer.Order(), &e, e.Timeout-lined.Sub(l.began), l.span)); err != nil && (n == 0 || !c.Dialect.CutRuns()) {
 		end.Result = policy.ResultConnectFailed // not enough of it is on its way to run
-		end.Stale = c.stale(ln)
+		end.StaleConnection = c.stale(ln)
 		return
 	} else if err != nil {
 		// Some of it is, and a host may begin before it has all. If it has answered, that is there or comes at once.
@@ -348,7 +348,7 @@
 	}
 	if err != nil {
 		end.Result = ended(err) // a stale line ends here too: nothing is sent again behind the module's back
-		end.Stale = end.Result == policy.ResultReset && ln.br.Buffered() == 0 && c.stale(ln)
+		end.StaleConnection = end.Result == policy.ResultReset && ln.br.Buffered() == 0 && c.stale(ln)
 		return
 	}
 	if l.reports.Piggyback {
@@ -356,7 +356,7 @@
 	}
 	ln.idle = c.Dialect.Idle(resp)
 	if result := c.Dialect.Judge(resp); result != policy.ResultOK {
-		end.Result, end.Arrived = result, result == policy.ResultConnectFailed
+		end.Result, end.ReachedOtherHost = result, result == policy.ResultConnectFailed
 		if k, ok := customer.(Keeper); ok && c.Dialect != (platform{}) {
 			if k.Keep(result, resp, ln) && !resp.Close {
 				keep = ln
@@ -416,8 +416,8 @@
 }
 
 // stream passes a stream on once the leg is bound, and tells whether the line can serve again.
-func (c *Client) stream(ctx context.Context, ln *line, resp *http.Response, l *leg, e broker.SendLeg, to Customer,
-	end *broker.LegEnded,
+func (c *Client) stream(ctx context.Context, ln *line, resp *http.Response, l *leg, e dispatch.StartAttempt, to Customer,
+	end *dispatch.AttemptEnded,
 ) bool {
 	ev := events{from: resp.Body, most: c.Lim.StreamEventBytes, buf: make([]byte, 0, c.Lim.ControlReadBytes)}
 	part, err := ev.next()
@@ -432,7 +432,7 @@
 	if l.times != nil {
 		l.stamp(&l.times.Event, time.Now())
 	}
-	c.Post(broker.LegBegan{Leg: e.Leg})
+	c.Post(dispatch.AttemptStarted{Attempt: e.Attempt})
 	if !l.bound(ctx) {
 		end.Result = policy.ResultCancelled
 		return false
@@ -446,7 +446,7 @@
 	for {
 		l.note(part, end)
 		if werr := to.Relay(part); werr != nil {
-			c.Post(broker.Departed{From: e.From})
+			c.Post(dispatch.ClientLeft{Client: e.Client})
 			end.Result = policy.ResultCancelled
 			return false
 		}
@@ -470,7 +470,7 @@
 }
 
 // finish ends an answer whose parts have been passed on until err, and tells whether the line can serve again.
-func (c *Client) finish(resp *http.Response, e broker.SendLeg, to Customer, err error, end *broker.LegEnded) bool {
+func (c *Client) finish(resp *http.Response, e dispatch.StartAttempt, to Customer, err error, end *dispatch.AttemptEnded) bool {
 	// Only a framed answer shows its end; one that lasts as long as its connection may have been cut off.
 	whole := errors.Is(err, io.EOF) && (resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0)
 	if werr := to.Finish(whole); !whole {
@@ -479,7 +479,7 @@
 			end.Result = ended(err)
 		}
 	} else if werr != nil {
-		c.Post(broker.Departed{From: e.From})
+		c.Post(dispatch.ClientLeft{Client: e.Client})
 		end.Result = policy.ResultCancelled
 	} else {
 		end.Result = policy.ResultOK
@@ -489,8 +489,8 @@
 
 // plain passes an answer on that is no series of events, and tells whether the line can serve again. What fits into the
 // buffer is read whole before the leg begins: should it break off, another host may be asked.
-func (c *Client) plain(ctx context.Context, ln *line, resp *http.Response, l *leg, e broker.SendLeg, to Customer,
-	end *broker.LegEnded,
+func (c *Client) plain(ctx context.Context, ln *line, resp *http.Response, l *leg, e dispatch.StartAttempt, to Customer,
+	end *dispatch.AttemptEnded,
 ) bool {
 	ln.SetReadDeadline(time.Now().Add(c.Lim.FirstEventTimeout))
 	size := int64(2 * c.Lim.ControlReadBytes) // of one that does not tell its length
@@ -516,7 +516,7 @@
 		end.Result = ended(err)
 		return false
 	}
-	c.Post(broker.LegBegan{Leg: e.Leg})
+	c.Post(dispatch.AttemptStarted{Attempt: e.Attempt})
 	if !l.bound(ctx) {
 		end.Result = policy.ResultCancelled
 		return err != nil && !resp.Close // it is read to its end
@@ -525,7 +525,7 @@
 	for part := buf[:n]; ; part = buf[:n] {
 		if n > 0 {
 			if werr := to.Relay(part); werr != nil {
-				c.Post(broker.Departed{From: e.From})
+				c.Post(dispatch.ClientLeft{Client: e.Client})
 				end.Result = policy.ResultCancelled
 				return false
 			}
@@ -555,10 +555,10 @@
 }
 
 // note takes from passing events what the module wants to know, and what a traced leg keeps account of.
-func (l *leg) note(part []byte, end *broker.LegEnded) {
+func (l *leg) note(part []byte, end *dispatch.AttemptEnded) {
 	if usage := tail(part, `"usage":`); usage != nil {
 		if n, ok := number(usage, `"cached_tokens":`); ok {
-			end.Kept = float64(n)
+			end.CachedTokens = float64(n)
 		}
 		if l.times != nil {
 			if n, ok := number(usage, `"completion_tokens":`); ok {
@@ -602,13 +602,13 @@
 }
 
 // Probe does broker.Probe. It does not wait.
-func (c *Client) Probe(e broker.Probe) {
+func (c *Client) Probe(e dispatch.SendProbe) {
 	go func() {
-		p := broker.Probed{Pool: e.Pool, Host: e.Host, Sent: e.Sent}
+		p := dispatch.ProbeDone{Pool: e.Pool, Host: e.Host, Sent: e.Sent}
 		c.mu.Lock()
 		r := c.reports(e.Pool)
 		c.mu.Unlock()
-		p.Result, p.Report = c.probe(dest{e.Host, e.Dial, e.Pool}, r)
+		p.Result, p.Report = c.probe(dest{e.Host, e.Addr, e.Pool}, r)
 		c.Post(p)
 	}()
 }
--- a/internal/issuer/issuer_test.go
+++ b/internal/issuer/issuer_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/exchange"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
@@ -46,8 +46,8 @@
 // desk stands for the broker: it binds every leg that begins and notes how it ended.
 type desk struct {
 	*Client
-	ends   []broker.LegEnded
-	events []broker.Event
+	ends   []dispatch.AttemptEnded
+	events []dispatch.Event
 }
 
 func newDesk(dial func(ctx context.Context, network, addr string) (net.Conn, error)) *desk {
@@ -57,11 +57,11 @@
 	d.Client = New(Config{
 		Lim: lim, Dial: dial,
 		Reports: Reports{Columns: []string{"x1", "concurrent"}, Stats: true, Piggyback: true},
-		Post: func(e broker.Event) {
+		Post: func(e dispatch.Event) {
 			switch e := e.(type) {
-			case broker.LegBegan:
-				d.Bind(e.Leg)
-			case broker.LegEnded:
+			case dispatch.AttemptStarted:
+				d.Bind(e.Attempt)
+			case dispatch.AttemptEnded:
 				d.ends = append(d.ends, e)
 			default:
 				d.events = append(d.events, e)
@@ -89,8 +89,8 @@
 	}})
 }
 
-func send(n int, c *customer) broker.SendLeg {
-	return broker.SendLeg{Leg: broker.LegID{Auth: 1, N: n}, From: c, Dial: "d", Wait: 4 * time.Second}
+func send(n int, c *customer) dispatch.StartAttempt {
+	return dispatch.StartAttempt{Attempt: dispatch.AttemptID{Request: 1, Index: n}, Client: c, Addr: "d", Timeout: 4 * time.Second}
 }
 
 const (
@@ -146,7 +146,7 @@
 				synctest.Wait()
 				conn.Close()
 				d.Close()
-				end := []broker.LegEnded{{Leg: broker.LegID{Auth: 1}, Result: want.result, Kept: want.kept, Report: want.report}}
+				end := []dispatch.AttemptEnded{{Attempt: dispatch.AttemptID{Request: 1}, Result: want.result, CachedTokens: want.kept, Report: want.report}}
 				if diff := cmp.Diff(end, d.ends); diff != "" {
 					t.Errorf("outcome (-want +got):\n%s", diff)
 				}
@@ -260,7 +260,7 @@
 			synctest.Wait()
 		}
 		idle := d.Lim.UpstreamIdleTimeout
-		want := []broker.Event{broker.Parked{Line: 1, Idle: idle}, broker.Parked{Line: 2, Idle: idle}}
+		want := []dispatch.Event{dispatch.ConnectionIdle{Connection: 1, Idle: idle}, dispatch.ConnectionIdle{Connection: 2, Idle: idle}}
 		if diff := cmp.Diff(want, d.events); diff != "" || len(far) != 0 {
 			t.Errorf("parked, %d more connections (-want +got):\n%s", len(far), diff)
 		}
@@ -287,7 +287,7 @@
 		d.Send(send(1, c))
 		play(t, conn, "reset")
 		synctest.Wait()
-		if len(d.ends) != 2 || d.ends[1].Result != policy.ResultReset || !d.ends[1].Stale || len(far) != 0 {
+		if len(d.ends) != 2 || d.ends[1].Result != policy.ResultReset || !d.ends[1].StaleConnection || len(far) != 0 {
 			t.Errorf("ends %v, %d more connections", d.ends, len(far))
 		}
 	})
@@ -360,7 +360,7 @@
 		d.Send(send(3, c))
 		play(t, <-far, "reset")
 		synctest.Wait()
-		if len(d.ends) != 4 || !d.ends[2].Stale || d.ends[3].Stale || d.lines.open != 0 {
+		if len(d.ends) != 4 || !d.ends[2].StaleConnection || d.ends[3].StaleConnection || d.lines.open != 0 {
 			t.Errorf("ends %v, %d lines open", d.ends, d.lines.open)
 		}
 	})
@@ -373,7 +373,7 @@
 		d.Send(send(0, c))
 		conn := <-far
 		play(t, conn, "request_sent")
-		d.Drop(broker.LegID{Auth: 1})
+		d.Drop(dispatch.AttemptID{Request: 1})
 		play(t, conn, "is_closed")
 		synctest.Wait()
 		if len(d.ends) != 1 || d.lines.open != 0 || len(d.legs) != 0 {
@@ -391,7 +391,7 @@
 		conn := <-far
 		play(t, conn, "unread")
 		synctest.Wait()
-		if diff := cmp.Diff([]broker.Event{broker.Departed{From: c}}, d.events, cmp.Comparer(func(x, y *customer) bool { return x == y })); diff != "" {
+		if diff := cmp.Diff([]dispatch.Event{dispatch.ClientLeft{Client: c}}, d.events, cmp.Comparer(func(x, y *customer) bool { return x == y })); diff != "" {
 			t.Errorf("events (-want +got):\n%s", diff)
 		}
 		if len(d.ends) != 1 || d.ends[0].Result != policy.ResultCancelled {
@@ -428,7 +428,7 @@
 }
 
 func TestProbe(t *testing.T) {
-	for name, want := range map[string]broker.Probed{
+	for name, want := range map[string]dispatch.ProbeDone{
 		"probe_ok":     {Result: policy.ResultOK, Report: policy.Report{N: 2, Values: [4]float64{0.25, 3}}},
 		"probe_error":  {Result: policy.ResultError},
 		"probe_silent": {Result: policy.ResultTimedOut},
@@ -438,20 +438,20 @@
 			synctest.Test(t, func(t *testing.T) {
 				dial, far := pipes()
 				d := newDesk(dial)
-				d.Probe(broker.Probe{Host: 5, Dial: "d"})
+				d.Probe(dispatch.SendProbe{Host: 5, Addr: "d"})
 				conn := <-far
 				play(t, conn, name)
 				synctest.Wait()
 				conn.Close()
 				d.Close()
 				want.Host = 5
-				var got []broker.Event
+				var got []dispatch.Event
 				for _, e := range d.events {
-					if p, ok := e.(broker.Probed); ok {
+					if p, ok := e.(dispatch.ProbeDone); ok {
 						got = append(got, p)
 					}
 				}
-				if diff := cmp.Diff([]broker.Event{want}, got); diff != "" {
+				if diff := cmp.Diff([]dispatch.Event{want}, got); diff != "" {
 					t.Errorf("(-want +got):\n%s", diff)
 				}
 			})
--- a/internal/issuer/lines.go
+++ b/internal/issuer/lines.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/quota"
@@ -50,7 +50,7 @@
 type lines struct {
 	lim  limits.Limits
 	dial func(ctx context.Context, network, addr string) (net.Conn, error)
-	post func(broker.Event)
+	post func(dispatch.Event)
 
 	mu     sync.Mutex
 	idle   map[dest][]*line // the latest last
@@ -183,7 +183,7 @@
 	p.idle[l.to] = append(p.idle[l.to], l)
 	idle := p.idleOf(l)
 	p.mu.Unlock() // from here on it may be another leg's
-	p.post(broker.Parked{Line: number, Idle: idle})
+	p.post(dispatch.ConnectionIdle{Connection: number, Idle: idle})
 }
 
 // hangUp closes the line that is parked under a number, if it still is.
--- a/internal/issuer/platform.go
+++ b/internal/issuer/platform.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"time"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/trace"
 	"notchhinge/policy"
 )
@@ -53,7 +53,7 @@
 }
 
 // Head writes an order out, with the time that is left as its budget and the span that it belongs to, if any.
-func (platform) Head(o *Order, _ *broker.SendLeg, left time.Duration, span *trace.Context) []byte {
+func (platform) Head(o *Order, _ *dispatch.StartAttempt, left time.Duration, span *trace.Context) []byte {
 	b := make([]byte, 0, 512+len(o.Body))
 	b = append(b, o.Method...)
 	b = append(b, ' ')
--- a/internal/issuer/trace_test.go
+++ b/internal/issuer/trace_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/trace"
 )
 
@@ -22,7 +22,7 @@
 			t.Fatal("a bad context")
 		}
 		c := &customer{body: []byte(`{"model":"chat"}`)}
-		d.SendTraced(broker.SendTraced{SendLeg: send(0, c), Span: &trace.Carried{Context: span}})
+		d.SendTraced(dispatch.StartTracedAttempt{StartAttempt: send(0, c), Span: &trace.Carried{Context: span}})
 		conn := <-far
 		play(t, conn, "traced")
 		synctest.Wait()
--- a/internal/lab/check/legs.go
+++ b/internal/lab/check/legs.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"notchhinge/internal/acquirer"
-	"notchhinge/internal/broker"
 	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/edge"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/issuer"
@@ -96,12 +96,12 @@
 	short   bool // fewer kinds of second attempts
 	fine    bool // answers are cut at every byte, and the second request is answered plainly
 	now     time.Duration
-	broker  *broker.Broker
+	broker  *dispatch.Dispatcher
 	issuer  *issuer.Client
 	front   *acquirer.Server
-	events  []broker.Event
+	events  []dispatch.Event
 	pumping bool
-	closing []broker.Decline
+	closing []dispatch.Reject
 	legs    []func()
 	asked   []*asked
 	callers []*caller
@@ -146,7 +146,7 @@
 		r.wrong = err.Error()
 		return r
 	}
-	r.broker = broker.New(lim)
+	r.broker = dispatch.New(lim)
 	r.issuer = issuer.New(issuer.Config{
 		Lim: lim, Post: r.post, Now: clock, Dial: r.dial, Dialect: legDialect{blind: r.blind}, Go: func(f func()) { r.legs = append(r.legs, f) },
 	})
@@ -156,15 +156,15 @@
 			Now: func() *edge.Compiled { return at }, Conversation: func() uint64 { return 1 }, Clock: clock,
 		}, r.promises},
 	})
-	set := broker.PoolSet{Pool: s.ID, Name: "s", Module: m, WarmUp: edge.WarmUp, ColdFrom: edge.ColdFrom, Attempts: lim.MaxAttempts}
+	set := dispatch.ConfigurePool{Pool: s.ID, Name: "s", Module: m, SlowStart: edge.WarmUp, SlowStartInitial: edge.ColdFrom, MaxAttempts: lim.MaxAttempts}
 	if !r.lavish {
-		set.Repeats = &retrybudget.Budget{Allowance: float64(r.repeats), Window: 10 * time.Second}
+		set.RetryBudget = &retrybudget.Budget{Allowance: float64(r.repeats), Window: 10 * time.Second}
 	}
 	r.post(set)
-	l := broker.Listed{Pool: s.ID, Kind: policy.ListFull}
+	l := dispatch.EndpointsListed{Pool: s.ID, Kind: policy.ListFull}
 	for i := range engines {
 		name := fmt.Sprint("i-", i)
-		l.Hosts = append(l.Hosts, broker.Host{Name: name, Dial: name, Weight: 1})
+		l.Hosts = append(l.Hosts, dispatch.Host{Name: name, Addr: name, Weight: 1})
 	}
 	r.post(l)
 	return r
@@ -198,7 +198,7 @@
 	promises bool
 }
 
-func (d frontDialect) Close(m *acquirer.Message, why broker.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *acquirer.Kept) (
+func (d frontDialect) Close(m *acquirer.Message, why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *acquirer.Kept) (
 	*acquirer.Refusal, *acquirer.Kept,
 ) {
 	return d.Dialect.Close(m, why, retryAfter, mayHaveRun && !d.promises, kept)
@@ -217,10 +217,10 @@
 func (f finisher) Finish(bool) error { return f.customer.Finish(true) }
 
 // post reduces an event, and has done what follows from it.
-func (r *router) post(e broker.Event) {
-	if d, ok := e.(broker.Departed); ok {
-		if f, ok := d.From.(finisher); ok {
-			d.From = f.customer
+func (r *router) post(e dispatch.Event) {
+	if d, ok := e.(dispatch.ClientLeft); ok {
+		if f, ok := d.Client.(finisher); ok {
+			d.Client = f.customer
 			e = d
 		}
 	}
@@ -240,20 +240,20 @@
 	for len(r.closing) > 0 {
 		d := r.closing[0]
 		r.closing = r.closing[1:]
-		d.To.(interface {
-			Close(broker.Verdict, time.Duration, bool)
-		}).Close(d.Why, d.RetryAfter, d.MayHaveRun)
+		d.Client.(interface {
+			Close(dispatch.Verdict, time.Duration, bool)
+		}).Close(d.Verdict, d.RetryAfter, d.MayHaveRun)
 	}
 }
 
-func (r *router) perform(e broker.Effect) {
+func (r *router) perform(e dispatch.Effect) {
 	switch e := e.(type) {
-	case broker.SendLeg:
+	case dispatch.StartAttempt:
 		if r.whole {
-			e.From = finisher{e.From.(customer)}
+			e.Client = finisher{e.Client.(customer)}
 		}
 		r.issuer.Send(e)
-	case broker.Decline:
+	case dispatch.Reject:
 		r.closing = append(r.closing, e)
 	default:
 		r.issuer.Perform(e)
@@ -537,7 +537,7 @@
 	// Silence lasts until the deadline, or a client that has its answer's beginning has had enough.
 	may("the deadline", func() {
 		r.now += 6 * time.Second
-		r.post(broker.Tick{})
+		r.post(dispatch.Tick{})
 		if !v.closed {
 			q.from.leave()
 		}
@@ -711,7 +711,7 @@
 	case 3:
 		r.tell("lines rest for long")
 		r.now += 20 * time.Second
-		r.post(broker.Tick{})
+		r.post(dispatch.Tick{})
 		for _, v := range rest {
 			if v.dirty = "it has rested for too long"; !v.closed {
 				r.fault("a line to %s rests on", v.host)
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/edge"
 	"notchhinge/internal/lab/model"
 	"notchhinge/internal/limits"
@@ -90,7 +90,7 @@
 // leg is an attempt at an engine.
 type leg struct {
 	c      *call
-	id     broker.LegID
+	id     dispatch.AttemptID
 	engine int
 	began  bool
 	over   bool
@@ -108,7 +108,7 @@
 
 type router struct {
 	zone  int
-	b     *broker.Broker
+	b     *dispatch.Dispatcher
 	tick  time.Duration // in the queue for then; 0 = none
 	count []int         // a baseline's: own requests at each engine
 	total int
@@ -173,7 +173,7 @@
 	engines []*engine
 	routers []*router
 	calls   []*call
-	byLeg   []map[broker.LegID]*leg // by router
+	byLeg   []map[dispatch.AttemptID]*leg // by router
 	nextReq uint64
 	zipf    []float64 // cumulative popularity of beginnings
 	out     []model.Output
@@ -240,18 +240,18 @@
 			r.alive[k] = true
 		}
 		w.routers = append(w.routers, r)
-		w.byLeg = append(w.byLeg, map[broker.LegID]*leg{})
+		w.byLeg = append(w.byLeg, map[dispatch.AttemptID]*leg{})
 		if w.Variant != "design" {
 			continue
 		}
 		lim := limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 1 << 16})
-		r.b = broker.New(lim)
+		r.b = dispatch.New(lim)
 		class := policy.Class{Name: "chat", TargetLatency: aim, Deadline: 12 * time.Second, Value: 1, LateValue: 1, Effect: policy.EffectUnsafe, IsStreaming: true, MaxAttempts: attempts}
 		m, err := policy.New(edge.Settings([]policy.Class{class}, limits.DrainGrace(3*time.Second), attempts), mix(w.Seed, uint64(i)+100))
 		if err != nil {
 			return fmt.Errorf("sim: %w", err)
 		}
-		w.reduce(i, broker.PoolSet{Pool: 1, Name: "s", Module: m, WarmUp: edge.WarmUp, ColdFrom: edge.ColdFrom, Attempts: attempts, RetryAfter: time.Second})
+		w.reduce(i, dispatch.ConfigurePool{Pool: 1, Name: "s", Module: m, SlowStart: edge.WarmUp, SlowStartInitial: edge.ColdFrom, MaxAttempts: attempts, RetryAfter: time.Second})
 		w.list(i)
 	}
 	beginnings := 2 * w.Engines
@@ -291,10 +291,10 @@
 
 // list tells a router's module which engines there are.
 func (w *world) list(i int) {
-	l := broker.Listed{Pool: 1, Kind: policy.ListFull}
+	l := dispatch.EndpointsListed{Pool: 1, Kind: policy.ListFull}
 	for k := range w.engines {
 		if w.routers[i].alive[k] {
-			h := broker.Host{Name: fmt.Sprint("e", k), Dial: fmt.Sprint(k), Weight: 1}
+			h := dispatch.Host{Name: fmt.Sprint("e", k), Addr: fmt.Sprint(k), Weight: 1}
 			if w.Cold {
 				h.BornAt = time.Hour
 			}
@@ -313,33 +313,33 @@
 }
 
 // reduce has a router's broker take an event, and does what follows.
-func (w *world) reduce(i int, e broker.Event) {
+func (w *world) reduce(i int, e dispatch.Event) {
 	r := w.routers[i]
 	// The effects are the broker's own until its next event.
 	for _, f := range slices.Clone(r.b.Reduce(w.now, e)) {
 		switch f := f.(type) {
-		case broker.SendLeg:
-			c := f.From.(*call)
+		case dispatch.StartAttempt:
+			c := f.Client.(*call)
 			var k int
-			_, _ = fmt.Sscan(f.Dial, &k) // written by this program
-			l := &leg{c: c, id: f.Leg, engine: k}
+			_, _ = fmt.Sscan(f.Addr, &k) // written by this program
+			l := &leg{c: c, id: f.Attempt, engine: k}
 			c.legs++
-			w.byLeg[i][f.Leg] = l
+			w.byLeg[i][f.Attempt] = l
 			w.plan(event{at: w.now + w.delay(i, k), kind: reaches, leg: l})
-		case broker.Bind:
-			if l := w.byLeg[i][f.Leg]; l != nil && l.c.first == 0 {
+		case dispatch.BindAttempt:
+			if l := w.byLeg[i][f.Attempt]; l != nil && l.c.first == 0 {
 				l.c.first = w.now
 			}
-		case broker.DropLeg:
-			if l := w.byLeg[i][f.Leg]; l != nil && !l.over {
+		case dispatch.CancelAttempt:
+			if l := w.byLeg[i][f.Attempt]; l != nil && !l.over {
 				l.over = true
 				w.cancel(l)
 				w.plan(event{at: w.now, kind: answers, leg: l, done: true, kept: dropped})
 			}
-		case broker.Decline:
-			c := f.To.(*call)
+		case dispatch.Reject:
+			c := f.Client.(*call)
 			c.state = refused
-			if f.MayHaveRun || f.Why == broker.Failed {
+			if f.MayHaveRun || f.Verdict == dispatch.VerdictFailed {
 				c.state = failed
 			}
 		}
@@ -366,7 +366,7 @@
 		c := e.call
 		if w.Variant == "design" {
 			salt := mix(w.Seed, uint64(c.router)+1000)
-			w.reduce(c.router, broker.Taken{From: c, Pool: 1, At: w.now, Attempts: attempts, Request: policy.Request{
+			w.reduce(c.router, dispatch.RequestReceived{Client: c, Pool: 1, ReceivedAt: w.now, MaxAttempts: attempts, Request: policy.Request{
 				Session: mix(uint64(c.prefix)+1, salt), Prefix: mix(uint64(c.prefix)+1, 5), Timeout: patience,
 			}})
 			return
@@ -400,7 +400,7 @@
 		r := w.routers[e.i]
 		if r.tick == e.at {
 			r.tick = 0
-			w.reduce(e.i, broker.Tick{})
+			w.reduce(e.i, dispatch.Tick{})
 		}
 	case crashes:
 		g := w.engines[e.i]
@@ -505,7 +505,7 @@
 			w.over(l, r, 0)
 		case !e.done:
 			l.began = true
-			w.reduce(l.c.router, broker.LegBegan{Leg: l.id})
+			w.reduce(l.c.router, dispatch.AttemptStarted{Attempt: l.id})
 		default:
 			l.over = true
 			w.over(l, policy.ResultOK, e.kept)
@@ -549,7 +549,7 @@
 
 func (w *world) over(l *leg, r policy.Result, kept int) {
 	delete(w.byLeg[l.c.router], l.id)
-	w.reduce(l.c.router, broker.LegEnded{Leg: l.id, Result: r, Kept: float64(kept)})
+	w.reduce(l.c.router, dispatch.AttemptEnded{Attempt: l.id, Result: r, CachedTokens: float64(kept)})
 }
 
 // figures adds up.
--- a/internal/node/benchhelpers_test.go
+++ b/internal/node/benchhelpers_test.go
@@ -13,11 +13,11 @@
 	"testing"
 	"time"
 
-	"notchhinge/internal/broker"
 	settings "notchhinge/internal/config"
 	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/control/metrics"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/plan"
 	"notchhinge/internal/router"
@@ -104,7 +104,7 @@
 			return near, nil
 		}
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
-	}, broker.UnixClock())
+	}, dispatch.UnixClock())
 	stop, done := make(chan os.Signal, 1), make(chan error, 1)
 	go func() { done <- r.ServeOn(front, router.Signals{Stop: stop}) }()
 	b.Cleanup(func() { stop <- os.Interrupt; <-done })
--- a/internal/node/dataplane.go
+++ b/internal/node/dataplane.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"notchhinge/internal/acquirer"
-	"notchhinge/internal/broker"
 	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/metrics"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/edge"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/issuer"
@@ -38,7 +38,7 @@
 // and a policy module for each service.
 type dataPlane struct {
 	dataPlaneOptions
-	loop       *broker.Loop
+	loop       *dispatch.Loop
 	upstream   *issuer.Client
 	frontend   *acquirer.Server
 	dialect    *edge.Dialect
@@ -63,7 +63,7 @@
 	}
 	defaults, _ := o.limits.ConfiguredBounds(0, 0, 0, 0)
 	d.bounds.Store(&defaults)
-	d.loop = broker.NewLoop(broker.New(o.limits), broker.UnixClock(), d.perform)
+	d.loop = dispatch.NewLoop(dispatch.New(o.limits), dispatch.UnixClock(), d.perform)
 	d.upstream = issuer.New(issuer.Config{
 		Lim: o.limits, Post: d.loop.Post, Now: d.loop.Now, Dial: d.dial, Dialect: edge.Legs{}, Rest: d.maxIdle, Forgot: func() { d.onIdleDrop() },
 	})
@@ -103,23 +103,23 @@
 
 // closer is a client's request, as the frontend hands it to the loop.
 type closer interface {
-	Close(why broker.Verdict, retryAfter time.Duration, mayHaveRun bool)
+	Close(why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool)
 }
 
 // perform has an effect of the loop carried out by its owner. It does not wait.
-func (d *dataPlane) perform(e broker.Effect) {
+func (d *dataPlane) perform(e dispatch.Effect) {
 	if d.upstream.Perform(e) {
 		return
 	}
 	switch e := e.(type) {
-	case broker.Decline:
-		go e.To.(closer).Close(e.Why, e.RetryAfter, e.MayHaveRun)
-	case broker.PoolGone:
+	case dispatch.Reject:
+		go e.Client.(closer).Close(e.Verdict, e.RetryAfter, e.MayHaveRun)
+	case dispatch.PoolEnded:
 		go d.poolEnded(e.Pool)
-	case broker.Log:
-		d.log.Info(e.Line, "service", e.Pool)
-	case broker.Counted:
-		if to, ok := e.Of.(chan broker.Counted); ok {
+	case dispatch.Log:
+		d.log.Info(e.Message, "service", e.Pool)
+	case dispatch.CountersReport:
+		if to, ok := e.ReplyTo.(chan dispatch.CountersReport); ok {
 			to <- e // it has room
 		}
 	}
@@ -160,7 +160,7 @@
 		return
 	}
 	d.retryBudget.Allowance = allowance
-	d.loop.Post(broker.RepeatsExtra(allowance))
+	d.loop.Post(dispatch.RetryAllowance(allowance))
 }
 
 // hasEndpoints tells whether there is an endpoint for any of the configured services, or no service is configured.
--- a/internal/node/dataplaneconfig.go
+++ b/internal/node/dataplaneconfig.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"notchhinge/internal/broker"
 	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/edge"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
@@ -38,7 +38,7 @@
 	d.routes.Store(next)
 	for name, s := range before {
 		if next.Services()[name] == nil {
-			d.loop.Post(broker.PoolEnd{Pool: s.ID})
+			d.loop.Post(dispatch.EndPool{Pool: s.ID})
 		}
 	}
 	d.publishEndpoints(next)
@@ -67,7 +67,7 @@
 		classes = []policy.Class{{Name: "none", TargetLatency: time.Second, Deadline: time.Second, Value: 1}}
 	}
 	if exists && d.classCounts[s.ID] > 0 {
-		d.loop.Post(broker.Classes{Pool: s.ID, Classes: classes})
+		d.loop.Post(dispatch.AddClasses{Pool: s.ID, Classes: classes})
 		d.classCounts[s.ID] = len(s.Classes)
 		return nil
 	}
@@ -78,12 +78,12 @@
 	d.modules[s.ID], d.classCounts[s.ID] = m, len(s.Classes)
 	d.upstream.Set(s.ID, issuer.Reports{}, quota.Claim{})
 	d.frontend.Set(s.ID, quota.Claim{}, quota.Claim{})
-	e := broker.PoolSet{
-		Pool: s.ID, Name: s.Name, Module: m, WarmUp: edge.WarmUp, ColdFrom: edge.ColdFrom, Attempts: d.limits.MaxAttempts, RetryAfter: d.limits.OverloadRetryAfter,
+	e := dispatch.ConfigurePool{
+		Pool: s.ID, Name: s.Name, Module: m, SlowStart: edge.WarmUp, SlowStartInitial: edge.ColdFrom, MaxAttempts: d.limits.MaxAttempts, RetryAfter: d.limits.OverloadRetryAfter,
 	}
 	if d.retryBudget.Window > 0 {
 		budget := d.retryBudget
-		e.Repeats = &budget
+		e.RetryBudget = &budget
 	}
 	d.loop.Post(e)
 	return nil
@@ -94,7 +94,7 @@
 	wallMS, now := time.Now().UnixMilli(), d.loop.Now()
 	zones := map[string]string{}
 	for name, s := range routes.Services() {
-		list := broker.Listed{Pool: s.ID, Kind: policy.ListFull}
+		list := dispatch.EndpointsListed{Pool: s.ID, Kind: policy.ListFull}
 		for _, e := range d.endpoints(name) {
 			zones[e.Addr] = e.Zone
 			list.Hosts = append(list.Hosts, listedHost(&e, wallMS, now))
@@ -106,8 +106,8 @@
 
 // listedHost is an endpoint as a policy module knows it: one that is still warming up was born as much less than
 // edge.WarmUp ago as it needs still.
-func listedHost(e *endpoints.Endpoint, wallMS int64, now time.Duration) broker.Host {
-	h := broker.Host{Name: e.ID, Dial: e.Addr, Weight: 1}
+func listedHost(e *endpoints.Endpoint, wallMS int64, now time.Duration) dispatch.Host {
+	h := dispatch.Host{Name: e.ID, Addr: e.Addr, Weight: 1}
 	if e.State == endpoints.StateDraining {
 		h.State = policy.StateDraining
 	}
--- a/internal/node/usagereport.go
+++ b/internal/node/usagereport.go
@@ -5,11 +5,11 @@
 	"sync"
 	"time"
 
-	"notchhinge/internal/broker"
 	"notchhinge/internal/control/discovery"
 	"notchhinge/internal/control/gossip"
 	"notchhinge/internal/control/singleton"
 	"notchhinge/internal/control/usage"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/limits"
 )
 
@@ -94,12 +94,12 @@
 
 // serviceLoads asks the loop what runs at each service's engines; false = ctx is done.
 func (n *Node) serviceLoads(ctx context.Context) (loads []usage.Load, ok bool) {
-	counted := make(chan broker.Counted, 1)
-	n.dataPlane.loop.Post(broker.Audit{Of: counted})
+	counted := make(chan dispatch.CountersReport, 1)
+	n.dataPlane.loop.Post(dispatch.GetCounters{ReplyTo: counted})
 	select {
 	case c := <-counted:
 		for _, s := range c.Pools {
-			loads = append(loads, usage.Load{Service: s.Name, Running: uint64(s.Open) * 100, Arrived: uint64(s.Taken)})
+			loads = append(loads, usage.Load{Service: s.Name, Running: uint64(s.Open) * 100, Arrived: uint64(s.Received)})
 		}
 		return loads, true
 	case <-ctx.Done():
--- a/internal/registry/feed.go
+++ b/internal/registry/feed.go
@@ -9,7 +9,7 @@
 	"sync"
 	"sync/atomic"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
 	"notchhinge/policy"
 )
@@ -44,7 +44,7 @@
 type Feed struct {
 	Client *Client
 
-	post  func(broker.Event)
+	post  func(dispatch.Event)
 	asked chan struct{}
 	stop  context.CancelFunc
 
@@ -65,7 +65,7 @@
 }
 
 // NewFeed returns a feed of a discovery. c.Deliver and c.Post are the feed's.
-func NewFeed(c Client, post func(broker.Event)) *Feed {
+func NewFeed(c Client, post func(dispatch.Event)) *Feed {
 	f := &Feed{post: post, asked: make(chan struct{}, 1), pools: map[hoststate.PoolID]*member{}, list: map[string]Entry{}}
 	c.Deliver, c.Post = f.take, post
 	f.Client = New(c)
@@ -165,7 +165,7 @@
 		}
 	}
 	if f.first.Swap(int64(least)) != int64(least) && f.failed.Load() && least >= 0 {
-		f.post(broker.Listed{Pool: least, Kind: policy.ListFailed})
+		f.post(dispatch.EndpointsListed{Pool: least, Kind: policy.ListFailed})
 	}
 }
 
@@ -176,7 +176,7 @@
 	f.failed.Store(kind == policy.ListFailed)
 	if kind == policy.ListFailed {
 		if len(f.pools) > 0 {
-			f.post(broker.Listed{Pool: hoststate.PoolID(f.first.Load()), Kind: kind})
+			f.post(dispatch.EndpointsListed{Pool: hoststate.PoolID(f.first.Load()), Kind: kind})
 		}
 		return nil
 	}
@@ -215,7 +215,7 @@
 			case m.sel.Takes(&l.Hosts[i]):
 				m.has[h.Name] = h.State != policy.StateGone
 			case m.has[h.Name]: // it is of the selection no more
-				h.State, h.Left = policy.StateGone, h.State != policy.StateGone
+				h.State, h.Removed = policy.StateGone, h.State != policy.StateGone
 			default:
 				continue
 			}
@@ -228,6 +228,6 @@
 			return nil // it concerns others
 		}
 	}
-	f.post(broker.Listed{Pool: id, Kind: kind, Hosts: hosts})
+	f.post(dispatch.EndpointsListed{Pool: id, Kind: kind, Hosts: hosts})
 	return nil
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"time"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/limits"
 	"notchhinge/policy"
 )
@@ -39,10 +39,10 @@
 
 // Entries turns a list's entries into the broker's. Zones go by their place in the settings; one that they do
 // not name is far from every other.
-func (l List) Entries(zones []string) ([]broker.Host, error) {
-	hosts := make([]broker.Host, 0, len(l.Hosts))
+func (l List) Entries(zones []string) ([]dispatch.Host, error) {
+	hosts := make([]dispatch.Host, 0, len(l.Hosts))
 	for _, e := range l.Hosts {
-		h := broker.Host{Name: e.Host, Dial: e.Dial, Zone: -1, Cell: e.Block, Weight: e.Share}
+		h := dispatch.Host{Name: e.Host, Addr: e.Dial, Zone: -1, Cell: e.Block, Weight: e.Share}
 		switch e.Health {
 		case "Ready":
 			h.State = policy.StateReady
@@ -72,7 +72,7 @@
 	Addr    string
 	Lim     limits.Limits
 	Deliver func(policy.ListKind, List) error // news of the list, or a failed call; the error is of an entry
-	Post    func(broker.Event)                // notes
+	Post    func(dispatch.Event)              // notes
 	Dial    func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	seq   uint64
@@ -107,7 +107,7 @@
 		default:
 		}
 		_ = c.Deliver(policy.ListFailed, List{}) // it has no entry that could be in error
-		c.Post(broker.Note("discovery: " + err.Error()))
+		c.Post(dispatch.LogLine("discovery: " + err.Error()))
 	}
 }
 
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/exchange"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
@@ -18,54 +18,54 @@
 )
 
 // deliver notes what a client has to say of the list, as a pool with one zone hears it.
-func deliver(got *[]broker.Event) func(policy.ListKind, List) error {
+func deliver(got *[]dispatch.Event) func(policy.ListKind, List) error {
 	return func(kind policy.ListKind, l List) error {
 		if kind == policy.ListFailed {
-			*got = append(*got, broker.Listed{Kind: kind})
+			*got = append(*got, dispatch.EndpointsListed{Kind: kind})
 			return nil
 		}
 		hosts, err := l.Entries([]string{"a"})
 		if err == nil {
-			*got = append(*got, broker.Listed{Kind: kind, Hosts: hosts})
+			*got = append(*got, dispatch.EndpointsListed{Kind: kind, Hosts: hosts})
 		}
 		return err
 	}
 }
 
 func TestWatch(t *testing.T) {
-	ready := broker.Host{Name: "s-5b", Dial: "127.0.0.9:5000", Cell: 3, Weight: 1, State: policy.StateReady}
+	ready := dispatch.Host{Name: "s-5b", Addr: "127.0.0.9:5000", Cell: 3, Weight: 1, State: policy.StateReady}
 	draining := ready
 	draining.State, draining.BornAt = policy.StateDraining, 1500*time.Millisecond
-	failed := broker.Listed{Kind: policy.ListFailed}
+	failed := dispatch.EndpointsListed{Kind: policy.ListFailed}
 	for name, c := range map[string]struct {
 		known bool
-		want  []broker.Event
+		want  []dispatch.Event
 	}{
-		"watch": {true, []broker.Event{
-			broker.Listed{Kind: policy.ListDelta, Hosts: []broker.Host{draining}},
-			broker.Listed{Kind: policy.ListDelta, Hosts: []broker.Host{}},
-			broker.Listed{Kind: policy.ListFull, Hosts: []broker.Host{ready}},
-			failed, broker.Note("discovery: answered 503 Service Unavailable"),
+		"watch": {true, []dispatch.Event{
+			dispatch.EndpointsListed{Kind: policy.ListDelta, Hosts: []dispatch.Host{draining}},
+			dispatch.EndpointsListed{Kind: policy.ListDelta, Hosts: []dispatch.Host{}},
+			dispatch.EndpointsListed{Kind: policy.ListFull, Hosts: []dispatch.Host{ready}},
+			failed, dispatch.LogLine("discovery: answered 503 Service Unavailable"),
 		}},
-		"hasty": {true, []broker.Event{
-			broker.Listed{Kind: policy.ListDelta, Hosts: []broker.Host{}},
-			broker.Listed{Kind: policy.ListDelta, Hosts: []broker.Host{}},
+		"hasty": {true, []dispatch.Event{
+			dispatch.EndpointsListed{Kind: policy.ListDelta, Hosts: []dispatch.Host{}},
+			dispatch.EndpointsListed{Kind: policy.ListDelta, Hosts: []dispatch.Host{}},
 		}},
-		"nothing_known": {false, []broker.Event{broker.Listed{Kind: policy.ListFull, Hosts: []broker.Host{ready}}}},
-		"down":          {true, []broker.Event{failed, broker.Note("discovery: unexpected EOF")}},
-		"silent":        {true, []broker.Event{failed, broker.Note("discovery: read pipe: i/o timeout")}},
-		"nonsense": {true, []broker.Event{
-			failed, broker.Note(`discovery: host "s-5b": health "Odd" is unknown`),
+		"nothing_known": {false, []dispatch.Event{dispatch.EndpointsListed{Kind: policy.ListFull, Hosts: []dispatch.Host{ready}}}},
+		"down":          {true, []dispatch.Event{failed, dispatch.LogLine("discovery: unexpected EOF")}},
+		"silent":        {true, []dispatch.Event{failed, dispatch.LogLine("discovery: read pipe: i/o timeout")}},
+		"nonsense": {true, []dispatch.Event{
+			failed, dispatch.LogLine(`discovery: host "s-5b": health "Odd" is unknown`),
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var got []broker.Event
+				var got []dispatch.Event
 				far := make(chan net.Conn, 1)
 				cl := &Client{
 					Addr: "127.0.0.8:8500", Deliver: deliver(&got),
 					Lim:  limits.New(limits.Machine{Sockets: 1024}, limits.Site{}),
-					Post: func(e broker.Event) { got = append(got, e) },
+					Post: func(e dispatch.Event) { got = append(got, e) },
 					Dial: func(context.Context, string, string) (net.Conn, error) {
 						near, other := net.Pipe()
 						far <- other
@@ -101,7 +101,7 @@
 	// A new configuration names another discovery: the call that waits at the old one is given up at once, the
 	// whole list of the new one comes first, and the module hears of no failure.
 	synctest.Test(t, func(t *testing.T) {
-		var got []broker.Event
+		var got []dispatch.Event
 		far := make(chan net.Conn, 1)
 		feed := func(addr string) *Feed {
 			return NewFeed(Client{
@@ -111,7 +111,7 @@
 					far <- other
 					return near, nil
 				},
-			}, func(e broker.Event) { got = append(got, e) })
+			}, func(e dispatch.Event) { got = append(got, e) })
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		first := feed("127.0.0.8:8500")
@@ -135,10 +135,10 @@
 		synctest.Wait()
 		cancel()
 		synctest.Wait()
-		want := []broker.Event{
-			broker.Listed{Kind: policy.ListCached, Hosts: []broker.Host{{Name: "old", Zone: -1}}},
-			broker.Listed{Kind: policy.ListFull, Hosts: []broker.Host{
-				{Name: "s-5b", Dial: "127.0.0.9:5000", Zone: -1, Cell: 3, Weight: 1, State: policy.StateReady},
+		want := []dispatch.Event{
+			dispatch.EndpointsListed{Kind: policy.ListCached, Hosts: []dispatch.Host{{Name: "old", Zone: -1}}},
+			dispatch.EndpointsListed{Kind: policy.ListFull, Hosts: []dispatch.Host{
+				{Name: "s-5b", Addr: "127.0.0.9:5000", Zone: -1, Cell: 3, Weight: 1, State: policy.StateReady},
 			}},
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
@@ -150,12 +150,12 @@
 // TestSelections has pools with parts of one list: each hears of its own only, and of what leaves its part that it left.
 func TestSelections(t *testing.T) {
 	var got []string
-	f := NewFeed(Client{}, func(e broker.Event) {
-		l := e.(broker.Listed)
+	f := NewFeed(Client{}, func(e dispatch.Event) {
+		l := e.(dispatch.EndpointsListed)
 		s := fmt.Sprintf("%d %d:", l.Pool, l.Kind)
 		for _, h := range l.Hosts {
 			s += fmt.Sprintf(" %s=%d", h.Name, h.State)
-			if h.Left {
+			if h.Removed {
 				s += "(left)"
 			}
 		}
@@ -205,8 +205,8 @@
 // TestOnePoolPacesCallsAfterAFailure: a discovery that is down is not asked once for each pool after each failure.
 func TestOnePoolPacesCallsAfterAFailure(t *testing.T) {
 	var failed []hoststate.PoolID
-	f := NewFeed(Client{}, func(e broker.Event) {
-		if l := e.(broker.Listed); l.Kind == policy.ListFailed {
+	f := NewFeed(Client{}, func(e dispatch.Event) {
+		if l := e.(dispatch.EndpointsListed); l.Kind == policy.ListFailed {
 			failed = append(failed, l.Pool)
 		}
 	})
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/net/netutil"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/route"
 )
@@ -132,9 +132,9 @@
 // pools asks the loop what each pool holds.
 func (r *Router) pools() State {
 	out := State{Generation: int(r.generation.Load()), Pools: []PoolState{}}
-	to := make(chan broker.Counted, 1)
-	r.loop.Post(broker.Audit{Of: to})
-	var c broker.Counted
+	to := make(chan dispatch.CountersReport, 1)
+	r.loop.Post(dispatch.GetCounters{ReplyTo: to})
+	var c dispatch.CountersReport
 	select {
 	case c = <-to:
 	case <-time.After(time.Second): // the loop has ended, or is to
@@ -142,10 +142,10 @@
 	}
 	for _, p := range c.Pools {
 		s := PoolState{
-			Name: p.Name, ID: int(p.Pool), Leaving: p.Leaving, Hosts: p.Hosts, Ready: p.Ready, Open: p.Open,
-			Guarantee: p.Places.Guarantee, Most: p.Places.Max, Lines: r.issuer.Lines(p.Pool), Bodies: r.front.Bodies(p.Pool),
-			Taken: p.Taken, Served: p.Served, Refused: p.Refused, Failed: p.Failed, Broken: p.Broken, Gone: p.Gone,
-			Declined: p.Declined, Legs: p.Legs,
+			Name: p.Name, ID: int(p.Pool), Leaving: p.IsEnding, Hosts: p.Hosts, Ready: p.Ready, Open: p.Open,
+			Guarantee: p.RequestQuota.Guarantee, Most: p.RequestQuota.Max, Lines: r.issuer.Lines(p.Pool), Bodies: r.front.Bodies(p.Pool),
+			Taken: p.Received, Served: p.Served, Refused: p.Rejected, Failed: p.Failed, Broken: p.Broken, Gone: p.ClientsLeft,
+			Declined: p.RejectedByFrontend, Legs: p.Attempts,
 		}
 		if f := r.feed(p.Pool); f != nil {
 			s.Discovery = f.Client.Addr
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"notchhinge/internal/admin"
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/succession"
 	"notchhinge/policy"
@@ -239,7 +239,7 @@
 		pins := 0
 		for _, q := range r.plan.Pools {
 			if k := l.Pools[q.Name]; k != nil {
-				r.loop.Post(broker.Taught{Pool: q.ID, Learned: k})
+				r.loop.Post(dispatch.RestoreSnapshot{Pool: q.ID, Snapshot: k})
 				pins += len(k.Sessions)
 			}
 		}
@@ -251,7 +251,7 @@
 // bequeath leaves what the modules have learnt to the heir.
 func (r *Router) bequeath(ctx context.Context) {
 	to := make(chan map[string]*policy.Snapshot, 1)
-	r.loop.Post(broker.Recall{Of: to})
+	r.loop.Post(dispatch.GetSnapshots{ReplyTo: to})
 	select {
 	case all := <-to:
 		b, err := (&legacy{all}).encode()
--- a/internal/router/plan.go
+++ b/internal/router/plan.go
@@ -7,8 +7,8 @@
 	"maps"
 	"slices"
 
-	"notchhinge/internal/broker"
 	"notchhinge/internal/config"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/plan"
@@ -42,7 +42,7 @@
 	}
 	r.at.Store(next.Directory)
 	for _, q := range c.Ended {
-		r.loop.Post(broker.PoolEnd{Pool: q.ID})
+		r.loop.Post(dispatch.EndPool{Pool: q.ID})
 	}
 	r.plan = next
 	r.generation.Add(1)
@@ -55,13 +55,13 @@
 		Columns: q.Module.Columns, Stats: len(q.Module.Columns) > 0, Piggyback: q.Module.Piggyback,
 	}, q.Lines)
 	r.front.Set(q.ID, q.Bodies, q.Calls)
-	e := broker.PoolSet{
-		Pool: q.ID, Name: q.Name, Module: module, WarmUp: q.Module.Settings.SlowStart, ColdFrom: q.Module.Settings.SlowStartInitial,
-		Classes: traceClasses(&q.Module), Places: q.Places, Turns: q.Turns, RetryAfter: q.RetryAfter,
-		Attempts: q.Module.Settings.Limits.MaxAttempts,
+	e := dispatch.ConfigurePool{
+		Pool: q.ID, Name: q.Name, Module: module, SlowStart: q.Module.Settings.SlowStart, SlowStartInitial: q.Module.Settings.SlowStartInitial,
+		Classes: traceClasses(&q.Module), RequestQuota: q.Places, TurnWeight: q.Turns, RetryAfter: q.RetryAfter,
+		MaxAttempts: q.Module.Settings.Limits.MaxAttempts,
 	}
 	if q.Legs > 0 {
-		e.Attempts = min(e.Attempts, q.Legs)
+		e.MaxAttempts = min(e.MaxAttempts, q.Legs)
 	}
 	r.loop.Post(e)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -19,8 +19,8 @@
 
 	"notchhinge/internal/acquirer"
 	"notchhinge/internal/batch"
-	"notchhinge/internal/broker"
 	"notchhinge/internal/config"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/issuer"
 	"notchhinge/internal/plan"
@@ -35,8 +35,8 @@
 	cfg     *config.Config
 	log     *slog.Logger
 	dial    Dialer
-	broker  *broker.Broker
-	loop    *broker.Loop
+	broker  *dispatch.Dispatcher
+	loop    *dispatch.Loop
 	issuer  *issuer.Client
 	front   *acquirer.Server
 	at      atomic.Pointer[service.Directory]
@@ -61,14 +61,14 @@
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // New makes a router out of its configuration and of the plan that it is to carry out.
-func New(cfg *config.Config, p *plan.Plan, log *slog.Logger, dial Dialer, clock broker.Clock) *Router {
+func New(cfg *config.Config, p *plan.Plan, log *slog.Logger, dial Dialer, clock dispatch.Clock) *Router {
 	r := &Router{
-		cfg: cfg, log: log, dial: dial, broker: broker.New(cfg.Limits), first: p,
+		cfg: cfg, log: log, dial: dial, broker: dispatch.New(cfg.Limits), first: p,
 		feeds: map[string]*registry.Feed{}, feedOf: map[hoststate.PoolID]*registry.Feed{},
 		ops: operations{heard: make(chan struct{}), dry: make(chan struct{})},
 	}
 	r.at.Store(p.Directory)
-	r.loop = broker.NewLoop(r.broker, clock, r.perform)
+	r.loop = dispatch.NewLoop(r.broker, clock, r.perform)
 	r.issuer = issuer.New(issuer.Config{Lim: cfg.Limits, Post: r.loop.Post, Now: r.loop.Now, Dial: dial})
 	r.front = acquirer.New(acquirer.Options{
 		Lim: cfg.Limits, Routes: r.at.Load, Post: r.loop.Post, Now: r.loop.Now, Ready: r.ready.Load,
@@ -114,51 +114,51 @@
 }
 
 // listed passes news of the list on; with the first host the router is ready.
-func (r *Router) listed(e broker.Event) {
-	if l, ok := e.(broker.Listed); ok && len(l.Hosts) > 0 {
+func (r *Router) listed(e dispatch.Event) {
+	if l, ok := e.(dispatch.EndpointsListed); ok && len(l.Hosts) > 0 {
 		r.ready.Store(true)
 	}
-	if l, ok := e.(broker.Listed); ok && l.Kind != policy.ListCached && l.Kind != policy.ListFailed {
+	if l, ok := e.(dispatch.EndpointsListed); ok && l.Kind != policy.ListCached && l.Kind != policy.ListFailed {
 		r.ops.hear()
 	}
 	r.loop.Post(e)
 }
 
 // perform has an effect done by its owner. It does not wait.
-func (r *Router) perform(e broker.Effect) {
+func (r *Router) perform(e dispatch.Effect) {
 	if r.issuer.Perform(e) {
 		return
 	}
 	switch e := e.(type) {
-	case broker.Keep:
-		r.traces.keep(e.Try)
-	case broker.Decline:
-		go e.To.(decliner).Decline(e.Why, e.RetryAfter)
-	case broker.Reminded:
-		go e.Of.(reminder).Due()
-	case broker.Watch:
+	case dispatch.ExportTrace:
+		r.traces.keep(e.Trace)
+	case dispatch.Reject:
+		go e.Client.(decliner).Decline(e.Verdict, e.RetryAfter)
+	case dispatch.ReminderDue:
+		go e.Token.(reminder).Due()
+	case dispatch.WatchEndpoints:
 		if f := r.feed(e.Pool); f != nil {
 			f.Ask(e.Pool)
 		}
-	case broker.PoolGone:
+	case dispatch.PoolEnded:
 		go r.gone(e.Pool)
-	case broker.Log:
+	case dispatch.Log:
 		if e.Pool != "" {
-			r.log.Info(e.Line, "pool", e.Pool)
+			r.log.Info(e.Message, "pool", e.Pool)
 		} else {
-			r.log.Info(e.Line)
+			r.log.Info(e.Message)
 		}
-	case broker.Recalled:
-		e.Of.(chan map[string]*policy.Snapshot) <- e.Pools // it has room
-	case broker.Counted:
-		if to, ok := e.Of.(chan broker.Counted); ok {
+	case dispatch.Snapshots:
+		e.ReplyTo.(chan map[string]*policy.Snapshot) <- e.Pools // it has room
+	case dispatch.CountersReport:
+		if to, ok := e.ReplyTo.(chan dispatch.CountersReport); ok {
 			to <- e // it has room
 			return
 		}
 		r.print("counters", nil, &e.Counters)
 		for i := range e.Pools {
 			if p := &e.Pools[i]; p.Name != "" {
-				r.print("pool", []any{"pool", p.Name, "hosts", p.Hosts, "ready", p.Ready, "leaving", p.Leaving}, &p.Counters)
+				r.print("pool", []any{"pool", p.Name, "hosts", p.Hosts, "ready", p.Ready, "leaving", p.IsEnding}, &p.Counters)
 			}
 		}
 	}
@@ -166,23 +166,23 @@
 
 // decliner is what every acquirer is, whatever its front.
 type decliner interface {
-	Decline(why broker.Verdict, retryAfter time.Duration)
+	Decline(why dispatch.Verdict, retryAfter time.Duration)
 }
 
 // reminder is what a front has itself reminded of.
 type reminder interface{ Due() }
 
-func (r *Router) print(what string, args []any, c *broker.Counters) {
+func (r *Router) print(what string, args []any, c *dispatch.Counters) {
 	var legs []any
 	for result := policy.ResultOK; result <= policy.ResultMoot; result++ {
 		if n := c.Outcomes[result]; n > 0 {
 			legs = append(legs, slog.Int(trace.Result(result).String(), n))
 		}
 	}
-	r.log.Info(what, append(args, "taken", c.Taken, "declined", c.Declined, "open", c.Open, "legs", c.Legs,
+	r.log.Info(what, append(args, "taken", c.Received, "declined", c.RejectedByFrontend, "open", c.Open, "legs", c.Attempts,
 		slog.Group("outcomes", legs...),
-		slog.Group("answers", "served", c.Served, "broken", c.Broken, "refused", c.Refused, "failed", c.Failed, "gone", c.Gone),
-		"probes", c.Probes, "lists", c.Lists, "list_lines", c.Lines)...)
+		slog.Group("answers", "served", c.Served, "broken", c.Broken, "refused", c.Rejected, "failed", c.Failed, "gone", c.ClientsLeft),
+		"probes", c.Probes, "lists", c.Lists, "list_lines", c.ListEntries)...)
 	if c.Traces != nil {
 		r.log.Info("traces", r.traces.account(c.Traces)...)
 	}
@@ -247,7 +247,7 @@
 		case err := <-served:
 			return err
 		case <-sig.Audit:
-			r.loop.Post(broker.Audit{})
+			r.loop.Post(dispatch.GetCounters{})
 		case <-sig.Reload:
 			r.reload(ctx, sig.Reread)
 		case <-r.ops.dry:
@@ -271,16 +271,16 @@
 	if r.desk != nil {
 		r.desk.Stop()
 	}
-	r.loop.Post(broker.Drain{})
+	r.loop.Post(dispatch.StartDrain{})
 	r.drain(ctx)
 	stopBatch()
 	r.issuer.Close()
 	if r.traces != nil {
-		r.loop.Post(broker.Flush{})
+		r.loop.Post(dispatch.FlushTraces{})
 		r.loop.Idle(ctx) // the loop has come past it
 		r.traces.close()
 	}
-	r.loop.Post(broker.Audit{})
+	r.loop.Post(dispatch.GetCounters{})
 	r.loop.Idle(ctx) // the loop has come past the audit
 }
 
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -18,8 +18,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"notchhinge/internal/broker"
 	"notchhinge/internal/config"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/exchange"
 	"notchhinge/internal/plan"
 )
@@ -104,7 +104,7 @@
 			go host(far, after)
 		}
 		return near, nil
-	}, broker.UnixClock())
+	}, dispatch.UnixClock())
 }
 
 // bubble runs a router in memory.
--- a/internal/router/services_test.go
+++ b/internal/router/services_test.go
@@ -17,8 +17,8 @@
 	"testing/synctest"
 	"time"
 
-	"notchhinge/internal/broker"
 	"notchhinge/internal/config"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/plan"
 	"notchhinge/internal/settings"
 )
@@ -99,7 +99,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		world := &served{down: map[string]bool{"disc-calib:1": true}}
 		front, stop, hup, done := newPipeListener(), make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan error, 1)
-		r := New(cfg, begin, slog.New(slog.NewTextHandler(&log, nil)), world.dial, broker.UnixClock())
+		r := New(cfg, begin, slog.New(slog.NewTextHandler(&log, nil)), world.dial, dispatch.UnixClock())
 		go func() { done <- r.ServeOn(front, Signals{Stop: stop, Reload: hup, Reread: reread}) }()
 		ask := func(host string) string {
 			c := must(front.dial())
--- a/internal/router/trace_test.go
+++ b/internal/router/trace_test.go
@@ -13,7 +13,7 @@
 	"testing/synctest"
 	"time"
 
-	"notchhinge/internal/broker"
+	"notchhinge/internal/dispatch"
 	"notchhinge/internal/exchange"
 	"notchhinge/internal/settings"
 	"notchhinge/internal/trace"
@@ -40,7 +40,7 @@
 				go host(far, 2*time.Second)
 			}
 			return near, nil
-		}, broker.UnixClock())
+		}, dispatch.UnixClock())
 		if err := r.Trace(f.Trace, "test"); err != nil {
 			t.Fatal(err)
 		}
