--- a/internal/control/discovery/cost_bench_test.go
+++ b/internal/control/discovery/cost_bench_test.go
@@ -64,7 +64,7 @@
 				f.nodes[0].Reduce(f.now, f.now.Milliseconds(), Heartbeat{Record: r})
 				i++
 			}
-			b.ReportMetric(heapPerEndpoint, "B/endpoint")
+			b.ReportMetric(heapPerEndpoint, "B/engine")
 		})
 		b.Run(fmt.Sprintf("tick/%d", count), func(b *testing.B) {
 			n, now := f.nodes[testReplicas], f.now
--- a/internal/lab/scale/results.go
+++ b/internal/lab/scale/results.go
@@ -85,13 +85,16 @@
 }
 
 // renamedBenchmarks are benchmarks that recorded results have under an earlier name.
-var renamedBenchmarks = map[string]string{"duty.Book": "usage.Table"}
+var renamedBenchmarks = map[string]string{
+	"duty.Book": "usage.Table", "news.Engines/beat": "discovery.Endpoints/heartbeat", "news.Engines/tick": "discovery.Endpoints/tick",
+}
 
 // currentName returns the name that a benchmark of a recorded result has today.
 func currentName(recorded string) string {
-	benchmark, sub, _ := strings.Cut(recorded, "/")
-	if current, ok := renamedBenchmarks[benchmark]; ok {
-		return current + "/" + sub
+	for earlier, current := range renamedBenchmarks {
+		if sub, ok := strings.CutPrefix(recorded, earlier+"/"); ok {
+			return current + "/" + sub
+		}
 	}
 	return recorded
 }
