--- a/internal/control/replica/golden_test.go
+++ b/internal/control/replica/golden_test.go
@@ -51,7 +51,9 @@
 		index uint64
 		value []byte
 	}
-	for name, e := range map[string]entry{"learn": {1000, value}, "learn-notice": {1001, []byte{}}, "snapshot-request": {1000, []byte{replog.StateVersion}}} {
+	for name, e := range map[string]entry{
+		"learn": {1000, value}, "learn-notice": {1001, []byte{}}, "snapshot-request": {1000, []byte{replog.StateVersion}},
+	} {
 		golden.RoundTrip(t, name+".hex", e, func(e entry) []byte { return EncodeIndexed(e.index, e.value) },
 			func(b []byte) (e entry, err error) { e.index, e.value, err = DecodeIndexed(b); return e, err })
 	}
--- a/internal/control/replica/read.go
+++ b/internal/control/replica/read.go
@@ -129,23 +129,22 @@
 	if rr.finished {
 		return
 	}
+	state, queue := &rr.replica.state, &rr.replica.reads
 	if rr.readIndex == 0 { // no answer counts yet, so the next answers serve later reads as well
-		rr.replica.reads.current, rr.replica.reads.waiting = append(rr.replica.reads.current, rr.replica.reads.waiting...), nil
+		queue.current, queue.waiting = append(queue.current, queue.waiting...), nil
 	}
-	if rr.readIndex > 0 && rr.replica.state.NextIndex >= rr.readIndex {
-		if slices.Equal(rr.voters, rr.replica.state.Members) {
+	if rr.readIndex > 0 && state.NextIndex >= rr.readIndex {
+		if slices.Equal(rr.voters, state.Members) {
 			rr.finish(nil)
 			return
 		}
 		rr.readIndex = 0
 	}
-	if rr.replica.state.NextIndex == 0 {
+	if state.NextIndex == 0 {
 		rr.finish(ErrNotFounded)
 		return
 	}
-	p := &readPoll{
-		readRound: rr, members: rr.replica.state.Members, askedAt: rr.replica.state.NextIndex, newest: rr.replica.state.NextIndex, pending: len(rr.replica.state.Members),
-	}
+	p := &readPoll{readRound: rr, members: state.Members, pending: len(state.Members), askedAt: state.NextIndex, newest: state.NextIndex}
 	p.send()
 }
 
