--- a/cmd/notchhinge/configs.go
+++ b/cmd/notchhinge/configs.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -116,7 +117,7 @@
 
 // current reads the newest configuration, as bytes too; nil is none yet.
 func (t toFleet) current() (*fleetconfig.Config, []byte, error) {
-	resp, err := (&http.Client{Timeout: 5 * time.Second}).Get("http://" + t.Control + "/Configuration.Describe")
+	resp, err := call(http.MethodGet, "http://"+t.Control+"/Configuration.Describe", nil)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -260,7 +261,7 @@
 }
 
 func send(client *http.Client, to string, on uint64, text []byte) (status int, says string, err error) {
-	req, err := http.NewRequest(http.MethodPost, "http://"+to+"/Configuration.Replace", bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+to+"/Configuration.Replace", bytes.NewReader(text))
 	if err != nil {
 		return 0, "", err
 	}
--- a/cmd/notchhinge/fleet.go
+++ b/cmd/notchhinge/fleet.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"cmp"
+	"context"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -33,11 +34,7 @@
 
 // Run asks for it once; what is not settled may be asked for again.
 func (c fleetRemove) Run() error {
-	req, err := http.NewRequest(http.MethodDelete, "http://"+c.Control+"/fleet/members/"+url.PathEscape(c.Name), nil)
-	if err != nil {
-		return err
-	}
-	resp, err := (&http.Client{Timeout: 5 * time.Second}).Do(req)
+	resp, err := call(http.MethodDelete, "http://"+c.Control+"/fleet/members/"+url.PathEscape(c.Name), nil)
 	if err != nil {
 		return err
 	}
@@ -49,9 +46,18 @@
 	return nil
 }
 
+// call makes a call of the control plane, which has five seconds. The caller closes the body.
+func call(method, url string, body io.Reader) (*http.Response, error) {
+	req, err := http.NewRequestWithContext(context.Background(), method, url, body)
+	if err != nil {
+		return nil, err
+	}
+	return (&http.Client{Timeout: 5 * time.Second}).Do(req)
+}
+
 // askJSON asks a control address for JSON.
 func askJSON(addr, path string, to any) error {
-	resp, err := (&http.Client{Timeout: 5 * time.Second}).Get("http://" + addr + path)
+	resp, err := call(http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
 		return err
 	}
@@ -131,6 +137,8 @@
 }
 
 // Run prints what differs from the look before.
+//
+//nolint:unparam // kong calls a Run that returns an error
 func (c fleetWatch) Run() error {
 	before, began := map[string]any{}, time.Now()
 	for {
@@ -243,7 +251,12 @@
 	if c.KeyEnv != "" {
 		head += "X-Credential: " + os.Getenv(c.KeyEnv) + "\r\n"
 	}
-	resp, err := (&http.Client{Timeout: 3 * time.Second}).Post("http://"+c.Control+"/fleet/explain", "text/plain", strings.NewReader(head))
+	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+c.Control+"/fleet/explain", strings.NewReader(head))
+	if err != nil {
+		return err
+	}
+	req.Header.Set("Content-Type", "text/plain")
+	resp, err := (&http.Client{Timeout: 3 * time.Second}).Do(req)
 	if err != nil {
 		return err
 	}
--- a/cmd/notchhinge/main_test.go
+++ b/cmd/notchhinge/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"os"
 	"os/exec"
@@ -23,7 +24,7 @@
 const goodConfig = "../../internal/config/testdata/config.json"
 
 func command(config string, args ...string) *exec.Cmd {
-	c := exec.Command(os.Args[0], args...)
+	c := exec.CommandContext(context.Background(), os.Args[0], args...)
 	c.Env = append(os.Environ(), "NOTCHHINGE_TEST_COMMAND=1", "BALANCER_CONFIG="+config, "BALANCER_LISTEN=127.0.0.1:0")
 	return c
 }
--- a/cmd/notchhinge/services.go
+++ b/cmd/notchhinge/services.go
@@ -31,7 +31,11 @@
 			return (&net.Dialer{}).DialContext(ctx, "unix", c.Control)
 		},
 	}}
-	resp, err := web.Get("http://control" + path)
+	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://control"+path, nil)
+	if err != nil {
+		return err
+	}
+	resp, err := web.Do(req)
 	if err != nil {
 		return err
 	}
--- a/cmd/notchlab/main.go
+++ b/cmd/notchlab/main.go
@@ -75,9 +75,9 @@
 	var c cli
 	k := kong.Parse(&c, kong.Name("notchlab"), kong.Description("Tries the router against stand-ins, on loopback."))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
 	k.BindTo(ctx, (*context.Context)(nil))
 	err := k.Run()
+	stop()
 	if err == nil {
 		return
 	}
--- a/internal/batch/http_test.go
+++ b/internal/batch/http_test.go
@@ -45,7 +45,7 @@
 // call makes a call and returns its status and body. Answers outside the description's paths are not checked.
 func (c *client) call(method, path, contentType, body string, header ...string) (int, string) {
 	c.t.Helper()
-	req := httptest.NewRequest(method, path, strings.NewReader(body))
+	req := httptest.NewRequestWithContext(c.t.Context(), method, path, strings.NewReader(body))
 	req.Header.Set("Authorization", "Bearer "+key)
 	if contentType != "" {
 		req.Header.Set("Content-Type", contentType)
@@ -210,7 +210,7 @@
 	_, body := c.upload(fileText(1))
 	file := field(t, body, "id")
 	c.at += 59 * time.Minute
-	req := httptest.NewRequest("POST", "/v1/batches", strings.NewReader(create(file)))
+	req := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/v1/batches", strings.NewReader(create(file)))
 	req.Header.Set("Authorization", "Bearer "+key)
 	w := httptest.NewRecorder()
 	c.Handler().ServeHTTP(w, req)
--- a/internal/dispatch/broker_test.go
+++ b/internal/dispatch/broker_test.go
@@ -256,7 +256,7 @@
 
 func TestImports(t *testing.T) {
 	// The core deals in no wire: neither it nor what it is built on may come to know one.
-	out, err := exec.Command("go", "list", "-deps", ".").Output()
+	out, err := exec.CommandContext(t.Context(), "go", "list", "-deps", ".").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -20,14 +20,14 @@
 	return []Walk{
 		{"ballots, at random", func(lives int) (string, int) { return deep(func(*world) {}, lives) }},
 		{"ballots, every order of messages and of a crash", func(int) (string, int) { return explore(1, 9) }},
-		{"members, at random", func(lives int) (string, int) { return deepLives(func(*core) {}, lives, 60) }},
+		{"members, at random", func(lives int) (string, int) { return deepLives(func(*core) {}, lives) }},
 		{"members, every life of six steps", func(int) (string, int) {
 			return everyLife(newCore(), bounds{rounds: 2, wipes: 1, places: 2, depth: 6})
 		}},
 		{"a voter replaced, and another lost right after", func(lives int) (string, int) { return replace(lives, false) }},
 		{"founding, with cuts", func(lives int) (string, int) {
 			for seed := range lives {
-				if sets := found(draws(seed), 3+seed%3, 3, func(set int) int { return set }); len(sets) > 1 {
+				if sets := found(draws(seed), 3+seed%3, func(set int) int { return set }); len(sets) > 1 {
 					return fmt.Sprintf("seed %d: two cores: %v", seed, sets), seed
 				}
 			}
@@ -52,7 +52,7 @@
 // Broken are the same with a rule broken: each must find it.
 func Broken() []Walk {
 	members := func(breaks func(*core)) func(int) (string, int) {
-		return func(lives int) (string, int) { return deepLives(breaks, lives, 60) }
+		return func(lives int) (string, int) { return deepLives(breaks, lives) }
 	}
 	ballots := func(breaks func(*world)) func(int) (string, int) {
 		return func(lives int) (string, int) { return deep(breaks, lives) }
@@ -69,7 +69,7 @@
 		{"a change counts as finished once it is chosen", func(lives int) (string, int) { return replace(lives, true) }},
 		{"a majority founds", func(lives int) (string, int) {
 			for seed := range lives {
-				if sets := found(draws(seed), 5, 3, paxos.Majority); len(sets) > 1 {
+				if sets := found(draws(seed), 5, paxos.Majority); len(sets) > 1 {
 					return fmt.Sprint(sets), seed
 				}
 			}
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -114,7 +114,7 @@
 		"a wiped machine goes on under its number": func(c *core) { c.forget = true },
 		"a change counts before it is chosen":      func(c *core) { c.eager = true },
 	} {
-		if found, lives := deepLives(breaks, 20000, 60); found == "" {
+		if found, lives := deepLives(breaks, 20000); found == "" {
 			t.Errorf("%s: not found in %d lives", name, lives)
 		}
 	}
@@ -123,7 +123,7 @@
 	if found, states := everyLife(broken, bounds{rounds: 3, wipes: 1, places: 1, depth: 7}); found == "" {
 		t.Errorf("a wiped machine that goes on under its number: not found in %d states", states)
 	}
-	if found, seed := deepLives(func(*core) {}, 3000, 60); found != "" {
+	if found, seed := deepLives(func(*core) {}, 3000); found != "" {
 		t.Errorf("%s with seed %d", found, seed)
 	}
 }
@@ -143,7 +143,7 @@
 
 func TestTwoHalvesNeverBothFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		founded := found(drawn(t), rapid.IntRange(3, 5).Draw(t, "machines"), 3, func(set int) int { return set })
+		founded := found(drawn(t), rapid.IntRange(3, 5).Draw(t, "machines"), func(set int) int { return set })
 		if len(founded) > 1 {
 			t.Fatalf("founded: %v", founded)
 		}
@@ -154,7 +154,7 @@
 func TestHalvesThatFoundAreFoundOut(t *testing.T) {
 	worst := 0
 	for seed := range 300 {
-		founded := len(found(draws(seed), 5, 3, paxos.Majority))
+		founded := len(found(draws(seed), 5, paxos.Majority))
 		worst = max(worst, founded)
 	}
 	if worst < 2 {
--- a/internal/lab/check/founding.go
+++ b/internal/lab/check/founding.go
@@ -11,8 +11,8 @@
 // founders is a set by its members' numbers.
 func founders(ids []int) []byte { return []byte(fmt.Sprint(ids)) }
 
-// found plays a random life and returns the sets that were founded.
-func found(draw func(n int) int, machines, least int, need func(set int) int) []string {
+// found plays a random life, in which three machines found at least, and returns the sets that were founded.
+func found(draw func(n int) int, machines int, need func(set int) int) []string {
 	accs := make([]paxos.Acceptor, machines)
 	disks := make([]paxos.AcceptorState, machines)
 	none := func(uint64) ([]byte, bool) { return nil, false }
@@ -36,7 +36,7 @@
 				ids = append(ids, i)
 			}
 		}
-		if len(ids) < least {
+		if len(ids) < 3 {
 			continue
 		}
 		for range 3 { // as a keeper goes on with the set that it finds accepted
--- a/internal/lab/check/legs.go
+++ b/internal/lab/check/legs.go
@@ -341,14 +341,13 @@
 func (*caller) SetDeadline(time.Time) error      { return nil }
 
 // ask has a client send a request.
-func (r *router) ask(c *caller, kind string) *asked {
+func (r *router) ask(c *caller, kind string) {
 	q := &asked{id: fmt.Sprintf("r%04d", len(r.asked)), once: kind != routeIdempotent, path: "/" + kind + "/x", from: c}
 	r.asked = append(r.asked, q)
 	c.asks = q
 	c.in = fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline-Remaining-Ms: 5000\r\nContent-Length: 9\r\n\r\nask %s", q.path, q.id, q.id)
 	r.tell("%s %s", q.id, kind)
 	c.next()
-	return q
 }
 
 // leave has a client go away.
@@ -500,7 +499,7 @@
 	if len(v.owed) > 0 {
 		v.dirty = "it stutters"
 	}
-	v.out, v.owed = append(v.owed, b...), nil
+	v.out, v.owed = slices.Concat(v.owed, b), nil
 }
 
 // option is something that may come next.
--- a/internal/lab/check/members.go
+++ b/internal/lab/check/members.go
@@ -290,13 +290,13 @@
 	return found, len(seen)
 }
 
-// deepLives plays random lives with a seed each, and returns the first in which something is broken.
-func deepLives(breaks func(*core), lives, steps int) (string, int) {
+// deepLives plays random lives of 60 steps with a seed each, and returns the first in which something is broken.
+func deepLives(breaks func(*core), lives int) (string, int) {
 	for seed := range lives {
 		c := newCore()
 		breaks(c)
 		draw := draws(seed)
-		for range steps {
+		for range 60 {
 			p := draw(3)
 			switch k := draw(16); {
 			case k < 4:
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -66,7 +66,7 @@
 		y.Phases[trace.Stream] = y.End
 		return y
 	}
-	failed := func(t *testing.T, tries []load.Try, records []*trace.Try, boxes ...standin.Span) map[string]bool {
+	failed := func(tries []load.Try, records []*trace.Try, boxes ...standin.Span) map[string]bool {
 		b := &boxSpans{all: map[string][]standin.Span{}}
 		for _, s := range boxes {
 			b.add(s)
@@ -90,7 +90,7 @@
 		return standin.Span{Parent: trace.SpanID{id[0], 1}, CallID: id, Host: "s"}
 	}
 	good := record("a")
-	if short := failed(t, []load.Try{call("a", load.Served)}, []*trace.Try{good}, box("a")); len(short) != 0 {
+	if short := failed([]load.Try{call("a", load.Served)}, []*trace.Try{good}, box("a")); len(short) != 0 {
 		t.Errorf("a good run falls short: %v", short)
 	}
 	slow, open, astray, off := record("a"), record("a"), record("a"), record("a")
@@ -114,7 +114,7 @@
 		"time":          {[]load.Try{call("a", load.Served)}, []*trace.Try{slow}, []standin.Span{box("a")}, "phases against the client, 99%"},
 		"wrong answer":  {[]load.Try{call("a", load.Wrong)}, []*trace.Try{good}, []standin.Span{box("a")}, "answers lost or invented"},
 	} {
-		if short := failed(t, c.tries, c.records, c.boxes...); !short[c.bar] {
+		if short := failed(c.tries, c.records, c.boxes...); !short[c.bar] {
 			t.Errorf("%s: only %v fall short", name, short)
 		}
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -36,7 +36,7 @@
 		}
 	}
 	out := filepath.Join(dir, "notchhinge")
-	build := exec.Command("go", "build", "-o", out, "notchhinge/cmd/notchhinge")
+	build := exec.CommandContext(context.Background(), "go", "build", "-o", out, "notchhinge/cmd/notchhinge")
 	if text, err := build.CombinedOutput(); err != nil {
 		return "", fmt.Errorf("building the router (run this from the repository, or give --router): %w\n%s", err, text)
 	}
@@ -188,7 +188,7 @@
 		return nil, err
 	}
 	defer log.Close()
-	r.cmd = exec.Command(f.o.Binary, args...)
+	r.cmd = exec.Command(f.o.Binary, args...) //nolint:noctx // Stop drains it, which a context would cut short
 	r.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+file)
 	r.cmd.Stdout, r.cmd.Stderr = log, log
 	r.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the lab
--- a/internal/lab/plane/platform.go
+++ b/internal/lab/plane/platform.go
@@ -107,7 +107,8 @@
 		w.breaks("ONE", "%s sends fence %d for %s, which has seen %d", m.name, fence, subject, p.fences[subject])
 	}
 	p.fences[subject] = max(p.fences[subject], fence)
-	acts := append(p.acts[subject], act{m.name, w.now})
+	p.acts[subject] = append(p.acts[subject], act{m.name, w.now})
+	acts := p.acts[subject]
 	other := false
 	for i := len(acts) - 1; i >= 0 && w.now-acts[i].at < lease; i-- {
 		if other = other || acts[i].holder != m.name; other && acts[i].holder == m.name {
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -77,7 +77,7 @@
 		return err
 	}
 	defer log.Close()
-	p.cmd = exec.Command(f.Binary, "node")
+	p.cmd = exec.Command(f.Binary, "node") //nolint:noctx // stop ends it, after what is read of it
 	p.cmd.Env = append(os.Environ(), "NOTCHHINGE_BOOT="+path)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the lab
@@ -201,7 +201,7 @@
 }
 
 // configure is the operator: it sends a revision until there is a clear answer, and looks when it has come everywhere.
-func (f *fleet) configure(ctx context.Context, revision int, r *Result) (c Change) {
+func (f *fleet) configure(ctx context.Context, revision int) (c Change) {
 	text, began := f.texts.text(revision, f.Options), time.Now()
 	end, done := context.WithTimeout(ctx, 30*time.Second)
 	defer done()
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -314,7 +314,7 @@
 func (f *fleet) measure(ctx context.Context, r *Result) error {
 	setUp, done := context.WithTimeout(ctx, 2*time.Minute)
 	defer done()
-	c := f.configure(setUp, 1, r)
+	c := f.configure(setUp, 1)
 	if c.Acked == 0 {
 		return fmt.Errorf("no configuration was taken; logs are in %s", f.Dir)
 	}
@@ -359,7 +359,7 @@
 		err := f.part(ctx, r, "changes", time.Duration(f.Changes)*f.Every, func() {
 			next := time.Now()
 			for i := range f.Changes {
-				c := f.configure(ctx, i+2, r)
+				c := f.configure(ctx, i+2)
 				r.Changes = append(r.Changes, c)
 				f.says("change %d: acknowledged after %v (%d tries), at half, 95%%, all hollow routers after %v, %v, %v, in force at real ones after %v, missing at %d",
 					i+1, c.Acked.Round(time.Millisecond), c.Tries, c.P50.Round(time.Millisecond), c.P95.Round(time.Millisecond),
--- a/internal/lab/scale/scale_test.go
+++ b/internal/lab/scale/scale_test.go
@@ -56,7 +56,7 @@
 func TestSmallFleet(t *testing.T) {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "notchhinge")
-	if out, err := exec.Command("go", "build", "-o", binary, "notchhinge/cmd/notchhinge").CombinedOutput(); err != nil {
+	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "notchhinge/cmd/notchhinge").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	r, err := Run(t.Context(), Options{
--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -215,7 +215,7 @@
 	if m.mixed {
 		program = s.Mixed
 	}
-	m.cmd = exec.Command(program, "node")
+	m.cmd = exec.Command(program, "node") //nolint:noctx // stop drains it, which a context would cut short
 	m.cmd.Env = append(os.Environ(), "NOTCHHINGE_BOOT="+path)
 	m.cmd.Stdout, m.cmd.Stderr = m.log, m.log
 	return m.cmd.Start()
@@ -265,7 +265,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	req, err := http.NewRequest(method, url, bytes.NewReader(b))
+	req, err := http.NewRequestWithContext(context.Background(), method, url, bytes.NewReader(b)) // bounded by the client's time-out
 	if err != nil {
 		return 0, nil, err
 	}
@@ -328,7 +328,11 @@
 			if m.keeper {
 				continue
 			}
-			if resp, err := client.Get("http://" + m.ready + "/"); err == nil {
+			req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.ready+"/", nil)
+			if err != nil {
+				continue
+			}
+			if resp, err := client.Do(req); err == nil {
 				resp.Body.Close()
 				if resp.StatusCode == 200 {
 					ups = append(ups, m)
--- a/internal/lab/system/system_test.go
+++ b/internal/lab/system/system_test.go
@@ -12,7 +12,7 @@
 	// The whole of it, as a newcomer starts it, in short: real processes, killed and frozen.
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "notchhinge")
-	if out, err := exec.Command("go", "build", "-o", binary, "notchhinge/cmd/notchhinge").CombinedOutput(); err != nil {
+	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "notchhinge/cmd/notchhinge").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
 	r, err := Play(t.Context(), Options{
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -1,6 +1,7 @@
 package router
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -22,7 +23,7 @@
 // ListenControl opens the control socket: for its owner only. What a router that was killed has left is taken away; a
 // socket that still answers is another router's.
 func ListenControl(path string) (net.Listener, error) {
-	if c, err := net.Dial("unix", path); err == nil {
+	if c, err := (&net.Dialer{}).DialContext(context.Background(), "unix", path); err == nil {
 		c.Close()
 		return nil, fmt.Errorf("control: %s is the socket of a program that runs", path)
 	}
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -153,7 +153,12 @@
 				return
 			default:
 			}
-			a, err := client.Get("http://" + listen + "/health/ready")
+			req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+listen+"/health/ready", nil)
+			if err != nil {
+				t.Error(err)
+				return
+			}
+			a, err := client.Do(req)
 			if err == nil {
 				io.Copy(io.Discard, a.Body)
 				a.Body.Close()
--- a/internal/router/services_test.go
+++ b/internal/router/services_test.go
@@ -72,7 +72,8 @@
 	const two = "[[service]]\nname = \"runs\"\npool = \"runs\"\n[[service.route]]\nhost = \"runs\"\n" +
 		"[[service]]\nname = \"calib\"\npool = \"calib\"\n[[service.route]]\nhost = \"calib\"\n" +
 		"[[pool]]\nname = \"runs\"\ndiscovery = \"disc-runs:1\"\n[[pool]]\nname = \"calib\"\ndiscovery = \"disc-calib:1\"\n"
-	one := two[:strings.Index(two, "[[service]]\nname = \"calib\"")] + "[[pool]]\nname = \"renamed\"\nwas = \"runs\"\ndiscovery = \"disc-runs:1\"\n"
+	before, _, _ := strings.Cut(two, "[[service]]\nname = \"calib\"")
+	one := before + "[[pool]]\nname = \"renamed\"\nwas = \"runs\"\ndiscovery = \"disc-runs:1\"\n"
 	one = strings.Replace(one, `pool = "runs"`, `pool = "renamed"`, 1)
 	path := filepath.Join(t.TempDir(), "f")
 	var log strings.Builder
--- a/internal/succession/succession_test.go
+++ b/internal/succession/succession_test.go
@@ -124,7 +124,7 @@
 
 func TestKilledProcessLeavesNothing(t *testing.T) {
 	dir := t.TempDir()
-	c := exec.Command(os.Args[0])
+	c := exec.CommandContext(t.Context(), os.Args[0])
 	c.Env = append(os.Environ(), "SUCCESSION_HOLD="+dir)
 	out, err := c.StdoutPipe()
 	if err != nil {
--- a/internal/trace/context.go
+++ b/internal/trace/context.go
@@ -7,10 +7,11 @@
 	"strings"
 )
 
-// TraceID names a trace, SpanID a span in it. The zero values name none.
 type (
-	TraceID [16]byte
-	SpanID  [8]byte
+	// TraceID names a trace. The zero value names none.
+	TraceID [16]byte //nolint:revive // beside SpanID, ID would not say of what
+	// SpanID names a span of a trace. The zero value names none.
+	SpanID [8]byte
 )
 
 func (t TraceID) String() string { return hex.EncodeToString(t[:]) }
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -27,8 +27,12 @@
 
 var outcomeNames = [...]string{"unknown", "served", "broken", "refused", "failed", "gone", "open"}
 
-func (o Outcome) String() string                { return name(outcomeNames[:], int(o)) }
-func (o Outcome) MarshalText() ([]byte, error)  { return []byte(o.String()), nil }
+func (o Outcome) String() string { return name(outcomeNames[:], int(o)) }
+
+// MarshalText implements encoding.TextMarshaler.
+func (o Outcome) MarshalText() ([]byte, error) { return []byte(o.String()), nil }
+
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (o *Outcome) UnmarshalText(b []byte) error { return unname(o, outcomeNames[:], b) }
 
 // ParseOutcome reads the name of an outcome.
@@ -51,7 +55,11 @@
 	}
 	return name(resultNames[:], int(r))
 }
+
+// MarshalText implements encoding.TextMarshaler.
 func (r Result) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
+
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (r *Result) UnmarshalText(b []byte) error {
 	if string(b) == "none" {
 		*r = None
@@ -78,8 +86,12 @@
 	RouterFull: "router_full", IDTaken: "id_taken", Unanswered: "unanswered",
 }
 
-func (w Why) String() string                { return name(whyNames[:], int(w)) }
-func (w Why) MarshalText() ([]byte, error)  { return []byte(w.String()), nil }
+func (w Why) String() string { return name(whyNames[:], int(w)) }
+
+// MarshalText implements encoding.TextMarshaler.
+func (w Why) MarshalText() ([]byte, error) { return []byte(w.String()), nil }
+
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (w *Why) UnmarshalText(b []byte) error { return unname(w, whyNames[:], b) }
 
 func name(names []string, i int) string {
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -65,18 +65,18 @@
 }
 
 // serve plays a leg to its end: first its first event, then the stream.
-func (r *rig) serve(id policy.RequestID, n int, first, stream time.Duration) {
+func (r *rig) serve(id policy.RequestID, first, stream time.Duration) {
 	r.Because(id, r.of[id], policy.ReasonAffinity)
-	r.Sent(r.now, id, r.of[id], n, "s-1", "127.0.0.2:5000")
+	r.Sent(r.now, id, r.of[id], 0, "s-1", "127.0.0.2:5000")
 	sent := r.now
 	r.after(first)
-	r.Bound(r.now, id, r.of[id], n)
+	r.Bound(r.now, id, r.of[id], 0)
 	bound := r.now
 	r.after(stream)
-	r.Ended(r.now, id, r.of[id], n, policy.ResultOK, false, &Times{
+	r.Ended(r.now, id, r.of[id], 0, policy.ResultOK, false, &Times{
 		Begun: sent, Lined: sent + ms, Written: sent + 2*ms, First: bound - ms, Event: bound, Bound: bound, Ended: r.now, Tokens: 10,
 	})
-	r.Told(r.now, id, r.of[id], n, policy.ResultOK, 64)
+	r.Told(r.now, id, r.of[id], 0, policy.ResultOK, 64)
 	r.Closed(r.now, id, r.of[id], Served, 0)
 }
 
@@ -90,7 +90,7 @@
 func TestOrdinaryOnesWaitAndGo(t *testing.T) {
 	r := newRig(nil)
 	r.take(1, 9, 100, nil)
-	r.serve(1, 0, 300*ms, 200*ms)
+	r.serve(1, 300*ms, 200*ms)
 	if len(r.kept) != 0 || r.Counters().Held == 0 {
 		t.Fatalf("kept %d, held %d", len(r.kept), r.Counters().Held)
 	}
@@ -100,7 +100,7 @@
 	}
 	r.Recorder.sampler = NewSampler(1, 0)
 	r.take(2, 9, 100, nil)
-	r.serve(2, 0, 300*ms, 200*ms)
+	r.serve(2, 300*ms, 200*ms)
 	r.after(11 * time.Second)
 	if len(r.kept) != 1 || r.kept[0].Reasons != ForShare || r.kept[0].Before != (Link{}) {
 		t.Errorf("kept %+v", r.kept)
@@ -109,8 +109,8 @@
 
 func TestWhatIsAlwaysKept(t *testing.T) {
 	for name, play := range map[string]func(*rig) Reason{
-		"late":      func(r *rig) Reason { r.serve(1, 0, 1200*ms, ms); return ForLate },
-		"slow pace": func(r *rig) Reason { r.serve(1, 0, 100*ms, 600*ms); return ForLate },
+		"late":      func(r *rig) Reason { r.serve(1, 1200*ms, ms); return ForLate },
+		"slow pace": func(r *rig) Reason { r.serve(1, 100*ms, 600*ms); return ForLate },
 		"refused": func(r *rig) Reason {
 			r.Because(1, r.of[1], policy.ReasonLoadShed)
 			r.Closed(r.now, 1, r.of[1], Refused, ms)
@@ -153,10 +153,10 @@
 	// length. The next question of the conversation is no retry.
 	r := newRig(nil)
 	r.take(1, 9, 100, nil)
-	r.serve(1, 0, 300*ms, 200*ms)
+	r.serve(1, 300*ms, 200*ms)
 	r.after(time.Second)
 	r.take(2, 9, 150, nil)
-	r.serve(2, 0, 300*ms, 200*ms)
+	r.serve(2, 300*ms, 200*ms)
 	if len(r.kept) != 0 {
 		t.Fatal("the next question passed for a retry")
 	}
@@ -165,7 +165,7 @@
 	if len(r.kept) != 1 || r.kept[0].CallID != "call2" || r.kept[0].Reasons != ForLinked {
 		t.Fatalf("kept %+v", r.kept)
 	}
-	r.serve(3, 0, 300*ms, 200*ms)
+	r.serve(3, 300*ms, 200*ms)
 	if len(r.kept) != 2 || r.kept[1].Trace != r.kept[0].Trace || r.kept[1].Before.Span != r.kept[0].Span || r.kept[1].Number != 2 {
 		t.Errorf("kept %+v", r.kept)
 	}
@@ -175,7 +175,7 @@
 	// The next question of the conversation comes between a try and its retry, which finds its step all the same.
 	r := newRig(nil)
 	r.take(1, 9, 100, nil)
-	r.serve(1, 0, 300*ms, 200*ms)
+	r.serve(1, 300*ms, 200*ms)
 	r.take(2, 9, 150, nil)
 	r.take(3, 9, 100, nil)
 	if len(r.kept) != 1 || r.kept[0].CallID != "call1" || r.Counters().Linked != 1 {
@@ -193,9 +193,9 @@
 	r := newRig(nil)
 	c, _ := ParseParent(goodParent)
 	r.take(1, 9, 100, &Origin{Context: c})
-	r.serve(1, 0, 300*ms, 200*ms)
+	r.serve(1, 300*ms, 200*ms)
 	r.take(2, 9, 150, &Origin{Context: c, Retry: true})
-	r.serve(2, 0, 300*ms, 200*ms)
+	r.serve(2, 300*ms, 200*ms)
 	if len(r.kept) != 1 || r.kept[0].CallID != "call2" || r.kept[0].Before != (Link{}) || r.kept[0].Trace != c.Trace {
 		t.Errorf("kept %+v", r.kept)
 	}
@@ -214,7 +214,7 @@
 	r.Sent(r.now, 1, r.of[1], 0, "s-1", "d")
 	r.after(time.Second)
 	r.take(2, 9, 100, &Origin{Context: c})
-	r.serve(2, 0, 100*ms, 100*ms)
+	r.serve(2, 100*ms, 100*ms)
 	if len(r.kept) != 1 || r.kept[0].Trace != c.Trace || r.kept[0].Parent != c.Span || r.kept[0].Before == (Link{}) {
 		t.Fatalf("kept %+v", r.kept)
 	}
@@ -277,7 +277,7 @@
 			r.Closed(r.now, id, r.of[id], Failed, 0)
 			failed++
 		} else {
-			r.serve(id, 0, 20*time.Microsecond, 20*time.Microsecond)
+			r.serve(id, 20*time.Microsecond, 20*time.Microsecond)
 		}
 		if c := r.Counters(); c.Held > 500 || c.Steps > 501 {
 			t.Fatalf("after %d: %+v", id, c)
@@ -295,13 +295,13 @@
 	// A router that drains may be killed while its last streams run: what has ended leaves at once.
 	r := newRig(func(o *Options) { o.Share = 1 })
 	r.take(1, 9, 100, nil)
-	r.serve(1, 0, 10*ms, 10*ms)
+	r.serve(1, 10*ms, 10*ms)
 	r.take(2, 8, 100, nil)
 	r.Drain(r.now)
 	if len(r.kept) != 1 {
 		t.Fatalf("%d records left", len(r.kept))
 	}
-	r.serve(2, 0, 10*ms, 10*ms)
+	r.serve(2, 10*ms, 10*ms)
 	if c := r.Counters(); len(r.kept) != 2 || c.Held != 0 || c.Steps != 0 {
 		t.Errorf("%d records left, %+v", len(r.kept), c)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -55,9 +55,9 @@
 
 func pad(b []byte) []byte { return append(b, make([]byte, eventSize-len(b))...) }
 
-func launchEv(seed uint64, offset, length int) []byte {
+func launchEv(seed uint64, length int) []byte {
 	b := binary.LittleEndian.AppendUint64([]byte{EvLaunch}, seed)
-	b = binary.LittleEndian.AppendUint32(b, uint32(offset))
+	b = binary.LittleEndian.AppendUint32(b, 0) // the offset
 	return pad(binary.LittleEndian.AppendUint32(b, uint32(length)))
 }
 
@@ -143,7 +143,7 @@
 	tail := slices.Concat([]byte(text), entry(11, 0), entry(12, 0), entry(13, 0))
 	events := [][]byte{censusEv(0, len(text), 3)}
 	for _, i := range instances {
-		events = append(events, pad(selectEv(i)), launchEv(uint64(i)+5, 0, len(text)), registryEv(0, HowCached))
+		events = append(events, pad(selectEv(i)), launchEv(uint64(i)+5, len(text)), registryEv(0, HowCached))
 	}
 	return frame(1, 1_000_000, tail, events...)
 }
@@ -281,7 +281,7 @@
 	tail := slices.Concat([]byte(text), entry(41, 0))
 	answer(t, h, frame(2, 2_000_000, nil, pad(selectEv(1)), knockEv(1, 5)))
 	got := answer(t, h, frame(3, 3_000_000, tail, pad(selectEv(1)), pad([]byte{EvDestroy}),
-		launchEv(99, 0, len(text)), censusEv(0, len(text), 1), registryEv(0, HowCached), knockEv(2, 5)))
+		launchEv(99, len(text)), censusEv(0, len(text), 1), registryEv(0, HowCached), knockEv(2, 5)))
 	for _, a := range got {
 		if a.u8(0) == AcAssign && a.u32(9) != 41 {
 			t.Errorf("sent to %d: the old life's list outlived the kill", a.u32(9))
@@ -304,15 +304,15 @@
 		"unknown event":         append(slices.Clone(good), frame(2, 0, nil, sel, pad([]byte{99}))...),
 		"no Select":             frame(1, 0, nil, pad([]byte{EvDestroy})),
 		"not running":           frame(1, 0, nil, sel, knockEv(1, 1)),
-		"tail span":             frame(1, 0, nil, sel, launchEv(1, 0, 1)),
+		"tail span":             frame(1, 0, nil, sel, launchEv(1, 1)),
 		"entries span":          frame(1, 0, nil, censusEv(0, 1<<31, 1<<31)),
 		"list number":           frame(1, 0, nil, censusEv(16, 0, 0)),
 		"list never given":      append(slices.Clone(good), frame(2, 0, nil, sel, registryEv(7, HowFull))...),
 		"list kind":             append(slices.Clone(good), frame(2, 0, nil, sel, registryEv(0, 9))...),
 		"replica state":         frame(1, 0, entry(1, 3), censusEv(0, 0, 1)),
 		"result":                append(slices.Clone(good), frame(2, 0, nil, sel, verdictEv(1, 0, 11, 5, 0))...),
-		"settings":              frame(1, 0, []byte("{"), sel, launchEv(1, 0, 1)),
-		"settings empty":        frame(1, 0, []byte("{}"), sel, launchEv(1, 0, 2)),
+		"settings":              frame(1, 0, []byte("{"), sel, launchEv(1, 1)),
+		"settings empty":        frame(1, 0, []byte("{}"), sel, launchEv(1, 2)),
 	} {
 		err := NewHost().Run(bytes.NewReader(data), &bytes.Buffer{})
 		if err == nil || strings.Contains(err.Error(), "\n") {
