--- a/internal/dispatch/events.go
+++ b/internal/dispatch/events.go
@@ -48,7 +48,7 @@
 type Event interface{ event() }
 
 type (
-	// RequestReceived: an authorisation has come in whole. Its ID is the broker's to give.
+	// RequestReceived tells that an authorisation has come in whole. Its ID is the broker's to give.
 	RequestReceived struct {
 		Client          Client
 		Pool            hoststate.PoolID
@@ -59,23 +59,23 @@
 		MaxAttempts int
 		Origin      *trace.Origin // nil where nothing is traced
 	}
-	// RejectionWritten: a declining answer has been written, or could not be. Fronts tell it where journeys are recorded and
+	// RejectionWritten tells that a declining answer has been written, or could not be. Fronts tell it where journeys are recorded and
 	// their Origin says that they will.
 	RejectionWritten struct {
 		Client Client
 		At     time.Duration
 	}
-	// StartDrain: the program is to end; what is recorded of finished journeys leaves without waiting.
+	// StartDrain tells that the program is to end; what is recorded of finished journeys leaves without waiting.
 	StartDrain struct{}
-	// FlushTraces: the program ends; what is recorded of journeys leaves.
+	// FlushTraces tells that the program ends; what is recorded of journeys leaves.
 	FlushTraces struct{}
-	// RejectedByFrontend: a front turned a message down by itself; it is only counted.
+	// RejectedByFrontend tells that a front turned a message down by itself; it is only counted.
 	RejectedByFrontend struct{}
-	// ClientLeft: the acquirer has gone.
+	// ClientLeft tells that the acquirer has gone.
 	ClientLeft struct{ Client Client }
-	// AttemptStarted: the first event of an answer is there, and waits for Bind or DropLeg.
+	// AttemptStarted tells that the first event of an answer is there, and waits for Bind or DropLeg.
 	AttemptStarted struct{ Attempt AttemptID }
-	// AttemptEnded: a leg is over. Each SendLeg is followed by exactly one.
+	// AttemptEnded tells that a leg is over. Each SendLeg is followed by exactly one.
 	AttemptEnded struct {
 		Attempt         AttemptID
 		Result          policy.Result
@@ -101,17 +101,17 @@
 		Kind  policy.ListKind
 		Hosts []Host
 	}
-	// ConnectionIdle: a line to an issuer host is idle, and is to be hung up before the host closes it.
+	// ConnectionIdle tells that a line to an issuer host is idle, and is to be hung up before the host closes it.
 	ConnectionIdle struct {
 		Connection uint64
 		Idle       time.Duration
 	}
-	// SetReminder: a front wants to be told of something at a time.
+	// SetReminder tells that a front wants to be told of something at a time.
 	SetReminder struct {
 		At    time.Duration
 		Token any
 	}
-	// Tick: something may be due.
+	// Tick tells that something may be due.
 	Tick struct{}
 	// ConfigurePool adds a pool, or changes one that there is: all but its module and what that was made with.
 	ConfigurePool struct {
@@ -132,7 +132,7 @@
 		Pool    hoststate.PoolID
 		Classes []policy.Class
 	}
-	// EndPool: nothing more is routed to a pool. PoolGone follows once nothing of its is open.
+	// EndPool tells that nothing more is routed to a pool. PoolGone follows once nothing of its is open.
 	EndPool struct{ Pool hoststate.PoolID }
 	// RetryAllowance is what each pool's part of the common budget for repeats has beyond its share of requests, from now on.
 	RetryAllowance float64
@@ -216,7 +216,7 @@
 	ReminderDue struct{ Token any }
 	// WatchEndpoints asks a pool's discovery for changes from now on.
 	WatchEndpoints struct{ Pool hoststate.PoolID }
-	// PoolEnded: a pool that was ended owes nothing more; its lines and its watch may go.
+	// PoolEnded tells that a pool that was ended owes nothing more; its lines and its watch may go.
 	PoolEnded struct{ Pool hoststate.PoolID }
 	// Log is a line for the staff, of a pool or of none.
 	Log struct{ Pool, Message string }
