--- a/internal/control/api/api_test.go
+++ b/internal/control/api/api_test.go
@@ -14,52 +14,58 @@
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
+	"github.com/google/go-cmp/cmp"
 
 	"notchhinge/internal/control/fleetconfig"
 )
 
-// handler notes what it was asked.
-type handler struct {
-	beats []Heartbeat
-	offs  []string
-	on    uint64
-	text  []byte
-	fail  error
-	other string
+// recorder is a Handler that notes its calls.
+type recorder struct {
+	heartbeats   []Heartbeat
+	deregistered []string
+	baseRevision uint64
+	config       []byte
+	err          error  // of calls of engines
+	redirect     string // also the home of heartbeats
 }
 
-func (h *handler) RedirectTarget() string { return h.other }
+func (h *recorder) RedirectTarget() string { return h.redirect }
 
-func (h *handler) Heartbeat(_ context.Context, b *Heartbeat) (string, error) {
-	h.beats = append(h.beats, *b)
-	return h.other, h.fail
+func (h *recorder) Heartbeat(_ context.Context, b *Heartbeat) (string, error) {
+	h.heartbeats = append(h.heartbeats, *b)
+	return h.redirect, h.err
 }
-func (h *handler) Deregister(_ context.Context, id string) error {
-	h.offs = append(h.offs, id)
-	return h.fail
+
+func (h *recorder) Deregister(_ context.Context, id string) error {
+	h.deregistered = append(h.deregistered, id)
+	return h.err
 }
-func (h *handler) ReplaceConfig(_ context.Context, on uint64, text []byte) Result {
-	h.on, h.text = on, text
-	if on == 7 {
-		return Result{Status: 412, Message: "version 9 is current"}
+
+func (h *recorder) ReplaceConfig(_ context.Context, baseRevision uint64, config []byte) Result {
+	h.baseRevision, h.config = baseRevision, config
+	if baseRevision == 7 {
+		return Result{Status: StatusStaleRevision, Message: "revision 9 is current"}
 	}
-	return Result{Status: 200, Revision: 3}
+	return Result{Status: StatusOK, Revision: 3}
 }
-func (h *handler) DescribeConfig(context.Context) Result {
-	return Result{Status: 200, Revision: 3, Body: []byte{0xa0}}
+
+func (h *recorder) DescribeConfig(context.Context) Result {
+	return Result{Status: StatusOK, Revision: 3, Body: []byte{0xa0}}
 }
-func (h *handler) RemoveMember(_ context.Context, name string) Result {
+
+func (h *recorder) RemoveMember(_ context.Context, name string) Result {
 	if name != "k-1" {
-		return Result{Status: 404, Message: "no member"}
+		return Result{Status: StatusNotFound, Message: "no member"}
 	}
-	return Result{Status: 200, Revision: 3}
+	return Result{Status: StatusOK, Revision: 3}
 }
-func (h *handler) ConfigHistory(context.Context) Result {
-	return Result{Status: 200, Body: []byte("[]")}
+
+func (h *recorder) ConfigHistory(context.Context) Result {
+	return Result{Status: StatusOK, Body: []byte("[]")}
 }
-func (h *handler) Engines() any                { return []int{} }
-func (h *handler) Explain(r *http.Request) any { return r.Host }
-func (h *handler) Status() any                 { return map[string]int{"x": 1} }
+func (h *recorder) Engines() any                { return []int{} }
+func (h *recorder) Explain(r *http.Request) any { return r.Host }
+func (h *recorder) Status() any                 { return map[string]int{"x": 1} }
 
 func marshal(t *testing.T, v any) []byte {
 	t.Helper()
@@ -70,90 +76,162 @@
 	return b
 }
 
-func beat(change string, to any) map[string]any {
-	b := map[string]any{"target_service": "s", "address": "10.0.0.1:80", "zone": "z", "revision": "v1", "capacity_slots": 4,
-		"status": "ready", "warmup_remaining_ms": 12.5, "call_count": 4, "later_field": "x"}
-	if change != "" {
-		b[change] = to
+// heartbeat is a valid one, with a field that this program does not know, but for one field.
+func heartbeat(t *testing.T, key string, value any) []byte {
+	t.Helper()
+	b := map[string]any{
+		"target_service": "s", "address": "10.0.0.1:80", "zone": "z", "revision": "v1", "capacity_slots": 4,
+		"status": "ready", "warmup_remaining_ms": 12.5, "call_count": 4, "later_field": "x",
 	}
-	return b
+	if key != "" {
+		b[key] = value
+	}
+	return marshal(t, b)
+}
+
+// call makes a call; header is the value of X-Revision-Match, "" = none.
+func call(t *testing.T, h Handler, method, path string, body []byte, header string) *httptest.ResponseRecorder {
+	t.Helper()
+	r := httptest.NewRequestWithContext(t.Context(), method, path, bytes.NewReader(body))
+	if header != "" {
+		r.Header.Set("X-Revision-Match", header)
+	}
+	w := httptest.NewRecorder()
+	NewHandler(h).ServeHTTP(w, r)
+	return w
 }
 
-func TestCalls(t *testing.T) {
-	h := &handler{}
-	do := func(method, path string, body []byte, header ...string) *httptest.ResponseRecorder {
-		r := httptest.NewRequest(method, path, bytes.NewReader(body))
-		for i := 0; i+1 < len(header); i += 2 {
-			r.Header.Set(header[i], header[i+1])
+func TestStatusOfEngineCalls(t *testing.T) {
+	const path = "/Instances.Heartbeat/i-1"
+	h := &recorder{}
+	for _, c := range []struct {
+		name, method, path string
+		body               []byte
+		want               int
+	}{
+		{"heartbeat", "POST", path, heartbeat(t, "", nil), 200},
+		{"draining", "POST", path, heartbeat(t, "status", "draining"), 200},
+		{"unknown status", "POST", path, heartbeat(t, "status", "tired"), 400},
+		{"address without a port", "POST", path, heartbeat(t, "address", "here"), 400},
+		{"long address", "POST", path, heartbeat(t, "address", strings.Repeat("h", 200)+":80"), 400},
+		{"long zone", "POST", path, heartbeat(t, "zone", strings.Repeat("z", 201)), 400},
+		{"no service", "POST", path, heartbeat(t, "target_service", ""), 400},
+		{"negative count", "POST", path, heartbeat(t, "call_count", -1), 400},
+		{"not CBOR", "POST", path, []byte("{}"), 400},
+		{"too large", "POST", path, make([]byte, maxCallBytes+1), 413},
+		{"long id", "POST", "/Instances.Heartbeat/" + strings.Repeat("i", 201), heartbeat(t, "", nil), 400},
+		{"no id", "POST", "/Instances.Heartbeat/", heartbeat(t, "", nil), 404},
+		{"other method", "GET", path, nil, 405},
+		{"sign-off", "POST", "/Instances.Deregister/i-1", nil, 200},
+		{"sign-off with a long id", "POST", "/Instances.Deregister/" + strings.Repeat("i", 201), nil, 400},
+		{"unknown path", "GET", "/none", nil, 404},
+	} {
+		if w := call(t, h, c.method, c.path, c.body, ""); w.Code != c.want {
+			t.Errorf("%s: status %d, want %d: %s", c.name, w.Code, c.want, w.Body)
 		}
-		w := httptest.NewRecorder()
-		NewHandler(h).ServeHTTP(w, r)
-		return w
 	}
+	ready := Heartbeat{
+		ID: "i-1", TargetService: "s", Address: "10.0.0.1:80", Zone: "z", Revision: "v1", CapacitySlots: 4,
+		Status: EngineReady, WarmupRemainingMS: 12.5, CallCount: 4,
+	}
+	draining := ready
+	draining.Status = EngineDraining
+	if diff := cmp.Diff([]Heartbeat{ready, draining}, h.heartbeats); diff != "" {
+		t.Error(diff)
+	}
+	if !cmp.Equal(h.deregistered, []string{"i-1"}) {
+		t.Errorf("deregistered: %v", h.deregistered)
+	}
+}
+
+func TestStatusOfOperatorCalls(t *testing.T) {
+	const replace = "/Configuration.Replace"
+	h := &recorder{}
 	for _, c := range []struct {
 		name, method, path string
 		body               []byte
-		header             []string
+		base               string
 		want               int
 	}{
-		{"a beat", "POST", "/Instances.Heartbeat/i-1", marshal(t, beat("", nil)), nil, 200},
-		{"draining", "POST", "/Instances.Heartbeat/i-1", marshal(t, beat("status", "draining")), nil, 200},
-		{"another status", "POST", "/Instances.Heartbeat/i-1", marshal(t, beat("status", "tired")), nil, 400},
-		{"no address", "POST", "/Instances.Heartbeat/i-1", marshal(t, beat("address", "here")), nil, 400},
-		{"no service", "POST", "/Instances.Heartbeat/i-1", marshal(t, beat("target_service", "")), nil, 400},
-		{"a count that is none", "POST", "/Instances.Heartbeat/i-1", marshal(t, beat("call_count", -1)), nil, 400},
-		{"no CBOR", "POST", "/Instances.Heartbeat/i-1", []byte("{}"), nil, 400},
-		{"too large", "POST", "/Instances.Heartbeat/i-1", make([]byte, mostBeat+1), nil, 413},
-		{"a long id", "POST", "/Instances.Heartbeat/" + strings.Repeat("i", 201), marshal(t, beat("", nil)), nil, 400},
-		{"no id", "POST", "/Instances.Heartbeat/", marshal(t, beat("", nil)), nil, 404},
-		{"another method", "GET", "/Instances.Heartbeat/i-1", nil, nil, 405},
-		{"signing off", "POST", "/Instances.Deregister/i-1", nil, nil, 200},
-		{"a configuration", "POST", "/Configuration.Replace", []byte{0xa0}, []string{"X-Revision-Match", "5"}, 200},
-		{"a lost race", "POST", "/Configuration.Replace", []byte{0xa0}, []string{"X-Revision-Match", "7"}, 412},
-		{"upon nothing", "POST", "/Configuration.Replace", []byte{0xa0}, nil, 400},
-		{"upon no number", "POST", "/Configuration.Replace", []byte{0xa0}, []string{"X-Revision-Match", "-1"}, 400},
-		{"far too large", "POST", "/Configuration.Replace", make([]byte, fleetconfig.MaxBytes+1), []string{"X-Revision-Match", "5"}, 413},
-		{"read back", "GET", "/Configuration.Describe", nil, nil, 200},
-		{"status", "GET", "/fleet/status", nil, nil, 200},
-		{"engines", "GET", "/fleet/engines", nil, nil, 200},
-		{"a request explained", "POST", "/fleet/explain", []byte("GET /x HTTP/1.1\r\nHost: a"), nil, 200},
-		{"what is no request", "POST", "/fleet/explain", []byte("hello"), nil, 400},
-		{"history", "GET", "/fleet/history", nil, nil, 200},
-		{"a member taken out", "DELETE", "/fleet/members/k-1", nil, nil, 200},
-		{"a member that is none", "DELETE", "/fleet/members/k-2", nil, nil, 404},
-		{"a name that is too long", "DELETE", "/fleet/members/" + strings.Repeat("k", 201), nil, nil, 400},
-		{"another path", "GET", "/none", nil, nil, 404},
+		{"configuration", "POST", replace, []byte{0xa0}, "5", 200},
+		{"stale base", "POST", replace, []byte{0xa0}, "7", 412},
+		{"no base", "POST", replace, []byte{0xa0}, "", 400},
+		{"base that is no revision", "POST", replace, []byte{0xa0}, "-1", 400},
+		{"too large", "POST", replace, make([]byte, fleetconfig.MaxBytes+1), "5", 413},
+		{"describe", "GET", "/Configuration.Describe", nil, "", 200},
+		{"status", "GET", "/fleet/status", nil, "", 200},
+		{"engines", "GET", "/fleet/engines", nil, "", 200},
+		{"explain", "POST", "/fleet/explain", []byte("GET /x HTTP/1.1\r\nHost: a"), "", 200},
+		{"explain what is no request", "POST", "/fleet/explain", []byte("hello"), "", 400},
+		{"history", "GET", "/fleet/history", nil, "", 200},
+		{"remove a member", "DELETE", "/fleet/members/k-1", nil, "", 200},
+		{"remove an unknown member", "DELETE", "/fleet/members/k-2", nil, "", 404},
+		{"remove a member with a long name", "DELETE", "/fleet/members/" + strings.Repeat("k", 201), nil, "", 400},
 	} {
-		if w := do(c.method, c.path, c.body, c.header...); w.Code != c.want {
-			t.Errorf("%s: %d, %d is wanted: %s", c.name, w.Code, c.want, w.Body)
+		if w := call(t, h, c.method, c.path, c.body, c.base); w.Code != c.want {
+			t.Errorf("%s: status %d, want %d: %s", c.name, w.Code, c.want, w.Body)
 		}
 	}
-	if len(h.beats) != 2 || h.beats[0].ID != "i-1" || h.beats[0].CapacitySlots != 4 || h.beats[0].WarmupRemainingMS != 12.5 || h.beats[1].Status != "draining" {
-		t.Errorf("%+v", h.beats)
+	if h.baseRevision != 7 || !bytes.Equal(h.config, []byte{0xa0}) {
+		t.Errorf("the last configuration handled is %x on %d, want a0 on 7", h.config, h.baseRevision)
+	}
+}
+
+func TestResponses(t *testing.T) {
+	h := &recorder{redirect: ""}
+	w := call(t, h, "GET", "/Configuration.Describe", nil, "")
+	if !bytes.Equal(w.Body.Bytes(), []byte{0xa0}) || w.Header().Get("X-Revision") != "3" || w.Header().Get("Content-Type") != "application/cbor" {
+		t.Errorf("configuration: %x %v", w.Body, w.Header())
 	}
-	if len(h.offs) != 1 || h.on != 7 {
-		t.Errorf("%v, on %d", h.offs, h.on)
+	for _, c := range []struct {
+		name string
+		got  *httptest.ResponseRecorder
+		want map[string]any
+	}{
+		{"replaced", call(t, h, "POST", "/Configuration.Replace", []byte{0xa0}, "5"), map[string]any{"revision": uint64(3)}},
+		{"stale base", call(t, h, "POST", "/Configuration.Replace", []byte{0xa0}, "7"), map[string]any{"error_message": "revision 9 is current"}},
+		{"heartbeat", call(t, h, "POST", "/Instances.Heartbeat/i-1", heartbeat(t, "", nil), ""), map[string]any{}},
+		{
+			"heartbeat with a home", call(t, &recorder{redirect: "10.0.0.4:8080"}, "POST", "/Instances.Heartbeat/i-1", heartbeat(t, "", nil), ""),
+			map[string]any{"heartbeat_url": "10.0.0.4:8080"},
+		},
+	} {
+		got := map[string]any{}
+		if err := cbor.Unmarshal(c.got.Body.Bytes(), &got); err != nil {
+			t.Errorf("%s: %v", c.name, err)
+		}
+		if diff := cmp.Diff(c.want, got); diff != "" {
+			t.Errorf("%s: %s", c.name, diff)
+		}
 	}
-	if w := do("GET", "/Configuration.Describe", nil); !bytes.Equal(w.Body.Bytes(), []byte{0xa0}) || w.Header().Get("X-Revision") != "3" {
-		t.Errorf("%v %v", w.Body.Bytes(), w.Header())
+}
+
+// TestHandlerErrorIsUnavailable: an engine whose call failed for an unknown reason is sent elsewhere by 503.
+func TestHandlerErrorIsUnavailable(t *testing.T) {
+	h := &recorder{err: errors.New("not now")}
+	for _, path := range []string{"/Instances.Heartbeat/i-1", "/Instances.Deregister/i-1"} {
+		w := call(t, h, "POST", path, heartbeat(t, "", nil), "")
+		if w.Code != http.StatusServiceUnavailable || w.Body.Len() > 4096 {
+			t.Errorf("%s: status %d with %d bytes, want 503", path, w.Code, w.Body.Len())
+		}
 	}
-	h.fail = errors.New("not now")
-	if w := do("POST", "/Instances.Heartbeat/i-1", marshal(t, beat("", nil))); w.Code != http.StatusServiceUnavailable || w.Body.Len() > 4096 {
-		t.Errorf("%d", w.Code)
+	h.err = &Error{StatusConflict, "no"}
+	if w := call(t, h, "POST", "/Instances.Deregister/i-1", nil, ""); w.Code != http.StatusConflict {
+		t.Errorf("status %d of a typed error, want its own", w.Code)
 	}
 }
 
-// TestSentElsewhereBeforeItsBody: a large configuration does not go over the link of a machine that cannot settle it. Its
-// sender is told where to go while nearly all of the body is still to come, and again on the same connection.
-func TestSentElsewhereBeforeItsBody(t *testing.T) {
-	h := &handler{other: "10.0.0.4:8080"}
+// TestRedirectPrecedesTheBody: a large configuration does not pass over the link of a machine without the state. The caller
+// gets the redirect while nearly all of the body is still to be sent, and a second one on the same connection.
+func TestRedirectPrecedesTheBody(t *testing.T) {
+	h := &recorder{redirect: "10.0.0.4:8080"}
 	web := httptest.NewServer(NewHandler(h))
-	defer web.Close()
-	c, err := net.Dial("tcp4", web.Listener.Addr().String())
+	t.Cleanup(web.Close)
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp4", web.Listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	br := bufio.NewReader(c)
 	for _, head := range []string{
@@ -166,8 +244,22 @@
 			t.Fatal(err)
 		}
 		to := resp.Header.Get("Location")
-		if resp.StatusCode != http.StatusTemporaryRedirect || !strings.HasPrefix(to, "http://10.0.0.4:8080/Configuration.") || h.text != nil {
-			t.Errorf("%d, %q, handled here: %v", resp.StatusCode, to, h.text != nil)
+		if resp.StatusCode != http.StatusTemporaryRedirect || !strings.HasPrefix(to, "http://10.0.0.4:8080/Configuration.") {
+			t.Errorf("status %d to %q, want a redirect", resp.StatusCode, to)
+		}
+		if h.config != nil {
+			t.Error("the call was handled here")
+		}
+	}
+}
+
+func TestFinalOutcomes(t *testing.T) {
+	for status, want := range map[Status]bool{
+		0: false, StatusOK: true, StatusInvalid: true, StatusNotFound: true, StatusConflict: true, StatusStaleRevision: true,
+		StatusTooLarge: true, StatusInternal: false, StatusUnavailable: false,
+	} {
+		if got := status.IsFinal(); got != want {
+			t.Errorf("IsFinal of %d: got %v, want %v", status, got, want)
 		}
 	}
 }
--- a/internal/control/replica/membership_test.go
+++ b/internal/control/replica/membership_test.go
@@ -7,6 +7,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"notchhinge/internal/control/api"
 )
 
 // TestLearnersReplaceFailedVoters: after as many replacements in a row as may come, all voters run, so that the loss of any f of
@@ -137,7 +139,7 @@
 	c := newCluster(t, 4, 3)
 	failed := c.running()[3]
 	c.kill(failed)
-	remove := func(at *Replica, name string) int {
+	remove := func(at *Replica, name string) api.Status {
 		return c.operate(at, func(id RequestID, deadline time.Duration) Event {
 			return RemoveMember{Request: id, Name: name, Deadline: deadline}
 		}).Status
--- a/internal/control/replica/operator.go
+++ b/internal/control/replica/operator.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"net/http"
 	"slices"
 
 	"notchhinge/internal/control/api"
@@ -11,62 +10,30 @@
 	"notchhinge/internal/control/replog"
 )
 
-// operatorOutcome is what has come of an operator's request.
-type operatorOutcome uint8
-
-const (
-	operatorDone        operatorOutcome = iota + 1
-	operatorUnavailable                 // no majority has answered in time, or this replica cannot tell: another may
-	operatorInvalid                     // the request will never be accepted
-	operatorNotFound
-	operatorConflict  // the group would be too small
-	operatorStaleBase // the configuration builds on a revision that is not the current one
-	operatorInternal
-)
-
-// status is the HTTP status of an outcome. Outcomes other than operatorUnavailable and operatorInternal are final: the same
-// request never has another.
-func (o operatorOutcome) status() int {
-	switch o {
-	case operatorDone:
-		return http.StatusOK
-	case operatorUnavailable:
-		return http.StatusServiceUnavailable
-	case operatorInvalid:
-		return http.StatusBadRequest
-	case operatorNotFound:
-		return http.StatusNotFound
-	case operatorConflict:
-		return http.StatusConflict
-	case operatorStaleBase:
-		return http.StatusPreconditionFailed
-	}
-	return http.StatusInternalServerError
-}
-
-// operatorResult is an outcome and what goes with it.
+// operatorResult is the outcome of an operator's request and what goes with it. Outcomes other than api.StatusUnavailable and
+// api.StatusInternal are final: the same request never has another.
 type operatorResult struct {
-	outcome  operatorOutcome
-	reason   string // of an outcome that is not operatorDone
+	outcome  api.Status
+	reason   string // of an outcome that is not api.StatusOK
 	revision uint64
 	body     []byte
 }
 
 func succeeded(revision uint64, body []byte) operatorResult {
-	return operatorResult{outcome: operatorDone, revision: revision, body: body}
+	return operatorResult{outcome: api.StatusOK, revision: revision, body: body}
 }
 
 func invalid(err error) operatorResult {
-	return operatorResult{outcome: operatorInvalid, reason: err.Error()}
+	return operatorResult{outcome: api.StatusInvalid, reason: err.Error()}
 }
 
 func unavailable(err error) operatorResult {
-	return operatorResult{outcome: operatorUnavailable, reason: err.Error()}
+	return operatorResult{outcome: api.StatusUnavailable, reason: err.Error()}
 }
 
 // answer answers an operator's request.
 func (r *Replica) answer(request RequestID, res operatorResult) {
-	r.emit(OperatorAnswer{request, api.Result{Status: res.outcome.status(), Message: res.reason, Body: res.body, Revision: res.revision}})
+	r.emit(OperatorAnswer{request, api.Result{Status: res.outcome, Message: res.reason, Body: res.body, Revision: res.revision}})
 }
 
 // answerRead answers a read once the state here is confirmed.
@@ -135,7 +102,7 @@
 		p.result = succeeded(p.revision, nil)
 	case replog.ConfigStaleBase:
 		p.result = operatorResult{
-			outcome: operatorStaleBase, revision: s.Revision,
+			outcome: api.StatusStaleRevision, revision: s.Revision,
 			reason: fmt.Sprintf("X-Revision-Match: revision %d is current, not %d", s.Revision, p.event.BaseRevision),
 		}
 		if p.revision < s.OldestRevision() {
@@ -143,7 +110,7 @@
 		}
 	case replog.ConfigRevisionTooLow:
 		p.result = operatorResult{
-			outcome: operatorInvalid, reason: fmt.Sprintf("revision: %d is not above the current one, %d", p.revision, s.Revision),
+			outcome: api.StatusInvalid, reason: fmt.Sprintf("revision: %d is not above the current one, %d", p.revision, s.Revision),
 		}
 	}
 	return nil
@@ -178,7 +145,7 @@
 	r.confirmState(e.Deadline, mode, func(err error) {
 		r.answerRead(e.Request, err, func() operatorResult {
 			if r.state.Config == nil {
-				return operatorResult{outcome: operatorNotFound, reason: "there is no configuration yet"}
+				return operatorResult{outcome: api.StatusNotFound, reason: "there is no configuration yet"}
 			}
 			return succeeded(r.state.Revision, r.state.Config)
 		})
@@ -201,7 +168,7 @@
 	}
 	b, err := json.Marshal(all)
 	if err != nil {
-		return operatorResult{outcome: operatorInternal, reason: err.Error()}
+		return operatorResult{outcome: api.StatusInternal, reason: err.Error()}
 	}
 	return succeeded(r.state.Revision, b)
 }
@@ -211,7 +178,7 @@
 // replica: the state keeps the names of former members.
 func (r *Replica) removeMember(e RemoveMember) {
 	if !r.isVoter() {
-		r.answer(e.Request, operatorResult{outcome: operatorUnavailable, reason: "this replica is not a member itself"})
+		r.answer(e.Request, operatorResult{outcome: api.StatusUnavailable, reason: "this replica is not a member itself"})
 		return
 	}
 	r.confirmState(e.Deadline, readActive, func(err error) {
@@ -231,10 +198,10 @@
 		case len(left) == len(s.Members) && slices.Contains(s.FormerMembers, e.Name):
 			res = succeeded(s.Revision, nil)
 		case len(left) == len(s.Members):
-			res = operatorResult{outcome: operatorNotFound, reason: fmt.Sprintf("no member is named %q", e.Name)}
+			res = operatorResult{outcome: api.StatusNotFound, reason: fmt.Sprintf("no member is named %q", e.Name)}
 		case len(left) < r.MinVoters:
 			reason := fmt.Sprintf("%d members would be left, %d are required", len(left), r.MinVoters)
-			res = operatorResult{outcome: operatorConflict, reason: reason}
+			res = operatorResult{outcome: api.StatusConflict, reason: reason}
 		default:
 			r.log.Info("removing voter", "name", e.Name, "voters", len(left))
 			return left, nil
--- a/internal/control/replica/operator_test.go
+++ b/internal/control/replica/operator_test.go
@@ -49,7 +49,7 @@
 	for _, c := range []struct {
 		name  string
 		event ReplaceConfig
-		want  int
+		want  api.Status
 	}{
 		{"the same again", ReplaceConfig{Config: config5}, 200},
 		{"stale base", ReplaceConfig{BaseRevision: 3, Config: config7}, 412},
--- a/internal/control/replica/read_test.go
+++ b/internal/control/replica/read_test.go
@@ -148,7 +148,7 @@
 
 // readOpenIndex reads while all other voters have accepted a value for the open index. It returns the number of a proposal's
 // calls and the status of the answer.
-func readOpenIndex(t *testing.T, isPassive bool) (proposals, status int) {
+func readOpenIndex(t *testing.T, isPassive bool) (proposals int, status api.Status) {
 	t.Helper()
 	members := membersOf(1, 2, 3)
 	noop := func(uint64) ([]byte, bool) { return replog.Entry{Payload: replog.Noop{}}.Encode(), true }
--- a/internal/node/enginecalls.go
+++ b/internal/node/enginecalls.go
@@ -17,7 +17,7 @@
 	r := endpoints.Record{
 		ID: b.ID, Service: b.TargetService, Addr: b.Address, Zone: b.Zone, Revision: b.Revision, Slots: uint64(max(b.CapacitySlots, 0)), CallCount: b.CallCount,
 	}
-	if b.Status == "draining" {
+	if b.Status == api.EngineDraining {
 		r.State = endpoints.StateDraining
 	}
 	if b.WarmupRemainingMS > 0 {
--- a/internal/node/operatorcalls.go
+++ b/internal/node/operatorcalls.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net/http"
 	"net/netip"
 	"time"
 
@@ -12,7 +11,7 @@
 )
 
 // noReplicaAnswers is the answer where this process is no replica and knows none that it could redirect to.
-var noReplicaAnswers = api.Result{Status: http.StatusServiceUnavailable, Message: "no replica answers"}
+var noReplicaAnswers = api.Result{Status: api.StatusUnavailable, Message: "no replica answers"}
 
 // ReplaceConfig implements api.Handler.
 func (n *Node) ReplaceConfig(ctx context.Context, base uint64, encoded []byte) api.Result {
@@ -20,7 +19,7 @@
 	r := n.askReplica(ctx, func(id replica.RequestID, deadline time.Duration) replica.Event {
 		return replica.ReplaceConfig{BaseRevision: base, Config: encoded, Request: id, Deadline: deadline}
 	})
-	n.log.Info("configuration replace call", "base_revision", base, "bytes", len(encoded), "status", r.Status, "answer", r.Message,
+	n.log.Info("configuration replace call", "base_revision", base, "bytes", len(encoded), "status", int(r.Status), "answer", r.Message,
 		"revision", r.Revision, "duration", time.Since(began).Round(time.Millisecond).String())
 	return r
 }
--- a/internal/node/peercalls.go
+++ b/internal/node/peercalls.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"net/http"
 	"net/netip"
 	"time"
 
@@ -48,7 +47,7 @@
 		r := n.replica.operate(ctx, func(id replica.RequestID, deadline time.Duration) replica.Event {
 			return replica.ReadConfig{Request: id, Deadline: deadline, Passive: true}
 		})
-		if r.Status >= http.StatusInternalServerError { // 404: there is none yet
+		if !r.Status.IsFinal() { // StatusNotFound is: there is none yet
 			return nil, errors.New(r.Message)
 		}
 	}
--- a/internal/node/replicahost.go
+++ b/internal/node/replicahost.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"net/http"
 	"net/netip"
 	"time"
 
@@ -304,7 +303,7 @@
 
 // unavailable is the answer to an operator whose call may be repeated elsewhere or later.
 func unavailable(err error) api.Result {
-	return api.Result{Status: http.StatusServiceUnavailable, Message: err.Error()}
+	return api.Result{Status: api.StatusUnavailable, Message: err.Error()}
 }
 
 // propose has entries chosen until next returns none. Between the call and its return next belongs to the replica.
