--- a/internal/node/benchhelpers_test.go
+++ b/internal/node/benchhelpers_test.go
@@ -25,13 +25,10 @@
 
 // benchEngine answers every request with a stream of one event.
 func benchEngine(b *testing.B) string {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
-	}
-	web := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	b.Helper()
+	return benchServer(b, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Keep-Alive", "timeout=10")
-		for _, name := range []string{"X-Request-Id", "X-Call-Id"} { // an answer that does not name its request is another's
+		for _, name := range []string{"X-Request-Id", "X-Call-Id"} { // an answer must name its request
 			if id := r.Header.Get(name); id != "" {
 				w.Header().Set(name, id)
 			}
@@ -39,14 +36,25 @@
 		w.Header().Set("Content-Type", "text/event-stream")
 		io.WriteString(w, "data: 1\n\n")
 		w.(http.Flusher).Flush()
-	})}
+	})
+}
+
+// benchServer starts a server on loopback and returns its address.
+func benchServer(b *testing.B, handler http.HandlerFunc) string {
+	b.Helper()
+	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
+	}
+	web := &http.Server{Handler: handler}
 	go web.Serve(ln)
 	b.Cleanup(func() { web.Close() })
 	return ln.Addr().String()
 }
 
-// benchNode is a node's data plane before an engine.
+// benchNode starts a node's data plane before an engine, and returns its address.
 func benchNode(b *testing.B, engine string) string {
+	b.Helper()
 	d := newDataPlane(dataPlaneOptions{
 		log: slog.New(slog.DiscardHandler), traffic: &metrics.Traffic{}, drainGrace: time.Second, seed: 1,
 		limits: limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 4100}),
@@ -66,12 +74,13 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { front.Close() })
-	go d.frontend.Serve(front)
+	go func() { _ = d.frontend.Serve(front) }() // it ends when the listener is closed
 	return front.Addr().String()
 }
 
-// benchServe is today's program, as `run` starts it, before an engine that it was told of at its start.
+// benchServe starts a router as `notchhinge run` does, before an engine that its settings name, and returns its address.
 func benchServe(b *testing.B, engine string) string {
+	b.Helper()
 	front, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -98,26 +107,28 @@
 		b.Fatal(err)
 	}
 	r := router.New(cfg, p, slog.New(slog.DiscardHandler), func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if addr == cfg.Discovery { // it says nothing
+		if addr == cfg.Discovery { // it never answers
 			near, far := net.Pipe()
-			go io.Copy(io.Discard, far)
+			go func() { _, _ = io.Copy(io.Discard, far) }() // it ends when the router closes near
 			return near, nil
 		}
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	}, dispatch.UnixClock())
 	stop, done := make(chan os.Signal, 1), make(chan error, 1)
 	go func() { done <- r.ServeOn(front, router.Signals{Stop: stop}) }()
-	b.Cleanup(func() { stop <- os.Interrupt; <-done })
+	b.Cleanup(func() {
+		stop <- os.Interrupt
+		if err := <-done; err != nil {
+			b.Error(err)
+		}
+	})
 	return front.Addr().String()
 }
 
 // benchPacedEngine answers every request with a stream of an event each 35 ms, which is 28.6 a second.
 func benchPacedEngine(b *testing.B) string {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		b.Fatal(err)
-	}
-	web := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	b.Helper()
+	return benchServer(b, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 		w.Header().Set("Content-Type", "text/event-stream")
 		tick := time.NewTicker(35 * time.Millisecond)
@@ -127,10 +138,7 @@
 			w.(http.Flusher).Flush()
 			<-tick.C
 		}
-	})}
-	go web.Serve(ln)
-	b.Cleanup(func() { web.Close() })
-	return ln.Addr().String()
+	})
 }
 
 // cpuTime is the processor time of this process.
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -10,18 +10,19 @@
 	"testing"
 )
 
-var requestCount int
+// requestCount numbers the clients' requests of all fleets in this process.
+var requestCount atomic.Int64
 
-// clientRequest makes a client's request.
+// clientRequest makes a client's request at a router, with further headers by name and value, and returns the answer and its
+// body. There is no answer where the connection fails; the body is the error's text where it breaks.
 func clientRequest(t *testing.T, m *testNode, path, key string, header ...string) (*http.Response, string) {
 	t.Helper()
-	requestCount++
-	req, err := http.NewRequest("POST", "http://"+m.frontend+path, strings.NewReader(`{"q":1}`))
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+m.frontend+path, strings.NewReader(`{"q":1}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	req.Host = "f.example"
-	req.Header.Set("X-Request-Id", fmt.Sprintf("%016x", requestCount))
+	req.Header.Set("X-Request-Id", fmt.Sprintf("%016x", requestCount.Add(1)))
 	req.Header.Set("X-Credential", key)
 	req.Header.Set("X-Deadline-Remaining-Ms", "4000")
 	req.Header.Set("X-Tenant", "forged")
@@ -40,14 +41,20 @@
 	return resp, string(b)
 }
 
-func post(t *testing.T, addr, path string) (*http.Response, string, error) {
-	t.Helper()
-	req, err := http.NewRequest("POST", "http://"+addr+path, strings.NewReader("{}"))
+// newPost is a client's request at a data plane.
+func newPost(t *testing.T, addr, path string) *http.Request {
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+addr+path, strings.NewReader("{}"))
 	if err != nil {
-		t.Fatal(err)
+		panic(err) // the tests' own addresses and paths are well-formed; it is called off the test's goroutine, too
 	}
 	req.Host = "h"
-	resp, err := http.DefaultClient.Do(req)
+	return req
+}
+
+// post makes a client's request at a data plane, and returns the answer and its body.
+func post(t *testing.T, addr, path string) (*http.Response, string, error) {
+	t.Helper()
+	resp, err := http.DefaultClient.Do(newPost(t, addr, path))
 	if err != nil {
 		return nil, "", err
 	}
@@ -56,46 +63,53 @@
 	return resp, string(b), err
 }
 
-// outcomes is what came of requests.
+// outcomes counts what came of requests.
 type outcomes struct{ served, rejected, failed atomic.Int64 }
 
-// postMany makes requests, so many at once, and counts what came of them.
-func postMany(t *testing.T, addr, path string, n, atOnce int) *outcomes {
-	f := &outcomes{}
+// load is a number of requests for paths with a prefix.
+type load struct {
+	prefix      string
+	requests    int
+	concurrency int
+}
+
+// postMany makes requests and counts what came of them.
+func postMany(t *testing.T, addr string, l load) *outcomes {
+	t.Helper()
+	o := &outcomes{}
 	var wait sync.WaitGroup
 	next := make(chan int)
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: atOnce}}
-	for range atOnce {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: l.concurrency}}
+	for range l.concurrency {
 		wait.Go(func() {
 			for i := range next {
-				req, err := http.NewRequest("POST", "http://"+addr+fmt.Sprint(path, i), strings.NewReader("{}"))
-				if err != nil {
-					t.Error(err)
-					return
-				}
-				req.Host = "h"
-				resp, err := client.Do(req)
-				if err != nil {
-					f.failed.Add(1)
-					continue
-				}
-				_, err = io.Copy(io.Discard, resp.Body)
-				resp.Body.Close()
-				switch {
-				case err == nil && resp.StatusCode == 200:
-					f.served.Add(1)
-				case resp.StatusCode == 503:
-					f.rejected.Add(1)
-				default:
-					f.failed.Add(1)
-				}
+				o.count(client, newPost(t, addr, fmt.Sprint(l.prefix, i)))
 			}
 		})
 	}
-	for i := range n {
+	for i := range l.requests {
 		next <- i
 	}
 	close(next)
 	wait.Wait()
-	return f
+	return o
+}
+
+// count makes a request and counts what came of it.
+func (o *outcomes) count(client *http.Client, req *http.Request) {
+	resp, err := client.Do(req)
+	if err != nil {
+		o.failed.Add(1)
+		return
+	}
+	_, err = io.Copy(io.Discard, resp.Body)
+	resp.Body.Close()
+	switch {
+	case err == nil && resp.StatusCode == http.StatusOK:
+		o.served.Add(1)
+	case resp.StatusCode == http.StatusServiceUnavailable:
+		o.rejected.Add(1)
+	default:
+		o.failed.Add(1)
+	}
 }
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -14,7 +14,8 @@
 	"notchhinge/internal/limits"
 )
 
-// TestUpstreamConnectionHasAUserTimeout: a line to an engine ends once its machine has not even received what was sent on it for so long.
+// TestUpstreamConnectionHasAUserTimeout: a connection to an engine fails once its machine has acknowledged nothing for
+// limits.UpstreamUserTimeout.
 func TestUpstreamConnectionHasAUserTimeout(t *testing.T) {
 	e := newScriptedEngine(t, respondWith("HTTP/1.1 200 OK\nContent-Length: 0\n\n"))
 	p := newTestPlane(t, 1, endpointOf("i-1", "s", e))
@@ -27,21 +28,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw.Control(func(fd uintptr) {
+	err = raw.Control(func(fd uintptr) {
 		if ms, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT); err != nil || ms != int(limits.UpstreamUserTimeout.Milliseconds()) {
 			t.Errorf("%d ms, %v", ms, err)
 		}
 	})
+	if err != nil {
+		t.Error(err)
+	}
 }
 
-// TestDroppedIdleConnectionLimitsReuse: engines answer one request on a connection and forget it as it rests. A request that may run again
-// meets that, is served all the same, and has those that may not use no line that has rested.
+// TestDroppedIdleConnectionLimitsReuse: engines answer one request on a connection and drop it while it idles. An idempotent
+// request meets that and is served all the same, and from then on the others use no connection that has idled for long.
 func TestDroppedIdleConnectionLimitsReuse(t *testing.T) {
-	var used sync.Map // connections that have had their answer
+	var used sync.Map // connections that have carried an answer
 	engines := make([]endpoints.Endpoint, 3)
 	for i := range engines {
 		engines[i] = endpointOf(fmt.Sprint("i-", i), "s", newScriptedEngine(t, func(c net.Conn, r *http.Request) bool {
-			if _, again := used.LoadOrStore(c, true); again {
+			if _, isUsed := used.LoadOrStore(c, true); isUsed {
 				c.(*net.TCPConn).SetLinger(0)
 				return false
 			}
@@ -49,25 +53,25 @@
 		}))
 	}
 	p := newTestPlane(t, 1, engines...)
-	told := make(chan bool, 1)
+	noticed := make(chan struct{}, 1)
 	p.dataPlane.onIdleDrop = func() {
 		p.dataPlane.limitIdleReuse()
 		select {
-		case told <- true:
+		case noticed <- struct{}{}:
 		default:
 		}
 	}
-	for i, known := 0, false; !known; i++ {
-		if again := postMany(t, p.addr, "/again/", 1, 1); again.served.Load() != 1 {
-			t.Fatalf("request %d, which may run again, was not served", i)
+	for i, isNoticed := 0, false; !isNoticed; i++ {
+		if o := postMany(t, p.addr, load{prefix: "/again/", requests: 1, concurrency: 1}); o.served.Load() != 1 {
+			t.Fatalf("idempotent request %d was not served", i)
 		}
 		select {
-		case <-told:
-			known = true
+		case <-noticed:
+			isNoticed = true
 		default:
 		}
 	}
 	if d := p.dataPlane.maxIdle(); d != limits.StaleConnMaxIdle {
-		t.Fatalf("a line may have rested for %v", d)
+		t.Fatalf("a connection may have idled for %v", d)
 	}
 }
--- a/internal/node/dataplane_test.go
+++ b/internal/node/dataplane_test.go
@@ -8,34 +8,40 @@
 	"testing"
 )
 
+// TestRequestThatMayHaveRunIsNotRetried: what becomes of a request whose first attempt fails depends on whether it may have
+// run there, and on whether it may run twice.
 func TestRequestThatMayHaveRunIsNotRetried(t *testing.T) {
-	closes := func(net.Conn, *http.Request) bool { return false }
-	good := respondWith(answerServed)
+	reset := func(net.Conn, *http.Request) bool { return false }
+	cutOff := func(c net.Conn, _ *http.Request) bool {
+		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal")
+		return false
+	}
+	mute := func(c net.Conn, _ *http.Request) bool {
+		io.Copy(io.Discard, c)
+		return false
+	}
 	for name, c := range map[string]struct {
-		first  func(net.Conn, *http.Request) bool
-		path   string
-		status int  // of a request that met the first engine first
-		second bool // the other engine is asked then
+		first     script // how the first engine answers
+		path      string
+		status    int  // of a request whose first attempt went there
+		isRetried bool // at the second engine
 	}{
-		"a reset, not repeatable":  {closes, "/once/1", 504, false},
-		"a reset, a stream":        {closes, "/stream/1", 504, false},
-		"a reset, repeatable":      {closes, "/again/1", 200, true},
-		"full, not repeatable":     {respondWith(answerFull), "/once/1", 200, true},
-		"another engine is there":  {respondWith(answerMisdirected), "/stream/1", 200, true},
-		"an error, not repeatable": {respondWith(answerFailed), "/once/1", 500, false},
-		"an error, repeatable":     {respondWith(answerFailed), "/again/1", 200, true},
-		"bytes that are no answer": {respondWith("what is this\n\n"), "/once/1", 504, false},
-		"a body that is cut off": {func(c net.Conn, _ *http.Request) bool {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal")
-			return false
-		}, "/again/1", 200, true},
-		"silence, then it is over": {func(c net.Conn, _ *http.Request) bool { io.Copy(io.Discard, c); return false }, "/once/1", 504, false},
+		"a reset, non-idempotent":      {reset, "/once/1", 504, false},
+		"a reset, streaming":           {reset, "/stream/1", 504, false},
+		"a reset, idempotent":          {reset, "/again/1", 200, true},
+		"full, non-idempotent":         {respondWith(answerFull), "/once/1", 200, true},
+		"misdirected, streaming":       {respondWith(answerMisdirected), "/stream/1", 200, true},
+		"an error, non-idempotent":     {respondWith(answerFailed), "/once/1", 500, false},
+		"an error, idempotent":         {respondWith(answerFailed), "/again/1", 200, true},
+		"no HTTP, non-idempotent":      {respondWith("what is this\n\n"), "/once/1", 504, false},
+		"a truncated body, idempotent": {cutOff, "/again/1", 200, true},
+		"no answer, non-idempotent":    {mute, "/once/1", 504, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			// The draw may pick either first: requests are made until one has met the first engine.
+			// Either engine may be selected: requests are made until the first attempt of one goes to the first engine.
 			for seed := range uint64(40) {
-				first, second := newScriptedEngine(t, c.first), newScriptedEngine(t, good)
+				first, second := newScriptedEngine(t, c.first), newScriptedEngine(t, respondWith(answerServed))
 				addr := planeAddr(t, seed, map[string]*scriptedEngine{"first": first, "second": second})
 				resp, body, err := post(t, addr, c.path)
 				if err != nil {
@@ -44,19 +50,20 @@
 				if first.requests.Load() == 0 {
 					continue
 				}
-				if resp.StatusCode != c.status || (second.requests.Load() > 0) != c.second || first.requests.Load() != 1 {
-					t.Errorf("%d %q; the other engine was asked %d times, this one %d", resp.StatusCode, body, second.requests.Load(), first.requests.Load())
+				if resp.StatusCode != c.status || (second.requests.Load() > 0) != c.isRetried || first.requests.Load() != 1 {
+					t.Errorf("%d %q; the second engine got %d requests, the first %d", resp.StatusCode, body, second.requests.Load(), first.requests.Load())
 				}
 				if c.status == 500 && (body != "bad" || resp.Header.Get("X-Response-Seal") != "f") {
 					t.Errorf("the engine's answer came as %q", body)
 				}
 				return
 			}
-			t.Error("the first engine was never drawn")
+			t.Error("the first engine was never selected")
 		})
 	}
 }
 
+// TestRejectedRequestSaysWhenToRetry: where no engine has run a request its client may repeat it, and learns when.
 func TestRejectedRequestSaysWhenToRetry(t *testing.T) {
 	one, two := newScriptedEngine(t, respondWith(answerFull)), newScriptedEngine(t, respondWith(answerFull))
 	addr := planeAddr(t, 1, map[string]*scriptedEngine{"one": one, "two": two})
@@ -68,6 +75,7 @@
 	}
 }
 
+// TestBrokenStreamDoesNotLookComplete: a client can tell a stream that broke from one that ended.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	e := newScriptedEngine(t, func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
--- a/internal/node/engines_test.go
+++ b/internal/node/engines_test.go
@@ -12,107 +12,123 @@
 	"notchhinge/internal/control/endpoints"
 )
 
+// TestFaultyEngineCostsFewRequests: one engine of five is faulty in a way of its own, though its endpoint is ready. Idempotent
+// requests are served by the others, and few go that engine's way; of the others no more are lost than it got.
 func TestFaultyEngineCostsFewRequests(t *testing.T) {
-	// One of five is ill in a way of its own, and the beats say that all are ready. Requests that may run again are served by
-	// the others, few by that one's way; of those that may not, no more are lost than it was given.
 	const n = 300
 	good := respondWith("HTTP/1.1 200 OK\nKeep-Alive: timeout=10\nContent-Length: 4\n\ngood")
-	every := func(k int64, ill func(net.Conn, *http.Request) bool) func(net.Conn, *http.Request) bool {
+	reset := func(net.Conn, *http.Request) bool { return false }
+	mute := func(c net.Conn, _ *http.Request) bool {
+		io.Copy(io.Discard, c)
+		return false
+	}
+	every := func(k int64, fault script) script {
 		var count atomic.Int64
 		return func(c net.Conn, r *http.Request) bool {
 			if count.Add(1)%k == 0 {
-				return ill(c, r)
+				return fault(c, r)
 			}
 			return good(c, r)
 		}
 	}
-	mute := func(c net.Conn, _ *http.Request) bool { io.Copy(io.Discard, c); return false }
+	someClients := func(c net.Conn, r *http.Request) bool {
+		if strings.HasSuffix(r.URL.Path, "3") {
+			return respondWith(answerFailed)(c, r)
+		}
+		return good(c, r)
+	}
 	for name, c := range map[string]struct {
-		ill  func(net.Conn, *http.Request) bool
-		most int64 // of requests that the ill one is given in all, where it can be told from others
-		lost int64 // of those that may run again
+		fault    script
+		maxGiven int64 // requests that the faulty engine may get, where it can be told from others
+		maxLost  int64 // idempotent requests that may fail
 	}{
-		"errors always":       {respondWith(answerFailed), n / 3, 0},
-		"errors now and then": {every(2, respondWith(answerFailed)), n, 0},
-		"resets":              {func(net.Conn, *http.Request) bool { return false }, n / 3, 0},
-		"always full":         {respondWith(answerFull), n, 0},
-		"another is there":    {respondWith(answerMisdirected), n / 3, 0},
-		"mute":                {mute, n / 10, n / 10},
-		"flaps":               {every(3, func(net.Conn, *http.Request) bool { return false }), n, n / 50},
-		"nonsense":            {respondWith("nonsense\n\n"), n / 3, 0},
-		"errors for some callers": {func(c net.Conn, r *http.Request) bool {
-			if strings.HasSuffix(r.URL.Path, "3") {
-				return respondWith(answerFailed)(c, r)
-			}
-			return good(c, r)
-		}, n, 0},
+		"always errors":           {respondWith(answerFailed), n / 3, 0},
+		"every other errors":      {every(2, respondWith(answerFailed)), n, 0},
+		"resets":                  {reset, n / 3, 0},
+		"always full":             {respondWith(answerFull), n, 0},
+		"misdirected":             {respondWith(answerMisdirected), n / 3, 0},
+		"mute":                    {mute, n / 10, n / 10},
+		"flaps":                   {every(3, reset), n, n / 50},
+		"no HTTP":                 {respondWith("nonsense\n\n"), n / 3, 0},
+		"errors for some clients": {someClients, n, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			ill := newScriptedEngine(t, c.ill)
-			list := []endpoints.Endpoint{endpointOf("ill", "s", ill)}
+			faulty := newScriptedEngine(t, c.fault)
+			list := []endpoints.Endpoint{endpointOf("faulty", "s", faulty)}
 			for i := range 4 {
 				list = append(list, endpointOf(fmt.Sprint("good-", i), "s", newScriptedEngine(t, good)))
 			}
 			p := newTestPlane(t, 1, list...)
-			again := postMany(t, p.addr, "/again/", n, 8)
-			if lost := n - again.served.Load(); lost > c.lost {
-				t.Errorf("%d of %d that may run again were not served (%d refused, %d failed)", lost, n, again.rejected.Load(), again.failed.Load())
+			idempotent := postMany(t, p.addr, load{prefix: "/again/", requests: n, concurrency: 8})
+			if lost := n - idempotent.served.Load(); lost > c.maxLost {
+				t.Errorf("%d of %d idempotent requests were not served (%d rejected, %d failed)", lost, n, idempotent.rejected.Load(), idempotent.failed.Load())
 			}
-			given := ill.requests.Load()
-			if given > c.most {
-				t.Errorf("the ill one was given %d of %d", given, n)
+			given := faulty.requests.Load()
+			if given > c.maxGiven {
+				t.Errorf("the faulty engine got %d of %d", given, n)
 			}
-			once := postMany(t, p.addr, "/once/", n, 8)
-			if lost, given := n-once.served.Load(), ill.requests.Load()-given; lost > given {
-				t.Errorf("%d that may not run again were lost, and the ill one was given %d", lost, given)
+			once := postMany(t, p.addr, load{prefix: "/once/", requests: n, concurrency: 8})
+			if lost, given := n-once.served.Load(), faulty.requests.Load()-given; lost > given {
+				t.Errorf("%d non-idempotent requests were lost, and the faulty engine got %d", lost, given)
 			}
-			t.Logf("given %d, then %d; lost %d, then %d", given, ill.requests.Load()-given, n-again.served.Load(), n-once.served.Load())
+			t.Logf("given %d, then %d; lost %d, then %d", given, faulty.requests.Load()-given, n-idempotent.served.Load(), n-once.served.Load())
 		})
 	}
 }
 
+// TestAddressReusedByAnotherServiceGetsNewConnections: an engine goes, and its address becomes that of another service's
+// engine, while an attempt is under way there and a connection that served the old one idles. Requests for the new engine
+// name it and come on new connections; the old service sends nothing there.
 func TestAddressReusedByAnotherServiceGetsNewConnections(t *testing.T) {
-	// An engine goes, and its address is another service's engine's, while a leg is under way there and a line that served is
-	// parked. What is asked of the new one comes on a line of its own and names it; the old service asks there no more.
-	a, b := newRecordingEngine(t), newRecordingEngine(t)
-	p := newTestPlane(t, 1, endpointOf("i-old", "s", a.scriptedEngine))
-	if resp, _, err := post(t, p.addr, "/again/1"); err != nil || resp.StatusCode != 200 {
-		t.Fatal(resp, err)
+	reused, other := newRecordingEngine(t), newRecordingEngine(t)
+	p := newTestPlane(t, 1, endpointOf("i-old", "s", reused.scriptedEngine))
+	mustServe := func(path string) {
+		t.Helper()
+		if resp, _, err := post(t, p.addr, path); err != nil || resp.StatusCode != http.StatusOK {
+			t.Fatal(path, resp, err)
+		}
 	}
-	parked := a.recorded()[0].from
-	waitUntil(t, "a parked line", func() bool { return p.dataPlane.upstream.Parked() == 1 }) // it is parked once the answer has gone to the client
+	mustServe("/again/1")
+	idle := reused.recorded()[0].from
+	waitUntil(t, "an idle connection", func() bool { return p.dataPlane.upstream.Parked() == 1 }) // after the answer has gone to the client
 	running := openStream(t, p.addr)
-	if got := a.recorded()[1]; got.from != parked || got.expect != "i-old" {
-		t.Fatalf("%+v: the parked line was wanted", got)
-	}
-	if resp, _, err := post(t, p.addr, "/again/2"); err != nil || resp.StatusCode != 200 { // parks another
-		t.Fatal(resp, err)
+	if got := reused.recorded()[1]; got.from != idle || got.instance != "i-old" {
+		t.Fatalf("%+v did not come on the idle connection", got)
 	}
-	before := len(a.recorded())
-	p.setEndpoints(endpointOf("i-new", "t", a.scriptedEngine), endpointOf("i-b", "s", b.scriptedEngine))
+	mustServe("/again/2") // leaves another idle connection
+	before := len(reused.recorded())
+	p.setEndpoints(endpointOf("i-new", "t", reused.scriptedEngine), endpointOf("i-b", "s", other.scriptedEngine))
 	for i := range 5 {
-		for path, want := range map[string]string{"/other/": "i-new", "/again/": "i-b", "/once/": "i-b"} {
-			if resp, _, err := post(t, p.addr, fmt.Sprint(path, i)); err != nil || resp.StatusCode != 200 {
-				t.Errorf("%s, wanted of %s: %v %v", path, want, resp, err)
+		for _, prefix := range []string{"/other/", "/again/", "/once/"} {
+			if resp, _, err := post(t, p.addr, fmt.Sprint(prefix, i)); err != nil || resp.StatusCode != http.StatusOK {
+				t.Errorf("%s%d: %v %v", prefix, i, resp, err)
 			}
 		}
 	}
-	old := map[string]bool{}
-	for i, x := range a.recorded() {
-		if i < before {
-			old[x.from] = true
-		} else if x.expect != "i-new" || !strings.HasPrefix(x.path, "/other/") || old[x.from] {
-			t.Errorf("%+v on a line that served the other engine: %v", x, old[x.from])
+	checkReused(t, reused.recorded(), before)
+	for _, r := range other.recorded() {
+		if r.instance != "i-b" || strings.HasPrefix(r.path, "/other/") {
+			t.Errorf("the other engine got %+v", r)
 		}
 	}
-	for _, x := range b.recorded() {
-		if x.expect != "i-b" || strings.HasPrefix(x.path, "/other/") {
-			t.Errorf("the other engine was shown %+v", x)
-		}
-	}
-	close(a.resume)
+	close(reused.resume)
 	if err := running.readRest(); err != nil {
-		t.Errorf("the leg that was under way: %v", err)
+		t.Errorf("the attempt that was under way: %v", err)
+	}
+}
+
+// checkReused checks that all requests after the first ones name the new engine, are its service's, and came on connections
+// that none of the first ones used.
+func checkReused(t *testing.T, requests []recordedRequest, first int) {
+	t.Helper()
+	isOld := map[string]bool{}
+	for _, r := range requests[:first] {
+		isOld[r.from] = true
+	}
+	for _, r := range requests[first:] {
+		if r.instance != "i-new" || !strings.HasPrefix(r.path, "/other/") || isOld[r.from] {
+			t.Errorf("%+v on a connection that served the other engine: %v", r, isOld[r.from])
+		}
 	}
 }
--- a/internal/node/fakeengine_test.go
+++ b/internal/node/fakeengine_test.go
@@ -13,54 +13,59 @@
 	"time"
 )
 
-// fakeEngine is a stand-in: it runs requests that name it, and says so.
+// fakeEngine is an engine that answers requests that name it, and says which engine it is. It rejects others as misdirected.
 type fakeEngine struct {
-	t           *testing.T
-	id          string
-	addr        string
-	web         *http.Server
+	t          *testing.T
+	id         string
+	addr       string
+	heartbeats int // sent so far
+
 	mu          sync.Mutex
-	ran         map[string]int // by request id
+	ran         map[string]int // how often each request ran, by its id
 	lastRequest time.Time
-	callCount   int
 }
 
 func newFakeEngine(t *testing.T, id string) *fakeEngine {
+	t.Helper()
 	e := &fakeEngine{t: t, id: id, ran: map[string]int{}}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	e.addr = ln.Addr().String()
-	e.web = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
-		if r.Header.Get("X-Expect-Instance") != e.id {
-			w.Header().Set("X-Not-Executed", "1")
-			w.WriteHeader(http.StatusMisdirectedRequest)
-			return
-		}
-		e.mu.Lock()
-		e.ran[r.Header.Get("X-Request-Id")]++
-		e.lastRequest = time.Now()
-		e.mu.Unlock()
-		w.Header().Set("X-Response-Seal", "seal-"+r.Header.Get("X-Request-Id"))
-		w.Header().Set("X-Saw-Tenant", r.Header.Get("X-Tenant"))
-		w.Header().Set("X-Saw-Key", r.Header.Get("X-Credential"))
-		if strings.HasPrefix(r.URL.Path, "/chat/") {
-			w.Header().Set("Content-Type", "text/event-stream")
-			for i := range 3 {
-				fmt.Fprintf(w, "id: %d\ndata: %s\n\n", i, e.id)
-				w.(http.Flusher).Flush()
-			}
-			return
-		}
-		fmt.Fprintf(w, "answer of %s", e.id)
-	})}
-	go e.web.Serve(ln)
-	t.Cleanup(func() { e.web.Close() })
+	web := &http.Server{Handler: e}
+	go web.Serve(ln)
+	t.Cleanup(func() { web.Close() })
 	return e
 }
 
+// ServeHTTP answers a request.
+func (e *fakeEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
+	if r.Header.Get("X-Expect-Instance") != e.id {
+		w.Header().Set("X-Not-Executed", "1")
+		w.WriteHeader(http.StatusMisdirectedRequest)
+		return
+	}
+	e.mu.Lock()
+	e.ran[r.Header.Get("X-Request-Id")]++
+	e.lastRequest = time.Now()
+	e.mu.Unlock()
+	w.Header().Set("X-Response-Seal", "seal-"+r.Header.Get("X-Request-Id"))
+	w.Header().Set("X-Saw-Tenant", r.Header.Get("X-Tenant"))
+	w.Header().Set("X-Saw-Key", r.Header.Get("X-Credential"))
+	if strings.HasPrefix(r.URL.Path, "/chat/") {
+		w.Header().Set("Content-Type", "text/event-stream")
+		for i := range 3 {
+			fmt.Fprintf(w, "id: %d\ndata: %s\n\n", i, e.id)
+			w.(http.Flusher).Flush()
+		}
+		return
+	}
+	fmt.Fprintf(w, "answer of %s", e.id)
+}
+
+// requests is how many requests ran here.
 func (e *fakeEngine) requests() (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -70,25 +75,29 @@
 	return n
 }
 
-// heartbeat calls a router.
+// heartbeat sends a heartbeat to a control address.
 func (e *fakeEngine) heartbeat(to, status string) {
 	e.t.Helper()
-	e.callCount++
+	e.heartbeats++
 	code, _ := controlCall(e.t, "POST", to, "/Instances.Heartbeat/"+e.id, nil, map[string]any{
-		"target_service": "s", "address": e.addr, "zone": "a", "revision": "v1", "capacity_slots": 4, "status": status, "call_count": e.callCount,
+		"target_service": "s", "address": e.addr, "zone": "a", "revision": "v1", "capacity_slots": 4, "status": status, "call_count": e.heartbeats,
 	})
 	if code != 200 {
-		e.t.Errorf("a beat got %d", code)
+		e.t.Errorf("a heartbeat got %d", code)
 	}
 }
 
-// scriptedEngine reads requests and lets play answer on the connection; it closes it when play says so.
+// script answers a request on its connection, and tells whether the connection stays open.
+type script func(c net.Conn, r *http.Request) (keepOpen bool)
+
+// scriptedEngine is an engine that answers by a script.
 type scriptedEngine struct {
 	addr     string
-	requests atomic.Int64
+	requests atomic.Int64 // so far
 }
 
-func newScriptedEngine(t *testing.T, play func(c net.Conn, r *http.Request) (goOn bool)) *scriptedEngine {
+func newScriptedEngine(t *testing.T, answer script) *scriptedEngine {
+	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -101,33 +110,38 @@
 			if err != nil {
 				return
 			}
-			go func() {
-				defer c.Close()
-				br := bufio.NewReader(c)
-				for {
-					r, err := http.ReadRequest(br)
-					if err != nil {
-						return
-					}
-					io.Copy(io.Discard, r.Body)
-					e.requests.Add(1)
-					if !play(c, r) {
-						return
-					}
-				}
-			}()
+			go e.serve(c, answer)
 		}
 	}()
 	return e
 }
 
-func respondWith(text string) func(net.Conn, *http.Request) bool {
+// serve answers the requests of a connection.
+func (e *scriptedEngine) serve(c net.Conn, answer script) {
+	defer c.Close()
+	br := bufio.NewReader(c)
+	for {
+		r, err := http.ReadRequest(br)
+		if err != nil {
+			return
+		}
+		io.Copy(io.Discard, r.Body)
+		e.requests.Add(1)
+		if !answer(c, r) {
+			return
+		}
+	}
+}
+
+// respondWith answers each request with a text, in which lines end with LF.
+func respondWith(text string) script {
 	return func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n"))
 		return true
 	}
 }
 
+// Answers of an engine.
 const (
 	answerFull        = "HTTP/1.1 503 Service Unavailable\nX-Not-Executed: 1\nContent-Length: 0\n\n"
 	answerMisdirected = "HTTP/1.1 421 Misdirected Request\nX-Not-Executed: 1\nContent-Length: 0\n\n"
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -2,132 +2,187 @@
 
 import (
 	"bytes"
+	"net/http"
 	"strings"
 	"testing"
 	"time"
 )
 
+// runningFleet is a fleet of three replicas and two routers with two engines, and the key of its tenant.
+type runningFleet struct {
+	*testFleet
+	engineOne, engineTwo *fakeEngine
+	key                  string
+	revision             int // of the newest configuration
+}
+
+// TestFleetServesAndReports takes a fleet from its first configuration to its usage reports. Each step builds on the one
+// before it.
 func TestFleetServesAndReports(t *testing.T) {
-	f := newTestFleet(t, 2, 0)
-	one, two := newFakeEngine(t, "i-one"), newFakeEngine(t, "i-two")
-	edge := f.routers[0]
-	// The first configuration, by way of a router that holds no state; invalid ones and races.
-	if code := replaceConfig(t, edge.control, 0, encodedConfig(3, "key-1")); code != 200 {
+	f := &runningFleet{
+		testFleet: newTestFleet(t, 0, fleetSize{routers: 2}), engineOne: newFakeEngine(t, "i-one"), engineTwo: newFakeEngine(t, "i-two"), key: "key-1", revision: 3,
+	}
+	for _, step := range []struct {
+		name string
+		run  func(*runningFleet, *testing.T)
+	}{
+		{"a configuration is accepted on its base only", (*runningFleet).checkConfigBases},
+		{"engines become known wherever they call, and routers ready", (*runningFleet).checkReadiness},
+		{"an engine sees the tenant and not its key", (*runningFleet).checkForwardedHeaders},
+		{"a router explains what would become of a request", (*runningFleet).checkExplain},
+		{"operators see engines and history", (*runningFleet).checkOperatorViews},
+		{"a session stays with its engine", (*runningFleet).checkSessionAffinity},
+		{"unknown paths and keys are rejected", (*runningFleet).checkRejections},
+		{"a revoked key is rejected by every router", (*runningFleet).checkRevokedKey},
+		{"nothing reaches an engine past its drain", (*runningFleet).checkDrain},
+		{"usage is reported with one figure a window", (*runningFleet).checkUsageReports},
+		{"no request ran twice at the engine that drained", (*runningFleet).checkNothingRanTwice},
+	} {
+		t.Run(step.name, func(t *testing.T) { step.run(f, t) })
+	}
+}
+
+// checkConfigBases sends the first configuration by way of a router, which is no replica, and then others that must not be
+// accepted.
+func (f *runningFleet) checkConfigBases(t *testing.T) {
+	if code := replaceConfig(t, f.routers[0].control, 0, encodedConfig(3, "key-1")); code != http.StatusOK {
 		t.Fatalf("the first configuration: %d", code)
 	}
 	for what, c := range map[string]struct {
-		on   int
-		text []byte
-		want int
+		base    int
+		encoded []byte
+		want    int
 	}{
-		"the same again":   {0, encodedConfig(3, "key-1"), 200},
-		"a lost race":      {0, encodedConfig(4, "key-x"), 412},
-		"not above":        {3, encodedConfig(3, "key-x"), 400},
-		"cannot be read":   {3, []byte{0xff, 0}, 400},
-		"upon one to come": {9, encodedConfig(10, "key-x"), 412},
+		"the same again":             {0, encodedConfig(3, "key-1"), http.StatusOK},
+		"an old base":                {0, encodedConfig(4, "key-x"), http.StatusPreconditionFailed},
+		"a revision that is not new": {3, encodedConfig(3, "key-x"), http.StatusBadRequest},
+		"bytes that cannot be read":  {3, []byte{0xff, 0}, http.StatusBadRequest},
+		"a base that is yet to come": {9, encodedConfig(10, "key-x"), http.StatusPreconditionFailed},
 	} {
 		for _, m := range []*testNode{f.routers[1], f.replicas[1]} {
-			if code := replaceConfig(t, m.control, c.on, c.text); code != c.want {
-				t.Errorf("%s: %d, %d is wanted", what, code, c.want)
+			if code := replaceConfig(t, m.control, c.base, c.encoded); code != c.want {
+				t.Errorf("%s: %d, want %d", what, code, c.want)
 			}
 		}
 	}
-	if code, _ := controlCall(t, "POST", edge.control, "/Configuration.Replace", nil, encodedConfig(9, "k")); code != 400 {
-		t.Errorf("without the version that it builds on: %d", code)
+	if code, _ := controlCall(t, "POST", f.routers[0].control, "/Configuration.Replace", nil, encodedConfig(9, "k")); code != http.StatusBadRequest {
+		t.Errorf("without a base: %d", code)
 	}
-	// Engines become known wherever they call; routers become ready.
-	one.heartbeat(f.replicas[0].control, "ready")
-	two.heartbeat(f.routers[1].control, "ready")
+}
+
+func (f *runningFleet) checkReadiness(t *testing.T) {
+	f.engineOne.heartbeat(f.replicas[0].control, "ready")
+	f.engineTwo.heartbeat(f.routers[1].control, "ready")
 	for _, m := range f.routers {
 		waitUntil(t, "readiness", m.isReady)
 	}
 	waitUntil(t, "both engines serve at both routers", func() bool {
 		for _, m := range f.routers {
-			clientRequest(t, m, "/read/1", "key-1")
+			clientRequest(t, m, "/read/1", f.key)
 		}
-		return one.requests() > 0 && two.requests() > 0
+		return f.engineOne.requests() > 0 && f.engineTwo.requests() > 0
 	})
-	resp, body := clientRequest(t, edge, "/read/1", "key-1")
-	if resp == nil || resp.StatusCode != 200 || !strings.HasPrefix(body, "answer of i-") || resp.Header.Get("X-Saw-Tenant") != "lab" ||
+}
+
+func (f *runningFleet) checkForwardedHeaders(t *testing.T) {
+	resp, body := clientRequest(t, f.routers[0], "/read/1", f.key)
+	if resp == nil || resp.StatusCode != http.StatusOK || !strings.HasPrefix(body, "answer of i-") || resp.Header.Get("X-Saw-Tenant") != "lab" ||
 		resp.Header.Get("X-Saw-Key") != "" || !strings.HasPrefix(resp.Header.Get("X-Response-Seal"), "seal-") {
 		t.Errorf("%+v %q", resp, body)
 	}
-	// The staff may ask what is known, and what would become of a request.
+}
+
+func (f *runningFleet) checkExplain(t *testing.T) {
 	explain := func(m *testNode, head string) string {
-		t.Helper()
 		_, b := controlCall(t, "POST", m.control, "/fleet/explain", nil, []byte(head))
 		return string(b)
 	}
 	for _, want := range []string{`"route":"chat"`, `"tenant":"lab"`, `"service":"s"`, `"session":true`, `"ready":["i-one","i-two"]`} {
-		if got := explain(edge, "POST /chat/1 HTTP/1.1\r\nHost: f.example\r\nX-Credential: key-1\r\nX-Prompt-Prefix: 9"); !strings.Contains(got, want) {
+		if got := explain(f.routers[0], "POST /chat/1 HTTP/1.1\r\nHost: f.example\r\nX-Credential: key-1\r\nX-Prompt-Prefix: 9"); !strings.Contains(got, want) {
 			t.Errorf("%s is not in %s", want, got)
 		}
 	}
-	if got := explain(edge, "GET /chat/1 HTTP/1.1\r\nHost: f.example\r\nX-Credential: none"); !strings.Contains(got, `"status":401`) || strings.Contains(got, "none") {
-		t.Errorf("a wrong key: %s", got)
+	if got := explain(f.routers[0], "GET /chat/1 HTTP/1.1\r\nHost: f.example\r\nX-Credential: none"); !strings.Contains(got, `"status":401`) || strings.Contains(got, "none") {
+		t.Errorf("an unknown key: %s", got)
 	}
 	if got := explain(f.replicas[0], "GET / HTTP/1.1\r\nHost: f.example"); !strings.Contains(got, "ask a router") {
-		t.Errorf("a keeper explains: %s", got)
+		t.Errorf("a replica explains: %s", got)
 	}
+}
+
+func (f *runningFleet) checkOperatorViews(t *testing.T) {
 	if _, b := controlCall(t, "GET", f.replicas[2].control, "/fleet/engines", nil, nil); bytes.Count(b, []byte(`"state":"ready","heard_s"`)) != 2 {
-		t.Errorf("engines known at a keeper: %s", b)
+		t.Errorf("engines known at a replica: %s", b)
 	}
-	if _, b := controlCall(t, "GET", edge.control, "/fleet/history", nil, nil); !bytes.HasPrefix(b, []byte(`[{"revision":3,`)) {
+	if _, b := controlCall(t, "GET", f.routers[0].control, "/fleet/history", nil, nil); !bytes.HasPrefix(b, []byte(`[{"revision":3,`)) {
 		t.Errorf("the history: %s", b)
 	}
-	// A session stays with its engine.
-	_, first := clientRequest(t, edge, "/chat/1", "key-1", "X-Prompt-Prefix", "17")
+}
+
+func (f *runningFleet) checkSessionAffinity(t *testing.T) {
+	_, first := clientRequest(t, f.routers[0], "/chat/1", f.key, "X-Prompt-Prefix", "17")
 	for range 8 {
-		if _, again := clientRequest(t, edge, "/chat/1", "key-1", "X-Prompt-Prefix", "17"); again != first || strings.Count(again, "id: ") != 3 {
-			t.Errorf("a turn of the session: %q, not %q", again, first)
+		if _, next := clientRequest(t, f.routers[0], "/chat/1", f.key, "X-Prompt-Prefix", "17"); next != first || strings.Count(next, "id: ") != 3 {
+			t.Errorf("a request of the session got %q, not %q", next, first)
 		}
 	}
-	for path, want := range map[string]int{"/none/": 404, "/read/1": 401} {
-		if resp, _ := clientRequest(t, edge, path, "wrong"); resp == nil || resp.StatusCode != want {
-			t.Errorf("%s with a wrong key: %v", path, resp)
+}
+
+func (f *runningFleet) checkRejections(t *testing.T) {
+	for path, want := range map[string]int{"/none/": http.StatusNotFound, "/read/1": http.StatusUnauthorized} {
+		if resp, _ := clientRequest(t, f.routers[0], path, "wrong"); resp == nil || resp.StatusCode != want {
+			t.Errorf("%s with an unknown key: %v", path, resp)
 		}
 	}
-	// A key is taken away: every router heeds it.
-	if code := replaceConfig(t, f.replicas[2].control, 3, encodedConfig(8, "key-2")); code != 200 {
+}
+
+func (f *runningFleet) checkRevokedKey(t *testing.T) {
+	revoked := f.key
+	f.key = "key-2"
+	if code := replaceConfig(t, f.replicas[2].control, f.revision, encodedConfig(8, f.key)); code != http.StatusOK {
 		t.Errorf("the second configuration: %d", code)
 	}
 	for _, m := range f.routers {
-		waitUntil(t, "the new key", func() bool { r, _ := clientRequest(t, m, "/read/1", "key-2"); return r != nil && r.StatusCode == 200 })
-		if r, _ := clientRequest(t, m, "/read/1", "key-1"); r == nil || r.StatusCode != 401 {
-			t.Errorf("the key that was taken away: %v", r)
+		waitUntil(t, "the new key", func() bool {
+			r, _ := clientRequest(t, m, "/read/1", f.key)
+			return r != nil && r.StatusCode == http.StatusOK
+		})
+		if r, _ := clientRequest(t, m, "/read/1", revoked); r == nil || r.StatusCode != http.StatusUnauthorized {
+			t.Errorf("the revoked key: %v", r)
 		}
 	}
-	// An engine leaves: once that is acknowledged and the platform's time is over nothing reaches it.
-	two.heartbeat(f.replicas[0].control, "draining")
+}
+
+// checkDrain: once an engine's drain is acknowledged and drain_timeout_ms (1.2 s) is over nothing reaches it.
+func (f *runningFleet) checkDrain(t *testing.T) {
+	f.engineTwo.heartbeat(f.replicas[0].control, "draining")
 	acknowledged := time.Now()
-	waitUntil(t, "the time of the drain", func() bool {
-		clientRequest(t, f.routers[0], "/read/1", "key-2")
-		clientRequest(t, f.routers[1], "/chat/1", "key-2", "X-Prompt-Prefix", "3")
-		one.heartbeat(f.replicas[1].control, "ready")
+	waitUntil(t, "the time to drain", func() bool {
+		clientRequest(t, f.routers[0], "/read/1", f.key)
+		clientRequest(t, f.routers[1], "/chat/1", f.key, "X-Prompt-Prefix", "3")
+		f.engineOne.heartbeat(f.replicas[1].control, "ready")
 		return time.Since(acknowledged) > 1500*time.Millisecond
 	})
-	two.mu.Lock()
-	if late := two.lastRequest.Sub(acknowledged); late > 1200*time.Millisecond {
-		t.Errorf("a request reached an engine %v after it was acknowledged to drain", late)
+	f.engineTwo.mu.Lock()
+	defer f.engineTwo.mu.Unlock()
+	if late := f.engineTwo.lastRequest.Sub(acknowledged); late > 1200*time.Millisecond {
+		t.Errorf("a request reached an engine %v after its drain was acknowledged", late)
 	}
-	two.mu.Unlock()
-	// What began is reported, one figure a window.
+}
+
+func (f *runningFleet) checkUsageReports(t *testing.T) {
 	waitUntil(t, "usage", func() bool {
-		clientRequest(t, edge, "/read/1", "key-2")
-		one.heartbeat(f.replicas[1].control, "ready")
+		clientRequest(t, f.routers[0], "/read/1", f.key)
+		f.engineOne.heartbeat(f.replicas[1].control, "ready")
 		return f.platform.reported("lab") > 20
 	})
-	f.platform.mu.Lock()
-	if f.platform.conflicting > 0 {
-		t.Errorf("%d windows were reported with two figures", f.platform.conflicting)
-	}
-	for i := 1; i < len(f.platform.fencingTokens); i++ {
-		if f.platform.fencingTokens[i] < f.platform.fencingTokens[i-1] {
-			t.Errorf("fences %v", f.platform.fencingTokens)
-		}
-	}
-	f.platform.mu.Unlock()
-	for id, n := range two.ran {
+	f.platform.checkReports(t)
+}
+
+func (f *runningFleet) checkNothingRanTwice(t *testing.T) {
+	f.engineTwo.mu.Lock()
+	defer f.engineTwo.mu.Unlock()
+	for id, n := range f.engineTwo.ran {
 		if n > 1 {
 			t.Errorf("request %s ran %d times", id, n)
 		}
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -7,8 +7,8 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// TestGoldenFetch: who wants the newest configuration that a majority knows of asks with the bytes that it did.
+// TestGoldenFetch: the call for a configuration has the bytes that earlier versions of the program send and read.
 func TestGoldenFetch(t *testing.T) {
-	golden.Equal(t, "the call for what is held", []byte{7, 0}, replica.EncodeIndexed(7, fetchHeld.encode()))
-	golden.Equal(t, "the call", []byte{7, 1, 1}, replica.EncodeIndexed(7, fetchConfirmed.encode()))
+	golden.Equal(t, "the call for the newest that the peer holds", []byte{7, 0}, replica.EncodeIndexed(7, fetchHeld.encode()))
+	golden.Equal(t, "the call for the newest there is", []byte{7, 1, 1}, replica.EncodeIndexed(7, fetchConfirmed.encode()))
 }
--- a/internal/node/localfleet_test.go
+++ b/internal/node/localfleet_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"bytes"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -9,19 +10,21 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"slices"
 	"syscall"
 	"testing"
 	"time"
 )
 
-// A fleet on loopback: real nodes in this process, engines, a platform and an operator of our own. Nothing waits for a fixed
-// time; each step waits until what it needs is there, and fails after a bound.
+// A fleet on loopback: real nodes in this process, and fakes of the engines, the platform, the operator and the clients.
+// Nothing waits for a fixed time: each step waits until what it needs is there, and fails after waitLimit.
 
 const waitLimit = 20 * time.Second
 
-func waitUntil(t *testing.T, what string, is func() bool) {
+// waitUntil waits until a condition holds.
+func waitUntil(t *testing.T, what string, isTrue func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitLimit); !is(); {
+	for end := time.Now().Add(waitLimit); !isTrue(); {
 		if time.Now().After(end) {
 			t.Fatalf("%s: not within %v", what, waitLimit)
 		}
@@ -29,93 +32,126 @@
 	}
 }
 
-// testNode is a node's place; the process there may be stopped and started, and its disk wiped.
+// testNode is a machine of a fleet. Its process can be stopped and started, and its disk wiped.
 type testNode struct {
 	t         *testing.T
-	cfg       map[string]any
-	path      string
-	dir       string
-	signals   chan os.Signal
-	done      chan error
-	frontend  string
+	cfg       map[string]any // the settings file
+	path      string         // of the settings file
+	frontend  string         // addresses; "" = it does not listen
 	control   string
 	readiness string
-}
 
-type testFleet struct {
-	t        *testing.T
-	routers  []*testNode
-	replicas []*testNode
-	platform *fakePlatform
-	newNode  func(i int, keeper bool) *testNode
+	signals chan os.Signal // nil while it is stopped
+	done    chan error
 }
 
-// freePort returns a port that is free at an address.
-func freePort(t *testing.T, ip string) int {
-	ln, err := net.Listen("tcp4", ip+":0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	return ln.Addr().(*net.TCPAddr).Port
+// testFleet is a fleet of such machines.
+type testFleet struct {
+	t         *testing.T
+	platform  *fakePlatform
+	replicas  []*testNode
+	routers   []*testNode
+	subnet    byte // the fleet's own in 127/8
+	internal  int  // ports, the same at all machines
+	control   int
+	seedNodes []string
 }
 
-// newTestFleet starts a fleet. Each machine has an address of its own in 127/8; inner ports are alike.
-func newTestFleet(t *testing.T, edges int, subnet byte) *testFleet {
-	return newTestFleetOf(t, 3, edges, subnet)
+// fleetSize says how many machines a fleet starts with.
+type fleetSize struct {
+	replicas int // 0 = three
+	routers  int
 }
 
-// newTestFleetOf starts a fleet whose keepers are all there from the beginning on.
-func newTestFleetOf(t *testing.T, keepers, edges int, subnet byte) *testFleet {
-	f := &testFleet{t: t, platform: newFakePlatform(t)}
-	ip := func(i int) string { return fmt.Sprintf("127.%d.%d.1", 40+subnet, i+1) }
-	inner := freePort(t, ip(0))
-	control := freePort(t, ip(0))
-	for control == inner {
-		control = freePort(t, ip(0))
+// newTestFleet starts a fleet. Each machine has an address of its own in the subnet of 127/8; internal ports are the same.
+func newTestFleet(t *testing.T, subnet byte, size fleetSize) *testFleet {
+	t.Helper()
+	if size.replicas == 0 {
+		size.replicas = 3
+	}
+	f := &testFleet{t: t, platform: newFakePlatform(t), subnet: subnet}
+	f.internal = freePort(t, f.ip(0))
+	for f.control == 0 || f.control == f.internal {
+		f.control = freePort(t, f.ip(0))
 	}
-	var seeds []string
 	for i := range 3 {
-		seeds = append(seeds, fmt.Sprintf("%s:%d", ip(i), control))
-	}
-	zones := []string{"a", "b", "c"}
-	f.newNode = func(i int, keeper bool) *testNode {
-		m := &testNode{t: t, dir: t.TempDir(), control: fmt.Sprintf("%s:%d", ip(i), control)}
-		m.cfg = map[string]any{
-			"node_name": fmt.Sprintf("n%d", i), "machine_class": "edge", "ip_address": ip(i), "zone": zones[i%3],
-			"internal_port_range": []int{inner, inner}, "seed_nodes": seeds, "bootstrap": true, "heartbeat_interval_ms": 300,
-			"request_limits":  map[string]any{"cpu_fraction": 1, "cpu_cores": 8, "memory_mb": 512, "max_open_files": 2048},
-			"fault_tolerance": map[string]any{"machines": 1}, "later_field": []int{1},
-			"bounds":    map[string]any{"drain_timeout_ms": 1200, "grace_period_s": 4, "lease_ms": 1200, "usage_window_s": 1, "usage_delay_s": 4},
-			"cloud_api": map[string]any{"address": f.platform.addr, "duties": []string{"usage_reporting", "autoscaler"}},
-		}
-		listeners := map[string]any{"control_plane": m.control}
-		if keeper {
-			m.cfg["machine_class"], m.cfg["quorum_member"], m.cfg["data_directory"] = "core", true, filepath.Join(m.dir, "data")
-			f.replicas = append(f.replicas, m)
-		} else {
-			m.frontend, m.readiness = fmt.Sprintf("%s:%d", ip(i), freePort(t, ip(i))), fmt.Sprintf("%s:%d", ip(i), freePort(t, ip(i)))
-			listeners["frontend"], listeners["readiness"] = m.frontend, m.readiness
-			f.routers = append(f.routers, m)
-		}
-		m.cfg["listeners"] = listeners
-		m.path = filepath.Join(m.dir, "boot.json")
-		return m
+		f.seedNodes = append(f.seedNodes, fmt.Sprintf("%s:%d", f.ip(i), f.control))
+	}
+	for i := range size.replicas {
+		f.addReplica(i)
 	}
-	for i := range keepers + edges {
-		f.newNode(i, i < keepers)
+	for i := range size.routers {
+		f.addRouter(size.replicas + i)
 	}
 	t.Cleanup(func() {
-		for _, m := range append(f.routers, f.replicas...) {
+		for _, m := range f.nodes() {
 			m.stop()
 		}
 	})
-	for _, m := range append(f.routers, f.replicas...) {
+	for _, m := range f.nodes() {
 		m.start()
 	}
 	return f
 }
 
+// nodes are the routers, then the replicas.
+func (f *testFleet) nodes() []*testNode { return slices.Concat(f.routers, f.replicas) }
+
+// ip is the address of machine i.
+func (f *testFleet) ip(i int) string { return fmt.Sprintf("127.%d.%d.1", 40+f.subnet, i+1) }
+
+// freePort returns a port that is free at an address.
+func freePort(t *testing.T, ip string) int {
+	t.Helper()
+	ln, err := net.Listen("tcp4", ip+":0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	return ln.Addr().(*net.TCPAddr).Port
+}
+
+// newNode makes machine i with a control address.
+func (f *testFleet) newNode(i int, machineClass string) *testNode {
+	m := &testNode{t: f.t, control: fmt.Sprintf("%s:%d", f.ip(i), f.control)}
+	m.cfg = map[string]any{
+		"node_name": fmt.Sprintf("n%d", i), "machine_class": machineClass, "ip_address": f.ip(i), "zone": []string{"a", "b", "c"}[i%3],
+		"internal_port_range": []int{f.internal, f.internal}, "seed_nodes": f.seedNodes, "bootstrap": true, "heartbeat_interval_ms": 300,
+		"request_limits":  map[string]any{"cpu_fraction": 1, "cpu_cores": 8, "memory_mb": 512, "max_open_files": 2048},
+		"fault_tolerance": map[string]any{"machines": 1}, "later_field": []int{1},
+		"bounds":    map[string]any{"drain_timeout_ms": 1200, "grace_period_s": 4, "lease_ms": 1200, "usage_window_s": 1, "usage_delay_s": 4},
+		"cloud_api": map[string]any{"address": f.platform.addr, "duties": []string{"usage_reporting", "autoscaler"}},
+		"listeners": map[string]any{"control_plane": m.control},
+	}
+	m.path = filepath.Join(f.t.TempDir(), "boot.json")
+	return m
+}
+
+// addReplica makes machine i a replica. It is not started.
+func (f *testFleet) addReplica(i int) *testNode {
+	m := f.newNode(i, "core")
+	m.cfg["quorum_member"], m.cfg["data_directory"] = true, filepath.Join(filepath.Dir(m.path), "data")
+	f.replicas = append(f.replicas, m)
+	return m
+}
+
+// addRouter makes machine i a router. It is not started.
+func (f *testFleet) addRouter(i int) *testNode {
+	m := f.newNode(i, "edge")
+	m.frontend, m.readiness = fmt.Sprintf("%s:%d", f.ip(i), freePort(f.t, f.ip(i))), fmt.Sprintf("%s:%d", f.ip(i), freePort(f.t, f.ip(i)))
+	listeners := m.cfg["listeners"].(map[string]any)
+	listeners["frontend"], listeners["readiness"] = m.frontend, m.readiness
+	f.routers = append(f.routers, m)
+	return m
+}
+
+// name is the machine's name.
+func (m *testNode) name() string { return m.cfg["node_name"].(string) }
+
+// dataDir is a replica's data directory.
+func (m *testNode) dataDir() string { return m.cfg["data_directory"].(string) }
+
+// start starts the process.
 func (m *testNode) start() {
 	m.t.Helper()
 	b, err := json.Marshal(m.cfg)
@@ -123,46 +159,86 @@
 		err = os.WriteFile(m.path, b, 0o600)
 	}
 	if err == nil && m.cfg["data_directory"] != nil {
-		err = os.MkdirAll(m.cfg["data_directory"].(string), 0o700)
+		err = os.MkdirAll(m.dataDir(), 0o700)
 	}
 	if err != nil {
 		m.t.Fatal(err)
 	}
 	m.signals, m.done = make(chan os.Signal, 1), make(chan error, 1)
-	stop, done := m.signals, m.done
+	signals, done := m.signals, m.done
 	go func() {
-		done <- Run(m.path, slog.New(slog.NewTextHandler(io.Discard, nil)), Signals{Stop: stop})
+		done <- Run(m.path, slog.New(slog.NewTextHandler(io.Discard, nil)), Signals{Stop: signals})
 	}()
 }
 
-// stop stops the process in order.
+// isRunning tells whether the process was started and not stopped.
+func (m *testNode) isRunning() bool { return m.signals != nil }
+
+// stop shuts the process down gracefully, if it runs.
 func (m *testNode) stop() {
-	if m.signals == nil {
+	if !m.isRunning() {
 		return
 	}
 	m.signals <- syscall.SIGTERM
 	if err := <-m.done; err != nil {
-		m.t.Errorf("%v: %v", m.cfg["node_name"], err)
+		m.t.Errorf("%s: %v", m.name(), err)
 	}
 	m.signals = nil
 }
 
-// again starts the process once more, as the platform does: not the first start, and perhaps with another disk.
-func (m *testNode) again(wipe bool) {
+// restart starts the process once more, as the platform does: it is not the fleet's first start.
+func (m *testNode) restart() {
+	m.t.Helper()
 	m.cfg["bootstrap"] = false
-	if wipe {
-		if err := os.RemoveAll(m.cfg["data_directory"].(string)); err != nil {
-			m.t.Fatal(err)
-		}
-	}
 	m.start()
 }
 
+// restartEmpty is restart with an empty disk.
+func (m *testNode) restartEmpty() {
+	m.t.Helper()
+	if err := os.RemoveAll(m.dataDir()); err != nil {
+		m.t.Fatal(err)
+	}
+	m.restart()
+}
+
+// isReady asks the process as the platform's load balancer does.
 func (m *testNode) isReady() bool {
-	resp, err := http.Get("http://" + m.readiness + "/readiness")
+	req, err := http.NewRequestWithContext(m.t.Context(), http.MethodGet, "http://"+m.readiness+"/readiness", http.NoBody)
+	if err != nil {
+		m.t.Fatal(err)
+	}
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return false
 	}
 	resp.Body.Close()
-	return resp.StatusCode == 200
+	return resp.StatusCode == http.StatusOK
+}
+
+// nodeStatus is what /fleet/status tells, by the keys that operators' scripts read.
+type nodeStatus struct {
+	Ready       string `json:"ready"`
+	Revision    int    `json:"revision"`
+	NextIndex   uint64 `json:"chain"`
+	HasVote     bool   `json:"votes"`
+	Voters      int    `json:"members"`
+	LeaseHolder string `json:"holder"`
+}
+
+// status asks the process for its status; all of it is zero where the process does not answer.
+func (m *testNode) status() (s nodeStatus) {
+	m.t.Helper()
+	if _, b := controlCall(m.t, "GET", m.control, "/fleet/status", nil, nil); len(b) > 0 {
+		if err := json.Unmarshal(b, &s); err != nil {
+			m.t.Errorf("the status of %s: %v", m.name(), err)
+		}
+	}
+	return s
+}
+
+// hasConfig tells whether the process describes exactly this configuration as the newest.
+func (m *testNode) hasConfig(encoded []byte) bool {
+	code, b := controlCall(m.t, "GET", m.control, "/Configuration.Describe", nil, nil)
+	return code == http.StatusOK && bytes.Equal(b, encoded)
 }
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -12,21 +12,22 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// controlCall makes a call of the control plane.
-func controlCall(t *testing.T, method, to, path string, header map[string]string, v any) (int, []byte) {
+// controlCall makes a call at a control address. v is bytes, or encoded as CBOR; nil = no body. The status is 0 where nobody
+// answers.
+func controlCall(t *testing.T, method, to, path string, header map[string]string, v any) (status int, body []byte) {
 	t.Helper()
-	var body []byte
+	var sent []byte
 	if b, ok := v.([]byte); ok {
-		body = b
+		sent = b
 	} else if v != nil {
 		var err error
-		if body, err = cbor.Marshal(v); err != nil {
+		if sent, err = cbor.Marshal(v); err != nil {
 			t.Fatal(err)
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+to+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+to+path, bytes.NewReader(sent))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,11 +39,11 @@
 		return 0, nil
 	}
 	defer resp.Body.Close()
-	b, _ := io.ReadAll(resp.Body)
-	return resp.StatusCode, b
+	body, _ = io.ReadAll(resp.Body)
+	return resp.StatusCode, body
 }
 
-// encodedConfig is one with a streaming and an idempotent route of service s.
+// encodedConfig is a configuration with a streaming and an idempotent route to service s, and a tenant with a key.
 func encodedConfig(revision int, key string) []byte {
 	mode, err := cbor.CanonicalEncOptions().EncMode() // the same bytes every time
 	if err != nil {
@@ -51,10 +52,14 @@
 	b, err := mode.Marshal(map[string]any{
 		"revision": revision,
 		"routes": []any{
-			map[string]any{"name": "chat", "hostname": "f.example", "path_prefix": "/chat/", "route_type": "streaming", "timeout_ms": 5000,
-				"target_latency_ms": 500, "target_service": "s", "max_attempts": 2, "session_affinity": true},
-			map[string]any{"name": "read", "hostname": "f.example", "path_prefix": "/read/", "route_type": "idempotent", "timeout_ms": 3000,
-				"target_latency_ms": 500, "target_service": "s", "max_attempts": 3},
+			map[string]any{
+				"name": "chat", "hostname": "f.example", "path_prefix": "/chat/", "route_type": "streaming", "timeout_ms": 5000,
+				"target_latency_ms": 500, "target_service": "s", "max_attempts": 2, "session_affinity": true,
+			},
+			map[string]any{
+				"name": "read", "hostname": "f.example", "path_prefix": "/read/", "route_type": "idempotent", "timeout_ms": 3000,
+				"target_latency_ms": 500, "target_service": "s", "max_attempts": 3,
+			},
 		},
 		"services": []any{map[string]any{"name": "s", "health_path": "/h"}},
 		"tenants":  []any{map[string]any{"name": "lab", "api_keys": []any{key}}},
@@ -65,11 +70,18 @@
 	return b
 }
 
-// replaceConfig sends a configuration until it gets a clear answer.
-func replaceConfig(t *testing.T, to string, on int, text []byte) (code int) {
+// tryReplaceConfig sends a configuration once.
+func tryReplaceConfig(t *testing.T, to string, base int, encoded []byte) (code int) {
 	t.Helper()
-	waitUntil(t, "a clear answer to a configuration", func() bool {
-		code, _ = controlCall(t, "POST", to, "/Configuration.Replace", map[string]string{"X-Revision-Match": strconv.Itoa(on)}, text)
+	code, _ = controlCall(t, "POST", to, "/Configuration.Replace", map[string]string{"X-Revision-Match": strconv.Itoa(base)}, encoded)
+	return code
+}
+
+// replaceConfig sends a configuration until it gets a definite answer.
+func replaceConfig(t *testing.T, to string, base int, encoded []byte) (code int) {
+	t.Helper()
+	waitUntil(t, "a definite answer to a configuration", func() bool {
+		code = tryReplaceConfig(t, to, base, encoded)
 		return code != 0 && code < 500
 	})
 	return code
--- a/internal/node/watchedengine_test.go
+++ b/internal/node/recordingengine_test.go
@@ -11,10 +11,14 @@
 	"testing"
 )
 
-// recordedRequest is what an engine was shown.
-type recordedRequest struct{ path, expect, from string }
+// recordedRequest is a request as an engine got it.
+type recordedRequest struct {
+	path     string
+	instance string // which it expects
+	from     string // the address of the connection
+}
 
-// recordingEngine is an engine that notes what comes. Streams stop after their first event until they are let go on.
+// recordingEngine is an engine that records its requests. Streams stop after their first event until resume is closed.
 type recordingEngine struct {
 	*scriptedEngine
 	mu       sync.Mutex
@@ -23,50 +27,50 @@
 }
 
 func newRecordingEngine(t *testing.T) *recordingEngine {
-	w := &recordingEngine{resume: make(chan struct{})}
-	w.scriptedEngine = newScriptedEngine(t, func(c net.Conn, r *http.Request) bool {
-		w.mu.Lock()
-		w.requests = append(w.requests, recordedRequest{r.URL.Path, r.Header.Get("X-Expect-Instance"), c.RemoteAddr().String()})
-		w.mu.Unlock()
+	t.Helper()
+	e := &recordingEngine{resume: make(chan struct{})}
+	e.scriptedEngine = newScriptedEngine(t, func(c net.Conn, r *http.Request) bool {
+		e.mu.Lock()
+		e.requests = append(e.requests, recordedRequest{r.URL.Path, r.Header.Get("X-Expect-Instance"), c.RemoteAddr().String()})
+		e.mu.Unlock()
 		if !strings.HasPrefix(r.URL.Path, "/long/") {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=60\r\nContent-Length: 4\r\n\r\ngood")
 			return true
 		}
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\nf\r\nid: 0\ndata: x\n\n\r\n")
-		<-w.resume
+		<-e.resume
 		io.WriteString(c, "f\r\nid: 1\ndata: y\n\n\r\n0\r\n\r\n")
 		return true
 	})
-	return w
+	return e
 }
 
-func (w *recordingEngine) recorded() []recordedRequest {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]recordedRequest(nil), w.requests...)
+// recorded are the requests so far.
+func (e *recordingEngine) recorded() []recordedRequest {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return append([]recordedRequest(nil), e.requests...)
 }
 
-// clientStream is a client's, of which the first event has come.
+// clientStream is a stream as its client gets it, after its first event.
 type clientStream struct {
-	c  net.Conn
-	br *bufio.Reader
-	*http.Response
 	body *bufio.Reader
 }
 
+// openStream makes a request for a stream, and waits for its first event.
 func openStream(t *testing.T, addr string) *clientStream {
 	t.Helper()
-	c, err := net.Dial("tcp4", addr)
+	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	s := &clientStream{c: c, br: bufio.NewReader(c)}
 	io.WriteString(c, "POST /long/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n{}")
-	if s.Response, err = http.ReadResponse(s.br, nil); err != nil || s.StatusCode != 200 {
-		t.Fatalf("%+v %v", s.Response, err)
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil || resp.StatusCode != http.StatusOK {
+		t.Fatalf("%+v %v", resp, err)
 	}
-	s.body = bufio.NewReader(s.Body)
+	s := &clientStream{body: bufio.NewReader(resp.Body)}
 	for range 3 {
 		if _, err := s.body.ReadString('\n'); err != nil {
 			t.Fatal(err)
@@ -75,7 +79,7 @@
 	return s
 }
 
-// readRest reads the stream to its end.
+// readRest reads the stream to its end, and checks that it is complete.
 func (s *clientStream) readRest() error {
 	b, err := io.ReadAll(s.body)
 	if err == nil && string(b) != "id: 1\ndata: y\n\n" {
--- a/internal/node/replicahost.go
+++ b/internal/node/replicahost.go
@@ -182,7 +182,7 @@
 func (h *replicaHost) perform(e replica.Effect) {
 	switch e := e.(type) {
 	case replica.SendCall:
-		go h.sendCall(e)
+		go h.sendCall(h.ctx, e)
 	case replica.SendReply:
 		deliver(&h.calls, e.Request, callResult{e.Body, e.Err})
 	case replica.OperatorAnswer:
@@ -199,8 +199,8 @@
 }
 
 // sendCall makes a call to a peer and reports its outcome to the reducer.
-func (h *replicaHost) sendCall(e replica.SendCall) {
-	ctx, cancel := context.WithTimeout(h.ctx, e.Timeout)
+func (h *replicaHost) sendCall(ctx context.Context, e replica.SendCall) {
+	ctx, cancel := context.WithTimeout(ctx, e.Timeout)
 	defer cancel()
 	body, err := h.call(ctx, e.To, uint8(e.Kind), e.Body)
 	h.step(replica.CallReturned{ID: e.ID, Body: body, Err: err})
--- a/internal/node/replicahost_test.go
+++ b/internal/node/replicahost_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"net/http"
 	"net/netip"
 	"testing"
 	"testing/synctest"
@@ -11,25 +12,25 @@
 	"notchhinge/internal/control/replica"
 )
 
-// TestNoCallerWaitsForAStalledDisk: while a keeper's disk takes nothing, who calls is let go once it would wait no more, and so is
-// what it has sent; so a stall of any length holds no more than a moment's calls.
+// TestNoCallerWaitsForAStalledDisk: while a replica's disk takes no write, a call ends with the time for which its caller
+// waits, and its body is freed; so a stall of any length keeps only the calls of a moment in memory.
 func TestNoCallerWaitsForAStalledDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		k := &replicaHost{mu: make(contextMutex, 1), clock: func() time.Duration { return time.Since(began) }}
-		k.mu.Lock() // a write that does not come back
+		h := &replicaHost{mu: make(contextMutex, 1), clock: func() time.Duration { return time.Since(began) }}
+		h.mu.Lock() // a write that does not return
 		for _, kind := range []replica.CallKind{replica.CallPaxos, replica.CallSnapshot} {
-			at := time.Now()
-			if _, err := k.handleCall(context.Background(), kind, netip.Addr{}, nil); !errors.Is(err, errDiskBusy) || time.Since(at) != replica.CallTimeout(kind) {
-				t.Errorf("call %d: %v after %v", kind, err, time.Since(at))
+			called := time.Now()
+			if _, err := h.handleCall(context.Background(), kind, netip.Addr{}, nil); !errors.Is(err, errDiskBusy) || time.Since(called) != replica.CallTimeout(kind) {
+				t.Errorf("call %d: %v after %v", kind, err, time.Since(called))
 			}
 		}
-		at := time.Now()
-		r := k.operate(context.Background(), func(id replica.RequestID, deadline time.Duration) replica.Event {
+		called := time.Now()
+		r := h.operate(context.Background(), func(id replica.RequestID, deadline time.Duration) replica.Event {
 			return replica.ReadConfig{Request: id, Deadline: deadline}
 		})
-		if r.Status != 503 || time.Since(at) > time.Second {
-			t.Errorf("%+v after %v", r, time.Since(at))
+		if r.Status != http.StatusServiceUnavailable || time.Since(called) > time.Second {
+			t.Errorf("%+v after %v", r, time.Since(called))
 		}
 	})
 }
--- a/internal/node/request_bench_test.go
+++ b/internal/node/request_bench_test.go
@@ -10,7 +10,7 @@
 )
 
 // BenchmarkRequest makes requests one after the other on one connection, to an engine on loopback: through a node, through
-// today's program, and to the engine itself, in one run.
+// a router of `notchhinge run`, and to the engine itself, in one run.
 func BenchmarkRequest(b *testing.B) {
 	engine := benchEngine(b)
 	for _, to := range []struct {
@@ -21,7 +21,7 @@
 		{"node", benchNode(b, engine), "X-Request-Id: 1f\r\nX-Deadline-Remaining-Ms: 5000\r\n"},
 	} {
 		b.Run(to.name, func(b *testing.B) {
-			c, err := net.Dial("tcp4", to.addr)
+			c, err := (&net.Dialer{}).DialContext(b.Context(), "tcp4", to.addr)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/node/runningrequests_test.go
+++ b/internal/node/runningrequests_test.go
@@ -1,24 +1,24 @@
 package node
 
 import (
+	"net/http"
 	"testing"
 
 	"notchhinge/internal/control/fleetconfig"
 )
 
+// TestRunningRequestKeepsItsConfiguration: a configuration removes a running request's route, its service or its tenant's key.
+// The request goes on; a new one is rejected.
 func TestRunningRequestKeepsItsConfiguration(t *testing.T) {
-	// A configuration takes a running request's route, its service and its tenant's key away.
-	for name, next := range map[string]*fleetconfig.Config{
+	withKey := planeConfig()
+	withKey.Revision, withKey.Tenants = 2, []fleetconfig.Tenant{{Name: "x", APIKeys: []string{"k"}}}
+	for removed, next := range map[string]*fleetconfig.Config{
 		"the route":   {Revision: 2, Services: []fleetconfig.Service{{Name: "s"}, {Name: "t"}}},
 		"the service": {Revision: 2, Services: []fleetconfig.Service{{Name: "t"}}},
 		"all of it":   {Revision: 2, Tenants: []fleetconfig.Tenant{{Name: "x", APIKeys: []string{"k"}}}},
-		"the key": func() *fleetconfig.Config {
-			c := planeConfig()
-			c.Revision, c.Tenants = 2, []fleetconfig.Tenant{{Name: "x", APIKeys: []string{"k"}}}
-			return c
-		}(),
+		"the key":     withKey,
 	} {
-		t.Run(name, func(t *testing.T) {
+		t.Run(removed, func(t *testing.T) {
 			t.Parallel()
 			e := newRecordingEngine(t)
 			p := newTestPlane(t, 1, endpointOf("i-1", "s", e.scriptedEngine))
@@ -29,17 +29,17 @@
 			if err := p.dataPlane.applyConfig(2, next); err != nil {
 				t.Fatal(err)
 			}
-			want := 404
-			if name == "the key" {
-				want = 401
+			want := http.StatusNotFound
+			if removed == "the key" {
+				want = http.StatusUnauthorized
 			}
 			if resp, _, err := post(t, p.addr, "/long/2"); err != nil || resp.StatusCode != want {
-				t.Errorf("a new one: %+v %v, not %d", resp, err, want)
+				t.Errorf("a new request: %+v %v, want %d", resp, err, want)
 			}
 			close(e.resume)
 			for _, s := range running {
 				if err := s.readRest(); err != nil {
-					t.Errorf("a running one: %v", err)
+					t.Errorf("a running request: %v", err)
 				}
 			}
 			if len(next.Services) == 0 || next.Services[0].Name == "t" {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -6,6 +6,7 @@
 	"io"
 	"log/slog"
 	"net"
+	"net/http"
 	"net/http/httptest"
 	"testing"
 	"time"
@@ -13,23 +14,23 @@
 	"notchhinge/internal/config/nodeconfig"
 )
 
-// startShutdown is a node that carries traffic, to be stopped.
-func startShutdown(p *testPlane, grace float64) (n *Node, stopped chan time.Duration) {
+// startShutdown starts the shutdown of a node around a data plane. How long it took comes on stopped.
+func startShutdown(p *testPlane, gracePeriod time.Duration) (n *Node, stopped chan time.Duration) {
 	n = &Node{cfg: &nodeconfig.Config{}, log: slog.New(slog.NewTextHandler(io.Discard, nil)), dataPlane: p.dataPlane}
-	n.cfg.Bounds.GracePeriodS = grace
+	n.cfg.Bounds.GracePeriodS = gracePeriod.Seconds()
 	stopped = make(chan time.Duration, 1)
 	began := time.Now()
 	go func() {
 		n.shutDown(context.Background(), p.listener)
 		stopped <- time.Since(began)
 	}()
-	waitUntil(p.t, "it stops", n.stopping.Load)
+	waitUntil(p.t, "the shutdown", n.stopping.Load)
 	return n, stopped
 }
 
+// TestShutdownLetsStreamsFinish: SIGTERM comes in the midst of hundreds of streams. Each comes to its end, requests that come
+// before the platform's load balancer has noticed are served, and the process ends once all are answered.
 func TestShutdownLetsStreamsFinish(t *testing.T) {
-	// SIGTERM comes in the midst of hundreds of streams: each comes to its end, what is asked before the platform's entry has
-	// noticed is served, and the process ends once they have.
 	t.Parallel()
 	e := newRecordingEngine(t)
 	p := newTestPlane(t, 1, endpointOf("i-1", "s", e.scriptedEngine))
@@ -37,15 +38,15 @@
 	for range 300 {
 		running = append(running, openStream(t, p.addr))
 	}
-	n, stopped := startShutdown(p, 20)
-	says := httptest.NewRecorder()
-	if n.serveReadiness(says, nil); says.Code != 503 {
-		t.Errorf("readiness says %d", says.Code)
+	n, stopped := startShutdown(p, 20*time.Second)
+	readiness := httptest.NewRecorder()
+	if n.serveReadiness(readiness, nil); readiness.Code != http.StatusServiceUnavailable {
+		t.Errorf("readiness says %d", readiness.Code)
 	}
 	for i := range 20 {
 		resp, _, err := post(t, p.addr, fmt.Sprint("/again/", i))
-		if err != nil || resp.StatusCode != 200 || !resp.Close {
-			t.Errorf("a request on the way there: %+v %v", resp, err)
+		if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
+			t.Errorf("a request during the shutdown: %+v %v", resp, err)
 		}
 	}
 	select {
@@ -65,21 +66,21 @@
 	if left := p.dataPlane.frontend.Conns(); left != 0 {
 		t.Errorf("%d connections are left", left)
 	}
-	if c, err := net.Dial("tcp4", p.addr); err == nil {
+	if c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp4", p.addr); err == nil {
 		c.Close()
-		t.Error("it takes connections still")
+		t.Error("it still accepts connections")
 	}
 }
 
+// TestShutdownEndsWithinItsGracePeriod: a stream that does not end must not keep the process until it is killed.
 func TestShutdownEndsWithinItsGracePeriod(t *testing.T) {
-	// A stream that does not end must not hold the process until it is killed.
 	t.Parallel()
 	e := newRecordingEngine(t)
 	p := newTestPlane(t, 1, endpointOf("i-1", "s", e.scriptedEngine))
 	openStream(t, p.addr)
-	const grace = 3500 * time.Millisecond
-	if _, stopped := startShutdown(p, grace.Seconds()); <-stopped > grace {
-		t.Error("it ended after its grace")
+	const gracePeriod = 3500 * time.Millisecond
+	if _, stopped := startShutdown(p, gracePeriod); <-stopped > gracePeriod {
+		t.Error("it ended after its grace period")
 	}
 	close(e.resume)
 }
--- a/internal/node/singletonhost.go
+++ b/internal/node/singletonhost.go
@@ -111,42 +111,42 @@
 func (h *singletonHost) perform(began time.Time, e singleton.Effect) {
 	switch e := e.(type) {
 	case singleton.SendCall:
-		go h.sendCall(e)
+		go h.sendCall(h.ctx, e)
 	case singleton.Log:
 		h.log.Log(h.ctx, e.Level, e.Message, e.Args...)
 	case singleton.Propose:
-		go h.propose(e)
+		go h.propose(h.ctx, e)
 	case singleton.ReportUsage:
-		h.callPlatform(began.Add(e.Timeout), func(ctx context.Context) error {
+		h.callPlatform(h.ctx, began.Add(e.Timeout), func(ctx context.Context) error {
 			return h.cloud.ReportUsage(ctx, e.FencingToken, e.Window, e.Counts)
 		})
 	case singleton.ScaleEngines:
-		h.callPlatform(began.Add(e.Timeout), func(ctx context.Context) error {
+		h.callPlatform(h.ctx, began.Add(e.Timeout), func(ctx context.Context) error {
 			return h.cloud.ScaleEngines(ctx, e.FencingToken, cloudapi.Target{Service: e.Service, Zone: e.Zone, Engines: e.Engines})
 		})
 	}
 }
 
 // sendCall makes a call to a peer and reports its outcome to the reducer.
-func (h *singletonHost) sendCall(e singleton.SendCall) {
-	ctx, cancel := context.WithTimeout(h.ctx, e.Timeout)
+func (h *singletonHost) sendCall(ctx context.Context, e singleton.SendCall) {
+	ctx, cancel := context.WithTimeout(ctx, e.Timeout)
 	defer cancel()
 	body, err := h.replica.call(ctx, e.To, e.Kind, e.Body)
 	h.step(singleton.CallReturned{ID: e.ID, Body: body, Err: err})
 }
 
 // propose has entries chosen by the replica here and reports the outcome to the reducer.
-func (h *singletonHost) propose(e singleton.Propose) {
-	ctx, cancel := context.WithTimeout(h.ctx, e.Timeout)
+func (h *singletonHost) propose(ctx context.Context, e singleton.Propose) {
+	ctx, cancel := context.WithTimeout(ctx, e.Timeout)
 	defer cancel()
 	h.step(singleton.ProposalDone{Err: h.replica.propose(ctx, e.Next)})
 }
 
 // callPlatform makes a call to the platform in a goroutine of its own, until a time, and reports the outcome to the reducer.
-func (h *singletonHost) callPlatform(until time.Time, do func(context.Context) error) {
+func (h *singletonHost) callPlatform(ctx context.Context, until time.Time, do func(context.Context) error) {
 	h.traffic.Add(metrics.CausePlatform, 0, false)
 	go func() {
-		ctx, cancel := context.WithDeadline(h.ctx, until)
+		ctx, cancel := context.WithDeadline(ctx, until)
 		defer cancel()
 		h.step(singleton.PlatformAnswered{Err: do(ctx)})
 	}()
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -1,8 +1,7 @@
 package node
 
 import (
-	"bytes"
-	"encoding/json"
+	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -10,49 +9,35 @@
 	"notchhinge/internal/limits"
 )
 
-// TestRouterIsNotReadyBeforeAQuorumConfirms: a router that starts and knows only a keeper that is cut off and behind is not ready with what that
-// has, for as long as a majority may be found; then it serves with it, and has the newest once a majority is there.
+// TestRouterIsNotReadyBeforeAQuorumConfirms: a router starts and reaches only a replica that is partitioned and lags. It is not
+// ready with what that replica holds for as long as a quorum may be found; then it serves with it, and it gets the newest
+// configuration once there is a quorum.
 func TestRouterIsNotReadyBeforeAQuorumConfirms(t *testing.T) {
-	f := newTestFleet(t, 0, 11)
-	edge, behind := f.newNode(3, false), f.replicas[2]
-	if code := replaceConfig(t, f.replicas[0].control, 0, encodedConfig(2, "k2")); code != 200 {
+	f := newTestFleet(t, 11, fleetSize{})
+	router, lagging := f.addRouter(3), f.replicas[2]
+	if code := replaceConfig(t, f.replicas[0].control, 0, encodedConfig(2, "k2")); code != http.StatusOK {
 		t.Fatal(code)
 	}
-	waitUntil(t, "all have it", func() bool {
-		_, b := controlCall(t, "GET", behind.control, "/Configuration.Describe", nil, nil)
-		return bytes.Equal(b, encodedConfig(2, "k2"))
-	})
-	behind.stop()
-	if code := replaceConfig(t, f.replicas[0].control, 2, encodedConfig(5, "k5")); code != 200 {
+	waitUntil(t, "all have it", func() bool { return lagging.hasConfig(encodedConfig(2, "k2")) })
+	lagging.stop()
+	if code := replaceConfig(t, f.replicas[0].control, 2, encodedConfig(5, "k5")); code != http.StatusOK {
 		t.Fatal(code)
 	}
 	f.replicas[0].stop()
 	f.replicas[1].stop()
-	behind.again(false)
-	edge.start()
-	status := func() (ready string, revision int) {
-		var s struct {
-			Ready    string `json:"ready"`
-			Revision int    `json:"revision"`
-		}
-		if _, b := controlCall(t, "GET", edge.control, "/fleet/status", nil, nil); len(b) > 0 {
-			if err := json.Unmarshal(b, &s); err != nil {
-				t.Fatal(err)
-			}
-		}
-		return s.Ready, s.Revision
-	}
+	lagging.restart()
+	router.start()
 	began := time.Now()
 	ready := ""
-	waitUntil(t, "it has what the keeper has that is cut off", func() bool {
-		now, revision := status()
-		ready = now
-		return revision == 2 && ready != reasonNoReplica
+	waitUntil(t, "it has what the lagging replica holds", func() bool {
+		s := router.status()
+		ready = s.Ready
+		return s.Revision == 2 && ready != reasonNoReplica
 	})
 	if ready != reasonNoQuorum && time.Since(began) < limits.ReadyWithoutQuorumAfter/2 {
 		t.Errorf("it is ready with an old configuration: %q", ready)
 	}
-	waitUntil(t, "it serves all the same where there is no majority", func() bool { ready, _ := status(); return strings.Contains(ready, "engine") })
-	f.replicas[0].again(false)
-	waitUntil(t, "it has the newest", func() bool { _, revision := status(); return revision == 5 })
+	waitUntil(t, "it goes on without a quorum", func() bool { return strings.Contains(router.status().Ready, "engine") })
+	f.replicas[0].restart()
+	waitUntil(t, "it has the newest", func() bool { return router.status().Revision == 5 })
 }
--- a/internal/node/stream_bench_test.go
+++ b/internal/node/stream_bench_test.go
@@ -8,13 +8,14 @@
 	"strconv"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 )
 
-// BenchmarkEvents has so many streams under way at once, an event each 35 ms on each, to the engine itself and through a
-// router; an iteration is a second of it. us/event is the processor time of this process; what the router takes is the
-// difference of the two.
+// BenchmarkEvents has a number of streams under way, an event each 35 ms on each, to the engine itself and through a router;
+// an iteration is a second of it. us/event is the processor time of this process; what the router takes is the difference of
+// the two.
 func BenchmarkEvents(b *testing.B) {
 	for _, streams := range []int{40, 120, 382} {
 		for _, through := range []string{"direct", "node"} {
@@ -23,50 +24,52 @@
 				if through == "node" {
 					to = benchNode(b, to)
 				}
-				ctx, cancel := context.WithCancel(b.Context())
-				var mu sync.Mutex
-				var wait sync.WaitGroup
-				events := 0
-				for i := range streams {
-					c, err := net.Dial("tcp4", to)
-					if err != nil {
-						b.Fatal(err)
-					}
-					context.AfterFunc(ctx, func() { c.Close() })
-					io.WriteString(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nX-Request-Id: "+strconv.Itoa(i+1)+"\r\nX-Deadline-Remaining-Ms: 60000\r\nContent-Length: 3\r\n\r\nxxx")
-					wait.Go(func() {
-						br := bufio.NewReader(c)
-						for {
-							line, err := br.ReadString('\n')
-							if err != nil {
-								return
-							}
-							if strings.HasPrefix(line, "data:") {
-								mu.Lock()
-								events++
-								mu.Unlock()
-							}
-						}
-					})
-				}
-				time.Sleep(500 * time.Millisecond)
-				mu.Lock()
-				before, used := events, cpuTime()
-				mu.Unlock()
-				for b.Loop() {
-					time.Sleep(time.Second)
-				}
-				mu.Lock()
-				n := events - before
-				mu.Unlock()
-				if n == 0 {
-					b.Fatal("no event has come")
-				}
-				b.ReportMetric(float64((cpuTime()-used).Microseconds())/float64(n), "us/event")
-				b.ReportMetric(float64(n)/b.Elapsed().Seconds(), "events/s")
-				cancel()
-				wait.Wait()
+				benchStreams(b, to, streams)
 			})
 		}
 	}
 }
+
+// benchStreams reads streams from an address and reports what their events cost.
+func benchStreams(b *testing.B, to string, streams int) {
+	b.Helper()
+	ctx, cancel := context.WithCancel(b.Context())
+	var readers sync.WaitGroup
+	var events atomic.Int64
+	for i := range streams {
+		c, err := (&net.Dialer{}).DialContext(ctx, "tcp4", to)
+		if err != nil {
+			b.Fatal(err)
+		}
+		context.AfterFunc(ctx, func() { c.Close() })
+		io.WriteString(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nX-Request-Id: "+strconv.Itoa(i+1)+"\r\nX-Deadline-Remaining-Ms: 60000\r\nContent-Length: 3\r\n\r\nxxx")
+		readers.Go(func() { countEvents(c, &events) })
+	}
+	time.Sleep(500 * time.Millisecond)
+	events0, cpu0 := events.Load(), cpuTime()
+	for b.Loop() {
+		time.Sleep(time.Second)
+	}
+	n := events.Load() - events0
+	if n == 0 {
+		b.Fatal("no event has come")
+	}
+	b.ReportMetric(float64((cpuTime()-cpu0).Microseconds())/float64(n), "us/event")
+	b.ReportMetric(float64(n)/b.Elapsed().Seconds(), "events/s")
+	cancel()
+	readers.Wait()
+}
+
+// countEvents counts the events of a stream until its connection is closed.
+func countEvents(c net.Conn, events *atomic.Int64) {
+	br := bufio.NewReader(c)
+	for {
+		line, err := br.ReadString('\n')
+		if err != nil {
+			return
+		}
+		if strings.HasPrefix(line, "data:") {
+			events.Add(1)
+		}
+	}
+}
--- a/internal/node/testplane_test.go
+++ b/internal/node/testplane_test.go
@@ -14,7 +14,7 @@
 	"notchhinge/internal/limits"
 )
 
-// testPlane is a data plane of its own.
+// testPlane is a data plane without a node around it.
 type testPlane struct {
 	t         *testing.T
 	dataPlane *dataPlane
@@ -23,11 +23,12 @@
 	endpoints atomic.Pointer[[]endpoints.Endpoint]
 }
 
+// endpointOf is the endpoint of a scripted engine.
 func endpointOf(id, service string, e *scriptedEngine) endpoints.Endpoint {
 	return endpoints.Endpoint{Record: endpoints.Record{ID: id, Service: service, Addr: e.addr}}
 }
 
-// newTestPlane starts one under the configuration of planeConfig.
+// newTestPlane starts a data plane under the configuration of planeConfig.
 func newTestPlane(t *testing.T, seed uint64, engines ...endpoints.Endpoint) *testPlane {
 	t.Helper()
 	p := &testPlane{t: t}
@@ -54,11 +55,11 @@
 	}
 	t.Cleanup(func() { p.listener.Close() })
 	p.addr = p.listener.Addr().String()
-	go p.dataPlane.frontend.Serve(p.listener)
+	go func() { _ = p.dataPlane.frontend.Serve(p.listener) }() // it ends when the listener is closed
 	return p
 }
 
-// setEndpoints changes the engines; what is asked from now on meets those.
+// setEndpoints changes the endpoints; requests from now on get to these.
 func (p *testPlane) setEndpoints(engines ...endpoints.Endpoint) {
 	p.endpoints.Store(&engines)
 	p.dataPlane.mu.Lock()
@@ -66,6 +67,7 @@
 	p.dataPlane.publishEndpoints(p.dataPlane.routes.Load())
 }
 
+// planeConfig has a route of each type to service s, one to service t, and one whose requests may last (20 s).
 func planeConfig() *fleetconfig.Config {
 	route := func(name, prefix string, kind fleetconfig.RouteType) fleetconfig.Route {
 		return fleetconfig.Route{Name: name, Hostname: "h", PathPrefix: prefix, Type: kind, TimeoutMS: 1500, TargetLatencyMS: 100, TargetService: "s", MaxAttempts: 2}
@@ -79,7 +81,7 @@
 	}}
 }
 
-// planeAddr is a data plane with engines of service s by name; its address is returned.
+// planeAddr starts a data plane before engines of service s, by name, and returns its address.
 func planeAddr(t *testing.T, seed uint64, engines map[string]*scriptedEngine) string {
 	t.Helper()
 	var all []endpoints.Endpoint
