--- /dev/null
+++ b/internal/dispatch/actions.go
@@ -0,0 +1,154 @@
+package dispatch
+
+import (
+	"time"
+
+	"notchhinge/internal/trace"
+	"notchhinge/policy"
+)
+
+var _ policy.Actions = (*pool)(nil)
+
+// findRequest returns a request of this pool.
+func (p *pool) findRequest(id policy.RequestID) *request {
+	if req := p.dispatcher.requests[id]; req != nil && req.pool == p {
+		return req
+	}
+	return nil
+}
+
+// Send implements policy.Actions. It enforces what the module may have overlooked: an attempt for a request that is answered or
+// bound, beyond the maximum of attempts, past the deadline, or to an unknown host, ends as moot without being sent.
+func (p *pool) Send(id policy.RequestID, to policy.ReplicaID, timeout time.Duration) {
+	d, req := p.dispatcher, p.findRequest(id)
+	if req == nil {
+		return
+	}
+	att := &attempt{id: AttemptID{id, len(req.attempts)}, host: to, sentAt: d.now}
+	req.attempts = append(req.attempts, att)
+	req.running++
+	h := p.hosts[to]
+	span := p.traceSent(req, att, h)
+	until := req.deadline
+	if timeout != 0 {
+		until = min(until, d.now+timeout)
+	}
+	if h == nil || req.answered || req.bound != nil || len(req.attempts) > req.maxAttempts || until <= d.now {
+		d.traceNotSent(req, att, policy.ResultMoot)
+		d.endDeferred(req, att, policy.ResultMoot)
+		return
+	}
+	if p.isTooCold(h) {
+		d.traceNotSent(req, att, policy.ResultFull)
+		d.endDeferred(req, att, policy.ResultFull) // as if the host itself had rejected it
+		return
+	}
+	if p.retryBudget != nil && req.reachedHost && !p.retryBudget.TryTake(d.now) {
+		d.endDeferred(req, att, policy.ResultMoot)
+		return
+	}
+	p.counters.Attempts++
+	if until < req.deadline {
+		att.timer = d.timers.Add(until, timer{request: req, attempt: att})
+	}
+	start := StartAttempt{
+		Pool: p.id, Attempt: att.id, Client: req.client, Host: to, HostName: h.Name, Addr: h.Addr, Timeout: until - d.now,
+	}
+	if d.traces != nil {
+		d.emit(StartTracedAttempt{start, span})
+		return
+	}
+	d.emit(start)
+}
+
+// traceSent traces that the module sends an attempt, and returns the span that it carries; nil where nothing is traced.
+func (p *pool) traceSent(req *request, att *attempt, h *Host) *trace.Carried {
+	d := p.dispatcher
+	if d.traces == nil {
+		return nil
+	}
+	host := Host{Name: "unknown"}
+	if h != nil {
+		host = *h
+	}
+	return d.traces.Sent(d.now, req.id, req.trace, att.id.Index, host.Name, host.Addr)
+}
+
+// Explain implements policy.Actions.
+func (p *pool) Explain(id policy.RequestID, reason policy.Reason) {
+	if p.dispatcher.traces == nil {
+		return
+	}
+	if req := p.findRequest(id); req != nil {
+		p.dispatcher.traces.Because(id, req.trace, reason)
+	}
+}
+
+// Reject implements policy.Actions.
+func (p *pool) Reject(id policy.RequestID, retryAfter time.Duration) {
+	p.answer(id, VerdictRejected, retryAfter)
+}
+
+// Fail implements policy.Actions.
+func (p *pool) Fail(id policy.RequestID) { p.answer(id, VerdictFailed, 0) }
+
+// answer gives a final answer without a result. One for a request that is answered already does nothing.
+func (p *pool) answer(id policy.RequestID, verdict Verdict, retryAfter time.Duration) {
+	d, req := p.dispatcher, p.findRequest(id)
+	if req == nil || req.answered || req.bound != nil {
+		return
+	}
+	if verdict == VerdictFailed {
+		p.counters.Failed++
+	} else {
+		p.counters.Rejected++
+	}
+	d.emit(Reject{
+		Client: req.client, Verdict: verdict, RetryAfter: retryAfter, MayHaveRun: req.mayHaveRun || req.running > 0,
+	})
+	d.closeRequest(req)
+	if verdict == VerdictFailed {
+		d.traceEnd(req, trace.Failed, 0)
+	} else {
+		d.traceEnd(req, trace.Refused, retryAfter)
+	}
+	for _, att := range req.attempts {
+		if !att.ended {
+			d.cancelAttempt(req, att, policy.ResultCancelled)
+		}
+	}
+}
+
+// Cancel implements policy.Actions. An attempt whose answer the client gets is not cancelled while the client is there.
+func (p *pool) Cancel(id policy.RequestID, index int) {
+	d := p.dispatcher
+	req, att := d.findAttempt(AttemptID{id, index})
+	if att == nil || req.pool != p || att.ended || req.bound == att && !req.clientLeft {
+		return
+	}
+	if req.clientLeft {
+		d.cancelAttempt(req, att, d.outcomeAfterLeaving(req))
+		return
+	}
+	d.cancelAttempt(req, att, policy.ResultCancelled)
+}
+
+// Probe implements policy.Actions.
+func (p *pool) Probe(to policy.ReplicaID) {
+	if h := p.hosts[to]; h != nil {
+		p.counters.Probes++
+		p.dispatcher.emit(SendProbe{Pool: p.id, Host: to, Addr: h.Addr, Sent: p.dispatcher.now})
+	}
+}
+
+// Watch implements policy.Actions.
+func (p *pool) Watch() { p.dispatcher.emit(WatchEndpoints{p.id}) }
+
+// SetTimer implements policy.Actions. The timer never fires within the call that sets it.
+func (p *pool) SetTimer(after time.Duration, token uint64) {
+	d := p.dispatcher
+	d.timers.Add(d.now+max(after, 1), timer{pool: p, token: token})
+}
+
+// Log implements policy.Actions.
+func (p *pool) Log(message string) { p.dispatcher.emit(Log{p.name, message}) }
--- /dev/null
+++ b/internal/dispatch/dispatcher_test.go
@@ -0,0 +1,348 @@
+package dispatch
+
+import (
+	"fmt"
+	"os/exec"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"notchhinge/internal/limits"
+	"notchhinge/internal/retrybudget"
+	"notchhinge/policy"
+)
+
+const sec = time.Second
+
+func settings() policy.Settings {
+	return policy.Settings{
+		Routers: 1, Zones: 1, SlowStartInitial: 0.5, SlowStart: sec, DrainGrace: sec / 2, NeedsWatch: true, WatchWithin: 10 * sec,
+		Classes: []policy.Class{{Name: "chat", TargetLatency: sec, Deadline: 10 * sec, Value: 1, IsStreaming: true}},
+		Limits:  policy.Limits{CanCancel: true, CanProbe: true, SendsRetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 2 * sec},
+	}
+}
+
+// fixture is a dispatcher with hosts and the effects of its last turn, one word each.
+type fixture struct {
+	*Dispatcher
+	t   *testing.T
+	now time.Duration
+}
+
+func module(t testing.TB) *policy.Balancer {
+	t.Helper()
+	m, err := policy.New(settings(), 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return m
+}
+
+func newFixture(t *testing.T, hosts int, change func(*limits.Limits)) *fixture {
+	t.Helper()
+	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024},
+		limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
+	if change != nil {
+		change(&lim)
+	}
+	r := &fixture{Dispatcher: New(lim), t: t, now: 1000 * sec}
+	r.Reduce(r.now, ConfigurePool{Module: module(t), SlowStart: sec, SlowStartInitial: 0.5})
+	var l EndpointsListed
+	for i := range hosts {
+		l.Hosts = append(l.Hosts, Host{Name: fmt.Sprint("h", i), Addr: fmt.Sprint("d", i), Weight: 1})
+	}
+	l.Kind = policy.ListFull
+	r.Reduce(r.now, l)
+	return r
+}
+
+func (r *fixture) reduce(at time.Duration, e Event) []string {
+	var words []string
+	for _, f := range r.Reduce(r.now+at, e) {
+		switch f := f.(type) {
+		case StartAttempt:
+			words = append(words, fmt.Sprintf("send %d.%d for %v", f.Attempt.Request, f.Attempt.Index, f.Timeout))
+		case BindAttempt:
+			words = append(words, fmt.Sprintf("bind %d.%d", f.Attempt.Request, f.Attempt.Index))
+		case CancelAttempt:
+			words = append(words, fmt.Sprintf("cancel %d.%d", f.Attempt.Request, f.Attempt.Index))
+		case Reject:
+			words = append(words, fmt.Sprintf("reject %v %s after %v", f.Client, [...]string{"rejected", "failed", "duplicate"}[f.Verdict], f.RetryAfter))
+		case CloseIdleConnection:
+			words = append(words, fmt.Sprintf("close idle %d", f.Connection))
+		case ReminderDue:
+			words = append(words, fmt.Sprint("remind ", f.Token))
+		case SendProbe:
+			words = append(words, "probe "+f.Addr)
+		}
+	}
+	return words
+}
+
+func (r *fixture) expect(at time.Duration, e Event, want ...string) {
+	r.t.Helper()
+	if diff := cmp.Diff(want, r.reduce(at, e)); diff != "" {
+		r.t.Fatalf("after %T at %v (-want +got):\n%s", e, at, diff)
+	}
+}
+
+func received(from string, at, budget time.Duration) RequestReceived {
+	return RequestReceived{Client: from, ReceivedAt: at, Request: policy.Request{Session: 9, Timeout: budget}}
+}
+
+func TestServedAttempt(t *testing.T) {
+	r := newFixture(t, 2, nil)
+	r.expect(0, received("a", r.now, 4*sec), "send 1.0 for 4s")
+	r.expect(sec, AttemptStarted{AttemptID{1, 0}}, "bind 1.0")
+	r.expect(9*sec, Tick{}) // once begun, the deadline runs no longer
+	r.expect(9*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultOK})
+	r.expect(9*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultReset}) // a second outcome is none
+	if c := r.pools[0].counters; c.Served != 1 || c.Outcomes[policy.ResultOK] != 1 || c.Outcomes[policy.ResultReset] != 0 || len(r.requests) != 0 {
+		t.Errorf("counters %+v, %d open", c, len(r.requests))
+	}
+}
+
+func TestDeadlineAnswersAtOnce(t *testing.T) {
+	// Guards against an request that outlives its time because its attempts are silent.
+	r := newFixture(t, 2, nil)
+	r.expect(sec, received("a", r.now, 4*sec), "send 1.0 for 3s") // its time runs from its last byte
+	r.expect(4*sec-1, Tick{})
+	r.expect(4*sec, Tick{}, "cancel 1.0", "reject a failed after 0s")
+	r.expect(5*sec, AttemptStarted{AttemptID{1, 0}}, "cancel 1.0") // too late to be the client's
+	r.expect(5*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultCancelled})
+	if n := r.pools[0].counters.Outcomes[policy.ResultTimedOut]; n != 1 || r.Open() != 0 {
+		t.Errorf("%d time-outs, %d open", n, r.Open())
+	}
+}
+
+func TestDuplicateIDIsRejected(t *testing.T) {
+	// Passing a second request on under the id of an open one would be a second copy of that one's attempt.
+	r := newFixture(t, 2, nil)
+	second := received("b", r.now, 4*sec)
+	first := received("a", r.now, 4*sec)
+	first.ClientRequestID, second.ClientRequestID = "9b1f", "9b1f"
+	r.expect(0, first, "send 1.0 for 4s")
+	r.expect(0, second, "reject b duplicate after 0s")
+	r.expect(sec, AttemptStarted{AttemptID{1, 0}}, "bind 1.0")
+	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultOK})
+	second.ReceivedAt = r.now + sec
+	r.expect(sec, second, "send 2.0 for 4s")
+}
+
+func TestAttemptsAreCapped(t *testing.T) {
+	// The module may go on only to hosts that it has not tried, and to three attempts at the most.
+	r := newFixture(t, 5, nil)
+	r.expect(0, received("a", r.now, 4*sec), "send 1.0 for 4s")
+	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed}, "send 1.1 for 3s")
+	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultFull}, "send 1.2 for 3s")
+	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 2}, Result: policy.ResultFull}, "reject a rejected after 500ms")
+	r.pools[0].Send(1, 0, 0) // over: no effect, and no attempt
+	if r.pools[0].counters.Attempts != 3 {
+		t.Errorf("%d attempts", r.pools[0].counters.Attempts)
+	}
+}
+
+func TestSendsForEndedRequestsAreMoot(t *testing.T) {
+	r := newFixture(t, 2, nil)
+	r.reduce(0, received("a", r.now, 4*sec))
+	r.reduce(0, AttemptStarted{AttemptID{1, 0}})
+	for name, host := range map[string]policy.ReplicaID{"bound": r.pools[0].hostID("h1"), "unknown host": 1} {
+		r.effects = nil
+		r.pools[0].Send(1, host, 0)
+		r.runDeferred()
+		if len(r.effects) != 0 {
+			t.Errorf("%s: %v", name, r.effects)
+		}
+	}
+	if n := r.pools[0].counters.Outcomes[policy.ResultMoot]; n != 2 {
+		t.Errorf("%d moot", n)
+	}
+}
+
+func TestFirstEventBindsTheRequest(t *testing.T) {
+	// With two copies out, the first event takes the request and the other copy is cancelled.
+	r := newFixture(t, 2, nil)
+	r.reduce(0, received("a", r.now, 4*sec))
+	for _, name := range []string{"h0", "h1"} {
+		if id := r.pools[0].hostID(name); id != r.requests[1].attempts[0].host {
+			r.pools[0].Send(1, id, 0)
+		}
+	}
+	r.expect(sec, AttemptStarted{AttemptID{1, 1}}, "bind 1.1", "cancel 1.0")
+	r.expect(sec, AttemptStarted{AttemptID{1, 0}}, "cancel 1.0")
+	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultReset}) // a broken stream ends the request
+	if c := r.pools[0].counters; c.Broken != 1 || c.Outcomes[policy.ResultCancelled] != 1 || len(r.requests) != 0 {
+		t.Errorf("counters %+v, %d open", c, len(r.requests))
+	}
+}
+
+func TestAttemptTimeOut(t *testing.T) {
+	r := newFixture(t, 3, nil)
+	r.reduce(0, received("a", r.now, 4*sec))
+	for _, name := range []string{"h0", "h1", "h2"} {
+		if id := r.pools[0].hostID(name); id != r.requests[1].attempts[0].host {
+			r.pools[0].Send(1, id, sec)
+			break
+		}
+	}
+	r.expect(sec, Tick{}, "cancel 1.1") // the first attempt stays out
+	if n := r.pools[0].counters.Outcomes[policy.ResultTimedOut]; n != 1 || r.requests[1].running != 1 {
+		t.Errorf("%d time-outs, %d running", n, r.requests[1].running)
+	}
+}
+
+func TestClientThatLeavesCancelsItsAttempts(t *testing.T) {
+	for name, begun := range map[string]bool{"waiting": false, "streaming": true} {
+		r := newFixture(t, 2, nil)
+		r.reduce(0, received("a", r.now, 4*sec))
+		if begun {
+			r.reduce(0, AttemptStarted{AttemptID{1, 0}})
+		}
+		r.expect(sec, ClientLeft{"a"}, "cancel 1.0")
+		r.expect(sec, ClientLeft{"a"})
+		if c := r.pools[0].counters; c.ClientsLeft != 1 || c.Outcomes[policy.ResultCancelled] != 1 || len(r.requests) != 0 {
+			t.Errorf("%s: counters %+v, %d open", name, c, len(r.requests))
+		}
+	}
+}
+
+func TestRequestsBeyondTheLimitAreRejected(t *testing.T) {
+	// More requests than there are descriptors are rejected before the module hears of them.
+	r := newFixture(t, 2, func(l *limits.Limits) { l.ConcurrentRequests = 1 })
+	r.reduce(0, received("a", r.now, 4*sec))
+	r.expect(0, received("b", r.now, 4*sec), "reject b rejected after 500ms")
+	if c := r.pools[0].counters; c.Received != 1 || c.RejectedByFrontend != 1 {
+		t.Errorf("counters %+v", c)
+	}
+}
+
+func TestClockNeverGoesBack(t *testing.T) {
+	r := newFixture(t, 2, nil)
+	r.reduce(2*sec, Tick{})
+	r.expect(0, received("a", r.now+2*sec, 4*sec), "send 1.0 for 4s")
+	r.expect(6*sec, Tick{}, "cancel 1.0", "reject a failed after 0s")
+}
+
+func TestIdleConnectionIsClosed(t *testing.T) {
+	r := newFixture(t, 0, nil)
+	r.expect(0, ConnectionIdle{3, 4 * sec})
+	r.expect(4*sec-1, Tick{})
+	r.expect(4*sec, Tick{}, "close idle 3") // a second before the host would
+}
+
+func TestReminder(t *testing.T) {
+	r := newFixture(t, 0, nil)
+	r.expect(0, SetReminder{At: r.now + sec, Token: "line"})
+	r.expect(sec-1, Tick{})
+	r.expect(sec, Tick{}, "remind line")
+	r.expect(2*sec, Tick{})
+}
+
+func TestGoneHostGetsNothing(t *testing.T) {
+	r := newFixture(t, 1, nil)
+	r.expect(0, EndpointsListed{Kind: policy.ListDelta, Hosts: []Host{{Name: "h0", State: policy.StateGone}}})
+	r.expect(0, received("a", r.now, 4*sec), "reject a rejected after 500ms")
+}
+
+func TestHostIDsAreHashesOfNames(t *testing.T) {
+	// Every router must give a host the same number, since the module draws by it.
+	x, y := newFixture(t, 3, nil), newFixture(t, 9, nil)
+	if x.pools[0].hostID("h2") != y.pools[0].hostID("h2") || x.pools[0].hostID("h1") == x.pools[0].hostID("h2") {
+		t.Error("host ids differ between routers, or are shared")
+	}
+}
+
+func TestDispatchImportsNoNetwork(t *testing.T) {
+	// Neither the reducer nor what it is built on may know the network.
+	out, err := exec.CommandContext(t.Context(), "go", "list", "-deps", ".").Output()
+	if err != nil {
+		t.Fatal(err)
+	}
+	deps := strings.Fields(string(out))
+	for _, p := range deps {
+		if p == "net" || strings.HasPrefix(p, "net/") || strings.HasPrefix(p, "encoding/json") {
+			t.Errorf("the dispatcher depends on %s", p)
+		}
+	}
+	if len(deps) < 5 {
+		t.Errorf("only %d packages listed", len(deps))
+	}
+}
+
+func TestHostsThatHaveGoneAreForgotten(t *testing.T) {
+	// Guards against growth on a day on which hosts are replaced by others, one after the other.
+	r := newFixture(t, 3, nil)
+	host := func(i int, s policy.State) Host {
+		return Host{Name: fmt.Sprint("h", i), Addr: "d", Weight: 1, State: s}
+	}
+	for i := range 500 {
+		r.reduce(0, EndpointsListed{Kind: policy.ListDelta, Hosts: []Host{host(i, policy.StateGone), host(i+3, policy.StateReady)}})
+	}
+	if len(r.pools[0].hosts) != 3 || len(r.pools[0].hostIDs) != 3 {
+		t.Errorf("%d hosts, %d names after deltas", len(r.pools[0].hosts), len(r.pools[0].hostIDs))
+	}
+	r.reduce(0, EndpointsListed{Kind: policy.ListFull, Hosts: []Host{host(9000, policy.StateReady)}})
+	r.reduce(0, EndpointsListed{Kind: policy.ListFailed})
+	if len(r.pools[0].hosts) != 1 || len(r.pools[0].hostIDs) != 1 {
+		t.Errorf("%d hosts, %d names after a whole list", len(r.pools[0].hosts), len(r.pools[0].hostIDs))
+	}
+}
+
+func TestLeavingAtTheDeadlineIsATimeOut(t *testing.T) {
+	// A client that gives up when its time is over closes its connection a moment before the deadline is noticed here.
+	// As cancelled attempts these said nothing to the module, which never saw an overload on sockets.
+	for _, c := range []struct {
+		at   time.Duration
+		want policy.Result
+	}{{4*sec - 2*time.Millisecond, policy.ResultTimedOut}, {3 * sec, policy.ResultCancelled}} {
+		r := newFixture(t, 2, nil)
+		r.reduce(0, received("a", r.now, 4*sec))
+		r.expect(c.at, ClientLeft{"a"}, "cancel 1.0")
+		if r.pools[0].counters.Outcomes[c.want] != 1 || r.pools[0].counters.ClientsLeft != 1 {
+			t.Errorf("left after %v: %+v", c.at, r.counters)
+		}
+	}
+	r := newFixture(t, 2, nil)
+	r.reduce(0, received("a", r.now, 4*sec))
+	r.reduce(sec, AttemptStarted{AttemptID{1, 0}})
+	r.reduce(4*sec-1, ClientLeft{"a"}) // in its stream, whose time is not the deadline's
+	if r.pools[0].counters.Outcomes[policy.ResultCancelled] != 1 {
+		t.Errorf("left in its stream: %+v", r.counters)
+	}
+}
+
+// TestRetryAllowanceHoldsFromTheNextRetry changes the allowance while requests are open.
+func TestRetryAllowanceHoldsFromTheNextRetry(t *testing.T) {
+	r := newFixture(t, 3, nil)
+	r.Reduce(r.now, ConfigurePool{RetryBudget: &retrybudget.Budget{Allowance: 5, Window: 10 * sec}})
+	r.expect(0, received("a", r.now, 4*sec), "send 1.0 for 4s")
+	if again := r.reduce(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultFull}); len(again) != 1 || again[0] != "send 1.1 for 4s" {
+		t.Fatalf("within its part: %v", again)
+	}
+	r.Reduce(r.now, RetryAllowance(1.9)) // one was sent already
+	r.expect(sec, received("b", r.now+sec, 4*sec), "send 2.0 for 4s")
+	if again := r.reduce(sec, AttemptEnded{Attempt: AttemptID{2, 0}, Result: policy.ResultFull}); len(again) != 1 || !strings.HasPrefix(again[0], "reject b ") {
+		t.Errorf("beyond its part: %v", again)
+	}
+	for lives := 1; lives < 2000; lives++ { // all start anew within a window: the old ones' parts and the new ones'
+		if sum := float64(lives)/limits.RetryShares(lives) + float64(lives)/limits.RetryShares(2*lives); sum > 1.0001 {
+			t.Fatalf("%d routers that start anew may send %.2f of the whole", lives, sum)
+		}
+	}
+}
+
+// TestAnswerOfAnotherHostCountsAsSent: 421 is another host's word. It has not run, and has arrived at the service all the same: the next is a repeat.
+func TestAnswerOfAnotherHostCountsAsSent(t *testing.T) {
+	for _, arrived := range []bool{false, true} {
+		r := newFixture(t, 3, nil)
+		r.Reduce(r.now, ConfigurePool{RetryBudget: &retrybudget.Budget{Allowance: 1, Window: 10 * sec}})
+		r.expect(0, received("a", r.now, 4*sec), "send 1.0 for 4s")
+		r.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed, ReachedOtherHost: arrived}, "send 1.1 for 4s")
+		again := r.reduce(0, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultConnectFailed, ReachedOtherHost: arrived})
+		if sent := len(again) == 1 && again[0] == "send 1.2 for 4s"; sent == arrived {
+			t.Errorf("arrived %v: %v", arrived, again)
+		}
+	}
+}
--- a/internal/dispatch/hosts_bench_test.go
+++ b/internal/dispatch/hosts_bench_test.go
@@ -11,39 +11,39 @@
 	"notchhinge/policy"
 )
 
-// hostsRig is a core with one pool of so many boxes.
-func hostsRig(b *testing.B, boxes int) (*Dispatcher, time.Duration) {
+// newDispatcherWithHosts is a dispatcher with one pool of so many hosts.
+func newDispatcherWithHosts(b *testing.B, hosts int) (*Dispatcher, time.Duration) {
 	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 512, Sockets: 65536},
 		limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
 	c, now := New(lim), 1000*sec
 	c.Reduce(now, ConfigurePool{Module: module(b), SlowStart: sec, SlowStartInitial: 0.5})
 	l := EndpointsListed{Kind: policy.ListFull}
-	for i := range boxes {
+	for i := range hosts {
 		l.Hosts = append(l.Hosts, Host{Name: fmt.Sprint("b", i), Addr: fmt.Sprintf("127.0.%d.%d:80", i/200, i%200), Weight: 1})
 	}
 	c.Reduce(now, l)
 	return c, now
 }
 
-// serve takes an authorisation to its end.
+// serve takes an request to its end.
 func serve(c *Dispatcher, now time.Duration, i int, q policy.Request) {
-	var leg AttemptID
+	var attempt AttemptID
 	for _, e := range c.Reduce(now, RequestReceived{Client: i, ReceivedAt: now, Request: q}) {
 		if s, ok := e.(StartAttempt); ok {
-			leg = s.Attempt
+			attempt = s.Attempt
 		}
 	}
-	c.Reduce(now, AttemptStarted{leg})
-	c.Reduce(now, AttemptEnded{Attempt: leg, Result: policy.ResultOK})
+	c.Reduce(now, AttemptStarted{attempt})
+	c.Reduce(now, AttemptEnded{Attempt: attempt, Result: policy.ResultOK})
 }
 
-// BenchmarkHosts is what an authorisation of a new session costs the core with so many boxes in the pool, without a shared
+// BenchmarkHosts is what an request of a new session costs the dispatcher with so many hosts in the pool, without a shared
 // beginning and with one of 4,000 whose part falls with the rank.
 func BenchmarkHosts(b *testing.B) {
-	for _, boxes := range []int{30, 100, 300} {
+	for _, hosts := range []int{30, 100, 300} {
 		for _, prefixes := range []int{0, 1000, 4000} {
-			b.Run(fmt.Sprintf("%d boxes/%d prefixes", boxes, prefixes), func(b *testing.B) {
-				c, now := hostsRig(b, boxes)
+			b.Run(fmt.Sprintf("%d hosts/%d prefixes", hosts, prefixes), func(b *testing.B) {
+				c, now := newDispatcherWithHosts(b, hosts)
 				rnd := rand.New(rand.NewPCG(1, 1))
 				z := rand.NewZipf(rnd, 1.01, 1, uint64(max(prefixes, 1)-1))
 				i := 0
@@ -72,7 +72,7 @@
 	for _, sessions := range []int{2000, 7600, 25000, 65000} {
 		b.Run(fmt.Sprint(sessions), func(b *testing.B) {
 			for b.Loop() {
-				c, now := hostsRig(b, 20)
+				c, now := newDispatcherWithHosts(b, 20)
 				serve(c, now, 0, policy.Request{Session: 1, Timeout: sec})
 				before := heap()
 				for i := range sessions {
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -12,50 +12,53 @@
 // Clock reads the time; it never goes back.
 type Clock func() time.Duration
 
-// UnixClock returns a clock that starts at the system's Unix time and goes on evenly from there, whatever
-// happens to the system's time afterwards.
+// UnixClock returns a clock that starts at the system's Unix time and is monotonic from there on, whatever happens to the
+// system's time.
 func UnixClock() Clock {
 	start := time.Now()
 	unix := time.Duration(start.UnixNano())
 	return func() time.Duration { return unix + time.Since(start) }
 }
 
-// Loop turns a Broker: one goroutine reduces events, in the order they were posted, and has the effects done.
+// eventBacklog is how many events may wait for the loop before Post waits.
+const eventBacklog = 1024
+
+// Loop runs a Dispatcher: one goroutine (Run) reduces events in the order in which they were posted and has the effects done.
 type Loop struct {
-	broker  *Dispatcher
-	clock   Clock
-	perform func(Effect)
-	events  chan Event
-	stopped chan struct{}
-	idle    chan chan struct{}
-
-	fair  atomic.Bool // there are several pools, and authorisations go through lanes
-	mu    sync.Mutex
-	lanes *quota.FairQueue[RequestReceived]
+	dispatcher *Dispatcher
+	clock      Clock
+	perform    func(Effect)
+	events     chan Event
+	stopped    chan struct{}
+	idle       chan chan struct{}
+
+	isFair   atomic.Bool // there are several pools, and requests take turns by pool
+	mu       sync.Mutex
+	requests *quota.FairQueue[RequestReceived]
 }
 
-// turn stands in the queue of events for an authorisation that waits in a lane: as many as wait, but whichever is next
-// takes it. So what one pool has waiting does not stand before another's.
-type turn struct{}
+// requestQueued stands in the queue of events for a request that waits in the fair queue: there are as many as requests wait, and
+// each takes whichever request is next. So the requests of one pool do not delay another's.
+type requestQueued struct{}
 
-func (turn) event() {}
+func (requestQueued) event() {}
 
-// NewLoop returns a loop over b. perform must not wait, nor post.
-func NewLoop(b *Dispatcher, clock Clock, perform func(Effect)) *Loop {
+// NewLoop returns a loop over a dispatcher. perform must not wait, and must not post.
+func NewLoop(d *Dispatcher, clock Clock, perform func(Effect)) *Loop {
 	return &Loop{
-		broker: b, clock: clock, perform: perform,
-		events: make(chan Event, 1024), stopped: make(chan struct{}), idle: make(chan chan struct{}),
-		lanes: quota.NewFairQueue[RequestReceived](),
+		dispatcher: d, clock: clock, perform: perform,
+		events: make(chan Event, eventBacklog), stopped: make(chan struct{}), idle: make(chan chan struct{}),
+		requests: quota.NewFairQueue[RequestReceived](),
 	}
 }
 
-// Post hands an event in. After the loop's end it is dropped.
+// Post hands in an event. It waits while the backlog is full; after the end of the loop the event is dropped.
 func (l *Loop) Post(e Event) {
-	if t, ok := e.(RequestReceived); ok && l.fair.Load() {
+	if r, ok := e.(RequestReceived); ok && l.isFair.Load() {
 		l.mu.Lock()
-		l.lanes.Push(int(t.Pool), t)
+		l.requests.Push(int(r.Pool), r)
 		l.mu.Unlock()
-		e = turn{}
+		e = requestQueued{}
 	}
 	select {
 	case l.events <- e:
@@ -66,7 +69,7 @@
 // Now reads the loop's clock.
 func (l *Loop) Now() time.Duration { return l.clock() }
 
-// Idle returns once no authorisation is open, or the context is over.
+// Idle returns once no request is open, or the context is done.
 func (l *Loop) Idle(ctx context.Context) {
 	done := make(chan struct{})
 	select {
@@ -83,60 +86,62 @@
 	}
 }
 
-// take reduces an event.
-func (l *Loop) take(e Event) {
+// handle reduces an event; those that concern the fair queue are applied to it first.
+func (l *Loop) handle(e Event) {
 	switch e := e.(type) {
-	case turn:
-		if t, ok := l.pop(nil); ok {
-			l.reduce(t)
+	case requestQueued:
+		if r, ok := l.popRequest(); ok {
+			l.reduce(r)
 		}
 		return
 	case ClientLeft:
-		// It may still wait for its turn, and must not be taken after its acquirer was thought gone.
-		if l.fair.Load() {
-			if t, ok := l.pop(e.Client); ok {
-				l.reduce(t)
+		// The request may still wait for its turn, and must not be opened after its client is thought to have left.
+		if l.isFair.Load() {
+			if r, ok := l.popRequestOf(e.Client); ok {
+				l.reduce(r)
 			}
 		}
 	case ConfigurePool:
 		l.mu.Lock()
-		l.lanes.SetWeight(int(e.Pool), e.TurnWeight)
+		l.requests.SetWeight(int(e.Pool), e.TurnWeight)
 		l.mu.Unlock()
 		l.reduce(e)
-		l.fair.Store(len(l.broker.pools) > 1 || l.fair.Load())
+		l.isFair.Store(len(l.dispatcher.pools) > 1 || l.isFair.Load())
 		return
 	case EndPool:
 		l.mu.Lock()
-		l.lanes.EndFlow(int(e.Pool))
+		l.requests.EndFlow(int(e.Pool))
 		l.mu.Unlock()
 	}
 	l.reduce(e)
 }
 
 func (l *Loop) reduce(e Event) {
-	for _, f := range l.broker.Reduce(l.clock(), e) {
+	for _, f := range l.dispatcher.Reduce(l.clock(), e) {
 		l.perform(f)
 	}
 }
 
-// pop takes the next authorisation out of the lanes, or that of an acquirer.
-func (l *Loop) pop(from Client) (RequestReceived, bool) {
+func (l *Loop) popRequest() (RequestReceived, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if from == nil {
-		return l.lanes.Pop()
-	}
-	return l.lanes.PopIf(func(t RequestReceived) bool { return t.Client == from })
+	return l.requests.Pop()
+}
+
+func (l *Loop) popRequestOf(client Client) (RequestReceived, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.requests.PopIf(func(r RequestReceived) bool { return r.Client == client })
 }
 
-// Run turns the loop until the context is over.
+// Run runs the loop until the context is done.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.stopped)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	var waiting []chan struct{}
 	for {
-		if at, ok := l.broker.Next(); ok {
+		if at, ok := l.dispatcher.Next(); ok {
 			timer.Reset(max(at-l.clock(), 0))
 		}
 		var e Event = Tick{}
@@ -148,8 +153,8 @@
 		case done := <-l.idle:
 			waiting = append(waiting, done)
 		}
-		l.take(e)
-		if l.broker.Open() == 0 && len(l.events) == 0 {
+		l.handle(e)
+		if l.dispatcher.Open() == 0 && len(l.events) == 0 {
 			for _, done := range waiting {
 				close(done)
 			}
--- a/internal/dispatch/scale_test.go
+++ b/internal/dispatch/pools_bench_test.go
@@ -12,12 +12,12 @@
 	"notchhinge/policy"
 )
 
-// BenchmarkPools is what a served authorisation costs the core, from Taken to its end, with many pools of 20 boxes each
-// against one; B/pool is what a pool with its boxes takes of the heap.
+// BenchmarkPools is what a served request costs the dispatcher, from RequestReceived to its end, with many pools of 20 hosts each
+// against one; B/pool is what a pool with its hosts takes of the heap.
 func BenchmarkPools(b *testing.B) {
 	for _, n := range []int{1, 200} {
-		b.Run(fmt.Sprintf("%d pools of 20 boxes", n), func(b *testing.B) {
-			const boxes = 20
+		b.Run(fmt.Sprintf("%d pools of 20 hosts", n), func(b *testing.B) {
+			const hosts = 20
 			lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 512, Sockets: 65536},
 				limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
 			before := heap()
@@ -28,7 +28,7 @@
 					RequestQuota: quota.Claim{Guarantee: int64(lim.ConcurrentRequests / n / 2)},
 				})
 				l := EndpointsListed{Pool: hoststate.PoolID(p), Kind: policy.ListFull}
-				for i := range boxes {
+				for i := range hosts {
 					l.Hosts = append(l.Hosts, Host{Name: fmt.Sprintf("b%d-%d", p, i), Addr: fmt.Sprintf("127.0.%d.%d:80", p, i), Weight: 1})
 				}
 				c.Reduce(now, l)
@@ -38,14 +38,14 @@
 			for b.Loop() {
 				i++
 				now += 100 * time.Microsecond
-				var leg AttemptID
+				var attempt AttemptID
 				for _, e := range c.Reduce(now, RequestReceived{Client: i, Pool: hoststate.PoolID(i % n), ReceivedAt: now, Request: policy.Request{Session: uint64(i%5000 + 1), Timeout: sec}}) {
 					if s, ok := e.(StartAttempt); ok {
-						leg = s.Attempt
+						attempt = s.Attempt
 					}
 				}
-				c.Reduce(now, AttemptStarted{leg})
-				c.Reduce(now, AttemptEnded{Attempt: leg, Result: policy.ResultOK})
+				c.Reduce(now, AttemptStarted{attempt})
+				c.Reduce(now, AttemptEnded{Attempt: attempt, Result: policy.ResultOK})
 			}
 			b.ReportMetric(float64(grown)/float64(n), "B/pool")
 			runtime.KeepAlive(c)
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"testing/synctest"
 	"time"
 
-	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
 	"notchhinge/internal/hoststate"
@@ -16,8 +16,8 @@
 )
 
 // pools gives a rig two pools more, 1 and 2, and takes the first away.
-func pools(t *testing.T, change func(*limits.Limits)) *rig {
-	r := newRig(t, 0, change)
+func pools(t *testing.T, change func(*limits.Limits)) *fixture {
+	r := newFixture(t, 0, change)
 	r.Reduce(r.now, ConfigurePool{
 		Pool: 1, Name: "one", Module: module(t), SlowStart: 10 * sec, SlowStartInitial: 0.5, RequestQuota: quota.Claim{Guarantee: 2, Max: 3},
 		RetryAfter: 700 * time.Millisecond,
@@ -35,92 +35,92 @@
 	return l
 }
 
-func into(of hoststate.PoolID, e RequestReceived) RequestReceived {
+func inPool(of hoststate.PoolID, e RequestReceived) RequestReceived {
 	e.Pool = of
 	return e
 }
 
-func TestOneIDInTwoPools(t *testing.T) {
+func TestOneClientRequestIDInTwoPools(t *testing.T) {
 	r := pools(t, nil)
-	r.turn(0, hosts(1, "a"))
-	r.turn(0, hosts(2, "b"))
-	x, y, z := taken("x", r.now, sec), taken("y", r.now, sec), taken("z", r.now, sec)
+	r.reduce(0, hosts(1, "a"))
+	r.reduce(0, hosts(2, "b"))
+	x, y, z := received("x", r.now, sec), received("y", r.now, sec), received("z", r.now, sec)
 	x.ClientRequestID, y.ClientRequestID, z.ClientRequestID = "id", "id", "id"
-	r.expect(0, into(1, x), "send 1.0 for 1s")
-	r.expect(0, into(2, y), "send 2.0 for 1s")
-	r.expect(0, into(1, z), "decline z taking after 0s")
+	r.expect(0, inPool(1, x), "send 1.0 for 1s")
+	r.expect(0, inPool(2, y), "send 2.0 for 1s")
+	r.expect(0, inPool(1, z), "reject z duplicate after 0s")
 	r.expect(0, AttemptStarted{AttemptID{1, 0}}, "bind 1.0")
 	r.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultOK})
-	r.expect(0, into(2, z), "decline z taking after 0s") // the other is open still
+	r.expect(0, inPool(2, z), "reject z duplicate after 0s") // the other is open still
 }
 
-func TestAPoolAtItsLimitIsRefusedItsOwnWayAndTheOtherServed(t *testing.T) {
+func TestPoolAtItsLimitRejectsWhileTheOtherServes(t *testing.T) {
 	r := pools(t, func(l *limits.Limits) { l.ConcurrentRequests = 5 })
-	r.turn(0, hosts(1, "a", "b"))
-	r.turn(0, hosts(2, "c", "d"))
+	r.reduce(0, hosts(1, "a", "b"))
+	r.reduce(0, hosts(2, "c", "d"))
 	for i := range 3 {
-		r.turn(0, into(1, taken(fmt.Sprint("x", i), r.now, sec)))
+		r.reduce(0, inPool(1, received(fmt.Sprint("x", i), r.now, sec)))
 	}
-	r.expect(0, into(1, taken("x3", r.now, sec)), "decline x3 refused after 700ms")
+	r.expect(0, inPool(1, received("x3", r.now, sec)), "reject x3 rejected after 700ms")
 	for i := range 2 {
-		r.expect(0, into(2, taken(fmt.Sprint("y", i), r.now, sec)), fmt.Sprintf("send %d.0 for 1s", 4+i))
+		r.expect(0, inPool(2, received(fmt.Sprint("y", i), r.now, sec)), fmt.Sprintf("send %d.0 for 1s", 4+i))
 	}
-	r.expect(0, into(2, taken("y2", r.now, sec)), "decline y2 refused after 500ms") // all five are out
-	c := r.counted(nil)
+	r.expect(0, inPool(2, received("y2", r.now, sec)), "reject y2 rejected after 500ms") // all five are out
+	c := r.countersReport(nil)
 	if len(c.Pools) != 2 || c.Pools[0].Open != 3 || c.Pools[1].Open != 2 || c.Counters.RejectedByFrontend != 2 || c.Counters.Received != 5 {
 		t.Errorf("%+v", c)
 	}
 }
 
-func TestAPoolThatIsEndedGoesWithItsLastRequest(t *testing.T) {
+func TestEndedPoolIsRemovedWithItsLastRequest(t *testing.T) {
 	r := pools(t, nil)
-	r.turn(0, hosts(1, "a", "b"))
-	r.expect(0, into(1, taken("x", r.now, 4*sec)), "send 1.0 for 4s")
+	r.reduce(0, hosts(1, "a", "b"))
+	r.expect(0, inPool(1, received("x", r.now, 4*sec)), "send 1.0 for 4s")
 	r.expect(0, EndPool{Pool: 1})
 	// What was led to it before the routes changed is taken, and tried again by its rules.
-	r.expect(0, into(1, taken("y", r.now, 4*sec)), "send 2.0 for 4s")
+	r.expect(0, inPool(1, received("y", r.now, 4*sec)), "send 2.0 for 4s")
 	r.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed}, "send 1.1 for 4s")
 	for _, id := range []AttemptID{{1, 1}, {2, 0}} {
-		r.turn(0, AttemptStarted{id})
+		r.reduce(0, AttemptStarted{id})
 		if r.pools[1] == nil {
 			t.Fatal("it went before its streams")
 		}
-		r.turn(0, AttemptEnded{Attempt: id, Result: policy.ResultOK})
+		r.reduce(0, AttemptEnded{Attempt: id, Result: policy.ResultOK})
 	}
 	if r.pools[1] != nil {
 		t.Error("it is still there")
 	}
-	r.expect(0, into(1, taken("z", r.now, 4*sec)), "decline z refused after 500ms")
-	if c := r.counted(nil).Counters; c.Received != 2 || c.Served != 2 || c.RejectedByFrontend != 1 {
+	r.expect(0, inPool(1, received("z", r.now, 4*sec)), "reject z rejected after 500ms")
+	if c := r.countersReport(nil).Counters; c.Received != 2 || c.Served != 2 || c.RejectedByFrontend != 1 {
 		t.Errorf("the counters of what has gone: %+v", c)
 	}
 	r.expect(time.Minute, Tick{}) // its module's timers are nobody's
 }
 
-func TestADrainToldToOnePoolStopsBoth(t *testing.T) {
+func TestDrainInOnePoolStopsBoth(t *testing.T) {
 	r := pools(t, nil)
-	r.turn(0, hosts(1, "shared"))
-	r.turn(0, hosts(2, "shared"))
-	r.expect(0, into(2, taken("x", r.now, 4*sec)), "send 1.0 for 4s")
+	r.reduce(0, hosts(1, "shared"))
+	r.reduce(0, hosts(2, "shared"))
+	r.expect(0, inPool(2, received("x", r.now, 4*sec)), "send 1.0 for 4s")
 	gone := hosts(1, "shared")
 	gone.Kind, gone.Hosts[0].State = policy.ListDelta, policy.StateDraining
 	r.expect(0, gone)
-	r.turn(0, hosts(2, "shared")) // its own discovery is behind
-	r.expect(sec, into(2, taken("y", r.now+sec, 4*sec)), "decline y refused after 500ms")
+	r.reduce(0, hosts(2, "shared")) // its own discovery is behind
+	r.expect(sec, inPool(2, received("y", r.now+sec, 4*sec)), "reject y rejected after 500ms")
 	again := hosts(2, "shared")
 	again.Hosts[0].BornAt = 2
-	r.turn(sec, again) // another process
-	r.expect(sec, into(2, taken("z", r.now+sec, 4*sec)), "send 3.0 for 4s")
+	r.reduce(sec, again) // another process
+	r.expect(sec, inPool(2, received("z", r.now+sec, 4*sec)), "send 3.0 for 4s")
 }
 
-func TestAResetIsSeenByBothPools(t *testing.T) {
+func TestResetIsSeenByBothPools(t *testing.T) {
 	r := pools(t, nil)
-	r.turn(0, hosts(1, "shared", "mine"))
-	r.turn(0, hosts(2, "shared", "other", "third", "fourth"))
-	e := taken("x", r.now, 4*sec)
-	for e.Request.Session = 1; ; e.Request.Session++ { // one whose conversation is drawn to the shared box
+	r.reduce(0, hosts(1, "shared", "mine"))
+	r.reduce(0, hosts(2, "shared", "other", "third", "fourth"))
+	e := received("x", r.now, 4*sec)
+	for e.Request.Session = 1; ; e.Request.Session++ { // one whose conversation is drawn to the shared host
 		var to string
-		for _, f := range r.Reduce(r.now, into(1, e)) {
+		for _, f := range r.Reduce(r.now, inPool(1, e)) {
 			if s, ok := f.(StartAttempt); ok {
 				to = s.Addr
 			}
@@ -128,22 +128,22 @@
 		if to == "at shared" {
 			break
 		}
-		r.turn(0, ClientLeft{"x"})
-		r.turn(0, AttemptEnded{Attempt: AttemptID{r.lastID, 0}, Result: policy.ResultCancelled})
+		r.reduce(0, ClientLeft{"x"})
+		r.reduce(0, AttemptEnded{Attempt: AttemptID{r.lastRequestID, 0}, Result: policy.ResultCancelled})
 	}
-	r.turn(0, AttemptEnded{Attempt: AttemptID{r.lastID, 0}, Result: policy.ResultReset})
+	r.reduce(0, AttemptEnded{Attempt: AttemptID{r.lastRequestID, 0}, Result: policy.ResultReset})
 	for i := range 60 {
-		for _, f := range r.Reduce(r.now, into(2, RequestReceived{Client: i, ReceivedAt: r.now, Request: policy.Request{Session: uint64(i + 1), Timeout: sec}})) {
+		for _, f := range r.Reduce(r.now, inPool(2, RequestReceived{Client: i, ReceivedAt: r.now, Request: policy.Request{Session: uint64(i + 1), Timeout: sec}})) {
 			if s, ok := f.(StartAttempt); ok && s.Addr == "at shared" {
-				t.Fatal("the other pool sends to a box that reset a connection just now")
+				t.Fatal("the other pool sends to a host that reset a connection just now")
 			}
 		}
 	}
 }
 
-// TestAColdBoxGetsItsShareFromBothPools: what both modules send a box that has just started stays, in any window, within the
+// TestColdHostGetsItsShareFromBothPools: what both modules send a host that has just started stays, in any window, within the
 // share of both pools' traffic and the one request that may be saved up.
-func TestAColdBoxGetsItsShareFromBothPools(t *testing.T) {
+func TestColdHostGetsItsShareFromBothPools(t *testing.T) {
 	const share = 0.5 // it warms up so slowly that it stays at that
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := New(limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 4096}, limits.Site{MaxAttempts: 3})), 1000*sec
@@ -158,7 +158,7 @@
 			id := hoststate.PoolID(i + 1)
 			b.Reduce(now, ConfigurePool{Pool: id, Name: fmt.Sprint(i), Module: m, SlowStart: set.SlowStart, SlowStartInitial: set.SlowStartInitial})
 			l := hosts(id, "shared")
-			for k := range rapid.IntRange(1, 3).Draw(t, "own boxes") {
+			for k := range rapid.IntRange(1, 3).Draw(t, "own hosts") {
 				l.Hosts = append(l.Hosts, hosts(id, fmt.Sprint("own ", i, k)).Hosts...)
 			}
 			l.Hosts[0].BornAt = now
@@ -183,9 +183,9 @@
 	})
 }
 
-// TestTurnsGoRoundWhenOnePoolFloods: authorisations of one pool that wait do not stand before another's, and one whose
-// acquirer leaves while it waits is taken first.
-func TestTurnsGoRoundWhenOnePoolFloods(t *testing.T) {
+// TestPoolsTakeTurnsWhenOneFloods: requests of one pool that wait do not stand before another's, and one whose
+// client leaves while it waits is taken first.
+func TestPoolsTakeTurnsWhenOneFloods(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := pools(t, nil)
 		var order []string
@@ -194,11 +194,11 @@
 				order = append(order, d.Client.(string))
 			}
 		})
-		l.fair.Store(true)
+		l.isFair.Store(true)
 		for i := range 100 {
-			l.Post(into(1, taken(fmt.Sprint("x", i), r.now, sec)))
+			l.Post(inPool(1, received(fmt.Sprint("x", i), r.now, sec)))
 		}
-		l.Post(into(2, taken("y", r.now, sec)))
+		l.Post(inPool(2, received("y", r.now, sec)))
 		l.Post(ClientLeft{Client: "x99"})
 		go l.Run(t.Context())
 		synctest.Wait()
@@ -212,201 +212,270 @@
 	})
 }
 
-// TestPoolsKeepTheRules plays random pools, lists, reloads and outcomes against the core: one final answer to each
-// authorisation; a leg only to a host of its pool's own list, and for an authorisation of that pool; nothing new to a
-// host 500 ms after any pool was told of its end; nothing left at the end.
+// TestPoolsKeepTheRules plays random pools, lists, reloads and outcomes against the dispatcher: one final answer to each
+// request; an attempt only to a host of its pool's own list, and for an request of that pool; nothing new to a
+// host 500 ms after any list said that it ends; nothing left at the end.
 func TestPoolsKeepTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 128},
-			limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
-		lim.ConcurrentRequests = 12
-		b := New(lim)
-		now := 1000 * sec
-		type call struct {
-			pool    hoststate.PoolID
-			answers int
-			gone    bool
+		m := newPoolsModel(t)
+		m.addPool()
+		for range rapid.IntRange(1, 120).Draw(t, "steps") {
+			m.now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
+			m.step()
 		}
-		type out struct{ from int }
-		calls, legs := map[int]*call{}, map[AttemptID]*out{}
-		order := []AttemptID{}
-		lists := map[hoststate.PoolID]map[string]Host{}
-		live, next, n := []hoststate.PoolID{}, hoststate.PoolID(0), 0
-		births := map[[2]any]time.Duration{}
-		ended := map[string]time.Duration{} // when the first pool was told that the process ends
-		endOf, endBy, endIs := map[string]time.Duration{}, map[string]hoststate.PoolID{}, map[string]policy.State{}
-		reduce := func(e Event) {
-			for _, f := range b.Reduce(now, e) {
-				switch f := f.(type) {
-				case StartAttempt:
-					c := calls[f.Client.(int)]
-					h, listed := lists[f.Pool][f.Addr]
-					if c == nil || c.pool != f.Pool || !listed || c.answers > 0 || c.gone {
-						t.Fatalf("a leg of pool %d to %s for %+v; its list: %v", f.Pool, f.Addr, c, lists[f.Pool])
-					}
-					if at, is := ended[f.Addr]; is && now >= at+sec/2 && h.BornAt <= endOf[f.Addr] && now < at+lim.DrainPrecedence {
-						t.Fatalf("a leg to %s, %v after its end was told", f.Addr, now-at)
-					}
-					legs[f.Attempt] = &out{f.Client.(int)}
-					order = append(order, f.Attempt)
-				case BindAttempt:
-					calls[legs[f.Attempt].from].answers++
-				case Reject:
-					calls[f.Client.(int)].answers++
-				case PoolEnded:
-					for _, c := range calls {
-						if c.pool == f.Pool && c.answers == 0 && !c.gone {
-							t.Fatalf("pool %d went before its authorisations", f.Pool)
-						}
-					}
-					delete(lists, f.Pool)
-				}
-			}
-			for name := range ended { // what no pool has any more is nobody's memory
-				if !has(lists, name) {
-					delete(ended, name)
-					delete(endOf, name)
-				}
-			}
-			for id, c := range calls {
-				if c.answers > 1 {
-					t.Fatalf("%d has %d final answers", id, c.answers)
-				}
-			}
+		m.endAll()
+	})
+}
+
+// call is a request of the model.
+type call struct {
+	pool    hoststate.PoolID
+	answers int
+	left    bool
+}
+
+// processEnd is the end of the latest process at a host that any list reported.
+type processEnd struct {
+	at     time.Duration
+	bornAt time.Duration
+	by     hoststate.PoolID
+	state  policy.State
+}
+
+// poolsModel plays up to three pools that share five hosts, and checks each effect against what lists and clients said.
+type poolsModel struct {
+	t          *rapid.T
+	dispatcher *Dispatcher
+	limits     limits.Limits
+	now        time.Duration
+	calls      map[int]*call
+	lastCall   int
+	attempts   map[AttemptID]int // the call that each is for
+	running    []AttemptID
+	lists      map[hoststate.PoolID]map[string]Host
+	pools      []hoststate.PoolID // that requests are routed to
+	nextPool   hoststate.PoolID
+	births     map[[2]any]time.Duration
+	ends       map[string]processEnd
+}
+
+func newPoolsModel(t *rapid.T) *poolsModel {
+	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 128},
+		limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
+	lim.ConcurrentRequests = 12
+	return &poolsModel{
+		t: t, dispatcher: New(lim), limits: lim, now: 1000 * sec, calls: map[int]*call{}, attempts: map[AttemptID]int{},
+		lists: map[hoststate.PoolID]map[string]Host{}, births: map[[2]any]time.Duration{}, ends: map[string]processEnd{},
+	}
+}
+
+func (m *poolsModel) step() {
+	t := m.t
+	switch rapid.IntRange(0, 11).Draw(t, "step") {
+	case 0:
+		m.reload()
+	case 1, 2, 3:
+		m.list()
+	case 4, 5, 6, 7:
+		m.call()
+	case 8:
+		if len(m.running) > 0 {
+			m.reduce(AttemptStarted{rapid.SampledFrom(m.running).Draw(t, "attempt")})
 		}
-		endLeg := func(id AttemptID, r policy.Result) {
-			for i := range order {
-				if order[i] == id {
-					order = append(order[:i:i], order[i+1:]...)
-					break
-				}
-			}
-			reduce(AttemptEnded{Attempt: id, Result: r})
+	case 9, 10:
+		if len(m.running) > 0 {
+			id := rapid.SampledFrom(m.running).Draw(t, "attempt")
+			m.endAttempt(id, policy.Result(rapid.IntRange(0, 6).Draw(t, "result")))
 		}
-		add := func() {
-			s := settings()
-			s.Limits.MaxAttempts = rapid.IntRange(1, 3).Draw(t, "attempts")
-			m, err := policy.New(s, rapid.Uint64().Draw(t, "seed"))
-			if err != nil {
-				t.Fatal(err)
+	case 11:
+		if m.lastCall > 0 {
+			c := rapid.IntRange(1, m.lastCall).Draw(t, "who")
+			if m.calls[c].answers == 0 {
+				m.calls[c].left = true
 			}
-			lists[next] = map[string]Host{}
-			live = append(live, next)
-			reduce(ConfigurePool{
-				Pool: next, Name: fmt.Sprint("p", next), Module: m, SlowStart: sec, SlowStartInitial: 0.5,
-				RequestQuota: quota.Claim{Guarantee: int64(rapid.IntRange(0, 3).Draw(t, "guarantee")), Max: int64(rapid.IntRange(3, 12).Draw(t, "most"))},
-			})
-			next++
+			m.reduce(ClientLeft{Client: c})
 		}
-		add()
-		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond
-			switch rapid.IntRange(0, 11).Draw(t, "step") {
-			case 0: // a reload: a pool more, one fewer, or another claim
-				switch {
-				case len(live) < 3 && rapid.Bool().Draw(t, "more"):
-					add()
-				case len(live) > 1:
-					i := rapid.IntRange(0, len(live)-1).Draw(t, "which")
-					reduce(EndPool{Pool: live[i]})
-					live = append(live[:i:i], live[i+1:]...)
-				default:
-					reduce(ConfigurePool{Pool: live[0], Name: "again", RequestQuota: quota.Claim{Max: int64(rapid.IntRange(1, 12).Draw(t, "most"))}})
-				}
-			case 1, 2, 3: // a list
-				p := rapid.SampledFrom(live).Draw(t, "pool")
-				l := EndpointsListed{Pool: p, Kind: policy.ListDelta}
-				if rapid.IntRange(0, 3).Draw(t, "whole") == 0 {
-					l.Kind = policy.ListFull
-				}
-				told := map[string]Host{}
-				for i := range 5 {
-					if !rapid.Bool().Draw(t, "in it") {
-						continue
-					}
-					name := fmt.Sprint("b", i)
-					h := Host{
-						Name: name, Addr: name, Weight: 1, State: policy.State(rapid.IntRange(0, 2).Draw(t, "state")),
-						BornAt: time.Duration(rapid.IntRange(1, 2).Draw(t, "born")),
-					}
-					before, had := lists[p][name]
-					key := [2]any{p, name}
-					h.BornAt = max(h.BornAt, births[key]) // no discovery goes back to a process of before
-					births[key] = h.BornAt
-					l.Hosts = append(l.Hosts, h)
-					told[name] = h
-					born := h.BornAt
-					if h.State == policy.StateGone {
-						born = before.BornAt
-					}
-					if h.State == policy.StateDraining || h.State == policy.StateGone && had {
-						if _, is := ended[name]; !is || born > endOf[name] || born == endOf[name] && h.State > endIs[name] {
-							ended[name], endOf[name], endBy[name], endIs[name] = now, born, p, h.State
-						}
-					} else if h.State == policy.StateReady && (born > endOf[name] || now > ended[name]+lim.DrainPrecedence ||
-						p == endBy[name]) {
-						delete(ended, name)
-						delete(endOf, name)
-					}
-				}
-				if l.Kind == policy.ListFull {
-					clear(lists[p])
-				}
-				for name, h := range told {
-					if lists[p][name] = h; h.State == policy.StateGone {
-						delete(lists[p], name)
-					}
-				}
-				reduce(l)
-			case 4, 5, 6, 7: // a call, by routes that may be of before
-				p := hoststate.PoolID(rapid.IntRange(0, int(next)-1).Draw(t, "pool"))
-				n++
-				calls[n] = &call{pool: p}
-				reduce(RequestReceived{Client: n, Pool: p, ClientRequestID: fmt.Sprint(n % 7), ReceivedAt: now, Request: policy.Request{
-					Session: uint64(rapid.IntRange(0, 5).Draw(t, "session")), Timeout: 2 * sec,
-				}})
-			case 8:
-				if len(order) > 0 {
-					id := rapid.SampledFrom(order).Draw(t, "leg")
-					reduce(AttemptStarted{id})
-				}
-			case 9, 10:
-				if len(order) > 0 {
-					endLeg(rapid.SampledFrom(order).Draw(t, "leg"), policy.Result(rapid.IntRange(0, 6).Draw(t, "result")))
-				}
-			case 11:
-				if n > 0 {
-					c := rapid.IntRange(1, n).Draw(t, "who")
-					if calls[c].answers == 0 {
-						calls[c].gone = true
-					}
-					reduce(ClientLeft{Client: c})
-				}
-			}
+	}
+}
+
+// reduce checks every effect of an event.
+func (m *poolsModel) reduce(e Event) {
+	for _, f := range m.dispatcher.Reduce(m.now, e) {
+		switch f := f.(type) {
+		case StartAttempt:
+			m.checkAttempt(f)
+			m.attempts[f.Attempt] = f.Client.(int)
+			m.running = append(m.running, f.Attempt)
+		case BindAttempt:
+			m.calls[m.attempts[f.Attempt]].answers++
+		case Reject:
+			m.calls[f.Client.(int)].answers++
+		case PoolEnded:
+			m.checkPoolEnded(f.Pool)
+			delete(m.lists, f.Pool)
 		}
-		now += 20 * sec
-		reduce(Tick{})
-		for len(order) > 0 {
-			endLeg(order[0], policy.ResultOK)
+	}
+	for name := range m.ends { // a host that no pool has is forgotten
+		if !has(m.lists, name) {
+			delete(m.ends, name)
 		}
-		for id, c := range calls {
-			if c.answers == 0 && !c.gone {
-				t.Fatalf("%d of pool %d has no answer", id, c.pool)
-			}
+	}
+	for id, c := range m.calls {
+		if c.answers > 1 {
+			m.t.Fatalf("%d has %d final answers", id, c.answers)
 		}
-		for _, p := range live {
-			reduce(EndPool{Pool: p})
+	}
+}
+
+func (m *poolsModel) checkAttempt(f StartAttempt) {
+	c := m.calls[f.Client.(int)]
+	h, isListed := m.lists[f.Pool][f.Addr]
+	if c == nil || c.pool != f.Pool || !isListed || c.answers > 0 || c.left {
+		m.t.Fatalf("an attempt of pool %d to %s for %+v; its list: %v", f.Pool, f.Addr, c, m.lists[f.Pool])
+	}
+	end, hasEnded := m.ends[f.Addr]
+	if hasEnded && m.now >= end.at+sec/2 && h.BornAt <= end.bornAt && m.now < end.at+m.limits.DrainPrecedence {
+		m.t.Fatalf("an attempt to %s, %v after its end was listed", f.Addr, m.now-end.at)
+	}
+}
+
+func (m *poolsModel) checkPoolEnded(pool hoststate.PoolID) {
+	for _, c := range m.calls {
+		if c.pool == pool && c.answers == 0 && !c.left {
+			m.t.Fatalf("pool %d ended before its requests", pool)
 		}
-		if len(b.pools)+len(b.auths)+len(b.byParty)+len(b.names)+b.boxesLen() != 0 || b.places.Used() != 0 {
-			t.Fatalf("left: %d pools, %d authorisations, %d names, %d boxes, %d places", len(b.pools), len(b.auths), len(b.names),
-				b.boxesLen(), b.places.Used())
+	}
+}
+
+func (m *poolsModel) endAttempt(id AttemptID, r policy.Result) {
+	if i := slices.Index(m.running, id); i >= 0 {
+		m.running = slices.Delete(slices.Clone(m.running), i, i+1)
+	}
+	m.reduce(AttemptEnded{Attempt: id, Result: r})
+}
+
+func (m *poolsModel) addPool() {
+	s := settings()
+	s.Limits.MaxAttempts = rapid.IntRange(1, 3).Draw(m.t, "attempts")
+	module, err := policy.New(s, rapid.Uint64().Draw(m.t, "seed"))
+	if err != nil {
+		m.t.Fatal(err)
+	}
+	m.lists[m.nextPool] = map[string]Host{}
+	m.pools = append(m.pools, m.nextPool)
+	m.reduce(ConfigurePool{
+		Pool: m.nextPool, Name: fmt.Sprint("p", m.nextPool), Module: module, SlowStart: sec, SlowStartInitial: 0.5,
+		RequestQuota: quota.Claim{
+			Guarantee: int64(rapid.IntRange(0, 3).Draw(m.t, "guarantee")), Max: int64(rapid.IntRange(3, 12).Draw(m.t, "most")),
+		},
+	})
+	m.nextPool++
+}
+
+// reload adds a pool, ends one, or changes a claim.
+func (m *poolsModel) reload() {
+	switch {
+	case len(m.pools) < 3 && rapid.Bool().Draw(m.t, "more"):
+		m.addPool()
+	case len(m.pools) > 1:
+		i := rapid.IntRange(0, len(m.pools)-1).Draw(m.t, "which")
+		m.reduce(EndPool{Pool: m.pools[i]})
+		m.pools = slices.Delete(slices.Clone(m.pools), i, i+1)
+	default:
+		claim := quota.Claim{Max: int64(rapid.IntRange(1, 12).Draw(m.t, "most"))}
+		m.reduce(ConfigurePool{Pool: m.pools[0], Name: "again", RequestQuota: claim})
+	}
+}
+
+// list has one pool's list say something of some of the hosts.
+func (m *poolsModel) list() {
+	pool := rapid.SampledFrom(m.pools).Draw(m.t, "pool")
+	l := EndpointsListed{Pool: pool, Kind: policy.ListDelta}
+	if rapid.IntRange(0, 3).Draw(m.t, "whole") == 0 {
+		l.Kind = policy.ListFull
+	}
+	for i := range 5 {
+		if !rapid.Bool().Draw(m.t, "in it") {
+			continue
 		}
-		if diff := cmp.Diff(0, b.Open()); diff != "" {
-			t.Fatal(diff)
+		name := fmt.Sprint("b", i)
+		h := Host{
+			Name: name, Addr: name, Weight: 1, State: policy.State(rapid.IntRange(0, 2).Draw(m.t, "state")),
+			BornAt: time.Duration(rapid.IntRange(1, 2).Draw(m.t, "born")),
 		}
+		key := [2]any{pool, name}
+		h.BornAt = max(h.BornAt, m.births[key]) // no discovery goes back to an earlier process
+		m.births[key] = h.BornAt
+		l.Hosts = append(l.Hosts, h)
+		m.noteEnd(pool, &h)
+	}
+	if l.Kind == policy.ListFull {
+		clear(m.lists[pool])
+	}
+	for _, h := range l.Hosts {
+		m.lists[pool][h.Name] = h
+		if h.State == policy.StateGone {
+			delete(m.lists[pool], h.Name)
+		}
+	}
+	m.reduce(l)
+}
+
+// noteEnd notes that a list says that a process ends, or that another one is there.
+func (m *poolsModel) noteEnd(pool hoststate.PoolID, h *Host) {
+	before, had := m.lists[pool][h.Name]
+	bornAt := h.BornAt
+	if h.State == policy.StateGone {
+		bornAt = before.BornAt
+	}
+	end, hasEnded := m.ends[h.Name]
+	switch {
+	case h.State == policy.StateDraining || h.State == policy.StateGone && had:
+		if !hasEnded || bornAt > end.bornAt || bornAt == end.bornAt && h.State > end.state {
+			m.ends[h.Name] = processEnd{m.now, bornAt, pool, h.State}
+		}
+	case h.State != policy.StateReady:
+	case bornAt > end.bornAt || m.now > end.at+m.limits.DrainPrecedence || pool == end.by:
+		delete(m.ends, h.Name)
+	}
+}
+
+// call has a request arrive, by routes that may be of an earlier configuration.
+func (m *poolsModel) call() {
+	pool := hoststate.PoolID(rapid.IntRange(0, int(m.nextPool)-1).Draw(m.t, "pool"))
+	m.lastCall++
+	m.calls[m.lastCall] = &call{pool: pool}
+	m.reduce(RequestReceived{
+		Client: m.lastCall, Pool: pool, ClientRequestID: fmt.Sprint(m.lastCall % 7), ReceivedAt: m.now,
+		Request: policy.Request{Session: uint64(rapid.IntRange(0, 5).Draw(m.t, "session")), Timeout: 2 * sec},
 	})
 }
 
+// endAll ends everything, and checks that nothing is left.
+func (m *poolsModel) endAll() {
+	m.now += 20 * sec
+	m.reduce(Tick{})
+	for len(m.running) > 0 {
+		m.endAttempt(m.running[0], policy.ResultOK)
+	}
+	for id, c := range m.calls {
+		if c.answers == 0 && !c.left {
+			m.t.Fatalf("%d of pool %d has no answer", id, c.pool)
+		}
+	}
+	for _, p := range m.pools {
+		m.reduce(EndPool{Pool: p})
+	}
+	d := m.dispatcher
+	if len(d.pools)+len(d.requests)+len(d.byClient)+len(d.clientRequests)+d.sharedHostCount() != 0 || d.requestQuota.Used() != 0 {
+		m.t.Fatalf("left: %d pools, %d requests, %d ids, %d hosts, %d reserved", len(d.pools), len(d.requests),
+			len(d.clientRequests), d.sharedHostCount(), d.requestQuota.Used())
+	}
+	if d.Open() != 0 {
+		m.t.Fatalf("%d requests are open", d.Open())
+	}
+}
+
 func has(lists map[hoststate.PoolID]map[string]Host, name string) bool {
 	for _, l := range lists {
 		if _, in := l[name]; in {
@@ -416,9 +485,9 @@
 	return false
 }
 
-func (b *Dispatcher) boxesLen() int {
-	if b.boxes == nil {
+func (d *Dispatcher) sharedHostCount() int {
+	if d.sharedHosts == nil {
 		return 0
 	}
-	return b.boxes.Len()
+	return d.sharedHosts.Len()
 }
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -9,14 +10,14 @@
 	"notchhinge/policy"
 )
 
-func traced(r *rig, o trace.Options) {
+func traced(r *fixture, o trace.Options) {
 	o.Router, o.Window, o.Linger, o.Steps, o.Seed = "n1", 10*sec, 2*sec, 1000, 5
 	r.Reduce(r.now, ConfigurePool{Classes: []trace.Class{{Name: "chat", Aim: sec}}})
 	r.Trace(o)
 }
 
-// keeps takes an event in and returns the records that leave with it, and the spans that legs are sent with.
-func (r *rig) keeps(at time.Duration, e Event) (kept []*trace.Try, spans []trace.Context) {
+// exported takes an event in and returns the records that leave with it, and the spans that attempts are sent with.
+func (r *fixture) exported(at time.Duration, e Event) (kept []*trace.Try, spans []trace.Context) {
 	for _, f := range r.Reduce(r.now+at, e) {
 		switch f := f.(type) {
 		case ExportTrace:
@@ -28,53 +29,58 @@
 	return kept, spans
 }
 
-func TestJourneyOfAStep(t *testing.T) {
-	// A reset, another leg that is too slow, and the deadline: the record holds both legs with their results and what the
-	// module decided, and leaves once the client has its answer and the last leg's line has said its word.
-	r := newRig(t, 3, nil)
+func TestTraceOfARequest(t *testing.T) {
+	// A reset, another attempt that is too slow, and the deadline: the record holds both attempts with their results and what the
+	// module decided, and leaves once the client has its answer and the last attempt has ended.
+	r := newFixture(t, 3, nil)
 	traced(r, trace.Options{})
 	parent, _ := trace.ParseParent("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01")
-	e := taken("a", r.now, 4*sec)
+	e := received("a", r.now, 4*sec)
 	e.ClientRequestID, e.Origin = "call", &trace.Origin{Context: parent, Front: "calls", Tells: true}
-	_, spans := r.keeps(10*time.Millisecond, e)
+	_, spans := r.exported(10*time.Millisecond, e)
 	if len(spans) != 1 || spans[0].Trace != parent.Trace || spans[0].Span == parent.Span {
 		t.Fatalf("sent with %v", spans)
 	}
 	first := spans[0]
-	if _, spans = r.keeps(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultReset}); len(spans) != 1 || spans[0].Span == first.Span {
-		t.Fatalf("the second leg was sent with %v", spans)
+	if _, spans = r.exported(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultReset}); len(spans) != 1 || spans[0].Span == first.Span {
+		t.Fatalf("the second attempt was sent with %v", spans)
 	}
-	if kept, _ := r.keeps(5*sec, Tick{}); len(kept) != 0 {
+	if kept, _ := r.exported(5*sec, Tick{}); len(kept) != 0 {
 		t.Fatal("it left before its client had its answer")
 	}
-	r.keeps(5*sec, RejectionWritten{Client: "a", At: r.now + 5*sec})
-	kept, _ := r.keeps(5*sec+sec/10, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultCancelled})
+	r.exported(5*sec, RejectionWritten{Client: "a", At: r.now + 5*sec})
+	kept, _ := r.exported(5*sec+sec/10, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultCancelled})
 	if len(kept) != 1 {
 		t.Fatalf("%d records", len(kept))
 	}
-	y := kept[0]
-	if y.Outcome != trace.Failed || y.Why.String() != "out_of_time" || len(y.Legs) != 2 || y.CallID != "call" || y.Parent != parent.Span ||
-		y.Legs[0].Result.String() != "reset" || y.Legs[1].Result.String() != "timed_out" || y.Legs[1].Said.String() != "cancelled" ||
-		y.Legs[0].Why.String() != "drawn" || y.End != 5*sec || y.Phases[trace.Queue] != 10*time.Millisecond || y.Phases[trace.Answer] != 0 {
-		t.Errorf("%+v", y)
+	record := kept[0]
+	got := fmt.Sprintf("%v %v %v %v %v %v %v %v", record.Outcome == trace.Failed, record.Why, len(record.Legs), record.CallID,
+		record.Parent == parent.Span, record.End, record.Phases[trace.Queue], record.Phases[trace.Answer])
+	if want := "true out_of_time 2 call true 5s 10ms 0s"; got != want {
+		t.Fatalf("got %s, want %s: %+v", got, want, record)
+	}
+	earlier, second := record.Legs[0], record.Legs[1]
+	got = fmt.Sprintf("%v %v %v %v", earlier.Why, earlier.Result, second.Result, second.Said)
+	if want := "drawn reset timed_out cancelled"; got != want {
+		t.Errorf("got %s, want %s: %+v", got, want, record)
 	}
 }
 
-func TestJourneyOfWhatTheModuleNeverSees(t *testing.T) {
-	r := newRig(t, 1, func(l *limits.Limits) { l.ConcurrentRequests = 1 })
+func TestTraceOfWhatTheModuleNeverSees(t *testing.T) {
+	r := newFixture(t, 1, func(l *limits.Limits) { l.ConcurrentRequests = 1 })
 	traced(r, trace.Options{})
-	r.keeps(0, taken("a", r.now, 4*sec))
-	kept, _ := r.keeps(0, taken("b", r.now, 4*sec))
+	r.exported(0, received("a", r.now, 4*sec))
+	kept, _ := r.exported(0, received("b", r.now, 4*sec))
 	if len(kept) != 1 || kept[0].Why != trace.RouterFull || kept[0].Outcome != trace.Refused {
 		t.Errorf("%+v", kept)
 	}
 }
 
-func TestFlush(t *testing.T) {
-	r := newRig(t, 1, nil)
+func TestFlushExportsAllTraces(t *testing.T) {
+	r := newFixture(t, 1, nil)
 	traced(r, trace.Options{})
-	r.keeps(0, taken("a", r.now, 4*sec))
-	if kept, _ := r.keeps(sec, FlushTraces{}); len(kept) != 1 || kept[0].Outcome != trace.Open {
+	r.exported(0, received("a", r.now, 4*sec))
+	if kept, _ := r.exported(sec, FlushTraces{}); len(kept) != 1 || kept[0].Outcome != trace.Open {
 		t.Errorf("%+v", kept)
 	}
 }
@@ -87,7 +93,7 @@
 				limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
 			x := New(lim)
 			x.Reduce(1000*sec, ConfigurePool{Module: module(b), SlowStart: sec, SlowStartInitial: 0.5})
-			r := &rig{Dispatcher: x, now: 1000 * sec}
+			r := &fixture{Dispatcher: x, now: 1000 * sec}
 			if on {
 				traced(r, trace.Options{Share: 0.01})
 			}
@@ -99,7 +105,7 @@
 			b.ReportAllocs()
 			for n := 1; b.Loop(); n++ {
 				r.now += 100 * time.Microsecond
-				e := taken("a", r.now, 4*sec)
+				e := received("a", r.now, 4*sec)
 				e.Request.Session, e.Origin = uint64(n), origin
 				id := AttemptID{policy.RequestID(n), 0}
 				x.Reduce(r.now, e)
