--- a/cmd/notchlab/demo.go
+++ b/cmd/notchlab/demo.go
@@ -47,7 +47,7 @@
 	}
 	defer os.RemoveAll(dir)
 	fmt.Println("building the router, if it is not there ...")
-	binary, err := fleet.Binary(d.Router, dir)
+	binary, err := fleet.Binary(ctx, d.Router, dir)
 	if err != nil {
 		return err
 	}
--- a/cmd/notchlab/fleet.go
+++ b/cmd/notchlab/fleet.go
@@ -46,7 +46,7 @@
 		return badFile{fmt.Errorf("--keep: %s is not empty: a fleet's first start needs disks without a state", dir)}
 	}
 	fmt.Println("building the program, if it is not there ...")
-	binary, err := fleet.Binary(f.Router, dir)
+	binary, err := fleet.Binary(ctx, f.Router, dir)
 	if err != nil {
 		return err
 	}
--- a/cmd/notchlab/scale.go
+++ b/cmd/notchlab/scale.go
@@ -48,7 +48,7 @@
 	}
 	fmt.Println("building the program, if it is not there ...")
 	var err error
-	if o.Binary, err = fleet.Binary(c.Router, dir); err != nil {
+	if o.Binary, err = fleet.Binary(ctx, c.Router, dir); err != nil {
 		return err
 	}
 	o.Dir = dir
--- a/internal/control/cloudapi/golden_test.go
+++ b/internal/control/cloudapi/golden_test.go
@@ -42,9 +42,13 @@
 		}
 	}
 	golden.Equal(t, "calls", []call{
-		{"POST", "/usage-reports", "k-1", "300", "application/cbor",
-			map[string]any{"window_number": uint64(352_800_000), "counts": map[any]any{"lab": uint64(7)}}},
-		{"POST", "/scaling", "k-1", "300", "application/cbor",
-			map[string]any{"target_service": "scribe", "zone": "a", "desired_count": uint64(12)}},
+		{
+			"POST", "/usage-reports", "k-1", "300", "application/cbor",
+			map[string]any{"window_number": uint64(352_800_000), "counts": map[any]any{"lab": uint64(7)}},
+		},
+		{
+			"POST", "/scaling", "k-1", "300", "application/cbor",
+			map[string]any{"target_service": "scribe", "zone": "a", "desired_count": uint64(12)},
+		},
 	}, got)
 }
--- a/internal/control/replica/golden_test.go
+++ b/internal/control/replica/golden_test.go
@@ -87,7 +87,6 @@
 	prepare := paxos.Request{Kind: paxos.KindPrepare, Index: 1, Number: paxos.ProposalNumber{Term: 3, Proposer: 5}}
 	reply("reply-prepare", CallReceived{Kind: CallPaxos, Body: encodePaxosRequest(&prepare)})
 	reply("reply-commit", CallReceived{Kind: CallCommit, Body: golden.Read(t, "commit.hex")})
-
 }
 
 // TestGoldenReachableReplies: a replica that is asked whether another answers it replies with one byte.
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -214,7 +214,7 @@
 	for _, t := range f.Trouble {
 		r.troubles = append(r.troubles, *t.fleet(scale))
 	}
-	if r.binary, err = fleet.Binary(o.Binary, dir); err != nil {
+	if r.binary, err = fleet.Binary(ctx, o.Binary, dir); err != nil {
 		return nil, err
 	}
 	if err := kinds[f.Kind](ctx, r); err != nil {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -25,7 +25,7 @@
 )
 
 // Binary finds the router's program: the given path, else the one beside this program, else one that is built into dir.
-func Binary(given, dir string) (string, error) {
+func Binary(ctx context.Context, given, dir string) (string, error) {
 	if given != "" {
 		return filepath.Abs(given)
 	}
@@ -36,7 +36,7 @@
 		}
 	}
 	out := filepath.Join(dir, "notchhinge")
-	build := exec.CommandContext(context.Background(), "go", "build", "-o", out, "notchhinge/cmd/notchhinge")
+	build := exec.CommandContext(ctx, "go", "build", "-o", out, "notchhinge/cmd/notchhinge")
 	if text, err := build.CombinedOutput(); err != nil {
 		return "", fmt.Errorf("building the router (run this from the repository, or give --router): %w\n%s", err, text)
 	}
