--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -30,24 +30,24 @@
 type fetchMode byte
 
 const (
-	fetchHeld      fetchMode = iota // the newest configuration that the peer holds; it stands on the wire as no byte
+	fetchLocal     fetchMode = iota // the newest configuration that the peer has; it stands on the wire as no byte
 	fetchConfirmed                  // the newest there is: a replica asks a quorum first, and answers only if it reaches one
 )
 
 // encode is the option's form on the wire.
 func (m fetchMode) encode() []byte {
-	if m == fetchHeld {
+	if m == fetchLocal {
 		return nil
 	}
 	return []byte{byte(m)}
 }
 
-// decodeFetchMode reads an option; what it does not know is fetchHeld.
+// decodeFetchMode reads an option; what it does not know is fetchLocal.
 func decodeFetchMode(b []byte) fetchMode {
 	if len(b) > 0 && b[0] == byte(fetchConfirmed) {
 		return fetchConfirmed
 	}
-	return fetchHeld
+	return fetchLocal
 }
 
 // configSync keeps the process on the newest fleet configuration. It learns of one from the replica here or by gossip,
@@ -63,7 +63,7 @@
 	currentIndex    atomic.Uint64    // log index of current; 0 = none
 	newestIndex     atomic.Uint64    // the highest log index that was announced
 	quorumConfirmed atomic.Bool      // since the start a replica with a quorum has reported the newest configuration
-	replicaAnswered atomic.Bool      // since the start some replica has reported what it holds
+	replicaAnswered atomic.Bool      // since the start some replica has reported what it has
 	fetchRequests   chan gossip.Peer // who announced a newer configuration; one is pending at most
 
 	applyMu sync.Mutex // held while a configuration is put in force; it guards the order of writes to cache, current and currentIndex
@@ -126,7 +126,7 @@
 	}
 }
 
-// announced takes note that a peer holds the configuration at a log index, and has run fetch it if it is newer. It does not
+// announced takes note that a peer has the configuration at a log index, and has run fetch it if it is newer. It does not
 // wait.
 func (s *configSync) announced(index uint64, from gossip.Peer) {
 	s.raiseNewest(index)
@@ -163,7 +163,7 @@
 		peers = append(peers, announcer)
 	}
 	for _, p := range append(peers, s.discovery.replicas()...) {
-		if s.fetch(ctx, p.Addr, fetchHeld) && !s.isBehind() {
+		if s.fetch(ctx, p.Addr, fetchLocal) && !s.isBehind() {
 			return
 		}
 	}
@@ -198,7 +198,7 @@
 }
 
 // confirmNewest finds out after the start which configuration is the newest. It goes on until a replica with a quorum has
-// said so: one that is partitioned may be the only one that is known here. What such a one holds is put in force meanwhile.
+// said so: one that is partitioned may be the only one that is known here. What such a one has is put in force meanwhile.
 func (s *configSync) confirmNewest(ctx context.Context) {
 	for !s.quorumConfirmed.Load() && ctx.Err() == nil {
 		replicas := s.discovery.replicas()
@@ -206,7 +206,7 @@
 			s.quorumConfirmed.Store(true)
 			return
 		}
-		if s.fetchFromFirst(ctx, replicas, fetchHeld) {
+		if s.fetchFromFirst(ctx, replicas, fetchLocal) {
 			s.replicaAnswered.Store(true)
 		}
 		sleep(ctx, confirmRetryInterval)
--- a/internal/node/discoveryhost.go
+++ b/internal/node/discoveryhost.go
@@ -21,7 +21,7 @@
 	// What follows from effects, called without the lock. None of them may wait.
 	onEndpointsChanged func()                               // engines have come, gone or changed
 	onIdleDropReported func()                               // another router saw an engine drop an idle connection
-	onConfigAnnounced  func(index uint64, from gossip.Peer) // a peer holds the configuration at a log index
+	onConfigAnnounced  func(index uint64, from gossip.Peer) // a peer has the configuration at a log index
 
 	wake chan struct{} // has run set its timer anew
 
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -4,7 +4,7 @@
 //
 // What it owns:
 //
-//   - node.go, startup.go, shutdown.go, readiness.go: the life of the process.
+//   - node.go, startup.go, shutdown.go, readiness.go: the start and the end of the process.
 //   - configsync.go: which configuration is in force here, and how a newer one is fetched.
 //   - discoveryhost.go, replicahost.go (its disk in replicadisk.go), singletonhost.go: the three reducers of the control
 //     plane, each under one lock, with its clock, its timer and its calls. Events go in by step, effects are carried out.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -38,7 +38,7 @@
 	Reload <-chan os.Signal // read the seed nodes again
 }
 
-// Run runs a process with the settings file at path until it is told to stop. The error says why it could not start, or
+// Run runs a process with the settings file at path until it gets the signal to stop. The error says why it could not start, or
 // which of its servers failed.
 func Run(path string, log *slog.Logger, sig Signals) error {
 	cfg, err := nodeconfig.Load(path)
--- a/internal/node/replicahost.go
+++ b/internal/node/replicahost.go
@@ -55,7 +55,7 @@
 }
 
 // contextMutex is a lock whose wait can be given up. A replica does nothing else while its disk takes a write, and a caller
-// that has timed out meanwhile must not stay in line with a configuration in memory for as long as a stalled disk takes.
+// that has timed out meanwhile must not queue with a configuration in memory for as long as a stalled disk takes.
 type contextMutex chan struct{}
 
 // Lock waits for the lock.
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -94,7 +94,7 @@
 	return addrs
 }
 
-// serve starts the parts and the servers, and runs until the process is told to stop or a server fails.
+// serve starts the parts and the servers, and runs until the process gets the signal to stop or a server fails.
 func (n *Node) serve(ctx context.Context, path string, sig Signals) error {
 	if n.cfg.Listeners.Frontend != "" {
 		n.startDataPlane(ctx)
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// supervise obeys signals until the process is told to stop, and then shuts it down; or until a server fails.
+// supervise obeys signals until the one to stop, and then shuts the process down; or until a server fails.
 func (n *Node) supervise(ctx context.Context, path string, sig Signals, s *servers) error {
 	metricsTick := time.NewTicker(limits.MetricsLogInterval)
 	defer metricsTick.Stop()
--- a/internal/node/startup_test.go
+++ b/internal/node/startup_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestRouterIsNotReadyBeforeAQuorumConfirms: a router starts and reaches only a replica that is partitioned and lags. It is not
-// ready with what that replica holds for as long as a quorum may be found; then it serves with it, and it gets the newest
+// ready with what that replica has for as long as a quorum may be found; then it serves with it, and it gets the newest
 // configuration once there is a quorum.
 func TestRouterIsNotReadyBeforeAQuorumConfirms(t *testing.T) {
 	f := newTestFleet(t, 11, fleetSize{})
@@ -29,7 +29,7 @@
 	router.start()
 	began := time.Now()
 	ready := ""
-	waitUntil(t, "it has what the lagging replica holds", func() bool {
+	waitUntil(t, "it has what the lagging replica has", func() bool {
 		s := router.status()
 		ready = s.Ready
 		return s.Revision == 2 && ready != reasonNoReplica
