--- a/internal/acquirer/acquirer.go
+++ b/internal/acquirer/acquirer.go
@@ -15,10 +15,10 @@
 
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
-	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/quota"
 	"notchhinge/internal/service"
+	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
 
@@ -251,7 +251,7 @@
 // Message is a whole message that is to be an authorisation.
 type Message struct {
 	Request policy.Request
-	Order   issuer.Order
+	Order   upstream.Request
 	// Attempts is how many legs it may have at the most; 0 = as many as its pool allows.
 	Attempts int
 	// Name is the one under which one authorisation of its pool may be open; "" = none.
--- a/internal/acquirer/acquirer_test.go
+++ b/internal/acquirer/acquirer_test.go
@@ -104,7 +104,7 @@
 				t.Fatal("not told that the acquirer has gone")
 			}
 		},
-		"relay":  func(text string) { go func() { _ = open.Relay([]byte(text + "\n\n")) }() },
+		"relay":  func(text string) { go func() { _ = open.WriteBody([]byte(text + "\n\n")) }() },
 		"finish": func(string) { go func() { _ = open.Finish(true) }() },
 		"break":  func(string) { go func() { _ = open.Finish(false) }() },
 		"fail":   func(string) { go open.Decline(dispatch.VerdictFailed, 0) },
--- a/internal/acquirer/answer.go
+++ b/internal/acquirer/answer.go
@@ -12,8 +12,8 @@
 
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
-	"notchhinge/internal/issuer"
 	"notchhinge/internal/trace"
+	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
 
@@ -36,18 +36,18 @@
 	done   chan struct{}
 }
 
-// Order implements issuer.Customer.
-func (a *authorisation) Order() *issuer.Order { return &a.Message.Order }
+// UpstreamRequest implements upstream.Downstream.
+func (a *authorisation) UpstreamRequest() *upstream.Request { return &a.Message.Order }
 
-// Answer implements issuer.Answerer.
-func (a *authorisation) Answer(resp *http.Response) {
+// ObserveHead implements upstream.HeadObserver.
+func (a *authorisation) ObserveHead(resp *http.Response) {
 	a.reply = a.conn.s.Dialect.Head(&a.Message, resp)
 }
 
 var errOver = errors.New("the authorisation is over")
 
-// Relay implements issuer.Customer: whole events leave in one write.
-func (a *authorisation) Relay(events []byte) error {
+// WriteBody implements upstream.Downstream: whole events leave in one write.
+func (a *authorisation) WriteBody(events []byte) error {
 	if a.over.Load() {
 		return errOver
 	}
@@ -65,8 +65,8 @@
 	return err
 }
 
-// Keep implements issuer.Keeper: a small answer that is not passed on is kept, for it may be all there is to tell.
-func (a *authorisation) Keep(result policy.Result, resp *http.Response, line net.Conn) (whole bool) {
+// ReadErrorResponse implements upstream.ErrorResponseReader: a small answer that is not passed on is kept, for it may be all there is to tell.
+func (a *authorisation) ReadErrorResponse(result policy.Result, resp *http.Response, line net.Conn) (whole bool) {
 	const small, soon = 16 << 10, 500 * time.Millisecond
 	line.SetReadDeadline(time.Now().Add(soon))
 	body, err := io.ReadAll(io.LimitReader(resp.Body, small+1))
@@ -112,7 +112,7 @@
 	return append(b, "\r\n"...)
 }
 
-// Finish implements issuer.Customer. A broken stream closes the connection without the last chunk.
+// Finish implements upstream.Downstream. A broken stream closes the connection without the last chunk.
 func (a *authorisation) Finish(whole bool) error {
 	var err error
 	if whole {
--- a/internal/acquirer/platform.go
+++ b/internal/acquirer/platform.go
@@ -8,8 +8,8 @@
 	"golang.org/x/net/http/httpguts"
 
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/issuer"
 	"notchhinge/internal/route"
+	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
 
@@ -109,7 +109,7 @@
 		return Message{}, &Refusal{Status: http.StatusBadRequest, Reason: reason}
 	}
 	id := req.Header.Get(idHeader)
-	return Message{Request: q, Name: id, Order: issuer.Order{
+	return Message{Request: q, Name: id, Order: upstream.Request{
 		Method: req.Method, Target: w.Target, Host: w.Host, CallID: id, ContentType: req.Header.Get("Content-Type"), Body: body,
 	}}, nil
 }
--- a/internal/batch/attempt.go
+++ b/internal/batch/attempt.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/issuer"
 	"notchhinge/internal/service"
+	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
 
@@ -17,7 +17,7 @@
 type attempt struct {
 	desk  *Desk
 	try   *try
-	order issuer.Order
+	order upstream.Request
 	got   collector
 	safe  bool // the line may be run again whole
 }
@@ -40,18 +40,18 @@
 func newAttempt(d *Desk, w *try) *attempt {
 	return &attempt{
 		desk: d, try: w, safe: w.class.Effect == policy.EffectSafe, got: collector{most: d.lim.BatchResponseBytes},
-		order: issuer.Order{
+		order: upstream.Request{
 			Method: "POST", Target: endpoint, Host: service.BatchHost, CallID: fmt.Sprintf("%016x", rand.Uint64()),
 			ContentType: "application/json", Body: w.body,
 		},
 	}
 }
 
-// Order implements issuer.Customer.
-func (a *attempt) Order() *issuer.Order { return &a.order }
+// UpstreamRequest implements upstream.Downstream.
+func (a *attempt) UpstreamRequest() *upstream.Request { return &a.order }
 
-// Relay implements issuer.Customer: what comes is collected.
-func (a *attempt) Relay(events []byte) error {
+// WriteBody implements upstream.Downstream: what comes is collected.
+func (a *attempt) WriteBody(events []byte) error {
 	err := a.got.add(events)
 	if errors.Is(err, errAnswerTooLong) {
 		a.desk.ended(a, end{kind: endFailed, code: "answer_too_long", reason: err.Error()})
@@ -59,7 +59,7 @@
 	return err
 }
 
-// Finish implements issuer.Customer.
+// Finish implements upstream.Downstream.
 func (a *attempt) Finish(whole bool) error {
 	switch {
 	case whole:
--- a/internal/batch/desk_test.go
+++ b/internal/batch/desk_test.go
@@ -149,7 +149,7 @@
 }
 
 func (a *attempt) serve() {
-	_ = a.Relay([]byte(`data: {"choices":[{"delta":{"content":"hi"},"finish_reason":"stop"}]}` + "\n\ndata: [DONE]\n\n"))
+	_ = a.WriteBody([]byte(`data: {"choices":[{"delta":{"content":"hi"},"finish_reason":"stop"}]}` + "\n\ndata: [DONE]\n\n"))
 	_ = a.Finish(true)
 }
 
@@ -323,7 +323,7 @@
 	j := r.job(fileText(1))
 	a := r.after(0)[0]
 	a.got.most = 3
-	if a.Relay([]byte(`data: {"choices":[{"delta":{"content":"long"}}]}`+"\n\n")) == nil {
+	if a.WriteBody([]byte(`data: {"choices":[{"delta":{"content":"long"}}]}`+"\n\n")) == nil {
 		t.Error("no error")
 	}
 	same(t, "result", []string{"1 id-0 failed answer_too_long"}, outcomesOf(t, j))
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -21,10 +21,10 @@
 	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
-	"notchhinge/internal/issuer"
 	"notchhinge/internal/route"
 	"notchhinge/internal/service"
 	"notchhinge/internal/trace"
+	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
 
@@ -321,10 +321,10 @@
 	if r.route.SessionAffinity && prefix != "" {
 		m.Request.Session, m.Request.Prefix = d.session(d.Salt, r, w.Pool.Name, prefix), d.session(0, r, w.Pool.Name, prefix)
 	}
-	m.Order = issuer.Order{
-		Method: req.Method, Target: w.Target, Host: w.Host, Body: body, Until: r.until, Header: passedOn(req.Header, r.tenant),
-		Counted: req.ContentLength != 0 || len(req.TransferEncoding) > 0, CallID: req.Header.Get(idHeader),
-		Once: r.route.Type != fleetconfig.RouteIdempotent,
+	m.Order = upstream.Request{
+		Method: req.Method, Target: w.Target, Host: w.Host, Body: body, Deadline: r.until, Header: passedOn(req.Header, r.tenant),
+		WithContentLength: req.ContentLength != 0 || len(req.TransferEncoding) > 0, CallID: req.Header.Get(idHeader),
+		NonIdempotent: r.route.Type != fleetconfig.RouteIdempotent,
 	}
 	return m, nil
 }
@@ -465,10 +465,10 @@
 // Legs is the platform's dialect for legs.
 type Legs struct{ HealthPath string }
 
-var _ issuer.Dialect = Legs{}
+var _ upstream.Dialect = Legs{}
 
-// Head implements issuer.Dialect. The time that is left is the client's, whatever a leg may take for its first sign.
-func (Legs) Head(o *issuer.Order, e *dispatch.StartAttempt, _ time.Duration, _ *trace.Context) []byte {
+// EncodeRequest implements upstream.Dialect. The time that is left is the client's, whatever a leg may take for its first sign.
+func (Legs) EncodeRequest(o *upstream.Request, e *dispatch.StartAttempt, _ time.Duration, _ *trace.Context) []byte {
 	b := make([]byte, 0, 512+len(o.Header)+len(o.Body))
 	b = append(b, o.Method...)
 	b = append(b, ' ')
@@ -478,10 +478,10 @@
 	b = append(b, "\r\n"...)
 	b = append(b, o.Header...)
 	b = append(b, deadlineHeader+": "...)
-	b = strconv.AppendInt(b, max(time.Until(o.Until).Milliseconds(), 1), 10)
+	b = strconv.AppendInt(b, max(time.Until(o.Deadline).Milliseconds(), 1), 10)
 	b = append(b, "\r\n"+expectHeader+": "...)
 	b = append(b, e.HostName...)
-	if o.Counted {
+	if o.WithContentLength {
 		b = append(b, "\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, int64(len(o.Body)), 10)
 	}
@@ -489,20 +489,20 @@
 	return append(b, o.Body...)
 }
 
-// Whose implements issuer.Dialect: engines repeat the id of the request. One that came without any has an engine's word of
+// MatchResponse implements upstream.Dialect: engines repeat the id of the request. One that came without any has an engine's word of
 // that (400), which repeats none.
-func (Legs) Whose(o *issuer.Order, resp *http.Response) issuer.Whose {
+func (Legs) MatchResponse(o *upstream.Request, resp *http.Response) upstream.ResponseMatch {
 	switch ids := resp.Header[idHeader]; {
 	case len(ids) == 0 && o.CallID == "", len(ids) == 1 && ids[0] == o.CallID:
-		return issuer.Own
+		return upstream.MatchThisRequest
 	case len(ids) == 1:
-		return issuer.Others
+		return upstream.MatchOtherRequest
 	}
-	return issuer.Nobodys
+	return upstream.MatchUnknown
 }
 
-// Judge implements issuer.Dialect.
-func (Legs) Judge(resp *http.Response) policy.Result {
+// Classify implements upstream.Dialect.
+func (Legs) Classify(resp *http.Response) policy.Result {
 	switch {
 	case resp.StatusCode == http.StatusMisdirectedRequest:
 		return policy.ResultConnectFailed // another engine is at the address
@@ -514,16 +514,16 @@
 	return policy.ResultOK
 }
 
-// CutRuns implements issuer.Dialect: after a reset a request may have run, and nothing says that it must have come whole.
-func (Legs) CutRuns() bool { return true }
+// MayRunTruncated implements upstream.Dialect: after a reset a request may have run, and nothing says that it must have come whole.
+func (Legs) MayRunTruncated() bool { return true }
 
-// Streams implements issuer.Dialect.
-func (Legs) Streams(resp *http.Response) bool {
+// IsEventStream implements upstream.Dialect.
+func (Legs) IsEventStream(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream")
 }
 
-// Idle implements issuer.Dialect: as long as the engine says, less what a request takes to get there.
-func (Legs) Idle(resp *http.Response) time.Duration {
+// IdleTimeout implements upstream.Dialect: as long as the engine says, less what a request takes to get there.
+func (Legs) IdleTimeout(resp *http.Response) time.Duration {
 	const slack, unsaid = 600 * time.Millisecond, 300 * time.Millisecond
 	for part := range strings.SplitSeq(resp.Header.Get("Keep-Alive"), ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
@@ -535,5 +535,5 @@
 	return unsaid
 }
 
-// Probe implements issuer.Dialect.
-func (l Legs) Probe(*issuer.Reports) string { return l.HealthPath }
+// HealthCheckPath implements upstream.Dialect.
+func (l Legs) HealthCheckPath(*upstream.LoadReporting) string { return l.HealthPath }
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -16,8 +16,8 @@
 	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
-	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
+	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
 
@@ -124,7 +124,7 @@
 	if no != nil {
 		t.Fatal(no)
 	}
-	text := string(Legs{}.Head(&m.Order, &dispatch.StartAttempt{HostName: "i-1"}, 0, nil))
+	text := string(Legs{}.EncodeRequest(&m.Order, &dispatch.StartAttempt{HostName: "i-1"}, 0, nil))
 	got, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
 		t.Fatal(err)
@@ -211,7 +211,7 @@
 	d := dialect(t)
 	for status, want := range map[int]bool{408: false, 429: false, 503: false, 500: true, 504: true, 501: true} {
 		resp := &http.Response{StatusCode: status, Status: http.StatusText(status), Header: http.Header{}}
-		if got := (Legs{}).Judge(resp); got != policy.ResultError {
+		if got := (Legs{}).Classify(resp); got != policy.ResultError {
 			t.Errorf("%d: %v", status, got)
 		}
 		if kept := d.Keep(&acquirer.Message{}, policy.ResultError, resp, nil); (kept != nil) != want {
@@ -243,12 +243,12 @@
 		{answer(400, "X-Not-Executed", "1"), policy.ResultOK},
 		{answer(504), policy.ResultError},
 	} {
-		if got := (Legs{}).Judge(c.r); got != c.want {
+		if got := (Legs{}).Classify(c.r); got != c.want {
 			t.Errorf("%d %v: %v, %v is wanted", c.r.StatusCode, c.r.Header, got, c.want)
 		}
 	}
 	for value, want := range map[string]time.Duration{"timeout=10": 9400 * time.Millisecond, "timeout=10, max=3": 9400 * time.Millisecond, "": 300 * time.Millisecond, "timeout=x": 300 * time.Millisecond} {
-		if got := (Legs{}).Idle(answer(200, "Keep-Alive", value)); got != want {
+		if got := (Legs{}).IdleTimeout(answer(200, "Keep-Alive", value)); got != want {
 			t.Errorf("%q: %v", value, got)
 		}
 	}
@@ -259,14 +259,14 @@
 	resp := &http.Response{StatusCode: 200, Status: "200 OK", ContentLength: 5, Header: http.Header{
 		"X-Response-Seal": {"3e1b.07"}, "Connection": {"close, x-odd"}, "X-Odd": {"1"}, "Keep-Alive": {"timeout=3"}, "Set-Cookie": {"a", "b"},
 	}}
-	r := d.Head(&acquirer.Message{Order: issuer.Order{Method: "POST"}}, resp)
+	r := d.Head(&acquirer.Message{Order: upstream.Request{Method: "POST"}}, resp)
 	head := string(r.Head)
 	if !strings.HasPrefix(head, "HTTP/1.1 200 OK\r\n") || !strings.Contains(head, "X-Response-Seal: 3e1b.07\r\n") ||
 		strings.Count(head, "Set-Cookie") != 2 || strings.Contains(head, "X-Odd") || strings.Contains(head, "Connection") ||
 		strings.Contains(head, "Keep-Alive") || r.Length != 5 || r.Bare {
 		t.Errorf("%q, %d", head, r.Length)
 	}
-	if r := d.Head(&acquirer.Message{Order: issuer.Order{Method: "HEAD"}}, resp); !r.Bare {
+	if r := d.Head(&acquirer.Message{Order: upstream.Request{Method: "HEAD"}}, resp); !r.Bare {
 		t.Error("an answer to HEAD has a body")
 	}
 }
@@ -336,7 +336,7 @@
 		if no != nil {
 			return
 		}
-		head := Legs{}.Head(&m.Order, &dispatch.StartAttempt{HostName: "i-1"}, time.Second, nil)
+		head := Legs{}.EncodeRequest(&m.Order, &dispatch.StartAttempt{HostName: "i-1"}, time.Second, nil)
 		shown, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(head)))
 		if err != nil {
 			t.Fatalf("%q is shown, which does not read: %v", head, err)
@@ -356,9 +356,9 @@
 		if err != nil {
 			return
 		}
-		Legs{}.Judge(resp)
-		Legs{}.Streams(resp)
-		if idle := (Legs{}).Idle(resp); idle > 24*time.Hour {
+		Legs{}.Classify(resp)
+		Legs{}.IsEventStream(resp)
+		if idle := (Legs{}).IdleTimeout(resp); idle > 24*time.Hour {
 			t.Errorf("a line may wait for %v", idle)
 		}
 		reply := d.Head(&m, resp)
--- a/internal/edge/smuggle_test.go
+++ b/internal/edge/smuggle_test.go
@@ -12,9 +12,9 @@
 
 	"notchhinge/internal/acquirer"
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/service"
+	"notchhinge/internal/upstream"
 )
 
 // taken is a request as the front has handed it on.
@@ -38,7 +38,7 @@
 				if !ok {
 					return
 				}
-				o := x.Client.(interface{ Order() *issuer.Order }).Order()
+				o := x.Client.(interface{ UpstreamRequest() *upstream.Request }).UpstreamRequest()
 				mu.Lock()
 				got = append(got, taken{o.Target, string(o.Body), string(o.Header)})
 				mu.Unlock()
--- a/internal/edge/stutter_test.go
+++ b/internal/edge/stutter_test.go
@@ -13,8 +13,8 @@
 	"testing/synctest"
 
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
+	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
 
@@ -27,12 +27,12 @@
 	head  string
 }
 
-func (a *asker) Order() *issuer.Order {
-	return &issuer.Order{Method: "POST", Target: "/x", Host: "h", CallID: a.id, Header: []byte("X-Request-Id: " + a.id + "\r\n")}
+func (a *asker) UpstreamRequest() *upstream.Request {
+	return &upstream.Request{Method: "POST", Target: "/x", Host: "h", CallID: a.id, Header: []byte("X-Request-Id: " + a.id + "\r\n")}
 }
-func (a *asker) Answer(resp *http.Response) { a.head = fmt.Sprint(resp.Status, resp.Header) }
-func (a *asker) Relay(part []byte) error    { a.body.Write(part); return nil }
-func (a *asker) Finish(whole bool) error    { a.whole, a.broke = whole, !whole; return nil }
+func (a *asker) ObserveHead(resp *http.Response) { a.head = fmt.Sprint(resp.Status, resp.Header) }
+func (a *asker) WriteBody(part []byte) error     { a.body.Write(part); return nil }
+func (a *asker) Finish(whole bool) error         { a.whole, a.broke = whole, !whole; return nil }
 
 // stutterer is an engine's side of all connections: what it says to a request is its script's. It writes from a goroutine of
 // its own, so that it may say something while nobody asks.
@@ -93,12 +93,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &stutterer{say: say}
 		lim := limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 184, Sockets: 1024})
-		var c *issuer.Client
+		var c *upstream.Transport
 		ended := make(chan policy.Result, 1)
-		c = issuer.New(issuer.Config{Lim: lim, Dialect: Legs{}, Dial: s.dial, Post: func(e dispatch.Event) {
+		c = upstream.New(upstream.Config{Limits: lim, Dialect: Legs{}, Dial: s.dial, Post: func(e dispatch.Event) {
 			switch e := e.(type) {
 			case dispatch.AttemptStarted:
-				c.Bind(e.Attempt)
+				c.BindAttempt(e.Attempt)
 			case dispatch.AttemptEnded:
 				ended <- e.Result
 			}
@@ -106,20 +106,20 @@
 		for k := range n {
 			a := &asker{id: fmt.Sprintf("%04x", k)}
 			leg := dispatch.AttemptID{Request: policy.RequestID(k + 1)}
-			c.Send(dispatch.StartAttempt{Attempt: leg, Client: a, Addr: "d", HostName: "i-1", Timeout: 12e9})
+			c.StartAttempt(dispatch.StartAttempt{Attempt: leg, Client: a, Addr: "d", HostName: "i-1", Timeout: 12e9})
 			synctest.Wait()
 			var r policy.Result
 			select {
 			case r = <-ended:
 			default: // it waits for what does not come: the broker gives it up at its deadline
-				c.Drop(leg)
+				c.CancelAttempt(leg)
 				<-ended
 				r = policy.ResultTimedOut
 			}
 			synctest.Wait()
 			all, results = append(all, a), append(results, r)
 		}
-		c.Close()
+		c.CloseIdleConnections()
 		s.wait.Wait()
 	})
 	return all, results
--- a/internal/lab/check/legs.go
+++ b/internal/lab/check/legs.go
@@ -20,10 +20,10 @@
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/edge"
 	"notchhinge/internal/hoststate"
-	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/retrybudget"
 	"notchhinge/internal/service"
+	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
 
@@ -92,29 +92,29 @@
 // router is one life of a router with two engines and a few clients.
 type router struct {
 	slips
-	pick    func(n int) int
-	short   bool // fewer kinds of second attempts
-	fine    bool // answers are cut at every byte, and the second request is answered plainly
-	now     time.Duration
-	broker  *dispatch.Dispatcher
-	issuer  *issuer.Client
-	front   *acquirer.Server
-	events  []dispatch.Event
-	pumping bool
-	closing []dispatch.Reject
-	legs    []func()
-	asked   []*asked
-	callers []*caller
-	engines []*visit // connections to them
-	repeats int      // the budget of a life
-	outside int      // events from outside that may still come
-	drains  bool
-	dead    bool
-	second  string   // the kind of the second request
-	resting []func() // what comes on lines at rest
-	plain   bool     // engines answer as they should from now on
-	story   []string
-	wrong   string
+	pick     func(n int) int
+	short    bool // fewer kinds of second attempts
+	fine     bool // answers are cut at every byte, and the second request is answered plainly
+	now      time.Duration
+	broker   *dispatch.Dispatcher
+	upstream *upstream.Transport
+	front    *acquirer.Server
+	events   []dispatch.Event
+	pumping  bool
+	closing  []dispatch.Reject
+	legs     []func()
+	asked    []*asked
+	callers  []*caller
+	engines  []*visit // connections to them
+	repeats  int      // the budget of a life
+	outside  int      // events from outside that may still come
+	drains   bool
+	dead     bool
+	second   string   // the kind of the second request
+	resting  []func() // what comes on lines at rest
+	plain    bool     // engines answer as they should from now on
+	story    []string
+	wrong    string
 }
 
 func newRouter(pick func(int) int, breaks slips, engines, repeats int) *router {
@@ -147,8 +147,8 @@
 		return r
 	}
 	r.broker = dispatch.New(lim)
-	r.issuer = issuer.New(issuer.Config{
-		Lim: lim, Post: r.post, Now: clock, Dial: r.dial, Dialect: legDialect{blind: r.blind}, Go: func(f func()) { r.legs = append(r.legs, f) },
+	r.upstream = upstream.New(upstream.Config{
+		Limits: lim, Post: r.post, Now: clock, Dial: r.dial, Dialect: legDialect{blind: r.blind}, Go: func(f func()) { r.legs = append(r.legs, f) },
 	})
 	r.front = acquirer.New(acquirer.Options{
 		Lim: lim, Post: r.post, Now: clock, Ready: func() bool { return true }, Routes: func() *service.Directory { return nil },
@@ -185,11 +185,11 @@
 	blind bool
 }
 
-func (d legDialect) Whose(o *issuer.Order, resp *http.Response) issuer.Whose {
+func (d legDialect) MatchResponse(o *upstream.Request, resp *http.Response) upstream.ResponseMatch {
 	if d.blind {
-		return issuer.Own
+		return upstream.MatchThisRequest
 	}
-	return d.Legs.Whose(o, resp)
+	return d.Legs.MatchResponse(o, resp)
 }
 
 // frontDialect is the front's own, but for a rule that may be broken.
@@ -206,9 +206,9 @@
 
 // customer is all that an authorisation is to a leg.
 type customer interface {
-	issuer.Customer
-	issuer.Answerer
-	issuer.Keeper
+	upstream.Downstream
+	upstream.HeadObserver
+	upstream.ErrorResponseReader
 }
 
 // finisher ends every answer as a whole one.
@@ -252,11 +252,11 @@
 		if r.whole {
 			e.Client = finisher{e.Client.(customer)}
 		}
-		r.issuer.Send(e)
+		r.upstream.StartAttempt(e)
 	case dispatch.Reject:
 		r.closing = append(r.closing, e)
 	default:
-		r.issuer.Perform(e)
+		r.upstream.Perform(e)
 	}
 }
 
@@ -391,8 +391,8 @@
 func (*visit) SetDeadline(time.Time) error      { return nil }
 func (v *visit) Close() error                   { v.closed = true; return nil }
 
-// Quiet implements issuer.Quieter.
-func (v *visit) Quiet() bool { return v.r.unseen || len(v.out) == 0 && v.err == nil }
+// IsIdle implements upstream.IdleChecker.
+func (v *visit) IsIdle() bool { return v.r.unseen || len(v.out) == 0 && v.err == nil }
 
 // Write is a request on its way.
 func (v *visit) Write(b []byte) (int, error) {
--- a/internal/node/dataplane.go
+++ b/internal/node/dataplane.go
@@ -14,10 +14,10 @@
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/edge"
 	"notchhinge/internal/hoststate"
-	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/retrybudget"
 	"notchhinge/internal/service"
+	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
 
@@ -39,7 +39,7 @@
 type dataPlane struct {
 	dataPlaneOptions
 	loop       *dispatch.Loop
-	upstream   *issuer.Client
+	upstream   *upstream.Transport
 	frontend   *acquirer.Server
 	dialect    *edge.Dialect
 	onIdleDrop func() // an engine has dropped an idle connection without a word; it must not wait
@@ -64,8 +64,8 @@
 	defaults, _ := o.limits.ConfiguredBounds(0, 0, 0, 0)
 	d.bounds.Store(&defaults)
 	d.loop = dispatch.NewLoop(dispatch.New(o.limits), dispatch.UnixClock(), d.perform)
-	d.upstream = issuer.New(issuer.Config{
-		Lim: o.limits, Post: d.loop.Post, Now: d.loop.Now, Dial: d.dial, Dialect: edge.Legs{}, Rest: d.maxIdle, Forgot: func() { d.onIdleDrop() },
+	d.upstream = upstream.New(upstream.Config{
+		Limits: o.limits, Post: d.loop.Post, Now: d.loop.Now, Dial: d.dial, Dialect: edge.Legs{}, MaxReuseAge: d.maxIdle, OnConnectionForgotten: func() { d.onIdleDrop() },
 	})
 	d.onIdleDrop = d.limitIdleReuse
 	d.dialect = &edge.Dialect{Now: d.routes.Load, Salt: o.seed, Conversation: rand.Uint64, Clock: d.loop.Now}
@@ -127,7 +127,7 @@
 
 // poolEnded frees what a service had that is no longer configured, after its last request.
 func (d *dataPlane) poolEnded(id hoststate.PoolID) {
-	d.upstream.End(id)
+	d.upstream.RemovePool(id)
 	d.frontend.End(id)
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/node/dataplaneconfig.go
+++ b/internal/node/dataplaneconfig.go
@@ -7,9 +7,9 @@
 	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/edge"
-	"notchhinge/internal/issuer"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/quota"
+	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
 
@@ -76,7 +76,7 @@
 		return err
 	}
 	d.modules[s.ID], d.classCounts[s.ID] = m, len(s.Classes)
-	d.upstream.Set(s.ID, issuer.Reports{}, quota.Claim{})
+	d.upstream.ConfigurePool(s.ID, upstream.LoadReporting{}, quota.Claim{})
 	d.frontend.Set(s.ID, quota.Claim{}, quota.Claim{})
 	e := dispatch.ConfigurePool{
 		Pool: s.ID, Name: s.Name, Module: m, SlowStart: edge.WarmUp, SlowStartInitial: edge.ColdFrom, MaxAttempts: d.limits.MaxAttempts, RetryAfter: d.limits.OverloadRetryAfter,
--- a/internal/node/engines_test.go
+++ b/internal/node/engines_test.go
@@ -91,7 +91,7 @@
 	}
 	mustServe("/again/1")
 	idle := reused.recorded()[0].from
-	waitUntil(t, "an idle connection", func() bool { return p.dataPlane.upstream.Parked() == 1 }) // after the answer has gone to the client
+	waitUntil(t, "an idle connection", func() bool { return p.dataPlane.upstream.IdleConnections() == 1 }) // after the answer has gone to the client
 	running := openStream(t, p.addr)
 	if got := reused.recorded()[1]; got.from != idle || got.instance != "i-old" {
 		t.Fatalf("%+v did not come on the idle connection", got)
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -340,5 +340,5 @@
 func (r *Router) resize(m limits.Capacity) {
 	debug.SetMemoryLimit(m.HeapBytes)
 	r.front.Resize(m.ClientConns)
-	r.issuer.Resize(m.UpstreamConns)
+	r.upstream.SetMaxConnections(m.UpstreamConns)
 }
--- a/internal/router/plan.go
+++ b/internal/router/plan.go
@@ -10,10 +10,10 @@
 	"notchhinge/internal/config"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
-	"notchhinge/internal/issuer"
 	"notchhinge/internal/plan"
 	"notchhinge/internal/registry"
 	"notchhinge/internal/settings"
+	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
 
@@ -51,8 +51,8 @@
 
 // set gives a pool its parts of the process.
 func (r *Router) set(q *plan.Pool, module *policy.Balancer) {
-	r.issuer.Set(q.ID, issuer.Reports{
-		Columns: q.Module.Columns, Stats: len(q.Module.Columns) > 0, Piggyback: q.Module.Piggyback,
+	r.upstream.ConfigurePool(q.ID, upstream.LoadReporting{
+		Columns: q.Module.Columns, OnStatsPath: len(q.Module.Columns) > 0, InResponses: q.Module.Piggyback,
 	}, q.Lines)
 	r.front.Set(q.ID, q.Bodies, q.Calls)
 	e := dispatch.ConfigurePool{
@@ -131,7 +131,7 @@
 	r.mu.Lock()
 	delete(r.feedOf, id)
 	r.mu.Unlock()
-	r.issuer.End(id)
+	r.upstream.RemovePool(id)
 	r.front.End(id)
 	r.log.Info("pool ended", "id", int(id))
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -22,30 +22,30 @@
 	"notchhinge/internal/config"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
-	"notchhinge/internal/issuer"
 	"notchhinge/internal/plan"
 	"notchhinge/internal/registry"
 	"notchhinge/internal/service"
 	"notchhinge/internal/trace"
+	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
 
 // Router is one program's worth of parts.
 type Router struct {
-	cfg     *config.Config
-	log     *slog.Logger
-	dial    Dialer
-	broker  *dispatch.Dispatcher
-	loop    *dispatch.Loop
-	issuer  *issuer.Client
-	front   *acquirer.Server
-	at      atomic.Pointer[service.Directory]
-	ready   atomic.Bool
-	desk    *batch.Desk // nil where the batch front is off
-	door    net.Listener
-	control net.Listener // nil where it is off
-	traces  *traces      // nil where nothing is traced
-	ops     operations
+	cfg      *config.Config
+	log      *slog.Logger
+	dial     Dialer
+	broker   *dispatch.Dispatcher
+	loop     *dispatch.Loop
+	upstream *upstream.Transport
+	front    *acquirer.Server
+	at       atomic.Pointer[service.Directory]
+	ready    atomic.Bool
+	desk     *batch.Desk // nil where the batch front is off
+	door     net.Listener
+	control  net.Listener // nil where it is off
+	traces   *traces      // nil where nothing is traced
+	ops      operations
 
 	applying sync.Mutex // one change of the plan, or end of a pool, at a time
 	plan     *plan.Plan // that is carried out; nil before Serve
@@ -69,7 +69,7 @@
 	}
 	r.at.Store(p.Directory)
 	r.loop = dispatch.NewLoop(r.broker, clock, r.perform)
-	r.issuer = issuer.New(issuer.Config{Lim: cfg.Limits, Post: r.loop.Post, Now: r.loop.Now, Dial: dial})
+	r.upstream = upstream.New(upstream.Config{Limits: cfg.Limits, Post: r.loop.Post, Now: r.loop.Now, Dial: dial})
 	r.front = acquirer.New(acquirer.Options{
 		Lim: cfg.Limits, Routes: r.at.Load, Post: r.loop.Post, Now: r.loop.Now, Ready: r.ready.Load,
 	})
@@ -126,7 +126,7 @@
 
 // perform has an effect done by its owner. It does not wait.
 func (r *Router) perform(e dispatch.Effect) {
-	if r.issuer.Perform(e) {
+	if r.upstream.Perform(e) {
 		return
 	}
 	switch e := e.(type) {
@@ -274,7 +274,7 @@
 	r.loop.Post(dispatch.StartDrain{})
 	r.drain(ctx)
 	stopBatch()
-	r.issuer.Close()
+	r.upstream.CloseIdleConnections()
 	if r.traces != nil {
 		r.loop.Post(dispatch.FlushTraces{})
 		r.loop.Idle(ctx) // the loop has come past it
--- a/internal/issuer/platform.go
+++ b/internal/upstream/platform.go
@@ -1,4 +1,4 @@
-package issuer
+package upstream
 
 import (
 	"net/http"
@@ -18,8 +18,8 @@
 	rejectedHeader = "X-Rejected"
 )
 
-// Judge implements Dialect.
-func (platform) Judge(resp *http.Response) policy.Result {
+// Classify implements Dialect.
+func (platform) Classify(resp *http.Response) policy.Result {
 	if resp.StatusCode == http.StatusOK {
 		return policy.ResultOK
 	}
@@ -32,28 +32,28 @@
 	return policy.ResultError
 }
 
-// Whose implements Dialect: the platform's answers do not say.
-func (platform) Whose(*Order, *http.Response) Whose { return Own }
+// MatchResponse implements Dialect: the platform's answers do not say.
+func (platform) MatchResponse(*Request, *http.Response) ResponseMatch { return MatchThisRequest }
 
-// Streams implements Dialect.
-func (platform) Streams(*http.Response) bool { return true }
+// IsEventStream implements Dialect.
+func (platform) IsEventStream(*http.Response) bool { return true }
 
-// Idle implements Dialect.
-func (platform) Idle(*http.Response) time.Duration { return 0 }
+// IdleTimeout implements Dialect.
+func (platform) IdleTimeout(*http.Response) time.Duration { return 0 }
 
-// CutRuns implements Dialect: the platform promises that what was not written to its last byte never runs.
-func (platform) CutRuns() bool { return false }
+// MayRunTruncated implements Dialect: the platform promises that what was not written to its last byte never runs.
+func (platform) MayRunTruncated() bool { return false }
 
-// Probe implements Dialect.
-func (platform) Probe(r *Reports) string {
-	if r.Stats {
+// HealthCheckPath implements Dialect.
+func (platform) HealthCheckPath(r *LoadReporting) string {
+	if r.OnStatsPath {
 		return "/stats"
 	}
 	return "/health/live"
 }
 
-// Head writes an order out, with the time that is left as its budget and the span that it belongs to, if any.
-func (platform) Head(o *Order, _ *dispatch.StartAttempt, left time.Duration, span *trace.Context) []byte {
+// EncodeRequest writes an order out, with the time that is left as its budget and the span that it belongs to, if any.
+func (platform) EncodeRequest(o *Request, _ *dispatch.StartAttempt, left time.Duration, span *trace.Context) []byte {
 	b := make([]byte, 0, 512+len(o.Body))
 	b = append(b, o.Method...)
 	b = append(b, ' ')
--- a/internal/issuer/events.go
+++ b/internal/upstream/stream.go
@@ -1,4 +1,4 @@
-package issuer
+package upstream
 
 import (
 	"bytes"
@@ -11,51 +11,51 @@
 	"notchhinge/policy"
 )
 
-// events cuts a stream behind its events.
-type events struct {
-	from io.Reader
-	most int
-	buf  []byte
-	sent int // of buf
-	err  error
+// eventReader cuts a stream behind its events.
+type eventReader struct {
+	body     io.Reader
+	maxBytes int
+	buf      []byte
+	returned int // of buf
+	err      error
 }
 
 // next returns the whole events that have come in, waiting for one at least. With the stream's end it returns
 // the reason: io.EOF if the stream is whole, and then what is left as well. What is no event, or has no end, is
 // no part of the stream, and spoils it. A part is valid until the next call.
-func (e *events) next() ([]byte, error) {
-	n := copy(e.buf[:cap(e.buf)], e.buf[e.sent:])
-	e.buf, e.sent = e.buf[:n], 0
+func (e *eventReader) next() ([]byte, error) {
+	n := copy(e.buf[:cap(e.buf)], e.buf[e.returned:])
+	e.buf, e.returned = e.buf[:n], 0
 	for {
 		if e.err != nil {
-			e.sent = len(e.buf)
+			e.returned = len(e.buf)
 			if !errors.Is(e.err, io.EOF) {
 				return nil, e.err
 			}
 			if n, ok := wellFormed(e.buf); !ok {
-				return e.buf[:n], errSpoilt
+				return e.buf[:n], errMalformedResponse
 			}
 			return e.buf, e.err
 		}
 		if len(e.buf) == cap(e.buf) {
-			if len(e.buf) >= e.most {
-				e.err = errSpoilt
+			if len(e.buf) >= e.maxBytes {
+				e.err = errMalformedResponse
 				return nil, e.err
 			}
-			e.buf = append(make([]byte, 0, min(2*cap(e.buf), e.most)), e.buf...)
+			e.buf = append(make([]byte, 0, min(2*cap(e.buf), e.maxBytes)), e.buf...)
 		}
-		n, err := e.from.Read(e.buf[len(e.buf):cap(e.buf)])
+		n, err := e.body.Read(e.buf[len(e.buf):cap(e.buf)])
 		e.buf, e.err = e.buf[:len(e.buf)+n], err
 		if end := max(endOf(e.buf, "\n\n"), endOf(e.buf, "\n\r\n")); end > 0 {
 			if n, ok := wellFormed(e.buf[:end]); !ok {
-				e.sent, e.err = len(e.buf), errSpoilt
+				e.returned, e.err = len(e.buf), errMalformedResponse
 				return e.buf[:n], e.err
 			}
-			e.sent = end
-			if e.sent < len(e.buf) {
-				return e.buf[:e.sent], nil
+			e.returned = end
+			if e.returned < len(e.buf) {
+				return e.buf[:e.returned], nil
 			}
-			return e.buf[:e.sent], e.err
+			return e.buf[:e.returned], e.err
 		}
 	}
 }
@@ -87,9 +87,9 @@
 	return -1
 }
 
-// ParseReport reads a load report, whose names are the settings' own. Values that it lacks are 0; one without
+// ParseLoadReport reads a load report, whose names are the settings' own. Values that it lacks are 0; one without
 // any known name counts as none.
-func ParseReport(text string, columns []string) policy.Report {
+func ParseLoadReport(text string, columns []string) policy.Report {
 	var r policy.Report
 	found := false
 	for field := range strings.SplitSeq(text, ",") {
--- a/internal/issuer/trace_test.go
+++ b/internal/upstream/trace_test.go
@@ -1,4 +1,4 @@
-package issuer
+package upstream
 
 import (
 	"testing"
@@ -22,12 +22,12 @@
 			t.Fatal("a bad context")
 		}
 		c := &customer{body: []byte(`{"model":"chat"}`)}
-		d.SendTraced(dispatch.StartTracedAttempt{StartAttempt: send(0, c), Span: &trace.Carried{Context: span}})
+		d.StartTracedAttempt(dispatch.StartTracedAttempt{StartAttempt: send(0, c), Span: &trace.Carried{Context: span}})
 		conn := <-far
 		play(t, conn, "traced")
 		synctest.Wait()
 		conn.Close()
-		d.Close()
+		d.CloseIdleConnections()
 		if len(d.ends) != 1 || d.ends[0].Times == nil {
 			t.Fatalf("%+v", d.ends)
 		}
--- a/internal/issuer/issuer_test.go
+++ b/internal/upstream/upstream_test.go
@@ -1,4 +1,4 @@
-package issuer
+package upstream
 
 import (
 	"context"
@@ -29,14 +29,17 @@
 	once bool
 }
 
-func (c *customer) Order() *Order {
-	return &Order{
+func (c *customer) UpstreamRequest() *Request {
+	return &Request{
 		Method: "POST", Target: "/v1/chat/completions?q=%41", Host: "origin.svc", CallID: "9b1f03aa5c7e2d41",
-		ContentType: "application/json", Body: c.body, Once: c.once,
+		ContentType: "application/json", Body: c.body, NonIdempotent: c.once,
 	}
 }
 
-func (c *customer) Relay(events []byte) error { c.got = append(c.got, string(events)); return c.err }
+func (c *customer) WriteBody(events []byte) error {
+	c.got = append(c.got, string(events))
+	return c.err
+}
 
 func (c *customer) Finish(whole bool) error {
 	c.got = append(c.got, map[bool]string{true: "whole", false: "broken"}[whole])
@@ -45,7 +48,7 @@
 
 // desk stands for the broker: it binds every leg that begins and notes how it ended.
 type desk struct {
-	*Client
+	*Transport
 	ends   []dispatch.AttemptEnded
 	events []dispatch.Event
 }
@@ -54,13 +57,13 @@
 	d := &desk{}
 	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024},
 		limits.Site{ConnectTimeout: 100 * time.Millisecond, UpstreamIdleClose: 5 * time.Second})
-	d.Client = New(Config{
-		Lim: lim, Dial: dial,
-		Reports: Reports{Columns: []string{"x1", "concurrent"}, Stats: true, Piggyback: true},
+	d.Transport = New(Config{
+		Limits: lim, Dial: dial,
+		LoadReporting: LoadReporting{Columns: []string{"x1", "concurrent"}, OnStatsPath: true, InResponses: true},
 		Post: func(e dispatch.Event) {
 			switch e := e.(type) {
 			case dispatch.AttemptStarted:
-				d.Bind(e.Attempt)
+				d.BindAttempt(e.Attempt)
 			case dispatch.AttemptEnded:
 				d.ends = append(d.ends, e)
 			default:
@@ -140,12 +143,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				dial, far := pipes()
 				d, c := newDesk(dial), &customer{body: []byte(`{"model":"chat"}`)}
-				d.Send(send(0, c))
+				d.StartAttempt(send(0, c))
 				conn := <-far
 				play(t, conn, name)
 				synctest.Wait()
 				conn.Close()
-				d.Close()
+				d.CloseIdleConnections()
 				end := []dispatch.AttemptEnded{{Attempt: dispatch.AttemptID{Request: 1}, Result: want.result, CachedTokens: want.kept, Report: want.report}}
 				if diff := cmp.Diff(end, d.ends); diff != "" {
 					t.Errorf("outcome (-want +got):\n%s", diff)
@@ -176,17 +179,17 @@
 			dial, far := pipes()
 			d := newDesk(dial)
 			if at.runs {
-				d.Dialect = cutRuns{}
+				d.Dialect = truncatedRunsDialect{}
 			}
-			d.Send(send(0, &customer{body: []byte(strings.Repeat("x", 300))}))
+			d.StartAttempt(send(0, &customer{body: []byte(strings.Repeat("x", 300))}))
 			conn := <-far
 			if n, err := io.ReadFull(conn, make([]byte, read)); n != read {
 				t.Fatal(n, err)
 			}
 			conn.Close()
 			synctest.Wait()
-			if len(d.ends) != 1 || d.ends[0].Result != want || d.lines.open != 0 {
-				t.Errorf("%d bytes had left: ends %v, %d lines open", read, d.ends, d.lines.open)
+			if len(d.ends) != 1 || d.ends[0].Result != want || d.conns.open != 0 {
+				t.Errorf("%d bytes had left: ends %v, %d lines open", read, d.ends, d.conns.open)
 			}
 		})
 	}
@@ -200,20 +203,20 @@
 			go func() { _, _ = far.Read(make([]byte, 10)) }()
 			return halfWriter{near}, nil
 		})
-		d.Dialect = cutRuns{}
-		d.Send(send(0, &customer{}))
+		d.Dialect = truncatedRunsDialect{}
+		d.StartAttempt(send(0, &customer{}))
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if len(d.ends) != 1 || d.ends[0].Result != policy.ResultError || d.lines.open != 0 {
-			t.Errorf("ends %v, %d lines open", d.ends, d.lines.open)
+		if len(d.ends) != 1 || d.ends[0].Result != policy.ResultError || d.conns.open != 0 {
+			t.Errorf("ends %v, %d lines open", d.ends, d.conns.open)
 		}
 	})
 }
 
-// cutRuns is a dialect whose hosts may run what was not written whole.
-type cutRuns struct{ platform }
+// truncatedRunsDialect is a dialect whose hosts may run what was not written whole.
+type truncatedRunsDialect struct{ platform }
 
-func (cutRuns) CutRuns() bool { return true }
+func (truncatedRunsDialect) MayRunTruncated() bool { return true }
 
 // halfWriter is a connection on which a write fails once ten bytes have left.
 type halfWriter struct{ net.Conn }
@@ -235,11 +238,11 @@
 					return nil, errors.New("no connection")
 				})
 				began := time.Now()
-				d.Send(send(0, &customer{}))
+				d.StartAttempt(send(0, &customer{}))
 				time.Sleep(time.Second)
 				synctest.Wait()
-				if len(d.ends) != 1 || d.ends[0].Result != policy.ResultConnectFailed || d.lines.open != 0 {
-					t.Errorf("ends %v after %v, %d lines open", d.ends, time.Since(began), d.lines.open)
+				if len(d.ends) != 1 || d.ends[0].Result != policy.ResultConnectFailed || d.conns.open != 0 {
+					t.Errorf("ends %v after %v, %d lines open", d.ends, time.Since(began), d.conns.open)
 				}
 			})
 		})
@@ -252,24 +255,24 @@
 		d, c := newDesk(dial), &customer{body: []byte(`{"model":"chat"}`)}
 		var conn net.Conn
 		for n := range 2 {
-			d.Send(send(n, c))
+			d.StartAttempt(send(n, c))
 			if n == 0 {
 				conn = <-far
 			}
 			play(t, conn, "served")
 			synctest.Wait()
 		}
-		idle := d.Lim.UpstreamIdleTimeout
+		idle := d.Limits.UpstreamIdleTimeout
 		want := []dispatch.Event{dispatch.ConnectionIdle{Connection: 1, Idle: idle}, dispatch.ConnectionIdle{Connection: 2, Idle: idle}}
 		if diff := cmp.Diff(want, d.events); diff != "" || len(far) != 0 {
 			t.Errorf("parked, %d more connections (-want +got):\n%s", len(far), diff)
 		}
-		d.HangUp(1) // parked anew since: nothing
-		if d.lines.open != 1 {
+		d.CloseIdleConnection(1) // parked anew since: nothing
+		if d.conns.open != 1 {
 			t.Error("a line was hung up under its old number")
 		}
-		d.HangUp(2)
-		if d.lines.open != 0 || len(d.lines.idle) != 0 {
+		d.CloseIdleConnection(2)
+		if d.conns.open != 0 || len(d.conns.idle) != 0 {
 			t.Error("the line was not hung up")
 		}
 	})
@@ -280,11 +283,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		dial, far := pipes()
 		d, c := newDesk(dial), &customer{body: []byte(`{"model":"chat"}`)}
-		d.Send(send(0, c))
+		d.StartAttempt(send(0, c))
 		conn := <-far
 		play(t, conn, "served")
 		synctest.Wait()
-		d.Send(send(1, c))
+		d.StartAttempt(send(1, c))
 		play(t, conn, "reset")
 		synctest.Wait()
 		if len(d.ends) != 2 || d.ends[1].Result != policy.ResultReset || !d.ends[1].StaleConnection || len(far) != 0 {
@@ -306,12 +309,12 @@
 			}
 			return dial(ctx, network, addr)
 		}), &customer{body: []byte(`{"model":"chat"}`)}
-		d.Forgot = func() { forgot++ }
-		d.Rest = func() time.Duration { return 100 * time.Millisecond }
+		d.OnConnectionForgotten = func() { forgot++ }
+		d.MaxReuseAge = func() time.Duration { return 100 * time.Millisecond }
 		leg := 0
 		turn := func(conn net.Conn, says string) net.Conn {
 			t.Helper()
-			d.Send(send(leg, c))
+			d.StartAttempt(send(leg, c))
 			leg++
 			if conn == nil {
 				conn = <-far
@@ -329,13 +332,13 @@
 		time.Sleep(200 * time.Millisecond)
 		turn(second, "reset")
 		third := <-far
-		if forgot != 1 || len(far) != 0 || d.lines.open != 1 {
-			t.Errorf("told %d times, %d more connections, %d open", forgot, len(far), d.lines.open)
+		if forgot != 1 || len(far) != 0 || d.conns.open != 1 {
+			t.Errorf("told %d times, %d more connections, %d open", forgot, len(far), d.conns.open)
 		}
 		gone = true
 		turn(third, "reset")
-		if forgot != 1 || d.lines.open != 0 {
-			t.Errorf("told %d times of a host that is gone, %d lines open", forgot, d.lines.open)
+		if forgot != 1 || d.conns.open != 0 {
+			t.Errorf("told %d times of a host that is gone, %d lines open", forgot, d.conns.open)
 		}
 	})
 }
@@ -347,21 +350,21 @@
 		d, c := newDesk(dial), &customer{body: []byte(`{"model":"chat"}`)}
 		var conns []net.Conn
 		for n := range 2 {
-			d.Send(send(n, c))
+			d.StartAttempt(send(n, c))
 			conns = append(conns, <-far)
 		}
 		for _, conn := range conns {
 			play(t, conn, "served")
 			synctest.Wait()
 		}
-		d.Send(send(2, c))
+		d.StartAttempt(send(2, c))
 		play(t, conns[1], "reset")
 		synctest.Wait()
-		d.Send(send(3, c))
+		d.StartAttempt(send(3, c))
 		play(t, <-far, "reset")
 		synctest.Wait()
-		if len(d.ends) != 4 || !d.ends[2].StaleConnection || d.ends[3].StaleConnection || d.lines.open != 0 {
-			t.Errorf("ends %v, %d lines open", d.ends, d.lines.open)
+		if len(d.ends) != 4 || !d.ends[2].StaleConnection || d.ends[3].StaleConnection || d.conns.open != 0 {
+			t.Errorf("ends %v, %d lines open", d.ends, d.conns.open)
 		}
 	})
 }
@@ -370,14 +373,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		dial, far := pipes()
 		d, c := newDesk(dial), &customer{body: []byte(`{"model":"chat"}`)}
-		d.Send(send(0, c))
+		d.StartAttempt(send(0, c))
 		conn := <-far
 		play(t, conn, "request_sent")
-		d.Drop(dispatch.AttemptID{Request: 1})
+		d.CancelAttempt(dispatch.AttemptID{Request: 1})
 		play(t, conn, "is_closed")
 		synctest.Wait()
-		if len(d.ends) != 1 || d.lines.open != 0 || len(d.legs) != 0 {
-			t.Errorf("ends %v, %d lines, %d legs", d.ends, d.lines.open, len(d.legs))
+		if len(d.ends) != 1 || d.conns.open != 0 || len(d.attempts) != 0 {
+			t.Errorf("ends %v, %d lines, %d legs", d.ends, d.conns.open, len(d.attempts))
 		}
 	})
 }
@@ -387,7 +390,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		dial, far := pipes()
 		d, c := newDesk(dial), &customer{body: []byte(`{"model":"chat"}`), err: errors.New("gone")}
-		d.Send(send(0, c))
+		d.StartAttempt(send(0, c))
 		conn := <-far
 		play(t, conn, "unread")
 		synctest.Wait()
@@ -406,19 +409,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		dial, far := pipes()
 		d := newDesk(dial)
-		d.lines.stock.Resize(1)
-		d.Set(0, d.Reports, quota.Claim{Guarantee: 1})
-		first, err := d.lines.get(t.Context(), dest{1, "a", 0}, time.Second, 0)
+		d.conns.quota.Resize(1)
+		d.ConfigurePool(0, d.LoadReporting, quota.Claim{Guarantee: 1})
+		first, err := d.conns.get(t.Context(), endpoint{1, "a", 0}, time.Second, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := d.lines.get(t.Context(), dest{2, "a", 0}, time.Second, 0); !errors.Is(err, errNoRoom) {
+		if _, err := d.conns.get(t.Context(), endpoint{2, "a", 0}, time.Second, 0); !errors.Is(err, errConnectionLimit) {
 			t.Errorf("a second line: %v", err)
 		}
-		d.lines.put(first)
-		second, err := d.lines.get(t.Context(), dest{2, "a", 0}, time.Second, 0)
-		if err != nil || d.lines.open != 1 {
-			t.Fatalf("%v, %d open", err, d.lines.open)
+		d.conns.put(first)
+		second, err := d.conns.get(t.Context(), endpoint{2, "a", 0}, time.Second, 0)
+		if err != nil || d.conns.open != 1 {
+			t.Fatalf("%v, %d open", err, d.conns.open)
 		}
 		_ = second.Close()
 		for range 2 {
@@ -438,12 +441,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				dial, far := pipes()
 				d := newDesk(dial)
-				d.Probe(dispatch.SendProbe{Host: 5, Addr: "d"})
+				d.SendProbe(dispatch.SendProbe{Host: 5, Addr: "d"})
 				conn := <-far
 				play(t, conn, name)
 				synctest.Wait()
 				conn.Close()
-				d.Close()
+				d.CloseIdleConnections()
 				want.Host = 5
 				var got []dispatch.Event
 				for _, e := range d.events {
@@ -469,7 +472,7 @@
 		"":                  {},
 		"nonsense":          {},
 	} {
-		if diff := cmp.Diff(want, ParseReport(text, columns)); diff != "" {
+		if diff := cmp.Diff(want, ParseLoadReport(text, columns)); diff != "" {
 			t.Errorf("%q (-want +got):\n%s", text, diff)
 		}
 	}
@@ -478,7 +481,7 @@
 func TestEndlessEventSpoilsTheStream(t *testing.T) {
 	// Memory is bounded whatever a host sends, and what has no end is never passed on: before the first event it
 	// would bind a leg to noise, later a chunk of 3 GB would run on without end.
-	ev := events{from: strings.NewReader("data: 1\n\ndata: " + strings.Repeat("x", 100) + "\n\n"), most: 64, buf: make([]byte, 0, 16)}
+	ev := eventReader{body: strings.NewReader("data: 1\n\ndata: " + strings.Repeat("x", 100) + "\n\n"), maxBytes: 64, buf: make([]byte, 0, 16)}
 	var got []string
 	var err error
 	for err == nil {
@@ -486,7 +489,7 @@
 		part, err = ev.next()
 		got = append(got, string(part))
 	}
-	if diff := cmp.Diff([]string{"data: 1\n\n", ""}, got); diff != "" || !errors.Is(err, errSpoilt) {
+	if diff := cmp.Diff([]string{"data: 1\n\n", ""}, got); diff != "" || !errors.Is(err, errMalformedResponse) {
 		t.Errorf("%v (-want +got):\n%s", err, diff)
 	}
 }
@@ -497,48 +500,48 @@
 	synctest.Test(t, func(t *testing.T) {
 		dial, far := pipes()
 		d := newDesk(dial)
-		d.lines.stock.Resize(3)
+		d.conns.quota.Resize(3)
 		for id := range hoststate.PoolID(2) {
-			d.Set(id, d.Reports, quota.Claim{Guarantee: 1})
+			d.ConfigurePool(id, d.LoadReporting, quota.Claim{Guarantee: 1})
 		}
-		get := func(of hoststate.PoolID, host policy.ReplicaID) *line {
-			l, err := d.lines.get(t.Context(), dest{host, "a", of}, time.Second, 0)
+		get := func(of hoststate.PoolID, host policy.ReplicaID) *conn {
+			l, err := d.conns.get(t.Context(), endpoint{host, "a", of}, time.Second, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
 			return l
 		}
 		first, second := get(0, 1), get(0, 2)
-		if _, err := d.lines.get(t.Context(), dest{3, "a", 0}, time.Second, 0); !errors.Is(err, errNoRoom) {
+		if _, err := d.conns.get(t.Context(), endpoint{3, "a", 0}, time.Second, 0); !errors.Is(err, errConnectionLimit) {
 			t.Errorf("a line of the other's guarantee: %v", err)
 		}
 		other := get(1, 1)
-		if other == first || d.Lines(0) != 2 || d.Lines(1) != 1 {
-			t.Errorf("%d and %d lines", d.Lines(0), d.Lines(1))
+		if other == first || d.Connections(0) != 2 || d.Connections(1) != 1 {
+			t.Errorf("%d and %d lines", d.Connections(0), d.Connections(1))
 		}
-		for _, l := range []*line{first, second} {
-			d.lines.put(l)
+		for _, l := range []*conn{first, second} {
+			d.conns.put(l)
 		}
 		more := get(1, 2) // an idle one of the first pool, which has more than its guarantee, goes for it
-		if d.Lines(0) != 1 || d.Lines(1) != 2 || d.lines.open != 3 {
-			t.Errorf("%d and %d lines, %d open", d.Lines(0), d.Lines(1), d.lines.open)
+		if d.Connections(0) != 1 || d.Connections(1) != 2 || d.conns.open != 3 {
+			t.Errorf("%d and %d lines, %d open", d.Connections(0), d.Connections(1), d.conns.open)
 		}
-		if _, err := d.lines.get(t.Context(), dest{4, "a", 1}, time.Second, 0); !errors.Is(err, errNoRoom) {
+		if _, err := d.conns.get(t.Context(), endpoint{4, "a", 1}, time.Second, 0); !errors.Is(err, errConnectionLimit) {
 			t.Errorf("the guaranteed one went: %v", err)
 		}
 		_ = more.Close()
-		d.lines.closeIf(func(dest) bool { return true })
+		d.conns.closeIdleTo(func(endpoint) bool { return true })
 		mine, theirs, elsewhere := get(0, 1), other, get(1, 2)
-		for _, l := range []*line{mine, theirs, elsewhere} {
-			d.lines.put(l)
+		for _, l := range []*conn{mine, theirs, elsewhere} {
+			d.conns.put(l)
 		}
-		d.lines.clear(mine.to)
-		if len(d.lines.idle) != 1 || len(d.lines.idle[elsewhere.to]) != 1 || d.lines.open != 1 {
-			t.Errorf("idle after the host closed: %v", d.lines.idle)
+		d.conns.closeIdleToHost(mine.endpoint)
+		if len(d.conns.idle) != 1 || len(d.conns.idle[elsewhere.endpoint]) != 1 || d.conns.open != 1 {
+			t.Errorf("idle after the host closed: %v", d.conns.idle)
 		}
-		d.End(1)
-		if d.lines.open != 0 || d.lines.stock.Used() != 0 {
-			t.Errorf("%d lines of a pool that has ended", d.lines.open)
+		d.RemovePool(1)
+		if d.conns.open != 0 || d.conns.quota.Used() != 0 {
+			t.Errorf("%d lines of a pool that has ended", d.conns.open)
 		}
 		for len(far) > 0 {
 			(<-far).Close()
