--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -139,7 +139,7 @@
 }
 
 // Compile works a configuration out. Services that it names and before has not are made with numbers from next on. It
-// pauses now and then, as declared.Read does.
+// yields now and then, as fleetconfig.Decode does.
 func Compile(c *fleetconfig.Config, place uint64, before map[string]*Service, next *hoststate.PoolID, pause func()) (*Compiled, error) {
 	if pause == nil {
 		pause = func() {}
--- a/internal/node/singletonhost.go
+++ b/internal/node/singletonhost.go
@@ -7,6 +7,7 @@
 	"sync"
 	"time"
 
+	"notchhinge/internal/config/nodeconfig"
 	"notchhinge/internal/control/autoscale"
 	"notchhinge/internal/control/cloudapi"
 	"notchhinge/internal/control/endpoints"
@@ -46,8 +47,8 @@
 		RouterWindow:      retrybudget.CountingPeriod(seconds(b.RetryWindowS), limits.RouterReportRetention),
 		CandidacyDelay:    time.Duration(n.replica.self.ID%1000) * time.Millisecond, // so that candidates do not come at once
 		Incarnation:       rand.Uint64(),
-		ReportsUsage:      n.cfg.CloudAPI.HasRole("usage_reporting"),
-		ScalesEngines:     n.cfg.CloudAPI.HasRole("autoscaler"),
+		ReportsUsage:      n.cfg.CloudAPI.HasRole(nodeconfig.RoleUsage),
+		ScalesEngines:     n.cfg.CloudAPI.HasRole(nodeconfig.RoleAutoscaler),
 		Peers:             n.replica.peers,
 		Services:          n.autoscaledServices,
 		MembershipPending: n.replica.membershipPending,
