--- a/internal/lab/plane/machine.go
+++ b/internal/lab/plane/machine.go
@@ -43,20 +43,20 @@
 	lastRequest discovery.RequestID
 	replies     map[discovery.RequestID]func(discovery.Reply) // of requests in flight at its process
 
-	core   *replica.Replica
-	disk   *disk
-	busy   bool
-	queue  []any // events that wait until the process has done with the one before
-	duty   *singleton.Controller
-	meter  *usage.Meter
-	frozen bool
-	writes *replica.Write // what is on its way to the disk
-	full   bool           // the disk refuses what is written
-	shut   bool           // it has refused something that it has not been told since
-	step   time.Duration  // its time of day is ahead by this
-	wakeAt time.Duration
-	calm   time.Duration // since when nothing has happened to it or to its links
-	healed time.Duration // when a cut or a stop of it last ended
+	core      *replica.Replica
+	disk      *disk
+	busy      bool
+	queue     []any                 // events that wait until the process has done with the one before
+	singleton *singleton.Controller // a replica's part in the singleton roles
+	meter     *usage.Meter
+	frozen    bool
+	writes    *replica.Write // what is on its way to the disk
+	full      bool           // the disk refuses what is written
+	shut      bool           // it has refused something that it has not been told since
+	step      time.Duration  // its time of day is ahead by this
+	wakeAt    time.Duration
+	calm      time.Duration // since when nothing has happened to it or to its links
+	healed    time.Duration // when a cut or a stop of it last ended
 
 	told    []*machine    // while a cut lasts: of whom alone; else nil
 	former  *machine      // whose seat it has taken; nil = nobody's
@@ -119,9 +119,9 @@
 		})
 		s := m.core.State()
 		m.changed(&s)
-		m.duties(replog.Member{ID: d.id, Name: m.name, Addr: addrOf(m.i).String()}, d.founder, s.NextIndex)
+		m.startSingleton(replog.Member{ID: d.id, Name: m.name, Addr: addrOf(m.i).String()}, d.founder && s.NextIndex == 0)
 	} else {
-		m.meter = &usage.Meter{WindowLength: window, Incarnation: w.rnd.Uint64()}
+		m.meter = &usage.Meter{WindowLength: usageWindow, Incarnation: w.rnd.Uint64()}
 	}
 	m.replies = map[discovery.RequestID]func(discovery.Reply){}
 	m.take(discovery.Gossip{Event: gossip.SeedsChanged{Addrs: w.seedsFor(m)}})
@@ -185,13 +185,12 @@
 		m.queue = m.queue[1:]
 		now, wall := m.w.now, m.wall().UnixMilli()
 		if c, ok := e.(replica.CallReceived); ok && singleton.OwnsCall(uint8(c.Kind)) {
-			e = toDuty{event: singleton.CallReceived{Kind: uint8(c.Kind), Body: c.Body}, request: c.Request}
+			e = singletonEvent{event: singleton.CallReceived{Kind: uint8(c.Kind), Body: c.Body}, request: c.Request}
 		}
 		switch e := e.(type) {
-		case toDuty:
-			if m.duty != nil {
-				s := m.core.State()
-				m.owe(append([]singleton.Effect(nil), m.duty.Reduce(now, m.wall(), &s, e.event)...), e.request)
+		case singletonEvent:
+			if m.singleton != nil {
+				m.reduceSingleton(e)
 			}
 		case func():
 			e()
@@ -430,7 +429,7 @@
 		day: d, broken: broken, due: timerqueue.New[func()](), rnd: rand.New(rand.NewPCG(d.Seed, 77)), cuts: map[[2]int]int{}, silence: 5250 * time.Millisecond, sync: 5 * time.Millisecond,
 		loss: 0.01, least: 2*d.Tolerate + 1, sent: map[fleetconfig.Digest]*change{}, upon: map[uint64]*change{}, found: map[string]Found{}, bounds: boundsOf(d.Tolerate),
 		began:    map[uint64]int{},
-		platform: platform{usage: map[uint64]string{}, fences: map[string]uint64{}, holders: map[string]string{}, acts: map[string][]act{}},
+		platform: newPlatform(),
 	}
 	for i := range d.Keepers + d.Routers {
 		m := &machine{w: w, i: i, keeper: i < d.Keepers, zone: uint32(i % 4)}
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -187,7 +187,7 @@
 	w.run(lead + d.Length)
 	w.heal()
 	w.run(w.now + rest)
-	w.owed()
+	w.checkUsage()
 	w.readBack()
 	for _, rule := range slices.Sorted(keys(w.found)) {
 		w.report.Found = append(w.report.Found, w.found[rule])
@@ -202,7 +202,7 @@
 	}
 	for _, m := range w.machines {
 		if !m.keeper {
-			w.reports(m)
+			w.reportUsage(m)
 		}
 	}
 	w.watchCore()
--- a/internal/lab/plane/recover.go
+++ b/internal/lab/plane/recover.go
@@ -25,7 +25,7 @@
 	w.run(lead + d.Length)
 	w.strike(&Trouble{Kind: Dark, For: down})
 	acts := func() (n int) {
-		for _, a := range w.platform.acts {
+		for _, a := range w.platform.accepted {
 			n += len(a)
 		}
 		return n + len(w.platform.usage)
