--- a/internal/control/gossip/items.go
+++ b/internal/control/gossip/items.go
@@ -96,7 +96,7 @@
 	return d.Sum64()
 }
 
-// size is an upper bound of the encoded size in bytes, but for the longest keys and bodies.
+// size is an upper bound of the encoded size in bytes.
 func (i *Item) size() int { return len(i.Key) + len(i.Body) + 16 }
 
 // Item returns the stored item of a key.
--- a/internal/control/gossip/limits.go
+++ b/internal/control/gossip/limits.go
@@ -58,8 +58,8 @@
 
 	maxItems      = 256
 	maxHeartbeats = 512
-	maxPeers      = 32 // also the number of replicas that are known
-	maxVersions   = 256
+	maxPeers      = 32  // also the number of replicas that are known
+	maxVersions   = 256 // of a bucket; with more items in one, comparisons send items that the other node has
 	maxKeyBytes   = 256
 	maxBodyBytes  = 1200
 
