--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -18,16 +18,16 @@
 // Walks are all walks, none of which may find anything.
 func Walks() []Walk {
 	return []Walk{
-		{"ballots, at random", func(lives int) (string, int) { return deep(func(*world) {}, lives) }},
-		{"ballots, every order of messages and of a crash", func(int) (string, int) { return explore(1, 9) }},
+		{"proposals, at random", func(lives int) (string, int) { return randomProposals(func(*paxosCluster) {}, lives) }},
+		{"proposals, every order of messages and of a crash", func(int) (string, int) { return exploreOrders(1, 9) }},
 		{"members, at random", func(lives int) (string, int) { return deepLives(func(*core) {}, lives) }},
 		{"members, every life of six steps", func(int) (string, int) {
 			return everyLife(newCore(), bounds{rounds: 2, wipes: 1, places: 2, depth: 6})
 		}},
 		{"a voter replaced, and another lost right after", func(lives int) (string, int) { return replace(lives, false) }},
-		{"founding, with cuts", func(lives int) (string, int) {
+		{"founding, with partitions", func(lives int) (string, int) {
 			for seed := range lives {
-				if sets := found(draws(seed), 3+seed%3, func(set int) int { return set }); len(sets) > 1 {
+				if sets := randomFounding(draws(seed), 3+seed%3, func(set int) int { return set }); len(sets) > 1 {
 					return fmt.Sprintf("seed %d: two cores: %v", seed, sets), seed
 				}
 			}
@@ -39,13 +39,13 @@
 		{"engines that drain, while processes crash", func(lives int) (string, int) { return draining(lives, false) }},
 		{"legs, every order of events of one request and one more", func(int) (string, int) { return legs(slips{}, legPairs(), legsFine()...) }},
 		{"legs, every order of events of two requests", everyTwo},
-		{"power lost at every step of a store's life", func(int) (string, int) {
-			faults, points := powerLost(false, 1)
+		{"power lost at every step of a store's writes", func(int) (string, int) {
+			faults, points := losePowerAtEachStep(false, 1)
 			return first(faults), points
 		}},
 		{"members away for a thousand changes", snapshots},
 		{"power lost at every step of catching up, states torn", snapshotsTorn},
-		{"writes refused at every second step", func(int) (string, int) { return first(refused(2)), 0 }},
+		{"writes refused at every second step", func(int) (string, int) { return first(refuseWritesAtEachStep(2)), 0 }},
 	}
 }
 
@@ -54,22 +54,22 @@
 	members := func(breaks func(*core)) func(int) (string, int) {
 		return func(lives int) (string, int) { return deepLives(breaks, lives) }
 	}
-	ballots := func(breaks func(*world)) func(int) (string, int) {
-		return func(lives int) (string, int) { return deep(breaks, lives) }
+	proposals := func(breaks func(*paxosCluster)) func(int) (string, int) {
+		return func(lives int) (string, int) { return randomProposals(breaks, lives) }
 	}
 	broken := func(rule string) Walk {
 		return Walk{rule, func(lives int) (string, int) { return snapshotsBroken(rule, lives) }}
 	}
 	return append([]Walk{
-		{"votes after a wipe", ballots(func(w *world) { w.forgets = true })},
-		{"answers before the sync", ballots(func(w *world) { w.skipDisk = true })},
-		{"counts its rounds anew", ballots(func(w *world) { w.again = true })},
+		{"a voter loses its disk and votes on", proposals(func(w *paxosCluster) { w.losesDisk = true })},
+		{"a voter responds before the sync", proposals(func(w *paxosCluster) { w.skipsSync = true })},
+		{"a proposer uses numbers again", proposals(func(w *paxosCluster) { w.reusesNumbers = true })},
 		{"a wiped machine goes on under its number", members(func(c *core) { c.forget = true })},
 		{"a change counts before it is chosen", members(func(c *core) { c.eager = true })},
 		{"a change counts as finished once it is chosen", func(lives int) (string, int) { return replace(lives, true) }},
-		{"a majority founds", func(lives int) (string, int) {
+		{"a majority of the founders is enough", func(lives int) (string, int) {
 			for seed := range lives {
-				if sets := found(draws(seed), 5, paxos.Majority); len(sets) > 1 {
+				if sets := randomFounding(draws(seed), 5, paxos.Majority); len(sets) > 1 {
 					return fmt.Sprint(sets), seed
 				}
 			}
@@ -78,8 +78,8 @@
 		{"a ballot that was won is taken for one's own", func(lives int) (string, int) { return races(lives, true) }},
 		{"a drain is acknowledged before others know", func(lives int) (string, int) { return draining(lives, true) }},
 		broken(breaksBatch), broken(breaksOrder), broken(breaksReads), broken(breaksStep), broken(breaksPatience),
-		{"a journal's name is not durable", func(int) (string, int) {
-			faults, points := powerLost(true, 5)
+		{"a journal's name is not synced", func(int) (string, int) {
+			faults, points := losePowerAtEachStep(true, 5)
 			return first(faults), points
 		}},
 	}, slices.Concat(brokenSites(), legsBroken())...)
--- a/internal/lab/check/disk.go
+++ b/internal/lab/check/disk.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"fmt"
 	"maps"
 	"math/rand/v2"
 	"os"
@@ -12,98 +11,99 @@
 
 	leveldbstorage "github.com/syndtr/goleveldb/leveldb/storage"
 
-	"notchhinge/internal/control/paxos"
-	"notchhinge/internal/control/replog"
 	"notchhinge/internal/control/storage"
 )
 
-// disk is a disk of our own under the database: what is written is in a cache until it is synced, a file's bytes and its
-// name in the folder each by itself. Every step is counted; from a step on it refuses, or the power is lost there. What a
-// power loss leaves of the cache is drawn: nothing, all, a torn end, or later blocks without earlier ones.
+// disk is a simulated disk under the database of a store. What is written stays in a cache until it is synced: the bytes of a
+// file by a sync of the file, its name by a sync of the folder. Every operation that writes counts as a step. From a given
+// step on, the disk refuses writes, or the power is lost; afterPowerLoss returns the disk that is left then.
 type disk struct {
-	mu      sync.Mutex
-	files   map[leveldbstorage.FileDesc]*file
-	named   map[leveldbstorage.FileDesc]*file // names that are durable
-	meta    leveldbstorage.FileDesc
-	steps   int
-	failAt  int // from this step on; 0 = never
-	fails   int // so many steps fail
-	err     error
-	noNames bool // the folder is not synced after a journal is made: must be found out
-	held    int  // bytes of all files
-	peak    int  // the most that they were
-	room    int  // bytes that it has; 0 = no bound
+	mu            sync.Mutex
+	cached        map[leveldbstorage.FileDesc]*file // as the process sees them
+	durableNames  map[leveldbstorage.FileDesc]*file
+	meta          leveldbstorage.FileDesc // the current manifest
+	steps         int
+	failAt        int   // first step that fails; 0 = none does
+	failures      int   // number of steps that fail; 0 = all from failAt on
+	err           error // that they fail with
+	skipsNameSync bool  // breaks a rule: the folder is not synced after a journal was created
+	usedBytes     int
+	peakBytes     int
+	capacity      int // bytes; 0 = not bounded
 }
 
 type file struct {
 	data   []byte
-	synced int
+	synced int // bytes that are durable
 }
 
 func newDisk() *disk {
-	return &disk{files: map[leveldbstorage.FileDesc]*file{}, named: map[leveldbstorage.FileDesc]*file{}}
+	return &disk{cached: map[leveldbstorage.FileDesc]*file{}, durableNames: map[leveldbstorage.FileDesc]*file{}}
 }
 
-var errPower = errors.New("the power is gone")
+var errPowerLost = errors.New("power lost")
 
-// step counts a step and says whether it fails. The lock is held.
+// step counts a step and returns its error. The caller holds the lock.
 func (d *disk) step() error {
 	d.steps++
-	if d.failAt > 0 && d.steps >= d.failAt && (d.fails == 0 || d.steps < d.failAt+d.fails) {
+	if d.failAt > 0 && d.steps >= d.failAt && (d.failures == 0 || d.steps < d.failAt+d.failures) {
 		return d.err
 	}
 	return nil
 }
 
-// empty is another disk of the same size.
-func (d *disk) empty() *disk {
+// emptied returns an empty disk of the same capacity.
+func (d *disk) emptied() *disk {
 	next := newDisk()
-	next.room, next.peak = d.room, d.peak
+	next.capacity, next.peakBytes = d.capacity, d.peakBytes
 	return next
 }
 
-// used is how many bytes there are, and how many there were at the most.
-func (d *disk) used() (held, peak int) {
+// usage returns the bytes of all files, now and at most so far.
+func (d *disk) usage() (used, peak int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.held, d.peak
+	return d.usedBytes, d.peakBytes
 }
 
-// struck tells whether a step has failed, and dead whether that was since the power is lost.
-func (d *disk) struck() bool {
+// hasFailed reports whether a step has failed.
+func (d *disk) hasFailed() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.failAt > 0 && d.steps >= d.failAt
 }
 
-// strike has so many steps fail, from the one that is so many steps ahead; 0 = all from there on. The database works on by itself.
-func (d *disk) strike(ahead, fails int, err error) {
+// failFrom has a number of steps fail, beginning with the one that is ahead steps from now; 0 failures = all from there on.
+// The database takes steps of its own in the background.
+func (d *disk) failFrom(ahead, failures int, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.failAt, d.fails, d.err = d.steps+ahead, fails, err
+	d.failAt, d.failures, d.err = d.steps+ahead, failures, err
 }
 
-// ahead tells whether no step has failed yet of those that are to.
-func (d *disk) ahead() bool {
+// isFailurePending reports whether the first step that is to fail lies ahead.
+func (d *disk) isFailurePending() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.steps < d.failAt
 }
 
-// fault is what the steps that fail fail with.
+// fault returns the error of the steps that fail.
 func (d *disk) fault() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.err
 }
 
-func (d *disk) dead() bool { return errors.Is(d.fault(), errPower) && d.struck() }
+// hasLostPower reports whether the power is lost.
+func (d *disk) hasLostPower() bool { return errors.Is(d.fault(), errPowerLost) && d.hasFailed() }
 
+// open implements the openFiles of storage.OpenFiles.
 func (d *disk) open() (leveldbstorage.Storage, error) {
-	if d.noNames {
-		return storage.SyncNames(diskFiles{d}, func() error { return nil }), nil
+	if d.skipsNameSync {
+		return storage.SyncNames(simulatedFiles{d}, func() error { return nil }), nil
 	}
-	return storage.SyncNames(diskFiles{d}, d.syncNames), nil
+	return storage.SyncNames(simulatedFiles{d}, d.syncNames), nil
 }
 
 func (d *disk) syncNames() error {
@@ -112,23 +112,23 @@
 	if err := d.step(); err != nil {
 		return err
 	}
-	d.named = maps.Clone(d.files)
+	d.durableNames = maps.Clone(d.cached)
 	return nil
 }
 
-// diskFiles is a disk as the database has it.
-type diskFiles struct{ d *disk }
+// simulatedFiles implements leveldbstorage.Storage on a disk.
+type simulatedFiles struct{ d *disk }
 
-type unlocked struct{}
+type noLock struct{}
 
-func (unlocked) Unlock() {}
+func (noLock) Unlock() {}
 
-func (diskFiles) Lock() (leveldbstorage.Locker, error) { return unlocked{}, nil }
-func (diskFiles) Log(string)                           {}
-func (diskFiles) Close() error                         { return nil }
+func (simulatedFiles) Lock() (leveldbstorage.Locker, error) { return noLock{}, nil }
+func (simulatedFiles) Log(string)                           {}
+func (simulatedFiles) Close() error                         { return nil }
 
-// SetMeta is a file written beside, synced, renamed, and the folder synced.
-func (x diskFiles) SetMeta(fd leveldbstorage.FileDesc) error {
+// SetMeta takes three steps: a file is written and synced, renamed, and the folder synced.
+func (x simulatedFiles) SetMeta(fd leveldbstorage.FileDesc) error {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
 	for range 3 {
@@ -137,11 +137,11 @@
 		}
 	}
 	x.d.meta = fd
-	x.d.named = maps.Clone(x.d.files)
+	x.d.durableNames = maps.Clone(x.d.cached)
 	return nil
 }
 
-func (x diskFiles) GetMeta() (leveldbstorage.FileDesc, error) {
+func (x simulatedFiles) GetMeta() (leveldbstorage.FileDesc, error) {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
 	if x.d.meta.Zero() {
@@ -150,10 +150,10 @@
 	return x.d.meta, nil
 }
 
-func (x diskFiles) List(t leveldbstorage.FileType) (all []leveldbstorage.FileDesc, err error) {
+func (x simulatedFiles) List(t leveldbstorage.FileType) (all []leveldbstorage.FileDesc, err error) {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
-	for fd := range x.d.files {
+	for fd := range x.d.cached {
 		if fd.Type&t != 0 {
 			all = append(all, fd)
 		}
@@ -165,48 +165,48 @@
 
 func (reader) Close() error { return nil }
 
-func (x diskFiles) Open(fd leveldbstorage.FileDesc) (leveldbstorage.Reader, error) {
+func (x simulatedFiles) Open(fd leveldbstorage.FileDesc) (leveldbstorage.Reader, error) {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
-	f := x.d.files[fd]
+	f := x.d.cached[fd]
 	if f == nil {
 		return nil, os.ErrNotExist
 	}
-	return reader{bytes.NewReader(f.data)}, nil // what is added later is behind it
+	return reader{bytes.NewReader(f.data)}, nil // later writes do not show
 }
 
-func (x diskFiles) Create(fd leveldbstorage.FileDesc) (leveldbstorage.Writer, error) {
+func (x simulatedFiles) Create(fd leveldbstorage.FileDesc) (leveldbstorage.Writer, error) {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
 	if err := x.d.step(); err != nil {
 		return nil, err
 	}
 	f := &file{}
-	x.d.files[fd] = f
+	x.d.cached[fd] = f
 	return &writer{x.d, f, fd}, nil
 }
 
-func (x diskFiles) Remove(fd leveldbstorage.FileDesc) error {
+func (x simulatedFiles) Remove(fd leveldbstorage.FileDesc) error {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
 	if err := x.d.step(); err != nil {
 		return err
 	}
-	if f := x.d.files[fd]; f != nil {
-		x.d.held -= len(f.data)
+	if f := x.d.cached[fd]; f != nil {
+		x.d.usedBytes -= len(f.data)
 	}
-	delete(x.d.files, fd)
+	delete(x.d.cached, fd)
 	return nil
 }
 
-func (x diskFiles) Rename(from, to leveldbstorage.FileDesc) error {
+func (x simulatedFiles) Rename(from, to leveldbstorage.FileDesc) error {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
 	if err := x.d.step(); err != nil {
 		return err
 	}
-	x.d.files[to] = x.d.files[from]
-	delete(x.d.files, from)
+	x.d.cached[to] = x.d.cached[from]
+	delete(x.d.cached, from)
 	return nil
 }
 
@@ -220,15 +220,15 @@
 	w.d.mu.Lock()
 	defer w.d.mu.Unlock()
 	err := w.d.step()
-	if w.d.room > 0 && w.d.held+len(b) > w.d.room && err == nil {
+	if w.d.capacity > 0 && w.d.usedBytes+len(b) > w.d.capacity && err == nil {
 		err = syscall.ENOSPC
 	}
 	if err != nil {
-		b = b[:len(b)/2] // a disk that is full takes a part
+		b = b[:len(b)/2] // a failed write may have written a part
 	}
 	w.f.data = append(w.f.data, b...)
-	w.d.held += len(b)
-	w.d.peak = max(w.d.peak, w.d.held)
+	w.d.usedBytes += len(b)
+	w.d.peakBytes = max(w.d.peakBytes, w.d.usedBytes)
 	return len(b), err
 }
 
@@ -239,195 +239,60 @@
 		return err
 	}
 	w.f.synced = len(w.f.data)
-	if w.fd.Type == leveldbstorage.TypeManifest { // as the database's own files do
-		w.d.named = maps.Clone(w.d.files)
+	if w.fd.Type == leveldbstorage.TypeManifest { // as the file storage of the database does
+		w.d.durableNames = maps.Clone(w.d.cached)
 	}
 	return nil
 }
 
 func (w *writer) Close() error { return nil }
 
-// What a power loss leaves of what is not durable.
+// What is left, after a loss of power, of data and names that were not synced.
 const (
-	leavesNothing = iota
-	leavesAll
-	leavesTorn
-	leavesLater
-	kinds
+	keepNothing  = iota
+	keepAll      // the cache was written back
+	keepTornTail // a beginning of each file's data, and some names
+	keepWithHole // data with a block missing, since blocks are written back in any order, and some names
+	lossKinds
 )
 
-// after is the disk that is found when the power is back.
-func (d *disk) after(kind int, seed uint64) *disk {
+// afterPowerLoss returns the disk that a restart finds after a loss of power; kind is one of the constants above.
+func (d *disk) afterPowerLoss(kind int, seed uint64) *disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	rnd := rand.New(rand.NewPCG(seed, uint64(kind)))
 	next := newDisk()
 	next.meta = d.meta
-	for fd, f := range d.files {
-		if _, durable := d.named[fd]; !durable && (kind == leavesNothing || kind != leavesAll && rnd.IntN(2) == 0) {
+	for fd, f := range d.cached {
+		if _, durable := d.durableNames[fd]; !durable && (kind == keepNothing || kind != keepAll && rnd.IntN(2) == 0) {
 			continue
 		}
 		data := bytes.Clone(f.data)
-		loose := data[min(f.synced, len(data)):]
+		unsynced := data[min(f.synced, len(data)):]
 		switch kind {
-		case leavesNothing:
+		case keepNothing:
 			data = data[:f.synced]
-		case leavesTorn:
-			if len(loose) > 0 {
-				data = data[:f.synced+rnd.IntN(len(loose))]
+		case keepTornTail:
+			if len(unsynced) > 0 {
+				data = data[:f.synced+rnd.IntN(len(unsynced))]
 			}
-		case leavesLater: // blocks of a file are written in any order: the first is missing, or one in the midst
-			if n := len(loose); n > 0 {
+		case keepWithHole:
+			if n := len(unsynced); n > 0 {
 				from := rnd.IntN(n)
-				clear(loose[from:min(from+512, n)])
+				clear(unsynced[from:min(from+512, n)])
 			}
 		}
-		next.files[fd] = &file{data, len(data)}
+		next.cached[fd] = &file{data, len(data)}
 	}
-	for fd, f := range d.named { // removed, and the folder not synced since
-		if next.files[fd] == nil && d.files[fd] == nil && kind != leavesAll {
-			next.files[fd] = &file{bytes.Clone(f.data[:f.synced]), f.synced}
+	for fd, f := range d.durableNames { // removed, but the folder is not synced since
+		if next.cached[fd] == nil && d.cached[fd] == nil && kind != keepAll {
+			next.cached[fd] = &file{bytes.Clone(f.data[:f.synced]), f.synced}
 		}
 	}
-	next.named = maps.Clone(next.files)
-	for _, f := range next.files {
-		next.held += len(f.data)
+	next.durableNames = maps.Clone(next.cached)
+	for _, f := range next.cached {
+		next.usedBytes += len(f.data)
 	}
-	next.room, next.peak = d.room, max(d.peak, next.held)
+	next.capacity, next.peakBytes = d.capacity, max(d.peakBytes, next.usedBytes)
 	return next
 }
-
-// moment is what a store has been told.
-type moment struct {
-	state replog.State
-	vote  paxos.AcceptorState
-}
-
-// is tells whether a start has found just that.
-func (m moment) is(k *storage.Recovered) bool {
-	return bytes.Equal(m.state.Encode(), k.State.Encode()) && m.vote.Index == k.Acceptor.Index && m.vote.Promised == k.Acceptor.Promised &&
-		m.vote.Accepted == k.Acceptor.Accepted && bytes.Equal(m.vote.Value, k.Acceptor.Value)
-}
-
-// script is a life with values so long that journals are rotated; each write is one step of it.
-func script() (all []moment, values [][]byte) {
-	var m moment
-	for place := range uint64(36) {
-		e := replog.Entry{Nonce: place, Payload: replog.ConfigChange{BaseRevision: place, Config: bytes.Repeat([]byte{byte(place)}, 30_000)}} // read by nobody
-		if place%4 == 0 {
-			e = replog.Entry{Nonce: place, Payload: replog.UsageReport{Window: place, Counts: []replog.TenantCount{{Tenant: "k", Requests: place}}}}
-		}
-		if place == 0 {
-			e = replog.Entry{Payload: replog.MembersChange{Members: []replog.Member{{ID: 7, Name: "a", Addr: "x"}}}}
-		}
-		m.vote = paxos.AcceptorState{Index: place, Promised: paxos.ProposalNumber{Term: place + 1, Proposer: 3}}
-		all, values = append(all, m), append(values, nil)
-		m.vote.Accepted, m.vote.Value = m.vote.Promised, e.Encode()
-		all, values = append(all, m), append(values, nil)
-		m.state.Apply(e.Encode())
-		all, values = append(all, m), append(values, e.Encode())
-	}
-	return all, values
-}
-
-// play plays the script on a disk until a write fails, and returns how many were acknowledged. With mend, the store is
-// opened anew then and told all that stands, as a keeper does, and goes on.
-func play(d *disk, all []moment, values [][]byte, mend bool) (acknowledged int, err error) {
-	s, _, err := storage.OpenFiles(d.open, storage.Identity{ID: 7, IsFounder: true})
-	for try := 0; mend && err != nil && try < 50; try++ {
-		s, _, err = storage.OpenFiles(d.open, storage.Identity{ID: 7, IsFounder: true})
-	}
-	if err != nil {
-		return 0, err
-	}
-	defer s.Close()
-	for i, m := range all {
-		write := func() error {
-			if values[i] != nil {
-				return s.AppendChosen(values[i], &m.state)
-			}
-			return s.SaveAcceptor(m.vote)
-		}
-		err := write()
-		for try := 0; mend && err != nil && try < 50; try++ {
-			if err = s.Reopen(); err == nil {
-				err = s.SaveSnapshot(&m.state)
-			}
-			if err == nil {
-				err = s.SaveAcceptor(m.vote)
-			}
-		}
-		if err != nil {
-			return i, err
-		}
-	}
-	return len(all), nil
-}
-
-// check looks at what a start finds: no less than what was acknowledged, and nothing that was never written.
-func check(d *disk, all []moment, acknowledged int) error {
-	s, k, err := storage.OpenFiles(d.open, storage.Identity{ID: 99})
-	if err != nil {
-		return fmt.Errorf("it does not open: %w", err)
-	}
-	defer s.Close()
-	at := func(i int) moment {
-		if i < 1 {
-			return moment{}
-		}
-		return all[i-1]
-	}
-	switch {
-	case acknowledged > 0 && k.ID != 7:
-		return fmt.Errorf("it belongs to %d", k.ID)
-	case at(acknowledged).is(k):
-		return nil
-	case acknowledged < len(all) && at(acknowledged+1).is(k): // written, not acknowledged
-		return nil
-	}
-	return fmt.Errorf("next place %d, vote of place %d, promised %d, accepted %v; acknowledged were %d and %+v", k.State.NextIndex, k.Acceptor.Index,
-		k.Acceptor.Promised.Term, k.Acceptor.Value != nil, at(acknowledged).state.NextIndex, at(acknowledged).vote.Promised)
-}
-
-// powerLost loses the power at every step of the script, and returns what was found wrong.
-func powerLost(noNames bool, stride int) (faults []error, points int) {
-	all, values := script()
-	for at := 1; ; at += stride {
-		d := newDisk()
-		d.noNames, d.failAt, d.err = noNames, at, errPower
-		n, err := play(d, all, values, false)
-		if err == nil && d.steps < at {
-			return faults, points
-		}
-		for kind := range kinds {
-			points++
-			if err := check(d.after(kind, uint64(at)), all, n); err != nil {
-				faults = append(faults, fmt.Errorf("power lost at step %d, kind %d, after %d writes: %w", at, kind, n, err))
-			}
-		}
-	}
-}
-
-// refused has the disk refuse writes for a while from steps on, and returns what was found wrong.
-func refused(stride int) (faults []error) {
-	all, values := script()
-	for at, done := 1, false; !done; at += stride {
-		for _, fails := range []int{1, 4} {
-			d := newDisk()
-			d.failAt, d.fails, d.err = at, fails, syscall.ENOSPC
-			if at%2 == 0 {
-				d.err = syscall.EIO
-			}
-			n, err := play(d, all, values, true)
-			done = d.steps < at
-			if n != len(all) || err != nil {
-				faults = append(faults, fmt.Errorf("refused %d times from step %d: it ends after %d writes: %w", fails, at, n, err))
-				continue
-			}
-			if err := check(d.after(leavesNothing, uint64(at)), all, n); err != nil {
-				faults = append(faults, fmt.Errorf("refused %d times from step %d: %w", fails, at, err))
-			}
-		}
-	}
-	return faults
-}
--- a/internal/lab/check/founding.go
+++ b/internal/lab/check/founding.go
@@ -8,99 +8,143 @@
 	"notchhinge/internal/control/paxos"
 )
 
-// founders is a set by its members' numbers.
-func founders(ids []int) []byte { return []byte(fmt.Sprint(ids)) }
+// minFounders is the least number of machines, itself included, that a machine must reach to propose them.
+const minFounders = 3
 
-// found plays a random life, in which three machines found at least, and returns the sets that were founded.
-func found(draw func(n int) int, machines int, need func(set int) int) []string {
-	accs := make([]paxos.Acceptor, machines)
-	disks := make([]paxos.AcceptorState, machines)
-	none := func(uint64) ([]byte, bool) { return nil, false }
-	for i := range accs {
-		accs[i] = paxos.Acceptor{IsVoter: true, ChosenValue: none}
+// founding is machines that found a fleet, at index 0 of the log, under partitions. Each proposes the set of those that it
+// reaches. The rule under test: all members of a set must accept it.
+type founding struct {
+	draw      func(n int) int
+	acceptors []paxos.Acceptor
+	disks     []paxos.AcceptorState
+	side      []int // of the partition, by machine
+	number    uint64
+	founded   map[string]bool // sets that were chosen
+}
+
+func newFounding(draw func(n int) int, machines int) *founding {
+	f := &founding{
+		draw: draw, acceptors: make([]paxos.Acceptor, machines), disks: make([]paxos.AcceptorState, machines),
+		side: make([]int, machines), founded: map[string]bool{},
 	}
-	side := make([]int, machines) // who is on which side of a cut
-	sets := map[string]bool{}
-	number := uint64(0)
+	for i := range f.acceptors {
+		f.restart(i)
+	}
+	return f
+}
+
+// restart starts a machine with what is on its disk.
+func (f *founding) restart(i int) {
+	f.acceptors[i] = paxos.Acceptor{IsVoter: true, ChosenValue: func(uint64) ([]byte, bool) { return nil, false }, State: f.disks[i]}
+}
+
+// randomFounding returns the sets of machines that were founded, in order, after 12 random partitions. quorum is how many of a
+// set must accept it.
+func randomFounding(draw func(n int) int, machines int, quorum func(founders int) int) []string {
+	f := newFounding(draw, machines)
 	for range 12 {
-		for i := range side {
-			side[i] = draw(2)
+		for i := range f.side {
+			f.side[i] = draw(2)
 		}
 		if i := draw(2*machines + 1); i < machines {
-			accs[i] = paxos.Acceptor{IsVoter: true, ChosenValue: none, State: disks[i]}
+			f.restart(i)
 		}
-		who := draw(machines)
-		var ids []int
-		for i := range machines {
-			if side[i] == side[who] {
-				ids = append(ids, i)
-			}
+		proposer := draw(machines)
+		if set := f.reachable(proposer); len(set) >= minFounders {
+			f.propose(proposer, set, quorum)
 		}
-		if len(ids) < 3 {
-			continue
+	}
+	var sets []string
+	for s := range f.founded {
+		sets = append(sets, s)
+	}
+	slices.Sort(sets)
+	return sets
+}
+
+// reachable returns the machines on the same side of the partition.
+func (f *founding) reachable(from int) (set []int) {
+	for i, side := range f.side {
+		if side == f.side[from] {
+			set = append(set, i)
+		}
+	}
+	return set
+}
+
+// propose proposes a set of founders. If it finds that another set was accepted before, it goes on with that one, as a
+// replica does.
+func (f *founding) propose(proposer int, set []int, quorum func(int) int) {
+	for range 3 {
+		f.number++
+		own := fmt.Sprint(set)
+		p := &paxos.Proposer{
+			Number: paxos.ProposalNumber{Term: f.number, Proposer: f.number}, Quorum: quorum(len(set)), OwnValue: []byte(own),
+			IsValidValue: func(v []byte) bool { return string(v) == own },
 		}
-		for range 3 { // as a keeper goes on with the set that it finds accepted
-			number++
-			own := founders(ids)
-			r := &paxos.Proposer{Number: paxos.ProposalNumber{Term: number, Proposer: number}, Quorum: need(len(ids)), OwnValue: own}
-			r.IsValidValue = func(v []byte) bool { return string(v) == string(own) }
-			for _, id := range ids {
-				r.Voters = append(r.Voters, uint64(id))
-			}
-			out := turn(draw, r, accs, disks, side, who)
-			if out == paxos.OutcomeChosen {
-				sets[string(r.Value)] = true
-			}
-			if out != paxos.OutcomeInvalidValue {
-				break
-			}
-			ids = ids[:0:0]
-			for _, f := range strings.Fields(strings.Trim(string(r.Value), "[]")) {
-				var id int
-				_, _ = fmt.Sscan(f, &id) // written by this model
-				ids = append(ids, id)
-			}
+		for _, id := range set {
+			p.Voters = append(p.Voters, uint64(id))
+		}
+		switch f.run(p, proposer) {
+		case paxos.OutcomeChosen:
+			f.founded[string(p.Value)] = true
+			return
+		case paxos.OutcomeInvalidValue:
+			set = decodeSet(string(p.Value))
+		default:
+			return
 		}
 	}
-	var all []string
-	for s := range sets {
-		all = append(all, s)
+}
+
+// decodeSet reverses fmt.Sprint.
+func decodeSet(s string) (set []int) {
+	for _, field := range strings.Fields(strings.Trim(s, "[]")) {
+		var id int
+		_, _ = fmt.Sscan(field, &id) // written by propose
+		set = append(set, id)
 	}
-	slices.Sort(all)
-	return all
+	return set
 }
 
-// turn turns a round until its outcome; words across a cut are lost, and others now and then.
-func turn(draw func(n int) int, r *paxos.Proposer, accs []paxos.Acceptor, disks []paxos.AcceptorState, side []int, who int) paxos.Outcome {
-	ask := r.Prepare()
+// run runs a proposal to its outcome. Messages across the partition are lost, and one in six of the others.
+func (f *founding) run(p *paxos.Proposer, proposer int) paxos.Outcome {
+	req := p.Prepare()
 	for {
-		var next *paxos.Request
-		out := paxos.OutcomePending
-		for _, id := range r.Voters {
-			if next != nil || out != paxos.OutcomePending {
-				break
-			}
-			phase := r.Phase()
-			if side[id] != side[who] || draw(6) == 0 {
-				out = r.HandleFailure(id, phase)
-				continue
-			}
-			ans, write := accs[id].Handle(ask)
-			if write {
-				disks[id] = accs[id].State
-			}
-			if draw(6) == 0 {
-				out = r.HandleFailure(id, phase)
-				continue
-			}
-			next, out = r.HandleResponse(id, phase, ans)
+		next, out := f.broadcast(p, req, proposer)
+		if next != nil {
+			req = *next
+			continue
+		}
+		if out == paxos.OutcomePending {
+			out = paxos.OutcomeNoQuorum
 		}
-		if next == nil {
-			if out == paxos.OutcomePending {
-				out = paxos.OutcomeNoQuorum
-			}
-			return out
+		return out
+	}
+}
+
+// broadcast sends a request to the voters one after another, until the proposal advances.
+func (f *founding) broadcast(p *paxos.Proposer, req paxos.Request, proposer int) (next *paxos.Request, out paxos.Outcome) {
+	for _, id := range p.Voters {
+		if f.side[id] != f.side[proposer] || f.draw(6) == 0 {
+			out = p.HandleFailure(id, req.Kind)
+		} else if resp := f.handle(id, req); f.draw(6) == 0 {
+			out = p.HandleFailure(id, req.Kind)
+		} else {
+			next, out = p.HandleResponse(id, req.Kind, resp)
+		}
+		if next != nil || out != paxos.OutcomePending {
+			break
 		}
-		ask = *next
 	}
+	return next, out
+}
+
+// handle has a voter answer, with its state on the disk.
+func (f *founding) handle(voter uint64, req paxos.Request) paxos.Response {
+	resp, persist := f.acceptors[voter].Handle(req)
+	if persist {
+		f.disks[voter] = f.acceptors[voter].State
+	}
+	return resp
 }
--- /dev/null
+++ b/internal/lab/check/paxos_test.go
@@ -0,0 +1,102 @@
+package check
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"notchhinge/internal/control/paxos"
+)
+
+func TestOneValueIsChosenPerIndex(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		c := newPaxosCluster(rapid.SampledFrom([]int{1, 2, 3, 5}).Draw(t, "voters"))
+		c.run(drawn(t), 150)
+		if v := c.violation(); v != "" {
+			t.Fatal(v)
+		}
+	})
+}
+
+// TestBrokenPaxosIsDetected: the walk that finds nothing otherwise finds a voter that votes on after its disk was wiped, one
+// that responds before its state is on the disk, and a proposer that uses numbers again.
+func TestBrokenPaxosIsDetected(t *testing.T) {
+	for name, breakRule := range map[string]func(*paxosCluster){
+		"loses its disk":           func(c *paxosCluster) { c.losesDisk = true },
+		"responds before the sync": func(c *paxosCluster) { c.skipsSync = true },
+		"uses numbers again":       func(c *paxosCluster) { c.reusesNumbers = true },
+	} {
+		if violation, seeds := randomProposals(breakRule, 20000); violation == "" {
+			t.Errorf("%s: not detected with %d seeds", name, seeds)
+		}
+	}
+	if violation, seed := randomProposals(func(*paxosCluster) {}, 4000); violation != "" {
+		t.Errorf("seed %d: %s", seed, violation)
+	}
+}
+
+func TestEveryOrderOfMessagesAndACrash(t *testing.T) {
+	if violation, states := exploreOrders(1, 9); violation != "" || states < 1000 {
+		t.Errorf("%q in %d states", violation, states)
+	}
+}
+
+// deliverOf delivers the first message of a proposal to or from a voter, by phase and direction. It returns false if there
+// is none in flight.
+func (c *paxosCluster) deliverOf(p *proposal, phase paxos.RequestKind, isResponse bool, voter int) bool {
+	for i, m := range c.messages {
+		if m.of == p && m.request.Kind == phase && m.isResponse == isResponse && (!isResponse && m.to == voter || isResponse && m.voter == uint64(voter+1)) {
+			c.deliver(i, false)
+			return true
+		}
+	}
+	return false
+}
+
+// exchange delivers the request of a phase to a voter, and its response.
+func (c *paxosCluster) exchange(p *proposal, phase paxos.RequestKind, voter int) {
+	c.deliverOf(p, phase, false, voter)
+	c.deliverOf(p, phase, true, voter)
+}
+
+// TestOldProposerResumes: a proposer stops after one of three voters has accepted its value. Another one has its own value
+// chosen, or the first one's if it has seen it; the operator tries again elsewhere. Then the first one resumes, with all
+// that it had sent, and all responses, still in flight. One value is chosen, whichever quorum the others had.
+func TestOldProposerResumes(t *testing.T) {
+	for acceptedBy := range 3 {
+		for unreachable := range 3 { // to the later proposers
+			c := newPaxosCluster(3)
+			c.propose(0)
+			first := c.proposals[0]
+			for v := range 3 {
+				c.exchange(first, paxos.KindPrepare, v)
+			}
+			if !c.deliverOf(first, paxos.KindAccept, false, acceptedBy) {
+				t.Fatal("the first proposal has not reached its accept phase")
+			}
+			want := "v2"
+			if acceptedBy != unreachable {
+				want = "v1"
+			}
+			for _, number := range []int{1, 2} {
+				c.propose(0)
+				for _, phase := range []paxos.RequestKind{paxos.KindPrepare, paxos.KindAccept} {
+					for v := range 3 {
+						if v != unreachable {
+							c.exchange(c.proposals[number], phase, v)
+						}
+					}
+				}
+				if !c.chosen[0][want] || len(c.chosen[0]) != 1 {
+					t.Fatalf("accepted by %d, unreachable %d: %v, not %s", acceptedBy, unreachable, c.chosen[0], want)
+				}
+			}
+			for v := range 3 { // the first one resumes
+				c.exchange(first, paxos.KindAccept, v)
+			}
+			if v := c.violation(); v != "" || first.isEnded && first.Value != nil && !c.chosen[0][string(first.Value)] {
+				t.Errorf("accepted by %d, unreachable %d: %s", acceptedBy, unreachable, v)
+			}
+		}
+	}
+}
--- a/internal/lab/check/snapshots.go
+++ b/internal/lab/check/snapshots.go
@@ -177,13 +177,13 @@
 	id := w.rnd.Uint64() | 1
 	s, kept, err := storage.OpenFiles(m.disk.open, storage.Identity{ID: id, IsFounder: w.head == 0})
 	if err != nil {
-		if m.disk.struck() && errors.Is(m.disk.fault(), syscall.ENOSPC) { // the platform starts it again
+		if m.disk.hasFailed() && errors.Is(m.disk.fault(), syscall.ENOSPC) { // the platform starts it again
 			w.in(100*time.Millisecond, func() {
 				if !m.up {
 					m.start()
 				}
 			})
-		} else if !m.disk.dead() {
+		} else if !m.disk.hasLostPower() {
 			w.breaksRule("member %d does not open its disk: %v", m.i, err)
 		}
 		m.die(true)
@@ -217,11 +217,11 @@
 
 // die ends a process; with power what its disk had not synced is gone or torn.
 func (m *voter) die(power bool) {
-	left := leavesAll
+	left := keepAll
 	if power {
-		left = m.w.rnd.IntN(kinds)
+		left = m.w.rnd.IntN(lossKinds)
 	}
-	next := m.disk.after(left, m.w.rnd.Uint64())
+	next := m.disk.afterPowerLoss(left, m.w.rnd.Uint64())
 	if m.store != nil {
 		_ = m.store.Close() // the disk tells what is kept
 	}
@@ -410,7 +410,7 @@
 	default:
 		err = m.store.SaveAcceptor(f.Acceptor)
 	}
-	if m.disk.dead() {
+	if m.disk.hasLostPower() {
 		m.die(true)
 		return false
 	}
@@ -625,7 +625,7 @@
 	for _, how := range []string{"back", "wiped", "replaced"} {
 		m.die(true)
 		if w.changes(n); how == "wiped" {
-			m.disk = m.disk.empty()
+			m.disk = m.disk.emptied()
 		}
 		if how == "replaced" { // a voter's place is free only once it has been silent for so long
 			m = w.keepers[of.members]
@@ -647,16 +647,16 @@
 	for at := 1; w.wrong == ""; at += stride {
 		m.die(true)
 		w.changes(40)
-		m.disk.strike(at, 0, errPower)
+		m.disk.failFrom(at, 0, errPowerLost)
 		w.back(m)
-		if m.up && !m.disk.dead() { // it had caught up before
+		if m.up && !m.disk.hasLostPower() { // it had caught up before
 			return w, points
 		}
 		if points++; m.up {
 			m.die(true)
 		}
 		if at%3 == 0 {
-			m.disk = m.disk.empty()
+			m.disk = m.disk.emptied()
 		}
 		w.back(m)
 	}
@@ -670,14 +670,14 @@
 	for at := 1; w.wrong == ""; at += stride {
 		m.die(true)
 		w.changes(40)
-		m.disk.strike(at, 1+at%5, syscall.ENOSPC)
+		m.disk.failFrom(at, 1+at%5, syscall.ENOSPC)
 		w.back(m)
 		if !m.up { // it could not be started at once
 			if _, ok := w.until(catchUpWithin, func() bool { return m.up && m.node.State().NextIndex+limits.MaxJoinLag > w.head }); !ok {
 				w.breaksRule("member %d is not back after its disk was full", m.i)
 			}
 		}
-		if m.disk.ahead() {
+		if m.disk.isFailurePending() {
 			return w, points
 		}
 		points++
--- a/internal/lab/check/snapshots_test.go
+++ b/internal/lab/check/snapshots_test.go
@@ -22,7 +22,7 @@
 			t.Errorf("%s: back in %v, %v at the most are wanted; %s", name, w.took, c.within, w.wrong)
 		}
 		for i, m := range w.keepers {
-			held, peak := m.disk.used()
+			held, peak := m.disk.usage()
 			if t.Logf("%s: member %d: at most %d bytes on its disk, %d now", name, i, peak, held); peak > 32<<20 {
 				t.Errorf("%s: the disk of %d has had %d bytes on it", name, i, peak)
 			}
