--- a/internal/config/nodeconfig/config.go
+++ b/internal/config/nodeconfig/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Config is what a process is told.
+// Config is the settings of a process.
 type Config struct {
 	// NodeName identifies the machine in the fleet and in logs. Required, unique.
 	NodeName string `json:"node_name"`
--- a/internal/control/fleetconfig/config.go
+++ b/internal/control/fleetconfig/config.go
@@ -119,10 +119,10 @@
 type RequestLimits struct {
 	// MaxHeaderBytes bounds the headers of a request without its request line, in bytes; 431 answers more.
 	MaxHeaderBytes int `cbor:"max_header_bytes" toml:"max_header_bytes" jsonschema:"minimum=0,description=bytes of the headers of a request; 0 takes the default"`
-	// MaxBodyBytes bounds a request's body, in bytes; 413 answers more. Bodies are held in memory until the response begins.
+	// MaxBodyBytes bounds a request's body, in bytes; 413 answers more. Bodies stay in memory until the response begins.
 	MaxBodyBytes int `cbor:"max_body_bytes" toml:"max_body_bytes" jsonschema:"minimum=0,description=bytes of the body of a request; 0 takes the default"`
 	// HeaderTimeoutMS bounds the time from a request's first byte to the end of its head, in milliseconds; 408 answers a
-	// slower one. A long one lets slow clients hold connections.
+	// slower one. A long one lets slow clients occupy connections.
 	HeaderTimeoutMS float64 `cbor:"header_timeout_ms" toml:"header_timeout_ms" jsonschema:"minimum=0,description=time to read the head of a request; 0 takes the default"`
 	// IdleTimeoutMS closes a connection without a request in flight, in milliseconds. A long one saves clients a handshake and
 	// costs a descriptor each.
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -26,7 +26,7 @@
 	RequestHeadBytes  int   // head of one request
 	ResponseHeadBytes int   // head of one upstream response
 	BodyBytes         int   // body of one message
-	TotalBodyBytes    int64 // all request bodies that are held at once
+	TotalBodyBytes    int64 // all request bodies in memory at once
 	ControlReadBytes  int   // read buffer towards the endpoint list; body of a health check response
 	StreamEventBytes  int   // one event of a streamed response
 
--- a/internal/limits/request.go
+++ b/internal/limits/request.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// RequestBounds are what requests of clients are held to. In a fleet they change with its configuration.
+// RequestBounds bound the requests of clients. In a fleet they change with its configuration.
 type RequestBounds struct {
 	HeadBytes   int           // a head, its request line included
 	HeaderBytes int           // a head without its request line; 0 = HeadBytes alone counts
--- a/internal/limits/router.go
+++ b/internal/limits/router.go
@@ -49,8 +49,8 @@
 // Shares of the retry budget. The burst of retries that the fleet may send beyond a ratio of its requests (retry_extra) is
 // divided among its routers and those restarted within a window.
 const (
-	// InitialRetryShares is the number of shares a router assumes until a lease holder has told it how many incarnations of
-	// routers there are.
+	// InitialRetryShares is the number of shares a router assumes until the lease holder has reported how many incarnations
+	// of routers there are.
 	InitialRetryShares = 400
 	// RetryShareTTL is how long such a number is valid, from when it was asked for. It is refreshed with every report.
 	RetryShareTTL = 2500 * time.Millisecond
