--- a/internal/node/replicahost_test.go
+++ b/internal/node/replicahost_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"net/http"
 	"net/netip"
 	"testing"
@@ -34,3 +35,23 @@
 		}
 	})
 }
+
+// TestEveryCallReachesTheReplica calls a process with every kind of call of replicas: each must be handed to the replica, which
+// here waits for its disk until the caller has given up.
+func TestEveryCallReachesTheReplica(t *testing.T) {
+	for _, kind := range []replica.CallKind{
+		replica.CallPaxos, replica.CallLearn, replica.CallSnapshot, replica.CallIdentity, replica.CallJoin, replica.CallCommit,
+		replica.CallReachable,
+	} {
+		t.Run(fmt.Sprint("call ", kind), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				h := &replicaHost{mu: make(contextMutex, 1)}
+				h.mu.Lock()
+				n := &Node{replica: h}
+				if _, err := n.handleCall(t.Context(), uint8(kind), netip.Addr{}, nil); !errors.Is(err, errDiskBusy) {
+					t.Errorf("got %v, want %v", err, errDiskBusy)
+				}
+			})
+		})
+	}
+}
