--- a/internal/control/gossip/doc.go
+++ b/internal/control/gossip/doc.go
@@ -27,7 +27,7 @@
 //
 // # Promises and assumptions
 //
-// The traffic of an idle node does not depend on the size of the fleet. A datagram is at most about [MaxPacketBytes] long.
+// The traffic of an idle node does not depend on the size of the fleet. Datagrams are filled up to [MaxPacketBytes].
 // Datagrams may be lost, duplicated, delayed and reordered. Malformed datagrams are ignored; peers are trusted otherwise.
 // Peer ids are unique, and never zero. Times are durations on the caller's steady clock.
 package gossip
--- a/internal/control/gossip/limits.go
+++ b/internal/control/gossip/limits.go
@@ -53,7 +53,8 @@
 
 // Bounds of the wire format.
 const (
-	// MaxPacketBytes is the longest datagram, below the MTU of every link here. A single larger item exceeds it.
+	// MaxPacketBytes is the size up to which a datagram is filled, below the MTU of every link here. What is not split may exceed
+	// it: a single large item, and the versions of a bucket of more than about 100 items, so with over 3,000 items in all.
 	MaxPacketBytes = 1400
 
 	maxItems      = 256
