--- a/internal/batch/spool.go
+++ b/internal/batch/spool.go
@@ -143,6 +143,11 @@
 	if rec.Lines = len(spans); rec.Lines == 0 {
 		return fileRecord{}, &problem{status: 400, code: "empty_file", param: "file", text: "the file has no lines"}
 	}
+	return d.keep(dir, tmp, rec)
+}
+
+// keep moves an upload that was checked to its place, if it is not there yet.
+func (d *Desk) keep(dir string, tmp *os.File, rec fileRecord) (fileRecord, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	home := filepath.Join(dir, rec.ID)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -135,12 +135,8 @@
 	return ln.Addr().String(), nil
 }
 
-func (f *Fleet) router(i int, kind string) (*Router, error) {
-	addr, err := free()
-	if err != nil {
-		return nil, err
-	}
-	r := &Router{Name: fmt.Sprintf("n%d", i+1), Kind: kind, Addr: addr, done: make(chan error, 1)}
+// config is what a router is told as the platform would tell it.
+func (f *Fleet) config(r *Router, i int) ([]byte, error) {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	type m = map[string]any
 	var grades []m
@@ -152,8 +148,8 @@
 		})
 		perK, tokens = append(perK, us(c.AimPerKTokens)), append(tokens, us(c.TokenAim))
 	}
-	cfg, err := json.MarshalIndent(m{
-		"name": r.Name, "listen": addr, "discovery": f.Discovery.Addr(), "seed": fmt.Sprintf("%016x", 77+i),
+	return json.MarshalIndent(m{
+		"name": r.Name, "listen": r.Addr, "discovery": f.Discovery.Addr(), "seed": fmt.Sprintf("%016x", 77+i),
 		"limits": m{"cores": f.o.Cores, "memory_mb": f.o.MemoryMB, "sockets": f.o.Sockets}, "known": f.Discovery.Known(),
 		"settings": m{
 			"azs": []string{"room"}, "discovery": "subscribe", "weights": "silent", "zone": 0, "me": i, "replicasOfMe": len(f.o.Routers),
@@ -166,6 +162,15 @@
 			"rules": m{"askWithin": 10000000, "coldFrom": f.o.Params.ColdShare, "drainGrace": 500000, "warmUp": us(f.o.Params.WarmUp)},
 		},
 	}, "", " ")
+}
+
+func (f *Fleet) router(i int, kind string) (*Router, error) {
+	addr, err := free()
+	if err != nil {
+		return nil, err
+	}
+	r := &Router{Name: fmt.Sprintf("n%d", i+1), Kind: kind, Addr: addr, done: make(chan error, 1)}
+	cfg, err := f.config(r, i)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -32,6 +32,21 @@
 	}
 }
 
+// newClient returns a client whose deliveries and notes go to got, and the far ends of the connections that it opens.
+func newClient(got *[]dispatch.Event) (*Client, <-chan net.Conn) {
+	far := make(chan net.Conn, 1)
+	return &Client{
+		Addr: "127.0.0.8:8500", Deliver: deliver(got),
+		Lim:  limits.New(limits.Machine{Sockets: 1024}, limits.Site{}),
+		Post: func(e dispatch.Event) { *got = append(*got, e) },
+		Dial: func(context.Context, string, string) (net.Conn, error) {
+			near, other := net.Pipe()
+			far <- other
+			return near, nil
+		},
+	}, far
+}
+
 func TestWatch(t *testing.T) {
 	ready := dispatch.Host{Name: "s-5b", Addr: "127.0.0.9:5000", Cell: 3, Weight: 1, State: policy.StateReady}
 	draining := ready
@@ -61,17 +76,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var got []dispatch.Event
-				far := make(chan net.Conn, 1)
-				cl := &Client{
-					Addr: "127.0.0.8:8500", Deliver: deliver(&got),
-					Lim:  limits.New(limits.Machine{Sockets: 1024}, limits.Site{}),
-					Post: func(e dispatch.Event) { got = append(got, e) },
-					Dial: func(context.Context, string, string) (net.Conn, error) {
-						near, other := net.Pipe()
-						far <- other
-						return near, nil
-					},
-				}
+				cl, far := newClient(&got)
 				if c.known {
 					cl.Known(List{Seq: 41, Hosts: make([]Entry, 1)})
 				}
