--- a/cmd/notchlab/fleet.go
+++ b/cmd/notchlab/fleet.go
@@ -15,7 +15,7 @@
 )
 
 type fleetCmd struct {
-	Routers int     `help:"Routers; three keepers come to them." default:"3"`
+	Routers int     `help:"Routers; three replicas come to them." default:"3"`
 	Engines int     `help:"Engines." default:"6"`
 	Rate    float64 `help:"Requests a second." default:"40"`
 	Seconds int     `help:"How long clients ask." default:"20"`
--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -26,13 +26,14 @@
 
 	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/lab/bootfile"
 	"notchhinge/internal/lab/system"
 )
 
 // process is one of the program itself.
 type process struct {
 	name, ip, control string
-	keeper            bool
+	isReplica         bool
 	zone              int
 	cmd               *exec.Cmd
 	logFile, data     string
@@ -42,33 +43,25 @@
 func (p *process) start(f *fleet, ports [4]int, seeds []string) error {
 	dir := p.dir(f)
 	p.data = filepath.Join(dir, "data")
-	if err := os.MkdirAll(p.data, 0o700); err != nil {
+	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
 	zones := map[string]string{}
 	for z := range f.Zones {
 		zones[zoneName(z)] = regionName(z)
 	}
-	listeners := map[string]any{"control_plane": p.control}
-	cfg := map[string]any{
-		"node_name": p.name, "machine_class": "edge", "ip_address": p.ip, "zone": zoneName(p.zone), "region": regionName(p.zone), "zone_map": zones,
-		"internal_port_range": []int{f.inner, f.inner}, "seed_nodes": seeds, "bootstrap": true, "heartbeat_interval_ms": beat.Milliseconds(), "listeners": listeners,
-		"request_limits":  map[string]any{"cpu_fraction": 1, "cpu_cores": 1, "memory_mb": 512, "max_open_files": 4096},
-		"fault_tolerance": map[string]any{"machines": (f.Keepers - 1) / 2},
-		"bounds":          map[string]any{"usage_window_s": window.Seconds()},
-		"cloud_api":       map[string]any{"address": f.platform.addr, "duties": []string{"usage_reporting"}},
-	}
-	if p.keeper {
-		cfg["machine_class"], cfg["quorum_member"], cfg["data_directory"] = "core", true, p.data
-	} else {
-		listeners["frontend"], listeners["readiness"] = fmt.Sprintf("%s:%d", p.ip, ports[2]), fmt.Sprintf("%s:%d", p.ip, ports[3])
+	b := bootfile.Process{
+		Name: p.name, Zone: zoneName(p.zone), Region: regionName(p.zone), Regions: zones, IP: p.ip, InternalPort: f.inner, SeedNodes: seeds,
+		ControlPlane: p.control, Bootstrap: true, HeartbeatInterval: beat, Cores: 1, MemoryMB: 512, MaxOpenFiles: 4096, MachineFaults: (f.Keepers - 1) / 2,
+		Bounds: map[string]any{"usage_window_s": window.Seconds()}, CloudAPI: f.platform.addr, Duties: []string{"usage_reporting"},
 	}
-	b, err := json.Marshal(cfg)
-	if err != nil {
-		return err
+	if p.isReplica {
+		b.DataDir = p.data
+	} else {
+		b.Frontend, b.Readiness = fmt.Sprintf("%s:%d", p.ip, ports[2]), fmt.Sprintf("%s:%d", p.ip, ports[3])
 	}
 	path := filepath.Join(dir, "boot.json")
-	if err := os.WriteFile(path, b, 0o600); err != nil {
+	if err := b.Write(path); err != nil {
 		return err
 	}
 	p.logFile = filepath.Join(dir, "log")
--- a/internal/lab/scale/scale.go
+++ b/internal/lab/scale/scale.go
@@ -262,9 +262,9 @@
 	}
 	f.began = time.Now()
 	for i, ip := range ips {
-		p := &process{ip: ip, keeper: i < f.Keepers, zone: i % f.Zones, control: fmt.Sprintf("%s:%d", ip, ports[1])}
-		p.name = fmt.Sprintf("keeper-%d", i+1)
-		if !p.keeper {
+		p := &process{ip: ip, isReplica: i < f.Keepers, zone: i % f.Zones, control: fmt.Sprintf("%s:%d", ip, ports[1])}
+		p.name = fmt.Sprintf("replica-%d", i+1)
+		if !p.isReplica {
 			p.name = fmt.Sprintf("real-%d", i-f.Keepers+1)
 		}
 		f.real = append(f.real, p)
@@ -274,7 +274,7 @@
 	}
 	at := map[netip.Addr]place{}
 	for _, p := range f.real {
-		at[netip.MustParseAddr(p.ip)] = place{p.zone, p.keeper}
+		at[netip.MustParseAddr(p.ip)] = place{p.zone, p.isReplica}
 	}
 	for i, ip := range hollow {
 		at[netip.MustParseAddr(ip)] = place{(i + f.Keepers + f.Real) % f.Zones, false}
@@ -458,7 +458,7 @@
 	for i, pr := range f.real {
 		a, b := from.real[i], to.real[i]
 		c, n := &p.Real, f.Real
-		if pr.keeper {
+		if pr.isReplica {
 			c, n = &p.Keepers, f.Keepers
 			for cause, x := range b.rows {
 				p.Keeper[cause] += float64(x-a.rows[cause]) / s / float64(f.Keepers)
--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -23,6 +23,8 @@
 	"syscall"
 	"time"
 
+	"notchhinge/internal/lab/bootfile"
+
 	"github.com/fxamacker/cbor/v2"
 )
 
@@ -79,7 +81,7 @@
 	name, ip, zone        string
 	front, ready, control string
 	dir                   string
-	keeper                bool
+	isReplica             bool
 	mixed                 bool // it runs Options.Mixed
 	cmd                   *exec.Cmd
 	log                   *os.File
@@ -128,7 +130,7 @@
 	for i := range 3 + o.Routers {
 		m := &machine{name: fmt.Sprintf("router-%d", i-2), ip: fmt.Sprintf("127.%d.%d.1", firstNet, i+1), zone: string(rune('a' + i%3))}
 		if i < 3 {
-			m.name, m.keeper = fmt.Sprintf("keeper-%d", i+1), true
+			m.name, m.isReplica = fmt.Sprintf("replica-%d", i+1), true
 		}
 		m.mixed = o.Mixed != "" && i%2 == 1
 		s.machines = append(s.machines, m)
@@ -151,7 +153,7 @@
 	for _, m := range s.machines {
 		m.control = fmt.Sprintf("%s:%d", m.ip, s.ctl)
 		m.front, m.ready = fmt.Sprintf("%s:%d", m.ip, ports[2]), fmt.Sprintf("%s:%d", m.ip, ports[3])
-		if m.keeper {
+		if m.isReplica {
 			s.seeds = append(s.seeds, m.control)
 		}
 	}
@@ -175,35 +177,25 @@
 	if err := os.MkdirAll(m.dir, 0o700); err != nil {
 		return err
 	}
-	listeners := map[string]any{"control_plane": m.control}
-	cfg := map[string]any{
-		"node_name": m.name, "machine_class": "edge", "ip_address": m.ip, "zone": m.zone, "internal_port_range": []int{s.inner, s.inner},
-		"seed_nodes": s.seeds, "bootstrap": first, "heartbeat_interval_ms": beat.Milliseconds(), "listeners": listeners,
-		"request_limits":  map[string]any{"cpu_fraction": 1, "cpu_cores": 1, "memory_mb": 256, "max_open_files": 2048},
-		"fault_tolerance": map[string]any{"machines": 1},
-		"bounds": map[string]any{
+	b := bootfile.Process{
+		Name: m.name, Zone: m.zone, IP: m.ip, InternalPort: s.inner, SeedNodes: s.seeds, ControlPlane: m.control, Bootstrap: first, HeartbeatInterval: beat,
+		Cores: 1, MemoryMB: 256, MaxOpenFiles: 2048, MachineFaults: 1, CloudAPI: s.platform.addr, Duties: []string{"usage_reporting", "autoscaler"},
+		Bounds: map[string]any{
 			"drain_timeout_ms": drain.Milliseconds(), "grace_period_s": 6, "lease_ms": 1500, "usage_window_s": 2,
 			"usage_delay_s": 2, "retry_budget_ratio": 0.2, "retry_window_s": 10, "retry_extra": 20,
 		},
-		"cloud_api": map[string]any{"address": s.platform.addr, "duties": []string{"usage_reporting", "autoscaler"}},
 	}
-	if m.keeper {
-		cfg["machine_class"], cfg["quorum_member"], cfg["data_directory"] = "core", true, filepath.Join(m.dir, "data")
-		if err := os.MkdirAll(filepath.Join(m.dir, "data"), 0o700); err != nil {
-			return err
-		}
+	if m.isReplica {
+		b.DataDir = filepath.Join(m.dir, "data")
 	} else {
-		listeners["frontend"], listeners["readiness"] = m.front, m.ready
-	}
-	b, err := json.Marshal(cfg)
-	if err != nil {
-		return err
+		b.Frontend, b.Readiness = m.front, m.ready
 	}
 	path := filepath.Join(m.dir, "boot.json")
-	if err := os.WriteFile(path, b, 0o600); err != nil {
+	if err := b.Write(path); err != nil {
 		return err
 	}
 	if m.log == nil {
+		var err error
 		if m.log, err = os.Create(filepath.Join(m.dir, "log")); err != nil {
 			return err
 		}
@@ -230,7 +222,7 @@
 	}
 }
 
-// stop ends everything in order, keepers last.
+// stop shuts everything down gracefully, replicas last.
 func (s *system) stop() {
 	all := slices.Clone(s.machines) // engines may still be reading the list
 	slices.Reverse(all)
@@ -325,7 +317,7 @@
 	for ctx.Err() == nil {
 		var ups []*machine
 		for _, m := range s.machines {
-			if m.keeper {
+			if m.isReplica {
 				continue
 			}
 			req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.ready+"/", nil)
@@ -367,7 +359,7 @@
 	if err := s.configure(setUp, 0, 1, 2000); err != nil {
 		return nil, fmt.Errorf("no configuration was taken: %w", err)
 	}
-	s.says(began, "revision 1 is acknowledged by the keepers")
+	s.says(began, "revision 1 is acknowledged by the replicas")
 	go s.look(ctx)
 	for s.ready() < s.Routers && setUp.Err() == nil {
 		pause(setUp, 50*time.Millisecond)
@@ -375,7 +367,7 @@
 	if setUp.Err() != nil {
 		return nil, fmt.Errorf("only %d of %d routers are ready; logs are in %s", s.ready(), s.Routers, s.Dir)
 	}
-	s.says(began, "%d routers and %d keepers serve before %d engines", s.Routers, 3, s.Engines)
+	s.says(began, "%d routers and %d replicas serve before %d engines", s.Routers, 3, s.Engines)
 	began = time.Now()
 	var wait sync.WaitGroup
 	playing, over := context.WithTimeout(ctx, s.Length)
@@ -416,7 +408,7 @@
 		pause(ctx, time.Until(began.Add(time.Duration(share*float64(s.Length)))))
 		return ctx.Err() == nil
 	}
-	router, keeper := s.machines[3], s.machines[1]
+	router, replica := s.machines[3], s.machines[1]
 	if at(0.15) {
 		s.says(began, "%s is killed", router.name)
 		router.kill()
@@ -428,9 +420,9 @@
 		}
 	}
 	if at(0.35) {
-		s.says(began, "%s is killed, and its disk is lost", keeper.name)
-		keeper.kill()
-		if err := os.RemoveAll(filepath.Join(keeper.dir, "data")); err != nil {
+		s.says(began, "%s is killed, and its disk is lost", replica.name)
+		replica.kill()
+		if err := os.RemoveAll(filepath.Join(replica.dir, "data")); err != nil {
 			s.says(began, "it is not: %v", err)
 		}
 	}
@@ -440,8 +432,8 @@
 		}
 	}
 	if at(0.5) {
-		s.says(began, "%s starts with an empty folder, to be taken in as a new member", keeper.name)
-		if err := s.start(keeper, false); err != nil {
+		s.says(began, "%s starts with an empty folder, to become a voter again", replica.name)
+		if err := s.start(replica, false); err != nil {
 			s.says(began, "it does not: %v", err)
 		}
 	}
--- a/internal/node/localfleet_test.go
+++ b/internal/node/localfleet_test.go
@@ -14,6 +14,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"notchhinge/internal/lab/bootfile"
 )
 
 // A fleet on loopback: real nodes in this process, and fakes of the engines, the platform, the operator and the clients.
@@ -35,9 +37,9 @@
 // testNode is a machine of a fleet. Its process can be stopped and started, and its disk wiped.
 type testNode struct {
 	t         *testing.T
-	cfg       map[string]any // the settings file
-	path      string         // of the settings file
-	frontend  string         // addresses; "" = it does not listen
+	settings  bootfile.Process
+	path      string // of the settings file
+	frontend  string // addresses; "" = it does not listen
 	control   string
 	readiness string
 
@@ -112,16 +114,13 @@
 }
 
 // newNode makes machine i with a control address.
-func (f *testFleet) newNode(i int, machineClass string) *testNode {
+func (f *testFleet) newNode(i int) *testNode {
 	m := &testNode{t: f.t, control: fmt.Sprintf("%s:%d", f.ip(i), f.control)}
-	m.cfg = map[string]any{
-		"node_name": fmt.Sprintf("n%d", i), "machine_class": machineClass, "ip_address": f.ip(i), "zone": []string{"a", "b", "c"}[i%3],
-		"internal_port_range": []int{f.internal, f.internal}, "seed_nodes": f.seedNodes, "bootstrap": true, "heartbeat_interval_ms": 300,
-		"request_limits":  map[string]any{"cpu_fraction": 1, "cpu_cores": 8, "memory_mb": 512, "max_open_files": 2048},
-		"fault_tolerance": map[string]any{"machines": 1}, "later_field": []int{1},
-		"bounds":    map[string]any{"drain_timeout_ms": 1200, "grace_period_s": 4, "lease_ms": 1200, "usage_window_s": 1, "usage_delay_s": 4},
-		"cloud_api": map[string]any{"address": f.platform.addr, "duties": []string{"usage_reporting", "autoscaler"}},
-		"listeners": map[string]any{"control_plane": m.control},
+	m.settings = bootfile.Process{
+		Name: fmt.Sprintf("n%d", i), Zone: []string{"a", "b", "c"}[i%3], IP: f.ip(i), InternalPort: f.internal, SeedNodes: f.seedNodes,
+		ControlPlane: m.control, Bootstrap: true, HeartbeatInterval: 300 * time.Millisecond, Cores: 8, MemoryMB: 512, MaxOpenFiles: 2048, MachineFaults: 1,
+		Bounds:   map[string]any{"drain_timeout_ms": 1200, "grace_period_s": 4, "lease_ms": 1200, "usage_window_s": 1, "usage_delay_s": 4},
+		CloudAPI: f.platform.addr, Duties: []string{"usage_reporting", "autoscaler"}, Extra: map[string]any{"later_field": []int{1}},
 	}
 	m.path = filepath.Join(f.t.TempDir(), "boot.json")
 	return m
@@ -129,39 +128,31 @@
 
 // addReplica makes machine i a replica. It is not started.
 func (f *testFleet) addReplica(i int) *testNode {
-	m := f.newNode(i, "core")
-	m.cfg["quorum_member"], m.cfg["data_directory"] = true, filepath.Join(filepath.Dir(m.path), "data")
+	m := f.newNode(i)
+	m.settings.DataDir = filepath.Join(filepath.Dir(m.path), "data")
 	f.replicas = append(f.replicas, m)
 	return m
 }
 
 // addRouter makes machine i a router. It is not started.
 func (f *testFleet) addRouter(i int) *testNode {
-	m := f.newNode(i, "edge")
+	m := f.newNode(i)
 	m.frontend, m.readiness = fmt.Sprintf("%s:%d", f.ip(i), freePort(f.t, f.ip(i))), fmt.Sprintf("%s:%d", f.ip(i), freePort(f.t, f.ip(i)))
-	listeners := m.cfg["listeners"].(map[string]any)
-	listeners["frontend"], listeners["readiness"] = m.frontend, m.readiness
+	m.settings.Frontend, m.settings.Readiness = m.frontend, m.readiness
 	f.routers = append(f.routers, m)
 	return m
 }
 
 // name is the machine's name.
-func (m *testNode) name() string { return m.cfg["node_name"].(string) }
+func (m *testNode) name() string { return m.settings.Name }
 
 // dataDir is a replica's data directory.
-func (m *testNode) dataDir() string { return m.cfg["data_directory"].(string) }
+func (m *testNode) dataDir() string { return m.settings.DataDir }
 
 // start starts the process.
 func (m *testNode) start() {
 	m.t.Helper()
-	b, err := json.Marshal(m.cfg)
-	if err == nil {
-		err = os.WriteFile(m.path, b, 0o600)
-	}
-	if err == nil && m.cfg["data_directory"] != nil {
-		err = os.MkdirAll(m.dataDir(), 0o700)
-	}
-	if err != nil {
+	if err := m.settings.Write(m.path); err != nil {
 		m.t.Fatal(err)
 	}
 	m.signals, m.done = make(chan os.Signal, 1), make(chan error, 1)
@@ -189,7 +180,7 @@
 // restart starts the process once more, as the platform does: it is not the fleet's first start.
 func (m *testNode) restart() {
 	m.t.Helper()
-	m.cfg["bootstrap"] = false
+	m.settings.Bootstrap = false
 	m.start()
 }
 
--- a/internal/node/statelosses_test.go
+++ b/internal/node/statelosses_test.go
@@ -109,7 +109,7 @@
 	if err := os.RemoveAll(m.dataDir()); err != nil {
 		t.Fatal(err)
 	}
-	addr := fmt.Sprintf("%v:%d", m.cfg["ip_address"], m.cfg["internal_port_range"].([]int)[0])
+	addr := fmt.Sprintf("%s:%d", m.settings.IP, m.settings.InternalPort)
 	if err := storage.RestoreBackup(m.dataDir(), &recovered.State, replog.Member{ID: 77, Name: m.name(), Addr: addr}); err != nil {
 		t.Fatal(err)
 	}
