--- a/internal/succession/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -1,4 +1,4 @@
-package succession
+package hotrestart
 
 import (
 	"os"
@@ -7,17 +7,17 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// TestGoldenFiles: two processes of different versions find each other by the names of files and what stands in one.
+// TestGoldenFiles: two processes of different versions find each other by the names of files and by the content of one.
 func TestGoldenFiles(t *testing.T) {
 	dir := t.TempDir()
-	var places []*Place
+	var claims []*Claim
 	for range 2 {
-		p, err := Claim(dir, "127.0.0.1:8080")
+		c, err := Acquire(dir, "127.0.0.1:8080")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer p.Close()
-		places = append(places, p)
+		defer c.Close()
+		claims = append(claims, c)
 	}
 	files := func() map[string]string {
 		entries, err := os.ReadDir(dir)
@@ -35,9 +35,9 @@
 		return all
 	}
 	golden.Equal(t, "files at first", map[string]string{"notchhinge-127.0.0.1_8080.owner": "", "notchhinge-127.0.0.1_8080.heir": "coming"}, files())
-	if err := places[1].Say(); err != nil {
+	if err := claims[1].AnnounceReady(); err != nil {
 		t.Fatal(err)
 	}
 	golden.Equal(t, "files then", map[string]string{"notchhinge-127.0.0.1_8080.owner": "", "notchhinge-127.0.0.1_8080.heir": "ready "}, files())
-	golden.Equal(t, "the file of what is handed over", dir+"/notchhinge-127.0.0.1_8080.state", places[1].state)
+	golden.Equal(t, "the file of what is handed over", dir+"/notchhinge-127.0.0.1_8080.state", claims[1].statePath)
 }
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -11,15 +11,15 @@
 
 	"notchhinge/internal/admin"
 	"notchhinge/internal/dispatch"
+	"notchhinge/internal/hotrestart"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/succession"
 	"notchhinge/policy"
 )
 
 // operations is what operators and a successor have to do with.
 type operations struct {
 	admin     net.Listener      // nil where it is off
-	place     *succession.Place // nil where nobody succeeds
+	place     *hotrestart.Claim // nil where nobody succeeds
 	heard     chan struct{}     // closed once a discovery has told its list
 	once      sync.Once
 	listening atomic.Bool
@@ -83,7 +83,7 @@
 		return false, "draining"
 	case !r.ready.Load():
 		return false, "starting: no issuer host is known yet"
-	case r.ops.place != nil && r.ops.place.Role() == succession.Heir && time.Since(r.ops.began) < limits.TakeoverReadyTimeout:
+	case r.ops.place != nil && r.ops.place.Role() == hotrestart.RoleSuccessor && time.Since(r.ops.began) < limits.TakeoverReadyTimeout:
 		return false, "taking over: the process before this one has work left"
 	}
 	return true, "ok"
@@ -156,15 +156,15 @@
 		return nil
 	}
 	r.ops.began = time.Now()
-	p, err := succession.Claim(r.cfg.Shared, r.cfg.Listen)
-	if errors.Is(err, succession.ErrTaken) {
+	p, err := hotrestart.Acquire(r.cfg.Shared, r.cfg.Listen)
+	if errors.Is(err, hotrestart.ErrAddressTaken) {
 		return err
 	}
 	if err != nil {
 		r.log.Warn("no process can take over from this one", "err", err)
 		return nil
 	}
-	if r.ops.place = p; p.Role() == succession.Heir {
+	if r.ops.place = p; p.Role() == hotrestart.RoleSuccessor {
 		r.resize(r.cfg.Limits.TakeoverCapacity())
 	}
 	return nil
@@ -177,8 +177,8 @@
 	if p == nil {
 		return net.Listen("tcp", r.cfg.Listen)
 	}
-	if p.Role() == succession.Owner {
-		return succession.Listen(r.cfg.Listen, false)
+	if p.Role() == hotrestart.RoleOwner {
+		return hotrestart.Listen(context.Background(), r.cfg.Listen, false)
 	}
 	r.log.Info("another process serves here; taking over from it once the list is there")
 	for _, f := range r.allFeeds() {
@@ -197,10 +197,10 @@
 			r.log.Warn("no list came; taking over with the one known at the start")
 			break wait
 		case <-look.C:
-			if p.Succeed() {
+			if p.TryTakeOver() {
 				r.log.Info("the other process has ended")
 				r.resize(r.cfg.Limits.FullCapacity())
-				return succession.Listen(r.cfg.Listen, false)
+				return hotrestart.Listen(context.Background(), r.cfg.Listen, false)
 			}
 		case <-sig.Stop:
 			return nil, nil
@@ -209,7 +209,7 @@
 		}
 	}
 	r.inherit(ctx, p)
-	ln, err := succession.Listen(r.cfg.Listen, true)
+	ln, err := hotrestart.Listen(context.Background(), r.cfg.Listen, true)
 	if ln == nil {
 		return nil, err
 	}
@@ -217,13 +217,13 @@
 		// Not every kernel can. Both get their part then, until the owner stops listening.
 		r.log.Info("taking over", "err", err)
 	}
-	return ln, p.Say()
+	return ln, p.AnnounceReady()
 }
 
 // inherit waits for what the owner has learnt, and teaches it to the modules.
-func (r *Router) inherit(ctx context.Context, p *succession.Place) {
+func (r *Router) inherit(ctx context.Context, p *hotrestart.Claim) {
 	for until := time.Now().Add(limits.TakeoverStateTimeout); ; time.Sleep(limits.TakeoverPollInterval / 10) {
-		b, ok := p.HandedOver()
+		b, ok := p.TakeState()
 		if !ok && ctx.Err() == nil && time.Now().Before(until) {
 			continue
 		}
@@ -256,7 +256,7 @@
 	case all := <-to:
 		b, err := (&legacy{all}).encode()
 		if err == nil {
-			err = r.ops.place.HandOver(b)
+			err = r.ops.place.WriteState(b)
 		}
 		if err != nil {
 			r.log.Warn("the heir learns nothing from here", "err", err)
@@ -273,20 +273,20 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	yield := func() {}
-	go p.Watch(ctx, limits.TakeoverPollInterval, func(s succession.Sight) {
+	go p.Watch(ctx, limits.TakeoverPollInterval, func(s hotrestart.SuccessorState) {
 		if r.ops.stopping.Load() {
 			return
 		}
 		switch s {
-		case succession.Coming:
+		case hotrestart.SuccessorStarting:
 			r.log.Info("an heir has come; it gets half of the room")
 			r.resize(r.cfg.Limits.TakeoverCapacity())
 			r.bequeath(ctx)
-		case succession.Ready:
+		case hotrestart.SuccessorReady:
 			r.log.Info("the heir is ready; nothing more is accepted here, and connections end with their answers")
 			r.resize(r.cfg.Limits.TakeoverCapacity())
 			yield = r.yield(ctx)
-		case succession.Nobody:
+		case hotrestart.SuccessorNone:
 			r.log.Warn("the heir has gone; serving on alone")
 			yield()
 			r.resume(served)
@@ -328,7 +328,7 @@
 	if !r.ops.yielded.Swap(false) {
 		return
 	}
-	ln, err := succession.Listen(r.cfg.Listen, false)
+	ln, err := hotrestart.Listen(context.Background(), r.cfg.Listen, false)
 	if err != nil {
 		served <- err
 		return
