--- a/internal/lab/bootfile/bootfile_test.go
+++ b/internal/lab/bootfile/bootfile_test.go
@@ -34,10 +34,23 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got.IsReplica() != c.isReplica || (got.Listeners.Frontend != "") == c.isReplica || got.NodeName != name || got.Zone != "a" || got.Region != "r" ||
-				got.HeartbeatInterval() != 300*time.Millisecond || got.Bounds.LeaseMS != 1500 || got.Bounds.GracePeriodS != 6 || got.FaultTolerance.Machines != 1 ||
-				got.CloudAPI.Address != "127.0.0.1:5" || !got.CloudAPI.HasRole("autoscaler") {
-				t.Errorf("%+v", got)
+			type read struct {
+				name, zone, region, cloudAPI string
+				isReplica, isRouter, scales  bool
+				heartbeat                    time.Duration
+				leaseMS, machineFaults       int
+				gracePeriodS                 float64 // not in the file: the reader's default
+			}
+			want := read{
+				name: name, zone: "a", region: "r", cloudAPI: "127.0.0.1:5", isReplica: c.isReplica, isRouter: !c.isReplica, scales: true,
+				heartbeat: 300 * time.Millisecond, leaseMS: 1500, machineFaults: 1, gracePeriodS: 6,
+			}
+			if got := (read{
+				name: got.NodeName, zone: got.Zone, region: got.Region, cloudAPI: got.CloudAPI.Address, isReplica: got.IsReplica(),
+				isRouter: got.Listeners.Frontend != "", scales: got.CloudAPI.HasRole("autoscaler"), heartbeat: got.HeartbeatInterval(),
+				leaseMS: got.Bounds.LeaseMS, machineFaults: got.FaultTolerance.Machines, gracePeriodS: got.Bounds.GracePeriodS,
+			}); got != want {
+				t.Errorf("%+v, want %+v", got, want)
 			}
 			if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 				t.Errorf("%v %v: it may hold what others must not read", info, err)
