--- a/cmd/notchhinge/configs.go
+++ b/cmd/notchhinge/configs.go
@@ -15,8 +15,8 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"notchhinge/deploy"
+	"notchhinge/internal/configfile"
 	"notchhinge/internal/control/fleetconfig"
-	"notchhinge/internal/declaration"
 	"notchhinge/internal/settings"
 )
 
@@ -31,20 +31,20 @@
 	Schema   configSchema   `cmd:"" help:"Print the JSON Schema of configurations in files."`
 }
 
-// declarationFile is a file that commands take.
-type declarationFile struct {
+// configFileArg is a file that commands take.
+type configFileArg struct {
 	File string `arg:"" help:"The configuration: TOML, or CBOR as the wire has it." type:"existingfile"`
 }
 
-func readFile(path string) (*declaration.File, error) {
-	f, err := declaration.Read(path, os.Getenv)
+func readFile(path string) (*configfile.File, error) {
+	f, err := configfile.Load(path, os.Getenv)
 	if faults := (settings.Faults{}); errors.As(err, &faults) {
 		return nil, badConfig{err}
 	}
 	return f, err
 }
 
-type configCheck struct{ declarationFile }
+type configCheck struct{ configFileArg }
 
 // Run checks a file.
 func (c configCheck) Run() error {
@@ -53,11 +53,11 @@
 		return err
 	}
 	version := "the next version"
-	if f.Numbered {
+	if f.HasRevision {
 		version = fmt.Sprintf("revision %d", f.Revision)
 	}
 	fmt.Printf("%s: good; %s, %d routes, %d services, %d tenants\n", c.File, version, len(f.Routes), len(f.Services), len(f.Tenants))
-	for _, k := range f.Unread {
+	for _, k := range f.UnresolvedKeys {
 		fmt.Printf("not here: %s, which apply will want\n", k)
 	}
 	return nil
@@ -69,10 +69,10 @@
 }
 
 // changes prints what changes.
-func (o output) changes(all []declaration.Change) error {
+func (o output) changes(all []configfile.Change) error {
 	if o.Output == "json" {
 		if all == nil {
-			all = []declaration.Change{}
+			all = []configfile.Change{}
 		}
 		return asJSON(all)
 	}
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	return c.changes(declaration.Diff(a.Config, b.Config))
+	return c.changes(configfile.Diff(a.Config, b.Config))
 }
 
 // toFleet is where a command finds the fleet.
@@ -134,7 +134,7 @@
 }
 
 type configPlan struct {
-	declarationFile
+	configFileArg
 	toFleet
 	output
 }
@@ -147,11 +147,11 @@
 	}
 	if c.Output == "table" {
 		fmt.Printf("upon revision %d, as revision %d\n", revision(now), f.Revision)
-		for _, k := range f.Unread {
+		for _, k := range f.UnresolvedKeys {
 			fmt.Printf("not here: %s; it counts as a key that changes\n", k)
 		}
 	}
-	return c.changes(declaration.Diff(now, f.Config))
+	return c.changes(configfile.Diff(now, f.Config))
 }
 
 func revision(c *fleetconfig.Config) uint64 {
@@ -162,7 +162,7 @@
 }
 
 // against reads a file and what is in force; a file without a number gets the next.
-func (t toFleet) against(path string) (*declaration.File, *fleetconfig.Config, []byte, error) {
+func (t toFleet) against(path string) (*configfile.File, *fleetconfig.Config, []byte, error) {
 	f, err := readFile(path)
 	if err != nil {
 		return nil, nil, nil, err
@@ -171,14 +171,14 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	if !f.Numbered {
+	if !f.HasRevision {
 		f.Revision = revision(now) + 1
 	}
 	return f, now, text, nil
 }
 
 type configApply struct {
-	declarationFile
+	configFileArg
 	toFleet
 	applying
 }
@@ -200,7 +200,7 @@
 }
 
 type configRollback struct {
-	declarationFile
+	configFileArg
 	toFleet
 	applying
 }
@@ -217,14 +217,14 @@
 
 // apply sends a configuration until there is a clear answer. It is the very same each time, so that one that was taken and
 // whose answer was lost is not taken twice.
-func (a applying) apply(t toFleet, f *declaration.File, now *fleetconfig.Config, before []byte) error {
+func (a applying) apply(t toFleet, f *configfile.File, now *fleetconfig.Config, before []byte) error {
 	on := revision(now)
 	switch {
-	case len(f.Unread) > 0:
-		return badConfig{fmt.Errorf("%s: keys are not here: %v", f.Path, f.Unread)}
+	case len(f.UnresolvedKeys) > 0:
+		return badConfig{fmt.Errorf("%s: keys are not here: %v", f.Path, f.UnresolvedKeys)}
 	case a.On != nil && *a.On != on:
 		return lostRace{fmt.Errorf("revision %d is in force, not %d: nothing was sent; plan again", on, *a.On)}
-	case f.Revision <= on && f.Numbered && len(declaration.Diff(now, f.Config)) == 0:
+	case f.Revision <= on && f.HasRevision && len(configfile.Diff(now, f.Config)) == 0:
 		fmt.Printf("revision %d is in force already\n", on)
 		return nil
 	case f.Revision <= on:
@@ -235,7 +235,7 @@
 			return err
 		}
 	}
-	text, err := declaration.Encode(f.Config)
+	text, err := configfile.Encode(f.Config)
 	if err != nil {
 		return err
 	}
@@ -295,9 +295,9 @@
 		_, err = os.Stdout.Write(text)
 		return err
 	case c.Output == "json":
-		return asJSON(declaration.Hidden(conf))
+		return asJSON(configfile.Redact(conf))
 	}
-	return toml.NewEncoder(os.Stdout).Encode(declaration.Hidden(conf))
+	return toml.NewEncoder(os.Stdout).Encode(configfile.Redact(conf))
 }
 
 type configHistory struct {
--- a/cmd/notchhinge/state_test.go
+++ b/cmd/notchhinge/state_test.go
@@ -18,11 +18,11 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"notchhinge/internal/config/nodeconfig"
+	"notchhinge/internal/configfile"
 	"notchhinge/internal/control/api"
 	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/control/replog"
 	"notchhinge/internal/control/storage"
-	"notchhinge/internal/declaration"
 	"notchhinge/internal/node"
 )
 
@@ -189,7 +189,7 @@
 	}
 	c, _, _ := fleetconfig.DecodeWithDigest(f.text)
 	c.Revision = f.rev
-	b, _ := declaration.Encode(c)
+	b, _ := configfile.Encode(c)
 	return api.Result{Status: 200, Revision: f.rev, Body: b}
 }
 
--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -8,7 +8,7 @@
 //go:embed notchhinge.schema.json
 var Schema []byte
 
-// ConfigurationSchema is the JSON Schema of the fleet's configurations in files. A test of internal/declaration makes it from
+// ConfigurationSchema is the JSON Schema of the fleet's configurations in files. A test of internal/configfile makes it from
 // the Go types (-update).
 //
 //go:embed configuration.schema.json
--- a/internal/declaration/declaration_test.go
+++ b/internal/configfile/configfile_test.go
@@ -1,4 +1,4 @@
-package declaration
+package configfile
 
 import (
 	"bytes"
@@ -43,7 +43,7 @@
 		return
 	}
 	if !bytes.Equal(text, deploy.ConfigurationSchema) {
-		t.Error("deploy/configuration.schema.json is not what the types say: run go test ./internal/declaration -run Schema -update")
+		t.Error("deploy/configuration.schema.json is not what the types say: run go test ./internal/configfile -run Schema -update")
 	}
 }
 
@@ -89,8 +89,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Numbered || f.Routes[1].TimeoutMS != 2500.5 || f.Routes[1].TrafficSplit[0].Service != "scribe" || f.Services[0].Autoscaling.MaxInstances != 12 ||
-		!cmp.Equal(f.Tenants[0].APIKeys[:2], []string{"one", "two"}) || !cmp.Equal(f.Unread, []string{"file:lab.key"}) {
+	if f.HasRevision || f.Routes[1].TimeoutMS != 2500.5 || f.Routes[1].TrafficSplit[0].Service != "scribe" || f.Services[0].Autoscaling.MaxInstances != 12 ||
+		!cmp.Equal(f.Tenants[0].APIKeys[:2], []string{"one", "two"}) || !cmp.Equal(f.UnresolvedKeys, []string{"file:lab.key"}) {
 		t.Errorf("%+v", f.Config)
 	}
 	// The wire's form is the same every time, and says the same.
@@ -108,10 +108,10 @@
 	if err := os.WriteFile(path, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if g, err := Read(path, env); err != nil || !g.Numbered || !cmp.Equal(g.Config, f.Config) {
+	if g, err := Load(path, env); err != nil || !g.HasRevision || !cmp.Equal(g.Config, f.Config) {
 		t.Errorf("from CBOR: %+v %v", g, err)
 	}
-	for _, k := range Hidden(f.Config).Tenants[0].APIKeys {
+	for _, k := range Redact(f.Config).Tenants[0].APIKeys {
 		if k == "one" || k == "two" {
 			t.Error("a key is shown")
 		}
--- a/internal/declaration/file.go
+++ b/internal/configfile/file.go
@@ -1,7 +1,7 @@
-// Package declaration owns configurations of the fleet as users keep them in version control: TOML files, checked by a JSON
+// Package configfile owns configurations of the fleet as users keep them in version control: TOML files, checked by a JSON
 // Schema that is made from the types, and what changes from one to another. It asks no fleet and prints no key of a tenant.
 // Its errors are settings.Faults (what is wrong with a file, with lines) or those of reading.
-package declaration
+package configfile
 
 import (
 	"bytes"
@@ -22,14 +22,14 @@
 // File is a configuration from a file.
 type File struct {
 	*fleetconfig.Config
-	Path     string
-	Numbered bool     // the file says a revision itself
-	Unread   []string // keys kept elsewhere that could not be read, as env:NAME
+	Path           string
+	HasRevision    bool     // the file says a revision itself
+	UnresolvedKeys []string // keys kept elsewhere that could not be read, as env:NAME
 }
 
-// Read reads and checks a file: TOML, or CBOR where its name ends in .cbor. Keys that are kept elsewhere are read if they
+// Load reads and checks a file: TOML, or CBOR where its name ends in .cbor. Keys that are kept elsewhere are read if they
 // are there; getenv is the environment.
-func Read(path string, getenv func(string) string) (*File, error) {
+func Load(path string, getenv func(string) string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -45,7 +45,7 @@
 		if err == nil {
 			err = c.Validate()
 		}
-		f.Config, f.Numbered = c, true
+		f.Config, f.HasRevision = c, true
 		return f, lines(nil, path, err)
 	}
 	from, faults, err := settings.Read(text, path, deploy.ConfigurationSchema)
@@ -58,13 +58,13 @@
 	if err := toml.Unmarshal(text, f.Config); err != nil {
 		return nil, settings.Faults{{File: path, Says: err.Error()}}
 	}
-	f.Numbered = f.Revision > 0
+	f.HasRevision = f.Revision > 0
 	for i := range f.Tenants {
 		for k, key := range f.Tenants[i].APIKeys {
 			got, err := elsewhere(key, filepath.Dir(path), getenv)
 			switch {
 			case errors.Is(err, errUnread):
-				f.Unread = append(f.Unread, key)
+				f.UnresolvedKeys = append(f.UnresolvedKeys, key)
 			case err != nil:
 				faults = append(faults, from.Fault([]string{"tenants", fmt.Sprint(i), "api_keys"}, "%v", err))
 			default:
@@ -148,8 +148,8 @@
 	return mode.Marshal(c)
 }
 
-// Hidden is a copy of a configuration without its keys.
-func Hidden(c *fleetconfig.Config) *fleetconfig.Config {
+// Redact is a copy of a configuration without its keys.
+func Redact(c *fleetconfig.Config) *fleetconfig.Config {
 	out := *c
 	out.Tenants = nil
 	for _, t := range c.Tenants {
--- a/internal/declaration/golden_test.go
+++ b/internal/configfile/golden_test.go
@@ -1,4 +1,4 @@
-package declaration
+package configfile
 
 import (
 	"testing"
