--- a/test.sh
+++ b/test.sh
@@ -3,9 +3,8 @@
 set -eu
 cd "$(dirname "$0")"
 
-# The linters and formatters of .golangci.yml, in the versions of tools/go.mod.
+# The linters and formatters of .golangci.yml, in the versions of tools/go.mod; golangci-lint fmt formats.
 lint() {
-  go tool -modfile=tools/go.mod golangci-lint fmt --diff
   go tool -modfile=tools/go.mod golangci-lint run
   (cd tools && go tool golangci-lint run)
 }
