--- a/internal/acquirer/acquirer_test.go
+++ b/internal/acquirer/acquirer_test.go
@@ -11,9 +11,9 @@
 	"github.com/google/go-cmp/cmp"
 
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/exchange"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/service"
+	"notchhinge/internal/testutil/replay"
 	"notchhinge/policy"
 )
 
@@ -79,7 +79,7 @@
 	near, far := net.Pipe()
 	ended := make(chan struct{})
 	go func() { s.ServeConn(near); close(ended) }()
-	exchange.Play(t, far, file, exchange.Does{
+	replay.Play(t, far, file, replay.Steps{
 		"taken": func(want string) {
 			e, ok := next().(dispatch.RequestReceived)
 			if !ok {
@@ -145,22 +145,22 @@
 		}
 		silent, old, young := open(), open(), open()
 		for _, c := range []net.Conn{old, young} {
-			exchange.Play(t, c, "testdata/parts/health_once.txt", nil)
+			replay.Play(t, c, "testdata/parts/health_once.txt", nil)
 			time.Sleep(time.Second)
 		}
 		next := open()
-		exchange.Play(t, silent, "testdata/parts/is_closed.txt", nil)
+		replay.Play(t, silent, "testdata/parts/is_closed.txt", nil)
 		last := open()
-		exchange.Play(t, old, "testdata/parts/is_closed.txt", nil)
+		replay.Play(t, old, "testdata/parts/is_closed.txt", nil)
 		for _, c := range []net.Conn{young, next, last} {
-			exchange.Play(t, c, "testdata/parts/health_once.txt", nil)
+			replay.Play(t, c, "testdata/parts/health_once.txt", nil)
 			time.Sleep(time.Millisecond)
 		}
 		fresh := open() // takes the place of young; then all are new or at work, and one more is closed at once
 		for _, c := range []net.Conn{next, last} {
-			exchange.Play(t, c, "testdata/parts/health_begun.txt", nil)
+			replay.Play(t, c, "testdata/parts/health_begun.txt", nil)
 		}
-		exchange.Play(t, open(), "testdata/parts/is_closed.txt", nil)
+		replay.Play(t, open(), "testdata/parts/is_closed.txt", nil)
 		for _, c := range []net.Conn{fresh, next, last} {
 			c.Close()
 		}
--- a/internal/acquirer/services_test.go
+++ b/internal/acquirer/services_test.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/exchange"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/quota"
 	"notchhinge/internal/route"
 	"notchhinge/internal/service"
+	"notchhinge/internal/testutil/replay"
 	"notchhinge/policy"
 )
 
@@ -50,7 +50,7 @@
 		near, far := net.Pipe()
 		ended := make(chan struct{})
 		go func() { s.ServeConn(near); close(ended) }()
-		exchange.Play(t, far, "testdata/parts/services.txt", exchange.Does{
+		replay.Play(t, far, "testdata/parts/services.txt", replay.Steps{
 			"led": func(want string) {
 				e := (<-events).(dispatch.RequestReceived)
 				a := e.Client.(*authorisation)
--- a/internal/acquirer/trace_test.go
+++ b/internal/acquirer/trace_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/exchange"
 	"notchhinge/internal/limits"
+	"notchhinge/internal/testutil/replay"
 )
 
 func TestTraceContext(t *testing.T) {
@@ -25,7 +25,7 @@
 		near, far := net.Pipe()
 		go s.ServeConn(near)
 		var open *authorisation
-		exchange.Play(t, far, "testdata/parts/traced.txt", exchange.Does{
+		replay.Play(t, far, "testdata/parts/traced.txt", replay.Steps{
 			"origin": func(want string) {
 				e := (<-events).(dispatch.RequestReceived)
 				open = e.Client.(*authorisation)
--- a/internal/batch/proof_test.go
+++ b/internal/batch/proof_test.go
@@ -22,8 +22,8 @@
 	"notchhinge/internal/batch"
 	"notchhinge/internal/config"
 	"notchhinge/internal/dispatch"
+	"notchhinge/internal/listwatch"
 	"notchhinge/internal/plan"
-	"notchhinge/internal/registry"
 	"notchhinge/internal/router"
 )
 
@@ -99,8 +99,8 @@
 	}
 	cfg.Known.Hosts = nil
 	for i, h := range f.hosts {
-		cfg.Known.Hosts = append(cfg.Known.Hosts, registry.Entry{
-			Host: fmt.Sprint("s-", i), Dial: h.Listener.Addr().String(), Site: "room", Health: "Ready", Share: 1,
+		cfg.Known.Hosts = append(cfg.Known.Hosts, listwatch.Entry{
+			Name: fmt.Sprint("s-", i), Addr: h.Listener.Addr().String(), Zone: "room", Health: "Ready", Weight: 1,
 		})
 	}
 	nobody, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,7 +13,7 @@
 
 	"notchhinge/internal/batch"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/registry"
+	"notchhinge/internal/listwatch"
 	"notchhinge/internal/settings"
 	"notchhinge/internal/wire"
 	"notchhinge/policy"
@@ -27,7 +27,7 @@
 	Admin     string // where operators call; "" = nowhere
 	Shared    string // folder that a successor shares; "" = there is none, and nobody succeeds
 	Seed      uint64
-	Known     registry.List
+	Known     listwatch.List
 	Module
 	Limits limits.Limits
 }
@@ -83,7 +83,7 @@
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known    registry.List   `json:"known"`
+	Known    listwatch.List  `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 }
 
@@ -182,7 +182,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if _, err := f.Known.Entries(r.AZs); err != nil {
+	if _, err := f.Known.DispatchHosts(r.AZs); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	var longest time.Duration
--- a/internal/registry/registry_test.go
+++ b/internal/listwatch/listwatch_test.go
@@ -1,4 +1,4 @@
-package registry
+package listwatch
 
 import (
 	"context"
@@ -11,20 +11,20 @@
 	"github.com/google/go-cmp/cmp"
 
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/exchange"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
+	"notchhinge/internal/testutil/replay"
 	"notchhinge/policy"
 )
 
-// deliver notes what a client has to say of the list, as a pool with one zone hears it.
+// deliver records what a client delivers, as a pool with one zone gets it.
 func deliver(got *[]dispatch.Event) func(policy.ListKind, List) error {
 	return func(kind policy.ListKind, l List) error {
 		if kind == policy.ListFailed {
 			*got = append(*got, dispatch.EndpointsListed{Kind: kind})
 			return nil
 		}
-		hosts, err := l.Entries([]string{"a"})
+		hosts, err := l.DispatchHosts([]string{"a"})
 		if err == nil {
 			*got = append(*got, dispatch.EndpointsListed{Kind: kind, Hosts: hosts})
 		}
@@ -37,9 +37,9 @@
 	far := make(chan net.Conn, 1)
 	return &Client{
 		Addr: "127.0.0.8:8500", Deliver: deliver(got),
-		Lim:  limits.New(limits.Machine{Sockets: 1024}, limits.Site{}),
-		Post: func(e dispatch.Event) { *got = append(*got, e) },
-		Dial: func(context.Context, string, string) (net.Conn, error) {
+		Limits: limits.New(limits.Machine{Sockets: 1024}, limits.Site{}),
+		Post:   func(e dispatch.Event) { *got = append(*got, e) },
+		DialContext: func(context.Context, string, string) (net.Conn, error) {
 			near, other := net.Pipe()
 			far <- other
 			return near, nil
@@ -47,7 +47,7 @@
 	}, far
 }
 
-func TestWatch(t *testing.T) {
+func TestWatchDeliversLists(t *testing.T) {
 	ready := dispatch.Host{Name: "s-5b", Addr: "127.0.0.9:5000", Cell: 3, Weight: 1, State: policy.StateReady}
 	draining := ready
 	draining.State, draining.BornAt = policy.StateDraining, 1500*time.Millisecond
@@ -78,7 +78,7 @@
 				var got []dispatch.Event
 				cl, far := newClient(&got)
 				if c.known {
-					cl.Known(List{Seq: 41, Hosts: make([]Entry, 1)})
+					cl.SetInitial(List{Seq: 41, Hosts: make([]Entry, 1)})
 				}
 				ctx, cancel := context.WithCancel(t.Context())
 				asked := make(chan struct{}, 1)
@@ -86,7 +86,7 @@
 				go cl.Run(ctx, asked)
 				conn := <-far
 				began := time.Now()
-				exchange.Play(t, conn, "testdata/"+name+".txt", exchange.Does{"at": func(want string) {
+				replay.Play(t, conn, "testdata/"+name+".txt", replay.Steps{"at": func(want string) {
 					if got := time.Since(began).String(); got != want {
 						t.Errorf("at %s, not %s", got, want)
 					}
@@ -102,16 +102,16 @@
 	}
 }
 
-func TestAnEndedFeedGoesAtOnce(t *testing.T) {
+func TestStoppedFeedEndsAtOnce(t *testing.T) {
 	// A new configuration names another discovery: the call that waits at the old one is given up at once, the
-	// whole list of the new one comes first, and the module hears of no failure.
+	// full list of the new one comes first, and no failure is delivered.
 	synctest.Test(t, func(t *testing.T) {
 		var got []dispatch.Event
 		far := make(chan net.Conn, 1)
 		feed := func(addr string) *Feed {
 			return NewFeed(Client{
-				Addr: addr, Lim: limits.New(limits.Machine{Sockets: 1024}, limits.Site{}),
-				Dial: func(context.Context, string, string) (net.Conn, error) {
+				Addr: addr, Limits: limits.New(limits.Machine{Sockets: 1024}, limits.Site{}),
+				DialContext: func(context.Context, string, string) (net.Conn, error) {
 					near, other := net.Pipe()
 					far <- other
 					return near, nil
@@ -120,23 +120,23 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		first := feed("127.0.0.8:8500")
-		first.Known(List{Seq: 41, Hosts: []Entry{{Host: "old", Health: "Ready"}}})
-		first.Join(0, Selection{}, nil, true)
+		first.SetInitial(List{Seq: 41, Hosts: []Entry{{Name: "old", Health: "Ready"}}})
+		first.SetPool(0, PoolUse{IsNew: true})
 		first.Run(ctx)
-		first.Ask(0)
+		first.RequestWatch(0)
 		old := <-far
-		exchange.Play(t, old, "testdata/parts/waits.txt", nil)
+		replay.Play(t, old, "testdata/parts/waits.txt", nil)
 		second := feed("127.0.0.8:8501")
-		second.Join(0, Selection{}, nil, false)
+		second.SetPool(0, PoolUse{})
 		second.Run(ctx)
-		second.AskNow()
-		if first.Leave(0) {
+		second.RequestWatchNow()
+		if first.RemovePool(0) {
 			t.Error("a pool is left")
 		}
 		first.Stop()
 		synctest.Wait()
-		exchange.Play(t, old, "testdata/parts/is_closed.txt", nil)
-		exchange.Play(t, <-far, "testdata/parts/moved.txt", nil)
+		replay.Play(t, old, "testdata/parts/is_closed.txt", nil)
+		replay.Play(t, <-far, "testdata/parts/moved.txt", nil)
 		synctest.Wait()
 		cancel()
 		synctest.Wait()
@@ -152,8 +152,8 @@
 	})
 }
 
-// TestSelections has pools with parts of one list: each hears of its own only, and of what leaves its part that it left.
-func TestSelections(t *testing.T) {
+// TestPoolsGetTheirSelections has pools that select parts of one list: each gets its own hosts only, and learns which have left.
+func TestPoolsGetTheirSelections(t *testing.T) {
 	var got []string
 	f := NewFeed(Client{}, func(e dispatch.Event) {
 		l := e.(dispatch.EndpointsListed)
@@ -175,16 +175,16 @@
 	}
 	take := func(kind policy.ListKind, l List) {
 		t.Helper()
-		if err := f.take(kind, l); err != nil {
+		if err := f.deliver(kind, l); err != nil {
 			t.Errorf("list %v: %v", kind, err)
 		}
 	}
 	entry := func(name, site string, block int, class, health string) Entry {
-		return Entry{Host: name, Dial: "d", Site: site, Block: block, Class: class, Health: health}
+		return Entry{Name: name, Addr: "d", Zone: site, Cell: block, Class: class, Health: health}
 	}
-	f.Join(1, Selection{Sites: []string{"a"}, Names: []string{"r-*"}}, nil, true)
-	f.Join(2, Selection{Blocks: []int{7}}, nil, true)
-	f.Join(3, Selection{Classes: []string{"big"}}, nil, true)
+	f.SetPool(1, PoolUse{Selection: Selection{Zones: []string{"a"}, Names: []string{"r-*"}}, IsNew: true})
+	f.SetPool(2, PoolUse{Selection: Selection{Cells: []int{7}}, IsNew: true})
+	f.SetPool(3, PoolUse{Selection: Selection{Classes: []string{"big"}}, IsNew: true})
 	expect("1 2:", "2 2:", "3 2:")
 	take(policy.ListFull, List{Hosts: []Entry{
 		entry("r-1", "a", 1, "", "Ready"), entry("r-2", "b", 7, "", "Ready"), entry("x", "a", 7, "big", "Ready"),
@@ -197,13 +197,13 @@
 	take(policy.ListDelta, List{Hosts: []Entry{entry("r-2", "b", 7, "", "Gone")}})
 	expect("2 0: r-2=2")
 	take(policy.ListFailed, List{})
-	expect("1 3:")                     // which asks again for all
-	f.Join(1, Selection{}, nil, false) // another selection: at once the whole of it, as far as it is known
+	expect("1 3:")          // which asks again for all
+	f.SetPool(1, PoolUse{}) // another selection: at once the whole of it, as far as it is known
 	expect("1 1: r-1=1 x=0")
-	f.Join(4, Selection{Names: []string{"x"}}, nil, true)
+	f.SetPool(4, PoolUse{Selection: Selection{Names: []string{"x"}}, IsNew: true})
 	expect("4 2: x=0")
-	if err := f.take(policy.ListDelta, List{Hosts: []Entry{entry("y", "a", 1, "", "Odd")}}); err == nil || got != nil {
-		t.Errorf("a bad list: %v, told %q", err, got)
+	if err := f.deliver(policy.ListDelta, List{Hosts: []Entry{entry("y", "a", 1, "", "Odd")}}); err == nil || got != nil {
+		t.Errorf("an invalid list: %v, delivered %q", err, got)
 	}
 }
 
@@ -217,42 +217,42 @@
 	})
 	asked := func() bool {
 		select {
-		case <-f.asked:
+		case <-f.watchRequested:
 			return true
 		default:
 			return false
 		}
 	}
 	for id := range hoststate.PoolID(3) {
-		f.Join(id+1, Selection{}, nil, true)
+		f.SetPool(id+1, PoolUse{IsNew: true})
 	}
-	if f.Ask(3); !asked() {
+	if f.RequestWatch(3); !asked() {
 		t.Error("before any failure anyone may ask")
 	}
-	if err := f.take(policy.ListFailed, List{}); err != nil {
+	if err := f.deliver(policy.ListFailed, List{}); err != nil {
 		t.Fatal(err)
 	}
-	if f.Ask(2); asked() {
+	if f.RequestWatch(2); asked() {
 		t.Error("another than the first asked again")
 	}
-	if f.Ask(1); !asked() {
+	if f.RequestWatch(1); !asked() {
 		t.Error("the first may not ask again")
 	}
-	f.Leave(1)
-	f.Leave(3)
-	if f.Ask(2); !asked() || !cmp.Equal(failed, []hoststate.PoolID{1, 2}) {
-		t.Errorf("told of a failure: %v", failed)
+	f.RemovePool(1)
+	f.RemovePool(3)
+	if f.RequestWatch(2); !asked() || !cmp.Equal(failed, []hoststate.PoolID{1, 2}) {
+		t.Errorf("delivered a failure to: %v", failed)
 	}
-	f.Join(0, Selection{}, nil, false) // a pool of before comes from another discovery, and is the first now
-	if f.Ask(0); !asked() || !cmp.Equal(failed, []hoststate.PoolID{1, 2, 0}) {
-		t.Errorf("told of a failure: %v", failed)
+	f.SetPool(0, PoolUse{}) // a pool of before comes from another discovery, and is the first now
+	if f.RequestWatch(0); !asked() || !cmp.Equal(failed, []hoststate.PoolID{1, 2, 0}) {
+		t.Errorf("delivered a failure to: %v", failed)
 	}
-	f.Leave(0)
-	if err := f.take(policy.ListDelta, List{}); err != nil {
+	f.RemovePool(0)
+	if err := f.deliver(policy.ListDelta, List{}); err != nil {
 		t.Fatal(err)
 	}
-	f.Join(4, Selection{}, nil, true)
-	if f.Ask(4); !asked() {
+	f.SetPool(4, PoolUse{IsNew: true})
+	if f.RequestWatch(4); !asked() {
 		t.Error("after a success anyone may ask")
 	}
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -14,8 +14,8 @@
 	"notchhinge/internal/config"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
+	"notchhinge/internal/listwatch"
 	"notchhinge/internal/quota"
-	"notchhinge/internal/registry"
 	"notchhinge/internal/service"
 	"notchhinge/internal/settings"
 	"notchhinge/policy"
@@ -33,7 +33,7 @@
 	ID        hoststate.PoolID
 	Name      string // "" = the platform's, without a file
 	Discovery string
-	Selection registry.Selection
+	Selection listwatch.Selection
 	Module    config.Module
 	Seed      uint64
 
@@ -125,8 +125,8 @@
 			q.Discovery = s.Discovery
 		}
 		if s.Select != nil {
-			q.Selection = registry.Selection{
-				Sites: s.Select.Sites, Blocks: s.Select.Blocks, Classes: s.Select.Classes, Names: s.Select.Names,
+			q.Selection = listwatch.Selection{
+				Zones: s.Select.Sites, Cells: s.Select.Blocks, Classes: s.Select.Classes, Names: s.Select.Names,
 			}
 		}
 		if s.Settings != "" {
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -182,7 +182,7 @@
 	}
 	r.log.Info("another process serves here; taking over from it once the list is there")
 	for _, f := range r.allFeeds() {
-		f.AskNow()
+		f.RequestWatchNow()
 	}
 	limit := time.NewTimer(limits.TakeoverListTimeout)
 	defer limit.Stop()
--- a/internal/router/plan.go
+++ b/internal/router/plan.go
@@ -10,8 +10,8 @@
 	"notchhinge/internal/config"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
+	"notchhinge/internal/listwatch"
 	"notchhinge/internal/plan"
-	"notchhinge/internal/registry"
 	"notchhinge/internal/settings"
 	"notchhinge/internal/upstream"
 	"notchhinge/policy"
@@ -72,19 +72,19 @@
 	f, old := r.feeds[q.Discovery], r.feedOf[q.ID]
 	fresh := f == nil
 	if fresh {
-		f = registry.NewFeed(registry.Client{Addr: q.Discovery, Lim: r.cfg.Limits, Dial: r.dial}, r.listed)
+		f = listwatch.NewFeed(listwatch.Client{Addr: q.Discovery, Limits: r.cfg.Limits, DialContext: r.dial}, r.listed)
 		r.feeds[q.Discovery] = f
 	}
 	r.feedOf[q.ID] = f
 	r.mu.Unlock()
 	if fresh && first && r.plan == nil && q.Discovery == r.cfg.Discovery {
-		f.Known(r.cfg.Known)
+		f.SetInitial(r.cfg.Known)
 	}
-	f.Join(q.ID, q.Selection, q.Module.Zones, first)
+	f.SetPool(q.ID, listwatch.PoolUse{Selection: q.Selection, Zones: q.Module.Zones, IsNew: first})
 	if fresh {
 		f.Run(ctx)
 		if !first || q.Name != "" && !f.HasList() {
-			f.AskNow() // nothing is known of it, and the module would take its time to ask
+			f.RequestWatchNow() // nothing is known of it, and the module would take its time to ask
 		}
 	}
 	if old != nil && old != f {
@@ -93,8 +93,8 @@
 }
 
 // leave takes a pool out of a feed, which ends with its last.
-func (r *Router) leave(f *registry.Feed, id hoststate.PoolID) {
-	if f.Leave(id) {
+func (r *Router) leave(f *listwatch.Feed, id hoststate.PoolID) {
+	if f.RemovePool(id) {
 		return
 	}
 	f.Stop()
@@ -108,14 +108,14 @@
 }
 
 // feed is where a pool has its list from.
-func (r *Router) feed(id hoststate.PoolID) *registry.Feed {
+func (r *Router) feed(id hoststate.PoolID) *listwatch.Feed {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.feedOf[id]
 }
 
 // allFeeds are those there are at present.
-func (r *Router) allFeeds() []*registry.Feed {
+func (r *Router) allFeeds() []*listwatch.Feed {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Collect(maps.Values(r.feeds))
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -22,8 +22,8 @@
 	"notchhinge/internal/config"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
+	"notchhinge/internal/listwatch"
 	"notchhinge/internal/plan"
-	"notchhinge/internal/registry"
 	"notchhinge/internal/service"
 	"notchhinge/internal/trace"
 	"notchhinge/internal/upstream"
@@ -53,8 +53,8 @@
 	generation atomic.Int64 // plans carried out
 	first      *plan.Plan   // the one to begin with
 	mu         sync.Mutex   // never held while an event is posted: the loop takes it
-	feeds      map[string]*registry.Feed
-	feedOf     map[hoststate.PoolID]*registry.Feed
+	feeds      map[string]*listwatch.Feed
+	feedOf     map[hoststate.PoolID]*listwatch.Feed
 }
 
 // Dialer opens connections.
@@ -64,7 +64,7 @@
 func New(cfg *config.Config, p *plan.Plan, log *slog.Logger, dial Dialer, clock dispatch.Clock) *Router {
 	r := &Router{
 		cfg: cfg, log: log, dial: dial, broker: dispatch.New(cfg.Limits), first: p,
-		feeds: map[string]*registry.Feed{}, feedOf: map[hoststate.PoolID]*registry.Feed{},
+		feeds: map[string]*listwatch.Feed{}, feedOf: map[hoststate.PoolID]*listwatch.Feed{},
 		ops: operations{heard: make(chan struct{}), dry: make(chan struct{})},
 	}
 	r.at.Store(p.Directory)
@@ -138,7 +138,7 @@
 		go e.Token.(reminder).Due()
 	case dispatch.WatchEndpoints:
 		if f := r.feed(e.Pool); f != nil {
-			f.Ask(e.Pool)
+			f.RequestWatch(e.Pool)
 		}
 	case dispatch.PoolEnded:
 		go r.gone(e.Pool)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -20,8 +20,8 @@
 
 	"notchhinge/internal/config"
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/exchange"
 	"notchhinge/internal/plan"
+	"notchhinge/internal/testutil/replay"
 )
 
 func load(t *testing.T) *config.Config {
@@ -129,13 +129,13 @@
 		waiting, idle := must(front.dial()), must(front.dial())
 		began := time.Now()
 		played := make(chan time.Duration, 3)
-		go func() { exchange.Play(t, waiting, "testdata/last_answer.txt", nil); played <- time.Since(began) }()
-		go func() { exchange.Play(t, idle, "testdata/idle.txt", nil); played <- time.Since(began) }()
+		go func() { replay.Play(t, waiting, "testdata/last_answer.txt", nil); played <- time.Since(began) }()
+		go func() { replay.Play(t, idle, "testdata/idle.txt", nil); played <- time.Since(began) }()
 		time.Sleep(time.Second)
 		stop <- syscall.SIGTERM
 		time.Sleep(400 * time.Millisecond)
 		late := must(front.dial())
-		go func() { exchange.Play(t, late, "testdata/late_answer.txt", nil); played <- time.Since(began) }()
+		go func() { replay.Play(t, late, "testdata/late_answer.txt", nil); played <- time.Since(began) }()
 		got := []time.Duration{<-played, <-played, <-played}
 		want := []time.Duration{1450 * time.Millisecond, 3 * time.Second, 4400 * time.Millisecond}
 		if diff := cmp.Diff(want, got); diff != "" {
@@ -159,7 +159,7 @@
 		front, stop, done, _ := bubble(t, time.Minute)
 		conn := must(front.dial())
 		began := time.Now()
-		exchange.Play(t, conn, "testdata/deadline.txt", nil)
+		replay.Play(t, conn, "testdata/deadline.txt", nil)
 		if d := time.Since(began); d != 4800*time.Millisecond {
 			t.Errorf("answered after %v", d)
 		}
@@ -178,13 +178,13 @@
 		front, stop, done, log := bubble(t, time.Second)
 		slow, quick := must(front.dial()), must(front.dial())
 		began := time.Now()
-		exchange.Play(t, slow, "testdata/request.txt", nil)
-		exchange.Play(t, quick, "testdata/served.txt", nil)
+		replay.Play(t, slow, "testdata/request.txt", nil)
+		replay.Play(t, quick, "testdata/served.txt", nil)
 		if d := time.Since(began); d != time.Second {
 			t.Errorf("the other was served after %v", d)
 		}
 		time.Sleep(11 * time.Second)
-		exchange.Play(t, slow, "testdata/is_closed.txt", nil)
+		replay.Play(t, slow, "testdata/is_closed.txt", nil)
 		quick.Close()
 		stop <- syscall.SIGTERM
 		if err := <-done; err != nil {
--- a/internal/router/trace_test.go
+++ b/internal/router/trace_test.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/exchange"
 	"notchhinge/internal/settings"
+	"notchhinge/internal/testutil/replay"
 	"notchhinge/internal/trace"
 	"notchhinge/internal/trace/show"
 )
@@ -46,7 +46,7 @@
 		}
 		go func() { done <- r.ServeOn(front, Signals{Stop: stop}) }()
 		played := make(chan struct{})
-		go func() { exchange.Play(t, must(front.dial()), "testdata/last_answer.txt", nil); close(played) }()
+		go func() { replay.Play(t, must(front.dial()), "testdata/last_answer.txt", nil); close(played) }()
 		time.Sleep(time.Second)
 		stop <- syscall.SIGTERM
 		<-played
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -14,10 +14,10 @@
 	"github.com/google/go-cmp/cmp"
 
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/exchange"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/quota"
+	"notchhinge/internal/testutil/replay"
 	"notchhinge/policy"
 )
 
@@ -87,8 +87,8 @@
 // play plays a recording, in which "request" stands for the order as the host must get it.
 func play(t *testing.T, conn net.Conn, name string) {
 	t.Helper()
-	exchange.Play(t, conn, filepath.Join("testdata", name+".txt"), exchange.Does{"request": func(string) {
-		exchange.Play(t, conn, filepath.Join("testdata", "request.txt"), nil)
+	replay.Play(t, conn, filepath.Join("testdata", name+".txt"), replay.Steps{"request": func(string) {
+		replay.Play(t, conn, filepath.Join("testdata", "request.txt"), nil)
 	}})
 }
 
