--- a/internal/configfile/configfile_test.go
+++ b/internal/configfile/configfile_test.go
@@ -22,7 +22,7 @@
 
 var update = flag.Bool("update", false, "write deploy/configuration.schema.json anew")
 
-func TestSchemaIsOfTheTypes(t *testing.T) {
+func TestSchemaMatchesTheTypes(t *testing.T) {
 	// The names under $defs stay as published; schemas of users may refer to them.
 	published := map[string]string{"WeightedService": "Share", "Autoscaling": "Scale", "RequestLimits": "Limits"}
 	r := jsonschema.Reflector{
@@ -43,11 +43,11 @@
 		return
 	}
 	if !bytes.Equal(text, deploy.ConfigurationSchema) {
-		t.Error("deploy/configuration.schema.json is not what the types say: run go test ./internal/configfile -run Schema -update")
+		t.Error("deploy/configuration.schema.json does not match the types: run go test ./internal/configfile -run Schema -update")
 	}
 }
 
-const good = `
+const validFile = `
 [request_limits]
 max_body_bytes = 1000000
 
@@ -82,61 +82,75 @@
 api_keys = ["one", "env:LAB_KEY", "file:lab.key"]
 `
 
-func env(name string) string { return map[string]string{"LAB_KEY": "two"}[name] }
+func testEnv(name string) string { return map[string]string{"LAB_KEY": "two"}[name] }
 
-func TestGoodFile(t *testing.T) {
-	f, err := Parse([]byte(good), filepath.Join(t.TempDir(), "a.toml"), env)
+func parseValid(t *testing.T) *File {
+	t.Helper()
+	f, err := Parse([]byte(validFile), filepath.Join(t.TempDir(), "a.toml"), testEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
+	return f
+}
+
+func TestParseReadsFileAndResolvesKeys(t *testing.T) {
+	f := parseValid(t)
 	if f.HasRevision || f.Routes[1].TimeoutMS != 2500.5 || f.Routes[1].TrafficSplit[0].Service != "scribe" || f.Services[0].Autoscaling.MaxInstances != 12 ||
 		!cmp.Equal(f.Tenants[0].APIKeys[:2], []string{"one", "two"}) || !cmp.Equal(f.UnresolvedKeys, []string{"file:lab.key"}) {
 		t.Errorf("%+v", f.Config)
 	}
-	// The wire's form is the same every time, and says the same.
+}
+
+func TestEncodedFileIsReadAlike(t *testing.T) {
+	f := parseValid(t)
 	f.Revision = 4
 	b, err := Encode(f.Config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, _ := Encode(f.Config)
+	if again, err := Encode(f.Config); err != nil || !bytes.Equal(b, again) {
+		t.Errorf("a second encoding differs: %v", err)
+	}
 	c, _, err := fleetconfig.DecodeWithDigest(b)
-	if err != nil || c.Validate() != nil || !cmp.Equal(c, f.Config) || !bytes.Equal(b, again) {
+	if err != nil || c.Validate() != nil || !cmp.Equal(c, f.Config) {
 		t.Errorf("%v %s", err, cmp.Diff(f.Config, c))
 	}
 	path := filepath.Join(t.TempDir(), "a.cbor")
 	if err := os.WriteFile(path, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if g, err := Load(path, env); err != nil || !g.HasRevision || !cmp.Equal(g.Config, f.Config) {
+	if g, err := Load(path, testEnv); err != nil || !g.HasRevision || !cmp.Equal(g.Config, f.Config) {
 		t.Errorf("from CBOR: %+v %v", g, err)
 	}
-	for _, k := range Redact(f.Config).Tenants[0].APIKeys {
+}
+
+func TestRedactShowsNoKey(t *testing.T) {
+	for _, k := range Redact(parseValid(t).Config).Tenants[0].APIKeys {
 		if k == "one" || k == "two" {
-			t.Error("a key is shown")
+			t.Error("Redact shows an API key")
 		}
 	}
 }
 
-func TestEveryFaultWithItsLine(t *testing.T) {
-	bad := strings.NewReplacer(
-		`path_prefix = "/chat/"`, `path_prefix = "chat"`, // a shape
-		`max_attempts = 2`, `max_tries = 2`, // no key
-	).Replace(good)
-	worse := strings.NewReplacer(
-		`target_service = "scribe"`+"\nmax", `target_service = "none"`+"\nmax", // what no schema can say
+func TestEveryErrorIsReportedWithItsLine(t *testing.T) {
+	againstSchema := strings.NewReplacer(
+		`path_prefix = "/chat/"`, `path_prefix = "chat"`, // a pattern
+		`max_attempts = 2`, `max_tries = 2`, // unknown key
+	).Replace(validFile)
+	againstChecks := strings.NewReplacer(
+		`target_service = "scribe"`+"\nmax", `target_service = "none"`+"\nmax", // a reference, which no schema can check
 		`weight = 1`, `weight = 0`,
 		`"one", "env`, `"one", "one", "env`,
-	).Replace(good)
+	).Replace(validFile)
 	for name, c := range map[string]struct {
 		text string
 		want []string
 	}{
-		"by the schema": {bad, []string{"f.toml:17: routes[0].path_prefix", "f.toml:21: routes[0].max_tries: is no key"}},
-		"by the checks": {worse, []string{"f.toml:20: routes[0].target_service (chat): unknown service \"none\"", "f.toml:29: routes[1].traffic_split"}},
-		"no TOML":       {"[[routes]\n", []string{"f.toml:1"}},
+		"against the schema": {againstSchema, []string{"f.toml:17: routes[0].path_prefix", "f.toml:21: routes[0].max_tries: is no key"}},
+		"against the checks": {againstChecks, []string{"f.toml:20: routes[0].target_service (chat): unknown service \"none\"", "f.toml:29: routes[1].traffic_split"}},
+		"no TOML":            {"[[routes]\n", []string{"f.toml:1"}},
 	} {
-		_, err := Parse([]byte(c.text), "f.toml", env)
+		_, err := Parse([]byte(c.text), "f.toml", testEnv)
 		var faults settings.Faults
 		if !errors.As(err, &faults) || len(faults) != len(c.want) {
 			t.Errorf("%s: %v", name, err)
@@ -150,20 +164,21 @@
 	}
 }
 
-func TestDiff(t *testing.T) {
+func TestDiffListsEveryChange(t *testing.T) {
 	read := func(text string) *fleetconfig.Config {
-		f, err := Parse([]byte(text), "f.toml", env)
+		t.Helper()
+		f, err := Parse([]byte(text), "f.toml", testEnv)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return f.Config
 	}
-	a := read(good)
-	if d := Diff(a, read(good)); len(d) > 0 {
-		t.Errorf("of itself: %v", d)
+	a := read(validFile)
+	if d := Diff(a, read(validFile)); len(d) > 0 {
+		t.Errorf("against itself: %v", d)
 	}
 	b := read(strings.NewReplacer("12000", "9000", "max_body_bytes = 1000000", "max_body_bytes = 5", `"one", `, `"three", "four", `,
-		`path_prefix = "/"`, `path_prefix = "/new/"`, "max_instances = 12", "max_instances = 20", `weight = 1`, `weight = 3`).Replace(good))
+		`path_prefix = "/"`, `path_prefix = "/new/"`, "max_instances = 12", "max_instances = 20", `weight = 1`, `weight = 3`).Replace(validFile))
 	var got []string
 	for _, c := range Diff(a, b) {
 		got = append(got, c.String())
@@ -180,6 +195,6 @@
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 	if first := Diff(nil, a); len(first) != 5 {
-		t.Errorf("of nothing: %v", first)
+		t.Errorf("against nothing: %v", first)
 	}
 }
--- a/internal/configfile/diff.go
+++ b/internal/configfile/diff.go
@@ -10,109 +10,148 @@
 	"notchhinge/internal/control/fleetconfig"
 )
 
-// Change is one thing that another configuration changes.
+// Values of Change.What for entries that only one of two configurations has.
+const (
+	entryAdded   = "added"
+	entryRemoved = "removed"
+)
+
+// Change is one difference between two configurations. Its JSON form is the output of the config commands.
 type Change struct {
-	Kind string `json:"kind"` // route, service, tenant, request_limits
-	Name string `json:"name,omitempty"`
-	What string `json:"what"` // added, removed, or a field
-	From string `json:"from,omitempty"`
-	To   string `json:"to,omitempty"`
+	Kind string `json:"kind"`           // route, service, tenant or request_limits
+	Name string `json:"name,omitempty"` // of the entry; of a route its hostname and path_prefix
+	What string `json:"what"`           // added, removed, or the key of the field that differs
+	From string `json:"from,omitempty"` // "" = no value
+	To   string `json:"to,omitempty"`   // "" = no value
 }
 
+// String is one line as in "~ route a.example/chat/: timeout_ms 12000 -> 9000", with + and - for added and removed entries.
 func (c Change) String() string {
-	s := c.Kind
+	entry := c.Kind
 	if c.Name != "" {
-		s += " " + c.Name
+		entry += " " + c.Name
 	}
-	switch {
-	case c.What == "added":
-		return "+ " + s + ": " + c.To
-	case c.What == "removed":
-		return "- " + s + ": " + c.From
+	switch c.What {
+	case entryAdded:
+		return "+ " + entry + ": " + c.To
+	case entryRemoved:
+		return "- " + entry + ": " + c.From
 	}
-	return fmt.Sprintf("~ %s: %s %s -> %s", s, c.What, cmp.Or(c.From, "(none)"), cmp.Or(c.To, "(none)"))
+	return fmt.Sprintf("~ %s: %s %s -> %s", entry, c.What, cmp.Or(c.From, "(none)"), cmp.Or(c.To, "(none)"))
 }
 
-// Diff lists what b changes of a; a may be nil. Routes are told apart by host and path_prefix, since requests are; services
-// and tenants by name.
-func Diff(a, b *fleetconfig.Config) (all []Change) {
-	if a == nil {
-		a = &fleetconfig.Config{}
+// Diff lists the differences of to against from, which may be nil: routes, services, tenants, then request limits. Routes are
+// identified by hostname and path_prefix, by which requests are matched; services and tenants by name. API keys are counted,
+// not shown.
+func Diff(from, to *fleetconfig.Config) []Change {
+	if from == nil {
+		from = &fleetconfig.Config{}
 	}
-	all = append(all, pairs("route", a.Routes, b.Routes, func(r *fleetconfig.Route) string { return strings.ToLower(r.Hostname) + r.PathPrefix }, routeText)...)
-	all = append(all, pairs("service", a.Services, b.Services, func(s *fleetconfig.Service) string { return s.Name },
-		func(s *fleetconfig.Service) string {
-			return fmt.Sprintf("%s, %d connections", cmp.Or(s.Protocol, "h1"), s.MaxConnections)
-		})...)
-	all = append(all, pairs("tenant", a.Tenants, b.Tenants, func(t *fleetconfig.Tenant) string { return t.Name },
-		func(t *fleetconfig.Tenant) string {
-			return fmt.Sprintf("%d keys, priority %d", len(t.APIKeys), t.Priority)
-		})...)
-	all = append(all, fields("request_limits", "", reflect.ValueOf(a.RequestLimits), reflect.ValueOf(b.RequestLimits))...)
-	return all
+	return slices.Concat(
+		diffEntries(routeEntries, from.Routes, to.Routes),
+		diffEntries(serviceEntries, from.Services, to.Services),
+		diffEntries(tenantEntries, from.Tenants, to.Tenants),
+		diffFields("request_limits", "", reflect.ValueOf(from.RequestLimits), reflect.ValueOf(to.RequestLimits)),
+	)
 }
 
-func routeText(r *fleetconfig.Route) string {
-	return fmt.Sprintf("%s, %s -> %s, %v ms", r.Name, r.Type, shares(r.Targets()), r.TimeoutMS)
+// entryKind says how the entries of one list are identified and summarized.
+type entryKind[T any] struct {
+	kind    string
+	id      func(*T) string
+	summary func(*T) string
 }
 
-func shares(all []fleetconfig.WeightedService) string {
-	var s []string
-	for _, x := range all {
-		s = append(s, fmt.Sprintf("%s:%v", x.Service, x.Weight))
+var (
+	routeEntries = entryKind[fleetconfig.Route]{
+		kind: "route",
+		id:   func(r *fleetconfig.Route) string { return strings.ToLower(r.Hostname) + r.PathPrefix },
+		summary: func(r *fleetconfig.Route) string {
+			return fmt.Sprintf("%s, %s -> %s, %v ms", r.Name, r.Type, formatSplit(r.Targets()), r.TimeoutMS)
+		},
 	}
-	return strings.Join(s, "+")
-}
+	serviceEntries = entryKind[fleetconfig.Service]{
+		kind: "service",
+		id:   func(s *fleetconfig.Service) string { return s.Name },
+		summary: func(s *fleetconfig.Service) string {
+			return fmt.Sprintf("%s, %d connections", cmp.Or(s.Protocol, "h1"), s.MaxConnections)
+		},
+	}
+	tenantEntries = entryKind[fleetconfig.Tenant]{
+		kind: "tenant",
+		id:   func(t *fleetconfig.Tenant) string { return t.Name },
+		summary: func(t *fleetconfig.Tenant) string {
+			return fmt.Sprintf("%d keys, priority %d", len(t.APIKeys), t.Priority)
+		},
+	}
+)
 
-// pairs compares two lists whose entries have names.
-func pairs[T any](kind string, a, b []T, name func(*T) string, text func(*T) string) (all []Change) {
-	at := map[string]*T{}
-	for i := range a {
-		at[name(&a[i])] = &a[i]
+// diffEntries compares two lists: entries that are new or differ in the order of to, then removed ones in the order of from.
+func diffEntries[T any](k entryKind[T], from, to []T) (changes []Change) {
+	unmatched := map[string]*T{} // entries of from by id
+	for i := range from {
+		unmatched[k.id(&from[i])] = &from[i]
 	}
-	for i := range b {
-		n := name(&b[i])
-		old := at[n]
+	for i := range to {
+		id := k.id(&to[i])
+		old := unmatched[id]
 		if old == nil {
-			all = append(all, Change{Kind: kind, Name: n, What: "added", To: text(&b[i])})
+			changes = append(changes, Change{Kind: k.kind, Name: id, What: entryAdded, To: k.summary(&to[i])})
 			continue
 		}
-		delete(at, n)
-		all = append(all, fields(kind, n, reflect.ValueOf(*old), reflect.ValueOf(b[i]))...)
+		delete(unmatched, id)
+		changes = append(changes, diffFields(k.kind, id, reflect.ValueOf(*old), reflect.ValueOf(to[i]))...)
 	}
-	for i := range a {
-		if n := name(&a[i]); at[n] == &a[i] {
-			all = append(all, Change{Kind: kind, Name: n, What: "removed", From: text(&a[i])})
+	for i := range from {
+		if id := k.id(&from[i]); unmatched[id] == &from[i] {
+			changes = append(changes, Change{Kind: k.kind, Name: id, What: entryRemoved, From: k.summary(&from[i])})
 		}
 	}
-	return all
+	return changes
 }
 
-// fields compares two structs field by field, under the names that files give them.
-func fields(kind, name string, a, b reflect.Value) (all []Change) {
-	for i := range a.NumField() {
-		field := a.Type().Field(i).Tag.Get("toml")
-		x, y := a.Field(i).Interface(), b.Field(i).Interface()
-		if keys, ok := x.([]string); ok {
-			all = append(all, keyChanges(kind, name, field, keys, y.([]string))...)
-			continue
+// diffFields compares two structs of one type field by field, under their TOML keys.
+func diffFields(kind, name string, from, to reflect.Value) (changes []Change) {
+	for i := range from.NumField() {
+		c := Change{Kind: kind, Name: name, What: from.Type().Field(i).Tag.Get("toml")}
+		old, now := from.Field(i).Interface(), to.Field(i).Interface()
+		if keys, ok := old.([]string); ok { // API keys
+			added, removed := countMissing(now.([]string), keys), countMissing(keys, now.([]string))
+			if added+removed == 0 {
+				continue
+			}
+			c.From = fmt.Sprintf("%d (%d taken away)", len(keys), removed)
+			c.To = fmt.Sprintf("%d (%d new)", len(now.([]string)), added)
+		} else {
+			if reflect.DeepEqual(old, now) || isEmptySlice(old) && isEmptySlice(now) {
+				continue
+			}
+			c.From, c.To = formatValue(old), formatValue(now)
 		}
-		if !reflect.DeepEqual(x, y) && !(empty(x) && empty(y)) {
-			all = append(all, Change{kind, name, field, show(x), show(y)})
+		changes = append(changes, c)
+	}
+	return changes
+}
+
+// countMissing counts the elements of list that other lacks.
+func countMissing(list, other []string) (n int) {
+	for _, s := range list {
+		if !slices.Contains(other, s) {
+			n++
 		}
 	}
-	return all
+	return n
 }
 
-func empty(v any) bool {
-	x := reflect.ValueOf(v)
-	return x.Kind() == reflect.Slice && x.Len() == 0
+func isEmptySlice(v any) bool {
+	r := reflect.ValueOf(v)
+	return r.Kind() == reflect.Slice && r.Len() == 0
 }
 
-func show(v any) string {
+func formatValue(v any) string {
 	switch v := v.(type) {
 	case []fleetconfig.WeightedService:
-		return shares(v)
+		return formatSplit(v)
 	case *fleetconfig.Autoscaling:
 		if v == nil {
 			return ""
@@ -122,21 +161,11 @@
 	return fmt.Sprint(v)
 }
 
-// keyChanges counts keys that come and go; none is shown.
-func keyChanges(kind, name, field string, a, b []string) []Change {
-	came, went := 0, 0
-	for _, k := range b {
-		if !slices.Contains(a, k) {
-			came++
-		}
-	}
-	for _, k := range a {
-		if !slices.Contains(b, k) {
-			went++
-		}
-	}
-	if came+went == 0 {
-		return nil
+// formatSplit is a traffic split as in scribe:1+reader:0.5.
+func formatSplit(split []fleetconfig.WeightedService) string {
+	targets := make([]string, len(split))
+	for i, t := range split {
+		targets[i] = fmt.Sprintf("%s:%v", t.Service, t.Weight)
 	}
-	return []Change{{kind, name, field, fmt.Sprintf("%d (%d taken away)", len(a), went), fmt.Sprintf("%d (%d new)", len(b), came)}}
+	return strings.Join(targets, "+")
 }
--- a/internal/configfile/file.go
+++ b/internal/configfile/file.go
@@ -1,17 +1,11 @@
-// Package configfile owns configurations of the fleet as users keep them in version control: TOML files, checked by a JSON
-// Schema that is made from the types, and what changes from one to another. It asks no fleet and prints no key of a tenant.
-// Its errors are settings.Faults (what is wrong with a file, with lines) or those of reading.
 package configfile
 
 import (
-	"bytes"
 	"errors"
-	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
 
-	"github.com/fxamacker/cbor/v2"
 	"github.com/pelletier/go-toml/v2"
 
 	"notchhinge/deploy"
@@ -19,16 +13,16 @@
 	"notchhinge/internal/settings"
 )
 
-// File is a configuration from a file.
+// File is a configuration that was read from a file.
 type File struct {
 	*fleetconfig.Config
 	Path           string
-	HasRevision    bool     // the file says a revision itself
-	UnresolvedKeys []string // keys kept elsewhere that could not be read, as env:NAME
+	HasRevision    bool     // the file gives the revision; otherwise Revision is 0
+	UnresolvedKeys []string // references to API keys that are not on this machine, as env:NAME; the configuration still has them
 }
 
-// Load reads and checks a file: TOML, or CBOR where its name ends in .cbor. Keys that are kept elsewhere are read if they
-// are there; getenv is the environment.
+// Load reads and checks a file: CBOR if its name ends in .cbor or it begins as a CBOR map, otherwise TOML. API keys that are
+// references to the environment, which getenv reads, or to files are replaced by what they refer to.
 func Load(path string, getenv func(string) string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -37,124 +31,74 @@
 	return Parse(text, path, getenv)
 }
 
-// Parse is Read on a text that is already read.
+// Parse is Load for a text that is already in memory. Path appears in errors, and relative paths in the text start from its
+// directory.
 func Parse(text []byte, path string, getenv func(string) string) (*File, error) {
-	f := &File{Config: &fleetconfig.Config{}, Path: path}
-	if filepath.Ext(path) == ".cbor" || len(text) > 0 && text[0] >= 0xa0 && text[0] <= 0xbf { // a map, which begins no TOML
-		c, _, err := fleetconfig.DecodeWithDigest(text)
-		if err == nil {
-			err = c.Validate()
-		}
-		f.Config, f.HasRevision = c, true
-		return f, lines(nil, path, err)
+	if filepath.Ext(path) == ".cbor" || beginsAsCBORMap(text) {
+		return parseCBOR(text, path)
+	}
+	return parseTOML(text, path, getenv)
+}
+
+// beginsAsCBORMap reports whether the first byte is a CBOR map's (RFC 8949, major type 5). No TOML begins with one.
+func beginsAsCBORMap(text []byte) bool {
+	return len(text) > 0 && text[0] >= 0xa0 && text[0] <= 0xbf
+}
+
+func parseCBOR(text []byte, path string) (*File, error) {
+	c, _, err := fleetconfig.DecodeWithDigest(text)
+	if err == nil {
+		err = c.Validate()
+	}
+	if err != nil {
+		return nil, fileErrors(nil, path, err)
 	}
-	from, faults, err := settings.Read(text, path, deploy.ConfigurationSchema)
+	return &File{Config: c, Path: path, HasRevision: true}, nil
+}
+
+func parseTOML(text []byte, path string, getenv func(string) string) (*File, error) {
+	source, errs, err := settings.Read(text, path, deploy.ConfigurationSchema)
 	if err != nil {
 		return nil, err
 	}
-	if len(faults) > 0 {
-		return nil, faults.Sorted()
+	if len(errs) > 0 {
+		return nil, errs.Sorted()
 	}
+	f := &File{Config: &fleetconfig.Config{}, Path: path}
 	if err := toml.Unmarshal(text, f.Config); err != nil {
 		return nil, settings.Faults{{File: path, Says: err.Error()}}
 	}
 	f.HasRevision = f.Revision > 0
-	for i := range f.Tenants {
-		for k, key := range f.Tenants[i].APIKeys {
-			got, err := elsewhere(key, filepath.Dir(path), getenv)
-			switch {
-			case errors.Is(err, errUnread):
-				f.UnresolvedKeys = append(f.UnresolvedKeys, key)
-			case err != nil:
-				faults = append(faults, from.Fault([]string{"tenants", fmt.Sprint(i), "api_keys"}, "%v", err))
-			default:
-				f.Tenants[i].APIKeys[k] = got
-			}
-		}
-	}
+	errs = f.resolveKeys(source, getenv)
 	checked := *f.Config
-	checked.Revision = max(checked.Revision, 1) // the next one, which is not known here
-	if err := lines(from, path, checked.Validate()); err != nil {
-		var more settings.Faults
-		if !errors.As(err, &more) {
-			return nil, err
-		}
-		faults = append(faults, more...)
-	}
-	if len(faults) > 0 {
-		return nil, faults.Sorted()
+	checked.Revision = max(checked.Revision, 1) // whoever submits the file fills it in
+	errs = append(errs, fileErrors(source, path, checked.Validate())...)
+	if len(errs) > 0 {
+		return nil, errs.Sorted()
 	}
 	return f, nil
 }
 
-var errUnread = errors.New("not there")
-
-// elsewhere reads a key that is kept elsewhere; any other is returned as it is.
-func elsewhere(key, dir string, getenv func(string) string) (string, error) {
-	if name, ok := strings.CutPrefix(key, "env:"); ok {
-		if v := getenv(name); v != "" {
-			return v, nil
-		}
-		return "", errUnread
-	}
-	path, ok := strings.CutPrefix(key, "file:")
-	if !ok {
-		return key, nil
-	}
-	if !filepath.IsAbs(path) {
-		path = filepath.Join(dir, path)
-	}
-	b, err := os.ReadFile(path)
+// fileErrors makes what is wrong with a configuration errors of its file, in the order of lines. Source is nil where the
+// file has no lines.
+func fileErrors(source *settings.Source, path string, err error) settings.Faults {
+	var fields fleetconfig.FieldErrors
 	switch {
-	case errors.Is(err, os.ErrNotExist):
-		return "", errUnread
-	case err != nil:
-		return "", err
-	case len(bytes.TrimSpace(b)) == 0:
-		return "", fmt.Errorf("%s is empty", path)
-	}
-	return string(bytes.TrimSpace(b)), nil
-}
-
-// lines makes faults of a configuration faults of a file.
-func lines(from *settings.Source, path string, err error) error {
-	var faults fleetconfig.FieldErrors
-	if !errors.As(err, &faults) {
-		if err != nil {
-			return settings.Faults{{File: path, Says: err.Error()}}
-		}
+	case err == nil:
 		return nil
-	}
-	var all settings.Faults
-	for _, x := range faults {
-		f := settings.Fault{File: path, Key: strings.TrimSuffix(x.String(), ": "+x.Message), Says: x.Message}
-		if from != nil {
-			f = from.Fault(x.Path, "%s", x.Message)
-			if x.Owner != "" {
-				f.Key += " (" + x.Owner + ")"
+	case !errors.As(err, &fields):
+		return settings.Faults{{File: path, Says: err.Error()}}
+	}
+	var errs settings.Faults
+	for _, e := range fields {
+		f := settings.Fault{File: path, Key: strings.TrimSuffix(e.String(), ": "+e.Message), Says: e.Message}
+		if source != nil {
+			f = source.Fault(e.Path, "%s", e.Message)
+			if e.Owner != "" {
+				f.Key += " (" + e.Owner + ")"
 			}
 		}
-		all = append(all, f)
-	}
-	return all.Sorted()
-}
-
-// Encode writes a configuration as the wire has it. The same configuration has the same bytes every time.
-func Encode(c *fleetconfig.Config) ([]byte, error) {
-	mode, err := cbor.CanonicalEncOptions().EncMode()
-	if err != nil {
-		return nil, err
-	}
-	return mode.Marshal(c)
-}
-
-// Redact is a copy of a configuration without its keys.
-func Redact(c *fleetconfig.Config) *fleetconfig.Config {
-	out := *c
-	out.Tenants = nil
-	for _, t := range c.Tenants {
-		t.APIKeys = []string{fmt.Sprintf("(%d keys)", len(t.APIKeys))}
-		out.Tenants = append(out.Tenants, t)
+		errs = append(errs, f)
 	}
-	return &out
+	return errs.Sorted()
 }
--- a/internal/configfile/golden_test.go
+++ b/internal/configfile/golden_test.go
@@ -7,7 +7,7 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// TestGoldenConfiguration: a configuration that uses each field has the bytes and the digest that it had.
+// TestGoldenConfiguration checks that a configuration with a value in each field keeps its bytes and its digest.
 func TestGoldenConfiguration(t *testing.T) {
 	c := &fleetconfig.Config{
 		Revision: 300,
