--- a/cmd/notchhinge/main.go
+++ b/cmd/notchhinge/main.go
@@ -20,7 +20,7 @@
 	"notchhinge/internal/config/nodeconfig"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/node"
-	"notchhinge/internal/plan"
+	"notchhinge/internal/reconcile"
 	"notchhinge/internal/router"
 	"notchhinge/internal/settings"
 )
@@ -136,7 +136,7 @@
 	limits := cfg.Limits // with what the process has, whatever is read later
 	return r.Serve(router.Signals{
 		Stop: stop, Audit: audit, Reload: reload,
-		Reread: func(running *plan.Plan) (*config.Config, *plan.Plan, error) {
+		Reread: func(running *reconcile.Plan) (*config.Config, *reconcile.Plan, error) {
 			cfg, err := config.Reload(os.Getenv)
 			if err != nil {
 				return nil, nil, err
@@ -146,23 +146,23 @@
 			if err != nil {
 				return nil, nil, err
 			}
-			p, err := plan.Make(cfg, f, running)
+			p, err := reconcile.NewPlan(cfg, f, running)
 			return cfg, p, err
 		},
 	})
 }
 
 // begin makes the plan to begin with, and room in the limits for what it and the batch front need.
-func begin(cfg *config.Config, f *settings.File, b *batch.Config) (*plan.Plan, error) {
+func begin(cfg *config.Config, f *settings.File, b *batch.Config) (*reconcile.Plan, error) {
 	if b != nil {
 		cfg.Limits = cfg.Limits.WithBatch(b.Files())
 	}
-	p, err := plan.Make(cfg, f, nil)
+	p, err := reconcile.NewPlan(cfg, f, nil)
 	if err != nil || len(f.Services) == 0 && f.Control == nil {
 		return p, err
 	}
-	cfg.Limits = cfg.Limits.WithEndpointSources(len(p.Discoveries()))
-	return plan.Make(cfg, f, nil) // its parts are of what is left
+	cfg.Limits = cfg.Limits.WithEndpointSources(len(p.EndpointSources()))
+	return reconcile.NewPlan(cfg, f, nil) // its parts are of what is left
 }
 
 type checkConfig struct {
@@ -188,9 +188,9 @@
 		cfg.Name, cfg.Listen, len(cfg.Settings.Classes), len(cfg.Known.Hosts))
 	for _, q := range p.Pools {
 		if q.Name != "" {
-			fmt.Printf("pool %s: list of %s, %d classes, open %d to %d, lines %d to %d, bodies %d to %d bytes\n", q.Name, q.Discovery,
-				len(q.Module.Settings.Classes), q.Places.Guarantee, q.Places.Max, q.Lines.Guarantee, q.Lines.Max,
-				q.Bodies.Guarantee, q.Bodies.Max)
+			fmt.Printf("pool %s: list of %s, %d classes, open %d to %d, lines %d to %d, bodies %d to %d bytes\n", q.Name, q.DiscoveryAddr,
+				len(q.Module.Settings.Classes), q.RequestQuota.Guarantee, q.RequestQuota.Max, q.UpstreamConnQuota.Guarantee, q.UpstreamConnQuota.Max,
+				q.BodyQuota.Guarantee, q.BodyQuota.Max)
 		}
 	}
 	return nil
--- a/internal/batch/proof_test.go
+++ b/internal/batch/proof_test.go
@@ -23,7 +23,7 @@
 	"notchhinge/internal/config"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/listwatch"
-	"notchhinge/internal/plan"
+	"notchhinge/internal/reconcile"
 	"notchhinge/internal/router"
 )
 
@@ -119,7 +119,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := plan.Make(cfg, nil, nil)
+	p, err := reconcile.NewPlan(cfg, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/benchhelpers_test.go
+++ b/internal/node/benchhelpers_test.go
@@ -19,7 +19,7 @@
 	"notchhinge/internal/control/metrics"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/plan"
+	"notchhinge/internal/reconcile"
 	"notchhinge/internal/router"
 )
 
@@ -102,7 +102,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	p, err := plan.Make(cfg, nil, nil)
+	p, err := reconcile.NewPlan(cfg, nil, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/plan/plan.go
+++ b/internal/reconcile/plan.go
@@ -1,7 +1,7 @@
-// Package plan says what a file of settings comes to: which pools there are with which modules, lists and parts of the
+// Package reconcile says what a file of settings comes to: which pools there are with which modules, lists and parts of the
 // process, and which requests go to which of them. It owns what stays and what goes from one plan to the next, and opens
 // nothing; the router has a plan carried out.
-package plan
+package reconcile
 
 import (
 	"encoding/json"
@@ -30,24 +30,24 @@
 
 // Pool is one pool of a plan.
 type Pool struct {
-	ID        hoststate.PoolID
-	Name      string // "" = the platform's, without a file
-	Discovery string
-	Selection listwatch.Selection
-	Module    config.Module
-	Seed      uint64
+	ID            hoststate.PoolID
+	Name          string // "" = the platform's, without a file
+	DiscoveryAddr string
+	Selection     listwatch.Selection
+	Module        config.Module
+	Seed          uint64
 
-	Places, Lines, Bodies, Calls quota.Claim
-	Turns                        float64       // of the loop, against other pools
-	Legs                         int           // 0 = as the settings allow
-	RetryAfter                   time.Duration // with what there is no room for
+	RequestQuota, UpstreamConnQuota, BodyQuota, ClientConnQuota quota.Claim
+	TurnWeight                                                  float64       // of the loop, against other pools
+	MaxAttempts                                                 int           // 0 = as the settings allow
+	RetryAfter                                                  time.Duration // with what there is no room for
 
 	made string // of what the module was made
 }
 
-// Make makes the plan of a configuration and of the operator's file, which may be nil. running is the plan that it is to
+// NewPlan makes the plan of a configuration and of the operator's file, which may be nil. running is the plan that it is to
 // follow, or nil at the start. The error is settings.Faults, every one of them.
-func Make(cfg *config.Config, f *settings.File, running *Plan) (*Plan, error) {
+func NewPlan(cfg *config.Config, f *settings.File, running *Plan) (*Plan, error) {
 	p := &Plan{}
 	if running != nil {
 		p.next = running.next
@@ -72,7 +72,7 @@
 		p.Directory = service.New(table, true, views...)
 		faults = p.contracts(f)
 	}
-	if feeds := p.Discoveries(); len(feeds) > cfg.Limits.EndpointSources && running != nil {
+	if feeds := p.EndpointSources(); len(feeds) > cfg.Limits.EndpointSources && running != nil {
 		faults = append(faults, f.Fault([]string{"pool", "0"}, "%d discoveries; there is room for %d until the next start", len(feeds),
 			cfg.Limits.EndpointSources))
 	}
@@ -85,7 +85,7 @@
 // plain is the platform's case: one pool with the platform's own settings. Its module stays whatever the settings say
 // later, as the platform has it.
 func (p *Plan) plain(cfg *config.Config, running *Plan) {
-	q := Pool{Discovery: cfg.Discovery, Module: cfg.Module, Seed: cfg.Seed, RetryAfter: cfg.Limits.OverloadRetryAfter}
+	q := Pool{DiscoveryAddr: cfg.Discovery, Module: cfg.Module, Seed: cfg.Seed, RetryAfter: cfg.Limits.OverloadRetryAfter}
 	if old := running.named(""); old != nil {
 		q.ID, q.Module, q.Seed = old.ID, old.Module, old.Seed
 	} else {
@@ -120,9 +120,9 @@
 	followed := map[hoststate.PoolID]bool{}
 	for i, s := range f.Pools {
 		at := []string{"pool", strconv.Itoa(i)}
-		q := Pool{Name: s.Name, Discovery: cfg.Discovery, Module: cfg.Module, Seed: cfg.Seed}
+		q := Pool{Name: s.Name, DiscoveryAddr: cfg.Discovery, Module: cfg.Module, Seed: cfg.Seed}
 		if s.Discovery != "" {
-			q.Discovery = s.Discovery
+			q.DiscoveryAddr = s.Discovery
 		}
 		if s.Select != nil {
 			q.Selection = listwatch.Selection{
@@ -236,7 +236,7 @@
 // limit sets a pool's parts of the process.
 func (q *Pool) limit(l *limits.Limits, s *settings.PoolLimits, guarantee float64) {
 	most := 1.0
-	q.RetryAfter, q.Turns = l.OverloadRetryAfter, max(guarantee, 0.01)
+	q.RetryAfter, q.TurnWeight = l.OverloadRetryAfter, max(guarantee, 0.01)
 	if s == nil {
 		s = &settings.PoolLimits{}
 	}
@@ -246,7 +246,7 @@
 	if s.RetryAfter != nil {
 		q.RetryAfter = time.Duration(*s.RetryAfter)
 	}
-	q.Legs = s.Legs
+	q.MaxAttempts = s.Legs
 	part := func(total, bound int64) quota.Claim {
 		c := quota.Claim{Guarantee: int64(guarantee * float64(total)), Max: max(int64(math.Ceil(most*float64(total))), 1)}
 		if bound > 0 {
@@ -255,10 +255,10 @@
 		c.Guarantee = min(c.Guarantee, c.Max)
 		return c
 	}
-	q.Places = part(int64(l.ConcurrentRequests), int64(s.Open))
-	q.Lines = part(int64(l.UpstreamConns), int64(s.Lines))
-	q.Bodies = part(l.TotalBodyBytes, int64(s.BodyMB)<<20)
-	q.Calls = part(int64(l.ClientConns), 0)
+	q.RequestQuota = part(int64(l.ConcurrentRequests), int64(s.Open))
+	q.UpstreamConnQuota = part(int64(l.UpstreamConns), int64(s.Lines))
+	q.BodyQuota = part(l.TotalBodyBytes, int64(s.BodyMB)<<20)
+	q.ClientConnQuota = part(int64(l.ClientConns), 0)
 }
 
 // view is a pool as the fronts see it.
@@ -294,12 +294,12 @@
 	return faults
 }
 
-// Discoveries lists the addresses that the plan's pools have their lists from.
-func (p *Plan) Discoveries() []string {
+// EndpointSources lists the addresses that the plan's pools have their lists from.
+func (p *Plan) EndpointSources() []string {
 	var all []string
 	for _, q := range p.Pools {
-		if !slices.Contains(all, q.Discovery) {
-			all = append(all, q.Discovery)
+		if !slices.Contains(all, q.DiscoveryAddr) {
+			all = append(all, q.DiscoveryAddr)
 		}
 	}
 	return all
@@ -307,15 +307,15 @@
 
 // Changes are what leads from one plan to the next.
 type Changes struct {
-	Added   []Pool
-	Kept    []Pool
-	Moved   []Pool // of Kept: with another list or another part of it
-	Ended   []Pool // of the plan before
-	Renamed map[string]string
+	Added         []Pool
+	Kept          []Pool
+	SourceChanged []Pool // of Kept: with another list or another part of it
+	Removed       []Pool // of the plan before
+	Renamed       map[string]string
 }
 
-// From says what leads from another plan, or from none, to this one.
-func (p *Plan) From(running *Plan) Changes {
+// ChangesFrom says what leads from another plan, or from none, to this one.
+func (p *Plan) ChangesFrom(running *Plan) Changes {
 	c := Changes{Renamed: map[string]string{}}
 	old := map[hoststate.PoolID]*Pool{}
 	if running != nil {
@@ -334,14 +334,14 @@
 		if was.Name != q.Name {
 			c.Renamed[was.Name] = q.Name
 		}
-		if was.Discovery != q.Discovery || !was.Selection.Equal(&q.Selection) {
-			c.Moved = append(c.Moved, q)
+		if was.DiscoveryAddr != q.DiscoveryAddr || !was.Selection.Equal(&q.Selection) {
+			c.SourceChanged = append(c.SourceChanged, q)
 		}
 	}
 	if running != nil {
 		for _, q := range running.Pools {
 			if old[q.ID] != nil {
-				c.Ended = append(c.Ended, q)
+				c.Removed = append(c.Removed, q)
 			}
 		}
 	}
--- a/internal/plan/plan_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -1,4 +1,4 @@
-package plan
+package reconcile
 
 import (
 	"errors"
@@ -46,7 +46,7 @@
 
 func make1(t *testing.T, text string, running *Plan) *Plan {
 	t.Helper()
-	p, err := Make(base(t), file(t, text), running)
+	p, err := NewPlan(base(t), file(t, text), running)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 		}
 		return s
 	}
-	return fmt.Sprint("added ", list(c.Added), " kept ", list(c.Kept), " moved ", list(c.Moved), " ended ", list(c.Ended), " renamed ", c.Renamed)
+	return fmt.Sprint("added ", list(c.Added), " kept ", list(c.Kept), " moved ", list(c.SourceChanged), " ended ", list(c.Removed), " renamed ", c.Renamed)
 }
 
 // TestChanges follows one file through what operators do to it.
@@ -85,7 +85,7 @@
 		{"", "added [=5] kept [] moved [] ended [runs=4 calib=3] renamed map[]"},
 	} {
 		next := make1(t, c.text, p)
-		if got := says(next.From(p)); got != c.want {
+		if got := says(next.ChangesFrom(p)); got != c.want {
 			t.Errorf("%d: %s, want %s", i, got, c.want)
 		}
 		p = next
@@ -96,7 +96,7 @@
 	// Two that both say they were one: the first has it, the other begins anew.
 	p := make1(t, serviceOf("a", `pool = "a"`)+poolOf("a", ""), nil)
 	next := make1(t, serviceOf("s", `split = [{pool = "b", weight = 1}, {pool = "c", weight = 1}]`)+poolOf("b", `was = "a"`)+poolOf("c", `was = "a"`), p)
-	if got, want := says(next.From(p)), "added [c=1] kept [b=0] moved [] ended [] renamed map[a:b]"; got != want {
+	if got, want := says(next.ChangesFrom(p)), "added [c=1] kept [b=0] moved [] ended [] renamed map[a:b]"; got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
 }
@@ -107,13 +107,13 @@
 	cfg := base(t)
 	var claims []quota.Claim
 	for _, q := range p.Pools {
-		claims = append(claims, q.Lines)
+		claims = append(claims, q.UpstreamConnQuota)
 	}
 	if err := quota.Check(int64(cfg.Limits.UpstreamConns), claims); err != nil {
 		t.Error(err)
 	}
 	a, b, lines := p.Pools[0], p.Pools[1], float64(cfg.Limits.UpstreamConns)
-	got := []any{a.Places, a.Lines, a.Legs, a.RetryAfter, b.Lines, b.RetryAfter, b.Legs}
+	got := []any{a.RequestQuota, a.UpstreamConnQuota, a.MaxAttempts, a.RetryAfter, b.UpstreamConnQuota, b.RetryAfter, b.MaxAttempts}
 	want := []any{
 		quota.Claim{Guarantee: 7, Max: 7},
 		quota.Claim{Guarantee: int64(0.4 * lines), Max: int64(0.5*lines + 0.5)},
@@ -179,7 +179,7 @@
 	} {
 		f, err := settings.Parse([]byte(c.text), "f", nil)
 		if err == nil {
-			_, err = Make(base(t), f, make1(t, "", nil))
+			_, err = NewPlan(base(t), f, make1(t, "", nil))
 		}
 		var faults settings.Faults
 		if !errors.As(err, &faults) || len(faults) != len(c.want) {
--- a/internal/router/plan.go
+++ b/internal/router/plan.go
@@ -11,7 +11,7 @@
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/listwatch"
-	"notchhinge/internal/plan"
+	"notchhinge/internal/reconcile"
 	"notchhinge/internal/settings"
 	"notchhinge/internal/upstream"
 	"notchhinge/policy"
@@ -19,10 +19,10 @@
 
 // apply carries a plan out: pools that are new come first, then requests are led by the new routes, and last the pools
 // that nothing is led to any more begin to leave. What was led by the old routes is taken still.
-func (r *Router) apply(ctx context.Context, next *plan.Plan) error {
+func (r *Router) apply(ctx context.Context, next *reconcile.Plan) error {
 	r.applying.Lock()
 	defer r.applying.Unlock()
-	c := next.From(r.plan)
+	c := next.ChangesFrom(r.plan)
 	modules := map[hoststate.PoolID]*policy.Balancer{}
 	for _, q := range c.Added {
 		m, err := policy.New(q.Module.Settings, q.Seed)
@@ -37,11 +37,11 @@
 	for _, q := range c.Added {
 		r.join(ctx, &q, true)
 	}
-	for _, q := range c.Moved {
+	for _, q := range c.SourceChanged {
 		r.join(ctx, &q, false)
 	}
 	r.at.Store(next.Directory)
-	for _, q := range c.Ended {
+	for _, q := range c.Removed {
 		r.loop.Post(dispatch.EndPool{Pool: q.ID})
 	}
 	r.plan = next
@@ -50,34 +50,34 @@
 }
 
 // set gives a pool its parts of the process.
-func (r *Router) set(q *plan.Pool, module *policy.Balancer) {
+func (r *Router) set(q *reconcile.Pool, module *policy.Balancer) {
 	r.upstream.ConfigurePool(q.ID, upstream.LoadReporting{
 		Columns: q.Module.Columns, OnStatsPath: len(q.Module.Columns) > 0, InResponses: q.Module.Piggyback,
-	}, q.Lines)
-	r.front.Set(q.ID, q.Bodies, q.Calls)
+	}, q.UpstreamConnQuota)
+	r.front.Set(q.ID, q.BodyQuota, q.ClientConnQuota)
 	e := dispatch.ConfigurePool{
 		Pool: q.ID, Name: q.Name, Module: module, SlowStart: q.Module.Settings.SlowStart, SlowStartInitial: q.Module.Settings.SlowStartInitial,
-		Classes: traceClasses(&q.Module), RequestQuota: q.Places, TurnWeight: q.Turns, RetryAfter: q.RetryAfter,
+		Classes: traceClasses(&q.Module), RequestQuota: q.RequestQuota, TurnWeight: q.TurnWeight, RetryAfter: q.RetryAfter,
 		MaxAttempts: q.Module.Settings.Limits.MaxAttempts,
 	}
-	if q.Legs > 0 {
-		e.MaxAttempts = min(e.MaxAttempts, q.Legs)
+	if q.MaxAttempts > 0 {
+		e.MaxAttempts = min(e.MaxAttempts, q.MaxAttempts)
 	}
 	r.loop.Post(e)
 }
 
 // join has a pool hear of its part of its discovery's list, which may be another than it had.
-func (r *Router) join(ctx context.Context, q *plan.Pool, first bool) {
+func (r *Router) join(ctx context.Context, q *reconcile.Pool, first bool) {
 	r.mu.Lock()
-	f, old := r.feeds[q.Discovery], r.feedOf[q.ID]
+	f, old := r.feeds[q.DiscoveryAddr], r.feedOf[q.ID]
 	fresh := f == nil
 	if fresh {
-		f = listwatch.NewFeed(listwatch.Client{Addr: q.Discovery, Limits: r.cfg.Limits, DialContext: r.dial}, r.listed)
-		r.feeds[q.Discovery] = f
+		f = listwatch.NewFeed(listwatch.Client{Addr: q.DiscoveryAddr, Limits: r.cfg.Limits, DialContext: r.dial}, r.listed)
+		r.feeds[q.DiscoveryAddr] = f
 	}
 	r.feedOf[q.ID] = f
 	r.mu.Unlock()
-	if fresh && first && r.plan == nil && q.Discovery == r.cfg.Discovery {
+	if fresh && first && r.plan == nil && q.DiscoveryAddr == r.cfg.Discovery {
 		f.SetInitial(r.cfg.Known)
 	}
 	f.SetPool(q.ID, listwatch.PoolUse{Selection: q.Selection, Zones: q.Module.Zones, IsNew: first})
@@ -138,16 +138,16 @@
 
 // reload takes over what a running router can: discovery's address, and services, routes and pools. What is bad changes
 // nothing.
-func (r *Router) reload(ctx context.Context, reread func(*plan.Plan) (*config.Config, *plan.Plan, error)) {
+func (r *Router) reload(ctx context.Context, reread func(*reconcile.Plan) (*config.Config, *reconcile.Plan, error)) {
 	cfg, next, err := reread(r.plan)
 	if err == nil {
 		moved := cfg.Discovery != r.cfg.Discovery
-		c := next.From(r.plan)
+		c := next.ChangesFrom(r.plan)
 		if err = r.apply(ctx, next); err == nil {
 			r.cfg.Discovery = cfg.Discovery
 			args := []any{"discovery", cfg.Discovery, "moved", moved}
-			if len(c.Added)+len(c.Ended)+len(c.Renamed) > 0 || len(next.Pools) > 1 {
-				args = append(args, "pools", len(next.Pools), "added", len(c.Added), "ended", len(c.Ended), "renamed", len(c.Renamed),
+			if len(c.Added)+len(c.Removed)+len(c.Renamed) > 0 || len(next.Pools) > 1 {
+				args = append(args, "pools", len(next.Pools), "added", len(c.Added), "ended", len(c.Removed), "renamed", len(c.Renamed),
 					"routes", next.Directory.Table.Len())
 			}
 			r.log.Info("configuration read again", args...)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -23,7 +23,7 @@
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/listwatch"
-	"notchhinge/internal/plan"
+	"notchhinge/internal/reconcile"
 	"notchhinge/internal/service"
 	"notchhinge/internal/trace"
 	"notchhinge/internal/upstream"
@@ -47,12 +47,12 @@
 	traces   *traces      // nil where nothing is traced
 	ops      operations
 
-	applying sync.Mutex // one change of the plan, or end of a pool, at a time
-	plan     *plan.Plan // that is carried out; nil before Serve
+	applying sync.Mutex      // one change of the plan, or end of a pool, at a time
+	plan     *reconcile.Plan // that is carried out; nil before Serve
 
-	generation atomic.Int64 // plans carried out
-	first      *plan.Plan   // the one to begin with
-	mu         sync.Mutex   // never held while an event is posted: the loop takes it
+	generation atomic.Int64    // plans carried out
+	first      *reconcile.Plan // the one to begin with
+	mu         sync.Mutex      // never held while an event is posted: the loop takes it
 	feeds      map[string]*listwatch.Feed
 	feedOf     map[hoststate.PoolID]*listwatch.Feed
 }
@@ -61,7 +61,7 @@
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // New makes a router out of its configuration and of the plan that it is to carry out.
-func New(cfg *config.Config, p *plan.Plan, log *slog.Logger, dial Dialer, clock dispatch.Clock) *Router {
+func New(cfg *config.Config, p *reconcile.Plan, log *slog.Logger, dial Dialer, clock dispatch.Clock) *Router {
 	r := &Router{
 		cfg: cfg, log: log, dial: dial, broker: dispatch.New(cfg.Limits), first: p,
 		feeds: map[string]*listwatch.Feed{}, feedOf: map[hoststate.PoolID]*listwatch.Feed{},
@@ -194,7 +194,7 @@
 	Audit  <-chan os.Signal // print the counters
 	Reload <-chan os.Signal // read the configuration again
 	// Reread makes the plan that is to follow the running one.
-	Reread func(running *plan.Plan) (*config.Config, *plan.Plan, error)
+	Reread func(running *reconcile.Plan) (*config.Config, *reconcile.Plan, error)
 }
 
 // Serve runs the router until it is stopped and owes nothing more.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -20,7 +20,7 @@
 
 	"notchhinge/internal/config"
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/plan"
+	"notchhinge/internal/reconcile"
 	"notchhinge/internal/testutil/replay"
 )
 
@@ -36,9 +36,9 @@
 }
 
 // begin makes the plan of a configuration without services.
-func begin(t *testing.T, cfg *config.Config) *plan.Plan {
+func begin(t *testing.T, cfg *config.Config) *reconcile.Plan {
 	t.Helper()
-	p, err := plan.Make(cfg, nil, nil)
+	p, err := reconcile.NewPlan(cfg, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/services_test.go
+++ b/internal/router/services_test.go
@@ -19,7 +19,7 @@
 
 	"notchhinge/internal/config"
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/plan"
+	"notchhinge/internal/reconcile"
 	"notchhinge/internal/settings"
 )
 
@@ -79,12 +79,12 @@
 	var log strings.Builder
 	cfg := load(t)
 	cfg.Limits = cfg.Limits.WithEndpointSources(2)
-	reread := func(running *plan.Plan) (*config.Config, *plan.Plan, error) {
+	reread := func(running *reconcile.Plan) (*config.Config, *reconcile.Plan, error) {
 		f, err := settings.Load(path, nil)
 		if err != nil {
 			return nil, nil, err
 		}
-		p, err := plan.Make(cfg, f, running)
+		p, err := reconcile.NewPlan(cfg, f, running)
 		return cfg, p, err
 	}
 	write := func(text string) {
--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"notchhinge/internal/config"
-	"notchhinge/internal/plan"
+	"notchhinge/internal/reconcile"
 	"notchhinge/internal/settings"
 	"notchhinge/internal/trace"
 	"notchhinge/internal/trace/export"
@@ -28,7 +28,7 @@
 }
 
 // TraceOptions are those of a recorder for this router.
-func TraceOptions(cfg *config.Config, p *plan.Plan, s *settings.Trace) trace.Options {
+func TraceOptions(cfg *config.Config, p *reconcile.Plan, s *settings.Trace) trace.Options {
 	o := trace.Options{
 		Router: cfg.Name, Seed: cfg.Seed, Share: *s.Share, PerSecond: *s.PerSecond, Margin: time.Duration(*s.Margin),
 		TellAll: s.TellHosts == "all", Steps: s.MemoryMB << 20 / trace.StepBytes, Linger: cfg.Limits.TraceCompletionGrace,
--- a/internal/service/directory.go
+++ b/internal/service/directory.go
@@ -1,5 +1,5 @@
 // Package service holds the directory by which both fronts find a request's pool: the table of routes, and of each pool
-// what a front must know. What the directory is made of is decided by package plan.
+// what a front must know. What the directory is made of is decided by package reconcile.
 package service
 
 import (
