--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -141,9 +141,7 @@
 		if call.Carries {
 			fill(t.Span[:], rnd)
 		}
-		if number > 1 && (call.Marks || again == "again") {
-			t.Marked = true
-		} else {
+		if t.Marked = number > 1 && (call.Marks || again == "again"); !t.Marked {
 			again = ""
 		}
 		wait := c.ask(ctx, call, &t, min(patience, time.Until(until)), from, again)
@@ -156,12 +154,7 @@
 			from, again = from+t.Tokens, "again"
 		}
 		wait = max(wait, time.Duration(rnd.Float64()*float64(c.Pause)))
-		if time.Now().Add(wait).After(until) {
-			return
-		}
-		select {
-		case <-time.After(wait):
-		case <-ctx.Done():
+		if time.Now().Add(wait).After(until) || !pause(ctx, wait) {
 			return
 		}
 		due = time.Now()
@@ -171,6 +164,16 @@
 	}
 }
 
+// pause waits, and tells whether the context has not ended meanwhile.
+func pause(ctx context.Context, d time.Duration) bool {
+	select {
+	case <-time.After(d):
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
 func fill(b []byte, rnd *rand.Rand) {
 	for i := range b {
 		b[i] = byte(rnd.Uint32())
@@ -204,26 +207,8 @@
 // Close implements io.Closer.
 func (t *timed) Close() error { return nil }
 
-// ask makes one try, and returns how long the router wants the client to stay away.
-func (c *Client) ask(ctx context.Context, call *Call, t *Try, patience time.Duration, from int, again string) (wait time.Duration) {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	var sent time.Time
-	var stamp sync.Mutex
-	wrote := func() {
-		stamp.Lock()
-		sent = time.Now()
-		stamp.Unlock()
-	}
-	defer func() {
-		t.End = time.Now()
-		stamp.Lock()
-		if t.Sent = sent; sent.IsZero() {
-			t.Sent, t.Unsent = t.End, true
-		}
-		stamp.Unlock()
-		c.judge(call, t)
-	}()
+// request is a try as it is sent. wrote is told when the last of it has been taken to be written.
+func (c *Client) request(ctx context.Context, call *Call, t *Try, patience time.Duration, from int, again string, wrote func()) (*http.Request, error) {
 	work, _ := json.Marshal(standin.Work{
 		Session: call.Session, Prefix: call.Prefix, Prompt: call.Prompt, Opening: call.Opening, Answer: call.Answer, From: from,
 	})
@@ -231,8 +216,7 @@
 		call.Answer, filler[:min(call.Prompt*4, 2048)], work)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Routers[t.Router]+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
-		t.Outcome, t.Detail = Failed, err.Error()
-		return 0
+		return nil, err
 	}
 	req.Body = &timed{bytes.NewReader(body), wrote}
 	req.GetBody = func() (io.ReadCloser, error) { return &timed{bytes.NewReader(body), wrote}, nil }
@@ -252,6 +236,34 @@
 	if t.Trace != (trace.TraceID{}) {
 		h.Set("Traceparent", string(trace.Context{Trace: t.Trace, Span: t.Span, Flags: trace.Random}.AppendParent(nil)))
 	}
+	return req, nil
+}
+
+// ask makes one try, and returns how long the router wants the client to stay away.
+func (c *Client) ask(ctx context.Context, call *Call, t *Try, patience time.Duration, from int, again string) (wait time.Duration) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	var sent time.Time
+	var stamp sync.Mutex
+	wrote := func() {
+		stamp.Lock()
+		sent = time.Now()
+		stamp.Unlock()
+	}
+	defer func() {
+		t.End = time.Now()
+		stamp.Lock()
+		if t.Sent = sent; sent.IsZero() {
+			t.Sent, t.Unsent = t.End, true
+		}
+		stamp.Unlock()
+		c.judge(call, t)
+	}()
+	req, err := c.request(ctx, call, t, patience, from, again, wrote)
+	if err != nil {
+		t.Outcome, t.Detail = Failed, err.Error()
+		return 0
+	}
 	giveUp := time.AfterFunc(patience, cancel)
 	defer giveUp.Stop()
 	resp, err := c.client().Do(req)
@@ -314,21 +326,26 @@
 		if err == nil {
 			continue
 		}
-		switch {
-		case !errors.Is(err, io.EOF) || !ended:
-			t.Outcome, t.Detail = Broken, fmt.Sprint(err)
-			if errors.Is(err, io.EOF) {
-				t.Outcome, t.Detail = Wrong, "a whole answer without its end"
-			}
-		case from+t.Tokens != answer:
-			t.Outcome, t.Detail = Wrong, fmt.Sprintf("%d tokens of %d", from+t.Tokens, answer)
-		default:
-			t.Outcome = Served
-		}
+		t.close(err, ended, from+t.Tokens, answer)
 		return
 	}
 }
 
+// close says how a stream came out whose reader met err, after tokens of so many.
+func (t *Try) close(err error, ended bool, tokens, answer int) {
+	switch {
+	case !errors.Is(err, io.EOF) || !ended:
+		t.Outcome, t.Detail = Broken, fmt.Sprint(err)
+		if errors.Is(err, io.EOF) {
+			t.Outcome, t.Detail = Wrong, "a whole answer without its end"
+		}
+	case tokens != answer:
+		t.Outcome, t.Detail = Wrong, fmt.Sprintf("%d tokens of %d", tokens, answer)
+	default:
+		t.Outcome = Served
+	}
+}
+
 // judge says whether an answer was late for its class.
 func (c *Client) judge(call *Call, t *Try) {
 	if t.First.IsZero() {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -192,6 +192,19 @@
 	if err := os.WriteFile(filepath.Join(dir, "summary.json"), append(text, '\n'), 0o644); err != nil {
 		return err
 	}
+	if err := os.WriteFile(filepath.Join(dir, "table.md"), []byte(r.table()), 0o644); err != nil {
+		return err
+	}
+	for _, c := range r.Charts {
+		if err := c.draw(filepath.Join(dir, c.File)); err != nil {
+			return fmt.Errorf("chart %s: %w", c.File, err)
+		}
+	}
+	return r.page(dir)
+}
+
+// table is the whole of it as Markdown, without the charts.
+func (r *Result) table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n\n%s\n\nSeed %d", r.Name, r.About, r.Seed)
 	if r.Cores > 0 {
@@ -208,15 +221,7 @@
 	for _, x := range r.Rows {
 		fmt.Fprintf(&b, "| %s | %s |\n", note(x.Name, x.Note), x.text())
 	}
-	if err := os.WriteFile(filepath.Join(dir, "table.md"), []byte(b.String()), 0o644); err != nil {
-		return err
-	}
-	for _, c := range r.Charts {
-		if err := c.draw(filepath.Join(dir, c.File)); err != nil {
-			return fmt.Errorf("chart %s: %w", c.File, err)
-		}
-	}
-	return r.page(dir)
+	return b.String()
 }
 
 // page is the whole of it as one page that needs nothing beside it.
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -363,16 +363,7 @@
 func (w *world) take(e event) {
 	switch e.kind {
 	case arrives:
-		c := e.call
-		if w.Variant == "design" {
-			salt := mix(w.Seed, uint64(c.router)+1000)
-			w.reduce(c.router, dispatch.RequestReceived{Client: c, Pool: 1, ReceivedAt: w.now, MaxAttempts: attempts, Request: policy.Request{
-				Session: mix(uint64(c.prefix)+1, salt), Prefix: mix(uint64(c.prefix)+1, 5), Timeout: patience,
-			}})
-			return
-		}
-		w.plan(event{at: w.now + patience, kind: gives, call: c})
-		w.choose(c)
+		w.arrived(e.call)
 	case reaches:
 		w.reached(e.leg)
 	case steps:
@@ -385,17 +376,7 @@
 	case answers:
 		w.answered(e)
 	case full:
-		l := e.leg
-		if l.over {
-			return
-		}
-		l.over = true
-		if w.Variant == "design" {
-			w.over(l, policy.ResultFull, 0)
-			return
-		}
-		w.leave(l)
-		w.choose(l.c)
+		w.rejected(e.leg)
 	case ticks:
 		r := w.routers[e.i]
 		if r.tick == e.at {
@@ -403,19 +384,7 @@
 			w.reduce(e.i, dispatch.Tick{})
 		}
 	case crashes:
-		g := w.engines[e.i]
-		g.dead = true
-		for i := range w.routers {
-			w.plan(event{at: w.now + time.Duration(w.own.Float64()*float64(w.News)), kind: learns, i: i, done: true, kept: e.i})
-		}
-		ids := make([]uint64, 0, len(g.legs))
-		for id := range g.legs {
-			ids = append(ids, id)
-		}
-		slices.Sort(ids)
-		for _, id := range ids { // its connections end with it
-			w.reset(g.legs[id])
-		}
+		w.crashed(e.i)
 	case learns:
 		w.routers[e.i].alive[e.kept] = false
 		if w.Variant == "design" {
@@ -428,6 +397,50 @@
 	}
 }
 
+// arrived has a call come to its router.
+func (w *world) arrived(c *call) {
+	if w.Variant == "design" {
+		salt := mix(w.Seed, uint64(c.router)+1000)
+		w.reduce(c.router, dispatch.RequestReceived{Client: c, Pool: 1, ReceivedAt: w.now, MaxAttempts: attempts, Request: policy.Request{
+			Session: mix(uint64(c.prefix)+1, salt), Prefix: mix(uint64(c.prefix)+1, 5), Timeout: patience,
+		}})
+		return
+	}
+	w.plan(event{at: w.now + patience, kind: gives, call: c})
+	w.choose(c)
+}
+
+// rejected has an engine's answer that it is full come to the router.
+func (w *world) rejected(l *leg) {
+	if l.over {
+		return
+	}
+	l.over = true
+	if w.Variant == "design" {
+		w.over(l, policy.ResultFull, 0)
+		return
+	}
+	w.leave(l)
+	w.choose(l.c)
+}
+
+// crashed ends an engine and what runs on it; each router learns of it on its own.
+func (w *world) crashed(n int) {
+	g := w.engines[n]
+	g.dead = true
+	for i := range w.routers {
+		w.plan(event{at: w.now + time.Duration(w.own.Float64()*float64(w.News)), kind: learns, i: i, done: true, kept: n})
+	}
+	ids := make([]uint64, 0, len(g.legs))
+	for id := range g.legs {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	for _, id := range ids { // its connections end with it
+		w.reset(g.legs[id])
+	}
+}
+
 // reached has a leg come to its engine.
 func (w *world) reached(l *leg) {
 	g := w.engines[l.engine]
@@ -490,29 +503,40 @@
 
 // answered has an engine's word come to the router.
 func (w *world) answered(e event) {
-	l := e.leg
 	if w.Variant == "design" {
-		switch {
-		case e.kept == dropped:
-			w.over(l, policy.ResultCancelled, 0)
-		case l.over:
-		case e.kept == ended:
-			l.over = true
-			r := policy.ResultReset
-			if !w.written(l) {
-				r = policy.ResultConnectFailed
-			}
-			w.over(l, r, 0)
-		case !e.done:
-			l.began = true
-			w.reduce(l.c.router, dispatch.AttemptStarted{Attempt: l.id})
-		default:
-			l.over = true
-			w.over(l, policy.ResultOK, e.kept)
-			l.c.state = served
+		w.answeredDesign(e)
+	} else {
+		w.answeredBaseline(e)
+	}
+}
+
+// answeredDesign is answered where the design's reducer decides.
+func (w *world) answeredDesign(e event) {
+	l := e.leg
+	switch {
+	case e.kept == dropped:
+		w.over(l, policy.ResultCancelled, 0)
+	case l.over:
+	case e.kept == ended:
+		l.over = true
+		r := policy.ResultReset
+		if !w.written(l) {
+			r = policy.ResultConnectFailed
 		}
-		return
+		w.over(l, r, 0)
+	case !e.done:
+		l.began = true
+		w.reduce(l.c.router, dispatch.AttemptStarted{Attempt: l.id})
+	default:
+		l.over = true
+		w.over(l, policy.ResultOK, e.kept)
+		l.c.state = served
 	}
+}
+
+// answeredBaseline is answered where a baseline decides.
+func (w *world) answeredBaseline(e event) {
+	l := e.leg
 	c := l.c
 	switch {
 	case l.over:
--- a/internal/lab/standin/box.go
+++ b/internal/lab/standin/box.go
@@ -277,37 +277,45 @@
 			b.Spans(Span{Trace: c.Trace, Parent: c.Span, CallID: id, Host: name, Start: began, End: time.Now()})
 		}()
 	}
-	_, fresh := b.fresh.LoadAndDelete(r.RemoteAddr)
 	f := b.strike()
+	if b.struck(w, r, f) {
+		return
+	}
+	b.stream(w, r, id, body.Lab, f)
+}
+
+// struck has a fault befall a request before its stream, and tells whether that was its end.
+func (b *Box) struck(w http.ResponseWriter, r *http.Request, f Fault) bool {
+	_, fresh := b.fresh.LoadAndDelete(r.RemoteAddr)
 	switch f {
 	case Refuse:
 		w.Header().Set("X-Rejected", "1")
 		http.Error(w, "turned away", http.StatusServiceUnavailable)
-		return
+		return true
 	case Break:
 		http.Error(w, "broken", http.StatusInternalServerError)
-		return
+		return true
 	case Reset:
 		if b.coin() {
 			reset(w)
-			return
+			return true
 		}
 	case StallFirst:
 		select {
 		case <-r.Context().Done():
 		case <-b.life.Done():
 		}
-		return
+		return true
 	case SlowConnect:
 		if fresh {
 			select {
 			case <-time.After(300 * time.Millisecond):
 			case <-r.Context().Done():
-				return
+				return true
 			}
 		}
 	}
-	b.stream(w, r, id, body.Lab, f)
+	return false
 }
 
 func (b *Box) coin() bool {
@@ -328,6 +336,18 @@
 	c.Close()
 }
 
+// cutShort ends a stream by a reset, or leaves it without another event until somebody else ends it.
+func (b *Box) cutShort(w http.ResponseWriter, r *http.Request, f Fault) {
+	if f == Reset {
+		reset(w)
+		return
+	}
+	select {
+	case <-r.Context().Done():
+	case <-b.life.Done():
+	}
+}
+
 // stream has the engine make the answer, and writes its events. Every token says its number, so that a reader can tell
 // whether one was lost, doubled or invented.
 func (b *Box) stream(w http.ResponseWriter, r *http.Request, id string, work Work, f Fault) {
@@ -368,14 +388,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		if events == 2 && (f == StallStream || f == Reset) {
-			if f == Reset {
-				reset(w)
-				return
-			}
-			select { // it never says another word
-			case <-r.Context().Done():
-			case <-b.life.Done():
-			}
+			b.cutShort(w, r, f)
 			return
 		}
 		if events == 0 {
