--- a/internal/acquirer/conn.go
+++ b/internal/acquirer/conn.go
@@ -127,7 +127,7 @@
 // head looks at the head that comes next. Its buffer grows as far as the bounds go and room is left.
 func (c *conn) head(b *limits.RequestBounds) ([]byte, error) {
 	for {
-		head, err := framing.Head(c.br)
+		head, err := framing.PeekHead(c.br)
 		line := bytes.IndexByte(head, '\n') + 1
 		if err == nil && (len(head) > b.HeadBytes || b.HeaderBytes > 0 && len(head)-line > b.HeaderBytes) {
 			return nil, bufio.ErrBufferFull
@@ -158,9 +158,9 @@
 	var req *http.Request
 	switch {
 	case err != nil:
-	case !framing.Single(head):
+	case !framing.HasUniqueFraming(head):
 		return nil, c.bad(http.StatusBadRequest, "the head is ambiguous")
-	case !framing.Plain(head):
+	case !framing.HasNoControlBytes(head):
 		return nil, c.bad(http.StatusBadRequest, "control characters in the head")
 	}
 	if err == nil {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -121,7 +121,7 @@
 // read reads a call and does it.
 func (s *Server) read(c net.Conn) (status int, says string) {
 	br := bufio.NewReaderSize(c, limits.AdminHeadBytes)
-	head, err := framing.Head(br)
+	head, err := framing.PeekHead(br)
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
 		return http.StatusRequestHeaderFieldsTooLarge, "the head is too long"
@@ -129,7 +129,7 @@
 		return 0, ""
 	case err != nil:
 		return 0, ""
-	case !framing.Single(head):
+	case !framing.HasUniqueFraming(head):
 		return http.StatusBadRequest, "the head is ambiguous"
 	}
 	req, err := http.ReadRequest(br)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -681,11 +681,11 @@
 		if soon := first.Add(c.Limits.FirstEventTimeout); until.IsZero() || soon.Before(until) {
 			ln.SetReadDeadline(soon)
 		}
-		head, err := framing.Head(ln.br)
+		head, err := framing.PeekHead(ln.br)
 		if err != nil {
 			return nil, first, err
 		}
-		if !framing.Single(head) || framing.Merged(head) {
+		if !framing.HasUniqueFraming(head) || framing.ContainsStatusLine(head) {
 			return nil, first, errMalformedResponse
 		}
 		sanitizeLoadReport(head)
