--- a/internal/batch/attempt.go
+++ b/internal/batch/attempt.go
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// Decline is the broker's final answer that serves nothing.
-func (a *attempt) Decline(why dispatch.Verdict, retryAfter time.Duration) {
+// Reject is the broker's final answer that serves nothing.
+func (a *attempt) Reject(why dispatch.Verdict, retryAfter time.Duration) {
 	if why != dispatch.VerdictRejected {
 		a.desk.ended(a, end{kind: endFailed, code: "timed_out", reason: "not served in time"})
 		return
--- a/internal/batch/desk_test.go
+++ b/internal/batch/desk_test.go
@@ -160,9 +160,9 @@
 	out := r.after(0)
 	same(t, "handed out", 4, len(out))
 	out[0].serve()
-	out[1].Decline(dispatch.VerdictFailed, 0)
+	out[1].Reject(dispatch.VerdictFailed, 0)
 	out[1].serve() // a second end is none
-	out[2].Decline(dispatch.VerdictRejected, time.Minute)
+	out[2].Reject(dispatch.VerdictRejected, time.Minute)
 	_ = out[3].Finish(false) // broke; it is tried again whole
 	again := r.after(time.Second)
 	same(t, "handed out again", 1, len(again))
@@ -185,10 +185,10 @@
 	out := r.after(0)
 	same(t, "at once", 4, len(out))
 	for _, a := range out[:3] {
-		a.Decline(dispatch.VerdictRejected, 2*time.Second)
+		a.Reject(dispatch.VerdictRejected, 2*time.Second)
 	}
 	same(t, "while one is out", 0, len(r.after(time.Second)))
-	out[3].Decline(dispatch.VerdictRejected, 2*time.Second)
+	out[3].Reject(dispatch.VerdictRejected, 2*time.Second)
 	same(t, "after four declines", 1, len(r.after(time.Second-1)))
 	r.out[0].serve()
 	next := r.after(time.Second)
@@ -205,7 +205,7 @@
 			break
 		}
 		same(t, "time for an answer", min(12*time.Second, 20*time.Second-time.Duration(tries)*3*time.Second), out[0].try.request.Timeout)
-		out[0].Decline(dispatch.VerdictRejected, 3*time.Second)
+		out[0].Reject(dispatch.VerdictRejected, 3*time.Second)
 	}
 	same(t, "result", []string{"1 id-0 refused (7 tries) declined"}, outcomesOf(t, j))
 }
@@ -236,7 +236,7 @@
 	j := r.job(fileText(5))
 	out := r.after(0)
 	out[1].serve()
-	out[2].Decline(dispatch.VerdictFailed, 0)
+	out[2].Reject(dispatch.VerdictFailed, 0)
 	notes := filepath.Join(j.dir, outcomesName)
 	f, err := os.OpenFile(notes, os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
@@ -294,7 +294,7 @@
 	out := r.after(0)
 	out[1].serve()
 	out[3].serve()
-	out[0].Decline(dispatch.VerdictRejected, time.Second)
+	out[0].Reject(dispatch.VerdictRejected, time.Second)
 	r.after(time.Second)
 	if err := r.cancel(j); err != nil {
 		t.Fatal(err)
@@ -358,7 +358,7 @@
 			post(e)
 		}
 		j := r.job(fileText(2))
-		r.after(0)[0].Decline(dispatch.VerdictFailed, 0)
+		r.after(0)[0].Reject(dispatch.VerdictFailed, 0)
 		if at = directory("other"); name == "" {
 			at.Table, _ = route.New(nil, nil, nil)
 		}
--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -22,7 +22,7 @@
 	out := r.after(0)
 	out[0].order.CallID = "call-a" // which is drawn
 	out[0].serve()
-	out[1].Decline(dispatch.VerdictFailed, 0)
+	out[1].Reject(dispatch.VerdictFailed, 0)
 	r.after(time.Second)
 	half := r.job(fileText(3))
 	half.rec.Metadata = map[string]string{"name": "half"}
--- a/internal/batch/http_test.go
+++ b/internal/batch/http_test.go
@@ -121,7 +121,7 @@
 	same(t, "no result yet", 404, status)
 	for i, a := range c.after(0) {
 		if i == 0 {
-			a.Decline(dispatch.VerdictFailed, 0)
+			a.Reject(dispatch.VerdictFailed, 0)
 			continue
 		}
 		a.serve()
--- a/internal/batch/trace_test.go
+++ b/internal/batch/trace_test.go
@@ -19,7 +19,7 @@
 	r.Desk.trace = true
 	first, other := r.origin(out[0].try), r.origin(out[1].try)
 	line := out[0].try.line
-	out[0].Decline(dispatch.VerdictRejected, time.Second)
+	out[0].Reject(dispatch.VerdictRejected, time.Second)
 	again := r.after(2 * time.Second)
 	if len(again) != 1 || again[0].try.line != line {
 		t.Fatalf("%d tries after the declined one", len(again))
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -16,10 +16,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"notchhinge/internal/acquirer"
 	"notchhinge/internal/admission"
 	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/dispatch"
+	"notchhinge/internal/frontend"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/route"
 	"notchhinge/internal/service"
@@ -254,19 +254,19 @@
 	Clock dispatch.Clock
 }
 
-var _ acquirer.Dialect = (*Dialect)(nil)
+var _ frontend.Dialect = (*Dialect)(nil)
 
-// Lead implements acquirer.Dialect.
-func (d *Dialect) Lead(req *http.Request) (w acquirer.Way, no *acquirer.Refusal) {
+// Route implements acquirer.Dialect.
+func (d *Dialect) Route(req *http.Request) (w frontend.Destination, no *frontend.Rejection) {
 	now := time.Now()
 	at := d.Now()
 	if at == nil {
-		return w, &acquirer.Refusal{Status: http.StatusServiceUnavailable, Reason: "no_configuration: there is none yet", Retry: time.Second}
+		return w, &frontend.Rejection{Status: http.StatusServiceUnavailable, Reason: "no_configuration: there is none yet", RetryAfter: time.Second}
 	}
 	path, _, _ := strings.Cut(req.RequestURI, "?")
 	to := at.Lead(req.Host, path)
 	if to == nil {
-		return w, &acquirer.Refusal{Status: http.StatusNotFound, Reason: "no_route: no route takes this host and path"}
+		return w, &frontend.Rejection{Status: http.StatusNotFound, Reason: "no_route: no route takes this host and path"}
 	}
 	r := &request{under: at, route: &at.routes[to.Route]}
 	if at.tenants && !r.route.Public {
@@ -274,14 +274,14 @@
 			r.tenant = at.tenant(keys[0])
 		}
 		if r.tenant == nil {
-			return w, &acquirer.Refusal{Status: http.StatusUnauthorized, Reason: "unknown_key: " + keyHeader + " names no tenant"}
+			return w, &frontend.Rejection{Status: http.StatusUnauthorized, Reason: "unknown_key: " + keyHeader + " names no tenant"}
 		}
 	}
 	left := r.route.timeout
 	if ms := req.Header[deadlineHeader]; len(ms) == 1 {
 		v, err := strconv.ParseFloat(ms[0], 64)
 		if err != nil || !(v > 0) {
-			return w, &acquirer.Refusal{Status: http.StatusBadRequest, Reason: "bad_deadline: " + deadlineHeader + " is no number above 0"}
+			return w, &frontend.Rejection{Status: http.StatusBadRequest, Reason: "bad_deadline: " + deadlineHeader + " is no number above 0"}
 		}
 		left = min(left, fleetconfig.Milliseconds(v))
 	}
@@ -292,36 +292,36 @@
 			w.Pool, r.to = s.View, s
 		}
 	}
-	w.Target, w.Host, w.Until, w.Of = req.RequestURI, req.Host, r.until, r
+	w.Target, w.Host, w.BodyDeadline, w.DialectData = req.RequestURI, req.Host, r.until, r
 	return w, nil
 }
 
-// Accept implements acquirer.Dialect.
-func (d *Dialect) Accept(req *http.Request, w *acquirer.Way, body []byte) (acquirer.Message, *acquirer.Refusal) {
-	r := w.Of.(*request)
+// BuildRequest implements acquirer.Dialect.
+func (d *Dialect) BuildRequest(req *http.Request, w *frontend.Destination, body []byte) (frontend.Request, *frontend.Rejection) {
+	r := w.DialectData.(*request)
 	left := time.Until(r.until)
 	if left <= 0 {
-		return acquirer.Message{}, &acquirer.Refusal{Status: http.StatusServiceUnavailable, Reason: "too_late: its time was over before it was read"}
+		return frontend.Request{}, &frontend.Rejection{Status: http.StatusServiceUnavailable, Reason: "too_late: its time was over before it was read"}
 	}
 	of := 0
 	if r.tenant != nil {
 		of = r.tenant.Priority
 	}
 	if !r.to.gate.admit(d.Clock(), admission.Priority(of, r.route.Priority)) {
-		return acquirer.Message{}, &acquirer.Refusal{
-			Status: http.StatusServiceUnavailable, Reason: "yields: not all can be served, and others come first", Retry: time.Second,
+		return frontend.Request{}, &frontend.Rejection{
+			Status: http.StatusServiceUnavailable, Reason: "yields: not all can be served, and others come first", RetryAfter: time.Second,
 		}
 	}
-	m := acquirer.Message{Of: r, Attempts: r.route.MaxAttempts}
-	m.Request = policy.Request{Class: r.route.class[w.Pool.ID], Timeout: min(left, r.route.silence)}
+	m := frontend.Request{DialectData: r, MaxAttempts: r.route.MaxAttempts}
+	m.Policy = policy.Request{Class: r.route.class[w.Pool.ID], Timeout: min(left, r.route.silence)}
 	prefix := ""
 	if p := req.Header[prefixHeader]; len(p) == 1 {
 		prefix = p[0]
 	}
 	if r.route.SessionAffinity && prefix != "" {
-		m.Request.Session, m.Request.Prefix = d.session(d.Salt, r, w.Pool.Name, prefix), d.session(0, r, w.Pool.Name, prefix)
+		m.Policy.Session, m.Policy.Prefix = d.session(d.Salt, r, w.Pool.Name, prefix), d.session(0, r, w.Pool.Name, prefix)
 	}
-	m.Order = upstream.Request{
+	m.Upstream = upstream.Request{
 		Method: req.Method, Target: w.Target, Host: w.Host, Body: body, Deadline: r.until, Header: passedOn(req.Header, r.tenant),
 		WithContentLength: req.ContentLength != 0 || len(req.TransferEncoding) > 0, CallID: req.Header.Get(idHeader),
 		NonIdempotent: r.route.Type != fleetconfig.RouteIdempotent,
@@ -388,12 +388,12 @@
 	return append(b, "\r\n"...)
 }
 
-// Head implements acquirer.Dialect: status and headers go back as they came.
-func (d *Dialect) Head(m *acquirer.Message, resp *http.Response) acquirer.Reply {
+// BuildResponseHead implements acquirer.Dialect: status and headers go back as they came.
+func (d *Dialect) BuildResponseHead(m *frontend.Request, resp *http.Response) frontend.ResponseHead {
 	if resp == nil {
-		return acquirer.Reply{Head: []byte("HTTP/1.1 200 OK\r\n"), Length: -1}
+		return frontend.ResponseHead{Lines: []byte("HTTP/1.1 200 OK\r\n"), ContentLength: -1}
 	}
-	if r, ok := m.Of.(*request); ok {
+	if r, ok := m.DialectData.(*request); ok {
 		r.to.gate.note(func(g *admission.Gate) { g.RequestServed(d.Clock()) })
 		if d.Began != nil && r.tenant != nil {
 			d.Began(r.tenant.Name)
@@ -402,7 +402,7 @@
 	return d.head(m, resp)
 }
 
-func (d *Dialect) head(m *acquirer.Message, resp *http.Response) acquirer.Reply {
+func (d *Dialect) head(m *frontend.Request, resp *http.Response) frontend.ResponseHead {
 	b := make([]byte, 0, 512)
 	b = append(b, "HTTP/1.1 "...)
 	b = append(b, resp.Status...)
@@ -416,10 +416,10 @@
 			b = field(b, name, v)
 		}
 	}
-	reply := acquirer.Reply{Head: b, Length: resp.ContentLength}
+	reply := frontend.ResponseHead{Lines: b, ContentLength: resp.ContentLength}
 	switch {
-	case m.Order.Method == http.MethodHead, resp.StatusCode == http.StatusNoContent, resp.StatusCode == http.StatusNotModified:
-		reply.Bare = true
+	case m.Upstream.Method == http.MethodHead, resp.StatusCode == http.StatusNoContent, resp.StatusCode == http.StatusNotModified:
+		reply.NoBody = true
 	}
 	return reply
 }
@@ -433,33 +433,33 @@
 	return false
 }
 
-// Keep makes what is kept of an answer that is not passed on: nothing of one whose status promises what its engine has not said.
-func (d *Dialect) Keep(m *acquirer.Message, result policy.Result, resp *http.Response, body []byte) *acquirer.Kept {
+// KeepErrorResponse makes what is kept of an answer that is not passed on: nothing of one whose status promises what its engine has not said.
+func (d *Dialect) KeepErrorResponse(m *frontend.Request, result policy.Result, resp *http.Response, body []byte) *frontend.ErrorResponse {
 	if result == policy.ResultError && promises(resp.StatusCode) {
 		return nil
 	}
 	reply := d.head(m, resp)
-	reply.Length = int64(len(body))
-	return &acquirer.Kept{Result: result, Reply: reply, Body: body}
+	reply.ContentLength = int64(len(body))
+	return &frontend.ErrorResponse{Result: result, ResponseHead: reply, Body: body}
 }
 
-// Close implements acquirer.Dialect. 429 and 503 promise that the request has not run and never will.
-func (d *Dialect) Close(m *acquirer.Message, why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *acquirer.Kept) (
-	*acquirer.Refusal, *acquirer.Kept,
+// Reject implements acquirer.Dialect. 429 and 503 promise that the request has not run and never will.
+func (d *Dialect) Reject(m *frontend.Request, why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *frontend.ErrorResponse) (
+	*frontend.Rejection, *frontend.ErrorResponse,
 ) {
 	const least = 200 * time.Millisecond
-	if r, ok := m.Of.(*request); ok && !mayHaveRun {
+	if r, ok := m.DialectData.(*request); ok && !mayHaveRun {
 		r.to.gate.note(func(g *admission.Gate) { g.RequestRejected(d.Clock()) })
 	}
 	switch {
 	case !mayHaveRun:
-		return &acquirer.Refusal{Status: http.StatusServiceUnavailable, Reason: "not_run: no engine could take it", Retry: max(retryAfter, least)}, nil
+		return &frontend.Rejection{Status: http.StatusServiceUnavailable, Reason: "not_run: no engine could take it", RetryAfter: max(retryAfter, least)}, nil
 	case kept != nil && kept.Result == policy.ResultError:
 		return nil, kept
 	case why == dispatch.VerdictFailed:
-		return &acquirer.Refusal{Status: http.StatusGatewayTimeout, Reason: "no_answer: an engine has it and has not answered"}, nil
+		return &frontend.Rejection{Status: http.StatusGatewayTimeout, Reason: "no_answer: an engine has it and has not answered"}, nil
 	}
-	return &acquirer.Refusal{Status: http.StatusBadGateway, Reason: "no_answer: an engine has had it"}, nil
+	return &frontend.Rejection{Status: http.StatusBadGateway, Reason: "no_answer: an engine has had it"}, nil
 }
 
 // Legs is the platform's dialect for legs.
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -12,9 +12,9 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/google/go-cmp/cmp"
 
-	"notchhinge/internal/acquirer"
 	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/dispatch"
+	"notchhinge/internal/frontend"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/upstream"
@@ -79,7 +79,7 @@
 		"GET /1 HTTP/1.1\nHost: c.example\nX-Credential: one":                                "404",
 		"GET /1 HTTP/1.1\nHost: a.example\nX-Credential: one\nX-Deadline-Remaining-Ms: soon": "400",
 	} {
-		w, no := d.Lead(ask(t, text))
+		w, no := d.Route(ask(t, text))
 		got := ""
 		switch {
 		case no != nil:
@@ -92,7 +92,7 @@
 		}
 	}
 	none := &Dialect{Now: func() *Compiled { return nil }}
-	if _, no := none.Lead(ask(t, "GET / HTTP/1.1\nHost: a.example")); no == nil || no.Status != 503 || no.Retry == 0 {
+	if _, no := none.Route(ask(t, "GET / HTTP/1.1\nHost: a.example")); no == nil || no.Status != 503 || no.RetryAfter == 0 {
 		t.Errorf("without a configuration: %+v", no)
 	}
 }
@@ -100,7 +100,7 @@
 func TestSplitFollowsWeights(t *testing.T) {
 	d, n := dialect(t), map[string]int{}
 	for range 4000 {
-		w, no := d.Lead(ask(t, "GET /1 HTTP/1.1\nHost: b.example\nX-Credential: one"))
+		w, no := d.Route(ask(t, "GET /1 HTTP/1.1\nHost: b.example\nX-Credential: one"))
 		if no != nil {
 			t.Fatal(no)
 		}
@@ -116,15 +116,15 @@
 	req := ask(t, "POST /x/y/2?q=1 HTTP/1.1\nHost: a.example\nX-Credential: one\nX-Tenant: forged\nX-Expect-Instance: forged\n"+
 		"X-Request-Id: 9c\nX-Prompt-Prefix: 17\nConnection: x-hop, close\nX-Hop: 1\nKeep-Alive: timeout=3\nTE: trailers\n"+
 		"X-Deadline-Remaining-Ms: 5000\nX-Own: kept\nX-Own: twice\nContent-Length: 2")
-	w, no := d.Lead(req)
+	w, no := d.Route(req)
 	if no != nil {
 		t.Fatal(no)
 	}
-	m, no := d.Accept(req, &w, []byte("{}"))
+	m, no := d.BuildRequest(req, &w, []byte("{}"))
 	if no != nil {
 		t.Fatal(no)
 	}
-	text := string(Legs{}.EncodeRequest(&m.Order, &dispatch.StartAttempt{HostName: "i-1"}, 0, nil))
+	text := string(Legs{}.EncodeRequest(&m.Upstream, &dispatch.StartAttempt{HostName: "i-1"}, 0, nil))
 	got, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
 		t.Fatal(err)
@@ -143,23 +143,23 @@
 	if ms := got.Header.Get("X-Deadline-Remaining-Ms"); ms > "5000" || ms < "4000" {
 		t.Errorf("%s ms are left of 5000", ms)
 	}
-	if m.Request.Timeout > 3200*time.Millisecond || m.Attempts != 2 || m.Request.Session == 0 || m.Request.Prefix == 0 {
-		t.Errorf("%+v", m.Request)
+	if m.Policy.Timeout > 3200*time.Millisecond || m.MaxAttempts != 2 || m.Policy.Session == 0 || m.Policy.Prefix == 0 {
+		t.Errorf("%+v", m.Policy)
 	}
 }
 
 func TestSessions(t *testing.T) {
 	accept := func(d *Dialect, text string) policy.Request {
 		req := ask(t, text)
-		w, no := d.Lead(req)
+		w, no := d.Route(req)
 		if no != nil {
 			t.Fatal(no)
 		}
-		m, no := d.Accept(req, &w, nil)
+		m, no := d.BuildRequest(req, &w, nil)
 		if no != nil {
 			t.Fatal(no)
 		}
-		return m.Request
+		return m.Policy
 	}
 	base := "POST /x/y/2 HTTP/1.1\nHost: a.example\nX-Credential: one\nX-Prompt-Prefix: "
 	d, other := dialect(t), dialect(t)
@@ -181,11 +181,11 @@
 
 func TestWhatAnAnswerPromises(t *testing.T) {
 	d := dialect(t)
-	kept := &acquirer.Kept{Result: policy.ResultError}
+	kept := &frontend.ErrorResponse{Result: policy.ResultError}
 	for _, c := range []struct {
 		why    dispatch.Verdict
 		mayRun bool
-		kept   *acquirer.Kept
+		kept   *frontend.ErrorResponse
 		want   int // 0 = what was kept
 	}{
 		{dispatch.VerdictRejected, false, nil, 503},
@@ -196,11 +196,11 @@
 		{dispatch.VerdictRejected, true, kept, 0},
 		{dispatch.VerdictRejected, false, kept, 503},
 	} {
-		no, instead := d.Close(&acquirer.Message{}, c.why, 0, c.mayRun, c.kept)
+		no, instead := d.Reject(&frontend.Request{}, c.why, 0, c.mayRun, c.kept)
 		switch {
 		case c.want == 0 && instead != kept, c.want != 0 && (no == nil || no.Status != c.want):
 			t.Errorf("%+v: %+v, %+v", c, no, instead)
-		case c.want == 503 && no.Retry == 0:
+		case c.want == 503 && no.RetryAfter == 0:
 			t.Errorf("%+v: nobody is told when to come back", c)
 		}
 	}
@@ -214,7 +214,7 @@
 		if got := (Legs{}).Classify(resp); got != policy.ResultError {
 			t.Errorf("%d: %v", status, got)
 		}
-		if kept := d.Keep(&acquirer.Message{}, policy.ResultError, resp, nil); (kept != nil) != want {
+		if kept := d.KeepErrorResponse(&frontend.Request{}, policy.ResultError, resp, nil); (kept != nil) != want {
 			t.Errorf("%d is kept: %v", status, kept)
 		}
 	}
@@ -259,14 +259,14 @@
 	resp := &http.Response{StatusCode: 200, Status: "200 OK", ContentLength: 5, Header: http.Header{
 		"X-Response-Seal": {"3e1b.07"}, "Connection": {"close, x-odd"}, "X-Odd": {"1"}, "Keep-Alive": {"timeout=3"}, "Set-Cookie": {"a", "b"},
 	}}
-	r := d.Head(&acquirer.Message{Order: upstream.Request{Method: "POST"}}, resp)
-	head := string(r.Head)
+	r := d.BuildResponseHead(&frontend.Request{Upstream: upstream.Request{Method: "POST"}}, resp)
+	head := string(r.Lines)
 	if !strings.HasPrefix(head, "HTTP/1.1 200 OK\r\n") || !strings.Contains(head, "X-Response-Seal: 3e1b.07\r\n") ||
 		strings.Count(head, "Set-Cookie") != 2 || strings.Contains(head, "X-Odd") || strings.Contains(head, "Connection") ||
-		strings.Contains(head, "Keep-Alive") || r.Length != 5 || r.Bare {
-		t.Errorf("%q, %d", head, r.Length)
+		strings.Contains(head, "Keep-Alive") || r.ContentLength != 5 || r.NoBody {
+		t.Errorf("%q, %d", head, r.ContentLength)
 	}
-	if r := d.Head(&acquirer.Message{Order: upstream.Request{Method: "HEAD"}}, resp); !r.Bare {
+	if r := d.BuildResponseHead(&frontend.Request{Upstream: upstream.Request{Method: "HEAD"}}, resp); !r.NoBody {
 		t.Error("an answer to HEAD has a body")
 	}
 }
@@ -328,15 +328,15 @@
 		if err != nil {
 			return
 		}
-		w, no := d.Lead(req)
+		w, no := d.Route(req)
 		if no != nil {
 			return
 		}
-		m, no := d.Accept(req, &w, nil)
+		m, no := d.BuildRequest(req, &w, nil)
 		if no != nil {
 			return
 		}
-		head := Legs{}.EncodeRequest(&m.Order, &dispatch.StartAttempt{HostName: "i-1"}, time.Second, nil)
+		head := Legs{}.EncodeRequest(&m.Upstream, &dispatch.StartAttempt{HostName: "i-1"}, time.Second, nil)
 		shown, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(head)))
 		if err != nil {
 			t.Fatalf("%q is shown, which does not read: %v", head, err)
@@ -361,9 +361,9 @@
 		if idle := (Legs{}).IdleTimeout(resp); idle > 24*time.Hour {
 			t.Errorf("a line may wait for %v", idle)
 		}
-		reply := d.Head(&m, resp)
-		if _, err := http.ReadResponse(bufio.NewReader(strings.NewReader(string(reply.Head)+"Content-Length: 0\r\n\r\n")), nil); err != nil {
-			t.Errorf("%q is passed back, which does not read: %v", reply.Head, err)
+		reply := d.BuildResponseHead(&m, resp)
+		if _, err := http.ReadResponse(bufio.NewReader(strings.NewReader(string(reply.Lines)+"Content-Length: 0\r\n\r\n")), nil); err != nil {
+			t.Errorf("%q is passed back, which does not read: %v", reply.Lines, err)
 		}
 	})
 }
@@ -377,14 +377,14 @@
 	at := compile(t, c)
 	now := time.Duration(0)
 	d := &Dialect{Now: func() *Compiled { return at }, Conversation: func() uint64 { return 1 }, Clock: func() time.Duration { return now }}
-	come := func(path, key string) (acquirer.Message, *acquirer.Refusal) {
+	come := func(path, key string) (frontend.Request, *frontend.Rejection) {
 		t.Helper()
 		req := ask(t, "POST "+path+" HTTP/1.1\nHost: a.example\nX-Credential: "+key)
-		w, no := d.Lead(req)
+		w, no := d.Route(req)
 		if no != nil {
 			t.Fatal(no)
 		}
-		return d.Accept(req, &w, nil)
+		return d.BuildRequest(req, &w, nil)
 	}
 	for i := range 40 { // a second in which half is turned away
 		now = time.Duration(i) * 25 * time.Millisecond
@@ -394,9 +394,9 @@
 				t.Fatal("refused before anybody was turned away")
 			}
 			if key == "one" {
-				d.Head(&m, &http.Response{StatusCode: 200, Status: "200 OK"})
+				d.BuildResponseHead(&m, &http.Response{StatusCode: 200, Status: "200 OK"})
 			} else {
-				d.Close(&m, dispatch.VerdictRejected, time.Second, false, nil)
+				d.Reject(&m, dispatch.VerdictRejected, time.Second, false, nil)
 			}
 		}
 	}
@@ -404,7 +404,7 @@
 	if _, no := come("/x/y/", "one"); no != nil {
 		t.Errorf("the tenant that goes first waits: %+v", no)
 	}
-	if _, no := come("/x/y/", "two"); no == nil || no.Status != 503 || no.Retry <= 0 {
+	if _, no := come("/x/y/", "two"); no == nil || no.Status != 503 || no.RetryAfter <= 0 {
 		t.Errorf("the tenant that goes second does not wait: %+v", no)
 	}
 	if _, no := come("/", "two"); no != nil {
--- a/internal/edge/explain.go
+++ b/internal/edge/explain.go
@@ -29,17 +29,17 @@
 	if at := d.Now(); at != nil {
 		x.Revision = at.Revision
 	}
-	w, no := d.Lead(req)
+	w, no := d.Route(req)
 	if no == nil {
-		r := w.Of.(*request)
+		r := w.DialectData.(*request)
 		x.Route, x.Host, x.Prefix, x.Type, x.Shares = r.route.Name, r.route.Hostname, r.route.PathPrefix, r.route.Type, r.route.Targets()
 		x.Service = w.Pool.Name
 		if r.tenant != nil {
 			x.Tenant = r.tenant.Name
 		}
-		m, refused := d.Accept(req, &w, nil)
+		m, refused := d.BuildRequest(req, &w, nil)
 		no = refused
-		x.Session, x.LeftMS = m.Request.Session != 0, m.Request.Timeout.Milliseconds()
+		x.Session, x.LeftMS = m.Policy.Session != 0, m.Policy.Timeout.Milliseconds()
 		x.Class = Class(r.route.Route).Name
 	}
 	if no != nil {
--- a/internal/edge/smuggle_test.go
+++ b/internal/edge/smuggle_test.go
@@ -10,8 +10,8 @@
 	"testing/synctest"
 	"time"
 
-	"notchhinge/internal/acquirer"
 	"notchhinge/internal/dispatch"
+	"notchhinge/internal/frontend"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/service"
 	"notchhinge/internal/upstream"
@@ -27,8 +27,8 @@
 		var mu sync.Mutex
 		d := dialect(t)
 		lim := limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 184, Sockets: 1024})
-		front := acquirer.New(acquirer.Options{
-			Lim: lim, Dialect: d, Routes: func() *service.Directory { return nil }, Now: func() time.Duration { return 0 }, Ready: func() bool { return true },
+		front := frontend.New(frontend.Options{
+			Limits: lim, Dialect: d, Directory: func() *service.Directory { return nil }, Now: func() time.Duration { return 0 }, IsReady: func() bool { return true },
 			Bounds: func() limits.RequestBounds {
 				b, _ := lim.ConfiguredBounds(16384, 1<<20, 3*time.Second, 15*time.Second)
 				return b
@@ -43,8 +43,8 @@
 				got = append(got, taken{o.Target, string(o.Body), string(o.Header)})
 				mu.Unlock()
 				go x.Client.(interface {
-					Close(why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool)
-				}).Close(dispatch.VerdictRejected, time.Second, false)
+					RejectAfterAttempts(why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool)
+				}).RejectAfterAttempts(dispatch.VerdictRejected, time.Second, false)
 			},
 		})
 		near, far := net.Pipe()
--- a/internal/acquirer/bounds_test.go
+++ b/internal/frontend/bounds_test.go
@@ -1,4 +1,4 @@
-package acquirer
+package frontend
 
 import (
 	"bufio"
@@ -22,9 +22,9 @@
 	body time.Duration
 }
 
-func (p patient) Lead(req *http.Request) (Way, *Refusal) {
-	w, no := p.platform.Lead(req)
-	w.Until = time.Now().Add(p.body)
+func (p patient) Route(req *http.Request) (Destination, *Rejection) {
+	w, no := p.platform.Route(req)
+	w.BodyDeadline = time.Now().Add(p.body)
 	return w, no
 }
 
@@ -33,11 +33,11 @@
 	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{})
 	lim.RequestHeadBytes = 1 << 10
 	s := New(Options{
-		Lim: lim, Routes: plain("chat"), Ready: func() bool { return true }, Now: func() time.Duration { return 0 },
+		Limits: lim, Directory: plain("chat"), IsReady: func() bool { return true }, Now: func() time.Duration { return 0 },
 		Bounds: func() limits.RequestBounds { return *b.Load() },
 		Post: func(e dispatch.Event) {
 			if e, ok := e.(dispatch.RequestReceived); ok {
-				go e.Client.(*authorisation).Decline(dispatch.VerdictRejected, time.Second)
+				go e.Client.(*openRequest).Reject(dispatch.VerdictRejected, time.Second)
 			}
 		},
 	})
@@ -82,7 +82,7 @@
 			t.Errorf("within the bounds: %d", got)
 		}
 		synctest.Wait() // the body is given back after the answer
-		if used := s.bodies.Used(); used == 0 || used > 32<<10 {
+		if used := s.bodyQuota.Used(); used == 0 || used > 32<<10 {
 			t.Errorf("a buffer that has grown counts as %d bytes", used)
 		}
 		wider := *b.Load()
@@ -99,7 +99,7 @@
 		}
 		far.Close()
 		<-ended
-		if used := s.bodies.Used(); used != 0 {
+		if used := s.bodyQuota.Used(); used != 0 {
 			t.Errorf("%d bytes are still counted once the connection is gone", used)
 		}
 	})
@@ -163,7 +163,7 @@
 		b := &atomic.Pointer[limits.RequestBounds]{}
 		b.Store(&limits.RequestBounds{HeadBytes: 72 << 10, HeaderBytes: 64 << 10, BodyBytes: 1000, ReadTimeout: time.Second, IdleTimeout: time.Second})
 		s := bounded(b, 0)
-		s.bodies.Take(nowhere, s.Lim.TotalBodyBytes-4<<10)
+		s.bodyQuota.Take(noPool, s.Limits.TotalBodyBytes-4<<10)
 		near, far := net.Pipe()
 		go s.ServeConn(near)
 		go io.WriteString(far, message(40<<10, 1))
@@ -173,8 +173,8 @@
 		}
 		far.Close()
 		synctest.Wait()
-		if left := s.bodies.Used(); left != s.Lim.TotalBodyBytes-4<<10 {
-			t.Errorf("%d bytes are counted, not %d", left, s.Lim.TotalBodyBytes-4<<10)
+		if left := s.bodyQuota.Used(); left != s.Limits.TotalBodyBytes-4<<10 {
+			t.Errorf("%d bytes are counted, not %d", left, s.Limits.TotalBodyBytes-4<<10)
 		}
 	})
 }
--- a/internal/acquirer/head.go
+++ b/internal/frontend/head.go
@@ -1,4 +1,4 @@
-package acquirer
+package frontend
 
 import (
 	"hash/fnv"
@@ -17,7 +17,7 @@
 	sessionHeader = "X-Route-Hash"
 	budgetHeader  = "X-Budget"
 	infoHeader    = "X-Call-Info"
-	againHeader   = "X-Again"
+	attemptHeader = "X-Again"
 )
 
 // parseRequest reads what the module wants to know of an authorisation, or says what is wrong with it.
@@ -46,9 +46,9 @@
 		return q, infoHeader + " is bad"
 	}
 	if s := h.Get(sessionHeader); s != "" {
-		q.Session = word(s)
+		q.Session = parseHash(s)
 	}
-	switch h.Get(againHeader) {
+	switch h.Get(attemptHeader) {
 	case "1":
 		q.IsClientRetry = true
 	case "again":
@@ -77,7 +77,7 @@
 	} else {
 		return 0, false
 	}
-	v, ok := number(s)
+	v, ok := parseDecimal(s)
 	d := v * float64(unit)
 	if !ok || d < 1 {
 		return 0, false
@@ -85,8 +85,8 @@
 	return time.Duration(min(d, float64(most))), true
 }
 
-// number reads a plain decimal that is not negative.
-func number(s string) (float64, bool) {
+// parseDecimal reads a plain decimal that is not negative.
+func parseDecimal(s string) (float64, bool) {
 	for _, r := range []byte(s) {
 		if (r < '0' || r > '9') && r != '.' {
 			return 0, false
@@ -106,7 +106,7 @@
 			return false
 		}
 		if name == "prefix" {
-			if q.Prefix = word(value); value == "" {
+			if q.Prefix = parseHash(value); value == "" {
 				return false
 			}
 		}
@@ -114,7 +114,7 @@
 			if to == nil {
 				return false // given twice
 			}
-			if *to, ok = number(value); !ok || *to > math.MaxFloat32 {
+			if *to, ok = parseDecimal(value); !ok || *to > math.MaxFloat32 {
 				return false
 			}
 			lengths[name] = nil
@@ -124,8 +124,8 @@
 	return missing == 0
 }
 
-// word reads a hexadecimal word; anything else is hashed to one. 0 means none.
-func word(s string) uint64 {
+// parseHash reads a hexadecimal word; anything else is hashed to one. 0 means none.
+func parseHash(s string) uint64 {
 	v, err := strconv.ParseUint(s, 16, 64)
 	if err != nil {
 		h := fnv.New64a()
--- a/internal/acquirer/acquirer_test.go
+++ b/internal/frontend/server_test.go
@@ -1,4 +1,4 @@
-package acquirer
+package frontend
 
 import (
 	"fmt"
@@ -47,11 +47,11 @@
 
 func play(t *testing.T, file string) {
 	var events []dispatch.Event
-	var open *authorisation
+	var open *openRequest
 	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{MaxDeadline: 12 * time.Second})
 	lim.BodyBytes, lim.TotalBodyBytes, lim.ClientConns = 64, 100, 1
 	s := New(Options{
-		Lim: lim, Routes: plain("chat", "batch"), Ready: func() bool { return true },
+		Limits: lim, Directory: plain("chat", "batch"), IsReady: func() bool { return true },
 		Now: func() time.Duration { return 0 },
 		Post: func(e dispatch.Event) {
 			if _, counted := e.(dispatch.RejectedByFrontend); !counted {
@@ -60,12 +60,12 @@
 		},
 	})
 	if filepath.Base(file) == "spare.txt" {
-		s.conns = map[*conn]struct{}{{s: s, busy: true, asked: true}: {}}
+		s.conns = map[*conn]struct{}{{server: s, busy: true, hasReceived: true}: {}}
 	}
 	preset := int64(0)
 	if filepath.Base(file) == "no_room.txt" {
 		preset = 60
-		s.bodies.Take(nowhere, preset)
+		s.bodyQuota.Take(noPool, preset)
 	}
 	next := func() dispatch.Event {
 		synctest.Wait()
@@ -85,8 +85,8 @@
 			if !ok {
 				t.Fatal("nothing was taken")
 			}
-			open = e.Client.(*authorisation)
-			o, q := open.Message.Order, e.Request
+			open = e.Client.(*openRequest)
+			o, q := open.Request.Upstream, e.Request
 			got := fmt.Sprintf("%s %s %s %s %q class=%d session=%x prefix=%x prompt=%v shared=%v most=%v in=%v repeat=%v resumed=%v",
 				o.Method, o.Target, o.Host, o.CallID, o.Body, q.Class, q.Session, q.Prefix, q.PromptTokens, q.PrefixTokens,
 				q.MaxTokens, q.Timeout, q.IsClientRetry, q.IsResumed)
@@ -107,13 +107,13 @@
 		"relay":  func(text string) { go func() { _ = open.WriteBody([]byte(text + "\n\n")) }() },
 		"finish": func(string) { go func() { _ = open.Finish(true) }() },
 		"break":  func(string) { go func() { _ = open.Finish(false) }() },
-		"fail":   func(string) { go open.Decline(dispatch.VerdictFailed, 0) },
+		"fail":   func(string) { go open.Reject(dispatch.VerdictFailed, 0) },
 		"refuse": func(text string) {
 			d, err := time.ParseDuration(text)
 			if err != nil {
 				t.Fatal(err)
 			}
-			go open.Decline(dispatch.VerdictRejected, d)
+			go open.Reject(dispatch.VerdictRejected, d)
 		},
 		"drain": func(string) { s.Drain() },
 		"idle":  func(string) { synctest.Wait(); s.CloseIdle() },
@@ -123,7 +123,7 @@
 	if open != nil {
 		open.release() // as its end does, should the recording have stopped before
 	}
-	if n := s.bodies.Used() - preset; n != 0 {
+	if n := s.bodyQuota.Used() - preset; n != 0 {
 		t.Errorf("%d bytes of bodies are still counted", n)
 	}
 }
@@ -133,10 +133,10 @@
 	// the one that has been idle for the longest; one that is new is about to be used, and stays.
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Options{
-			Lim: limits.New(limits.Machine{MemoryMB: 192, Sockets: 1024}, limits.Site{}), Ready: func() bool { return true },
-			Post: func(dispatch.Event) {}, Now: func() time.Duration { return 0 }, Routes: plain("chat"),
+			Limits: limits.New(limits.Machine{MemoryMB: 192, Sockets: 1024}, limits.Site{}), IsReady: func() bool { return true },
+			Post: func(dispatch.Event) {}, Now: func() time.Duration { return 0 }, Directory: plain("chat"),
 		})
-		s.Lim.ClientConns, s.Lim.RejectConns = 3, 0
+		s.Limits.ClientConns, s.Limits.RejectConns = 3, 0
 		open := func() net.Conn {
 			near, far := net.Pipe()
 			go s.ServeConn(near)
@@ -188,11 +188,11 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		synctest.Test(t, func(t *testing.T) {
 			s := New(Options{
-				Lim:    limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{}),
-				Routes: plain("chat"), Ready: func() bool { return true }, Now: func() time.Duration { return 0 },
+				Limits:    limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{}),
+				Directory: plain("chat"), IsReady: func() bool { return true }, Now: func() time.Duration { return 0 },
 				Post: func(e dispatch.Event) {
 					if e, ok := e.(dispatch.RequestReceived); ok {
-						go e.Client.(*authorisation).Decline(dispatch.VerdictRejected, 0)
+						go e.Client.(*openRequest).Reject(dispatch.VerdictRejected, 0)
 					}
 				},
 			})
--- a/internal/acquirer/services_test.go
+++ b/internal/frontend/services_test.go
@@ -1,4 +1,4 @@
-package acquirer
+package frontend
 
 import (
 	"fmt"
@@ -38,7 +38,7 @@
 		events := make(chan dispatch.Event, 64)
 		lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{MaxDeadline: time.Second})
 		s := New(Options{
-			Lim: lim, Routes: func() *service.Directory { return at }, Ready: func() bool { return true },
+			Limits: lim, Directory: func() *service.Directory { return at }, IsReady: func() bool { return true },
 			Now: func() time.Duration { return 0 },
 			Post: func(e dispatch.Event) {
 				if _, counted := e.(dispatch.RejectedByFrontend); !counted {
@@ -46,18 +46,18 @@
 				}
 			},
 		})
-		s.Set(2, quota.Claim{Max: 30}, quota.Claim{})
+		s.ConfigurePool(2, quota.Claim{Max: 30}, quota.Claim{})
 		near, far := net.Pipe()
 		ended := make(chan struct{})
 		go func() { s.ServeConn(near); close(ended) }()
 		replay.Play(t, far, "testdata/parts/services.txt", replay.Steps{
 			"led": func(want string) {
 				e := (<-events).(dispatch.RequestReceived)
-				a := e.Client.(*authorisation)
-				if got := fmt.Sprintf("pool %d class %d as %s %s", e.Pool, e.Request.Class, a.Message.Order.Host, a.Message.Order.Target); got != want {
+				a := e.Client.(*openRequest)
+				if got := fmt.Sprintf("pool %d class %d as %s %s", e.Pool, e.Request.Class, a.Request.Upstream.Host, a.Request.Upstream.Target); got != want {
 					t.Errorf("%s, want %s", got, want)
 				}
-				go a.Decline(dispatch.VerdictRejected, 0)
+				go a.Reject(dispatch.VerdictRejected, 0)
 			},
 			"nothing": func(string) {
 				synctest.Wait()
@@ -68,8 +68,8 @@
 		})
 		far.Close()
 		<-ended
-		if s.bodies.Used()+s.calls.Used() != 0 {
-			t.Errorf("%d bytes and %d calls are still counted", s.bodies.Used(), s.calls.Used())
+		if s.bodyQuota.Used()+s.requestQuota.Used() != 0 {
+			t.Errorf("%d bytes and %d calls are still counted", s.bodyQuota.Used(), s.requestQuota.Used())
 		}
 	})
 }
--- a/internal/acquirer/trace_test.go
+++ b/internal/frontend/trace_test.go
@@ -1,4 +1,4 @@
-package acquirer
+package frontend
 
 import (
 	"cmp"
@@ -17,24 +17,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		events := make(chan dispatch.Event, 16)
 		s := New(Options{
-			Lim:    limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{MaxDeadline: time.Second}),
-			Routes: plain("chat"), Ready: func() bool { return true }, Trace: true,
+			Limits:    limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{MaxDeadline: time.Second}),
+			Directory: plain("chat"), IsReady: func() bool { return true }, TraceRequests: true,
 			Now:  func() time.Duration { return time.Hour },
 			Post: func(e dispatch.Event) { events <- e },
 		})
 		near, far := net.Pipe()
 		go s.ServeConn(near)
-		var open *authorisation
+		var open *openRequest
 		replay.Play(t, far, "testdata/parts/traced.txt", replay.Steps{
 			"origin": func(want string) {
 				e := (<-events).(dispatch.RequestReceived)
-				open = e.Client.(*authorisation)
+				open = e.Client.(*openRequest)
 				got := fmt.Sprintf("%v %v %d %s", e.Origin.Trace, e.Origin.Span, e.Origin.Flags, cmp.Or(e.Origin.State, "-"))
 				if got != want || e.Origin.Begun != time.Hour || !e.Origin.Tells {
 					t.Errorf("origin %s, wanted %s: %+v", got, want, e.Origin)
 				}
 			},
-			"refuse": func(string) { go open.Decline(dispatch.VerdictRejected, time.Second/2) },
+			"refuse": func(string) { go open.Reject(dispatch.VerdictRejected, time.Second/2) },
 			"answered": func(string) {
 				if e := (<-events).(dispatch.RejectionWritten); e.Client != open || e.At != time.Hour {
 					t.Errorf("answered: %+v", e)
--- a/internal/lab/check/legs.go
+++ b/internal/lab/check/legs.go
@@ -15,10 +15,10 @@
 	"syscall"
 	"time"
 
-	"notchhinge/internal/acquirer"
 	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/edge"
+	"notchhinge/internal/frontend"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/retrybudget"
@@ -98,7 +98,7 @@
 	now      time.Duration
 	broker   *dispatch.Dispatcher
 	upstream *upstream.Transport
-	front    *acquirer.Server
+	front    *frontend.Server
 	events   []dispatch.Event
 	pumping  bool
 	closing  []dispatch.Reject
@@ -150,8 +150,8 @@
 	r.upstream = upstream.New(upstream.Config{
 		Limits: lim, Post: r.post, Now: clock, Dial: r.dial, Dialect: legDialect{blind: r.blind}, Go: func(f func()) { r.legs = append(r.legs, f) },
 	})
-	r.front = acquirer.New(acquirer.Options{
-		Lim: lim, Post: r.post, Now: clock, Ready: func() bool { return true }, Routes: func() *service.Directory { return nil },
+	r.front = frontend.New(frontend.Options{
+		Limits: lim, Post: r.post, Now: clock, IsReady: func() bool { return true }, Directory: func() *service.Directory { return nil },
 		Dialect: frontDialect{&edge.Dialect{
 			Now: func() *edge.Compiled { return at }, Conversation: func() uint64 { return 1 }, Clock: clock,
 		}, r.promises},
@@ -198,10 +198,10 @@
 	promises bool
 }
 
-func (d frontDialect) Close(m *acquirer.Message, why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *acquirer.Kept) (
-	*acquirer.Refusal, *acquirer.Kept,
+func (d frontDialect) Reject(m *frontend.Request, why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *frontend.ErrorResponse) (
+	*frontend.Rejection, *frontend.ErrorResponse,
 ) {
-	return d.Dialect.Close(m, why, retryAfter, mayHaveRun && !d.promises, kept)
+	return d.Dialect.Reject(m, why, retryAfter, mayHaveRun && !d.promises, kept)
 }
 
 // customer is all that an authorisation is to a leg.
@@ -241,8 +241,8 @@
 		d := r.closing[0]
 		r.closing = r.closing[1:]
 		d.Client.(interface {
-			Close(dispatch.Verdict, time.Duration, bool)
-		}).Close(d.Verdict, d.RetryAfter, d.MayHaveRun)
+			RejectAfterAttempts(dispatch.Verdict, time.Duration, bool)
+		}).RejectAfterAttempts(d.Verdict, d.RetryAfter, d.MayHaveRun)
 	}
 }
 
--- a/internal/node/dataplane.go
+++ b/internal/node/dataplane.go
@@ -8,11 +8,11 @@
 	"sync/atomic"
 	"time"
 
-	"notchhinge/internal/acquirer"
 	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/metrics"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/edge"
+	"notchhinge/internal/frontend"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/retrybudget"
@@ -40,7 +40,7 @@
 	dataPlaneOptions
 	loop       *dispatch.Loop
 	upstream   *upstream.Transport
-	frontend   *acquirer.Server
+	frontend   *frontend.Server
 	dialect    *edge.Dialect
 	onIdleDrop func() // an engine has dropped an idle connection without a word; it must not wait
 
@@ -69,9 +69,9 @@
 	})
 	d.onIdleDrop = d.limitIdleReuse
 	d.dialect = &edge.Dialect{Now: d.routes.Load, Salt: o.seed, Conversation: rand.Uint64, Clock: d.loop.Now}
-	d.frontend = acquirer.New(acquirer.Options{
-		Lim: o.limits, Dialect: d.dialect, Routes: func() *service.Directory { return nil }, Post: d.loop.Post, Now: d.loop.Now,
-		Ready: func() bool { return true }, Bounds: func() limits.RequestBounds { return *d.bounds.Load() },
+	d.frontend = frontend.New(frontend.Options{
+		Limits: o.limits, Dialect: d.dialect, Directory: func() *service.Directory { return nil }, Post: d.loop.Post, Now: d.loop.Now,
+		IsReady: func() bool { return true }, Bounds: func() limits.RequestBounds { return *d.bounds.Load() },
 	})
 	return d
 }
@@ -101,9 +101,9 @@
 	}
 }
 
-// closer is a client's request, as the frontend hands it to the loop.
-type closer interface {
-	Close(why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool)
+// rejecter is a client's request, as the frontend hands it to the loop.
+type rejecter interface {
+	RejectAfterAttempts(why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool)
 }
 
 // perform has an effect of the loop carried out by its owner. It does not wait.
@@ -113,7 +113,7 @@
 	}
 	switch e := e.(type) {
 	case dispatch.Reject:
-		go e.Client.(closer).Close(e.Verdict, e.RetryAfter, e.MayHaveRun)
+		go e.Client.(rejecter).RejectAfterAttempts(e.Verdict, e.RetryAfter, e.MayHaveRun)
 	case dispatch.PoolEnded:
 		go d.poolEnded(e.Pool)
 	case dispatch.Log:
@@ -128,7 +128,7 @@
 // poolEnded frees what a service had that is no longer configured, after its last request.
 func (d *dataPlane) poolEnded(id hoststate.PoolID) {
 	d.upstream.RemovePool(id)
-	d.frontend.End(id)
+	d.frontend.RemovePool(id)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.modules, id)
--- a/internal/node/dataplaneconfig.go
+++ b/internal/node/dataplaneconfig.go
@@ -77,7 +77,7 @@
 	}
 	d.modules[s.ID], d.classCounts[s.ID] = m, len(s.Classes)
 	d.upstream.ConfigurePool(s.ID, upstream.LoadReporting{}, quota.Claim{})
-	d.frontend.Set(s.ID, quota.Claim{}, quota.Claim{})
+	d.frontend.ConfigurePool(s.ID, quota.Claim{}, quota.Claim{})
 	e := dispatch.ConfigurePool{
 		Pool: s.ID, Name: s.Name, Module: m, SlowStart: edge.WarmUp, SlowStartInitial: edge.ColdFrom, MaxAttempts: d.limits.MaxAttempts, RetryAfter: d.limits.OverloadRetryAfter,
 	}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -32,7 +32,7 @@
 	drainCtx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
 	n.dataPlane.drain(drainCtx, frontend)
-	n.log.Info("shutdown complete", "duration", time.Since(began).Round(time.Millisecond).String(), "open_connections", n.dataPlane.frontend.Conns())
+	n.log.Info("shutdown complete", "duration", time.Since(began).Round(time.Millisecond).String(), "open_connections", n.dataPlane.frontend.Connections())
 }
 
 // leaveReplicas has the replica hand its vote over, if the process is one.
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -63,7 +63,7 @@
 	if took := <-stopped; took > 15*time.Second {
 		t.Errorf("it ended after %v", took)
 	}
-	if left := p.dataPlane.frontend.Conns(); left != 0 {
+	if left := p.dataPlane.frontend.Connections(); left != 0 {
 		t.Errorf("%d connections are left", left)
 	}
 	if c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp4", p.addr); err == nil {
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -144,7 +144,7 @@
 	for _, p := range c.Pools {
 		s := PoolState{
 			Name: p.Name, ID: int(p.Pool), Leaving: p.IsEnding, Hosts: p.Hosts, Ready: p.Ready, Open: p.Open,
-			Guarantee: p.RequestQuota.Guarantee, Most: p.RequestQuota.Max, Lines: r.upstream.Connections(p.Pool), Bodies: r.front.Bodies(p.Pool),
+			Guarantee: p.RequestQuota.Guarantee, Most: p.RequestQuota.Max, Lines: r.upstream.Connections(p.Pool), Bodies: r.front.BodyBytes(p.Pool),
 			Taken: p.Received, Served: p.Served, Refused: p.Rejected, Failed: p.Failed, Broken: p.Broken, Gone: p.ClientsLeft,
 			Declined: p.RejectedByFrontend, Legs: p.Attempts,
 		}
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -79,7 +79,7 @@
 		return false, "starting: not listening yet"
 	case r.ops.stopping.Load():
 		return false, "stopping"
-	case r.front.Draining():
+	case r.front.IsDraining():
 		return false, "draining"
 	case !r.ready.Load():
 		return false, "starting: no issuer host is known yet"
@@ -110,7 +110,7 @@
 				return
 			case <-wait.C:
 			}
-			r.front.SweepIdle()
+			r.front.CloseIdleExceptNew()
 			wait.Reset(limits.DrainSweepInterval)
 		}
 	}()
@@ -303,12 +303,12 @@
 // with their answers, and once nothing is left the process ends by itself. The stop it returns keeps it from that.
 func (r *Router) yield(ctx context.Context) (stop func()) {
 	ctx, stop = context.WithCancel(ctx)
-	r.front.Yield(true)
+	r.front.SetHandingOver(true)
 	time.Sleep(limits.AcceptQueueDrainTime)
 	r.ops.door().Close()
 	r.ops.yielded.Store(true)
 	go func() {
-		for r.front.Conns() > 0 {
+		for r.front.Connections() > 0 {
 			select {
 			case <-ctx.Done():
 				return
@@ -324,7 +324,7 @@
 
 // resume takes the address back.
 func (r *Router) resume(served chan<- error) {
-	r.front.Yield(false)
+	r.front.SetHandingOver(false)
 	if !r.ops.yielded.Swap(false) {
 		return
 	}
@@ -339,6 +339,6 @@
 // resize changes what the process may use.
 func (r *Router) resize(m limits.Capacity) {
 	debug.SetMemoryLimit(m.HeapBytes)
-	r.front.Resize(m.ClientConns)
+	r.front.SetMaxConnections(m.ClientConns)
 	r.upstream.SetMaxConnections(m.UpstreamConns)
 }
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -209,7 +209,7 @@
 
 // limits is the room that a router keeps to.
 func (r *Router) limits() limits.Capacity {
-	return limits.Capacity{ClientConns: r.front.Most(), UpstreamConns: r.upstream.MaxConnections(), HeapBytes: r.cfg.Limits.TakeoverCapacity().HeapBytes}
+	return limits.Capacity{ClientConns: r.front.MaxConnections(), UpstreamConns: r.upstream.MaxConnections(), HeapBytes: r.cfg.Limits.TakeoverCapacity().HeapBytes}
 }
 
 func TestLegacy(t *testing.T) {
--- a/internal/router/plan.go
+++ b/internal/router/plan.go
@@ -54,7 +54,7 @@
 	r.upstream.ConfigurePool(q.ID, upstream.LoadReporting{
 		Columns: q.Module.Columns, OnStatsPath: len(q.Module.Columns) > 0, InResponses: q.Module.Piggyback,
 	}, q.UpstreamConnQuota)
-	r.front.Set(q.ID, q.BodyQuota, q.ClientConnQuota)
+	r.front.ConfigurePool(q.ID, q.BodyQuota, q.ClientConnQuota)
 	e := dispatch.ConfigurePool{
 		Pool: q.ID, Name: q.Name, Module: module, SlowStart: q.Module.Settings.SlowStart, SlowStartInitial: q.Module.Settings.SlowStartInitial,
 		Classes: traceClasses(&q.Module), RequestQuota: q.RequestQuota, TurnWeight: q.TurnWeight, RetryAfter: q.RetryAfter,
@@ -132,7 +132,7 @@
 	delete(r.feedOf, id)
 	r.mu.Unlock()
 	r.upstream.RemovePool(id)
-	r.front.End(id)
+	r.front.RemovePool(id)
 	r.log.Info("pool ended", "id", int(id))
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -17,10 +17,10 @@
 
 	"golang.org/x/net/netutil"
 
-	"notchhinge/internal/acquirer"
 	"notchhinge/internal/batch"
 	"notchhinge/internal/config"
 	"notchhinge/internal/dispatch"
+	"notchhinge/internal/frontend"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/listwatch"
 	"notchhinge/internal/reconcile"
@@ -38,7 +38,7 @@
 	broker   *dispatch.Dispatcher
 	loop     *dispatch.Loop
 	upstream *upstream.Transport
-	front    *acquirer.Server
+	front    *frontend.Server
 	at       atomic.Pointer[service.Directory]
 	ready    atomic.Bool
 	desk     *batch.Desk // nil where the batch front is off
@@ -70,8 +70,8 @@
 	r.at.Store(p.Directory)
 	r.loop = dispatch.NewLoop(r.broker, clock, r.perform)
 	r.upstream = upstream.New(upstream.Config{Limits: cfg.Limits, Post: r.loop.Post, Now: r.loop.Now, Dial: dial})
-	r.front = acquirer.New(acquirer.Options{
-		Lim: cfg.Limits, Routes: r.at.Load, Post: r.loop.Post, Now: r.loop.Now, Ready: r.ready.Load,
+	r.front = frontend.New(frontend.Options{
+		Limits: cfg.Limits, Directory: r.at.Load, Post: r.loop.Post, Now: r.loop.Now, IsReady: r.ready.Load,
 	})
 	return r
 }
@@ -133,7 +133,7 @@
 	case dispatch.ExportTrace:
 		r.traces.keep(e.Trace)
 	case dispatch.Reject:
-		go e.Client.(decliner).Decline(e.Verdict, e.RetryAfter)
+		go e.Client.(rejecter).Reject(e.Verdict, e.RetryAfter)
 	case dispatch.ReminderDue:
 		go e.Token.(reminder).Due()
 	case dispatch.WatchEndpoints:
@@ -164,9 +164,9 @@
 	}
 }
 
-// decliner is what every acquirer is, whatever its front.
-type decliner interface {
-	Decline(why dispatch.Verdict, retryAfter time.Duration)
+// rejecter is what every acquirer is, whatever its front.
+type rejecter interface {
+	Reject(why dispatch.Verdict, retryAfter time.Duration)
 }
 
 // reminder is what a front has itself reminded of.
--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -81,7 +81,7 @@
 		t.names, t.sinks = append(t.names, "file"), append(t.sinks, e)
 	}
 	r.traces = t
-	r.front.Trace = true
+	r.front.TraceRequests = true
 	r.broker.Trace(TraceOptions(r.cfg, r.first, s))
 	return nil
 }
