--- /dev/null
+++ b/internal/reconcile/pool.go
@@ -0,0 +1,132 @@
+package reconcile
+
+import (
+	"encoding/json"
+	"slices"
+	"strconv"
+	"time"
+
+	"notchhinge/internal/config"
+	"notchhinge/internal/hoststate"
+	"notchhinge/internal/listwatch"
+	"notchhinge/internal/quota"
+	"notchhinge/internal/service"
+	"notchhinge/internal/settings"
+	"notchhinge/policy"
+)
+
+// Pool is one pool of a plan: endpoints with a decision module and quotas of their own.
+type Pool struct {
+	ID            hoststate.PoolID
+	Name          string              // "" = the platform's pool, without an operator's file
+	DiscoveryAddr string              // host and port of the endpoint list
+	Selection     listwatch.Selection // the part of the list that the pool uses
+	Module        config.Module       // settings of the decision module
+	Seed          uint64              // of the decision module
+
+	RequestQuota      quota.Claim // requests in flight
+	UpstreamConnQuota quota.Claim // connections to endpoints
+	BodyQuota         quota.Claim // bytes of request bodies in memory
+	ClientConnQuota   quota.Claim // connections of clients
+
+	TurnWeight  float64       // share of the event loop relative to other pools
+	MaxAttempts int           // of one request; 0 = as the module's settings allow
+	RetryAfter  time.Duration // in responses that reject a request because a quota is used up
+
+	moduleKey string // Module as JSON, to tell whether a pool's module changes
+}
+
+// newPool returns the pool at an index of the operator's file, without its id and quotas.
+func newPool(cfg *config.Config, f *settings.File, index int) (Pool, settings.Faults) {
+	s := &f.Pools[index]
+	key := []string{"pool", strconv.Itoa(index)}
+	q := Pool{Name: s.Name, DiscoveryAddr: cfg.Discovery, Module: cfg.Module, Seed: cfg.Seed}
+	if s.Discovery != "" {
+		q.DiscoveryAddr = s.Discovery
+	}
+	if s.Select != nil {
+		q.Selection = listwatch.Selection{
+			Zones: s.Select.Sites, Cells: s.Select.Blocks, Classes: s.Select.Classes, Names: s.Select.Names,
+		}
+	}
+	if s.Settings != "" {
+		m, err := config.LoadModule(s.Settings, cfg.Seed)
+		if err != nil {
+			return q, settings.Faults{f.Fault(append(key, "settings"), "%v", err)}
+		}
+		q.Module = m
+	}
+	if errs := overrideClasses(&q.Module, f, index); len(errs) > 0 {
+		return q, errs
+	}
+	if _, err := policy.New(q.Module.Settings, q.Seed); err != nil { // it checks the overrides
+		return q, settings.Faults{f.Fault(key, "%v", err)}
+	}
+	moduleKey, err := json.Marshal(q.Module)
+	if err != nil {
+		return q, settings.Faults{f.Fault(append(key, "settings"), "%v", err)}
+	}
+	q.moduleKey = string(moduleKey)
+	return q, nil
+}
+
+// overrideClasses restricts a module to the classes that a pool of the file names, in the pool's order, with the values that
+// the pool gives for them. A pool that names none has all classes of the module.
+func overrideClasses(m *config.Module, f *settings.File, index int) (errs settings.Faults) {
+	overrides := f.Pools[index].Classes
+	if len(overrides) == 0 {
+		return nil
+	}
+	classes, tokenAims := m.Settings.Classes, m.TokenAims
+	m.Settings.Classes, m.TokenAims = nil, nil
+	var names []string
+	for i := range classes {
+		names = append(names, classes[i].Name)
+	}
+	for j := range overrides {
+		o := &overrides[j]
+		for i, c := range classes {
+			if c.Name != o.Name {
+				continue
+			}
+			m.Settings.Classes = append(m.Settings.Classes, overrideClass(c, o))
+			var aim time.Duration // unknown
+			if i < len(tokenAims) {
+				aim = tokenAims[i]
+			}
+			m.TokenAims = append(m.TokenAims, aim)
+		}
+		if !slices.Contains(names, o.Name) {
+			key := []string{"pool", strconv.Itoa(index), "class", strconv.Itoa(j), "name"}
+			errs = append(errs, f.Fault(key, "class %q is not in the pool's settings; there are %q", o.Name, names))
+		}
+	}
+	return errs
+}
+
+func overrideClass(c policy.Class, o *settings.PoolClass) policy.Class {
+	setIfGiven(&c.Value, o.Worth)
+	setIfGiven(&c.LateValue, o.LateWorth)
+	setIfGiven(&c.TargetLatency, (*time.Duration)(o.Aim))
+	setIfGiven(&c.TargetLatencyPerKTokens, (*time.Duration)(o.AimPerKTokens))
+	setIfGiven(&c.Deadline, (*time.Duration)(o.Deadline))
+	return c
+}
+
+func setIfGiven[T any](field, value *T) {
+	if value != nil {
+		*field = *value
+	}
+}
+
+// frontendPool is the pool as frontends see it. A request's time budget is at most four times the longest deadline of a class,
+// and a minute where that is less.
+func (q *Pool) frontendPool() *service.Pool {
+	var longest time.Duration
+	for i := range q.Module.Settings.Classes {
+		longest = max(longest, q.Module.Settings.Classes[i].Deadline)
+	}
+	return &service.Pool{
+		ID: q.ID, Name: q.Name, Classes: q.Module.Settings.Classes, RetryAfter: q.RetryAfter, MaxBudget: max(4*longest, time.Minute),
+	}
+}
--- /dev/null
+++ b/internal/reconcile/quotas.go
@@ -0,0 +1,60 @@
+package reconcile
+
+import (
+	"math"
+	"time"
+
+	"notchhinge/internal/limits"
+	"notchhinge/internal/quota"
+	"notchhinge/internal/settings"
+)
+
+// minTurnWeight lets a pool without a guarantee still have turns of the event loop.
+const minTurnWeight = 0.01
+
+// guaranteedShares returns each pool's guaranteed share of the process, from 0 to 1: as given, and for pools without one an
+// even part of half of what the given ones leave. The other half stays common to all pools.
+func guaranteedShares(pools []settings.Pool) []float64 {
+	shares := make([]float64, len(pools))
+	remaining, without := 1.0, 0
+	for i, p := range pools {
+		if p.Limits != nil && p.Limits.Guarantee != nil {
+			shares[i] = *p.Limits.Guarantee
+			remaining -= shares[i]
+		} else {
+			without++
+		}
+	}
+	for i, p := range pools {
+		if p.Limits == nil || p.Limits.Guarantee == nil {
+			shares[i] = max(remaining, 0) / 2 / float64(without)
+		}
+	}
+	return shares
+}
+
+// setQuotas sets what the pool may use of the process's limits. S may be nil.
+func (q *Pool) setQuotas(l *limits.Limits, s *settings.PoolLimits, guarantee float64) {
+	if s == nil {
+		s = &settings.PoolLimits{}
+	}
+	q.MaxAttempts, q.TurnWeight = s.Legs, max(guarantee, minTurnWeight)
+	q.RetryAfter = l.OverloadRetryAfter
+	setIfGiven(&q.RetryAfter, (*time.Duration)(s.RetryAfter))
+	maxShare := 1.0
+	setIfGiven(&maxShare, s.Most)
+
+	// claim is the pool's part of a total; bound is a number that the file gives, 0 = none.
+	claim := func(total, bound int64) quota.Claim {
+		c := quota.Claim{Guarantee: int64(guarantee * float64(total)), Max: max(int64(math.Ceil(maxShare*float64(total))), 1)}
+		if bound > 0 {
+			c.Max = min(c.Max, bound)
+		}
+		c.Guarantee = min(c.Guarantee, c.Max)
+		return c
+	}
+	q.RequestQuota = claim(int64(l.ConcurrentRequests), int64(s.Open))
+	q.UpstreamConnQuota = claim(int64(l.UpstreamConns), int64(s.Lines))
+	q.BodyQuota = claim(l.TotalBodyBytes, int64(s.BodyMB)<<20)
+	q.ClientConnQuota = claim(int64(l.ClientConns), 0)
+}
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -17,7 +17,7 @@
 	"notchhinge/internal/settings"
 )
 
-func base(t *testing.T) *config.Config {
+func loadConfig(t *testing.T) *config.Config {
 	t.Helper()
 	c, err := config.Load(func(name string) string {
 		return map[string]string{"BALANCER_CONFIG": "../config/testdata/config.json"}[name]
@@ -29,7 +29,7 @@
 	return c
 }
 
-func file(t *testing.T, text string) *settings.File {
+func parseFile(t *testing.T, text string) *settings.File {
 	t.Helper()
 	f, err := settings.Parse([]byte(text), filepath.Join(t.TempDir(), "f"), nil)
 	if err != nil {
@@ -38,73 +38,73 @@
 	return f
 }
 
-func serviceOf(name, to string) string {
+func serviceTOML(name, to string) string {
 	return fmt.Sprintf("[[service]]\nname = %q\n%s\n[[service.route]]\nhost = \"%s.example.org\"\n", name, to, name)
 }
 
-func poolOf(name, more string) string { return fmt.Sprintf("[[pool]]\nname = %q\n%s\n", name, more) }
+func poolTOML(name, more string) string { return fmt.Sprintf("[[pool]]\nname = %q\n%s\n", name, more) }
 
-func make1(t *testing.T, text string, running *Plan) *Plan {
+func mustPlan(t *testing.T, text string, running *Plan) *Plan {
 	t.Helper()
-	p, err := NewPlan(base(t), file(t, text), running)
+	p, err := NewPlan(loadConfig(t), parseFile(t, text), running)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-func says(c Changes) string {
+func formatChanges(c Changes) string {
 	list := func(pools []Pool) (s []string) {
 		for _, p := range pools {
 			s = append(s, fmt.Sprintf("%s=%d", p.Name, p.ID))
 		}
 		return s
 	}
-	return fmt.Sprint("added ", list(c.Added), " kept ", list(c.Kept), " moved ", list(c.SourceChanged), " ended ", list(c.Removed), " renamed ", c.Renamed)
+	return fmt.Sprint("added ", list(c.Added), " kept ", list(c.Kept), " source_changed ", list(c.SourceChanged), " removed ", list(c.Removed), " renamed ", c.Renamed)
 }
 
-// TestChanges follows one file through what operators do to it.
-func TestChanges(t *testing.T) {
+// TestPoolsKeepTheirIDAcrossReloads takes one file through the changes that operators make.
+func TestPoolsKeepTheirIDAcrossReloads(t *testing.T) {
 	var p *Plan
-	two := serviceOf("runs", `pool = "runs"`) + serviceOf("calib", `pool = "calib"`)
+	two := serviceTOML("runs", `pool = "runs"`) + serviceTOML("calib", `pool = "calib"`)
 	for i, c := range []struct{ text, want string }{
-		{"", "added [=0] kept [] moved [] ended [] renamed map[]"},
-		{"", "added [] kept [=0] moved [] ended [] renamed map[]"},
-		{two + poolOf("runs", "") + poolOf("calib", ""), "added [runs=1 calib=2] kept [] moved [] ended [=0] renamed map[]"},
-		{two + poolOf("calib", "[pool.limits]\nguarantee = 0.5") + poolOf("runs", ""), "added [] kept [calib=2 runs=1] moved [] ended [] renamed map[]"},
+		{"", "added [=0] kept [] source_changed [] removed [] renamed map[]"},
+		{"", "added [] kept [=0] source_changed [] removed [] renamed map[]"},
+		{two + poolTOML("runs", "") + poolTOML("calib", ""), "added [runs=1 calib=2] kept [] source_changed [] removed [=0] renamed map[]"},
+		{two + poolTOML("calib", "[pool.limits]\nguarantee = 0.5") + poolTOML("runs", ""), "added [] kept [calib=2 runs=1] source_changed [] removed [] renamed map[]"},
 		{
-			two + poolOf("runs", "select = {blocks = [3]}") + poolOf("calib", `discovery = "127.0.0.1:9"`),
-			"added [] kept [runs=1 calib=2] moved [runs=1 calib=2] ended [] renamed map[]",
+			two + poolTOML("runs", "select = {blocks = [3]}") + poolTOML("calib", `discovery = "127.0.0.1:9"`),
+			"added [] kept [runs=1 calib=2] source_changed [runs=1 calib=2] removed [] renamed map[]",
 		},
-		{serviceOf("runs", `pool = "fast"`) + poolOf("fast", `was = "runs"`), "added [] kept [fast=1] moved [fast=1] ended [calib=2] renamed map[runs:fast]"},
-		{two + poolOf("runs", `was = "fast"`) + poolOf("calib", ""), "added [calib=3] kept [runs=1] moved [] ended [] renamed map[fast:runs]"},
+		{serviceTOML("runs", `pool = "fast"`) + poolTOML("fast", `was = "runs"`), "added [] kept [fast=1] source_changed [fast=1] removed [calib=2] renamed map[runs:fast]"},
+		{two + poolTOML("runs", `was = "fast"`) + poolTOML("calib", ""), "added [calib=3] kept [runs=1] source_changed [] removed [] renamed map[fast:runs]"},
 		{
-			two + poolOf("runs", "[[pool.class]]\nname = \"doc-lookup\"\naim = \"1s\"") + poolOf("calib", ""),
-			"added [runs=4] kept [calib=3] moved [] ended [runs=1] renamed map[]",
-		}, // a module keeps to its settings
-		{"", "added [=5] kept [] moved [] ended [runs=4 calib=3] renamed map[]"},
+			two + poolTOML("runs", "[[pool.class]]\nname = \"doc-lookup\"\naim = \"1s\"") + poolTOML("calib", ""),
+			"added [runs=4] kept [calib=3] source_changed [] removed [runs=1] renamed map[]",
+		}, // a module keeps the settings that it was made with
+		{"", "added [=5] kept [] source_changed [] removed [runs=4 calib=3] renamed map[]"},
 	} {
-		next := make1(t, c.text, p)
-		if got := says(next.ChangesFrom(p)); got != c.want {
+		next := mustPlan(t, c.text, p)
+		if got := formatChanges(next.ChangesFrom(p)); got != c.want {
 			t.Errorf("%d: %s, want %s", i, got, c.want)
 		}
 		p = next
 	}
 }
 
-func TestAPoolTakesNoOthersConversations(t *testing.T) {
-	// Two that both say they were one: the first has it, the other begins anew.
-	p := make1(t, serviceOf("a", `pool = "a"`)+poolOf("a", ""), nil)
-	next := make1(t, serviceOf("s", `split = [{pool = "b", weight = 1}, {pool = "c", weight = 1}]`)+poolOf("b", `was = "a"`)+poolOf("c", `was = "a"`), p)
-	if got, want := says(next.ChangesFrom(p)), "added [c=1] kept [b=0] moved [] ended [] renamed map[a:b]"; got != want {
+func TestOnlyOnePoolContinuesAFormerPool(t *testing.T) {
+	// Two pools name the same former pool: the first continues it, the other is new.
+	p := mustPlan(t, serviceTOML("a", `pool = "a"`)+poolTOML("a", ""), nil)
+	next := mustPlan(t, serviceTOML("s", `split = [{pool = "b", weight = 1}, {pool = "c", weight = 1}]`)+poolTOML("b", `was = "a"`)+poolTOML("c", `was = "a"`), p)
+	if got, want := formatChanges(next.ChangesFrom(p)), "added [c=1] kept [b=0] source_changed [] removed [] renamed map[a:b]"; got != want {
 		t.Errorf("%s, want %s", got, want)
 	}
 }
 
-func TestPartsOfAPool(t *testing.T) {
-	p := make1(t, serviceOf("s", `split = [{pool = "a", weight = 1}, {pool = "b", weight = 1}, {pool = "c", weight = 1}]`)+
-		poolOf("a", "[pool.limits]\nguarantee = 0.4\nmost = 0.5\nopen = 7\nlegs = 2\nretry_after = \"2s\"")+poolOf("b", "")+poolOf("c", ""), nil)
-	cfg := base(t)
+func TestQuotasOfAPool(t *testing.T) {
+	p := mustPlan(t, serviceTOML("s", `split = [{pool = "a", weight = 1}, {pool = "b", weight = 1}, {pool = "c", weight = 1}]`)+
+		poolTOML("a", "[pool.limits]\nguarantee = 0.4\nmost = 0.5\nopen = 7\nlegs = 2\nretry_after = \"2s\"")+poolTOML("b", "")+poolTOML("c", ""), nil)
+	cfg := loadConfig(t)
 	var claims []quota.Claim
 	for _, q := range p.Pools {
 		claims = append(claims, q.UpstreamConnQuota)
@@ -126,8 +126,8 @@
 	}
 }
 
-func TestClassesOfAPool(t *testing.T) {
-	p := make1(t, serviceOf("s", `pool = "a"`)+poolOf("a", "[[pool.class]]\nname = \"doc-lookup\"\naim = \"700ms\"\nworth = 9.5"), nil)
+func TestPoolOverridesItsClasses(t *testing.T) {
+	p := mustPlan(t, serviceTOML("s", `pool = "a"`)+poolTOML("a", "[[pool.class]]\nname = \"doc-lookup\"\naim = \"700ms\"\nworth = 9.5"), nil)
 	to := p.Directory.Table.Lookup(&route.Query{Host: "s.example.org", Path: "/x", Method: "POST"})
 	if to == nil {
 		t.Fatal("no route")
@@ -139,16 +139,16 @@
 	}
 }
 
-func TestFaults(t *testing.T) {
+func TestEveryErrorIsReportedWithItsLine(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.json")
 	if err := os.WriteFile(bad, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	one := serviceOf("s", `pool = "a"`)
+	one := serviceTOML("s", `pool = "a"`)
 	many := ""
 	split := "[[service]]\nname = \"s\"\nsplit = ["
 	for i := range 20 {
-		many += poolOf(fmt.Sprint("p", i), fmt.Sprintf("discovery = \"127.0.0.1:%d\"", 9000+i))
+		many += poolTOML(fmt.Sprint("p", i), fmt.Sprintf("discovery = \"127.0.0.1:%d\"", 9000+i))
 		split += fmt.Sprintf("{pool = \"p%d\", weight = 1}, ", i)
 	}
 	many += split + "]\n[[service.route]]\n"
@@ -156,22 +156,22 @@
 		text string
 		want []string
 	}{
-		"settings": {one + poolOf("a", fmt.Sprintf("settings = %q", bad)), []string{":8: pool[0].settings: "}},
+		"settings": {one + poolTOML("a", fmt.Sprintf("settings = %q", bad)), []string{":8: pool[0].settings: "}},
 		"every class": {
-			one + poolOf("a", "[[pool.class]]\nname = \"x\"\n[[pool.class]]\nname = \"y\""),
+			one + poolTOML("a", "[[pool.class]]\nname = \"x\"\n[[pool.class]]\nname = \"y\""),
 			[]string{`:9: pool[0].class[0].name: class "x" is not in the pool's settings`, `:11: pool[0].class[1].name: class "y"`},
 		},
-		"a class without time": {
-			one + poolOf("a", "[[pool.class]]\nname = \"doc-lookup\"\nworth = 1.0\ndeadline = \"0s\""),
+		"a class without a deadline": {
+			one + poolTOML("a", "[[pool.class]]\nname = \"doc-lookup\"\nworth = 1.0\ndeadline = \"0s\""),
 			[]string{":11: pool[0].class[0].deadline: a time above 0"},
 		},
 		"a contract's classes": {
-			one + poolOf("a", "[[pool.class]]\nname = \"doc-lookup\"") + "[[contract]]\nteam = \"t\"\nkey_env = \"K\"\nservice = \"s\"\n" +
+			one + poolTOML("a", "[[pool.class]]\nname = \"doc-lookup\"") + "[[contract]]\nteam = \"t\"\nkey_env = \"K\"\nservice = \"s\"\n" +
 				"classes = [\"shift-agent\"]\nlines = 1\nat_once = 1\nbudget_tokens = 1\nbudget_period = \"1h\"\nline_deadline = \"1m\"\n",
 			[]string{`:14: contract[0].classes: pool "a" of service "s" has no class "shift-agent"`},
 		},
 		"a contract without a service or a route": {
-			one + poolOf("a", "") + "[[contract]]\nteam = \"t\"\nkey_env = \"K\"\n" +
+			one + poolTOML("a", "") + "[[contract]]\nteam = \"t\"\nkey_env = \"K\"\n" +
 				"classes = [\"chat\"]\nlines = 1\nat_once = 1\nbudget_tokens = 1\nbudget_period = \"1h\"\nline_deadline = \"1m\"\n",
 			[]string{`:12: contract[0].classes: no route takes lines of class "chat": POST batch.notchhinge/v1/chat/completions`},
 		},
@@ -179,7 +179,7 @@
 	} {
 		f, err := settings.Parse([]byte(c.text), "f", nil)
 		if err == nil {
-			_, err = NewPlan(base(t), f, make1(t, "", nil))
+			_, err = NewPlan(loadConfig(t), f, mustPlan(t, "", nil))
 		}
 		var faults settings.Faults
 		if !errors.As(err, &faults) || len(faults) != len(c.want) {
