--- a/test.sh
+++ b/test.sh
@@ -5,8 +5,8 @@
 
 # The linters and formatters of .golangci.yml, in the versions of tools/go.mod; golangci-lint fmt formats.
 lint() {
-  go tool -modfile=tools/go.mod golangci-lint run
-  (cd tools && go tool golangci-lint run)
+  go tool -modfile=tools/go.mod golangci-lint run --allow-parallel-runners
+  (cd tools && go tool golangci-lint run --allow-parallel-runners)
 }
 
 # All tests but those of KNOWN-RED.txt, as go test -json prints them; and one more failure where go test itself fails, which
