--- a/internal/edge/stutter_test.go
+++ b/internal/edge/stutter_test.go
@@ -119,7 +119,7 @@
 			synctest.Wait()
 			all, results = append(all, a), append(results, r)
 		}
-		c.CloseIdleConnections()
+		c.Close()
 		s.wait.Wait()
 	})
 	return all, results
--- a/internal/node/dataplane.go
+++ b/internal/node/dataplane.go
@@ -65,7 +65,7 @@
 	d.bounds.Store(&defaults)
 	d.loop = dispatch.NewLoop(dispatch.New(o.limits), dispatch.UnixClock(), d.perform)
 	d.upstream = upstream.New(upstream.Config{
-		Limits: o.limits, Post: d.loop.Post, Now: d.loop.Now, Dial: d.dial, Dialect: edge.Legs{}, MaxReuseAge: d.maxIdle, OnConnectionForgotten: func() { d.onIdleDrop() },
+		Limits: o.limits, Post: d.loop.Post, Now: d.loop.Now, Dial: d.dial, Dialect: edge.Legs{}, NonIdempotentMaxIdle: d.maxIdle, OnIdleConnectionsLost: func() { d.onIdleDrop() },
 	})
 	d.onIdleDrop = d.limitIdleReuse
 	d.dialect = &edge.Dialect{Now: d.routes.Load, Salt: o.seed, Conversation: rand.Uint64, Clock: d.loop.Now}
--- a/internal/router/plan.go
+++ b/internal/router/plan.go
@@ -52,7 +52,7 @@
 // set gives a pool its parts of the process.
 func (r *Router) set(q *reconcile.Pool, module *policy.Balancer) {
 	r.upstream.ConfigurePool(q.ID, upstream.LoadReporting{
-		Columns: q.Module.Columns, OnStatsPath: len(q.Module.Columns) > 0, InResponses: q.Module.Piggyback,
+		Columns: q.Module.Columns, StatsPath: len(q.Module.Columns) > 0, InResponses: q.Module.Piggyback,
 	}, q.UpstreamConnQuota)
 	r.front.ConfigurePool(q.ID, q.BodyQuota, q.ClientConnQuota)
 	e := dispatch.ConfigurePool{
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -274,7 +274,7 @@
 	r.loop.Post(dispatch.StartDrain{})
 	r.drain(ctx)
 	stopBatch()
-	r.upstream.CloseIdleConnections()
+	r.upstream.Close()
 	if r.traces != nil {
 		r.loop.Post(dispatch.FlushTraces{})
 		r.loop.Idle(ctx) // the loop has come past it
--- /dev/null
+++ b/internal/upstream/attempt.go
@@ -0,0 +1,233 @@
+package upstream
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"time"
+
+	"notchhinge/internal/dispatch"
+	"notchhinge/internal/trace"
+	"notchhinge/policy"
+)
+
+// attempt is an attempt under way: one request at one endpoint. Its goroutine owns it, but for what Transport.mu guards.
+type attempt struct {
+	transport     *Transport
+	start         dispatch.StartAttempt
+	downstream    Downstream
+	loadReporting *LoadReporting
+	cancel        context.CancelFunc
+	bound         chan struct{} // receives when dispatch has given the client to this attempt
+
+	startedAt      time.Time
+	startedAtClock time.Duration  // the same on the clock of events; only where traced
+	span           *trace.Context // sent to the endpoint; nil where nothing is traced
+	times          *trace.Times   // nil where nothing is traced
+
+	outcome  dispatch.AttemptEnded
+	reusable bool // the connection may serve another request
+
+	// Guarded by Transport.mu; conn is written by the attempt's goroutine only, which reads it without the lock.
+	conn      *conn
+	cancelled bool
+}
+
+// StartAttempt starts an attempt. It does not block.
+func (t *Transport) StartAttempt(e dispatch.StartAttempt) { t.startAttempt(e, nil) }
+
+func (t *Transport) startTracedAttempt(e dispatch.StartTracedAttempt) {
+	t.startAttempt(e.StartAttempt, e.Span)
+}
+
+func (t *Transport) startAttempt(e dispatch.StartAttempt, span *trace.Carried) {
+	ctx, cancel := context.WithCancel(context.Background())
+	a := &attempt{
+		transport: t, start: e, cancel: cancel, bound: make(chan struct{}, 1), outcome: dispatch.AttemptEnded{Attempt: e.Attempt},
+	}
+	if span != nil {
+		a.span, a.times = &span.Context, &span.Times
+	}
+	t.mu.Lock()
+	t.attempts[e.Attempt], a.loadReporting = a, t.loadReportingOf(e.Pool)
+	t.mu.Unlock()
+	t.cfg.Go(func() { a.run(ctx) })
+}
+
+// BindAttempt gives the client to an attempt, which forwards its response from then on.
+func (t *Transport) BindAttempt(id dispatch.AttemptID) {
+	t.mu.Lock()
+	a := t.attempts[id]
+	t.mu.Unlock()
+	if a != nil {
+		a.bound <- struct{}{} // dispatch binds an attempt once at most, so that there is room
+	}
+}
+
+// CancelAttempt ends an attempt by closing its connection, whatever it waits for.
+func (t *Transport) CancelAttempt(id dispatch.AttemptID) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	a := t.attempts[id]
+	if a == nil {
+		return
+	}
+	a.cancelled = true
+	a.cancel()
+	if a.conn != nil {
+		_ = a.conn.Close() // ends the attempt's reads and writes
+	}
+}
+
+// run runs an attempt and posts its outcome.
+func (a *attempt) run(ctx context.Context) {
+	defer a.end()
+	a.startedAt = time.Now()
+	if a.times != nil {
+		a.startedAtClock = a.transport.cfg.Now()
+		a.times.Begun = a.startedAtClock
+	}
+	a.downstream = a.start.Client.(Downstream)
+	a.outcome.Result = a.roundTrip(ctx)
+}
+
+// end posts the attempt's outcome and gives its connection back, or closes it.
+func (a *attempt) end() {
+	t := a.transport
+	a.cancel()
+	t.mu.Lock()
+	delete(t.attempts, a.start.Attempt)
+	cancelled := a.cancelled
+	t.mu.Unlock()
+	if a.times != nil {
+		a.stamp(&a.times.Ended, time.Now())
+		a.outcome.Times = a.times
+	}
+	t.cfg.Post(a.outcome)
+	if a.reusable && !cancelled {
+		t.conns.put(a.conn)
+	} else if a.conn != nil {
+		_ = a.conn.Close() // the outcome is known
+	}
+}
+
+// roundTrip sends the request, and forwards its response if that is good and the attempt gets bound.
+func (a *attempt) roundTrip(ctx context.Context) policy.Result {
+	t, req := a.transport, a.downstream.UpstreamRequest()
+	connectedAt, err := a.connect(ctx, req)
+	if err != nil {
+		return policy.ResultConnectFailed
+	}
+	deadline, err := a.writeRequest(req, a.start.Timeout-connectedAt.Sub(a.startedAt))
+	if err != nil {
+		a.outcome.StaleConnection = t.noteStale(ctx, a.conn)
+		return policy.ResultConnectFailed // too little of it has left to run
+	}
+	resp, firstByteAt, err := t.readResponse(a.conn, req, deadline) //nolint:bodyclose // read off a connection that end closes or keeps
+	if a.times != nil && !firstByteAt.IsZero() {
+		a.stamp(&a.times.First, firstByteAt)
+	}
+	if err != nil {
+		result := failureResult(err)
+		a.outcome.StaleConnection = result == policy.ResultReset && a.conn.br.Buffered() == 0 && t.noteStale(ctx, a.conn)
+		return result
+	}
+	return a.handleResponse(ctx, resp)
+}
+
+// connect gets the attempt a connection, and returns when it had it.
+func (a *attempt) connect(ctx context.Context, req *Request) (time.Time, error) {
+	t := a.transport
+	w := connWait{timeout: min(t.cfg.Limits.ConnectTimeout, a.start.Timeout)}
+	if t.cfg.NonIdempotentMaxIdle != nil && req.NonIdempotent {
+		w.maxIdle = t.cfg.NonIdempotentMaxIdle()
+	}
+	cn, err := t.conns.get(ctx, endpoint{a.start.Host, a.start.Addr, a.start.Pool}, w)
+	if err != nil {
+		return time.Time{}, err
+	}
+	connectedAt := time.Now()
+	if a.times != nil {
+		a.times.Fresh = cn.idleID == 0
+		a.stamp(&a.times.Lined, connectedAt)
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	a.conn = cn
+	if a.cancelled {
+		return connectedAt, context.Canceled
+	}
+	return connectedAt, nil
+}
+
+// writeRequest writes the request, for which left is left. It returns until when the response may begin, zero = as long as
+// the attempt is not cancelled, or an error where the request cannot run.
+func (a *attempt) writeRequest(req *Request, left time.Duration) (deadline time.Time, _ error) {
+	t := a.transport
+	a.conn.SetWriteDeadline(a.startedAt.Add(a.start.Timeout))
+	n, err := a.conn.Write(t.cfg.Dialect.EncodeRequest(req, &a.start, left, a.span))
+	if err != nil {
+		if !t.mayHaveRun(n) {
+			return time.Time{}, err
+		}
+		// An endpoint that rejects a request early and closes has sent its response by now.
+		deadline = time.Now().Add(truncatedResponseWait)
+		a.conn.mustClose = true
+		a.conn.SetReadDeadline(deadline)
+	}
+	if a.times != nil {
+		a.stamp(&a.times.Written, time.Now())
+	}
+	return deadline, nil
+}
+
+// handleResponse forwards a good response, and reads an error response so that its connection can serve again.
+func (a *attempt) handleResponse(ctx context.Context, resp *http.Response) policy.Result {
+	dialect := a.transport.cfg.Dialect
+	if a.loadReporting.InResponses {
+		a.outcome.Report = ParseLoadReport(resp.Header.Get(loadHeader), a.loadReporting.Columns)
+	}
+	a.conn.idleTimeout = dialect.IdleTimeout(resp)
+	if result := dialect.Classify(resp); result != policy.ResultOK {
+		a.outcome.ReachedOtherHost = result == policy.ResultConnectFailed
+		a.reusable = a.readErrorResponse(result, resp) && !resp.Close
+		return result
+	}
+	if dialect.IsEventStream(resp) {
+		return a.forwardEventStream(ctx, resp)
+	}
+	return a.forwardBody(ctx, resp)
+}
+
+// readErrorResponse reads a response that is not forwarded, and reports whether it came to its end.
+func (a *attempt) readErrorResponse(result policy.Result, resp *http.Response) (complete bool) {
+	if r, ok := a.downstream.(ErrorResponseReader); ok && a.transport.cfg.Dialect != (platform{}) {
+		return r.ReadErrorResponse(result, resp, a.conn)
+	}
+	a.conn.SetReadDeadline(time.Now().Add(drainWait))
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDrainedBody))
+	return err == nil && n < maxDrainedBody
+}
+
+// What an error response may cost to save its connection.
+const (
+	maxDrainedBody = 4 << 10 // bytes
+	drainWait      = 100 * time.Millisecond
+)
+
+// waitBound announces the response and waits until dispatch has bound or cancelled the attempt.
+func (a *attempt) waitBound(ctx context.Context) bool {
+	a.transport.cfg.Post(dispatch.AttemptStarted{Attempt: a.start.Attempt})
+	select {
+	case <-a.bound:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// stamp notes a time of a traced attempt. It converts a reading of the clock that was needed anyway: readings are a good part
+// of what tracing costs.
+func (a *attempt) stamp(field *time.Duration, at time.Time) {
+	*field = a.startedAtClock + at.Sub(a.startedAt)
+}
--- /dev/null
+++ b/internal/upstream/attempt_test.go
@@ -0,0 +1,108 @@
+package upstream
+
+import (
+	"errors"
+	"testing"
+	"testing/synctest"
+
+	"github.com/google/go-cmp/cmp"
+
+	"notchhinge/internal/dispatch"
+	"notchhinge/policy"
+)
+
+// TestOutcomeOfEachResponse goes through the protocol's table of outcomes row by row. Time-outs are dispatch's.
+func TestOutcomeOfEachResponse(t *testing.T) {
+	report := policy.Report{N: 2, Values: [4]float64{1.5, 7}}
+	for name, want := range map[string]struct {
+		result policy.Result
+		cached float64
+		report policy.Report
+		got    []string
+	}{
+		"served":          {policy.ResultOK, 4096, report, []string{one, last + comment, "complete"}},
+		"served_split":    {policy.ResultOK, 4096, policy.Report{}, []string{one, last, "complete"}},
+		"error":           {policy.ResultError, 0, report, nil},
+		"full_503":        {policy.ResultFull, 0, policy.Report{}, nil},
+		"full_504":        {policy.ResultFull, 0, policy.Report{}, nil},
+		"unmarked_503":    {policy.ResultError, 0, policy.Report{}, nil},
+		"other_status":    {policy.ResultError, 0, policy.Report{}, nil},
+		"no_events":       {policy.ResultError, 0, policy.Report{}, nil},
+		"reset":           {policy.ResultReset, 0, policy.Report{}, nil},
+		"reset_in_head":   {policy.ResultReset, 0, policy.Report{}, nil},
+		"reset_no_event":  {policy.ResultReset, 0, policy.Report{}, nil},
+		"reset_in_stream": {policy.ResultReset, 0, policy.Report{}, []string{one, "broken"}},
+		"bad_answer":      {policy.ResultError, 0, policy.Report{}, nil},
+		"long_head":       {policy.ResultError, 0, policy.Report{}, nil},
+		"stopped_head":    {policy.ResultError, 0, policy.Report{}, nil},
+		"many_interim":    {policy.ResultError, 0, policy.Report{}, nil},
+		"two_framings":    {policy.ResultError, 0, policy.Report{}, nil},
+		"noise":           {policy.ResultError, 0, policy.Report{}, nil},
+		"bad_chunk":       {policy.ResultError, 0, policy.Report{}, []string{one, "broken"}},
+		"wide_chunk":      {policy.ResultError, 0, policy.Report{}, []string{one, "data: {}\n\n\r\n", "broken"}},
+		"huge_chunk":      {policy.ResultError, 0, policy.Report{}, []string{one, "broken"}},
+		"interim":         {policy.ResultOK, 4096, report, []string{one, last + comment, "complete"}},
+		"bad_report":      {policy.ResultOK, 4096, report, []string{one, last + comment, "complete"}},
+		"second_answer":   {policy.ResultOK, 4096, report, []string{one, last + comment, "complete"}},
+		"cut_request":     {policy.ResultConnectFailed, 0, policy.Report{}, nil},
+		"unframed":        {policy.ResultReset, 0, policy.Report{}, []string{one, "broken"}},
+		"silent_stream":   {policy.ResultReset, 0, policy.Report{}, []string{one, "broken"}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				dial, far := pipes()
+				d, c := newHarness(dial), &downstream{body: []byte(`{"model":"chat"}`)}
+				d.StartAttempt(send(0, c))
+				conn := <-far
+				play(t, conn, name)
+				synctest.Wait()
+				conn.Close()
+				d.Close()
+				end := []dispatch.AttemptEnded{{Attempt: dispatch.AttemptID{Request: 1}, Result: want.result, CachedTokens: want.cached, Report: want.report}}
+				if diff := cmp.Diff(end, d.ends); diff != "" {
+					t.Errorf("outcome (-want +got):\n%s", diff)
+				}
+				if diff := cmp.Diff(want.got, c.got); diff != "" {
+					t.Errorf("forwarded (-want +got):\n%s", diff)
+				}
+				if name == "second_answer" && len(d.events) != 0 {
+					t.Errorf("a connection with bytes left to read is kept: %v", d.events)
+				}
+			})
+		})
+	}
+}
+
+func TestCancelAttemptClosesItsConnection(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		dial, far := pipes()
+		d, c := newHarness(dial), &downstream{body: []byte(`{"model":"chat"}`)}
+		d.StartAttempt(send(0, c))
+		conn := <-far
+		play(t, conn, "request_sent")
+		d.CancelAttempt(dispatch.AttemptID{Request: 1})
+		play(t, conn, "is_closed")
+		synctest.Wait()
+		if len(d.ends) != 1 || d.conns.open != 0 || len(d.attempts) != 0 {
+			t.Errorf("ends %v, %d connections, %d attempts", d.ends, d.conns.open, len(d.attempts))
+		}
+	})
+}
+
+func TestClientThatCannotBeWrittenToCancelsTheAttempt(t *testing.T) {
+	// The client has left: the attempt is cancelled, which says nothing against the endpoint.
+	synctest.Test(t, func(t *testing.T) {
+		dial, far := pipes()
+		d, c := newHarness(dial), &downstream{body: []byte(`{"model":"chat"}`), err: errors.New("gone")}
+		d.StartAttempt(send(0, c))
+		conn := <-far
+		play(t, conn, "unread")
+		synctest.Wait()
+		if diff := cmp.Diff([]dispatch.Event{dispatch.ClientLeft{Client: c}}, d.events, cmp.Comparer(func(x, y *downstream) bool { return x == y })); diff != "" {
+			t.Errorf("events (-want +got):\n%s", diff)
+		}
+		if len(d.ends) != 1 || d.ends[0].Result != policy.ResultCancelled {
+			t.Errorf("ends %v", d.ends)
+		}
+	})
+}
--- a/internal/upstream/stream.go
+++ b/internal/upstream/eventreader.go
@@ -4,25 +4,20 @@
 	"bytes"
 	"errors"
 	"io"
-	"math"
-	"strconv"
-	"strings"
-
-	"notchhinge/policy"
 )
 
-// eventReader cuts a stream behind its events.
+// eventReader splits a stream of server-sent events (the HTML standard, "Server-sent events") at the ends of events.
 type eventReader struct {
 	body     io.Reader
-	maxBytes int
+	maxBytes int // of one event
 	buf      []byte
-	returned int // of buf
+	returned int // bytes of buf that next has returned
 	err      error
 }
 
-// next returns the whole events that have come in, waiting for one at least. With the stream's end it returns
-// the reason: io.EOF if the stream is whole, and then what is left as well. What is no event, or has no end, is
-// no part of the stream, and spoils it. A part is valid until the next call.
+// next returns the complete events that have arrived, and blocks until there is one. At the stream's end it returns the reason:
+// io.EOF if the stream is complete, with the rest of its bytes. Bytes that are no event, and an event longer than maxBytes, make
+// the stream malformed. What is returned is valid until the next call.
 func (e *eventReader) next() ([]byte, error) {
 	n := copy(e.buf[:cap(e.buf)], e.buf[e.returned:])
 	e.buf, e.returned = e.buf[:n], 0
@@ -60,16 +55,16 @@
 	}
 }
 
-// wellFormed tells whether b holds nothing but fields of events, or else where its last good event ends. A chunk
-// whose size is wrong makes the framing of the next one pass for data.
+// wellFormed reports whether b holds nothing but fields of events, or else where its last good event ends. After a chunk whose
+// size is wrong, the framing of the next one would pass for data.
 func wellFormed(b []byte) (good int, ok bool) {
-	at := 0
+	offset := 0
 	for line := range bytes.Lines(b) {
-		at += len(line)
+		offset += len(line)
 		name, _, _ := bytes.Cut(bytes.TrimRight(line, "\r\n"), []byte(":"))
 		switch {
 		case len(bytes.TrimRight(line, "\r\n")) == 0:
-			good = at
+			good = offset
 		case len(name) == 0: // a comment
 		case string(name) == "data", string(name) == "event", string(name) == "id", string(name) == "retry":
 		default:
@@ -79,36 +74,10 @@
 	return len(b), true
 }
 
-// endOf tells where the last mark in b ends, or -1.
-func endOf(b []byte, mark string) int {
-	if at := bytes.LastIndex(b, []byte(mark)); at >= 0 {
-		return at + len(mark)
+// endOf returns where the last separator in b ends, or -1.
+func endOf(b []byte, separator string) int {
+	if i := bytes.LastIndex(b, []byte(separator)); i >= 0 {
+		return i + len(separator)
 	}
 	return -1
 }
-
-// ParseLoadReport reads a load report, whose names are the settings' own. Values that it lacks are 0; one without
-// any known name counts as none.
-func ParseLoadReport(text string, columns []string) policy.Report {
-	var r policy.Report
-	found := false
-	for field := range strings.SplitSeq(text, ",") {
-		name, value, ok := strings.Cut(strings.TrimSpace(field), "=")
-		if !ok {
-			continue
-		}
-		v, err := strconv.ParseFloat(value, 64)
-		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-			continue
-		}
-		for i, c := range columns {
-			if c == name && i < len(r.Values) {
-				r.Values[i], found = v, true
-			}
-		}
-	}
-	if found {
-		r.N = min(len(columns), len(r.Values))
-	}
-	return r
-}
--- /dev/null
+++ b/internal/upstream/forward.go
@@ -0,0 +1,159 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"os"
+	"time"
+
+	"notchhinge/internal/dispatch"
+	"notchhinge/policy"
+)
+
+// forwardEventStream forwards a stream of events once its first one is there and the attempt is bound.
+func (a *attempt) forwardEventStream(ctx context.Context, resp *http.Response) policy.Result {
+	lim := &a.transport.cfg.Limits
+	events := &eventReader{body: resp.Body, maxBytes: lim.StreamEventBytes, buf: make([]byte, 0, lim.ControlReadBytes)}
+	part, err := events.next()
+	if len(part) == 0 {
+		if errors.Is(err, io.EOF) {
+			return policy.ResultError // complete, but no stream
+		}
+		return failureResult(err)
+	}
+	if a.times != nil {
+		a.stamp(&a.times.Event, time.Now())
+	}
+	if !a.waitBound(ctx) {
+		return policy.ResultCancelled
+	}
+	a.observeHead(resp)
+	readErr, writeErr := a.copyEvents(events, part, err)
+	if writeErr != nil {
+		return a.clientLeft()
+	}
+	return a.finish(resp, readErr)
+}
+
+// copyEvents forwards the events of a stream, of which part has been read, until reading or writing ends. A readErr that came
+// with part is given along.
+func (a *attempt) copyEvents(events *eventReader, part []byte, readErr error) (_, writeErr error) {
+	var writingSince time.Time // only where traced
+	if a.times != nil {
+		writingSince = time.Now()
+		a.stamp(&a.times.Bound, writingSince)
+	}
+	for {
+		a.inspect(part)
+		if err := a.downstream.WriteBody(part); err != nil {
+			return nil, err
+		}
+		if readErr != nil {
+			return readErr, nil
+		}
+		now := time.Now()
+		a.conn.SetReadDeadline(now.Add(a.transport.cfg.Limits.StreamIdleTimeout))
+		if a.times != nil {
+			a.times.Relay += now.Sub(writingSince)
+		}
+		part, readErr = events.next()
+		if len(part) == 0 && readErr != nil {
+			return readErr, nil
+		}
+		if a.times != nil {
+			writingSince = time.Now()
+		}
+	}
+}
+
+// forwardBody forwards a response that is no event stream. What fits into the buffer is read before the attempt asks to be
+// bound: if it breaks off, another endpoint can still be tried.
+func (a *attempt) forwardBody(ctx context.Context, resp *http.Response) policy.Result {
+	lim := &a.transport.cfg.Limits
+	a.conn.SetReadDeadline(time.Now().Add(lim.FirstEventTimeout))
+	size := int64(2 * lim.ControlReadBytes) // of one that does not tell its length
+	if resp.ContentLength >= 0 {
+		size = min(resp.ContentLength+1, int64(lim.StreamEventBytes))
+	}
+	buf := make([]byte, size)
+	n, complete, err := readAhead(resp, buf)
+	if err != nil {
+		return failureResult(err)
+	}
+	if !a.waitBound(ctx) {
+		a.reusable = complete && !resp.Close
+		return policy.ResultCancelled
+	}
+	a.observeHead(resp)
+	if complete {
+		err = io.EOF
+	}
+	for {
+		if n > 0 {
+			if err := a.downstream.WriteBody(buf[:n]); err != nil {
+				return a.clientLeft()
+			}
+		}
+		if err != nil {
+			return a.finish(resp, err)
+		}
+		a.conn.SetReadDeadline(time.Now().Add(lim.StreamIdleTimeout))
+		n, err = resp.Body.Read(buf)
+	}
+}
+
+// readAhead reads a body until buf is full or the body is complete.
+func readAhead(resp *http.Response, buf []byte) (n int, complete bool, _ error) {
+	chunked := len(resp.TransferEncoding) > 0
+	n, err := io.ReadFull(resp.Body, buf)
+	switch {
+	case err == nil:
+		return n, false, nil
+	case errors.Is(err, io.EOF) && n == 0: // no body
+		return 0, true, nil
+	case !errors.Is(err, io.ErrUnexpectedEOF):
+		return n, false, err
+	case resp.ContentLength >= 0 && int64(n) < resp.ContentLength:
+		return n, false, err
+	case resp.ContentLength < 0 && !chunked: // without framing of its own it may have been cut off
+		return n, false, io.ErrUnexpectedEOF
+	}
+	// net/http gives a chunked body that breaks off the same error as ReadFull one that ends; reading again tells them apart.
+	if _, err := resp.Body.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		return n, false, io.ErrUnexpectedEOF
+	}
+	return n, true, nil
+}
+
+// finish ends a response that was forwarded until readErr.
+func (a *attempt) finish(resp *http.Response, readErr error) policy.Result {
+	// Only a framed response shows its end; one that lasts as long as its connection may have been cut off.
+	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
+	complete := framed && errors.Is(readErr, io.EOF)
+	a.reusable = complete && !resp.Close
+	writeErr := a.downstream.Finish(complete)
+	switch {
+	case !complete && errors.Is(readErr, os.ErrDeadlineExceeded):
+		return policy.ResultReset // it began and stopped
+	case !complete:
+		return failureResult(readErr)
+	case writeErr != nil:
+		return a.clientLeft()
+	default:
+		return policy.ResultOK
+	}
+}
+
+// clientLeft tells dispatch that the client cannot be written to. That says nothing against the endpoint.
+func (a *attempt) clientLeft() policy.Result {
+	a.transport.cfg.Post(dispatch.ClientLeft{Client: a.start.Client})
+	return policy.ResultCancelled
+}
+
+func (a *attempt) observeHead(resp *http.Response) {
+	if o, ok := a.downstream.(HeadObserver); ok {
+		o.ObserveHead(resp)
+	}
+}
--- /dev/null
+++ b/internal/upstream/healthcheck.go
@@ -0,0 +1,73 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"os"
+	"time"
+
+	"notchhinge/internal/dispatch"
+	"notchhinge/policy"
+)
+
+// startHealthCheck starts a health check, which ends in a ProbeDone. It does not block.
+func (t *Transport) startHealthCheck(e dispatch.SendProbe) {
+	go func() {
+		done := dispatch.ProbeDone{Pool: e.Pool, Host: e.Host, Sent: e.Sent}
+		t.mu.Lock()
+		r := t.loadReportingOf(e.Pool)
+		t.mu.Unlock()
+		done.Result, done.Report = t.healthCheck(endpoint{e.Host, e.Addr, e.Pool}, r)
+		t.cfg.Post(done)
+	}()
+}
+
+// healthCheck asks an endpoint for its health, and for its load where it reports that.
+func (t *Transport) healthCheck(to endpoint, r *LoadReporting) (policy.Result, policy.Report) {
+	ctx, cancel := context.WithTimeout(context.Background(), t.cfg.Limits.HealthCheckTimeout)
+	defer cancel()
+	cn, err := t.conns.get(ctx, to, connWait{timeout: t.cfg.Limits.ConnectTimeout})
+	if err != nil {
+		return policy.ResultConnectFailed, policy.Report{}
+	}
+	path := t.cfg.Dialect.HealthCheckPath(r)
+	deadline := time.Now().Add(t.cfg.Limits.HealthCheckTimeout)
+	cn.SetDeadline(deadline)
+	if _, err := io.WriteString(cn, "GET "+path+" HTTP/1.1\r\nHost: "+to.addr+"\r\n\r\n"); err != nil {
+		_ = cn.Close() // the error of the write counts
+		return policy.ResultConnectFailed, policy.Report{}
+	}
+	resp, body, err := t.readHealth(cn, deadline) //nolint:bodyclose // read off a connection that readHealth has closed or kept
+	switch {
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		return policy.ResultTimedOut, policy.Report{}
+	case err != nil:
+		return policy.ResultReset, policy.Report{}
+	case resp.StatusCode != http.StatusOK:
+		return policy.ResultError, policy.Report{}
+	}
+	report := resp.Header.Get(loadHeader)
+	if report == "" {
+		report = string(body)
+	}
+	return policy.ResultOK, ParseLoadReport(report, r.Columns)
+}
+
+// readHealth reads the response to a health check, of which a body beyond Limits.ControlReadBytes is cut off. It keeps the
+// connection if that can serve again, and closes it otherwise.
+func (t *Transport) readHealth(cn *conn, deadline time.Time) (*http.Response, []byte, error) {
+	maxBody := t.cfg.Limits.ControlReadBytes
+	resp, _, err := t.readResponse(cn, nil, deadline)
+	var body []byte
+	if err == nil {
+		body, err = io.ReadAll(io.LimitReader(resp.Body, int64(maxBody)))
+	}
+	if err != nil || resp.Close || len(body) >= maxBody {
+		_ = cn.Close() // it cannot serve again
+	} else {
+		t.conns.put(cn)
+	}
+	return resp, body, err
+}
--- /dev/null
+++ b/internal/upstream/loadreport.go
@@ -0,0 +1,53 @@
+package upstream
+
+import (
+	"bytes"
+	"math"
+	"strconv"
+	"strings"
+
+	"notchhinge/policy"
+)
+
+// loadHeader carries a load report: in a response's head, and as a comment in an event stream.
+const loadHeader = "X-Load-Report"
+
+// ParseLoadReport parses a load report such as "x1=1.5,concurrent=7". Values that it lacks are 0; names that are not columns
+// and values that are not numbers are ignored; one without any known name counts as none.
+func ParseLoadReport(text string, columns []string) policy.Report {
+	var r policy.Report
+	found := false
+	for field := range strings.SplitSeq(text, ",") {
+		name, value, ok := strings.Cut(strings.TrimSpace(field), "=")
+		if !ok {
+			continue
+		}
+		v, err := strconv.ParseFloat(value, 64)
+		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
+			continue
+		}
+		for i, c := range columns {
+			if c == name && i < len(r.Values) {
+				r.Values[i], found = v, true
+			}
+		}
+	}
+	if found {
+		r.N = min(len(columns), len(r.Values))
+	}
+	return r
+}
+
+// sanitizeLoadReport replaces what must not stand in a header by blanks in a head's load report: an unreadable report must not
+// spoil a good response.
+func sanitizeLoadReport(head []byte) {
+	for line := range bytes.Lines(head) {
+		if name, value, ok := bytes.Cut(line, []byte(":")); ok && bytes.EqualFold(name, []byte(loadHeader)) {
+			for i, b := range value {
+				if b < ' ' && b != '\r' && b != '\n' || b == 0x7f {
+					value[i] = ' '
+				}
+			}
+		}
+	}
+}
--- a/internal/upstream/platform.go
+++ b/internal/upstream/platform.go
@@ -13,10 +13,8 @@
 // platform is the dialect of the platform that notchhinge serve runs on.
 type platform struct{}
 
-const (
-	loadHeader     = "X-Load-Report"
-	rejectedHeader = "X-Rejected"
-)
+// rejectedHeader marks a 503 or 504 by which an endpoint rejected a request that it did not run.
+const rejectedHeader = "X-Rejected"
 
 // Classify implements Dialect.
 func (platform) Classify(resp *http.Response) policy.Result {
@@ -32,7 +30,7 @@
 	return policy.ResultError
 }
 
-// MatchResponse implements Dialect: the platform's answers do not say.
+// MatchResponse implements Dialect: the platform's responses do not name their request.
 func (platform) MatchResponse(*Request, *http.Response) ResponseMatch { return MatchThisRequest }
 
 // IsEventStream implements Dialect.
@@ -41,27 +39,27 @@
 // IdleTimeout implements Dialect.
 func (platform) IdleTimeout(*http.Response) time.Duration { return 0 }
 
-// MayRunTruncated implements Dialect: the platform promises that what was not written to its last byte never runs.
+// MayRunTruncated implements Dialect: the platform promises that a request never runs before its last byte was written.
 func (platform) MayRunTruncated() bool { return false }
 
 // HealthCheckPath implements Dialect.
 func (platform) HealthCheckPath(r *LoadReporting) string {
-	if r.OnStatsPath {
+	if r.StatsPath {
 		return "/stats"
 	}
 	return "/health/live"
 }
 
-// EncodeRequest writes an order out, with the time that is left as its budget and the span that it belongs to, if any.
-func (platform) EncodeRequest(o *Request, _ *dispatch.StartAttempt, left time.Duration, span *trace.Context) []byte {
-	b := make([]byte, 0, 512+len(o.Body))
-	b = append(b, o.Method...)
+// EncodeRequest implements Dialect: the budget is what is left of the attempt's time, in microseconds.
+func (platform) EncodeRequest(r *Request, _ *dispatch.StartAttempt, left time.Duration, span *trace.Context) []byte {
+	b := make([]byte, 0, 512+len(r.Body))
+	b = append(b, r.Method...)
 	b = append(b, ' ')
-	b = append(b, o.Target...)
+	b = append(b, r.Target...)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
-	b = append(b, o.Host...)
+	b = append(b, r.Host...)
 	b = append(b, "\r\nX-Call-Id: "...)
-	b = append(b, o.CallID...)
+	b = append(b, r.CallID...)
 	b = append(b, "\r\nX-Budget: "...)
 	b = strconv.AppendInt(b, max(left.Microseconds(), 1), 10)
 	b = append(b, 'u')
@@ -71,12 +69,12 @@
 			b = append(append(b, "\r\nTracestate: "...), span.State...)
 		}
 	}
-	if o.ContentType != "" {
+	if r.ContentType != "" {
 		b = append(b, "\r\nContent-Type: "...)
-		b = append(b, o.ContentType...)
+		b = append(b, r.ContentType...)
 	}
 	b = append(b, "\r\nContent-Length: "...)
-	b = strconv.AppendInt(b, int64(len(o.Body)), 10)
+	b = strconv.AppendInt(b, int64(len(r.Body)), 10)
 	b = append(b, "\r\n\r\n"...)
-	return append(b, o.Body...)
+	return append(b, r.Body...)
 }
--- /dev/null
+++ b/internal/upstream/pool_test.go
@@ -0,0 +1,163 @@
+package upstream
+
+import (
+	"errors"
+	"net"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"notchhinge/internal/dispatch"
+	"notchhinge/internal/hoststate"
+	"notchhinge/internal/quota"
+	"notchhinge/policy"
+)
+
+func TestConnectionIsReusedAndClosedWhenIdle(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		dial, far := pipes()
+		d, c := newHarness(dial), &downstream{body: []byte(`{"model":"chat"}`)}
+		var conn net.Conn
+		for n := range 2 {
+			d.StartAttempt(send(n, c))
+			if n == 0 {
+				conn = <-far
+			}
+			play(t, conn, "served")
+			synctest.Wait()
+		}
+		idle := d.cfg.Limits.UpstreamIdleTimeout
+		want := []dispatch.Event{dispatch.ConnectionIdle{Connection: 1, Idle: idle}, dispatch.ConnectionIdle{Connection: 2, Idle: idle}}
+		if diff := cmp.Diff(want, d.events); diff != "" || len(far) != 0 {
+			t.Errorf("idle, %d more connections (-want +got):\n%s", len(far), diff)
+		}
+		d.conns.closeIdle(1) // idle under another id since: nothing happens
+		if d.conns.open != 1 {
+			t.Error("a connection was closed under its old id")
+		}
+		d.conns.closeIdle(2)
+		if d.conns.open != 0 || len(d.conns.idle) != 0 {
+			t.Error("the connection was not closed")
+		}
+	})
+}
+
+func TestConnectionLimitEvictsIdleOnes(t *testing.T) {
+	// Descriptors are bounded: an idle connection to one host is evicted for another, and with none idle there is no connection.
+	// The connection of a host that has gone does not serve its successor at the same address.
+	synctest.Test(t, func(t *testing.T) {
+		dial, far := pipes()
+		d := newHarness(dial)
+		d.conns.quota.Resize(1)
+		d.ConfigurePool(0, d.cfg.LoadReporting, quota.Claim{Guarantee: 1})
+		first, err := d.conns.get(t.Context(), endpoint{1, "a", 0}, connWait{timeout: time.Second})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, err := d.conns.get(t.Context(), endpoint{2, "a", 0}, connWait{timeout: time.Second}); !errors.Is(err, errConnectionLimit) {
+			t.Errorf("a second connection: %v", err)
+		}
+		d.conns.put(first)
+		second, err := d.conns.get(t.Context(), endpoint{2, "a", 0}, connWait{timeout: time.Second})
+		if err != nil || d.conns.open != 1 {
+			t.Fatalf("%v, %d open", err, d.conns.open)
+		}
+		_ = second.Close()
+		for range 2 {
+			(<-far).Close()
+		}
+	})
+}
+
+// twoPools is a harness with two pools, each with a guarantee of one of three connections.
+type twoPools struct {
+	*harness
+	t   *testing.T
+	far chan net.Conn
+}
+
+func newTwoPools(t *testing.T) twoPools {
+	t.Helper()
+	dial, far := pipes()
+	p := twoPools{newHarness(dial), t, far}
+	p.conns.quota.Resize(3)
+	for id := range hoststate.PoolID(2) {
+		p.ConfigurePool(id, p.cfg.LoadReporting, quota.Claim{Guarantee: 1})
+	}
+	return p
+}
+
+func (p twoPools) get(pool hoststate.PoolID, host policy.ReplicaID) *conn {
+	p.t.Helper()
+	c, err := p.conns.get(p.t.Context(), endpoint{host, "a", pool}, connWait{timeout: time.Second})
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	return c
+}
+
+// mustBeFull checks that a pool gets no further connection.
+func (p twoPools) mustBeFull(pool hoststate.PoolID, host policy.ReplicaID) {
+	p.t.Helper()
+	if _, err := p.conns.get(p.t.Context(), endpoint{host, "a", pool}, connWait{timeout: time.Second}); !errors.Is(err, errConnectionLimit) {
+		p.t.Errorf("a connection of the other pool's guarantee: %v", err)
+	}
+}
+
+// mustCount checks how many connections the pools have, and that no others are open.
+func (p twoPools) mustCount(first, second int) {
+	p.t.Helper()
+	if p.Connections(0) != first || p.Connections(1) != second || p.conns.open != first+second {
+		p.t.Errorf("%d and %d connections, %d open; want %d and %d", p.Connections(0), p.Connections(1), p.conns.open, first, second)
+	}
+}
+
+func (p twoPools) closeFarEnds() {
+	for len(p.far) > 0 {
+		(<-p.far).Close()
+	}
+}
+
+// TestGuaranteedConnectionsOfTwoPools: connections to a host that two pools share are each pool's own. A pool gets back what
+// another has beyond its guarantee, and nothing of what that is guaranteed.
+func TestGuaranteedConnectionsOfTwoPools(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		p := newTwoPools(t)
+		first, second := p.get(0, 1), p.get(0, 2)
+		p.mustBeFull(0, 3)
+		if other := p.get(1, 1); other == first {
+			t.Error("one connection for two pools")
+		}
+		p.mustCount(2, 1)
+		for _, c := range []*conn{first, second} {
+			p.conns.put(c)
+		}
+		p.get(1, 2) // an idle one of the first pool, which has more than its guarantee, is evicted for it
+		p.mustCount(1, 2)
+		p.mustBeFull(1, 4)
+		p.closeFarEnds()
+	})
+}
+
+// TestClosedConnectionClosesThoseOfOtherPools: an endpoint that closed an idle connection of one pool has closed the other
+// pool's, too; connections to other hosts stay. A pool that is removed leaves none.
+func TestClosedConnectionClosesThoseOfOtherPools(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		p := newTwoPools(t)
+		mine, theirs, elsewhere := p.get(0, 1), p.get(1, 1), p.get(1, 2)
+		for _, c := range []*conn{mine, theirs, elsewhere} {
+			p.conns.put(c)
+		}
+		p.conns.closeIdleToHost(mine.endpoint)
+		if len(p.conns.idle) != 1 || len(p.conns.idle[elsewhere.endpoint]) != 1 || p.conns.open != 1 {
+			t.Errorf("idle after the endpoint closed: %v", p.conns.idle)
+		}
+		p.RemovePool(1)
+		if p.conns.open != 0 || p.conns.quota.Used() != 0 {
+			t.Errorf("%d connections of a pool that was removed", p.conns.open)
+		}
+		p.closeFarEnds()
+	})
+}
--- a/internal/upstream/trace_test.go
+++ b/internal/upstream/trace_test.go
@@ -11,23 +11,23 @@
 	"notchhinge/internal/trace"
 )
 
-func TestTracedLeg(t *testing.T) {
+func TestTracedAttemptTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		dial, far := pipes()
-		d := newDesk(dial)
-		d.Now = func() time.Duration { return time.Hour + time.Since(began) }
+		d := newHarness(dial)
+		d.cfg.Now = func() time.Duration { return time.Hour + time.Since(began) }
 		span, ok := trace.ParseParent("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01")
 		if span.State = "ot=th:c"; !ok {
-			t.Fatal("a bad context")
+			t.Fatal("the trace context does not parse")
 		}
-		c := &customer{body: []byte(`{"model":"chat"}`)}
-		d.StartTracedAttempt(dispatch.StartTracedAttempt{StartAttempt: send(0, c), Span: &trace.Carried{Context: span}})
+		c := &downstream{body: []byte(`{"model":"chat"}`)}
+		d.startTracedAttempt(dispatch.StartTracedAttempt{StartAttempt: send(0, c), Span: &trace.Carried{Context: span}})
 		conn := <-far
 		play(t, conn, "traced")
 		synctest.Wait()
 		conn.Close()
-		d.CloseIdleConnections()
+		d.Close()
 		if len(d.ends) != 1 || d.ends[0].Times == nil {
 			t.Fatalf("%+v", d.ends)
 		}
