--- a/internal/node/fakeengine_test.go
+++ b/internal/node/fakeengine_test.go
@@ -79,9 +79,9 @@
 func (e *fakeEngine) heartbeat(to, status string) {
 	e.t.Helper()
 	e.heartbeats++
-	code, _ := controlCall(e.t, "POST", to, "/Instances.Heartbeat/"+e.id, nil, map[string]any{
+	code, _ := controlCall(e.t, to, controlRequest{method: http.MethodPost, path: "/Instances.Heartbeat/" + e.id, body: map[string]any{
 		"target_service": "s", "address": e.addr, "zone": "a", "revision": "v1", "capacity_slots": 4, "status": status, "call_count": e.heartbeats,
-	})
+	}})
 	if code != 200 {
 		e.t.Errorf("a heartbeat got %d", code)
 	}
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -65,7 +65,8 @@
 			}
 		}
 	}
-	if code, _ := controlCall(t, "POST", f.routers[0].control, "/Configuration.Replace", nil, encodedConfig(9, "k")); code != http.StatusBadRequest {
+	noBase := controlRequest{method: http.MethodPost, path: "/Configuration.Replace", body: encodedConfig(9, "k")}
+	if code, _ := controlCall(t, f.routers[0].control, noBase); code != http.StatusBadRequest {
 		t.Errorf("without a base: %d", code)
 	}
 }
@@ -94,7 +95,7 @@
 
 func (f *runningFleet) checkExplain(t *testing.T) {
 	explain := func(m *testNode, head string) string {
-		_, b := controlCall(t, "POST", m.control, "/fleet/explain", nil, []byte(head))
+		_, b := controlCall(t, m.control, controlRequest{method: http.MethodPost, path: "/fleet/explain", body: []byte(head)})
 		return string(b)
 	}
 	for _, want := range []string{`"route":"chat"`, `"tenant":"lab"`, `"service":"s"`, `"session":true`, `"ready":["i-one","i-two"]`} {
@@ -102,7 +103,8 @@
 			t.Errorf("%s is not in %s", want, got)
 		}
 	}
-	if got := explain(f.routers[0], "GET /chat/1 HTTP/1.1\r\nHost: f.example\r\nX-Credential: none"); !strings.Contains(got, `"status":401`) || strings.Contains(got, "none") {
+	got := explain(f.routers[0], "GET /chat/1 HTTP/1.1\r\nHost: f.example\r\nX-Credential: none")
+	if !strings.Contains(got, `"status":401`) || strings.Contains(got, "none") {
 		t.Errorf("an unknown key: %s", got)
 	}
 	if got := explain(f.replicas[0], "GET / HTTP/1.1\r\nHost: f.example"); !strings.Contains(got, "ask a router") {
@@ -111,11 +113,13 @@
 }
 
 func (f *runningFleet) checkOperatorViews(t *testing.T) {
-	if _, b := controlCall(t, "GET", f.replicas[2].control, "/fleet/engines", nil, nil); bytes.Count(b, []byte(`"state":"ready","heard_s"`)) != 2 {
-		t.Errorf("engines known at a replica: %s", b)
+	_, engines := controlCall(t, f.replicas[2].control, controlRequest{method: http.MethodGet, path: "/fleet/engines"})
+	if bytes.Count(engines, []byte(`"state":"ready","heard_s"`)) != 2 {
+		t.Errorf("engines known at a replica: %s", engines)
 	}
-	if _, b := controlCall(t, "GET", f.routers[0].control, "/fleet/history", nil, nil); !bytes.HasPrefix(b, []byte(`[{"revision":3,`)) {
-		t.Errorf("the history: %s", b)
+	_, history := controlCall(t, f.routers[0].control, controlRequest{method: http.MethodGet, path: "/fleet/history"})
+	if !bytes.HasPrefix(history, []byte(`[{"revision":3,`)) {
+		t.Errorf("the history: %s", history)
 	}
 }
 
--- a/internal/node/localfleet_test.go
+++ b/internal/node/localfleet_test.go
@@ -220,7 +220,7 @@
 // status asks the process for its status; all of it is zero where the process does not answer.
 func (m *testNode) status() (s nodeStatus) {
 	m.t.Helper()
-	if _, b := controlCall(m.t, "GET", m.control, "/fleet/status", nil, nil); len(b) > 0 {
+	if _, b := controlCall(m.t, m.control, controlRequest{method: http.MethodGet, path: "/fleet/status"}); len(b) > 0 {
 		if err := json.Unmarshal(b, &s); err != nil {
 			m.t.Errorf("the status of %s: %v", m.name(), err)
 		}
@@ -230,6 +230,6 @@
 
 // hasConfig tells whether the process describes exactly this configuration as the newest.
 func (m *testNode) hasConfig(encoded []byte) bool {
-	code, b := controlCall(m.t, "GET", m.control, "/Configuration.Describe", nil, nil)
+	code, b := controlCall(m.t, m.control, controlRequest{method: http.MethodGet, path: "/Configuration.Describe"})
 	return code == http.StatusOK && bytes.Equal(b, encoded)
 }
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -18,7 +18,7 @@
 	remove := func(at *testNode, name string, want int) {
 		t.Helper()
 		waitUntil(t, "a definite answer", func() bool {
-			code, b := controlCall(t, "DELETE", at.control, "/fleet/members/"+name, nil, nil)
+			code, b := controlCall(t, at.control, controlRequest{method: http.MethodDelete, path: "/fleet/members/" + name})
 			if code != want && code != http.StatusServiceUnavailable && code != 0 { // 0: redirected to the one that has just stopped
 				t.Fatalf("%s: %d %s, want %d", name, code, b, want)
 			}
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -12,26 +12,39 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// controlCall makes a call at a control address. v is bytes, or encoded as CBOR; nil = no body. The status is 0 where nobody
-// answers.
-func controlCall(t *testing.T, method, to, path string, header map[string]string, v any) (status int, body []byte) {
+// controlRequest is a call at a control address.
+type controlRequest struct {
+	method, path string
+	header       map[string]string
+	body         any // bytes, or what is encoded as CBOR; nil = none
+}
+
+// encodedBody is the call's body as it is sent.
+func (r *controlRequest) encodedBody() ([]byte, error) {
+	switch b := r.body.(type) {
+	case nil:
+		return nil, nil
+	case []byte:
+		return b, nil
+	default:
+		return cbor.Marshal(b)
+	}
+}
+
+// controlCall makes a call at a control address. The status is 0 where nobody answers.
+func controlCall(t *testing.T, to string, r controlRequest) (status int, body []byte) {
 	t.Helper()
-	var sent []byte
-	if b, ok := v.([]byte); ok {
-		sent = b
-	} else if v != nil {
-		var err error
-		if sent, err = cbor.Marshal(v); err != nil {
-			t.Fatal(err)
-		}
+	sent, err := r.encodedBody()
+	if err != nil {
+		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+to+path, bytes.NewReader(sent))
+	req, err := http.NewRequestWithContext(ctx, r.method, "http://"+to+r.path, bytes.NewReader(sent))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for k, x := range header {
+	for k, x := range r.header {
 		req.Header.Set(k, x)
 	}
 	resp, err := http.DefaultClient.Do(req)
@@ -73,7 +86,9 @@
 // tryReplaceConfig sends a configuration once.
 func tryReplaceConfig(t *testing.T, to string, base int, encoded []byte) (code int) {
 	t.Helper()
-	code, _ = controlCall(t, "POST", to, "/Configuration.Replace", map[string]string{"X-Revision-Match": strconv.Itoa(base)}, encoded)
+	code, _ = controlCall(t, to, controlRequest{
+		method: http.MethodPost, path: "/Configuration.Replace", header: map[string]string{"X-Revision-Match": strconv.Itoa(base)}, body: encoded,
+	})
 	return code
 }
 
