--- /dev/null
+++ b/internal/lab/check/catchupreplica.go
@@ -0,0 +1,301 @@
+package check
+
+import (
+	"bytes"
+	"cmp"
+	"errors"
+	"fmt"
+	"net/netip"
+	"syscall"
+	"time"
+
+	"github.com/syndtr/goleveldb/leveldb"
+	"github.com/syndtr/goleveldb/leveldb/opt"
+	"github.com/syndtr/goleveldb/leveldb/util"
+
+	"notchhinge/internal/control/api"
+	"notchhinge/internal/control/paxos"
+	"notchhinge/internal/control/replica"
+	"notchhinge/internal/control/replog"
+	"notchhinge/internal/control/storage"
+)
+
+// simReplica is a machine and its process.
+type simReplica struct {
+	sim                     *catchUpSim
+	position                int
+	disk                    *disk
+	store                   *storage.Store
+	node                    *replica.Replica
+	isUp                    bool
+	incarnation             int
+	isBusy                  bool
+	needsReopen             bool // a write has failed
+	queue                   []queuedEvent
+	wakeAt                  time.Duration // of the next Tick; 0 = none is scheduled
+	linkOutFree, linkInFree time.Duration // when what is under way has passed the link
+	id                      uint64
+	ackedIndex              uint64              // NextIndex of what the disk has acknowledged
+	ackedAcceptor           paxos.AcceptorState // the newest that the disk has acknowledged
+	maxQueue                int
+	slowdown                float64 // writes take 1 + slowdown times as long
+
+	// What waits for the effects that answer events of this incarnation.
+	calls   replica.Pending[*pendingCall]
+	answers replica.Pending[func(api.Result)]
+}
+
+// queuedEvent is an event that waits until the process is free.
+type queuedEvent struct {
+	replica.Event
+	since time.Duration
+}
+
+// start starts a process with what its disk holds. That must be no less than what the disk has acknowledged.
+func (m *simReplica) start() {
+	w := m.sim
+	id := w.rnd.Uint64() | 1
+	s, recovered, err := storage.OpenFiles(m.disk.open, storage.Identity{ID: id, IsFounder: w.maxIndex == 0})
+	if err != nil {
+		if m.disk.hasFailed() && errors.Is(m.disk.fault(), syscall.ENOSPC) { // the platform restarts it
+			w.after(100*time.Millisecond, func() {
+				if !m.isUp {
+					m.start()
+				}
+			})
+		} else if !m.disk.hasLostPower() {
+			w.violate("member %d cannot open its store: %v", m.position, err)
+		}
+		m.stop(true)
+		return
+	}
+	if m.id != recovered.ID {
+		m.id, m.ackedIndex, m.ackedAcceptor = recovered.ID, 0, paxos.AcceptorState{}
+	}
+	if v := &recovered.Acceptor; recovered.State.NextIndex < m.ackedIndex || cmp.Or(cmp.Compare(v.Index, m.ackedAcceptor.Index), v.Promised.Compare(m.ackedAcceptor.Promised),
+		v.Accepted.Compare(m.ackedAcceptor.Accepted)) < 0 {
+		w.violate("member %d has NextIndex %d and acceptor %+v on its disk, which had acknowledged %d and %+v", m.position, recovered.State.NextIndex, v, m.ackedIndex, m.ackedAcceptor)
+	}
+	w.checkState(m, &recovered.State)
+	m.store, m.isUp, m.isBusy, m.needsReopen, m.queue, m.wakeAt = s, true, false, false, nil, 0
+	m.calls, m.answers = replica.Pending[*pendingCall]{}, replica.Pending[func(api.Result)]{}
+	m.incarnation++
+	m.node = replica.New(replica.Config{
+		Self: replog.Member{ID: recovered.ID, Name: fmt.Sprintf("k%d", m.position), Addr: simAddr(m.position).String()}, IsFounder: recovered.IsFounder, MinVoters: w.members,
+		Incarnation: w.rnd.Uint64(), Seed: w.rnd.Uint64(), State: recovered.State, Acceptor: recovered.Acceptor, ChosenValue: s.ChosenValue,
+		Peers: func() (all []netip.AddrPort) {
+			for i := range w.replicas {
+				if i != m.position {
+					all = append(all, simAddr(i))
+				}
+			}
+			return all
+		},
+	})
+	m.enqueue(replica.Tick{})
+}
+
+// stop ends a process; with a loss of power, unsynced data may be lost.
+func (m *simReplica) stop(losesPower bool) {
+	loss := keepAll
+	if losesPower {
+		loss = m.sim.rnd.IntN(lossKinds)
+	}
+	next := m.disk.afterPowerLoss(loss, m.sim.rnd.Uint64())
+	if m.store != nil {
+		_ = m.store.Close() // the disk decides what is left
+	}
+	m.store, m.disk, m.isUp, m.isBusy, m.queue = nil, next, false, false, nil
+	m.incarnation++
+}
+
+// enqueue has a process handle an event once it is free.
+func (m *simReplica) enqueue(e replica.Event) {
+	if m.isUp {
+		m.queue = append(m.queue, queuedEvent{e, m.sim.now})
+		m.maxQueue = max(m.maxQueue, len(m.queue))
+		m.processQueue()
+	}
+}
+
+// processQueue handles waiting events one at a time, except calls whose callers have timed out.
+func (m *simReplica) processQueue() {
+	for m.isUp && !m.isBusy && len(m.queue) > 0 {
+		e, since := m.queue[0].Event, m.queue[0].since
+		m.queue = m.queue[1:]
+		switch x := e.(type) {
+		case replica.CallReceived:
+			if m.sim.now-since > replica.CallTimeout(x.Kind) && m.sim.brokenRule != brokenTimeout {
+				if c, ok := m.calls.Take(x.Request); ok {
+					c.respond(nil, errCallTimeout)
+				}
+				continue
+			}
+			m.reduce(e)
+		case replica.ReplaceConfig:
+			m.occupy(m.sim.decodeTime(len(x.Config)), func() { m.reduce(e) })
+		case replica.ReadConfig:
+			if m.sim.brokenRule == brokenReads {
+				s := m.node.State()
+				if answer, ok := m.answers.Take(x.Request); ok {
+					answer(api.Result{Status: 200, Revision: s.Revision})
+				}
+				continue
+			}
+			m.reduce(e)
+		default:
+			m.reduce(e)
+		}
+	}
+	m.scheduleTick()
+}
+
+// occupy keeps a process busy for a time, and then calls done, if it still runs.
+func (m *simReplica) occupy(d time.Duration, done func()) {
+	incarnation := m.incarnation
+	m.isBusy = true
+	m.sim.after(d, func() {
+		if m.incarnation == incarnation {
+			m.isBusy = false
+			done()
+			m.processQueue()
+		}
+	})
+}
+
+func (m *simReplica) reduce(e replica.Event) {
+	m.perform(append([]replica.Effect(nil), m.node.Reduce(m.sim.now, e)...))
+}
+
+// scheduleTick schedules a Tick for the replica's next timer.
+func (m *simReplica) scheduleTick() {
+	if !m.isUp || m.isBusy {
+		return
+	}
+	at, ok := m.node.NextTimer()
+	if at = max(at, m.sim.now+time.Millisecond); !ok || m.wakeAt > m.sim.now && m.wakeAt <= at {
+		return
+	}
+	m.wakeAt = at
+	incarnation := m.incarnation
+	m.sim.after(at-m.sim.now, func() {
+		if m.incarnation == incarnation && m.wakeAt == at {
+			m.wakeAt = 0
+			m.enqueue(replica.Tick{})
+		}
+	})
+}
+
+// perform performs effects in order. A write keeps the process busy; the rest follows after it.
+func (m *simReplica) perform(effects []replica.Effect) {
+	w := m.sim
+	for len(effects) > 0 {
+		f := effects[0]
+		effects = effects[1:]
+		switch f := f.(type) {
+		case replica.Write:
+			rest := effects
+			m.occupy(w.writeTime(&f, m.slowdown), func() {
+				ok := m.write(&f)
+				if m.isUp {
+					m.perform(append(rest, m.node.Reduce(w.now, replica.WriteDone{ID: f.ID, Durable: ok})...))
+				}
+			})
+			return
+		case replica.SendCall:
+			w.call(m, f)
+		case replica.SendReply:
+			c, ok := m.calls.Take(f.Request)
+			if !ok {
+				continue
+			}
+			body := f.Body
+			if c.kind == replica.CallSnapshot && len(body) > 0 {
+				if body = w.alterSnapshot(body); w.brokenRule == brokenSnapshot {
+					body = w.encodedStates[c.index+1]
+				}
+			}
+			w.transfer(m, c.from, len(body), func() { c.respond(body, f.Err) })
+		case replica.OperatorAnswer:
+			if answer, ok := m.answers.Take(f.Request); ok {
+				answer(f.Result)
+			}
+		case replica.StateChanged:
+			w.checkState(m, &f.State)
+		}
+	}
+}
+
+// write performs a write. After a failed one the store is reopened first, and gets all that it must hold, as the program does.
+func (m *simReplica) write(f *replica.Write) (isDurable bool) {
+	err := error(nil)
+	if m.needsReopen {
+		err = m.reopen()
+	}
+	if err == nil {
+		err = m.writeToStore(f)
+	}
+	if m.disk.hasLostPower() {
+		m.stop(true)
+		return false
+	}
+	if m.needsReopen = err != nil; m.needsReopen {
+		return false
+	}
+	if f.Snapshot || f.Value != nil {
+		m.ackedIndex = max(m.ackedIndex, f.State.NextIndex)
+	} else {
+		m.ackedAcceptor = f.Acceptor
+	}
+	return true
+}
+
+func (m *simReplica) reopen() error {
+	if err := m.store.Reopen(); err != nil {
+		return err
+	}
+	state := m.node.State()
+	if err := m.store.SaveSnapshot(&state); err != nil {
+		return err
+	}
+	return m.store.SaveAcceptor(m.node.AcceptorState())
+}
+
+func (m *simReplica) writeToStore(f *replica.Write) error {
+	switch {
+	case f.Snapshot && m.sim.brokenRule == brokenOrder:
+		return nil
+	case f.Snapshot && m.sim.brokenRule == brokenBatch:
+		return m.saveSnapshotInTwoWrites(f.State)
+	case f.Snapshot:
+		return m.store.SaveSnapshot(f.State)
+	case f.Value != nil:
+		return m.store.AppendChosen(f.Value, f.State)
+	}
+	return m.store.SaveAcceptor(f.Acceptor)
+}
+
+// saveSnapshotInTwoWrites breaks a rule: it removes the entries, and then writes the snapshot.
+func (m *simReplica) saveSnapshotInTwoWrites(s *replog.State) error {
+	_ = m.store.Close() // the disk decides what is left
+	files, err := m.disk.open()
+	if err != nil {
+		return err
+	}
+	db, err := leveldb.Open(files, nil)
+	if err != nil {
+		return err
+	}
+	it := db.NewIterator(util.BytesPrefix([]byte("place/")), nil)
+	removals := new(leveldb.Batch)
+	for it.Next() {
+		removals.Delete(bytes.Clone(it.Key()))
+	}
+	it.Release()
+	err = db.Write(removals, &opt.WriteOptions{Sync: true})
+	if err == nil {
+		err = db.Put([]byte("state"), s.Encode(), &opt.WriteOptions{Sync: true})
+	}
+	_ = db.Close() // the disk decides what is left
+	return errors.Join(err, m.store.Reopen())
+}
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -43,8 +43,8 @@
 			faults, points := losePowerAtEachStep(false, 1)
 			return first(faults), points
 		}},
-		{"members away for a thousand changes", snapshots},
-		{"power lost at every step of catching up, states torn", snapshotsTorn},
+		{"replicas away for a thousand changes", walkCatchUp},
+		{"power lost at every step of catching up, snapshots altered", walkCatchUpFaults},
 		{"writes refused at every second step", func(int) (string, int) { return first(refuseWritesAtEachStep(2)), 0 }},
 	}
 }
@@ -58,7 +58,7 @@
 		return func(lives int) (string, int) { return randomProposals(breaks, lives) }
 	}
 	broken := func(rule string) Walk {
-		return Walk{rule, func(lives int) (string, int) { return snapshotsBroken(rule, lives) }}
+		return Walk{rule, func(lives int) (string, int) { return walkBrokenCatchUp(rule, lives) }}
 	}
 	return append([]Walk{
 		{"a voter loses its disk and votes on", proposals(func(w *paxosCluster) { w.losesDisk = true })},
@@ -77,7 +77,7 @@
 		}},
 		{"a chosen value is taken for one's own", func(lives int) (string, int) { return randomRaces(lives, true) }},
 		{"a drain is acknowledged before others know", func(lives int) (string, int) { return draining(lives, true) }},
-		broken(breaksBatch), broken(breaksOrder), broken(breaksReads), broken(breaksStep), broken(breaksPatience),
+		broken(brokenBatch), broken(brokenOrder), broken(brokenReads), broken(brokenSnapshot), broken(brokenTimeout),
 		{"a journal's name is not synced", func(int) (string, int) {
 			faults, points := losePowerAtEachStep(true, 5)
 			return first(faults), points
