--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -38,8 +38,8 @@
 	return r
 }
 
-// sanitizeLoadReport replaces what must not stand in a header by blanks in a head's load report: an unreadable report must not
-// spoil a good response.
+// sanitizeLoadReport replaces the control characters in a head's load report by blanks: otherwise net/http rejects the whole
+// response.
 func sanitizeLoadReport(head []byte) {
 	for line := range bytes.Lines(head) {
 		if name, value, ok := bytes.Cut(line, []byte(":")); ok && bytes.EqualFold(name, []byte(loadHeader)) {
