--- a/cmd/notchhinge/main.go
+++ b/cmd/notchhinge/main.go
@@ -16,8 +16,8 @@
 
 	"notchhinge/deploy"
 	"notchhinge/internal/batch"
-	"notchhinge/internal/config"
 	"notchhinge/internal/config/nodeconfig"
+	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/node"
 	"notchhinge/internal/reconcile"
@@ -70,10 +70,10 @@
 }
 
 // subsystems reads the operator's settings, and the batch front's old file where that is given.
-func subsystems(cfg *config.Config, path, old string) (f *settings.File, b *batch.Config, err error) {
+func subsystems(cfg *platformconfig.Config, path, old string) (f *settings.File, b *batch.Config, err error) {
 	f = &settings.File{}
 	if path != "" {
-		if f, b, err = cfg.LoadSettings(path, os.Getenv); err != nil {
+		if f, b, err = cfg.LoadOperatorFile(path, os.Getenv); err != nil {
 			return nil, nil, badConfig{err}
 		}
 	}
@@ -81,7 +81,7 @@
 		if b != nil {
 			return nil, nil, badConfig{fmt.Errorf("%s: the batch front is set in %s already", old, path)}
 		}
-		if b, err = cfg.LoadBatch(old, os.Getenv); err != nil {
+		if b, err = cfg.LoadBatchFile(old, os.Getenv); err != nil {
 			return nil, nil, badConfig{err}
 		}
 	}
@@ -90,11 +90,11 @@
 
 // Run runs a router until SIGTERM or SIGINT; SIGUSR1 prints its counters, SIGHUP has the configuration read again.
 func (s serve) Run(c *cli) error {
-	cfg, err := config.Load(os.Getenv)
+	cfg, err := platformconfig.Load(os.Getenv)
 	if err != nil {
 		return badConfig{err}
 	}
-	log := c.logger().With("router", cfg.Name)
+	log := c.logger().With("router", cfg.RouterName)
 	stop, audit, reload := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(audit, syscall.SIGUSR1)
@@ -136,8 +136,8 @@
 	limits := cfg.Limits // with what the process has, whatever is read later
 	return r.Serve(router.Signals{
 		Stop: stop, Audit: audit, Reload: reload,
-		Reread: func(running *reconcile.Plan) (*config.Config, *reconcile.Plan, error) {
-			cfg, err := config.Reload(os.Getenv)
+		Reread: func(running *reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error) {
+			cfg, err := platformconfig.Reload(os.Getenv)
 			if err != nil {
 				return nil, nil, err
 			}
@@ -153,7 +153,7 @@
 }
 
 // begin makes the plan to begin with, and room in the limits for what it and the batch front need.
-func begin(cfg *config.Config, f *settings.File, b *batch.Config) (*reconcile.Plan, error) {
+func begin(cfg *platformconfig.Config, f *settings.File, b *batch.Config) (*reconcile.Plan, error) {
 	if b != nil {
 		cfg.Limits = cfg.Limits.WithBatch(b.Files())
 	}
@@ -172,7 +172,7 @@
 
 // Run loads the configuration as serve does.
 func (c checkConfig) Run() error {
-	cfg, err := config.Load(os.Getenv)
+	cfg, err := platformconfig.Load(os.Getenv)
 	if err != nil {
 		return badConfig{err}
 	}
@@ -185,7 +185,7 @@
 		return badConfig{err}
 	}
 	fmt.Printf("router %s on %s: %d classes, %d known issuer hosts\n",
-		cfg.Name, cfg.Listen, len(cfg.Settings.Classes), len(cfg.Known.Hosts))
+		cfg.RouterName, cfg.ListenAddr, len(cfg.Settings.Classes), len(cfg.InitialEndpoints.Hosts))
 	for _, q := range p.Pools {
 		if q.Name != "" {
 			fmt.Printf("pool %s: list of %s, %d classes, open %d to %d, lines %d to %d, bodies %d to %d bytes\n", q.Name, q.DiscoveryAddr,
--- a/cmd/notchhinge/main_test.go
+++ b/cmd/notchhinge/main_test.go
@@ -21,7 +21,7 @@
 	os.Exit(m.Run())
 }
 
-const goodConfig = "../../internal/config/testdata/config.json"
+const goodConfig = "../../internal/config/platformconfig/testdata/config.json"
 
 func command(config string, args ...string) *exec.Cmd {
 	c := exec.CommandContext(context.Background(), os.Args[0], args...)
--- a/internal/batch/proof_test.go
+++ b/internal/batch/proof_test.go
@@ -20,7 +20,7 @@
 	"testing"
 
 	"notchhinge/internal/batch"
-	"notchhinge/internal/config"
+	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/listwatch"
 	"notchhinge/internal/reconcile"
@@ -91,15 +91,15 @@
 // start runs a router with its batch front on loopback until stop; done gives its end.
 func (f *fleet) start(t *testing.T, spool string, log slog.Handler) (api string, stop chan os.Signal, done chan error) {
 	t.Helper()
-	cfg, err := config.Load(func(name string) string {
-		return map[string]string{"BALANCER_CONFIG": "../config/testdata/config.json"}[name]
+	cfg, err := platformconfig.Load(func(name string) string {
+		return map[string]string{"BALANCER_CONFIG": "../config/platformconfig/testdata/config.json"}[name]
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Known.Hosts = nil
+	cfg.InitialEndpoints.Hosts = nil
 	for i, h := range f.hosts {
-		cfg.Known.Hosts = append(cfg.Known.Hosts, listwatch.Entry{
+		cfg.InitialEndpoints.Hosts = append(cfg.InitialEndpoints.Hosts, listwatch.Entry{
 			Name: fmt.Sprint("s-", i), Addr: h.Listener.Addr().String(), Zone: "room", Health: "Ready", Weight: 1,
 		})
 	}
@@ -108,14 +108,14 @@
 		t.Fatal(err)
 	}
 	nobody.Close()
-	cfg.Discovery = nobody.Addr().String() // discovery is down throughout
+	cfg.DiscoveryAddr = nobody.Addr().String() // discovery is down throughout
 	path := filepath.Join(spool, "batch.toml")
 	text := "listen='127.0.0.1:1'\nspool='jobs'\n[[contract]]\nteam='crews'\nkey_env='K'\nclasses=['batch-summary']\n" +
 		"lines=5000\nat_once=32\nbudget_tokens=10000000\nbudget_period='24h'\nline_deadline='5m'\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	b, err := cfg.LoadBatch(path, func(string) string { return "key" })
+	b, err := cfg.LoadBatchFile(path, func(string) string { return "key" })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/platformconfig/config.go
@@ -1,6 +1,6 @@
-// Package config reads what a router is told at its start: the environment, the platform's JSON and, where
+// Package platformconfig reads what a router is told at its start: the environment, the platform's JSON and, where
 // the second front is wanted, its own file.
-package config
+package platformconfig
 
 import (
 	"encoding/json"
@@ -21,24 +21,24 @@
 
 // Config is a checked configuration.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Admin     string // where operators call; "" = nowhere
-	Shared    string // folder that a successor shares; "" = there is none, and nobody succeeds
-	Seed      uint64
-	Known     listwatch.List
+	RouterName       string
+	ListenAddr       string
+	DiscoveryAddr    string
+	AdminAddr        string // where operators call; "" = nowhere
+	SharedDir        string // folder that a successor shares; "" = there is none, and nobody succeeds
+	Seed             uint64
+	InitialEndpoints listwatch.List
 	Module
 	Limits limits.Limits
 }
 
 // Module is what the platform's settings say for one decision module.
 type Module struct {
-	Settings  policy.Settings
-	Columns   []string        // names of the values of a load report on the wire, as the settings give them
-	Zones     []string        // names of the zones, by their numbers
-	Piggyback bool            // any answer may carry a load report
-	TokenAims []time.Duration // by class: time wanted between tokens, on average; may be short of classes
+	Settings               policy.Settings
+	LoadReportColumns      []string        // names of the values of a load report on the wire, as the settings give them
+	ZoneNames              []string        // names of the zones, by their numbers
+	LoadReportsInResponses bool            // any answer may carry a load report
+	TokenLatencyTargets    []time.Duration // by class: time wanted between tokens, on average; may be short of classes
 }
 
 // LoadModule reads a file with the settings of one more module, in the form that they have in the platform's JSON.
@@ -65,9 +65,9 @@
 		return m, r, fmt.Errorf("settings: %w", err)
 	}
 	for _, us := range r.FamilyInfo.TokenAim {
-		m.TokenAims = append(m.TokenAims, micros(us))
+		m.TokenLatencyTargets = append(m.TokenLatencyTargets, micros(us))
 	}
-	m.Columns, m.Zones, m.Piggyback = r.Report.Columns, r.AZs, r.Report.How == "piggyback"
+	m.LoadReportColumns, m.ZoneNames, m.LoadReportsInResponses = r.Report.Columns, r.AZs, r.Report.How == "piggyback"
 	return m, r, nil
 }
 
@@ -129,7 +129,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	c.Shared = getenv("TMPDIR")
+	c.SharedDir = getenv("TMPDIR")
 	return c, nil
 }
 
@@ -193,7 +193,7 @@
 		return nil, errors.New("settings: limits.idleClose must be above 0")
 	}
 	c := &Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Admin: f.Admin, Seed: seed, Known: f.Known, Module: m,
+		RouterName: f.Name, ListenAddr: f.Listen, DiscoveryAddr: f.Discovery, AdminAddr: f.Admin, Seed: seed, InitialEndpoints: f.Known, Module: m,
 		Limits: limits.New(
 			limits.Machine{Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets},
 			limits.Site{
@@ -201,7 +201,7 @@
 				MaxConcurrentRequests: r.Limits.MaxOpen, MaxAttempts: m.Settings.Limits.MaxAttempts, MaxDeadline: longest,
 			}),
 	}
-	if c.Admin != "" {
+	if c.AdminAddr != "" {
 		c.Limits = c.Limits.WithAdmin()
 	}
 	return c, nil
@@ -219,8 +219,8 @@
 	return nil
 }
 
-// LoadSettings reads the operator's own file. The error is settings.Faults where the file is at fault.
-func (c *Config) LoadSettings(path string, getenv func(string) string) (*settings.File, *batch.Config, error) {
+// LoadOperatorFile reads the operator's own file. The error is settings.Faults where the file is at fault.
+func (c *Config) LoadOperatorFile(path string, getenv func(string) string) (*settings.File, *batch.Config, error) {
 	var names []string
 	for _, k := range c.Settings.Classes {
 		names = append(names, k.Name)
@@ -243,8 +243,8 @@
 	return f, b, nil
 }
 
-// LoadBatch reads the file of the batch front. It listens on loopback only.
-func (c *Config) LoadBatch(path string, getenv func(string) string) (*batch.Config, error) {
+// LoadBatchFile reads the file of the batch front. It listens on loopback only.
+func (c *Config) LoadBatchFile(path string, getenv func(string) string) (*batch.Config, error) {
 	classes := map[string]int{}
 	for i, k := range c.Settings.Classes {
 		classes[k.Name] = i
--- a/internal/config/config_test.go
+++ b/internal/config/platformconfig/platformconfig_test.go
@@ -1,4 +1,4 @@
-package config
+package platformconfig
 
 import (
 	"os"
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	got := []any{
-		c.Name, c.Listen, c.Discovery, c.Seed, c.Known.Seq, len(c.Known.Hosts), c.Zones, c.Columns, c.Piggyback,
+		c.RouterName, c.ListenAddr, c.DiscoveryAddr, c.Seed, c.InitialEndpoints.Seq, len(c.InitialEndpoints.Hosts), c.ZoneNames, c.LoadReportColumns, c.LoadReportsInResponses,
 		len(c.Settings.Classes), c.Limits.ConnectTimeout, c.Limits.UpstreamIdleTimeout, c.Limits.MaxAttempts,
 	}
 	want := []any{
@@ -43,7 +43,7 @@
 	vars := env("BALANCER_CONFIG", "testdata/config.json", "BALANCER_DISCOVERY", "127.0.0.9:1", "BALANCER_LISTEN", "127.0.0.7:5000")
 	for name, want := range map[string]string{"start": "127.0.0.9:1", "again": "127.0.0.1:8500"} {
 		c, err := map[string]func(func(string) string) (*Config, error){"start": Load, "again": Reload}[name](vars)
-		if err != nil || c.Discovery != want || c.Listen != "127.0.0.7:5000" {
+		if err != nil || c.DiscoveryAddr != want || c.ListenAddr != "127.0.0.7:5000" {
 			t.Errorf("%s: %+v, %v", name, c, err)
 		}
 	}
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	with, err := Load(env("BALANCER_CONFIG", "testdata/config.json", "BALANCER_ADMIN", "127.0.0.1:9"))
-	if err != nil || with.Admin != "127.0.0.1:9" || with.Limits.ClientConns >= without.Limits.ClientConns {
+	if err != nil || with.AdminAddr != "127.0.0.1:9" || with.Limits.ClientConns >= without.Limits.ClientConns {
 		t.Errorf("%+v, %v", with, err)
 	}
 	// Two processes together keep to one router's descriptors.
@@ -125,7 +125,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b, err := c.LoadBatch("../../deploy/batch.toml", func(name string) string { return "key of " + name }); err != nil {
+	if b, err := c.LoadBatchFile("../../../deploy/batch.toml", func(name string) string { return "key of " + name }); err != nil {
 		t.Errorf("the file under deploy: %v", err)
 	} else if l := c.Limits.WithBatch(b.Files()); l.ClientConns+l.UpstreamConns+l.BatchConns+b.Files() >
 		c.Limits.ClientConns+c.Limits.UpstreamConns || l.ConcurrentRequests > l.UpstreamConns {
@@ -151,7 +151,7 @@
 		if err := os.WriteFile(path, []byte(f.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		b, err := c.LoadBatch(path, env("K", "secret"))
+		b, err := c.LoadBatchFile(path, env("K", "secret"))
 		if f.want == "" && (err != nil || b.Spool != filepath.Join(filepath.Dir(path), "s")) {
 			t.Errorf("%s: %+v, %v", name, b, err)
 		}
--- a/internal/node/benchhelpers_test.go
+++ b/internal/node/benchhelpers_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	settings "notchhinge/internal/config"
+	settings "notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/control/metrics"
@@ -107,7 +107,7 @@
 		b.Fatal(err)
 	}
 	r := router.New(cfg, p, slog.New(slog.DiscardHandler), func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if addr == cfg.Discovery { // it never answers
+		if addr == cfg.DiscoveryAddr { // it never answers
 			near, far := net.Pipe()
 			go func() { _, _ = io.Copy(io.Discard, far) }() // it ends when the router closes near
 			return near, nil
--- a/internal/reconcile/plan.go
+++ b/internal/reconcile/plan.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strconv"
 
-	"notchhinge/internal/config"
+	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/service"
 	"notchhinge/internal/settings"
@@ -20,7 +20,7 @@
 
 // NewPlan returns the plan for a configuration and the operator's file, which may be nil. Running is the plan that is being
 // applied, nil at the start. The error is settings.Faults with everything that is wrong.
-func NewPlan(cfg *config.Config, f *settings.File, running *Plan) (*Plan, error) {
+func NewPlan(cfg *platformconfig.Config, f *settings.File, running *Plan) (*Plan, error) {
 	p := &Plan{}
 	if running != nil {
 		p.nextID = running.nextID
@@ -59,8 +59,8 @@
 
 // servePlatform makes the plan without services in the operator's file: one pool without a name, with the platform's
 // settings. Its module keeps the settings that it started with, as the platform expects.
-func (p *Plan) servePlatform(cfg *config.Config, running *Plan) {
-	q := Pool{DiscoveryAddr: cfg.Discovery, Module: cfg.Module, Seed: cfg.Seed, RetryAfter: cfg.Limits.OverloadRetryAfter}
+func (p *Plan) servePlatform(cfg *platformconfig.Config, running *Plan) {
+	q := Pool{DiscoveryAddr: cfg.DiscoveryAddr, Module: cfg.Module, Seed: cfg.Seed, RetryAfter: cfg.Limits.OverloadRetryAfter}
 	if old := running.poolByName(""); old != nil {
 		q.ID, q.Module, q.Seed = old.ID, old.Module, old.Seed
 	} else {
@@ -73,7 +73,7 @@
 }
 
 // addPools adds the pools of the operator's file.
-func (p *Plan) addPools(cfg *config.Config, f *settings.File, running *Plan) (errs settings.Faults) {
+func (p *Plan) addPools(cfg *platformconfig.Config, f *settings.File, running *Plan) (errs settings.Faults) {
 	guarantees := guaranteedShares(f.Pools)
 	for i := range f.Pools {
 		q, poolErrs := newPool(cfg, f, i)
--- a/internal/reconcile/pool.go
+++ b/internal/reconcile/pool.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"notchhinge/internal/config"
+	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/listwatch"
 	"notchhinge/internal/quota"
@@ -18,11 +18,11 @@
 // Pool is one pool of a plan: endpoints with a decision module and quotas of their own.
 type Pool struct {
 	ID            hoststate.PoolID
-	Name          string              // "" = the platform's pool, without an operator's file
-	DiscoveryAddr string              // host and port of the endpoint list
-	Selection     listwatch.Selection // the part of the list that the pool uses
-	Module        config.Module       // settings of the decision module
-	Seed          uint64              // of the decision module
+	Name          string                // "" = the platform's pool, without an operator's file
+	DiscoveryAddr string                // host and port of the endpoint list
+	Selection     listwatch.Selection   // the part of the list that the pool uses
+	Module        platformconfig.Module // settings of the decision module
+	Seed          uint64                // of the decision module
 
 	RequestQuota      quota.Claim // requests in flight
 	UpstreamConnQuota quota.Claim // connections to endpoints
@@ -37,10 +37,10 @@
 }
 
 // newPool returns the pool at an index of the operator's file, without its id and quotas.
-func newPool(cfg *config.Config, f *settings.File, index int) (Pool, settings.Faults) {
+func newPool(cfg *platformconfig.Config, f *settings.File, index int) (Pool, settings.Faults) {
 	s := &f.Pools[index]
 	key := []string{"pool", strconv.Itoa(index)}
-	q := Pool{Name: s.Name, DiscoveryAddr: cfg.Discovery, Module: cfg.Module, Seed: cfg.Seed}
+	q := Pool{Name: s.Name, DiscoveryAddr: cfg.DiscoveryAddr, Module: cfg.Module, Seed: cfg.Seed}
 	if s.Discovery != "" {
 		q.DiscoveryAddr = s.Discovery
 	}
@@ -50,7 +50,7 @@
 		}
 	}
 	if s.Settings != "" {
-		m, err := config.LoadModule(s.Settings, cfg.Seed)
+		m, err := platformconfig.LoadModule(s.Settings, cfg.Seed)
 		if err != nil {
 			return q, settings.Faults{f.Fault(append(key, "settings"), "%v", err)}
 		}
@@ -72,13 +72,13 @@
 
 // overrideClasses restricts a module to the classes that a pool of the file names, in the pool's order, with the values that
 // the pool gives for them. A pool that names none has all classes of the module.
-func overrideClasses(m *config.Module, f *settings.File, index int) (errs settings.Faults) {
+func overrideClasses(m *platformconfig.Module, f *settings.File, index int) (errs settings.Faults) {
 	overrides := f.Pools[index].Classes
 	if len(overrides) == 0 {
 		return nil
 	}
-	classes, tokenAims := m.Settings.Classes, m.TokenAims
-	m.Settings.Classes, m.TokenAims = nil, nil
+	classes, tokenAims := m.Settings.Classes, m.TokenLatencyTargets
+	m.Settings.Classes, m.TokenLatencyTargets = nil, nil
 	var names []string
 	for i := range classes {
 		names = append(names, classes[i].Name)
@@ -94,7 +94,7 @@
 			if i < len(tokenAims) {
 				aim = tokenAims[i]
 			}
-			m.TokenAims = append(m.TokenAims, aim)
+			m.TokenLatencyTargets = append(m.TokenLatencyTargets, aim)
 		}
 		if !slices.Contains(names, o.Name) {
 			key := []string{"pool", strconv.Itoa(index), "class", strconv.Itoa(j), "name"}
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -11,16 +11,16 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"notchhinge/internal/config"
+	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/quota"
 	"notchhinge/internal/route"
 	"notchhinge/internal/settings"
 )
 
-func loadConfig(t *testing.T) *config.Config {
+func loadConfig(t *testing.T) *platformconfig.Config {
 	t.Helper()
-	c, err := config.Load(func(name string) string {
-		return map[string]string{"BALANCER_CONFIG": "../config/testdata/config.json"}[name]
+	c, err := platformconfig.Load(func(name string) string {
+		return map[string]string{"BALANCER_CONFIG": "../config/platformconfig/testdata/config.json"}[name]
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -152,11 +152,11 @@
 
 // claim takes the router's standing at its address, where there is a folder that a successor could share.
 func (r *Router) claim() error {
-	if r.cfg.Shared == "" {
+	if r.cfg.SharedDir == "" {
 		return nil
 	}
 	r.ops.began = time.Now()
-	p, err := hotrestart.Acquire(r.cfg.Shared, r.cfg.Listen)
+	p, err := hotrestart.Acquire(r.cfg.SharedDir, r.cfg.ListenAddr)
 	if errors.Is(err, hotrestart.ErrAddressTaken) {
 		return err
 	}
@@ -175,10 +175,10 @@
 func (r *Router) listen(ctx context.Context, sig Signals) (net.Listener, error) {
 	p := r.ops.place
 	if p == nil {
-		return net.Listen("tcp", r.cfg.Listen)
+		return net.Listen("tcp", r.cfg.ListenAddr)
 	}
 	if p.Role() == hotrestart.RoleOwner {
-		return hotrestart.Listen(context.Background(), r.cfg.Listen, false)
+		return hotrestart.Listen(context.Background(), r.cfg.ListenAddr, false)
 	}
 	r.log.Info("another process serves here; taking over from it once the list is there")
 	for _, f := range r.allFeeds() {
@@ -200,7 +200,7 @@
 			if p.TryTakeOver() {
 				r.log.Info("the other process has ended")
 				r.resize(r.cfg.Limits.FullCapacity())
-				return hotrestart.Listen(context.Background(), r.cfg.Listen, false)
+				return hotrestart.Listen(context.Background(), r.cfg.ListenAddr, false)
 			}
 		case <-sig.Stop:
 			return nil, nil
@@ -209,7 +209,7 @@
 		}
 	}
 	r.inherit(ctx, p)
-	ln, err := hotrestart.Listen(context.Background(), r.cfg.Listen, true)
+	ln, err := hotrestart.Listen(context.Background(), r.cfg.ListenAddr, true)
 	if ln == nil {
 		return nil, err
 	}
@@ -328,7 +328,7 @@
 	if !r.ops.yielded.Swap(false) {
 		return
 	}
-	ln, err := hotrestart.Listen(context.Background(), r.cfg.Listen, false)
+	ln, err := hotrestart.Listen(context.Background(), r.cfg.ListenAddr, false)
 	if err != nil {
 		served <- err
 		return
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -125,7 +125,7 @@
 func start(t *testing.T, dir, listen string) *process {
 	t.Helper()
 	cfg := load(t)
-	cfg.Shared, cfg.Listen = dir, listen
+	cfg.SharedDir, cfg.ListenAddr = dir, listen
 	p := &process{Router: newRouter(t, cfg, 0, &strings.Builder{}), stop: make(chan os.Signal, 1), done: make(chan error, 1)}
 	if err := p.claim(); err != nil {
 		t.Fatal(err)
--- a/internal/router/plan.go
+++ b/internal/router/plan.go
@@ -7,7 +7,7 @@
 	"maps"
 	"slices"
 
-	"notchhinge/internal/config"
+	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/listwatch"
@@ -52,7 +52,7 @@
 // set gives a pool its parts of the process.
 func (r *Router) set(q *reconcile.Pool, module *policy.Balancer) {
 	r.upstream.ConfigurePool(q.ID, upstream.LoadReporting{
-		Columns: q.Module.Columns, StatsPath: len(q.Module.Columns) > 0, InResponses: q.Module.Piggyback,
+		Columns: q.Module.LoadReportColumns, StatsPath: len(q.Module.LoadReportColumns) > 0, InResponses: q.Module.LoadReportsInResponses,
 	}, q.UpstreamConnQuota)
 	r.front.ConfigurePool(q.ID, q.BodyQuota, q.ClientConnQuota)
 	e := dispatch.ConfigurePool{
@@ -77,10 +77,10 @@
 	}
 	r.feedOf[q.ID] = f
 	r.mu.Unlock()
-	if fresh && first && r.plan == nil && q.DiscoveryAddr == r.cfg.Discovery {
-		f.SetInitial(r.cfg.Known)
+	if fresh && first && r.plan == nil && q.DiscoveryAddr == r.cfg.DiscoveryAddr {
+		f.SetInitial(r.cfg.InitialEndpoints)
 	}
-	f.SetPool(q.ID, listwatch.PoolUse{Selection: q.Selection, Zones: q.Module.Zones, IsNew: first})
+	f.SetPool(q.ID, listwatch.PoolUse{Selection: q.Selection, Zones: q.Module.ZoneNames, IsNew: first})
 	if fresh {
 		f.Run(ctx)
 		if !first || q.Name != "" && !f.HasList() {
@@ -138,14 +138,14 @@
 
 // reload takes over what a running router can: discovery's address, and services, routes and pools. What is bad changes
 // nothing.
-func (r *Router) reload(ctx context.Context, reread func(*reconcile.Plan) (*config.Config, *reconcile.Plan, error)) {
+func (r *Router) reload(ctx context.Context, reread func(*reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error)) {
 	cfg, next, err := reread(r.plan)
 	if err == nil {
-		moved := cfg.Discovery != r.cfg.Discovery
+		moved := cfg.DiscoveryAddr != r.cfg.DiscoveryAddr
 		c := next.ChangesFrom(r.plan)
 		if err = r.apply(ctx, next); err == nil {
-			r.cfg.Discovery = cfg.Discovery
-			args := []any{"discovery", cfg.Discovery, "moved", moved}
+			r.cfg.DiscoveryAddr = cfg.DiscoveryAddr
+			args := []any{"discovery", cfg.DiscoveryAddr, "moved", moved}
 			if len(c.Added)+len(c.Removed)+len(c.Renamed) > 0 || len(next.Pools) > 1 {
 				args = append(args, "pools", len(next.Pools), "added", len(c.Added), "ended", len(c.Removed), "renamed", len(c.Renamed),
 					"routes", next.Directory.Table.Len())
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -18,7 +18,7 @@
 	"golang.org/x/net/netutil"
 
 	"notchhinge/internal/batch"
-	"notchhinge/internal/config"
+	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/frontend"
 	"notchhinge/internal/hoststate"
@@ -32,7 +32,7 @@
 
 // Router is one program's worth of parts.
 type Router struct {
-	cfg      *config.Config
+	cfg      *platformconfig.Config
 	log      *slog.Logger
 	dial     Dialer
 	broker   *dispatch.Dispatcher
@@ -61,7 +61,7 @@
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // New makes a router out of its configuration and of the plan that it is to carry out.
-func New(cfg *config.Config, p *reconcile.Plan, log *slog.Logger, dial Dialer, clock dispatch.Clock) *Router {
+func New(cfg *platformconfig.Config, p *reconcile.Plan, log *slog.Logger, dial Dialer, clock dispatch.Clock) *Router {
 	r := &Router{
 		cfg: cfg, log: log, dial: dial, broker: dispatch.New(cfg.Limits), first: p,
 		feeds: map[string]*listwatch.Feed{}, feedOf: map[hoststate.PoolID]*listwatch.Feed{},
@@ -194,15 +194,15 @@
 	Audit  <-chan os.Signal // print the counters
 	Reload <-chan os.Signal // read the configuration again
 	// Reread makes the plan that is to follow the running one.
-	Reread func(running *reconcile.Plan) (*config.Config, *reconcile.Plan, error)
+	Reread func(running *reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error)
 }
 
 // Serve runs the router until it is stopped and owes nothing more.
 func (r *Router) Serve(sig Signals) error {
 	runtime.GOMAXPROCS(r.cfg.Limits.Procs)
 	debug.SetMemoryLimit(r.cfg.Limits.HeapBytes)
-	if r.cfg.Admin != "" {
-		ln, err := net.Listen("tcp", r.cfg.Admin)
+	if r.cfg.AdminAddr != "" {
+		ln, err := net.Listen("tcp", r.cfg.AdminAddr)
 		if err != nil {
 			return fmt.Errorf("admin: %w", err)
 		}
@@ -235,7 +235,7 @@
 		return err
 	}
 	defer func() { r.ops.door().Close() }()
-	r.log.Info("serving", "listen", ln.Addr().String(), "known_hosts", len(r.cfg.Known.Hosts))
+	r.log.Info("serving", "listen", ln.Addr().String(), "known_hosts", len(r.cfg.InitialEndpoints.Hosts))
 	r.ops.listening.Store(true)
 	stopBatch := r.serveBatch(served)
 	defer r.serveControl(served)()
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -18,16 +18,16 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"notchhinge/internal/config"
+	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/reconcile"
 	"notchhinge/internal/testutil/replay"
 )
 
-func load(t *testing.T) *config.Config {
+func load(t *testing.T) *platformconfig.Config {
 	t.Helper()
-	c, err := config.Load(func(name string) string {
-		return map[string]string{"BALANCER_CONFIG": "../config/testdata/config.json"}[name]
+	c, err := platformconfig.Load(func(name string) string {
+		return map[string]string{"BALANCER_CONFIG": "../config/platformconfig/testdata/config.json"}[name]
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 }
 
 // begin makes the plan of a configuration without services.
-func begin(t *testing.T, cfg *config.Config) *reconcile.Plan {
+func begin(t *testing.T, cfg *platformconfig.Config) *reconcile.Plan {
 	t.Helper()
 	p, err := reconcile.NewPlan(cfg, nil, nil)
 	if err != nil {
@@ -95,10 +95,10 @@
 }
 
 // newRouter makes a router whose discovery answers nothing and whose one host answers after a while.
-func newRouter(t *testing.T, cfg *config.Config, after time.Duration, log io.Writer) *Router {
+func newRouter(t *testing.T, cfg *platformconfig.Config, after time.Duration, log io.Writer) *Router {
 	return New(cfg, begin(t, cfg), slog.New(slog.NewTextHandler(log, nil)), func(ctx context.Context, _, addr string) (net.Conn, error) {
 		near, far := net.Pipe()
-		if addr == cfg.Discovery {
+		if addr == cfg.DiscoveryAddr {
 			go func() { io.Copy(io.Discard, far); far.Close() }()
 		} else {
 			go host(far, after)
--- a/internal/router/services_test.go
+++ b/internal/router/services_test.go
@@ -17,7 +17,7 @@
 	"testing/synctest"
 	"time"
 
-	"notchhinge/internal/config"
+	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/reconcile"
 	"notchhinge/internal/settings"
@@ -79,7 +79,7 @@
 	var log strings.Builder
 	cfg := load(t)
 	cfg.Limits = cfg.Limits.WithEndpointSources(2)
-	reread := func(running *reconcile.Plan) (*config.Config, *reconcile.Plan, error) {
+	reread := func(running *reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error) {
 		f, err := settings.Load(path, nil)
 		if err != nil {
 			return nil, nil, err
--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"notchhinge/internal/config"
+	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/reconcile"
 	"notchhinge/internal/settings"
 	"notchhinge/internal/trace"
@@ -28,9 +28,9 @@
 }
 
 // TraceOptions are those of a recorder for this router.
-func TraceOptions(cfg *config.Config, p *reconcile.Plan, s *settings.Trace) trace.Options {
+func TraceOptions(cfg *platformconfig.Config, p *reconcile.Plan, s *settings.Trace) trace.Options {
 	o := trace.Options{
-		Router: cfg.Name, Seed: cfg.Seed, Share: *s.Share, PerSecond: *s.PerSecond, Margin: time.Duration(*s.Margin),
+		Router: cfg.RouterName, Seed: cfg.Seed, Share: *s.Share, PerSecond: *s.PerSecond, Margin: time.Duration(*s.Margin),
 		TellAll: s.TellHosts == "all", Steps: s.MemoryMB << 20 / trace.StepBytes, Linger: cfg.Limits.TraceCompletionGrace,
 	}
 	for _, q := range p.Pools {
@@ -42,11 +42,11 @@
 }
 
 // traceClasses are a module's classes as a recorder must know them.
-func traceClasses(m *config.Module) (all []trace.Class) {
+func traceClasses(m *platformconfig.Module) (all []trace.Class) {
 	for i, c := range m.Settings.Classes {
 		k := trace.Class{Name: c.Name, Aim: c.TargetLatency, AimPerKTokens: c.TargetLatencyPerKTokens}
-		if i < len(m.TokenAims) {
-			k.TokenAim = m.TokenAims[i]
+		if i < len(m.TokenLatencyTargets) {
+			k.TokenAim = m.TokenLatencyTargets[i]
 		}
 		all = append(all, k)
 	}
@@ -63,7 +63,7 @@
 		}
 		e, err := export.NewOTLP(export.OTLPOptions{
 			Endpoint: o.Endpoint, Headers: headers, Queue: o.QueueMB << 20, Timeout: time.Duration(*o.Timeout),
-			Router: r.cfg.Name, Version: version, Log: r.log,
+			Router: r.cfg.RouterName, Version: version, Log: r.log,
 		})
 		if err != nil {
 			return err
--- a/internal/router/trace_test.go
+++ b/internal/router/trace_test.go
@@ -34,7 +34,7 @@
 		cfg := load(t)
 		r := New(cfg, begin(t, cfg), slog.New(slog.NewTextHandler(&log, nil)), func(_ context.Context, _, addr string) (net.Conn, error) {
 			near, far := net.Pipe()
-			if addr == cfg.Discovery {
+			if addr == cfg.DiscoveryAddr {
 				go func() { io.Copy(io.Discard, far); far.Close() }()
 			} else {
 				go host(far, 2*time.Second)
