--- a/cmd/notchlab/fleet.go
+++ b/cmd/notchlab/fleet.go
@@ -57,6 +57,11 @@
 	if err != nil {
 		return err
 	}
+	return printFleet(r)
+}
+
+// printFleet prints what a fleet's run came to, and returns errBroken if a rule was broken.
+func printFleet(r *system.Report) error {
 	fmt.Printf("\nasked %d: served %d, late %d, refused %d, failed %d; p50 %v, p99 %v\n", r.Asked, r.Served, r.Late, r.Refused, r.Failed,
 		r.P50.Round(time.Millisecond), r.P99.Round(time.Millisecond))
 	fmt.Printf("usage: %d windows reported, %d with two figures\n", r.Windows, r.Changed)
--- a/cmd/notchlab/sim.go
+++ b/cmd/notchlab/sim.go
@@ -40,7 +40,24 @@
 	if len(c.Routers) != len(c.Engines) {
 		return badFile{fmt.Errorf("--routers has %d figures and --engines %d", len(c.Routers), len(c.Engines))}
 	}
-	var all []*played
+	all := c.combinations()
+	errs := make([]error, len(all))
+	sideBySide(len(all), func(i int) { all[i].Figures, errs[i] = sim.Run(all[i].Options) })
+	for _, err := range errs {
+		if err != nil {
+			return badFile{err}
+		}
+	}
+	if c.Output == "json" {
+		e := json.NewEncoder(os.Stdout)
+		e.SetIndent("", "  ")
+		return e.Encode(all)
+	}
+	return c.table(all)
+}
+
+// combinations are the runs that are asked for, those of a variant with all seeds beside each other.
+func (c simCmd) combinations() (all []*played) {
 	for i := range c.Routers {
 		for _, load := range c.Load {
 			for _, skew := range c.Skew {
@@ -55,18 +72,11 @@
 			}
 		}
 	}
-	errs := make([]error, len(all))
-	sideBySide(len(all), func(i int) { all[i].Figures, errs[i] = sim.Run(all[i].Options) })
-	for _, err := range errs {
-		if err != nil {
-			return badFile{err}
-		}
-	}
-	if c.Output == "json" {
-		e := json.NewEncoder(os.Stdout)
-		e.SetIndent("", "  ")
-		return e.Encode(all)
-	}
+	return all
+}
+
+// table prints the means over the seeds, and writes the report if a folder is named.
+func (c simCmd) table(all []*played) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ROUTERS\tENGINES\tLOAD\tSKEW\tVARIANT\tASKED\tIN AIM\tLATE\tREFUSED\tFAILED\tP50 MS\tP99 MS\tKEPT\tBUSIEST\tLEGS")
 	r := report.Result{Name: "sim", About: "The data plane in simulated time, beside baselines on the same requests.", Seed: c.Seeds[0], Simulated: true}
--- a/internal/lab/trial/file.go
+++ b/internal/lab/trial/file.go
@@ -178,6 +178,11 @@
 	if runs := len(values) * len(names) * f.Seeds.Count; runs > mostRuns {
 		bad("%d runs are more than %d", runs, mostRuns)
 	}
+	return append(all, f.optionFaults(values)...)
+}
+
+// optionFaults are those of the runs' options, by value and variant.
+func (f *File) optionFaults(values []float64) (all []error) {
 	for _, value := range values {
 		for i := range f.Variants {
 			o := f.options(i, value, f.Seeds.First)
@@ -185,21 +190,33 @@
 			if f.Sweep != nil {
 				at += fmt.Sprintf(", %s %g", f.Sweep.Field, value)
 			}
-			switch {
-			case !slices.Contains(sim.Variants, o.Variant):
-				bad("%s: decides: %q is none of %q", at, o.Variant, sim.Variants)
-			case o.Routers < 1 || o.Routers > mostRouters || o.Engines < 2 || o.Engines > mostEngines || o.Zones < 1 || o.Zones > o.Routers:
-				bad("%s: 1 to %d routers, 2 to %d engines and a zone for each router at the most are wanted", at, mostRouters, mostEngines)
-			case !(o.Load > 0) || o.Load > 10 || !(o.Skew >= 0) || o.Skew > 4 || !(o.Crash >= 0) || o.Crash > 1 || o.News < 0:
-				bad("%s: load above 0 to 10, skew 0 to 4, crash 0 to 1 and news from 0 are wanted", at)
-			case o.Length <= 0 || o.Length > mostSeconds*time.Second:
-				bad("%s: seconds above 0 to %d are wanted", at, mostSeconds)
+			if err := checkOptions(at, o); err != nil {
+				all = append(all, err)
 			}
 		}
 	}
 	return all
 }
 
+// checkOptions returns the first fault of a run's options.
+func checkOptions(at string, o sim.Options) error {
+	within := func(x, least, most float64) bool { return least <= x && x <= most }
+	counts := within(float64(o.Routers), 1, mostRouters) && within(float64(o.Engines), 2, mostEngines) &&
+		within(float64(o.Zones), 1, float64(o.Routers))
+	shares := o.Load > 0 && within(o.Load, 0, 10) && within(o.Skew, 0, 4) && within(o.Crash, 0, 1) && o.News >= 0
+	switch {
+	case !slices.Contains(sim.Variants, o.Variant):
+		return fmt.Errorf("%s: decides: %q is none of %q", at, o.Variant, sim.Variants)
+	case !counts:
+		return fmt.Errorf("%s: 1 to %d routers, 2 to %d engines and a zone for each router at the most are wanted", at, mostRouters, mostEngines)
+	case !shares:
+		return fmt.Errorf("%s: load above 0 to 10, skew 0 to 4, crash 0 to 1 and news from 0 are wanted", at)
+	case o.Length <= 0 || o.Length > mostSeconds*time.Second:
+		return fmt.Errorf("%s: seconds above 0 to %d are wanted", at, mostSeconds)
+	}
+	return nil
+}
+
 // options are those of a variant with a value of the sweep and a seed.
 func (f *File) options(variant int, value float64, seed uint64) sim.Options {
 	o := sim.Options{Variant: "design", Zones: 1, News: 1200 * time.Millisecond, Length: 20 * time.Second}
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -86,6 +86,12 @@
 			return nil, err
 		}
 	}
+	return f.compare(values, got), nil
+}
+
+// compare puts together what the runs of each value, variant and seed came to, in this order.
+func (f *File) compare(values []float64, got []sim.Figures) *Outcome {
+	n := f.Seeds.Count
 	out := &Outcome{File: f}
 	base := 0
 	for i, v := range f.Variants {
@@ -111,7 +117,7 @@
 			out.Cells = append(out.Cells, c)
 		}
 	}
-	return out, nil
+	return out
 }
 
 // mean is that of samples, with half of its interval by Student's distribution. One sample has none.
--- a/internal/lab/trial/trial_test.go
+++ b/internal/lab/trial/trial_test.go
@@ -34,6 +34,24 @@
 	return Load(path)
 }
 
+// written returns an outcome's tables and its page, which has a chart.
+func written(t *testing.T, o *Outcome) (text, page string) {
+	t.Helper()
+	var b bytes.Buffer
+	if err := o.Print(&b); err != nil {
+		t.Fatal(err)
+	}
+	dir := t.TempDir()
+	if err := o.Report().Write(dir); err != nil {
+		t.Fatal(err)
+	}
+	html, err := os.ReadFile(filepath.Join(dir, "report.html"))
+	if err != nil || !bytes.Contains(html, []byte("<svg")) {
+		t.Fatal("no chart within the page", err)
+	}
+	return b.String(), string(html)
+}
+
 // TestSameOutcomeOnAnyCores: whatever the number of cores, text and report are the same to the byte; a variant that is the
 // same differs by nothing, and one that is not by what the runs say.
 func TestSameOutcomeOnAnyCores(t *testing.T) {
@@ -48,19 +66,8 @@
 		if err != nil || last != 0 {
 			t.Fatal(err, last)
 		}
-		var b bytes.Buffer
-		if err := o.Print(&b); err != nil {
-			t.Fatal(err)
-		}
-		dir := t.TempDir()
-		if err := o.Report().Write(dir); err != nil {
-			t.Fatal(err)
-		}
-		page, err := os.ReadFile(filepath.Join(dir, "report.html"))
-		if err != nil || !bytes.Contains(page, []byte("<svg")) {
-			t.Fatal("no chart within the page", err)
-		}
-		texts, reports = append(texts, b.String()), append(reports, string(page))
+		text, page := written(t, o)
+		texts, reports = append(texts, text), append(reports, page)
 		for _, c := range o.Cells {
 			for k, d := range c.Against {
 				if c.Variant == "the same" && d != (Figure{}) {
