--- /dev/null
+++ b/internal/frontend/openrequest.go
@@ -0,0 +1,216 @@
+package frontend
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"notchhinge/internal/dispatch"
+	"notchhinge/internal/hoststate"
+	"notchhinge/internal/trace"
+	"notchhinge/internal/upstream"
+	"notchhinge/policy"
+)
+
+// openRequest is a request that is handed to the dispatcher and not yet answered: the dispatch.Client of its events, and the
+// upstream.Downstream of its attempts.
+//
+// One attempt at a time writes its response (UpstreamRequest aside): the one that the dispatcher has bound. Several may
+// call ReadErrorResponse.
+type openRequest struct {
+	conn *conn
+	Request
+	pool       hoststate.PoolID
+	receivedAt time.Duration // of its last byte
+	origin     *trace.Origin // nil = not traced
+
+	reservation reservation // released once, at the end at the latest
+	releaseOnce sync.Once
+
+	head            ResponseHead // of the response that is forwarded
+	headWritten     bool
+	closeConnection bool // the connection ends after the response
+
+	errorResponseMu sync.Mutex
+	errorResponse   *ErrorResponse // the last response that was not forwarded
+
+	ended     atomic.Bool   // nothing more is written but what is in writing
+	keepAlive bool          // the connection goes on; valid once done is closed
+	done      chan struct{} // closed when the response is at its end
+}
+
+var (
+	_ upstream.Downstream          = (*openRequest)(nil)
+	_ upstream.HeadObserver        = (*openRequest)(nil)
+	_ upstream.ErrorResponseReader = (*openRequest)(nil)
+)
+
+var errRequestEnded = errors.New("the request has ended")
+
+// received is the event that hands the request to the dispatcher.
+func (r *openRequest) received() dispatch.RequestReceived {
+	return dispatch.RequestReceived{
+		Client: r, Pool: r.pool, ClientRequestID: r.ClientRequestID, ReceivedAt: r.receivedAt, Request: r.Policy,
+		MaxAttempts: r.MaxAttempts, Origin: r.origin,
+	}
+}
+
+// UpstreamRequest implements upstream.Downstream.
+func (r *openRequest) UpstreamRequest() *upstream.Request { return &r.Upstream }
+
+// ObserveHead implements upstream.HeadObserver.
+func (r *openRequest) ObserveHead(resp *http.Response) {
+	r.head = r.conn.server.Dialect.BuildResponseHead(&r.Request, resp)
+}
+
+// ReadErrorResponse implements upstream.ErrorResponseReader. It keeps a small response that is not forwarded, since it may be
+// all that the client can get.
+func (r *openRequest) ReadErrorResponse(result policy.Result, resp *http.Response, engine net.Conn) (whole bool) {
+	const (
+		maxBytes = 16 << 10
+		maxWait  = 500 * time.Millisecond
+	)
+	engine.SetReadDeadline(time.Now().Add(maxWait))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes+1))
+	if err != nil || len(body) > maxBytes {
+		return false
+	}
+	if kept := r.conn.server.Dialect.KeepErrorResponse(&r.Request, result, resp, body); kept != nil {
+		r.errorResponseMu.Lock()
+		r.errorResponse = kept
+		r.errorResponseMu.Unlock()
+	}
+	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
+}
+
+// WriteBody implements upstream.Downstream. What it gets leaves in one write, with the head before the first.
+func (r *openRequest) WriteBody(part []byte) error {
+	const overhead = 192 // about the length of a head, or of a chunk's frame
+	if r.ended.Load() {
+		return errRequestEnded
+	}
+	b := r.appendHeadOnce(make([]byte, 0, len(part)+overhead))
+	b = r.appendBody(b, part)
+	err := r.conn.write(b)
+	if err != nil {
+		r.conn.Close() // ends the reading of the connection too
+	}
+	return err
+}
+
+// Finish implements upstream.Downstream. A response that broke off closes the connection without the last chunk.
+func (r *openRequest) Finish(whole bool) error {
+	var err error
+	if whole {
+		r.ended.Store(true)
+		b := r.appendHeadOnce(nil) // not yet written where there is no body
+		if r.head.ContentLength < 0 && !r.head.NoBody {
+			b = append(b, "0\r\n\r\n"...)
+		}
+		if len(b) > 0 {
+			err = r.conn.write(b)
+		}
+	}
+	// The head of a response that began before a drain does not announce the close; the connection is closed all the same,
+	// since the client might use it for ever.
+	r.end(whole && err == nil && !r.closeConnection && !r.conn.server.closesAfterResponse())
+	return err
+}
+
+// Reject answers a request that no attempt answered, for a platform where it makes no difference whether one may have run.
+func (r *openRequest) Reject(why dispatch.Verdict, retryAfter time.Duration) {
+	r.RejectAfterAttempts(why, retryAfter, false)
+}
+
+// RejectAfterAttempts answers a request that no attempt answered. mayHaveRun says that an engine may have executed it.
+func (r *openRequest) RejectAfterAttempts(why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool) {
+	server := r.conn.server
+	r.errorResponseMu.Lock()
+	kept := r.errorResponse
+	r.errorResponseMu.Unlock()
+	rejection, instead := server.Dialect.Reject(&r.Request, why, retryAfter, mayHaveRun, kept)
+	r.ended.Store(true)
+	var keepAlive bool
+	if instead != nil {
+		r.head, r.closeConnection = instead.ResponseHead, r.closeConnection || server.closesAfterResponse()
+		b := r.appendBody(r.appendHead(nil), instead.Body)
+		keepAlive = r.conn.write(b) == nil && !r.closeConnection
+	} else {
+		rejection.CloseConnection = rejection.CloseConnection || r.closeConnection
+		keepAlive = r.conn.writeRejection(rejection)
+	}
+	if r.origin != nil {
+		server.Post(dispatch.RejectionWritten{Client: r, At: server.Now()})
+	}
+	r.end(keepAlive)
+}
+
+// appendHeadOnce appends the head of the forwarded response unless it is written already.
+func (r *openRequest) appendHeadOnce(b []byte) []byte {
+	if r.headWritten {
+		return b
+	}
+	r.headWritten = true
+	r.closeConnection = r.closeConnection || r.conn.server.closesAfterResponse()
+	return r.appendHead(b)
+}
+
+// appendHead appends the head of the response, and the headers that concern the connection.
+func (r *openRequest) appendHead(b []byte) []byte {
+	if r.head.Lines == nil {
+		r.head = r.conn.server.Dialect.BuildResponseHead(&r.Request, nil)
+	}
+	b = append(b, r.head.Lines...)
+	if r.closeConnection {
+		b = append(b, "Connection: close\r\n"...)
+	}
+	switch {
+	case r.head.NoBody && r.head.ContentLength < 0:
+		return append(b, "\r\n"...)
+	case r.head.ContentLength < 0:
+		return append(b, "Transfer-Encoding: chunked\r\n\r\n"...)
+	}
+	b = append(b, "Content-Length: "...)
+	b = strconv.AppendInt(b, r.head.ContentLength, 10)
+	return append(b, "\r\n\r\n"...)
+}
+
+// appendBody appends a part of the body, as a chunk where the length is unknown.
+func (r *openRequest) appendBody(b, part []byte) []byte {
+	if r.head.ContentLength >= 0 || r.head.NoBody {
+		return append(b, part...)
+	}
+	b = strconv.AppendInt(b, int64(len(part)), 16)
+	b = append(b, "\r\n"...)
+	b = append(b, part...)
+	return append(b, "\r\n"...)
+}
+
+// end ends the request, and closes its connection unless keepAlive.
+func (r *openRequest) end(keepAlive bool) {
+	r.ended.Store(true)
+	r.release()
+	r.keepAlive = keepAlive
+	if keepAlive {
+		r.conn.markIdle()
+	} else {
+		r.conn.Close()
+	}
+	close(r.done)
+}
+
+// release releases what the request has reserved.
+func (r *openRequest) release() {
+	r.releaseOnce.Do(func() { r.conn.server.release(r.reservation) })
+}
+
+// wait waits for the end and reports whether the connection goes on.
+func (r *openRequest) wait() bool {
+	<-r.done
+	return r.keepAlive
+}
--- a/internal/frontend/platform.go
+++ b/internal/frontend/platform.go
@@ -9,6 +9,7 @@
 
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/route"
+	"notchhinge/internal/service"
 	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
@@ -21,58 +22,74 @@
 	livePath  = "/health/live"
 )
 
-// Route implements Dialect: a message's pool is found by its host, path, method, class and headers.
-func (p platform) Route(req *http.Request) (w Destination, d *Rejection) {
-	s := p.Server
-	path, query, asks := strings.Cut(req.RequestURI, "?") // as it came, for so it is passed on
-	switch path {
-	case readyPath, livePath:
-		switch {
-		case req.Method != http.MethodGet:
-			return w, &Rejection{Status: http.StatusMethodNotAllowed, Reason: "only GET is served here", Allow: "GET", uncounted: req.URL.Path == readyPath}
-		case path == readyPath && (s.draining.Load() || !s.IsReady()):
-			return w, &Rejection{Status: http.StatusServiceUnavailable, Reason: "not ready", uncounted: req.URL.Path == readyPath}
-		}
-		return w, &Rejection{Status: http.StatusOK, Reason: "ok", uncounted: true}
+// Route implements Dialect. A request's pool depends on its host, path, method, class and headers.
+func (p platform) Route(req *http.Request) (Destination, *Rejection) {
+	path, search, hasSearch := strings.Cut(req.RequestURI, "?") // as received, since it is forwarded so
+	if path == readyPath || path == livePath {
+		return Destination{}, p.checkHealth(req.Method, path)
 	}
-	at := s.Directory()
-	w.Target, w.Host = req.RequestURI, req.Host
+	directory := p.Directory()
+	dst := Destination{Target: req.RequestURI, Host: req.Host}
 	q := route.Query{Path: path, Method: req.Method, Header: req.Header}
 	if classes := req.Header[classHeader]; len(classes) == 1 {
 		q.Class = classes[0]
 	}
-	if at.Strict {
-		if d := w.normalize(req, path, query, asks, &q); d != nil {
-			return w, d
-		}
-	}
-	to := at.Table.Lookup(&q)
-	if to == nil {
-		if allow := at.Table.Methods(&q); len(allow) > 0 {
-			list := strings.Join(allow, ", ")
-			return w, &Rejection{Status: http.StatusMethodNotAllowed, Reason: "only " + list + " is served here", Allow: list}
+	if directory.Strict {
+		if rejection := dst.normalize(req, &q); rejection != nil {
+			return dst, rejection
 		}
-		d := &Rejection{Status: http.StatusNotFound, Reason: "no such path"}
-		if at.Strict {
-			d.Reason = "no_route: no route takes " + q.Method + " " + q.Path + " at " + q.Host
-		}
-		return w, d
-	}
-	var conversation uint64
-	if to.Splits() {
-		if session := req.Header.Get(sessionHeader); session != "" {
-			conversation = parseHash(session)
-		} else {
-			conversation = route.Conversation(req.Header.Get(idHeader))
+		if hasSearch {
+			dst.Target += "?" + search
 		}
 	}
-	w.Pool = at.Find(to, conversation)
-	return w, nil
+	target := directory.Table.Lookup(&q)
+	if target == nil {
+		return dst, rejectUnroutable(directory, &q)
+	}
+	dst.Pool = directory.Find(target, conversation(target, req.Header))
+	return dst, nil
+}
+
+// checkHealth answers a health check of the platform.
+func (p platform) checkHealth(method, path string) *Rejection {
+	switch {
+	case method != http.MethodGet:
+		return &Rejection{Status: http.StatusMethodNotAllowed, Reason: "only GET is served here", Allow: "GET", uncounted: path == readyPath}
+	case path == readyPath && (p.IsDraining() || !p.IsReady()):
+		return &Rejection{Status: http.StatusServiceUnavailable, Reason: "not ready", uncounted: true}
+	}
+	return &Rejection{Status: http.StatusOK, Reason: "ok", uncounted: true}
+}
+
+// rejectUnroutable makes the rejection of a request that no route takes.
+func rejectUnroutable(d *service.Directory, q *route.Query) *Rejection {
+	if allow := d.Table.Methods(q); len(allow) > 0 {
+		list := strings.Join(allow, ", ")
+		return &Rejection{Status: http.StatusMethodNotAllowed, Reason: "only " + list + " is served here", Allow: list}
+	}
+	if d.Strict {
+		return &Rejection{Status: http.StatusNotFound, Reason: "no_route: no route takes " + q.Method + " " + q.Path + " at " + q.Host}
+	}
+	return &Rejection{Status: http.StatusNotFound, Reason: "no such path"}
+}
+
+// conversation is what a request hashes to where its route splits over pools: requests of a session go to the same one.
+func conversation(target *route.Target, h http.Header) uint64 {
+	if !target.Splits() {
+		return 0
+	}
+	if session := h.Get(sessionHeader); session != "" {
+		return parseHash(session)
+	}
+	return route.Conversation(h.Get(idHeader))
 }
 
-// normalize brings host and path into their one spelling, in which they are both routed and sent on.
-func (w *Destination) normalize(req *http.Request, path, query string, asks bool, q *route.Query) *Rejection {
-	// In the absolute form the target's authority is the host, whatever the header says; so net/http has read it.
+// normalize brings host and path into one spelling, in which they are both routed and forwarded. The query string is not
+// touched: Target has none afterwards.
+func (d *Destination) normalize(req *http.Request, q *route.Query) *Rejection {
+	path := q.Path
+	// In the absolute form of a target its authority is the host, whatever the Host header says (RFC 9112, section 3.2.2);
+	// net/http has set req.Host to it.
 	if !strings.HasPrefix(path, "/") {
 		if req.URL.Scheme != "http" && req.URL.Scheme != "https" || req.URL.User != nil {
 			return &Rejection{Status: http.StatusBadRequest, Reason: "bad_target: the target has no form that is served here"}
@@ -90,33 +107,31 @@
 		return &Rejection{Status: http.StatusBadRequest, Reason: "bad_path: " + err.Error()}
 	}
 	q.Host, q.Path = host, path
-	w.Host, w.Target = route.JoinHost(host, port), path
-	if asks {
-		w.Target += "?" + query
-	}
+	d.Host, d.Target = route.JoinHost(host, port), path
 	return nil
 }
 
 // BuildRequest implements Dialect.
-func (platform) BuildRequest(req *http.Request, w *Destination, body []byte) (Request, *Rejection) {
-	q, reason := parseRequest(req.Header, w.Pool.Class, w.Pool.MaxBudget)
-	switch {
-	case reason != "":
-	case !httpguts.ValidHostHeader(w.Host), !httpguts.ValidHeaderFieldValue(req.Header.Get("Content-Type")):
-		reason = "Host or Content-Type is bad" // they are passed on
+func (platform) BuildRequest(req *http.Request, dst *Destination, body []byte) (Request, *Rejection) {
+	q, reason := parseRequest(req.Header, dst.Pool.Class, dst.Pool.MaxBudget)
+	contentType := req.Header.Get("Content-Type")
+	if reason == "" && !(httpguts.ValidHostHeader(dst.Host) && httpguts.ValidHeaderFieldValue(contentType)) {
+		reason = "Host or Content-Type is bad" // they are forwarded
 	}
 	if reason != "" {
 		return Request{}, &Rejection{Status: http.StatusBadRequest, Reason: reason}
 	}
 	id := req.Header.Get(idHeader)
 	return Request{Policy: q, ClientRequestID: id, Upstream: upstream.Request{
-		Method: req.Method, Target: w.Target, Host: w.Host, CallID: id, ContentType: req.Header.Get("Content-Type"), Body: body,
+		Method: req.Method, Target: dst.Target, Host: dst.Host, CallID: id, ContentType: contentType, Body: body,
 	}}, nil
 }
 
-// BuildResponseHead implements Dialect: whatever the issuer host's head says beside, the answer is a stream.
+// BuildResponseHead implements Dialect: whatever the engine's head says, the response is an event stream.
 func (platform) BuildResponseHead(*Request, *http.Response) ResponseHead {
-	return ResponseHead{Lines: []byte("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n"), ContentLength: -1}
+	return ResponseHead{
+		Lines: []byte("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n"), ContentLength: -1,
+	}
 }
 
 // KeepErrorResponse implements Dialect: nothing is kept.
--- a/internal/frontend/head.go
+++ b/internal/frontend/requestheaders.go
@@ -11,6 +11,7 @@
 	"notchhinge/policy"
 )
 
+// Headers of a request on the platform, in their canonical form.
 const (
 	idHeader      = "X-Call-Id"
 	classHeader   = "X-Call-Class"
@@ -20,8 +21,9 @@
 	attemptHeader = "X-Again"
 )
 
-// parseRequest reads what the module wants to know of an authorisation, or says what is wrong with it.
-func parseRequest(h http.Header, classes func(string) (int, bool), most time.Duration) (q policy.Request, reason string) {
+// parseRequest reads what the decision module gets of a request, or returns the reason for a rejection. classIndex finds a
+// class by its name; the time that a request may take is cut to maxBudget.
+func parseRequest(h http.Header, classIndex func(string) (int, bool), maxBudget time.Duration) (q policy.Request, reason string) {
 	for _, name := range []string{idHeader, classHeader, budgetHeader, infoHeader} {
 		switch len(h.Values(name)) {
 		case 0:
@@ -31,22 +33,22 @@
 			return q, name + " is given more than once"
 		}
 	}
-	if !validID(h.Get(idHeader)) {
+	if !isValidID(h.Get(idHeader)) {
 		return q, idHeader + " is bad"
 	}
-	class, ok := classes(h.Get(classHeader))
+	class, ok := classIndex(h.Get(classHeader))
 	if !ok {
 		return q, classHeader + " names no class"
 	}
 	q.Class = class
-	if q.Timeout, ok = parseBudget(h.Get(budgetHeader), most); !ok {
+	if q.Timeout, ok = parseBudget(h.Get(budgetHeader), maxBudget); !ok {
 		return q, budgetHeader + " is bad"
 	}
 	if !parseInfo(h.Get(infoHeader), &q) {
 		return q, infoHeader + " is bad"
 	}
-	if s := h.Get(sessionHeader); s != "" {
-		q.Session = parseHash(s)
+	if session := h.Get(sessionHeader); session != "" {
+		q.Session = parseHash(session)
 	}
 	switch h.Get(attemptHeader) {
 	case "1":
@@ -57,18 +59,19 @@
 	return q, ""
 }
 
-func validID(id string) bool {
-	const most = 128
-	for _, r := range []byte(id) {
-		if r <= ' ' || r > '~' {
+// isValidID reports whether an id is one of 1 to 128 visible ASCII characters.
+func isValidID(id string) bool {
+	const maxIDBytes = 128
+	for _, c := range []byte(id) {
+		if c <= ' ' || c > '~' {
 			return false
 		}
 	}
-	return id != "" && len(id) <= most
+	return id != "" && len(id) <= maxIDBytes
 }
 
-// parseBudget reads a number and its unit: m for milliseconds, u for microseconds.
-func parseBudget(s string, most time.Duration) (time.Duration, bool) {
+// parseBudget reads a number and its unit: m for milliseconds, u for microseconds. What is above maxBudget is cut to it.
+func parseBudget(s string, maxBudget time.Duration) (time.Duration, bool) {
 	var unit time.Duration
 	if n, ok := strings.CutSuffix(s, "m"); ok {
 		s, unit = n, time.Millisecond
@@ -82,13 +85,13 @@
 	if !ok || d < 1 {
 		return 0, false
 	}
-	return time.Duration(min(d, float64(most))), true
+	return time.Duration(min(d, float64(maxBudget))), true
 }
 
-// parseDecimal reads a plain decimal that is not negative.
+// parseDecimal reads a decimal number that is not negative, without an exponent.
 func parseDecimal(s string) (float64, bool) {
-	for _, r := range []byte(s) {
-		if (r < '0' || r > '9') && r != '.' {
+	for _, c := range []byte(s) {
+		if (c < '0' || c > '9') && c != '.' {
 			return 0, false
 		}
 	}
@@ -96,7 +99,7 @@
 	return v, err == nil && !math.IsInf(v, 0)
 }
 
-// parseInfo reads name=value pairs. Names that are not known are passed over; all lengths are needed.
+// parseInfo reads name=value pairs into q. Unknown names are ignored; each of the lengths must be there once.
 func parseInfo(s string, q *policy.Request) bool {
 	lengths := map[string]*float64{"prompt_len": &q.PromptTokens, "prefix_len": &q.PrefixTokens, "max_out": &q.MaxTokens}
 	missing := len(lengths)
@@ -110,11 +113,11 @@
 				return false
 			}
 		}
-		if to, known := lengths[name]; known {
-			if to == nil {
+		if length, known := lengths[name]; known {
+			if length == nil {
 				return false // given twice
 			}
-			if *to, ok = parseDecimal(value); !ok || *to > math.MaxFloat32 {
+			if *length, ok = parseDecimal(value); !ok || *length > math.MaxFloat32 {
 				return false
 			}
 			lengths[name] = nil
@@ -124,7 +127,7 @@
 	return missing == 0
 }
 
-// parseHash reads a hexadecimal word; anything else is hashed to one. 0 means none.
+// parseHash reads a 64-bit hexadecimal number; any other text is hashed to one (FNV-1a). 0 means none.
 func parseHash(s string) uint64 {
 	v, err := strconv.ParseUint(s, 16, 64)
 	if err != nil {
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -303,7 +303,7 @@
 // with their answers, and once nothing is left the process ends by itself. The stop it returns keeps it from that.
 func (r *Router) yield(ctx context.Context) (stop func()) {
 	ctx, stop = context.WithCancel(ctx)
-	r.front.SetHandingOver(true)
+	r.front.StartHandover()
 	time.Sleep(limits.AcceptQueueDrainTime)
 	r.ops.door().Close()
 	r.ops.yielded.Store(true)
@@ -324,7 +324,7 @@
 
 // resume takes the address back.
 func (r *Router) resume(served chan<- error) {
-	r.front.SetHandingOver(false)
+	r.front.CancelHandover()
 	if !r.ops.yielded.Swap(false) {
 		return
 	}
