--- a/internal/config/platformconfig/platformconfig_test.go
+++ b/internal/config/platformconfig/platformconfig_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func env(pairs ...string) func(string) string {
+func getenvOf(pairs ...string) func(string) string {
 	m := map[string]string{}
 	for i := 0; i < len(pairs); i += 2 {
 		m[pairs[i]] = pairs[i+1]
@@ -18,8 +18,8 @@
 	return func(name string) string { return m[name] }
 }
 
-func TestLoad(t *testing.T) {
-	c, err := Load(env("BALANCER_CONFIG", "testdata/config.json", "BALANCER_LISTEN", "127.0.0.7:5000"))
+func TestLoadReadsFileAndOverrides(t *testing.T) {
+	c, err := Load(getenvOf("BALANCER_CONFIG", "testdata/config.json", "BALANCER_LISTEN", "127.0.0.7:5000"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,9 +38,9 @@
 	}
 }
 
-func TestReloadTakesDiscoveryFromTheFile(t *testing.T) {
-	// The variable describes the start; after a replacement of the file its address would be the old one's.
-	vars := env("BALANCER_CONFIG", "testdata/config.json", "BALANCER_DISCOVERY", "127.0.0.9:1", "BALANCER_LISTEN", "127.0.0.7:5000")
+func TestReloadTakesDiscoveryAddressFromTheFile(t *testing.T) {
+	// The variable is as old as the process; after a replacement of the file it would give the old address.
+	vars := getenvOf("BALANCER_CONFIG", "testdata/config.json", "BALANCER_DISCOVERY", "127.0.0.9:1", "BALANCER_LISTEN", "127.0.0.7:5000")
 	for name, want := range map[string]string{"start": "127.0.0.9:1", "again": "127.0.0.1:8500"} {
 		c, err := map[string]func(func(string) string) (*Config, error){"start": Load, "again": Reload}[name](vars)
 		if err != nil || c.DiscoveryAddr != want || c.ListenAddr != "127.0.0.7:5000" {
@@ -49,37 +49,37 @@
 	}
 }
 
-func TestAdminTakesDescriptorsOfItsOwn(t *testing.T) {
-	without, err := Load(env("BALANCER_CONFIG", "testdata/config.json"))
+func TestAdminListenerReservesDescriptors(t *testing.T) {
+	without, err := Load(getenvOf("BALANCER_CONFIG", "testdata/config.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	with, err := Load(env("BALANCER_CONFIG", "testdata/config.json", "BALANCER_ADMIN", "127.0.0.1:9"))
+	with, err := Load(getenvOf("BALANCER_CONFIG", "testdata/config.json", "BALANCER_ADMIN", "127.0.0.1:9"))
 	if err != nil || with.AdminAddr != "127.0.0.1:9" || with.Limits.ClientConns >= without.Limits.ClientConns {
 		t.Errorf("%+v, %v", with, err)
 	}
-	// Two processes together keep to one router's descriptors.
+	// During a hot restart two processes together keep to the descriptors of one router.
 	l := with.Limits
 	if both := l.TakeoverCapacity(); 2*(both.ClientConns+both.UpstreamConns+l.RejectConns+24+17) > 1024 {
 		t.Errorf("%+v each", both)
 	}
 }
 
-func TestDescriptorsAreWithinTheLimit(t *testing.T) {
-	c, err := Load(env("BALANCER_CONFIG", "testdata/config.json"))
+func TestLimitsFitTheMachine(t *testing.T) {
+	c, err := Load(getenvOf("BALANCER_CONFIG", "testdata/config.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := c.Limits
 	if all := l.ClientConns + l.RejectConns + l.UpstreamConns; all > 1024-16 || l.ConcurrentRequests > l.UpstreamConns {
-		t.Errorf("%d connections of 1024 descriptors, %d open for %d lines", all, l.ConcurrentRequests, l.UpstreamConns)
+		t.Errorf("%d connections of 1024 descriptors, %d requests in flight for %d upstream connections", all, l.ConcurrentRequests, l.UpstreamConns)
 	}
 	if l.HeapBytes+l.TotalBodyBytes > 192<<20 {
 		t.Errorf("a heap of %d and bodies of %d exceed the memory", l.HeapBytes, l.TotalBodyBytes)
 	}
 }
 
-func TestBadConfig(t *testing.T) {
+func TestInvalidConfigIsRejected(t *testing.T) {
 	text, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -109,19 +109,19 @@
 		if err := os.WriteFile(path, []byte(bad), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Load(env("BALANCER_CONFIG", path)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Load(getenvOf("BALANCER_CONFIG", path)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", change, err)
 		}
 	}
 	for _, path := range []string{"", "testdata/none.json"} {
-		if _, err := Load(env("BALANCER_CONFIG", path)); err == nil {
+		if _, err := Load(getenvOf("BALANCER_CONFIG", path)); err == nil {
 			t.Errorf("%q: no error", path)
 		}
 	}
 }
 
-func TestLoadBatch(t *testing.T) {
-	c, err := Load(env("BALANCER_CONFIG", "testdata/config.json"))
+func TestBatchFileIsChecked(t *testing.T) {
+	c, err := Load(getenvOf("BALANCER_CONFIG", "testdata/config.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,7 +129,7 @@
 		t.Errorf("the file under deploy: %v", err)
 	} else if l := c.Limits.WithBatch(b.Files()); l.ClientConns+l.UpstreamConns+l.BatchConns+b.Files() >
 		c.Limits.ClientConns+c.Limits.UpstreamConns || l.ConcurrentRequests > l.UpstreamConns {
-		t.Errorf("the batch front's descriptors are not made room for: %+v", l)
+		t.Errorf("no descriptors are reserved for the batch service: %+v", l)
 	}
 	const contract = "\n[[contract]]\nteam='crews'\nkey_env='K'\nclasses=['batch-summary']\nlines=9\nat_once=2\n" +
 		"budget_tokens=99\nbudget_period='24h'\nline_deadline='1m'\n"
@@ -151,7 +151,7 @@
 		if err := os.WriteFile(path, []byte(f.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		b, err := c.LoadBatchFile(path, env("K", "secret"))
+		b, err := c.LoadBatchFile(path, getenvOf("K", "secret"))
 		if f.want == "" && (err != nil || b.Spool != filepath.Join(filepath.Dir(path), "s")) {
 			t.Errorf("%s: %+v, %v", name, b, err)
 		}
