--- a/internal/frontend/services_test.go
+++ b/internal/frontend/platform_test.go
@@ -16,9 +16,9 @@
 	"notchhinge/policy"
 )
 
-// TestServices plays requests in all spellings against a front with two services: what is routed is what is sent on, and
-// nothing reaches a pool by two spellings of one path.
-func TestServices(t *testing.T) {
+// TestRequestsAreForwardedAsRouted plays requests in all spellings against a server with two services: what is routed is what is
+// forwarded, and nothing reaches a pool by two spellings of one path.
+func TestRequestsAreForwardedAsRouted(t *testing.T) {
 	numbers := map[string]int{"runs": 1, "calib": 2}
 	table, faults := route.New(
 		[]route.Service{{Name: "runs", Shares: []route.Share{{Pool: "runs", Weight: 1}}}, {Name: "calib", Shares: []route.Share{{Pool: "calib", Weight: 1}}}},
@@ -51,7 +51,7 @@
 		ended := make(chan struct{})
 		go func() { s.ServeConn(near); close(ended) }()
 		replay.Play(t, far, "testdata/parts/services.txt", replay.Steps{
-			"led": func(want string) {
+			"routed": func(want string) {
 				e := (<-events).(dispatch.RequestReceived)
 				a := e.Client.(*openRequest)
 				if got := fmt.Sprintf("pool %d class %d as %s %s", e.Pool, e.Request.Class, a.Request.Upstream.Host, a.Request.Upstream.Target); got != want {
@@ -69,7 +69,7 @@
 		far.Close()
 		<-ended
 		if s.bodyQuota.Used()+s.requestQuota.Used() != 0 {
-			t.Errorf("%d bytes and %d calls are still counted", s.bodyQuota.Used(), s.requestQuota.Used())
+			t.Errorf("%d bytes and %d requests are still reserved", s.bodyQuota.Used(), s.requestQuota.Used())
 		}
 	})
 }
--- a/internal/frontend/trace_test.go
+++ b/internal/frontend/trace_test.go
@@ -13,12 +13,12 @@
 	"notchhinge/internal/testutil/replay"
 )
 
-func TestTraceContext(t *testing.T) {
+func TestTraceContextOfTheClientIsTheOrigin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		events := make(chan dispatch.Event, 16)
 		s := New(Options{
 			Limits:    limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{MaxDeadline: time.Second}),
-			Directory: plain("chat"), IsReady: func() bool { return true }, TraceRequests: true,
+			Directory: onePool("chat"), IsReady: func() bool { return true }, TraceRequests: true,
 			Now:  func() time.Duration { return time.Hour },
 			Post: func(e dispatch.Event) { events <- e },
 		})
@@ -34,10 +34,10 @@
 					t.Errorf("origin %s, wanted %s: %+v", got, want, e.Origin)
 				}
 			},
-			"refuse": func(string) { go open.Reject(dispatch.VerdictRejected, time.Second/2) },
-			"answered": func(string) {
+			"reject": func(string) { go open.Reject(dispatch.VerdictRejected, time.Second/2) },
+			"rejected": func(string) {
 				if e := (<-events).(dispatch.RejectionWritten); e.Client != open || e.At != time.Hour {
-					t.Errorf("answered: %+v", e)
+					t.Errorf("rejected: %+v", e)
 				}
 			},
 		})
