--- a/cmd/notchhinge/configs.go
+++ b/cmd/notchhinge/configs.go
@@ -15,9 +15,9 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"notchhinge/deploy"
+	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/configfile"
 	"notchhinge/internal/control/fleetconfig"
-	"notchhinge/internal/settings"
 )
 
 type configCmd struct {
@@ -38,7 +38,7 @@
 
 func readFile(path string) (*configfile.File, error) {
 	f, err := configfile.Load(path, os.Getenv)
-	if faults := (settings.Faults{}); errors.As(err, &faults) {
+	if faults := (operatorconfig.Errors{}); errors.As(err, &faults) {
 		return nil, badConfig{err}
 	}
 	return f, err
--- a/cmd/notchhinge/main.go
+++ b/cmd/notchhinge/main.go
@@ -17,12 +17,12 @@
 	"notchhinge/deploy"
 	"notchhinge/internal/batch"
 	"notchhinge/internal/config/nodeconfig"
+	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/node"
 	"notchhinge/internal/reconcile"
 	"notchhinge/internal/router"
-	"notchhinge/internal/settings"
 )
 
 type cli struct {
@@ -70,8 +70,8 @@
 }
 
 // subsystems reads the operator's settings, and the batch front's old file where that is given.
-func subsystems(cfg *platformconfig.Config, path, old string) (f *settings.File, b *batch.Config, err error) {
-	f = &settings.File{}
+func subsystems(cfg *platformconfig.Config, path, old string) (f *operatorconfig.File, b *batch.Config, err error) {
+	f = &operatorconfig.File{}
 	if path != "" {
 		if f, b, err = cfg.LoadOperatorFile(path, os.Getenv); err != nil {
 			return nil, nil, badConfig{err}
@@ -126,7 +126,7 @@
 		}
 	}
 	if f.Control != nil {
-		ln, err := router.ListenControl(f.Control.Path)
+		ln, err := router.ListenControl(f.Control.SocketPath)
 		if err != nil {
 			return err
 		}
@@ -153,7 +153,7 @@
 }
 
 // begin makes the plan to begin with, and room in the limits for what it and the batch front need.
-func begin(cfg *platformconfig.Config, f *settings.File, b *batch.Config) (*reconcile.Plan, error) {
+func begin(cfg *platformconfig.Config, f *operatorconfig.File, b *batch.Config) (*reconcile.Plan, error) {
 	if b != nil {
 		cfg.Limits = cfg.Limits.WithBatch(b.Files())
 	}
--- a/cmd/notchhinge/services.go
+++ b/cmd/notchhinge/services.go
@@ -14,8 +14,8 @@
 	"text/tabwriter"
 	"time"
 
+	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/router"
-	"notchhinge/internal/settings"
 )
 
 // control is the way to a running router's control socket.
@@ -111,7 +111,7 @@
 			return err
 		}
 	default:
-		f, err := settings.Load(x.Config, nil)
+		f, err := operatorconfig.Load(x.Config, nil)
 		if err != nil {
 			return badConfig{err}
 		}
--- a/deploy/deploy.go
+++ b/deploy/deploy.go
@@ -3,7 +3,7 @@
 
 import _ "embed"
 
-// Schema is the JSON Schema of notchhinge.toml. A test of internal/settings makes it from the Go types (-update).
+// Schema is the JSON Schema of notchhinge.toml. A test of internal/config/operatorconfig makes it from the Go types (-update).
 //
 //go:embed notchhinge.schema.json
 var Schema []byte
--- a/internal/settings/load.go
+++ b/internal/config/operatorconfig/load.go
@@ -1,4 +1,4 @@
-package settings
+package operatorconfig
 
 import (
 	"bytes"
@@ -24,15 +24,15 @@
 	"notchhinge/deploy"
 )
 
-// Fault is one thing that is wrong with a file.
-type Fault struct {
-	File string
-	Line int    // counted from 1; 0 = of the file as a whole
-	Key  string // as trace.otlp.endpoint or contract[0].team; "" = none
-	Says string // what is wrong and what is wanted
+// Error is one thing that is wrong with a file.
+type Error struct {
+	File    string
+	Line    int    // counted from 1; 0 = of the file as a whole
+	Key     string // as trace.otlp.endpoint or contract[0].team; "" = none
+	Message string // what is wrong and what is wanted
 }
 
-func (f Fault) Error() string {
+func (f Error) Error() string {
 	s := f.File
 	if f.Line > 0 {
 		s += ":" + strconv.Itoa(f.Line)
@@ -40,13 +40,13 @@
 	if f.Key != "" {
 		s += ": " + f.Key
 	}
-	return s + ": " + f.Says
+	return s + ": " + f.Message
 }
 
-// Faults is every fault of a file, in the order of its lines.
-type Faults []Fault
+// Errors is every fault of a file, in the order of its lines.
+type Errors []Error
 
-func (f Faults) Error() string {
+func (f Errors) Error() string {
 	lines := make([]string, len(f))
 	for i := range f {
 		lines[i] = f[i].Error()
@@ -66,19 +66,19 @@
 
 // Parse is Load on a text that is already read.
 func Parse(text []byte, path string, classes []string) (*File, error) {
-	from, faults, err := Read(text, path, deploy.Schema)
+	from, faults, err := Check(text, path, deploy.Schema)
 	if err != nil {
 		return nil, err
 	}
 	fault := func(key []string, format string, args ...any) {
-		faults = append(faults, from.Fault(key, format, args...))
+		faults = append(faults, from.Errorf(key, format, args...))
 	}
 	f := &File{Source: *from}
 	if len(faults) == 0 {
 		if err := toml.Unmarshal(text, f); err != nil { // what the schema cannot say: times
 			d := (*toml.DecodeError)(nil)
 			if !errors.As(err, &d) {
-				return nil, Faults{{File: path, Says: err.Error()}}
+				return nil, Errors{{File: path, Message: err.Error()}}
 			}
 			fault(d.Key(), "%s; a time such as \"20ms\" or \"1h30m\" is wanted", d.Error())
 		} else {
@@ -105,51 +105,51 @@
 		under(&f.Contracts[i].OpenAPI)
 	}
 	for i := range f.Pools {
-		under(&f.Pools[i].Settings)
+		under(&f.Pools[i].SettingsPath)
 	}
 	if f.Control != nil {
-		under(&f.Control.Path)
+		under(&f.Control.SocketPath)
 	}
 	return f, nil
 }
 
-// Read holds a text against a JSON Schema and returns where its keys stand, and every fault. An error is a text that
+// Check holds a text against a JSON Schema and returns where its keys stand, and every fault. An error is a text that
 // is no TOML, as Faults, or one that cannot be checked.
-func Read(text []byte, path string, schema []byte) (*Source, Faults, error) {
+func Check(text []byte, path string, schema []byte) (*Source, Errors, error) {
 	lines, err := index(text)
 	from := &Source{path, lines}
-	faults := Faults{}
+	faults := Errors{}
 	var syntax *unstable.ParserError
 	if errors.As(err, &syntax) {
-		return nil, nil, Faults{{File: path, Line: lines.at(text, syntax.Highlight), Says: syntax.Message}}
+		return nil, nil, Errors{{File: path, Line: lines.at(text, syntax.Highlight), Message: syntax.Message}}
 	} else if err != nil {
-		return nil, nil, Faults{{File: path, Says: err.Error()}}
+		return nil, nil, Errors{{File: path, Message: err.Error()}}
 	}
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil {
-		f := Fault{File: path, Says: err.Error()}
+		f := Error{File: path, Message: err.Error()}
 		if d := (*toml.DecodeError)(nil); errors.As(err, &d) {
 			f.Line, _ = d.Position()
 		}
-		return nil, nil, Faults{f}
+		return nil, nil, Errors{f}
 	}
 	if err := meets(tree, schema, func(key []string, format string, args ...any) {
-		faults = append(faults, from.Fault(key, format, args...))
+		faults = append(faults, from.Errorf(key, format, args...))
 	}); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return from, faults, nil
 }
 
-// Fault is a fault of a key, for what only a subsystem can tell.
-func (s *Source) Fault(key []string, format string, args ...any) Fault {
+// Errorf is a fault of a key, for what only a subsystem can tell.
+func (s *Source) Errorf(key []string, format string, args ...any) Error {
 	line, shown := s.lines.find(key)
-	return Fault{File: s.path, Line: line, Key: shown, Says: fmt.Sprintf(format, args...)}
+	return Error{File: s.path, Line: line, Key: shown, Message: fmt.Sprintf(format, args...)}
 }
 
 // Sorted returns faults in the order of their lines.
-func (f Faults) Sorted() Faults {
-	slices.SortStableFunc(f, func(x, y Fault) int { return x.Line - y.Line })
+func (f Errors) Sorted() Errors {
+	slices.SortStableFunc(f, func(x, y Error) int { return x.Line - y.Line })
 	return f
 }
 
@@ -248,18 +248,18 @@
 		}
 	}
 	if t := f.Trace; t != nil {
-		if *t.Margin < 0 || *t.Margin > Duration(time.Minute) {
+		if *t.LatencyMargin < 0 || *t.LatencyMargin > Duration(time.Minute) {
 			fault([]string{"trace", "margin"}, "a time from 0 to 1m is wanted")
 		}
 		if o := t.OTLP; o != nil {
 			if u, err := url.Parse(o.Endpoint); err != nil || u.Host == "" {
 				fault([]string{"trace", "otlp", "endpoint"}, "a URL with a host is wanted")
 			}
-			positive(o.Timeout, "trace", "otlp", "timeout")
-			positive(o.Drain, "trace", "otlp", "drain")
+			positive(o.CallTimeout, "trace", "otlp", "timeout")
+			positive(o.DrainTimeout, "trace", "otlp", "drain")
 		}
 		if s := t.File; s != nil {
-			positive(s.Flush, "trace", "file", "flush")
+			positive(s.FlushInterval, "trace", "file", "flush")
 		}
 	}
 	if f.Batch != nil {
@@ -285,7 +285,7 @@
 			}
 		}
 		positive(&k.BudgetPeriod, append(at, "budget_period")...)
-		positive(&k.LineDeadline, append(at, "line_deadline")...)
+		positive(&k.ItemDeadline, append(at, "line_deadline")...)
 	}
 }
 
--- a/internal/settings/schema_test.go
+++ b/internal/config/operatorconfig/schema_test.go
@@ -1,7 +1,8 @@
-package settings
+package operatorconfig
 
 import (
 	"bytes"
+	"cmp"
 	"encoding/json"
 	"flag"
 	"os"
@@ -18,8 +19,11 @@
 // generate makes the schema out of the Go types.
 func generate(t *testing.T) []byte {
 	t.Helper()
+	// The names under $defs stay as published; schemas of users may refer to them.
+	published := map[string]string{"TraceFile": "Sink", "Selection": "Select"}
 	r := jsonschema.Reflector{
 		FieldNameTag: "toml", RequiredFromJSONSchemaTags: true, ExpandedStruct: true, Anonymous: true,
+		Namer: func(t reflect.Type) string { return cmp.Or(published[t.Name()], t.Name()) },
 		Mapper: func(of reflect.Type) *jsonschema.Schema {
 			if of == reflect.TypeFor[Duration]() {
 				return &jsonschema.Schema{Type: "string"}
@@ -39,12 +43,12 @@
 func TestSchemaIsOfTheTypes(t *testing.T) {
 	text := generate(t)
 	if *update {
-		if err := os.WriteFile("../../deploy/notchhinge.schema.json", text, 0o644); err != nil {
+		if err := os.WriteFile("../../../deploy/notchhinge.schema.json", text, 0o644); err != nil {
 			t.Fatal(err)
 		}
 		return
 	}
 	if !bytes.Equal(text, deploy.Schema) {
-		t.Error("deploy/notchhinge.schema.json is not what the types say: run go test ./internal/settings -run Schema -update")
+		t.Error("deploy/notchhinge.schema.json is not what the types say: run go test ./internal/config/operatorconfig -run Schema -update")
 	}
 }
--- a/internal/settings/services.go
+++ b/internal/config/operatorconfig/services.go
@@ -1,4 +1,4 @@
-package settings
+package operatorconfig
 
 import (
 	"maps"
@@ -16,7 +16,7 @@
 func (f *File) Table(pool func(name string) (int, bool)) (*route.Table, []route.Fault) {
 	was := map[string]string{}
 	for _, p := range f.Pools {
-		was[p.Name] = p.Was
+		was[p.Name] = p.FormerName
 	}
 	var services []route.Service
 	var routes []route.Route
@@ -69,21 +69,21 @@
 			fault(append(at, "name"), "%q is another pool already", p.Name)
 		}
 		pools[p.Name] = i
-		if p.Discovery != "" {
-			if _, _, err := net.SplitHostPort(p.Discovery); err != nil {
-				fault(append(at, "discovery"), "%q is no address with a port", p.Discovery)
+		if p.DiscoveryAddr != "" {
+			if _, _, err := net.SplitHostPort(p.DiscoveryAddr); err != nil {
+				fault(append(at, "discovery"), "%q is no address with a port", p.DiscoveryAddr)
 			}
 		}
 		if p.Select != nil {
-			for _, pattern := range p.Select.Names {
+			for _, pattern := range p.Select.NamePatterns {
 				if _, err := path.Match(pattern, ""); err != nil {
 					fault(append(at, "select", "names"), "%q is no pattern; * and ? and [a-z] are known", pattern)
 				}
 			}
 		}
 		if l := p.Limits; l != nil {
-			if or(l.Guarantee, 0) > or(l.Most, 1) {
-				fault(append(at, "limits", "guarantee"), "%v is above the most, %v", *l.Guarantee, or(l.Most, 1))
+			if or(l.Guarantee, 0) > or(l.MaxShare, 1) {
+				fault(append(at, "limits", "guarantee"), "%v is above the most, %v", *l.Guarantee, or(l.MaxShare, 1))
 			}
 			if l.RetryAfter != nil && *l.RetryAfter <= 0 {
 				fault(append(at, "limits", "retry_after"), "a time above 0 is wanted")
@@ -96,7 +96,7 @@
 				fault(append(key, "name"), "%q is given twice", c.Name)
 			}
 			classes[c.Name] = true
-			for name, d := range map[string]*Duration{"aim": c.Aim, "aim_per_1000_tokens": c.AimPerKTokens} {
+			for name, d := range map[string]*Duration{"aim": c.TargetLatency, "aim_per_1000_tokens": c.TargetLatencyPerKTokens} {
 				if d != nil && *d < 0 {
 					fault(append(slices.Clone(key), name), "a time of 0 or more is wanted")
 				}
--- a/internal/settings/settings_test.go
+++ b/internal/config/operatorconfig/settings_test.go
@@ -1,4 +1,4 @@
-package settings
+package operatorconfig
 
 import (
 	"errors"
@@ -15,14 +15,14 @@
 		t.Fatal(err)
 	}
 	tr := f.Trace
-	if *tr.Share != 0.01 || *tr.PerSecond != 10 || time.Duration(*tr.Margin) != 20*time.Millisecond || tr.File.Path != "/etc/n/t.zst" ||
-		tr.File.Files != 4 || tr.OTLP != nil || f.Batch != nil {
+	if *tr.SampleRatio != 0.01 || *tr.MaxSamplesPerS != 10 || time.Duration(*tr.LatencyMargin) != 20*time.Millisecond || tr.File.Path != "/etc/n/t.zst" ||
+		tr.File.MaxFiles != 4 || tr.OTLP != nil || f.Batch != nil {
 		t.Errorf("%+v", tr)
 	}
-	if f, err := Parse([]byte("[trace]\nshare = 0\nper_second = 0\nmargin = \"0s\"\n"), "x", nil); err != nil || *f.Trace.Share != 0 || *f.Trace.PerSecond != 0 {
+	if f, err := Parse([]byte("[trace]\nshare = 0\nper_second = 0\nmargin = \"0s\"\n"), "x", nil); err != nil || *f.Trace.SampleRatio != 0 || *f.Trace.MaxSamplesPerS != 0 {
 		t.Errorf("zeros that are meant: %+v, %v", f, err)
 	}
-	if _, err := Load("../../deploy/notchhinge.toml", []string{"batch-summary"}); err != nil {
+	if _, err := Load("../../../deploy/notchhinge.toml", []string{"batch-summary"}); err != nil {
 		t.Error(err)
 	}
 }
@@ -50,7 +50,7 @@
 		"no table":          {"[nothing]\n", []string{"f:1: nothing: is no key"}},
 	} {
 		_, err := Parse([]byte(c.text), "f", []string{"chat"})
-		var faults Faults
+		var faults Errors
 		if !errors.As(err, &faults) {
 			t.Errorf("%s: %v", name, err)
 			continue
@@ -77,10 +77,10 @@
 		if (file == nil) == (err == nil) {
 			t.Errorf("%v, %v", file, err)
 		}
-		var faults Faults
+		var faults Errors
 		if errors.As(err, &faults) {
 			for _, x := range faults {
-				if x.Line < 0 || x.Line > 1+strings.Count(string(text), "\n") || x.Says == "" {
+				if x.Line < 0 || x.Line > 1+strings.Count(string(text), "\n") || x.Message == "" {
 					t.Errorf("%+v", x)
 				}
 			}
@@ -94,7 +94,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := f.Services[0].Routes; r[0].Method != "POST" || r[1].Method != "any" || f.Pools[0].Settings != "/etc/n/s.json" || f.Control.Path != "/etc/n/c" {
+	if r := f.Services[0].Routes; r[0].Method != "POST" || r[1].Method != "any" || f.Pools[0].SettingsPath != "/etc/n/s.json" || f.Control.SocketPath != "/etc/n/c" {
 		t.Errorf("%+v", f)
 	}
 	for name, c := range map[string]struct {
@@ -122,7 +122,7 @@
 		"patterns":   {head + "[[pool]]\nname = \"p\"\ndiscovery = \"x\"\n[pool.select]\nnames = [\"[\"]\n", []string{"f:11: pool[0].discovery: ", "f:13: pool[0].select.names: "}},
 	} {
 		_, err := Parse([]byte(c.text), "f", nil)
-		var faults Faults
+		var faults Errors
 		if !errors.As(err, &faults) || len(faults) != len(c.want) {
 			t.Errorf("%s: %v", name, err)
 			continue
--- a/internal/config/platformconfig/operator.go
+++ b/internal/config/platformconfig/operator.go
@@ -5,29 +5,29 @@
 	"net"
 
 	"notchhinge/internal/batch"
-	"notchhinge/internal/settings"
+	"notchhinge/internal/config/operatorconfig"
 )
 
 // LoadOperatorFile reads the operator's file, and returns the configuration of the batch service too where the file has one.
-// The error is settings.Faults if the file is wrong by itself.
-func (c *Config) LoadOperatorFile(path string, getenv func(string) string) (*settings.File, *batch.Config, error) {
+// The error is operatorconfig.Errors if the file is wrong by itself.
+func (c *Config) LoadOperatorFile(path string, getenv func(string) string) (*operatorconfig.File, *batch.Config, error) {
 	var classes []string
 	for i := range c.Settings.Classes {
 		classes = append(classes, c.Settings.Classes[i].Name)
 	}
-	f, err := settings.Load(path, classes)
+	f, err := operatorconfig.Load(path, classes)
 	if err != nil || f.Batch == nil {
 		return f, nil, err
 	}
 	b := &batch.Config{Listen: f.Batch.Listen, Spool: f.Batch.Spool}
 	for _, k := range f.Contracts {
 		b.Contracts = append(b.Contracts, batch.Contract{
-			Team: k.Team, KeyEnv: k.KeyEnv, Service: k.Service, Classes: k.Classes, Lines: k.Lines, AtOnce: k.AtOnce,
+			Team: k.Team, KeyEnv: k.KeyEnv, Service: k.Service, Classes: k.Classes, Lines: k.MaxItems, AtOnce: k.MaxConcurrent,
 			BudgetTokens: k.BudgetTokens, BudgetPeriod: batch.Period(k.BudgetPeriod),
-			LineDeadline: batch.Period(k.LineDeadline), OpenAPI: k.OpenAPI,
+			LineDeadline: batch.Period(k.ItemDeadline), OpenAPI: k.OpenAPI,
 		})
 	}
-	// Classes were checked by settings.Load, or are by package reconcile where there are pools.
+	// Classes were checked by operatorconfig.Load, or are by package reconcile where there are pools.
 	if err := b.Check(nil, getenv); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/configfile/configfile_test.go
+++ b/internal/configfile/configfile_test.go
@@ -16,8 +16,8 @@
 	"github.com/invopop/jsonschema"
 
 	"notchhinge/deploy"
+	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/control/fleetconfig"
-	"notchhinge/internal/settings"
 )
 
 var update = flag.Bool("update", false, "write deploy/configuration.schema.json anew")
@@ -151,7 +151,7 @@
 		"no TOML":            {"[[routes]\n", []string{"f.toml:1"}},
 	} {
 		_, err := Parse([]byte(c.text), "f.toml", testEnv)
-		var faults settings.Faults
+		var faults operatorconfig.Errors
 		if !errors.As(err, &faults) || len(faults) != len(c.want) {
 			t.Errorf("%s: %v", name, err)
 			continue
--- a/internal/configfile/file.go
+++ b/internal/configfile/file.go
@@ -9,8 +9,8 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"notchhinge/deploy"
+	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/control/fleetconfig"
-	"notchhinge/internal/settings"
 )
 
 // File is a configuration that was read from a file.
@@ -57,7 +57,7 @@
 }
 
 func parseTOML(text []byte, path string, getenv func(string) string) (*File, error) {
-	source, errs, err := settings.Read(text, path, deploy.ConfigurationSchema)
+	source, errs, err := operatorconfig.Check(text, path, deploy.ConfigurationSchema)
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 	}
 	f := &File{Config: &fleetconfig.Config{}, Path: path}
 	if err := toml.Unmarshal(text, f.Config); err != nil {
-		return nil, settings.Faults{{File: path, Says: err.Error()}}
+		return nil, operatorconfig.Errors{{File: path, Message: err.Error()}}
 	}
 	f.HasRevision = f.Revision > 0
 	errs = f.resolveKeys(source, getenv)
@@ -81,19 +81,19 @@
 
 // fileErrors makes what is wrong with a configuration errors of its file, in the order of lines. Source is nil where the
 // file has no lines.
-func fileErrors(source *settings.Source, path string, err error) settings.Faults {
+func fileErrors(source *operatorconfig.Source, path string, err error) operatorconfig.Errors {
 	var fields fleetconfig.FieldErrors
 	switch {
 	case err == nil:
 		return nil
 	case !errors.As(err, &fields):
-		return settings.Faults{{File: path, Says: err.Error()}}
+		return operatorconfig.Errors{{File: path, Message: err.Error()}}
 	}
-	var errs settings.Faults
+	var errs operatorconfig.Errors
 	for _, e := range fields {
-		f := settings.Fault{File: path, Key: strings.TrimSuffix(e.String(), ": "+e.Message), Says: e.Message}
+		f := operatorconfig.Error{File: path, Key: strings.TrimSuffix(e.String(), ": "+e.Message), Message: e.Message}
 		if source != nil {
-			f = source.Fault(e.Path, "%s", e.Message)
+			f = source.Errorf(e.Path, "%s", e.Message)
 			if e.Owner != "" {
 				f.Key += " (" + e.Owner + ")"
 			}
--- a/internal/configfile/keys.go
+++ b/internal/configfile/keys.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"strings"
 
+	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/control/fleetconfig"
-	"notchhinge/internal/settings"
 )
 
 // errUnresolved says that the variable or the file of a reference does not exist here.
@@ -18,7 +18,7 @@
 
 // resolveKeys replaces references to API keys by the keys. References that cannot be resolved here stay as they are and are
 // listed in UnresolvedKeys: a file can be checked on a machine that does not have its keys.
-func (f *File) resolveKeys(source *settings.Source, getenv func(string) string) (errs settings.Faults) {
+func (f *File) resolveKeys(source *operatorconfig.Source, getenv func(string) string) (errs operatorconfig.Errors) {
 	for i := range f.Tenants {
 		keys := f.Tenants[i].APIKeys
 		for k, key := range keys {
@@ -27,7 +27,7 @@
 			case errors.Is(err, errUnresolved):
 				f.UnresolvedKeys = append(f.UnresolvedKeys, key)
 			case err != nil:
-				errs = append(errs, source.Fault([]string{"tenants", strconv.Itoa(i), "api_keys"}, "%v", err))
+				errs = append(errs, source.Errorf([]string{"tenants", strconv.Itoa(i), "api_keys"}, "%v", err))
 			default:
 				keys[k] = resolved
 			}
--- a/internal/reconcile/plan.go
+++ b/internal/reconcile/plan.go
@@ -5,10 +5,10 @@
 	"slices"
 	"strconv"
 
+	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/service"
-	"notchhinge/internal/settings"
 )
 
 // Plan is what a router process serves. It does not change.
@@ -19,8 +19,8 @@
 }
 
 // NewPlan returns the plan for a configuration and the operator's file, which may be nil. Running is the plan that is being
-// applied, nil at the start. The error is settings.Faults with everything that is wrong.
-func NewPlan(cfg *platformconfig.Config, f *settings.File, running *Plan) (*Plan, error) {
+// applied, nil at the start. The error is operatorconfig.Errors with everything that is wrong.
+func NewPlan(cfg *platformconfig.Config, f *operatorconfig.File, running *Plan) (*Plan, error) {
 	p := &Plan{}
 	if running != nil {
 		p.nextID = running.nextID
@@ -37,7 +37,7 @@
 		errs = p.checkContracts(f)
 	}
 	if n := len(p.EndpointSources()); n > cfg.Limits.EndpointSources && running != nil {
-		errs = append(errs, f.Fault([]string{"pool", "0"}, "%d discoveries; there is room for %d until the next start", n,
+		errs = append(errs, f.Errorf([]string{"pool", "0"}, "%d discoveries; there is room for %d until the next start", n,
 			cfg.Limits.EndpointSources))
 	}
 	if len(errs) > 0 {
@@ -73,7 +73,7 @@
 }
 
 // addPools adds the pools of the operator's file.
-func (p *Plan) addPools(cfg *platformconfig.Config, f *settings.File, running *Plan) (errs settings.Faults) {
+func (p *Plan) addPools(cfg *platformconfig.Config, f *operatorconfig.File, running *Plan) (errs operatorconfig.Errors) {
 	guarantees := guaranteedShares(f.Pools)
 	for i := range f.Pools {
 		q, poolErrs := newPool(cfg, f, i)
@@ -82,7 +82,7 @@
 			continue
 		}
 		q.setQuotas(&cfg.Limits, f.Pools[i].Limits, guarantees[i])
-		q.ID = p.poolID(&q, f.Pools[i].Was, running)
+		q.ID = p.poolID(&q, f.Pools[i].FormerName, running)
 		p.Pools = append(p.Pools, q)
 	}
 	return errs
@@ -121,7 +121,7 @@
 }
 
 // addRoutes makes the directory of the file's routes and of the pools. The file was checked for errors of routes before.
-func (p *Plan) addRoutes(f *settings.File) error {
+func (p *Plan) addRoutes(f *operatorconfig.File) error {
 	ids := map[string]int{}
 	var pools []*service.Pool
 	for i := range p.Pools {
@@ -138,19 +138,19 @@
 }
 
 // checkContracts reports classes of batch contracts that no route takes, or that a pool of their route does not have.
-func (p *Plan) checkContracts(f *settings.File) (errs settings.Faults) {
+func (p *Plan) checkContracts(f *operatorconfig.File) (errs operatorconfig.Errors) {
 	for i, contract := range f.Contracts {
 		key := []string{"contract", strconv.Itoa(i), "classes"}
 		for _, class := range contract.Classes {
 			target := p.Directory.Line(contract.Service, class)
 			if target == nil {
-				errs = append(errs, f.Fault(key, "no route takes lines of class %q: POST %s%s, as no service is named", class,
+				errs = append(errs, f.Errorf(key, "no route takes lines of class %q: POST %s%s, as no service is named", class,
 					service.BatchHost, service.CallsPath))
 				continue
 			}
 			for _, q := range p.Directory.Pools(target) {
 				if _, ok := q.Class(class); !ok {
-					errs = append(errs, f.Fault(key, "pool %q of service %q has no class %q", q.Name, target.Service, class))
+					errs = append(errs, f.Errorf(key, "pool %q of service %q has no class %q", q.Name, target.Service, class))
 				}
 			}
 		}
--- a/internal/reconcile/pool.go
+++ b/internal/reconcile/pool.go
@@ -6,12 +6,12 @@
 	"strconv"
 	"time"
 
+	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/listwatch"
 	"notchhinge/internal/quota"
 	"notchhinge/internal/service"
-	"notchhinge/internal/settings"
 	"notchhinge/policy"
 )
 
@@ -37,22 +37,22 @@
 }
 
 // newPool returns the pool at an index of the operator's file, without its id and quotas.
-func newPool(cfg *platformconfig.Config, f *settings.File, index int) (Pool, settings.Faults) {
+func newPool(cfg *platformconfig.Config, f *operatorconfig.File, index int) (Pool, operatorconfig.Errors) {
 	s := &f.Pools[index]
 	key := []string{"pool", strconv.Itoa(index)}
 	q := Pool{Name: s.Name, DiscoveryAddr: cfg.DiscoveryAddr, Module: cfg.Module, Seed: cfg.Seed}
-	if s.Discovery != "" {
-		q.DiscoveryAddr = s.Discovery
+	if s.DiscoveryAddr != "" {
+		q.DiscoveryAddr = s.DiscoveryAddr
 	}
 	if s.Select != nil {
 		q.Selection = listwatch.Selection{
-			Zones: s.Select.Sites, Cells: s.Select.Blocks, Classes: s.Select.Classes, Names: s.Select.Names,
+			Zones: s.Select.Zones, Cells: s.Select.Cells, Classes: s.Select.Classes, Names: s.Select.NamePatterns,
 		}
 	}
-	if s.Settings != "" {
-		m, err := platformconfig.LoadModule(s.Settings, cfg.Seed)
+	if s.SettingsPath != "" {
+		m, err := platformconfig.LoadModule(s.SettingsPath, cfg.Seed)
 		if err != nil {
-			return q, settings.Faults{f.Fault(append(key, "settings"), "%v", err)}
+			return q, operatorconfig.Errors{f.Errorf(append(key, "settings"), "%v", err)}
 		}
 		q.Module = m
 	}
@@ -60,11 +60,11 @@
 		return q, errs
 	}
 	if _, err := policy.New(q.Module.Settings, q.Seed); err != nil { // it checks the overrides
-		return q, settings.Faults{f.Fault(key, "%v", err)}
+		return q, operatorconfig.Errors{f.Errorf(key, "%v", err)}
 	}
 	moduleKey, err := json.Marshal(q.Module)
 	if err != nil {
-		return q, settings.Faults{f.Fault(append(key, "settings"), "%v", err)}
+		return q, operatorconfig.Errors{f.Errorf(append(key, "settings"), "%v", err)}
 	}
 	q.moduleKey = string(moduleKey)
 	return q, nil
@@ -72,7 +72,7 @@
 
 // overrideClasses restricts a module to the classes that a pool of the file names, in the pool's order, with the values that
 // the pool gives for them. A pool that names none has all classes of the module.
-func overrideClasses(m *platformconfig.Module, f *settings.File, index int) (errs settings.Faults) {
+func overrideClasses(m *platformconfig.Module, f *operatorconfig.File, index int) (errs operatorconfig.Errors) {
 	overrides := f.Pools[index].Classes
 	if len(overrides) == 0 {
 		return nil
@@ -98,17 +98,17 @@
 		}
 		if !slices.Contains(names, o.Name) {
 			key := []string{"pool", strconv.Itoa(index), "class", strconv.Itoa(j), "name"}
-			errs = append(errs, f.Fault(key, "class %q is not in the pool's settings; there are %q", o.Name, names))
+			errs = append(errs, f.Errorf(key, "class %q is not in the pool's settings; there are %q", o.Name, names))
 		}
 	}
 	return errs
 }
 
-func overrideClass(c policy.Class, o *settings.PoolClass) policy.Class {
-	setIfGiven(&c.Value, o.Worth)
-	setIfGiven(&c.LateValue, o.LateWorth)
-	setIfGiven(&c.TargetLatency, (*time.Duration)(o.Aim))
-	setIfGiven(&c.TargetLatencyPerKTokens, (*time.Duration)(o.AimPerKTokens))
+func overrideClass(c policy.Class, o *operatorconfig.PoolClass) policy.Class {
+	setIfGiven(&c.Value, o.Value)
+	setIfGiven(&c.LateValue, o.LateValue)
+	setIfGiven(&c.TargetLatency, (*time.Duration)(o.TargetLatency))
+	setIfGiven(&c.TargetLatencyPerKTokens, (*time.Duration)(o.TargetLatencyPerKTokens))
 	setIfGiven(&c.Deadline, (*time.Duration)(o.Deadline))
 	return c
 }
--- a/internal/reconcile/quotas.go
+++ b/internal/reconcile/quotas.go
@@ -4,9 +4,9 @@
 	"math"
 	"time"
 
+	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/quota"
-	"notchhinge/internal/settings"
 )
 
 // minTurnWeight lets a pool without a guarantee still have turns of the event loop.
@@ -14,7 +14,7 @@
 
 // guaranteedShares returns each pool's guaranteed share of the process, from 0 to 1: as given, and for pools without one an
 // even part of half of what the given ones leave. The other half stays common to all pools.
-func guaranteedShares(pools []settings.Pool) []float64 {
+func guaranteedShares(pools []operatorconfig.Pool) []float64 {
 	shares := make([]float64, len(pools))
 	remaining, without := 1.0, 0
 	for i, p := range pools {
@@ -34,15 +34,15 @@
 }
 
 // setQuotas sets what the pool may use of the process's limits. S may be nil.
-func (q *Pool) setQuotas(l *limits.Limits, s *settings.PoolLimits, guarantee float64) {
+func (q *Pool) setQuotas(l *limits.Limits, s *operatorconfig.PoolLimits, guarantee float64) {
 	if s == nil {
-		s = &settings.PoolLimits{}
+		s = &operatorconfig.PoolLimits{}
 	}
-	q.MaxAttempts, q.TurnWeight = s.Legs, max(guarantee, minTurnWeight)
+	q.MaxAttempts, q.TurnWeight = s.MaxAttempts, max(guarantee, minTurnWeight)
 	q.RetryAfter = l.OverloadRetryAfter
 	setIfGiven(&q.RetryAfter, (*time.Duration)(s.RetryAfter))
 	maxShare := 1.0
-	setIfGiven(&maxShare, s.Most)
+	setIfGiven(&maxShare, s.MaxShare)
 
 	// claim is the pool's part of a total; bound is a number that the file gives, 0 = none.
 	claim := func(total, bound int64) quota.Claim {
@@ -53,8 +53,8 @@
 		c.Guarantee = min(c.Guarantee, c.Max)
 		return c
 	}
-	q.RequestQuota = claim(int64(l.ConcurrentRequests), int64(s.Open))
-	q.UpstreamConnQuota = claim(int64(l.UpstreamConns), int64(s.Lines))
-	q.BodyQuota = claim(l.TotalBodyBytes, int64(s.BodyMB)<<20)
+	q.RequestQuota = claim(int64(l.ConcurrentRequests), int64(s.MaxRequests))
+	q.UpstreamConnQuota = claim(int64(l.UpstreamConns), int64(s.MaxUpstreamConns))
+	q.BodyQuota = claim(l.TotalBodyBytes, int64(s.MaxBodyMB)<<20)
 	q.ClientConnQuota = claim(int64(l.ClientConns), 0)
 }
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -11,10 +11,10 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/quota"
 	"notchhinge/internal/route"
-	"notchhinge/internal/settings"
 )
 
 func loadConfig(t *testing.T) *platformconfig.Config {
@@ -29,9 +29,9 @@
 	return c
 }
 
-func parseFile(t *testing.T, text string) *settings.File {
+func parseFile(t *testing.T, text string) *operatorconfig.File {
 	t.Helper()
-	f, err := settings.Parse([]byte(text), filepath.Join(t.TempDir(), "f"), nil)
+	f, err := operatorconfig.Parse([]byte(text), filepath.Join(t.TempDir(), "f"), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,11 +177,11 @@
 		},
 		"discoveries": {many, []string{":1: pool[0]: 20 discoveries; there is room for 10"}},
 	} {
-		f, err := settings.Parse([]byte(c.text), "f", nil)
+		f, err := operatorconfig.Parse([]byte(c.text), "f", nil)
 		if err == nil {
 			_, err = NewPlan(loadConfig(t), f, mustPlan(t, "", nil))
 		}
-		var faults settings.Faults
+		var faults operatorconfig.Errors
 		if !errors.As(err, &faults) || len(faults) != len(c.want) {
 			t.Errorf("%s: %v", name, err)
 			continue
--- a/internal/router/plan.go
+++ b/internal/router/plan.go
@@ -7,12 +7,12 @@
 	"maps"
 	"slices"
 
+	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/listwatch"
 	"notchhinge/internal/reconcile"
-	"notchhinge/internal/settings"
 	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
@@ -154,12 +154,12 @@
 			return
 		}
 	}
-	var faults settings.Faults
+	var faults operatorconfig.Errors
 	if !errors.As(err, &faults) {
 		r.log.Error("configuration not taken over", "err", err)
 		return
 	}
 	for _, f := range faults {
-		r.log.Error("configuration not taken over", "file", f.File, "line", f.Line, "key", f.Key, "err", f.Says)
+		r.log.Error("configuration not taken over", "file", f.File, "line", f.Line, "key", f.Key, "err", f.Message)
 	}
 }
--- a/internal/router/services_test.go
+++ b/internal/router/services_test.go
@@ -17,10 +17,10 @@
 	"testing/synctest"
 	"time"
 
+	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/reconcile"
-	"notchhinge/internal/settings"
 )
 
 // served stands for boxes and discoveries in memory. A box answers after a while and says its address.
@@ -80,7 +80,7 @@
 	cfg := load(t)
 	cfg.Limits = cfg.Limits.WithEndpointSources(2)
 	reread := func(running *reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error) {
-		f, err := settings.Load(path, nil)
+		f, err := operatorconfig.Load(path, nil)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -219,7 +219,7 @@
 }
 
 func TestExplain(t *testing.T) {
-	f, err := settings.Parse([]byte("[[service]]\nname = \"runs\"\npool = \"p\"\n[[service.route]]\nhost = \"runs.example.org\"\n[service.route.header]\nx-team = \"a\"\n[[pool]]\nname = \"p\"\n"), "f", nil)
+	f, err := operatorconfig.Parse([]byte("[[service]]\nname = \"runs\"\npool = \"p\"\n[[service.route]]\nhost = \"runs.example.org\"\n[service.route.header]\nx-team = \"a\"\n[[pool]]\nname = \"p\"\n"), "f", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -6,9 +6,9 @@
 	"os"
 	"time"
 
+	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/reconcile"
-	"notchhinge/internal/settings"
 	"notchhinge/internal/trace"
 	"notchhinge/internal/trace/export"
 )
@@ -28,10 +28,10 @@
 }
 
 // TraceOptions are those of a recorder for this router.
-func TraceOptions(cfg *platformconfig.Config, p *reconcile.Plan, s *settings.Trace) trace.Options {
+func TraceOptions(cfg *platformconfig.Config, p *reconcile.Plan, s *operatorconfig.Trace) trace.Options {
 	o := trace.Options{
-		Router: cfg.RouterName, Seed: cfg.Seed, Share: *s.Share, PerSecond: *s.PerSecond, Margin: time.Duration(*s.Margin),
-		TellAll: s.TellHosts == "all", Steps: s.MemoryMB << 20 / trace.StepBytes, Linger: cfg.Limits.TraceCompletionGrace,
+		Router: cfg.RouterName, Seed: cfg.Seed, Share: *s.SampleRatio, PerSecond: *s.MaxSamplesPerS, Margin: time.Duration(*s.LatencyMargin),
+		TellAll: s.PropagateSampled == "all", Steps: s.PendingMB << 20 / trace.StepBytes, Linger: cfg.Limits.TraceCompletionGrace,
 	}
 	for _, q := range p.Pools {
 		for _, c := range q.Module.Settings.Classes {
@@ -54,7 +54,7 @@
 }
 
 // Trace has journeys recorded and sent where the settings say. It is called before Serve and Batch.
-func (r *Router) Trace(s *settings.Trace, version string) error {
+func (r *Router) Trace(s *operatorconfig.Trace, version string) error {
 	t := &traces{}
 	if o := s.OTLP; o != nil {
 		headers, err := export.ParseHeaders(os.Getenv(o.HeadersEnv))
@@ -62,17 +62,17 @@
 			return fmt.Errorf("%s: %w", o.HeadersEnv, err)
 		}
 		e, err := export.NewOTLP(export.OTLPOptions{
-			Endpoint: o.Endpoint, Headers: headers, Queue: o.QueueMB << 20, Timeout: time.Duration(*o.Timeout),
+			Endpoint: o.Endpoint, Headers: headers, Queue: o.QueueMB << 20, Timeout: time.Duration(*o.CallTimeout),
 			Router: r.cfg.RouterName, Version: version, Log: r.log,
 		})
 		if err != nil {
 			return err
 		}
-		t.names, t.sinks, t.drain = append(t.names, "otlp"), append(t.sinks, e), time.Duration(*o.Drain)
+		t.names, t.sinks, t.drain = append(t.names, "otlp"), append(t.sinks, e), time.Duration(*o.DrainTimeout)
 	}
 	if f := s.File; f != nil {
 		e, err := export.NewFile(export.FileOptions{
-			Path: f.Path, Max: int64(f.MaxMB) << 20, Files: f.Files, Flush: time.Duration(*f.Flush),
+			Path: f.Path, Max: int64(f.MaxMB) << 20, Files: f.MaxFiles, Flush: time.Duration(*f.FlushInterval),
 			Queue: f.QueueMB << 20, Log: r.log,
 		})
 		if err != nil {
--- a/internal/router/trace_test.go
+++ b/internal/router/trace_test.go
@@ -13,8 +13,8 @@
 	"testing/synctest"
 	"time"
 
+	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/settings"
 	"notchhinge/internal/testutil/replay"
 	"notchhinge/internal/trace"
 	"notchhinge/internal/trace/show"
@@ -24,7 +24,7 @@
 // account that the router prints closes.
 func TestTracedToAFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "traces.zst")
-	f, err := settings.Parse([]byte("[trace]\nshare = 1\nper_second = 0\n[trace.file]\npath = \"traces.zst\"\n"), path, nil)
+	f, err := operatorconfig.Parse([]byte("[trace]\nshare = 1\nper_second = 0\n[trace.file]\npath = \"traces.zst\"\n"), path, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
