--- a/internal/edge/compile_bench_test.go
+++ b/internal/dialect/compile_bench_test.go
@@ -1,4 +1,4 @@
-package edge
+package dialect
 
 import (
 	"fmt"
@@ -36,7 +36,7 @@
 				c, err := fleetconfig.Decode(text, nil)
 				next := hoststate.PoolID(1)
 				if err == nil {
-					_, err = Compile(c, 1, nil, &next, nil)
+					_, err = Compile(c, CompileOptions{LogIndex: 1, NextPool: &next})
 				}
 				if err != nil {
 					b.Fatal(err)
--- a/internal/edge/edge_test.go
+++ b/internal/dialect/dialect_test.go
@@ -1,4 +1,4 @@
-package edge
+package dialect
 
 import (
 	"bufio"
@@ -38,20 +38,20 @@
 	}
 }
 
-func compile(t *testing.T, c *fleetconfig.Config) *Compiled {
+func compile(t *testing.T, c *fleetconfig.Config) *CompiledConfig {
 	t.Helper()
 	next := hoststate.PoolID(1)
-	out, err := Compile(c, 4, nil, &next, nil)
+	out, err := Compile(c, CompileOptions{LogIndex: 4, NextPool: &next})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return out
 }
 
-func dialect(t *testing.T) *Dialect {
+func dialect(t *testing.T) *Frontend {
 	at := compile(t, conf())
 	n := uint64(0)
-	return &Dialect{Now: func() *Compiled { return at }, Salt: 9, Conversation: func() uint64 { n += 0x9e3779b97f4a7c15; return n }, Clock: func() time.Duration { return 0 }}
+	return &Frontend{Config: func() *CompiledConfig { return at }, Salt: 9, SplitKey: func() uint64 { n += 0x9e3779b97f4a7c15; return n }, Clock: func() time.Duration { return 0 }}
 }
 
 func ask(t *testing.T, text string) *http.Request {
@@ -63,7 +63,7 @@
 	return r
 }
 
-func TestLead(t *testing.T) {
+func TestRoutesTenantsAndDeadlines(t *testing.T) {
 	d := dialect(t)
 	for text, want := range map[string]string{
 		"POST /x/y/2 HTTP/1.1\nHost: a.example\nX-Credential: one":                           "s",
@@ -91,7 +91,7 @@
 			t.Errorf("%q: %q, %q is wanted", text, got, want)
 		}
 	}
-	none := &Dialect{Now: func() *Compiled { return nil }}
+	none := &Frontend{Config: func() *CompiledConfig { return nil }}
 	if _, no := none.Route(ask(t, "GET / HTTP/1.1\nHost: a.example")); no == nil || no.Status != 503 || no.RetryAfter == 0 {
 		t.Errorf("without a configuration: %+v", no)
 	}
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestWhatAnEngineIsShown(t *testing.T) {
+func TestRequestForAnEngine(t *testing.T) {
 	d := dialect(t)
 	req := ask(t, "POST /x/y/2?q=1 HTTP/1.1\nHost: a.example\nX-Credential: one\nX-Tenant: forged\nX-Expect-Instance: forged\n"+
 		"X-Request-Id: 9c\nX-Prompt-Prefix: 17\nConnection: x-hop, close\nX-Hop: 1\nKeep-Alive: timeout=3\nTE: trailers\n"+
@@ -124,7 +124,7 @@
 	if no != nil {
 		t.Fatal(no)
 	}
-	text := string(Legs{}.EncodeRequest(&m.Upstream, &dispatch.StartAttempt{HostName: "i-1"}, 0, nil))
+	text := string(Upstream{}.EncodeRequest(&m.Upstream, &dispatch.StartAttempt{HostName: "i-1"}, 0, nil))
 	got, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
 		t.Fatal(err)
@@ -148,8 +148,8 @@
 	}
 }
 
-func TestSessions(t *testing.T) {
-	accept := func(d *Dialect, text string) policy.Request {
+func TestSessionsByPrefixTenantAndRouter(t *testing.T) {
+	accept := func(d *Frontend, text string) policy.Request {
 		req := ask(t, text)
 		w, no := d.Route(req)
 		if no != nil {
@@ -179,7 +179,7 @@
 	}
 }
 
-func TestWhatAnAnswerPromises(t *testing.T) {
+func TestRejectionsPromiseOnlyWhatHolds(t *testing.T) {
 	d := dialect(t)
 	kept := &frontend.ErrorResponse{Result: policy.ResultError}
 	for _, c := range []struct {
@@ -201,17 +201,17 @@
 		case c.want == 0 && instead != kept, c.want != 0 && (no == nil || no.Status != c.want):
 			t.Errorf("%+v: %+v, %+v", c, no, instead)
 		case c.want == 503 && no.RetryAfter == 0:
-			t.Errorf("%+v: nobody is told when to come back", c)
+			t.Errorf("%+v: without Retry-After", c)
 		}
 	}
 }
 
-// TestNoPromiseOfOurs: an engine's 408, 429 or 503 without its word that it has not run is not passed on: to a client it would be one.
-func TestNoPromiseOfOurs(t *testing.T) {
+// TestEnginesPromiseIsNotPassedOn: an engine's 408, 429 or 503 without its word that it has not run is not passed on: to a client it would be one.
+func TestEnginesPromiseIsNotPassedOn(t *testing.T) {
 	d := dialect(t)
 	for status, want := range map[int]bool{408: false, 429: false, 503: false, 500: true, 504: true, 501: true} {
 		resp := &http.Response{StatusCode: status, Status: http.StatusText(status), Header: http.Header{}}
-		if got := (Legs{}).Classify(resp); got != policy.ResultError {
+		if got := (Upstream{}).Classify(resp); got != policy.ResultError {
 			t.Errorf("%d: %v", status, got)
 		}
 		if kept := d.KeepErrorResponse(&frontend.Request{}, policy.ResultError, resp, nil); (kept != nil) != want {
@@ -220,7 +220,7 @@
 	}
 }
 
-func TestJudge(t *testing.T) {
+func TestClassify(t *testing.T) {
 	answer := func(status int, headers ...string) *http.Response {
 		r := &http.Response{StatusCode: status, Header: http.Header{}}
 		for i := 0; i < len(headers); i += 2 {
@@ -243,18 +243,18 @@
 		{answer(400, "X-Not-Executed", "1"), policy.ResultOK},
 		{answer(504), policy.ResultError},
 	} {
-		if got := (Legs{}).Classify(c.r); got != c.want {
+		if got := (Upstream{}).Classify(c.r); got != c.want {
 			t.Errorf("%d %v: %v, %v is wanted", c.r.StatusCode, c.r.Header, got, c.want)
 		}
 	}
 	for value, want := range map[string]time.Duration{"timeout=10": 9400 * time.Millisecond, "timeout=10, max=3": 9400 * time.Millisecond, "": 300 * time.Millisecond, "timeout=x": 300 * time.Millisecond} {
-		if got := (Legs{}).IdleTimeout(answer(200, "Keep-Alive", value)); got != want {
+		if got := (Upstream{}).IdleTimeout(answer(200, "Keep-Alive", value)); got != want {
 			t.Errorf("%q: %v", value, got)
 		}
 	}
 }
 
-func TestAnswerHeadsGoBackAsTheyCame(t *testing.T) {
+func TestResponseHeadsArePassedOnUnchanged(t *testing.T) {
 	d := dialect(t)
 	resp := &http.Response{StatusCode: 200, Status: "200 OK", ContentLength: 5, Header: http.Header{
 		"X-Response-Seal": {"3e1b.07"}, "Connection": {"close, x-odd"}, "X-Odd": {"1"}, "Keep-Alive": {"timeout=3"}, "Set-Cookie": {"a", "b"},
@@ -273,7 +273,7 @@
 
 func TestServicesOutliveConfigurations(t *testing.T) {
 	next := hoststate.PoolID(1)
-	first, err := Compile(conf(), 1, nil, &next, nil)
+	first, err := Compile(conf(), CompileOptions{LogIndex: 1, NextPool: &next})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -281,7 +281,7 @@
 	c.Revision = 9
 	c.Routes[1].TargetLatencyMS = 700 // another class of s
 	c.Services = append(c.Services, fleetconfig.Service{Name: "u"})
-	second, err := Compile(c, 2, first.Services(), &next, nil)
+	second, err := Compile(c, CompileOptions{LogIndex: 2, Previous: first.Services(), NextPool: &next})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -296,9 +296,9 @@
 	}
 }
 
-// TestDrainFits: a known session may go on for the grace; the news takes its time to every router, and a request its time to an
+// TestDrainGraceFitsIntoTheDrain: a known session may go on for the grace; the news takes its time to every router, and a request its time to an
 // engine. All of it is within what the platform allows after the acknowledgement.
-func TestDrainFits(t *testing.T) {
+func TestDrainGraceFitsIntoTheDrain(t *testing.T) {
 	const drain = 3 * time.Second
 	connect := 500 * time.Millisecond
 	if sum := limits.DrainGrace(drain) + limits.GossipSpreadTime + connect; sum > drain {
@@ -306,23 +306,39 @@
 	}
 }
 
+// checkForwarded checks the headers that an engine is sent.
+func checkForwarded(t *testing.T, h http.Header) {
+	t.Helper()
+	for _, name := range []string{keyHeader, "Te", "Keep-Alive", "Upgrade", "Transfer-Encoding"} {
+		if v := h[name]; len(v) > 0 {
+			t.Errorf("%s: %q is passed on", name, v)
+		}
+	}
+	if v := h[tenantHeader]; len(v) > 0 && (len(v) > 1 || v[0] != "k") {
+		t.Errorf("the tenant is %q", v)
+	}
+	if v := h[expectHeader]; len(v) != 1 || v[0] != "i-1" {
+		t.Errorf("%s: %q", expectHeader, v)
+	}
+}
+
 func FuzzHeads(f *testing.F) {
-	// No head of a client or of an engine may cause a panic; what is shown to an engine, and to a client, is one head that
-	// reads as one, whatever came, and none of the headers that concern one connection, the key or a forged tenant goes on.
+	// No head of a client or of an engine may cause a panic; what an engine, and a client, is sent is one head that
+	// parses as one, whatever came, and none of the headers that concern one connection, the key or a forged tenant goes on.
 	f.Add("POST /x/y/2?q HTTP/1.1\r\nHost: a.example\r\nX-Credential: one\r\nX-Tenant: z\r\nConnection: X-Odd, close\r\nX-Odd: 1\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=5\r\nContent-Type: text/event-stream\r\n\r\n")
 	f.Add("GET http://b.example/ HTTP/1.1\r\nHost: a.example\r\nTransfer-Encoding: chunked\r\nTE: trailers\r\nX-Prompt-Prefix: 7\r\n\r\n",
 		"HTTP/1.1 421 \r\nX-Not-Executed: 1\r\nKeep-Alive: timeout=99999999999999999999\r\n\r\n")
 	f.Add("GET /open/ HTTP/1.1\r\nHost: a.example\r\nX-Deadline-Remaining-Ms: 1e400\r\n\r\n", "HTTP/1.1 503 a\r\nConnection: X-Not-Executed\r\n\r\n")
-	at := func() *Compiled {
+	at := func() *CompiledConfig {
 		next := hoststate.PoolID(1)
-		c, err := Compile(conf(), 4, nil, &next, nil)
+		c, err := Compile(conf(), CompileOptions{LogIndex: 4, NextPool: &next})
 		if err != nil {
 			f.Fatal(err)
 		}
 		return c
 	}()
-	d := &Dialect{Now: func() *Compiled { return at }, Conversation: func() uint64 { return 1 }, Began: func(string) {}, Clock: func() time.Duration { return 0 }}
+	d := &Frontend{Config: func() *CompiledConfig { return at }, SplitKey: func() uint64 { return 1 }, OnAnswer: func(string) {}, Clock: func() time.Duration { return 0 }}
 	f.Fuzz(func(t *testing.T, asked, answered string) {
 		req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(asked)))
 		if err != nil {
@@ -336,92 +352,29 @@
 		if no != nil {
 			return
 		}
-		head := Legs{}.EncodeRequest(&m.Upstream, &dispatch.StartAttempt{HostName: "i-1"}, time.Second, nil)
+		head := Upstream{}.EncodeRequest(&m.Upstream, &dispatch.StartAttempt{HostName: "i-1"}, time.Second, nil)
 		shown, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(head)))
 		if err != nil {
-			t.Fatalf("%q is shown, which does not read: %v", head, err)
-		}
-		for _, name := range []string{keyHeader, "Te", "Keep-Alive", "Upgrade", "Transfer-Encoding"} {
-			if v := shown.Header[name]; len(v) > 0 {
-				t.Errorf("%s: %q is passed on", name, v)
-			}
-		}
-		if v := shown.Header[tenantHeader]; len(v) > 0 && (len(v) > 1 || v[0] != "k") {
-			t.Errorf("the tenant is %q", v)
-		}
-		if v := shown.Header[expectHeader]; len(v) != 1 || v[0] != "i-1" {
-			t.Errorf("%s: %q", expectHeader, v)
+			t.Fatalf("%q is sent, which does not parse: %v", head, err)
 		}
+		checkForwarded(t, shown.Header)
 		resp, err := http.ReadResponse(bufio.NewReader(strings.NewReader(answered)), nil)
 		if err != nil {
 			return
 		}
-		Legs{}.Classify(resp)
-		Legs{}.IsEventStream(resp)
-		if idle := (Legs{}).IdleTimeout(resp); idle > 24*time.Hour {
-			t.Errorf("a line may wait for %v", idle)
+		Upstream{}.Classify(resp)
+		Upstream{}.IsEventStream(resp)
+		if idle := (Upstream{}).IdleTimeout(resp); idle > 24*time.Hour {
+			t.Errorf("a connection may be idle for %v", idle)
 		}
 		reply := d.BuildResponseHead(&m, resp)
 		if _, err := http.ReadResponse(bufio.NewReader(strings.NewReader(string(reply.Lines)+"Content-Length: 0\r\n\r\n")), nil); err != nil {
-			t.Errorf("%q is passed back, which does not read: %v", reply.Lines, err)
+			t.Errorf("%q is passed back, which does not parse: %v", reply.Lines, err)
 		}
 	})
 }
 
-func TestLowRanksWaitUnderOverload(t *testing.T) {
-	// More come than can be served: whoever ranks lower is told at once to come again, the tenant's rank before the route's, and
-	// not once it is over. Other services are not concerned.
-	c := conf()
-	c.Tenants = []fleetconfig.Tenant{{Name: "k", APIKeys: []string{"one"}}, {Name: "low", APIKeys: []string{"two"}, Priority: 1}}
-	c.Routes[1].Priority = 7
-	at := compile(t, c)
-	now := time.Duration(0)
-	d := &Dialect{Now: func() *Compiled { return at }, Conversation: func() uint64 { return 1 }, Clock: func() time.Duration { return now }}
-	come := func(path, key string) (frontend.Request, *frontend.Rejection) {
-		t.Helper()
-		req := ask(t, "POST "+path+" HTTP/1.1\nHost: a.example\nX-Credential: "+key)
-		w, no := d.Route(req)
-		if no != nil {
-			t.Fatal(no)
-		}
-		return d.BuildRequest(req, &w, nil)
-	}
-	for i := range 40 { // a second in which half is turned away
-		now = time.Duration(i) * 25 * time.Millisecond
-		for _, key := range []string{"one", "two"} {
-			m, no := come("/x/y/", key)
-			if no != nil {
-				t.Fatal("refused before anybody was turned away")
-			}
-			if key == "one" {
-				d.BuildResponseHead(&m, &http.Response{StatusCode: 200, Status: "200 OK"})
-			} else {
-				d.Reject(&m, dispatch.VerdictRejected, time.Second, false, nil)
-			}
-		}
-	}
-	now = 1100 * time.Millisecond
-	if _, no := come("/x/y/", "one"); no != nil {
-		t.Errorf("the tenant that goes first waits: %+v", no)
-	}
-	if _, no := come("/x/y/", "two"); no == nil || no.Status != 503 || no.RetryAfter <= 0 {
-		t.Errorf("the tenant that goes second does not wait: %+v", no)
-	}
-	if _, no := come("/", "two"); no != nil {
-		t.Errorf("another service: %+v", no)
-	}
-	for range 5 {
-		now += 1100 * time.Millisecond
-		come("/x/y/", "one")
-		come("/x/y/", "two")
-	}
-	if _, no := come("/x/y/", "two"); no != nil {
-		t.Errorf("long after: %+v", no)
-	}
-}
-
-// TestLargeConfigurationsArePausedIn: no more than a few routes or tenants are worked on at a time, or streams would stand still.
-func TestLargeConfigurationsArePausedIn(t *testing.T) {
+func TestLargeConfigurationsYield(t *testing.T) {
 	c := conf()
 	for i := range 1000 {
 		c.Routes = append(c.Routes, fleetconfig.Route{
@@ -445,7 +398,7 @@
 	}
 	pauses = 0
 	next := hoststate.PoolID(1)
-	if _, err := Compile(got, 1, nil, &next, func() { pauses++ }); err != nil || pauses < 2000/fleetconfig.YieldInterval-1 {
+	if _, err := Compile(got, CompileOptions{LogIndex: 1, NextPool: &next, Yield: func() { pauses++ }}); err != nil || pauses < 2000/fleetconfig.YieldInterval-1 {
 		t.Errorf("compiled in %d pauses, %v", pauses, err)
 	}
 }
--- a/internal/edge/explain.go
+++ b/internal/dialect/explain.go
@@ -1,4 +1,4 @@
-package edge
+package dialect
 
 import (
 	"net/http"
@@ -24,14 +24,14 @@
 }
 
 // Explain says what would become of a request, by its head. Nothing is sent or kept.
-func (d *Dialect) Explain(req *http.Request) *Explanation {
+func (d *Frontend) Explain(req *http.Request) *Explanation {
 	x := &Explanation{}
-	if at := d.Now(); at != nil {
+	if at := d.Config(); at != nil {
 		x.Revision = at.Revision
 	}
 	w, no := d.Route(req)
 	if no == nil {
-		r := w.DialectData.(*request)
+		r := w.DialectData.(*routedRequest)
 		x.Route, x.Host, x.Prefix, x.Type, x.Shares = r.route.Name, r.route.Hostname, r.route.PathPrefix, r.route.Type, r.route.Targets()
 		x.Service = w.Pool.Name
 		if r.tenant != nil {
@@ -40,7 +40,7 @@
 		m, refused := d.BuildRequest(req, &w, nil)
 		no = refused
 		x.Session, x.LeftMS = m.Policy.Session != 0, m.Policy.Timeout.Milliseconds()
-		x.Class = Class(r.route.Route).Name
+		x.Class = ClassOf(r.route.Route).Name
 	}
 	if no != nil {
 		x.Status, x.Refused = no.Status, no.Reason
--- a/internal/edge/stutter_test.go
+++ b/internal/dialect/responses_test.go
@@ -1,4 +1,4 @@
-package edge
+package dialect
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 	"notchhinge/policy"
 )
 
-// asker is a client's request as a leg sees it.
+// asker is a client's request as an attempt sees it.
 type asker struct {
 	id    string
 	body  strings.Builder
@@ -34,15 +34,15 @@
 func (a *asker) WriteBody(part []byte) error     { a.body.Write(part); return nil }
 func (a *asker) Finish(whole bool) error         { a.whole, a.broke = whole, !whole; return nil }
 
-// stutterer is an engine's side of all connections: what it says to a request is its script's. It writes from a goroutine of
+// scriptedEngine is an engine's side of all connections: what it says to a request is its script's. It writes from a goroutine of
 // its own, so that it may say something while nobody asks.
-type stutterer struct {
+type scriptedEngine struct {
 	wait sync.WaitGroup
 	// say is what it writes once it has read a request, in segments; first tells that it is a connection's first.
 	say func(id string, first bool) []string
 }
 
-func (s *stutterer) dial(context.Context, string, string) (net.Conn, error) {
+func (s *scriptedEngine) dial(context.Context, string, string) (net.Conn, error) {
 	near, far := net.Pipe()
 	asked := make(chan string, 64)
 	s.wait.Go(func() {
@@ -91,11 +91,11 @@
 // play sends requests one after another to an engine, and returns what came of each.
 func play(t *testing.T, n int, say func(id string, first bool) []string) (all []*asker, results []policy.Result) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &stutterer{say: say}
+		s := &scriptedEngine{say: say}
 		lim := limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 184, Sockets: 1024})
 		var c *upstream.Transport
 		ended := make(chan policy.Result, 1)
-		c = upstream.New(upstream.Config{Limits: lim, Dialect: Legs{}, Dial: s.dial, Post: func(e dispatch.Event) {
+		c = upstream.New(upstream.Config{Limits: lim, Dialect: Upstream{}, Dial: s.dial, Post: func(e dispatch.Event) {
 			switch e := e.(type) {
 			case dispatch.AttemptStarted:
 				c.BindAttempt(e.Attempt)
@@ -105,14 +105,14 @@
 		}})
 		for k := range n {
 			a := &asker{id: fmt.Sprintf("%04x", k)}
-			leg := dispatch.AttemptID{Request: policy.RequestID(k + 1)}
-			c.StartAttempt(dispatch.StartAttempt{Attempt: leg, Client: a, Addr: "d", HostName: "i-1", Timeout: 12e9})
+			attempt := dispatch.AttemptID{Request: policy.RequestID(k + 1)}
+			c.StartAttempt(dispatch.StartAttempt{Attempt: attempt, Client: a, Addr: "d", HostName: "i-1", Timeout: 12e9})
 			synctest.Wait()
 			var r policy.Result
 			select {
 			case r = <-ended:
 			default: // it waits for what does not come: the broker gives it up at its deadline
-				c.CancelAttempt(leg)
+				c.CancelAttempt(attempt)
 				<-ended
 				r = policy.ResultTimedOut
 			}
@@ -125,9 +125,9 @@
 	return all, results
 }
 
-// TestSurplusAnswersReachNobody: an engine gives one request two answers. Whenever the second comes, and however it is cut,
+// TestSurplusResponsesReachNoClient: an engine gives one request two answers. Whenever the second comes, and however it is cut,
 // nobody but who asked gets a byte of it; and the answer that comes after it on the same connection is not lost.
-func TestSurplusAnswersReachNobody(t *testing.T) {
+func TestSurplusResponsesReachNoClient(t *testing.T) {
 	for name, late := range map[string]func(own, surplus string) (now, next []string){
 		"with the first, in one segment": func(own, more string) (now, next []string) { return []string{own + more}, nil },
 		"with the first, in two":         func(own, more string) (now, next []string) { return []string{own, more}, nil },
@@ -166,9 +166,9 @@
 	}
 }
 
-// TestHalfAHeadReachesNobody: an engine breaks off a surplus answer anywhere and goes on with the next request's. The two read as
+// TestTruncatedHeadReachesNoClient: an engine breaks off a surplus answer anywhere and goes on with the next request's. The two read as
 // one, of which no client gets a byte of the other's, nor its own under the other's status.
-func TestHalfAHeadReachesNobody(t *testing.T) {
+func TestTruncatedHeadReachesNoClient(t *testing.T) {
 	for k := range 4 {
 		chunked, status := k&1 > 0, []string{"200 OK", "500 Bad"}[k>>1]
 		surplus := whole("0000", chunked)
@@ -192,8 +192,8 @@
 	}
 }
 
-// TestAnswersOfNobody: an answer that does not say whose it is, or says so twice, or comes alone for another, serves nobody.
-func TestAnswersOfNobody(t *testing.T) {
+// TestResponsesWithoutTheirIDReachNoClient: an answer that does not say whose it is, or says so twice, or comes alone for another, serves nobody.
+func TestResponsesWithoutTheirIDReachNoClient(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
 		want   policy.Result
@@ -211,10 +211,35 @@
 	}
 }
 
-// FuzzStutter plays engines that stutter, break off and talk nonsense by a script, against a plain model: a client gets a
+// respond returns what an engine sends for a request by a step of a script: whether the connection is good afterwards, and whether
+// the request must be served if it was good before.
+func respond(id string, k int, op byte) (said string, isGood, isServed bool) {
+	chunked := op&1 > 0
+	for range op >> 1 & 3 { // responses that belong to other requests
+		said += whole(fmt.Sprintf("%04x", (k+0x8000)%0x10000), op&2 > 0)
+	}
+	own := whole(id, chunked)
+	switch op >> 3 & 7 {
+	case 1:
+		own = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + own
+	case 2:
+		own += whole(id, chunked)
+	case 3: // it breaks off
+		return said + own[:len(own)-3], false, false
+	case 4:
+		return said + "\x00\xffnonsense\r\n\r\n" + own, false, false
+	case 5:
+		return said + strings.Replace(own, "X-Request-Id", "X-Other", 1), false, false
+	case 6:
+		return said + own + "surplus", false, true
+	}
+	return said + own, true, true
+}
+
+// FuzzEngineResponses plays engines that repeat responses, break off and send nonsense by a script, against a plain model: a client gets a
 // beginning of its own answer and nothing else, called whole only where it is; and as long as a connection has carried
 // nothing but whole answers that say whose they are, each is served.
-func FuzzStutter(f *testing.F) {
+func FuzzEngineResponses(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7})
 	f.Add([]byte{0x13, 0x20, 0x31, 0x02, 0x44, 0x15})
 	f.Add([]byte{0x81, 0x92, 0xa3, 0xb4, 0xc5, 0xd6, 0xe7, 0xf8})
@@ -231,32 +256,9 @@
 				t.Errorf("%q: %v", id, err)
 			}
 			op := script[k]
-			chunked := op&1 > 0
-			said := ""
-			for range op >> 1 & 3 { // what is still owed to others
-				said += whole(fmt.Sprintf("%04x", (k+0x8000)%0x10000), op&2 > 0)
-			}
-			own := whole(id, chunked)
-			served[k] = good
-			switch op >> 3 & 7 {
-			case 1:
-				own = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + own
-			case 2:
-				own += whole(id, chunked)
-			case 3: // it breaks off
-				own = own[:len(own)-3]
-				good, served[k] = false, false
-			case 4:
-				own = "\x00\xffnonsense\r\n\r\n" + own
-				good, served[k] = false, false
-			case 5:
-				own = strings.Replace(own, "X-Request-Id", "X-Other", 1)
-				good, served[k] = false, false
-			case 6:
-				own += "surplus"
-				good = false
-			}
-			said += own
+			said, isGood, isServed := respond(id, k, op)
+			served[k] = good && isServed
+			good = good && isGood
 			for cut := 1 + int(op>>6)*37; cut < len(said) && op>>6 > 0; {
 				out = append(out, said[:cut])
 				said = said[cut:]
--- a/internal/edge/smuggle_test.go
+++ b/internal/dialect/smuggling_test.go
@@ -1,4 +1,4 @@
-package edge
+package dialect
 
 import (
 	"fmt"
@@ -65,11 +65,11 @@
 	return got, answered
 }
 
-// TestNothingIsSmuggled: a message that could be read as ending in two places hides no other in what one of the readings takes
+// TestRequestsAreNotSmuggled: a message that could be read as ending in two places hides no other in what one of the readings takes
 // for its body. Every pair of the ways to say where a body ends, and of ways to spoil them, around a body that is itself a
 // request: it is never taken for one, whatever becomes of the message; and one that says it in one way alone has its body
 // handed on whole.
-func TestNothingIsSmuggled(t *testing.T) {
+func TestRequestsAreNotSmuggled(t *testing.T) {
 	const hidden = "GET /hidden HTTP/1.1\r\nHost: a.example\r\nX-Credential: one\r\n\r\n"
 	chunked := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(hidden), hidden)
 	length := func(n int) string { return fmt.Sprintf("Content-Length: %d\r\n", n) }
--- a/internal/edge/tenants_bench_test.go
+++ b/internal/dialect/tenants_bench_test.go
@@ -1,4 +1,4 @@
-package edge
+package dialect
 
 import (
 	"fmt"
@@ -44,7 +44,7 @@
 					c, err := fleetconfig.Decode(text, pause)
 					next := hoststate.PoolID(1)
 					if err == nil {
-						held, err = Compile(c, 1, nil, &next, pause)
+						held, err = Compile(c, CompileOptions{LogIndex: 1, NextPool: &next, Yield: pause})
 					}
 					if err != nil {
 						b.Fatal(err)
--- a/internal/lab/check/legs.go
+++ b/internal/lab/check/legs.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/dialect"
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/edge"
 	"notchhinge/internal/frontend"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
@@ -129,7 +129,7 @@
 		})
 	}
 	next := hoststate.PoolID(1)
-	at, err := edge.Compile(c, 1, nil, &next, nil)
+	at, err := dialect.Compile(c, dialect.CompileOptions{LogIndex: 1, NextPool: &next})
 	if err != nil {
 		r.wrong = err.Error()
 		return r
@@ -141,7 +141,7 @@
 			classes[i].Effect = policy.EffectSafe
 		}
 	}
-	m, err := policy.New(edge.Settings(classes, time.Second, lim.MaxAttempts), 1)
+	m, err := policy.New(dialect.PolicySettings(classes, time.Second, lim.MaxAttempts), 1)
 	if err != nil {
 		r.wrong = err.Error()
 		return r
@@ -152,11 +152,11 @@
 	})
 	r.front = frontend.New(frontend.Options{
 		Limits: lim, Post: r.post, Now: clock, IsReady: func() bool { return true }, Directory: func() *service.Directory { return nil },
-		Dialect: frontDialect{&edge.Dialect{
-			Now: func() *edge.Compiled { return at }, Conversation: func() uint64 { return 1 }, Clock: clock,
+		Dialect: frontDialect{&dialect.Frontend{
+			Config: func() *dialect.CompiledConfig { return at }, SplitKey: func() uint64 { return 1 }, Clock: clock,
 		}, r.promises},
 	})
-	set := dispatch.ConfigurePool{Pool: s.ID, Name: "s", Module: m, SlowStart: edge.WarmUp, SlowStartInitial: edge.ColdFrom, MaxAttempts: lim.MaxAttempts}
+	set := dispatch.ConfigurePool{Pool: s.ID, Name: "s", Module: m, SlowStart: dialect.SlowStart, SlowStartInitial: dialect.SlowStartInitial, MaxAttempts: lim.MaxAttempts}
 	if !r.lavish {
 		set.RetryBudget = &retrybudget.Budget{Allowance: float64(r.repeats), Window: 10 * time.Second}
 	}
@@ -181,7 +181,7 @@
 
 // legDialect is the legs' own, but for a rule that may be broken.
 type legDialect struct {
-	edge.Legs
+	dialect.Upstream
 	blind bool
 }
 
@@ -189,19 +189,19 @@
 	if d.blind {
 		return upstream.MatchThisRequest
 	}
-	return d.Legs.MatchResponse(o, resp)
+	return d.Upstream.MatchResponse(o, resp)
 }
 
 // frontDialect is the front's own, but for a rule that may be broken.
 type frontDialect struct {
-	*edge.Dialect
+	*dialect.Frontend
 	promises bool
 }
 
 func (d frontDialect) Reject(m *frontend.Request, why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *frontend.ErrorResponse) (
 	*frontend.Rejection, *frontend.ErrorResponse,
 ) {
-	return d.Dialect.Reject(m, why, retryAfter, mayHaveRun && !d.promises, kept)
+	return d.Frontend.Reject(m, why, retryAfter, mayHaveRun && !d.promises, kept)
 }
 
 // customer is all that an authorisation is to a leg.
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -12,8 +12,8 @@
 	"slices"
 	"time"
 
+	"notchhinge/internal/dialect"
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/edge"
 	"notchhinge/internal/lab/model"
 	"notchhinge/internal/limits"
 	"notchhinge/policy"
@@ -247,11 +247,11 @@
 		lim := limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 284, Sockets: 1 << 16})
 		r.b = dispatch.New(lim)
 		class := policy.Class{Name: "chat", TargetLatency: aim, Deadline: 12 * time.Second, Value: 1, LateValue: 1, Effect: policy.EffectUnsafe, IsStreaming: true, MaxAttempts: attempts}
-		m, err := policy.New(edge.Settings([]policy.Class{class}, limits.DrainGrace(3*time.Second), attempts), mix(w.Seed, uint64(i)+100))
+		m, err := policy.New(dialect.PolicySettings([]policy.Class{class}, limits.DrainGrace(3*time.Second), attempts), mix(w.Seed, uint64(i)+100))
 		if err != nil {
 			return fmt.Errorf("sim: %w", err)
 		}
-		w.reduce(i, dispatch.ConfigurePool{Pool: 1, Name: "s", Module: m, SlowStart: edge.WarmUp, SlowStartInitial: edge.ColdFrom, MaxAttempts: attempts, RetryAfter: time.Second})
+		w.reduce(i, dispatch.ConfigurePool{Pool: 1, Name: "s", Module: m, SlowStart: dialect.SlowStart, SlowStartInitial: dialect.SlowStartInitial, MaxAttempts: attempts, RetryAfter: time.Second})
 		w.list(i)
 	}
 	beginnings := 2 * w.Engines
--- a/internal/node/dataplane.go
+++ b/internal/node/dataplane.go
@@ -10,8 +10,8 @@
 
 	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/metrics"
+	"notchhinge/internal/dialect"
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/edge"
 	"notchhinge/internal/frontend"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
@@ -41,12 +41,12 @@
 	loop       *dispatch.Loop
 	upstream   *upstream.Transport
 	frontend   *frontend.Server
-	dialect    *edge.Dialect
+	dialect    *dialect.Frontend
 	onIdleDrop func() // an engine has dropped an idle connection without a word; it must not wait
 
 	endpointsChanged chan struct{} // run must pass the endpoints on
 	idleLimitedUntil atomic.Int64  // until then, in ns of the loop's clock, connections that idled are not for every request
-	routes           atomic.Pointer[edge.Compiled]
+	routes           atomic.Pointer[dialect.CompiledConfig]
 	bounds           atomic.Pointer[limits.RequestBounds] // of the configuration in force
 	endpointZones    atomic.Pointer[map[string]string]    // zones of endpoints, by address
 
@@ -65,10 +65,10 @@
 	d.bounds.Store(&defaults)
 	d.loop = dispatch.NewLoop(dispatch.New(o.limits), dispatch.UnixClock(), d.perform)
 	d.upstream = upstream.New(upstream.Config{
-		Limits: o.limits, Post: d.loop.Post, Now: d.loop.Now, Dial: d.dial, Dialect: edge.Legs{}, NonIdempotentMaxIdle: d.maxIdle, OnIdleConnectionsLost: func() { d.onIdleDrop() },
+		Limits: o.limits, Post: d.loop.Post, Now: d.loop.Now, Dial: d.dial, Dialect: dialect.Upstream{}, NonIdempotentMaxIdle: d.maxIdle, OnIdleConnectionsLost: func() { d.onIdleDrop() },
 	})
 	d.onIdleDrop = d.limitIdleReuse
-	d.dialect = &edge.Dialect{Now: d.routes.Load, Salt: o.seed, Conversation: rand.Uint64, Clock: d.loop.Now}
+	d.dialect = &dialect.Frontend{Config: d.routes.Load, Salt: o.seed, SplitKey: rand.Uint64, Clock: d.loop.Now}
 	d.frontend = frontend.New(frontend.Options{
 		Limits: o.limits, Dialect: d.dialect, Directory: func() *service.Directory { return nil }, Post: d.loop.Post, Now: d.loop.Now,
 		IsReady: func() bool { return true }, Bounds: func() limits.RequestBounds { return *d.bounds.Load() },
--- a/internal/node/dataplaneconfig.go
+++ b/internal/node/dataplaneconfig.go
@@ -5,8 +5,8 @@
 
 	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/dialect"
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/edge"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/quota"
 	"notchhinge/internal/upstream"
@@ -18,14 +18,16 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	old := d.routes.Load()
-	if old != nil && old.Place >= index {
+	if old != nil && old.LogIndex >= index {
 		return nil
 	}
-	var before map[string]*edge.Service
+	var before map[string]*dialect.Service
 	if old != nil {
 		before = old.Services()
 	}
-	next, err := edge.Compile(c, index, before, &d.nextPool, func() { time.Sleep(limits.ConfigYieldPause) })
+	next, err := dialect.Compile(c, dialect.CompileOptions{
+		LogIndex: index, Previous: before, NextPool: &d.nextPool, Yield: func() { time.Sleep(limits.ConfigYieldPause) },
+	})
 	if err != nil {
 		return err
 	}
@@ -57,7 +59,7 @@
 }
 
 // setPool makes a service's policy module, or gives it the classes that it lacks. The lock is held.
-func (d *dataPlane) setPool(s *edge.Service) error {
+func (d *dataPlane) setPool(s *dialect.Service) error {
 	_, exists := d.modules[s.ID]
 	if exists && d.classCounts[s.ID] == len(s.Classes) {
 		return nil
@@ -71,7 +73,7 @@
 		d.classCounts[s.ID] = len(s.Classes)
 		return nil
 	}
-	m, err := policy.New(edge.Settings(classes, d.drainGrace, d.limits.MaxAttempts), d.seed^uint64(s.ID))
+	m, err := policy.New(dialect.PolicySettings(classes, d.drainGrace, d.limits.MaxAttempts), d.seed^uint64(s.ID))
 	if err != nil {
 		return err
 	}
@@ -79,7 +81,7 @@
 	d.upstream.ConfigurePool(s.ID, upstream.LoadReporting{}, quota.Claim{})
 	d.frontend.ConfigurePool(s.ID, quota.Claim{}, quota.Claim{})
 	e := dispatch.ConfigurePool{
-		Pool: s.ID, Name: s.Name, Module: m, SlowStart: edge.WarmUp, SlowStartInitial: edge.ColdFrom, MaxAttempts: d.limits.MaxAttempts, RetryAfter: d.limits.OverloadRetryAfter,
+		Pool: s.ID, Name: s.Name, Module: m, SlowStart: dialect.SlowStart, SlowStartInitial: dialect.SlowStartInitial, MaxAttempts: d.limits.MaxAttempts, RetryAfter: d.limits.OverloadRetryAfter,
 	}
 	if d.retryBudget.Window > 0 {
 		budget := d.retryBudget
@@ -90,7 +92,7 @@
 }
 
 // publishEndpoints passes the endpoints of each service on to its module. The lock is held.
-func (d *dataPlane) publishEndpoints(routes *edge.Compiled) {
+func (d *dataPlane) publishEndpoints(routes *dialect.CompiledConfig) {
 	wallMS, now := time.Now().UnixMilli(), d.loop.Now()
 	zones := map[string]string{}
 	for name, s := range routes.Services() {
@@ -112,7 +114,7 @@
 		h.State = policy.StateDraining
 	}
 	if left := time.Duration(e.WarmAtMS-wallMS) * time.Millisecond; left > 0 {
-		h.BornAt = now + min(left, edge.WarmUp) - edge.WarmUp
+		h.BornAt = now + min(left, dialect.SlowStart) - dialect.SlowStart
 	}
 	return h
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -9,7 +9,7 @@
 	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/control/metrics"
-	"notchhinge/internal/edge"
+	"notchhinge/internal/dialect"
 )
 
 // status is what /fleet/status tells of this process. The keys are those that the command and operators' scripts read.
@@ -126,7 +126,7 @@
 // Explain implements api.Handler: what would become of a request with this head.
 func (n *Node) Explain(r *http.Request) any {
 	type explanation struct {
-		*edge.Explanation
+		*dialect.Explanation
 		Ready    []string `json:"ready,omitempty"`
 		Draining []string `json:"draining,omitempty"`
 	}
