--- a/cmd/notchhinge/configs.go
+++ b/cmd/notchhinge/configs.go
@@ -239,9 +239,14 @@
 	if err != nil {
 		return err
 	}
+	return a.submit(t.Control, f, on, text)
+}
+
+// submit sends an encoded configuration to be stored upon revision on, until there is a clear answer.
+func (a applying) submit(to string, f *configfile.File, on uint64, text []byte) error {
 	client := http.Client{Timeout: 5 * time.Second}
 	for end := time.Now().Add(a.Wait); ; {
-		status, says, err := send(&client, t.Control, on, text)
+		status, says, err := send(&client, to, on, text)
 		switch {
 		case err == nil && status == http.StatusOK:
 			fmt.Printf("revision %d is acknowledged, upon %d\n", f.Revision, on)
--- a/cmd/notchhinge/state_test.go
+++ b/cmd/notchhinge/state_test.go
@@ -207,17 +207,10 @@
 
 func (f *fakeFleet) Status() any { return map[string]string{"node": "edge-1", "ready": "yes"} }
 
-// TestConfigWalk is a user's: a file is checked and planned, applied, changed, applied, and rolled back.
-func TestConfigWalk(t *testing.T) {
-	f := &fakeFleet{}
-	web := httptest.NewServer(api.NewHandler(f))
-	defer web.Close()
-	at := strings.TrimPrefix(web.URL, "http://")
-	dir := t.TempDir()
-	file, saved := filepath.Join(dir, "a.toml"), filepath.Join(dir, "before.cbor")
-	write := func(timeout, prefix string) {
-		t.Helper()
-		if err := os.WriteFile(file, []byte(`[[services]]
+// writeConfig writes a file of one service, one route and one tenant.
+func writeConfig(t *testing.T, file, timeout, prefix string) {
+	t.Helper()
+	if err := os.WriteFile(file, []byte(`[[services]]
 name = "s"
 [[routes]]
 name = "r"
@@ -230,8 +223,21 @@
 name = "lab"
 api_keys = ["secret", "file:key"]
 `), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		t.Fatal(err)
+	}
+}
+
+// TestConfigWalk is a user's: a file is checked and planned, applied, changed, applied, and rolled back.
+func TestConfigWalk(t *testing.T) {
+	f := &fakeFleet{}
+	web := httptest.NewServer(api.NewHandler(f))
+	defer web.Close()
+	at := strings.TrimPrefix(web.URL, "http://")
+	dir := t.TempDir()
+	file, saved := filepath.Join(dir, "a.toml"), filepath.Join(dir, "before.cbor")
+	write := func(timeout, prefix string) {
+		t.Helper()
+		writeConfig(t, file, timeout, prefix)
 	}
 	step := func(code int, want string, args ...string) {
 		t.Helper()
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -56,6 +56,17 @@
 	}
 }
 
+// noteTokens counts the tokens of each request, which come in order and not past its end.
+func noteTokens(t *rapid.T, out []Output, got map[uint64]int, done map[uint64]bool) {
+	for _, o := range out {
+		if o.First != got[o.ID] || o.Count < 1 || done[o.ID] || o.Kept >= 2000 {
+			t.Fatalf("%+v after %d tokens, done %v", o, got[o.ID], done[o.ID])
+		}
+		got[o.ID] += o.Count
+		done[o.ID] = o.Done
+	}
+}
+
 // TestEveryTokenOnce: whatever is asked and called off, each request that was let in and not called off gets each of its
 // tokens once and in order, its end once, and the bounds hold.
 func TestEveryTokenOnce(t *testing.T) {
@@ -65,15 +76,7 @@
 		e := New(p, 0)
 		var now time.Duration
 		want, got, done := map[uint64]int{}, map[uint64]int{}, map[uint64]bool{}
-		note := func(out []Output) {
-			for _, o := range out {
-				if o.First != got[o.ID] || o.Count < 1 || done[o.ID] || o.Kept >= 2000 {
-					t.Fatalf("%+v after %d tokens, done %v", o, got[o.ID], done[o.ID])
-				}
-				got[o.ID] += o.Count
-				done[o.ID] = o.Done
-			}
-		}
+		note := func(out []Output) { noteTokens(t, out, got, done) }
 		for id := uint64(1); id <= uint64(rapid.IntRange(1, 30).Draw(t, "requests")); id++ {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "wait")) * time.Millisecond
 			note(e.Advance(now, nil))
