--- a/internal/control/storage/files_test.go
+++ b/internal/control/storage/files_test.go
@@ -45,3 +45,25 @@
 	}
 	closeStore(t, s)
 }
+
+func TestNamesAreDurableOnceCreated(t *testing.T) {
+	for name, c := range map[string]struct {
+		fd   leveldbstorage.FileDesc
+		want int
+	}{
+		"journal":  {leveldbstorage.FileDesc{Type: leveldbstorage.TypeJournal, Num: 1}, 1},
+		"table":    {leveldbstorage.FileDesc{Type: leveldbstorage.TypeTable, Num: 2}, 1},
+		"manifest": {leveldbstorage.FileDesc{Type: leveldbstorage.TypeManifest, Num: 3}, 0}, // the database syncs the folder itself
+	} {
+		t.Run(name, func(t *testing.T) {
+			syncs := 0
+			w, err := SyncNames(leveldbstorage.NewMemStorage(), func() error { syncs++; return nil }).Create(c.fd)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := w.Close(); err != nil || syncs != c.want {
+				t.Errorf("%d syncs of the folder, want %d; %v", syncs, c.want, err)
+			}
+		})
+	}
+}
--- a/internal/control/usage/counters.go
+++ b/internal/control/usage/counters.go
@@ -57,7 +57,11 @@
 
 // Encode appends the newest 16 windows.
 func (c *Counters) Encode(w *encoding.Writer) {
-	numbers := slices.Sorted(maps.Keys(c.Windows))
+	numbers := make([]uint64, 0, len(c.Windows))
+	for number := range c.Windows {
+		numbers = append(numbers, number)
+	}
+	slices.Sort(numbers)
 	numbers = numbers[max(len(numbers)-maxEncodedWindows, 0):]
 	w.Uvarint(uint64(len(numbers)))
 	for _, number := range numbers {
