--- a/cmd/notchhinge/configs.go
+++ b/cmd/notchhinge/configs.go
@@ -12,10 +12,11 @@
 	"text/tabwriter"
 	"time"
 
+	"notchhinge/internal/config/tomlfile"
+
 	"github.com/pelletier/go-toml/v2"
 
 	"notchhinge/deploy"
-	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/configfile"
 	"notchhinge/internal/control/fleetconfig"
 )
@@ -38,7 +39,7 @@
 
 func readFile(path string) (*configfile.File, error) {
 	f, err := configfile.Load(path, os.Getenv)
-	if faults := (operatorconfig.Errors{}); errors.As(err, &faults) {
+	if faults := (tomlfile.Errors{}); errors.As(err, &faults) {
 		return nil, badConfig{err}
 	}
 	return f, err
--- a/internal/config/platformconfig/operator.go
+++ b/internal/config/platformconfig/operator.go
@@ -9,7 +9,7 @@
 )
 
 // LoadOperatorFile reads the operator's file, and returns the configuration of the batch service too where the file has one.
-// The error is operatorconfig.Errors if the file is wrong by itself.
+// The error is tomlfile.Errors if the file is wrong by itself.
 func (c *Config) LoadOperatorFile(path string, getenv func(string) string) (*operatorconfig.File, *batch.Config, error) {
 	var classes []string
 	for i := range c.Settings.Classes {
--- a/internal/configfile/doc.go
+++ b/internal/configfile/doc.go
@@ -6,5 +6,5 @@
 // here), then the references to API keys, then [fleetconfig.Config.Validate]. A file may leave its revision out: it is
 // checked as if it had one, and whoever submits it fills it in.
 //
-// Errors are operatorconfig.Errors, what is wrong with a file, or those of reading it.
+// Errors are tomlfile.Errors, what is wrong with a file, or those of reading it.
 package configfile
--- a/internal/configfile/file.go
+++ b/internal/configfile/file.go
@@ -6,10 +6,11 @@
 	"path/filepath"
 	"strings"
 
+	"notchhinge/internal/config/tomlfile"
+
 	"github.com/pelletier/go-toml/v2"
 
 	"notchhinge/deploy"
-	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/control/fleetconfig"
 )
 
@@ -57,7 +58,7 @@
 }
 
 func parseTOML(text []byte, path string, getenv func(string) string) (*File, error) {
-	source, errs, err := operatorconfig.Check(text, path, deploy.ConfigurationSchema)
+	source, errs, err := tomlfile.Check(text, path, deploy.ConfigurationSchema)
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +67,7 @@
 	}
 	f := &File{Config: &fleetconfig.Config{}, Path: path}
 	if err := toml.Unmarshal(text, f.Config); err != nil {
-		return nil, operatorconfig.Errors{{File: path, Message: err.Error()}}
+		return nil, tomlfile.Errors{{File: path, Message: err.Error()}}
 	}
 	f.HasRevision = f.Revision > 0
 	errs = f.resolveKeys(source, getenv)
@@ -81,17 +82,17 @@
 
 // fileErrors makes what is wrong with a configuration errors of its file, in the order of lines. Source is nil where the
 // file has no lines.
-func fileErrors(source *operatorconfig.Source, path string, err error) operatorconfig.Errors {
+func fileErrors(source *tomlfile.Source, path string, err error) tomlfile.Errors {
 	var fields fleetconfig.FieldErrors
 	switch {
 	case err == nil:
 		return nil
 	case !errors.As(err, &fields):
-		return operatorconfig.Errors{{File: path, Message: err.Error()}}
+		return tomlfile.Errors{{File: path, Message: err.Error()}}
 	}
-	var errs operatorconfig.Errors
+	var errs tomlfile.Errors
 	for _, e := range fields {
-		f := operatorconfig.Error{File: path, Key: strings.TrimSuffix(e.String(), ": "+e.Message), Message: e.Message}
+		f := tomlfile.Error{File: path, Key: strings.TrimSuffix(e.String(), ": "+e.Message), Message: e.Message}
 		if source != nil {
 			f = source.Errorf(e.Path, "%s", e.Message)
 			if e.Owner != "" {
--- a/internal/configfile/keys.go
+++ b/internal/configfile/keys.go
@@ -9,7 +9,8 @@
 	"strconv"
 	"strings"
 
-	"notchhinge/internal/config/operatorconfig"
+	"notchhinge/internal/config/tomlfile"
+
 	"notchhinge/internal/control/fleetconfig"
 )
 
@@ -18,7 +19,7 @@
 
 // resolveKeys replaces references to API keys by the keys. References that cannot be resolved here stay as they are and are
 // listed in UnresolvedKeys: a file can be checked on a machine that does not have its keys.
-func (f *File) resolveKeys(source *operatorconfig.Source, getenv func(string) string) (errs operatorconfig.Errors) {
+func (f *File) resolveKeys(source *tomlfile.Source, getenv func(string) string) (errs tomlfile.Errors) {
 	for i := range f.Tenants {
 		keys := f.Tenants[i].APIKeys
 		for k, key := range keys {
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -13,9 +13,10 @@
 	"slices"
 	"time"
 
+	"notchhinge/internal/config/tomlfile"
+
 	"github.com/pelletier/go-toml/v2"
 
-	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/lab/fleet"
 	"notchhinge/internal/lab/load"
 	"notchhinge/internal/lab/report"
@@ -38,12 +39,12 @@
 		Sockets  int     `toml:"sockets"`
 	} `toml:"fleet"`
 	Traffic struct {
-		Rate    float64                 `toml:"rate"` // calls a second
-		Length  operatorconfig.Duration `toml:"length"`
-		Carry   float64                 `toml:"carry"` // share of sessions that send a trace context
-		Mark    float64                 `toml:"mark"`  // share of sessions that mark retries
-		Retries int                     `toml:"retries"`
-		Clients int                     `toml:"clients"` // of kind cost: connections that ask one after another
+		Rate    float64           `toml:"rate"` // calls a second
+		Length  tomlfile.Duration `toml:"length"`
+		Carry   float64           `toml:"carry"` // share of sessions that send a trace context
+		Mark    float64           `toml:"mark"`  // share of sessions that mark retries
+		Retries int               `toml:"retries"`
+		Clients int               `toml:"clients"` // of kind cost: connections that ask one after another
 	} `toml:"traffic"`
 	Trace struct {
 		Share float64 `toml:"share"`
@@ -54,19 +55,19 @@
 	Rounds  int       `toml:"rounds"` // of kind cost and services: pairs; of kind reloads: reloads
 	Trouble []Trouble `toml:"trouble"`
 	Short   struct {
-		Length operatorconfig.Duration `toml:"length"`
-		Rounds int                     `toml:"rounds"`
+		Length tomlfile.Duration `toml:"length"`
+		Rounds int               `toml:"rounds"`
 	} `toml:"short"` // what --short makes of it; troubles are moved in proportion
 	Bars map[string]float64 `toml:"bars"`
 }
 
 // Trouble is a table of the file.
 type Trouble struct {
-	At    operatorconfig.Duration `toml:"at"`
-	Lasts operatorconfig.Duration `toml:"lasts"`
-	Boxes []int                   `toml:"boxes"`
-	What  string                  `toml:"what"`
-	Share float64                 `toml:"share"`
+	At    tomlfile.Duration `toml:"at"`
+	Lasts tomlfile.Duration `toml:"lasts"`
+	Boxes []int             `toml:"boxes"`
+	What  string            `toml:"what"`
+	Share float64           `toml:"share"`
 }
 
 // Load reads and checks a file.
--- a/internal/reconcile/doc.go
+++ b/internal/reconcile/doc.go
@@ -6,6 +6,6 @@
 // A pool keeps its [hoststate.PoolID], and with it its conversations and statistics, from one plan to the next if its name,
 // or the name that it had before, and the settings of its module are the same.
 //
-// Errors are operatorconfig.Errors with the lines of the operator's file, all at once. Durations and bounds are those of the
+// Errors are tomlfile.Errors with the lines of the operator's file, all at once. Durations and bounds are those of the
 // settings; quotas are numbers of requests, of connections and of bytes.
 package reconcile
--- a/internal/reconcile/plan.go
+++ b/internal/reconcile/plan.go
@@ -5,6 +5,8 @@
 	"slices"
 	"strconv"
 
+	"notchhinge/internal/config/tomlfile"
+
 	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/hoststate"
@@ -19,7 +21,7 @@
 }
 
 // NewPlan returns the plan for a configuration and the operator's file, which may be nil. Running is the plan that is being
-// applied, nil at the start. The error is operatorconfig.Errors with everything that is wrong.
+// applied, nil at the start. The error is tomlfile.Errors with everything that is wrong.
 func NewPlan(cfg *platformconfig.Config, f *operatorconfig.File, running *Plan) (*Plan, error) {
 	p := &Plan{}
 	if running != nil {
@@ -73,7 +75,7 @@
 }
 
 // addPools adds the pools of the operator's file.
-func (p *Plan) addPools(cfg *platformconfig.Config, f *operatorconfig.File, running *Plan) (errs operatorconfig.Errors) {
+func (p *Plan) addPools(cfg *platformconfig.Config, f *operatorconfig.File, running *Plan) (errs tomlfile.Errors) {
 	guarantees := guaranteedShares(f.Pools)
 	for i := range f.Pools {
 		q, poolErrs := newPool(cfg, f, i)
@@ -138,7 +140,7 @@
 }
 
 // checkContracts reports classes of batch contracts that no route takes, or that a pool of their route does not have.
-func (p *Plan) checkContracts(f *operatorconfig.File) (errs operatorconfig.Errors) {
+func (p *Plan) checkContracts(f *operatorconfig.File) (errs tomlfile.Errors) {
 	for i, contract := range f.Contracts {
 		key := []string{"contract", strconv.Itoa(i), "classes"}
 		for _, class := range contract.Classes {
--- a/internal/reconcile/pool.go
+++ b/internal/reconcile/pool.go
@@ -6,6 +6,8 @@
 	"strconv"
 	"time"
 
+	"notchhinge/internal/config/tomlfile"
+
 	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/hoststate"
@@ -37,7 +39,7 @@
 }
 
 // newPool returns the pool at an index of the operator's file, without its id and quotas.
-func newPool(cfg *platformconfig.Config, f *operatorconfig.File, index int) (Pool, operatorconfig.Errors) {
+func newPool(cfg *platformconfig.Config, f *operatorconfig.File, index int) (Pool, tomlfile.Errors) {
 	s := &f.Pools[index]
 	key := []string{"pool", strconv.Itoa(index)}
 	q := Pool{Name: s.Name, DiscoveryAddr: cfg.DiscoveryAddr, Module: cfg.Module, Seed: cfg.Seed}
@@ -52,7 +54,7 @@
 	if s.SettingsPath != "" {
 		m, err := platformconfig.LoadModule(s.SettingsPath, cfg.Seed)
 		if err != nil {
-			return q, operatorconfig.Errors{f.Errorf(append(key, "settings"), "%v", err)}
+			return q, tomlfile.Errors{f.Errorf(append(key, "settings"), "%v", err)}
 		}
 		q.Module = m
 	}
@@ -60,11 +62,11 @@
 		return q, errs
 	}
 	if _, err := policy.New(q.Module.Settings, q.Seed); err != nil { // it checks the overrides
-		return q, operatorconfig.Errors{f.Errorf(key, "%v", err)}
+		return q, tomlfile.Errors{f.Errorf(key, "%v", err)}
 	}
 	moduleKey, err := json.Marshal(q.Module)
 	if err != nil {
-		return q, operatorconfig.Errors{f.Errorf(append(key, "settings"), "%v", err)}
+		return q, tomlfile.Errors{f.Errorf(append(key, "settings"), "%v", err)}
 	}
 	q.moduleKey = string(moduleKey)
 	return q, nil
@@ -72,7 +74,7 @@
 
 // overrideClasses restricts a module to the classes that a pool of the file names, in the pool's order, with the values that
 // the pool gives for them. A pool that names none has all classes of the module.
-func overrideClasses(m *platformconfig.Module, f *operatorconfig.File, index int) (errs operatorconfig.Errors) {
+func overrideClasses(m *platformconfig.Module, f *operatorconfig.File, index int) (errs tomlfile.Errors) {
 	overrides := f.Pools[index].Classes
 	if len(overrides) == 0 {
 		return nil
--- a/internal/router/plan.go
+++ b/internal/router/plan.go
@@ -7,7 +7,8 @@
 	"maps"
 	"slices"
 
-	"notchhinge/internal/config/operatorconfig"
+	"notchhinge/internal/config/tomlfile"
+
 	"notchhinge/internal/config/platformconfig"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
@@ -154,7 +155,7 @@
 			return
 		}
 	}
-	var faults operatorconfig.Errors
+	var faults tomlfile.Errors
 	if !errors.As(err, &faults) {
 		r.log.Error("configuration not taken over", "err", err)
 		return
