--- a/internal/config/nodeconfig/validate.go
+++ b/internal/config/nodeconfig/validate.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// The least that a process runs with.
+// Minima that a process runs with, and the bound of ports.
 const (
 	minMemoryMB  = 32
 	minOpenFiles = 300
--- a/internal/config/operatorconfig/operatorconfig_test.go
+++ b/internal/config/operatorconfig/operatorconfig_test.go
@@ -52,13 +52,13 @@
 		"no table":          {"[nothing]\n", []string{"f:1: nothing: unknown key"}},
 	} {
 		_, err := Parse([]byte(c.text), "f", []string{"chat"})
-		var faults tomlfile.Errors
-		if !errors.As(err, &faults) {
+		var errs tomlfile.Errors
+		if !errors.As(err, &errs) {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
 		var got []string
-		for i, f := range faults {
+		for i, f := range errs {
 			s := f.Error()
 			if i < len(c.want) && strings.HasPrefix(s, c.want[i]) {
 				s = c.want[i]
@@ -79,9 +79,9 @@
 		if (file == nil) == (err == nil) {
 			t.Errorf("%v, %v", file, err)
 		}
-		var faults tomlfile.Errors
-		if errors.As(err, &faults) {
-			for _, x := range faults {
+		var errs tomlfile.Errors
+		if errors.As(err, &errs) {
+			for _, x := range errs {
 				if x.Line < 0 || x.Line > 1+strings.Count(string(text), "\n") || x.Message == "" {
 					t.Errorf("%+v", x)
 				}
@@ -124,13 +124,13 @@
 		"patterns":   {head + "[[pool]]\nname = \"p\"\ndiscovery = \"x\"\n[pool.select]\nnames = [\"[\"]\n", []string{"f:11: pool[0].discovery: ", "f:13: pool[0].select.names: "}},
 	} {
 		_, err := Parse([]byte(c.text), "f", nil)
-		var faults tomlfile.Errors
-		if !errors.As(err, &faults) || len(faults) != len(c.want) {
+		var errs tomlfile.Errors
+		if !errors.As(err, &errs) || len(errs) != len(c.want) {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
 		for i, want := range c.want {
-			if got := faults[i].Error(); !strings.HasPrefix(got, want) {
+			if got := errs[i].Error(); !strings.HasPrefix(got, want) {
 				t.Errorf("%s: %s, want %s", name, got, want)
 			}
 		}
--- a/internal/config/platformconfig/load.go
+++ b/internal/config/platformconfig/load.go
@@ -23,7 +23,7 @@
 	envSharedDir = "TMPDIR" // shared by the processes of one router
 )
 
-// The least that a process runs with, and what is taken for a mistake.
+// Bounds of the machine: a process does not start below the minima, and more cores are a mistake.
 const (
 	minMemoryMB = 16
 	minSockets  = 64
--- a/internal/configfile/configfile_test.go
+++ b/internal/configfile/configfile_test.go
@@ -152,14 +152,14 @@
 		"no TOML":            {"[[routes]\n", []string{"f.toml:1"}},
 	} {
 		_, err := Parse([]byte(c.text), "f.toml", testEnv)
-		var faults tomlfile.Errors
-		if !errors.As(err, &faults) || len(faults) != len(c.want) {
+		var errs tomlfile.Errors
+		if !errors.As(err, &errs) || len(errs) != len(c.want) {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
 		for i, w := range c.want {
-			if !strings.HasPrefix(faults[i].Error(), w) {
-				t.Errorf("%s: %q, not %q", name, faults[i].Error(), w)
+			if !strings.HasPrefix(errs[i].Error(), w) {
+				t.Errorf("%s: %q, not %q", name, errs[i].Error(), w)
 			}
 		}
 	}
--- a/internal/reconcile/plan.go
+++ b/internal/reconcile/plan.go
@@ -39,7 +39,7 @@
 		errs = p.checkContracts(f)
 	}
 	if n := len(p.EndpointSources()); n > cfg.Limits.EndpointSources && running != nil {
-		errs = append(errs, f.Errorf([]string{"pool", "0"}, "%d discoveries; there is room for %d until the next start", n,
+		errs = append(errs, f.Errorf([]string{"pool", "0"}, "%d discovery addresses; there is room for %d until the next start", n,
 			cfg.Limits.EndpointSources))
 	}
 	if len(errs) > 0 {
@@ -146,7 +146,7 @@
 		for _, class := range contract.Classes {
 			target := p.Directory.Line(contract.Service, class)
 			if target == nil {
-				errs = append(errs, f.Errorf(key, "no route takes lines of class %q: POST %s%s, as no service is named", class,
+				errs = append(errs, f.Errorf(key, "no route takes requests of class %q: POST %s%s, as no service is named", class,
 					service.BatchHost, service.CallsPath))
 				continue
 			}
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -175,21 +175,21 @@
 		"a contract without a service or a route": {
 			one + poolTOML("a", "") + "[[contract]]\nteam = \"t\"\nkey_env = \"K\"\n" +
 				"classes = [\"chat\"]\nlines = 1\nat_once = 1\nbudget_tokens = 1\nbudget_period = \"1h\"\nline_deadline = \"1m\"\n",
-			[]string{`:12: contract[0].classes: no route takes lines of class "chat": POST batch.notchhinge/v1/chat/completions`},
+			[]string{`:12: contract[0].classes: no route takes requests of class "chat": POST batch.notchhinge/v1/chat/completions`},
 		},
-		"discoveries": {many, []string{":1: pool[0]: 20 discoveries; there is room for 10"}},
+		"discovery addresses": {many, []string{":1: pool[0]: 20 discovery addresses; there is room for 10"}},
 	} {
 		f, err := operatorconfig.Parse([]byte(c.text), "f", nil)
 		if err == nil {
 			_, err = NewPlan(loadConfig(t), f, mustPlan(t, "", nil))
 		}
-		var faults tomlfile.Errors
-		if !errors.As(err, &faults) || len(faults) != len(c.want) {
+		var errs tomlfile.Errors
+		if !errors.As(err, &errs) || len(errs) != len(c.want) {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
 		for i, want := range c.want {
-			if got := faults[i].Error(); !strings.HasPrefix(strings.TrimPrefix(got, "f"), want) {
+			if got := errs[i].Error(); !strings.HasPrefix(strings.TrimPrefix(got, "f"), want) {
 				t.Errorf("%s: %s, want %s", name, got, want)
 			}
 		}
