--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -1,6 +1,6 @@
 // Package frontend owns the connections of clients: it accepts them, reads their requests within bounds, hands each complete
-// request to the dispatcher, and writes its response. It is HTTP/1.1 only, without pipelining: the next request of a connection
-// is read once the response before it is at its end.
+// request to the dispatcher, and writes its response. It speaks HTTP/1.1 only, one request of a connection at a time: what a
+// client sends ahead is read once the response before it is at its end.
 //
 // What it promises:
 //
--- a/internal/frontend/openrequest.go
+++ b/internal/frontend/openrequest.go
@@ -20,8 +20,8 @@
 // openRequest is a request that is handed to the dispatcher and not yet answered: the dispatch.Client of its events, and the
 // upstream.Downstream of its attempts.
 //
-// One attempt at a time writes its response (UpstreamRequest aside): the one that the dispatcher has bound. Several may
-// call ReadErrorResponse.
+// Only the attempt that the dispatcher has bound writes the response (ObserveHead, WriteBody, Finish). Others may call
+// UpstreamRequest and ReadErrorResponse at the same time.
 type openRequest struct {
 	conn *conn
 	Request
@@ -70,7 +70,7 @@
 
 // ReadErrorResponse implements upstream.ErrorResponseReader. It keeps a small response that is not forwarded, since it may be
 // all that the client can get.
-func (r *openRequest) ReadErrorResponse(result policy.Result, resp *http.Response, engine net.Conn) (whole bool) {
+func (r *openRequest) ReadErrorResponse(result policy.Result, resp *http.Response, engine net.Conn) (complete bool) {
 	const (
 		maxBytes = 16 << 10
 		maxWait  = 500 * time.Millisecond
@@ -104,9 +104,9 @@
 }
 
 // Finish implements upstream.Downstream. A response that broke off closes the connection without the last chunk.
-func (r *openRequest) Finish(whole bool) error {
+func (r *openRequest) Finish(complete bool) error {
 	var err error
-	if whole {
+	if complete {
 		r.ended.Store(true)
 		b := r.appendHeadOnce(nil) // not yet written where there is no body
 		if r.head.ContentLength < 0 && !r.head.NoBody {
@@ -118,7 +118,7 @@
 	}
 	// The head of a response that began before a drain does not announce the close; the connection is closed all the same,
 	// since the client might use it for ever.
-	r.end(whole && err == nil && !r.closeConnection && !r.conn.server.closesAfterResponse())
+	r.end(complete && err == nil && !r.closeConnection && !r.conn.server.closesAfterResponse())
 	return err
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -164,12 +164,12 @@
 	}
 }
 
-// rejecter is what every acquirer is, whatever its front.
+// rejecter is a client, of either frontend, that can be rejected.
 type rejecter interface {
 	Reject(why dispatch.Verdict, retryAfter time.Duration)
 }
 
-// reminder is what a front has itself reminded of.
+// reminder is what a frontend gave SetReminder as its token.
 type reminder interface{ Due() }
 
 func (r *Router) print(what string, args []any, c *dispatch.Counters) {
