--- a/internal/control/storage/files.go
+++ b/internal/control/storage/files.go
@@ -7,12 +7,14 @@
 	leveldbstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// SyncNames returns files whose journals have durable names as soon as they are created, and whose removal never fails.
+// SyncNames returns files whose journals and tables have durable names as soon as they are created, and whose removal never fails.
 // syncFolder syncs the folder of the files.
 //
 // The database syncs the bytes of a journal, but its folder only together with the next manifest. What is written to a new
 // journal before that would be lost with the journal's name in a loss of power
-// (docs/incidents/2026-12-01-a-journal-without-a-name.md).
+// (docs/incidents/2026-12-01-a-journal-without-a-name.md). The bytes of a manifest may reach the disk before the folder is synced,
+// since the cache is written back at any time. If it then names a table that is lost, the database recovers without the table,
+// and drops the older journal from which the table was written.
 func SyncNames(files leveldbstorage.Storage, syncFolder func() error) leveldbstorage.Storage {
 	return syncedFiles{files, syncFolder}
 }
@@ -22,11 +24,10 @@
 	syncFolder func() error
 }
 
-// Create implements leveldbstorage.Storage. Files other than journals are named by a manifest, with which the database syncs the
-// folder.
+// Create implements leveldbstorage.Storage. The name of a manifest is synced by the database.
 func (f syncedFiles) Create(fd leveldbstorage.FileDesc) (leveldbstorage.Writer, error) {
 	w, err := f.Storage.Create(fd)
-	if err != nil || fd.Type != leveldbstorage.TypeJournal {
+	if err != nil || fd.Type&(leveldbstorage.TypeJournal|leveldbstorage.TypeTable) == 0 {
 		return w, err
 	}
 	if err := f.syncFolder(); err != nil {
