--- a/internal/batch/attempt.go
+++ b/internal/batch/attempt.go
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"time"
 
+	"notchhinge/internal/directory"
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/service"
 	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
@@ -41,7 +41,7 @@
 	return &attempt{
 		desk: d, try: w, safe: w.class.Effect == policy.EffectSafe, got: collector{most: d.lim.BatchResponseBytes},
 		order: upstream.Request{
-			Method: "POST", Target: endpoint, Host: service.BatchHost, CallID: fmt.Sprintf("%016x", rand.Uint64()),
+			Method: "POST", Target: endpoint, Host: directory.BatchHost, CallID: fmt.Sprintf("%016x", rand.Uint64()),
 			ContentType: "application/json", Body: w.body,
 		},
 	}
--- a/internal/batch/desk.go
+++ b/internal/batch/desk.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
+	"notchhinge/internal/directory"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/service"
 	"notchhinge/internal/trace"
 	"notchhinge/policy"
 )
@@ -24,7 +24,7 @@
 type Options struct {
 	Config *Config
 	Lim    limits.Limits
-	Routes func() *service.Directory // at present
+	Routes func() *directory.Directory // at present
 	Post   func(dispatch.Event)
 	Now    dispatch.Clock
 	Log    *slog.Logger
@@ -35,7 +35,7 @@
 type Desk struct {
 	cfg    *Config
 	lim    limits.Limits
-	routes func() *service.Directory
+	routes func() *directory.Directory
 	post   func(dispatch.Event)
 	now    dispatch.Clock
 	log    *slog.Logger
@@ -268,14 +268,14 @@
 }
 
 // lead finds the pool that a line goes to: its service's, or that of its route.
-func (d *Desk) lead(w *try) (*service.Pool, error) {
+func (d *Desk) lead(w *try) (*directory.Pool, error) {
 	at, name := d.routes(), w.job.rec.Class
-	to := at.Line(w.job.team.Service, name)
+	to := at.BatchTarget(w.job.team.Service, name)
 	if to == nil {
 		return nil, errors.New("no route takes the line, or its service is gone")
 	}
-	p := at.Find(to, w.request.Session)
-	n, ok := p.Class(name)
+	p := at.PoolFor(to, w.request.Session)
+	n, ok := p.ClassIndex(name)
 	if !ok {
 		return nil, fmt.Errorf("pool %q has no class %q", p.Name, name)
 	}
--- a/internal/batch/desk_test.go
+++ b/internal/batch/desk_test.go
@@ -15,11 +15,11 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"notchhinge/internal/directory"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/route"
-	"notchhinge/internal/service"
 	"notchhinge/policy"
 )
 
@@ -46,12 +46,12 @@
 	r := &rig{t: t, at: 1000 * time.Second}
 	lim := limits.New(limits.Machine{MemoryMB: 192, Sockets: 1024}, limits.Site{})
 	lim.BatchItemBytes = 1000
-	at := service.Plain(&service.Pool{Classes: []policy.Class{
+	at := directory.SinglePool(&directory.Pool{Classes: []policy.Class{
 		{Name: "doc-lookup", Deadline: 6 * time.Second}, {Name: "batch-summary", Deadline: 12 * time.Second},
 	}})
 	d, err := NewDesk(Options{
 		Config: &Config{Spool: spool, Contracts: []Contract{k}}, Lim: lim,
-		Routes: func() *service.Directory { return at }, Now: func() time.Duration { return r.at }, Log: slog.New(slog.DiscardHandler),
+		Routes: func() *directory.Directory { return at }, Now: func() time.Duration { return r.at }, Log: slog.New(slog.DiscardHandler),
 		Post: func(e dispatch.Event) {
 			switch e := e.(type) {
 			case dispatch.RequestReceived:
@@ -331,24 +331,24 @@
 
 func TestLinesGoToTheServiceOfTheirContract(t *testing.T) {
 	// By its service's name, or by the routes of the lines' host; and what nothing leads to any more has its outcome.
-	directory := func(names ...string) *service.Directory {
+	directoryOf := func(names ...string) *directory.Directory {
 		var services []route.Service
-		routes := []route.Route{{Service: names[0], Host: service.BatchHost, Method: "POST"}}
-		var pools []*service.Pool
+		routes := []route.Route{{Service: names[0], Host: directory.BatchHost, Method: "POST"}}
+		var pools []*directory.Pool
 		for i, n := range names {
-			services = append(services, route.Service{Name: n, Shares: []route.Share{{Pool: n, Weight: 1}}})
-			pools = append(pools, &service.Pool{ID: hoststate.PoolID(i + 1), Name: n, Classes: []policy.Class{{Name: "batch-summary", Deadline: 12 * time.Second}}})
+			services = append(services, route.Service{Name: n, Pools: []route.WeightedPool{{Pool: n, Weight: 1}}})
+			pools = append(pools, &directory.Pool{ID: hoststate.PoolID(i + 1), Name: n, Classes: []policy.Class{{Name: "batch-summary", Deadline: 12 * time.Second}}})
 		}
 		table, faults := route.New(services, routes, func(name string) (int, bool) { return slices.Index(names, name) + 1, true })
 		if len(faults) > 0 {
 			t.Fatal(faults)
 		}
-		return service.New(table, true, pools...)
+		return directory.New(table, true, pools...)
 	}
 	for name, want := range map[string]hoststate.PoolID{"calib": 2, "": 1} {
 		r := newRig(t, t.TempDir(), func(k *Contract) { k.Service, k.AtOnce = name, 1 })
-		at := directory("runs", "calib")
-		r.routes = func() *service.Directory { return at }
+		at := directoryOf("runs", "calib")
+		r.routes = func() *directory.Directory { return at }
 		var to []hoststate.PoolID
 		post := r.post
 		r.post = func(e dispatch.Event) {
@@ -359,7 +359,7 @@
 		}
 		j := r.job(fileText(2))
 		r.after(0)[0].Reject(dispatch.VerdictFailed, 0)
-		if at = directory("other"); name == "" {
+		if at = directoryOf("other"); name == "" {
 			at.Table, _ = route.New(nil, nil, nil)
 		}
 		r.after(0)
--- a/internal/batch/line.go
+++ b/internal/batch/line.go
@@ -10,7 +10,7 @@
 	"io"
 	"strings"
 
-	"notchhinge/internal/service"
+	"notchhinge/internal/directory"
 	"notchhinge/policy"
 )
 
@@ -22,7 +22,7 @@
 	Body     json.RawMessage `json:"body"`
 }
 
-const endpoint = service.CallsPath
+const endpoint = directory.CompletionsPath
 
 // chat is what the front reads of a body.
 type chat struct {
--- a/internal/config/operatorconfig/routes.go
+++ b/internal/config/operatorconfig/routes.go
@@ -11,12 +11,12 @@
 
 // Table compiles the routes. PoolID returns the id of a pool by its name, or false if there is none. Errors number the routes
 // of all services in the order of the file.
-func (f *File) Table(poolID func(name string) (int, bool)) (*route.Table, []route.Fault) {
+func (f *File) Table(poolID func(name string) (int, bool)) (*route.Table, []route.TableError) {
 	var services []route.Service
 	var routes []route.Route
 	for i := range f.Services {
 		s := &f.Services[i]
-		services = append(services, route.Service{Name: s.Name, Shares: f.shares(s)})
+		services = append(services, route.Service{Name: s.Name, Pools: f.shares(s)})
 		for j := range s.Routes {
 			routes = append(routes, s.Routes[j].compile(s.Name))
 		}
@@ -26,16 +26,16 @@
 
 // shares are the pools of a service with their weights. Renamed pools have the key of the former name, so that sessions stay
 // with their pool.
-func (f *File) shares(s *Service) (shares []route.Share) {
+func (f *File) shares(s *Service) (shares []route.WeightedPool) {
 	formerNames := map[string]string{}
 	for i := range f.Pools {
 		formerNames[f.Pools[i].Name] = f.Pools[i].FormerName
 	}
 	if s.Pool != "" { // with a split it is an error that validate reports
-		return []route.Share{{Pool: s.Pool, Weight: 1, Key: formerNames[s.Pool]}}
+		return []route.WeightedPool{{Pool: s.Pool, Weight: 1, HashKey: formerNames[s.Pool]}}
 	}
 	for _, p := range s.Split {
-		shares = append(shares, route.Share{Pool: p.Pool, Weight: p.Weight, Key: formerNames[p.Pool]})
+		shares = append(shares, route.WeightedPool{Pool: p.Pool, Weight: p.Weight, HashKey: formerNames[p.Pool]})
 	}
 	return shares
 }
--- a/internal/config/operatorconfig/validatepools.go
+++ b/internal/config/operatorconfig/validatepools.go
@@ -100,21 +100,21 @@
 	}
 	_, errs := v.f.Table(func(name string) (int, bool) { id, ok := ids[name]; return id, ok })
 	for _, e := range errs {
-		v.addf(v.f.routeErrorKey(&e), "%s", e.Says)
+		v.addf(v.f.routeErrorKey(&e), "%s", e.Message)
 	}
 }
 
 // routeErrorKey is the key of the file that an error of package route is about.
-func (f *File) routeErrorKey(e *route.Fault) []string {
+func (f *File) routeErrorKey(e *route.TableError) []string {
 	switch {
-	case e.Route >= 0 && e.Field != "":
-		return append(f.routeKey(e.Route), e.Field)
-	case e.Route >= 0:
-		return f.routeKey(e.Route)
-	case e.Service >= 0 && e.Field == "split" && f.Services[e.Service].Pool != "":
-		return entryKey("service", e.Service, "pool")
-	case e.Service >= 0:
-		return entryKey("service", e.Service, e.Field)
+	case e.RouteIndex >= 0 && e.Field != "":
+		return append(f.routeKey(e.RouteIndex), e.Field)
+	case e.RouteIndex >= 0:
+		return f.routeKey(e.RouteIndex)
+	case e.ServiceIndex >= 0 && e.Field == "split" && f.Services[e.ServiceIndex].Pool != "":
+		return entryKey("service", e.ServiceIndex, "pool")
+	case e.ServiceIndex >= 0:
+		return entryKey("service", e.ServiceIndex, e.Field)
 	}
 	return []string{"service", "0"}
 }
--- a/internal/dialect/compile.go
+++ b/internal/dialect/compile.go
@@ -10,9 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/directory"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/route"
-	"notchhinge/internal/service"
 )
 
 // CompiledConfig is a fleet configuration as requests are routed by it. It does not change.
@@ -85,7 +85,7 @@
 	if old == nil {
 		id := *o.NextPool
 		*o.NextPool++
-		return &Service{Name: name, ID: id, Pool: &service.Pool{ID: id, Name: name}, gate: &serviceGate{}}
+		return &Service{Name: name, ID: id, Pool: &directory.Pool{ID: id, Name: name}, gate: &serviceGate{}}
 	}
 	return &Service{Name: old.Name, ID: old.ID, Classes: slices.Clone(old.Classes), Pool: old.Pool, gate: old.gate}
 }
@@ -106,9 +106,9 @@
 				return fmt.Errorf("route %s: there is no service %q", r.Name, target.Service)
 			}
 			compiled.classes[to.ID] = to.classOf(r)
-			s.Shares = append(s.Shares, route.Share{Pool: target.Service, Weight: target.Weight})
+			s.Pools = append(s.Pools, route.WeightedPool{Pool: target.Service, Weight: target.Weight})
 		}
-		host, err := route.Host(r.Hostname)
+		host, err := route.NormalizeHost(r.Hostname)
 		if err != nil {
 			return fmt.Errorf("route %s: %w", r.Name, err)
 		}
@@ -150,7 +150,7 @@
 
 // Route returns the target of a host and a path, or nil: the route with the longest prefix of the path counts.
 func (c *CompiledConfig) Route(host, path string) *route.Target {
-	h, err := route.Host(host)
+	h, err := route.NormalizeHost(host)
 	if err != nil || !strings.HasPrefix(path, "/") {
 		return nil
 	}
--- a/internal/dialect/frontend.go
+++ b/internal/dialect/frontend.go
@@ -68,7 +68,7 @@
 	if target == nil {
 		return to, &frontend.Rejection{Status: http.StatusNotFound, Reason: reasonNoRoute}
 	}
-	r := &routedRequest{config: config, route: &config.routes[target.Route]}
+	r := &routedRequest{config: config, route: &config.routes[target.RouteIndex]}
 	if config.needsKey && !r.route.Public {
 		if r.tenant = config.tenantOfRequest(req); r.tenant == nil {
 			return to, &frontend.Rejection{Status: http.StatusUnauthorized, Reason: reasonUnknownKey}
@@ -79,7 +79,7 @@
 		return to, &frontend.Rejection{Status: http.StatusBadRequest, Reason: reasonBadDeadline}
 	}
 	r.deadline = now.Add(timeout)
-	pool := target.Pool(d.SplitKey())
+	pool := target.PoolFor(d.SplitKey())
 	for _, s := range config.services {
 		if int(s.ID) == pool {
 			to.Pool, r.service = s.Pool, s
--- a/internal/dialect/service.go
+++ b/internal/dialect/service.go
@@ -10,8 +10,8 @@
 
 	"notchhinge/internal/admission"
 	"notchhinge/internal/control/fleetconfig"
+	"notchhinge/internal/directory"
 	"notchhinge/internal/hoststate"
-	"notchhinge/internal/service"
 	"notchhinge/policy"
 )
 
@@ -19,8 +19,8 @@
 type Service struct {
 	Name    string
 	ID      hoststate.PoolID
-	Classes []policy.Class // only ever appended to
-	Pool    *service.Pool  // as the frontend sees it
+	Classes []policy.Class  // only ever appended to
+	Pool    *directory.Pool // as the frontend sees it
 	gate    *serviceGate
 }
 
--- a/internal/dialect/smuggling_test.go
+++ b/internal/dialect/smuggling_test.go
@@ -10,10 +10,10 @@
 	"testing/synctest"
 	"time"
 
+	"notchhinge/internal/directory"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/frontend"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/service"
 	"notchhinge/internal/upstream"
 )
 
@@ -28,7 +28,7 @@
 		d := dialect(t)
 		lim := limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 184, Sockets: 1024})
 		front := frontend.New(frontend.Options{
-			Limits: lim, Dialect: d, Directory: func() *service.Directory { return nil }, Now: func() time.Duration { return 0 }, IsReady: func() bool { return true },
+			Limits: lim, Dialect: d, Directory: func() *directory.Directory { return nil }, Now: func() time.Duration { return 0 }, IsReady: func() bool { return true },
 			Bounds: func() limits.RequestBounds {
 				b, _ := lim.ConfiguredBounds(16384, 1<<20, 3*time.Second, 15*time.Second)
 				return b
--- a/internal/frontend/dialect.go
+++ b/internal/frontend/dialect.go
@@ -4,8 +4,8 @@
 	"net/http"
 	"time"
 
+	"notchhinge/internal/directory"
 	"notchhinge/internal/dispatch"
-	"notchhinge/internal/service"
 	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
@@ -28,10 +28,10 @@
 
 // Destination is where a request goes.
 type Destination struct {
-	Pool         *service.Pool // nil: the request is rejected once its body is read
-	Target, Host string        // as the upstream gets them
-	BodyDeadline time.Time     // for the body; zero = the deadline of the head holds for both
-	DialectData  any           // the dialect's own; no one else reads it
+	Pool         *directory.Pool // nil: the request is rejected once its body is read
+	Target, Host string          // as the upstream gets them
+	BodyDeadline time.Time       // for the body; zero = the deadline of the head holds for both
+	DialectData  any             // the dialect's own; no one else reads it
 }
 
 // Request is a complete request of a client.
--- a/internal/frontend/platform.go
+++ b/internal/frontend/platform.go
@@ -7,9 +7,9 @@
 
 	"golang.org/x/net/http/httpguts"
 
+	"notchhinge/internal/directory"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/route"
-	"notchhinge/internal/service"
 	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
@@ -34,7 +34,7 @@
 	if classes := req.Header[classHeader]; len(classes) == 1 {
 		q.Class = classes[0]
 	}
-	if directory.Strict {
+	if directory.NormalizesRequests {
 		if rejection := dst.normalize(req, &q); rejection != nil {
 			return dst, rejection
 		}
@@ -46,7 +46,7 @@
 	if target == nil {
 		return dst, rejectUnroutable(directory, &q)
 	}
-	dst.Pool = directory.Find(target, conversation(target, req.Header))
+	dst.Pool = directory.PoolFor(target, conversation(target, req.Header))
 	return dst, nil
 }
 
@@ -62,12 +62,12 @@
 }
 
 // rejectUnroutable makes the rejection of a request that no route takes.
-func rejectUnroutable(d *service.Directory, q *route.Query) *Rejection {
-	if allow := d.Table.Methods(q); len(allow) > 0 {
+func rejectUnroutable(d *directory.Directory, q *route.Query) *Rejection {
+	if allow := d.Table.AllowedMethods(q); len(allow) > 0 {
 		list := strings.Join(allow, ", ")
 		return &Rejection{Status: http.StatusMethodNotAllowed, Reason: "only " + list + " is served here", Allow: list}
 	}
-	if d.Strict {
+	if d.NormalizesRequests {
 		return &Rejection{Status: http.StatusNotFound, Reason: "no_route: no route takes " + q.Method + " " + q.Path + " at " + q.Host}
 	}
 	return &Rejection{Status: http.StatusNotFound, Reason: "no such path"}
@@ -75,13 +75,13 @@
 
 // conversation is what a request hashes to where its route splits over pools: requests of a session go to the same one.
 func conversation(target *route.Target, h http.Header) uint64 {
-	if !target.Splits() {
+	if !target.IsSplit() {
 		return 0
 	}
 	if session := h.Get(sessionHeader); session != "" {
 		return parseHash(session)
 	}
-	return route.Conversation(h.Get(idHeader))
+	return route.HashConversation(h.Get(idHeader))
 }
 
 // normalize brings host and path into one spelling, in which they are both routed and forwarded. The query string is not
@@ -99,21 +99,21 @@
 			path = "/"
 		}
 	}
-	host, port, err := route.SplitHost(req.Host)
+	host, port, err := route.SplitHostPort(req.Host)
 	if err != nil {
 		return &Rejection{Status: http.StatusBadRequest, Reason: "bad_host: " + err.Error()}
 	}
-	if path, err = route.Path(path); err != nil {
+	if path, err = route.NormalizePath(path); err != nil {
 		return &Rejection{Status: http.StatusBadRequest, Reason: "bad_path: " + err.Error()}
 	}
 	q.Host, q.Path = host, path
-	d.Host, d.Target = route.JoinHost(host, port), path
+	d.Host, d.Target = route.JoinHostPort(host, port), path
 	return nil
 }
 
 // BuildRequest implements Dialect.
 func (platform) BuildRequest(req *http.Request, dst *Destination, body []byte) (Request, *Rejection) {
-	q, reason := parseRequest(req.Header, dst.Pool.Class, dst.Pool.MaxBudget)
+	q, reason := parseRequest(req.Header, dst.Pool.ClassIndex, dst.Pool.MaxBudget)
 	contentType := req.Header.Get("Content-Type")
 	if reason == "" && !(httpguts.ValidHostHeader(dst.Host) && httpguts.ValidHeaderFieldValue(contentType)) {
 		reason = "Host or Content-Type is bad" // they are forwarded
--- a/internal/frontend/platform_test.go
+++ b/internal/frontend/platform_test.go
@@ -7,11 +7,11 @@
 	"testing/synctest"
 	"time"
 
+	"notchhinge/internal/directory"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/quota"
 	"notchhinge/internal/route"
-	"notchhinge/internal/service"
 	"notchhinge/internal/testutil/replay"
 	"notchhinge/policy"
 )
@@ -21,7 +21,7 @@
 func TestRequestsAreForwardedAsRouted(t *testing.T) {
 	numbers := map[string]int{"runs": 1, "calib": 2}
 	table, faults := route.New(
-		[]route.Service{{Name: "runs", Shares: []route.Share{{Pool: "runs", Weight: 1}}}, {Name: "calib", Shares: []route.Share{{Pool: "calib", Weight: 1}}}},
+		[]route.Service{{Name: "runs", Pools: []route.WeightedPool{{Pool: "runs", Weight: 1}}}, {Name: "calib", Pools: []route.WeightedPool{{Pool: "calib", Weight: 1}}}},
 		[]route.Route{
 			{Service: "runs", Host: "runs.example.org", Prefix: "/v1", Method: "POST"},
 			{Service: "calib", Host: "calib.example.org", Method: "POST"},
@@ -31,14 +31,14 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	at := service.New(table, true,
-		&service.Pool{ID: 1, Name: "runs", Classes: []policy.Class{{Name: "chat"}}, MaxBudget: time.Minute},
-		&service.Pool{ID: 2, Name: "calib", Classes: []policy.Class{{Name: "fit"}, {Name: "chat"}}, MaxBudget: time.Minute, RetryAfter: 250 * time.Millisecond})
+	at := directory.New(table, true,
+		&directory.Pool{ID: 1, Name: "runs", Classes: []policy.Class{{Name: "chat"}}, MaxBudget: time.Minute},
+		&directory.Pool{ID: 2, Name: "calib", Classes: []policy.Class{{Name: "fit"}, {Name: "chat"}}, MaxBudget: time.Minute, RetryAfter: 250 * time.Millisecond})
 	synctest.Test(t, func(t *testing.T) {
 		events := make(chan dispatch.Event, 64)
 		lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{MaxDeadline: time.Second})
 		s := New(Options{
-			Limits: lim, Directory: func() *service.Directory { return at }, IsReady: func() bool { return true },
+			Limits: lim, Directory: func() *directory.Directory { return at }, IsReady: func() bool { return true },
 			Now: func() time.Duration { return 0 },
 			Post: func(e dispatch.Event) {
 				if _, counted := e.(dispatch.RejectedByFrontend); !counted {
--- a/internal/frontend/recording_test.go
+++ b/internal/frontend/recording_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"notchhinge/internal/directory"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/limits"
-	"notchhinge/internal/service"
 	"notchhinge/internal/testutil/replay"
 	"notchhinge/policy"
 )
@@ -37,13 +37,13 @@
 }
 
 // onePool is a directory of one pool with these classes.
-func onePool(classes ...string) func() *service.Directory {
+func onePool(classes ...string) func() *directory.Directory {
 	var all []policy.Class
 	for _, c := range classes {
 		all = append(all, policy.Class{Name: c})
 	}
-	d := service.Plain(&service.Pool{Classes: all, MaxBudget: time.Minute})
-	return func() *service.Directory { return d }
+	d := directory.SinglePool(&directory.Pool{Classes: all, MaxBudget: time.Minute})
+	return func() *directory.Directory { return d }
 }
 
 // recording is a server as a recording sees it.
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -8,18 +8,18 @@
 	"sync/atomic"
 	"time"
 
+	"notchhinge/internal/directory"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/quota"
-	"notchhinge/internal/service"
 )
 
 // Options configures a Server. Limits, Directory, Post, Now and IsReady are required.
 type Options struct {
 	Limits    limits.Limits
-	Dialect   Dialect                   // nil = the platform's
-	Directory func() *service.Directory // the services in force; called for each request
-	Post      func(dispatch.Event)      // hands an event to the dispatcher; it must not wait for the response
+	Dialect   Dialect                     // nil = the platform's
+	Directory func() *directory.Directory // the services in force; called for each request
+	Post      func(dispatch.Event)        // hands an event to the dispatcher; it must not wait for the response
 	Now       dispatch.Clock
 	IsReady   func() bool                 // whether the router knows of endpoints
 	Bounds    func() limits.RequestBounds // the bounds in force; nil = those of Limits
--- a/internal/lab/check/legs.go
+++ b/internal/lab/check/legs.go
@@ -17,12 +17,12 @@
 
 	"notchhinge/internal/control/fleetconfig"
 	"notchhinge/internal/dialect"
+	"notchhinge/internal/directory"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/frontend"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/retrybudget"
-	"notchhinge/internal/service"
 	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
@@ -151,7 +151,7 @@
 		Limits: lim, Post: r.post, Now: clock, Dial: r.dial, Dialect: legDialect{blind: r.blind}, Go: func(f func()) { r.legs = append(r.legs, f) },
 	})
 	r.front = frontend.New(frontend.Options{
-		Limits: lim, Post: r.post, Now: clock, IsReady: func() bool { return true }, Directory: func() *service.Directory { return nil },
+		Limits: lim, Post: r.post, Now: clock, IsReady: func() bool { return true }, Directory: func() *directory.Directory { return nil },
 		Dialect: frontDialect{&dialect.Frontend{
 			Config: func() *dialect.CompiledConfig { return at }, SplitKey: func() uint64 { return 1 }, Clock: clock,
 		}, r.promises},
--- a/internal/node/dataplane.go
+++ b/internal/node/dataplane.go
@@ -11,12 +11,12 @@
 	"notchhinge/internal/control/endpoints"
 	"notchhinge/internal/control/metrics"
 	"notchhinge/internal/dialect"
+	"notchhinge/internal/directory"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/frontend"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/limits"
 	"notchhinge/internal/retrybudget"
-	"notchhinge/internal/service"
 	"notchhinge/internal/upstream"
 	"notchhinge/policy"
 )
@@ -70,7 +70,7 @@
 	d.onIdleDrop = d.limitIdleReuse
 	d.dialect = &dialect.Frontend{Config: d.routes.Load, Salt: o.seed, SplitKey: rand.Uint64, Clock: d.loop.Now}
 	d.frontend = frontend.New(frontend.Options{
-		Limits: o.limits, Dialect: d.dialect, Directory: func() *service.Directory { return nil }, Post: d.loop.Post, Now: d.loop.Now,
+		Limits: o.limits, Dialect: d.dialect, Directory: func() *directory.Directory { return nil }, Post: d.loop.Post, Now: d.loop.Now,
 		IsReady: func() bool { return true }, Bounds: func() limits.RequestBounds { return *d.bounds.Load() },
 	})
 	return d
--- a/internal/reconcile/plan.go
+++ b/internal/reconcile/plan.go
@@ -9,15 +9,15 @@
 
 	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/config/platformconfig"
+	"notchhinge/internal/directory"
 	"notchhinge/internal/hoststate"
-	"notchhinge/internal/service"
 )
 
 // Plan is what a router process serves. It does not change.
 type Plan struct {
-	Directory *service.Directory // routes and the pools that they lead to
-	Pools     []Pool             // in the order of the operator's file
-	nextID    hoststate.PoolID   // ids below it were used by this plan or by one before it
+	Directory *directory.Directory // routes and the pools that they lead to
+	Pools     []Pool               // in the order of the operator's file
+	nextID    hoststate.PoolID     // ids below it were used by this plan or by one before it
 }
 
 // NewPlan returns the plan for a configuration and the operator's file, which may be nil. Running is the plan that is being
@@ -71,7 +71,7 @@
 	p.Pools = []Pool{q}
 	frontendPool := q.frontendPool()
 	frontendPool.MaxBudget = cfg.Limits.MaxRequestTimeout
-	p.Directory = service.Plain(frontendPool)
+	p.Directory = directory.SinglePool(frontendPool)
 }
 
 // addPools adds the pools of the operator's file.
@@ -125,7 +125,7 @@
 // addRoutes makes the directory of the file's routes and of the pools. The file was checked for errors of routes before.
 func (p *Plan) addRoutes(f *operatorconfig.File) error {
 	ids := map[string]int{}
-	var pools []*service.Pool
+	var pools []*directory.Pool
 	for i := range p.Pools {
 		q := &p.Pools[i]
 		ids[q.Name] = int(q.ID)
@@ -135,7 +135,7 @@
 	if len(errs) > 0 {
 		return fmt.Errorf("routes: %w", errs[0])
 	}
-	p.Directory = service.New(table, true, pools...)
+	p.Directory = directory.New(table, true, pools...)
 	return nil
 }
 
@@ -144,14 +144,14 @@
 	for i, contract := range f.Contracts {
 		key := []string{"contract", strconv.Itoa(i), "classes"}
 		for _, class := range contract.Classes {
-			target := p.Directory.Line(contract.Service, class)
+			target := p.Directory.BatchTarget(contract.Service, class)
 			if target == nil {
 				errs = append(errs, f.Errorf(key, "no route takes requests of class %q: POST %s%s, as no service is named", class,
-					service.BatchHost, service.CallsPath))
+					directory.BatchHost, directory.CompletionsPath))
 				continue
 			}
 			for _, q := range p.Directory.Pools(target) {
-				if _, ok := q.Class(class); !ok {
+				if _, ok := q.ClassIndex(class); !ok {
 					errs = append(errs, f.Errorf(key, "pool %q of service %q has no class %q", q.Name, target.Service, class))
 				}
 			}
--- a/internal/reconcile/pool.go
+++ b/internal/reconcile/pool.go
@@ -10,10 +10,10 @@
 
 	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/config/platformconfig"
+	"notchhinge/internal/directory"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/listwatch"
 	"notchhinge/internal/quota"
-	"notchhinge/internal/service"
 	"notchhinge/policy"
 )
 
@@ -123,12 +123,12 @@
 
 // frontendPool is the pool as frontends see it. A request's time budget is at most four times the longest deadline of a class,
 // and a minute where that is less.
-func (q *Pool) frontendPool() *service.Pool {
+func (q *Pool) frontendPool() *directory.Pool {
 	var longest time.Duration
 	for i := range q.Module.Settings.Classes {
 		longest = max(longest, q.Module.Settings.Classes[i].Deadline)
 	}
-	return &service.Pool{
+	return &directory.Pool{
 		ID: q.ID, Name: q.Name, Classes: q.Module.Settings.Classes, RetryAfter: q.RetryAfter, MaxBudget: max(4*longest, time.Minute),
 	}
 }
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -134,9 +134,9 @@
 	if to == nil {
 		t.Fatal("no route")
 	}
-	q := p.Directory.Find(to, 0)
-	n, ok := q.Class("doc-lookup")
-	if _, other := q.Class("shift-agent"); !ok || n != 0 || other || q.Classes[0].TargetLatency != 700*time.Millisecond || q.Classes[0].Value != 9.5 {
+	q := p.Directory.PoolFor(to, 0)
+	n, ok := q.ClassIndex("doc-lookup")
+	if _, other := q.ClassIndex("shift-agent"); !ok || n != 0 || other || q.Classes[0].TargetLatency != 700*time.Millisecond || q.Classes[0].Value != 9.5 {
 		t.Errorf("%+v", q)
 	}
 }
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -10,10 +10,10 @@
 // Candidate is a route as it stands to a request.
 type Candidate struct {
 	Route   Route // in canonical form
-	Place   int
+	Index   int
 	Matches bool
 	Wins    bool
-	Why     string // why it wins, loses, or does not match
+	Reason  string // why it wins, loses, or does not match
 	misses  int
 }
 
@@ -22,21 +22,21 @@
 func (t *Table) Explain(q *Query, most int) []Candidate {
 	won := -1
 	if to := t.Lookup(q); to != nil {
-		won = to.Route
+		won = to.RouteIndex
 	}
 	var all []Candidate
 	for i := range t.routes {
 		r := &t.routes[i]
-		c := Candidate{Route: *r, Place: i, Wins: i == won}
+		c := Candidate{Route: *r, Index: i, Wins: i == won}
 		misses := r.misses(q)
 		c.misses = len(misses)
 		switch c.Matches = len(misses) == 0; {
 		case c.Wins:
-			c.Why = "wins: " + r.Says()
+			c.Reason = "wins: " + r.Summary()
 		case c.Matches:
-			c.Why = "loses: " + t.routes[won].beats(r)
+			c.Reason = "loses: " + t.routes[won].beats(r)
 		default:
-			c.Why = "does not match: " + strings.Join(misses, "; ")
+			c.Reason = "does not match: " + strings.Join(misses, "; ")
 		}
 		all = append(all, c)
 	}
@@ -135,8 +135,8 @@
 	return "it is as specific as the winner" // a table with such routes is not made
 }
 
-// Says is a route on one line.
-func (r *Route) Says() string {
+// Summary is a route on one line.
+func (r *Route) Summary() string {
 	var parts []string
 	part := func(name, value string) {
 		if value != "" {
--- a/internal/route/split.go
+++ b/internal/route/split.go
@@ -16,13 +16,13 @@
 }
 
 // split compiles a service's shares.
-func split(at int, s Service, pool func(string) (int, bool)) (shares []share, faults []Fault) {
+func split(at int, s Service, pool func(string) (int, bool)) (shares []share, faults []TableError) {
 	fault := func(format string, args ...any) {
-		faults = append(faults, Fault{at, -1, "split", fmt.Sprintf(format, args...)})
+		faults = append(faults, TableError{at, -1, "split", fmt.Sprintf(format, args...)})
 	}
 	sum := 0.0
 	seen := map[string]bool{}
-	for _, p := range s.Shares {
+	for _, p := range s.Pools {
 		n, ok := pool(p.Pool)
 		switch {
 		case !ok:
@@ -33,7 +33,7 @@
 			fault("pool %q: a weight of 0 or more is wanted", p.Pool)
 		}
 		seen[p.Pool] = true
-		key := p.Key
+		key := p.HashKey
 		if key == "" {
 			key = p.Pool
 		}
@@ -48,8 +48,8 @@
 	return shares, faults
 }
 
-// Splits tells whether there is more than one pool that Pool may return.
-func (t *Target) Splits() bool { return len(t.shares) > 1 }
+// IsSplit tells whether there is more than one pool that Pool may return.
+func (t *Target) IsSplit() bool { return len(t.shares) > 1 }
 
 // Pools returns the numbers of all pools that Pool may return.
 func (t *Target) Pools() (all []int) {
@@ -59,10 +59,10 @@
 	return all
 }
 
-// Pool returns the number of the pool for a conversation: over conversations in proportion to the weights, and always
+// PoolFor returns the number of the pool for a conversation: over conversations in proportion to the weights, and always
 // the same for one. When weights change, conversations move only from pools whose part shrinks to pools whose part
 // grows, and no more of them than must (weighted rendezvous hashing).
-func (t *Target) Pool(conversation uint64) int {
+func (t *Target) PoolFor(conversation uint64) int {
 	if len(t.shares) == 1 {
 		return t.shares[0].pool
 	}
@@ -76,8 +76,8 @@
 	return best
 }
 
-// Conversation is a number for what has no session, such as a single call by its id.
-func Conversation(id string) uint64 { return hash(id) }
+// HashConversation is a number for what has no session, such as a single call by its id.
+func HashConversation(id string) uint64 { return hash(id) }
 
 func hash(s string) uint64 { return xxhash.Sum64String(s) }
 
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -28,18 +28,18 @@
 	Header  map[string]string // names in their canonical form, and the one value that each must have
 }
 
-// Share is a pool's part of a service.
-type Share struct {
+// WeightedPool is a pool's part of a service.
+type WeightedPool struct {
 	Pool   string
 	Weight float64 // against the others' of the service; 0 = nothing
-	// Key is what conversations are spread by; "" = Pool. A pool that is renamed keeps its conversations by keeping it.
-	Key string
+	// HashKey is what conversations are spread by; "" = Pool. A pool that is renamed keeps its conversations by keeping it.
+	HashKey string
 }
 
 // Service is what routes lead to.
 type Service struct {
-	Name   string
-	Shares []Share
+	Name  string
+	Pools []WeightedPool
 }
 
 // Query is a request as far as routes look at it. Host and Path are canonical.
@@ -48,22 +48,22 @@
 	Header                    map[string][]string // canonical names; a header that is given twice matches nothing
 }
 
-// Fault is something that is wrong with a table.
-type Fault struct {
-	Service int    // its place in the list; -1 = none
-	Route   int    // its place in the list; -1 = none
-	Field   string // of the route or the service, as the settings write it; "" = it as a whole
-	Says    string
+// TableError is something that is wrong with a table.
+type TableError struct {
+	ServiceIndex int    // its place in the list; -1 = none
+	RouteIndex   int    // its place in the list; -1 = none
+	Field        string // of the route or the service, as the settings write it; "" = it as a whole
+	Message      string
 }
 
-func (f Fault) Error() string {
+func (f TableError) Error() string {
 	switch {
-	case f.Route >= 0:
-		return fmt.Sprintf("route %d: %s: %s", f.Route, f.Field, f.Says)
-	case f.Service >= 0:
-		return fmt.Sprintf("service %d: %s: %s", f.Service, f.Field, f.Says)
+	case f.RouteIndex >= 0:
+		return fmt.Sprintf("route %d: %s: %s", f.RouteIndex, f.Field, f.Message)
+	case f.ServiceIndex >= 0:
+		return fmt.Sprintf("service %d: %s: %s", f.ServiceIndex, f.Field, f.Message)
 	}
-	return f.Says
+	return f.Message
 }
 
 // Table finds a request's route. It does not change and may be used by many goroutines at once.
@@ -101,9 +101,9 @@
 
 // Target is where a route leads.
 type Target struct {
-	Service string
-	Route   int // its place in the list that the table was made of; -1 = a service itself
-	shares  []share
+	Service    string
+	RouteIndex int // its place in the list that the table was made of; -1 = a service itself
+	shares     []share
 }
 
 // MaxRoutes bounds a table, so that a file made by mistake is told so and does not eat the memory.
@@ -111,37 +111,37 @@
 
 // New compiles a table. pool gives each pool that a service names its number, or says that there is no such pool.
 // The error is a list of every fault.
-func New(services []Service, routes []Route, pool func(name string) (int, bool)) (*Table, []Fault) {
+func New(services []Service, routes []Route, pool func(name string) (int, bool)) (*Table, []TableError) {
 	t := &Table{
 		exact: map[string]*hostNode{}, suffix: map[string]*hostNode{}, any: &hostNode{}, seed: maphash.MakeSeed(),
 		routes: slices.Clone(routes),
 	}
-	var faults []Fault
+	var faults []TableError
 	byName := map[string][]share{}
 	for i, s := range services {
 		if _, twice := byName[s.Name]; twice {
-			faults = append(faults, Fault{i, -1, "name", fmt.Sprintf("%q is another service already", s.Name)})
+			faults = append(faults, TableError{i, -1, "name", fmt.Sprintf("%q is another service already", s.Name)})
 		}
 		shares, f := split(i, s, pool)
 		faults = append(faults, f...)
 		byName[s.Name] = shares
 	}
 	if len(routes) > MaxRoutes {
-		return nil, append(faults, Fault{-1, -1, "", fmt.Sprintf("%d routes; %d at the most are wanted", len(routes), MaxRoutes)})
+		return nil, append(faults, TableError{-1, -1, "", fmt.Sprintf("%d routes; %d at the most are wanted", len(routes), MaxRoutes)})
 	}
 	for i := range t.routes {
 		r := &t.routes[i]
 		shares, ok := byName[r.Service]
 		if !ok {
-			faults = append(faults, Fault{-1, i, "service", fmt.Sprintf("there is no service %q", r.Service)})
+			faults = append(faults, TableError{-1, i, "service", fmt.Sprintf("there is no service %q", r.Service)})
 		}
-		t.targets = append(t.targets, &Target{Service: r.Service, Route: i, shares: shares})
+		t.targets = append(t.targets, &Target{Service: r.Service, RouteIndex: i, shares: shares})
 		bad := r.canonical(i)
 		if faults = append(faults, bad...); len(bad) > 0 {
 			continue
 		}
 		if rival := t.add(i); rival >= 0 {
-			faults = append(faults, Fault{-1, i, "", fmt.Sprintf("could match what route %d matches, and neither is more specific",
+			faults = append(faults, TableError{-1, i, "", fmt.Sprintf("could match what route %d matches, and neither is more specific",
 				rival)})
 		}
 	}
@@ -150,7 +150,7 @@
 	}
 	t.services = map[string]*Target{}
 	for _, s := range services {
-		t.services[s.Name] = &Target{Service: s.Name, Route: -1, shares: byName[s.Name]}
+		t.services[s.Name] = &Target{Service: s.Name, RouteIndex: -1, shares: byName[s.Name]}
 	}
 	for i := range t.routes {
 		if m := t.routes[i].Method; m != "" && !slices.Contains(t.methods, m) {
@@ -168,16 +168,16 @@
 func (t *Table) Len() int { return len(t.routes) }
 
 // canonical brings a route's patterns into the form that queries have.
-func (r *Route) canonical(i int) (faults []Fault) {
+func (r *Route) canonical(i int) (faults []TableError) {
 	fault := func(field, format string, args ...any) {
-		faults = append(faults, Fault{-1, i, field, fmt.Sprintf(format, args...)})
+		faults = append(faults, TableError{-1, i, field, fmt.Sprintf(format, args...)})
 	}
 	if r.Host != "" {
 		name, wild := strings.CutPrefix(r.Host, "*.")
 		if a, err := netip.ParseAddr(name); err == nil && a.Is6() {
 			name = "[" + name + "]"
 		}
-		host, port, err := SplitHost(name)
+		host, port, err := SplitHostPort(name)
 		switch {
 		case err != nil:
 			fault("host", "%q is no host; a name, an address, or *. and a name are wanted", r.Host)
@@ -193,14 +193,14 @@
 		fault("prefix", "a route has a path or a prefix, not both")
 	}
 	if r.Path != "" {
-		if p, err := Path(r.Path); err != nil {
+		if p, err := NormalizePath(r.Path); err != nil {
 			fault("path", "%q: %v", r.Path, err)
 		} else {
 			r.Path = p
 		}
 	}
 	if r.Prefix != "" {
-		if p, err := Path(r.Prefix); err != nil {
+		if p, err := NormalizePath(r.Prefix); err != nil {
 			fault("prefix", "%q: %v", r.Prefix, err)
 		} else {
 			r.Prefix = strings.TrimSuffix(p, "/") // a prefix of / is any path
@@ -447,9 +447,9 @@
 	return true
 }
 
-// Methods lists the methods with which a request that no route takes would have one, for an Allow header. It is empty
+// AllowedMethods lists the methods with which a request that no route takes would have one, for an Allow header. It is empty
 // where the method is not what is wrong.
-func (t *Table) Methods(q *Query) []string {
+func (t *Table) AllowedMethods(q *Query) []string {
 	var out []string
 	for _, m := range t.methods {
 		other := *q
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -26,7 +26,7 @@
 	for _, r := range routes {
 		if !seen[r.Service] {
 			seen[r.Service] = true
-			all = append(all, Service{Name: r.Service, Shares: []Share{{Pool: "p", Weight: 1}}})
+			all = append(all, Service{Name: r.Service, Pools: []WeightedPool{{Pool: "p", Weight: 1}}})
 		}
 	}
 	return all
@@ -120,9 +120,9 @@
 		},
 		"services": {
 			[]Service{
-				{Name: "a", Shares: []Share{{Pool: "nowhere", Weight: 1}}},
-				{Name: "a", Shares: []Share{{Pool: "p"}}},
-				{Name: "c", Shares: []Share{{Pool: "p", Weight: 1}, {Pool: "p", Weight: math.NaN()}}},
+				{Name: "a", Pools: []WeightedPool{{Pool: "nowhere", Weight: 1}}},
+				{Name: "a", Pools: []WeightedPool{{Pool: "p"}}},
+				{Name: "c", Pools: []WeightedPool{{Pool: "p", Weight: 1}, {Pool: "p", Weight: math.NaN()}}},
 			},
 			[]Route{{Service: "b"}},
 			[]string{
@@ -216,15 +216,15 @@
 			}
 			got, other := -1, -1
 			if to := tb.Lookup(&q); to != nil {
-				got = to.Route
+				got = to.RouteIndex
 			}
 			if to := back.Lookup(&q); to != nil {
-				other = len(routes) - 1 - to.Route
+				other = len(routes) - 1 - to.RouteIndex
 			}
 			if got != best || other != best {
 				t.Fatalf("%+v: route %d; %d if turned round; %d by reading them all: %+v", q, got, other, best, routes)
 			}
-			if x := tb.Explain(&q, 3); best >= 0 && (!x[0].Wins || x[0].Place != best) || best < 0 && x[0].Matches {
+			if x := tb.Explain(&q, 3); best >= 0 && (!x[0].Wins || x[0].Index != best) || best < 0 && x[0].Matches {
 				t.Fatalf("explained as %+v", x)
 			}
 		}
@@ -236,7 +236,7 @@
 		Route{Service: "calib", Host: "calib.example.org", Class: "fit"})
 	var got []string
 	for _, c := range tb.Explain(&Query{Host: "runs.example.org", Path: "/x", Method: "POST"}, 9) {
-		got = append(got, c.Route.Service+": "+c.Why)
+		got = append(got, c.Route.Service+": "+c.Reason)
 	}
 	want := []string{
 		"runs: wins: host runs.example.org, method POST", "rest: loses: the winner's host is exact",
@@ -245,7 +245,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
-	if m := tb.Methods(&Query{Host: "runs.example.org", Path: "/x", Method: "GET"}); !cmp.Equal(m, []string{"POST"}) {
+	if m := tb.AllowedMethods(&Query{Host: "runs.example.org", Path: "/x", Method: "GET"}); !cmp.Equal(m, []string{"POST"}) {
 		t.Errorf("methods %v", m)
 	}
 }
@@ -254,13 +254,13 @@
 func TestASplitMovesNoMoreThanItMust(t *testing.T) {
 	const n = 20000
 	numbers := map[string]int{"a": 1, "b": 2, "c": 3, "new a": 1}
-	at := func(shares ...Share) (pools [n]int) {
-		tb, faults := New([]Service{{Name: "s", Shares: shares}}, nil, func(name string) (int, bool) { n, ok := numbers[name]; return n, ok })
+	at := func(shares ...WeightedPool) (pools [n]int) {
+		tb, faults := New([]Service{{Name: "s", Pools: shares}}, nil, func(name string) (int, bool) { n, ok := numbers[name]; return n, ok })
 		if len(faults) > 0 {
 			t.Fatal(faults)
 		}
 		for i := range pools {
-			pools[i] = tb.Service("s").Pool(uint64(i) * 0x9e3779b97f4a7c15)
+			pools[i] = tb.Service("s").PoolFor(uint64(i) * 0x9e3779b97f4a7c15)
 		}
 		return pools
 	}
@@ -281,14 +281,14 @@
 			t.Errorf("%s: %d of %d, want a share of %v", what, got, n, share)
 		}
 	}
-	most, even := at(Share{Pool: "a", Weight: 90}, Share{Pool: "b", Weight: 10}), at(Share{Pool: "a", Weight: 5}, Share{Pool: "b", Weight: 5})
+	most, even := at(WeightedPool{Pool: "a", Weight: 90}, WeightedPool{Pool: "b", Weight: 10}), at(WeightedPool{Pool: "a", Weight: 5}, WeightedPool{Pool: "b", Weight: 5})
 	near("90/10 to 50/50", moved(most, even, 1, 2), 0.4)
-	three := at(Share{Pool: "a", Weight: 1}, Share{Pool: "b", Weight: 1}, Share{Pool: "c", Weight: 1})
+	three := at(WeightedPool{Pool: "a", Weight: 1}, WeightedPool{Pool: "b", Weight: 1}, WeightedPool{Pool: "c", Weight: 1})
 	near("a third pool", moved(even, three, 0, 3), 1.0/3)
-	if at(Share{Pool: "new a", Key: "a", Weight: 5}, Share{Pool: "b", Weight: 5}) != even {
+	if at(WeightedPool{Pool: "new a", HashKey: "a", Weight: 5}, WeightedPool{Pool: "b", Weight: 5}) != even {
 		t.Error("a rename moved conversations")
 	}
-	if got := at(Share{Pool: "a", Weight: 0}, Share{Pool: "b", Weight: 1}); moved(most, got, 1, 2) == 0 || got[0] != 2 {
+	if got := at(WeightedPool{Pool: "a", Weight: 0}, WeightedPool{Pool: "b", Weight: 1}); moved(most, got, 1, 2) == 0 || got[0] != 2 {
 		t.Error("a weight of 0 still gets some")
 	}
 }
@@ -300,7 +300,7 @@
 		"": "", ".": "", "a..b": "", "a..": "", "0..:80": "", ".a": "", "a b": "", "[::1": "", "[fe80::1%25eth0]": "", "a:80x": "", "a:123456": "", "::1": "",
 		"a/b": "", "ä": "", "u@h": "", strings.Repeat("a", 64): "", strings.Repeat("a.", 127) + "a": "", "[1.2.3.4]": "",
 	} {
-		if got, err := Host(in); got != want || (err == nil) != (want != "") {
+		if got, err := NormalizeHost(in); got != want || (err == nil) != (want != "") {
 			t.Errorf("%q: %q, %v; want %q", in, got, err, want)
 		}
 	}
@@ -314,7 +314,7 @@
 		"/a%5Cb": "", `/a\b`: "", "/a%00": "", "/a%0d%0a": "", "/a%7F": "", "/a%": "", "/a%4": "", "/a%4g": "", "/a b": "", "/ä": "", "/a?b": "",
 		"/a#b": "", "/a\x7f": "",
 	} {
-		if got, err := Path(in); got != want || (err == nil) != (want != "") {
+		if got, err := NormalizePath(in); got != want || (err == nil) != (want != "") {
 			t.Errorf("%q: %q, %v; want %q", in, got, err, want)
 		}
 	}
@@ -326,12 +326,12 @@
 	if to := tb.Lookup(&q); to == nil {
 		t.Fatal("no route")
 	}
-	both, _ := New([]Service{{Name: "s", Shares: []Share{{Pool: "a", Weight: 1}, {Pool: "b", Weight: 1}}}}, nil, one)
+	both, _ := New([]Service{{Name: "s", Pools: []WeightedPool{{Pool: "a", Weight: 1}, {Pool: "b", Weight: 1}}}}, nil, one)
 	if n := testing.AllocsPerRun(100, func() {
 		tb.Lookup(&q)
-		_, _ = Path("/v1/chat/completions")
-		_, _, _ = SplitHost("runs.example.org:80")
-		both.Service("s").Pool(Conversation("id"))
+		_, _ = NormalizePath("/v1/chat/completions")
+		_, _, _ = SplitHostPort("runs.example.org:80")
+		both.Service("s").PoolFor(HashConversation("id"))
 	}); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
@@ -381,8 +381,8 @@
 func BenchmarkSpelling(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		_, _, _ = SplitHost("runs.example.org:8080")
-		_, _ = Path("/v1/chat/completions")
+		_, _, _ = SplitHostPort("runs.example.org:8080")
+		_, _ = NormalizePath("/v1/chat/completions")
 	}
 }
 
@@ -391,11 +391,11 @@
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, s string) {
-		p, err := Path(s)
+		p, err := NormalizePath(s)
 		if err != nil {
 			return
 		}
-		if again, err := Path(p); err != nil || again != p {
+		if again, err := NormalizePath(p); err != nil || again != p {
 			t.Fatalf("%q became %q, and that %q, %v", s, p, again, err)
 		}
 		// Whatever a server decodes, the segments stay the same.
@@ -428,11 +428,11 @@
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, s string) {
-		h, port, err := SplitHost(s)
+		h, port, err := SplitHostPort(s)
 		if err != nil {
 			return
 		}
-		if again, p, err := SplitHost(JoinHost(h, port)); err != nil || again != h || p != port {
+		if again, p, err := SplitHostPort(JoinHostPort(h, port)); err != nil || again != h || p != port {
 			t.Fatalf("%q became %q%q, and that %q%q, %v", s, h, port, again, p, err)
 		}
 		if h != strings.ToLower(h) || strings.HasSuffix(h, ".") {
--- a/internal/route/target.go
+++ b/internal/route/target.go
@@ -8,33 +8,33 @@
 
 // Errors of a target. They are the request's own fault: 400.
 var (
-	ErrHost = errors.New("the host is malformed")
-	ErrPath = errors.New("the path is malformed")
-	// ErrSpelling: a path with empty segments, . or .. segments, or an encoded slash, backslash or control character.
+	ErrMalformedHost = errors.New("the host is malformed")
+	ErrMalformedPath = errors.New("the path is malformed")
+	// ErrAmbiguousPath: a path with empty segments, . or .. segments, or an encoded slash, backslash or control character.
 	// Servers disagree on what such a path names, so that it must not be routed as one thing and served as another.
-	ErrSpelling = errors.New("the path can be read in two ways")
+	ErrAmbiguousPath = errors.New("the path can be read in two ways")
 )
 
 // maxHost is the longest name of a host, by RFC 1035, in bytes.
 const maxHost = 253
 
-// Host returns the canonical form of a Host header's value: lower case, without a port, a trailing dot or an IPv6
+// NormalizeHost returns the canonical form of a Host header's value: lower case, without a port, a trailing dot or an IPv6
 // literal's brackets; addresses in the form of RFC 5952. It allocates nothing where the value is canonical already.
-func Host(s string) (string, error) {
-	host, _, err := SplitHost(s)
+func NormalizeHost(s string) (string, error) {
+	host, _, err := SplitHostPort(s)
 	return host, err
 }
 
-// SplitHost is Host, and returns the port as it came: "" or with its colon.
-func SplitHost(s string) (host, port string, err error) {
+// SplitHostPort is Host, and returns the port as it came: "" or with its colon.
+func SplitHostPort(s string) (host, port string, err error) {
 	if strings.HasPrefix(s, "[") {
 		end := strings.IndexByte(s, ']')
 		if end < 0 || !validPort(s[end+1:]) {
-			return "", "", ErrHost
+			return "", "", ErrMalformedHost
 		}
 		addr, err := netip.ParseAddr(s[1:end])
 		if err != nil || !addr.Is6() || addr.Zone() != "" {
-			return "", "", ErrHost
+			return "", "", ErrMalformedHost
 		}
 		return addr.String(), s[end+1:], nil
 	}
@@ -42,12 +42,12 @@
 	if colon := strings.IndexByte(s, ':'); colon >= 0 {
 		host, port = s[:colon], s[colon:]
 		if !validPort(port) {
-			return "", "", ErrHost
+			return "", "", ErrMalformedHost
 		}
 	}
 	host = strings.TrimSuffix(host, ".")
 	if host == "" || len(host) > maxHost {
-		return "", "", ErrHost
+		return "", "", ErrMalformedHost
 	}
 	label, upper := 0, false
 	for i := 0; i < len(host); i++ {
@@ -59,14 +59,14 @@
 			label = 0
 			continue
 		default:
-			return "", "", ErrHost
+			return "", "", ErrMalformedHost
 		}
 		if label++; label > 63 {
-			return "", "", ErrHost
+			return "", "", ErrMalformedHost
 		}
 	}
 	if label == 0 { // of two trailing dots only one is taken off
-		return "", "", ErrHost
+		return "", "", ErrMalformedHost
 	}
 	if upper {
 		host = strings.ToLower(host)
@@ -90,8 +90,8 @@
 	return true
 }
 
-// JoinHost writes a canonical host and its port as a Host header's value.
-func JoinHost(host, port string) string {
+// JoinHostPort writes a canonical host and its port as a Host header's value.
+func JoinHostPort(host, port string) string {
 	switch {
 	case strings.IndexByte(host, ':') >= 0:
 		return "[" + host + "]" + port
@@ -101,18 +101,18 @@
 	return host + port
 }
 
-// Path returns the one spelling of a path, as RFC 3986, 6.2.2 has it: what need not be encoded is not, and hexadecimal
+// NormalizePath returns the one spelling of a path, as RFC 3986, 6.2.2 has it: what need not be encoded is not, and hexadecimal
 // digits are upper case. What it returns is both routed and sent on. It allocates nothing where the path is canonical.
-func Path(s string) (string, error) {
+func NormalizePath(s string) (string, error) {
 	if s == "" || s[0] != '/' {
-		return "", ErrPath
+		return "", ErrMalformedPath
 	}
 	from := 1 // of the segment
 	canonical := true
 	for i := 1; i <= len(s); i++ {
 		if i == len(s) || s[i] == '/' {
 			if seg := s[from:i]; seg == "" && i < len(s) || dots(seg) {
-				return "", ErrSpelling
+				return "", ErrAmbiguousPath
 			}
 			from = i + 1
 			continue
@@ -122,17 +122,17 @@
 			b, ok := unhex(s, i)
 			switch {
 			case !ok:
-				return "", ErrPath
+				return "", ErrMalformedPath
 			case b == '/', b == '\\', b < ' ', b == 0x7f:
-				return "", ErrSpelling
+				return "", ErrAmbiguousPath
 			case unreserved(b), lower(s[i+1]), lower(s[i+2]):
 				canonical = false
 			}
 			i += 2
 		case c == '\\':
-			return "", ErrSpelling
+			return "", ErrAmbiguousPath
 		case !pathByte(c):
-			return "", ErrPath
+			return "", ErrMalformedPath
 		}
 	}
 	if canonical {
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -185,10 +185,10 @@
 	}
 	e := &Explanation{Method: get("method", "POST"), Class: get("class", "")}
 	var err error
-	if e.Host, err = route.Host(get("host", "")); err != nil {
+	if e.Host, err = route.NormalizeHost(get("host", "")); err != nil {
 		return nil, fmt.Errorf("host: %w", err)
 	}
-	if e.Path, err = route.Path(get("path", "/")); err != nil {
+	if e.Path, err = route.NormalizePath(get("path", "/")); err != nil {
 		return nil, fmt.Errorf("path: %w", err)
 	}
 	q := route.Query{Host: e.Host, Path: e.Path, Method: e.Method, Class: e.Class, Header: map[string][]string{}}
@@ -205,7 +205,7 @@
 	}
 	const close = 5
 	for _, c := range t.Explain(&q, close) {
-		e.Routes = append(e.Routes, ExplainedPart{c.Route.Service, c.Route.Says(), c.Why, c.Wins, c.Matches})
+		e.Routes = append(e.Routes, ExplainedPart{c.Route.Service, c.Route.Summary(), c.Reason, c.Wins, c.Matches})
 	}
 	return e, nil
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -19,12 +19,12 @@
 
 	"notchhinge/internal/batch"
 	"notchhinge/internal/config/platformconfig"
+	"notchhinge/internal/directory"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/frontend"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/listwatch"
 	"notchhinge/internal/reconcile"
-	"notchhinge/internal/service"
 	"notchhinge/internal/trace"
 	"notchhinge/internal/upstream"
 	"notchhinge/policy"
@@ -39,7 +39,7 @@
 	loop     *dispatch.Loop
 	upstream *upstream.Transport
 	front    *frontend.Server
-	at       atomic.Pointer[service.Directory]
+	at       atomic.Pointer[directory.Directory]
 	ready    atomic.Bool
 	desk     *batch.Desk // nil where the batch front is off
 	door     net.Listener
