--- a/cmd/notchhinge/main.go
+++ b/cmd/notchhinge/main.go
@@ -155,7 +155,7 @@
 // begin makes the plan to begin with, and room in the limits for what it and the batch front need.
 func begin(cfg *platformconfig.Config, f *operatorconfig.File, b *batch.Config) (*reconcile.Plan, error) {
 	if b != nil {
-		cfg.Limits = cfg.Limits.WithBatch(b.Files())
+		cfg.Limits = cfg.Limits.WithBatch(b.MaxOpenFiles())
 	}
 	p, err := reconcile.NewPlan(cfg, f, nil)
 	if err != nil || len(f.Services) == 0 && f.Control == nil {
--- a/internal/batch/attempt.go
+++ b/internal/batch/attempt.go
@@ -15,15 +15,15 @@
 
 // attempt is one authorisation made for a line: the acquirer that the broker and the legs see.
 type attempt struct {
-	desk  *Desk
-	try   *try
-	order upstream.Request
-	got   collector
-	safe  bool // the line may be run again whole
+	service     *Service
+	item        *item
+	request     upstream.Request
+	response    collector
+	isRetrySafe bool // the line may be run again whole
 }
 
-// end is how an attempt ended.
-type end struct {
+// attemptResult is how an attempt ended.
+type attemptResult struct {
 	kind         int
 	retryAfter   time.Duration
 	code, reason string
@@ -31,30 +31,30 @@
 }
 
 const (
-	endServed = iota
-	endRefused
-	endFailed
-	endBroken // a stream that broke; the line may be tried again whole
+	resultServed = iota
+	resultRejected
+	resultFailed
+	resultBroken // a stream that broke; the line may be tried again whole
 )
 
-func newAttempt(d *Desk, w *try) *attempt {
+func newAttempt(s *Service, it *item) *attempt {
 	return &attempt{
-		desk: d, try: w, safe: w.class.Effect == policy.EffectSafe, got: collector{most: d.lim.BatchResponseBytes},
-		order: upstream.Request{
+		service: s, item: it, isRetrySafe: it.class.Effect == policy.EffectSafe, response: collector{maxBytes: s.limits.BatchResponseBytes},
+		request: upstream.Request{
 			Method: "POST", Target: endpoint, Host: directory.BatchHost, CallID: fmt.Sprintf("%016x", rand.Uint64()),
-			ContentType: "application/json", Body: w.body,
+			ContentType: "application/json", Body: it.body,
 		},
 	}
 }
 
 // UpstreamRequest implements upstream.Downstream.
-func (a *attempt) UpstreamRequest() *upstream.Request { return &a.order }
+func (a *attempt) UpstreamRequest() *upstream.Request { return &a.request }
 
 // WriteBody implements upstream.Downstream: what comes is collected.
 func (a *attempt) WriteBody(events []byte) error {
-	err := a.got.add(events)
-	if errors.Is(err, errAnswerTooLong) {
-		a.desk.ended(a, end{kind: endFailed, code: "answer_too_long", reason: err.Error()})
+	err := a.response.add(events)
+	if errors.Is(err, errResponseTooLong) {
+		a.service.finishAttempt(a, attemptResult{kind: resultFailed, code: "answer_too_long", reason: err.Error()})
 	}
 	return err
 }
@@ -63,11 +63,11 @@
 func (a *attempt) Finish(whole bool) error {
 	switch {
 	case whole:
-		a.desk.ended(a, end{kind: endServed, body: a.got.answer()})
-	case a.safe:
-		a.desk.ended(a, end{kind: endBroken})
+		a.service.finishAttempt(a, attemptResult{kind: resultServed, body: a.response.completion()})
+	case a.isRetrySafe:
+		a.service.finishAttempt(a, attemptResult{kind: resultBroken})
 	default:
-		a.desk.ended(a, end{kind: endFailed, code: "broken", reason: "the answer broke off"})
+		a.service.finishAttempt(a, attemptResult{kind: resultFailed, code: "broken", reason: "the answer broke off"})
 	}
 	return nil
 }
@@ -75,8 +75,8 @@
 // Reject is the broker's final answer that serves nothing.
 func (a *attempt) Reject(why dispatch.Verdict, retryAfter time.Duration) {
 	if why != dispatch.VerdictRejected {
-		a.desk.ended(a, end{kind: endFailed, code: "timed_out", reason: "not served in time"})
+		a.service.finishAttempt(a, attemptResult{kind: resultFailed, code: "timed_out", reason: "not served in time"})
 		return
 	}
-	a.desk.ended(a, end{kind: endRefused, retryAfter: retryAfter})
+	a.service.finishAttempt(a, attemptResult{kind: resultRejected, retryAfter: retryAfter})
 }
--- a/internal/batch/contract.go
+++ b/internal/batch/contract.go
@@ -16,16 +16,16 @@
 
 // Contract is what a team may do.
 type Contract struct {
-	Team         string   `toml:"team"`
-	KeyEnv       string   `toml:"key_env"`       // the environment variable that holds the team's key
-	Service      string   `toml:"-"`             // that its lines go to; "" = by their route
-	Classes      []string `toml:"classes"`       // the first is taken where a batch names none
-	Lines        int      `toml:"lines"`         // in one file
-	AtOnce       int      `toml:"at_once"`       // authorisations
-	BudgetTokens int64    `toml:"budget_tokens"` // of prompts and most answers, in one period
-	BudgetPeriod Period   `toml:"budget_period"`
-	LineDeadline Period   `toml:"line_deadline"` // from a line's first try
-	OpenAPI      string   `toml:"openapi"`       // a file that lines must meet; may be empty
+	Team          string   `toml:"team"`
+	KeyEnv        string   `toml:"key_env"`       // the environment variable that holds the team's key
+	Service       string   `toml:"-"`             // that its lines go to; "" = by their route
+	Classes       []string `toml:"classes"`       // the first is taken where a batch names none
+	MaxItems      int      `toml:"lines"`         // in one file
+	MaxConcurrent int      `toml:"at_once"`       // authorisations
+	BudgetTokens  int64    `toml:"budget_tokens"` // of prompts and most answers, in one period
+	BudgetPeriod  Period   `toml:"budget_period"`
+	ItemDeadline  Period   `toml:"line_deadline"` // from a line's first try
+	OpenAPI       string   `toml:"openapi"`       // a file that lines must meet; may be empty
 
 	key    string
 	schema *openapi3.T
@@ -62,27 +62,27 @@
 		return nil, fmt.Errorf("%s: listen, spool and one contract at least are needed", path)
 	}
 	dir := filepath.Dir(path)
-	c.Spool = under(dir, c.Spool)
+	c.Spool = resolvePath(dir, c.Spool)
 	for i := range c.Contracts {
 		if k := &c.Contracts[i]; k.OpenAPI != "" {
-			k.OpenAPI = under(dir, k.OpenAPI)
+			k.OpenAPI = resolvePath(dir, k.OpenAPI)
 		}
 	}
-	if err := c.Check(classes, getenv); err != nil {
+	if err := c.Validate(classes, getenv); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return &c, nil
 }
 
-// Check takes the contracts' keys from the environment, reads their descriptions, and says what is wrong. classes are
+// Validate takes the contracts' keys from the environment, reads their descriptions, and says what is wrong. classes are
 // those that contracts may name; nil where they are checked elsewhere.
-func (c *Config) Check(classes map[string]int, getenv func(string) string) error {
+func (c *Config) Validate(classes map[string]int, getenv func(string) string) error {
 	var err error
 	teams, keys := map[string]bool{}, map[string]bool{}
 	for i := range c.Contracts {
 		k := &c.Contracts[i]
 		k.key = getenv(k.KeyEnv)
-		if err := k.check(classes); err != nil {
+		if err := k.validate(classes); err != nil {
 			return fmt.Errorf("contract %q: %w", k.Team, err)
 		}
 		if teams[k.Team] || keys[k.key] {
@@ -101,31 +101,31 @@
 	return nil
 }
 
-// Files tells how many files the lines of all teams may keep open, uploads included.
-func (c *Config) Files() int {
+// MaxOpenFiles tells how many files the lines of all teams may keep open, uploads included.
+func (c *Config) MaxOpenFiles() int {
 	n := 0
 	for _, k := range c.Contracts {
-		n += 2*k.AtOnce + 2 // at the most each line that is out is of another job
+		n += 2*k.MaxConcurrent + 2 // at the most each line that is out is of another job
 	}
 	return n
 }
 
-func under(dir, path string) string {
+func resolvePath(dir, path string) string {
 	if filepath.IsAbs(path) {
 		return path
 	}
 	return filepath.Join(dir, path)
 }
 
-func (k *Contract) check(classes map[string]int) error {
+func (k *Contract) validate(classes map[string]int) error {
 	switch {
-	case !plain(k.Team):
+	case !isPlainName(k.Team):
 		return errors.New("team must be a name of letters, digits, - and _")
 	case k.key == "":
 		return fmt.Errorf("the variable that key_env names (%q) holds no key", k.KeyEnv)
 	case len(k.Classes) == 0:
 		return errors.New("classes must not be empty")
-	case k.Lines < 1 || k.AtOnce < 1 || k.BudgetTokens < 1 || k.BudgetPeriod <= 0 || k.LineDeadline <= 0:
+	case k.MaxItems < 1 || k.MaxConcurrent < 1 || k.BudgetTokens < 1 || k.BudgetPeriod <= 0 || k.ItemDeadline <= 0:
 		return errors.New("lines, at_once, budget_tokens, budget_period and line_deadline must be above 0")
 	}
 	for _, name := range k.Classes {
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// plain tells whether a name can be a folder's.
-func plain(name string) bool {
+// isPlainName tells whether a name can be a folder's.
+func isPlainName(name string) bool {
 	for _, r := range name {
 		if (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') && (r < '0' || r > '9') && r != '-' && r != '_' {
 			return false
@@ -149,8 +149,8 @@
 	return name != "" && len(name) <= 64
 }
 
-// meets says why a line's body does not meet the team's own description, if it has one.
-func (k *Contract) meets(method, url string, body []byte) error {
+// validateBody says why a line's body does not meet the team's own description, if it has one.
+func (k *Contract) validateBody(method, url string, body []byte) error {
 	if k.schema == nil {
 		return nil
 	}
--- a/internal/batch/desk_test.go
+++ b/internal/batch/desk_test.go
@@ -23,95 +23,95 @@
 	"notchhinge/policy"
 )
 
-// rig is a desk with a given clock. What it hands to the broker is noted; the test answers in its place.
-type rig struct {
-	*Desk
-	t   *testing.T
-	at  time.Duration
-	out []*attempt
-	due []dispatch.SetReminder
+// harness is a desk with a given clock. What it hands to the broker is noted; the test answers in its place.
+type harness struct {
+	*Service
+	t         *testing.T
+	at        time.Duration
+	submitted []*attempt
+	reminders []dispatch.SetReminder
 }
 
 const key = "secret"
 
-func newRig(t *testing.T, spool string, change func(*Contract)) *rig {
+func newHarness(t *testing.T, spool string, change func(*Contract)) *harness {
 	t.Helper()
 	k := Contract{
-		Team: "crews", Classes: []string{"batch-summary", "doc-lookup"}, Lines: 9, AtOnce: 4, BudgetTokens: 10000,
-		BudgetPeriod: Period(time.Hour), LineDeadline: Period(20 * time.Second), key: key,
+		Team: "crews", Classes: []string{"batch-summary", "doc-lookup"}, MaxItems: 9, MaxConcurrent: 4, BudgetTokens: 10000,
+		BudgetPeriod: Period(time.Hour), ItemDeadline: Period(20 * time.Second), key: key,
 	}
 	if change != nil {
 		change(&k)
 	}
-	r := &rig{t: t, at: 1000 * time.Second}
+	r := &harness{t: t, at: 1000 * time.Second}
 	lim := limits.New(limits.Machine{MemoryMB: 192, Sockets: 1024}, limits.Site{})
 	lim.BatchItemBytes = 1000
 	at := directory.SinglePool(&directory.Pool{Classes: []policy.Class{
 		{Name: "doc-lookup", Deadline: 6 * time.Second}, {Name: "batch-summary", Deadline: 12 * time.Second},
 	}})
-	d, err := NewDesk(Options{
-		Config: &Config{Spool: spool, Contracts: []Contract{k}}, Lim: lim,
-		Routes: func() *directory.Directory { return at }, Now: func() time.Duration { return r.at }, Log: slog.New(slog.DiscardHandler),
+	s, err := New(Options{
+		Config: &Config{Spool: spool, Contracts: []Contract{k}}, Limits: lim,
+		Directory: func() *directory.Directory { return at }, Now: func() time.Duration { return r.at }, Log: slog.New(slog.DiscardHandler),
 		Post: func(e dispatch.Event) {
 			switch e := e.(type) {
 			case dispatch.RequestReceived:
-				r.out = append(r.out, e.Client.(*attempt))
+				r.submitted = append(r.submitted, e.Client.(*attempt))
 			case dispatch.SetReminder:
-				r.due = append(r.due, e)
+				r.reminders = append(r.reminders, e)
 			case dispatch.ClientLeft:
-				r.out = append(r.out, nil) // called off
+				r.submitted = append(r.submitted, nil) // called off
 			}
 		},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(d.Close)
-	r.Desk = d
+	t.Cleanup(s.Close)
+	r.Service = s
 	return r
 }
 
 // after lets time pass, takes a turn, and returns what was handed out in it.
-func (r *rig) after(d time.Duration) []*attempt {
+func (r *harness) after(d time.Duration) []*attempt {
 	r.at += d
-	r.out = nil
-	due := r.due
-	r.due = nil
+	r.submitted = nil
+	due := r.reminders
+	r.reminders = nil
 	for _, e := range due {
 		if e.At <= r.at {
-			e.Token.(*try).Due()
+			e.Token.(*item).Due()
 		} else {
-			r.due = append(r.due, e)
+			r.reminders = append(r.reminders, e)
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.turn()
-	return r.out
+	r.schedule()
+	return r.submitted
 }
 
-func (r *rig) job(text string) *job {
+func (r *harness) job(text string) *job {
 	r.t.Helper()
 	t := r.teams[key]
-	f, err := r.store(t, "in.jsonl", strings.NewReader(text))
+	f, err := r.storeUpload(t, "in.jsonl", strings.NewReader(text))
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	j, err := r.create(t, f.ID, "", nil)
+	j, err := r.createJob(t, f.ID, "", nil)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	return j
 }
 
-func lineText(id string) string {
+func itemText(id string) string {
 	return fmt.Sprintf(`{"custom_id":%q,"method":"POST","url":"/v1/chat/completions","body":{"max_tokens":10,"messages":[{"content":"a"}]}}`+"\n", id)
 }
 
 func fileText(n int) string {
 	var b strings.Builder
 	for i := range n {
-		b.WriteString(lineText(fmt.Sprint("id-", i)))
+		b.WriteString(itemText(fmt.Sprint("id-", i)))
 	}
 	return b.String()
 }
@@ -130,8 +130,8 @@
 			t.Fatal(err)
 		}
 		code := ""
-		if o.Tries > 1 {
-			code = fmt.Sprintf("(%d tries) ", o.Tries)
+		if o.Attempts > 1 {
+			code = fmt.Sprintf("(%d tries) ", o.Attempts)
 		}
 		if o.Error != nil {
 			code += o.Error.Code
@@ -141,7 +141,7 @@
 	return got
 }
 
-func same(t *testing.T, what string, want, got any) {
+func checkEqual(t *testing.T, what string, want, got any) {
 	t.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("%s (-want +got):\n%s", what, diff)
@@ -153,86 +153,86 @@
 	_ = a.Finish(true)
 }
 
-func TestEveryLineHasOneOutcome(t *testing.T) {
-	r := newRig(t, t.TempDir(), nil)
-	j := r.job(lineText("a") + "not JSON\n\n" + lineText("b") + `{"custom_id":"c","method":"GET"}` + "\n" +
-		strings.Repeat("x", 1200) + "\n" + lineText("d") + strings.TrimSpace(lineText("e")))
+func TestEveryItemHasOneOutcome(t *testing.T) {
+	r := newHarness(t, t.TempDir(), nil)
+	j := r.job(itemText("a") + "not JSON\n\n" + itemText("b") + `{"custom_id":"c","method":"GET"}` + "\n" +
+		strings.Repeat("x", 1200) + "\n" + itemText("d") + strings.TrimSpace(itemText("e")))
 	out := r.after(0)
-	same(t, "handed out", 4, len(out))
+	checkEqual(t, "handed out", 4, len(out))
 	out[0].serve()
 	out[1].Reject(dispatch.VerdictFailed, 0)
 	out[1].serve() // a second end is none
 	out[2].Reject(dispatch.VerdictRejected, time.Minute)
 	_ = out[3].Finish(false) // broke; it is tried again whole
 	again := r.after(time.Second)
-	same(t, "handed out again", 1, len(again))
+	checkEqual(t, "handed out again", 1, len(again))
 	again[0].serve()
-	same(t, "status", "completed", j.status())
-	if j.done != nil || j.ends != nil || j.input != nil {
+	checkEqual(t, "status", "completed", j.status())
+	if j.done != nil || j.events != nil || j.input != nil {
 		t.Error("a batch that has ended still holds what it needed at work")
 	}
-	same(t, "result", []string{
+	checkEqual(t, "result", []string{
 		"1 a served", "2  failed invalid_line", "3 b failed timed_out", "4 c failed invalid_line",
 		"5  failed line_too_long", "6 d refused declined", "7 e served (2 tries)",
 	}, outcomesOf(t, j))
 }
 
-func TestDeclinesSlowTheTeamDown(t *testing.T) {
+func TestRejectionsReduceTheTeamsConcurrency(t *testing.T) {
 	// What is declined comes back after its Retry-After and not before, and fewer at once: a batch must not
 	// flood hosts that have just started.
-	r := newRig(t, t.TempDir(), nil)
+	r := newHarness(t, t.TempDir(), nil)
 	r.job(fileText(9))
 	out := r.after(0)
-	same(t, "at once", 4, len(out))
+	checkEqual(t, "at once", 4, len(out))
 	for _, a := range out[:3] {
 		a.Reject(dispatch.VerdictRejected, 2*time.Second)
 	}
-	same(t, "while one is out", 0, len(r.after(time.Second)))
+	checkEqual(t, "while one is out", 0, len(r.after(time.Second)))
 	out[3].Reject(dispatch.VerdictRejected, 2*time.Second)
-	same(t, "after four declines", 1, len(r.after(time.Second-1)))
-	r.out[0].serve()
+	checkEqual(t, "after four declines", 1, len(r.after(time.Second-1)))
+	r.submitted[0].serve()
 	next := r.after(time.Second)
-	same(t, "after an answer", 2, len(next))
-	same(t, "a declined line goes first", "id-0", next[0].try.id)
+	checkEqual(t, "after an answer", 2, len(next))
+	checkEqual(t, "a declined line goes first", "id-0", next[0].item.customID)
 }
 
-func TestLineDeadline(t *testing.T) {
-	r := newRig(t, t.TempDir(), func(k *Contract) { k.AtOnce = 1 })
+func TestItemIsRetriedUntilItsDeadline(t *testing.T) {
+	r := newHarness(t, t.TempDir(), func(k *Contract) { k.MaxConcurrent = 1 })
 	j := r.job(fileText(1))
 	for tries := 0; tries < 7; tries++ {
 		out := r.after(3 * time.Second)
 		if len(out) != 1 {
 			break
 		}
-		same(t, "time for an answer", min(12*time.Second, 20*time.Second-time.Duration(tries)*3*time.Second), out[0].try.request.Timeout)
+		checkEqual(t, "time for an answer", min(12*time.Second, 20*time.Second-time.Duration(tries)*3*time.Second), out[0].item.request.Timeout)
 		out[0].Reject(dispatch.VerdictRejected, 3*time.Second)
 	}
-	same(t, "result", []string{"1 id-0 refused (7 tries) declined"}, outcomesOf(t, j))
+	checkEqual(t, "result", []string{"1 id-0 refused (7 tries) declined"}, outcomesOf(t, j))
 }
 
-func TestResubmission(t *testing.T) {
+func TestSameFileIsTheSameJobAcrossRestarts(t *testing.T) {
 	// The same file from the same team is the same job, before and after a restart; it is never run twice.
 	dir := t.TempDir()
-	r := newRig(t, dir, nil)
+	r := newHarness(t, dir, nil)
 	j := r.job(fileText(2))
-	same(t, "second submission", true, r.job(fileText(2)) == j)
+	checkEqual(t, "second submission", true, r.job(fileText(2)) == j)
 	for _, a := range r.after(0) {
 		a.serve()
 	}
-	same(t, "third submission", true, r.job(fileText(2)) == j)
-	again := newRig(t, dir, nil)
-	same(t, "after a restart", "completed", again.job(fileText(2)).status())
-	same(t, "handed out", 0, len(again.after(0)))
-	if _, err := again.create(again.teams[key], j.rec.ID, "doc-lookup", nil); err == nil {
+	checkEqual(t, "third submission", true, r.job(fileText(2)) == j)
+	again := newHarness(t, dir, nil)
+	checkEqual(t, "after a restart", "completed", again.job(fileText(2)).status())
+	checkEqual(t, "handed out", 0, len(again.after(0)))
+	if _, err := again.createJob(again.teams[key], j.record.ID, "doc-lookup", nil); err == nil {
 		t.Error("the same file as another class is no conflict")
 	}
 }
 
-func TestRestartResumes(t *testing.T) {
+func TestRestartRunsOnlyItemsWithoutAnOutcome(t *testing.T) {
 	// A program that dies leaves lines without an outcome, and maybe half a line in its notes. Both are run
 	// again; what has an outcome is not.
 	dir := t.TempDir()
-	r := newRig(t, dir, nil)
+	r := newHarness(t, dir, nil)
 	j := r.job(fileText(5))
 	out := r.after(0)
 	out[1].serve()
@@ -246,90 +246,90 @@
 	if err := errors.Join(err, f.Close()); err != nil {
 		t.Fatal(err)
 	}
-	again := newRig(t, dir, nil)
+	again := newHarness(t, dir, nil)
 	var ids []string
 	for _, a := range again.after(0) {
-		ids = append(ids, a.try.id)
+		ids = append(ids, a.item.customID)
 		a.serve()
 	}
-	same(t, "run again", []string{"id-0", "id-3", "id-4"}, ids)
-	same(t, "result", []string{"1 id-0 served", "2 id-1 served", "3 id-2 failed timed_out", "4 id-3 served", "5 id-4 served"},
-		outcomesOf(t, again.teams[key].jobs[j.rec.ID]))
+	checkEqual(t, "run again", []string{"id-0", "id-3", "id-4"}, ids)
+	checkEqual(t, "result", []string{"1 id-0 served", "2 id-1 served", "3 id-2 failed timed_out", "4 id-3 served", "5 id-4 served"},
+		outcomesOf(t, again.teams[key].jobs[j.record.ID]))
 }
 
-func TestStopBeginsNothing(t *testing.T) {
-	r := newRig(t, t.TempDir(), nil)
+func TestStopSubmitsNoMoreItems(t *testing.T) {
+	r := newHarness(t, t.TempDir(), nil)
 	j := r.job(fileText(6))
 	out := r.after(0)
 	r.Stop()
 	for _, a := range out {
 		a.serve()
 	}
-	same(t, "handed out while stopping", 0, len(r.after(time.Second)))
-	same(t, "lines left", 2, j.left)
+	checkEqual(t, "handed out while stopping", 0, len(r.after(time.Second)))
+	checkEqual(t, "lines left", 2, j.remaining)
 }
 
-func TestCancel(t *testing.T) {
-	r := newRig(t, t.TempDir(), nil)
+func TestCancelRecordsAnOutcomeForEveryItem(t *testing.T) {
+	r := newHarness(t, t.TempDir(), nil)
 	j := r.job(fileText(6))
 	out := r.after(0)
 	out[0].serve()
-	if err := r.cancel(j); err != nil {
+	if err := r.cancelJob(j); err != nil {
 		t.Fatal(err)
 	}
-	same(t, "called off", 3, len(r.after(0)))
+	checkEqual(t, "called off", 3, len(r.after(0)))
 	out[1].serve() // too late
-	same(t, "status", "cancelled", j.status())
-	same(t, "served, failed", []int{1, 5}, []int{j.counts[served], j.counts[failed]})
-	same(t, "still out", 0, r.teams[key].out)
-	if err := r.cancel(j); err == nil {
+	checkEqual(t, "status", "cancelled", j.status())
+	checkEqual(t, "served, failed", []int{1, 5}, []int{j.counts[outcomeServed], j.counts[outcomeFailed]})
+	checkEqual(t, "still out", 0, r.teams[key].inFlight)
+	if err := r.cancelJob(j); err == nil {
 		t.Error("a batch that has ended can be cancelled")
 	}
 }
 
-func TestCancelWithTheLastLineDone(t *testing.T) {
+func TestCancelOfAJobThatCompletesMeanwhile(t *testing.T) {
 	// Guards against a look at a line of a batch that has just come to its end.
-	r := newRig(t, t.TempDir(), nil)
+	r := newHarness(t, t.TempDir(), nil)
 	j := r.job(fileText(4))
 	out := r.after(0)
 	out[1].serve()
 	out[3].serve()
 	out[0].Reject(dispatch.VerdictRejected, time.Second)
 	r.after(time.Second)
-	if err := r.cancel(j); err != nil {
+	if err := r.cancelJob(j); err != nil {
 		t.Fatal(err)
 	}
 	r.after(0)
-	same(t, "result", []string{"1 id-0 failed (2 tries) cancelled", "2 id-1 served", "3 id-2 failed cancelled", "4 id-3 served"},
+	checkEqual(t, "result", []string{"1 id-0 failed (2 tries) cancelled", "2 id-1 served", "3 id-2 failed cancelled", "4 id-3 served"},
 		outcomesOf(t, j))
 }
 
-func TestSpoolThatCannotBeWritten(t *testing.T) {
+func TestJobIsSuspendedWhenTheSpoolCannotBeWritten(t *testing.T) {
 	// A full disk must not lose or repeat an outcome: the job stalls, and the next start takes it up.
 	dir := t.TempDir()
-	r := newRig(t, dir, nil)
+	r := newHarness(t, dir, nil)
 	j := r.job(fileText(3))
 	out := r.after(0)
 	out[0].serve()
 	_ = j.outcomes.Close()
 	out[1].serve()
-	same(t, "status", "failed", j.status())
-	same(t, "handed out", 0, len(r.after(time.Second)))
-	same(t, "resumed", 2, len(newRig(t, dir, nil).after(0)))
+	checkEqual(t, "status", "failed", j.status())
+	checkEqual(t, "handed out", 0, len(r.after(time.Second)))
+	checkEqual(t, "resumed", 2, len(newHarness(t, dir, nil).after(0)))
 }
 
-func TestAnswerThatIsTooLong(t *testing.T) {
-	r := newRig(t, t.TempDir(), nil)
+func TestResponseThatIsTooLongFailsTheItem(t *testing.T) {
+	r := newHarness(t, t.TempDir(), nil)
 	j := r.job(fileText(1))
 	a := r.after(0)[0]
-	a.got.most = 3
+	a.response.maxBytes = 3
 	if a.WriteBody([]byte(`data: {"choices":[{"delta":{"content":"long"}}]}`+"\n\n")) == nil {
 		t.Error("no error")
 	}
-	same(t, "result", []string{"1 id-0 failed answer_too_long"}, outcomesOf(t, j))
+	checkEqual(t, "result", []string{"1 id-0 failed answer_too_long"}, outcomesOf(t, j))
 }
 
-func TestLinesGoToTheServiceOfTheirContract(t *testing.T) {
+func TestItemsGoToTheServiceOfTheirContract(t *testing.T) {
 	// By its service's name, or by the routes of the lines' host; and what nothing leads to any more has its outcome.
 	directoryOf := func(names ...string) *directory.Directory {
 		var services []route.Service
@@ -346,9 +346,9 @@
 		return directory.New(table, true, pools...)
 	}
 	for name, want := range map[string]hoststate.PoolID{"calib": 2, "": 1} {
-		r := newRig(t, t.TempDir(), func(k *Contract) { k.Service, k.AtOnce = name, 1 })
+		r := newHarness(t, t.TempDir(), func(k *Contract) { k.Service, k.MaxConcurrent = name, 1 })
 		at := directoryOf("runs", "calib")
-		r.routes = func() *directory.Directory { return at }
+		r.directory = func() *directory.Directory { return at }
 		var to []hoststate.PoolID
 		post := r.post
 		r.post = func(e dispatch.Event) {
@@ -363,7 +363,7 @@
 			at.Table, _ = route.New(nil, nil, nil)
 		}
 		r.after(0)
-		same(t, "pools", []hoststate.PoolID{want}, to)
-		same(t, "outcomes", []string{"1 id-0 failed timed_out", "2 id-1 failed no_route"}, outcomesOf(t, j))
+		checkEqual(t, "pools", []hoststate.PoolID{want}, to)
+		checkEqual(t, "outcomes", []string{"1 id-0 failed timed_out", "2 id-1 failed no_route"}, outcomesOf(t, j))
 	}
 }
--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -17,28 +17,28 @@
 // a file without a job.
 func goldenSpool(t *testing.T, dir string) {
 	t.Helper()
-	r := newRig(t, dir, nil)
-	r.job(lineText("a") + "not JSON\n\n" + lineText("b"))
+	r := newHarness(t, dir, nil)
+	r.job(itemText("a") + "not JSON\n\n" + itemText("b"))
 	out := r.after(0)
-	out[0].order.CallID = "call-a" // which is drawn
+	out[0].request.CallID = "call-a" // which is drawn
 	out[0].serve()
 	out[1].Reject(dispatch.VerdictFailed, 0)
 	r.after(time.Second)
 	half := r.job(fileText(3))
-	half.rec.Metadata = map[string]string{"name": "half"}
-	if err := writeJSON(filepath.Join(half.dir, jobName), half.rec); err != nil {
+	half.record.Metadata = map[string]string{"name": "half"}
+	if err := writeJSON(filepath.Join(half.dir, jobName), half.record); err != nil {
 		t.Fatal(err)
 	}
 	out = r.after(time.Second)
-	out[1].order.CallID = "call-id-1"
+	out[1].request.CallID = "call-id-1"
 	out[1].serve()
 	r.after(0)
-	cancelled := r.job(lineText("z"))
-	if err := r.cancel(cancelled); err != nil {
+	cancelled := r.job(itemText("z"))
+	if err := r.cancelJob(cancelled); err != nil {
 		t.Fatal(err)
 	}
 	r.after(time.Second)
-	if _, err := r.store(r.teams[key], "alone.jsonl", strings.NewReader(lineText("alone"))); err != nil {
+	if _, err := r.storeUpload(r.teams[key], "alone.jsonl", strings.NewReader(itemText("alone"))); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -62,9 +62,9 @@
 	return all
 }
 
-// TestGoldenSpool: the front writes the files that it wrote, and takes up a folder that it wrote then: what has ended stays so,
+// TestGoldenSpoolIsWrittenAndResumed: the front writes the files that it wrote, and takes up a folder that it wrote then: what has ended stays so,
 // and each line that was left gets its outcome.
-func TestGoldenSpool(t *testing.T) {
+func TestGoldenSpoolIsWrittenAndResumed(t *testing.T) {
 	const name = "batch-folder"
 	made := t.TempDir()
 	goldenSpool(t, made)
@@ -73,12 +73,12 @@
 	}
 	golden.Equal(t, "the files", files(t, golden.Path(name)), files(t, made))
 
-	r := newRig(t, golden.CopyFolder(t, name), nil)
+	r := newHarness(t, golden.CopyFolder(t, name), nil)
 	states := map[string]string{}
 	var half *job
 	for _, j := range r.teams[key].jobs {
-		states[j.file.Name+" "+j.rec.Created.Format("15:04:05")+" "+j.rec.Metadata["name"]] = j.status()
-		if j.rec.Metadata["name"] == "half" {
+		states[j.file.Name+" "+j.record.Created.Format("15:04:05")+" "+j.record.Metadata["name"]] = j.status()
+		if j.record.Metadata["name"] == "half" {
 			half = j
 		}
 	}
@@ -96,8 +96,8 @@
 	golden.Equal(t, "outcomes", []string{"1 id-0 served", "2 id-1 served", "3 id-2 served"}, outcomesOf(t, half))
 }
 
-// TestGoldenSpoolRecords: each record of the golden folder is read and written to the same bytes.
-func TestGoldenSpoolRecords(t *testing.T) {
+// TestGoldenSpoolRecordsKeepTheirBytes: each record of the golden folder is read and written to the same bytes.
+func TestGoldenSpoolRecordsKeepTheirBytes(t *testing.T) {
 	again := func(name string, text []byte, v any) {
 		t.Helper()
 		d := json.NewDecoder(bytes.NewReader(text))
--- a/internal/batch/http.go
+++ b/internal/batch/http.go
@@ -32,53 +32,53 @@
 )
 
 // Handler serves the API.
-func (d *Desk) Handler() http.Handler {
+func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /openapi.yaml", document(openAPI))
-	mux.HandleFunc("GET /asyncapi.yaml", document(asyncAPI))
+	mux.HandleFunc("GET /openapi.yaml", serveDocument(openAPI))
+	mux.HandleFunc("GET /asyncapi.yaml", serveDocument(asyncAPI))
 	for pattern, f := range map[string]func(*team, http.ResponseWriter, *http.Request) error{
-		"POST /v1/files":               d.postFile,
-		"GET /v1/files/{id}":           d.getFile,
-		"GET /v1/files/{id}/content":   d.getContent,
-		"POST /v1/batches":             d.postBatch,
-		"GET /v1/batches":              d.listBatches,
-		"GET /v1/batches/{id}":         d.getBatch,
-		"POST /v1/batches/{id}/cancel": d.cancelBatch,
-		"GET /v1/batches/{id}/events":  d.feed,
+		"POST /v1/files":               s.postFile,
+		"GET /v1/files/{id}":           s.getFile,
+		"GET /v1/files/{id}/content":   s.getContent,
+		"POST /v1/batches":             s.postBatch,
+		"GET /v1/batches":              s.listBatches,
+		"GET /v1/batches/{id}":         s.getBatch,
+		"POST /v1/batches/{id}/cancel": s.cancelBatch,
+		"GET /v1/batches/{id}/events":  s.streamEvents,
 	} {
-		mux.HandleFunc(pattern, d.forTeam(f))
+		mux.HandleFunc(pattern, s.forTeam(f))
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, pattern := mux.Handler(r); pattern != "" {
 			mux.ServeHTTP(w, r)
 			return
 		}
-		var probe statusOnly
+		var probe statusRecorder
 		mux.ServeHTTP(&probe, r)
-		p := &problem{status: http.StatusNotFound, code: "no_such_path", text: "no such path"}
+		p := &apiError{status: http.StatusNotFound, code: "no_such_path", message: "no such path"}
 		if probe.status == http.StatusMethodNotAllowed {
-			p = &problem{status: probe.status, code: "wrong_method", text: "wrong method", allowMethod: probe.Header().Get("Allow")}
+			p = &apiError{status: probe.status, code: "wrong_method", message: "wrong method", allowMethod: probe.Header().Get("Allow")}
 		}
-		d.fail(w, p)
+		s.writeError(w, p)
 	})
 }
 
-// statusOnly takes the mux's own answer to what it does not know, so that it can be given as JSON.
-type statusOnly struct {
+// statusRecorder takes the mux's own answer to what it does not know, so that it can be given as JSON.
+type statusRecorder struct {
 	header http.Header
 	status int
 }
 
-func (s *statusOnly) Header() http.Header {
+func (s *statusRecorder) Header() http.Header {
 	if s.header == nil {
 		s.header = http.Header{}
 	}
 	return s.header
 }
-func (s *statusOnly) WriteHeader(status int)      { s.status = status }
-func (s *statusOnly) Write(b []byte) (int, error) { return len(b), nil }
+func (s *statusRecorder) WriteHeader(status int)      { s.status = status }
+func (s *statusRecorder) Write(b []byte) (int, error) { return len(b), nil }
 
-func document(text []byte) http.HandlerFunc {
+func serveDocument(text []byte) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/yaml")
 		_, _ = w.Write(text) // a client that has gone is told nothing
@@ -86,25 +86,25 @@
 }
 
 // forTeam finds the team by its key and writes errors out.
-func (d *Desk) forTeam(f func(*team, http.ResponseWriter, *http.Request) error) http.HandlerFunc {
+func (s *Service) forTeam(f func(*team, http.ResponseWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		t := d.teams[key]
+		t := s.teams[key]
 		if !ok || t == nil {
-			d.fail(w, &problem{status: http.StatusUnauthorized, code: "no_team", text: "the key is missing or no team's"})
+			s.writeError(w, &apiError{status: http.StatusUnauthorized, code: "no_team", message: "the key is missing or no team's"})
 			return
 		}
 		if err := f(t, w, r); err != nil {
-			d.fail(w, err)
+			s.writeError(w, err)
 		}
 	}
 }
 
-func (d *Desk) fail(w http.ResponseWriter, err error) {
-	var p *problem
+func (s *Service) writeError(w http.ResponseWriter, err error) {
+	var p *apiError
 	if !errors.As(err, &p) {
-		d.log.Error("batch API", "err", err)
-		p = &problem{status: http.StatusInternalServerError, code: "internal", text: "something went wrong here"}
+		s.log.Error("batch API", "err", err)
+		p = &apiError{status: http.StatusInternalServerError, code: "internal", message: "something went wrong here"}
 	}
 	if p.retryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(p.retryAfter.Seconds()))))
@@ -119,8 +119,8 @@
 	if p.status >= 500 {
 		kind = "server_error"
 	}
-	send(w, p.status, map[string]any{"error": map[string]any{
-		"message": p.text, "type": kind, "param": nullable(p.param), "code": p.code,
+	writeJSONResponse(w, p.status, map[string]any{"error": map[string]any{
+		"message": p.message, "type": kind, "param": nullable(p.param), "code": p.code,
 	}})
 }
 
@@ -131,22 +131,22 @@
 	return s
 }
 
-func send(w http.ResponseWriter, status int, v any) {
+func writeJSONResponse(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v) // a client that has gone is told nothing
 }
 
-func bad(param, format string, args ...any) error {
-	return &problem{status: http.StatusBadRequest, code: "invalid_value", param: param, text: fmt.Sprintf(format, args...)}
+func invalidValue(param, format string, args ...any) error {
+	return &apiError{status: http.StatusBadRequest, code: "invalid_value", param: param, message: fmt.Sprintf(format, args...)}
 }
 
 // postFile takes a form with the parts purpose and file, in either order.
-func (d *Desk) postFile(t *team, w http.ResponseWriter, r *http.Request) error {
-	r.Body = http.MaxBytesReader(w, r.Body, d.lim.BatchFileBytes+d.lim.BatchMessageBytes)
+func (s *Service) postFile(t *team, w http.ResponseWriter, r *http.Request) error {
+	r.Body = http.MaxBytesReader(w, r.Body, s.limits.BatchFileBytes+s.limits.BatchMessageBytes)
 	form, err := r.MultipartReader()
 	if err != nil {
-		return bad("", "a form of type multipart/form-data is wanted")
+		return invalidValue("", "a form of type multipart/form-data is wanted")
 	}
 	var rec fileRecord
 	purpose := ""
@@ -156,31 +156,31 @@
 			break
 		}
 		if err != nil {
-			return bad("", "the form is malformed or cut off")
+			return invalidValue("", "the form is malformed or cut off")
 		}
 		switch part.FormName() {
 		case "purpose":
 			text, err := io.ReadAll(io.LimitReader(part, 64))
 			if err != nil {
-				return bad("purpose", "the form is malformed or cut off")
+				return invalidValue("purpose", "the form is malformed or cut off")
 			}
 			if purpose = string(text); purpose != "batch" {
-				return bad("purpose", "only the purpose batch is served")
+				return invalidValue("purpose", "only the purpose batch is served")
 			}
 		case "file":
 			if rec.ID != "" {
-				return bad("file", "one file at a time")
+				return invalidValue("file", "one file at a time")
 			}
 			_, params, _ := mime.ParseMediaType(part.Header.Get("Content-Disposition"))
-			if rec, err = d.store(t, filepath.Base(or(params["filename"], "batch.jsonl")), part); err != nil {
+			if rec, err = s.storeUpload(t, filepath.Base(firstNonEmpty(params["filename"], "batch.jsonl")), part); err != nil {
 				return err
 			}
 		}
 	}
 	if rec.ID == "" || purpose == "" {
-		return bad("file", "the parts purpose and file are both wanted")
+		return invalidValue("file", "the parts purpose and file are both wanted")
 	}
-	send(w, http.StatusOK, fileObject(rec))
+	writeJSONResponse(w, http.StatusOK, fileObject(rec))
 	return nil
 }
 
@@ -192,12 +192,12 @@
 }
 
 // findFile resolves a file's public name; result tells whether it is a result file.
-func (d *Desk) findFile(t *team, public string) (rec fileRecord, path string, err error) {
-	none := &problem{status: http.StatusNotFound, code: "no_such_file", text: "no such file"}
+func (s *Service) findFile(t *team, public string) (rec fileRecord, path string, err error) {
+	none := &apiError{status: http.StatusNotFound, code: "no_such_file", message: "no such file"}
 	id, ok := strings.CutPrefix(public, filePrefix)
 	id, isResult := strings.CutSuffix(id, resultSuffix)
-	home := filepath.Join(d.cfg.Spool, t.Team, id)
-	if !ok || !plain(id) || readJSON(filepath.Join(home, fileName), &rec) != nil {
+	home := filepath.Join(s.cfg.Spool, t.Team, id)
+	if !ok || !isPlainName(id) || readJSON(filepath.Join(home, fileName), &rec) != nil {
 		return rec, "", none
 	}
 	path = filepath.Join(home, inputName)
@@ -216,8 +216,8 @@
 	return rec, path, nil
 }
 
-func (d *Desk) getFile(t *team, w http.ResponseWriter, r *http.Request) error {
-	rec, _, err := d.findFile(t, r.PathValue("id"))
+func (s *Service) getFile(t *team, w http.ResponseWriter, r *http.Request) error {
+	rec, _, err := s.findFile(t, r.PathValue("id"))
 	if err != nil {
 		return err
 	}
@@ -225,12 +225,12 @@
 	if strings.HasSuffix(rec.ID, resultSuffix) {
 		o["purpose"] = "batch_output"
 	}
-	send(w, http.StatusOK, o)
+	writeJSONResponse(w, http.StatusOK, o)
 	return nil
 }
 
-func (d *Desk) getContent(t *team, w http.ResponseWriter, r *http.Request) error {
-	_, path, err := d.findFile(t, r.PathValue("id"))
+func (s *Service) getContent(t *team, w http.ResponseWriter, r *http.Request) error {
+	_, path, err := s.findFile(t, r.PathValue("id"))
 	if err != nil {
 		return err
 	}
@@ -244,88 +244,88 @@
 	return nil
 }
 
-func (d *Desk) postBatch(t *team, w http.ResponseWriter, r *http.Request) error {
+func (s *Service) postBatch(t *team, w http.ResponseWriter, r *http.Request) error {
 	var in struct {
 		InputFileID      string            `json:"input_file_id"`
 		Endpoint         string            `json:"endpoint"`
 		CompletionWindow string            `json:"completion_window"`
 		Metadata         map[string]string `json:"metadata"`
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, d.lim.BatchMessageBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.limits.BatchMessageBytes))
 	if err != nil {
-		return &problem{status: http.StatusRequestEntityTooLarge, code: "too_large", text: "the message is too large"}
+		return &apiError{status: http.StatusRequestEntityTooLarge, code: "too_large", message: "the message is too large"}
 	}
 	if err := json.Unmarshal(body, &in); err != nil {
-		return bad("", "the message is not JSON of this form: %v", err)
+		return invalidValue("", "the message is not JSON of this form: %v", err)
 	}
 	if in.Endpoint != endpoint {
-		return bad("endpoint", "only %s is served", endpoint)
+		return invalidValue("endpoint", "only %s is served", endpoint)
 	}
 	if in.CompletionWindow != "" && in.CompletionWindow != "24h" {
-		return bad("completion_window", "only 24h is known; the contract's line deadline is what binds")
+		return invalidValue("completion_window", "only 24h is known; the contract's line deadline is what binds")
 	}
 	id, ok := strings.CutPrefix(in.InputFileID, filePrefix)
 	if !ok {
-		return bad("input_file_id", "the id of an uploaded file is wanted")
+		return invalidValue("input_file_id", "the id of an uploaded file is wanted")
 	}
-	j, err := d.create(t, id, in.Metadata["class"], in.Metadata)
+	j, err := s.createJob(t, id, in.Metadata["class"], in.Metadata)
 	if err != nil {
 		return err
 	}
-	send(w, http.StatusOK, d.object(j))
+	writeJSONResponse(w, http.StatusOK, s.batchObject(j))
 	return nil
 }
 
-func (d *Desk) findBatch(t *team, r *http.Request) (*job, error) {
+func (s *Service) findBatch(t *team, r *http.Request) (*job, error) {
 	id, ok := strings.CutPrefix(r.PathValue("id"), batchPrefix)
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if j := t.jobs[id]; ok && j != nil {
 		return j, nil
 	}
-	return nil, &problem{status: http.StatusNotFound, code: "no_such_batch", text: "no such batch"}
+	return nil, &apiError{status: http.StatusNotFound, code: "no_such_batch", message: "no such batch"}
 }
 
-func (d *Desk) getBatch(t *team, w http.ResponseWriter, r *http.Request) error {
-	j, err := d.findBatch(t, r)
+func (s *Service) getBatch(t *team, w http.ResponseWriter, r *http.Request) error {
+	j, err := s.findBatch(t, r)
 	if err == nil {
-		send(w, http.StatusOK, d.object(j))
+		writeJSONResponse(w, http.StatusOK, s.batchObject(j))
 	}
 	return err
 }
 
-func (d *Desk) cancelBatch(t *team, w http.ResponseWriter, r *http.Request) error {
-	j, err := d.findBatch(t, r)
+func (s *Service) cancelBatch(t *team, w http.ResponseWriter, r *http.Request) error {
+	j, err := s.findBatch(t, r)
 	if err != nil {
 		return err
 	}
-	if err := d.cancel(j); err != nil {
+	if err := s.cancelJob(j); err != nil {
 		return err
 	}
-	send(w, http.StatusOK, d.object(j))
+	writeJSONResponse(w, http.StatusOK, s.batchObject(j))
 	return nil
 }
 
-func (d *Desk) listBatches(t *team, w http.ResponseWriter, r *http.Request) error {
-	d.mu.Lock()
+func (s *Service) listBatches(t *team, w http.ResponseWriter, r *http.Request) error {
+	s.mu.Lock()
 	jobs := make([]*job, 0, len(t.jobs))
 	for _, j := range t.jobs {
 		jobs = append(jobs, j)
 	}
-	slices.SortFunc(jobs, func(x, y *job) int { return y.rec.Created.Compare(x.rec.Created) })
-	d.mu.Unlock()
+	slices.SortFunc(jobs, func(x, y *job) int { return y.record.Created.Compare(x.record.Created) })
+	s.mu.Unlock()
 	data := []any{}
 	for _, j := range jobs {
-		data = append(data, d.object(j))
+		data = append(data, s.batchObject(j))
 	}
-	send(w, http.StatusOK, map[string]any{"object": "list", "data": data, "has_more": false})
+	writeJSONResponse(w, http.StatusOK, map[string]any{"object": "list", "data": data, "has_more": false})
 	return nil
 }
 
-// object is a batch as the public API gives it.
-func (d *Desk) object(j *job) map[string]any {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// batchObject is a batch as the public API gives it.
+func (s *Service) batchObject(j *job) map[string]any {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	stamp := func(t time.Time) any {
 		if t.IsZero() {
 			return nil
@@ -333,21 +333,21 @@
 		return t.Unix()
 	}
 	o := map[string]any{
-		"id": batchPrefix + j.rec.ID, "object": "batch", "endpoint": endpoint, "completion_window": "24h",
-		"input_file_id": filePrefix + j.rec.FileID, "output_file_id": nil, "error_file_id": nil, "errors": nil,
-		"status": j.status(), "created_at": j.rec.Created.Unix(), "completed_at": nil,
-		"cancelling_at": stamp(j.rec.Cancelled), "cancelled_at": nil, "metadata": j.rec.Metadata, "class": j.rec.Class,
+		"id": batchPrefix + j.record.ID, "object": "batch", "endpoint": endpoint, "completion_window": "24h",
+		"input_file_id": filePrefix + j.record.FileID, "output_file_id": nil, "error_file_id": nil, "errors": nil,
+		"status": j.status(), "created_at": j.record.Created.Unix(), "completed_at": nil,
+		"cancelling_at": stamp(j.record.Cancelled), "cancelled_at": nil, "metadata": j.record.Metadata, "class": j.record.Class,
 		"request_counts": map[string]int{
-			"total": j.file.Lines, "completed": j.counts[served], "failed": j.counts[refused] + j.counts[failed],
+			"total": j.file.Lines, "completed": j.counts[outcomeServed], "failed": j.counts[outcomeRefused] + j.counts[outcomeFailed],
 		},
-		"outcomes": map[string]int{served: j.counts[served], refused: j.counts[refused], failed: j.counts[failed]},
+		"outcomes": map[string]int{outcomeServed: j.counts[outcomeServed], outcomeRefused: j.counts[outcomeRefused], outcomeFailed: j.counts[outcomeFailed]},
 	}
-	if !j.rec.Ended.IsZero() {
-		o["output_file_id"] = filePrefix + j.rec.FileID + resultSuffix
-		if j.rec.Cancelled.IsZero() {
-			o["completed_at"] = stamp(j.rec.Ended)
+	if !j.record.Ended.IsZero() {
+		o["output_file_id"] = filePrefix + j.record.FileID + resultSuffix
+		if j.record.Cancelled.IsZero() {
+			o["completed_at"] = stamp(j.record.Ended)
 		} else {
-			o["cancelled_at"] = stamp(j.rec.Ended)
+			o["cancelled_at"] = stamp(j.record.Ended)
 		}
 	}
 	if j.err != nil {
@@ -358,35 +358,35 @@
 	return o
 }
 
-// feed tells the outcomes of a job's lines as they come, then its end. Last-Event-ID takes it up again.
-func (d *Desk) feed(t *team, w http.ResponseWriter, r *http.Request) error {
-	j, err := d.findBatch(t, r)
+// streamEvents tells the outcomes of a job's lines as they come, then its end. Last-Event-ID takes it up again.
+func (s *Service) streamEvents(t *team, w http.ResponseWriter, r *http.Request) error {
+	j, err := s.findBatch(t, r)
 	if err != nil {
 		return err
 	}
 	at := 0
 	if last := r.Header.Get("Last-Event-ID"); last != "" {
 		if at, err = strconv.Atoi(last); err != nil || at < 0 {
-			return bad("Last-Event-ID", "a number of an event is wanted")
+			return invalidValue("Last-Event-ID", "a number of an event is wanted")
 		}
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
 	out := http.NewResponseController(w)
 	for {
-		ends, over, changed := d.news(j)
+		ends, over, changed := s.feedState(j)
 		for _, e := range ends[min(at, len(ends)):] {
 			at++
-			fmt.Fprintf(w, "id: %d\nevent: line\ndata: %s\n\n", at, compact(e))
+			fmt.Fprintf(w, "id: %d\nevent: line\ndata: %s\n\n", at, marshalCompact(e))
 		}
 		if over {
-			fmt.Fprintf(w, "id: %d\nevent: batch\ndata: %s\n\n", at, compact(d.object(j)))
+			fmt.Fprintf(w, "id: %d\nevent: batch\ndata: %s\n\n", at, marshalCompact(s.batchObject(j)))
 			return nil
 		}
 		if err := out.Flush(); err != nil {
 			return nil
 		}
-		idle := time.NewTimer(d.lim.BatchFeedKeepAlive)
+		idle := time.NewTimer(s.limits.BatchFeedKeepAlive)
 		select {
 		case <-changed:
 		case <-idle.C:
@@ -399,23 +399,23 @@
 	}
 }
 
-// news is what the feed of a job can tell so far, whether that is all, and what is closed when there is more.
-func (d *Desk) news(j *job) (ends []lineEnd, over bool, changed <-chan struct{}) {
-	d.mu.Lock()
-	ends, changed = j.ends, j.changed
-	ended := !j.rec.Ended.IsZero()
+// feedState is what the feed of a job can tell so far, whether that is all, and what is closed when there is more.
+func (s *Service) feedState(j *job) (ends []itemEvent, over bool, changed <-chan struct{}) {
+	s.mu.Lock()
+	ends, changed = j.events, j.changed
+	ended := !j.record.Ended.IsZero()
 	over = ended || j.err != nil
-	d.mu.Unlock()
+	s.mu.Unlock()
 	if ended { // its notes change no more
-		err := outcomes(filepath.Join(j.dir, outcomesName), func(o *Outcome, _ span) { ends = append(ends, o.end()) })
+		err := readOutcomes(filepath.Join(j.dir, outcomesName), func(o *Outcome, _ span) { ends = append(ends, o.event()) })
 		if err != nil {
-			d.log.Error("batch feed", "batch", j.rec.ID, "err", err)
+			s.log.Error("batch feed", "batch", j.record.ID, "err", err)
 		}
 	}
 	return ends, over, changed
 }
 
-func compact(v any) []byte {
+func marshalCompact(v any) []byte {
 	b, _ := json.Marshal(v) // plain fields, strings and numbers: it cannot fail
 	return b
 }
--- a/internal/batch/http_test.go
+++ b/internal/batch/http_test.go
@@ -22,12 +22,12 @@
 
 // client calls the handlers and holds every answer against the description.
 type client struct {
-	*rig
+	*harness
 	doc    *openapi3.T
 	routes routers.Router
 }
 
-func newClient(r *rig) *client {
+func newClient(r *harness) *client {
 	doc, err := openapi3.NewLoader().LoadFromData(openAPI)
 	if err != nil {
 		r.t.Fatal(err)
@@ -105,20 +105,20 @@
 	return `{"input_file_id":"` + file + `","endpoint":"/v1/chat/completions","completion_window":"24h"}`
 }
 
-func TestWholePath(t *testing.T) {
-	c := newClient(newRig(t, t.TempDir(), nil))
+func TestUploadToResultOverTheAPI(t *testing.T) {
+	c := newClient(newHarness(t, t.TempDir(), nil))
 	status, body := c.upload(fileText(3) + "bad\n")
-	same(t, "upload", 200, status)
+	checkEqual(t, "upload", 200, status)
 	file := field(t, body, "id")
 	status, body = c.call("POST", "/v1/batches", "application/json", create(file))
-	same(t, "create", 200, status)
+	checkEqual(t, "create", 200, status)
 	id := field(t, body, "id")
 	status, body = c.call("POST", "/v1/batches", "application/json", create(file))
-	same(t, "create again", []any{200, id}, []any{status, field(t, body, "id")})
+	checkEqual(t, "create again", []any{200, id}, []any{status, field(t, body, "id")})
 	status, body = c.call("GET", "/v1/batches/"+id, "", "")
-	same(t, "poll", []any{200, "in_progress"}, []any{status, field(t, body, "status")})
+	checkEqual(t, "poll", []any{200, "in_progress"}, []any{status, field(t, body, "status")})
 	status, _ = c.call("GET", "/v1/files/"+file+"-result", "", "")
-	same(t, "no result yet", 404, status)
+	checkEqual(t, "no result yet", 404, status)
 	for i, a := range c.after(0) {
 		if i == 0 {
 			a.Reject(dispatch.VerdictFailed, 0)
@@ -127,14 +127,14 @@
 		a.serve()
 	}
 	status, body = c.call("GET", "/v1/batches/"+id, "", "")
-	same(t, "poll", []any{200, "completed"}, []any{status, field(t, body, "status")})
+	checkEqual(t, "poll", []any{200, "completed"}, []any{status, field(t, body, "status")})
 	result := field(t, body, "output_file_id")
 	status, _ = c.call("GET", "/v1/files/"+result, "", "")
-	same(t, "result file", 200, status)
+	checkEqual(t, "result file", 200, status)
 	status, _ = c.call("GET", "/v1/batches", "", "")
-	same(t, "list", 200, status)
+	checkEqual(t, "list", 200, status)
 	status, body = c.call("GET", "/v1/files/"+result+"/content", "", "")
-	same(t, "result", 200, status)
+	checkEqual(t, "result", 200, status)
 	n := 0
 	for l := range strings.Lines(body) {
 		n++
@@ -146,14 +146,14 @@
 			t.Errorf("line %s does not meet the description: %v", l, err)
 		}
 	}
-	same(t, "lines", 4, n)
+	checkEqual(t, "lines", 4, n)
 	status, _ = c.call("POST", "/v1/batches/"+id+"/cancel", "", "")
-	same(t, "cancel", 409, status)
+	checkEqual(t, "cancel", 409, status)
 }
 
-func TestErrors(t *testing.T) {
-	c := newClient(newRig(t, t.TempDir(), func(k *Contract) { k.BudgetTokens = 59 }))
-	c.lim.BatchFileBytes = 4000
+func TestAPIErrorsHaveTheirStatusAndCode(t *testing.T) {
+	c := newClient(newHarness(t, t.TempDir(), func(k *Contract) { k.BudgetTokens = 59 }))
+	c.limits.BatchFileBytes = 4000
 	_, body := c.upload(fileText(2))
 	file := field(t, body, "id")
 	_, body = c.upload(fileText(4))
@@ -189,23 +189,23 @@
 		{"no such content", "GET", "/v1/files/none/content", "", "", 404, "no_such_file"},
 	} {
 		status, body := c.call(e.method, e.path, e.kind, e.body)
-		same(t, e.name, []any{e.status, e.code}, []any{status, field(t, body, "code")})
+		checkEqual(t, e.name, []any{e.status, e.code}, []any{status, field(t, body, "code")})
 	}
 	for text, want := range map[string]string{
-		lineText("a") + lineText("b") + lineText("a"): "duplicate_custom_id",
+		itemText("a") + itemText("b") + itemText("a"): "duplicate_custom_id",
 		"\n \n":                     "empty_file",
 		fileText(10):                "too_many_lines",
 		strings.Repeat("x\n", 2001): "file_too_large",
 	} {
 		_, body := c.upload(text)
-		same(t, "upload", want, field(t, body, "code"))
+		checkEqual(t, "upload", want, field(t, body, "code"))
 	}
 	status, _ := c.call("GET", "/v1/batches", "", "", "Authorization", "Bearer other")
-	same(t, "no team", 401, status)
+	checkEqual(t, "no team", 401, status)
 }
 
-func TestBudgetComesBack(t *testing.T) {
-	c := newClient(newRig(t, t.TempDir(), func(k *Contract) { k.BudgetTokens = 25 }))
+func TestBudgetIsFreeAgainAfterItsPeriod(t *testing.T) {
+	c := newClient(newHarness(t, t.TempDir(), func(k *Contract) { k.BudgetTokens = 25 }))
 	c.job(fileText(2))
 	_, body := c.upload(fileText(1))
 	file := field(t, body, "id")
@@ -214,21 +214,21 @@
 	req.Header.Set("Authorization", "Bearer "+key)
 	w := httptest.NewRecorder()
 	c.Handler().ServeHTTP(w, req)
-	same(t, "too early", []any{429, "60"}, []any{w.Code, w.Header().Get("Retry-After")})
+	checkEqual(t, "too early", []any{429, "60"}, []any{w.Code, w.Header().Get("Retry-After")})
 	c.at += time.Minute
 	status, _ := c.call("POST", "/v1/batches", "application/json", create(file))
-	same(t, "after the period", 200, status)
+	checkEqual(t, "after the period", 200, status)
 }
 
-func TestFeed(t *testing.T) {
+func TestFeedSendsEachEventOnceAndResumes(t *testing.T) {
 	// Every event meets the feed's description, and a client that reconnects gets what it missed.
-	c := newClient(newRig(t, t.TempDir(), nil))
+	c := newClient(newHarness(t, t.TempDir(), nil))
 	j := c.job(fileText(3))
 	for _, a := range c.after(0) {
 		a.serve()
 	}
-	status, body := c.call("GET", "/v1/batches/"+batchPrefix+j.rec.ID+"/events", "", "")
-	same(t, "status", http.StatusOK, status)
+	status, body := c.call("GET", "/v1/batches/"+batchPrefix+j.record.ID+"/events", "", "")
+	checkEqual(t, "status", http.StatusOK, status)
 	var doc struct {
 		Components struct {
 			Messages map[string]struct{ Payload map[string]any }
@@ -259,24 +259,24 @@
 			t.Errorf("event %v: %v", fields, err)
 		}
 	}
-	same(t, "events", []string{"1 line", "2 line", "3 line", "3 batch"}, names)
-	_, body = c.call("GET", "/v1/batches/"+batchPrefix+j.rec.ID+"/events", "", "", "Last-Event-ID", "2")
-	same(t, "what was missed", true, strings.HasPrefix(body, "id: 3\nevent: line\n"))
-	status, _ = c.call("GET", "/v1/batches/"+batchPrefix+j.rec.ID+"/events", "", "", "Last-Event-ID", "x")
-	same(t, "a bad Last-Event-ID", 400, status)
+	checkEqual(t, "events", []string{"1 line", "2 line", "3 line", "3 batch"}, names)
+	_, body = c.call("GET", "/v1/batches/"+batchPrefix+j.record.ID+"/events", "", "", "Last-Event-ID", "2")
+	checkEqual(t, "what was missed", true, strings.HasPrefix(body, "id: 3\nevent: line\n"))
+	status, _ = c.call("GET", "/v1/batches/"+batchPrefix+j.record.ID+"/events", "", "", "Last-Event-ID", "x")
+	checkEqual(t, "a bad Last-Event-ID", 400, status)
 }
 
-func TestTeamsOwnDescription(t *testing.T) {
+func TestItemsAreValidatedByTheTeamsSchema(t *testing.T) {
 	schema, err := openapi3.NewLoader().LoadFromFile("../../deploy/logbook-tools.openapi.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newRig(t, t.TempDir(), func(k *Contract) { k.schema, k.OpenAPI = schema, "logbook-tools.openapi.yaml" })
+	r := newHarness(t, t.TempDir(), func(k *Contract) { k.schema, k.OpenAPI = schema, "logbook-tools.openapi.yaml" })
 	const good = `{"custom_id":"good","method":"POST","url":"/v1/chat/completions","body":{"model":"chat","max_tokens":10,` +
 		`"messages":[{"role":"system","content":"a"},{"role":"user","content":"b"}]}}` + "\n"
-	j := r.job(lineText("no model") + good + strings.Replace(strings.Replace(good, "good", "long", 1), "10", "401", 1))
+	j := r.job(itemText("no model") + good + strings.Replace(strings.Replace(good, "good", "long", 1), "10", "401", 1))
 	out := r.after(0)
-	same(t, "handed out", 1, len(out))
+	checkEqual(t, "handed out", 1, len(out))
 	out[0].serve()
-	same(t, "result", []string{"1 no model failed invalid_line", "2 good served", "3 long failed invalid_line"}, outcomesOf(t, j))
+	checkEqual(t, "result", []string{"1 no model failed invalid_line", "2 good served", "3 long failed invalid_line"}, outcomesOf(t, j))
 }
--- a/internal/batch/line.go
+++ b/internal/batch/line.go
@@ -14,8 +14,8 @@
 	"notchhinge/policy"
 )
 
-// line is one line of an uploaded file.
-type line struct {
+// itemInput is one line of an uploaded file.
+type itemInput struct {
 	CustomID string          `json:"custom_id"`
 	Method   string          `json:"method"`
 	URL      string          `json:"url"`
@@ -24,8 +24,8 @@
 
 const endpoint = directory.CompletionsPath
 
-// chat is what the front reads of a body.
-type chat struct {
+// chatBody is what the front reads of a body.
+type chatBody struct {
 	MaxTokens           float64 `json:"max_tokens"`
 	MaxCompletionTokens float64 `json:"max_completion_tokens"`
 	Messages            []struct {
@@ -34,12 +34,12 @@
 }
 
 const (
-	tokenChars    = 4   // characters of one token
-	defaultAnswer = 800 // tokens, where a body names no limit
+	tokenChars       = 4   // characters of one token
+	defaultMaxTokens = 800 // tokens, where a body names no limit
 )
 
-// parseLine reads a line. With an error it still returns the custom_id, if there is one.
-func parseLine(text []byte, k *Contract) (l line, q policy.Request, body []byte, err error) {
+// parseItem reads a line. With an error it still returns the custom_id, if there is one.
+func parseItem(text []byte, k *Contract) (l itemInput, q policy.Request, body []byte, err error) {
 	if err := json.Unmarshal(text, &l); err != nil {
 		return l, q, nil, fmt.Errorf("not a JSON object of this form: %w", err)
 	}
@@ -52,7 +52,7 @@
 		return l, q, nil, fmt.Errorf("url %q: only %s is served", l.URL, endpoint)
 	}
 	var fields map[string]json.RawMessage
-	var c chat
+	var c chatBody
 	if err := json.Unmarshal(l.Body, &fields); err != nil || fields == nil {
 		return l, q, nil, errors.New("body must be a JSON object")
 	}
@@ -62,17 +62,17 @@
 	if len(c.Messages) == 0 {
 		return l, q, nil, errors.New("body.messages must not be empty")
 	}
-	if err := k.meets(l.Method, l.URL, l.Body); err != nil {
+	if err := k.validateBody(l.Method, l.URL, l.Body); err != nil {
 		return l, q, nil, fmt.Errorf("body: %s", firstLine(err))
 	}
 	q.MaxTokens = max(c.MaxTokens, c.MaxCompletionTokens)
 	if q.MaxTokens <= 0 {
-		q.MaxTokens = defaultAnswer
+		q.MaxTokens = defaultMaxTokens
 	}
 	for i, m := range c.Messages {
-		q.PromptTokens += float64(chars(m.Content)) / tokenChars
+		q.PromptTokens += float64(countChars(m.Content)) / tokenChars
 		if i == 0 && len(c.Messages) > 1 { // the opening, which other lines may share
-			q.PrefixTokens, q.Prefix = q.PromptTokens, hash(m.Content)
+			q.PrefixTokens, q.Prefix = q.PromptTokens, fingerprint(m.Content)
 		}
 	}
 	fields["stream"] = json.RawMessage("true") // issuer hosts answer in streams
@@ -85,8 +85,8 @@
 	return s
 }
 
-// chars counts the characters of a message's content.
-func chars(content json.RawMessage) int {
+// countChars counts the characters of a message's content.
+func countChars(content json.RawMessage) int {
 	var s string
 	if json.Unmarshal(content, &s) == nil {
 		return len(s)
@@ -94,7 +94,7 @@
 	return len(content)
 }
 
-func hash(parts ...[]byte) uint64 {
+func fingerprint(parts ...[]byte) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
 		h.Write(p)
@@ -105,13 +105,13 @@
 
 // span is where a line stands in its file.
 type span struct {
-	at   int64
-	size int
+	offset int64
+	size   int
 }
 
-// index finds the lines of a file, passing over blank ones. visit sees the text of each; one that is too long
+// indexItems finds the lines of a file, passing over blank ones. visit sees the text of each; one that is too long
 // is given as nil.
-func index(r io.Reader, most int, visit func(n int, text []byte) error) ([]span, error) {
+func indexItems(r io.Reader, most int, visit func(n int, text []byte) error) ([]span, error) {
 	br := bufio.NewReaderSize(r, 64<<10)
 	var spans []span
 	var at int64
@@ -152,10 +152,10 @@
 	created           int64
 	text              strings.Builder
 	usage             json.RawMessage
-	most              int
+	maxBytes          int
 }
 
-var errAnswerTooLong = errors.New("the answer is too long")
+var errResponseTooLong = errors.New("the answer is too long")
 
 // add takes whole events.
 func (c *collector) add(events []byte) error {
@@ -177,30 +177,30 @@
 		if json.Unmarshal(data, &e) != nil {
 			continue // [DONE], or what this front has no use for
 		}
-		c.id, c.model, c.created = or(e.ID, c.id), or(e.Model, c.model), max(e.Created, c.created)
+		c.id, c.model, c.created = firstNonEmpty(e.ID, c.id), firstNonEmpty(e.Model, c.model), max(e.Created, c.created)
 		if len(e.Choices) > 0 {
 			c.text.WriteString(e.Choices[0].Delta.Content)
-			c.finish = or(e.Choices[0].FinishReason, c.finish)
+			c.finish = firstNonEmpty(e.Choices[0].FinishReason, c.finish)
 		}
 		if len(e.Usage) > 0 && string(e.Usage) != "null" {
 			c.usage = bytes.Clone(e.Usage)
 		}
-		if c.text.Len() > c.most {
-			return errAnswerTooLong
+		if c.text.Len() > c.maxBytes {
+			return errResponseTooLong
 		}
 	}
 	return nil
 }
 
-func or(x, y string) string {
+func firstNonEmpty(x, y string) string {
 	if x != "" {
 		return x
 	}
 	return y
 }
 
-// answer is the whole answer as the public API gives it.
-func (c *collector) answer() json.RawMessage {
+// completion is the whole answer as the public API gives it.
+func (c *collector) completion() json.RawMessage {
 	type message struct {
 		Role    string `json:"role"`
 		Content string `json:"content"`
@@ -219,7 +219,7 @@
 		Usage   json.RawMessage `json:"usage,omitempty"`
 	}{
 		c.id, "chat.completion", c.created, c.model,
-		[]choice{{0, message{"assistant", c.text.String()}, or(c.finish, "stop")}},
+		[]choice{{0, message{"assistant", c.text.String()}, firstNonEmpty(c.finish, "stop")}},
 		c.usage,
 	})
 	return b
--- a/internal/batch/proof_test.go
+++ b/internal/batch/proof_test.go
@@ -190,9 +190,9 @@
 
 func valid(i int) bool { return i%(100*proofBad) != 0 }
 
-// TestBatchProof: 5,000 lines, hosts killed mid-file, the file sent again, and a drain with a restart: every
+// TestEveryItemHasOneOutcomeThroughFaultsAndRestart: 5,000 lines, hosts killed mid-file, the file sent again, and a drain with a restart: every
 // line has exactly one outcome.
-func TestBatchProof(t *testing.T) {
+func TestEveryItemHasOneOutcomeThroughFaultsAndRestart(t *testing.T) {
 	var file bytes.Buffer
 	for i := range proofLines {
 		if !valid(i) {
--- a/internal/batch/spool.go
+++ b/internal/batch/spool.go
@@ -55,7 +55,7 @@
 	Outcome  string        `json:"outcome"` // served, refused or failed
 	Response *Response     `json:"response"`
 	Error    *OutcomeError `json:"error"`
-	Tries    int           `json:"tries"`
+	Attempts int           `json:"tries"`
 }
 
 // Response is the answer to a line that was served.
@@ -73,9 +73,9 @@
 
 // The outcomes of a line.
 const (
-	served  = "served"
-	refused = "refused"
-	failed  = "failed"
+	outcomeServed  = "served"
+	outcomeRefused = "refused"
+	outcomeFailed  = "failed"
 )
 
 // contentID names a team's content: the same content from the same team is the same file, and the same job.
@@ -84,20 +84,20 @@
 	return hex.EncodeToString(h[:16])
 }
 
-// problem is an error that the API's caller can do something about.
-type problem struct {
-	status      int
-	code, text  string
-	param       string
-	retryAfter  time.Duration
-	allowMethod string
+// apiError is an error that the API's caller can do something about.
+type apiError struct {
+	status        int
+	code, message string
+	param         string
+	retryAfter    time.Duration
+	allowMethod   string
 }
 
-func (p *problem) Error() string { return p.text }
+func (p *apiError) Error() string { return p.message }
 
-// store takes an upload in: it is written to the spool while it is hashed, checked, and kept under its hash.
-func (d *Desk) store(t *team, name string, r io.Reader) (fileRecord, error) {
-	dir := filepath.Join(d.cfg.Spool, t.Team)
+// storeUpload takes an upload in: it is written to the spool while it is hashed, checked, and kept under its hash.
+func (s *Service) storeUpload(t *team, name string, r io.Reader) (fileRecord, error) {
+	dir := filepath.Join(s.cfg.Spool, t.Team)
 	tmp, err := os.CreateTemp(dir, "upload-*")
 	if err != nil {
 		return fileRecord{}, err
@@ -105,30 +105,30 @@
 	defer os.Remove(tmp.Name())
 	defer tmp.Close()
 	sum := sha256.New()
-	n, err := io.Copy(io.MultiWriter(tmp, sum), io.LimitReader(r, d.lim.BatchFileBytes+1))
+	n, err := io.Copy(io.MultiWriter(tmp, sum), io.LimitReader(r, s.limits.BatchFileBytes+1))
 	if err != nil {
-		return fileRecord{}, &problem{status: 400, code: "broken_upload", text: "the upload broke off"}
+		return fileRecord{}, &apiError{status: 400, code: "broken_upload", message: "the upload broke off"}
 	}
-	if n > d.lim.BatchFileBytes {
-		return fileRecord{}, &problem{
+	if n > s.limits.BatchFileBytes {
+		return fileRecord{}, &apiError{
 			status: 413, code: "file_too_large",
-			text: fmt.Sprintf("a file may hold %d bytes", d.lim.BatchFileBytes),
+			message: fmt.Sprintf("a file may hold %d bytes", s.limits.BatchFileBytes),
 		}
 	}
 	if _, err := tmp.Seek(0, io.SeekStart); err != nil {
 		return fileRecord{}, err
 	}
-	rec := fileRecord{ID: contentID(t.Team, sum.Sum(nil)), Name: name, Bytes: n, Uploaded: d.wall()}
+	rec := fileRecord{ID: contentID(t.Team, sum.Sum(nil)), Name: name, Bytes: n, Uploaded: s.wallTime()}
 	seen := map[string]int{}
-	spans, err := index(tmp, d.lim.BatchItemBytes, func(at int, text []byte) error {
-		if at > t.Lines {
-			return &problem{status: 413, code: "too_many_lines", text: fmt.Sprintf("a file of this team may hold %d lines", t.Lines)}
+	spans, err := indexItems(tmp, s.limits.BatchItemBytes, func(at int, text []byte) error {
+		if at > t.MaxItems {
+			return &apiError{status: 413, code: "too_many_lines", message: fmt.Sprintf("a file of this team may hold %d lines", t.MaxItems)}
 		}
-		l, q, _, err := parseLine(text, &t.Contract)
+		l, q, _, err := parseItem(text, &t.Contract)
 		if first := seen[l.CustomID]; first != 0 && l.CustomID != "" {
-			return &problem{
+			return &apiError{
 				status: 400, code: "duplicate_custom_id", param: "file",
-				text: fmt.Sprintf("lines %d and %d have the same custom_id %q", first, at, l.CustomID),
+				message: fmt.Sprintf("lines %d and %d have the same custom_id %q", first, at, l.CustomID),
 			}
 		}
 		seen[l.CustomID] = at
@@ -141,15 +141,15 @@
 		return fileRecord{}, err
 	}
 	if rec.Lines = len(spans); rec.Lines == 0 {
-		return fileRecord{}, &problem{status: 400, code: "empty_file", param: "file", text: "the file has no lines"}
+		return fileRecord{}, &apiError{status: 400, code: "empty_file", param: "file", message: "the file has no lines"}
 	}
-	return d.keep(dir, tmp, rec)
+	return s.commitUpload(dir, tmp, rec)
 }
 
-// keep moves an upload that was checked to its place, if it is not there yet.
-func (d *Desk) keep(dir string, tmp *os.File, rec fileRecord) (fileRecord, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// commitUpload moves an upload that was checked to its place, if it is not there yet.
+func (s *Service) commitUpload(dir string, tmp *os.File, rec fileRecord) (fileRecord, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	home := filepath.Join(dir, rec.ID)
 	var old fileRecord
 	if readJSON(filepath.Join(home, fileName), &old) == nil {
@@ -181,10 +181,10 @@
 	if err != nil {
 		return err
 	}
-	return replace(path, func(w io.Writer) error { _, err := w.Write(b); return err })
+	return replaceFile(path, func(w io.Writer) error { _, err := w.Write(b); return err })
 }
 
-func replace(path string, fill func(io.Writer) error) error {
+func replaceFile(path string, fill func(io.Writer) error) error {
 	tmp, err := os.CreateTemp(filepath.Dir(path), "new-*")
 	if err != nil {
 		return err
@@ -198,9 +198,9 @@
 	return os.Rename(tmp.Name(), path)
 }
 
-// outcomes reads the outcomes of a job as far as they were written whole, and cuts off what was not: a
+// readOutcomes reads the outcomes of a job as far as they were written whole, and cuts off what was not: a
 // program that died while it wrote leaves half a line, whose request then counts as not done.
-func outcomes(path string, visit func(o *Outcome, at span)) error {
+func readOutcomes(path string, visit func(o *Outcome, at span)) error {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return err
@@ -222,15 +222,15 @@
 	}
 }
 
-// result writes a job's result file: its outcomes in the order of the input's lines.
-func result(dir string) error {
+// writeResult writes a job's result file: its outcomes in the order of the input's lines.
+func writeResult(dir string) error {
 	path := filepath.Join(dir, outcomesName)
 	type place struct {
 		line int
 		span
 	}
 	var places []place
-	if err := outcomes(path, func(o *Outcome, at span) { places = append(places, place{o.Line, at}) }); err != nil {
+	if err := readOutcomes(path, func(o *Outcome, at span) { places = append(places, place{o.Line, at}) }); err != nil {
 		return err
 	}
 	slices.SortFunc(places, func(x, y place) int { return x.line - y.line })
@@ -239,9 +239,9 @@
 		return err
 	}
 	defer f.Close()
-	return replace(filepath.Join(dir, resultName), func(w io.Writer) error {
+	return replaceFile(filepath.Join(dir, resultName), func(w io.Writer) error {
 		for _, p := range places {
-			if _, err := io.Copy(w, io.NewSectionReader(f, p.at, int64(p.size))); err != nil {
+			if _, err := io.Copy(w, io.NewSectionReader(f, p.offset, int64(p.size))); err != nil {
 				return err
 			}
 		}
@@ -249,20 +249,20 @@
 	})
 }
 
-// readLine reads one line of an input file; one that is too long is nil.
-func readLine(f *os.File, s span, most int) ([]byte, error) {
+// readItemText reads one line of an input file; one that is too long is nil.
+func readItemText(f *os.File, s span, most int) ([]byte, error) {
 	if s.size > most+1 {
 		return nil, nil
 	}
 	b := make([]byte, s.size)
-	if _, err := f.ReadAt(b, s.at); err != nil {
+	if _, err := f.ReadAt(b, s.offset); err != nil {
 		return nil, err
 	}
 	return bytes.TrimSpace(b), nil
 }
 
-// sweep removes what an upload or a write left half done.
-func sweep(dir string) {
+// removeTemporaryFiles removes what an upload or a write left half done.
+func removeTemporaryFiles(dir string) {
 	entries, _ := os.ReadDir(dir)
 	for _, e := range entries {
 		if strings.HasPrefix(e.Name(), "upload-") || strings.HasPrefix(e.Name(), "new-") {
--- a/internal/batch/trace_test.go
+++ b/internal/batch/trace_test.go
@@ -7,24 +7,24 @@
 	"notchhinge/internal/dispatch"
 )
 
-func TestTriesOfALineAreOneTrace(t *testing.T) {
+func TestAttemptsOfAnItemShareOneTrace(t *testing.T) {
 	// Each line is a trace of its own; a try after a declined one is of the same, and said to be a further try. Without
 	// tracing a line has no origin.
-	r := newRig(t, t.TempDir(), nil)
+	r := newHarness(t, t.TempDir(), nil)
 	r.job(fileText(2))
 	out := r.after(0)
-	if len(out) != 2 || r.origin(out[0].try) != nil {
-		t.Fatalf("%d tries, origin %v", len(out), r.origin(out[0].try))
+	if len(out) != 2 || r.origin(out[0].item) != nil {
+		t.Fatalf("%d tries, origin %v", len(out), r.origin(out[0].item))
 	}
-	r.Desk.trace = true
-	first, other := r.origin(out[0].try), r.origin(out[1].try)
-	line := out[0].try.line
+	r.Service.isTracing = true
+	first, other := r.origin(out[0].item), r.origin(out[1].item)
+	line := out[0].item.index
 	out[0].Reject(dispatch.VerdictRejected, time.Second)
 	again := r.after(2 * time.Second)
-	if len(again) != 1 || again[0].try.line != line {
+	if len(again) != 1 || again[0].item.index != line {
 		t.Fatalf("%d tries after the declined one", len(again))
 	}
-	second := r.origin(again[0].try)
+	second := r.origin(again[0].item)
 	if first.Trace == other.Trace || first.Trace != second.Trace || first.Retry || !second.Retry || second.Team != "crews" ||
 		second.CallID == first.CallID || second.CallID == "" {
 		t.Errorf("%+v, %+v, another line %+v", first, second, other)
--- a/internal/config/platformconfig/operator.go
+++ b/internal/config/platformconfig/operator.go
@@ -22,13 +22,13 @@
 	b := &batch.Config{Listen: f.Batch.Listen, Spool: f.Batch.Spool}
 	for _, k := range f.Contracts {
 		b.Contracts = append(b.Contracts, batch.Contract{
-			Team: k.Team, KeyEnv: k.KeyEnv, Service: k.Service, Classes: k.Classes, Lines: k.MaxItems, AtOnce: k.MaxConcurrent,
+			Team: k.Team, KeyEnv: k.KeyEnv, Service: k.Service, Classes: k.Classes, MaxItems: k.MaxItems, MaxConcurrent: k.MaxConcurrent,
 			BudgetTokens: k.BudgetTokens, BudgetPeriod: batch.Period(k.BudgetPeriod),
-			LineDeadline: batch.Period(k.ItemDeadline), OpenAPI: k.OpenAPI,
+			ItemDeadline: batch.Period(k.ItemDeadline), OpenAPI: k.OpenAPI,
 		})
 	}
 	// Classes were checked by operatorconfig.Load, or are by package reconcile where there are pools.
-	if err := b.Check(nil, getenv); err != nil {
+	if err := b.Validate(nil, getenv); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return f, b, nil
--- a/internal/config/platformconfig/platformconfig_test.go
+++ b/internal/config/platformconfig/platformconfig_test.go
@@ -127,7 +127,7 @@
 	}
 	if b, err := c.LoadBatchFile("../../../deploy/batch.toml", func(name string) string { return "key of " + name }); err != nil {
 		t.Errorf("the file under deploy: %v", err)
-	} else if l := c.Limits.WithBatch(b.Files()); l.ClientConns+l.UpstreamConns+l.BatchConns+b.Files() >
+	} else if l := c.Limits.WithBatch(b.MaxOpenFiles()); l.ClientConns+l.UpstreamConns+l.BatchConns+b.MaxOpenFiles() >
 		c.Limits.ClientConns+c.Limits.UpstreamConns || l.ConcurrentRequests > l.UpstreamConns {
 		t.Errorf("no descriptors are reserved for the batch service: %+v", l)
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -41,7 +41,7 @@
 	front    *frontend.Server
 	at       atomic.Pointer[directory.Directory]
 	ready    atomic.Bool
-	desk     *batch.Desk // nil where the batch front is off
+	desk     *batch.Service // nil where the batch front is off
 	door     net.Listener
 	control  net.Listener // nil where it is off
 	traces   *traces      // nil where nothing is traced
@@ -78,9 +78,9 @@
 
 // Batch turns the second front on, at a listener.
 func (r *Router) Batch(cfg *batch.Config, ln net.Listener) error {
-	desk, err := batch.NewDesk(batch.Options{
-		Config: cfg, Lim: r.cfg.Limits, Routes: r.at.Load, Post: r.loop.Post, Now: r.loop.Now, Log: r.log,
-		Trace: r.traces != nil,
+	desk, err := batch.New(batch.Options{
+		Config: cfg, Limits: r.cfg.Limits, Directory: r.at.Load, Post: r.loop.Post, Now: r.loop.Now, Log: r.log,
+		IsTracing: r.traces != nil,
 	})
 	r.desk, r.door = desk, ln
 	return err
