--- a/internal/config/platformconfig/config.go
+++ b/internal/config/platformconfig/config.go
@@ -8,7 +8,7 @@
 
 	"notchhinge/internal/limits"
 	"notchhinge/internal/listwatch"
-	"notchhinge/internal/wire"
+	"notchhinge/internal/simadapter"
 	"notchhinge/policy"
 )
 
@@ -68,7 +68,7 @@
 const reportInResponses = "piggyback"
 
 func parseModule(text []byte, seed uint64) (m Module, r routerSettings, err error) {
-	if m.Settings, err = wire.ParseSettings(text); err != nil {
+	if m.Settings, err = simadapter.ParseSettings(text); err != nil {
 		return m, r, err
 	}
 	if _, err := policy.New(m.Settings, seed); err != nil { // the module checks its settings itself
--- a/internal/wire/settings.go
+++ b/internal/simadapter/settings.go
@@ -1,4 +1,4 @@
-package wire
+package simadapter
 
 import (
 	"encoding/json"
@@ -9,15 +9,15 @@
 	"notchhinge/policy"
 )
 
-// micros is a time in microseconds as the settings give it.
+// micros is a duration in microseconds, as the settings give it.
 type micros float64
 
 func (m micros) duration() time.Duration {
 	return time.Duration(float64(m) * float64(time.Microsecond))
 }
 
-// info mirrors the settings object. Unknown keys are ignored.
-type info struct {
+// settingsJSON is the settings object of an eventStartInstance. Keys that it does not have are ignored.
+type settingsJSON struct {
 	AZs        []string `json:"azs"`
 	Discovery  string   `json:"discovery"`
 	FamilyInfo struct {
@@ -64,25 +64,30 @@
 	Zone    int    `json:"zone"`
 }
 
+// The names of the settings object, and what they mean.
 var (
-	effects = map[string]policy.Effect{"pure": policy.EffectSafe, "token": policy.EffectKeyed, "side_effect": policy.EffectUnsafe}
-	groups  = map[string]policy.DedupGroup{
+	effects     = map[string]policy.Effect{"pure": policy.EffectSafe, "token": policy.EffectKeyed, "side_effect": policy.EffectUnsafe}
+	dedupGroups = map[string]policy.DedupGroup{
 		"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
 		"cell": policy.GroupCell,
 	}
-	weights = map[string]policy.WeightMeaning{
+	weightMeanings = map[string]policy.WeightMeaning{
 		"": policy.WeightUnused, "silent": policy.WeightUnused,
 		"nominal": policy.WeightSize, "rough": policy.WeightSize, "live": policy.WeightLive,
 	}
-	columns = map[string]string{
+	reportColumns = map[string]string{
 		"concurrent": "inflight", "depth": "queue", "load_share": "util",
 		"mean_ms": "latency_ms", "tps": "qps", "err_ps": "eps", "x0": "x0", "x1": "x1",
 	}
 )
 
-// ParseSettings reads the settings object of a Launch.
+// maxReportColumns is the most values that a load report has.
+const maxReportColumns = 4
+
+// ParseSettings decodes the settings object of the platform. Errors name the key that is wrong; the decision module checks the
+// values itself.
 func ParseSettings(text []byte) (policy.Settings, error) {
-	var in info
+	var in settingsJSON
 	if err := json.Unmarshal(text, &in); err != nil {
 		return policy.Settings{}, fmt.Errorf("settings: %w", err)
 	}
@@ -103,35 +108,45 @@
 	default:
 		return s, fmt.Errorf("settings: discovery %q is unknown", in.Discovery)
 	}
-	w, ok := weights[in.Weights]
+	meaning, ok := weightMeanings[in.Weights]
 	if !ok {
 		return s, fmt.Errorf("settings: weights %q is unknown", in.Weights)
 	}
-	s.WeightMeaning = w
-	for i, g := range in.Grades {
-		effect, okEffect := effects[g.Effect]
-		group, okGroup := groups[g.Group]
-		if !okEffect || !okGroup {
-			return s, fmt.Errorf("settings: grades[%d] has effect %q and group %q", i, g.Effect, g.Group)
-		}
-		c := policy.Class{
-			Name: g.Name, TargetLatency: g.Objective.duration(), Deadline: g.Deadline.duration(),
-			DedupWindow: g.DedupWindow.duration(), Value: g.Worth, LateValue: g.LateWorth,
-			Effect: effect, DedupGroup: group, IsStreaming: g.Streaming,
+	s.WeightMeaning = meaning
+	for i := range in.Grades {
+		class, err := in.class(i)
+		if err != nil {
+			return s, err
 		}
-		if i < len(in.FamilyInfo.AimPer1000) {
-			c.TargetLatencyPerKTokens = in.FamilyInfo.AimPer1000[i].duration()
-		}
-		s.Classes = append(s.Classes, c)
+		s.Classes = append(s.Classes, class)
 	}
-	for _, t := range in.Realms {
-		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, Share: t.Share})
+	for _, realm := range in.Realms {
+		s.Tenants = append(s.Tenants, policy.Tenant{Name: realm.Name, Share: realm.Share})
 	}
-	if len(in.Report.Columns) > 4 {
+	if len(in.Report.Columns) > maxReportColumns {
 		return s, errors.New("settings: report.columns holds more than four names")
 	}
 	for _, name := range in.Report.Columns {
-		s.ReportColumns = append(s.ReportColumns, columns[name]) // an unknown column keeps its place
+		s.ReportColumns = append(s.ReportColumns, reportColumns[name]) // an unknown column counts, without a name
 	}
 	return s, nil
 }
+
+// class returns the class of grades[i].
+func (in *settingsJSON) class(i int) (policy.Class, error) {
+	grade := &in.Grades[i]
+	effect, isEffect := effects[grade.Effect]
+	group, isGroup := dedupGroups[grade.Group]
+	if !isEffect || !isGroup {
+		return policy.Class{}, fmt.Errorf("settings: grades[%d] has effect %q and group %q", i, grade.Effect, grade.Group)
+	}
+	class := policy.Class{
+		Name: grade.Name, TargetLatency: grade.Objective.duration(), Deadline: grade.Deadline.duration(),
+		DedupWindow: grade.DedupWindow.duration(), Value: grade.Worth, LateValue: grade.LateWorth,
+		Effect: effect, DedupGroup: group, IsStreaming: grade.Streaming,
+	}
+	if i < len(in.FamilyInfo.AimPer1000) {
+		class.TargetLatencyPerKTokens = in.FamilyInfo.AimPer1000[i].duration()
+	}
+	return class, nil
+}
