--- a/cmd/notchhinge/fleet.go
+++ b/cmd/notchhinge/fleet.go
@@ -24,7 +24,7 @@
 type fleetCmd struct {
 	Status fleetStatus `cmd:"" help:"Print what processes of the fleet know, from their control addresses."`
 	Watch  fleetWatch  `cmd:"" help:"Print a line whenever what a process knows of the fleet changes, until it is stopped."`
-	Remove fleetRemove `cmd:"" help:"Take a keeper out that is gone for good. One that runs is taken in again."`
+	Remove fleetRemove `cmd:"" help:"Remove a voter that is gone for good. A replica that runs joins again."`
 }
 
 type fleetRemove struct {
--- a/cmd/notchhinge/main.go
+++ b/cmd/notchhinge/main.go
@@ -37,7 +37,7 @@
 	Config      configCmd                    `cmd:"" help:"Check, compare, apply and show configurations of the fleet."`
 	Engines     enginesCmd                   `cmd:"" help:"List the fleet's engines, and say why they get requests."`
 	Request     requestCmd                   `cmd:"" help:"Say what would become of a request."`
-	State       stateCmd                     `cmd:"" help:"Look at, back up and restore the state on a keeper's disk."`
+	State       stateCmd                     `cmd:"" help:"Look at, back up and restore the state on a replica's disk."`
 	Version     version                      `cmd:"" help:"Print the version."`
 	Completions kongplete.InstallCompletions `cmd:"" help:"Print what a shell must run to complete this program's commands."`
 
@@ -184,7 +184,7 @@
 	if err != nil {
 		return badConfig{err}
 	}
-	fmt.Printf("router %s on %s: %d classes, %d known issuer hosts\n",
+	fmt.Printf("router %s on %s: %d classes, %d known engines\n",
 		cfg.RouterName, cfg.ListenAddr, len(cfg.Settings.Classes), len(cfg.InitialEndpoints.Hosts))
 	for _, q := range p.Pools {
 		if q.Name != "" {
@@ -207,7 +207,7 @@
 		if err != nil {
 			return badConfig{err}
 		}
-		fmt.Printf("%s on %s in %s: keeper %v, traffic %v\n", s.NodeName, s.IPAddress, s.Zone, s.IsReplica(), s.Listeners.Frontend != "")
+		fmt.Printf("%s on %s in %s: replica %v, traffic %v\n", s.NodeName, s.IPAddress, s.Zone, s.IsReplica(), s.Listeners.Frontend != "")
 		return nil
 	}
 	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
--- a/cmd/notchhinge/state.go
+++ b/cmd/notchhinge/state.go
@@ -15,17 +15,17 @@
 )
 
 type stateCmd struct {
-	Show   stateShow   `cmd:"" help:"Print what a keeper's disk holds, as JSON. The keeper must not run."`
-	Check  stateCheck  `cmd:"" help:"Check that a keeper's disk can be read and its configuration is valid."`
+	Show   stateShow   `cmd:"" help:"Print what a replica's disk holds, as JSON. The replica must not run."`
+	Check  stateCheck  `cmd:"" help:"Check that a replica's disk can be read and its configuration is valid."`
 	Export stateExport `cmd:"" help:"Write a backup of the state to a file."`
-	Import stateImport `cmd:"" help:"Make a keeper's disk from a backup, as the only member. For when a majority of disks is lost."`
+	Import stateImport `cmd:"" help:"Make a replica's disk from a backup, as the only voter. For when a majority of disks is lost."`
 }
 
 type dataDir struct {
-	Data string `help:"The keeper's data_directory." required:"" type:"existingdir" placeholder:"DIR"`
+	Data string `help:"The replica's data_directory." required:"" type:"existingdir" placeholder:"DIR"`
 }
 
-// read opens a keeper's disk, and closes it again.
+// read opens a replica's disk, and closes it again.
 func (d dataDir) read() (*storage.Recovered, error) {
 	if _, err := os.Stat(filepath.Join(d.Data, "state")); err != nil {
 		return nil, err // to look must not make one
@@ -120,7 +120,7 @@
 }
 
 type stateImport struct {
-	Data string `help:"The new keeper's data_directory, without a state." required:"" type:"path" placeholder:"DIR"`
+	Data string `help:"The new replica's data_directory, without a state." required:"" type:"path" placeholder:"DIR"`
 	File string `help:"The backup." required:"" type:"existingfile" placeholder:"FILE"`
 	Name string `help:"The machine's node_name." required:"" placeholder:"NAME"`
 	Addr string `help:"Its ip_address with the first port of internal_port_range." required:"" placeholder:"IP:PORT"`
@@ -142,7 +142,7 @@
 	if err := storage.RestoreBackup(c.Data, s, replog.Member{ID: rand.Uint64() | 1, Name: c.Name, Addr: c.Addr}); err != nil {
 		return err
 	}
-	fmt.Printf("%s goes on from place %d, revision %d, as the only member: start it, and the other keepers with empty folders\n",
+	fmt.Printf("%s goes on from index %d, revision %d, as the only voter: start it, and the other replicas with empty directories\n",
 		c.Name, s.NextIndex, s.Revision)
 	return nil
 }
--- a/cmd/notchhinge/state_test.go
+++ b/cmd/notchhinge/state_test.go
@@ -154,7 +154,7 @@
 	f.asked++
 	if f.fails > 0 {
 		f.fails--
-		return api.Result{Status: 503, Message: "no keeper has settled it"}
+		return api.Result{Status: 503, Message: "no majority of the voters answers"}
 	}
 	if f.other {
 		f.rev, f.other = f.rev+5, false
--- a/cmd/notchhinge/trace.go
+++ b/cmd/notchhinge/trace.go
@@ -14,14 +14,14 @@
 
 type traceCmd struct {
 	Find traceFind `cmd:"" help:"List records of requests in the files that [trace.file] writes."`
-	Show traceShow `cmd:"" help:"Draw a trace: its tries and legs as bars, with the decision and the result beside each."`
+	Show traceShow `cmd:"" help:"Draw a trace: its requests and attempts as bars, with the decision and the result beside each."`
 }
 
 type traceFind struct {
 	File       string        `help:"The file of [trace.file]; its older ones are read too." required:"" placeholder:"FILE"`
 	Class      string        `help:"Of this class." placeholder:"NAME"`
 	Team       string        `help:"Of this team." placeholder:"NAME"`
-	Host       string        `help:"With a leg at this issuer host." placeholder:"NAME"`
+	Host       string        `help:"With an attempt at this engine." placeholder:"NAME"`
 	Outcome    string        `help:"served, broken, refused, failed, gone or open." placeholder:"NAME"`
 	SlowerThan time.Duration `help:"That took longer until the first event, or the end where there was none." placeholder:"2s"`
 	Late       bool          `help:"Later than their class wants."`
--- a/internal/dialect/service_test.go
+++ b/internal/dialect/service_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestLowPrioritiesAreShedUnderOverload(t *testing.T) {
-	// More come than can be served: whoever ranks lower is told at once to come again, the tenant's rank before the route's, and
+	// More come than can be served: lower priorities are rejected at once, the tenant's priority before the route's, and
 	// not once it is over. Other services are not concerned.
 	c := conf()
 	c.Tenants = []fleetconfig.Tenant{{Name: "k", APIKeys: []string{"one"}}, {Name: "low", APIKeys: []string{"two"}, Priority: 1}}
--- a/internal/node/engines_test.go
+++ b/internal/node/engines_test.go
@@ -39,7 +39,7 @@
 	}
 	for name, c := range map[string]struct {
 		fault    script
-		maxGiven int64 // requests that the faulty engine may get, where it can be told from others
+		maxGiven int64 // requests that the faulty engine may get, where it is known
 		maxLost  int64 // idempotent requests that may fail
 	}{
 		"always errors":           {respondWith(answerFailed), n / 3, 0},
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -203,7 +203,7 @@
 	}
 }
 
-// learnOutcome takes in the latency of an attempt that has ended, where no Started told it.
+// learnOutcome takes in the latency of an attempt that has ended, where there was no Started.
 func (b *Balancer) learnOutcome(now Time, r *request, t *attempt, o *Outcome) {
 	switch {
 	case o.Result == ResultTimedOut && t.replica.answeredAt > t.sentAt && !r.answered: // else it hangs
