--- a/cmd/notchhinge/state_test.go
+++ b/cmd/notchhinge/state_test.go
@@ -64,7 +64,7 @@
 		{[]string{"state", "export", "--data", dir, "--file", file}, 1, "exists"},
 		{[]string{"state", "import", "--data", next, "--file", file, "--name", "b", "--addr", "here"}, 2, "--addr"},
 		{[]string{"state", "import", "--data", next, "--file", "main.go", "--name", "b", "--addr", "10.0.0.2:1"}, 2, "not a valid backup"},
-		{[]string{"state", "import", "--data", next, "--file", file, "--name", "b", "--addr", "10.0.0.2:1"}, 0, "only member"},
+		{[]string{"state", "import", "--data", next, "--file", file, "--name", "b", "--addr", "10.0.0.2:1"}, 0, "only voter"},
 		{[]string{"state", "import", "--data", next, "--file", file, "--name", "b", "--addr", "10.0.0.2:1"}, 1, "already holds a state"},
 		{[]string{"state", "show", "--data", next}, 0, `"Name": "b"`},
 	} {
