--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,5 +1,3 @@
-// Package directory holds the directory by which both fronts find a request's pool: the table of routes, and of each pool
-// what a front must know. What the directory is made of is decided by package reconcile.
 package directory
 
 import (
@@ -10,18 +8,35 @@
 	"notchhinge/policy"
 )
 
-// Directory leads requests to pools. It does not change; with other settings there is another one.
+const (
+	// CompletionsPath is the path of the platform's requests.
+	CompletionsPath = "/v1/chat/completions"
+	// BatchHost is the host of requests that are items of a batch job.
+	BatchHost = "batch.notchhinge"
+)
+
+// Directory finds the pools of requests. It is immutable and safe for concurrent use.
 type Directory struct {
 	Table *route.Table
-	// NormalizesRequests: hosts and paths are brought into their one spelling, routed by that, and sent on in it. Otherwise they are
-	// looked at and sent on as they came, and Host does not count.
+	// NormalizesRequests is whether hosts and paths are normalized before they are routed and forwarded. Otherwise they
+	// are routed and forwarded as received, and the host is ignored.
 	NormalizesRequests bool
-	pools              map[int]*Pool
+	pools              map[int]*Pool // by ID, which is the number of the pool in Table
+}
+
+// Pool is what a frontend knows of a pool.
+type Pool struct {
+	ID           hoststate.PoolID
+	Name         string
+	Classes      []policy.Class
+	MaxBudget    time.Duration  // upper bound of a request's time budget
+	RetryAfter   time.Duration  // sent with a rejection for lack of capacity
+	classIndexes map[string]int // in Classes, by name
 }
 
-// New returns a directory. The table's numbers of pools are their IDs.
-func New(t *route.Table, strict bool, pools ...*Pool) *Directory {
-	d := &Directory{Table: t, NormalizesRequests: strict, pools: map[int]*Pool{}}
+// New returns a directory. The numbers of pools in the table are the IDs of the pools.
+func New(table *route.Table, normalizesRequests bool, pools ...*Pool) *Directory {
+	d := &Directory{Table: table, NormalizesRequests: normalizesRequests, pools: map[int]*Pool{}}
 	for _, p := range pools {
 		p.classIndexes = map[string]int{}
 		for i, c := range p.Classes {
@@ -32,43 +47,32 @@
 	return d
 }
 
-// Pool is a pool as the fronts see it.
-type Pool struct {
-	ID           hoststate.PoolID
-	Name         string
-	Classes      []policy.Class
-	MaxBudget    time.Duration // no authorisation waits longer, whatever it asks for
-	RetryAfter   time.Duration // with what a front turns away for want of room
-	classIndexes map[string]int
-}
-
-// ClassIndex finds a class of the pool's.
-func (p *Pool) ClassIndex(name string) (number int, ok bool) {
-	number, ok = p.classIndexes[name]
-	return number, ok
+// SinglePool returns the directory of the platform's protocol: one pool that serves POST at CompletionsPath on any host.
+func SinglePool(p *Pool) *Directory {
+	services := []route.Service{{Pools: []route.WeightedPool{{Weight: 1}}}}
+	routes := []route.Route{{Path: CompletionsPath, Method: "POST"}}
+	table, errs := route.New(services, routes, func(string) (int, bool) { return int(p.ID), true })
+	if len(errs) > 0 {
+		return nil // unreachable: the table is constant, and every test of a frontend makes it
+	}
+	return New(table, false, p)
 }
 
-// PoolFor returns the pool that a target's conversation belongs to.
-func (d *Directory) PoolFor(to *route.Target, conversation uint64) *Pool {
-	return d.pools[to.PoolFor(conversation)]
+// PoolFor returns the pool of a target for a conversation.
+func (d *Directory) PoolFor(target *route.Target, conversation uint64) *Pool {
+	return d.pools[target.PoolFor(conversation)]
 }
 
-// Pools returns every pool that a target may lead to.
-func (d *Directory) Pools(to *route.Target) (all []*Pool) {
-	for _, n := range to.Pools() {
-		all = append(all, d.pools[n])
+// Pools returns every pool that PoolFor can return for a target.
+func (d *Directory) Pools(target *route.Target) (pools []*Pool) {
+	for _, number := range target.Pools() {
+		pools = append(pools, d.pools[number])
 	}
-	return all
+	return pools
 }
 
-// CompletionsPath is where the platform's clients ask, and BatchHost the host that lines of batches are sent to.
-const (
-	CompletionsPath = "/v1/chat/completions"
-	BatchHost       = "batch.notchhinge"
-)
-
-// BatchTarget returns where the lines of a batch go: to the service that their contract names, or by their route. It is nil
-// where nothing leads them.
+// BatchTarget returns the target of the items of a batch job: the service, or with an empty service the one that the
+// routes give for BatchHost and the class. It is nil if there is none.
 func (d *Directory) BatchTarget(service, class string) *route.Target {
 	if service != "" {
 		return d.Table.Service(service)
@@ -76,12 +80,8 @@
 	return d.Table.Lookup(&route.Query{Host: BatchHost, Path: CompletionsPath, Method: "POST", Class: class})
 }
 
-// SinglePool is the directory of the platform's case: one pool that takes POST at CallsPath, whatever the host.
-func SinglePool(p *Pool) *Directory {
-	t, faults := route.New([]route.Service{{Pools: []route.WeightedPool{{Weight: 1}}}}, []route.Route{{Path: CompletionsPath, Method: "POST"}},
-		func(string) (int, bool) { return int(p.ID), true })
-	if len(faults) > 0 {
-		return nil // it has none, as every test of a front sees
-	}
-	return New(t, false, p)
+// ClassIndex returns the index of a class in Classes by its name.
+func (p *Pool) ClassIndex(name string) (index int, ok bool) {
+	index, ok = p.classIndexes[name]
+	return index, ok
 }
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -7,46 +7,46 @@
 	"strings"
 )
 
-// Candidate is a route as it stands to a request.
+// Candidate is a route as compared with a request.
 type Candidate struct {
-	Route   Route // in canonical form
-	Index   int
-	Matches bool
-	Wins    bool
-	Reason  string // why it wins, loses, or does not match
-	misses  int
+	Route      Route // in canonical form
+	Index      int   // in the list that the table was made of
+	Matches    bool
+	Wins       bool
+	Reason     string // why the route wins, loses, or does not match
+	mismatches int
 }
 
-// Explain says which route a request takes and why, and which others were close: those that match and lose, and then
-// those that do not match, the nearest first. At most most are returned.
-func (t *Table) Explain(q *Query, most int) []Candidate {
-	won := -1
-	if to := t.Lookup(q); to != nil {
-		won = to.RouteIndex
+// Explain returns up to limit routes with the reason why a request takes or does not take them: the route that wins,
+// then those that match and lose, then those that do not match, the ones with the fewest mismatches first.
+func (t *Table) Explain(q *Query, limit int) []Candidate {
+	winner := noIndex
+	if target := t.Lookup(q); target != nil {
+		winner = target.RouteIndex
 	}
 	var all []Candidate
 	for i := range t.routes {
 		r := &t.routes[i]
-		c := Candidate{Route: *r, Index: i, Wins: i == won}
-		misses := r.misses(q)
-		c.misses = len(misses)
-		switch c.Matches = len(misses) == 0; {
+		mismatches := r.mismatches(q)
+		c := Candidate{Route: *r, Index: i, Matches: len(mismatches) == 0, Wins: i == winner, mismatches: len(mismatches)}
+		switch {
 		case c.Wins:
 			c.Reason = "wins: " + r.Summary()
 		case c.Matches:
-			c.Reason = "loses: " + t.routes[won].beats(r)
+			c.Reason = "loses: " + t.routes[winner].advantageOver(r)
 		default:
-			c.Reason = "does not match: " + strings.Join(misses, "; ")
+			c.Reason = "does not match: " + strings.Join(mismatches, "; ")
 		}
 		all = append(all, c)
 	}
 	slices.SortStableFunc(all, func(x, y Candidate) int {
-		return cmp.Or(cmp.Compare(rank(x), rank(y)), cmp.Compare(x.misses, y.misses), y.Route.compare(&x.Route))
+		return cmp.Or(cmp.Compare(x.sortKey(), y.sortKey()), cmp.Compare(x.mismatches, y.mismatches),
+			y.Route.compareSpecificity(&x.Route))
 	})
-	return all[:min(len(all), most)]
+	return all[:min(len(all), limit)]
 }
 
-func rank(c Candidate) int {
+func (c *Candidate) sortKey() int {
 	switch {
 	case c.Wins:
 		return 0
@@ -56,41 +56,43 @@
 	return 2
 }
 
-// misses says what of a route a request does not meet.
-func (r *Route) misses(q *Query) (says []string) {
-	if !r.takesHost(q.Host) {
-		says = append(says, fmt.Sprintf("host %s is not %s", q.Host, r.Host))
+// mismatches describes each pattern of a route that a request does not match.
+func (r *Route) mismatches(q *Query) (descriptions []string) {
+	add := func(format string, args ...any) { descriptions = append(descriptions, fmt.Sprintf(format, args...)) }
+	if !r.matchesHost(q.Host) {
+		add("host %s is not %s", q.Host, r.Host)
 	}
 	switch {
 	case r.Path != "" && r.Path != q.Path:
-		says = append(says, fmt.Sprintf("path %s is not %s", q.Path, r.Path))
+		add("path %s is not %s", q.Path, r.Path)
 	case r.Prefix != "" && r.Prefix != q.Path && !strings.HasPrefix(q.Path, r.Prefix+"/"):
-		says = append(says, fmt.Sprintf("path %s is not under %s", q.Path, r.Prefix))
+		add("path %s is not under %s", q.Path, r.Prefix)
 	}
 	if r.Method != "" && r.Method != q.Method {
-		says = append(says, fmt.Sprintf("method %s is not %s", q.Method, r.Method))
+		add("method %s is not %s", q.Method, r.Method)
 	}
 	if r.Class != "" && r.Class != q.Class {
-		says = append(says, fmt.Sprintf("class %q is not %q", q.Class, r.Class))
+		add("class %q is not %q", q.Class, r.Class)
 	}
-	for _, n := range headerNames(r.Header) {
-		if v := q.Header[n]; len(v) != 1 || v[0] != r.Header[n] {
-			says = append(says, fmt.Sprintf("header %s is not %q", n, r.Header[n]))
+	for _, name := range sortedNames(r.Header) {
+		if values := q.Header[name]; len(values) != 1 || values[0] != r.Header[name] {
+			add("header %s is not %q", name, r.Header[name])
 		}
 	}
-	return says
+	return descriptions
 }
 
-func (r *Route) takesHost(host string) bool {
-	if suffix, wild := strings.CutPrefix(r.Host, "*"); wild {
+func (r *Route) matchesHost(host string) bool {
+	if suffix, isSuffix := strings.CutPrefix(r.Host, "*"); isSuffix {
 		return strings.HasSuffix(host, suffix) && len(host) > len(suffix)
 	}
 	return r.Host == "" || r.Host == host
 }
 
-// specifics are what decides between two routes, in order.
-func (r *Route) specifics() [7]int {
-	var s [7]int
+// specificity is what the precedence of routes is decided by: the first element that differs counts, the greater wins.
+type specificity [7]int
+
+func (r *Route) specificity() (s specificity) {
 	switch {
 	case strings.HasPrefix(r.Host, "*."):
 		s[1] = len(r.Host)
@@ -113,43 +115,43 @@
 	return s
 }
 
-// compare is above 0 where r is the more specific route.
-func (r *Route) compare(o *Route) int {
-	x, y := r.specifics(), o.specifics()
+// compareSpecificity is above 0 if r is more specific than other.
+func (r *Route) compareSpecificity(other *Route) int {
+	x, y := r.specificity(), other.specificity()
 	return slices.Compare(x[:], y[:])
 }
 
-// beats says by what r is more specific than o.
-func (r *Route) beats(o *Route) string {
-	says := [...]string{
+// advantageOver describes why r is more specific than other.
+func (r *Route) advantageOver(other *Route) string {
+	advantages := [len(specificity{})]string{
 		"the winner's host is exact", "the winner's host suffix is longer", "the winner's path is exact",
 		"the winner's prefix is longer", "the winner names the method", "the winner names the class",
 		"the winner asks for more headers",
 	}
-	x, y := r.specifics(), o.specifics()
+	x, y := r.specificity(), other.specificity()
 	for i := range x {
 		if x[i] != y[i] {
-			return says[i]
+			return advantages[i]
 		}
 	}
-	return "it is as specific as the winner" // a table with such routes is not made
+	return "it is as specific as the winner" // New rejects a table with such routes
 }
 
-// Summary is a route on one line.
+// Summary returns the patterns of a route on one line.
 func (r *Route) Summary() string {
 	var parts []string
-	part := func(name, value string) {
+	add := func(name, value string) {
 		if value != "" {
 			parts = append(parts, name+" "+value)
 		}
 	}
-	part("host", r.Host)
-	part("path", r.Path)
-	part("prefix", r.Prefix)
-	part("method", r.Method)
-	part("class", r.Class)
-	for _, n := range headerNames(r.Header) {
-		part("header", n+": "+r.Header[n])
+	add("host", r.Host)
+	add("path", r.Path)
+	add("prefix", r.Prefix)
+	add("method", r.Method)
+	add("class", r.Class)
+	for _, name := range sortedNames(r.Header) {
+		add("header", name+": "+r.Header[name])
 	}
 	if len(parts) == 0 {
 		return "any request"
--- a/internal/route/split.go
+++ b/internal/route/split.go
@@ -2,35 +2,50 @@
 
 import (
 	"encoding/binary"
-	"fmt"
 	"math"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// share is a compiled Share.
-type share struct {
-	pool   int
-	weight float64
-	hash   uint64 // of its key
+// WeightedPool is a pool of a service and its weight.
+type WeightedPool struct {
+	Pool   string
+	Weight float64 // relative to the other pools of the service; 0 = no conversations
+	// HashKey is what conversations are hashed with; "" = Pool. A renamed pool that keeps its HashKey keeps its
+	// conversations.
+	HashKey string
 }
 
-// split compiles a service's shares.
-func split(at int, s Service, pool func(string) (int, bool)) (shares []share, faults []TableError) {
-	fault := func(format string, args ...any) {
-		faults = append(faults, TableError{at, -1, "split", fmt.Sprintf(format, args...)})
+// weightedPool is a compiled WeightedPool; its weight is above 0.
+type weightedPool struct {
+	number  int
+	weight  float64
+	keyHash uint64
+}
+
+// Target is the destination of a request: a service, and the route that leads to it.
+type Target struct {
+	Service    string
+	RouteIndex int // index in the list that the table was made of; -1 = the service itself, without a route
+	pools      []weightedPool
+}
+
+// compileSplit compiles the pools of the service at index.
+func compileSplit(index int, s Service, poolNumber func(string) (int, bool)) (pools []weightedPool, errs []TableError) {
+	addError := func(format string, args ...any) {
+		errs = append(errs, serviceError(index, "split", format, args...))
 	}
-	sum := 0.0
+	total := 0.0
 	seen := map[string]bool{}
 	for _, p := range s.Pools {
-		n, ok := pool(p.Pool)
+		number, exists := poolNumber(p.Pool)
 		switch {
-		case !ok:
-			fault("there is no pool %q", p.Pool)
+		case !exists:
+			addError("there is no pool %q", p.Pool)
 		case seen[p.Pool]:
-			fault("pool %q is named twice", p.Pool)
-		case !(p.Weight >= 0) || math.IsInf(p.Weight, 0):
-			fault("pool %q: a weight of 0 or more is wanted", p.Pool)
+			addError("pool %q is named twice", p.Pool)
+		case !(p.Weight >= 0) || math.IsInf(p.Weight, 0): // NaN is not >= 0
+			addError("pool %q: the weight must be finite and 0 or more", p.Pool)
 		}
 		seen[p.Pool] = true
 		key := p.HashKey
@@ -38,53 +53,51 @@
 			key = p.Pool
 		}
 		if p.Weight > 0 {
-			sum += p.Weight
-			shares = append(shares, share{n, p.Weight, hash(key)})
+			total += p.Weight
+			pools = append(pools, weightedPool{number: number, weight: p.Weight, keyHash: xxhash.Sum64String(key)})
 		}
 	}
-	if sum == 0 && len(faults) == 0 {
-		fault("one pool at least must have a weight above 0")
+	if total == 0 && len(errs) == 0 {
+		addError("one pool at least must have a weight above 0")
 	}
-	return shares, faults
+	return pools, errs
 }
 
-// IsSplit tells whether there is more than one pool that Pool may return.
-func (t *Target) IsSplit() bool { return len(t.shares) > 1 }
+// IsSplit reports whether PoolFor can return more than one pool.
+func (t *Target) IsSplit() bool { return len(t.pools) > 1 }
 
-// Pools returns the numbers of all pools that Pool may return.
-func (t *Target) Pools() (all []int) {
-	for _, s := range t.shares {
-		all = append(all, s.pool)
+// Pools returns the numbers of all pools that PoolFor can return.
+func (t *Target) Pools() (numbers []int) {
+	for _, p := range t.pools {
+		numbers = append(numbers, p.number)
 	}
-	return all
+	return numbers
 }
 
-// PoolFor returns the number of the pool for a conversation: over conversations in proportion to the weights, and always
-// the same for one. When weights change, conversations move only from pools whose part shrinks to pools whose part
-// grows, and no more of them than must (weighted rendezvous hashing).
+// PoolFor returns the number of the pool for a conversation, by weighted rendezvous hashing. A conversation always has
+// the same pool, and the pools get conversations in proportion to their weights. When weights change, conversations move
+// only from pools whose fraction shrinks to pools whose fraction grows, and no more of them than necessary.
 func (t *Target) PoolFor(conversation uint64) int {
-	if len(t.shares) == 1 {
-		return t.shares[0].pool
+	if len(t.pools) == 1 {
+		return t.pools[0].number
 	}
 	best, lowest := -1, math.Inf(1)
-	for i := range t.shares {
-		s := &t.shares[i]
-		if score := -math.Log(draw(conversation, s.hash)) / s.weight; score < lowest {
-			best, lowest = s.pool, score
+	for i := range t.pools {
+		p := &t.pools[i]
+		if score := -math.Log(uniform(conversation, p.keyHash)) / p.weight; score < lowest {
+			best, lowest = p.number, score
 		}
 	}
 	return best
 }
 
-// HashConversation is a number for what has no session, such as a single call by its id.
-func HashConversation(id string) uint64 { return hash(id) }
-
-func hash(s string) uint64 { return xxhash.Sum64String(s) }
+// HashConversation returns the conversation of a request without a session, by the id of the request.
+func HashConversation(id string) uint64 { return xxhash.Sum64String(id) }
 
-// draw is a number from 0 to 1, both excluded, for a conversation at a pool: the same at all routers.
-func draw(conversation, pool uint64) float64 {
+// uniform returns a number between 0 and 1, both excluded, for a conversation and a pool. It is the same on all routers.
+func uniform(conversation, poolKey uint64) float64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], conversation)
-	binary.LittleEndian.PutUint64(b[8:], pool)
+	binary.LittleEndian.PutUint64(b[8:], poolKey)
 	return (float64(xxhash.Sum64(b[:])>>11) + 0.5) / (1 << 53)
 }
