--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -13,14 +13,13 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// goldenSpool makes a spool folder with a job that has ended, one whose lines are partly done, one that was cancelled and
-// a file without a job.
+// goldenSpool makes a spool with a completed job, one with some outcomes, a cancelled one and a file without a job.
 func goldenSpool(t *testing.T, dir string) {
 	t.Helper()
 	r := newHarness(t, dir, nil)
 	r.job(itemText("a") + "not JSON\n\n" + itemText("b"))
 	out := r.after(0)
-	out[0].request.CallID = "call-a" // which is drawn
+	out[0].request.CallID = "call-a" // which is random
 	out[0].serve()
 	out[1].Reject(dispatch.VerdictFailed, 0)
 	r.after(time.Second)
@@ -43,7 +42,7 @@
 	}
 }
 
-// files lists what stands in a folder, by path.
+// files returns the contents of the files in a directory, by path.
 func files(t *testing.T, dir string) map[string]string {
 	t.Helper()
 	all := map[string]string{}
@@ -62,8 +61,8 @@
 	return all
 }
 
-// TestGoldenSpoolIsWrittenAndResumed: the front writes the files that it wrote, and takes up a folder that it wrote then: what has ended stays so,
-// and each line that was left gets its outcome.
+// TestGoldenSpoolIsWrittenAndResumed: the service writes the same files as in the golden spool and resumes that spool: what has ended
+// stays so, and each remaining item gets its outcome.
 func TestGoldenSpoolIsWrittenAndResumed(t *testing.T) {
 	const name = "batch-folder"
 	made := t.TempDir()
@@ -87,7 +86,7 @@
 	}, states)
 	out := r.after(0)
 	if len(out) != 2 {
-		t.Fatalf("%d lines are handed out", len(out))
+		t.Fatalf("%d items are submitted", len(out))
 	}
 	for _, a := range out {
 		a.serve()
@@ -96,7 +95,7 @@
 	golden.Equal(t, "outcomes", []string{"1 id-0 served", "2 id-1 served", "3 id-2 served"}, outcomesOf(t, half))
 }
 
-// TestGoldenSpoolRecordsKeepTheirBytes: each record of the golden folder is read and written to the same bytes.
+// TestGoldenSpoolRecordsKeepTheirBytes: each record of the golden spool is decoded and encoded to the same bytes.
 func TestGoldenSpoolRecordsKeepTheirBytes(t *testing.T) {
 	again := func(name string, text []byte, v any) {
 		t.Helper()
--- a/internal/batch/http_test.go
+++ b/internal/batch/http_test.go
@@ -20,7 +20,7 @@
 	"notchhinge/internal/dispatch"
 )
 
-// client calls the handlers and holds every answer against the description.
+// client calls the handlers and checks every response against the API description.
 type client struct {
 	*harness
 	doc    *openapi3.T
@@ -42,7 +42,7 @@
 	return &client{r, doc, routes}
 }
 
-// call makes a call and returns its status and body. Answers outside the description's paths are not checked.
+// call makes a call and returns its status and body. Responses outside the described paths are not checked.
 func (c *client) call(method, path, contentType, body string, header ...string) (int, string) {
 	c.t.Helper()
 	req := httptest.NewRequestWithContext(c.t.Context(), method, path, strings.NewReader(body))
@@ -65,12 +65,12 @@
 	out := &openapi3filter.ResponseValidationInput{RequestValidationInput: in, Status: w.Code, Header: w.Header(), Options: options}
 	out.SetBodyBytes(w.Body.Bytes())
 	if err := openapi3filter.ValidateResponse(c.t.Context(), out); err != nil {
-		c.t.Errorf("%s %s: the answer does not meet the description: %v", method, path, err)
+		c.t.Errorf("%s %s: the response does not match the description: %v", method, path, err)
 	}
 	if w.Code < 300 {
 		req.Body = io.NopCloser(strings.NewReader(body))
 		if err := openapi3filter.ValidateRequest(c.t.Context(), in); err != nil {
-			c.t.Errorf("%s %s: taken, though it does not meet the description: %v", method, path, err)
+			c.t.Errorf("%s %s: accepted, though it does not match the description: %v", method, path, err)
 		}
 	}
 	return w.Code, w.Body.String()
@@ -87,7 +87,7 @@
 	return c.call("POST", "/v1/files", form.FormDataContentType(), b.String())
 }
 
-// field reads one field of an answer.
+// field returns one field of a response.
 func field(t *testing.T, body, name string) string {
 	t.Helper()
 	var m map[string]any
@@ -143,7 +143,7 @@
 			t.Errorf("line %s: %v", l, err)
 		}
 		if err := c.doc.Components.Schemas["Outcome"].Value.VisitJSON(v); err != nil {
-			t.Errorf("line %s does not meet the description: %v", l, err)
+			t.Errorf("line %s does not match the description: %v", l, err)
 		}
 	}
 	checkEqual(t, "lines", 4, n)
@@ -261,7 +261,7 @@
 	}
 	checkEqual(t, "events", []string{"1 line", "2 line", "3 line", "3 batch"}, names)
 	_, body = c.call("GET", "/v1/batches/"+batchPrefix+j.record.ID+"/events", "", "", "Last-Event-ID", "2")
-	checkEqual(t, "what was missed", true, strings.HasPrefix(body, "id: 3\nevent: line\n"))
+	checkEqual(t, "resumed after Last-Event-ID", true, strings.HasPrefix(body, "id: 3\nevent: line\n"))
 	status, _ = c.call("GET", "/v1/batches/"+batchPrefix+j.record.ID+"/events", "", "", "Last-Event-ID", "x")
 	checkEqual(t, "a bad Last-Event-ID", 400, status)
 }
@@ -276,7 +276,7 @@
 		`"messages":[{"role":"system","content":"a"},{"role":"user","content":"b"}]}}` + "\n"
 	j := r.job(itemText("no model") + good + strings.Replace(strings.Replace(good, "good", "long", 1), "10", "401", 1))
 	out := r.after(0)
-	checkEqual(t, "handed out", 1, len(out))
+	checkEqual(t, "submitted", 1, len(out))
 	out[0].serve()
 	checkEqual(t, "result", []string{"1 no model failed invalid_line", "2 good served", "3 long failed invalid_line"}, outcomesOf(t, j))
 }
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -9,36 +9,28 @@
 	"slices"
 )
 
-// job is a batch: every line of a file, and its outcome. The desk's lock guards it.
+// job is one batch: the items of a file with their outcomes. Service.mu guards it.
 type job struct {
 	record    jobRecord
 	file      fileRecord
 	team      *team
 	dir       string
 	input     *os.File
-	outcomes  *os.File // appended to
-	spans     []span
-	done      []bool
-	remaining int // lines without an outcome
-	nextIndex int // first line that was not looked at in this run of the program
-	ready     []*item
-	started   map[int]*item
-	err       error // why it is stalled
+	outcomes  *os.File      // appended to
+	spans     []span        // by index of the item
+	done      []bool        // by index: it has an outcome
+	remaining int           // items without an outcome
+	nextIndex int           // of the first item not yet read by this process
+	ready     []*item       // for a retry
+	started   map[int]*item // by index: read, without an outcome
+	err       error         // why it is suspended; nil if it is not
 
-	counts  map[string]int
-	events  []itemEvent   // in their order, for the feed; at the job's end they are in its notes only
-	changed chan struct{} // closed when there is news
+	counts  map[string]int // items by outcome
+	events  []itemEvent    // in the order of the outcomes; of a completed job they are on disk only
+	changed chan struct{}  // closed and replaced when there is a new event or the job ends
 }
 
-// itemEvent is what the feed tells of a line's outcome.
-type itemEvent struct {
-	Line     int    `json:"line"`
-	CustomID string `json:"custom_id"`
-	Outcome  string `json:"outcome"`
-	Code     string `json:"code,omitempty"`
-}
-
-// openJob reads a job from its folder.
+// openJob reads a job from its directory. It completes a job that has all its outcomes.
 func (s *Service) openJob(t *team, dir string, rec jobRecord) (j *job, err error) {
 	j = &job{
 		record: rec, team: t, dir: dir, started: map[int]*item{}, counts: map[string]int{}, changed: make(chan struct{}),
@@ -52,16 +44,16 @@
 		return nil, err
 	}
 	j.done, j.remaining = make([]bool, j.file.Lines), j.file.Lines
-	twice := 0
+	invalid := 0
 	err = readOutcomes(filepath.Join(dir, outcomesName), func(o *Outcome, _ span) {
 		if o.Line < 1 || o.Line > len(j.done) || j.done[o.Line-1] {
-			twice++
+			invalid++
 			return
 		}
 		j.addOutcome(o)
 	})
-	if err == nil && twice > 0 {
-		err = fmt.Errorf("%s: %d outcomes for lines that have one, or that there are not", dir, twice)
+	if err == nil && invalid > 0 {
+		err = fmt.Errorf("%s: %d outcomes are duplicate or of unknown items", dir, invalid)
 	}
 	if err != nil || !rec.Ended.IsZero() {
 		j.releaseState()
@@ -79,13 +71,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if j.remaining == 0 { // it stopped between its last line and its end
+	if j.remaining == 0 { // the process ended between the last outcome and completeJob
 		err = s.completeJob(j)
 	}
 	return j, err
 }
 
-// openFiles opens the job's files. Until its first line is begun a job holds no descriptor.
+// openFiles opens the job's files, if they are not open. A job holds no descriptors until its first item is read.
 func (j *job) openFiles() (err error) {
 	if j.input == nil {
 		if j.input, err = os.Open(filepath.Join(j.dir, inputName)); err != nil {
@@ -98,7 +90,18 @@
 	return err
 }
 
-// addOutcome notes an outcome that is written down.
+// closeFiles closes the files that are open.
+func (j *job) closeFiles() {
+	if j.input != nil {
+		_ = j.input.Close() // it was only read
+	}
+	if j.outcomes != nil {
+		_ = j.outcomes.Close() // errors were reported by Write; completeJob syncs
+	}
+	j.input, j.outcomes = nil, nil
+}
+
+// addOutcome updates the job for an outcome that is in the spool.
 func (j *job) addOutcome(o *Outcome) {
 	j.done[o.Line-1] = true
 	j.remaining--
@@ -107,52 +110,34 @@
 	j.notify()
 }
 
-// event is what the feed tells of an outcome.
-func (o *Outcome) event() itemEvent {
-	e := itemEvent{Line: o.Line, CustomID: o.CustomID, Outcome: o.Outcome}
-	if o.Error != nil {
-		e.Code = o.Error.Code
-	}
-	return e
-}
-
-// notify wakes those who follow the job's feed.
+// notify wakes the event streams of the job.
 func (j *job) notify() {
 	close(j.changed)
 	j.changed = make(chan struct{})
 }
 
-// releaseState drops what only a job at work needs; there may be very many that have ended.
+// releaseState frees what only an unfinished job needs; there may be very many completed ones.
 func (j *job) releaseState() { j.done, j.spans, j.events, j.ready, j.started = nil, nil, nil, nil, nil }
 
+// dequeue removes the job from its team's queue.
 func (j *job) dequeue() {
 	j.team.queue = slices.DeleteFunc(j.team.queue, func(other *job) bool { return other == j })
 }
 
-func (j *job) closeFiles() {
-	if j.input != nil {
-		_ = j.input.Close() // it was only read
-	}
-	if j.outcomes != nil {
-		_ = j.outcomes.Close() // Write told whether they are kept; at the job's end they are synced
-	}
-	j.input, j.outcomes = nil, nil
-}
-
-// customID reads the custom_id of a line, as far as it has one.
-func (j *job) customID(n, most int) string {
-	var l itemInput
+// customID reads the custom_id of an item from the input file; "" if that cannot be read.
+func (j *job) customID(n, maxBytes int) string {
+	var in itemInput
 	if j.openFiles() != nil {
 		return ""
 	}
-	text, err := readItemText(j.input, j.spans[n], most)
-	if err != nil || json.Unmarshal(text, &l) != nil {
+	text, err := readItemText(j.input, j.spans[n], maxBytes)
+	if err != nil || json.Unmarshal(text, &in) != nil {
 		return ""
 	}
-	return l.CustomID
+	return in.CustomID
 }
 
-// status is the public API's word for where a job is.
+// status returns the job's status as the public API names it.
 func (j *job) status() string {
 	switch {
 	case !j.record.Ended.IsZero() && !j.record.Cancelled.IsZero():
@@ -166,3 +151,52 @@
 	}
 	return "in_progress"
 }
+
+// completeJob writes the result file and the end of a job whose items all have outcomes, and frees its resources.
+func (s *Service) completeJob(j *job) error {
+	if err := j.openFiles(); err != nil {
+		return err
+	}
+	if err := errors.Join(j.outcomes.Sync(), writeResult(j.dir)); err != nil {
+		return err
+	}
+	j.record.Ended = s.wallTime()
+	if err := writeJSON(filepath.Join(j.dir, jobName), j.record); err != nil {
+		return err
+	}
+	j.closeFiles()
+	j.dequeue()
+	j.releaseState()
+	j.notify()
+	return nil
+}
+
+// suspendJob withdraws all items of a job whose files cannot be read or written. The next start resumes it.
+func (s *Service) suspendJob(j *job, err error) {
+	s.log.Error("batch suspended", "batch", j.record.ID, "err", err)
+	j.err = err
+	for _, it := range j.started {
+		s.withdraw(it)
+	}
+	j.dequeue()
+	j.notify()
+}
+
+// cancelItems withdraws the items in flight and records all remaining ones as cancelled.
+func (s *Service) cancelItems(j *job) {
+	attempts := map[int]int{}
+	for _, it := range j.started {
+		attempts[it.index] = it.attempts
+		s.withdraw(it)
+	}
+	j.ready = nil
+	done := j.done // completeJob sets it to nil
+	for n := range done {
+		if !done[n] {
+			s.recordOutcome(j, n, &Outcome{
+				CustomID: j.customID(n, s.limits.BatchItemBytes), Outcome: outcomeFailed, Attempts: attempts[n],
+				Error: &OutcomeError{"cancelled", "the batch was cancelled"},
+			})
+		}
+	}
+}
--- a/internal/batch/proof_test.go
+++ b/internal/batch/proof_test.go
@@ -29,18 +29,18 @@
 
 const (
 	proofLines = 5000
-	proofBad   = 7 // every so many-hundredth line is not valid
+	proofBad   = 7 // in hundreds: every 700th item is invalid
 )
 
-// fleet is stand-in issuer hosts that die after so many requests each; 0 = never.
+// fleet is a set of fake engines, each of which fails after a given number of requests; 0 = never.
 type fleet struct {
 	hosts  []*httptest.Server
 	served atomic.Int64
-	half   chan struct{} // closed with the request in the middle of the file
+	half   chan struct{} // closed at the request in the middle of the file
 	goOn   chan struct{} // requests after it wait until this is closed
 }
 
-// drainLog is a router's log; it lets the fleet go on once the router has begun to drain.
+// drainLog is a router's log; it closes goOn when the router begins to drain.
 type drainLog struct {
 	goOn chan struct{}
 	once sync.Once
@@ -53,15 +53,15 @@
 	return len(b), nil
 }
 
-func newFleet(t *testing.T, lives ...int64) *fleet {
+func newFleet(t *testing.T, failAfter ...int64) *fleet {
 	f := &fleet{half: make(chan struct{}), goOn: make(chan struct{})}
-	for _, life := range lives {
-		var taken atomic.Int64
+	for _, limit := range failAfter {
+		var received atomic.Int64
 		var dead atomic.Bool
 		s := httptest.NewUnstartedServer(nil)
 		s.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			io.Copy(io.Discard, r.Body)
-			if n := taken.Add(1); n == life {
+			if n := received.Add(1); n == limit {
 				dead.Store(true)
 				s.Listener.Close() // new connections are refused from here on
 			}
@@ -71,7 +71,7 @@
 				<-f.goOn
 			}
 			w.Header().Set("Content-Type", "text/event-stream")
-			if !dead.Load() || taken.Load()%2 == 0 { // of those that a dying host holds, half have begun
+			if !dead.Load() || received.Load()%2 == 0 { // half of the responses of a failing host have begun
 				io.WriteString(w, `data: {"choices":[{"delta":{"content":"summary"},"finish_reason":"stop"}]}`+"\n\n")
 				_ = http.NewResponseController(w).Flush()
 			}
@@ -88,7 +88,7 @@
 	return f
 }
 
-// start runs a router with its batch front on loopback until stop; done gives its end.
+// start runs a router with its batch service on loopback until stop; done receives its error.
 func (f *fleet) start(t *testing.T, spool string, log slog.Handler) (api string, stop chan os.Signal, done chan error) {
 	t.Helper()
 	cfg, err := platformconfig.Load(func(name string) string {
@@ -138,7 +138,7 @@
 	return "http://" + doors[1].Addr().String(), stop, done
 }
 
-// ask makes a call to the batch API and decodes its answer.
+// ask makes a call to the batch API and decodes its response.
 func ask(t *testing.T, method, url, contentType string, body io.Reader) map[string]any {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, body)
@@ -159,7 +159,7 @@
 	return m
 }
 
-// submit uploads a file and makes a batch of it.
+// submit uploads a file and creates a batch of it.
 func submit(t *testing.T, api string, file []byte) map[string]any {
 	t.Helper()
 	var b bytes.Buffer
@@ -173,7 +173,7 @@
 		strings.NewReader(fmt.Sprintf(`{"input_file_id":%q,"endpoint":"/v1/chat/completions"}`, f["id"])))
 }
 
-// get opens an answer that is no JSON.
+// get returns the body of a response that is not JSON.
 func get(t *testing.T, url string) io.ReadCloser {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), "GET", url, nil)
@@ -190,8 +190,8 @@
 
 func valid(i int) bool { return i%(100*proofBad) != 0 }
 
-// TestEveryItemHasOneOutcomeThroughFaultsAndRestart: 5,000 lines, hosts killed mid-file, the file sent again, and a drain with a restart: every
-// line has exactly one outcome.
+// TestEveryItemHasOneOutcomeThroughFaultsAndRestart: 5,000 items, hosts that fail mid-file, a repeated upload, and
+// a drain with a restart: every item has exactly one outcome.
 func TestEveryItemHasOneOutcomeThroughFaultsAndRestart(t *testing.T) {
 	var file bytes.Buffer
 	for i := range proofLines {
@@ -269,6 +269,6 @@
 		}
 	}
 	if len(seen) != proofLines {
-		t.Errorf("%d lines have an outcome", len(seen))
+		t.Errorf("%d items have an outcome", len(seen))
 	}
 }
--- a/internal/batch/desk_test.go
+++ b/internal/batch/service_test.go
@@ -23,7 +23,7 @@
 	"notchhinge/policy"
 )
 
-// harness is a desk with a given clock. What it hands to the broker is noted; the test answers in its place.
+// harness is a Service with a given clock. It records the attempts that the service posts; the test answers in the dispatcher's place.
 type harness struct {
 	*Service
 	t         *testing.T
@@ -59,7 +59,7 @@
 			case dispatch.SetReminder:
 				r.reminders = append(r.reminders, e)
 			case dispatch.ClientLeft:
-				r.submitted = append(r.submitted, nil) // called off
+				r.submitted = append(r.submitted, nil) // withdrawn
 			}
 		},
 	})
@@ -71,7 +71,7 @@
 	return r
 }
 
-// after lets time pass, takes a turn, and returns what was handed out in it.
+// after lets time pass, schedules once and returns the attempts that were submitted.
 func (r *harness) after(d time.Duration) []*attempt {
 	r.at += d
 	r.submitted = nil
@@ -116,7 +116,7 @@
 	return b.String()
 }
 
-// outcomesOf reads a job's result file: custom_id, outcome, code and tries of each line.
+// outcomesOf reads a job's result file: line, custom_id, outcome, error code and attempts of each item.
 func outcomesOf(t *testing.T, j *job) []string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(j.dir, resultName))
@@ -131,7 +131,7 @@
 		}
 		code := ""
 		if o.Attempts > 1 {
-			code = fmt.Sprintf("(%d tries) ", o.Attempts)
+			code = fmt.Sprintf("(%d attempts) ", o.Attempts)
 		}
 		if o.Error != nil {
 			code += o.Error.Code
@@ -158,56 +158,56 @@
 	j := r.job(itemText("a") + "not JSON\n\n" + itemText("b") + `{"custom_id":"c","method":"GET"}` + "\n" +
 		strings.Repeat("x", 1200) + "\n" + itemText("d") + strings.TrimSpace(itemText("e")))
 	out := r.after(0)
-	checkEqual(t, "handed out", 4, len(out))
+	checkEqual(t, "submitted", 4, len(out))
 	out[0].serve()
 	out[1].Reject(dispatch.VerdictFailed, 0)
-	out[1].serve() // a second end is none
+	out[1].serve() // a second end is ignored
 	out[2].Reject(dispatch.VerdictRejected, time.Minute)
-	_ = out[3].Finish(false) // broke; it is tried again whole
+	_ = out[3].Finish(false) // an incomplete stream; the item is retried
 	again := r.after(time.Second)
-	checkEqual(t, "handed out again", 1, len(again))
+	checkEqual(t, "submitted again", 1, len(again))
 	again[0].serve()
 	checkEqual(t, "status", "completed", j.status())
 	if j.done != nil || j.events != nil || j.input != nil {
-		t.Error("a batch that has ended still holds what it needed at work")
+		t.Error("a completed job keeps state that only an unfinished one needs")
 	}
 	checkEqual(t, "result", []string{
 		"1 a served", "2  failed invalid_line", "3 b failed timed_out", "4 c failed invalid_line",
-		"5  failed line_too_long", "6 d refused declined", "7 e served (2 tries)",
+		"5  failed line_too_long", "6 d refused declined", "7 e served (2 attempts)",
 	}, outcomesOf(t, j))
 }
 
 func TestRejectionsReduceTheTeamsConcurrency(t *testing.T) {
-	// What is declined comes back after its Retry-After and not before, and fewer at once: a batch must not
-	// flood hosts that have just started.
+	// Rejected items are retried after their Retry-After and not before, and fewer at once: a batch must not overload hosts that have
+	// just started.
 	r := newHarness(t, t.TempDir(), nil)
 	r.job(fileText(9))
 	out := r.after(0)
-	checkEqual(t, "at once", 4, len(out))
+	checkEqual(t, "in flight", 4, len(out))
 	for _, a := range out[:3] {
 		a.Reject(dispatch.VerdictRejected, 2*time.Second)
 	}
-	checkEqual(t, "while one is out", 0, len(r.after(time.Second)))
+	checkEqual(t, "while one is in flight", 0, len(r.after(time.Second)))
 	out[3].Reject(dispatch.VerdictRejected, 2*time.Second)
-	checkEqual(t, "after four declines", 1, len(r.after(time.Second-1)))
+	checkEqual(t, "after four rejections", 1, len(r.after(time.Second-1)))
 	r.submitted[0].serve()
 	next := r.after(time.Second)
-	checkEqual(t, "after an answer", 2, len(next))
-	checkEqual(t, "a declined line goes first", "id-0", next[0].item.customID)
+	checkEqual(t, "after a response", 2, len(next))
+	checkEqual(t, "a retry goes first", "id-0", next[0].item.customID)
 }
 
 func TestItemIsRetriedUntilItsDeadline(t *testing.T) {
 	r := newHarness(t, t.TempDir(), func(k *Contract) { k.MaxConcurrent = 1 })
 	j := r.job(fileText(1))
-	for tries := 0; tries < 7; tries++ {
+	for attempts := 0; attempts < 7; attempts++ {
 		out := r.after(3 * time.Second)
 		if len(out) != 1 {
 			break
 		}
-		checkEqual(t, "time for an answer", min(12*time.Second, 20*time.Second-time.Duration(tries)*3*time.Second), out[0].item.request.Timeout)
+		checkEqual(t, "timeout", min(12*time.Second, 20*time.Second-time.Duration(attempts)*3*time.Second), out[0].item.request.Timeout)
 		out[0].Reject(dispatch.VerdictRejected, 3*time.Second)
 	}
-	checkEqual(t, "result", []string{"1 id-0 refused (7 tries) declined"}, outcomesOf(t, j))
+	checkEqual(t, "result", []string{"1 id-0 refused (7 attempts) declined"}, outcomesOf(t, j))
 }
 
 func TestSameFileIsTheSameJobAcrossRestarts(t *testing.T) {
@@ -222,23 +222,23 @@
 	checkEqual(t, "third submission", true, r.job(fileText(2)) == j)
 	again := newHarness(t, dir, nil)
 	checkEqual(t, "after a restart", "completed", again.job(fileText(2)).status())
-	checkEqual(t, "handed out", 0, len(again.after(0)))
+	checkEqual(t, "submitted", 0, len(again.after(0)))
 	if _, err := again.createJob(again.teams[key], j.record.ID, "doc-lookup", nil); err == nil {
-		t.Error("the same file as another class is no conflict")
+		t.Error("no conflict for the same file with another class")
 	}
 }
 
 func TestRestartRunsOnlyItemsWithoutAnOutcome(t *testing.T) {
-	// A program that dies leaves lines without an outcome, and maybe half a line in its notes. Both are run
-	// again; what has an outcome is not.
+	// A process that dies leaves items without an outcome, and maybe an incomplete line in the outcomes file. Both are run again; what
+	// has an outcome is not.
 	dir := t.TempDir()
 	r := newHarness(t, dir, nil)
 	j := r.job(fileText(5))
 	out := r.after(0)
 	out[1].serve()
 	out[2].Reject(dispatch.VerdictFailed, 0)
-	notes := filepath.Join(j.dir, outcomesName)
-	f, err := os.OpenFile(notes, os.O_APPEND|os.O_WRONLY, 0)
+	path := filepath.Join(j.dir, outcomesName)
+	f, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -265,8 +265,8 @@
 	for _, a := range out {
 		a.serve()
 	}
-	checkEqual(t, "handed out while stopping", 0, len(r.after(time.Second)))
-	checkEqual(t, "lines left", 2, j.remaining)
+	checkEqual(t, "submitted while stopping", 0, len(r.after(time.Second)))
+	checkEqual(t, "items remaining", 2, j.remaining)
 }
 
 func TestCancelRecordsAnOutcomeForEveryItem(t *testing.T) {
@@ -277,18 +277,18 @@
 	if err := r.cancelJob(j); err != nil {
 		t.Fatal(err)
 	}
-	checkEqual(t, "called off", 3, len(r.after(0)))
+	checkEqual(t, "withdrawn", 3, len(r.after(0)))
 	out[1].serve() // too late
 	checkEqual(t, "status", "cancelled", j.status())
 	checkEqual(t, "served, failed", []int{1, 5}, []int{j.counts[outcomeServed], j.counts[outcomeFailed]})
-	checkEqual(t, "still out", 0, r.teams[key].inFlight)
+	checkEqual(t, "in flight", 0, r.teams[key].inFlight)
 	if err := r.cancelJob(j); err == nil {
 		t.Error("a batch that has ended can be cancelled")
 	}
 }
 
 func TestCancelOfAJobThatCompletesMeanwhile(t *testing.T) {
-	// Guards against a look at a line of a batch that has just come to its end.
+	// The last item may be cancelled together with the rest, which completes the job while its items are being cancelled.
 	r := newHarness(t, t.TempDir(), nil)
 	j := r.job(fileText(4))
 	out := r.after(0)
@@ -300,12 +300,12 @@
 		t.Fatal(err)
 	}
 	r.after(0)
-	checkEqual(t, "result", []string{"1 id-0 failed (2 tries) cancelled", "2 id-1 served", "3 id-2 failed cancelled", "4 id-3 served"},
+	checkEqual(t, "result", []string{"1 id-0 failed (2 attempts) cancelled", "2 id-1 served", "3 id-2 failed cancelled", "4 id-3 served"},
 		outcomesOf(t, j))
 }
 
 func TestJobIsSuspendedWhenTheSpoolCannotBeWritten(t *testing.T) {
-	// A full disk must not lose or repeat an outcome: the job stalls, and the next start takes it up.
+	// A full disk must not lose or repeat an outcome: the job is suspended, and the next start resumes it.
 	dir := t.TempDir()
 	r := newHarness(t, dir, nil)
 	j := r.job(fileText(3))
@@ -314,7 +314,7 @@
 	_ = j.outcomes.Close()
 	out[1].serve()
 	checkEqual(t, "status", "failed", j.status())
-	checkEqual(t, "handed out", 0, len(r.after(time.Second)))
+	checkEqual(t, "submitted", 0, len(r.after(time.Second)))
 	checkEqual(t, "resumed", 2, len(newHarness(t, dir, nil).after(0)))
 }
 
@@ -330,7 +330,7 @@
 }
 
 func TestItemsGoToTheServiceOfTheirContract(t *testing.T) {
-	// By its service's name, or by the routes of the lines' host; and what nothing leads to any more has its outcome.
+	// By its service's name, or by the routes of the batch host; an item without a route any more fails.
 	directoryOf := func(names ...string) *directory.Directory {
 		var services []route.Service
 		routes := []route.Route{{Service: names[0], Host: directory.BatchHost, Method: "POST"}}
@@ -349,11 +349,11 @@
 		r := newHarness(t, t.TempDir(), func(k *Contract) { k.Service, k.MaxConcurrent = name, 1 })
 		at := directoryOf("runs", "calib")
 		r.directory = func() *directory.Directory { return at }
-		var to []hoststate.PoolID
+		var pools []hoststate.PoolID
 		post := r.post
 		r.post = func(e dispatch.Event) {
 			if e, ok := e.(dispatch.RequestReceived); ok {
-				to = append(to, e.Pool)
+				pools = append(pools, e.Pool)
 			}
 			post(e)
 		}
@@ -363,7 +363,7 @@
 			at.Table, _ = route.New(nil, nil, nil)
 		}
 		r.after(0)
-		checkEqual(t, "pools", []hoststate.PoolID{want}, to)
+		checkEqual(t, "pools", []hoststate.PoolID{want}, pools)
 		checkEqual(t, "outcomes", []string{"1 id-0 failed timed_out", "2 id-1 failed no_route"}, outcomesOf(t, j))
 	}
 }
--- a/internal/batch/trace_test.go
+++ b/internal/batch/trace_test.go
@@ -8,25 +8,25 @@
 )
 
 func TestAttemptsOfAnItemShareOneTrace(t *testing.T) {
-	// Each line is a trace of its own; a try after a declined one is of the same, and said to be a further try. Without
-	// tracing a line has no origin.
+	// Each item has a trace of its own; a retry belongs to the same trace and is marked as a retry. Without tracing an item has no
+	// origin.
 	r := newHarness(t, t.TempDir(), nil)
 	r.job(fileText(2))
 	out := r.after(0)
 	if len(out) != 2 || r.origin(out[0].item) != nil {
-		t.Fatalf("%d tries, origin %v", len(out), r.origin(out[0].item))
+		t.Fatalf("%d attempts, origin %v", len(out), r.origin(out[0].item))
 	}
 	r.Service.isTracing = true
 	first, other := r.origin(out[0].item), r.origin(out[1].item)
-	line := out[0].item.index
+	index := out[0].item.index
 	out[0].Reject(dispatch.VerdictRejected, time.Second)
 	again := r.after(2 * time.Second)
-	if len(again) != 1 || again[0].item.index != line {
-		t.Fatalf("%d tries after the declined one", len(again))
+	if len(again) != 1 || again[0].item.index != index {
+		t.Fatalf("%d attempts after the rejected one", len(again))
 	}
 	second := r.origin(again[0].item)
 	if first.Trace == other.Trace || first.Trace != second.Trace || first.Retry || !second.Retry || second.Team != "crews" ||
 		second.CallID == first.CallID || second.CallID == "" {
-		t.Errorf("%+v, %+v, another line %+v", first, second, other)
+		t.Errorf("%+v, %+v, another item %+v", first, second, other)
 	}
 }
