--- a/internal/node/logmessages_test.go
+++ b/internal/node/logmessages_test.go
@@ -17,7 +17,7 @@
 // table, with its meaning, and each of the table in the code.
 func TestEveryLogMessageIsDocumented(t *testing.T) {
 	logged := map[string]string{}
-	for _, root := range []string{".", "../control", "../edge"} {
+	for _, root := range []string{".", "../control", "../dialect"} {
 		collectMessages(t, root, logged)
 	}
 	documented := documentedMessages(t)
