--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -89,7 +89,7 @@
 	f = &Fleet{o: o}
 	defer func() {
 		if err != nil {
-			_ = f.Stop() // err is what is told
+			_ = f.Stop() // err is what is returned
 		}
 	}()
 	if o.Pin {
@@ -135,7 +135,7 @@
 	return ln.Addr().String(), nil
 }
 
-// config is what a router is told as the platform would tell it.
+// config is a router's configuration, in the form in which the platform gives it.
 func (f *Fleet) config(r *Router, i int) ([]byte, error) {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	type m = map[string]any
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -207,7 +207,7 @@
 // Close implements io.Closer.
 func (t *timed) Close() error { return nil }
 
-// request is a try as it is sent. wrote is told when the last of it has been taken to be written.
+// request is an attempt as it is sent. wrote is called when the last of it has been taken to be written.
 func (c *Client) request(ctx context.Context, call *Call, t *Try, patience time.Duration, from int, again string, wrote func()) (*http.Request, error) {
 	work, _ := json.Marshal(standin.Work{
 		Session: call.Session, Prefix: call.Prefix, Prompt: call.Prompt, Opening: call.Opening, Answer: call.Answer, From: from,
--- a/internal/listwatch/feed.go
+++ b/internal/listwatch/feed.go
@@ -22,7 +22,7 @@
 	stop           context.CancelFunc
 
 	// The loop requests watches, and must not wait for mu, which is held while events are posted to it.
-	lastCallFailed atomic.Bool  // and the first pool was told
+	lastCallFailed atomic.Bool  // and the first pool was notified
 	firstPool      atomic.Int64 // the pool with the lowest id; its module paces the calls after a failure
 
 	mu      sync.Mutex
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -48,7 +48,7 @@
 	}
 	ln.SetUnlinkOnClose(false)
 	if err := errors.Join(os.Chmod(made, 0o600), os.Rename(made, path)); err != nil {
-		_ = ln.Close() // err is what is told
+		_ = ln.Close() // err is what is returned
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	return controlListener{ln, path}, nil
--- a/internal/trace/export/file.go
+++ b/internal/trace/export/file.go
@@ -89,7 +89,7 @@
 	<-s.done
 	_ = s.enc.Close() // frames are made whole by EncodeAll
 	if s.f != nil {
-		_ = s.f.Close() // Write told whether the records are kept
+		_ = s.f.Close() // Write has reported whether the records were written
 	}
 }
 
@@ -145,7 +145,7 @@
 // rotate gives each file the next number and begins a new one.
 func (s *File) rotate() error {
 	if s.f != nil {
-		_ = s.f.Close() // Write told whether the records are kept
+		_ = s.f.Close() // Write has reported whether the records were written
 		s.f = nil
 		numbered := func(n int) string {
 			if n == 0 {
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -9,7 +9,7 @@
 //
 // The package promises:
 //   - Each StartAttempt is followed by exactly one AttemptEnded, whose result says what is known of the request: results that
-//     prove that it never ran are told apart from those after which it may have run (retrysafety.go). The package never retries
+//     prove that it never ran are distinguished from those after which it may have run (retrysafety.go). The package never retries
 //     by itself; dispatch and the pool's policy do.
 //   - A Downstream gets nothing before its attempt is bound, and then only the response to its own request: whole events of a
 //     stream, never the rest of a broken one as if it were complete.
