--- a/internal/control/replica/golden_test.go
+++ b/internal/control/replica/golden_test.go
@@ -72,7 +72,7 @@
 
 // TestEveryCallHasAHandler: each kind of call that replicas own has a handler, and a kind of another owner is an error.
 func TestEveryCallHasAHandler(t *testing.T) {
-	if missing := callHandlers.Missing(rpc.OwnerReplica); len(missing) > 0 {
+	if missing := callHandlers.Mismatches(rpc.OwnerReplica); len(missing) > 0 {
 		t.Errorf("handlers missing, or of another owner: %v", missing)
 	}
 	answers, _ := reduce(newSingle(true), time.Second, CallReceived{Kind: rpc.KindUsageReport}, true)
--- a/internal/control/rpc/rpc.go
+++ b/internal/control/rpc/rpc.go
@@ -109,8 +109,8 @@
 	return handler, nil
 }
 
-// Missing returns the kinds of an owner that have no handler, and those with a handler that belong to another owner.
-func (h Handlers[F]) Missing(owner Owner) (kinds []Kind) {
+// Mismatches returns the kinds of an owner that have no handler, and those with a handler that belong to another owner.
+func (h Handlers[F]) Mismatches(owner Owner) (kinds []Kind) {
 	for _, kind := range Kinds(owner) {
 		if _, ok := h[kind]; !ok {
 			kinds = append(kinds, kind)
--- a/internal/control/rpc/rpc_test.go
+++ b/internal/control/rpc/rpc_test.go
@@ -37,12 +37,12 @@
 // TestMissingHandlersAreNamed: a table without a kind of its owner, or with another owner's, says which.
 func TestMissingHandlersAreNamed(t *testing.T) {
 	handlers := Handlers[func()]{KindFetchConfig: func() {}}
-	if missing := handlers.Missing(OwnerConfigs); len(missing) > 0 {
+	if missing := handlers.Mismatches(OwnerConfigs); len(missing) > 0 {
 		t.Errorf("missing %v", missing)
 	}
 	handlers[KindJoin] = func() {}
 	delete(handlers, KindFetchConfig)
-	if diff := cmp.Diff([]Kind{KindFetchConfig, KindJoin}, handlers.Missing(OwnerConfigs)); diff != "" {
+	if diff := cmp.Diff([]Kind{KindFetchConfig, KindJoin}, handlers.Mismatches(OwnerConfigs)); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 	if _, err := handlers.Lookup(7); !errors.Is(err, UnknownKindError(7)) {
--- a/internal/control/singleton/controller_test.go
+++ b/internal/control/singleton/controller_test.go
@@ -285,7 +285,7 @@
 // error.
 func TestCallsAreChecked(t *testing.T) {
 	h := newHarness()
-	if missing := callHandlers.Missing(rpc.OwnerSingleton); len(missing) > 0 {
+	if missing := callHandlers.Mismatches(rpc.OwnerSingleton); len(missing) > 0 {
 		t.Errorf("handlers missing, or of another owner: %v", missing)
 	}
 	for _, kind := range rpc.Kinds(rpc.OwnerSingleton) {
