--- a/internal/control/replica/acceptor.go
+++ b/internal/control/replica/acceptor.go
@@ -2,8 +2,8 @@
 
 import "notchhinge/internal/control/paxos"
 
-// alignAcceptor gives the acceptor the index and the right to vote that follow from the state. Before the founding only
-// founders vote.
+// alignAcceptor sets the acceptor's index and voting right from the state. Before the group is founded only founders
+// vote.
 func (r *Replica) alignAcceptor() {
 	r.acceptor.NextIndex = r.state.NextIndex
 	if r.state.NextIndex == 0 {
@@ -13,13 +13,13 @@
 	}
 }
 
-// vote answers a proposer's request. What the response promises or accepts must be on the disk before done is called: a grant
-// waits for the newest write of the acceptor's state, also where it repeats an earlier one that is not durable yet. An error
-// is no vote: the disk has refused the write.
-func (r *Replica) vote(req paxos.Request, done func(paxos.Response, error)) {
+// handlePaxosRequest passes a request to the acceptor and calls done with the response. A promise or an acceptance must
+// be durable first: a grant waits for the latest write of the acceptor state, even if it repeats a grant whose write
+// has not finished. An error means that the write failed; it is not a vote.
+func (r *Replica) handlePaxosRequest(req paxos.Request, done func(paxos.Response, error)) {
 	r.term = max(r.term, req.Number.Term)
 	resp, changed := r.acceptor.Handle(req)
-	if !changed && (r.voteWrite == 0 || resp.Verdict != paxos.VerdictGranted) {
+	if !changed && (r.pendingVoteWrite == 0 || resp.Verdict != paxos.VerdictGranted) {
 		done(resp, nil)
 		return
 	}
@@ -29,13 +29,13 @@
 			done(paxos.Response{}, errDiskWrite)
 			return
 		}
-		if r.voteWrite == id {
-			r.voteWrite = 0
+		if r.pendingVoteWrite == id {
+			r.pendingVoteWrite = 0
 		}
 		if req.Kind == paxos.KindAccept {
 			r.watchAcceptedMembership(req.Index)
 		}
 		done(resp, nil)
 	})
-	r.voteWrite = id
+	r.pendingVoteWrite = id
 }
--- a/internal/control/replica/bootstrap.go
+++ b/internal/control/replica/bootstrap.go
@@ -11,26 +11,26 @@
 	"notchhinge/internal/limits"
 )
 
-// The group is founded by the replicas whose disks were empty at the very first start of the fleet. The value of index 0 names
-// them, and all of them must accept it, so that no other set can be founded: two sets of 2f+1 share a founder as long as there
-// are fewer than 4f+2.
+// The group is founded by the replicas whose disks were empty when the fleet started for the first time. The value of
+// index 0 names them, and all of them must accept it, so that no second group can be founded: two sets of 2f+1 founders
+// overlap if there are fewer than 4f+2 founders in total.
 
-// foundingTimeout bounds the attempts to found the group with one set of founders. For as long after the start only the first
-// founder by name tries.
+// foundingTimeout bounds the attempts with one set of founders. During the same time after the start only the first
+// founder by name proposes.
 const foundingTimeout = 3 * time.Second
 
-// founding is what a founder knows before the group is founded.
+// founding is the state of a founder before the group is founded.
 type founding struct {
-	startedAt  time.Duration
-	founders   int           // that have answered in the last poll
-	stableFrom time.Duration // since when there are so many
-	giveUpAt   time.Duration // of the attempts that go on
+	startedAt   time.Duration
+	founders    int           // number of founders that answered the last poll, including this one
+	stableSince time.Duration // time of the last change of that number
+	deadline    time.Duration // of the current attempts
 }
 
-// pollFounders finds out which founders there are.
+// pollFounders asks all peers whether they are founders. It catches up if the group has been founded.
 func (r *Replica) pollFounders() {
 	founders := []replog.Member{r.Self}
-	calls := newFanOut(func() { r.considerFounding(founders) })
+	calls := newFanOut(func() { r.foundIfReady(founders) })
 	for _, to := range r.Peers() {
 		calls.sent()
 		r.callIdentity(to, func(i identity, ok bool) {
@@ -47,38 +47,38 @@
 	calls.allSent()
 }
 
-// considerFounding founds the group if there are enough founders, no further one has come for a while, and this one is the first
-// of them or the first has had its time.
-func (r *Replica) considerFounding(founders []replog.Member) {
+// foundIfReady founds the group if there are enough founders, their number is stable, and this replica is the first by
+// name or foundingTimeout has passed since the start.
+func (r *Replica) foundIfReady(founders []replog.Member) {
 	f := &r.founding
 	if len(founders) != f.founders {
-		f.founders, f.stableFrom = len(founders), r.now
+		f.founders, f.stableSince = len(founders), r.now
 	}
 	slices.SortFunc(founders, func(x, y replog.Member) int { return cmp.Compare(x.Name, y.Name) })
 	isFirst := founders[0].ID == r.Self.ID || r.now-f.startedAt > foundingTimeout
-	isStable := r.now-f.stableFrom >= limits.FoundingQuietPeriod
+	isStable := r.now-f.stableSince >= limits.FoundingQuietPeriod
 	if len(founders) < r.MinVoters || !isStable || !isFirst || r.state.NextIndex > 0 {
 		r.scheduleUpkeep()
 		return
 	}
-	f.giveUpAt = r.now + foundingTimeout
-	r.found(founders, 0)
+	f.deadline = r.now + foundingTimeout
+	r.foundGroup(founders, 0)
 }
 
-// found has all founders accept that they are the first voters. retries counts the attempts before.
-func (r *Replica) found(founders []replog.Member, retries int) {
-	if r.state.NextIndex > 0 || r.now >= r.founding.giveUpAt {
+// foundGroup proposes the founders as the first voters; all of them must accept. retries counts the earlier attempts.
+func (r *Replica) foundGroup(founders []replog.Member, retries int) {
+	if r.state.NextIndex > 0 || r.now >= r.founding.deadline {
 		r.scheduleUpkeep()
 		return
 	}
 	value := r.membersEntry(founders)
 	if err := replog.Check(value); err != nil {
-		r.log.Warn("founding impossible", "err", fmt.Errorf("%w: %w", ErrInvalidEntry, err))
+		r.log.Warn("cannot found group", "err", fmt.Errorf("%w: %w", ErrInvalidEntry, err))
 		r.scheduleUpkeep()
 		return
 	}
 	proposer := paxos.Proposer{Index: 0, OwnValue: value, Voters: memberIDs(founders), Quorum: len(founders)}
-	// A founder may have accepted another set before, whose members must then all accept that.
+	// A founder may have accepted another set of founders. All members of that set must then accept it.
 	proposer.IsValidValue = func(value []byte) bool {
 		members, ok := decodeMembers(value)
 		return ok && slices.Equal(members, founders)
@@ -92,6 +92,6 @@
 				founders = members
 			}
 		}
-		r.found(founders, retries+1)
+		r.foundGroup(founders, retries+1)
 	})
 }
--- a/internal/control/replica/calls.go
+++ b/internal/control/replica/calls.go
@@ -8,24 +8,24 @@
 	"notchhinge/internal/control/rpc"
 )
 
-// replyFunc answers a call of another process.
+// replyFunc receives the answer to a call, or an error.
 type replyFunc func(body []byte, err error)
 
-// callHandler handles a call of another process. reply is called once, then or later.
+// callHandler handles a call from another process. It calls reply exactly once, immediately or later.
 type callHandler func(r *Replica, c CallReceived, reply replyFunc)
 
-// callHandlers handle the calls that replicas own.
+// callHandlers holds the handlers of all kinds of calls that replicas own.
 var callHandlers = rpc.Handlers[callHandler]{
 	rpc.KindPaxos:          (*Replica).receivePaxos,
 	rpc.KindLearn:          (*Replica).receiveLearn,
 	rpc.KindCommit:         (*Replica).receiveCommit,
-	rpc.KindSnapshot:       (*Replica).receiveSnapshotCall,
-	rpc.KindCheckReachable: (*Replica).receiveReachable,
+	rpc.KindSnapshot:       (*Replica).receiveSnapshotRequest,
+	rpc.KindCheckReachable: (*Replica).receiveCheckReachable,
 	rpc.KindIdentity:       (*Replica).receiveIdentity,
 	rpc.KindJoin:           (*Replica).receiveJoin,
 }
 
-// receiveCall handles a call of another process.
+// receiveCall dispatches a call from another process to its handler.
 func (r *Replica) receiveCall(c CallReceived) {
 	reply := func(body []byte, err error) { r.emit(SendReply{c.Request, body, err}) }
 	handle, err := callHandlers.Lookup(c.Kind)
@@ -36,17 +36,17 @@
 	handle(r, c, reply)
 }
 
-// receiveIdentity handles a KindIdentity.
+// receiveIdentity handles an rpc.KindIdentity.
 func (r *Replica) receiveIdentity(_ CallReceived, reply replyFunc) { reply(r.identity().encode(), nil) }
 
-// receivePaxos handles an rpc.KindPaxos. The response leaves once the disk has what it says.
+// receivePaxos handles an rpc.KindPaxos. The response is sent once the acceptor state that it reports is durable.
 func (r *Replica) receivePaxos(c CallReceived, reply replyFunc) {
 	req, err := decodePaxosRequest(c.Body)
 	if err != nil {
 		reply(nil, err)
 		return
 	}
-	r.vote(req, func(resp paxos.Response, err error) {
+	r.handlePaxosRequest(req, func(resp paxos.Response, err error) {
 		if err != nil {
 			reply(nil, err)
 			return
@@ -55,7 +55,7 @@
 	})
 }
 
-// call asks for a call of another process; done is called with the answer, or with an error after the timeout. It may be nil.
+// call calls another process. done receives the answer, or an error after the timeout; it may be nil.
 func (r *Replica) call(to netip.AddrPort, kind rpc.Kind, body []byte, done replyFunc) {
 	r.lastID++
 	id, sentAt := CallID(r.lastID), r.now
@@ -67,7 +67,7 @@
 	r.emit(SendCall{ID: id, To: to, Kind: kind, Body: body, Timeout: rpc.Lookup(kind).Timeout})
 }
 
-// callPaxos calls an acceptor.
+// callPaxos sends an encoded request to the acceptor of another replica.
 func (r *Replica) callPaxos(to netip.AddrPort, body []byte, done func(resp paxos.Response, ok bool)) {
 	r.call(to, rpc.KindPaxos, body, func(body []byte, err error) {
 		var resp paxos.Response
@@ -78,7 +78,7 @@
 	})
 }
 
-// callIdentity asks another replica for its identity.
+// callIdentity requests the identity of another replica.
 func (r *Replica) callIdentity(to netip.AddrPort, done func(i identity, ok bool)) {
 	r.call(to, rpc.KindIdentity, nil, func(body []byte, err error) {
 		var i identity
--- a/internal/control/replica/catchup.go
+++ b/internal/control/replica/catchup.go
@@ -8,22 +8,23 @@
 	"notchhinge/internal/control/rpc"
 )
 
-// oldestStateVersion is the format of a state for callers that do not say which they read.
+// oldestStateVersion is the state format for callers that do not send the newest format they can read.
 const oldestStateVersion byte = 1
 
-// catchUp fetches the state of another replica as a snapshot and installs it if it is newer than the state here. A state may be
-// large, so that requests for it share the call that is in flight. done is called in either case.
+// catchUp fetches the state of another replica as a snapshot and installs it if it is newer than the local state. A
+// state may be large, so concurrent requests to one replica share a call. done is called in any case.
 func (r *Replica) catchUp(from netip.AddrPort, done func()) {
-	waiting, requested := r.catchUps[from]
-	if r.catchUps[from] = append(waiting, done); requested {
+	waiting, requested := r.catchUpWaiters[from]
+	if r.catchUpWaiters[from] = append(waiting, done); requested {
 		return
 	}
 	body := EncodeIndexed(r.state.NextIndex, []byte{replog.StateVersion})
-	r.call(from, rpc.KindSnapshot, body, func(body []byte, err error) { r.receiveSnapshot(from, body, err) })
+	r.call(from, rpc.KindSnapshot, body, func(body []byte, err error) { r.receiveSnapshotReply(from, body, err) })
 }
 
-// receiveSnapshot handles the answer to an rpc.KindSnapshot; without a body the callee's log is no longer than the caller's.
-func (r *Replica) receiveSnapshot(from netip.AddrPort, body []byte, err error) {
+// receiveSnapshotReply handles the answer to an rpc.KindSnapshot. An empty body means that the callee's log is not
+// longer than the caller's.
+func (r *Replica) receiveSnapshotReply(from netip.AddrPort, body []byte, err error) {
 	if err != nil || len(body) == 0 {
 		r.catchUpDone(from)
 		return
@@ -43,14 +44,14 @@
 }
 
 func (r *Replica) catchUpDone(from netip.AddrPort) {
-	waiting := r.catchUps[from]
-	delete(r.catchUps, from)
+	waiting := r.catchUpWaiters[from]
+	delete(r.catchUpWaiters, from)
 	for _, done := range waiting {
 		done()
 	}
 }
 
-// installSnapshot replaces the state with a newer one, once the disk has it. done is called in either case.
+// installSnapshot replaces the state with a newer one once that is durable. done is called in any case.
 func (r *Replica) installSnapshot(state *replog.State, done func()) {
 	if state.NextIndex <= r.state.NextIndex {
 		done()
@@ -70,9 +71,9 @@
 	})
 }
 
-// receiveSnapshotCall answers a replica that catches up: with the state, if that is beyond the caller's next index, in the
-// newest format that the caller reads. An earlier release does not say which it reads.
-func (r *Replica) receiveSnapshotCall(c CallReceived, reply replyFunc) {
+// receiveSnapshotRequest handles an rpc.KindSnapshot. It replies with the state if that is beyond the caller's next
+// index, in the newest format that the caller reads. Callers of earlier releases do not send a format.
+func (r *Replica) receiveSnapshotRequest(c CallReceived, reply replyFunc) {
 	index, formats, err := DecodeIndexed(c.Body)
 	if err != nil || r.state.NextIndex <= index {
 		reply(nil, err)
--- a/internal/control/replica/commit.go
+++ b/internal/control/replica/commit.go
@@ -8,8 +8,8 @@
 	"notchhinge/internal/control/rpc"
 )
 
-// commit applies the value that was chosen for an index. It reports whether the state covers the index now: an index beyond the
-// next one cannot be applied.
+// commit applies the value chosen for an index. It reports whether the state now includes the index; a value beyond the
+// next index cannot be applied.
 func (r *Replica) commit(index uint64, value []byte) bool {
 	if index != r.state.NextIndex {
 		return index < r.state.NextIndex
@@ -20,16 +20,16 @@
 	if !slices.Equal(membersBefore, r.state.Members) {
 		r.membershipChanged()
 	}
-	// Nothing waits for this write. If it fails the value is chosen all the same, and the owner writes the whole state before
+	// Nothing waits for this write. If it fails, the value is still chosen, and the owner writes the whole state before
 	// its next write.
 	r.write(Write{Value: value}, nil)
 	r.emit(StateChanged{r.state})
 	return true
 }
 
-// announce sends the voters what an attempt has chosen. A voter that has accepted the value is sent its proposal number alone,
-// since the value may be large; any other voter, and one that the value itself has made a voter, is sent the value. There is no
-// retry: a replica that misses an announcement catches up later.
+// announce sends the chosen value of an attempt to the voters. A voter that has accepted the value receives only its
+// proposal number, because the value may be large. Other voters, and voters added by the value itself, receive the
+// value. Announcements are not retried: a replica that misses one catches up later.
 func (r *Replica) announce(a *attempt) {
 	number, value := encodeCommit(a.Index, a.Number), EncodeIndexed(a.Index, a.Value)
 	for i := range a.members {
@@ -52,7 +52,7 @@
 	}
 }
 
-// notifyLagging sends a member the next index of this replica, so that the member catches up.
+// notifyLagging sends the next index of this replica to a member, so that the member catches up.
 func (r *Replica) notifyLagging(id uint64, members []replog.Member) {
 	for i := range members {
 		if to, ok := memberAddr(&members[i]); ok && members[i].ID == id && id != r.Self.ID {
@@ -61,7 +61,7 @@
 	}
 }
 
-// receiveLearn handles an rpc.KindLearn: the value that was chosen for an index, or the notice that the caller's log is longer.
+// receiveLearn handles an rpc.KindLearn: the value chosen for an index, or a notice that the caller's log is longer.
 func (r *Replica) receiveLearn(c CallReceived, reply replyFunc) {
 	index, value, err := DecodeIndexed(c.Body)
 	if reply(nil, err); err == nil {
@@ -69,8 +69,8 @@
 	}
 }
 
-// receiveCommit handles an rpc.KindCommit: what was accepted for an index under a proposal number was chosen. If this replica has not
-// accepted it, it catches up with the caller.
+// receiveCommit handles an rpc.KindCommit: the value accepted for an index under a proposal number was chosen. A
+// replica that has not accepted that value catches up with the caller.
 func (r *Replica) receiveCommit(c CallReceived, reply replyFunc) {
 	index, number, err := decodeCommit(c.Body)
 	if reply(nil, err); err != nil || index < r.state.NextIndex {
@@ -83,9 +83,9 @@
 	r.learn(c.From, index, value)
 }
 
-// learn commits a value that was chosen, or catches up with the sender if the value is missing or beyond the next index.
+// learn commits a chosen value. If the value is missing or beyond the next index, it catches up with the sender.
 func (r *Replica) learn(from netip.Addr, index uint64, value []byte) {
-	r.committer, r.committedAt = from, r.now
+	r.lastAnnouncer, r.lastAnnouncementAt = from, r.now
 	if len(value) > 0 && r.commit(index, value) {
 		return
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-// peerAt returns the first peer at an IP address.
+// peerAt returns the first peer with an IP address.
 func (r *Replica) peerAt(ip netip.Addr) (netip.AddrPort, bool) {
 	peers := r.Peers()
 	i := slices.IndexFunc(peers, func(a netip.AddrPort) bool { return a.Addr() == ip })
--- a/internal/control/replica/doc.go
+++ b/internal/control/replica/doc.go
@@ -1,35 +1,35 @@
-// Package replica implements one replica of the replicated state on which the fleet agrees: membership of the group, the
-// configuration, the lease holder, usage figures. The state is a log, one Paxos instance an index, without a leader: any
-// replica may propose at any time (packages paxos and replog hold the instance and the state machine).
+// Package replica implements one replica of the fleet's replicated state: the group membership, the configuration, the
+// lease and the usage figures. The state is built from a log. Each log index is one Paxos instance, and there is no leader:
+// any replica may propose at any time. Package paxos implements the instance, package replog the state machine.
 //
-// A Replica votes, proposes, catches up with others, founds the group at the first start of a fleet, changes the membership
-// and answers operators. It is a reducer in the manner of etcd's raft library: Reduce takes an Event and returns the Effects
-// that follow. It reads no clock, starts no goroutine, does no I/O. Given the same Config, the same events at the same times
-// lead to the same effects.
+// A Replica votes, proposes, catches up with other replicas, founds the group when a fleet starts for the first time, changes
+// the membership and answers operators. It is a reducer, as in etcd's raft library: Reduce takes an Event and returns the
+// resulting Effects. It reads no clock, starts no goroutine and does no I/O. The same Config and the same events at the same
+// times produce the same effects.
 //
 // # Duties of the owner
 //
-// The owner performs the effects of one Reduce in their order, and in particular:
+// The owner performs the effects of each Reduce in order. In particular:
 //
-//  1. A Write is made durable (synced) before the effects behind it are looked at. Its result is handed back as WriteDone
-//     before any other event. Effects that must not leave before the disk has a write are returned by Reduce(WriteDone),
-//     never beside the Write. So the order is: persist, report, then send.
-//  2. A write that fails is reported with WriteDone{Durable: false}. Before the next write is made after that, the owner
-//     writes the whole of State and AcceptorState, since the replica does not repeat what was lost.
-//  3. A SendCall leads to exactly one CallReturned with its ID, with an error at the latest after Timeout.
-//  4. A CallReceived, and every event of an operator, carries a RequestID that the owner has chosen. It comes back in exactly
-//     one effect (SendReply, OperatorAnswer, ProposeDone, LeaveDone). Pending keeps what waits for it.
-//  5. Tick is handed in no later than NextTimer says. Effects are valid until the next call of Reduce.
+//  1. It makes a Write durable (synced) before it looks at the effects behind it, and reports the result as WriteDone before
+//     any other event. Effects that depend on the write are returned by Reduce(WriteDone), never next to the Write. The order
+//     is therefore persist, report, send.
+//  2. It reports a failed write as WriteDone{Durable: false}. Before the next write it then writes the whole of State and
+//     AcceptorState, because the replica does not repeat the lost write.
+//  3. It returns exactly one CallReturned with the ID of each SendCall, with an error after Timeout at the latest.
+//  4. It assigns a RequestID to every CallReceived and every operator event. The ID comes back in exactly one effect
+//     (SendReply, OperatorAnswer, ProposeDone, LeaveDone). Pending holds the requests without an answer.
+//  5. It delivers a Tick no later than NextTimer returns. Effects are valid until the next call of Reduce.
 //
-// Times are durations on a steady clock of the owner's choice, and never go back; a time that does is taken for the latest.
+// Times are durations on a monotonic clock that the owner chooses. A time before the latest one is taken as the latest one.
 //
-// # What a replica promises
+// # Guarantees
 //
-// A value that was chosen for an index is never replaced. A read that is answered is linearizable: the answer is no older than
-// anything that was acknowledged before the read began. An operator's request has an answer by its deadline. Of 2f+1 voters
-// (Config.MinVoters) any f may be lost at once.
+// A value chosen for an index is never replaced. Reads are linearizable: an answer reflects everything that was acknowledged
+// before the read began. An operator's request is answered by its deadline. A group of 2f+1 voters (Config.MinVoters)
+// tolerates the loss of any f at once.
 //
-// # Sources
+// # References
 //
 // Leslie Lamport, "Paxos Made Simple" (2001), for the instances; Diego Ongaro, "Consensus: Bridging Theory and Practice"
 // (2014), for snapshots, learners that catch up before they vote (4.2.1), and hand-over before a shutdown; Charapko, Ailijiang
--- a/internal/control/replica/effect.go
+++ b/internal/control/replica/effect.go
@@ -11,10 +11,10 @@
 	"notchhinge/internal/control/rpc"
 )
 
-// Effect is something that the owner must do: one of the types below. Effects are performed in their order.
+// Effect is an action for the owner: one of the types below. Effects are performed in order.
 type Effect interface{ isEffect() }
 
-// SendCall asks for a call of another process. CallReturned comes back with ID, at the latest after Timeout.
+// SendCall requests a call to another process. A CallReturned with the same ID follows, after Timeout at the latest.
 type SendCall struct {
 	ID      CallID
 	To      netip.AddrPort
@@ -30,12 +30,12 @@
 	Err     error
 }
 
-// Write asks for a synced write to the disk. WriteDone must come back with ID before any other event, and nothing that Reduce
-// returns for it may leave earlier.
+// Write requests a synced write to the disk. A WriteDone with the same ID must follow before any other event. Effects
+// that Reduce returns for the WriteDone may be performed only after it.
 //
-// With Snapshot, State replaces all that was written before. Otherwise, with a Value, the value was chosen for index
-// State.NextIndex-1 and has led to State. Otherwise Acceptor is what the acceptor must not forget. State and Acceptor are
-// always set: after a failed write they are what the owner writes first.
+// With Snapshot set, State replaces everything written before. Otherwise, if Value is set, it is the value chosen for
+// index State.NextIndex-1, and State is the result of applying it. Otherwise Acceptor is the acceptor state to persist.
+// State and Acceptor are always set: after a failed write the owner writes both before anything else.
 type Write struct {
 	ID       WriteID
 	Snapshot bool
@@ -50,23 +50,23 @@
 	api.Result
 }
 
-// ProposeDone reports that a Propose has nothing left to propose, or could not be finished.
+// ProposeDone reports the end of a Propose. Err is nil if nothing was left to propose.
 type ProposeDone struct {
 	Request RequestID
 	Err     error
 }
 
-// LeaveDone reports that nothing depends on this replica any more, or that the deadline of a Leave has passed.
+// LeaveDone reports that this replica has handed over, or that the deadline of a Leave has passed.
 type LeaveDone struct{ Request RequestID }
 
 // StateChanged reports a new state.
 type StateChanged struct{ State replog.State }
 
-// Log asks for a log record.
+// Log requests a log record.
 type Log struct {
 	Level   slog.Level
 	Message string
-	Args    []any // as slog takes them
+	Args    []any // alternating keys and values, as in package slog
 }
 
 func (SendCall) isEffect()       {}
--- a/internal/control/replica/failuredetector.go
+++ b/internal/control/replica/failuredetector.go
@@ -10,17 +10,17 @@
 	"notchhinge/internal/limits"
 )
 
-// The failure detector knows a peer only by the calls that it answers or misses. A voter that has missed them for a while is
-// suspected. Before it loses its vote the other voters are asked: the suspicion is confirmed if it answers none of them, since
-// two replicas may be partitioned from each other alone.
+// The failure detector observes only whether peers answer calls. A peer that does not answer is suspected. Before a
+// suspected voter loses its vote, the other voters are asked whether they reach it, because the partition may affect
+// only this replica. If it answers none of them, the suspicion is confirmed.
 
-// suspicion is of a peer that has not answered since a time.
+// suspicion records that a peer does not answer calls.
 type suspicion struct {
-	since       time.Duration // when the first call that it has missed was sent
-	confirmedAt time.Duration // when the other voters last confirmed that it does not answer them; 0 = never
+	since       time.Duration // when the first unanswered call was sent
+	confirmedAt time.Duration // when the other voters last reported that they cannot reach the peer; 0 = never
 }
 
-// observeCall notes what a call of a peer has come to. It was sent at sentAt.
+// observeCall updates the suspicions with the result of a call to a peer that was sent at sentAt.
 func (r *Replica) observeCall(peer netip.AddrPort, sentAt time.Duration, err error) {
 	suspects := r.membership.suspects
 	if err == nil {
@@ -31,12 +31,12 @@
 		suspects[peer] = suspicion{since: sentAt}
 	}
 	if len(suspects) > limits.MaxUnresponsiveReplicas {
-		r.forgetFormerPeers()
+		r.dropNonVoterSuspects()
 	}
 }
 
-// forgetFormerPeers drops the suspects that are not voters, most of which were replaced long ago.
-func (r *Replica) forgetFormerPeers() {
+// dropNonVoterSuspects removes suspicions of replicas that are not voters. Most of them were replaced long ago.
+func (r *Replica) dropNonVoterSuspects() {
 	isVoter := map[netip.AddrPort]bool{}
 	for i := range r.state.Members {
 		if addr, ok := memberAddr(&r.state.Members[i]); ok {
@@ -46,34 +46,35 @@
 	maps.DeleteFunc(r.membership.suspects, func(peer netip.AddrPort, _ suspicion) bool { return !isVoter[peer] })
 }
 
-// longestSuspected returns the index of the voter that has been suspected for longest, and at least for minAge; -1 if there is
-// none.
+// longestSuspected returns the position in s.Members of the voter that has been suspected for the longest time, and for
+// at least minAge; -1 if there is none.
 func (r *Replica) longestSuspected(s *replog.State, minAge time.Duration) int {
-	return r.longestSuspectedOf(s, minAge, func(suspicion) bool { return true })
+	return r.longestSuspectedWhere(s, minAge, func(suspicion) bool { return true })
 }
 
-// longestConfirmed is longestSuspected among the voters whose suspicion the other voters have lately confirmed.
+// longestConfirmed is like longestSuspected, but considers only suspicions that the other voters have recently
+// confirmed.
 func (r *Replica) longestConfirmed(s *replog.State, minAge time.Duration) int {
-	return r.longestSuspectedOf(s, minAge, func(x suspicion) bool {
+	return r.longestSuspectedWhere(s, minAge, func(x suspicion) bool {
 		return x.confirmedAt != 0 && r.now-x.confirmedAt <= limits.UnreachableReportTTL
 	})
 }
 
-func (r *Replica) longestSuspectedOf(s *replog.State, minAge time.Duration, counts func(suspicion) bool) int {
+func (r *Replica) longestSuspectedWhere(s *replog.State, minAge time.Duration, include func(suspicion) bool) int {
 	found, latest := -1, r.now-minAge
 	for i := range s.Members {
 		m := &s.Members[i]
 		addr, ok := memberAddr(m)
 		x, isSuspected := r.membership.suspects[addr]
-		if ok && isSuspected && counts(x) && x.since <= latest && m.ID != r.Self.ID {
+		if ok && isSuspected && include(x) && x.since <= latest && m.ID != r.Self.ID {
 			found, latest = i, x.since-1
 		}
 	}
 	return found
 }
 
-// probeVoters asks every other voter for its identity, so that it is known which are suspected, and then the others about the
-// one that has been suspected for longest. done is called once all have answered or have not.
+// probeVoters calls every other voter to update the suspicions, and then asks the voters that answer about the one that
+// has been suspected for the longest time. done is called after the last answer or timeout.
 func (r *Replica) probeVoters(done func()) {
 	calls := newFanOut(func() { r.confirmSuspicion(done) })
 	for _, to := range r.peerVoters() {
@@ -83,7 +84,8 @@
 	calls.allSent()
 }
 
-// confirmSuspicion asks the voters that answer here whether the voter that has been suspected for longest answers them.
+// confirmSuspicion asks the voters that are not suspected whether they reach the voter that has been suspected for the
+// longest time.
 func (r *Replica) confirmSuspicion(done func()) {
 	i := r.longestSuspected(&r.state, limits.VoterReplaceDelay)
 	if i < 0 {
@@ -93,7 +95,7 @@
 	suspect, _ := memberAddr(&r.state.Members[i])
 	isReachable := false
 	calls := newFanOut(func() {
-		r.suspicionAnswered(suspect, isReachable)
+		r.updateSuspicion(suspect, isReachable)
 		done()
 	})
 	for _, to := range r.peerVoters() {
@@ -109,8 +111,8 @@
 	calls.allSent()
 }
 
-// suspicionAnswered notes what the other voters have said of a suspect: it is none if it answers one of them.
-func (r *Replica) suspicionAnswered(suspect netip.AddrPort, isReachable bool) {
+// updateSuspicion confirms a suspicion if no other voter reached the peer, and removes it otherwise.
+func (r *Replica) updateSuspicion(suspect netip.AddrPort, isReachable bool) {
 	suspects := r.membership.suspects
 	if isReachable {
 		delete(suspects, suspect)
@@ -121,8 +123,9 @@
 	}
 }
 
-// receiveReachable answers whether the replica at an address answers this one.
-func (r *Replica) receiveReachable(c CallReceived, reply replyFunc) {
+// receiveCheckReachable handles an rpc.KindCheckReachable. It replies whether the replica at an address answers this
+// one.
+func (r *Replica) receiveCheckReachable(c CallReceived, reply replyFunc) {
 	to, err := netip.ParseAddrPort(string(c.Body))
 	if err != nil {
 		reply(nil, err)
--- a/internal/control/replica/fanout.go
+++ b/internal/control/replica/fanout.go
@@ -1,22 +1,22 @@
 package replica
 
-// fanOut counts the answers to calls that were sent to several peers, and calls done after the last.
+// fanOut tracks parallel calls to several peers and calls done after the last answer.
 type fanOut struct {
-	pending int // answers that are still to come, and one until all calls are sent
+	pending int // outstanding answers, plus one until allSent is called
 	done    func()
 }
 
 func newFanOut(done func()) *fanOut { return &fanOut{pending: 1, done: done} }
 
-// sent counts a call.
+// sent records that a call was sent.
 func (f *fanOut) sent() { f.pending++ }
 
-// answered counts an answer, or that there was none in time.
+// answered records an answer or a timeout.
 func (f *fanOut) answered() {
 	if f.pending--; f.pending == 0 {
 		f.done()
 	}
 }
 
-// allSent says that no call is added any more.
+// allSent records that no further call will be sent.
 func (f *fanOut) allSent() { f.answered() }
--- a/internal/control/replica/harness_test.go
+++ b/internal/control/replica/harness_test.go
@@ -57,7 +57,7 @@
 	timers   *timerqueue.Queue[func()]
 	replicas map[netip.AddrPort]*Replica
 	disks    map[netip.AddrPort]map[uint64][]byte
-	last     byte
+	lastID   byte
 	leftAt   map[string]time.Duration // when a replica had handed over, by name
 
 	isolated    netip.AddrPort    // is partitioned from all others
@@ -92,12 +92,12 @@
 
 // start starts a replica on an empty disk under a name and address of its own.
 func (c *cluster) start(minVoters int, isFounder bool) *Replica {
-	c.last++
-	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, c.last}), 7000)
+	c.lastID++
+	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, c.lastID}), 7000)
 	values := map[uint64][]byte{}
 	r := New(Config{
-		Self:      replog.Member{ID: uint64(c.last), Name: fmt.Sprint("k-", c.last), Addr: addr.String()},
-		IsFounder: isFounder, MinVoters: minVoters, Incarnation: uint64(c.last), Seed: 7,
+		Self:      replog.Member{ID: uint64(c.lastID), Name: fmt.Sprint("k-", c.lastID), Addr: addr.String()},
+		IsFounder: isFounder, MinVoters: minVoters, Incarnation: uint64(c.lastID), Seed: 7,
 		Peers: func() (peers []netip.AddrPort) {
 			for a := range c.disks { // also those that are gone
 				if a != addr {
@@ -172,8 +172,8 @@
 
 func (c *cluster) send(r *Replica, f SendCall) {
 	self, to := c.addr(r), c.replicas[f.To]
-	isCut := slices.Contains(c.partitioned[:], self) && slices.Contains(c.partitioned[:], f.To)
-	if to == nil || isCut || self == c.isolated || f.To == c.isolated {
+	isPartitioned := slices.Contains(c.partitioned[:], self) && slices.Contains(c.partitioned[:], f.To)
+	if to == nil || isPartitioned || self == c.isolated || f.To == c.isolated {
 		c.timers.Add(c.now+f.Timeout, func() { c.handle(r, CallReturned{ID: f.ID, Err: errors.New("no answer")}) })
 		return
 	}
--- a/internal/control/replica/learner.go
+++ b/internal/control/replica/learner.go
@@ -11,42 +11,42 @@
 	"notchhinge/internal/limits"
 )
 
-// A learner asks a random replica for a vote, at intervals. If no vote is free it becomes a candidate at that replica, which
-// probes the voters until one has failed, and then gives that voter's vote to the candidate.
+// A learner requests a vote from a random replica at intervals. If there is no free vote, that replica keeps it as a
+// candidate, probes the voters until one has failed, and then gives the failed voter's vote to the candidate.
 
-// candidate is a learner that has asked for a vote.
+// candidate is a learner that has requested a vote.
 type candidate struct {
 	replog.Member
-	askedAt time.Duration
+	requestedAt time.Duration
 }
 
-// join asks a replica to make this one a voter.
+// join requests a vote for this replica from another one.
 func (r *Replica) join(to netip.AddrPort) {
 	r.call(to, rpc.KindJoin, r.identity().encode(), func(body []byte, err error) {
 		if err != nil {
 			r.log.Info("join not accepted", "peer", to.String(), "err", err)
 		}
 		if err == nil && len(body) == 1 && body[0] == joinGroupFull {
-			r.after(limits.LearnerRetryInterval, r.pollPeer)
+			r.runAfter(limits.LearnerRetryInterval, r.pollPeer)
 			return
 		}
 		r.scheduleUpkeep()
 	})
 }
 
-// receiveJoin handles an rpc.KindJoin of a learner, or forwards it to the replica that proposes at present.
+// receiveJoin handles an rpc.KindJoin of a learner, or forwards it to the replica that is currently proposing.
 func (r *Replica) receiveJoin(c CallReceived, reply replyFunc) {
 	learner, err := decodeIdentity(c.Body)
 	if err != nil {
 		reply(nil, err)
 		return
 	}
-	if to, ok := r.busyProposer(&learner, c.From); ok {
+	if to, ok := r.activeProposer(&learner, c.From); ok {
 		r.call(to, rpc.KindJoin, c.Body, reply)
 		return
 	}
 	r.admit(learner, func(err error) {
-		if errors.Is(err, errGroupFull) { // an answer, so that the learner does not take this replica for failed
+		if errors.Is(err, errGroupFull) { // not an error: the learner would suspect this replica
 			reply([]byte{joinGroupFull}, nil)
 			return
 		}
@@ -54,21 +54,21 @@
 	})
 }
 
-// busyProposer returns the replica that proposes at present, if it is another one and the call comes from the learner itself
-// (a call is forwarded once). Under a steady load of large proposals of one replica, a small proposal of another would
-// conflict with each of them and lose; that replica can propose it between two of its own.
-func (r *Replica) busyProposer(learner *identity, caller netip.Addr) (netip.AddrPort, bool) {
+// activeProposer returns the replica that is currently proposing, if it is another one and the call comes directly from
+// the learner; a call is forwarded only once. While one replica steadily proposes large values, a small proposal of
+// another replica would conflict with each of them and lose. The busy replica can propose it between two of its own.
+func (r *Replica) activeProposer(learner *identity, caller netip.Addr) (netip.AddrPort, bool) {
 	addr, ok := memberAddr(&learner.Member)
 	isForwarded := !ok || addr.Addr() != caller
-	isIdle := r.now-r.committedAt > limits.ReplicaCallTimeout
-	if isForwarded || isIdle || r.committer == caller || len(r.proposals) > 0 {
+	isIdle := r.now-r.lastAnnouncementAt > limits.ReplicaCallTimeout
+	if isForwarded || isIdle || r.lastAnnouncer == caller || len(r.proposals) > 0 {
 		return netip.AddrPort{}, false
 	}
-	return r.peerAt(r.committer)
+	return r.peerAt(r.lastAnnouncer)
 }
 
-// admit makes a learner a voter if a vote is free, or notes it as a candidate for the next one. It must have caught up but for a
-// few entries, so that no majority depends on a replica that knows nothing.
+// admit makes a learner a voter if a vote is free, or keeps it as a candidate otherwise. The learner may lag by at most
+// limits.MaxJoinLag entries, so that no majority depends on a replica without the state.
 func (r *Replica) admit(learner identity, done func(error)) {
 	if !r.isVoter() || learner.nextIndex+limits.MaxJoinLag < r.state.NextIndex {
 		done(errLagging)
@@ -89,7 +89,7 @@
 
 // tryAdmit makes a learner a voter and calls done, or calls groupFull if no vote is free.
 func (r *Replica) tryAdmit(learner replog.Member, done func(error), groupFull func()) {
-	r.changeMembers(r.adding(learner), r.now+settleTimeout, func(err error) {
+	r.changeMembers(r.addVoterFunc(learner), r.now+membershipChangeTimeout, func(err error) {
 		if errors.Is(err, errGroupFull) {
 			groupFull()
 			return
@@ -98,14 +98,14 @@
 	})
 }
 
-// adding returns the change that makes a learner a voter.
-func (r *Replica) adding(learner replog.Member) votersFunc {
+// addVoterFunc returns the membership change that makes a learner a voter.
+func (r *Replica) addVoterFunc(learner replog.Member) votersFunc {
 	return func(s *replog.State) ([]replog.Member, error) { return r.withVoter(s, learner) }
 }
 
 func (r *Replica) addCandidate(learner replog.Member) {
 	all := slices.DeleteFunc(r.membership.candidates, func(c candidate) bool {
-		return c.ID == learner.ID || c.Name == learner.Name || r.now-c.askedAt > limits.JoinRequestTTL
+		return c.ID == learner.ID || c.Name == learner.Name || r.now-c.requestedAt > limits.JoinRequestTTL
 	})
 	if all = append(all, candidate{learner, r.now}); len(all) > limits.MaxJoinRequests {
 		all = all[1:]
@@ -113,7 +113,7 @@
 	r.membership.candidates = all
 }
 
-// watchVoters probes suspected voters for as long as there is a candidate for their votes.
+// watchVoters probes suspected voters while there are candidates for their votes.
 func (r *Replica) watchVoters() {
 	if !r.membership.isWatching {
 		r.membership.isWatching = true
@@ -121,22 +121,22 @@
 	}
 }
 
-// watchOnce probes the voters once, and gives the vote of one that has failed to the first candidate.
+// watchOnce probes the voters once and gives the vote of a failed one to the oldest candidate.
 func (r *Replica) watchOnce() {
 	m := &r.membership
 	m.candidates = slices.DeleteFunc(m.candidates, func(c candidate) bool {
-		return r.now-c.askedAt > limits.JoinRequestTTL || r.state.Member(c.ID) != nil
+		return r.now-c.requestedAt > limits.JoinRequestTTL || r.state.Member(c.ID) != nil
 	})
 	if len(m.candidates) == 0 || !r.isVoter() || r.longestSuspected(&r.state, 0) < 0 {
 		m.isWatching = false
 		return
 	}
-	again := func() { r.after(limits.VoterCheckInterval, r.watchOnce) }
+	again := func() { r.runAfter(limits.VoterCheckInterval, r.watchOnce) }
 	r.probeVoters(func() {
 		if len(m.candidates) == 0 || r.longestConfirmed(&r.state, limits.VoterReplaceDelay) < 0 {
 			again()
 			return
 		}
-		r.changeMembers(r.adding(m.candidates[0].Member), r.now+settleTimeout, func(error) { again() })
+		r.changeMembers(r.addVoterFunc(m.candidates[0].Member), r.now+membershipChangeTimeout, func(error) { again() })
 	})
 }
--- a/internal/control/replica/leave.go
+++ b/internal/control/replica/leave.go
@@ -10,19 +10,19 @@
 	"notchhinge/internal/limits"
 )
 
-// leavePollInterval is the delay between two polls of a leaving replica.
+// leavePollInterval is the delay between two polls during a graceful shutdown.
 const leavePollInterval = 50 * time.Millisecond
 
-// leave hands over before the process ends: the vote to a learner, if there is one, or else what this replica knows to the
-// voters that are left. It ends at the deadline at the latest.
+// leave hands over before the process exits: it gives its vote to a learner if there is one, and otherwise brings the
+// remaining voters up to date. It finishes at the deadline at the latest.
 func (r *Replica) leave(e Leave) {
 	l := &leaving{replica: r, request: e.Request, deadline: e.Deadline}
-	r.at(e.Deadline, l.finish)
+	r.runAt(e.Deadline, l.finish)
 	r.membership.isLeaving = true
 	l.poll()
 }
 
-// leaving is a graceful shutdown that goes on.
+// leaving is a graceful shutdown in progress.
 type leaving struct {
 	replica  *Replica
 	request  RequestID
@@ -37,9 +37,9 @@
 	}
 }
 
-func (l *leaving) pollAgain() { l.replica.after(leavePollInterval, l.poll) }
+func (l *leaving) pollAgain() { l.replica.runAfter(leavePollInterval, l.poll) }
 
-// poll asks all voters and all other replicas that are known how far they have come. A replica without a vote ends at once.
+// poll requests the next index of all voters and other known replicas. A replica without a vote finishes immediately.
 func (l *leaving) poll() {
 	r := l.replica
 	if l.finished {
@@ -67,15 +67,15 @@
 	calls.allSent()
 }
 
-// leavePoll is one poll of a leaving replica.
+// leavePoll is one poll during a graceful shutdown.
 type leavePoll struct {
 	*leaving
 	learner  *replog.Member
-	upToDate int      // other voters that know all that is known here
-	lagging  []uint64 // other voters that do not
+	upToDate int      // number of other voters that have all entries of this replica
+	lagging  []uint64 // other voters that lack some of them
 }
 
-// count takes an answer into account. Only a learner that has nearly caught up can have the vote.
+// count records an answer. Only a learner that has nearly caught up can receive the vote.
 func (p *leavePoll) count(i identity) {
 	state := &p.replica.state
 	switch {
@@ -90,7 +90,7 @@
 	}
 }
 
-// conclude hands the vote over, or ends once a majority has what this replica knows.
+// conclude hands the vote over to a learner, or finishes once a majority has all entries of this replica.
 func (p *leavePoll) conclude() {
 	r := p.replica
 	switch {
@@ -113,14 +113,14 @@
 	}
 }
 
-// handOver gives the vote of this replica to a learner.
+// handOver replaces this replica with a learner in the membership.
 func (r *Replica) handOver(learner replog.Member, deadline time.Duration, done func(error)) {
 	r.changeMembers(func(s *replog.State) ([]replog.Member, error) {
 		i := slices.IndexFunc(s.Members, func(m replog.Member) bool { return m.ID == r.Self.ID })
 		if i < 0 || s.Member(learner.ID) != nil {
 			return nil, nil
 		}
-		r.log.Info("handing vote over to learner", "name", learner.Name, "member", memberID(learner.ID))
+		r.log.Info("handing vote over to learner", "name", learner.Name, "member", formatMemberID(learner.ID))
 		voters := slices.Clone(s.Members)
 		voters[i] = learner
 		return voters, nil
--- a/internal/control/replica/membership.go
+++ b/internal/control/replica/membership.go
@@ -10,38 +10,38 @@
 	"notchhinge/internal/limits"
 )
 
-// The voters are part of the state, agreed by a majority of those that voted before. The group has 2f+1 of them
-// (Config.MinVoters), where f may be lost at once. A replica beyond that is a learner: it follows the state and has no vote. A
-// learner takes the vote of a voter that has failed, or that leaves and hands its vote over. So a change never lowers the
-// number of voters, and a voter that was only partitioned comes back as a learner.
+// The voters are part of the state: a majority of the current voters agrees on the next ones. The group has 2f+1 voters
+// (Config.MinVoters), of which f may be lost at once. Every other replica is a learner: it follows the state without a
+// vote. A learner replaces a voter that has failed or that hands over its vote during a graceful shutdown. A change
+// therefore never reduces the number of voters, and a voter that was only partitioned rejoins as a learner.
 //
-// A change of membership is finished once the index after its own is chosen: the new voters vote on that one, and a replica
-// votes on an index only when its disk has all before. Until then nothing that depends on the change is acknowledged: a joining
-// learner has no answer, a leaving replica does not end, an operator has no acknowledgement. If the proposer fails in between,
-// any voter that knows of the change finishes it.
+// A membership change is finished once the next index after it is chosen. The new voters vote on that index, and a
+// replica votes on an index only when its disk has all earlier entries. Nothing that depends on the change is
+// acknowledged earlier: neither the join of a learner, nor the end of a graceful shutdown, nor an operator's request.
+// If the proposer fails in between, any voter that knows of the change finishes it.
 
-// membership is what a replica knows of changes of the membership, of failed voters, and of learners that ask for a vote.
+// membership holds the state of membership changes, suspected voters and candidates.
 type membership struct {
 	suspects   map[netip.AddrPort]suspicion
-	candidates []candidate // learners that have asked for a vote lately, the oldest first
-	isWatching bool        // voters are probed on behalf of the candidates
-	isLeaving  bool        // the process ends: it asks for no vote any more
-	// unfinished is the index that finishes the newest change that is known here; 0 = there is none.
-	unfinished uint64
+	candidates []candidate // learners that have recently requested a vote, oldest first
+	isWatching bool        // voters are being probed for the candidates
+	isLeaving  bool        // shutting down: this replica requests no vote
+	// finishIndex is the index that finishes the latest known membership change; 0 if there is none.
+	finishIndex uint64
 }
 
-// votersFunc returns the voters that a state should have; nil if it has them already.
+// votersFunc returns the voters that should replace those of a state, or nil if no change is needed.
 type votersFunc func(*replog.State) ([]replog.Member, error)
 
-// The random delay after which a replica finishes or decides a change of membership that another should have finished.
+// Bounds of the random delay before a replica finishes, or decides, a membership change of another proposer.
 const (
-	finishChangeMin   = 200 * time.Millisecond
-	finishChangeMax   = 600 * time.Millisecond
-	decideAcceptedMin = 300 * time.Millisecond
-	decideAcceptedMax = 700 * time.Millisecond
+	finishChangeDelayMin   = 200 * time.Millisecond
+	finishChangeDelayMax   = 600 * time.Millisecond
+	decideAcceptedDelayMin = 300 * time.Millisecond
+	decideAcceptedDelayMax = 700 * time.Millisecond
 )
 
-// changeMembers has other voters agreed, and calls done once the change is finished.
+// changeMembers proposes a membership change and calls done once it is finished.
 func (r *Replica) changeMembers(next votersFunc, deadline time.Duration, done func(error)) {
 	var votersErr error
 	entry := func(s *replog.State) []byte {
@@ -64,9 +64,9 @@
 	})
 }
 
-// finishChange has an index chosen after the newest change of membership, unless one is.
+// finishChange proposes a no-op at the index after the latest membership change, unless that index is already chosen.
 func (r *Replica) finishChange(deadline time.Duration, done func(error)) {
-	index := r.membership.unfinished
+	index := r.membership.finishIndex
 	r.propose(func(s *replog.State) []byte {
 		if s.NextIndex > index {
 			return nil
@@ -75,39 +75,40 @@
 	}, deadline, done)
 }
 
-// noop returns an entry that changes nothing.
+// noop returns an encoded entry that changes nothing.
 func (r *Replica) noop() []byte {
 	return replog.Entry{Nonce: r.random.Uint64(), Payload: replog.Noop{}}.Encode()
 }
 
-// decodeMembers returns the voters that an entry names; false if it is not a change of membership.
+// decodeMembers returns the voters in an encoded entry; false if the entry is not a membership change.
 func decodeMembers(value []byte) ([]replog.Member, bool) {
 	e, err := replog.Decode(value)
 	change, ok := e.Payload.(replog.MembersChange)
 	return change.Members, err == nil && ok
 }
 
-// membersEntry returns an entry that names the voters.
+// membersEntry returns an encoded entry that sets the voters.
 func (r *Replica) membersEntry(voters []replog.Member) []byte {
 	return replog.Entry{Nonce: r.random.Uint64(), Payload: replog.MembersChange{Members: voters}}.Encode()
 }
 
-// membershipChanged notes that the newest index that is known here may be a change of membership. Its proposer may have failed,
-// so each voter sees after a random delay whether the change is finished. The founders have all accepted the first.
+// membershipChanged records that the latest entry is, or may be, a membership change. Its proposer may have failed, so
+// each voter checks after a random delay whether the change is finished. The first membership needs no check: all
+// founders have accepted it.
 func (r *Replica) membershipChanged() {
 	index := r.state.NextIndex
-	if r.membership.unfinished = index; index <= 1 {
+	if r.membership.finishIndex = index; index <= 1 {
 		return
 	}
-	r.after(r.jitter(finishChangeMin, finishChangeMax), func() {
+	r.runAfter(r.jitter(finishChangeDelayMin, finishChangeDelayMax), func() {
 		if r.state.NextIndex == index && r.isVoter() {
-			r.finishChange(r.now+settleTimeout, func(error) {})
+			r.finishChange(r.now+membershipChangeTimeout, func(error) {})
 		}
 	})
 }
 
-// recoverMembershipChange finds out at the start whether the newest index was a change of membership. With a snapshot alone it
-// may have been one.
+// recoverMembershipChange checks at the start whether the latest entry is a membership change. If the disk has only a
+// snapshot, it is assumed to be one.
 func (r *Replica) recoverMembershipChange() {
 	if r.state.NextIndex == 0 {
 		return
@@ -120,8 +121,8 @@
 	r.membershipChanged()
 }
 
-// MembershipPending tells whether this replica has accepted other voters for the open index. They may have been chosen, so that
-// grants of the voters that it knows may not count any more.
+// MembershipPending reports whether this replica has accepted a membership change at the open index. The change may
+// already be chosen, in which case grants of the previous voters may no longer count.
 func (r *Replica) MembershipPending() bool {
 	accepted := &r.acceptor.State
 	if accepted.Index != r.state.NextIndex || accepted.Accepted == (paxos.ProposalNumber{}) {
@@ -131,13 +132,13 @@
 	return isChange
 }
 
-// watchAcceptedMembership sees to it that a change of membership that was accepted here for an index is decided even if its
-// proposer has failed.
+// watchAcceptedMembership ensures that a membership change accepted at an index is decided even if its proposer has
+// failed.
 func (r *Replica) watchAcceptedMembership(index uint64) {
 	if !r.MembershipPending() {
 		return
 	}
-	r.after(r.jitter(decideAcceptedMin, decideAcceptedMax), func() {
+	r.runAfter(r.jitter(decideAcceptedDelayMin, decideAcceptedDelayMax), func() {
 		if r.state.NextIndex != index || !r.MembershipPending() {
 			return
 		}
@@ -147,12 +148,13 @@
 				return nil
 			}
 			return noop
-		}, r.now+settleTimeout, func(error) {})
+		}, r.now+membershipChangeTimeout, func(error) {})
 	})
 }
 
-// withVoter returns the voters of a state with one more: instead of the one of its name, whose disk is gone; as a further one
-// where there are fewer than there should be; or else instead of the one that has failed for longest. Nil if it is a voter.
+// withVoter returns the voters of a state with a new one: in place of the voter with the same name, whose disk was
+// lost; in addition, if there are fewer than MinVoters; or else in place of the voter that has failed for the longest
+// time. It returns nil if m is already a voter.
 func (r *Replica) withVoter(s *replog.State, m replog.Member) ([]replog.Member, error) {
 	if s.Member(m.ID) != nil || m.ID == 0 {
 		return nil, nil
@@ -161,24 +163,24 @@
 	replaced := slices.IndexFunc(voters, func(x replog.Member) bool { return x.Name == m.Name })
 	switch {
 	case replaced >= 0:
-		r.log.Info("adding voter in place of its former disk", "name", m.Name, "member", memberID(m.ID))
+		r.log.Info("replacing voter whose disk was lost", "name", m.Name, "member", formatMemberID(m.ID))
 	case len(voters) < r.MinVoters:
-		r.log.Info("adding voter", "name", m.Name, "member", memberID(m.ID), "voters", len(voters)+1)
+		r.log.Info("adding voter", "name", m.Name, "member", formatMemberID(m.ID), "voters", len(voters)+1)
 		return append(voters, m), nil
 	default:
 		if replaced = r.longestConfirmed(s, limits.VoterReplaceDelay); replaced < 0 {
 			return nil, errGroupFull
 		}
 		addr, _ := memberAddr(&voters[replaced])
-		r.log.Info("adding voter in place of a failed one", "name", m.Name, "member", memberID(m.ID), "replaces", voters[replaced].Name,
+		r.log.Info("adding voter in place of a failed one", "name", m.Name, "member", formatMemberID(m.ID), "replaces", voters[replaced].Name,
 			"failed_for", (r.now - r.membership.suspects[addr].since).String())
 	}
 	voters[replaced] = m
 	return voters, nil
 }
 
-// removeSurplusVoter removes the voter that has failed for long where there are more voters than there should be, as an earlier
-// release may have left: each that is gone for good makes a majority harder to reach.
+// removeSurplusVoter removes a voter that has failed for a long time if there are more than MinVoters, as earlier
+// releases allowed. Each permanently lost voter makes a majority harder to reach.
 func (r *Replica) removeSurplusVoter(done func()) {
 	if len(r.state.Members) <= r.MinVoters || !r.isVoter() {
 		done()
@@ -192,6 +194,6 @@
 			}
 			r.log.Info("removing voter", "name", s.Members[i].Name, "voters", len(s.Members)-1)
 			return slices.Delete(slices.Clone(s.Members), i, i+1), nil
-		}, r.now+settleTimeout, func(error) { done() })
+		}, r.now+membershipChangeTimeout, func(error) { done() })
 	})
 }
--- a/internal/control/replica/membership_test.go
+++ b/internal/control/replica/membership_test.go
@@ -99,7 +99,7 @@
 				if r.MembershipPending() {
 					t.Errorf("%s has accepted voters that are not decided", r.Self.Name)
 				}
-				if r.state.Member(learner.Self.ID) != nil && r.state.NextIndex <= r.membership.unfinished {
+				if r.state.Member(learner.Self.ID) != nil && r.state.NextIndex <= r.membership.finishIndex {
 					t.Errorf("%s knows of a change that is not finished", r.Self.Name)
 				}
 			}
--- a/internal/control/replica/messages.go
+++ b/internal/control/replica/messages.go
@@ -10,11 +10,11 @@
 // The bodies of calls between replicas. Their bytes must not change: replicas of two releases call each other.
 
 const (
-	// maxValueBytes bounds the value of a log entry: a configuration and what surrounds it.
+	// maxValueBytes is the maximum size of a log entry: a configuration and its envelope.
 	maxValueBytes = fleetconfig.MaxBytes + 4096
-	// maxNameBytes bounds the name and the address of a replica.
+	// maxNameBytes is the maximum length of a replica's name or address.
 	maxNameBytes = 256
-	// joinGroupFull is the body that answers an rpc.KindJoin while the group has as many voters as it should and none has failed.
+	// joinGroupFull is the answer to an rpc.KindJoin if the group is complete and no voter has failed.
 	joinGroupFull byte = 1
 )
 
@@ -27,7 +27,7 @@
 	return paxos.ProposalNumber{Term: r.Uvarint(), Proposer: r.Fixed64()}
 }
 
-// readValue reads a value; an empty one is nil.
+// readValue reads a value. It returns nil for an empty one.
 func readValue(r *encoding.Reader) []byte {
 	if b := r.Bytes(maxValueBytes); len(b) > 0 {
 		return b
@@ -83,7 +83,7 @@
 	return index, number, r.Finish()
 }
 
-// EncodeIndexed encodes a log index and bytes that belong to it.
+// EncodeIndexed encodes a log index and the bytes that belong to it.
 func EncodeIndexed(index uint64, value []byte) []byte {
 	w := encoding.Writer{}
 	w.Uvarint(index)
@@ -91,14 +91,14 @@
 	return w.Buf
 }
 
-// DecodeIndexed decodes what EncodeIndexed has encoded. The value is part of b.
+// DecodeIndexed decodes the output of EncodeIndexed. The returned value is a slice of b.
 func DecodeIndexed(b []byte) (index uint64, value []byte, err error) {
 	r := encoding.Reader{Buf: b}
 	index, value = r.Uvarint(), r.Bytes(maxValueBytes)
 	return index, value, r.Finish()
 }
 
-// identity is what a replica says of itself.
+// identity describes a replica and its progress in the log.
 type identity struct {
 	replog.Member
 	nextIndex uint64
--- a/internal/control/replica/operator.go
+++ b/internal/control/replica/operator.go
@@ -10,11 +10,11 @@
 	"notchhinge/internal/control/replog"
 )
 
-// operatorResult is the outcome of an operator's request and what goes with it. Outcomes other than api.StatusUnavailable and
-// api.StatusInternal are final: the same request never has another.
+// operatorResult is the result of an operator's request. Outcomes other than api.StatusUnavailable and
+// api.StatusInternal are final: a retry of the same request gets the same outcome.
 type operatorResult struct {
 	outcome  api.Status
-	reason   string // of an outcome that is not api.StatusOK
+	reason   string // empty for api.StatusOK
 	revision uint64
 	body     []byte
 }
@@ -31,13 +31,13 @@
 	return operatorResult{outcome: api.StatusUnavailable, reason: err.Error()}
 }
 
-// answer answers an operator's request.
+// answer sends the result of an operator's request.
 func (r *Replica) answer(request RequestID, res operatorResult) {
 	r.emit(OperatorAnswer{request, api.Result{Status: res.outcome, Message: res.reason, Body: res.body, Revision: res.revision}})
 }
 
-// answerRead answers a read once the state here is confirmed.
-func (r *Replica) answerRead(request RequestID, err error, result func() operatorResult) {
+// answerWithResult answers an operator's request with result, or with api.StatusUnavailable if err is not nil.
+func (r *Replica) answerWithResult(request RequestID, err error, result func() operatorResult) {
 	if err != nil {
 		r.answer(request, unavailable(err))
 		return
@@ -45,16 +45,16 @@
 	r.answer(request, result())
 }
 
-// replaceConfig has an operator's configuration chosen.
+// replaceConfig proposes an operator's configuration.
 //
-// An answer is final where no later state can contradict it, and may then be given upon an old one: that the configuration was
-// accepted, which the log has; that it never will be, because a later revision than its base is known or its revision is not
-// above its base (replog.State.Apply accepts it upon that very base alone). Anything else asks a majority first: a proposal, or
-// a confirmed state where the operator names a base that is not known here, or where this release rejects what an earlier one
-// may have accepted.
+// Some outcomes are final, because no later state can contradict them, and may be answered from an old state: the
+// configuration was accepted (it is in the log), or it can never be accepted, because the state has a later revision
+// than its base or its own revision is not above its base (replog.State.Apply accepts it only on exactly that base).
+// Every other outcome requires a majority first. This is a proposal or, if the base is unknown here or an earlier
+// release may have accepted a configuration that this one rejects, a confirmed state.
 func (r *Replica) replaceConfig(e ReplaceConfig) {
 	c, digest, err := fleetconfig.DecodeWithDigest(e.Config)
-	if err != nil { // no replica has accepted it: all of them decode it alike
+	if err != nil { // every replica decodes it alike, so none has accepted it
 		r.answer(e.Request, invalid(err))
 		return
 	}
@@ -77,7 +77,7 @@
 	})
 }
 
-// configProposal is an operator's configuration that is proposed.
+// configProposal is the proposal of an operator's configuration.
 type configProposal struct {
 	replica  *Replica
 	event    ReplaceConfig
@@ -89,11 +89,11 @@
 
 func (p *configProposal) propose() {
 	p.replica.propose(p.next, p.event.Deadline, func(err error) {
-		p.replica.answerRead(p.event.Request, err, func() operatorResult { return p.result })
+		p.replica.answerWithResult(p.event.Request, err, func() operatorResult { return p.result })
 	})
 }
 
-// next is the EntryFunc: it returns the entry for as long as a state may accept it, and notes the result otherwise.
+// next is the EntryFunc. It returns the entry while the state may accept it, and otherwise records the result.
 func (p *configProposal) next(s *replog.State) []byte {
 	switch s.CheckConfig(p.event.BaseRevision, p.revision, p.digest) {
 	case replog.ConfigAcceptable:
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// rejectConfig rejects an invalid configuration, unless an earlier release, which was more lenient, has accepted it.
+// rejectConfig rejects an invalid configuration, unless an earlier, more lenient release has accepted it.
 func (r *Replica) rejectConfig(e ReplaceConfig, c replog.AcceptedConfig, fault error) {
 	result := func() operatorResult {
 		if r.state.WasAccepted(c.Revision, c.Digest) {
@@ -132,18 +132,18 @@
 		if err != nil {
 			err = fmt.Errorf("%w: %w", err, fault)
 		}
-		r.answerRead(e.Request, err, result)
+		r.answerWithResult(e.Request, err, result)
 	})
 }
 
-// readConfig reads the configuration.
+// readConfig handles a ReadConfig.
 func (r *Replica) readConfig(e ReadConfig) {
 	mode := readActive
 	if e.Passive {
 		mode = readPassive
 	}
 	r.confirmState(e.Deadline, mode, func(err error) {
-		r.answerRead(e.Request, err, func() operatorResult {
+		r.answerWithResult(e.Request, err, func() operatorResult {
 			if r.state.Config == nil {
 				return operatorResult{outcome: api.StatusNotFound, reason: "there is no configuration yet"}
 			}
@@ -152,15 +152,16 @@
 	})
 }
 
-// readHistory lists the configurations that were accepted, the newest last, as JSON. Their content is not kept.
+// readHistory handles a ReadHistory. The answer is a JSON list of the accepted configurations, newest last; their
+// content is not kept.
 func (r *Replica) readHistory(e ReadHistory) {
-	r.confirmState(e.Deadline, readActive, func(err error) { r.answerRead(e.Request, err, r.history) })
+	r.confirmState(e.Deadline, readActive, func(err error) { r.answerWithResult(e.Request, err, r.history) })
 }
 
 func (r *Replica) history() operatorResult {
 	type accepted struct {
 		Revision uint64 `json:"revision"`
-		Digest   string `json:"digest"` // its first 8 bytes
+		Digest   string `json:"digest"` // first 8 bytes, in hexadecimal
 	}
 	all := []accepted{}
 	for _, c := range r.state.History {
@@ -173,9 +174,9 @@
 	return succeeded(r.state.Revision, b)
 }
 
-// removeMember removes the voters of a name, which are gone for good. As many as MinVoters must be left. A replica that runs
-// becomes a learner, or is made a voter again where there are fewer than there should be. The request is idempotent, at any
-// replica: the state keeps the names of former members.
+// removeMember handles a RemoveMember: it removes the voters with a name that are permanently lost. At least MinVoters
+// must remain. A removed replica that still runs becomes a learner, and may become a voter again if there are too few.
+// The request is idempotent at every replica, because the state keeps the names of former members.
 func (r *Replica) removeMember(e RemoveMember) {
 	if !r.isVoter() {
 		r.answer(e.Request, operatorResult{outcome: api.StatusUnavailable, reason: "this replica is not a member itself"})
@@ -186,11 +187,11 @@
 			r.answer(e.Request, unavailable(err))
 			return
 		}
-		r.removeConfirmed(e)
+		r.proposeRemoval(e)
 	})
 }
 
-func (r *Replica) removeConfirmed(e RemoveMember) {
+func (r *Replica) proposeRemoval(e RemoveMember) {
 	var res operatorResult
 	r.changeMembers(func(s *replog.State) ([]replog.Member, error) {
 		left := slices.DeleteFunc(slices.Clone(s.Members), func(m replog.Member) bool { return m.Name == e.Name })
@@ -199,7 +200,7 @@
 			res = succeeded(s.Revision, nil)
 		case len(left) == len(s.Members):
 			res = operatorResult{outcome: api.StatusNotFound, reason: fmt.Sprintf("no member is named %q", e.Name)}
-		case len(left) < r.MinVoters && s.HasLostVote(e.Name): // a retry: it has a vote again
+		case len(left) < r.MinVoters && s.HasLostVote(e.Name): // a retry: the replica was removed and is a voter again
 			res = succeeded(s.Revision, nil)
 		case len(left) < r.MinVoters:
 			reason := fmt.Sprintf("%d members would be left, %d are required", len(left), r.MinVoters)
@@ -209,5 +210,5 @@
 			return left, nil
 		}
 		return nil, nil
-	}, e.Deadline, func(err error) { r.answerRead(e.Request, err, func() operatorResult { return res }) })
+	}, e.Deadline, func(err error) { r.answerWithResult(e.Request, err, func() operatorResult { return res }) })
 }
--- a/internal/control/replica/pending.go
+++ b/internal/control/replica/pending.go
@@ -1,13 +1,14 @@
 package replica
 
-// Pending is a table of requests for the owner of a replica: it assigns request ids and keeps a waiter for the answer to each, a
-// channel or a callback. The zero value is ready to use. It is not safe for concurrent use.
+// Pending is a table of requests without an answer, for the owner of a replica. It assigns request IDs and keeps a
+// waiter for each answer, such as a channel or a callback. The zero value is ready to use. It is not safe for
+// concurrent use.
 type Pending[T any] struct {
 	lastID  RequestID
 	waiters map[RequestID]T
 }
 
-// Add keeps a waiter and returns the id of its request.
+// Add stores a waiter and returns its new request ID.
 func (p *Pending[T]) Add(waiter T) RequestID {
 	if p.waiters == nil {
 		p.waiters = map[RequestID]T{}
--- a/internal/control/replica/proposal.go
+++ b/internal/control/replica/proposal.go
@@ -10,30 +10,31 @@
 	"notchhinge/internal/timerqueue"
 )
 
-// Proposals of one replica are made one after the other. Each takes as many attempts as it needs: an attempt is one Paxos
-// instance at the next index, under one proposal number, and may choose another replica's value.
+// A replica processes its proposals one at a time. Each takes one or more attempts. An attempt runs one Paxos instance
+// at the next index under one proposal number, and may choose the value of another replica.
 
-// retryMin and retryMax bound the random delay after an attempt that no quorum has answered.
+// retryDelayMin and retryDelayMax bound the random delay after an attempt without a quorum.
 const (
-	retryMin = 20 * time.Millisecond
-	retryMax = 60 * time.Millisecond
+	retryDelayMin = 20 * time.Millisecond
+	retryDelayMax = 60 * time.Millisecond
 )
 
-// proposal is a request to have entries chosen.
+// proposal is a request to append entries to the log.
 type proposal struct {
 	next     EntryFunc
 	done     func(error)
 	timer    timerqueue.Key
 	attempts int
 	finished bool
-	latest   *attempt // nil before the first
+	latest   *attempt // nil before the first attempt
 }
 
-// propose has entries chosen until next returns nil, and then calls done: with ErrQuorumUnavailable at the deadline, with
-// ErrNotFounded before the founding, with ErrInvalidEntry for one that replicas would ignore, which is not sent.
+// propose proposes entries until next returns nil, and then calls done. It fails with ErrQuorumUnavailable at the
+// deadline, with ErrNotFounded before the group is founded, and with ErrInvalidEntry without sending an entry that
+// replicas would ignore.
 func (r *Replica) propose(next EntryFunc, deadline time.Duration, done func(error)) {
 	p := &proposal{next: next, done: done}
-	p.timer = r.at(deadline, func() {
+	p.timer = r.runAt(deadline, func() {
 		if p.latest != nil {
 			r.logTimeout(p)
 		}
@@ -50,7 +51,7 @@
 		"higher_term", a.HigherNumber.Term, "accepting", a.Phase() == paxos.KindAccept, "lagging", len(a.LaggingVoters))
 }
 
-// finishProposal ends a proposal and starts the next one.
+// finishProposal ends a proposal and starts the next one in the queue.
 func (r *Replica) finishProposal(p *proposal, err error) {
 	if p.finished {
 		return
@@ -65,7 +66,7 @@
 	}
 }
 
-// advanceProposal starts the next attempt of a proposal, or finishes it if the newest state leaves nothing to propose.
+// advanceProposal starts the next attempt of a proposal, or finishes it if nothing is left to propose.
 func (r *Replica) advanceProposal(p *proposal) {
 	if p.finished {
 		return
@@ -99,17 +100,17 @@
 	return ids
 }
 
-// attempt is one attempt at an index, under one proposal number.
+// attempt is one attempt to have a value chosen at an index, under one proposal number.
 type attempt struct {
 	paxos.Proposer
 	members []replog.Member
-	retries int // attempts before it, for the backoff
+	retries int // number of earlier attempts, for the backoff
 	outcome paxos.Outcome
 	done    func(*attempt)
 }
 
-// startAttempt starts an attempt among members. done is called once its outcome has been dealt with: the chosen value
-// committed, or a delay waited for.
+// startAttempt starts an attempt among members. done is called after its outcome has been processed: the chosen value
+// is committed, or the retry delay has passed.
 func (r *Replica) startAttempt(p paxos.Proposer, members []replog.Member, retries int, done func(*attempt)) *attempt {
 	r.term++
 	a := &attempt{Proposer: p, members: members, done: done, retries: retries}
@@ -118,15 +119,15 @@
 	return a
 }
 
-// voterResponse is what a voter has answered to one phase of an attempt.
+// voterResponse is the response of a voter in one phase of an attempt.
 type voterResponse struct {
 	voter    *replog.Member
 	phase    paxos.RequestKind
 	response paxos.Response
-	ok       bool // false: there was no answer
+	ok       bool // false if there was no response
 }
 
-// broadcast sends the request of a phase to every member, and to itself last.
+// broadcast sends a request to every member, and handles it locally last.
 func (r *Replica) broadcast(a *attempt, req paxos.Request) {
 	var self *replog.Member
 	body := encodePaxosRequest(&req)
@@ -145,13 +146,13 @@
 		}
 	}
 	if self != nil {
-		r.vote(req, func(resp paxos.Response, err error) {
+		r.handlePaxosRequest(req, func(resp paxos.Response, err error) {
 			r.handleResponse(a, voterResponse{self, req.Kind, resp, err == nil})
 		})
 	}
 }
 
-// handleResponse takes a voter's response into account, and starts the next phase or ends the attempt.
+// handleResponse processes a voter's response, and starts the next phase or ends the attempt.
 func (r *Replica) handleResponse(a *attempt, v voterResponse) {
 	if a.outcome != paxos.OutcomePending {
 		return
@@ -172,7 +173,7 @@
 	}
 }
 
-// endAttempt deals with the outcome of an attempt; last is the voter that has answered last.
+// endAttempt processes the outcome of an attempt. last is the voter whose response decided it.
 func (r *Replica) endAttempt(a *attempt, last *replog.Member) {
 	done := func() { a.done(a) }
 	switch a.outcome {
@@ -184,17 +185,17 @@
 		r.adoptChosen(a, last, done)
 	case paxos.OutcomePreempted:
 		r.term = max(r.term, a.HigherNumber.Term)
-		r.after(paxos.Backoff(r.random.Int64N, a.retries), done)
+		r.runAfter(paxos.Backoff(r.random.Int64N, a.retries), done)
 	default:
-		for _, id := range a.LaggingVoters { // an earlier announcement has not reached them
+		for _, id := range a.LaggingVoters { // they have missed an earlier announcement
 			r.notifyLagging(id, a.members)
 		}
-		r.after(r.jitter(retryMin, retryMax), done)
+		r.runAfter(r.jitter(retryDelayMin, retryDelayMax), done)
 	}
 }
 
-// adoptChosen takes over what another proposer has had chosen for the index: the value, if the answer has it and the voter knows
-// no more than that, or else the voter's whole state.
+// adoptChosen adopts the value that another proposer had chosen for the index. It commits the value from the response
+// if there is one and the voter has no later entries; otherwise it fetches the voter's state.
 func (r *Replica) adoptChosen(a *attempt, from *replog.Member, done func()) {
 	if a.Value != nil && r.commit(a.Index, a.Value) && a.NextIndex <= a.Index+1 {
 		done()
@@ -204,5 +205,5 @@
 		r.catchUp(to, done)
 		return
 	}
-	r.after(retryMin, done)
+	r.runAfter(retryDelayMin, done)
 }
--- a/internal/control/replica/read.go
+++ b/internal/control/replica/read.go
@@ -11,48 +11,49 @@
 	"notchhinge/internal/timerqueue"
 )
 
-// A linearizable read asks a majority of the voters how far each has come, and is answered from the state here once that covers
-// all of it (a read index; without a leader as in Linearizable Quorum Reads in Paxos, HotStorage 2019). One round serves all
-// reads that wait: as many may come at once as there are routers that start.
+// A linearizable read queries a majority of the voters for their next index, and is answered from the local state once
+// that includes all entries below the highest one, the read index (see Linearizable Quorum Reads in Paxos, HotStorage
+// 2019). One round serves all waiting reads, because many routers may start and read at once.
 
 const (
-	catchUpRetry = 20 * time.Millisecond  // after a snapshot that did not bring the state up to the read index
-	quorumRetry  = 50 * time.Millisecond  // after a poll that no majority has answered
-	openRetryMin = 100 * time.Millisecond // bounds of the delay that leaves an open index to its proposer
-	openRetryMax = 200 * time.Millisecond
+	catchUpRetryDelay = 20 * time.Millisecond  // after a snapshot that did not reach the read index
+	quorumRetryDelay  = 50 * time.Millisecond  // after a poll without a majority
+	openIndexDelayMin = 100 * time.Millisecond // bounds of the wait for the proposer of an open index
+	openIndexDelayMax = 200 * time.Millisecond
 )
 
-// read is a linearizable read that waits for its round.
+// read is a pending linearizable read.
 type read struct {
-	isPassive bool // nothing is proposed for its sake
+	isPassive bool // must not cause a proposal
 	deadline  time.Duration
 	timer     timerqueue.Key
 	finished  bool
 	done      func(error)
 }
 
-// readQueue holds the reads of a replica.
+// readQueue holds the pending reads of a replica.
 type readQueue struct {
-	waiting []*read // came after answers of the present round that may be older than they are
-	current []*read // are served by the present round
+	waiting []*read // arrived too late for the current round, whose answers may predate them
+	current []*read // served by the current round
 }
 
-// readMode says whether a read may propose.
+// readMode selects whether a read may cause a proposal.
 type readMode bool
 
 const (
-	// readActive has an open index decided by a proposal if its own proposer has not done so after a while.
+	// readActive proposes at an open index if its own proposer does not decide it in time.
 	readActive readMode = false
-	// readPassive leaves an open index to others. Reads of routers are passive: all routers may ask all replicas at once, and
-	// proposals of them all would keep a large one from being chosen (docs/incidents/2026-12-02-reads-that-kept-a-place-open.md).
+	// readPassive leaves an open index to others. Reads of routers are passive: all routers may read from all replicas
+	// at once, and the resulting proposals would prevent a large value from being chosen
+	// (docs/incidents/2026-12-02-reads-that-kept-a-place-open.md).
 	readPassive readMode = true
 )
 
-// confirmState calls done once the state here is no older than anything that was acknowledged before the call, or with an error
-// at the deadline.
+// confirmState calls done once the local state includes everything that was acknowledged before the call, or with an
+// error at the deadline.
 func (r *Replica) confirmState(deadline time.Duration, mode readMode, done func(error)) {
 	rd := &read{isPassive: mode == readPassive, deadline: deadline, done: done}
-	rd.timer = r.at(deadline, func() { r.finishRead(rd, ErrQuorumUnavailable) })
+	rd.timer = r.runAt(deadline, func() { r.finishRead(rd, ErrQuorumUnavailable) })
 	if r.reads.waiting = append(r.reads.waiting, rd); len(r.reads.current) == 0 {
 		r.startReadRound()
 	}
@@ -66,7 +67,7 @@
 	}
 }
 
-// startReadRound starts a round for the reads that wait, if there are any. The last of their deadlines is that of the round.
+// startReadRound starts a round for the waiting reads, if there are any. Its deadline is the latest of theirs.
 func (r *Replica) startReadRound() {
 	q := &r.reads
 	q.waiting = slices.DeleteFunc(q.waiting, func(rd *read) bool { return rd.finished })
@@ -77,17 +78,17 @@
 	for _, rd := range q.current {
 		round.deadline = max(round.deadline, rd.deadline)
 	}
-	round.timer = r.at(round.deadline, func() { round.finish(ErrQuorumUnavailable) })
+	round.timer = r.runAt(round.deadline, func() { round.finish(ErrQuorumUnavailable) })
 	round.poll()
 }
 
-// readRoundDone finishes the reads of a round, and starts the next round.
+// readRoundDone finishes the reads of a round and starts the next round.
 func (r *Replica) readRoundDone(err error) {
 	q := &r.reads
 	served := q.current
 	q.current = nil
 	for _, rd := range served {
-		if errors.Is(err, ErrQuorumUnavailable) && !rd.finished && rd.deadline > r.now { // it has joined the round later
+		if errors.Is(err, ErrQuorumUnavailable) && !rd.finished && rd.deadline > r.now { // joined during the round, with a later deadline
 			q.waiting = append(q.waiting, rd)
 			continue
 		}
@@ -98,22 +99,22 @@
 	}
 }
 
-// readRound brings the state here up to the read index. It polls the voters as often as that takes.
+// readRound brings the local state up to the read index, polling the voters until that is done.
 type readRound struct {
 	replica  *Replica
 	deadline time.Duration
 	timer    timerqueue.Key
 	finished bool
 
-	// readIndex is the first index that the reads need not cover, as a majority of the voters has said: what is chosen from
-	// there on was not acknowledged before they came. Zero before a majority has answered. It is fixed by the first majority:
-	// a round that asked for the newest index after each snapshot would follow steady changes for as long as they last.
+	// readIndex is the index below which the local state must have all entries. Entries from there on were not
+	// acknowledged before the reads arrived. It is zero until a majority has answered, and the first majority sets it:
+	// a round that raised it after each snapshot might never end under a steady load of changes.
 	readIndex uint64
-	// voters are those whose majority has given readIndex. A state with other voters does not answer the reads before these are
-	// asked, too: they may have gone on without any of the former ones.
+	// voters are the members whose majority determined readIndex. If the state has other voters by then, these are
+	// polled as well: they may have chosen entries without any of the former voters.
 	voters []replog.Member
-	// hasYielded: an open index has been left to its proposer once.
-	hasYielded bool
+	// hasWaitedForProposer is set once the round has waited for the proposer of an open index.
+	hasWaitedForProposer bool
 }
 
 func (rr *readRound) finish(err error) {
@@ -124,13 +125,13 @@
 	}
 }
 
-// poll finishes the round if the state covers the read index, and otherwise asks the voters how far they have come.
+// poll finishes the round if the state covers the read index, and otherwise queries the voters.
 func (rr *readRound) poll() {
 	if rr.finished {
 		return
 	}
 	state, queue := &rr.replica.state, &rr.replica.reads
-	if rr.readIndex == 0 { // no answer counts yet, so the next answers serve later reads as well
+	if rr.readIndex == 0 { // no answer counts yet, so this poll also serves the waiting reads
 		queue.current, queue.waiting = append(queue.current, queue.waiting...), nil
 	}
 	if rr.readIndex > 0 && state.NextIndex >= rr.readIndex {
@@ -144,25 +145,25 @@
 		rr.finish(ErrNotFounded)
 		return
 	}
-	p := &readPoll{readRound: rr, members: state.Members, pending: len(state.Members), askedAt: state.NextIndex, newest: state.NextIndex}
+	p := &readPoll{readRound: rr, members: state.Members, pending: len(state.Members), localNextIndex: state.NextIndex, highestNextIndex: state.NextIndex}
 	p.send()
 }
 
-// readPoll is one poll of the voters of a readRound.
+// readPoll is one poll of the voters in a readRound.
 type readPoll struct {
 	*readRound
-	members   []replog.Member // that are asked
-	askedAt   uint64          // the next index here when they were asked
-	pending   int             // voters that have not answered
-	answered  int             // voters whose answers count
-	concluded bool
+	members        []replog.Member // voters that are polled
+	localNextIndex uint64          // next index of this replica when the poll started
+	pending        int             // number of outstanding answers
+	answered       int             // number of answers that count for the majority
+	concluded      bool
 
-	newest   uint64         // the highest next index that any voter has named
-	newestAt netip.AddrPort // that voter; set if newest is above askedAt
-	isOpen   bool           // a voter has accepted a value at newest, which may have been chosen
+	highestNextIndex uint64         // highest next index reported by a voter
+	mostAdvancedPeer netip.AddrPort // that voter; set if highestNextIndex is above localNextIndex
+	isOpen           bool           // a voter has accepted a value at highestNextIndex, which may be chosen
 }
 
-// send asks every member, and this replica's own acceptor last.
+// send queries every member, and this replica's own acceptor last.
 func (p *readPoll) send() {
 	isMember := false
 	for i := range p.members {
@@ -184,7 +185,7 @@
 	}
 }
 
-// receive takes a voter's answer, and concludes the poll with the first majority or the last answer.
+// receive processes a voter's answer. The first majority, or the last answer, concludes the poll.
 func (p *readPoll) receive(m *replog.Member, resp paxos.Response, ok bool) {
 	if p.pending--; p.concluded {
 		return
@@ -198,25 +199,25 @@
 	}
 }
 
-// count takes an answer into account. Another disk may be at a member's address by now, which lacks what the member had
-// accepted: its answer is no vote, but may show that there is more to catch up with.
+// count records an answer. A replica with a new disk at a member's address lacks the values that the member has
+// accepted. Its answer does not count as a vote, but may show that this replica lags.
 func (p *readPoll) count(m *replog.Member, resp paxos.Response) {
 	if resp.Verdict == paxos.VerdictReported {
 		p.answered++
-	} else if resp.NextIndex < p.askedAt {
+	} else if resp.NextIndex < p.localNextIndex {
 		p.replica.notifyLagging(m.ID, p.members)
 	}
-	if resp.NextIndex > p.newest {
-		p.newest, p.isOpen = resp.NextIndex, false
-		p.newestAt, _ = memberAddr(m)
+	if resp.NextIndex > p.highestNextIndex {
+		p.highestNextIndex, p.isOpen = resp.NextIndex, false
+		p.mostAdvancedPeer, _ = memberAddr(m)
 	}
-	p.isOpen = p.isOpen || resp.NextIndex == p.newest && resp.Accepted != (paxos.ProposalNumber{})
+	p.isOpen = p.isOpen || resp.NextIndex == p.highestNextIndex && resp.Accepted != (paxos.ProposalNumber{})
 }
 
-// conclude decides what follows from a poll.
+// conclude sets the read index from the first majority and chooses the next step of the round.
 func (p *readPoll) conclude(hasMajority bool) {
 	if hasMajority && p.readIndex == 0 {
-		p.readIndex, p.voters = p.newest, p.members
+		p.readIndex, p.voters = p.highestNextIndex, p.members
 		if p.isOpen {
 			p.readIndex++
 		}
@@ -224,33 +225,33 @@
 	switch {
 	case p.readIndex > 0 && p.replica.state.NextIndex >= p.readIndex:
 		p.poll()
-	case p.newest > p.askedAt:
-		p.replica.catchUp(p.newestAt, p.caughtUp)
+	case p.highestNextIndex > p.localNextIndex:
+		p.replica.catchUp(p.mostAdvancedPeer, p.caughtUp)
 	case !hasMajority:
-		p.replica.after(quorumRetry, p.poll)
-	case !p.hasYielded || p.onlyPassive():
-		// The proposer of the open index is probably still at work.
-		p.hasYielded, p.readIndex = true, 0
-		p.replica.after(p.replica.jitter(openRetryMin, openRetryMax), p.poll)
+		p.replica.runAfter(quorumRetryDelay, p.poll)
+	case !p.hasWaitedForProposer || p.isPassiveOnly():
+		// The proposer of the open index is probably still running.
+		p.hasWaitedForProposer, p.readIndex = true, 0
+		p.replica.runAfter(p.replica.jitter(openIndexDelayMin, openIndexDelayMax), p.poll)
 	default:
 		p.decideOpenIndex()
 	}
 }
 
 func (p *readPoll) caughtUp() {
-	if p.replica.state.NextIndex >= p.newest {
+	if p.replica.state.NextIndex >= p.highestNextIndex {
 		p.poll()
 		return
 	}
-	p.replica.after(catchUpRetry, p.poll)
+	p.replica.runAfter(catchUpRetryDelay, p.poll)
 }
 
-// onlyPassive tells whether no read of the round may propose.
-func (rr *readRound) onlyPassive() bool {
+// isPassiveOnly reports whether no read of the round may cause a proposal.
+func (rr *readRound) isPassiveOnly() bool {
 	return !slices.ContainsFunc(rr.replica.reads.current, func(rd *read) bool { return !rd.isPassive && !rd.finished })
 }
 
-// decideOpenIndex proposes a no-op at the open index, so that what was accepted there is chosen or replaced.
+// decideOpenIndex proposes a no-op at the open index, so that a value accepted there is either chosen or replaced.
 func (rr *readRound) decideOpenIndex() {
 	noop := rr.replica.noop()
 	next := func(state *replog.State) []byte {
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -14,16 +14,16 @@
 	"notchhinge/internal/timerqueue"
 )
 
-// settleTimeout bounds the changes of membership that a replica makes by itself, and a call to join.
-const settleTimeout = limits.OperatorCallTimeout
+// membershipChangeTimeout bounds the membership changes that a replica starts by itself or for a joining learner.
+const membershipChangeTimeout = limits.OperatorCallTimeout
 
 // Errors of proposals and reads.
 var (
-	// ErrNotFounded: the group has not been founded yet.
+	// ErrNotFounded means that the group has not been founded yet.
 	ErrNotFounded = errors.New("replica: the group has not been founded yet")
-	// ErrQuorumUnavailable: no majority has answered by the deadline.
+	// ErrQuorumUnavailable means that no majority of the voters answered before the deadline.
 	ErrQuorumUnavailable = errors.New("replica: no majority of the voters has answered in time")
-	// ErrInvalidEntry: the entry would be ignored by replicas, and is not proposed.
+	// ErrInvalidEntry means that replicas would ignore the entry; it is not proposed.
 	ErrInvalidEntry = errors.New("replica: invalid entry")
 
 	errDiskWrite = errors.New("replica: the disk has refused a write")
@@ -31,57 +31,57 @@
 	errGroupFull = errors.New("replica: the group is full, and no voter has failed")
 )
 
-// Config is what a replica is started with.
+// Config holds the identity, the settings and the stored state that a replica starts with.
 type Config struct {
 	Self        replog.Member
-	IsFounder   bool   // its disk was empty at the very first start of the fleet
-	MinVoters   int    // 2f+1, where f voters may be lost at once; as many found the group
-	Incarnation uint64 // drawn anew at each start of the process: no two proposals have the same number
-	Seed        uint64 // of the random delays
+	IsFounder   bool   // the disk was empty when the fleet started for the first time
+	MinVoters   int    // 2f+1, to tolerate the loss of f voters; also the minimum number of founders
+	Incarnation uint64 // random for each start of the process, so that proposal numbers are unique
+	Seed        uint64 // seed of the random delays
 	State       replog.State
-	Acceptor    paxos.AcceptorState // this and State as the disk has them
-	// Peers returns the addresses of the other replicas that are known, sorted.
+	Acceptor    paxos.AcceptorState // State and Acceptor are read from the disk
+	// Peers returns the addresses of the other known replicas, sorted.
 	Peers func() []netip.AddrPort
-	// ChosenValue returns the value of an index, if the disk still has it.
+	// ChosenValue returns the value chosen for an index; false if the disk no longer has it.
 	ChosenValue func(index uint64) ([]byte, bool)
 }
 
-// Replica is one replica. It is not safe for concurrent use.
+// Replica is one replica of the group. It is not safe for concurrent use.
 type Replica struct {
 	Config
-	state     replog.State
-	acceptor  paxos.Acceptor
-	voteWrite WriteID // the write of the newest acceptor state; 0 once it is durable
-	term      uint64  // the highest seen
-	random    *rand.Rand
-	now       time.Duration
-	timers    *timerqueue.Queue[func()]
-
-	lastID uint64 // of a call or a write
+	state            replog.State
+	acceptor         paxos.Acceptor
+	pendingVoteWrite WriteID // the write of the latest acceptor state; 0 once that is durable
+	term             uint64  // highest proposal term seen
+	random           *rand.Rand
+	now              time.Duration
+	timers           *timerqueue.Queue[func()]
+
+	lastID uint64 // the last CallID or WriteID assigned
 	calls  map[CallID]replyFunc
 	writes map[WriteID]func(durable bool)
 
-	proposals  []*proposal // the first one is under way
+	proposals  []*proposal // the first one is in progress
 	reads      readQueue
 	membership membership
 	upkeep     upkeep
 	founding   founding
-	// catchUps holds, for each replica whose state has been requested, what follows its arrival.
-	catchUps map[netip.AddrPort][]func()
+	// catchUpWaiters holds the callbacks that wait for the snapshot of each replica.
+	catchUpWaiters map[netip.AddrPort][]func()
 
-	committer   netip.Addr // who has sent the last rpc.KindLearn or rpc.KindCommit
-	committedAt time.Duration
+	lastAnnouncer      netip.Addr // sender of the last rpc.KindLearn or rpc.KindCommit
+	lastAnnouncementAt time.Duration
 
 	log     logger
 	effects []Effect
 }
 
-// New returns a replica with what its disk has. The first Tick starts it.
+// New returns a replica that continues from the stored state in c. The first Tick starts it.
 func New(c Config) *Replica {
 	r := &Replica{
 		Config: c, state: c.State, random: rand.New(rand.NewPCG(c.Seed, c.Incarnation)), timers: timerqueue.New[func()](),
 		term: c.Acceptor.Promised.Term, calls: map[CallID]replyFunc{}, writes: map[WriteID]func(bool){},
-		catchUps: map[netip.AddrPort][]func(){},
+		catchUpWaiters: map[netip.AddrPort][]func(){},
 	}
 	r.log.replica = r
 	r.acceptor = paxos.Acceptor{State: c.Acceptor, ChosenValue: c.ChosenValue}
@@ -91,17 +91,17 @@
 	return r
 }
 
-// State returns the state that this replica knows.
+// State returns the current state of this replica.
 func (r *Replica) State() replog.State { return r.state }
 
-// AcceptorState returns what the acceptor has promised and accepted, whether the disk has it or not.
+// AcceptorState returns what the acceptor has promised and accepted, including changes that are not durable yet.
 func (r *Replica) AcceptorState() paxos.AcceptorState { return r.acceptor.State }
 
-// NextTimer returns when a Tick is due.
+// NextTimer returns the time when the next Tick is due; false if no timer is set.
 func (r *Replica) NextTimer() (at time.Duration, ok bool) { return r.timers.NextDue() }
 
-// Reduce handles an event, and whatever is due by now. The effects are valid until the next call; see the package's
-// documentation for the order in which the owner performs them.
+// Reduce handles an event and every timer that is due. The effects are valid until the next call. The package
+// documentation describes the order in which the owner performs them.
 func (r *Replica) Reduce(now time.Duration, event Event) []Effect {
 	r.now = max(r.now, now)
 	clear(r.effects)
@@ -145,20 +145,20 @@
 
 func (r *Replica) emit(e Effect) { r.effects = append(r.effects, e) }
 
-// after runs a function once a time has passed.
-func (r *Replica) after(d time.Duration, f func()) { r.timers.Add(r.now+d, f) }
+// runAfter schedules a function after a delay.
+func (r *Replica) runAfter(d time.Duration, f func()) { r.timers.Add(r.now+d, f) }
 
-// at runs a function at a deadline, or as soon as possible if that has passed.
-func (r *Replica) at(deadline time.Duration, f func()) timerqueue.Key {
+// runAt schedules a function at a deadline, or as soon as possible if the deadline has passed.
+func (r *Replica) runAt(deadline time.Duration, f func()) timerqueue.Key {
 	return r.timers.Add(max(deadline, r.now+1), f)
 }
 
-// jitter draws a duration in [from, to).
+// jitter returns a random duration in [from, to).
 func (r *Replica) jitter(from, to time.Duration) time.Duration {
 	return from + time.Duration(r.random.Int64N(int64(to-from)))
 }
 
-// write emits a Write; done is called once it is durable or refused, and may be nil.
+// write emits a Write. done is called with the result of the write; it may be nil.
 func (r *Replica) write(w Write, done func(durable bool)) WriteID {
 	r.lastID++
 	w.ID, w.Acceptor = WriteID(r.lastID), r.acceptor.State
@@ -173,15 +173,15 @@
 	return w.ID
 }
 
-// identity returns the answer to an rpc.KindIdentity.
+// identity returns the identity of this replica, the answer to an rpc.KindIdentity.
 func (r *Replica) identity() identity {
 	return identity{Member: r.Self, nextIndex: r.state.NextIndex, isFounder: r.IsFounder}
 }
 
-// isVoter tells whether this replica is a voter, as far as it knows; otherwise it is a learner.
+// isVoter reports whether this replica is a voter in its own state. Otherwise it is a learner.
 func (r *Replica) isVoter() bool { return r.state.Member(r.Self.ID) != nil }
 
-// peerVoters returns the addresses of the other voters, in the order of the membership.
+// peerVoters returns the addresses of the other voters, in membership order.
 func (r *Replica) peerVoters() (peers []netip.AddrPort) {
 	for i := range r.state.Members {
 		m := &r.state.Members[i]
@@ -192,16 +192,16 @@
 	return peers
 }
 
-// memberAddr returns where a member takes calls; false if its address cannot be parsed.
+// memberAddr returns the address at which a member takes calls; false if it cannot be parsed.
 func memberAddr(m *replog.Member) (netip.AddrPort, bool) {
 	addr, err := netip.ParseAddrPort(m.Addr)
 	return addr, err == nil
 }
 
-// memberID formats the id of a member for the log.
-func memberID(id uint64) string { return fmt.Sprintf("%016x", id) }
+// formatMemberID formats a member ID for the log.
+func formatMemberID(id uint64) string { return fmt.Sprintf("%016x", id) }
 
-// logger makes log records effects.
+// logger emits log records as Log effects.
 type logger struct{ replica *Replica }
 
 func (l logger) Info(message string, args ...any) {
--- a/internal/control/replica/upkeep.go
+++ b/internal/control/replica/upkeep.go
@@ -7,35 +7,35 @@
 	"notchhinge/internal/limits"
 )
 
-// Upkeep is what a replica does by itself, again and again: a founder looks for the others before the founding; every other
-// replica polls a random peer, catches up with it, and asks for a vote if it has none.
+// Upkeep is the periodic work of a replica. Before the founding, a founder polls for other founders. Every other
+// replica polls a random peer, catches up with it, and requests a vote if it has none.
 
-// upkeep is the state of that.
+// upkeep is the state of the periodic work.
 type upkeep struct {
-	hasPolled bool // a peer has said since the start how far it has come
+	hasPolled bool // a peer has reported its next index since the start
 }
 
 func (r *Replica) startUpkeep() {
-	r.founding.startedAt, r.founding.stableFrom = r.now, r.now
+	r.founding.startedAt, r.founding.stableSince = r.now, r.now
 	r.recoverMembershipChange()
 	r.scheduleUpkeep()
 }
 
-// scheduleUpkeep starts the timer of the next step.
+// scheduleUpkeep schedules the next step.
 func (r *Replica) scheduleUpkeep() {
 	switch {
 	case r.state.NextIndex == 0 && r.IsFounder:
-		r.after(limits.FoundingInterval, r.pollFounders)
-	case r.state.NextIndex == 0 || !r.upkeep.hasPolled: // what the disk has may be old
-		r.after(limits.FoundingInterval, r.pollPeer)
+		r.runAfter(limits.FoundingInterval, r.pollFounders)
+	case r.state.NextIndex == 0 || !r.upkeep.hasPolled: // the state on the disk may be old
+		r.runAfter(limits.FoundingInterval, r.pollPeer)
 	case !r.isVoter():
-		r.after(limits.JoinRetryInterval, r.pollPeer)
+		r.runAfter(limits.JoinRetryInterval, r.pollPeer)
 	default:
-		r.after(limits.CatchUpInterval, r.pollPeer)
+		r.runAfter(limits.CatchUpInterval, r.pollPeer)
 	}
 }
 
-// pollPeer asks a random peer how far it has come, and catches up with it.
+// pollPeer requests the next index of a random peer, and catches up with it.
 func (r *Replica) pollPeer() {
 	peers := r.Peers()
 	if len(peers) == 0 {
@@ -53,7 +53,7 @@
 	})
 }
 
-// pickPeer draws one of the peers that are not suspected, but any of them one time in four.
+// pickPeer returns a random peer. Three times out of four it excludes suspected peers.
 func (r *Replica) pickPeer(peers []netip.AddrPort) netip.AddrPort {
 	to := peers[r.random.IntN(len(peers))]
 	answering := slices.DeleteFunc(slices.Clone(peers), func(a netip.AddrPort) bool {
@@ -66,7 +66,7 @@
 	return to
 }
 
-// peerPolled continues the upkeep: a learner asks the peer for a vote, if that has answered.
+// peerPolled continues after a poll: a learner requests a vote from a peer that answered.
 func (r *Replica) peerPolled(peer netip.AddrPort, answered bool) {
 	if answered && r.state.NextIndex > 0 && !r.isVoter() && !r.membership.isLeaving {
 		r.join(peer)
