--- a/internal/control/paxos/acceptor.go
+++ b/internal/control/paxos/acceptor.go
@@ -2,25 +2,25 @@
 
 import "bytes"
 
-// AcceptorState is what an acceptor must keep across restarts. It concerns one index, the first one that is not chosen as far
-// as the acceptor knows: earlier indexes are in the log, later ones get no vote.
+// AcceptorState is the state that an acceptor must keep across restarts. It concerns one index only, the first one that
+// the acceptor has not learned: earlier indexes are in the log, and later ones get no vote.
 type AcceptorState struct {
 	Index    uint64
-	Promised ProposalNumber // lower numbers are rejected
-	Accepted ProposalNumber // zero = no value is accepted
-	Value    []byte         // accepted under Accepted
+	Promised ProposalNumber // proposals with lower numbers are rejected
+	Accepted ProposalNumber // zero = no value has been accepted
+	Value    []byte         // the value accepted under Accepted
 }
 
-// Acceptor is the acceptor of one voter. NextIndex and IsVoter follow the log; the log's owner sets them.
+// Acceptor is the acceptor of one voter. The owner of the log keeps NextIndex and IsVoter up to date.
 type Acceptor struct {
 	State       AcceptorState
-	NextIndex   uint64 // first index that is not learned here
+	NextIndex   uint64 // first index that the acceptor has not learned
 	IsVoter     bool
-	ChosenValue func(index uint64) ([]byte, bool) // value of a learned index; false where it is compacted
+	ChosenValue func(index uint64) ([]byte, bool) // value of a learned index; false if it is compacted
 }
 
-// Handle answers a request. Where persist is true, State has changed and must be synced to disk before the response leaves;
-// the response is lost if that fails.
+// Handle answers a request. If persist is true, State has changed and must be synced to disk before the response is
+// sent. If that fails, the response must not be sent.
 func (a *Acceptor) Handle(m Request) (resp Response, persist bool) {
 	if a.State.Index != a.NextIndex {
 		a.State = AcceptorState{Index: a.NextIndex}
@@ -52,10 +52,11 @@
 		a.State.Promised, a.State.Accepted, a.State.Value = m.Number, m.Number, m.Value
 		return Response{Verdict: VerdictGranted, NextIndex: a.NextIndex}, persist
 	}
-	return Response{Verdict: VerdictNotVoter, NextIndex: a.NextIndex}, false // a kind of a later version
+	return Response{Verdict: VerdictNotVoter, NextIndex: a.NextIndex}, false // a request kind of a later release
 }
 
-// report answers a query. The accepted value is left out: it may be large, and every linearizable read sends queries.
+// report answers a query. It omits the accepted value, which may be large, because every linearizable read sends
+// queries.
 func (a *Acceptor) report() Response {
 	resp := Response{Verdict: VerdictReported, NextIndex: a.NextIndex, Accepted: a.State.Accepted}
 	if !a.IsVoter {
--- a/internal/control/paxos/acceptor_test.go
+++ b/internal/control/paxos/acceptor_test.go
@@ -2,9 +2,10 @@
 
 import "testing"
 
-func TestAcceptorAnswersByIndexNumberAndVote(t *testing.T) {
+// TestAcceptorVerdicts: the verdict depends on the index, the proposal number and whether the acceptor is a voter.
+func TestAcceptorVerdicts(t *testing.T) {
 	a := Acceptor{IsVoter: true, NextIndex: 3, ChosenValue: func(uint64) ([]byte, bool) { return []byte("old"), true }}
-	for _, c := range []struct { // one after another, at one acceptor
+	for _, c := range []struct { // in sequence, at one acceptor
 		request Request
 		want    Verdict
 	}{
@@ -22,10 +23,10 @@
 		}
 	}
 	if got, _ := a.Handle(Request{Kind: KindQuery}); got.Value != nil || got.Accepted != (ProposalNumber{5, 1}) {
-		t.Errorf("%+v: a query reports the number of the accepted value, and not the value, which may be large", got)
+		t.Errorf("query response %+v; want the number of the accepted value without the value", got)
 	}
 	a.IsVoter = false
 	if got, persist := a.Handle(Request{Kind: KindPrepare, Index: 3, Number: ProposalNumber{50, 1}}); got.Verdict != VerdictNotVoter || persist {
-		t.Errorf("without a vote: %+v", got)
+		t.Errorf("not a voter: %+v", got)
 	}
 }
--- a/internal/control/paxos/message.go
+++ b/internal/control/paxos/message.go
@@ -1,37 +1,37 @@
 package paxos
 
-// RequestKind is the kind of a Request. Its values are on the wire.
+// RequestKind is the kind of a Request. Its values are part of the wire format.
 type RequestKind uint8
 
 // The kinds of requests.
 const (
 	KindPrepare RequestKind = iota + 1 // phase 1: promise to reject lower numbers
 	KindAccept                         // phase 2: accept a value
-	KindQuery                          // report what is known; no vote is cast, and the acceptor's state stays as it is
+	KindQuery                          // report the acceptor's progress, without a vote or a change of state
 )
 
 // Request is what a proposer sends to an acceptor.
 type Request struct {
 	Kind   RequestKind
-	Index  uint64 // of the log
+	Index  uint64 // log index
 	Number ProposalNumber
-	Value  []byte // with KindAccept
+	Value  []byte // only with KindAccept
 }
 
-// Verdict is the outcome of a Request at one acceptor. Its values are on the wire.
+// Verdict is the outcome of a Request at one acceptor. Its values are part of the wire format.
 type Verdict uint8
 
 // The verdicts.
 const (
 	VerdictGranted       Verdict = iota + 1 // promised or accepted
-	VerdictRejected                         // a higher number is promised: Response.Promised
-	VerdictAlreadyChosen                    // the index is decided at the acceptor; Response.Value is the chosen value, or nil where that is compacted
+	VerdictRejected                         // a higher number has been promised: Response.Promised
+	VerdictAlreadyChosen                    // the acceptor has learned the index; Response.Value is the chosen value, or nil if it is compacted
 	VerdictLagging                          // the acceptor has not learned all entries before the index
-	VerdictNotVoter                         // the acceptor has no vote; its response to a query reports what it knows, but counts for no quorum
-	VerdictReported                         // the response to a query by a voter
+	VerdictNotVoter                         // the acceptor has no vote; its response to a query reports its progress, but counts for no quorum
+	VerdictReported                         // a voter's response to a query
 )
 
-// Response is what an acceptor sends back.
+// Response is the answer of an acceptor to a Request.
 type Response struct {
 	Verdict   Verdict
 	NextIndex uint64         // first index that the acceptor has not learned
--- a/internal/control/paxos/proposer.go
+++ b/internal/control/paxos/proposer.go
@@ -6,51 +6,51 @@
 	"slices"
 )
 
-// Outcome is the state of a proposal at its proposer.
+// Outcome is the outcome of a proposal.
 type Outcome uint8
 
 // The outcomes. All but OutcomePending are final.
 const (
 	OutcomePending       Outcome = iota
-	OutcomeChosen                // Proposer.Value is chosen
-	OutcomePreempted             // a quorum is out of reach because of a higher number: Proposer.HigherNumber
-	OutcomeAlreadyChosen         // a voter has learned the index before: Proposer.Value, nil where it is compacted, and Proposer.NextIndex
-	OutcomeNoQuorum              // too few voters can still grant
-	OutcomeInvalidValue          // a value that was accepted before, Proposer.Value, may not be proposed to these voters
+	OutcomeChosen                // Proposer.Value is chosen under Proposer.Number
+	OutcomePreempted             // no quorum is possible, because of a higher number: Proposer.HigherNumber
+	OutcomeAlreadyChosen         // a voter has learned the index: Proposer.Value, nil if compacted, and Proposer.NextIndex
+	OutcomeNoQuorum              // no quorum is possible, for any other reason
+	OutcomeInvalidValue          // IsValidValue has rejected a previously accepted value, Proposer.Value
 )
 
-// Proposer runs one proposal: one index, one proposal number. After Prepare, each response and each failure to respond is
-// handed to it, until the outcome is final.
+// Proposer runs one proposal: one index, one proposal number. After Prepare, the caller reports each response and each
+// missing response, until the outcome is final.
 type Proposer struct {
 	Index    uint64
 	Number   ProposalNumber
 	Voters   []uint64
-	Quorum   int    // of Voters
-	OwnValue []byte // proposed where no voter reports an accepted value
-	// IsValidValue reports whether a value that was accepted before may be proposed to these voters; nil = any may.
+	Quorum   int    // number of Voters whose grant is required
+	OwnValue []byte // proposed if no voter reports an accepted value
+	// IsValidValue reports whether a value may be proposed to these voters; nil = any value may.
 	IsValidValue func(value []byte) bool
 
 	// Results.
 
-	Value          []byte         // proposed, or chosen
-	AcceptedNumber ProposalNumber // under which a voter had accepted Value before; zero = Value is OwnValue
-	HigherNumber   ProposalNumber // highest promised number of a rejection
+	Value          []byte         // the proposed or chosen value
+	AcceptedNumber ProposalNumber // number under which Value was previously accepted; zero = Value is OwnValue
+	HigherNumber   ProposalNumber // highest promised number in a rejection
 	NextIndex      uint64         // with OutcomeAlreadyChosen: first index that the responding voter has not learned
 	LaggingVoters  []uint64       // voters that lack entries before Index
 
-	accepting bool // phase 2
+	accepting bool // in phase 2
 	granted   map[uint64]bool
-	failed    map[uint64]bool // rejected, lagging, without a vote, or without a response
+	failed    map[uint64]bool // rejected, lagging, not a voter, or no response
 }
 
-// Prepare begins phase 1. It returns the request that is to be sent to every voter.
+// Prepare starts phase 1. It returns the request to send to every voter.
 func (p *Proposer) Prepare() Request {
 	p.granted, p.failed = map[uint64]bool{}, map[uint64]bool{}
 	p.Value = p.OwnValue
 	return Request{Kind: KindPrepare, Index: p.Index, Number: p.Number}
 }
 
-// Phase returns the kind of request that is out: KindPrepare or KindAccept.
+// Phase returns the kind of request of the current phase: KindPrepare or KindAccept.
 func (p *Proposer) Phase() RequestKind {
 	if p.accepting {
 		return KindAccept
@@ -58,8 +58,8 @@
 	return KindPrepare
 }
 
-// HandleResponse takes the response of a voter to the request of a phase. A response to the phase before does not count.
-// Where next is not nil, phase 2 begins: next is to be sent to every voter.
+// HandleResponse processes a voter's response to the request of a phase. Responses to an earlier phase are ignored. If
+// next is not nil, phase 2 has started and next must be sent to every voter.
 func (p *Proposer) HandleResponse(from uint64, phase RequestKind, resp Response) (next *Request, out Outcome) {
 	if phase != p.Phase() {
 		return nil, OutcomePending
@@ -88,7 +88,7 @@
 	return nil, p.fail(from, OutcomeNoQuorum)
 }
 
-// HandleFailure notes that a voter will not respond to the request of a phase.
+// HandleFailure records that a voter has not responded to the request of a phase.
 func (p *Proposer) HandleFailure(from uint64, phase RequestKind) Outcome {
 	if phase != p.Phase() {
 		return OutcomePending
@@ -96,8 +96,8 @@
 	return p.fail(from, OutcomeNoQuorum)
 }
 
-// advance ends the phase once a quorum has granted it. Phase 2 proposes the value with the highest accepted number among the
-// quorum's responses, or else OwnValue.
+// advance ends the phase once a quorum has granted it. Phase 2 proposes the value with the highest accepted number
+// among the responses, or else OwnValue.
 func (p *Proposer) advance() (next *Request, out Outcome) {
 	switch {
 	case len(p.granted) < p.Quorum:
@@ -113,7 +113,8 @@
 	return &Request{Kind: KindAccept, Index: p.Index, Number: p.Number, Value: p.Value}, OutcomePending
 }
 
-// fail counts a voter out of the phase. It returns final, or OutcomePreempted after any rejection, once no quorum is left.
+// fail records that a voter does not grant the phase. Once no quorum is possible, it returns OutcomePreempted if any
+// voter has rejected, and final otherwise.
 func (p *Proposer) fail(from uint64, final Outcome) Outcome {
 	if p.granted[from] {
 		return OutcomePending
@@ -128,18 +129,19 @@
 	return final
 }
 
-// HasGranted reports whether a voter has granted the request of the present phase: with OutcomeChosen, whether it is known
-// to have accepted the chosen value.
+// HasGranted reports whether a voter has granted the current phase. With OutcomeChosen, it reports whether the voter is
+// known to have accepted the chosen value.
 func (p *Proposer) HasGranted(voter uint64) bool { return p.granted[voter] }
 
-// Clone returns a copy that shares no state with p. A model checker takes one per branch.
+// Clone returns a copy that shares no mutable state with p. Model checkers take one per branch.
 func (p *Proposer) Clone() *Proposer {
 	c := *p
 	c.granted, c.failed, c.LaggingVoters = maps.Clone(p.granted), maps.Clone(p.failed), slices.Clone(p.LaggingVoters)
 	return &c
 }
 
-// Key identifies the state of a proposal: two with equal keys behave alike from here on. A model checker prunes by it.
+// Key returns a string that identifies the state of a proposal. Proposals with equal keys behave alike from here on, so
+// model checkers use it to prune.
 func (p *Proposer) Key() string {
 	return fmt.Sprintf("%d %v %v %q %v %v", p.Index, p.Number, p.accepting, p.Value, p.granted, p.failed)
 }
--- a/internal/control/paxos/proposer_test.go
+++ b/internal/control/paxos/proposer_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// TestProposerEndsWith: one proposal at three voters with a quorum of two; each response is to the prepare request unless
-// the proposer is in its accept phase.
-func TestProposerEndsWith(t *testing.T) {
+// TestProposerOutcomes runs one proposal with three voters and a quorum of two. Each response belongs to the current
+// phase.
+func TestProposerOutcomes(t *testing.T) {
 	granted, rejected := Response{Verdict: VerdictGranted}, Response{Verdict: VerdictRejected, Promised: ProposalNumber{Term: 9}}
 	accepted := Response{Verdict: VerdictGranted, Accepted: ProposalNumber{Term: 1}, Value: []byte("earlier")}
 	for name, c := range map[string]struct {
-		responses []Response // of voters 1, 2 and 3, again and again
+		responses []Response // from voters 1, 2 and 3 in turn
 		want      Outcome
 		value     string
 	}{
@@ -37,18 +37,19 @@
 	}
 }
 
+// TestLateResponsesDoNotCount: duplicate responses and responses to the earlier phase are ignored.
 func TestLateResponsesDoNotCount(t *testing.T) {
 	p := Proposer{Number: ProposalNumber{Term: 5}, Voters: []uint64{1, 2, 3}, Quorum: 2, OwnValue: []byte("own")}
 	p.Prepare()
 	granted := Response{Verdict: VerdictGranted}
 	p.HandleResponse(1, KindPrepare, granted)
 	if next, _ := p.HandleResponse(1, KindPrepare, granted); next != nil {
-		t.Error("a voter counts twice")
+		t.Error("a duplicate response was counted")
 	}
 	if next, _ := p.HandleResponse(2, KindPrepare, granted); next == nil || next.Kind != KindAccept {
 		t.Fatalf("after a quorum of promises: %+v", next)
 	}
 	if p.HandleResponse(3, KindPrepare, granted); p.HasGranted(3) || p.HandleFailure(3, KindPrepare) != OutcomePending {
-		t.Error("a response to the prepare request counts for the accept phase")
+		t.Error("a response to the prepare request was counted in the accept phase")
 	}
 }
--- a/internal/control/rpc/rpc_test.go
+++ b/internal/control/rpc/rpc_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestKindsKeepTheirNumbersAndOwners: the numbers stand on the wire.
+// TestKindsKeepTheirNumbersAndOwners: kind numbers are part of the wire format.
 func TestKindsKeepTheirNumbersAndOwners(t *testing.T) {
 	for owner, want := range map[Owner][]Kind{
 		OwnerReplica:   {1, 2, 3, 4, 10, 14, 16},
@@ -22,7 +22,7 @@
 	}
 }
 
-// TestEveryKindIsDescribed: a listed kind has a time limit, and a number that is not listed has no owner.
+// TestEveryKindIsDescribed: a listed kind has a timeout, and a number that is not listed has no owner.
 func TestEveryKindIsDescribed(t *testing.T) {
 	for number := range 256 {
 		kind := Kind(number)
@@ -34,11 +34,11 @@
 	}
 }
 
-// TestMissingHandlersAreNamed: a table without a kind of its owner, or with another owner's, says which.
-func TestMissingHandlersAreNamed(t *testing.T) {
+// TestHandlerMismatchesAreReported: a missing kind of the owner and a kind of another owner are both reported.
+func TestHandlerMismatchesAreReported(t *testing.T) {
 	handlers := Handlers[func()]{KindFetchConfig: func() {}}
-	if missing := handlers.Mismatches(OwnerConfigs); len(missing) > 0 {
-		t.Errorf("missing %v", missing)
+	if mismatches := handlers.Mismatches(OwnerConfigs); len(mismatches) > 0 {
+		t.Errorf("mismatches %v", mismatches)
 	}
 	handlers[KindJoin] = func() {}
 	delete(handlers, KindFetchConfig)
@@ -46,6 +46,6 @@
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 	if _, err := handlers.Lookup(7); !errors.Is(err, UnknownKindError(7)) {
-		t.Errorf("an unknown kind: %v", err)
+		t.Errorf("lookup of an unknown kind: %v", err)
 	}
 }
