--- a/internal/control/replica/golden_test.go
+++ b/internal/control/replica/golden_test.go
@@ -11,7 +11,7 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// TestGoldenCalls: calls between replicas and their answers keep their bytes.
+// TestGoldenCalls: the encodings of calls between replicas and their answers do not change.
 func TestGoldenCalls(t *testing.T) {
 	number, lower := paxos.ProposalNumber{Term: 300, Proposer: 0x0102030405060708}, paxos.ProposalNumber{Term: 7, Proposer: 2}
 	value := []byte("a value")
@@ -55,14 +55,14 @@
 	for name, e := range map[string]entry{
 		"learn": {1000, value}, "learn-notice": {1001, []byte{}},
 		"snapshot-request":          {1000, []byte{replog.StateVersion}},
-		"snapshot-request-format-2": {1000, []byte{2}}, // of an earlier release
+		"snapshot-request-format-2": {1000, []byte{2}}, // as sent by an earlier release
 	} {
 		golden.RoundTrip(t, name+".hex", e, func(e entry) []byte { return EncodeIndexed(e.index, e.value) },
 			func(b []byte) (e entry, err error) { e.index, e.value, err = DecodeIndexed(b); return e, err })
 	}
 }
 
-// TestGoldenCallKinds: the kinds of calls have their numbers on the wire, and rpc.KindJoin its one-byte answer.
+// TestGoldenCallKinds: the numbers of the call kinds and the one-byte answer to rpc.KindJoin do not change.
 func TestGoldenCallKinds(t *testing.T) {
 	golden.Equal(t, "numbers", []uint8{1, 2, 3, 4, 10, 16, 14, 1}, []uint8{
 		uint8(rpc.KindPaxos), uint8(rpc.KindLearn), uint8(rpc.KindSnapshot), uint8(rpc.KindIdentity), uint8(rpc.KindJoin), uint8(rpc.KindCheckReachable),
@@ -70,21 +70,21 @@
 	})
 }
 
-// TestEveryCallHasAHandler: each kind of call that replicas own has a handler, and a kind of another owner is an error.
+// TestEveryCallHasAHandler: each kind of call owned by replicas has a handler, and a kind of another owner is an error.
 func TestEveryCallHasAHandler(t *testing.T) {
-	if missing := callHandlers.Mismatches(rpc.OwnerReplica); len(missing) > 0 {
-		t.Errorf("handlers missing, or of another owner: %v", missing)
+	if mismatches := callHandlers.Mismatches(rpc.OwnerReplica); len(mismatches) > 0 {
+		t.Errorf("kinds without a handler, or of another owner: %v", mismatches)
 	}
 	answers, _ := reduce(newSingle(true), time.Second, CallReceived{Kind: rpc.KindUsageReport}, true)
 	if len(answers) != 1 || !errors.Is(answers[0].(SendReply).Err, rpc.UnknownKindError(rpc.KindUsageReport)) {
-		t.Errorf("a call of another owner: %+v", answers)
+		t.Errorf("call of another owner: %+v", answers)
 	}
 }
 
-// TestGoldenReplies: a call with the bytes of a golden file has the reply of another.
+// TestGoldenReplies: the replies to calls do not change.
 func TestGoldenReplies(t *testing.T) {
 	r := newSingle(true)
-	r.state.FormerMembers = []string{"k-0"} // which the second format alone holds
+	r.state.FormerMembers = []string{"k-0"} // only in the second format
 	reply := func(name string, c CallReceived) {
 		t.Helper()
 		answers, _ := reduce(r, time.Second, c, true)
@@ -103,7 +103,7 @@
 	reply("reply-commit", CallReceived{Kind: rpc.KindCommit, Body: golden.Read(t, "commit.hex")})
 }
 
-// TestGoldenReachableReplies: a replica that is asked whether another answers it replies with one byte.
+// TestGoldenReachableReplies: the answer to rpc.KindCheckReachable is one byte.
 func TestGoldenReachableReplies(t *testing.T) {
 	for name, err := range map[string]error{"reply-reachable": nil, "reply-unreachable": errors.New("no answer")} {
 		r := newSingle(true)
--- a/internal/control/replica/harness_test.go
+++ b/internal/control/replica/harness_test.go
@@ -14,7 +14,7 @@
 	"notchhinge/internal/timerqueue"
 )
 
-// newSingle returns a replica that is the only member of its group, or a learner of a group of one.
+// newSingle returns a replica that is the only voter of its group, or a learner of a group with one other voter.
 func newSingle(isVoter bool) *Replica {
 	self := replog.Member{ID: 1, Name: "k-1", Addr: "10.0.0.1:7000"}
 	c := Config{Self: self, MinVoters: 1, Incarnation: 9, Peers: noPeers, ChosenValue: noValue}
@@ -35,7 +35,8 @@
 	return all
 }
 
-// reduce hands an event in and completes all writes that follow; it returns the answers and the number of writes.
+// reduce passes an event to a replica and completes all writes that follow. It returns the answers and the number of
+// writes.
 func reduce(r *Replica, now time.Duration, e Event, durable bool) (answers []Effect, writes int) {
 	effects := slices.Clone(r.Reduce(now, e))
 	for ; len(effects) > 0; effects = effects[1:] {
@@ -50,7 +51,8 @@
 	return answers, writes
 }
 
-// cluster is replicas on one clock: a call takes a millisecond each way, writes are durable at once.
+// cluster runs replicas on one simulated clock. A call takes one millisecond each way, and writes are durable
+// immediately.
 type cluster struct {
 	t        *testing.T
 	now      time.Duration
@@ -58,22 +60,22 @@
 	replicas map[netip.AddrPort]*Replica
 	disks    map[netip.AddrPort]map[uint64][]byte
 	lastID   byte
-	leftAt   map[string]time.Duration // when a replica had handed over, by name
+	leftAt   map[string]time.Duration // time at which a replica had handed over, by name
 
-	isolated    netip.AddrPort    // is partitioned from all others
-	partitioned [2]netip.AddrPort // do not reach each other
+	isolated    netip.AddrPort    // partitioned from all others
+	partitioned [2]netip.AddrPort // partitioned from each other
 
 	calls   Pending[caller]
 	answers Pending[func(api.Result)]
 }
 
-// caller waits for the reply to a call.
+// caller identifies the caller that waits for a reply.
 type caller struct {
 	replica *Replica
 	id      CallID
 }
 
-// newCluster founds a group of voters.
+// newCluster starts the voters and lets them found a group.
 func newCluster(t *testing.T, voters, minVoters int) *cluster {
 	t.Helper()
 	c := &cluster{
@@ -90,7 +92,7 @@
 	return c
 }
 
-// start starts a replica on an empty disk under a name and address of its own.
+// start starts a replica with an empty disk and a new name and address.
 func (c *cluster) start(minVoters int, isFounder bool) *Replica {
 	c.lastID++
 	addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, c.lastID}), 7000)
@@ -99,7 +101,7 @@
 		Self:      replog.Member{ID: uint64(c.lastID), Name: fmt.Sprint("k-", c.lastID), Addr: addr.String()},
 		IsFounder: isFounder, MinVoters: minVoters, Incarnation: uint64(c.lastID), Seed: 7,
 		Peers: func() (peers []netip.AddrPort) {
-			for a := range c.disks { // also those that are gone
+			for a := range c.disks { // including killed replicas
 				if a != addr {
 					peers = append(peers, a)
 				}
@@ -120,7 +122,7 @@
 	return addr
 }
 
-// kill ends a replica for good.
+// kill stops a replica permanently.
 func (c *cluster) kill(r *Replica) { delete(c.replicas, c.addr(r)) }
 
 func (c *cluster) tick(r *Replica) {
@@ -140,7 +142,7 @@
 	c.now = end
 }
 
-// handle hands an event to a replica and performs the effects.
+// handle passes an event to a replica and performs the effects.
 func (c *cluster) handle(r *Replica, e Event) {
 	self := c.addr(r)
 	if c.replicas[self] != r {
@@ -189,7 +191,7 @@
 	return got
 }
 
-// replaceConfig sends an empty configuration of a revision, which is at most 255.
+// replaceConfig sends an empty configuration with a revision of at most 255.
 func (c *cluster) replaceConfig(r *Replica, base, revision uint64) api.Result {
 	config := append([]byte("\xa3\x68revision\x18"), byte(revision))
 	config = append(config, "\x66routes\x80\x68services\x80"...)
@@ -198,7 +200,7 @@
 	})
 }
 
-// voters returns the names of the voters, as the replica knows them that has come furthest.
+// voters returns the names of the voters according to the replica with the highest next index.
 func (c *cluster) voters() (names []string) {
 	var best *Replica
 	for _, r := range c.replicas {
@@ -212,7 +214,7 @@
 	return names
 }
 
-// running returns the replicas that run, sorted by id.
+// running returns the running replicas, sorted by ID.
 func (c *cluster) running() (all []*Replica) {
 	for _, r := range c.replicas {
 		all = append(all, r)
@@ -221,7 +223,8 @@
 	return all
 }
 
-// requireVoters fails unless there are so many voters, and all of them run and know all.
+// requireVoters checks the number of voters, that all of them run, and that all running replicas have the same next
+// index.
 func (c *cluster) requireVoters(want int) {
 	c.t.Helper()
 	failed, next := c.voters(), uint64(0)
@@ -230,16 +233,16 @@
 			next = r.state.NextIndex
 		}
 		if r.state.NextIndex != next {
-			c.t.Errorf("%s is at index %d, another at %d", r.Self.Name, r.state.NextIndex, next)
+			c.t.Errorf("%s has next index %d, another replica %d", r.Self.Name, r.state.NextIndex, next)
 		}
 		failed = slices.DeleteFunc(failed, func(name string) bool { return name == r.Self.Name })
 	}
 	if got := c.voters(); len(got) != want || len(failed) > 0 {
-		c.t.Errorf("voters %v, of which %v do not run; want %d", got, failed, want)
+		c.t.Errorf("voters %v, not running %v; want %d running voters", got, failed, want)
 	}
 }
 
-// requireOK fails unless a request was accepted.
+// requireOK fails the test unless the request succeeded.
 func requireOK(t *testing.T, what string, res api.Result) {
 	t.Helper()
 	if res.Status != http.StatusOK {
--- a/internal/control/replica/membership_test.go
+++ b/internal/control/replica/membership_test.go
@@ -12,15 +12,15 @@
 	"notchhinge/internal/control/rpc"
 )
 
-// TestLearnersReplaceFailedVoters: after as many replacements in a row as may come, all voters run, so that the loss of any f of
-// them leaves a majority.
+// TestLearnersReplaceFailedVoters: after repeated replacements all voters run, so that losing any f of them leaves a
+// majority.
 func TestLearnersReplaceFailedVoters(t *testing.T) {
 	for _, voters := range []int{3, 5} {
 		t.Run(fmt.Sprint(voters, " voters"), func(t *testing.T) {
 			c, revision := newCluster(t, voters, voters), uint64(0)
 			for i := range 5 {
 				c.kill(c.running()[i%2])
-				if i%2 == 1 { // a learner that fails at once, before or after it has the vote
+				if i%2 == 1 { // this learner fails before or after it receives the vote
 					c.run(time.Second)
 					r := c.start(voters, false)
 					c.run(time.Duration(i) * 500 * time.Millisecond)
@@ -44,14 +44,14 @@
 	}
 }
 
-// TestIsolatedVoterReturnsAsLearner: a voter that was only out of reach while another took its vote is a learner, and takes the
+// TestIsolatedVoterReturnsAsLearner: a voter that was replaced during a partition rejoins as a learner and takes the
 // next free vote.
 func TestIsolatedVoterReturnsAsLearner(t *testing.T) {
 	c := newCluster(t, 5, 5)
 	isolated, failed := c.running()[1], c.running()[2]
 	c.isolated = c.addr(isolated)
 	c.run(500 * time.Millisecond)
-	c.kill(failed) // later, so that the other has been suspected for longest
+	c.kill(failed) // later, so that the isolated voter has been suspected for longer
 	c.run(time.Second)
 	c.start(5, false)
 	c.run(8 * time.Second)
@@ -66,7 +66,8 @@
 	}
 }
 
-// TestPartialPartitionKeepsVote: a voter that a single replica does not reach keeps its vote; one that nobody reaches is replaced.
+// TestPartialPartitionKeepsVote: a voter that a single replica cannot reach keeps its vote; a voter that no replica can
+// reach is replaced.
 func TestPartialPartitionKeepsVote(t *testing.T) {
 	c := newCluster(t, 5, 5)
 	one, other := c.running()[0], c.running()[1]
@@ -83,9 +84,9 @@
 	}
 }
 
-// TestMembershipChangeOutlivesProposer: a change of membership whose proposer fails, before or after it was chosen, is decided and
-// finished by others, though the new voter fails as well and nobody asks for anything.
-func TestMembershipChangeOutlivesProposer(t *testing.T) {
+// TestMembershipChangeSurvivesProposerFailure: if the proposer of a membership change fails, before or after the change
+// is chosen, the other voters decide and finish it, even if the new voter fails too and no further request arrives.
+func TestMembershipChangeSurvivesProposerFailure(t *testing.T) {
 	pending := 0
 	for after := time.Duration(0); after < 12*time.Millisecond; after += 500 * time.Microsecond {
 		t.Run(after.String(), func(t *testing.T) {
@@ -97,10 +98,10 @@
 			c.run(1500 * time.Millisecond)
 			for _, r := range c.running() {
 				if r.MembershipPending() {
-					t.Errorf("%s has accepted voters that are not decided", r.Self.Name)
+					t.Errorf("%s has accepted a membership change that is still undecided", r.Self.Name)
 				}
 				if r.state.Member(learner.Self.ID) != nil && r.state.NextIndex <= r.membership.finishIndex {
-					t.Errorf("%s knows of a change that is not finished", r.Self.Name)
+					t.Errorf("%s has an unfinished membership change", r.Self.Name)
 				}
 			}
 			c.run(8 * time.Second)
@@ -115,7 +116,7 @@
 	}
 }
 
-// failDuringChange kills a replica, and the learner that it makes a voter, so long after that has asked it. It returns the learner.
+// failDuringChange makes a replica propose a learner as a voter, and kills both after a delay. It returns the learner.
 func (c *cluster) failDuringChange(after time.Duration) *Replica {
 	proposer, failed := c.running()[0], c.running()[1]
 	learner := c.start(5, false)
@@ -135,7 +136,7 @@
 	return learner
 }
 
-// TestRemoveMemberIsIdempotent: a member is removed however often and wherever that is requested, and never below MinVoters.
+// TestRemoveMemberIsIdempotent: a member can be removed repeatedly and at any replica, but never below MinVoters.
 func TestRemoveMemberIsIdempotent(t *testing.T) {
 	c := newCluster(t, 4, 3)
 	failed := c.running()[3]
@@ -147,21 +148,21 @@
 	}
 	for i := range 3 {
 		if got := remove(c.running()[i], failed.Self.Name); got != http.StatusOK {
-			t.Errorf("request %d: %d", i, got)
+			t.Errorf("request %d: status %d", i, got)
 		}
 	}
 	if got := remove(c.running()[0], "k-9"); got != http.StatusNotFound {
-		t.Errorf("unknown name: %d", got)
+		t.Errorf("unknown name: status %d", got)
 	}
 	if got := remove(c.running()[0], "k-2"); got != http.StatusConflict {
-		t.Errorf("two would be left: %d", got)
+		t.Errorf("removal below MinVoters: status %d", got)
 	}
 	c.requireVoters(3)
 }
 
-// TestRetriedRemovalOfAVoterAgainIsAcknowledged: the answer to an operator's call is lost, the replica that it has removed runs
-// on and takes the place of a voter that fails, and the call is retried.
-func TestRetriedRemovalOfAVoterAgainIsAcknowledged(t *testing.T) {
+// TestRetriedRemovalOfReaddedVoterSucceeds: an operator retries a removal whose answer was lost, after the removed
+// replica has become a voter again in place of a failed one.
+func TestRetriedRemovalOfReaddedVoterSucceeds(t *testing.T) {
 	c := newCluster(t, 4, 3)
 	removed, failed := c.running()[3], c.running()[2]
 	remove := func(name string) api.Result {
@@ -174,16 +175,17 @@
 	c.run(10 * time.Second)
 	c.requireVoters(3)
 	if !slices.Contains(c.voters(), removed.Self.Name) {
-		t.Fatalf("the removed replica has no vote again: %v", c.voters())
+		t.Fatalf("the removed replica is not a voter again: %v", c.voters())
 	}
-	requireOK(t, "the call retried", remove(removed.Self.Name))
+	requireOK(t, "retried removal", remove(removed.Self.Name))
 	if got := remove(c.running()[0].Self.Name); got.Status != http.StatusConflict {
-		t.Errorf("another one, so that two are left: %+v", got)
+		t.Errorf("removal below MinVoters: %+v", got)
 	}
 	c.requireVoters(3)
 }
 
-// TestSurplusVotersAreRemoved: of more voters than there should be, those that have failed for long lose their votes.
+// TestSurplusVotersAreRemoved: in a group with more than MinVoters voters, voters that have failed for a long time are
+// removed.
 func TestSurplusVotersAreRemoved(t *testing.T) {
 	c := newCluster(t, 5, 3)
 	for range 3 { // one at a time: each leaves a majority
--- a/internal/control/replica/operator_test.go
+++ b/internal/control/replica/operator_test.go
@@ -12,14 +12,14 @@
 	"notchhinge/internal/control/rpc"
 )
 
-// The shortest configurations of revisions 4, 5 and 7.
+// The smallest configurations with revisions 4, 5 and 7.
 var (
 	config4 = []byte("\xa3\x68revision\x04\x66routes\x80\x68services\x80")
 	config5 = []byte("\xa3\x68revision\x05\x66routes\x80\x68services\x80")
 	config7 = []byte("\xa3\x68revision\x07\x66routes\x80\x68services\x80")
 )
 
-// TestOperatorIsAnsweredByDeadline: a learner whose only voter does not answer answers 503 by the deadline.
+// TestOperatorIsAnsweredByDeadline: a learner whose only voter is unreachable answers with status 503 by the deadline.
 func TestOperatorIsAnsweredByDeadline(t *testing.T) {
 	r := newSingle(false)
 	r.Reduce(time.Second, ReplaceConfig{Request: 1, Config: config5, Deadline: 2 * time.Second})
@@ -36,11 +36,11 @@
 		}
 	}
 	if answers[1].Status != 503 || answers[2].Status != 503 {
-		t.Errorf("%+v", answers)
+		t.Errorf("answers %+v, want two with status 503", answers)
 	}
 }
 
-// TestReplaceConfigStatus: each outcome of a new configuration has its HTTP status.
+// TestReplaceConfigStatus: each outcome of a configuration change has its HTTP status.
 func TestReplaceConfigStatus(t *testing.T) {
 	r := newSingle(true)
 	answers, _ := reduce(r, time.Second, ReplaceConfig{Config: config5, Deadline: 2 * time.Second}, true)
@@ -63,7 +63,8 @@
 	}
 }
 
-// TestSnapshotFormatOfEarlierRelease: a caller that does not say which formats it reads is sent the first, and catches up.
+// TestSnapshotFormatOfEarlierRelease: a caller that does not send the formats that it reads receives the first format
+// and can catch up.
 func TestSnapshotFormatOfEarlierRelease(t *testing.T) {
 	r := newSingle(true)
 	for base := range uint64(200) {
--- a/internal/control/replica/proposal_test.go
+++ b/internal/control/replica/proposal_test.go
@@ -8,8 +8,8 @@
 	"notchhinge/internal/control/replog"
 )
 
-// TestInvalidEntriesAreNotProposed: an entry that replicas would ignore fails at its proposer, which writes nothing, and the
-// proposal after it goes on.
+// TestInvalidEntriesAreNotProposed: a proposal of an entry that replicas would ignore fails without a write, and the
+// next proposal proceeds.
 func TestInvalidEntriesAreNotProposed(t *testing.T) {
 	r := newSingle(true)
 	r.Reduce(time.Second, Tick{})
@@ -32,6 +32,6 @@
 	}
 	answers, _ := reduce(r, time.Second, Propose{Next: next, Request: 4, Deadline: 2 * time.Second}, true)
 	if len(answers) != 1 || answers[0].(ProposeDone).Err != nil || r.State().NextIndex != index+1 {
-		t.Errorf("after them: %+v", answers)
+		t.Errorf("valid proposal after invalid ones: %+v", answers)
 	}
 }
--- a/internal/control/replica/read_test.go
+++ b/internal/control/replica/read_test.go
@@ -13,9 +13,9 @@
 	"notchhinge/internal/control/rpc"
 )
 
-// TestReadAsksNewVoters: a replica that learns during a read that the voters are others asks these, too: they may have gone on
-// without any of the former ones.
-func TestReadAsksNewVoters(t *testing.T) {
+// TestReadPollsNewVoters: a replica that learns of new voters during a read also polls these, because they may have
+// chosen entries without any of the former voters.
+func TestReadPollsNewVoters(t *testing.T) {
 	former, changed := replog.State{NextIndex: 5, Members: membersOf(1, 2, 3)}, replog.State{NextIndex: 6, Members: membersOf(4, 5, 6)}
 	newest := changed
 	newest.NextIndex, newest.Revision, newest.Config = 7, 9, []byte("newest")
@@ -35,7 +35,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := New(Config{Self: former.Members[0], MinVoters: 1, Incarnation: 9, State: former, Peers: noPeers, ChosenValue: noValue})
-			// What a voter answers to a call.
+			// respond returns a voter's answer to a call.
 			respond := func(f SendCall) []byte {
 				resp, state := paxos.Response{Verdict: paxos.VerdictReported, NextIndex: newest.NextIndex}, &newest
 				if f.To.Addr().As4()[3] <= 3 {
@@ -53,7 +53,7 @@
 			effects := slices.Clone(r.Reduce(time.Second, ReadConfig{Deadline: 2 * time.Second}))
 			for at := time.Second; len(effects) > 0; effects = effects[1:] {
 				at += time.Millisecond
-				if len(effects) == 1 && len(answers) == 0 { // the open index is left to its proposer for a while
+				if len(effects) == 1 && len(answers) == 0 { // the read waits for the proposer of the open index
 					effects = append(effects, r.Reduce(at+300*time.Millisecond, Tick{})...)
 				}
 				switch f := effects[0].(type) {
@@ -66,19 +66,19 @@
 				}
 			}
 			if len(answers) != 1 || answers[0].Revision != 9 {
-				t.Errorf("got %+v; the new voters have acknowledged revision 9", answers)
+				t.Errorf("got %+v, want revision 9, which the new voters have acknowledged", answers)
 			}
 		})
 	}
 }
 
-// readTest is a replica of three whose calls the test answers.
+// readTest runs one of three replicas; the test answers its calls.
 type readTest struct {
 	t        *testing.T
 	replica  *Replica
-	newest   replog.State // that the other voters have
-	calls    []SendCall   // not answered yet
-	answered int          // reads
+	newest   replog.State // state of the other voters
+	calls    []SendCall   // unanswered calls
+	answered int          // number of answered reads
 }
 
 func (rt *readTest) handle(at time.Duration, e Event) {
@@ -92,14 +92,14 @@
 			rt.calls = append(rt.calls, f)
 		case OperatorAnswer:
 			if rt.answered++; f.Revision != rt.newest.Revision || f.Status != http.StatusOK {
-				rt.t.Errorf("%+v", f.Result)
+				rt.t.Errorf("answer %+v, want the newest revision", f.Result)
 			}
 		}
 	}
 }
 
-// TestReadsShareRounds: the reads of routers that start at one moment cost one poll of a majority, and one more for those that
-// come while its answers are on their way; the newer state is fetched once.
+// TestReadsShareRounds: simultaneous reads share one poll of a majority, reads that arrive during its answers share one
+// more, and the newer state is fetched once.
 func TestReadsShareRounds(t *testing.T) {
 	members := membersOf(1, 2, 3)
 	rt := &readTest{t: t, newest: replog.State{NextIndex: 9, Members: members, Revision: 7, Config: []byte("newest")}}
@@ -115,7 +115,7 @@
 	polled, fetched := 0, 0
 	for at := time.Second; len(rt.calls) > 0; rt.calls = rt.calls[1:] {
 		at += time.Millisecond
-		if at == time.Second+2*time.Millisecond { // one answer has come
+		if at == time.Second+2*time.Millisecond { // one answer has arrived
 			readAll(at)
 		}
 		body := encodePaxosResponse(&paxos.Response{Verdict: paxos.VerdictReported, NextIndex: rt.newest.NextIndex})
@@ -133,21 +133,21 @@
 	}
 }
 
-// TestPassiveReadProposesNothing: while an index is open that only a proposal decides, a passive read waits and has no answer in
-// the end; an active one leaves it to its proposer for a while, and then has it decided.
+// TestPassiveReadProposesNothing: while only a proposal can decide an open index, a passive read waits until its
+// deadline and fails; an active read first waits for the proposer and then proposes.
 func TestPassiveReadProposesNothing(t *testing.T) {
 	for _, isPassive := range []bool{true, false} {
 		t.Run(fmt.Sprint("passive ", isPassive), func(t *testing.T) {
 			proposals, status := readOpenIndex(t, isPassive)
 			isUnavailable := status == http.StatusServiceUnavailable
 			if isPassive && (proposals > 0 || !isUnavailable) || !isPassive && (proposals == 0 || isUnavailable) {
-				t.Errorf("%d calls of proposals, status %d", proposals, status)
+				t.Errorf("%d proposal calls, status %d", proposals, status)
 			}
 		})
 	}
 }
 
-// readOpenIndex reads while all other voters have accepted a value for the open index. It returns the number of a proposal's
+// readOpenIndex reads while all other voters have accepted a value at the open index. It returns the number of proposal
 // calls and the status of the answer.
 func readOpenIndex(t *testing.T, isPassive bool) (proposals int, status api.Status) {
 	t.Helper()
@@ -170,7 +170,7 @@
 				resp := paxos.Response{Verdict: paxos.VerdictReported, NextIndex: 5, Accepted: paxos.ProposalNumber{Term: 1, Proposer: 4}}
 				if f.Kind == rpc.KindPaxos && err == nil && req.Kind != paxos.KindQuery {
 					if proposals++; at < start+100*time.Millisecond {
-						t.Errorf("proposed %v after the read came", at-start)
+						t.Errorf("proposed %v after the read arrived, want at least 100ms", at-start)
 					}
 					resp = paxos.Response{Verdict: paxos.VerdictGranted, NextIndex: 5}
 				}
