--- a/internal/control/replica/failuredetector.go
+++ b/internal/control/replica/failuredetector.go
@@ -10,9 +10,9 @@
 	"notchhinge/internal/limits"
 )
 
-// The failure detector observes only whether peers answer calls. A peer that does not answer is suspected. Before a
-// suspected voter loses its vote, the other voters are asked whether they reach it, because the partition may affect
-// only this replica. If it answers none of them, the suspicion is confirmed.
+// The failure detector observes only whether peers answer calls. A peer that does not answer is suspected. A partition
+// may affect this replica alone, so before a suspected voter loses its vote, the other voters are asked whether they
+// reach it. The suspicion is confirmed if none of them does.
 
 // suspicion records that a peer does not answer calls.
 type suspicion struct {
--- a/internal/control/replica/learner.go
+++ b/internal/control/replica/learner.go
@@ -46,7 +46,7 @@
 		return
 	}
 	r.admit(learner, func(err error) {
-		if errors.Is(err, errGroupFull) { // not an error: the learner would suspect this replica
+		if errors.Is(err, errGroupFull) { // with an error the learner would suspect this replica
 			reply([]byte{joinGroupFull}, nil)
 			return
 		}
--- a/internal/control/replica/membership.go
+++ b/internal/control/replica/membership.go
@@ -108,7 +108,7 @@
 }
 
 // recoverMembershipChange checks at the start whether the latest entry is a membership change. If the disk has only a
-// snapshot, it is assumed to be one.
+// snapshot, the latest entry is assumed to be one.
 func (r *Replica) recoverMembershipChange() {
 	if r.state.NextIndex == 0 {
 		return
--- a/internal/control/replica/operator.go
+++ b/internal/control/replica/operator.go
@@ -50,8 +50,8 @@
 // Some outcomes are final, because no later state can contradict them, and may be answered from an old state: the
 // configuration was accepted (it is in the log), or it can never be accepted, because the state has a later revision
 // than its base or its own revision is not above its base (replog.State.Apply accepts it only on exactly that base).
-// Every other outcome requires a majority first. This is a proposal or, if the base is unknown here or an earlier
-// release may have accepted a configuration that this one rejects, a confirmed state.
+// Every other outcome requires a majority first: through a proposal, or through a confirmed state if the base is
+// unknown here or an earlier release may have accepted a configuration that this one rejects.
 func (r *Replica) replaceConfig(e ReplaceConfig) {
 	c, digest, err := fleetconfig.DecodeWithDigest(e.Config)
 	if err != nil { // every replica decodes it alike, so none has accepted it
@@ -68,7 +68,7 @@
 		p.propose()
 		return
 	}
-	r.confirmState(e.Deadline, readActive, func(err error) { // the operator knows a later revision
+	r.confirmState(e.Deadline, readActive, func(err error) { // the operator has seen a later revision
 		if err != nil {
 			r.answer(e.Request, unavailable(err))
 			return
@@ -174,9 +174,9 @@
 	return succeeded(r.state.Revision, b)
 }
 
-// removeMember handles a RemoveMember: it removes the voters with a name that are permanently lost. At least MinVoters
-// must remain. A removed replica that still runs becomes a learner, and may become a voter again if there are too few.
-// The request is idempotent at every replica, because the state keeps the names of former members.
+// removeMember handles a RemoveMember, which removes the voters with a given name because they are permanently lost. At
+// least MinVoters must remain. A removed replica that still runs becomes a learner, and may become a voter again if
+// there are too few. The request is idempotent at every replica, because the state keeps the names of former members.
 func (r *Replica) removeMember(e RemoveMember) {
 	if !r.isVoter() {
 		r.answer(e.Request, operatorResult{outcome: api.StatusUnavailable, reason: "this replica is not a member itself"})
--- a/internal/control/replica/read.go
+++ b/internal/control/replica/read.go
@@ -11,8 +11,8 @@
 	"notchhinge/internal/timerqueue"
 )
 
-// A linearizable read queries a majority of the voters for their next index, and is answered from the local state once
-// that includes all entries below the highest one, the read index (see Linearizable Quorum Reads in Paxos, HotStorage
+// A linearizable read queries a majority of the voters for their next index. It is answered once the local state
+// includes all entries below the highest of these, the read index (see Linearizable Quorum Reads in Paxos, HotStorage
 // 2019). One round serves all waiting reads, because many routers may start and read at once.
 
 const (
@@ -145,7 +145,10 @@
 		rr.finish(ErrNotFounded)
 		return
 	}
-	p := &readPoll{readRound: rr, members: state.Members, pending: len(state.Members), localNextIndex: state.NextIndex, highestNextIndex: state.NextIndex}
+	p := &readPoll{
+		readRound: rr, members: state.Members, pending: len(state.Members),
+		localNextIndex: state.NextIndex, highestNextIndex: state.NextIndex,
+	}
 	p.send()
 }
 
