--- a/internal/control/replica/golden_test.go
+++ b/internal/control/replica/golden_test.go
@@ -107,16 +107,16 @@
 func TestGoldenReachableReplies(t *testing.T) {
 	for name, err := range map[string]error{"reply-reachable": nil, "reply-unreachable": errors.New("no answer")} {
 		r := newSingle(true)
-		var asked []SendCall
+		var sent []SendCall
 		for _, f := range r.Reduce(time.Second, CallReceived{Kind: rpc.KindCheckReachable, Body: []byte("10.0.0.2:7000"), Request: 7}) {
 			if f, ok := f.(SendCall); ok && f.Kind == rpc.KindIdentity && f.To.String() == "10.0.0.2:7000" {
-				asked = append(asked, f)
+				sent = append(sent, f)
 			}
 		}
-		if len(asked) != 1 || len(asked[0].Body) > 0 {
-			t.Fatalf("%s: calls %+v", name, asked)
+		if len(sent) != 1 || len(sent[0].Body) > 0 {
+			t.Fatalf("%s: calls %+v", name, sent)
 		}
-		for _, f := range r.Reduce(time.Second, CallReturned{ID: asked[0].ID, Body: golden.Read(t, "identity-other.hex"), Err: err}) {
+		for _, f := range r.Reduce(time.Second, CallReturned{ID: sent[0].ID, Body: golden.Read(t, "identity-other.hex"), Err: err}) {
 			if f, ok := f.(SendReply); ok && f.Request == 7 {
 				golden.Check(t, name+".hex", f.Body)
 				name = ""
--- a/internal/control/replica/leave.go
+++ b/internal/control/replica/leave.go
@@ -51,10 +51,10 @@
 	}
 	p := &leavePoll{leaving: l}
 	calls := newFanOut(p.conclude)
-	asked := map[netip.AddrPort]bool{}
+	polled := map[netip.AddrPort]bool{}
 	for _, to := range append(r.peerVoters(), r.Peers()...) {
-		if !asked[to] {
-			asked[to] = true
+		if !polled[to] {
+			polled[to] = true
 			calls.sent()
 			r.callIdentity(to, func(i identity, ok bool) {
 				if ok {
