--- a/internal/control/lease/request.go
+++ b/internal/control/lease/request.go
@@ -66,8 +66,8 @@
 // IsGranted reports whether an answer grants what was asked.
 func IsGranted(answer []byte) bool { return len(answer) == 1 && answer[0] == 1 }
 
-// VoterSet returns a hash of who the voters are, in the order of the log's state.
-func VoterSet(members []replog.Member) uint64 {
+// HashVoters returns a hash of who the voters are, in the order of the log's state.
+func HashVoters(members []replog.Member) uint64 {
 	h := fnv.New64a()
 	for _, m := range members {
 		h.Write(binary.BigEndian.AppendUint64(nil, m.ID))
--- a/internal/control/singleton/answer.go
+++ b/internal/control/singleton/answer.go
@@ -41,7 +41,7 @@
 
 // answerRenewal grants the holder its lease, or does not.
 func (c *Controller) answerRenewal(body []byte) ([]byte, error) {
-	q, err := lease.DecodeRenewal(body, lease.VoterSet(c.state.Members))
+	q, err := lease.DecodeRenewal(body, lease.HashVoters(c.state.Members))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/singleton/controller_test.go
+++ b/internal/control/singleton/controller_test.go
@@ -209,13 +209,13 @@
 	all := h.state.Members
 	h.state.Members = append([]replog.Member{{ID: 8, Name: "z", Addr: "10.0.0.8:1"}}, all[1:]...)
 	h.reduce(Tick{}) // it has no vote
-	if ask(h, lease.VoterSet(h.state.Members)) {
+	if ask(h, lease.HashVoters(h.state.Members)) {
 		t.Error("granted without a vote")
 	}
 	h.now += time.Minute
 	h.state.Members, h.state.NextIndex = all, 5
 	h.reduce(Tick{})
-	voters := lease.VoterSet(all)
+	voters := lease.HashVoters(all)
 	if ask(h, voters) {
 		t.Error("granted while the lease may still be another's")
 	}
