--- a/internal/control/lease/request.go
+++ b/internal/control/lease/request.go
@@ -55,8 +55,8 @@
 	return q, r.Finish()
 }
 
-// EncodeVerdict returns the answer to a Renewal or a Candidacy.
-func EncodeVerdict(granted bool) []byte {
+// EncodeResponse returns the answer to a Renewal or a Candidacy.
+func EncodeResponse(granted bool) []byte {
 	if granted {
 		return []byte{1}
 	}
--- a/internal/control/singleton/answer.go
+++ b/internal/control/singleton/answer.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return lease.EncodeVerdict(c.grant(q)), nil
+	return lease.EncodeResponse(c.grant(q)), nil
 }
 
 // answerCandidacy says whether a voter may stand for the lease.
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return lease.EncodeVerdict(c.permits(q)), nil
+	return lease.EncodeResponse(c.permits(q)), nil
 }
 
 // answerReport takes in a router's report.
--- a/internal/control/singleton/controller_test.go
+++ b/internal/control/singleton/controller_test.go
@@ -95,7 +95,7 @@
 	h.calls = nil
 	for i, c := range calls {
 		if c.Kind == rpc.KindRenewLease || c.Kind == rpc.KindCheckCandidacy {
-			h.reduce(CallReturned{ID: c.ID, Body: lease.EncodeVerdict(i < n)})
+			h.reduce(CallReturned{ID: c.ID, Body: lease.EncodeResponse(i < n)})
 		}
 	}
 }
