--- a/internal/control/autoscale/planner.go
+++ b/internal/control/autoscale/planner.go
@@ -73,5 +73,5 @@
 	return svc.Ready[zone]
 }
 
-// Accepted notes that the platform has accepted a target.
-func (p *Planner) Accepted(t Target) { p.accepted[serviceZone{t.Service, t.Zone}] = t.Engines }
+// RecordAccepted notes that the platform has accepted a target.
+func (p *Planner) RecordAccepted(t Target) { p.accepted[serviceZone{t.Service, t.Zone}] = t.Engines }
--- a/internal/control/autoscale/planner_test.go
+++ b/internal/control/autoscale/planner_test.go
@@ -30,7 +30,7 @@
 	if diff := cmp.Diff(want, p.Plan(11*sec, services, loads)); diff != "" {
 		t.Errorf("after a target that was not accepted (-want +got):\n%s", diff)
 	}
-	p.Accepted(want[0])
+	p.RecordAccepted(want[0])
 	if again := p.Plan(12*sec, services, loads); len(again) > 0 {
 		t.Errorf("after it was accepted: %+v", again)
 	}
--- a/internal/control/singleton/scaling.go
+++ b/internal/control/singleton/scaling.go
@@ -29,6 +29,6 @@
 		c.log(slog.LevelWarn, "scaling request failed", "service", t.Service, "zone", t.Zone, "err", err)
 		return
 	}
-	c.planner.Accepted(t)
+	c.planner.RecordAccepted(t)
 	c.log(slog.LevelInfo, "scaling request accepted", "service", t.Service, "zone", t.Zone, "engines", t.Engines, "running", t.Running)
 }
