--- a/internal/control/autoscale/planner.go
+++ b/internal/control/autoscale/planner.go
@@ -52,7 +52,7 @@
 			p.services[svc.Name] = h
 		}
 		load := loads[svc.Name]
-		d := Demand{Running: float64(load.Running) / 100, Arrived: max(float64(load.Arrived)-float64(h.arrived), 0) / elapsed}
+		d := Demand{Running: float64(load.Running) / 100, ArrivalRate: max(float64(load.Arrived)-float64(h.arrived), 0) / elapsed}
 		h.arrived = load.Arrived
 		targets := h.scaler.Targets(now, d, svc)
 		for _, zone := range svc.zones() {
--- a/internal/control/autoscale/scaler.go
+++ b/internal/control/autoscale/scaler.go
@@ -11,8 +11,8 @@
 
 // Demand is the traffic that a service needs engines for, over all routers.
 type Demand struct {
-	Running float64 // requests at engines
-	Arrived float64 // requests a second
+	Running     float64 // requests at engines
+	ArrivalRate float64 // requests a second
 }
 
 // Bounds of the number of a service's engines, in each zone.
@@ -48,7 +48,7 @@
 // known yet are no reason to have fewer.
 func (s *Scaler) Targets(now time.Duration, d Demand, svc *Service) map[string]int {
 	if s.firstAt == 0 {
-		if d.Arrived <= 0 && d.Running <= 0 {
+		if d.ArrivalRate <= 0 && d.Running <= 0 {
 			return nil
 		}
 		s.firstAt, s.lastAt, s.meanRunning = now, now, d.Running
--- a/internal/control/autoscale/scaler_test.go
+++ b/internal/control/autoscale/scaler_test.go
@@ -29,7 +29,7 @@
 // run has so many requests running for a time, and returns the engines over all zones that are wanted at its end.
 func (s *scaling) run(d time.Duration, running float64) (engines int) {
 	for end := s.now + d; s.now < end; s.now += 500 * time.Millisecond {
-		engines = s.engines(Demand{Running: running, Arrived: running})
+		engines = s.engines(Demand{Running: running, ArrivalRate: running})
 	}
 	return engines
 }
