--- a/internal/control/lease/request.go
+++ b/internal/control/lease/request.go
@@ -12,7 +12,7 @@
 type Renewal struct {
 	FencingToken uint64 // the holder's
 	Holder       uint64
-	Voters       uint64 // VoterSet of the members that the holder counts its majority among
+	VotersHash   uint64 // VoterSet of the members that the holder counts its majority among
 }
 
 // Encode returns the request as it stands on the wire.
@@ -20,16 +20,16 @@
 	w := encoding.Writer{}
 	w.Uvarint(q.FencingToken)
 	w.Fixed64(q.Holder)
-	w.Fixed64(q.Voters)
+	w.Fixed64(q.VotersHash)
 	return w.Buf
 }
 
 // DecodeRenewal reads a renewal. Programs of earlier releases send no Voters: known stands in for it there.
 func DecodeRenewal(b []byte, known uint64) (Renewal, error) {
 	r := encoding.Reader{Buf: b}
-	q := Renewal{FencingToken: r.Uvarint(), Holder: r.Fixed64(), Voters: known}
+	q := Renewal{FencingToken: r.Uvarint(), Holder: r.Fixed64(), VotersHash: known}
 	if len(r.Buf) > 0 {
-		q.Voters = r.Fixed64()
+		q.VotersHash = r.Fixed64()
 	}
 	return q, r.Finish()
 }
--- a/internal/control/singleton/controller_test.go
+++ b/internal/control/singleton/controller_test.go
@@ -202,7 +202,7 @@
 func TestNewVotersGrantNothingAtOnce(t *testing.T) {
 	ask := func(h *harness, voters uint64) bool {
 		t.Helper()
-		return h.isGranted(t, rpc.KindRenewLease, lease.Renewal{FencingToken: h.state.FencingToken, Holder: 2, Voters: voters}.Encode())
+		return h.isGranted(t, rpc.KindRenewLease, lease.Renewal{FencingToken: h.state.FencingToken, Holder: 2, VotersHash: voters}.Encode())
 	}
 	h := newHarness()
 	h.state.LeaseHolder, h.state.FencingToken, h.state.NextIndex = 2, 3, 4
--- a/internal/control/singleton/election.go
+++ b/internal/control/singleton/election.go
@@ -22,7 +22,7 @@
 func (c *Controller) grant(q lease.Renewal) bool {
 	s := &c.state
 	switch {
-	case s.FencingToken != q.FencingToken || s.LeaseHolder != q.Holder || !c.isVoter() || q.Voters != lease.HashVoters(s.Members):
+	case s.FencingToken != q.FencingToken || s.LeaseHolder != q.Holder || !c.isVoter() || q.VotersHash != lease.HashVoters(s.Members):
 		return false
 	case c.cfg.MembershipPending != nil && c.cfg.MembershipPending():
 		return false
@@ -95,7 +95,7 @@
 // renew asks the members for a lease that begins now.
 func (c *Controller) renew() {
 	requestedAt := c.now
-	q := lease.Renewal{FencingToken: c.state.FencingToken, Holder: c.cfg.Self.ID, Voters: lease.HashVoters(c.state.Members)}
+	q := lease.Renewal{FencingToken: c.state.FencingToken, Holder: c.cfg.Self.ID, VotersHash: lease.HashVoters(c.state.Members)}
 	c.startPoll(pollRequest{rpc.KindRenewLease, q.Encode(), c.grant(q)}, func() { c.holder.Extend(requestedAt) })
 }
 
