--- a/internal/control/replog/codec.go
+++ b/internal/control/replog/codec.go
@@ -9,32 +9,33 @@
 	"notchhinge/internal/limits"
 )
 
-// Errors of entries and states.
+// Errors returned for entries and states.
 var (
-	// ErrUnknownVersion is returned for an entry or a state in a format of another version, or an entry of an unknown kind.
+	// ErrUnknownVersion is returned for an entry or a state in an unknown format, and for an entry of an unknown kind.
 	ErrUnknownVersion = errors.New("replog: unknown format version")
-	// ErrEntryTooLarge is returned for a usage report whose counts take more than limits.UsageBytes.
+	// ErrEntryTooLarge is returned for a usage report whose encoded counts exceed limits.UsageBytes.
 	ErrEntryTooLarge = errors.New("replog: entry is too large")
 )
 
-// Versions of the formats.
+// Format versions.
 const (
 	entryVersion       = 1
 	firstStateVersion  = 1
 	secondStateVersion = 2 // adds the compacted history and the former members
-	// StateVersion is the newest format of a state that DecodeState reads. It adds large usage windows and the losses of votes.
+	// StateVersion is the newest state format that DecodeState reads. It adds large usage windows and vote losses.
 	StateVersion = 3
 )
 
-// Bounds of what is decoded.
+// Limits of decoded values.
 const (
 	maxMembers     = 64
-	maxNameBytes   = 256 // names of members and tenants, and addresses
+	maxNameBytes   = 256 // of a member or tenant name, or an address
 	maxCounts      = 4096
 	maxLargeCounts = 1 << 16 // of a large usage window
 )
 
-// Smallest encodings, in bytes. A length that the rest of the input cannot hold is rejected before anything is allocated.
+// Minimum encoded sizes of list elements, in bytes. The decoder rejects a list length that exceeds the rest of the input
+// before it allocates memory.
 const (
 	minMemberBytes    = 10
 	minCountBytes     = 2
@@ -45,7 +46,7 @@
 	minVoteLossBytes  = 2
 )
 
-// entryKind is the kind of an entry as encoded.
+// entryKind is the encoded kind of a Payload.
 type entryKind uint8
 
 const (
@@ -54,7 +55,7 @@
 	kindConfig
 	kindLease
 	kindUsage
-	kindLargeUsage // of more tenants than kindUsage holds; an earlier release takes it for a Noop
+	kindLargeUsage // for more tenants than kindUsage allows; earlier releases ignore it like a Noop
 )
 
 func (Noop) kind() entryKind          { return kindNoop }
@@ -69,20 +70,20 @@
 	return kindUsage
 }
 
-// Check returns the error for which replicas would ignore an encoded entry, if there is one. It must not be proposed: it would be
-// chosen and change nothing, again and again.
+// Check returns an error if replicas would ignore an encoded entry. The caller must not propose such an entry: it would be chosen
+// without effect, and the caller would propose it again.
 func Check(encoded []byte) error {
 	e, err := Decode(encoded)
 	if err != nil {
 		return err
 	}
-	if p, ok := e.Payload.(UsageReport); ok && countBytes(p.Counts) > limits.UsageBytes {
+	if p, ok := e.Payload.(UsageReport); ok && encodedCountsBytes(p.Counts) > limits.UsageBytes {
 		return ErrEntryTooLarge
 	}
 	return nil
 }
 
-// Encode returns the entry as it is proposed, sent and stored. One that exceeds the bounds of Decode is for Check to find.
+// Encode returns the encoded entry that is proposed, sent and stored. It does not enforce the limits of Decode; Check does.
 func (e Entry) Encode() []byte {
 	w := encoding.Writer{}
 	w.Byte(entryVersion)
@@ -104,7 +105,7 @@
 	return w.Buf
 }
 
-// Decode reads an entry. The entry refers to b. The error is ErrUnknownVersion or one of package encoding.
+// Decode decodes an entry, which keeps references to b. The error is ErrUnknownVersion or one of package encoding.
 func Decode(b []byte) (Entry, error) {
 	r := encoding.Reader{Buf: b}
 	if v := r.Byte(); v != entryVersion && r.Err == nil {
@@ -134,11 +135,11 @@
 	return e, nil
 }
 
-// Encode returns the state in the oldest format that holds all of it. An earlier release that does not know the format rejects
-// the state as a whole with ErrUnknownVersion.
+// Encode returns the state in the oldest format that can represent all of it. An earlier release that does not support the
+// format rejects the state with ErrUnknownVersion.
 func (s *State) Encode() []byte { return s.encode(s.version()) }
 
-// version returns the oldest format that holds all of the state.
+// version returns the oldest format that can represent the whole state.
 func (s *State) version() byte {
 	switch {
 	case slices.ContainsFunc(s.UsageWindows, UsageWindow.isLarge), len(s.VoteLosses) > 0:
@@ -149,9 +150,9 @@
 	return firstStateVersion
 }
 
-// EncodeAs returns the state for a reader of formats up to maxVersion, which is at least 1. The first format holds the newest 64
-// configurations of the history alone, and no former members; the first two hold no large usage windows, whose entries change
-// nothing in the releases that write these formats, and no losses of votes.
+// EncodeAs returns the state in a format no newer than maxVersion, which must be at least 1. Format 1 omits former members and all
+// but the newest 64 configurations of the history. Formats 1 and 2 omit vote losses and large usage windows; the releases that
+// write these formats ignore entries with large windows.
 func (s *State) EncodeAs(maxVersion byte) []byte { return s.encode(min(s.version(), maxVersion)) }
 
 func (s *State) encode(version byte) []byte {
@@ -199,8 +200,8 @@
 	return w.Buf
 }
 
-// DecodeState reads a state of any of the formats. The state refers to b. The error is ErrUnknownVersion or one of package
-// encoding.
+// DecodeState decodes a state in any known format. The state keeps references to b. The error is ErrUnknownVersion or one of
+// package encoding.
 func DecodeState(b []byte) (*State, error) {
 	r := encoding.Reader{Buf: b}
 	version := r.Byte()
@@ -287,7 +288,7 @@
 	return history
 }
 
-// writeCompacted writes each revision as its distance from the one before; revisions rise.
+// writeCompacted writes each revision as the difference from the previous one. Revisions are in ascending order.
 func writeCompacted(w *encoding.Writer, history []CompactedConfig) {
 	w.Uvarint(uint64(len(history)))
 	previous := uint64(0)
--- a/internal/control/replog/codec_test.go
+++ b/internal/control/replog/codec_test.go
@@ -32,12 +32,12 @@
 		if e, err := Decode(b); err == nil {
 			again, err := Decode(e.Encode())
 			if err != nil || !cmp.Equal(e, again) {
-				t.Errorf("%+v, %+v, %v", e, again, err)
+				t.Errorf("entry %+v is decoded again as %+v, error %v", e, again, err)
 			}
 		}
 		if s, err := DecodeState(b); err == nil {
 			if again, err := DecodeState(s.Encode()); err != nil || !cmp.Equal(s, again, cmpopts.EquateEmpty()) {
-				t.Errorf("%+v, %+v, %v", s, again, err)
+				t.Errorf("state %+v is decoded again as %+v, error %v", s, again, err)
 			}
 		}
 	})
--- a/internal/control/replog/golden_test.go
+++ b/internal/control/replog/golden_test.go
@@ -9,7 +9,7 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// goldenEntries returns entries of each kind, as they follow each other in a log.
+// goldenEntries returns a log with entries of every kind.
 func goldenEntries() []Entry {
 	members := []Member{{ID: 0x0102030405060708, Name: "k-1", Addr: "10.0.0.1:7000"}, {ID: 2, Name: "k-2", Addr: "10.0.0.2:7000"}}
 	return []Entry{
@@ -24,7 +24,7 @@
 
 var goldenNames = []string{"members", "configuration", "lease-holder", "usage", "no-op", "members-replaced"}
 
-// TestGoldenEntries: each kind of entry has the bytes of its golden file.
+// TestGoldenEntries checks that entries of every kind are encoded as in their golden files.
 func TestGoldenEntries(t *testing.T) {
 	for i, e := range goldenEntries() {
 		t.Run(goldenNames[i], func(t *testing.T) {
@@ -33,7 +33,8 @@
 	}
 }
 
-// TestGoldenStates: the entries of the golden files lead to a known state, which has the bytes of the golden files in both formats.
+// TestGoldenStates checks that the entries of the golden files produce the expected state, and that the state is encoded as in the
+// golden file of each format.
 func TestGoldenStates(t *testing.T) {
 	s := &State{}
 	for i, name := range goldenNames {
@@ -65,7 +66,7 @@
 	golden.Equal(t, "the state", want, s)
 }
 
-// TestGoldenHistory: a state whose history is longer than the first format holds has the bytes of the golden files.
+// TestGoldenHistory checks the encoding of a state whose history exceeds the limit of format 1.
 func TestGoldenHistory(t *testing.T) {
 	s := &State{}
 	s.Apply(Entry{Payload: MembersChange{Members: []Member{{1, "a", "10.0.0.1:1"}}}}.Encode())
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestGoldenLargeUsage: an entry and a state with a large usage window, which are long, have the bytes whose digests the golden
-// file has.
+// TestGoldenLargeUsage checks the encodings of an entry and a state with a large usage window. The golden file has digests of the
+// encodings, which are long.
 func TestGoldenLargeUsage(t *testing.T) {
 	s := &State{}
 	apply(s, MembersChange{[]Member{{1, "k-1", "10.0.0.1:1"}, {2, "k-2", "10.0.0.2:1"}}})
--- a/internal/control/replog/history.go
+++ b/internal/control/replog/history.go
@@ -8,17 +8,17 @@
 	"notchhinge/internal/limits"
 )
 
-// minHistory is how many configurations keep their whole digest at least: as many as the first format of a state holds.
+// minHistory is the minimum number of configurations that keep their whole digest. It is the limit of the first state format.
 const minHistory = 64
 
-// AcceptedConfig identifies a configuration that was accepted.
+// AcceptedConfig identifies an accepted configuration.
 type AcceptedConfig struct {
 	Revision uint64
 	Digest   fleetconfig.Digest
 }
 
-// CompactedConfig identifies one that was accepted longer ago. It has the first 16 bytes of the digest: two configurations
-// with one revision are mistaken for each other with a probability of 2^-128.
+// CompactedConfig identifies an older accepted configuration by the first 16 bytes of its digest. Two different configurations
+// with the same revision collide with a probability of 2^-128.
 type CompactedConfig struct {
 	Revision uint64
 	Digest   [16]byte
@@ -28,8 +28,8 @@
 	return CompactedConfig{Revision: c.Revision, Digest: [16]byte(c.Digest[:16])}
 }
 
-// appendHistory adds a configuration to the history. Once twice minHistory entries are there, the older half is compacted:
-// the compacted list is long and is copied only once in minHistory changes.
+// appendHistory adds a configuration to the history. Once the history has 2*minHistory entries, the older half is compacted.
+// The long compacted list is thus copied only once in minHistory changes.
 func (s *State) appendHistory(c AcceptedConfig) {
 	s.History = append(slices.Clone(s.History), c)
 	if len(s.History) < 2*minHistory {
@@ -42,19 +42,19 @@
 	s.History = slices.Clone(s.History[minHistory:])
 }
 
-// ConfigStatus is how a state receives a configuration.
+// ConfigStatus is the result of State.CheckConfig.
 type ConfigStatus uint8
 
-// The statuses.
+// Values of ConfigStatus.
 const (
-	ConfigAcceptable      ConfigStatus = iota // it may be proposed
-	ConfigAlreadyAccepted                     // it is current, or was at some time
-	ConfigStaleBase                           // its base revision is not the current one
-	ConfigRevisionTooLow                      // its revision is not above the current one
+	ConfigAcceptable      ConfigStatus = iota // the configuration may be proposed
+	ConfigAlreadyAccepted                     // the configuration is or was the current one
+	ConfigStaleBase                           // the base revision is not the current revision
+	ConfigRevisionTooLow                      // the revision is not higher than the current one
 )
 
-// CheckConfig returns the status of a configuration that builds on a base revision. A proposer calls it again after each
-// attempt: that a value was chosen does not mean that it was the proposer's own.
+// CheckConfig returns the status of a configuration that was made from the base revision. A proposer calls it again after each
+// attempt, because the chosen value may be another proposer's.
 func (s *State) CheckConfig(base, revision uint64, d fleetconfig.Digest) ConfigStatus {
 	switch {
 	case s.WasAccepted(revision, d):
@@ -67,8 +67,8 @@
 	return ConfigAcceptable
 }
 
-// WasAccepted reports whether a configuration was accepted under a revision, as far back as the history goes
-// (OldestRevision).
+// WasAccepted reports whether the history contains a configuration with the given revision and digest. It starts at
+// OldestRevision.
 func (s *State) WasAccepted(revision uint64, d fleetconfig.Digest) bool {
 	c := AcceptedConfig{Revision: revision, Digest: d}
 	if slices.Contains(s.History, c) {
@@ -78,8 +78,8 @@
 	return ok && s.CompactedHistory[i] == c.compact()
 }
 
-// OldestRevision returns the first revision of the history, or 0 if no configuration was ever accepted. Whether a lower one
-// was accepted is not known.
+// OldestRevision returns the lowest revision in the history, or 0 if no configuration was ever accepted. The state does not
+// record whether a lower revision was accepted.
 func (s *State) OldestRevision() uint64 {
 	switch {
 	case len(s.CompactedHistory) > 0:
--- a/internal/control/replog/state.go
+++ b/internal/control/replog/state.go
@@ -9,42 +9,42 @@
 	"notchhinge/internal/limits"
 )
 
-// State is the sum of all entries below NextIndex. A copy by assignment is a snapshot: Apply replaces slices and does not
-// write into them.
+// State is the result of applying all entries below NextIndex. A copy by assignment is a snapshot, because Apply replaces
+// slices and never modifies their elements.
 type State struct {
-	NextIndex        uint64   // index of the first entry that is not in it
+	NextIndex        uint64   // index of the first entry that is not applied
 	Members          []Member // the voters
-	Config           []byte   // current configuration, as the operator sent it; nil before the first
+	Config           []byte   // current configuration, as the operator sent it; nil if there is none yet
 	Revision         uint64   // of Config
 	Digest           fleetconfig.Digest
-	ConfigIndex      uint64            // index that accepted Config
-	History          []AcceptedConfig  // newest configurations, oldest first; the last one is the current one
-	CompactedHistory []CompactedConfig // those before them, oldest first
-	LeaseHolder      uint64            // Member.ID; 0 = the lease was never granted
+	ConfigIndex      uint64            // index of the entry that set Config
+	History          []AcceptedConfig  // most recent configurations, oldest first; the last one is current
+	CompactedHistory []CompactedConfig // configurations before History, oldest first
+	LeaseHolder      uint64            // Member.ID; 0 if the lease was never granted
 	LeaseHolderName  string
-	FencingToken     uint64        // index of the grant
-	UsageWindows     []UsageWindow // newest ones, by number
-	FormerMembers    []string      // names that once had a vote and have none now, latest removal last
-	VoteLosses       []VoteLoss    // of the last limits.RemovalRetryEntries entries, latest last; who lost a vote may have one again
+	FencingToken     uint64        // index of the entry that granted the lease
+	UsageWindows     []UsageWindow // most recent windows, sorted by number
+	FormerMembers    []string      // names of members that are no longer voters, latest removal last
+	VoteLosses       []VoteLoss    // within the last limits.RemovalRetryEntries entries, latest last; a listed member may be a voter again
 }
 
-// VoteLoss is the loss of a member's vote, by an operator's call or to a member that replaced it.
+// VoteLoss records that a member stopped being a voter: an operator removed it, or another member replaced it.
 type VoteLoss struct {
 	Name  string
-	Index uint64 // of the entry
+	Index uint64 // index of the MembersChange entry
 }
 
-// UsageWindow is a usage window whose counts are agreed.
+// UsageWindow is a usage window whose counts were recorded by an entry.
 type UsageWindow struct {
 	Number uint64
 	Counts []TenantCount
 }
 
-// isLarge reports whether the window has more tenants than earlier releases take.
-func (x UsageWindow) isLarge() bool { return len(x.Counts) > maxCounts }
+// isLarge reports whether the window has more tenants than earlier releases accept.
+func (w UsageWindow) isLarge() bool { return len(w.Counts) > maxCounts }
 
-// countBytes is what counts take in an encoded entry or state.
-func countBytes(counts []TenantCount) (bytes int) {
+// encodedCountsBytes returns the encoded size of counts, without their length prefix.
+func encodedCountsBytes(counts []TenantCount) (bytes int) {
 	for i := range counts {
 		c := &counts[i]
 		bytes += encoding.UvarintBytes(uint64(len(c.Tenant))) + len(c.Tenant) + encoding.UvarintBytes(c.Requests)
@@ -53,16 +53,15 @@
 }
 
 const (
-	maxFormerMembers = 64 // as many as an entry can name members
+	maxFormerMembers = 64 // maximum number of members in an entry
 	maxVoteLosses    = 64
-	maxUsageWindows  = 24 // a new lease holder reports again those that the previous one could not
+	maxUsageWindows  = 24 // a new lease holder reports the windows that the previous one could not
 )
 
-// Apply adds the entry at NextIndex. An entry that cannot be decoded, or whose condition fails, changes nothing but
-// NextIndex.
+// Apply applies the entry at NextIndex. An entry that cannot be decoded, or whose condition fails, changes only NextIndex.
 //
-// Every replica must come to the same state, those of an earlier version included. Whether a configuration makes sense is
-// therefore checked by its proposer alone: were it checked here, a stricter version would diverge from a more lenient one.
+// Replicas at different versions must derive the same state. Only the proposer therefore validates the content of a
+// configuration: if Apply did, versions with different rules would diverge.
 func (s *State) Apply(value []byte) {
 	index := s.NextIndex
 	s.NextIndex++
@@ -94,32 +93,32 @@
 	s.LeaseHolder, s.LeaseHolderName, s.FencingToken = p.HolderID, p.HolderName, index
 }
 
-// apply ignores a window that is agreed or older than all that are kept: it may have been agreed and dropped.
+// apply ignores a window that is already recorded, or older than all kept windows: it may have been recorded and dropped.
 func (p UsageReport) apply(s *State, _ uint64) {
 	if s.AgreedUsage(p.Window) != nil || s.IsUsageTooOld(p.Window) {
 		return
 	}
 	windows := append(slices.Clone(s.UsageWindows), UsageWindow{Number: p.Window, Counts: p.Counts})
 	slices.SortFunc(windows, func(x, y UsageWindow) int { return cmp.Compare(x.Number, y.Number) })
-	s.UsageWindows = boundWindows(newest(windows, maxUsageWindows))
+	s.UsageWindows = limitWindowBytes(newest(windows, maxUsageWindows))
 }
 
-// boundWindows drops the oldest windows while the counts take more than limits.UsageBytes, so that a state can be sent as one
-// message. It leaves the newest one, and windows among which none is large, which earlier releases keep as well.
-func boundWindows(windows []UsageWindow) []UsageWindow {
+// limitWindowBytes drops the oldest windows while the counts exceed limits.UsageBytes, so that a state fits into one message.
+// It always keeps the newest window, and stops once no remaining window is large, because earlier releases keep those windows.
+func limitWindowBytes(windows []UsageWindow) []UsageWindow {
 	bytes := 0
 	for i := range windows {
-		bytes += countBytes(windows[i].Counts)
+		bytes += encodedCountsBytes(windows[i].Counts)
 	}
 	for len(windows) > 1 && bytes > limits.UsageBytes && slices.ContainsFunc(windows, UsageWindow.isLarge) {
-		bytes -= countBytes(windows[0].Counts)
+		bytes -= encodedCountsBytes(windows[0].Counts)
 		windows = windows[1:]
 	}
 	return windows
 }
 
-// setMembers replaces the voters and keeps the names of those that lose their vote, so that a repeated request to remove one
-// is recognised as done.
+// setMembers replaces the voters and records the names of the removed ones, so that a repeated request to remove a member is
+// recognised as already done.
 func (s *State) setMembers(members []Member) {
 	hasName := func(members []Member, name string) bool {
 		return slices.ContainsFunc(members, func(m Member) bool { return m.Name == name })
@@ -136,9 +135,9 @@
 	s.FormerMembers, s.Members = former, members
 }
 
-// recordVoteLosses notes who loses its vote, and forgets losses that no call is retried for any more.
+// recordVoteLosses records the voters that are not among members, and drops losses for which removals are no longer retried.
 func (s *State) recordVoteLosses(members []Member, index uint64) {
-	losses := slices.DeleteFunc(slices.Clone(s.VoteLosses), func(l VoteLoss) bool { return l.isForgotten(index) })
+	losses := slices.DeleteFunc(slices.Clone(s.VoteLosses), func(l VoteLoss) bool { return l.isExpired(index) })
 	for _, old := range s.Members {
 		if !slices.ContainsFunc(members, func(m Member) bool { return m.ID == old.ID }) {
 			losses = append(losses, VoteLoss{Name: old.Name, Index: index})
@@ -149,15 +148,15 @@
 	}
 }
 
-func (l VoteLoss) isForgotten(index uint64) bool { return index-l.Index > limits.RemovalRetryEntries }
+func (l VoteLoss) isExpired(index uint64) bool { return index-l.Index > limits.RemovalRetryEntries }
 
-// HasLostVote reports whether a member of a name lost its vote within the last limits.RemovalRetryEntries entries. It may have one
-// again: a replica that runs takes the place of one that has failed.
+// HasLostVote reports whether the member with the given name stopped being a voter within the last limits.RemovalRetryEntries
+// entries. It may be a voter again, because a running replica replaces a failed voter.
 func (s *State) HasLostVote(name string) bool {
-	return slices.ContainsFunc(s.VoteLosses, func(l VoteLoss) bool { return l.Name == name && !l.isForgotten(s.NextIndex) })
+	return slices.ContainsFunc(s.VoteLosses, func(l VoteLoss) bool { return l.Name == name && !l.isExpired(s.NextIndex) })
 }
 
-// Member returns the voter with an id, or nil.
+// Member returns the voter with the given ID, or nil.
 func (s *State) Member(id uint64) *Member {
 	for i := range s.Members {
 		if s.Members[i].ID == id {
@@ -167,7 +166,7 @@
 	return nil
 }
 
-// AgreedUsage returns a usage window whose counts are agreed and still kept, or nil.
+// AgreedUsage returns the usage window with the given number, or nil if it was not recorded or is no longer kept.
 func (s *State) AgreedUsage(number uint64) *UsageWindow {
 	for i := range s.UsageWindows {
 		if s.UsageWindows[i].Number == number {
@@ -177,10 +176,10 @@
 	return nil
 }
 
-// IsUsageTooOld reports whether a usage window is older than all that are kept, so that its counts cannot be agreed any more.
+// IsUsageTooOld reports whether a usage window is older than all kept windows, so that its counts can no longer be recorded.
 func (s *State) IsUsageTooOld(number uint64) bool {
 	return len(s.UsageWindows) > 0 && number < s.UsageWindows[0].Number
 }
 
-// newest returns the last n elements of a list, or all if there are fewer.
+// newest returns the last n elements of list, or all of them if there are fewer.
 func newest[T any](list []T, n int) []T { return list[max(len(list)-n, 0):] }
--- a/internal/control/replog/state_test.go
+++ b/internal/control/replog/state_test.go
@@ -18,10 +18,10 @@
 	"notchhinge/internal/limits"
 )
 
-// encodedConfig returns a configuration of a revision, without routes, as an operator sends it.
+// encodedConfig returns an encoded configuration with the given revision and no routes.
 func encodedConfig(t testing.TB, revision int) []byte {
 	t.Helper()
-	b, err := cbor.Marshal(struct { // fields in this order; a map would be encoded in another one each time
+	b, err := cbor.Marshal(struct { // a struct, because the order of encoded map entries is random
 		Revision int   `cbor:"revision"`
 		Routes   []any `cbor:"routes"`
 		Services []any `cbor:"services"`
@@ -32,7 +32,7 @@
 	return b
 }
 
-// apply applies an entry with a payload.
+// apply applies an entry with payload p to s.
 func apply(s *State, p Payload) { s.Apply(Entry{Payload: p}.Encode()) }
 
 func TestStateIsTheSumOfItsEntries(t *testing.T) {
@@ -41,12 +41,12 @@
 	for _, p := range []Payload{
 		MembersChange{members},
 		ConfigChange{0, encodedConfig(t, 3)},
-		ConfigChange{0, encodedConfig(t, 4)}, // lost its race
-		ConfigChange{3, encodedConfig(t, 3)}, // its revision is not above the current one
+		ConfigChange{0, encodedConfig(t, 4)}, // its base revision is not the current one
+		ConfigChange{3, encodedConfig(t, 3)}, // its revision is not higher than the current one
 		ConfigChange{3, []byte{0xff}},        // cannot be decoded
 		LeaseGrant{2, "b"},
 		UsageReport{9, []TenantCount{{"k", 5}}},
-		UsageReport{9, []TenantCount{{"k", 6}}}, // the first report stands
+		UsageReport{9, []TenantCount{{"k", 6}}}, // a repeated report is ignored
 		ConfigChange{3, encodedConfig(t, 8)},
 		Noop{},
 	} {
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestLookupsFindWhatIsThere(t *testing.T) {
+func TestLookupsReturnOnlyExistingElements(t *testing.T) {
 	s := State{
 		Members:      []Member{{1, "a", "10.0.0.1:1"}, {3, "c", "10.0.0.3:1"}},
 		UsageWindows: []UsageWindow{{9, []TenantCount{{"k", 5}}}},
@@ -85,7 +85,7 @@
 		t.Errorf("window 9 is %+v, window 8 %+v", w, s.AgreedUsage(8))
 	}
 	if !s.WasAccepted(3, fleetconfig.Digest{1}) || s.WasAccepted(4, fleetconfig.Digest{1}) || s.WasAccepted(3, fleetconfig.Digest{2}) {
-		t.Error("revision 3 was accepted with the first digest, and nothing else with it")
+		t.Error("WasAccepted must return true only for revision 3 with digest 1")
 	}
 }
 
@@ -99,13 +99,13 @@
 	if len(s.UsageWindows) != maxUsageWindows || len(s.History) != minHistory+500%minHistory || s.Revision != 500 || len(s.Encode()) > 16<<10 {
 		t.Errorf("%d windows, %d configurations, %d bytes", len(s.UsageWindows), len(s.History), len(s.Encode()))
 	}
-	// A window older than all that are kept must not be agreed a second time.
+	// A window older than all kept windows must not be recorded a second time.
 	if apply(s, UsageReport{3, []TenantCount{{"k", 99}}}); s.AgreedUsage(3) != nil {
-		t.Error("a window that was agreed and dropped is agreed again")
+		t.Error("a window that was recorded and dropped is recorded again")
 	}
 }
 
-// TestCopiesOfAStateDoNotChange: a state is handed out as a copy while entries are applied to it.
+// TestCopiesOfAStateDoNotChange checks that Apply does not modify earlier copies of a state.
 func TestCopiesOfAStateDoNotChange(t *testing.T) {
 	s := State{}
 	for _, window := range []uint64{9, 5, 7, 3} {
@@ -119,38 +119,38 @@
 		want := fmt.Sprint(numbers())
 		apply(&s, UsageReport{window, []TenantCount{{"k", window}}})
 		if got := fmt.Sprint(numbers()); got != want {
-			t.Errorf("windows of a copy were %s, and are %s", want, got)
+			t.Errorf("windows of a copy changed from %s to %s", want, got)
 		}
 	}
 }
 
-// TestVoteLossesAreKnownForAWhile: that a member lost its vote, to nobody or to another, is known also once it has a vote again and
-// after the state was read back, until so many entries later.
-func TestVoteLossesAreKnownForAWhile(t *testing.T) {
+// TestVoteLossesAreKeptForRetries checks that the removal or replacement of a voter is kept for limits.RemovalRetryEntries entries,
+// also after the member is a voter again and after the state was encoded and decoded.
+func TestVoteLossesAreKeptForRetries(t *testing.T) {
 	s := &State{}
 	member := func(i int) Member { return Member{ID: uint64(i + 1), Name: fmt.Sprint("k-", i), Addr: "x"} }
 	apply(s, MembersChange{[]Member{member(0), member(1), member(2)}})
 	apply(s, MembersChange{[]Member{member(0), member(1)}})            // 2 is removed
 	apply(s, MembersChange{[]Member{member(0), member(2)}})            // 1 is replaced
-	apply(s, MembersChange{[]Member{member(0), member(1), member(2)}}) // and both have a vote
+	apply(s, MembersChange{[]Member{member(0), member(1), member(2)}}) // both are voters again
 	got, err := DecodeState(s.Encode())
 	if diff := cmp.Diff(s, got, cmpopts.EquateEmpty()); diff != "" || err != nil {
 		t.Fatalf("%v (-want +got):\n%s", err, diff)
 	}
 	if !got.HasLostVote("k-2") || !got.HasLostVote("k-1") || got.HasLostVote("k-0") {
-		t.Errorf("losses %+v", got.VoteLosses)
+		t.Errorf("vote losses %+v, want those of k-1 and k-2", got.VoteLosses)
 	}
 	if earlier, err := DecodeState(got.EncodeAs(secondStateVersion)); err != nil || len(earlier.VoteLosses) > 0 || len(earlier.Members) != 3 {
-		t.Errorf("for readers of the second format: %v, %+v", err, earlier)
+		t.Errorf("decoded from format 2: error %v, state %+v", err, earlier)
 	}
 	for range limits.RemovalRetryEntries {
 		apply(got, Noop{})
 	}
 	if got.HasLostVote("k-1") || got.HasLostVote("k-2") {
-		t.Error("a loss is known for good")
+		t.Error("vote losses are reported after limits.RemovalRetryEntries entries")
 	}
 	if apply(got, MembersChange{got.Members}); len(got.VoteLosses) > 0 {
-		t.Errorf("losses %+v are kept", got.VoteLosses)
+		t.Errorf("expired vote losses are kept: %+v", got.VoteLosses)
 	}
 }
 
@@ -169,12 +169,12 @@
 	}
 	got, err := DecodeState(s.Encode())
 	if err != nil || len(got.FormerMembers) != maxFormerMembers || got.FormerMembers[maxFormerMembers-1] != "k-198" {
-		t.Errorf("%d names, %v", len(got.FormerMembers), err)
+		t.Errorf("%d names, error %v", len(got.FormerMembers), err)
 	}
 }
 
-// TestFirstFormatIsReadAndWrittenUnchanged reads a state of the program that kept 64 configurations of the history: 70 were
-// accepted, with odd revisions. What the state holds is written byte for byte as that program writes it.
+// TestFirstFormatIsReadAndWrittenUnchanged reads a state from a release that kept 64 configurations of the history. That release
+// had accepted 70 configurations with odd revisions. The state must be encoded to the same bytes again.
 func TestFirstFormatIsReadAndWrittenUnchanged(t *testing.T) {
 	b, err := os.ReadFile("testdata/state.v1")
 	if err != nil {
@@ -185,18 +185,18 @@
 		t.Fatalf("%v: %+v", err, s)
 	}
 	if !bytes.Equal(s.Encode(), b) || !bytes.Equal(s.EncodeAs(StateVersion), b) {
-		t.Error("encoded again, it differs")
+		t.Error("the state is encoded to different bytes")
 	}
 	_, d, _ := fleetconfig.DecodeWithDigest(encodedConfig(t, 13))
-	for n := 141; n < 341; n += 2 { // and continues
+	for n := 141; n < 341; n += 2 {
 		apply(s, ConfigChange{s.Revision, encodedConfig(t, n)})
 	}
 	if !s.WasAccepted(13, d) || s.Encode()[0] != secondStateVersion {
-		t.Error("the history of the earlier program is lost")
+		t.Error("the history of the earlier release is lost")
 	}
 }
 
-// tenantCounts returns the counts of a window with so many tenants.
+// tenantCounts returns the counts of a window with the given number of tenants.
 func tenantCounts(tenants int) []TenantCount {
 	counts := make([]TenantCount, tenants)
 	for i := range counts {
@@ -205,8 +205,8 @@
 	return counts
 }
 
-// TestLargeUsageWindows: windows of up to 65,536 tenants are agreed, and survive the state's encoding. Readers of earlier formats
-// get the state without them.
+// TestLargeUsageWindows checks that windows of up to 65,536 tenants are recorded and encoded, and that earlier formats omit the
+// large ones.
 func TestLargeUsageWindows(t *testing.T) {
 	s := &State{}
 	for number, tenants := range []int{maxCounts, maxCounts + 1, 16_384, maxLargeCounts} {
@@ -216,7 +216,7 @@
 			t.Fatalf("%d tenants: %v", tenants, err)
 		}
 		if s.Apply(encoded); len(s.AgreedUsage(p.Window).Counts) != tenants {
-			t.Fatalf("%d tenants: another window is agreed", tenants)
+			t.Fatalf("%d tenants: the recorded window has another number of tenants", tenants)
 		}
 		got, err := DecodeState(s.Encode())
 		if diff := cmp.Diff(s, got, cmpopts.EquateEmpty()); diff != "" || err != nil {
@@ -224,17 +224,17 @@
 		}
 	}
 	if len(s.UsageWindows) != 4 || s.Encode()[0] != StateVersion {
-		t.Errorf("%d windows, format %d", len(s.UsageWindows), s.Encode()[0])
+		t.Errorf("%d windows, encoded in format %d", len(s.UsageWindows), s.Encode()[0])
 	}
 	for _, version := range []byte{firstStateVersion, secondStateVersion} {
 		b := s.EncodeAs(version)
 		if got, err := DecodeState(b); err != nil || b[0] > version || len(got.UsageWindows) != 1 || got.NextIndex != s.NextIndex {
-			t.Errorf("for readers of format %d: %v, format %d, %+v", version, err, b[0], got)
+			t.Errorf("EncodeAs(%d): error %v, format %d, state %+v", version, err, b[0], got)
 		}
 	}
 }
 
-// TestUsageWindowsAreBounded: the windows that a state keeps are bounded in bytes, and the newest ones stay.
+// TestUsageWindowsAreBounded checks that the size of the kept windows is bounded and that the newest windows are kept.
 func TestUsageWindowsAreBounded(t *testing.T) {
 	const last = 12
 	s := &State{}
@@ -243,12 +243,12 @@
 	}
 	n := len(s.Encode())
 	if n > limits.UsageBytes+1000 || s.AgreedUsage(last) == nil || s.AgreedUsage(last-4) == nil || !s.IsUsageTooOld(0) {
-		t.Errorf("%d bytes, %d windows", n, len(s.UsageWindows))
+		t.Errorf("encoded in %d bytes, with %d windows", n, len(s.UsageWindows))
 	}
 }
 
-// TestCheckFindsWhatReplicasWouldIgnore: an entry of each kind that exceeds a bound of its decoder is found before it is proposed.
-func TestCheckFindsWhatReplicasWouldIgnore(t *testing.T) {
+// TestCheckRejectsEntriesThatReplicasWouldIgnore checks that Check rejects entries of every kind that exceed a limit of Decode.
+func TestCheckRejectsEntriesThatReplicasWouldIgnore(t *testing.T) {
 	long := strings.Repeat("x", maxNameBytes+1)
 	for name, c := range map[string]struct {
 		payload Payload
@@ -270,6 +270,6 @@
 		}
 	}
 	if err := Check([]byte{entryVersion, 99, 0, 0, 0, 0, 0, 0, 0, 0}); !errors.Is(err, ErrUnknownVersion) {
-		t.Errorf("an unknown kind: %v", err)
+		t.Errorf("an unknown kind: error %v, want ErrUnknownVersion", err)
 	}
 }
