--- a/internal/control/singleton/answer.go
+++ b/internal/control/singleton/answer.go
@@ -9,10 +9,10 @@
 	"notchhinge/internal/control/usage"
 )
 
-// callHandler answers a call of another process.
+// callHandler returns the response to a call from another process.
 type callHandler func(c *Controller, body []byte) ([]byte, error)
 
-// callHandlers answer the calls that singleton roles own.
+// callHandlers has a handler for each kind of call that belongs to the singleton roles.
 var callHandlers = rpc.Handlers[callHandler]{
 	rpc.KindUsageReport:    (*Controller).answerReport,
 	rpc.KindUsageTable:     (*Controller).answerTable,
@@ -20,7 +20,7 @@
 	rpc.KindCheckCandidacy: (*Controller).answerCandidacy,
 }
 
-// answer answers a call of another process.
+// answer returns the response to a call from another process.
 func (c *Controller) answer(kind rpc.Kind, body []byte) ([]byte, error) {
 	handle, err := callHandlers.Lookup(kind)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return handle(c, body)
 }
 
-// answerTable answers another voter with the counters of a range of windows.
+// answerTable returns the counters of a range of windows to another voter.
 func (c *Controller) answerTable(body []byte) ([]byte, error) {
 	r := encoding.Reader{Buf: body}
 	from, to := r.Uvarint(), r.Uvarint()
@@ -39,37 +39,38 @@
 	return c.table.Encode(from, to), nil
 }
 
-// answerRenewal grants the holder its lease, or does not.
+// answerRenewal grants or rejects the renewal of a lease.
 func (c *Controller) answerRenewal(body []byte) ([]byte, error) {
-	q, err := lease.DecodeRenewal(body, lease.HashVoters(c.state.Members))
+	request, err := lease.DecodeRenewal(body, lease.HashVoters(c.state.Members))
 	if err != nil {
 		return nil, err
 	}
-	return lease.EncodeResponse(c.grant(q)), nil
+	return lease.EncodeResponse(c.grant(request)), nil
 }
 
-// answerCandidacy says whether a voter may stand for the lease.
+// answerCandidacy permits or rejects a voter's candidacy for the lease.
 func (c *Controller) answerCandidacy(body []byte) ([]byte, error) {
-	q, err := lease.DecodeCandidacy(body)
+	request, err := lease.DecodeCandidacy(body)
 	if err != nil {
 		return nil, err
 	}
-	return lease.EncodeResponse(c.permits(q)), nil
+	return lease.EncodeResponse(c.permits(request)), nil
 }
 
-// answerReport takes in a router's report.
+// answerReport records a router's usage report.
 func (c *Controller) answerReport(body []byte) ([]byte, error) {
-	p, err := usage.DecodeReport(body)
+	report, err := usage.DecodeReport(body)
 	if err != nil {
 		return nil, err
 	}
-	c.table.Record(c.now, p)
+	c.table.Record(c.now, report)
 	ack := usage.Ack{TableID: c.cfg.Incarnation, Routers: uint64(c.liveRouters())}
 	return ack.Encode(), nil
 }
 
-// liveRouters counts the incarnations of routers that share the retry budget. Only the holder counts them, and only once it
-// has heard from all that may have used their share within a window, which holds at once for the first holder ever. 0 = not known.
+// liveRouters returns the number of router incarnations that share the retry budget, or 0 if it is unknown. Only the holder
+// returns a number. It waits for RouterWindow after its election, so that every router that used its share within that time has
+// reported. The first holder of the fleet does not wait.
 func (c *Controller) liveRouters() int {
 	if _, ok := c.callTimeout(); !ok || c.now-c.holderSeenAt < c.cfg.RouterWindow && !c.isFirstHolder {
 		return 0
--- a/internal/control/singleton/controller.go
+++ b/internal/control/singleton/controller.go
@@ -14,40 +14,42 @@
 	"notchhinge/internal/limits"
 )
 
-// Config is what a Controller is made with.
+// Config configures a Controller.
 type Config struct {
 	Self          replog.Member
-	Incarnation   uint64 // of this process; it also identifies the usage table
-	NeverGranted  bool   // nobody can have been granted a lease before this start
+	Incarnation   uint64 // of this process; also the ID of its usage table
+	NeverGranted  bool   // no lease can have been granted before this process started
 	LeaseDuration time.Duration
-	// CandidacyDelay is added to the time without a holder after which this voter stands, so that not all stand at once.
+	// CandidacyDelay is added to the time without a holder after which this voter becomes a candidate. It should differ between
+	// voters, so that they do not become candidates simultaneously.
 	CandidacyDelay time.Duration
 
 	ReportsUsage bool
-	UsageWindow  time.Duration // length of a window
-	UsageDelay   time.Duration // a window is due so long after its end
-	// RouterWindow is for how long a router counts as live after a report. A holder of less than that does not say how many
-	// routers there are.
+	UsageWindow  time.Duration // length of a usage window
+	UsageDelay   time.Duration // a window is due three tenths of it after the end of the window
+	// RouterWindow is how long a router counts as live after a report. A new holder does not report the number of routers until
+	// this time has passed.
 	RouterWindow time.Duration
 
 	ScalesEngines bool
-	// Services returns the services whose engines are scaled, as they are now.
+	// Services returns the current services whose engines are scaled.
 	Services func() []autoscale.Service
 
 	// Peers returns the addresses of the other replicas.
 	Peers func() []netip.AddrPort
-	// MembershipPending reports whether a change of members has been accepted here that may have been chosen already. nil = never.
+	// MembershipPending reports whether this replica has accepted a change of members that may already be chosen. If it is nil,
+	// there is never such a change.
 	MembershipPending func() bool
 }
 
-// Controller is a voter's part in the singleton roles. It is not safe for concurrent use.
+// Controller runs one voter's share of the singleton roles. It is not safe for concurrent use.
 type Controller struct {
 	cfg Config
-	rnd *rand.Rand // nonces of proposals
+	rnd *rand.Rand // for the nonces of proposals
 
 	now     time.Duration // steady clock
 	wall    time.Time
-	state   replog.State // the newest that is known
+	state   replog.State // the newest known state
 	effects []Effect
 
 	calls    map[CallID]func(body []byte, err error)
@@ -55,23 +57,23 @@
 
 	grants          lease.Grants
 	holder          lease.Holder
-	poll            *poll           // the newest one
-	fencingToken    uint64          // of the newest holder that is known
-	holderSeenAt    time.Duration   // when that holder became known
-	isFirstHolder   bool            // this voter is the first holder that the fleet ever had
-	onComplete      func(err error) // continues what is in flight: a proposal or a platform call; nil = nothing is
-	pausedUntilTick bool            // a role has failed; nothing is begun before the next tick
+	poll            *poll           // the current poll; verdicts on earlier ones are ignored
+	fencingToken    uint64          // of the newest known holder
+	holderSeenAt    time.Duration   // when this voter learned of that holder
+	isFirstHolder   bool            // this voter is the first holder of the fleet
+	onComplete      func(err error) // continuation of the proposal or platform call in flight; nil if there is none
+	pausedUntilTick bool            // a role failed; roles do nothing until the next tick
 
 	table           usage.Table
-	finishedWindows map[uint64]bool // reported by this process, or given up
-	tablesRequested bool            // from the peers, since the last tick
-	tablesPending   int             // peers that have not answered
+	finishedWindows map[uint64]bool // windows that this process has reported or abandoned
+	tablesRequested bool            // the tables of the peers were requested since the last tick
+	tablesPending   int             // peers that have not responded
 
 	planner        *autoscale.Planner
-	pendingTargets []autoscale.Target // to be ordered
+	pendingTargets []autoscale.Target // not yet sent to the platform
 }
 
-// New returns the Controller of a process that starts now.
+// New returns a Controller. The argument now is the steady clock at the start of the process.
 func New(now time.Duration, cfg Config) *Controller {
 	return &Controller{
 		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Incarnation, cfg.Self.ID)),
@@ -83,8 +85,8 @@
 	}
 }
 
-// Reduce takes in an event, given the steady clock, the time of day and the newest state that is known here. The effects are
-// valid until the next call.
+// Reduce handles an event, given the steady clock, the time of day and the newest known state. The returned effects are valid
+// until the next call of Reduce.
 func (c *Controller) Reduce(now time.Duration, wall time.Time, s *replog.State, e Event) []Effect {
 	c.now, c.wall = max(c.now, now), wall
 	c.updateState(s)
@@ -96,7 +98,7 @@
 	case CallReceived:
 		body, err := c.answer(e.Kind, e.Body)
 		c.emit(SendReply{Body: body, Err: err})
-		return c.effects // every router calls twice a second: the roles go on with the ticks
+		return c.effects // every router calls twice a second; the roles continue with the next tick
 	case CallReturned:
 		if onReturn := c.calls[e.ID]; onReturn != nil {
 			delete(c.calls, e.ID)
@@ -111,8 +113,8 @@
 	return c.effects
 }
 
-// updateState takes in the newest state. A voter that has just become one grants nothing for the length of a lease: the members
-// that it came in place of may have granted one.
+// updateState replaces the known state with a newer one. A new voter grants no lease for one LeaseDuration, because the voter that
+// it replaces may have granted one.
 func (c *Controller) updateState(s *replog.State) {
 	if s.NextIndex < c.state.NextIndex {
 		return
@@ -126,7 +128,7 @@
 
 func (c *Controller) isVoter() bool { return c.state.Member(c.cfg.Self.ID) != nil }
 
-// tick does what is due twice a second.
+// tick performs the periodic work: expiry of usage windows, election and lease renewal.
 func (c *Controller) tick() {
 	c.table.DropBefore(c.now, c.oldestWindow())
 	c.pausedUntilTick, c.tablesRequested = false, c.tablesPending > 0
@@ -139,14 +141,14 @@
 		c.fencingToken, c.holderSeenAt = s.FencingToken, c.now
 	}
 	if s.LeaseHolder != c.cfg.Self.ID {
-		c.pendingTargets = nil // the holder computes its own
-		c.stand()
+		c.pendingTargets = nil // only the holder sends targets
+		c.campaign()
 		return
 	}
 	c.renew()
 }
 
-// runRoles begins the next thing that the holder has to do, if nothing is in flight.
+// runRoles starts the next proposal or platform call of the holder, unless one is in flight.
 func (c *Controller) runRoles() {
 	if _, ok := c.callTimeout(); !ok || c.onComplete != nil || c.tablesPending > 0 || c.pausedUntilTick {
 		return
@@ -159,7 +161,7 @@
 	}
 }
 
-// complete continues what was in flight.
+// complete passes the result of the proposal or platform call in flight to its continuation.
 func (c *Controller) complete(err error) {
 	if onComplete := c.onComplete; onComplete != nil {
 		c.onComplete = nil
@@ -167,13 +169,13 @@
 	}
 }
 
-// propose has what next returns chosen.
+// propose emits a Propose for next. onComplete handles its result.
 func (c *Controller) propose(next func(*replog.State) []byte, onComplete func(err error)) {
 	c.onComplete = onComplete
 	c.emit(Propose{Next: next, Timeout: limits.OperatorCallTimeout})
 }
 
-// call calls another process.
+// call emits a SendCall. onReturn handles its result.
 func (c *Controller) call(to netip.AddrPort, kind rpc.Kind, body []byte, onReturn func(body []byte, err error)) {
 	c.lastCall++
 	c.calls[c.lastCall] = onReturn
--- a/internal/control/singleton/controller_test.go
+++ b/internal/control/singleton/controller_test.go
@@ -17,13 +17,13 @@
 
 const sec = time.Second
 
-// harness is the Controller of the first of three members, whose effects a test answers by hand.
+// harness runs the Controller of the first of three members. A test supplies the results of its effects.
 type harness struct {
 	*Controller
 	now      time.Duration
 	state    replog.State
 	calls    []SendCall
-	sent     []string // to the platform
+	sent     []string // calls to the platform
 	proposed func(*replog.State) []byte
 }
 
@@ -59,7 +59,7 @@
 	}
 }
 
-// call returns the answer to a call.
+// call returns the response to a call.
 func (h *harness) call(t *testing.T, kind rpc.Kind, body []byte) SendReply {
 	t.Helper()
 	for _, f := range h.Reduce(h.now, h.wall(), &h.state, CallReceived{Kind: kind, Body: body}) {
@@ -67,18 +67,18 @@
 			return r
 		}
 	}
-	t.Fatal("no answer")
+	t.Fatal("no SendReply")
 	return SendReply{}
 }
 
-// isGranted reports whether a call is answered by a grant.
+// isGranted reports whether a request is granted.
 func (h *harness) isGranted(t *testing.T, kind rpc.Kind, body []byte) bool {
 	t.Helper()
 	r := h.call(t, kind, body)
 	return r.Err == nil && lease.IsGranted(r.Body)
 }
 
-// choose has what is proposed chosen.
+// choose completes the pending proposal and applies its value.
 func (h *harness) choose() {
 	if next := h.proposed; next != nil {
 		h.proposed = nil
@@ -89,7 +89,7 @@
 	}
 }
 
-// grant has so many of the others grant what was asked of them, and the rest reject it.
+// grant makes the first n of the other voters grant the pending requests, and the rest reject them.
 func (h *harness) grant(n int) {
 	calls := h.calls
 	h.calls = nil
@@ -105,23 +105,23 @@
 	h.reduce(Tick{})
 }
 
-// elect has the Controller agreed as the holder, without a lease yet.
+// elect makes the Controller the holder, without a lease yet.
 func (h *harness) elect(t *testing.T) {
 	t.Helper()
 	h.advance(sec)
 	if h.grant(0); h.proposed != nil {
-		t.Fatal("it stands though others' leases may be in the way")
+		t.Fatal("it is proposed without permission from a majority")
 	}
 	h.advance(sec)
 	h.grant(1)
 	h.choose()
 	if h.state.LeaseHolder != 1 || len(h.calls) != 2 || len(h.sent) != 0 {
-		t.Fatalf("holder %d, %d calls, sent %v", h.state.LeaseHolder, len(h.calls), h.sent)
+		t.Fatalf("holder %d, %d calls, platform calls %v", h.state.LeaseHolder, len(h.calls), h.sent)
 	}
 }
 
-// TestPlatformIsCalledOnlyUnderALease: nothing goes to the platform except under a lease that a majority has granted; one call
-// at a time; and what was agreed is sent, again until it is taken.
+// TestPlatformIsCalledOnlyUnderALease checks that the platform is called only under a lease that a majority has granted, with one
+// call at a time, and that committed counts are sent unchanged until the platform accepts them.
 func TestPlatformIsCalledOnlyUnderALease(t *testing.T) {
 	h := newHarness()
 	counters := usage.Counters{}
@@ -131,16 +131,16 @@
 	expect := func(when, want string) {
 		t.Helper()
 		if got := fmt.Sprint(h.sent); got != want {
-			t.Fatalf("%s %v is sent, want %v", when, got, want)
+			t.Fatalf("%s: platform calls %v, want %v", when, got, want)
 		}
 	}
 	report()
 	h.elect(t)
 	h.grant(0)
 	h.advance(sec / 2)
-	expect("without a majority's grant", "[]")
+	expect("without a majority", "[]")
 	h.grant(1)
-	expect("with it", "[scale 1y5]") // 10 running, 1.24 an engine: 9, 5 of them in the first zone
+	expect("with a majority", "[scale 1y5]") // 10 running at 1.24 per engine: 9 engines, 5 of them in the first zone
 	h.advance(sec / 2)
 	h.grant(2)
 	expect("while a call is in flight", "[scale 1y5]")
@@ -150,57 +150,57 @@
 	report()
 	h.advance(sec / 2)
 	h.grant(2)
-	expect("of two targets, one of which was not taken,", "[scale 1z4]")
+	expect("after one of two targets was rejected", "[scale 1z4]")
 	h.reduce(PlatformAnswered{})
-	for range 20 { // until the window is over for long enough
+	for range 20 { // until the window is due
 		h.advance(sec / 2)
 		h.grant(2)
 	}
 	h.choose()
 	if len(h.sent) == 0 || h.sent[len(h.sent)-1] != "usage 1 map[t:4]" {
-		t.Fatalf("sent %v", h.sent)
+		t.Fatalf("platform calls %v, want the usage window last", h.sent)
 	}
-	counters.Add(usage.WindowAt(h.wall(), 5*sec)-2, "t", 1) // a report of it that comes too late changes nothing
+	counters.Add(usage.WindowAt(h.wall(), 5*sec)-2, "t", 1) // a late report of the window changes nothing
 	report()
 	h.reduce(PlatformAnswered{Err: errors.New("lost")})
 	h.sent = nil
 	h.grant(2)
-	expect("at once after an error", "[]")
+	expect("immediately after an error", "[]")
 	h.advance(sec / 2)
-	expect("after an error", "[usage 1 map[t:4]]")
+	expect("at the tick after an error", "[usage 1 map[t:4]]")
 	h.reduce(PlatformAnswered{})
 	h.calls, h.sent = nil, nil
 	h.advance(2500 * time.Millisecond) // since the last grant
 	h.reduce(PlatformAnswered{})
-	expect("under a lease that is nearly over", "[]")
+	expect("under a lease that is about to expire", "[]")
 }
 
-// TestVoterGrantsToTheAgreedHolderOnly: a member gives its lease to the holder that it knows of, and permits no other candidate
-// while that lasts.
+// TestVoterGrantsToTheAgreedHolderOnly checks that a voter grants a lease only to the holder in its state, and permits no other
+// candidate while that lease is valid.
 func TestVoterGrantsToTheAgreedHolderOnly(t *testing.T) {
 	h := newHarness()
 	h.state.Apply(replog.Entry{Payload: replog.LeaseGrant{HolderID: 2, HolderName: "b"}}.Encode())
-	ask := func(kind rpc.Kind, token, node byte) bool {
+	isGranted := func(kind rpc.Kind, token, node byte) bool {
 		t.Helper()
 		return h.isGranted(t, kind, []byte{token, 0, 0, 0, 0, 0, 0, 0, node})
 	}
-	if ask(rpc.KindRenewLease, 1, 3) || ask(rpc.KindRenewLease, 2, 2) || !ask(rpc.KindRenewLease, 1, 2) {
-		t.Error("a lease is for the agreed holder, with its fencing token")
+	if isGranted(rpc.KindRenewLease, 1, 3) || isGranted(rpc.KindRenewLease, 2, 2) || !isGranted(rpc.KindRenewLease, 1, 2) {
+		t.Error("a lease must be granted only to the holder in the state, with its fencing token")
 	}
 	h.now += 2 * sec
-	if ask(rpc.KindCheckCandidacy, 1, 3) || !ask(rpc.KindCheckCandidacy, 1, 2) {
-		t.Error("under a lease another may not stand, and its holder may")
+	if isGranted(rpc.KindCheckCandidacy, 1, 3) || !isGranted(rpc.KindCheckCandidacy, 1, 2) {
+		t.Error("during a lease only its holder may be a candidate")
 	}
 	h.now += 2 * sec
-	if ask(rpc.KindCheckCandidacy, 0, 3) || !ask(rpc.KindCheckCandidacy, 1, 3) {
-		t.Error("after it whoever knows the newest holder may stand")
+	if isGranted(rpc.KindCheckCandidacy, 0, 3) || !isGranted(rpc.KindCheckCandidacy, 1, 3) {
+		t.Error("after a lease only a candidate that knows the newest holder is permitted")
 	}
 }
 
-// TestNewVotersGrantNothingAtOnce: who has just been given its vote grants no lease for as long as one may run that the one
-// before it has granted; who has accepted other members grants none; and none goes to who knows of other members.
+// TestNewVotersGrantNothingAtOnce checks that a new voter grants no lease for one LeaseDuration, that a voter grants none while a
+// change of members is pending, and that it grants none to a holder with different voters.
 func TestNewVotersGrantNothingAtOnce(t *testing.T) {
-	ask := func(h *harness, voters uint64) bool {
+	isGranted := func(h *harness, voters uint64) bool {
 		t.Helper()
 		return h.isGranted(t, rpc.KindRenewLease, lease.Renewal{FencingToken: h.state.FencingToken, Holder: 2, VotersHash: voters}.Encode())
 	}
@@ -208,35 +208,35 @@
 	h.state.LeaseHolder, h.state.FencingToken, h.state.NextIndex = 2, 3, 4
 	all := h.state.Members
 	h.state.Members = append([]replog.Member{{ID: 8, Name: "z", Addr: "10.0.0.8:1"}}, all[1:]...)
-	h.reduce(Tick{}) // it has no vote
-	if ask(h, lease.HashVoters(h.state.Members)) {
-		t.Error("granted without a vote")
+	h.reduce(Tick{}) // it is not a voter
+	if isGranted(h, lease.HashVoters(h.state.Members)) {
+		t.Error("granted by a replica that is not a voter")
 	}
 	h.now += time.Minute
 	h.state.Members, h.state.NextIndex = all, 5
 	h.reduce(Tick{})
 	voters := lease.HashVoters(all)
-	if ask(h, voters) {
-		t.Error("granted while the lease may still be another's")
+	if isGranted(h, voters) {
+		t.Error("granted while the lease of another holder may still be valid")
 	}
-	if h.now += 3*sec + 1; !ask(h, voters) {
-		t.Error("not granted after the length of a lease")
+	if h.now += 3*sec + 1; !isGranted(h, voters) {
+		t.Error("not granted after one LeaseDuration")
 	}
-	if ask(h, voters+1) {
-		t.Error("granted to a holder that knows of other members")
+	if isGranted(h, voters+1) {
+		t.Error("granted to a holder with different voters")
 	}
 	pending := false
 	h.cfg.MembershipPending = func() bool { return pending }
-	if pending = true; ask(h, voters) {
-		t.Error("granted with other members accepted")
+	if pending = true; isGranted(h, voters) {
+		t.Error("granted while a change of members is pending")
 	}
-	if pending = false; !ask(h, voters) {
-		t.Error("not granted once that is decided")
+	if pending = false; !isGranted(h, voters) {
+		t.Error("not granted after the change is decided")
 	}
 }
 
-// TestOnlyTheHolderCountsRouters: only the holder says how many routers there are, and not before all that it cannot have heard
-// of have left the window; the first holder ever says it at once.
+// TestOnlyTheHolderCountsRouters checks that only the holder reports the number of routers, and only after RouterWindow. The first
+// holder of the fleet reports it immediately.
 func TestOnlyTheHolderCountsRouters(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		t.Run(fmt.Sprintf("first start %v", first), func(t *testing.T) {
@@ -251,7 +251,7 @@
 				return ack.Routers
 			}
 			if n := routers(); n != 0 {
-				t.Errorf("%d routers, of one that is not the holder", n)
+				t.Errorf("%d routers, reported by a voter that is not the holder", n)
 			}
 			since := time.Duration(0)
 			for range 60 {
@@ -275,25 +275,25 @@
 			}
 			h.now += 5 * sec // without a grant
 			if n := routers(); n != 0 {
-				t.Errorf("%d routers once its lease is over", n)
+				t.Errorf("%d routers after the lease expired", n)
 			}
 		})
 	}
 }
 
-// TestCallsAreChecked: each kind of call of this package has a handler, and what cannot be decoded, or is not answered here, is an
-// error.
+// TestCallsAreChecked checks that each kind of call of this package has a handler, and that a call that is malformed or belongs to
+// another package returns an error.
 func TestCallsAreChecked(t *testing.T) {
 	h := newHarness()
 	if missing := callHandlers.Missing(rpc.OwnerSingleton); len(missing) > 0 {
-		t.Errorf("handlers missing, or of another owner: %v", missing)
+		t.Errorf("handlers are missing or belong to another owner: %v", missing)
 	}
 	for _, kind := range rpc.Kinds(rpc.OwnerSingleton) {
 		if r := h.call(t, kind, nil); !errors.Is(r.Err, encoding.ErrTruncated) {
-			t.Errorf("an empty call %d: %v", kind, r.Err)
+			t.Errorf("an empty call of kind %d: error %v", kind, r.Err)
 		}
 	}
 	if r := h.call(t, rpc.KindJoin, nil); !errors.Is(r.Err, rpc.UnknownKindError(rpc.KindJoin)) {
-		t.Errorf("a call of another package: %v", r.Err)
+		t.Errorf("a call of another package: error %v", r.Err)
 	}
 }
--- a/internal/control/singleton/doc.go
+++ b/internal/control/singleton/doc.go
@@ -1,14 +1,15 @@
-// Package singleton runs the roles that one process has for the whole fleet: it reports usage to the platform and orders engines.
+// Package singleton runs the roles that exactly one process has for the whole fleet: reporting usage to the platform and scaling
+// engines.
 //
-// Each voter of the control plane has a Controller. Controllers have a lease holder agreed in the replicated log, grant it a
-// lease by majority (package lease), and merge what routers report (package usage). The holder has the figures of each usage
-// window agreed and reported, and the targets of package autoscale ordered.
+// Each voter of the control plane has a Controller. The Controllers elect a lease holder through the replicated log and grant it a
+// lease by majority (package lease). They merge the usage reports of routers (package usage). The holder commits the counts of
+// each usage window to the log, reports them to the platform, and orders the targets of package autoscale.
 //
-// Promises: nothing is sent to the platform except under a lease with enough time left for the call; each call carries the
-// fencing token of its holder; at most one proposal or platform call is in flight; the figures of a window that were agreed are
-// sent unchanged until the platform has taken them.
+// Guarantees: the holder calls the platform only while its lease has enough time left for the call. Each call carries the
+// holder's fencing token. At most one proposal or platform call is in flight. Once the counts of a window are committed, they are
+// sent unchanged until the platform accepts them.
 //
-// A Controller is a reducer: given clocks, a seed and the outcome of its effects, the same events lead to the same effects. Calls
-// between processes, proposals, calls to the platform and the log are its owner's. The steady clock is a time.Duration from any
-// origin that is not zero; the time of day is used only for usage windows.
+// A Controller is a reducer: given the clocks, a seed and the results of its effects, the same events produce the same effects.
+// Its owner performs calls between processes, proposals and platform calls, and writes the log messages. The steady clock is a
+// time.Duration since an arbitrary origin and is never zero. The time of day is used only for usage windows.
 package singleton
--- a/internal/control/singleton/election.go
+++ b/internal/control/singleton/election.go
@@ -12,49 +12,52 @@
 	"notchhinge/internal/limits"
 )
 
-// grant grants a lease to the holder, if it is the holder here as well and counts its majority among the members that are
-// known here.
+// grant grants a lease to the holder, if this voter's state has the same holder and the same voters as the request.
 //
-// A change of members is accepted by a majority of the members before it. Each of these then gives no more grants among them,
-// and a new member gives none for the length of a lease. So when a majority of the members after the change can grant a lease,
-// the last one that was granted among the members before it has passed, even where the holder and some of them are partitioned
-// and know nothing of the change.
-func (c *Controller) grant(q lease.Renewal) bool {
+// These conditions keep a lease of the old voters from overlapping with one of the new voters. A majority of the old voters
+// accepts a change of members, and each of them then rejects renewals until the change is decided, and renewals for the old
+// voters after that. A new voter grants no lease for one LeaseDuration. When a majority of the new voters can grant a lease, the
+// last lease of the old voters has therefore expired, even if the old holder and some old voters are partitioned and have not
+// learned of the change.
+func (c *Controller) grant(request lease.Renewal) bool {
 	s := &c.state
 	switch {
-	case s.FencingToken != q.FencingToken || s.LeaseHolder != q.Holder || !c.isVoter() || q.VotersHash != lease.HashVoters(s.Members):
+	case s.FencingToken != request.FencingToken || s.LeaseHolder != request.Holder || !c.isVoter() || request.VotersHash != lease.HashVoters(s.Members):
 		return false
 	case c.cfg.MembershipPending != nil && c.cfg.MembershipPending():
 		return false
 	}
-	return c.grants.Grant(c.now, q.Holder)
+	return c.grants.Grant(c.now, request.Holder)
 }
 
-// permits reports whether no other holder's lease would be in the way of a candidate that follows the newest holder known here.
-func (c *Controller) permits(q lease.Candidacy) bool {
-	return c.state.FencingToken == q.FencingToken && !c.grants.Blocks(c.now, q.Candidate)
+// permits reports whether this voter permits a candidacy: the candidate must know the newest holder, and no lease that this voter
+// granted to another holder may still be valid.
+func (c *Controller) permits(request lease.Candidacy) bool {
+	return c.state.FencingToken == request.FencingToken && !c.grants.Blocks(c.now, request.Candidate)
 }
 
-// callTimeout reports whether this voter may call the platform, and the time-out of the call: it must have arrived before
-// another may act.
+// callTimeout reports whether this voter may call the platform, and the timeout of the call. The call must arrive before another
+// voter can hold the lease.
 func (c *Controller) callTimeout() (timeout time.Duration, ok bool) {
 	timeout = c.holder.Remaining(c.now) - limits.LeaseCallReserve
 	return timeout, timeout > 0 && c.state.LeaseHolder == c.cfg.Self.ID
 }
 
-// candidate is this voter while it tries to become the holder.
+// candidate is an attempt of this voter to become the holder.
 type candidate struct {
-	c     *Controller
-	token uint64 // of the holder that it would follow
-	entry []byte
+	controller *Controller
+	token      uint64 // fencing token of the previous holder
+	entry      []byte
 }
 
-// stand has this voter agreed as the holder, if there is none any more and a majority permits it. A holder that was agreed
-// lately is given the length of a lease to ask for its own: otherwise two voters that stand in turn would keep each other from it.
+// campaign proposes this voter as the holder, if there is no active holder and a majority of the voters permits it. It gives a new
+// holder one LeaseDuration to obtain its lease. Otherwise two candidates could replace each other repeatedly and neither would
+// obtain a lease.
 //
-// The members are asked before the proposal and not by it: a value that one of them has accepted must be completed by the next
-// proposer, and one that others must not accept would block the log. Only the leases keep two holders from acting.
-func (c *Controller) stand() {
+// The voters are polled before the proposal, and the acceptors do not check it. The next proposer must complete a value that an
+// acceptor has accepted; a value that other acceptors must reject would block the log. The election alone is thus not safe: only
+// the leases prevent two holders from acting at the same time.
+func (c *Controller) campaign() {
 	self := &c.cfg.Self
 	if c.onComplete != nil || c.grants.Blocks(c.now, self.ID) {
 		return
@@ -64,69 +67,70 @@
 		return
 	}
 	entry := replog.Entry{Nonce: c.rnd.Uint64(), Payload: replog.LeaseGrant{HolderID: self.ID, HolderName: self.Name}}
-	a := candidate{c: c, token: c.state.FencingToken, entry: entry.Encode()}
-	q := lease.Candidacy{FencingToken: a.token, Candidate: self.ID}
-	c.startPoll(pollRequest{rpc.KindCheckCandidacy, q.Encode(), c.permits(q)}, a.propose)
+	a := candidate{controller: c, token: c.state.FencingToken, entry: entry.Encode()}
+	request := lease.Candidacy{FencingToken: a.token, Candidate: self.ID}
+	c.startPoll(pollRequest{rpc.KindCheckCandidacy, request.Encode(), c.permits(request)}, a.propose)
 }
 
-// propose proposes the candidate, once a majority permits it.
+// propose proposes the candidate. It is called once a majority permits the candidacy.
 func (a *candidate) propose() {
-	if a.c.onComplete == nil && a.c.state.FencingToken == a.token {
-		a.c.propose(a.next, a.finish)
+	if a.controller.onComplete == nil && a.controller.state.FencingToken == a.token {
+		a.controller.propose(a.next, a.finish)
 	}
 }
 
-// next returns the entry to be chosen, and nil once there is another holder.
+// next returns the entry to propose, or nil once the log has a new holder.
 func (a *candidate) next(s *replog.State) []byte {
-	if s.FencingToken != a.token || s.LeaseHolder == a.c.cfg.Self.ID {
+	if s.FencingToken != a.token || s.LeaseHolder == a.controller.cfg.Self.ID {
 		return nil
 	}
 	return a.entry
 }
 
-// finish asks for the first lease, where this voter has become the holder.
+// finish requests the first lease if this voter is now the holder.
 func (a *candidate) finish(error) {
-	if a.c.state.LeaseHolder == a.c.cfg.Self.ID {
-		a.c.log(slog.LevelInfo, "elected lease holder", "fencing_token", a.c.state.FencingToken)
-		a.c.renew()
+	if a.controller.state.LeaseHolder == a.controller.cfg.Self.ID {
+		a.controller.log(slog.LevelInfo, "elected lease holder", "fencing_token", a.controller.state.FencingToken)
+		a.controller.renew()
 	}
 }
 
-// renew asks the members for a lease that begins now.
+// renew requests a lease that starts now from all voters.
 func (c *Controller) renew() {
 	requestedAt := c.now
-	q := lease.Renewal{FencingToken: c.state.FencingToken, Holder: c.cfg.Self.ID, VotersHash: lease.HashVoters(c.state.Members)}
-	c.startPoll(pollRequest{rpc.KindRenewLease, q.Encode(), c.grant(q)}, func() { c.holder.Extend(requestedAt) })
+	request := lease.Renewal{FencingToken: c.state.FencingToken, Holder: c.cfg.Self.ID, VotersHash: lease.HashVoters(c.state.Members)}
+	c.startPoll(pollRequest{rpc.KindRenewLease, request.Encode(), c.grant(request)}, func() { c.holder.Extend(requestedAt) })
 }
 
-// pollRequest is a question to all members.
+// pollRequest is a request to all voters.
 type pollRequest struct {
-	kind rpc.Kind
-	body []byte
-	own  bool // this voter's own verdict
+	kind       rpc.Kind
+	body       []byte
+	selfGrants bool // whether this voter itself grants the request
 }
 
-// poll is the count of verdicts on a pollRequest.
+// poll counts the voters that grant a pollRequest.
 type poll struct {
 	granted, quorum int
 	onMajority      func()
 }
 
-// startPoll asks the members, and calls onMajority once a majority has granted. Verdicts on an earlier poll do not count any more.
-func (c *Controller) startPoll(q pollRequest, onMajority func()) {
+// startPoll sends a request to all voters and calls onMajority once a majority has granted it. Responses to earlier polls are
+// ignored from now on.
+func (c *Controller) startPoll(request pollRequest, onMajority func()) {
 	members := c.state.Members
 	p := &poll{quorum: paxos.Majority(len(members)), onMajority: onMajority}
 	c.poll = p
 	for i := range members {
 		m := &members[i]
 		if m.ID == c.cfg.Self.ID {
-			if q.own {
+			if request.selfGrants {
 				c.countGrant(p)
 			}
 			continue
 		}
 		if to, err := netip.ParseAddrPort(m.Addr); err == nil {
-			c.call(to, q.kind, q.body, func(body []byte, err error) {
+			c.call(to, request.kind, request.body, func(body []byte, err error) {
 				if err == nil && lease.IsGranted(body) {
 					c.countGrant(p)
 				}
@@ -135,7 +139,7 @@
 	}
 }
 
-// countGrant counts a member's grant.
+// countGrant counts a voter's grant and calls onMajority when the majority is reached.
 func (c *Controller) countGrant(p *poll) {
 	if p.granted++; p.granted == p.quorum && c.poll == p {
 		p.onMajority()
--- a/internal/control/singleton/event.go
+++ b/internal/control/singleton/event.go
@@ -12,26 +12,26 @@
 // CallID identifies a call to another process until it returns.
 type CallID uint64
 
-// Event is something that happened.
+// Event is an input of Controller.Reduce.
 type Event interface{ isEvent() }
 
 type (
-	// Tick comes every limits.SingletonTickInterval.
+	// Tick occurs every limits.SingletonTickInterval.
 	Tick struct{}
-	// CallReceived is a call of another process. Its SendReply is among the effects of the same Reduce.
+	// CallReceived is a call from another process. The same Reduce returns a SendReply for it.
 	CallReceived struct {
 		Kind rpc.Kind
 		Body []byte
 	}
-	// CallReturned is the outcome of a SendCall.
+	// CallReturned is the result of a SendCall.
 	CallReturned struct {
 		ID   CallID
 		Body []byte
 		Err  error
 	}
-	// ProposalDone is the outcome of a Propose.
+	// ProposalDone is the result of a Propose.
 	ProposalDone struct{ Err error }
-	// PlatformAnswered is the outcome of a ReportUsage or a ScaleEngines.
+	// PlatformAnswered is the result of a ReportUsage or a ScaleEngines.
 	PlatformAnswered struct{ Err error }
 )
 
@@ -41,11 +41,11 @@
 func (ProposalDone) isEvent()     {}
 func (PlatformAnswered) isEvent() {}
 
-// Effect is something to be done. At most one of Propose, ReportUsage and ScaleEngines is in flight.
+// Effect is an action for the owner of the Controller. At most one of Propose, ReportUsage and ScaleEngines is in flight.
 type Effect interface{ isEffect() }
 
 type (
-	// SendCall calls another process; CallReturned follows within the time-out.
+	// SendCall calls another process. A CallReturned follows within the timeout.
 	SendCall struct {
 		ID      CallID
 		To      netip.AddrPort
@@ -53,34 +53,35 @@
 		Body    []byte
 		Timeout time.Duration
 	}
-	// SendReply answers the CallReceived that was reduced.
+	// SendReply is the response to the CallReceived that was reduced.
 	SendReply struct {
 		Body []byte
 		Err  error
 	}
-	// Propose has what Next returns chosen, until it returns nil; ProposalDone follows.
+	// Propose proposes the values that Next returns, one at a time, until it returns nil. A ProposalDone follows.
 	Propose struct {
 		Next    func(*replog.State) []byte
 		Timeout time.Duration
 	}
-	// ReportUsage reports a usage window to the platform; PlatformAnswered follows. It must not be sent after the time-out.
+	// ReportUsage reports a usage window to the platform. It must not be sent after the timeout. A PlatformAnswered follows.
 	ReportUsage struct {
 		FencingToken, Window uint64
-		Counts               map[string]uint64 // requests by tenant
+		Counts               map[string]uint64 // number of requests by tenant
 		Timeout              time.Duration
 	}
-	// ScaleEngines orders a number of engines from the platform; PlatformAnswered follows. It must not be sent after the time-out.
+	// ScaleEngines requests a number of engines from the platform. It must not be sent after the timeout. A PlatformAnswered
+	// follows.
 	ScaleEngines struct {
 		FencingToken  uint64
 		Service, Zone string
 		Engines       int
 		Timeout       time.Duration
 	}
-	// Log logs a message.
+	// Log writes a log message.
 	Log struct {
 		Level   slog.Level
 		Message string
-		Args    []any // as slog takes them
+		Args    []any // key-value pairs, as for slog
 	}
 )
 
--- a/internal/control/singleton/golden_test.go
+++ b/internal/control/singleton/golden_test.go
@@ -9,7 +9,7 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// TestGoldenCalls: what is asked before a lease, for one, and for usage tables has the bytes that it had, and so have the answers.
+// TestGoldenCalls checks the encodings of the calls of this package and of their responses.
 func TestGoldenCalls(t *testing.T) {
 	golden.Equal(t, "numbers of calls", []rpc.Kind{8, 9, 11, 15}, []rpc.Kind{rpc.KindUsageReport, rpc.KindUsageTable, rpc.KindRenewLease, rpc.KindCheckCandidacy})
 	h := newHarness()
@@ -24,7 +24,7 @@
 			}
 		}
 		if n == 0 {
-			t.Fatalf("%s: not called, but %+v", name, h.calls)
+			t.Fatalf("%s: no such call among %+v", name, h.calls)
 		}
 	}
 	answer := func(name string, kind rpc.Kind, body []byte) {
@@ -43,14 +43,14 @@
 		}
 	}
 	if h.proposed == nil {
-		t.Fatal("it is no candidate")
+		t.Fatal("it does not become a candidate")
 	}
 	h.choose()
 	calls("lease-renewal", rpc.KindRenewLease)
 	h.grant(2)
 
 	answer("lease-granted", rpc.KindRenewLease, golden.Read(t, "lease-renewal.hex"))
-	w := encoding.Writer{} // as an earlier program asks, which does not say whom it knows
+	w := encoding.Writer{} // a request of an earlier release, without VotersHash
 	w.Uvarint(h.state.FencingToken)
 	w.Fixed64(1)
 	answer("lease-granted-short", rpc.KindRenewLease, w.Buf)
@@ -71,5 +71,5 @@
 			return
 		}
 	}
-	t.Error("the tables of the peers are not requested")
+	t.Error("no tables are requested from the peers")
 }
--- a/internal/control/singleton/reporting.go
+++ b/internal/control/singleton/reporting.go
@@ -10,15 +10,15 @@
 	"notchhinge/internal/control/usage"
 )
 
-// Which windows are handled.
+// Numbers of usage windows.
 const (
-	gatheredWindows   = 3   // the newest ones, for which the tables of the peers are read; of earlier ones this voter knows them already
-	rememberedWindows = 100 // a window that is finished is remembered for so many further ones
+	peerTableWindows    = 3   // most recent due windows, for which the tables of the peers are requested
+	keptFinishedWindows = 100 // finished windows are remembered until this many later ones have passed
 )
 
-// newestWindow returns the window from which on usage is not due yet. A window is due three tenths of the delay after its end,
-// when the last reports of it have come in.
-func (c *Controller) newestWindow() uint64 {
+// dueWindowsEnd returns the first window that is not yet due. A window is due three tenths of UsageDelay after its end, when its last
+// reports should have arrived.
+func (c *Controller) dueWindowsEnd() uint64 {
 	return usage.WindowAt(c.wall.Add(-c.cfg.UsageDelay*3/10), c.cfg.UsageWindow)
 }
 
@@ -27,12 +27,12 @@
 	return usage.WindowAt(c.wall.Add(-3*c.cfg.UsageDelay-c.cfg.UsageWindow), c.cfg.UsageWindow)
 }
 
-// reportUsage takes the next step of the oldest window that is over and not reported: it reads the tables of the peers, has the
-// figures agreed, or sends them. It reports whether something is in flight.
+// reportUsage performs the next step for the oldest due window that is not finished: it requests the tables of the peers, proposes
+// the counts, or sends the committed counts to the platform. It reports whether the step is in flight.
 func (c *Controller) reportUsage() bool {
-	newest := c.newestWindow()
-	gatherFrom := newest - min(newest, gatheredWindows)
-	for window := c.oldestWindow(); window < newest; window++ {
+	end := c.dueWindowsEnd()
+	tablesFrom := end - min(end, peerTableWindows)
+	for window := c.oldestWindow(); window < end; window++ {
 		if c.finishedWindows[window] {
 			continue
 		}
@@ -45,13 +45,13 @@
 			c.logLostWindow(window)
 			continue
 		}
-		if window >= gatherFrom && !c.tablesRequested {
-			c.requestTables(window, newest)
+		if window >= tablesFrom && !c.tablesRequested {
+			c.requestTables(window, end)
 			if c.tablesPending > 0 {
 				return true
 			}
 		}
-		if counts := usage.SortedCounts(c.table.Sum(window)); len(counts) > 0 { // else no request began in it, as far as is known
+		if counts := usage.SortedCounts(c.table.Sum(window)); len(counts) > 0 { // no known request started in the window otherwise
 			c.proposeUsage(window, counts)
 			return c.onComplete != nil
 		}
@@ -59,7 +59,8 @@
 	return false
 }
 
-// proposeUsage has the figures of a window agreed. It gives up a window that no entry can hold: it would hold up those after it.
+// proposeUsage proposes the counts of a window. It abandons a window whose counts do not fit into a log entry, because that window
+// would block later ones.
 func (c *Controller) proposeUsage(window uint64, counts []replog.TenantCount) {
 	entry := replog.Entry{Nonce: c.rnd.Uint64(), Payload: replog.UsageReport{Window: window, Counts: counts}}
 	encoded, self := entry.Encode(), c.cfg.Self.ID
@@ -77,28 +78,28 @@
 	c.propose(next, func(err error) { c.pausedUntilTick = err != nil })
 }
 
-// logLostWindow warns of requests in a window that is not reported any more, or no more by this process: a later one was agreed
-// before these were known, or the agreed figures were dropped before the platform took them.
+// logLostWindow logs a warning if the window has requests that this process will not report. Either a later window was committed
+// before these requests were known, or the committed counts were dropped before the platform accepted them.
 func (c *Controller) logLostWindow(window uint64) {
 	if tenants := len(c.table.Sum(window)); tenants > 0 {
 		c.log(slog.LevelWarn, "usage window is too old to be agreed", "window", window, "tenants", tenants)
 	}
 }
 
-// sendUsage reports the agreed figures of a window to the platform.
+// sendUsage sends the committed counts of a window to the platform.
 func (c *Controller) sendUsage(w *replog.UsageWindow) {
 	counts := map[string]uint64{}
 	for _, count := range w.Counts {
 		counts[count.Tenant] = count.Requests
 	}
 	number := w.Number
-	c.onComplete = func(err error) { c.usageSent(number, err) }
+	c.onComplete = func(err error) { c.handleUsageResult(number, err) }
 	timeout, _ := c.callTimeout()
 	c.emit(ReportUsage{FencingToken: c.state.FencingToken, Window: number, Counts: counts, Timeout: timeout})
 }
 
-// usageSent notes the platform's answer to the figures of a window. An error is retried from the next tick on.
-func (c *Controller) usageSent(window uint64, err error) {
+// handleUsageResult handles the platform's response to the counts of a window. After an error, the next tick allows a retry.
+func (c *Controller) handleUsageResult(window uint64, err error) {
 	if err != nil {
 		c.pausedUntilTick = true
 		c.log(slog.LevelWarn, "usage report failed", "window", window, "err", err)
@@ -107,13 +108,13 @@
 	c.finishWindow(window)
 }
 
-// finishWindow notes that nothing more is to be done for a window.
+// finishWindow marks a window as finished and forgets the windows that are long past.
 func (c *Controller) finishWindow(window uint64) {
 	c.finishedWindows[window] = true
-	maps.DeleteFunc(c.finishedWindows, func(earlier uint64, _ bool) bool { return earlier+rememberedWindows < window })
+	maps.DeleteFunc(c.finishedWindows, func(earlier uint64, _ bool) bool { return earlier+keptFinishedWindows < window })
 }
 
-// requestTables reads what the peers have of the windows in [from, to).
+// requestTables requests the counters of the windows in [from, to) from all peers and merges their responses.
 func (c *Controller) requestTables(from, to uint64) {
 	c.tablesRequested = true
 	w := encoding.Writer{}
--- a/internal/control/singleton/reporting_test.go
+++ b/internal/control/singleton/reporting_test.go
@@ -8,7 +8,7 @@
 	"notchhinge/internal/control/usage"
 )
 
-// holderWithUsage returns a holder under a lease, and the first window of which routers have reported counts.
+// holderWithUsage returns a holder with a lease, and the window for which a router has reported counts.
 func holderWithUsage(t *testing.T, tenants, nameBytes int) (h *harness, window uint64) {
 	t.Helper()
 	h = newHarness()
@@ -24,7 +24,7 @@
 	return h, window
 }
 
-// proposals counts the proposals of a time in which a majority grants each lease and no proposal is chosen.
+// proposals returns the number of proposals within some ticks. A majority grants each lease and no proposal is chosen.
 func (h *harness) proposals(ticks int) (n int) {
 	for range ticks {
 		h.advance(sec / 2)
@@ -41,19 +41,19 @@
 	return n
 }
 
-// TestWindowsThatCannotBeAgreedAreGivenUp: what replicas would ignore is not proposed at all, and does not hold up later windows.
+// TestWindowsThatCannotBeAgreedAreGivenUp checks that a window whose entry replicas would ignore is abandoned without a proposal.
 func TestWindowsThatCannotBeAgreedAreGivenUp(t *testing.T) {
 	const windowTicks = 30
 	h, window := holderWithUsage(t, 3, 1)
 	if n := h.proposals(windowTicks); n == 0 {
-		t.Error("a window that can be agreed is not proposed")
+		t.Error("a valid window is not proposed")
 	}
 	h.state.UsageWindows = []replog.UsageWindow{{Number: window + 1}}
 	if n := h.proposals(windowTicks); n > 0 {
-		t.Errorf("a window older than all that are kept is proposed %d times", n)
+		t.Errorf("a window older than all kept windows is proposed %d times", n)
 	}
 	h, window = holderWithUsage(t, 9000, 250)
 	if n := h.proposals(windowTicks); n > 0 || !h.finishedWindows[window] {
-		t.Errorf("a window that no entry holds is proposed %d times; %d are finished", n, len(h.finishedWindows))
+		t.Errorf("a window that exceeds the size of an entry is proposed %d times; %d windows are finished", n, len(h.finishedWindows))
 	}
 }
--- a/internal/control/singleton/scaling.go
+++ b/internal/control/singleton/scaling.go
@@ -6,7 +6,7 @@
 	"notchhinge/internal/control/autoscale"
 )
 
-// scaleEngines orders the next target from the platform, and computes new ones once all are ordered.
+// scaleEngines sends the next target to the platform. It computes new targets once all pending ones are sent.
 func (c *Controller) scaleEngines() {
 	if len(c.pendingTargets) == 0 && c.planner.IsDue(c.now) {
 		c.pendingTargets = c.planner.Plan(c.now, c.cfg.Services(), c.table.Loads(c.now))
@@ -16,15 +16,15 @@
 	}
 	target := c.pendingTargets[0]
 	c.pendingTargets = c.pendingTargets[1:]
-	c.onComplete = func(err error) { c.targetSent(target, err) }
+	c.onComplete = func(err error) { c.handleScalingResult(target, err) }
 	timeout, _ := c.callTimeout()
 	c.emit(ScaleEngines{
 		FencingToken: c.state.FencingToken, Service: target.Service, Zone: target.Zone, Engines: target.Engines, Timeout: timeout,
 	})
 }
 
-// targetSent notes the platform's answer to a target. One that failed is computed anew.
-func (c *Controller) targetSent(t autoscale.Target, err error) {
+// handleScalingResult handles the platform's response to a target. A target that failed is computed again by a later plan.
+func (c *Controller) handleScalingResult(t autoscale.Target, err error) {
 	if err != nil {
 		c.log(slog.LevelWarn, "scaling request failed", "service", t.Service, "zone", t.Zone, "err", err)
 		return
