--- a/internal/control/lease/grants.go
+++ b/internal/control/lease/grants.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Grants is a voter's side of the lease. Times are those of the voter's steady clock.
+// Grants is a voter's side of the lease. Times are on the voter's steady clock.
 type Grants struct {
 	Duration  time.Duration
-	StartedAt time.Duration // until StartedAt+Duration nothing is granted, unless NeverGranted
-	// NeverGranted says that this voter cannot have granted a lease before its start.
+	StartedAt time.Duration // no lease is granted before StartedAt+Duration, unless NeverGranted is set
+	// NeverGranted means that this voter cannot have granted a lease before its start.
 	NeverGranted bool
 
 	holder    uint64
@@ -14,7 +14,7 @@
 	granted   bool
 }
 
-// Blocks reports whether a lease that was granted to another may still run.
+// Blocks reports whether a lease of a holder other than the candidate may still be valid.
 func (g *Grants) Blocks(now time.Duration, candidate uint64) bool {
 	if !g.granted {
 		return !g.NeverGranted && now < g.StartedAt+g.Duration
@@ -22,8 +22,9 @@
 	return candidate != g.holder && now < g.grantedAt+g.Duration
 }
 
-// Grant starts or extends the lease of a holder, unless another's may still run, and reports whether it did. Two processes that
-// both believe to be the holder, because one has not learned yet that another was agreed, cannot both get a majority of grants.
+// Grant starts or extends the lease of holder and reports whether it did. It rejects the request if the lease of another holder may
+// still be valid. Two processes may both consider themselves the holder while one has not learned of a new election, but only one of
+// them can have leases from a majority.
 func (g *Grants) Grant(now time.Duration, holder uint64) bool {
 	if g.Blocks(now, holder) {
 		return false
@@ -32,7 +33,7 @@
 	return true
 }
 
-// Idle returns for how long no holder has been granted a lease here, counted from the start if none ever was.
+// Idle returns the time since the last grant, or since the start if there was none.
 func (g *Grants) Idle(now time.Duration) time.Duration {
 	if !g.granted {
 		return now - g.StartedAt
--- a/internal/control/lease/holder.go
+++ b/internal/control/lease/holder.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Holder is the holder's side of the lease. The zero time is before any lease.
+// Holder is the holder's side of the lease. Times are on the holder's steady clock.
 type Holder struct {
 	Duration time.Duration
-	Margin   time.Duration // the holder stops so much before any voter would grant a lease to another
+	Margin   time.Duration // how long before the end of the lease the holder stops
 	until    time.Duration
 }
 
-// Extend notes that a majority has granted what was requested at a time of the holder's steady clock.
+// Extend records that a majority granted the lease that was requested at requestedAt.
 func (h *Holder) Extend(requestedAt time.Duration) {
 	h.until = max(h.until, requestedAt+h.Duration-h.Margin)
 }
 
-// Remaining returns for how long the holder may still act; zero or less is not at all.
+// Remaining returns how long the holder may still act. It may not act if the result is zero or negative.
 func (h *Holder) Remaining(now time.Duration) time.Duration { return h.until - now }
--- a/internal/control/lease/request.go
+++ b/internal/control/lease/request.go
@@ -8,54 +8,55 @@
 	"notchhinge/internal/control/replog"
 )
 
-// Renewal is the holder's request for a grant.
+// Renewal is the holder's request for a new or extended lease.
 type Renewal struct {
 	FencingToken uint64 // the holder's
 	Holder       uint64
-	VotersHash   uint64 // VoterSet of the members that the holder counts its majority among
+	VotersHash   uint64 // HashVoters of the members among which the holder counts its majority
 }
 
-// Encode returns the request as it stands on the wire.
-func (q Renewal) Encode() []byte {
+// Encode returns the encoded request.
+func (r Renewal) Encode() []byte {
 	w := encoding.Writer{}
-	w.Uvarint(q.FencingToken)
-	w.Fixed64(q.Holder)
-	w.Fixed64(q.VotersHash)
+	w.Uvarint(r.FencingToken)
+	w.Fixed64(r.Holder)
+	w.Fixed64(r.VotersHash)
 	return w.Buf
 }
 
-// DecodeRenewal reads a renewal. Programs of earlier releases send no Voters: known stands in for it there.
-func DecodeRenewal(b []byte, known uint64) (Renewal, error) {
+// DecodeRenewal decodes a Renewal. Earlier releases send no VotersHash; it is then set to defaultHash.
+func DecodeRenewal(b []byte, defaultHash uint64) (Renewal, error) {
 	r := encoding.Reader{Buf: b}
-	q := Renewal{FencingToken: r.Uvarint(), Holder: r.Fixed64(), VotersHash: known}
+	request := Renewal{FencingToken: r.Uvarint(), Holder: r.Fixed64(), VotersHash: defaultHash}
 	if len(r.Buf) > 0 {
-		q.VotersHash = r.Fixed64()
+		request.VotersHash = r.Fixed64()
 	}
-	return q, r.Finish()
+	return request, r.Finish()
 }
 
-// Candidacy asks whether another's lease would be in the way of a candidate.
+// Candidacy is a candidate's request for permission to be proposed as the holder. A voter rejects it while the lease of another
+// holder may still be valid.
 type Candidacy struct {
-	FencingToken uint64 // of the newest holder that the candidate knows of
+	FencingToken uint64 // of the newest holder that the candidate knows
 	Candidate    uint64
 }
 
-// Encode returns the request as it stands on the wire.
-func (q Candidacy) Encode() []byte {
+// Encode returns the encoded request.
+func (r Candidacy) Encode() []byte {
 	w := encoding.Writer{}
-	w.Uvarint(q.FencingToken)
-	w.Fixed64(q.Candidate)
+	w.Uvarint(r.FencingToken)
+	w.Fixed64(r.Candidate)
 	return w.Buf
 }
 
-// DecodeCandidacy reads a candidacy.
+// DecodeCandidacy decodes a Candidacy.
 func DecodeCandidacy(b []byte) (Candidacy, error) {
 	r := encoding.Reader{Buf: b}
-	q := Candidacy{FencingToken: r.Uvarint(), Candidate: r.Fixed64()}
-	return q, r.Finish()
+	request := Candidacy{FencingToken: r.Uvarint(), Candidate: r.Fixed64()}
+	return request, r.Finish()
 }
 
-// EncodeResponse returns the answer to a Renewal or a Candidacy.
+// EncodeResponse returns the encoded response to a Renewal or a Candidacy.
 func EncodeResponse(granted bool) []byte {
 	if granted {
 		return []byte{1}
@@ -63,10 +64,10 @@
 	return []byte{0}
 }
 
-// IsGranted reports whether an answer grants what was asked.
-func IsGranted(answer []byte) bool { return len(answer) == 1 && answer[0] == 1 }
+// IsGranted reports whether an encoded response grants the request.
+func IsGranted(response []byte) bool { return len(response) == 1 && response[0] == 1 }
 
-// HashVoters returns a hash of who the voters are, in the order of the log's state.
+// HashVoters returns a hash of the IDs of the voters, in their order in the log's state.
 func HashVoters(members []replog.Member) uint64 {
 	h := fnv.New64a()
 	for _, m := range members {
