--- a/internal/control/storage/backup.go
+++ b/internal/control/storage/backup.go
@@ -12,14 +12,14 @@
 	"notchhinge/internal/control/replog"
 )
 
-// A backup is backupMagic, which includes the format's version; the xxHash64 of the rest, 8 bytes, big-endian; and the state
-// as replog encodes it.
+// A backup consists of backupMagic, which includes the format version; the xxHash64 of the encoded state, 8 bytes, big-endian; and
+// the state as encoded by replog.
 const (
 	backupMagic     = "nhstat1\n"
 	backupHeadBytes = len(backupMagic) + 8
 )
 
-// Errors of backups.
+// Errors returned for backups.
 var (
 	ErrInvalidBackup = errors.New("not a valid backup")
 	ErrNotEmpty      = errors.New("the directory already holds a state")
@@ -33,7 +33,7 @@
 	return append(b, body...)
 }
 
-// DecodeBackup reads a backup. Its errors match ErrInvalidBackup.
+// DecodeBackup decodes a backup. Its errors match ErrInvalidBackup.
 func DecodeBackup(b []byte) (*replog.State, error) {
 	switch {
 	case len(b) < backupHeadBytes || string(b[:len(backupMagic)]) != backupMagic:
@@ -48,11 +48,11 @@
 	return s, nil
 }
 
-// RestoreBackup makes a store in an empty data directory that continues from a backup, with self as the only member. Its
-// error matches ErrNotEmpty if there is a state already.
+// RestoreBackup creates a store in an empty data directory. The store has the state of a backup, with self as the only member. The
+// error matches ErrNotEmpty if the directory already holds a state.
 //
-// It is for the case that all replicas are lost. The others must then start with empty directories. The operator must make
-// sure of that: two replicas that are restored this way are two separate fleets.
+// Use it only after all replicas were lost, and for one replica only: two replicas that are restored from a backup form two
+// separate fleets. The other replicas must start with empty directories; the operator must ensure this.
 func RestoreBackup(dir string, s *replog.State, self replog.Member) error {
 	if _, err := os.Stat(filepath.Join(dir, folder)); err == nil {
 		return fmt.Errorf("restore backup to %s: %w", dir, ErrNotEmpty)
--- a/internal/control/storage/backup_test.go
+++ b/internal/control/storage/backup_test.go
@@ -10,7 +10,7 @@
 	"notchhinge/internal/control/replog"
 )
 
-// backedUp returns a state, its backup, and a data directory that holds the state.
+// backedUp returns a data directory, the state that it holds, and a backup of the state.
 func backedUp(t *testing.T) (dir string, state replog.State, backup []byte) {
 	t.Helper()
 	dir = t.TempDir()
@@ -31,7 +31,7 @@
 		"a flipped bit": append(append([]byte{}, b[:len(b)-1]...), b[len(b)-1]^1),
 	} {
 		if _, err := DecodeBackup(bad); !errors.Is(err, ErrInvalidBackup) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want ErrInvalidBackup", name, err)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 	}
 	self := replog.Member{ID: 99, Name: "a", Addr: "10.0.0.1:1"}
 	if err := RestoreBackup(dir, got, self); !errors.Is(err, ErrNotEmpty) {
-		t.Errorf("to a directory with a state: %v", err)
+		t.Errorf("restore to a directory with a state: error %v, want ErrNotEmpty", err)
 	}
 	empty := t.TempDir()
 	if err := RestoreBackup(empty, got, self); err != nil {
--- a/internal/control/storage/files.go
+++ b/internal/control/storage/files.go
@@ -7,14 +7,13 @@
 	leveldbstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// SyncNames returns files whose journals and tables have durable names as soon as they are created, and whose removal never fails.
-// syncFolder syncs the folder of the files.
+// SyncNames wraps the files of a database. It makes the names of new journals and tables durable when they are created, and it
+// ignores errors of removals. syncFolder syncs the directory of the files.
 //
-// The database syncs the bytes of a journal, but its folder only together with the next manifest. What is written to a new
-// journal before that would be lost with the journal's name in a loss of power
-// (docs/incidents/2026-12-01-a-journal-without-a-name.md). The bytes of a manifest may reach the disk before the folder is synced,
-// since the cache is written back at any time. If it then names a table that is lost, the database recovers without the table,
-// and drops the older journal from which the table was written.
+// The database syncs the content of a journal, but syncs the directory only together with the next manifest. A power loss before
+// that would remove the name of a new journal, and its content with it (docs/incidents/2026-12-01-a-journal-without-a-name.md).
+// The operating system may write back the content of a manifest before the directory is synced. If the manifest then refers to a
+// table whose name is lost, the database recovers without the table and drops the older journal from which the table was written.
 func SyncNames(files leveldbstorage.Storage, syncFolder func() error) leveldbstorage.Storage {
 	return syncedFiles{files, syncFolder}
 }
@@ -24,7 +23,7 @@
 	syncFolder func() error
 }
 
-// Create implements leveldbstorage.Storage. The name of a manifest is synced by the database.
+// Create implements leveldbstorage.Storage. The database itself syncs the name of a manifest.
 func (f syncedFiles) Create(fd leveldbstorage.FileDesc) (leveldbstorage.Writer, error) {
 	w, err := f.Storage.Create(fd)
 	if err != nil || fd.Type&(leveldbstorage.TypeJournal|leveldbstorage.TypeTable) == 0 {
@@ -36,9 +35,10 @@
 	return w, nil
 }
 
-// Remove implements leveldbstorage.Storage. A file that cannot be removed stays until the next opening, which removes what no
-// manifest names. The database must not learn of the failure: a compaction that fails to write a table and then to remove it
-// would use that table in its next attempt a second later, and end the process (docs/incidents/2026-12-02-a-table-that-was-given-up.md).
+// Remove implements leveldbstorage.Storage and never returns an error. A file that cannot be removed stays until the database is
+// opened again, which removes all files that the manifest does not list. If a compaction received errors from both the write and
+// the removal of a table, it would use that table in its next attempt and terminate the process
+// (docs/incidents/2026-12-02-a-table-that-was-given-up.md).
 func (f syncedFiles) Remove(fd leveldbstorage.FileDesc) error {
 	_ = f.Storage.Remove(fd)
 	return nil
--- a/internal/control/storage/files_test.go
+++ b/internal/control/storage/files_test.go
@@ -7,24 +7,24 @@
 	leveldbstorage "github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// stubbornFiles are files that cannot be removed while refuse is set.
-type stubbornFiles struct {
+// undeletableFiles are files whose removal fails while failRemove is set.
+type undeletableFiles struct {
 	leveldbstorage.Storage
-	refuse *bool
+	failRemove *bool
 }
 
-func (f stubbornFiles) Remove(fd leveldbstorage.FileDesc) error {
-	if *f.refuse {
+func (f undeletableFiles) Remove(fd leveldbstorage.FileDesc) error {
+	if *f.failRemove {
 		return syscall.EIO
 	}
 	return f.Storage.Remove(fd)
 }
 
-// TestFailedRemovalIsLeftToTheNextOpening: the database does not learn that a table which it has given up cannot be removed,
-// since it would use it and end the process; the next opening removes the table.
+// TestFailedRemovalIsLeftToTheNextOpening checks that the error of a failed removal is not returned to the database, and that the
+// table is removed when the database is opened again.
 func TestFailedRemovalIsLeftToTheNextOpening(t *testing.T) {
-	refuse := true
-	files := stubbornFiles{leveldbstorage.NewMemStorage(), &refuse}
+	failRemove := true
+	files := undeletableFiles{leveldbstorage.NewMemStorage(), &failRemove}
 	table := leveldbstorage.FileDesc{Type: leveldbstorage.TypeTable, Num: 99}
 	w, err := files.Create(table)
 	if err != nil {
@@ -36,12 +36,12 @@
 	tables := func() int { all, _ := files.List(leveldbstorage.TypeTable); return len(all) }
 	synced := SyncNames(files, func() error { return nil })
 	if err := synced.Remove(table); err != nil || tables() != 1 {
-		t.Errorf("%v, %d tables", err, tables())
+		t.Errorf("error %v, %d tables, want no error and 1 table", err, tables())
 	}
-	refuse = false
+	failRemove = false
 	s, _, err := OpenFiles(func() (leveldbstorage.Storage, error) { return synced, nil }, Identity{ID: 7})
 	if err != nil || tables() != 0 {
-		t.Fatalf("%v, %d tables after the opening", err, tables())
+		t.Fatalf("error %v, %d tables after the database was opened", err, tables())
 	}
 	closeStore(t, s)
 }
@@ -53,7 +53,7 @@
 	}{
 		"journal":  {leveldbstorage.FileDesc{Type: leveldbstorage.TypeJournal, Num: 1}, 1},
 		"table":    {leveldbstorage.FileDesc{Type: leveldbstorage.TypeTable, Num: 2}, 1},
-		"manifest": {leveldbstorage.FileDesc{Type: leveldbstorage.TypeManifest, Num: 3}, 0}, // the database syncs the folder itself
+		"manifest": {leveldbstorage.FileDesc{Type: leveldbstorage.TypeManifest, Num: 3}, 0}, // the database syncs the directory itself
 	} {
 		t.Run(name, func(t *testing.T) {
 			syncs := 0
@@ -62,7 +62,7 @@
 				t.Fatal(err)
 			}
 			if err := w.Close(); err != nil || syncs != c.want {
-				t.Errorf("%d syncs of the folder, want %d; %v", syncs, c.want, err)
+				t.Errorf("%d syncs of the directory, want %d; error %v", syncs, c.want, err)
 			}
 		})
 	}
--- a/internal/control/storage/golden_test.go
+++ b/internal/control/storage/golden_test.go
@@ -12,7 +12,7 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// goldenEntries returns entries as they are chosen one after another.
+// goldenEntries returns the entries of a log, in order.
 func goldenEntries() []replog.Entry {
 	return []replog.Entry{
 		{Nonce: 1, Payload: replog.MembersChange{Members: []replog.Member{{ID: 7, Name: "k-1", Addr: "10.0.0.1:7000"}, {ID: 8, Name: "k-2", Addr: "10.0.0.2:7000"}}}},
@@ -23,7 +23,7 @@
 	}
 }
 
-// goldenState returns the state of the first n of goldenEntries.
+// goldenState returns the state after the first n of goldenEntries.
 func goldenState(n int) *replog.State {
 	s := &replog.State{}
 	for _, e := range goldenEntries()[:n] {
@@ -36,7 +36,7 @@
 	Index: 5, Promised: paxos.ProposalNumber{Term: 300, Proposer: 0x0102030405060708}, Accepted: paxos.ProposalNumber{Term: 7, Proposer: 2}, Value: []byte("a value"),
 }
 
-// writeGolden writes a snapshot of the first entries, the others one by one, and the acceptor state.
+// writeGolden writes a snapshot of the first entries, then each of the others, and the acceptor state.
 func writeGolden(t *testing.T, s *Store, entriesInSnapshot int) {
 	t.Helper()
 	state := goldenState(entriesInSnapshot)
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestGoldenRecords: the records have the keys and the bytes of the golden files.
+// TestGoldenRecords checks the keys and values of the records.
 func TestGoldenRecords(t *testing.T) {
 	for _, entriesInSnapshot := range []int{0, 3, 5} {
 		files := leveldbstorage.NewMemStorage()
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestGoldenFolder opens a folder of the golden files, one that has a journal alone and one from after a restart: what was written
-// is recovered, and the next entry can be appended.
+// TestGoldenFolder opens databases from the golden files, one with only a journal and one that was reopened. It checks that their
+// content is recovered and that an entry can be appended.
 func TestGoldenFolder(t *testing.T) {
 	if golden.Updating() {
 		for _, entriesInSnapshot := range []int{0, 3} {
@@ -100,10 +100,10 @@
 		s, recovered := open(t, dir, Identity{ID: 99})
 		golden.Equal(t, dir, &Recovered{Identity{ID: 7, IsFounder: true}, *goldenState(5), goldenAcceptor}, recovered)
 		if v, ok := s.ChosenValue(4); !ok || !bytes.Equal(v, goldenEntries()[4].Encode()) {
-			t.Errorf("%s: the last entry is %x, %v", dir, v, ok)
+			t.Errorf("%s: the last entry is %x, found %v", dir, v, ok)
 		}
 		if _, ok := s.ChosenValue(0); ok != (entriesInSnapshot == 0) {
-			t.Errorf("%s: the first entry is there: %v", dir, ok)
+			t.Errorf("%s: the first entry is found: %v", dir, ok)
 		}
 		next := *goldenState(5)
 		value := replog.Entry{Nonce: 6, Payload: replog.Noop{}}.Encode()
@@ -118,14 +118,14 @@
 	}
 }
 
-// withoutVoteLosses returns the state of all goldenEntries as a release before the third format has it.
+// withoutVoteLosses returns the state after all goldenEntries in a release that does not support format 3.
 func withoutVoteLosses() *replog.State {
 	s := goldenState(5)
 	s.VoteLosses = nil
 	return s
 }
 
-// TestGoldenRecordsOfTheSecondFormat: a database with the records of a release before the third format is recovered.
+// TestGoldenRecordsOfTheSecondFormat checks that a database of a release without format 3 is recovered.
 func TestGoldenRecordsOfTheSecondFormat(t *testing.T) {
 	files := leveldbstorage.NewMemStorage()
 	openFiles := func() (leveldbstorage.Storage, error) { return files, nil }
@@ -152,7 +152,7 @@
 	closeStore(t, s)
 }
 
-// TestGoldenBackup: a backup has the bytes of the golden file, and is decoded to the same state.
+// TestGoldenBackup checks the encoding and decoding of backups in each state format.
 func TestGoldenBackup(t *testing.T) {
 	golden.RoundTrip(t, "backup-format-1.hex", goldenState(4), EncodeBackup, DecodeBackup)
 	golden.RoundTrip(t, "backup-format-2.hex", withoutVoteLosses(), EncodeBackup, DecodeBackup)
--- a/internal/control/storage/record.go
+++ b/internal/control/storage/record.go
@@ -9,7 +9,7 @@
 	"notchhinge/internal/control/replog"
 )
 
-// Keys of the records (package comment).
+// Keys of the records. The package comment describes the records.
 var (
 	keyIdentity = []byte("identity")
 	keyAcceptor = []byte("vote")
@@ -20,15 +20,15 @@
 // recordVersion is the first byte of the identity and of the acceptor state.
 const recordVersion = 1
 
-// maxValueBytes bounds the value of an acceptor's state.
+// maxValueBytes limits the size of the accepted value when an acceptor state is decoded.
 const maxValueBytes = 1 << 30
 
-// entryKey sorts as the indexes do.
+// entryKey returns the key of an entry. Keys are in the same order as indexes.
 func entryKey(index uint64) []byte {
 	return binary.BigEndian.AppendUint64(append([]byte{}, entryPrefix...), index)
 }
 
-// readRecords reads all records, or writes the identity to an empty store.
+// readRecords reads all records. If the store is empty, it writes newIdentity.
 func (s *Store) readRecords(newIdentity Identity) (*Recovered, error) {
 	b, err := s.get(keyIdentity)
 	if err != nil {
--- a/internal/control/storage/store.go
+++ b/internal/control/storage/store.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 
 	"github.com/syndtr/goleveldb/leveldb"
-	lerrors "github.com/syndtr/goleveldb/leveldb/errors"
+	leveldberrors "github.com/syndtr/goleveldb/leveldb/errors"
 	"github.com/syndtr/goleveldb/leveldb/opt"
 	leveldbstorage "github.com/syndtr/goleveldb/leveldb/storage"
 	"github.com/syndtr/goleveldb/leveldb/util"
@@ -17,16 +17,16 @@
 	"notchhinge/internal/limits"
 )
 
-// folder is the name of the database's folder in the data directory.
+// folder is the subdirectory of the data directory that holds the database.
 const folder = "state"
 
-// Identity is whom a disk belongs to. It is written when the disk is first used.
+// Identity identifies the replica that a store belongs to. It is written when the store is created.
 type Identity struct {
 	ID        uint64 // replog.Member.ID; never 0
-	IsFounder bool   // the disk was empty at the very first start of the fleet
+	IsFounder bool   // the store was created at the first start of the fleet
 }
 
-// Recovered is what Open has found on the disk.
+// Recovered is the content of a store when it was opened.
 type Recovered struct {
 	Identity
 	State    replog.State // of all chosen entries
@@ -36,24 +36,24 @@
 // Store is an open store. It is not safe for concurrent use.
 type Store struct {
 	openFiles func() (leveldbstorage.Storage, error)
-	files     leveldbstorage.Storage // that db is on
+	files     leveldbstorage.Storage // files of db
 	db        *leveldb.DB            // nil while closed
 
 	snapshotIndex uint64 // NextIndex of the snapshot
-	entries       int    // appended since the snapshot
-	entryBytes    int    // of them
-	hasCompacted  bool   // this process has written a snapshot: no entry below snapshotIndex is left
+	entries       int    // number of entries since the snapshot
+	entryBytes    int    // total size of these entries
+	hasCompacted  bool   // this process has written a snapshot, so that no entry below snapshotIndex remains
 }
 
-// options bounds the database's memory: the state is small, and so may be the machine.
+// options limits the memory of the database, because it may run on a small machine.
 var options = opt.Options{
 	WriteBuffer: 512 << 10, BlockCacheCapacity: 256 << 10, OpenFilesCacheCapacity: 16, CompactionTableSize: 1 << 20,
 	DisableSeeksCompaction: true, NoSync: false,
 }
 
-var errClosed = errors.New("the database is closed: it could not be opened again yet")
+var errClosed = errors.New("database is closed")
 
-// Open opens the store in a data directory, or creates both; a new store gets the identity newIdentity.
+// Open opens the store in a data directory. If the directory or the store does not exist, it creates them with newIdentity.
 func Open(dir string, newIdentity Identity) (*Store, *Recovered, error) {
 	s, r, err := openDir(dir, newIdentity)
 	if err != nil {
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return openOn(func() (leveldbstorage.Storage, error) {
+	return openWith(func() (leveldbstorage.Storage, error) {
 		files, err := leveldbstorage.OpenFile(path, false)
 		if err != nil {
 			return nil, err
@@ -85,16 +85,16 @@
 	}, newIdentity)
 }
 
-// OpenFiles is Open for a database on other files, such as a simulated disk. openFiles is called again by Reopen.
+// OpenFiles is like Open, with files from openFiles, such as those of a simulated disk. Reopen calls openFiles again.
 func OpenFiles(openFiles func() (leveldbstorage.Storage, error), newIdentity Identity) (*Store, *Recovered, error) {
-	s, r, err := openOn(openFiles, newIdentity)
+	s, r, err := openWith(openFiles, newIdentity)
 	if err != nil {
 		return nil, nil, fmt.Errorf("open store: %w", err)
 	}
 	return s, r, nil
 }
 
-func openOn(openFiles func() (leveldbstorage.Storage, error), newIdentity Identity) (*Store, *Recovered, error) {
+func openWith(openFiles func() (leveldbstorage.Storage, error), newIdentity Identity) (*Store, *Recovered, error) {
 	s := &Store{openFiles: openFiles}
 	if err := s.openDB(); err != nil {
 		return nil, nil, err
@@ -113,7 +113,7 @@
 	}
 	o := options
 	db, err := leveldb.Open(files, &o)
-	if lerrors.IsCorrupted(err) { // a manifest torn by a loss of power; Recover reads the synced journals again
+	if leveldberrors.IsCorrupted(err) { // corrupt manifest after a power loss; Recover reads the synced journals again
 		db, err = leveldb.Recover(files, &o)
 	}
 	if err != nil {
@@ -123,10 +123,10 @@
 	return nil
 }
 
-// Reopen opens the database again after a failed write, which has made it read-only even if the disk has room again. Every
-// write that returned nil is there; the failed one must be repeated.
+// Reopen opens the database again after a failed write. Such a write makes the database read-only, even after its cause is
+// resolved. Every write that returned nil is preserved; the caller must repeat the failed one.
 func (s *Store) Reopen() error {
-	_ = s.Close() // it has failed before, and may say so again
+	_ = s.Close() // may return the error of the failed write again
 	if err := s.openDB(); err != nil {
 		return fmt.Errorf("reopen store: %w", err)
 	}
@@ -143,7 +143,7 @@
 	return err
 }
 
-// SaveAcceptor writes the acceptor's state. It must have returned nil before the acceptor's response leaves.
+// SaveAcceptor writes the acceptor state. The acceptor must not send its response until SaveAcceptor has returned nil.
 func (s *Store) SaveAcceptor(a paxos.AcceptorState) error {
 	if err := s.put(keyAcceptor, encodeAcceptor(&a)); err != nil {
 		return fmt.Errorf("save acceptor state: %w", err)
@@ -151,8 +151,8 @@
 	return nil
 }
 
-// AppendChosen writes the value that was chosen for the index before state.NextIndex, where state includes it. It writes
-// nothing if the snapshot includes the entry already: a write that is repeated after Reopen may be older than the snapshot.
+// AppendChosen writes the chosen value of index state.NextIndex-1; state must include it. It writes nothing if the snapshot
+// already includes the entry, because a write that is repeated after Reopen may be older than the snapshot.
 func (s *Store) AppendChosen(value []byte, state *replog.State) error {
 	if state.NextIndex <= s.snapshotIndex && s.db != nil {
 		return nil
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// SaveSnapshot writes a state and removes all entries in it.
+// SaveSnapshot writes state as the snapshot and removes the entries that it includes.
 func (s *Store) SaveSnapshot(state *replog.State) error {
 	if err := s.saveSnapshot(state); err != nil {
 		return fmt.Errorf("save snapshot: %w", err)
@@ -184,7 +184,7 @@
 	batch := new(leveldb.Batch)
 	batch.Put(keySnapshot, state.Encode())
 	entries := util.BytesPrefix(entryPrefix)
-	if s.hasCompacted { // the database keeps tombstones of removed entries for a while; they need not be read each time
+	if s.hasCompacted { // skip the tombstones of entries that earlier snapshots removed
 		entries.Start = entryKey(s.snapshotIndex)
 	}
 	it := s.db.NewIterator(entries, nil)
@@ -202,7 +202,8 @@
 	return nil
 }
 
-// ChosenValue returns the value that was chosen for an index, or false if a snapshot has replaced it or it cannot be read.
+// ChosenValue returns the chosen value of an index. It returns false if the snapshot includes the entry, if there is no entry, or
+// if it cannot be read.
 func (s *Store) ChosenValue(index uint64) ([]byte, bool) {
 	if index < s.snapshotIndex {
 		return nil, false
@@ -211,7 +212,7 @@
 	return b, err == nil && b != nil
 }
 
-// get returns the value of a key; nil = there is none.
+// get returns the value of a key, or nil if the key does not exist.
 func (s *Store) get(key []byte) ([]byte, error) {
 	if s.db == nil {
 		return nil, errClosed
--- a/internal/control/storage/store_test.go
+++ b/internal/control/storage/store_test.go
@@ -15,7 +15,7 @@
 	"notchhinge/internal/limits"
 )
 
-// open opens a store and closes it at the end of the test, if that does not do so before.
+// open opens a store and closes it at the end of the test.
 func open(t *testing.T, dir string, newIdentity Identity) (*Store, *Recovered) {
 	t.Helper()
 	s, r, err := Open(dir, newIdentity)
@@ -33,8 +33,8 @@
 	}
 }
 
-// writeLog writes 80 entries as an acceptor does that takes part in choosing each of them: a promise, an accepted value, the
-// chosen value. After each write it calls after with the number of the write and what the disk must hold.
+// writeLog writes 80 entries like an acceptor: a promise, an accepted value and the chosen value for each. After each write it
+// calls after with the number of the write and the expected content of the store.
 func writeLog(t *testing.T, s *Store, after func(write int, state replog.State, acceptor paxos.AcceptorState)) {
 	t.Helper()
 	state := replog.State{}
@@ -71,10 +71,10 @@
 	var acceptor paxos.AcceptorState
 	writeLog(t, s, func(_ int, st replog.State, a paxos.AcceptorState) { state, acceptor = st, a })
 	if _, ok := s.ChosenValue(3); ok {
-		t.Error("an entry that is in the snapshot is still kept")
+		t.Error("an entry that the snapshot includes is still stored")
 	}
 	if v, ok := s.ChosenValue(79); !ok || len(v) == 0 {
-		t.Error("the last entry is not kept")
+		t.Error("the last entry is not stored")
 	}
 	closeStore(t, s)
 	_, r = open(t, dir, Identity{ID: 99})
@@ -83,14 +83,14 @@
 	}
 }
 
-// TestCrashAfterAnyWriteLosesNothing copies the folder after writes, as a process that is killed there leaves it, and opens
-// the copy: it holds no less than what was written.
+// TestCrashAfterAnyWriteLosesNothing copies the database after a write, as if the process had crashed there, and checks that the
+// copy recovers everything that was written.
 func TestCrashAfterAnyWriteLosesNothing(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := open(t, dir, Identity{ID: 7})
 	writeLog(t, s, func(write int, state replog.State, acceptor paxos.AcceptorState) {
 		if write%7 != 0 {
-			return // every seventh write is enough: among these are all kinds, and a snapshot
+			return // every seventh write covers all kinds of writes and a snapshot
 		}
 		crashed := t.TempDir()
 		copyDir(t, filepath.Join(dir, folder), filepath.Join(crashed, folder))
@@ -112,7 +112,7 @@
 	}
 }
 
-// TestTornWriteIsDropped: a loss of power leaves half of a write that was not synced, at the journal's end.
+// TestTornWriteIsDropped checks that Open ignores an incomplete write at the end of the journal, as left by a power loss.
 func TestTornWriteIsDropped(t *testing.T) {
 	dir := t.TempDir()
 	s, _ := open(t, dir, Identity{ID: 7})
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestEntriesAreBounded: of large values fewer entries are kept, and an entry that is in the snapshot is not written again,
-// as would be after a failed write: nothing would ever remove it.
+// TestEntriesAreBounded checks that large values cause earlier snapshots, and that a repeated write of an entry that the snapshot
+// includes is ignored, because nothing would remove that entry.
 func TestEntriesAreBounded(t *testing.T) {
 	s, _ := open(t, t.TempDir(), Identity{ID: 7})
 	large := make([]byte, limits.LogTailBytes/4)
@@ -160,12 +160,11 @@
 		left++
 	}
 	if _, ok := s.ChosenValue(5); left != 2 || !ok {
-		t.Errorf("%d entries are left of 6, of which 4 are in the snapshot", left)
+		t.Errorf("%d of 6 entries are stored, want the 2 that the snapshot does not include", left)
 	}
 }
 
-// BenchmarkChanges measures the writes for a configuration of a size: a promise, an accepted value and the chosen value, each
-// synced.
+// BenchmarkChanges measures the synced writes for one configuration: a promise, an accepted value and the chosen value.
 func BenchmarkChanges(b *testing.B) {
 	for name, size := range map[string]int{"100": 100, "262kB": 262_000, "8MiB": 8 << 20} {
 		b.Run(name, func(b *testing.B) {
@@ -180,7 +179,7 @@
 				}
 			}()
 			value := make([]byte, size)
-			_, _ = rand.NewChaCha8([32]byte{}).Read(value) // the database cannot compress it
+			_, _ = rand.NewChaCha8([32]byte{}).Read(value) // random bytes, which the database cannot compress
 			peak := int64(0)
 			for index := uint64(0); b.Loop(); index++ {
 				a := paxos.AcceptorState{Index: index, Promised: paxos.ProposalNumber{Term: index + 1}}
@@ -196,7 +195,7 @@
 	}
 }
 
-// folderBytes returns the size of the database in a data directory.
+// folderBytes returns the total file size of the database in a data directory.
 func folderBytes(dir string) (used int64) {
 	files, _ := os.ReadDir(filepath.Join(dir, folder))
 	for _, f := range files {
