--- a/internal/control/usage/counters.go
+++ b/internal/control/usage/counters.go
@@ -9,35 +9,35 @@
 	"notchhinge/internal/control/replog"
 )
 
-// Bounds of encoded counters.
+// Limits of encoded counters.
 const (
 	maxEncodedWindows = 16
-	maxTenants        = 1 << 16 // as many as an entry of package replog holds
+	maxTenants        = 1 << 16 // maximum of a usage report in package replog
 	maxNameBytes      = 256
 )
 
-// Counters are numbers of requests by window and tenant. Those of a router only grow, until old windows are dropped. The zero
+// Counters are numbers of requests by window and tenant. The counters of a router only grow, until their window is dropped. The zero
 // value is empty.
 type Counters struct {
 	Windows map[uint64]map[string]uint64
 }
 
-// Add counts requests of a tenant.
+// Add adds requests to the counter of a tenant in a window.
 func (c *Counters) Add(window uint64, tenant string, requests uint64) {
 	c.window(window)[tenant] += requests
 }
 
-// Merge raises each counter to the value that it has in other.
+// Merge sets each counter to the maximum of its value and the value in other.
 func (c *Counters) Merge(other *Counters) {
 	for number, tenants := range other.Windows {
-		mine := c.window(number)
+		own := c.window(number)
 		for tenant, requests := range tenants {
-			mine[tenant] = max(mine[tenant], requests)
+			own[tenant] = max(own[tenant], requests)
 		}
 	}
 }
 
-// window returns the counters of a window, which are created if there are none.
+// window returns the counters of a window, and creates them if necessary.
 func (c *Counters) window(number uint64) map[string]uint64 {
 	if c.Windows == nil {
 		c.Windows = map[uint64]map[string]uint64{}
@@ -50,12 +50,12 @@
 	return tenants
 }
 
-// DropBefore drops the windows before a number.
+// DropBefore drops all windows with a lower number than window.
 func (c *Counters) DropBefore(window uint64) {
 	maps.DeleteFunc(c.Windows, func(number uint64, _ map[string]uint64) bool { return number < window })
 }
 
-// Encode appends the newest 16 windows.
+// Encode writes the newest 16 windows to w.
 func (c *Counters) Encode(w *encoding.Writer) {
 	numbers := make([]uint64, 0, len(c.Windows))
 	for number := range c.Windows {
@@ -75,7 +75,7 @@
 	}
 }
 
-// DecodeCounters reads what Encode has written.
+// DecodeCounters decodes counters that were written by Encode.
 func DecodeCounters(r *encoding.Reader) Counters {
 	c := Counters{Windows: map[uint64]map[string]uint64{}}
 	for range r.Length(maxEncodedWindows, 2) {
@@ -89,7 +89,7 @@
 	return c
 }
 
-// SortedCounts lists the counts of one window, sorted by tenant.
+// SortedCounts returns the counts of one window, sorted by tenant.
 func SortedCounts(tenants map[string]uint64) []replog.TenantCount {
 	all := make([]replog.TenantCount, 0, len(tenants))
 	for tenant, requests := range tenants {
--- a/internal/control/usage/doc.go
+++ b/internal/control/usage/doc.go
@@ -1,13 +1,15 @@
 // Package usage counts requests by tenant and usage window, so that the fleet can report each window to the platform.
 //
-// A router counts with a Meter and sends a Report to every voter of the control plane. A voter merges reports into a Table, and
-// merges the tables of other voters before it has the figures of a window agreed. Counters only grow and belong to one
-// incarnation of one router; a merge takes the highest value of each. Reports may therefore be lost, repeated, reordered and
-// passed on between voters: the sum of a window converges to what the routers have counted. This is the grow-only counter of
-// Shapiro, Preguiça, Baquero, Zawirski, "A comprehensive study of convergent and commutative replicated data types" (2011).
+// A router counts requests with a Meter and sends a Report to every voter of the control plane. A voter merges reports into a
+// Table, and merges the tables of the other voters before the counts of a window are committed to the log. Counters only grow and
+// belong to one incarnation of one router; a merge takes the maximum of each. Reports may therefore be lost, repeated, reordered
+// and forwarded between voters, and the sum of a window still converges to the counts of the routers. This is the grow-only counter
+// of Shapiro, Preguiça, Baquero, Zawirski, "A comprehensive study of convergent and commutative replicated data types" (2011).
 //
-// Reports carry increments only: an Ack says which table a voter has, and a Meter leaves out what that table holds already.
+// A Report contains only counters that the voter has not acknowledged. Each Ack identifies the voter's table, so a Meter sends all
+// counters again to a voter with a new table.
 //
-// Windows are numbered from the Unix epoch in units of their length. The package is pure: the time of day and the steady clock
-// are given. Nothing in it is safe for concurrent use. Decoders return the errors of package encoding and bound what they read.
+// Windows are numbered from the Unix epoch in units of their length. The package performs no I/O and reads no clock; callers pass
+// the time of day and the steady clock. Its types are not safe for concurrent use. Decoders return the errors of package encoding
+// and limit the size of what they decode.
 package usage
--- a/internal/control/usage/golden_test.go
+++ b/internal/control/usage/golden_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// TestGoldenReports: what routers report and voters exchange has the bytes that it had.
+// TestGoldenReports checks the encodings of reports, acknowledgements and tables.
 func TestGoldenReports(t *testing.T) {
 	golden.RoundTrip(t, "report.hex", goldenReport(), (*Report).Encode, DecodeReport)
 	golden.RoundTrip(t, "report-empty.hex", &Report{Incarnation: 1, Counters: Counters{Windows: map[uint64]map[string]uint64{}}}, (*Report).Encode, DecodeReport)
--- a/internal/control/usage/meter.go
+++ b/internal/control/usage/meter.go
@@ -7,23 +7,23 @@
 	"notchhinge/internal/limits"
 )
 
-// Meter is a router's side: it counts requests by tenant and window, and makes reports of the counts.
+// Meter counts the requests of a router by tenant and window, and creates reports for the voters.
 type Meter struct {
 	WindowLength time.Duration
 	Incarnation  uint64 // of the router
 	Zone         string
 
 	counters Counters
-	acked    map[uint64]*ackedCounters // by the voter's id
+	acked    map[uint64]*ackedCounters // by the ID of the voter
 }
 
-// CountRequest counts a request of a tenant that begins now.
+// CountRequest counts a request of a tenant that starts at the given time of day.
 func (m *Meter) CountRequest(wall time.Time, tenant string) {
 	m.counters.Add(WindowAt(wall, m.WindowLength), tenant, 1)
 }
 
-// Reports returns a report for each of the voters, in their order, with what that voter has not acknowledged. It drops windows
-// older than limits.UsageRetention, and what it knows of a voter that is not listed.
+// Reports returns one report per voter, in the order of voters, with the counters that the voter has not acknowledged. It drops
+// windows older than limits.UsageRetention and the acknowledgements of voters that are not listed.
 func (m *Meter) Reports(wall time.Time, loads []Load, voters []uint64) []Report {
 	oldest := WindowAt(wall.Add(-limits.UsageRetention), m.WindowLength)
 	m.counters.DropBefore(oldest)
@@ -48,26 +48,26 @@
 	return reports
 }
 
-// HandleAck notes a voter's answer to a report. An answer of a voter that the last call of Reports did not list is ignored.
+// HandleAck records a voter's acknowledgement of the report sent. It ignores a voter that was not listed in the last call of Reports.
 func (m *Meter) HandleAck(voter uint64, a Ack, sent *Report) {
 	if acked := m.acked[voter]; acked != nil {
 		acked.record(a, &sent.Counters)
 	}
 }
 
-// ackedCounters are the counters of this router that a voter has acknowledged. A voter is sent only what exceeds them, so that a
-// report does not grow with all that was counted, and everything again once its table is another.
+// ackedCounters are the counters of this router that a voter has acknowledged. Reports contain only counters that exceed them, which
+// limits the size of a report. They are reset when the voter has a new table.
 type ackedCounters struct {
 	tableID  uint64
 	counters Counters
 }
 
-// missing returns the counters that exceed what was acknowledged.
-func (k *ackedCounters) missing(all *Counters) Counters {
+// missing returns the counters in all that exceed the acknowledged ones.
+func (c *ackedCounters) missing(all *Counters) Counters {
 	missing := Counters{}
 	for number, tenants := range all.Windows {
 		for tenant, requests := range tenants {
-			if requests > k.counters.Windows[number][tenant] {
+			if requests > c.counters.Windows[number][tenant] {
 				missing.Add(number, tenant, requests)
 			}
 		}
@@ -75,10 +75,10 @@
 	return missing
 }
 
-// record notes the answer to a report of the counters sent.
-func (k *ackedCounters) record(a Ack, sent *Counters) {
-	if a.TableID != k.tableID {
-		k.tableID, k.counters = a.TableID, Counters{}
+// record records the acknowledgement of a report with the counters sent.
+func (c *ackedCounters) record(a Ack, sent *Counters) {
+	if a.TableID != c.tableID {
+		c.tableID, c.counters = a.TableID, Counters{}
 	}
-	k.counters.Merge(sent)
+	c.counters.Merge(sent)
 }
--- a/internal/control/usage/report.go
+++ b/internal/control/usage/report.go
@@ -2,15 +2,15 @@
 
 import "notchhinge/internal/control/encoding"
 
-// Load is what one router, or all routers together, have of one service.
+// Load is the traffic of one service, at one router or summed over all routers.
 type Load struct {
 	Service string
-	Running uint64 // requests at engines, in hundredths, a mean over the last second
-	Arrived uint64 // requests since the router's start
-	Late    uint64 // of these, answered after their latency target or not at all
+	Running uint64 // mean number of requests at engines over the last second, times 100
+	Arrived uint64 // number of requests since the start of the router
+	Late    uint64 // number of these that missed their latency target or failed
 }
 
-// Report is what a router sends to a voter of the control plane.
+// Report is the message with counters and loads that a router sends to a voter of the control plane.
 type Report struct {
 	Incarnation uint64 // of the router
 	Zone        string
@@ -18,7 +18,7 @@
 	Loads       []Load
 }
 
-// Encode returns the report as it stands on the wire.
+// Encode returns the encoded report.
 func (p *Report) Encode() []byte {
 	w := encoding.Writer{}
 	w.Fixed64(p.Incarnation)
@@ -34,7 +34,7 @@
 	return w.Buf
 }
 
-// DecodeReport reads a report.
+// DecodeReport decodes a report.
 func DecodeReport(b []byte) (*Report, error) {
 	r := encoding.Reader{Buf: b}
 	p := &Report{Incarnation: r.Fixed64(), Zone: r.String(maxNameBytes), Counters: DecodeCounters(&r)}
@@ -44,13 +44,13 @@
 	return p, r.Finish()
 }
 
-// Ack is a voter's answer to a report.
+// Ack is a voter's response to a report.
 type Ack struct {
-	TableID uint64 // identifies the voter's table: one with another id holds nothing of what was reported before
-	Routers uint64 // incarnations of routers that have reported within the retry window, this one's among them; 0 = not known
+	TableID uint64 // identifies the voter's table; a new table has a new ID and contains no earlier reports
+	Routers uint64 // number of router incarnations, including this one, that reported within the retry window; 0 = unknown
 }
 
-// Encode returns the acknowledgement as it stands on the wire.
+// Encode returns the encoded acknowledgement.
 func (a *Ack) Encode() []byte {
 	w := encoding.Writer{}
 	w.Fixed64(a.TableID)
@@ -58,7 +58,7 @@
 	return w.Buf
 }
 
-// DecodeAck reads an acknowledgement.
+// DecodeAck decodes an acknowledgement.
 func DecodeAck(b []byte) (Ack, error) {
 	r := encoding.Reader{Buf: b}
 	a := Ack{TableID: r.Fixed64(), Routers: r.Uvarint()}
--- a/internal/control/usage/table.go
+++ b/internal/control/usage/table.go
@@ -8,18 +8,18 @@
 	"notchhinge/internal/control/encoding"
 )
 
-// Bounds of a table.
+// Limits of a table.
 const (
 	maxRouters        = 4096
-	maxRouterWindows  = 64      // of one incarnation of a router; a report of nonsense must not fill the memory
+	maxRouterWindows  = 64      // per router incarnation; limits the memory that invalid reports can use
 	maxReportBytes    = 3 << 20 // three windows of 65,536 tenants with names of 13 bytes
 	maxServices       = 4096
-	loadLifetime      = 3 * time.Second // a router's loads count for so long after its last report
-	idleRouterTimeout = time.Minute     // a router without counters is forgotten after so long without a report
+	loadLifetime      = 3 * time.Second // loads expire this long after the last report of a router
+	idleRouterTimeout = time.Minute     // a router without counters is removed this long after its last report
 )
 
-// Table is what a voter knows of all routers: the counters of each incarnation, and the loads of its last report. Tables merge in
-// any order. The zero value is empty.
+// Table holds the counters of each router incarnation and the loads of its last report, as known to one voter. Tables can be merged
+// in any order with the same result. The zero value is empty.
 type Table struct {
 	routers map[uint64]*router // by incarnation
 }
@@ -29,17 +29,17 @@
 	zone       string
 	counters   Counters
 	loads      []Load
-	reportedAt time.Duration // steady clock; 0 = it is only known from another voter's table
+	reportedAt time.Duration // steady clock; 0 = known only from another voter's table
 }
 
-// Record takes in a report that the router itself has sent. Reports of more than 4096 incarnations are ignored.
+// Record merges a report that a router sent to this voter. It ignores new incarnations once the table has 4096.
 func (t *Table) Record(now time.Duration, p *Report) {
 	if r := t.merge(p); r != nil {
 		r.reportedAt, r.loads = now, p.Loads
 	}
 }
 
-// merge takes in the counters of a report and returns their router, nil where the table is full.
+// merge merges the counters of a report and returns the router, or nil if the table is full.
 func (t *Table) merge(p *Report) *router {
 	if t.routers == nil {
 		t.routers = map[uint64]*router{}
@@ -59,7 +59,7 @@
 	return r
 }
 
-// Sum adds up a window over all routers, by tenant.
+// Sum returns the counts of a window by tenant, summed over all routers.
 func (t *Table) Sum(window uint64) map[string]uint64 {
 	sum := map[string]uint64{}
 	for _, r := range t.routers {
@@ -70,7 +70,7 @@
 	return sum
 }
 
-// DropBefore drops the windows before a number, and routers that have none left and have not reported for a minute.
+// DropBefore drops all windows with a lower number than window, and routers without windows that have not reported for a minute.
 func (t *Table) DropBefore(now time.Duration, window uint64) {
 	for id, r := range t.routers {
 		r.counters.DropBefore(window)
@@ -80,7 +80,7 @@
 	}
 }
 
-// Loads adds up, by service, the loads of routers that have reported within the last 3 s.
+// Loads returns the loads by service, summed over all routers that have reported within the last 3 s.
 func (t *Table) Loads(now time.Duration) map[string]Load {
 	sum := map[string]Load{}
 	for _, r := range t.routers {
@@ -95,7 +95,7 @@
 	return sum
 }
 
-// LiveRouters counts the incarnations of routers that have reported within a time.
+// LiveRouters returns the number of router incarnations that have reported within the given duration.
 func (t *Table) LiveRouters(now, within time.Duration) int {
 	live := 0
 	for _, r := range t.routers {
@@ -106,7 +106,7 @@
 	return live
 }
 
-// Encode returns the counters of the windows in [from, to), for another voter's Merge.
+// Encode returns the encoded counters of the windows in [from, to). Another voter passes them to Merge.
 func (t *Table) Encode(from, to uint64) []byte {
 	selected := map[uint64]Counters{}
 	for id, r := range t.routers {
@@ -129,7 +129,7 @@
 	return w.Buf
 }
 
-// Merge takes in the encoded table of another voter. After an error the routers before it are merged.
+// Merge merges the encoded table of another voter. If it returns an error, the routers before the invalid one are merged.
 func (t *Table) Merge(encoded []byte) error {
 	r := encoding.Reader{Buf: encoded}
 	for range r.Length(maxRouters, 1) {
--- a/internal/control/usage/table_bench_test.go
+++ b/internal/control/usage/table_bench_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// benchReports are a window's reports of so many routers, 150 requests each, of 14,000 tenants whose share falls with their rank.
+// benchReports returns one report per router with 150 requests in one window. The requests follow a Zipf distribution over 14,000
+// tenants.
 func benchReports(routers int) (all []*Report) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	z := rand.NewZipf(rnd, 1.01, 1, 13999)
@@ -25,8 +26,8 @@
 	return all
 }
 
-// BenchmarkTable is a voter's table of so many routers: what a report costs it, what a window takes of the heap, and what it
-// costs to encode a window for another voter, and to add it up.
+// BenchmarkTable measures, for several numbers of routers, the time to decode and record a report, the heap size of a window, and
+// the time to encode a window and to sum it.
 func BenchmarkTable(b *testing.B) {
 	for _, routers := range []int{30, 100, 330} {
 		reports := benchReports(routers)
--- a/internal/control/usage/usage_test.go
+++ b/internal/control/usage/usage_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// TestTablesConvergeInAnyMergeOrder: reports may be lost, late, repeated and passed on between voters; the sum is that of the newest.
+// TestTablesConvergeInAnyMergeOrder checks that lost, delayed and repeated reports lead to the sum of the newest ones.
 func TestTablesConvergeInAnyMergeOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := [2]Table{}
@@ -50,7 +50,7 @@
 	})
 }
 
-// roundTrip returns a report as it arrives.
+// roundTrip encodes and decodes a report.
 func roundTrip(t *rapid.T, p *Report) *Report {
 	t.Helper()
 	got, err := DecodeReport(p.Encode())
@@ -60,8 +60,8 @@
 	return got
 }
 
-// TestReportsCarryOnlyWhatIsNotAcknowledged: a router sends a voter only what that has not acknowledged. Reports and answers are
-// lost, the voter starts anew with an empty table, and after a report that is answered its table has everything.
+// TestReportsCarryOnlyWhatIsNotAcknowledged checks that a router sends only counters that the voter has not acknowledged, and that
+// the table is complete after an acknowledged report, although reports and responses are lost and the voter restarts.
 func TestReportsCarryOnlyWhatIsNotAcknowledged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
@@ -88,7 +88,7 @@
 					t.Fatal(ack, err)
 				}
 				acked.record(ack, &missing)
-				missing = acked.missing(&all) // what a new table lacks goes with the next report
+				missing = acked.missing(&all) // the next report contains what a new table lacks
 				table.Record(sec, &Report{Incarnation: 1, Counters: missing})
 				acked.record(ack, &missing)
 				for number, counts := range all.Windows {
@@ -97,14 +97,14 @@
 					}
 				}
 				if len(acked.missing(&all).Windows) > 0 {
-					t.Fatal("what was acknowledged is sent again")
+					t.Fatal("acknowledged counters are sent again")
 				}
 			}
 		}
 	})
 }
 
-// TestTableIsBounded: a table stays within its bounds, whether old windows are dropped or not.
+// TestTableIsBounded checks that a table limits its windows without calls of DropBefore, and for how long a router is live.
 func TestTableIsBounded(t *testing.T) {
 	var table Table
 	for window := range uint64(1000) {
@@ -116,7 +116,7 @@
 		t.Errorf("%d windows are kept", n)
 	}
 	if table.LiveRouters(sec+time.Minute, time.Minute) != 1 || table.LiveRouters(2*time.Minute, time.Minute) != 0 {
-		t.Error("a router does not count as live for as long as it should")
+		t.Error("LiveRouters does not count a router for exactly the given duration")
 	}
 }
 
