--- a/internal/control/autoscale/doc.go
+++ b/internal/control/autoscale/doc.go
@@ -1,10 +1,11 @@
-// Package autoscale computes how many engines each service needs, from what routers report of its traffic.
+// Package autoscale computes how many engines each service needs from the loads that routers report.
 //
-// A Scaler holds the estimate of one service: the exponentially weighted mean of running requests, over the requests that one
-// engine is meant to run. It scales up at once and down only after a lower number has been enough for a while, since an engine
-// that is missing costs until another has booted. A Planner keeps the scalers of all services and returns the targets that the
-// platform has not accepted yet. The figures are those of limits.AutoscaleTuning; docs/design/scaling.md says what each one costs.
+// A Scaler estimates the demand of one service: the exponentially weighted mean of its running requests, divided by the target
+// number of running requests per engine. It scales up immediately. It scales down only after a lower number has been sufficient for
+// a while, because a missing engine costs requests until another has booted. A Planner holds the scalers of all services and
+// returns the targets that the platform has not accepted yet. The parameters are in limits.AutoscaleTuning;
+// docs/design/scaling.md describes their costs.
 //
-// The package is pure: the steady clock is given. It assumes that it is asked about once a second. Nothing in it is safe for
-// concurrent use.
+// The package performs no I/O and reads no clock; callers pass the steady clock and plan about once a second. Its types are not safe
+// for concurrent use.
 package autoscale
--- a/internal/control/autoscale/planner.go
+++ b/internal/control/autoscale/planner.go
@@ -7,39 +7,40 @@
 	"notchhinge/internal/limits"
 )
 
-// Target is a number of engines that a service should have in a zone.
+// Target is the number of engines that a service should have in a zone.
 type Target struct {
 	Service, Zone string
 	Engines       int
-	Running       int // requests that it was computed from
+	Running       int // running requests of the service when the target was computed
 }
 
-// Planner computes the targets of all services. The zero value knows of no traffic.
+// Planner computes the targets of all services. Use NewPlanner to create one.
 type Planner struct {
-	services  map[string]*history
-	accepted  map[serviceZone]int // targets that the platform has accepted last
+	services  map[string]*serviceState
+	accepted  map[serviceZone]int // last targets that the platform accepted
 	plannedAt time.Duration       // steady clock; 0 = never
 }
 
-// history is what a planner keeps of a service.
-type history struct {
+// serviceState is the state of one service between plans.
+type serviceState struct {
 	scaler  Scaler
-	arrived uint64 // at the last plan
+	arrived uint64 // usage.Load.Arrived at the last plan
 }
 
-// serviceZone is a service's part in one zone.
+// serviceZone identifies a service in one zone.
 type serviceZone struct{ service, zone string }
 
-// NewPlanner returns a planner that knows of no traffic and no targets.
+// NewPlanner returns a Planner without observed traffic or accepted targets.
 func NewPlanner() *Planner {
-	return &Planner{services: map[string]*history{}, accepted: map[serviceZone]int{}}
+	return &Planner{services: map[string]*serviceState{}, accepted: map[serviceZone]int{}}
 }
 
 // IsDue reports whether limits.AutoscaleInterval has passed since the last plan.
 func (p *Planner) IsDue(now time.Duration) bool { return now-p.plannedAt >= limits.AutoscaleInterval }
 
-// Plan returns, in the order of the services and then of their zones, the targets that differ from what the platform has accepted
-// last or, where it has accepted none, from the engines that are ready. loads are those of all routers, by service.
+// Plan returns the targets to send to the platform, ordered by service as in services and then by zone. A target is included if it
+// differs from the last accepted one or, without an accepted one, from the number of ready engines. loads are summed over all
+// routers, by service.
 func (p *Planner) Plan(now time.Duration, services []Service, loads map[string]usage.Load) []Target {
 	elapsed := (now - p.plannedAt).Seconds()
 	p.plannedAt = now
@@ -48,7 +49,7 @@
 		svc := &services[i]
 		h := p.services[svc.Name]
 		if h == nil {
-			h = &history{scaler: Scaler{AutoscaleTuning: limits.DefaultAutoscaleTuning()}}
+			h = &serviceState{scaler: Scaler{AutoscaleTuning: limits.DefaultAutoscaleTuning()}}
 			p.services[svc.Name] = h
 		}
 		load := loads[svc.Name]
@@ -65,7 +66,7 @@
 	return due
 }
 
-// current returns the engines that a zone has or will have without a new target.
+// current returns the last accepted target of a zone, or its number of ready engines if there is none.
 func (p *Planner) current(svc *Service, zone string) int {
 	if accepted, ok := p.accepted[serviceZone{svc.Name, zone}]; ok {
 		return accepted
@@ -73,5 +74,5 @@
 	return svc.Ready[zone]
 }
 
-// RecordAccepted notes that the platform has accepted a target.
+// RecordAccepted records that the platform accepted a target.
 func (p *Planner) RecordAccepted(t Target) { p.accepted[serviceZone{t.Service, t.Zone}] = t.Engines }
--- a/internal/control/autoscale/scaler.go
+++ b/internal/control/autoscale/scaler.go
@@ -9,43 +9,42 @@
 	"notchhinge/internal/limits"
 )
 
-// Demand is the traffic that a service needs engines for, over all routers.
+// Demand is the traffic of a service, summed over all routers.
 type Demand struct {
-	Running     float64 // requests at engines
-	ArrivalRate float64 // requests a second
+	Running     float64 // number of requests at engines
+	ArrivalRate float64 // requests per second
 }
 
-// Bounds of the number of a service's engines, in each zone.
+// Bounds limits the number of engines of a service in each zone.
 type Bounds struct {
 	Min, Max int
 }
 
-// Service is a service whose engines are scaled, as it is now.
+// Service is the current state of a service whose engines are scaled.
 type Service struct {
 	Name   string
 	Bounds Bounds
-	Ready  map[string]int // engines that are ready, by zone; a zone in which it runs but has none ready is listed with 0
-	Slots  float64        // of an engine that is ready, a mean; 0 = not known
+	Ready  map[string]int // number of ready engines by zone; includes zones of the service with 0 ready engines
+	Slots  float64        // mean number of slots of the ready engines; 0 = unknown
 }
 
 // Scaler computes targets for one service.
 type Scaler struct {
 	limits.AutoscaleTuning
 	meanRunning float64
-	firstAt     time.Duration // when traffic was first seen; 0 = not yet
-	lastAt      time.Duration
-	recent      []total // those of the last ScaleDownDelay
+	firstAt     time.Duration // when traffic was first observed; 0 = not yet
+	lastAt      time.Duration // when meanRunning was last updated
+	recent      []sample      // samples of the last ScaleDownDelay
 }
 
-// total is a number of engines over all zones that was enough at a time.
-type total struct {
+// sample is the number of engines that were sufficient at a time, over all zones.
+type sample struct {
 	at      time.Duration
 	engines int
 }
 
-// Targets returns the number of engines wanted in each zone of the service, or nil as long as no traffic has been seen: before
-// that nobody can say what it needs. For the first MinObservation it returns no less than there is, since engines that are not
-// known yet are no reason to have fewer.
+// Targets returns the target number of engines in each zone of the service. It returns nil until traffic is observed, because the
+// demand is unknown before that. During the first MinObservation it does not scale down, because some engines may not be known yet.
 func (s *Scaler) Targets(now time.Duration, d Demand, svc *Service) map[string]int {
 	if s.firstAt == 0 {
 		if d.ArrivalRate <= 0 && d.Running <= 0 {
@@ -60,7 +59,7 @@
 	if len(svc.Ready) == 0 {
 		return nil
 	}
-	engines := s.peak(now, int(math.Ceil(s.meanRunning/s.perEngine(svc))))
+	engines := s.recentPeak(now, int(math.Ceil(s.meanRunning/s.runningPerEngine(svc))))
 	targets := map[string]int{}
 	for i, zone := range svc.zones() {
 		n := engines / len(svc.Ready)
@@ -76,17 +75,17 @@
 	return targets
 }
 
-// perEngine returns how many requests one engine is meant to run.
-func (s *Scaler) perEngine(svc *Service) float64 {
+// runningPerEngine returns the target number of running requests per engine.
+func (s *Scaler) runningPerEngine(svc *Service) float64 {
 	if svc.Slots > 0 {
 		return max(s.TargetUtilization*svc.Slots, 0.5)
 	}
 	return s.TargetRunningPerEngine
 }
 
-// peak notes a total and returns the highest one of the last ScaleDownDelay.
-func (s *Scaler) peak(now time.Duration, engines int) int {
-	s.recent = append(s.recent, total{now, engines})
+// recentPeak adds a sample and returns the maximum of the samples within the last ScaleDownDelay.
+func (s *Scaler) recentPeak(now time.Duration, engines int) int {
+	s.recent = append(s.recent, sample{now, engines})
 	for len(s.recent) > 1 && now-s.recent[0].at > s.ScaleDownDelay {
 		s.recent = s.recent[1:]
 	}
@@ -96,5 +95,5 @@
 	return engines
 }
 
-// zones lists the zones in which the service runs, sorted.
+// zones returns the zones of the service, sorted.
 func (svc *Service) zones() []string { return slices.Sorted(maps.Keys(svc.Ready)) }
--- a/internal/control/autoscale/scaler_test.go
+++ b/internal/control/autoscale/scaler_test.go
@@ -9,7 +9,7 @@
 
 const sec = time.Second
 
-// scaling is a Scaler with the service that it scales, in zones a, b and c with 8 ready engines each.
+// scaling is a Scaler and its service, with 8 ready engines in each of the zones a, b and c.
 type scaling struct {
 	Scaler
 	svc Service
@@ -26,7 +26,7 @@
 	}
 }
 
-// run has so many requests running for a time, and returns the engines over all zones that are wanted at its end.
+// run simulates a number of running requests for a duration and returns the final targets, summed over all zones.
 func (s *scaling) run(d time.Duration, running float64) (engines int) {
 	for end := s.now + d; s.now < end; s.now += 500 * time.Millisecond {
 		engines = s.engines(Demand{Running: running, ArrivalRate: running})
@@ -34,7 +34,7 @@
 	return engines
 }
 
-// engines returns the engines over all zones that are wanted now.
+// engines returns the current targets, summed over all zones.
 func (s *scaling) engines(d Demand) int {
 	sum := 0
 	for _, n := range s.Targets(s.now, d, &s.svc) {
@@ -46,29 +46,29 @@
 func TestScaler(t *testing.T) {
 	s := newScaling()
 	if w := s.Targets(sec, Demand{}, &s.svc); w != nil {
-		t.Errorf("before any traffic %v is ordered", w)
+		t.Errorf("before any traffic: targets %v, want none", w)
 	}
 	if n := s.run(2*sec, 60); n != 24 {
-		t.Errorf("after 2 s of traffic fewer than there are: %v", n)
+		t.Errorf("60 running for 2 s: %v engines, want the 24 that are ready", n)
 	}
 	if n := s.run(8*sec, 60); n != 15 {
-		t.Errorf("60 running: %v", n)
+		t.Errorf("60 running: %v engines, want 15", n)
 	}
 	if n := s.run(3*sec, 100); n < 24 {
-		t.Errorf("a burst to 100: %v after 3 s", n)
+		t.Errorf("100 running for 3 s: %v engines, want at least 24", n)
 	}
 	if n := s.run(4*sec, 20); n < 24 {
-		t.Errorf("down at once: %v", n)
+		t.Errorf("20 running for 4 s: %v engines, want at least 24 until ScaleDownDelay has passed", n)
 	}
 	if n := s.run(12*sec, 1); n != 6 {
-		t.Errorf("below the minimum: %v", n)
+		t.Errorf("1 running: %v engines, want the minimum of 6", n)
 	}
 	if n := s.run(12*sec, 1000); n != 30 {
-		t.Errorf("above the maximum: %v", n)
+		t.Errorf("1000 running: %v engines, want the maximum of 30", n)
 	}
 }
 
-// TestScalerAtFirstTraffic: the first figures of a service lead to more engines at once, and to no fewer than there are.
+// TestScalerAtFirstTraffic checks that the first demand of a service can scale it up immediately but not down.
 func TestScalerAtFirstTraffic(t *testing.T) {
 	for _, c := range []struct {
 		name           string
