--- a/internal/control/singleton/answer.go
+++ b/internal/control/singleton/answer.go
@@ -9,19 +9,19 @@
 	"notchhinge/internal/control/usage"
 )
 
-// callHandler returns the response to a call from another process.
+// callHandler handles a call from another process and returns the response.
 type callHandler func(c *Controller, body []byte) ([]byte, error)
 
 // callHandlers has a handler for each kind of call that belongs to the singleton roles.
 var callHandlers = rpc.Handlers[callHandler]{
-	rpc.KindUsageReport:    (*Controller).answerReport,
-	rpc.KindUsageTable:     (*Controller).answerTable,
-	rpc.KindRenewLease:     (*Controller).answerRenewal,
-	rpc.KindCheckCandidacy: (*Controller).answerCandidacy,
+	rpc.KindUsageReport:    (*Controller).handleReport,
+	rpc.KindUsageTable:     (*Controller).handleTableRequest,
+	rpc.KindRenewLease:     (*Controller).handleRenewal,
+	rpc.KindCheckCandidacy: (*Controller).handleCandidacy,
 }
 
-// answer returns the response to a call from another process.
-func (c *Controller) answer(kind rpc.Kind, body []byte) ([]byte, error) {
+// handleCall handles a call from another process and returns the response.
+func (c *Controller) handleCall(kind rpc.Kind, body []byte) ([]byte, error) {
 	handle, err := callHandlers.Lookup(kind)
 	if err != nil {
 		return nil, fmt.Errorf("singleton: %w", err)
@@ -29,8 +29,8 @@
 	return handle(c, body)
 }
 
-// answerTable returns the counters of a range of windows to another voter.
-func (c *Controller) answerTable(body []byte) ([]byte, error) {
+// handleTableRequest returns the counters of a range of windows to another voter.
+func (c *Controller) handleTableRequest(body []byte) ([]byte, error) {
 	r := encoding.Reader{Buf: body}
 	from, to := r.Uvarint(), r.Uvarint()
 	if err := r.Finish(); err != nil {
@@ -39,8 +39,8 @@
 	return c.table.Encode(from, to), nil
 }
 
-// answerRenewal grants or rejects the renewal of a lease.
-func (c *Controller) answerRenewal(body []byte) ([]byte, error) {
+// handleRenewal grants or rejects the renewal of a lease.
+func (c *Controller) handleRenewal(body []byte) ([]byte, error) {
 	request, err := lease.DecodeRenewal(body, lease.HashVoters(c.state.Members))
 	if err != nil {
 		return nil, err
@@ -48,8 +48,8 @@
 	return lease.EncodeResponse(c.grant(request)), nil
 }
 
-// answerCandidacy permits or rejects a voter's candidacy for the lease.
-func (c *Controller) answerCandidacy(body []byte) ([]byte, error) {
+// handleCandidacy permits or rejects a voter's candidacy for the lease.
+func (c *Controller) handleCandidacy(body []byte) ([]byte, error) {
 	request, err := lease.DecodeCandidacy(body)
 	if err != nil {
 		return nil, err
@@ -57,8 +57,8 @@
 	return lease.EncodeResponse(c.permits(request)), nil
 }
 
-// answerReport records a router's usage report.
-func (c *Controller) answerReport(body []byte) ([]byte, error) {
+// handleReport records a router's usage report.
+func (c *Controller) handleReport(body []byte) ([]byte, error) {
 	report, err := usage.DecodeReport(body)
 	if err != nil {
 		return nil, err
--- a/internal/control/singleton/controller.go
+++ b/internal/control/singleton/controller.go
@@ -96,7 +96,7 @@
 	case Tick:
 		c.tick()
 	case CallReceived:
-		body, err := c.answer(e.Kind, e.Body)
+		body, err := c.handleCall(e.Kind, e.Body)
 		c.emit(SendReply{Body: body, Err: err})
 		return c.effects // every router calls twice a second; the roles continue with the next tick
 	case CallReturned:
@@ -182,7 +182,7 @@
 	c.emit(SendCall{ID: c.lastCall, To: to, Kind: kind, Body: body, Timeout: rpc.Lookup(kind).Timeout})
 }
 
-func (c *Controller) emit(f Effect) { c.effects = append(c.effects, f) }
+func (c *Controller) emit(effect Effect) { c.effects = append(c.effects, effect) }
 
 func (c *Controller) log(level slog.Level, message string, args ...any) {
 	c.emit(Log{Level: level, Message: message, Args: args})
--- a/internal/control/singleton/controller_test.go
+++ b/internal/control/singleton/controller_test.go
@@ -20,11 +20,11 @@
 // harness runs the Controller of the first of three members. A test supplies the results of its effects.
 type harness struct {
 	*Controller
-	now      time.Duration
-	state    replog.State
-	calls    []SendCall
-	sent     []string // calls to the platform
-	proposed func(*replog.State) []byte
+	now           time.Duration
+	state         replog.State
+	calls         []SendCall
+	platformCalls []string // usage reports and scaling requests, in order
+	proposed      func(*replog.State) []byte
 }
 
 func newHarness() *harness {
@@ -52,9 +52,9 @@
 		case Propose:
 			h.proposed = f.Next
 		case ReportUsage:
-			h.sent = append(h.sent, fmt.Sprint("usage ", f.FencingToken, f.Counts))
+			h.platformCalls = append(h.platformCalls, fmt.Sprint("usage ", f.FencingToken, f.Counts))
 		case ScaleEngines:
-			h.sent = append(h.sent, fmt.Sprint("scale ", f.FencingToken, f.Zone, f.Engines))
+			h.platformCalls = append(h.platformCalls, fmt.Sprint("scale ", f.FencingToken, f.Zone, f.Engines))
 		}
 	}
 }
@@ -115,8 +115,8 @@
 	h.advance(sec)
 	h.grant(1)
 	h.choose()
-	if h.state.LeaseHolder != 1 || len(h.calls) != 2 || len(h.sent) != 0 {
-		t.Fatalf("holder %d, %d calls, platform calls %v", h.state.LeaseHolder, len(h.calls), h.sent)
+	if h.state.LeaseHolder != 1 || len(h.calls) != 2 || len(h.platformCalls) != 0 {
+		t.Fatalf("holder %d, %d calls, platform calls %v", h.state.LeaseHolder, len(h.calls), h.platformCalls)
 	}
 }
 
@@ -130,7 +130,7 @@
 	report := func() { h.reduce(CallReceived{Kind: rpc.KindUsageReport, Body: p.Encode()}) }
 	expect := func(when, want string) {
 		t.Helper()
-		if got := fmt.Sprint(h.sent); got != want {
+		if got := fmt.Sprint(h.platformCalls); got != want {
 			t.Fatalf("%s: platform calls %v, want %v", when, got, want)
 		}
 	}
@@ -146,7 +146,7 @@
 	expect("while a call is in flight", "[scale 1y5]")
 	h.reduce(PlatformAnswered{})
 	h.reduce(PlatformAnswered{Err: errors.New("busy")})
-	h.sent = nil
+	h.platformCalls = nil
 	report()
 	h.advance(sec / 2)
 	h.grant(2)
@@ -157,19 +157,19 @@
 		h.grant(2)
 	}
 	h.choose()
-	if len(h.sent) == 0 || h.sent[len(h.sent)-1] != "usage 1 map[t:4]" {
-		t.Fatalf("platform calls %v, want the usage window last", h.sent)
+	if len(h.platformCalls) == 0 || h.platformCalls[len(h.platformCalls)-1] != "usage 1 map[t:4]" {
+		t.Fatalf("platform calls %v, want the usage window last", h.platformCalls)
 	}
 	counters.Add(usage.WindowAt(h.wall(), 5*sec)-2, "t", 1) // a late report of the window changes nothing
 	report()
 	h.reduce(PlatformAnswered{Err: errors.New("lost")})
-	h.sent = nil
+	h.platformCalls = nil
 	h.grant(2)
 	expect("immediately after an error", "[]")
 	h.advance(sec / 2)
 	expect("at the tick after an error", "[usage 1 map[t:4]]")
 	h.reduce(PlatformAnswered{})
-	h.calls, h.sent = nil, nil
+	h.calls, h.platformCalls = nil, nil
 	h.advance(2500 * time.Millisecond) // since the last grant
 	h.reduce(PlatformAnswered{})
 	expect("under a lease that is about to expire", "[]")
