--- a/internal/control/autoscale/planner.go
+++ b/internal/control/autoscale/planner.go
@@ -53,13 +53,13 @@
 			p.services[svc.Name] = h
 		}
 		load := loads[svc.Name]
-		d := Demand{Running: float64(load.Running) / 100, ArrivalRate: max(float64(load.Arrived)-float64(h.arrived), 0) / elapsed}
+		demand := Demand{Running: float64(load.Running) / 100, ArrivalRate: max(float64(load.Arrived)-float64(h.arrived), 0) / elapsed}
 		h.arrived = load.Arrived
-		targets := h.scaler.Targets(now, d, svc)
+		targets := h.scaler.Targets(now, demand, svc)
 		for _, zone := range svc.zones() {
 			engines, ok := targets[zone]
 			if ok && engines != p.current(svc, zone) {
-				due = append(due, Target{Service: svc.Name, Zone: zone, Engines: engines, Running: int(d.Running)})
+				due = append(due, Target{Service: svc.Name, Zone: zone, Engines: engines, Running: int(demand.Running)})
 			}
 		}
 	}
--- a/internal/control/autoscale/scaler.go
+++ b/internal/control/autoscale/scaler.go
@@ -45,15 +45,15 @@
 
 // Targets returns the target number of engines in each zone of the service. It returns nil until traffic is observed, because the
 // demand is unknown before that. During the first MinObservation it does not scale down, because some engines may not be known yet.
-func (s *Scaler) Targets(now time.Duration, d Demand, svc *Service) map[string]int {
+func (s *Scaler) Targets(now time.Duration, demand Demand, svc *Service) map[string]int {
 	if s.firstAt == 0 {
-		if d.ArrivalRate <= 0 && d.Running <= 0 {
+		if demand.ArrivalRate <= 0 && demand.Running <= 0 {
 			return nil
 		}
-		s.firstAt, s.lastAt, s.meanRunning = now, now, d.Running
+		s.firstAt, s.lastAt, s.meanRunning = now, now, demand.Running
 	}
 	if dt := now - s.lastAt; dt > 0 {
-		s.meanRunning += (d.Running - s.meanRunning) * (1 - math.Exp(-float64(dt)/float64(s.SmoothingTime)))
+		s.meanRunning += (demand.Running - s.meanRunning) * (1 - math.Exp(-float64(dt)/float64(s.SmoothingTime)))
 		s.lastAt = now
 	}
 	if len(svc.Ready) == 0 {
--- a/internal/control/usage/meter.go
+++ b/internal/control/usage/meter.go
@@ -49,9 +49,9 @@
 }
 
 // HandleAck records a voter's acknowledgement of the report sent. It ignores a voter that was not listed in the last call of Reports.
-func (m *Meter) HandleAck(voter uint64, a Ack, sent *Report) {
+func (m *Meter) HandleAck(voter uint64, ack Ack, sent *Report) {
 	if acked := m.acked[voter]; acked != nil {
-		acked.record(a, &sent.Counters)
+		acked.record(ack, &sent.Counters)
 	}
 }
 
@@ -76,9 +76,9 @@
 }
 
 // record records the acknowledgement of a report with the counters sent.
-func (c *ackedCounters) record(a Ack, sent *Counters) {
-	if a.TableID != c.tableID {
-		c.tableID, c.counters = a.TableID, Counters{}
+func (c *ackedCounters) record(ack Ack, sent *Counters) {
+	if ack.TableID != c.tableID {
+		c.tableID, c.counters = ack.TableID, Counters{}
 	}
 	c.counters.Merge(sent)
 }
--- a/internal/control/usage/report.go
+++ b/internal/control/usage/report.go
@@ -19,13 +19,13 @@
 }
 
 // Encode returns the encoded report.
-func (p *Report) Encode() []byte {
+func (r *Report) Encode() []byte {
 	w := encoding.Writer{}
-	w.Fixed64(p.Incarnation)
-	w.String(p.Zone)
-	p.Counters.Encode(&w)
-	w.Uvarint(uint64(len(p.Loads)))
-	for _, l := range p.Loads {
+	w.Fixed64(r.Incarnation)
+	w.String(r.Zone)
+	r.Counters.Encode(&w)
+	w.Uvarint(uint64(len(r.Loads)))
+	for _, l := range r.Loads {
 		w.String(l.Service)
 		w.Uvarint(l.Running)
 		w.Uvarint(l.Arrived)
@@ -37,11 +37,11 @@
 // DecodeReport decodes a report.
 func DecodeReport(b []byte) (*Report, error) {
 	r := encoding.Reader{Buf: b}
-	p := &Report{Incarnation: r.Fixed64(), Zone: r.String(maxNameBytes), Counters: DecodeCounters(&r)}
+	report := &Report{Incarnation: r.Fixed64(), Zone: r.String(maxNameBytes), Counters: DecodeCounters(&r)}
 	for range r.Length(maxServices, 4) {
-		p.Loads = append(p.Loads, Load{r.String(maxNameBytes), r.Uvarint(), r.Uvarint(), r.Uvarint()})
+		report.Loads = append(report.Loads, Load{r.String(maxNameBytes), r.Uvarint(), r.Uvarint(), r.Uvarint()})
 	}
-	return p, r.Finish()
+	return report, r.Finish()
 }
 
 // Ack is a voter's response to a report.
--- a/internal/control/usage/table.go
+++ b/internal/control/usage/table.go
@@ -33,26 +33,26 @@
 }
 
 // Record merges a report that a router sent to this voter. It ignores new incarnations once the table has 4096.
-func (t *Table) Record(now time.Duration, p *Report) {
-	if r := t.merge(p); r != nil {
-		r.reportedAt, r.loads = now, p.Loads
+func (t *Table) Record(now time.Duration, report *Report) {
+	if r := t.merge(report); r != nil {
+		r.reportedAt, r.loads = now, report.Loads
 	}
 }
 
 // merge merges the counters of a report and returns the router, or nil if the table is full.
-func (t *Table) merge(p *Report) *router {
+func (t *Table) merge(report *Report) *router {
 	if t.routers == nil {
 		t.routers = map[uint64]*router{}
 	}
-	r := t.routers[p.Incarnation]
+	r := t.routers[report.Incarnation]
 	if r == nil {
 		if len(t.routers) >= maxRouters {
 			return nil
 		}
-		r = &router{zone: p.Zone}
-		t.routers[p.Incarnation] = r
+		r = &router{zone: report.Zone}
+		t.routers[report.Incarnation] = r
 	}
-	r.counters.Merge(&p.Counters)
+	r.counters.Merge(&report.Counters)
 	for len(r.counters.Windows) > maxRouterWindows {
 		delete(r.counters.Windows, slices.Min(slices.Collect(maps.Keys(r.counters.Windows))))
 	}
@@ -123,8 +123,8 @@
 	w := encoding.Writer{}
 	w.Uvarint(uint64(len(selected)))
 	for _, id := range slices.Sorted(maps.Keys(selected)) {
-		p := Report{Incarnation: id, Zone: t.routers[id].zone, Counters: selected[id]}
-		w.Bytes(p.Encode())
+		report := Report{Incarnation: id, Zone: t.routers[id].zone, Counters: selected[id]}
+		w.Bytes(report.Encode())
 	}
 	return w.Buf
 }
@@ -133,11 +133,11 @@
 func (t *Table) Merge(encoded []byte) error {
 	r := encoding.Reader{Buf: encoded}
 	for range r.Length(maxRouters, 1) {
-		p, err := DecodeReport(r.Bytes(maxReportBytes))
+		report, err := DecodeReport(r.Bytes(maxReportBytes))
 		if err != nil {
 			return err
 		}
-		t.merge(p)
+		t.merge(report)
 	}
 	return r.Finish()
 }
