--- a/internal/control/singleton/answer.go
+++ b/internal/control/singleton/answer.go
@@ -9,19 +9,19 @@
 	"notchhinge/internal/control/usage"
 )
 
-// callHandler answers a call of another process.
+// callHandler handles a call from another process and returns the response.
 type callHandler func(c *Controller, body []byte) ([]byte, error)
 
-// callHandlers answer the calls that singleton roles own.
+// callHandlers has a handler for each kind of call that belongs to the singleton roles.
 var callHandlers = rpc.Handlers[callHandler]{
-	rpc.KindUsageReport:    (*Controller).answerReport,
-	rpc.KindUsageTable:     (*Controller).answerTable,
-	rpc.KindRenewLease:     (*Controller).answerRenewal,
-	rpc.KindCheckCandidacy: (*Controller).answerCandidacy,
+	rpc.KindUsageReport:    (*Controller).handleReport,
+	rpc.KindUsageTable:     (*Controller).handleTableRequest,
+	rpc.KindRenewLease:     (*Controller).handleRenewal,
+	rpc.KindCheckCandidacy: (*Controller).handleCandidacy,
 }
 
-// answer answers a call of another process.
-func (c *Controller) answer(kind rpc.Kind, body []byte) ([]byte, error) {
+// handleCall handles a call from another process and returns the response.
+func (c *Controller) handleCall(kind rpc.Kind, body []byte) ([]byte, error) {
 	handle, err := callHandlers.Lookup(kind)
 	if err != nil {
 		return nil, fmt.Errorf("singleton: %w", err)
@@ -29,8 +29,8 @@
 	return handle(c, body)
 }
 
-// answerTable answers another voter with the counters of a range of windows.
-func (c *Controller) answerTable(body []byte) ([]byte, error) {
+// handleTableRequest returns the counters of a range of windows to another voter.
+func (c *Controller) handleTableRequest(body []byte) ([]byte, error) {
 	r := encoding.Reader{Buf: body}
 	from, to := r.Uvarint(), r.Uvarint()
 	if err := r.Finish(); err != nil {
@@ -39,37 +39,38 @@
 	return c.table.Encode(from, to), nil
 }
 
-// answerRenewal grants the holder its lease, or does not.
-func (c *Controller) answerRenewal(body []byte) ([]byte, error) {
-	q, err := lease.DecodeRenewal(body, lease.VoterSet(c.state.Members))
+// handleRenewal grants or rejects the renewal of a lease.
+func (c *Controller) handleRenewal(body []byte) ([]byte, error) {
+	request, err := lease.DecodeRenewal(body, lease.HashVoters(c.state.Members))
 	if err != nil {
 		return nil, err
 	}
-	return lease.EncodeVerdict(c.grant(q)), nil
+	return lease.EncodeResponse(c.grant(request)), nil
 }
 
-// answerCandidacy says whether a voter may stand for the lease.
-func (c *Controller) answerCandidacy(body []byte) ([]byte, error) {
-	q, err := lease.DecodeCandidacy(body)
+// handleCandidacy permits or rejects a voter's candidacy for the lease.
+func (c *Controller) handleCandidacy(body []byte) ([]byte, error) {
+	request, err := lease.DecodeCandidacy(body)
 	if err != nil {
 		return nil, err
 	}
-	return lease.EncodeVerdict(c.permits(q)), nil
+	return lease.EncodeResponse(c.permits(request)), nil
 }
 
-// answerReport takes in a router's report.
-func (c *Controller) answerReport(body []byte) ([]byte, error) {
-	p, err := usage.DecodeReport(body)
+// handleReport records a router's usage report.
+func (c *Controller) handleReport(body []byte) ([]byte, error) {
+	report, err := usage.DecodeReport(body)
 	if err != nil {
 		return nil, err
 	}
-	c.table.Record(c.now, p)
+	c.table.Record(c.now, report)
 	ack := usage.Ack{TableID: c.cfg.Incarnation, Routers: uint64(c.liveRouters())}
 	return ack.Encode(), nil
 }
 
-// liveRouters counts the incarnations of routers that share the retry budget. Only the holder counts them, and only once it
-// has heard from all that may have used their share within a window, which holds at once for the first holder ever. 0 = not known.
+// liveRouters returns the number of router incarnations that share the retry budget, or 0 if it is unknown. Only the holder
+// returns a number. It waits for RouterWindow after its election, so that every router that used its share within that time has
+// reported. The first holder of the fleet does not wait.
 func (c *Controller) liveRouters() int {
 	if _, ok := c.callTimeout(); !ok || c.now-c.holderSeenAt < c.cfg.RouterWindow && !c.isFirstHolder {
 		return 0
