--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -120,7 +120,7 @@
 	}
 	deadline, err := a.writeRequest(req, a.start.Timeout-connectedAt.Sub(a.startedAt))
 	if err != nil {
-		a.outcome.StaleConnection = t.noteStale(ctx, a.conn)
+		a.outcome.StaleConnection = t.handleStale(ctx, a.conn)
 		return policy.ResultConnectFailed // too little of it has left to run
 	}
 	resp, firstByteAt, err := t.readResponse(a.conn, req, deadline) //nolint:bodyclose // read off a connection that end closes or keeps
@@ -129,7 +129,7 @@
 	}
 	if err != nil {
 		result := failureResult(err)
-		a.outcome.StaleConnection = result == policy.ResultReset && a.conn.br.Buffered() == 0 && t.noteStale(ctx, a.conn)
+		a.outcome.StaleConnection = result == policy.ResultReset && a.conn.br.Buffered() == 0 && t.handleStale(ctx, a.conn)
 		return result
 	}
 	return a.handleResponse(ctx, resp)
@@ -138,11 +138,11 @@
 // connect gets the attempt a connection, and returns when it had it.
 func (a *attempt) connect(ctx context.Context, req *Request) (time.Time, error) {
 	t := a.transport
-	w := connWait{timeout: min(t.cfg.Limits.ConnectTimeout, a.start.Timeout)}
+	opts := connOptions{timeout: min(t.cfg.Limits.ConnectTimeout, a.start.Timeout)}
 	if t.cfg.NonIdempotentMaxIdle != nil && req.NonIdempotent {
-		w.maxIdle = t.cfg.NonIdempotentMaxIdle()
+		opts.maxIdle = t.cfg.NonIdempotentMaxIdle()
 	}
-	cn, err := t.conns.get(ctx, endpoint{a.start.Host, a.start.Addr, a.start.Pool}, w)
+	cn, err := t.conns.get(ctx, endpoint{a.start.Host, a.start.Addr, a.start.Pool}, opts)
 	if err != nil {
 		return time.Time{}, err
 	}
@@ -162,10 +162,10 @@
 
 // writeRequest writes the request, for which left is left. It returns until when the response may begin, zero = as long as
 // the attempt is not cancelled, or an error where the request cannot run.
-func (a *attempt) writeRequest(req *Request, left time.Duration) (deadline time.Time, _ error) {
+func (a *attempt) writeRequest(req *Request, remaining time.Duration) (deadline time.Time, _ error) {
 	t := a.transport
 	a.conn.SetWriteDeadline(a.startedAt.Add(a.start.Timeout))
-	n, err := a.conn.Write(t.cfg.Dialect.EncodeRequest(req, &a.start, left, a.span))
+	n, err := a.conn.Write(t.cfg.Dialect.EncodeRequest(req, &a.start, remaining, a.span))
 	if err != nil {
 		if !t.mayHaveRun(n) {
 			return time.Time{}, err
@@ -201,8 +201,8 @@
 
 // readErrorResponse reads a response that is not forwarded, and reports whether it came to its end.
 func (a *attempt) readErrorResponse(result policy.Result, resp *http.Response) (complete bool) {
-	if r, ok := a.downstream.(ErrorResponseReader); ok && a.transport.cfg.Dialect != (platform{}) {
-		return r.ReadErrorResponse(result, resp, a.conn)
+	if reader, ok := a.downstream.(ErrorResponseReader); ok && a.transport.cfg.Dialect != (platform{}) {
+		return reader.ReadErrorResponse(result, resp, a.conn)
 	}
 	a.conn.SetReadDeadline(time.Now().Add(drainWait))
 	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxDrainedBody))
@@ -216,7 +216,7 @@
 )
 
 // waitBound announces the response and waits until dispatch has bound or cancelled the attempt.
-func (a *attempt) waitBound(ctx context.Context) bool {
+func (a *attempt) waitForBind(ctx context.Context) bool {
 	a.transport.cfg.Post(dispatch.AttemptStarted{Attempt: a.start.Attempt})
 	select {
 	case <-a.bound:
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -31,14 +31,14 @@
 	idleTimeout time.Duration // how long it may be idle; 0 = as long as the limits allow, negative = not at all
 	mustClose   bool          // a response came that no request was sent for, or a request was not written whole
 
-	once    sync.Once
-	onClose func()
+	closeOnce sync.Once
+	onClose   func()
 }
 
 // Close closes the connection; further calls do nothing.
 func (c *conn) Close() error {
 	var err error
-	c.once.Do(func() { err = c.Conn.Close(); c.onClose() })
+	c.closeOnce.Do(func() { err = c.Conn.Close(); c.onClose() })
 	return err
 }
 
--- a/internal/upstream/dialect.go
+++ b/internal/upstream/dialect.go
@@ -13,7 +13,7 @@
 type Dialect interface {
 	// EncodeRequest returns the bytes of a request, its body included. left is what is left of the attempt's time; span is nil
 	// where nothing is traced.
-	EncodeRequest(r *Request, e *dispatch.StartAttempt, left time.Duration, span *trace.Context) []byte
+	EncodeRequest(r *Request, e *dispatch.StartAttempt, remaining time.Duration, span *trace.Context) []byte
 	// MatchResponse says which request a response belongs to: a faulty endpoint may send one more than it was asked for.
 	MatchResponse(r *Request, resp *http.Response) ResponseMatch
 	// Classify returns the attempt's result by the response's head. A response that is policy.ResultOK is forwarded.
--- a/internal/upstream/eventreader.go
+++ b/internal/upstream/eventreader.go
@@ -27,7 +27,7 @@
 			if !errors.Is(e.err, io.EOF) {
 				return nil, e.err
 			}
-			if n, ok := wellFormed(e.buf); !ok {
+			if n, ok := checkFields(e.buf); !ok {
 				return e.buf[:n], errMalformedResponse
 			}
 			return e.buf, e.err
@@ -41,8 +41,8 @@
 		}
 		n, err := e.body.Read(e.buf[len(e.buf):cap(e.buf)])
 		e.buf, e.err = e.buf[:len(e.buf)+n], err
-		if end := max(endOf(e.buf, "\n\n"), endOf(e.buf, "\n\r\n")); end > 0 {
-			if n, ok := wellFormed(e.buf[:end]); !ok {
+		if end := max(endOfLast(e.buf, "\n\n"), endOfLast(e.buf, "\n\r\n")); end > 0 {
+			if n, ok := checkFields(e.buf[:end]); !ok {
 				e.returned, e.err = len(e.buf), errMalformedResponse
 				return e.buf[:n], e.err
 			}
@@ -57,25 +57,25 @@
 
 // wellFormed reports whether b holds nothing but fields of events, or else where its last good event ends. After a chunk whose
 // size is wrong, the framing of the next one would pass for data.
-func wellFormed(b []byte) (good int, ok bool) {
+func checkFields(b []byte) (validLen int, ok bool) {
 	offset := 0
 	for line := range bytes.Lines(b) {
 		offset += len(line)
 		name, _, _ := bytes.Cut(bytes.TrimRight(line, "\r\n"), []byte(":"))
 		switch {
 		case len(bytes.TrimRight(line, "\r\n")) == 0:
-			good = offset
+			validLen = offset
 		case len(name) == 0: // a comment
 		case string(name) == "data", string(name) == "event", string(name) == "id", string(name) == "retry":
 		default:
-			return good, false
+			return validLen, false
 		}
 	}
 	return len(b), true
 }
 
 // endOf returns where the last separator in b ends, or -1.
-func endOf(b []byte, separator string) int {
+func endOfLast(b []byte, separator string) int {
 	if i := bytes.LastIndex(b, []byte(separator)); i >= 0 {
 		return i + len(separator)
 	}
--- a/internal/upstream/forward.go
+++ b/internal/upstream/forward.go
@@ -26,7 +26,7 @@
 	if a.times != nil {
 		a.stamp(&a.times.Event, time.Now())
 	}
-	if !a.waitBound(ctx) {
+	if !a.waitForBind(ctx) {
 		return policy.ResultCancelled
 	}
 	a.observeHead(resp)
@@ -82,7 +82,7 @@
 	if err != nil {
 		return failureResult(err)
 	}
-	if !a.waitBound(ctx) {
+	if !a.waitForBind(ctx) {
 		a.reusable = complete && !resp.Close
 		return policy.ResultCancelled
 	}
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -25,17 +25,17 @@
 }
 
 // healthCheck asks an endpoint for its health, and for its load where it reports that.
-func (t *Transport) healthCheck(to endpoint, r *LoadReporting) (policy.Result, policy.Report) {
+func (t *Transport) healthCheck(ep endpoint, r *LoadReporting) (policy.Result, policy.Report) {
 	ctx, cancel := context.WithTimeout(context.Background(), t.cfg.Limits.HealthCheckTimeout)
 	defer cancel()
-	cn, err := t.conns.get(ctx, to, connWait{timeout: t.cfg.Limits.ConnectTimeout})
+	cn, err := t.conns.get(ctx, ep, connOptions{timeout: t.cfg.Limits.ConnectTimeout})
 	if err != nil {
 		return policy.ResultConnectFailed, policy.Report{}
 	}
 	path := t.cfg.Dialect.HealthCheckPath(r)
 	deadline := time.Now().Add(t.cfg.Limits.HealthCheckTimeout)
 	cn.SetDeadline(deadline)
-	if _, err := io.WriteString(cn, "GET "+path+" HTTP/1.1\r\nHost: "+to.addr+"\r\n\r\n"); err != nil {
+	if _, err := io.WriteString(cn, "GET "+path+" HTTP/1.1\r\nHost: "+ep.addr+"\r\n\r\n"); err != nil {
 		_ = cn.Close() // the error of the write counts
 		return policy.ResultConnectFailed, policy.Report{}
 	}
--- a/internal/upstream/healthcheck_test.go
+++ b/internal/upstream/healthcheck_test.go
@@ -19,19 +19,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				dial, far := pipes()
-				d := newHarness(dial)
-				d.startHealthCheck(dispatch.SendProbe{Host: 5, Addr: "d"})
-				conn := <-far
+				dial, accepted := pipes()
+				h := newHarness(dial)
+				h.startHealthCheck(dispatch.SendProbe{Host: 5, Addr: "d"})
+				conn := <-accepted
 				play(t, conn, name)
 				synctest.Wait()
 				conn.Close()
-				d.Close()
+				h.Close()
 				want.Host = 5
 				var got []dispatch.Event
-				for _, e := range d.events {
-					if p, ok := e.(dispatch.ProbeDone); ok {
-						got = append(got, p)
+				for _, e := range h.events {
+					if done, ok := e.(dispatch.ProbeDone); ok {
+						got = append(got, done)
 					}
 				}
 				if diff := cmp.Diff([]dispatch.Event{want}, got); diff != "" {
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -17,8 +17,8 @@
 func ParseLoadReport(text string, columns []string) policy.Report {
 	var r policy.Report
 	found := false
-	for field := range strings.SplitSeq(text, ",") {
-		name, value, ok := strings.Cut(strings.TrimSpace(field), "=")
+	for pair := range strings.SplitSeq(text, ",") {
+		name, value, ok := strings.Cut(strings.TrimSpace(pair), "=")
 		if !ok {
 			continue
 		}
--- a/internal/upstream/platform.go
+++ b/internal/upstream/platform.go
@@ -51,7 +51,7 @@
 }
 
 // EncodeRequest implements Dialect: the budget is what is left of the attempt's time, in microseconds.
-func (platform) EncodeRequest(r *Request, _ *dispatch.StartAttempt, left time.Duration, span *trace.Context) []byte {
+func (platform) EncodeRequest(r *Request, _ *dispatch.StartAttempt, remaining time.Duration, span *trace.Context) []byte {
 	b := make([]byte, 0, 512+len(r.Body))
 	b = append(b, r.Method...)
 	b = append(b, ' ')
@@ -61,7 +61,7 @@
 	b = append(b, "\r\nX-Call-Id: "...)
 	b = append(b, r.CallID...)
 	b = append(b, "\r\nX-Budget: "...)
-	b = strconv.AppendInt(b, max(left.Microseconds(), 1), 10)
+	b = strconv.AppendInt(b, max(remaining.Microseconds(), 1), 10)
 	b = append(b, 'u')
 	if span != nil {
 		b = span.AppendParent(append(b, "\r\nTraceparent: "...))
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -31,16 +31,16 @@
 var errConnectionLimit = errors.New("upstream connection limit reached")
 
 // connWait bounds what get may return and how long it may take.
-type connWait struct {
+type connOptions struct {
 	timeout time.Duration // of dialling
 	maxIdle time.Duration // how long a connection may have been idle; 0 = for any time
 }
 
 // get returns the connection to an endpoint that was used last, or dials one. One that was idle for longer than w.maxIdle is
 // left for others.
-func (p *connPool) get(ctx context.Context, to endpoint, w connWait) (*conn, error) {
+func (p *connPool) get(ctx context.Context, ep endpoint, opts connOptions) (*conn, error) {
 	for {
-		c, err := p.takeIdle(to, w.maxIdle)
+		c, err := p.takeIdle(ep, opts.maxIdle)
 		if err != nil {
 			return nil, err
 		}
@@ -52,21 +52,21 @@
 		}
 		_ = c.Close() // nothing is under way on it
 	}
-	ctx, cancel := context.WithTimeout(ctx, w.timeout)
+	ctx, cancel := context.WithTimeout(ctx, opts.timeout)
 	defer cancel()
-	nc, err := p.dial(ctx, "tcp", to.addr)
+	netConn, err := p.dial(ctx, "tcp", ep.addr)
 	if err != nil {
-		p.release(to.pool)
+		p.release(ep.pool)
 		return nil, err
 	}
-	c := &conn{Conn: nc, br: bufio.NewReaderSize(nc, p.limits.ResponseHeadBytes), endpoint: to}
-	c.onClose = func() { p.release(to.pool) }
+	c := &conn{Conn: netConn, br: bufio.NewReaderSize(netConn, p.limits.ResponseHeadBytes), endpoint: ep}
+	c.onClose = func() { p.release(ep.pool) }
 	return c, nil
 }
 
 // takeIdle takes the idle connection to an endpoint that was used last. If there is none it returns nil and has counted a new
 // one, for which an idle connection to another endpoint may have to go.
-func (p *connPool) takeIdle(to endpoint, maxIdle time.Duration) (*conn, error) {
+func (p *connPool) takeIdle(ep endpoint, maxIdle time.Duration) (*conn, error) {
 	var evicted []*conn
 	defer func() {
 		for _, c := range evicted {
@@ -75,17 +75,17 @@
 	}()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s := p.idle[to]; len(s) > 0 && (maxIdle == 0 || time.Since(s[len(s)-1].idleSince) < maxIdle) {
-		c := s[len(s)-1]
-		p.setIdle(to, s[:len(s)-1])
+	if conns := p.idle[ep]; len(conns) > 0 && (maxIdle == 0 || time.Since(conns[len(conns)-1].idleSince) < maxIdle) {
+		c := conns[len(conns)-1]
+		p.setIdle(ep, conns[:len(conns)-1])
 		return c, nil
 	}
-	for !p.quota.Take(int(to.pool), 1) {
-		c := p.evictIdle(to.pool)
+	for !p.quota.Take(int(ep.pool), 1) {
+		c := p.evictIdle(ep.pool)
 		if c == nil {
 			return nil, errConnectionLimit
 		}
-		c.once.Do(func() { // counted out here under the lock; Close must not do it again
+		c.closeOnce.Do(func() { // counted out here under the lock; Close must not do it again
 			p.open--
 			p.quota.Release(int(c.endpoint.pool), 1)
 		})
@@ -98,10 +98,10 @@
 // evictIdle takes out an idle connection that may go for a new one of a pool: one of its own, or one that another pool has
 // beyond its guarantee. The lock is held.
 func (p *connPool) evictIdle(pool hoststate.PoolID) *conn {
-	for to, s := range p.idle {
-		if to.pool == pool || p.quota.IsOverGuarantee(int(to.pool)) {
-			p.setIdle(to, s[1:])
-			return s[0]
+	for ep, conns := range p.idle {
+		if ep.pool == pool || p.quota.IsOverGuarantee(int(ep.pool)) {
+			p.setIdle(ep, conns[1:])
+			return conns[0]
 		}
 	}
 	return nil
@@ -137,11 +137,11 @@
 func (p *connPool) closeIdle(id uint64) {
 	p.mu.Lock()
 	var c *conn
-	for to, s := range p.idle {
-		for i := range s {
-			if s[i].idleID == id {
-				c = s[i]
-				p.setIdle(to, append(s[:i:i], s[i+1:]...))
+	for ep, conns := range p.idle {
+		for i := range conns {
+			if conns[i].idleID == id {
+				c = conns[i]
+				p.setIdle(ep, append(conns[:i:i], conns[i+1:]...))
 				break
 			}
 		}
@@ -156,10 +156,10 @@
 func (p *connPool) closeIdleTo(match func(endpoint) bool) {
 	var closing []*conn
 	p.mu.Lock()
-	for to, s := range p.idle {
-		if match(to) {
-			closing = append(closing, s...)
-			delete(p.idle, to)
+	for ep, conns := range p.idle {
+		if match(ep) {
+			closing = append(closing, conns...)
+			delete(p.idle, ep)
 		}
 	}
 	p.mu.Unlock()
@@ -167,8 +167,8 @@
 }
 
 // closeIdleToHost closes the idle connections to a host, those of other pools included: what ended one ended them all.
-func (p *connPool) closeIdleToHost(to endpoint) {
-	p.closeIdleTo(func(other endpoint) bool { return other.addr == to.addr && other.host == to.host })
+func (p *connPool) closeIdleToHost(ep endpoint) {
+	p.closeIdleTo(func(other endpoint) bool { return other.addr == ep.addr && other.host == ep.host })
 }
 
 // setMax changes how many connections there may be, and closes idle ones until there are no more, or none is idle.
@@ -176,10 +176,10 @@
 	var closing []*conn
 	p.mu.Lock()
 	p.quota.Resize(n)
-	for to, s := range p.idle {
-		excess := min(max(p.quota.Used()-n-int64(len(closing)), 0), int64(len(s)))
-		closing = append(closing, s[:excess]...)
-		p.setIdle(to, s[excess:])
+	for ep, conns := range p.idle {
+		excess := min(max(p.quota.Used()-n-int64(len(closing)), 0), int64(len(conns)))
+		closing = append(closing, conns[:excess]...)
+		p.setIdle(ep, conns[excess:])
 	}
 	p.mu.Unlock()
 	closeAll(closing)
@@ -212,8 +212,8 @@
 func (p *connPool) idleCount() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, s := range p.idle {
-		n += len(s)
+	for _, conns := range p.idle {
+		n += len(conns)
 	}
 	return n
 }
@@ -227,12 +227,12 @@
 }
 
 // setIdle replaces the idle connections to an endpoint. The lock is held.
-func (p *connPool) setIdle(to endpoint, s []*conn) {
-	if len(s) == 0 {
-		delete(p.idle, to)
+func (p *connPool) setIdle(ep endpoint, conns []*conn) {
+	if len(conns) == 0 {
+		delete(p.idle, ep)
 		return
 	}
-	p.idle[to] = s
+	p.idle[ep] = conns
 }
 
 func closeAll(conns []*conn) {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -17,28 +17,28 @@
 
 func TestConnectionIsReusedAndClosedWhenIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dial, far := pipes()
-		d, c := newHarness(dial), &downstream{body: []byte(`{"model":"chat"}`)}
+		dial, accepted := pipes()
+		h, client := newHarness(dial), &downstream{body: []byte(`{"model":"chat"}`)}
 		var conn net.Conn
 		for n := range 2 {
-			d.StartAttempt(send(n, c))
+			h.StartAttempt(startEffect(n, client))
 			if n == 0 {
-				conn = <-far
+				conn = <-accepted
 			}
 			play(t, conn, "served")
 			synctest.Wait()
 		}
-		idle := d.cfg.Limits.UpstreamIdleTimeout
+		idle := h.cfg.Limits.UpstreamIdleTimeout
 		want := []dispatch.Event{dispatch.ConnectionIdle{Connection: 1, Idle: idle}, dispatch.ConnectionIdle{Connection: 2, Idle: idle}}
-		if diff := cmp.Diff(want, d.events); diff != "" || len(far) != 0 {
-			t.Errorf("idle, %d more connections (-want +got):\n%s", len(far), diff)
+		if diff := cmp.Diff(want, h.events); diff != "" || len(accepted) != 0 {
+			t.Errorf("idle, %d more connections (-want +got):\n%s", len(accepted), diff)
 		}
-		d.conns.closeIdle(1) // idle under another id since: nothing happens
-		if d.conns.open != 1 {
+		h.conns.closeIdle(1) // idle under another id since: nothing happens
+		if h.conns.open != 1 {
 			t.Error("a connection was closed under its old id")
 		}
-		d.conns.closeIdle(2)
-		if d.conns.open != 0 || len(d.conns.idle) != 0 {
+		h.conns.closeIdle(2)
+		if h.conns.open != 0 || len(h.conns.idle) != 0 {
 			t.Error("the connection was not closed")
 		}
 	})
@@ -48,25 +48,25 @@
 	// Descriptors are bounded: an idle connection to one host is evicted for another, and with none idle there is no connection.
 	// The connection of a host that has gone does not serve its successor at the same address.
 	synctest.Test(t, func(t *testing.T) {
-		dial, far := pipes()
-		d := newHarness(dial)
-		d.conns.quota.Resize(1)
-		d.ConfigurePool(0, d.cfg.LoadReporting, quota.Claim{Guarantee: 1})
-		first, err := d.conns.get(t.Context(), endpoint{1, "a", 0}, connWait{timeout: time.Second})
+		dial, accepted := pipes()
+		h := newHarness(dial)
+		h.conns.quota.Resize(1)
+		h.ConfigurePool(0, h.cfg.LoadReporting, quota.Claim{Guarantee: 1})
+		first, err := h.conns.get(t.Context(), endpoint{1, "a", 0}, connOptions{timeout: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := d.conns.get(t.Context(), endpoint{2, "a", 0}, connWait{timeout: time.Second}); !errors.Is(err, errConnectionLimit) {
+		if _, err := h.conns.get(t.Context(), endpoint{2, "a", 0}, connOptions{timeout: time.Second}); !errors.Is(err, errConnectionLimit) {
 			t.Errorf("a second connection: %v", err)
 		}
-		d.conns.put(first)
-		second, err := d.conns.get(t.Context(), endpoint{2, "a", 0}, connWait{timeout: time.Second})
-		if err != nil || d.conns.open != 1 {
-			t.Fatalf("%v, %d open", err, d.conns.open)
+		h.conns.put(first)
+		second, err := h.conns.get(t.Context(), endpoint{2, "a", 0}, connOptions{timeout: time.Second})
+		if err != nil || h.conns.open != 1 {
+			t.Fatalf("%v, %d open", err, h.conns.open)
 		}
 		_ = second.Close()
 		for range 2 {
-			(<-far).Close()
+			(<-accepted).Close()
 		}
 	})
 }
@@ -74,14 +74,14 @@
 // twoPools is a harness with two pools, each with a guarantee of one of three connections.
 type twoPools struct {
 	*harness
-	t   *testing.T
-	far chan net.Conn
+	t        *testing.T
+	accepted chan net.Conn
 }
 
 func newTwoPools(t *testing.T) twoPools {
 	t.Helper()
-	dial, far := pipes()
-	p := twoPools{newHarness(dial), t, far}
+	dial, accepted := pipes()
+	p := twoPools{newHarness(dial), t, accepted}
 	p.conns.quota.Resize(3)
 	for id := range hoststate.PoolID(2) {
 		p.ConfigurePool(id, p.cfg.LoadReporting, quota.Claim{Guarantee: 1})
@@ -91,7 +91,7 @@
 
 func (p twoPools) get(pool hoststate.PoolID, host policy.ReplicaID) *conn {
 	p.t.Helper()
-	c, err := p.conns.get(p.t.Context(), endpoint{host, "a", pool}, connWait{timeout: time.Second})
+	c, err := p.conns.get(p.t.Context(), endpoint{host, "a", pool}, connOptions{timeout: time.Second})
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -101,7 +101,7 @@
 // mustBeFull checks that a pool gets no further connection.
 func (p twoPools) mustBeFull(pool hoststate.PoolID, host policy.ReplicaID) {
 	p.t.Helper()
-	if _, err := p.conns.get(p.t.Context(), endpoint{host, "a", pool}, connWait{timeout: time.Second}); !errors.Is(err, errConnectionLimit) {
+	if _, err := p.conns.get(p.t.Context(), endpoint{host, "a", pool}, connOptions{timeout: time.Second}); !errors.Is(err, errConnectionLimit) {
 		p.t.Errorf("a connection of the other pool's guarantee: %v", err)
 	}
 }
@@ -115,8 +115,8 @@
 }
 
 func (p twoPools) closeFarEnds() {
-	for len(p.far) > 0 {
-		(<-p.far).Close()
+	for len(p.accepted) > 0 {
+		(<-p.accepted).Close()
 	}
 }
 
@@ -146,12 +146,12 @@
 func TestClosedConnectionClosesThoseOfOtherPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTwoPools(t)
-		mine, theirs, elsewhere := p.get(0, 1), p.get(1, 1), p.get(1, 2)
-		for _, c := range []*conn{mine, theirs, elsewhere} {
+		first, second, otherHost := p.get(0, 1), p.get(1, 1), p.get(1, 2)
+		for _, c := range []*conn{first, second, otherHost} {
 			p.conns.put(c)
 		}
-		p.conns.closeIdleToHost(mine.endpoint)
-		if len(p.conns.idle) != 1 || len(p.conns.idle[elsewhere.endpoint]) != 1 || p.conns.open != 1 {
+		p.conns.closeIdleToHost(first.endpoint)
+		if len(p.conns.idle) != 1 || len(p.conns.idle[otherHost.endpoint]) != 1 || p.conns.open != 1 {
 			t.Errorf("idle after the endpoint closed: %v", p.conns.idle)
 		}
 		p.RemovePool(1)
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -24,8 +24,8 @@
 			return nil, firstByteAt, err
 		}
 		firstByteAt = time.Now()
-		if until := firstByteAt.Add(t.cfg.Limits.FirstEventTimeout); deadline.IsZero() || until.Before(deadline) {
-			cn.SetReadDeadline(until)
+		if firstEventDeadline := firstByteAt.Add(t.cfg.Limits.FirstEventTimeout); deadline.IsZero() || firstEventDeadline.Before(deadline) {
+			cn.SetReadDeadline(firstEventDeadline)
 		}
 		resp, err := readHead(cn.br)
 		if err != nil {
--- a/internal/upstream/retrysafety.go
+++ b/internal/upstream/retrysafety.go
@@ -39,11 +39,11 @@
 // failureResult returns the result of an attempt whose response broke off with err after the request was written. One that
 // ended with its connection is a reset; one that cannot be read, or does not come to its end in time, is an error.
 func failureResult(err error) policy.Result {
-	var op *net.OpError
+	var opErr *net.OpError
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded): // an OpError, too
 		return policy.ResultError
-	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.ErrClosedPipe), errors.As(err, &op):
+	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.ErrClosedPipe), errors.As(err, &opErr):
 		return policy.ResultReset
 	default:
 		return policy.ResultError
@@ -52,7 +52,7 @@
 
 // noteStale reports whether a connection that ended without any byte of a response had served before. Its endpoint may have
 // closed it long ago, which says nothing of the endpoint now. The idle connections to it are likely dead as well, and closed.
-func (t *Transport) noteStale(ctx context.Context, cn *conn) bool {
+func (t *Transport) handleStale(ctx context.Context, cn *conn) bool {
 	if cn.idleID == 0 {
 		return false
 	}
@@ -65,10 +65,10 @@
 
 // checkIdleConnectionsLost tells an endpoint that lost its idle connections from one that has ended: the first accepts a new
 // connection, which is kept.
-func (t *Transport) checkIdleConnectionsLost(ctx context.Context, to endpoint) {
+func (t *Transport) checkIdleConnectionsLost(ctx context.Context, ep endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, t.cfg.Limits.ConnectTimeout)
 	defer cancel()
-	if cn, err := t.conns.get(ctx, to, connWait{timeout: t.cfg.Limits.ConnectTimeout}); err == nil {
+	if cn, err := t.conns.get(ctx, ep, connOptions{timeout: t.cfg.Limits.ConnectTimeout}); err == nil {
 		t.conns.put(cn)
 		t.cfg.OnIdleConnectionsLost()
 	}
--- a/internal/upstream/retrysafety_test.go
+++ b/internal/upstream/retrysafety_test.go
@@ -26,20 +26,20 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			read := at.read
-			dial, far := pipes()
-			d := newHarness(dial)
+			dial, accepted := pipes()
+			h := newHarness(dial)
 			if at.runs {
-				d.cfg.Dialect = truncatedRunsDialect{}
+				h.cfg.Dialect = truncatedRunsDialect{}
 			}
-			d.StartAttempt(send(0, &downstream{body: []byte(strings.Repeat("x", 300))}))
-			conn := <-far
+			h.StartAttempt(startEffect(0, &downstream{body: []byte(strings.Repeat("x", 300))}))
+			conn := <-accepted
 			if n, err := io.ReadFull(conn, make([]byte, read)); n != read {
 				t.Fatal(n, err)
 			}
 			conn.Close()
 			synctest.Wait()
-			if len(d.ends) != 1 || d.ends[0].Result != want || d.conns.open != 0 {
-				t.Errorf("%d bytes had left: ends %v, %d connections open", read, d.ends, d.conns.open)
+			if len(h.ended) != 1 || h.ended[0].Result != want || h.conns.open != 0 {
+				t.Errorf("%d bytes had left: ends %v, %d connections open", read, h.ended, h.conns.open)
 			}
 		})
 	}
@@ -49,17 +49,17 @@
 // the connection open is not waited for.
 func TestTruncatedRequestDoesNotWaitForASilentEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newHarness(func(context.Context, string, string) (net.Conn, error) {
+		h := newHarness(func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
 			go func() { _, _ = far.Read(make([]byte, 10)) }()
 			return halfWriter{near}, nil
 		})
-		d.cfg.Dialect = truncatedRunsDialect{}
-		d.StartAttempt(send(0, &downstream{}))
+		h.cfg.Dialect = truncatedRunsDialect{}
+		h.StartAttempt(startEffect(0, &downstream{}))
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if len(d.ends) != 1 || d.ends[0].Result != policy.ResultError || d.conns.open != 0 {
-			t.Errorf("ends %v, %d connections open", d.ends, d.conns.open)
+		if len(h.ended) != 1 || h.ended[0].Result != policy.ResultError || h.conns.open != 0 {
+			t.Errorf("ends %v, %d connections open", h.ended, h.conns.open)
 		}
 	})
 }
@@ -82,18 +82,18 @@
 	for name, refused := range map[string]bool{"refused": true, "no answer": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newHarness(func(ctx context.Context, _, _ string) (net.Conn, error) {
+				h := newHarness(func(ctx context.Context, _, _ string) (net.Conn, error) {
 					if !refused {
 						<-ctx.Done()
 					}
 					return nil, errors.New("no connection")
 				})
-				began := time.Now()
-				d.StartAttempt(send(0, &downstream{}))
+				start := time.Now()
+				h.StartAttempt(startEffect(0, &downstream{}))
 				time.Sleep(time.Second)
 				synctest.Wait()
-				if len(d.ends) != 1 || d.ends[0].Result != policy.ResultConnectFailed || d.conns.open != 0 {
-					t.Errorf("ends %v after %v, %d connections open", d.ends, time.Since(began), d.conns.open)
+				if len(h.ended) != 1 || h.ended[0].Result != policy.ResultConnectFailed || h.conns.open != 0 {
+					t.Errorf("ends %v after %v, %d connections open", h.ended, time.Since(start), h.conns.open)
 				}
 			})
 		})
@@ -103,17 +103,17 @@
 func TestResetOnStaleConnectionIsReportedNotRetried(t *testing.T) {
 	// A request on a connection that its endpoint closes is a reset. It is not sent again: retries are the policy's to decide.
 	synctest.Test(t, func(t *testing.T) {
-		dial, far := pipes()
-		d, c := newHarness(dial), &downstream{body: []byte(`{"model":"chat"}`)}
-		d.StartAttempt(send(0, c))
-		conn := <-far
+		dial, accepted := pipes()
+		h, client := newHarness(dial), &downstream{body: []byte(`{"model":"chat"}`)}
+		h.StartAttempt(startEffect(0, client))
+		conn := <-accepted
 		play(t, conn, "served")
 		synctest.Wait()
-		d.StartAttempt(send(1, c))
+		h.StartAttempt(startEffect(1, client))
 		play(t, conn, "reset")
 		synctest.Wait()
-		if len(d.ends) != 2 || d.ends[1].Result != policy.ResultReset || !d.ends[1].StaleConnection || len(far) != 0 {
-			t.Errorf("ends %v, %d more connections", d.ends, len(far))
+		if len(h.ended) != 2 || h.ended[1].Result != policy.ResultReset || !h.ended[1].StaleConnection || len(accepted) != 0 {
+			t.Errorf("ends %v, %d more connections", h.ended, len(accepted))
 		}
 	})
 }
@@ -123,44 +123,44 @@
 // non-idempotent request gets a new connection in place of one that was idle for longer, which others go on using.
 func TestLostIdleConnectionsAreReportedAndAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dial, far := pipes()
-		gone, lost := false, 0
-		d, c := newHarness(func(ctx context.Context, network, addr string) (net.Conn, error) {
-			if gone {
+		dial, accepted := pipes()
+		endpointDown, lost := false, 0
+		h, client := newHarness(func(ctx context.Context, network, addr string) (net.Conn, error) {
+			if endpointDown {
 				return nil, errors.New("refused")
 			}
 			return dial(ctx, network, addr)
 		}), &downstream{body: []byte(`{"model":"chat"}`)}
-		d.cfg.OnIdleConnectionsLost = func() { lost++ }
-		d.cfg.NonIdempotentMaxIdle = func() time.Duration { return 100 * time.Millisecond }
+		h.cfg.OnIdleConnectionsLost = func() { lost++ }
+		h.cfg.NonIdempotentMaxIdle = func() time.Duration { return 100 * time.Millisecond }
 		attempts := 0
 		exchange := func(conn net.Conn, recording string) net.Conn {
 			t.Helper()
-			d.StartAttempt(send(attempts, c))
+			h.StartAttempt(startEffect(attempts, client))
 			attempts++
 			if conn == nil {
-				conn = <-far
+				conn = <-accepted
 			}
 			play(t, conn, recording)
 			synctest.Wait()
 			return conn
 		}
 		first := exchange(nil, "served")
-		c.nonIdempotent = true
+		client.nonIdempotent = true
 		exchange(first, "served") // it was not idle for that long
 		time.Sleep(200 * time.Millisecond)
 		second := exchange(nil, "served")
-		c.nonIdempotent = false
+		client.nonIdempotent = false
 		time.Sleep(200 * time.Millisecond)
 		exchange(second, "reset")
-		third := <-far
-		if lost != 1 || len(far) != 0 || d.conns.open != 1 {
-			t.Errorf("reported %d times, %d more connections, %d open", lost, len(far), d.conns.open)
+		third := <-accepted
+		if lost != 1 || len(accepted) != 0 || h.conns.open != 1 {
+			t.Errorf("reported %d times, %d more connections, %d open", lost, len(accepted), h.conns.open)
 		}
-		gone = true
+		endpointDown = true
 		exchange(third, "reset")
-		if lost != 1 || d.conns.open != 0 {
-			t.Errorf("reported %d times of an endpoint that is gone, %d connections open", lost, d.conns.open)
+		if lost != 1 || h.conns.open != 0 {
+			t.Errorf("reported %d times of an endpoint that is gone, %d connections open", lost, h.conns.open)
 		}
 	})
 }
@@ -168,25 +168,25 @@
 func TestStaleConnectionClosesOtherIdleOnes(t *testing.T) {
 	// Connections that were idle at the same time are likely stale, too; the next attempt gets a new one, whose end is not stale.
 	synctest.Test(t, func(t *testing.T) {
-		dial, far := pipes()
-		d, c := newHarness(dial), &downstream{body: []byte(`{"model":"chat"}`)}
+		dial, accepted := pipes()
+		h, client := newHarness(dial), &downstream{body: []byte(`{"model":"chat"}`)}
 		var conns []net.Conn
 		for n := range 2 {
-			d.StartAttempt(send(n, c))
-			conns = append(conns, <-far)
+			h.StartAttempt(startEffect(n, client))
+			conns = append(conns, <-accepted)
 		}
 		for _, conn := range conns {
 			play(t, conn, "served")
 			synctest.Wait()
 		}
-		d.StartAttempt(send(2, c))
+		h.StartAttempt(startEffect(2, client))
 		play(t, conns[1], "reset")
 		synctest.Wait()
-		d.StartAttempt(send(3, c))
-		play(t, <-far, "reset")
+		h.StartAttempt(startEffect(3, client))
+		play(t, <-accepted, "reset")
 		synctest.Wait()
-		if len(d.ends) != 4 || !d.ends[2].StaleConnection || d.ends[3].StaleConnection || d.conns.open != 0 {
-			t.Errorf("ends %v, %d connections open", d.ends, d.conns.open)
+		if len(h.ended) != 4 || !h.ended[2].StaleConnection || h.ended[3].StaleConnection || h.conns.open != 0 {
+			t.Errorf("ends %v, %d connections open", h.ended, h.conns.open)
 		}
 	})
 }
--- a/internal/upstream/trace_test.go
+++ b/internal/upstream/trace_test.go
@@ -13,30 +13,30 @@
 
 func TestTracedAttemptTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
-		dial, far := pipes()
-		d := newHarness(dial)
-		d.cfg.Now = func() time.Duration { return time.Hour + time.Since(began) }
+		start := time.Now()
+		dial, accepted := pipes()
+		h := newHarness(dial)
+		h.cfg.Now = func() time.Duration { return time.Hour + time.Since(start) }
 		span, ok := trace.ParseParent("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01")
 		if span.State = "ot=th:c"; !ok {
 			t.Fatal("the trace context does not parse")
 		}
-		c := &downstream{body: []byte(`{"model":"chat"}`)}
-		d.startTracedAttempt(dispatch.StartTracedAttempt{StartAttempt: send(0, c), Span: &trace.Carried{Context: span}})
-		conn := <-far
+		client := &downstream{body: []byte(`{"model":"chat"}`)}
+		h.startTracedAttempt(dispatch.StartTracedAttempt{StartAttempt: startEffect(0, client), Span: &trace.Carried{Context: span}})
+		conn := <-accepted
 		play(t, conn, "traced")
 		synctest.Wait()
 		conn.Close()
-		d.Close()
-		if len(d.ends) != 1 || d.ends[0].Times == nil {
-			t.Fatalf("%+v", d.ends)
+		h.Close()
+		if len(h.ended) != 1 || h.ended[0].Times == nil {
+			t.Fatalf("%+v", h.ended)
 		}
-		h, ms := time.Hour, time.Millisecond
+		hour, ms := time.Hour, time.Millisecond
 		want := trace.Times{
-			Begun: h, Lined: h, Fresh: true, Written: h, First: h + 300*ms, Event: h + 500*ms, Bound: h + 500*ms,
-			Ended: h + 500*ms, Bytes: d.ends[0].Times.Bytes, Tokens: 7,
+			Begun: hour, Lined: hour, Fresh: true, Written: hour, First: hour + 300*ms, Event: hour + 500*ms, Bound: hour + 500*ms,
+			Ended: hour + 500*ms, Bytes: h.ended[0].Times.Bytes, Tokens: 7,
 		}
-		if diff := cmp.Diff(want, *d.ends[0].Times); diff != "" {
+		if diff := cmp.Diff(want, *h.ended[0].Times); diff != "" {
 			t.Errorf("(-want +got):\n%s", diff)
 		}
 	})
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -88,7 +88,7 @@
 
 // RemovePool closes a pool's idle connections and forgets the pool, which must not have an attempt under way.
 func (t *Transport) RemovePool(id hoststate.PoolID) {
-	t.conns.closeIdleTo(func(to endpoint) bool { return to.pool == id })
+	t.conns.closeIdleTo(func(ep endpoint) bool { return ep.pool == id })
 	t.mu.Lock()
 	delete(t.loadReporting, id)
 	t.mu.Unlock()
