--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -11,29 +11,29 @@
 	"notchhinge/policy"
 )
 
-// attempt is an attempt under way: one request at one endpoint. Its goroutine owns it, but for what Transport.mu guards.
+// attempt is a running attempt: one request to one endpoint. Its goroutine owns all fields except those that Transport.mu guards.
 type attempt struct {
 	transport     *Transport
 	start         dispatch.StartAttempt
 	downstream    Downstream
 	loadReporting *LoadReporting
 	cancel        context.CancelFunc
-	bound         chan struct{} // receives when dispatch has given the client to this attempt
+	bound         chan struct{} // receives a value when dispatch binds this attempt to the client
 
 	startedAt      time.Time
-	startedAtClock time.Duration  // the same on the clock of events; only where traced
-	span           *trace.Context // sent to the endpoint; nil where nothing is traced
-	times          *trace.Times   // nil where nothing is traced
+	startedAtClock time.Duration  // startedAt on the clock of events; set for traced attempts only
+	span           *trace.Context // trace context sent to the endpoint; nil if not traced
+	times          *trace.Times   // nil if not traced
 
 	outcome  dispatch.AttemptEnded
 	reusable bool // the connection may serve another request
 
-	// Guarded by Transport.mu; conn is written by the attempt's goroutine only, which reads it without the lock.
+	// Guarded by Transport.mu. Only the attempt's goroutine writes conn, so it reads conn without the lock.
 	conn      *conn
 	cancelled bool
 }
 
-// StartAttempt starts an attempt. It does not block.
+// StartAttempt starts an attempt and returns without waiting for it.
 func (t *Transport) StartAttempt(e dispatch.StartAttempt) { t.startAttempt(e, nil) }
 
 func (t *Transport) startTracedAttempt(e dispatch.StartTracedAttempt) {
@@ -54,17 +54,17 @@
 	t.cfg.Go(func() { a.run(ctx) })
 }
 
-// BindAttempt gives the client to an attempt, which forwards its response from then on.
+// BindAttempt binds an attempt to its client, so that the attempt forwards its response. It ignores attempts that have ended.
 func (t *Transport) BindAttempt(id dispatch.AttemptID) {
 	t.mu.Lock()
 	a := t.attempts[id]
 	t.mu.Unlock()
 	if a != nil {
-		a.bound <- struct{}{} // dispatch binds an attempt once at most, so that there is room
+		a.bound <- struct{}{} // does not block: dispatch binds an attempt at most once
 	}
 }
 
-// CancelAttempt ends an attempt by closing its connection, whatever it waits for.
+// CancelAttempt cancels an attempt and closes its connection, which ends any pending read or write.
 func (t *Transport) CancelAttempt(id dispatch.AttemptID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,11 +75,11 @@
 	a.cancelled = true
 	a.cancel()
 	if a.conn != nil {
-		_ = a.conn.Close() // ends the attempt's reads and writes
+		_ = a.conn.Close() // unblocks the attempt's reads and writes
 	}
 }
 
-// run runs an attempt and posts its outcome.
+// run executes the attempt and posts its outcome.
 func (a *attempt) run(ctx context.Context) {
 	defer a.end()
 	a.startedAt = time.Now()
@@ -91,7 +91,7 @@
 	a.outcome.Result = a.roundTrip(ctx)
 }
 
-// end posts the attempt's outcome and gives its connection back, or closes it.
+// end posts the attempt's outcome and returns its connection to the pool or closes it.
 func (a *attempt) end() {
 	t := a.transport
 	a.cancel()
@@ -107,11 +107,11 @@
 	if a.reusable && !cancelled {
 		t.conns.put(a.conn)
 	} else if a.conn != nil {
-		_ = a.conn.Close() // the outcome is known
+		_ = a.conn.Close() // an error cannot change the outcome
 	}
 }
 
-// roundTrip sends the request, and forwards its response if that is good and the attempt gets bound.
+// roundTrip sends the request and, if the response is successful and dispatch binds the attempt, forwards it.
 func (a *attempt) roundTrip(ctx context.Context) policy.Result {
 	t, req := a.transport, a.downstream.UpstreamRequest()
 	connectedAt, err := a.connect(ctx, req)
@@ -121,9 +121,9 @@
 	deadline, err := a.writeRequest(req, a.start.Timeout-connectedAt.Sub(a.startedAt))
 	if err != nil {
 		a.outcome.StaleConnection = t.handleStale(ctx, a.conn)
-		return policy.ResultConnectFailed // too little of it has left to run
+		return policy.ResultConnectFailed // too little of it was sent to run
 	}
-	resp, firstByteAt, err := t.readResponse(a.conn, req, deadline) //nolint:bodyclose // read off a connection that end closes or keeps
+	resp, firstByteAt, err := t.readResponse(a.conn, req, deadline) //nolint:bodyclose // the body is read from a connection that end closes or reuses
 	if a.times != nil && !firstByteAt.IsZero() {
 		a.stamp(&a.times.First, firstByteAt)
 	}
@@ -135,7 +135,7 @@
 	return a.handleResponse(ctx, resp)
 }
 
-// connect gets the attempt a connection, and returns when it had it.
+// connect obtains a connection for the attempt and returns the time when it was ready.
 func (a *attempt) connect(ctx context.Context, req *Request) (time.Time, error) {
 	t := a.transport
 	opts := connOptions{timeout: min(t.cfg.Limits.ConnectTimeout, a.start.Timeout)}
@@ -160,8 +160,9 @@
 	return connectedAt, nil
 }
 
-// writeRequest writes the request, for which left is left. It returns until when the response may begin, zero = as long as
-// the attempt is not cancelled, or an error where the request cannot run.
+// writeRequest writes the request; remaining is what remains of the attempt's timeout. It returns an error only if the request
+// cannot have run. Otherwise it returns the deadline for the first byte of the response; zero means that the attempt waits until
+// dispatch cancels it.
 func (a *attempt) writeRequest(req *Request, remaining time.Duration) (deadline time.Time, _ error) {
 	t := a.transport
 	a.conn.SetWriteDeadline(a.startedAt.Add(a.start.Timeout))
@@ -170,7 +171,7 @@
 		if !t.mayHaveRun(n) {
 			return time.Time{}, err
 		}
-		// An endpoint that rejects a request early and closes has sent its response by now.
+		// An endpoint that rejects a request early and closes the connection has already sent its response.
 		deadline = time.Now().Add(truncatedResponseWait)
 		a.conn.mustClose = true
 		a.conn.SetReadDeadline(deadline)
@@ -181,7 +182,7 @@
 	return deadline, nil
 }
 
-// handleResponse forwards a good response, and reads an error response so that its connection can serve again.
+// handleResponse forwards a successful response. It reads an error response to its end so that the connection can be reused.
 func (a *attempt) handleResponse(ctx context.Context, resp *http.Response) policy.Result {
 	dialect := a.transport.cfg.Dialect
 	if a.loadReporting.InResponses {
@@ -199,7 +200,7 @@
 	return a.forwardBody(ctx, resp)
 }
 
-// readErrorResponse reads a response that is not forwarded, and reports whether it came to its end.
+// readErrorResponse reads a response that is not forwarded and reports whether it was read to its end.
 func (a *attempt) readErrorResponse(result policy.Result, resp *http.Response) (complete bool) {
 	if reader, ok := a.downstream.(ErrorResponseReader); ok && a.transport.cfg.Dialect != (platform{}) {
 		return reader.ReadErrorResponse(result, resp, a.conn)
@@ -209,13 +210,13 @@
 	return err == nil && n < maxDrainedBody
 }
 
-// What an error response may cost to save its connection.
+// Limits on reading an error response in order to reuse its connection.
 const (
 	maxDrainedBody = 4 << 10 // bytes
 	drainWait      = 100 * time.Millisecond
 )
 
-// waitBound announces the response and waits until dispatch has bound or cancelled the attempt.
+// waitForBind posts AttemptStarted and waits until dispatch binds or cancels the attempt. It reports whether the attempt is bound.
 func (a *attempt) waitForBind(ctx context.Context) bool {
 	a.transport.cfg.Post(dispatch.AttemptStarted{Attempt: a.start.Attempt})
 	select {
@@ -226,8 +227,8 @@
 	}
 }
 
-// stamp notes a time of a traced attempt. It converts a reading of the clock that was needed anyway: readings are a good part
-// of what tracing costs.
+// stamp records a time of a traced attempt. It converts a time that the caller has already read, because reading the clock is a
+// large part of the cost of tracing.
 func (a *attempt) stamp(field *time.Duration, at time.Time) {
 	*field = a.startedAtClock + at.Sub(a.startedAt)
 }
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -11,7 +11,7 @@
 	"notchhinge/policy"
 )
 
-// TestOutcomeOfEachResponse goes through the protocol's table of outcomes row by row. Time-outs are dispatch's.
+// TestOutcomeOfEachResponse checks the outcome of an attempt for each kind of response. Dispatch enforces the timeout of attempts.
 func TestOutcomeOfEachResponse(t *testing.T) {
 	report := policy.Report{N: 2, Values: [4]float64{1.5, 7}}
 	for name, want := range map[string]struct {
@@ -66,7 +66,7 @@
 					t.Errorf("forwarded (-want +got):\n%s", diff)
 				}
 				if name == "second_answer" && len(h.events) != 0 {
-					t.Errorf("a connection with bytes left to read is kept: %v", h.events)
+					t.Errorf("a connection with unread bytes was kept: %v", h.events)
 				}
 			})
 		})
@@ -84,13 +84,13 @@
 		play(t, conn, "is_closed")
 		synctest.Wait()
 		if len(h.ended) != 1 || h.conns.open != 0 || len(h.attempts) != 0 {
-			t.Errorf("ends %v, %d connections, %d attempts", h.ended, h.conns.open, len(h.attempts))
+			t.Errorf("outcomes %v, %d open connections, %d running attempts", h.ended, h.conns.open, len(h.attempts))
 		}
 	})
 }
 
-func TestClientThatCannotBeWrittenToCancelsTheAttempt(t *testing.T) {
-	// The client has left: the attempt is cancelled, which says nothing against the endpoint.
+func TestFailedWriteToClientCancelsTheAttempt(t *testing.T) {
+	// The client has disconnected, so the attempt must not count as a failure of the endpoint.
 	synctest.Test(t, func(t *testing.T) {
 		dial, accepted := pipes()
 		h, client := newHarness(dial), &downstream{body: []byte(`{"model":"chat"}`), writeErr: errors.New("gone")}
@@ -102,7 +102,7 @@
 			t.Errorf("events (-want +got):\n%s", diff)
 		}
 		if len(h.ended) != 1 || h.ended[0].Result != policy.ResultCancelled {
-			t.Errorf("ends %v", h.ended)
+			t.Errorf("outcomes %v", h.ended)
 		}
 	})
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -11,42 +11,42 @@
 	"notchhinge/policy"
 )
 
-// endpoint is where a connection goes. Two hosts may follow each other at one address; a connection belongs to the one that it
-// was opened to. Pools that share a host have connections of their own to it, so that each counts against one pool's share and
-// a busy pool cannot use another's up.
+// endpoint identifies the destination of a connection. The host is part of it because a new host may reuse the address of an
+// earlier one. The pool is part of it because pools that share a host have separate connections: each connection counts against
+// the quota of one pool, and a busy pool cannot use up the quota of another.
 type endpoint struct {
 	host policy.ReplicaID
 	addr string
 	pool hoststate.PoolID
 }
 
-// conn is a connection to an endpoint. It is used by one attempt or health check at a time, or is idle in the connPool.
+// conn is a connection to an endpoint. One attempt or health check uses it at a time; otherwise it is idle in the connPool.
 type conn struct {
 	net.Conn
 	br       *bufio.Reader
 	endpoint endpoint
 
-	idleID      uint64 // names the time that it was idle last; 0 = it was never idle
+	idleID      uint64 // identifies its last idle period; 0 = it has never been idle
 	idleSince   time.Time
-	idleTimeout time.Duration // how long it may be idle; 0 = as long as the limits allow, negative = not at all
-	mustClose   bool          // a response came that no request was sent for, or a request was not written whole
+	idleTimeout time.Duration // 0 = the limit of the connPool, negative = the connection must not be reused
+	mustClose   bool          // an unsolicited response arrived, or a request was written only in part
 
 	closeOnce sync.Once
 	onClose   func()
 }
 
-// Close closes the connection; further calls do nothing.
+// Close closes the connection and releases its quota. Further calls have no effect.
 func (c *conn) Close() error {
 	var err error
 	c.closeOnce.Do(func() { err = c.Conn.Close(); c.onClose() })
 	return err
 }
 
-// IdleChecker is a connection without a socket, which says itself whether it is open with nothing to read.
+// IdleChecker is implemented by connections without a socket. IsIdle reports whether the connection is open without bytes to read.
 type IdleChecker interface{ IsIdle() bool }
 
-// isReusable reports, without blocking, whether a connection is open and nothing waits to be read: an endpoint may have closed
-// an idle connection, or sent what no request was sent for. An endpoint that closes right after the check resets the attempt.
+// isReusable reports, without blocking, whether a connection is open and has no bytes to read. An endpoint may have closed an idle
+// connection or sent an unsolicited response. If it closes the connection just after this check, the attempt ends with a reset.
 func isReusable(c net.Conn) bool {
 	if i, ok := c.(IdleChecker); ok {
 		return i.IsIdle()
--- a/internal/upstream/downstream.go
+++ b/internal/upstream/downstream.go
@@ -8,36 +8,37 @@
 	"notchhinge/policy"
 )
 
-// Request is what an attempt sends to its endpoint.
+// Request is the request that an attempt sends to its endpoint.
 type Request struct {
 	Method, Target, Host string
 	CallID, ContentType  string
 	Body                 []byte
 
-	Header            []byte    // header lines as they are sent; not of the platform's dialect
-	WithContentLength bool      // it has a Content-Length; the platform's dialect always sends one
-	Deadline          time.Time // when its client gives up; not of the platform's dialect
-	// NonIdempotent requests must not run twice: one whose connection turns out to be dead cannot be retried.
+	Header            []byte    // encoded header lines; unused by the platform's dialect
+	WithContentLength bool      // send a Content-Length; the platform's dialect always does
+	Deadline          time.Time // the client's deadline; unused by the platform's dialect
+	// NonIdempotent marks a request that must not run twice. It cannot be retried after a reset, even on a stale connection.
 	NonIdempotent bool
 }
 
-// Downstream is the client's side of an attempt. A dispatch.Client that is given to an attempt has to implement it.
+// Downstream is the client side of an attempt. The dispatch.Client of each StartAttempt must implement it.
 type Downstream interface {
-	// UpstreamRequest returns what is to be sent. It may be called by several attempts at once.
+	// UpstreamRequest returns the request to send. Several attempts may call it concurrently.
 	UpstreamRequest() *Request
-	// WriteBody passes a part of the response's body on at once; of an event stream, whole events. The part is valid during the
-	// call only. An error says that the client has gone.
+	// WriteBody writes a part of the response body without delay; in an event stream, a part consists of whole events. The part
+	// is valid only during the call. An error means that the client has disconnected.
 	WriteBody(part []byte) error
 	// Finish ends the response. An incomplete one must not look complete to the client.
 	Finish(complete bool) error
 }
 
-// HeadObserver is a Downstream that wants the head of the response that it gets, before the first part of its body.
+// HeadObserver is an optional interface of a Downstream. ObserveHead receives the head of the forwarded response before the first
+// part of its body.
 type HeadObserver interface{ ObserveHead(resp *http.Response) }
 
-// ErrorResponseReader is a Downstream that wants to read responses that it does not get: if no attempt does better, one of
-// them may be all that there is to say to the client.
+// ErrorResponseReader is an optional interface of a Downstream. It reads error responses, which are not forwarded, because the
+// client may receive one of them if no attempt succeeds.
 type ErrorResponseReader interface {
-	// ReadErrorResponse reads the body off conn and reports whether it came to its end.
+	// ReadErrorResponse reads the body, which arrives on conn, and reports whether it was read to its end.
 	ReadErrorResponse(result policy.Result, resp *http.Response, conn net.Conn) (complete bool)
 }
--- a/internal/upstream/eventreader.go
+++ b/internal/upstream/eventreader.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-// eventReader splits a stream of server-sent events (the HTML standard, "Server-sent events") at the ends of events.
+// eventReader splits a stream of server-sent events (HTML standard, "Server-sent events") at event boundaries.
 type eventReader struct {
 	body     io.Reader
 	maxBytes int // of one event
@@ -15,9 +15,9 @@
 	err      error
 }
 
-// next returns the complete events that have arrived, and blocks until there is one. At the stream's end it returns the reason:
-// io.EOF if the stream is complete, with the rest of its bytes. Bytes that are no event, and an event longer than maxBytes, make
-// the stream malformed. What is returned is valid until the next call.
+// next returns the complete events that have arrived and blocks until there is at least one. At the end of the stream it returns
+// an error: io.EOF, along with the remaining bytes, if the stream is complete. Bytes that are not an event, or an event longer
+// than maxBytes, make the stream malformed. The returned bytes are valid until the next call.
 func (e *eventReader) next() ([]byte, error) {
 	n := copy(e.buf[:cap(e.buf)], e.buf[e.returned:])
 	e.buf, e.returned = e.buf[:n], 0
@@ -55,8 +55,8 @@
 	}
 }
 
-// wellFormed reports whether b holds nothing but fields of events, or else where its last good event ends. After a chunk whose
-// size is wrong, the framing of the next one would pass for data.
+// checkFields reports whether every line of b is a field of an event, and returns the length of the valid events at its start.
+// If the size of an HTTP chunk is wrong, the framing of the next chunk would otherwise be forwarded as data.
 func checkFields(b []byte) (validLen int, ok bool) {
 	offset := 0
 	for line := range bytes.Lines(b) {
@@ -74,7 +74,7 @@
 	return len(b), true
 }
 
-// endOf returns where the last separator in b ends, or -1.
+// endOfLast returns the offset after the last separator in b, or -1.
 func endOfLast(b []byte, separator string) int {
 	if i := bytes.LastIndex(b, []byte(separator)); i >= 0 {
 		return i + len(separator)
--- a/internal/upstream/eventreader_test.go
+++ b/internal/upstream/eventreader_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestOverlongEventMakesTheStreamMalformed(t *testing.T) {
-	// Memory is bounded whatever an endpoint sends, and an event without an end is never forwarded: before the first event it
-	// would bind an attempt to noise, later a chunk of 3 GB would go on without end.
+	// The reader bounds its memory and never forwards an event without an end. Otherwise an endpoint that sends no valid event
+	// could bind its attempt, and an endless chunk would be forwarded forever.
 	events := eventReader{body: strings.NewReader("data: 1\n\ndata: " + strings.Repeat("x", 100) + "\n\n"), maxBytes: 64, buf: make([]byte, 0, 16)}
 	var got []string
 	var err error
@@ -20,6 +20,6 @@
 		got = append(got, string(part))
 	}
 	if diff := cmp.Diff([]string{"data: 1\n\n", ""}, got); diff != "" || !errors.Is(err, errMalformedResponse) {
-		t.Errorf("%v (-want +got):\n%s", err, diff)
+		t.Errorf("error %v; events (-want +got):\n%s", err, diff)
 	}
 }
--- a/internal/upstream/forward.go
+++ b/internal/upstream/forward.go
@@ -12,14 +12,14 @@
 	"notchhinge/policy"
 )
 
-// forwardEventStream forwards a stream of events once its first one is there and the attempt is bound.
+// forwardEventStream waits for the first event and for the attempt to be bound, and then forwards the stream.
 func (a *attempt) forwardEventStream(ctx context.Context, resp *http.Response) policy.Result {
 	lim := &a.transport.cfg.Limits
 	events := &eventReader{body: resp.Body, maxBytes: lim.StreamEventBytes, buf: make([]byte, 0, lim.ControlReadBytes)}
 	part, err := events.next()
 	if len(part) == 0 {
 		if errors.Is(err, io.EOF) {
-			return policy.ResultError // complete, but no stream
+			return policy.ResultError // a complete body without any event
 		}
 		return failureResult(err)
 	}
@@ -37,10 +37,10 @@
 	return a.finish(resp, readErr)
 }
 
-// copyEvents forwards the events of a stream, of which part has been read, until reading or writing ends. A readErr that came
-// with part is given along.
+// copyEvents forwards the events of a stream until a read or a write returns an error; the read error at the end of the stream is
+// io.EOF. part and readErr are the result of the first read, which precedes the call.
 func (a *attempt) copyEvents(events *eventReader, part []byte, readErr error) (_, writeErr error) {
-	var writingSince time.Time // only where traced
+	var writingSince time.Time // set for traced attempts only
 	if a.times != nil {
 		writingSince = time.Now()
 		a.stamp(&a.times.Bound, writingSince)
@@ -68,12 +68,12 @@
 	}
 }
 
-// forwardBody forwards a response that is no event stream. What fits into the buffer is read before the attempt asks to be
-// bound: if it breaks off, another endpoint can still be tried.
+// forwardBody forwards a response that is not an event stream. It fills its buffer before the attempt waits to be bound: if the
+// response is truncated within that part, dispatch can still try another endpoint.
 func (a *attempt) forwardBody(ctx context.Context, resp *http.Response) policy.Result {
 	lim := &a.transport.cfg.Limits
 	a.conn.SetReadDeadline(time.Now().Add(lim.FirstEventTimeout))
-	size := int64(2 * lim.ControlReadBytes) // of one that does not tell its length
+	size := int64(2 * lim.ControlReadBytes) // for a body of unknown length
 	if resp.ContentLength >= 0 {
 		size = min(resp.ContentLength+1, int64(lim.StreamEventBytes))
 	}
@@ -117,26 +117,27 @@
 		return n, false, err
 	case resp.ContentLength >= 0 && int64(n) < resp.ContentLength:
 		return n, false, err
-	case resp.ContentLength < 0 && !chunked: // without framing of its own it may have been cut off
+	case resp.ContentLength < 0 && !chunked: // the end of the connection does not prove that the body is complete
 		return n, false, io.ErrUnexpectedEOF
 	}
-	// net/http gives a chunked body that breaks off the same error as ReadFull one that ends; reading again tells them apart.
+	// io.ReadFull returns ErrUnexpectedEOF for a short body, and net/http for a truncated chunked body. A second read returns EOF
+	// only for the complete one.
 	if _, err := resp.Body.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		return n, false, io.ErrUnexpectedEOF
 	}
 	return n, true, nil
 }
 
-// finish ends a response that was forwarded until readErr.
+// finish ends a forwarded response after reading it ended with readErr, and returns the attempt's result.
 func (a *attempt) finish(resp *http.Response, readErr error) policy.Result {
-	// Only a framed response shows its end; one that lasts as long as its connection may have been cut off.
+	// A response that ends with its connection may have been truncated; only explicit framing proves that it is complete.
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	complete := framed && errors.Is(readErr, io.EOF)
 	a.reusable = complete && !resp.Close
 	writeErr := a.downstream.Finish(complete)
 	switch {
 	case !complete && errors.Is(readErr, os.ErrDeadlineExceeded):
-		return policy.ResultReset // it began and stopped
+		return policy.ResultReset // the response began and then stalled
 	case !complete:
 		return failureResult(readErr)
 	case writeErr != nil:
@@ -146,7 +147,7 @@
 	}
 }
 
-// clientLeft tells dispatch that the client cannot be written to. That says nothing against the endpoint.
+// clientLeft reports to dispatch that a write to the client failed. The attempt counts as cancelled: the endpoint is not at fault.
 func (a *attempt) clientLeft() policy.Result {
 	a.transport.cfg.Post(dispatch.ClientLeft{Client: a.start.Client})
 	return policy.ResultCancelled
--- a/internal/upstream/harness_test.go
+++ b/internal/upstream/harness_test.go
@@ -12,10 +12,10 @@
 	"notchhinge/internal/testutil/replay"
 )
 
-// downstream is a client that records what an attempt forwards, an element for each write.
+// downstream is a client that records what an attempt forwards, with one element per write.
 type downstream struct {
 	writes        []string
-	writeErr      error // of WriteBody
+	writeErr      error // returned by WriteBody
 	body          []byte
 	nonIdempotent bool
 }
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// harness stands in for dispatch: it binds every attempt that starts, and records how it ended.
+// harness is a Transport with a fake dispatcher, which binds every attempt that starts and records events and outcomes.
 type harness struct {
 	*Transport
 	ended  []dispatch.AttemptEnded
@@ -65,7 +65,7 @@
 	return h
 }
 
-// pipes dials in-memory connections and sends their far ends on the channel.
+// pipes returns a dial function for in-memory connections and a channel that receives the endpoint's side of each.
 func pipes() (func(context.Context, string, string) (net.Conn, error), chan net.Conn) {
 	accepted := make(chan net.Conn, 8)
 	return func(context.Context, string, string) (net.Conn, error) {
@@ -75,7 +75,7 @@
 	}, accepted
 }
 
-// play plays a recording at the endpoint's side, in which "request" stands for the request as the endpoint must get it.
+// play plays a recording as the endpoint. Its step "request" plays request.txt, the request that the endpoint must receive.
 func play(t *testing.T, conn net.Conn, name string) {
 	t.Helper()
 	replay.Play(t, conn, filepath.Join("testdata", name+".txt"), replay.Steps{"request": func(string) {
@@ -83,10 +83,12 @@
 	}})
 }
 
+// startEffect returns the effect that starts the attempt with this index.
 func startEffect(index int, client *downstream) dispatch.StartAttempt {
 	return dispatch.StartAttempt{Attempt: dispatch.AttemptID{Request: 1, Index: index}, Client: client, Addr: "d", Timeout: 4 * time.Second}
 }
 
+// Data forwarded by the recordings.
 const (
 	firstEvent    = `data: {"choices":[{"delta":{"content":"oq"}}]}` + "\n\n"
 	lastEvents    = `data: {"usage":{"prompt_tokens_details":{"cached_tokens":4096}}}` + "\n\ndata: [DONE]\n\n"
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -12,7 +12,7 @@
 	"notchhinge/policy"
 )
 
-// startHealthCheck starts a health check, which ends in a ProbeDone. It does not block.
+// startHealthCheck starts a health check in a new goroutine, which posts its result as a ProbeDone.
 func (t *Transport) startHealthCheck(e dispatch.SendProbe) {
 	go func() {
 		done := dispatch.ProbeDone{Pool: e.Pool, Host: e.Host, Sent: e.Sent}
@@ -24,7 +24,7 @@
 	}()
 }
 
-// healthCheck asks an endpoint for its health, and for its load where it reports that.
+// healthCheck sends a health check to an endpoint and returns the result and the load report in the response, if any.
 func (t *Transport) healthCheck(ep endpoint, r *LoadReporting) (policy.Result, policy.Report) {
 	ctx, cancel := context.WithTimeout(context.Background(), t.cfg.Limits.HealthCheckTimeout)
 	defer cancel()
@@ -36,10 +36,10 @@
 	deadline := time.Now().Add(t.cfg.Limits.HealthCheckTimeout)
 	cn.SetDeadline(deadline)
 	if _, err := io.WriteString(cn, "GET "+path+" HTTP/1.1\r\nHost: "+ep.addr+"\r\n\r\n"); err != nil {
-		_ = cn.Close() // the error of the write counts
+		_ = cn.Close() // the write error is the result
 		return policy.ResultConnectFailed, policy.Report{}
 	}
-	resp, body, err := t.readHealth(cn, deadline) //nolint:bodyclose // read off a connection that readHealth has closed or kept
+	resp, body, err := t.readHealth(cn, deadline) //nolint:bodyclose // readHealth has read the body and closed or kept the connection
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return policy.ResultTimedOut, policy.Report{}
@@ -55,8 +55,8 @@
 	return policy.ResultOK, ParseLoadReport(report, r.Columns)
 }
 
-// readHealth reads the response to a health check, of which a body beyond Limits.ControlReadBytes is cut off. It keeps the
-// connection if that can serve again, and closes it otherwise.
+// readHealth reads the response to a health check and truncates its body to Limits.ControlReadBytes. It returns the connection to
+// the pool if it is reusable, and closes it otherwise.
 func (t *Transport) readHealth(cn *conn, deadline time.Time) (*http.Response, []byte, error) {
 	maxBody := t.cfg.Limits.ControlReadBytes
 	resp, _, err := t.readResponse(cn, nil, deadline)
@@ -65,7 +65,7 @@
 		body, err = io.ReadAll(io.LimitReader(resp.Body, int64(maxBody)))
 	}
 	if err != nil || resp.Close || len(body) >= maxBody {
-		_ = cn.Close() // it cannot serve again
+		_ = cn.Close() // not reusable
 	} else {
 		t.conns.put(cn)
 	}
--- a/internal/upstream/healthcheck_test.go
+++ b/internal/upstream/healthcheck_test.go
@@ -35,7 +35,7 @@
 					}
 				}
 				if diff := cmp.Diff([]dispatch.Event{want}, got); diff != "" {
-					t.Errorf("(-want +got):\n%s", diff)
+					t.Errorf("health check (-want +got):\n%s", diff)
 				}
 			})
 		})
--- a/internal/upstream/inspect.go
+++ b/internal/upstream/inspect.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// inspect reads from events that are forwarded what dispatch wants to know: cached tokens, a load report, and sizes where the
-// attempt is traced. It looks for names in the text without parsing it: the events are the client's, and most say nothing.
+// inspect extracts the number of cached tokens, a load report and, if the attempt is traced, sizes from forwarded events. It
+// searches for names instead of parsing JSON, since most events contain none of them.
 func (a *attempt) inspect(part []byte) {
 	if usage := afterLast(part, `"usage":`); usage != nil {
 		if n, ok := numberAfter(usage, `"cached_tokens":`); ok {
@@ -30,8 +30,8 @@
 	}
 }
 
-// afterLast returns what follows the last occurrence of a name, or nil. Mostly there is none, which Contains finds out many
-// times as fast as LastIndex.
+// afterLast returns the text after the last occurrence of a name, or nil if there is none. It calls Contains first, which is much
+// faster than LastIndex if the name is absent, as it usually is.
 func afterLast(part []byte, name string) []byte {
 	if !bytes.Contains(part, []byte(name)) {
 		return nil
@@ -39,7 +39,7 @@
 	return part[bytes.LastIndex(part, []byte(name))+len(name):]
 }
 
-// numberAfter returns the number that follows the first occurrence of a name.
+// numberAfter returns the decimal number after the first occurrence of a name.
 func numberAfter(text []byte, name string) (n int, ok bool) {
 	const maxDigits = 15
 	_, rest, ok := bytes.Cut(text, []byte(name))
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -9,11 +9,11 @@
 	"notchhinge/policy"
 )
 
-// loadHeader carries a load report: in a response's head, and as a comment in an event stream.
+// loadHeader names a load report, which is a header of a response or a comment in an event stream.
 const loadHeader = "X-Load-Report"
 
-// ParseLoadReport parses a load report such as "x1=1.5,concurrent=7". Values that it lacks are 0; names that are not columns
-// and values that are not numbers are ignored; one without any known name counts as none.
+// ParseLoadReport parses a load report such as "x1=1.5,concurrent=7". Missing columns are 0. Names that are not columns and values
+// that are not finite numbers are ignored. The result is empty if no valid value remains.
 func ParseLoadReport(text string, columns []string) policy.Report {
 	var r policy.Report
 	found := false
@@ -38,8 +38,8 @@
 	return r
 }
 
-// sanitizeLoadReport replaces the control characters in a head's load report by blanks: otherwise net/http rejects the whole
-// response.
+// sanitizeLoadReport replaces control characters in the load report of a response head with spaces, because net/http would reject
+// the whole response.
 func sanitizeLoadReport(head []byte) {
 	for line := range bytes.Lines(head) {
 		if name, value, ok := bytes.Cut(line, []byte(":")); ok && bytes.EqualFold(name, []byte(loadHeader)) {
--- a/internal/upstream/loadreport_test.go
+++ b/internal/upstream/loadreport_test.go
@@ -19,7 +19,7 @@
 		"nonsense":          {},
 	} {
 		if diff := cmp.Diff(want, ParseLoadReport(text, columns)); diff != "" {
-			t.Errorf("%q (-want +got):\n%s", text, diff)
+			t.Errorf("ParseLoadReport(%q) (-want +got):\n%s", text, diff)
 		}
 	}
 }
--- a/internal/upstream/platform.go
+++ b/internal/upstream/platform.go
@@ -10,10 +10,10 @@
 	"notchhinge/policy"
 )
 
-// platform is the dialect of the platform that notchhinge serve runs on.
+// platform is the default dialect, used by "notchhinge serve".
 type platform struct{}
 
-// rejectedHeader marks a 503 or 504 by which an endpoint rejected a request that it did not run.
+// rejectedHeader marks a 503 or 504 response as a rejection: the endpoint did not run the request.
 const rejectedHeader = "X-Rejected"
 
 // Classify implements Dialect.
@@ -30,16 +30,16 @@
 	return policy.ResultError
 }
 
-// MatchResponse implements Dialect: the platform's responses do not name their request.
+// MatchResponse implements Dialect. The platform's responses do not identify their request, so every response matches.
 func (platform) MatchResponse(*Request, *http.Response) ResponseMatch { return MatchThisRequest }
 
-// IsEventStream implements Dialect.
+// IsEventStream implements Dialect. Every forwarded response is an event stream.
 func (platform) IsEventStream(*http.Response) bool { return true }
 
-// IdleTimeout implements Dialect.
+// IdleTimeout implements Dialect. The limit of the Transport applies.
 func (platform) IdleTimeout(*http.Response) time.Duration { return 0 }
 
-// MayRunTruncated implements Dialect: the platform promises that a request never runs before its last byte was written.
+// MayRunTruncated implements Dialect. The platform guarantees that a request does not run before its last byte is written.
 func (platform) MayRunTruncated() bool { return false }
 
 // HealthCheckPath implements Dialect.
@@ -50,7 +50,7 @@
 	return "/health/live"
 }
 
-// EncodeRequest implements Dialect: the budget is what is left of the attempt's time, in microseconds.
+// EncodeRequest implements Dialect. The X-Budget header is what remains of the attempt's timeout, in microseconds.
 func (platform) EncodeRequest(r *Request, _ *dispatch.StartAttempt, remaining time.Duration, span *trace.Context) []byte {
 	b := make([]byte, 0, 512+len(r.Body))
 	b = append(b, r.Method...)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -14,30 +14,30 @@
 	"notchhinge/internal/quota"
 )
 
-// connPool keeps the idle connections and counts all of them, those in use included.
+// connPool keeps idle connections and bounds the number of all open connections, including those in use.
 type connPool struct {
 	limits limits.Limits
 	dial   func(ctx context.Context, network, addr string) (net.Conn, error)
 	post   func(dispatch.Event)
 
 	mu         sync.Mutex
-	idle       map[endpoint][]*conn // the one that was used last is last
-	quota      *quota.Quota         // of all connections, by pool
+	idle       map[endpoint][]*conn // in order of last use, the most recent last
+	quota      *quota.Quota         // of open connections, by pool
 	open       int
 	lastIdleID uint64
 }
 
-// errConnectionLimit says that there are as many connections as may be, and none of them is idle.
+// errConnectionLimit means that the limit is reached and no idle connection can be evicted.
 var errConnectionLimit = errors.New("upstream connection limit reached")
 
-// connWait bounds what get may return and how long it may take.
+// connOptions are the options of connPool.get.
 type connOptions struct {
-	timeout time.Duration // of dialling
-	maxIdle time.Duration // how long a connection may have been idle; 0 = for any time
+	timeout time.Duration // for dialling
+	maxIdle time.Duration // longest idle time of a reused connection; 0 = no limit
 }
 
-// get returns the connection to an endpoint that was used last, or dials one. One that was idle for longer than w.maxIdle is
-// left for others.
+// get returns the most recently used idle connection to an endpoint, or dials a new one. A connection that was idle for longer
+// than opts.maxIdle is not used and stays in the pool.
 func (p *connPool) get(ctx context.Context, ep endpoint, opts connOptions) (*conn, error) {
 	for {
 		c, err := p.takeIdle(ep, opts.maxIdle)
@@ -50,7 +50,7 @@
 		if time.Since(c.idleSince) < p.idleTimeout(c) && isReusable(c.Conn) {
 			return c, c.SetDeadline(time.Time{})
 		}
-		_ = c.Close() // nothing is under way on it
+		_ = c.Close() // no request is in flight on it
 	}
 	ctx, cancel := context.WithTimeout(ctx, opts.timeout)
 	defer cancel()
@@ -64,8 +64,8 @@
 	return c, nil
 }
 
-// takeIdle takes the idle connection to an endpoint that was used last. If there is none it returns nil and has counted a new
-// one, for which an idle connection to another endpoint may have to go.
+// takeIdle removes and returns the most recently used idle connection to an endpoint. If there is none, it returns nil and reserves
+// quota for a new connection, for which it may evict an idle connection to another endpoint.
 func (p *connPool) takeIdle(ep endpoint, maxIdle time.Duration) (*conn, error) {
 	var evicted []*conn
 	defer func() {
@@ -85,7 +85,7 @@
 		if c == nil {
 			return nil, errConnectionLimit
 		}
-		c.closeOnce.Do(func() { // counted out here under the lock; Close must not do it again
+		c.closeOnce.Do(func() { // released here under the lock; Close must not release it again
 			p.open--
 			p.quota.Release(int(c.endpoint.pool), 1)
 		})
@@ -95,8 +95,8 @@
 	return nil, nil
 }
 
-// evictIdle takes out an idle connection that may go for a new one of a pool: one of its own, or one that another pool has
-// beyond its guarantee. The lock is held.
+// evictIdle removes and returns an idle connection that may be closed in favour of a new connection of a pool: one of the same
+// pool, or one of a pool that exceeds its guarantee. It returns nil if there is none. The caller holds mu.
 func (p *connPool) evictIdle(pool hoststate.PoolID) *conn {
 	for ep, conns := range p.idle {
 		if ep.pool == pool || p.quota.IsOverGuarantee(int(ep.pool)) {
@@ -107,13 +107,13 @@
 	return nil
 }
 
-// put keeps a connection for the next request if it can serve again, and closes it otherwise. Dispatch has an idle connection
-// closed before the endpoint would.
+// put makes a connection idle if it is reusable, and closes it otherwise. It posts ConnectionIdle, so that dispatch can close the
+// connection after its idle timeout.
 func (p *connPool) put(c *conn) {
 	p.mu.Lock()
 	if c.br.Buffered() > 0 || c.mustClose || c.idleTimeout < 0 || len(p.idle[c.endpoint]) >= p.limits.IdlePerEndpoint {
 		p.mu.Unlock()
-		_ = c.Close() // nothing is under way on it
+		_ = c.Close() // no request is in flight on it
 		return
 	}
 	p.lastIdleID++
@@ -121,11 +121,11 @@
 	c.idleID, c.idleSince = id, time.Now()
 	p.idle[c.endpoint] = append(p.idle[c.endpoint], c)
 	timeout := p.idleTimeout(c)
-	p.mu.Unlock() // from here on another attempt may use it
+	p.mu.Unlock() // from here on another attempt may use the connection
 	p.post(dispatch.ConnectionIdle{Connection: id, Idle: timeout})
 }
 
-// idleTimeout returns how long a connection may be idle.
+// idleTimeout returns the idle timeout of a connection: the shorter of its own and that of the limits.
 func (p *connPool) idleTimeout(c *conn) time.Duration {
 	if c.idleTimeout == 0 {
 		return p.limits.UpstreamIdleTimeout
@@ -133,7 +133,7 @@
 	return min(c.idleTimeout, p.limits.UpstreamIdleTimeout)
 }
 
-// closeIdle closes the connection that has been idle under an id, if it still is.
+// closeIdle closes the connection with this idle ID if it is still idle.
 func (p *connPool) closeIdle(id uint64) {
 	p.mu.Lock()
 	var c *conn
@@ -148,11 +148,11 @@
 	}
 	p.mu.Unlock()
 	if c != nil {
-		_ = c.Close() // nothing is under way on it
+		_ = c.Close() // no request is in flight on it
 	}
 }
 
-// closeIdleTo closes the idle connections to the endpoints that match.
+// closeIdleTo closes the idle connections to all endpoints for which match returns true.
 func (p *connPool) closeIdleTo(match func(endpoint) bool) {
 	var closing []*conn
 	p.mu.Lock()
@@ -166,12 +166,12 @@
 	closeAll(closing)
 }
 
-// closeIdleToHost closes the idle connections to a host, those of other pools included: what ended one ended them all.
+// closeIdleToHost closes the idle connections of all pools to the host of an endpoint, since they were probably lost together.
 func (p *connPool) closeIdleToHost(ep endpoint) {
 	p.closeIdleTo(func(other endpoint) bool { return other.addr == ep.addr && other.host == ep.host })
 }
 
-// setMax changes how many connections there may be, and closes idle ones until there are no more, or none is idle.
+// setMax changes the maximum number of connections. It closes idle ones while there are more than that.
 func (p *connPool) setMax(n int64) {
 	var closing []*conn
 	p.mu.Lock()
@@ -218,7 +218,7 @@
 	return n
 }
 
-// release counts a connection of a pool out.
+// release releases the quota of one connection of a pool.
 func (p *connPool) release(id hoststate.PoolID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,7 +226,7 @@
 	p.quota.Release(int(id), 1)
 }
 
-// setIdle replaces the idle connections to an endpoint. The lock is held.
+// setIdle replaces the idle connections to an endpoint. The caller holds mu.
 func (p *connPool) setIdle(ep endpoint, conns []*conn) {
 	if len(conns) == 0 {
 		delete(p.idle, ep)
@@ -237,6 +237,6 @@
 
 func closeAll(conns []*conn) {
 	for _, c := range conns {
-		_ = c.Close() // nothing is under way on it
+		_ = c.Close() // no request is in flight on it
 	}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -31,11 +31,11 @@
 		idle := h.cfg.Limits.UpstreamIdleTimeout
 		want := []dispatch.Event{dispatch.ConnectionIdle{Connection: 1, Idle: idle}, dispatch.ConnectionIdle{Connection: 2, Idle: idle}}
 		if diff := cmp.Diff(want, h.events); diff != "" || len(accepted) != 0 {
-			t.Errorf("idle, %d more connections (-want +got):\n%s", len(accepted), diff)
+			t.Errorf("%d more connections, idle connections (-want +got):\n%s", len(accepted), diff)
 		}
-		h.conns.closeIdle(1) // idle under another id since: nothing happens
+		h.conns.closeIdle(1) // the connection has a new idle ID by now, so nothing happens
 		if h.conns.open != 1 {
-			t.Error("a connection was closed under its old id")
+			t.Error("a connection was closed by its old idle ID")
 		}
 		h.conns.closeIdle(2)
 		if h.conns.open != 0 || len(h.conns.idle) != 0 {
@@ -45,8 +45,8 @@
 }
 
 func TestConnectionLimitEvictsIdleOnes(t *testing.T) {
-	// Descriptors are bounded: an idle connection to one host is evicted for another, and with none idle there is no connection.
-	// The connection of a host that has gone does not serve its successor at the same address.
+	// At the limit, an idle connection to one host is evicted for another host, and without an idle connection get fails. A
+	// connection to one host is not reused for another host at the same address.
 	synctest.Test(t, func(t *testing.T) {
 		dial, accepted := pipes()
 		h := newHarness(dial)
@@ -57,7 +57,7 @@
 			t.Fatal(err)
 		}
 		if _, err := h.conns.get(t.Context(), endpoint{2, "a", 0}, connOptions{timeout: time.Second}); !errors.Is(err, errConnectionLimit) {
-			t.Errorf("a second connection: %v", err)
+			t.Errorf("a connection above the limit: error %v", err)
 		}
 		h.conns.put(first)
 		second, err := h.conns.get(t.Context(), endpoint{2, "a", 0}, connOptions{timeout: time.Second})
@@ -71,7 +71,7 @@
 	})
 }
 
-// twoPools is a harness with two pools, each with a guarantee of one of three connections.
+// twoPools is a harness with two pools and three connections, one of which is guaranteed to each pool.
 type twoPools struct {
 	*harness
 	t        *testing.T
@@ -98,15 +98,15 @@
 	return c
 }
 
-// mustBeFull checks that a pool gets no further connection.
+// mustBeFull checks that a pool cannot open another connection.
 func (p twoPools) mustBeFull(pool hoststate.PoolID, host policy.ReplicaID) {
 	p.t.Helper()
 	if _, err := p.conns.get(p.t.Context(), endpoint{host, "a", pool}, connOptions{timeout: time.Second}); !errors.Is(err, errConnectionLimit) {
-		p.t.Errorf("a connection of the other pool's guarantee: %v", err)
+		p.t.Errorf("a connection within the guarantee of the other pool: error %v", err)
 	}
 }
 
-// mustCount checks how many connections the pools have, and that no others are open.
+// mustCount checks the numbers of open connections of the pools and in total.
 func (p twoPools) mustCount(first, second int) {
 	p.t.Helper()
 	if p.Connections(0) != first || p.Connections(1) != second || p.conns.open != first+second {
@@ -120,30 +120,30 @@
 	}
 }
 
-// TestGuaranteedConnectionsOfTwoPools: connections to a host that two pools share are each pool's own. A pool gets back what
-// another has beyond its guarantee, and nothing of what that is guaranteed.
+// TestGuaranteedConnectionsOfTwoPools checks that pools do not share connections to the same host, and that a pool can evict idle
+// connections of another pool only above the other pool's guarantee.
 func TestGuaranteedConnectionsOfTwoPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTwoPools(t)
 		first, second := p.get(0, 1), p.get(0, 2)
 		p.mustBeFull(0, 3)
 		if other := p.get(1, 1); other == first {
-			t.Error("one connection for two pools")
+			t.Error("two pools share a connection")
 		}
 		p.mustCount(2, 1)
 		for _, c := range []*conn{first, second} {
 			p.conns.put(c)
 		}
-		p.get(1, 2) // an idle one of the first pool, which has more than its guarantee, is evicted for it
+		p.get(1, 2) // evicts an idle connection of the first pool, which exceeds its guarantee
 		p.mustCount(1, 2)
 		p.mustBeFull(1, 4)
 		p.closeFarEnds()
 	})
 }
 
-// TestClosedConnectionClosesThoseOfOtherPools: an endpoint that closed an idle connection of one pool has closed the other
-// pool's, too; connections to other hosts stay. A pool that is removed leaves none.
-func TestClosedConnectionClosesThoseOfOtherPools(t *testing.T) {
+// TestStaleConnectionClosesIdleOnesOfAllPools checks that closeIdleToHost closes the idle connections of all pools to a host and
+// keeps those to other hosts, and that RemovePool closes the rest of its pool.
+func TestStaleConnectionClosesIdleOnesOfAllPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTwoPools(t)
 		first, second, otherHost := p.get(0, 1), p.get(1, 1), p.get(1, 2)
@@ -152,11 +152,11 @@
 		}
 		p.conns.closeIdleToHost(first.endpoint)
 		if len(p.conns.idle) != 1 || len(p.conns.idle[otherHost.endpoint]) != 1 || p.conns.open != 1 {
-			t.Errorf("idle after the endpoint closed: %v", p.conns.idle)
+			t.Errorf("idle connections after closeIdleToHost: %v", p.conns.idle)
 		}
 		p.RemovePool(1)
 		if p.conns.open != 0 || p.conns.quota.Used() != 0 {
-			t.Errorf("%d connections of a pool that was removed", p.conns.open)
+			t.Errorf("%d open connections after RemovePool", p.conns.open)
 		}
 		p.closeFarEnds()
 	})
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -12,12 +12,13 @@
 	"notchhinge/internal/limits"
 )
 
-// readResponse reads the head of the response to a request; nil = to a health check. It skips interim responses, up to a
-// bound, and complete responses to other requests: a faulty endpoint may send one more than it was asked for, which comes
-// where the next is due. The connection of such an endpoint is not used again.
+// readResponse reads the head of the response to a request; req is nil for a health check. It skips a bounded number of interim
+// responses and of complete responses to other requests: an extra response of a faulty endpoint arrives in place of the next one.
+// A connection that carried an extra response is not reused.
 //
-// deadline bounds the wait for the response's first byte; zero = dispatch bounds it by cancelling the attempt. From there to the
-// first event there is Limits.FirstEventTimeout. firstByteAt is when the first byte was there; zero if none came.
+// deadline bounds the wait for the first byte of the response; zero means that dispatch bounds it by cancelling the attempt. After
+// the first byte, the first event must arrive within Limits.FirstEventTimeout. firstByteAt is the time of the first byte, or zero
+// if none arrived.
 func (t *Transport) readResponse(cn *conn, req *Request, deadline time.Time) (_ *http.Response, firstByteAt time.Time, _ error) {
 	for range t.cfg.Limits.MaxInterimResponses + 1 {
 		if _, err := cn.br.Peek(1); err != nil {
@@ -57,8 +58,8 @@
 	return t.cfg.Dialect.MatchResponse(req, resp)
 }
 
-// readHead reads a response's head. It rejects one that says in two ways where its message ends, and one that holds the head
-// of another response.
+// readHead reads and parses the head of a response. It rejects a head with ambiguous framing and a head that contains the status
+// line of another response.
 func readHead(br *bufio.Reader) (*http.Response, error) {
 	head, err := framing.PeekHead(br)
 	if err != nil {
@@ -75,8 +76,8 @@
 	return resp, nil
 }
 
-// discardBody reads the body of a response to another request. It fails where no further response can follow, or where the
-// body is longer than limits.MaxDiscardedBody.
+// discardBody reads and discards the body of a response to another request. It returns an error if no further response can follow
+// or if the body reaches limits.MaxDiscardedBody bytes.
 func discardBody(resp *http.Response) error {
 	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, limits.MaxDiscardedBody))
 	if err != nil || n == limits.MaxDiscardedBody || resp.Close {
--- a/internal/upstream/retrysafety.go
+++ b/internal/upstream/retrysafety.go
@@ -11,37 +11,37 @@
 	"notchhinge/policy"
 )
 
-// Is it safe to retry an attempt that failed? Its result says so:
+// The result of a failed attempt states whether a retry is safe, that is, whether the request cannot have run:
 //
-//	ConnectFailed  safe: no connection, or too little of the request was written for it to run, or the response says that
-//	               another host than the one that was meant got it
-//	Full           safe: the endpoint says that it rejected the request (Dialect.Classify)
+//	ConnectFailed  safe: there was no connection, or too little of the request was written for it to run, or the response
+//	               states that the request reached a host other than the intended one
+//	Full           safe: the endpoint rejected the request without running it (Dialect.Classify)
 //	Reset          may have run: the connection ended after the request was written
-//	Error          may have run: a response that came and cannot be read, or does not end, or is an error
-//	Cancelled      not a failure: dispatch gave the attempt up, or the client left
+//	Error          may have run: the response is malformed, does not end in time, or is an error response
+//	Cancelled      not a failure: dispatch cancelled the attempt, or the client disconnected
 //
-// Time-outs are dispatch's, which cancels the attempt. Whether a request that may have run is retried is the policy's to decide,
-// by whether it is idempotent. That a reset came on a stale connection is reported beside it (AttemptEnded.StaleConnection):
-// it says nothing against the endpoint, but does not prove that the request did not run.
+// Dispatch enforces the attempt's timeout by cancelling the attempt. The policy decides whether a request that may have run is
+// retried, depending on whether it is idempotent. AttemptEnded.StaleConnection marks a reset on a stale connection. Such a reset
+// does not count against the endpoint, but it does not prove that the request did not run.
 
-// errMalformedResponse is a response that cannot be read, on a connection that works: its endpoint is alive, and may have run
-// the request.
+// errMalformedResponse reports a response that violates the protocol, on a working connection. The endpoint is alive and may have
+// run the request.
 var errMalformedResponse = errors.New("malformed response")
 
-// truncatedResponseWait is how long the response is waited for to a request whose connection broke while it was written.
+// truncatedResponseWait bounds the wait for a response after the connection failed while the request was being written.
 const truncatedResponseWait = 100 * time.Millisecond
 
-// mayHaveRun reports whether a request may run of which so many bytes were written before its connection broke.
+// mayHaveRun reports whether a request may have run if its connection failed after this number of bytes was written.
 func (t *Transport) mayHaveRun(written int) bool {
 	return written > 0 && t.cfg.Dialect.MayRunTruncated()
 }
 
-// failureResult returns the result of an attempt whose response broke off with err after the request was written. One that
-// ended with its connection is a reset; one that cannot be read, or does not come to its end in time, is an error.
+// failureResult returns the result of an attempt whose request was written and whose response could not be read because of err. The
+// end of the connection is a reset; a malformed or late response is an error.
 func failureResult(err error) policy.Result {
 	var opErr *net.OpError
 	switch {
-	case errors.Is(err, os.ErrDeadlineExceeded): // an OpError, too
+	case errors.Is(err, os.ErrDeadlineExceeded): // checked first, because it is an OpError as well
 		return policy.ResultError
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.ErrClosedPipe), errors.As(err, &opErr):
 		return policy.ResultReset
@@ -50,8 +50,9 @@
 	}
 }
 
-// noteStale reports whether a connection that ended without any byte of a response had served before. Its endpoint may have
-// closed it long ago, which says nothing of the endpoint now. The idle connections to it are likely dead as well, and closed.
+// handleStale reports whether a connection that ended before any byte of a response is stale, that is, was reused after an idle
+// period. The endpoint may have closed it long ago, which does not indicate a failure now. The other idle connections to the host
+// are probably dead as well, so handleStale closes them.
 func (t *Transport) handleStale(ctx context.Context, cn *conn) bool {
 	if cn.idleID == 0 {
 		return false
@@ -63,8 +64,8 @@
 	return true
 }
 
-// checkIdleConnectionsLost tells an endpoint that lost its idle connections from one that has ended: the first accepts a new
-// connection, which is kept.
+// checkIdleConnectionsLost dials an endpoint whose idle connections ended. If it accepts a new connection, it is still running and
+// only the idle connections were lost: the new connection is kept and OnIdleConnectionsLost is called.
 func (t *Transport) checkIdleConnectionsLost(ctx context.Context, ep endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, t.cfg.Limits.ConnectTimeout)
 	defer cancel()
--- a/internal/upstream/retrysafety_test.go
+++ b/internal/upstream/retrysafety_test.go
@@ -13,16 +13,16 @@
 	"notchhinge/policy"
 )
 
-// TestTruncatedRequestMayHaveRunOnceAByteLeft: an endpoint may run a request of which it has a part. Only if no byte has left
-// does it certainly not run.
-func TestTruncatedRequestMayHaveRunOnceAByteLeft(t *testing.T) {
+// TestTruncatedRequestMayHaveRunOnceAByteWasWritten checks that a request whose connection failed while it was written counts as
+// not run only if no byte was written, or if the dialect rules out that a truncated request runs.
+func TestTruncatedRequestMayHaveRunOnceAByteWasWritten(t *testing.T) {
 	type cut struct {
 		read int
 		runs bool
 	}
 	for at, want := range map[cut]policy.Result{
 		{0, true}: policy.ResultConnectFailed, {1, true}: policy.ResultReset, {200, true}: policy.ResultReset,
-		{0, false}: policy.ResultConnectFailed, {1, false}: policy.ResultConnectFailed, {200, false}: policy.ResultConnectFailed, // the platform's promise
+		{0, false}: policy.ResultConnectFailed, {1, false}: policy.ResultConnectFailed, {200, false}: policy.ResultConnectFailed, // the platform never runs a truncated request
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			read := at.read
@@ -39,14 +39,14 @@
 			conn.Close()
 			synctest.Wait()
 			if len(h.ended) != 1 || h.ended[0].Result != want || h.conns.open != 0 {
-				t.Errorf("%d bytes had left: ends %v, %d connections open", read, h.ended, h.conns.open)
+				t.Errorf("%d bytes written: outcomes %v, %d open connections", read, h.ended, h.conns.open)
 			}
 		})
 	}
 }
 
-// TestTruncatedRequestDoesNotWaitForASilentEndpoint: after a write that failed midway, an endpoint that sends nothing and keeps
-// the connection open is not waited for.
+// TestTruncatedRequestDoesNotWaitForASilentEndpoint checks that an attempt whose write failed midway ends within a bounded time even
+// if the endpoint keeps the connection open and sends nothing.
 func TestTruncatedRequestDoesNotWaitForASilentEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness(func(context.Context, string, string) (net.Conn, error) {
@@ -59,26 +59,26 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if len(h.ended) != 1 || h.ended[0].Result != policy.ResultError || h.conns.open != 0 {
-			t.Errorf("ends %v, %d connections open", h.ended, h.conns.open)
+			t.Errorf("outcomes %v, %d open connections", h.ended, h.conns.open)
 		}
 	})
 }
 
-// truncatedRunsDialect is a dialect whose endpoints may run a request that was not written to its end.
+// truncatedRunsDialect is a dialect whose endpoints may run a truncated request.
 type truncatedRunsDialect struct{ platform }
 
 func (truncatedRunsDialect) MayRunTruncated() bool { return true }
 
-// halfWriter is a connection on which a write fails once ten bytes have left.
+// halfWriter is a connection on which each write fails after ten bytes.
 type halfWriter struct{ net.Conn }
 
 func (w halfWriter) Write(b []byte) (int, error) {
 	n, _ := w.Conn.Write(b[:10])
-	return n, errors.New("write fails")
+	return n, errors.New("write failed")
 }
 
-func TestNoConnectionProvesThatNothingRan(t *testing.T) {
-	// A connection that is refused at once, or that never comes up: both prove that nothing ran.
+func TestConnectFailureProvesThatRequestDidNotRun(t *testing.T) {
+	// A refused connection and a connect timeout both prove that the request did not run.
 	for name, refused := range map[string]bool{"refused": true, "no answer": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -93,7 +93,7 @@
 				time.Sleep(time.Second)
 				synctest.Wait()
 				if len(h.ended) != 1 || h.ended[0].Result != policy.ResultConnectFailed || h.conns.open != 0 {
-					t.Errorf("ends %v after %v, %d connections open", h.ended, time.Since(start), h.conns.open)
+					t.Errorf("outcomes %v after %v, %d open connections", h.ended, time.Since(start), h.conns.open)
 				}
 			})
 		})
@@ -101,7 +101,7 @@
 }
 
 func TestResetOnStaleConnectionIsReportedNotRetried(t *testing.T) {
-	// A request on a connection that its endpoint closes is a reset. It is not sent again: retries are the policy's to decide.
+	// A request on a connection that the endpoint closes ends with a reset. It is not sent again here: the policy decides on retries.
 	synctest.Test(t, func(t *testing.T) {
 		dial, accepted := pipes()
 		h, client := newHarness(dial), &downstream{body: []byte(`{"model":"chat"}`)}
@@ -113,14 +113,14 @@
 		play(t, conn, "reset")
 		synctest.Wait()
 		if len(h.ended) != 2 || h.ended[1].Result != policy.ResultReset || !h.ended[1].StaleConnection || len(accepted) != 0 {
-			t.Errorf("ends %v, %d more connections", h.ended, len(accepted))
+			t.Errorf("outcomes %v, %d more connections", h.ended, len(accepted))
 		}
 	})
 }
 
-// TestLostIdleConnectionsAreReportedAndAvoided: a connection that ends as it is reused is reported as lost if its endpoint
-// accepts new ones, of which one is kept; at an endpoint that is gone it is not. With a bound on their idle time, a
-// non-idempotent request gets a new connection in place of one that was idle for longer, which others go on using.
+// TestLostIdleConnectionsAreReportedAndAvoided checks that a reused connection that ends is reported as lost only if its endpoint
+// accepts a new connection, which is kept. It also checks that a non-idempotent request does not reuse a connection that was idle
+// for longer than the bound, while other requests do.
 func TestLostIdleConnectionsAreReportedAndAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dial, accepted := pipes()
@@ -147,7 +147,7 @@
 		}
 		first := exchange(nil, "served")
 		client.nonIdempotent = true
-		exchange(first, "served") // it was not idle for that long
+		exchange(first, "served") // idle for less than the bound
 		time.Sleep(200 * time.Millisecond)
 		second := exchange(nil, "served")
 		client.nonIdempotent = false
@@ -155,18 +155,18 @@
 		exchange(second, "reset")
 		third := <-accepted
 		if lost != 1 || len(accepted) != 0 || h.conns.open != 1 {
-			t.Errorf("reported %d times, %d more connections, %d open", lost, len(accepted), h.conns.open)
+			t.Errorf("reported %d times, %d more connections, %d open connections", lost, len(accepted), h.conns.open)
 		}
 		endpointDown = true
 		exchange(third, "reset")
 		if lost != 1 || h.conns.open != 0 {
-			t.Errorf("reported %d times of an endpoint that is gone, %d connections open", lost, h.conns.open)
+			t.Errorf("reported %d times after the endpoint went down, %d open connections", lost, h.conns.open)
 		}
 	})
 }
 
 func TestStaleConnectionClosesOtherIdleOnes(t *testing.T) {
-	// Connections that were idle at the same time are likely stale, too; the next attempt gets a new one, whose end is not stale.
+	// Connections that were idle at the same time are probably stale as well, so the next attempt dials. A reset there is not stale.
 	synctest.Test(t, func(t *testing.T) {
 		dial, accepted := pipes()
 		h, client := newHarness(dial), &downstream{body: []byte(`{"model":"chat"}`)}
@@ -186,7 +186,7 @@
 		play(t, <-accepted, "reset")
 		synctest.Wait()
 		if len(h.ended) != 4 || !h.ended[2].StaleConnection || h.ended[3].StaleConnection || h.conns.open != 0 {
-			t.Errorf("ends %v, %d connections open", h.ended, h.conns.open)
+			t.Errorf("outcomes %v, %d open connections", h.ended, h.conns.open)
 		}
 	})
 }
--- a/internal/upstream/trace_test.go
+++ b/internal/upstream/trace_test.go
@@ -19,7 +19,7 @@
 		h.cfg.Now = func() time.Duration { return time.Hour + time.Since(start) }
 		span, ok := trace.ParseParent("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01")
 		if span.State = "ot=th:c"; !ok {
-			t.Fatal("the trace context does not parse")
+			t.Fatal("ParseParent rejected the trace context")
 		}
 		client := &downstream{body: []byte(`{"model":"chat"}`)}
 		h.startTracedAttempt(dispatch.StartTracedAttempt{StartAttempt: startEffect(0, client), Span: &trace.Carried{Context: span}})
@@ -37,7 +37,7 @@
 			Ended: hour + 500*ms, Bytes: h.ended[0].Times.Bytes, Tokens: 7,
 		}
 		if diff := cmp.Diff(want, *h.ended[0].Times); diff != "" {
-			t.Errorf("(-want +got):\n%s", diff)
+			t.Errorf("times (-want +got):\n%s", diff)
 		}
 	})
 }
--- a/internal/upstream/transport.go
+++ b/internal/upstream/transport.go
@@ -12,21 +12,21 @@
 	"notchhinge/internal/quota"
 )
 
-// Config is what a Transport is made of.
+// Config configures a Transport. Limits, Post and Dial are required, and Now as well if attempts are traced.
 type Config struct {
 	Limits        limits.Limits
-	Dialect       Dialect       // nil = the platform's
-	LoadReporting LoadReporting // of pools that ConfigurePool was not called for
+	Dialect       Dialect       // nil = the dialect of the platform
+	LoadReporting LoadReporting // of pools without a call of ConfigurePool
 	Post          func(dispatch.Event)
-	Now           dispatch.Clock // times of traced attempts
+	Now           dispatch.Clock // for the times of traced attempts
 	Dial          func(ctx context.Context, network, addr string) (net.Conn, error)
-	// NonIdempotentMaxIdle returns for how long a connection may have been idle that a non-idempotent request uses; 0 = for any
-	// time. nil = always 0.
+	// NonIdempotentMaxIdle returns the longest idle time of a connection that a non-idempotent request may reuse; 0 = no limit.
+	// A nil function means no limit.
 	NonIdempotentMaxIdle func() time.Duration
-	// OnIdleConnectionsLost is called when an endpoint closed a connection that was idle, though it accepts new ones: other
-	// connections may be lost as well. It must not block; nil = not called.
+	// OnIdleConnectionsLost is called when a reused connection turned out to be closed although the endpoint accepts new
+	// connections. Other connections may be lost as well. It must not block; nil = not called.
 	OnIdleConnectionsLost func()
-	// Go runs an attempt; nil = in a goroutine of its own. A model checker runs all attempts in one.
+	// Go runs a function concurrently; nil = in a new goroutine. A model checker runs all functions in one goroutine.
 	Go func(func())
 }
 
@@ -36,11 +36,11 @@
 	conns connPool
 
 	mu            sync.Mutex
-	attempts      map[dispatch.AttemptID]*attempt // those under way
+	attempts      map[dispatch.AttemptID]*attempt // running attempts
 	loadReporting map[hoststate.PoolID]*LoadReporting
 }
 
-// New returns a Transport without connections.
+// New returns a Transport without open connections.
 func New(c Config) *Transport {
 	if c.Dialect == nil {
 		c.Dialect = platform{}
@@ -56,7 +56,7 @@
 	}
 }
 
-// Perform performs an effect if it concerns endpoints, and reports whether it does. It does not block.
+// Perform performs an effect that concerns endpoints and returns true. It returns false for any other effect. It does not block.
 func (t *Transport) Perform(e dispatch.Effect) bool {
 	switch e := e.(type) {
 	case dispatch.StartAttempt:
@@ -77,8 +77,8 @@
 	return true
 }
 
-// ConfigurePool sets how a pool's endpoints report their load and the pool's share of the connections. Attempts under way keep
-// the way of reporting that they began with.
+// ConfigurePool sets how the endpoints of a pool report their load, and the pool's claim to connections. Running attempts keep the
+// LoadReporting that they started with.
 func (t *Transport) ConfigurePool(id hoststate.PoolID, r LoadReporting, conns quota.Claim) {
 	t.mu.Lock()
 	t.loadReporting[id] = &r
@@ -86,7 +86,7 @@
 	t.conns.setClaim(id, conns)
 }
 
-// RemovePool closes a pool's idle connections and forgets the pool, which must not have an attempt under way.
+// RemovePool closes the idle connections of a pool and removes its configuration. The pool must not have a running attempt.
 func (t *Transport) RemovePool(id hoststate.PoolID) {
 	t.conns.closeIdleTo(func(ep endpoint) bool { return ep.pool == id })
 	t.mu.Lock()
@@ -95,7 +95,7 @@
 	t.conns.removeClaim(id)
 }
 
-// loadReportingOf returns how a pool's endpoints report. The lock is held.
+// loadReportingOf returns the LoadReporting of a pool. The caller holds mu.
 func (t *Transport) loadReportingOf(id hoststate.PoolID) *LoadReporting {
 	if r := t.loadReporting[id]; r != nil {
 		return r
@@ -103,24 +103,24 @@
 	return &t.cfg.LoadReporting
 }
 
-// Connections returns how many connections a pool has, idle ones included.
+// Connections returns the number of open connections of a pool, including idle ones.
 func (t *Transport) Connections(id hoststate.PoolID) int { return t.conns.countOf(id) }
 
-// IdleConnections returns how many connections of all pools are idle.
+// IdleConnections returns the number of idle connections of all pools.
 func (t *Transport) IdleConnections() int { return t.conns.idleCount() }
 
-// SetMaxConnections changes how many connections there may be. Idle ones beyond that are closed.
+// SetMaxConnections changes the maximum number of connections. It closes idle connections while there are more than that.
 func (t *Transport) SetMaxConnections(n int) { t.conns.setMax(int64(n)) }
 
-// MaxConnections returns how many connections there may be.
+// MaxConnections returns the maximum number of connections.
 func (t *Transport) MaxConnections() int { return t.conns.max() }
 
-// Close closes the idle connections. Attempts under way go on.
+// Close closes the idle connections. Running attempts continue.
 func (t *Transport) Close() { t.conns.closeIdleTo(func(endpoint) bool { return true }) }
 
-// LoadReporting says how a pool's endpoints report their load.
+// LoadReporting describes how the endpoints of a pool report their load.
 type LoadReporting struct {
 	Columns     []string // names of the values, in the order of policy.Report
-	StatsPath   bool     // a health check asks for the load report
-	InResponses bool     // any response may carry one
+	StatsPath   bool     // health checks request the path of the load report
+	InResponses bool     // any response may contain a load report
 }
