--- a/internal/frontend/bounds_test.go
+++ b/internal/frontend/bounds_test.go
@@ -19,30 +19,30 @@
 // ownBodyDeadline is a dialect in which bodies have a deadline of their own.
 type ownBodyDeadline struct {
 	platform
-	body time.Duration
+	bodyTimeout time.Duration
 }
 
 func (d ownBodyDeadline) Route(req *http.Request) (Destination, *Rejection) {
 	dst, rejection := d.platform.Route(req)
-	dst.BodyDeadline = time.Now().Add(d.body)
+	dst.BodyDeadline = time.Now().Add(d.bodyTimeout)
 	return dst, rejection
 }
 
 // boundedServer is a server whose bounds can be changed.
-func boundedServer(b *atomic.Pointer[limits.RequestBounds], body time.Duration) *Server {
+func boundedServer(bounds *atomic.Pointer[limits.RequestBounds], bodyTimeout time.Duration) *Server {
 	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{})
 	lim.RequestHeadBytes = 1 << 10
 	s := New(Options{
 		Limits: lim, Directory: onePool("chat"), IsReady: func() bool { return true }, Now: func() time.Duration { return 0 },
-		Bounds: func() limits.RequestBounds { return *b.Load() },
+		Bounds: func() limits.RequestBounds { return *bounds.Load() },
 		Post: func(e dispatch.Event) {
 			if e, ok := e.(dispatch.RequestReceived); ok {
 				go e.Client.(*openRequest).Reject(dispatch.VerdictRejected, time.Second)
 			}
 		},
 	})
-	if body > 0 {
-		s.Dialect = ownBodyDeadline{platform{s}, body}
+	if bodyTimeout > 0 {
+		s.Dialect = ownBodyDeadline{platform{s}, bodyTimeout}
 	}
 	return s
 }
@@ -62,15 +62,15 @@
 func TestBoundsApplyToConnectionsAlreadyOpen(t *testing.T) {
 	// The bounds of a request are those in force as it comes in, also on connections that were open before.
 	synctest.Test(t, func(t *testing.T) {
-		b := &atomic.Pointer[limits.RequestBounds]{}
-		b.Store(&limits.RequestBounds{HeadBytes: 24 << 10, HeaderBytes: 16 << 10, BodyBytes: 1000, ReadTimeout: time.Second, IdleTimeout: 5 * time.Second})
-		s := boundedServer(b, 0)
-		near, far := net.Pipe()
+		bounds := &atomic.Pointer[limits.RequestBounds]{}
+		bounds.Store(&limits.RequestBounds{HeadBytes: 24 << 10, HeaderBytes: 16 << 10, BodyBytes: 1000, ReadTimeout: time.Second, IdleTimeout: 5 * time.Second})
+		s := boundedServer(bounds, 0)
+		serverConn, clientConn := net.Pipe()
 		ended := make(chan struct{})
-		go func() { s.ServeConn(near); close(ended) }()
-		br := bufio.NewReader(far)
-		ask := func(text string) int {
-			go io.WriteString(far, text)
+		go func() { s.ServeConn(serverConn); close(ended) }()
+		br := bufio.NewReader(clientConn)
+		sendRequest := func(text string) int {
+			go io.WriteString(clientConn, text)
 			resp, err := http.ReadResponse(br, nil)
 			if err != nil {
 				t.Fatal(err)
@@ -78,26 +78,26 @@
 			io.Copy(io.Discard, resp.Body)
 			return resp.StatusCode
 		}
-		if got := ask(requestText(15<<10, 900)); got != 503 {
+		if got := sendRequest(requestText(15<<10, 900)); got != 503 {
 			t.Errorf("within the bounds: %d", got)
 		}
 		synctest.Wait() // the body is released after the response
 		if used := s.bodyQuota.Used(); used == 0 || used > 32<<10 {
 			t.Errorf("a buffer that has grown counts as %d bytes", used)
 		}
-		wider := *b.Load()
+		wider := *bounds.Load()
 		wider.BodyBytes = 4000
-		b.Store(&wider)
-		if got := ask(requestText(500, 3900)); got != 503 {
+		bounds.Store(&wider)
+		if got := sendRequest(requestText(500, 3900)); got != 503 {
 			t.Errorf("within wider bounds: %d", got)
 		}
 		narrower := wider
 		narrower.HeaderBytes = 2 << 10
-		b.Store(&narrower)
-		if got := ask(requestText(3<<10, 10)); got != 431 {
+		bounds.Store(&narrower)
+		if got := sendRequest(requestText(3<<10, 10)); got != 431 {
 			t.Errorf("beyond narrower bounds: %d", got)
 		}
-		far.Close()
+		clientConn.Close()
 		<-ended
 		if used := s.bodyQuota.Used(); used != 0 {
 			t.Errorf("%d bytes are still reserved after the close", used)
@@ -107,10 +107,10 @@
 
 func TestReadAndIdleTimeoutsAreThoseOfTheBounds(t *testing.T) {
 	for name, c := range map[string]struct {
-		body time.Duration // its own deadline; 0 = none
-		send []string      // a second apart
-		want int           // 0 = the connection is closed without a response
-		at   time.Duration // from the first byte
+		bodyTimeout time.Duration // its own deadline; 0 = none
+		send        []string      // a second apart
+		want        int           // 0 = the connection is closed without a response
+		at          time.Duration // from the first byte
 	}{
 		"a head that comes slowly":          {0, []string{"POST / HT", "TP/1.1\r\n", "Host", ": a", "\r\n"}, 408, 3 * time.Second},
 		"a body within the head's deadline": {0, []string{requestHead + "Content-Length: 9\r\n\r\n", "1", "2", "3", "4"}, 400, 3 * time.Second},
@@ -120,27 +120,27 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := &atomic.Pointer[limits.RequestBounds]{}
-				b.Store(&limits.RequestBounds{HeadBytes: 8 << 10, BodyBytes: 1000, ReadTimeout: 3 * time.Second, IdleTimeout: 7 * time.Second})
-				s := boundedServer(b, c.body)
-				near, far := net.Pipe()
+				bounds := &atomic.Pointer[limits.RequestBounds]{}
+				bounds.Store(&limits.RequestBounds{HeadBytes: 8 << 10, BodyBytes: 1000, ReadTimeout: 3 * time.Second, IdleTimeout: 7 * time.Second})
+				s := boundedServer(bounds, c.bodyTimeout)
+				serverConn, clientConn := net.Pipe()
 				sent := make(chan struct{})
-				defer func() { far.Close(); <-sent }()
-				began := time.Now()
-				go s.ServeConn(near)
+				defer func() { clientConn.Close(); <-sent }()
+				start := time.Now()
+				go s.ServeConn(serverConn)
 				go func() {
 					defer close(sent)
 					for _, part := range c.send {
-						io.WriteString(far, part)
+						io.WriteString(clientConn, part)
 						time.Sleep(time.Second)
 					}
 				}()
-				resp, err := http.ReadResponse(bufio.NewReader(far), nil)
+				resp, err := http.ReadResponse(bufio.NewReader(clientConn), nil)
 				got := 0
 				if err == nil {
 					got = resp.StatusCode
 				}
-				if took := time.Since(began); got != c.want || took < c.at || took > c.at+10*time.Millisecond {
+				if took := time.Since(start); got != c.want || took < c.at || took > c.at+10*time.Millisecond {
 					t.Errorf("%d after %v, not %d after %v", got, took, c.want, c.at)
 				}
 				if c.want != 503 {
@@ -149,7 +149,7 @@
 				// Idle from now on: the connection closes at the idle time-out.
 				io.Copy(io.Discard, resp.Body)
 				answered := time.Now()
-				if _, err := far.Read(make([]byte, 1)); err == nil || time.Since(answered) != 7*time.Second {
+				if _, err := clientConn.Read(make([]byte, 1)); err == nil || time.Since(answered) != 7*time.Second {
 					t.Errorf("idle for %v: %v", time.Since(answered), err)
 				}
 			})
@@ -160,18 +160,18 @@
 func TestGrowingHeadsAreWithinTheBodyQuota(t *testing.T) {
 	// Heads within the bounds reserve bytes; where there are none, the client gets a time to come back, and nothing stays reserved.
 	synctest.Test(t, func(t *testing.T) {
-		b := &atomic.Pointer[limits.RequestBounds]{}
-		b.Store(&limits.RequestBounds{HeadBytes: 72 << 10, HeaderBytes: 64 << 10, BodyBytes: 1000, ReadTimeout: time.Second, IdleTimeout: time.Second})
-		s := boundedServer(b, 0)
+		bounds := &atomic.Pointer[limits.RequestBounds]{}
+		bounds.Store(&limits.RequestBounds{HeadBytes: 72 << 10, HeaderBytes: 64 << 10, BodyBytes: 1000, ReadTimeout: time.Second, IdleTimeout: time.Second})
+		s := boundedServer(bounds, 0)
 		s.bodyQuota.Take(noPool, s.Limits.TotalBodyBytes-4<<10)
-		near, far := net.Pipe()
-		go s.ServeConn(near)
-		go io.WriteString(far, requestText(40<<10, 1))
-		resp, err := http.ReadResponse(bufio.NewReader(far), nil)
+		serverConn, clientConn := net.Pipe()
+		go s.ServeConn(serverConn)
+		go io.WriteString(clientConn, requestText(40<<10, 1))
+		resp, err := http.ReadResponse(bufio.NewReader(clientConn), nil)
 		if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 			t.Errorf("%+v %v", resp, err)
 		}
-		far.Close()
+		clientConn.Close()
 		synctest.Wait()
 		if left := s.bodyQuota.Used(); left != s.Limits.TotalBodyBytes-4<<10 {
 			t.Errorf("%d bytes are reserved, not %d", left, s.Limits.TotalBodyBytes-4<<10)
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -24,9 +24,9 @@
 	lastResponse time.Time // the end of the last response
 }
 
-func newConn(s *Server, nc net.Conn) *conn {
+func newConn(s *Server, netConn net.Conn) *conn {
 	// A head is checked as a whole before it is parsed, so that the size of the buffer bounds it (see peekHead).
-	return &conn{Conn: nc, server: s, br: bufio.NewReaderSize(nc, s.Limits.RequestHeadBytes), acceptedAt: time.Now()}
+	return &conn{Conn: netConn, server: s, br: bufio.NewReaderSize(netConn, s.Limits.RequestHeadBytes), acceptedAt: time.Now()}
 }
 
 // serve serves requests one after another. While a response is on its way it waits for the next request already: so it learns
@@ -48,7 +48,7 @@
 		open, rejection = c.receive(first)
 		switch {
 		case open != nil:
-			c.server.Post(open.received())
+			c.server.Post(open.receivedEvent())
 		case rejection == nil: // the client has left within a request
 			return
 		case !c.writeRejection(rejection):
@@ -75,17 +75,17 @@
 // receive reads the request of which the first byte has come in. The time of a connection's first request counts from its
 // accept, so that a client that waits before its first byte gets no more time than others.
 func (c *conn) receive(first bool) (*openRequest, *Rejection) {
-	from := time.Now()
-	var begun time.Duration
+	start := time.Now()
+	var firstByteAt time.Duration
 	if c.server.TraceRequests {
-		begun = c.server.Now()
+		firstByteAt = c.server.Now()
 	}
 	if first {
-		from = c.acceptedAt
+		start = c.acceptedAt
 	}
-	open, rejection := c.readRequest(from)
+	open, rejection := c.readRequest(start)
 	if open != nil && open.origin != nil {
-		open.origin.Begun = begun
+		open.origin.Begun = firstByteAt
 	}
 	return open, rejection
 }
--- a/internal/frontend/dialect.go
+++ b/internal/frontend/dialect.go
@@ -23,7 +23,7 @@
 	KeepErrorResponse(r *Request, result policy.Result, resp *http.Response, body []byte) *ErrorResponse
 	// Reject makes the response to a request that no attempt answered: a rejection, or an error response of an upstream.
 	// kept is the last one that KeepErrorResponse made, if any.
-	Reject(r *Request, why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *ErrorResponse) (*Rejection, *ErrorResponse)
+	Reject(r *Request, verdict dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *ErrorResponse) (*Rejection, *ErrorResponse)
 }
 
 // Destination is where a request goes.
--- a/internal/frontend/openrequest.go
+++ b/internal/frontend/openrequest.go
@@ -53,7 +53,7 @@
 var errRequestEnded = errors.New("the request has ended")
 
 // received is the event that hands the request to the dispatcher.
-func (r *openRequest) received() dispatch.RequestReceived {
+func (r *openRequest) receivedEvent() dispatch.RequestReceived {
 	return dispatch.RequestReceived{
 		Client: r, Pool: r.pool, ClientRequestID: r.ClientRequestID, ReceivedAt: r.receivedAt, Request: r.Policy,
 		MaxAttempts: r.MaxAttempts, Origin: r.origin,
@@ -123,22 +123,22 @@
 }
 
 // Reject answers a request that no attempt answered, for a platform where it makes no difference whether one may have run.
-func (r *openRequest) Reject(why dispatch.Verdict, retryAfter time.Duration) {
-	r.RejectAfterAttempts(why, retryAfter, false)
+func (r *openRequest) Reject(verdict dispatch.Verdict, retryAfter time.Duration) {
+	r.RejectAfterAttempts(verdict, retryAfter, false)
 }
 
 // RejectAfterAttempts answers a request that no attempt answered. mayHaveRun says that an engine may have executed it.
-func (r *openRequest) RejectAfterAttempts(why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool) {
+func (r *openRequest) RejectAfterAttempts(verdict dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool) {
 	server := r.conn.server
 	r.errorResponseMu.Lock()
 	kept := r.errorResponse
 	r.errorResponseMu.Unlock()
-	rejection, instead := server.Dialect.Reject(&r.Request, why, retryAfter, mayHaveRun, kept)
+	rejection, errorResponse := server.Dialect.Reject(&r.Request, verdict, retryAfter, mayHaveRun, kept)
 	r.ended.Store(true)
 	var keepAlive bool
-	if instead != nil {
-		r.head, r.closeConnection = instead.ResponseHead, r.closeConnection || server.closesAfterResponse()
-		b := r.appendBody(r.appendHead(nil), instead.Body)
+	if errorResponse != nil {
+		r.head, r.closeConnection = errorResponse.ResponseHead, r.closeConnection || server.closesAfterResponse()
+		b := r.appendBody(r.appendHead(nil), errorResponse.Body)
 		keepAlive = r.conn.write(b) == nil && !r.closeConnection
 	} else {
 		rejection.CloseConnection = rejection.CloseConnection || r.closeConnection
--- a/internal/frontend/platform.go
+++ b/internal/frontend/platform.go
@@ -24,7 +24,7 @@
 
 // Route implements Dialect. A request's pool depends on its host, path, method, class and headers.
 func (p platform) Route(req *http.Request) (Destination, *Rejection) {
-	path, search, hasSearch := strings.Cut(req.RequestURI, "?") // as received, since it is forwarded so
+	path, rawQuery, hasQuery := strings.Cut(req.RequestURI, "?") // as received, since it is forwarded so
 	if path == readyPath || path == livePath {
 		return Destination{}, p.checkHealth(req.Method, path)
 	}
@@ -38,15 +38,15 @@
 		if rejection := dst.normalize(req, &q); rejection != nil {
 			return dst, rejection
 		}
-		if hasSearch {
-			dst.Target += "?" + search
+		if hasQuery {
+			dst.Target += "?" + rawQuery
 		}
 	}
 	target := directory.Table.Lookup(&q)
 	if target == nil {
 		return dst, rejectUnroutable(directory, &q)
 	}
-	dst.Pool = directory.PoolFor(target, conversation(target, req.Header))
+	dst.Pool = directory.PoolFor(target, conversationHash(target, req.Header))
 	return dst, nil
 }
 
@@ -74,7 +74,7 @@
 }
 
 // conversation is what a request hashes to where its route splits over pools: requests of a session go to the same one.
-func conversation(target *route.Target, h http.Header) uint64 {
+func conversationHash(target *route.Target, h http.Header) uint64 {
 	if !target.IsSplit() {
 		return 0
 	}
@@ -140,8 +140,8 @@
 }
 
 // Reject implements Dialect.
-func (platform) Reject(_ *Request, why dispatch.Verdict, retryAfter time.Duration, _ bool, _ *ErrorResponse) (*Rejection, *ErrorResponse) {
-	switch why {
+func (platform) Reject(_ *Request, verdict dispatch.Verdict, retryAfter time.Duration, _ bool, _ *ErrorResponse) (*Rejection, *ErrorResponse) {
+	switch verdict {
 	case dispatch.VerdictFailed:
 		return &Rejection{Status: http.StatusGatewayTimeout, Reason: "not served in time", RetryAfter: retryAfter}, nil
 	case dispatch.VerdictDuplicateID:
--- a/internal/frontend/platform_test.go
+++ b/internal/frontend/platform_test.go
@@ -19,7 +19,7 @@
 // TestRequestsAreForwardedAsRouted plays requests in all spellings against a server with two services: what is routed is what is
 // forwarded, and nothing reaches a pool by two spellings of one path.
 func TestRequestsAreForwardedAsRouted(t *testing.T) {
-	numbers := map[string]int{"runs": 1, "calib": 2}
+	poolIDs := map[string]int{"runs": 1, "calib": 2}
 	table, faults := route.New(
 		[]route.Service{{Name: "runs", Pools: []route.WeightedPool{{Pool: "runs", Weight: 1}}}, {Name: "calib", Pools: []route.WeightedPool{{Pool: "calib", Weight: 1}}}},
 		[]route.Route{
@@ -27,18 +27,18 @@
 			{Service: "calib", Host: "calib.example.org", Method: "POST"},
 			{Service: "calib", Host: "runs.example.org", Prefix: "/v1/fits", Method: "POST"},
 			{Service: "runs", Host: "2001:db8::1", Method: "POST"},
-		}, func(name string) (int, bool) { n, ok := numbers[name]; return n, ok })
+		}, func(name string) (int, bool) { n, ok := poolIDs[name]; return n, ok })
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	at := directory.New(table, true,
+	dir := directory.New(table, true,
 		&directory.Pool{ID: 1, Name: "runs", Classes: []policy.Class{{Name: "chat"}}, MaxBudget: time.Minute},
 		&directory.Pool{ID: 2, Name: "calib", Classes: []policy.Class{{Name: "fit"}, {Name: "chat"}}, MaxBudget: time.Minute, RetryAfter: 250 * time.Millisecond})
 	synctest.Test(t, func(t *testing.T) {
 		events := make(chan dispatch.Event, 64)
 		lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{MaxDeadline: time.Second})
 		s := New(Options{
-			Limits: lim, Directory: func() *directory.Directory { return at }, IsReady: func() bool { return true },
+			Limits: lim, Directory: func() *directory.Directory { return dir }, IsReady: func() bool { return true },
 			Now: func() time.Duration { return 0 },
 			Post: func(e dispatch.Event) {
 				if _, counted := e.(dispatch.RejectedByFrontend); !counted {
@@ -47,17 +47,17 @@
 			},
 		})
 		s.ConfigurePool(2, quota.Claim{Max: 30}, quota.Claim{})
-		near, far := net.Pipe()
+		serverConn, clientConn := net.Pipe()
 		ended := make(chan struct{})
-		go func() { s.ServeConn(near); close(ended) }()
-		replay.Play(t, far, "testdata/parts/services.txt", replay.Steps{
+		go func() { s.ServeConn(serverConn); close(ended) }()
+		replay.Play(t, clientConn, "testdata/parts/services.txt", replay.Steps{
 			"routed": func(want string) {
 				e := (<-events).(dispatch.RequestReceived)
-				a := e.Client.(*openRequest)
-				if got := fmt.Sprintf("pool %d class %d as %s %s", e.Pool, e.Request.Class, a.Request.Upstream.Host, a.Request.Upstream.Target); got != want {
+				open := e.Client.(*openRequest)
+				if got := fmt.Sprintf("pool %d class %d as %s %s", e.Pool, e.Request.Class, open.Request.Upstream.Host, open.Request.Upstream.Target); got != want {
 					t.Errorf("%s, want %s", got, want)
 				}
-				go a.Reject(dispatch.VerdictRejected, 0)
+				go open.Reject(dispatch.VerdictRejected, 0)
 			},
 			"nothing": func(string) {
 				synctest.Wait()
@@ -66,7 +66,7 @@
 				}
 			},
 		})
-		far.Close()
+		clientConn.Close()
 		<-ended
 		if s.bodyQuota.Used()+s.requestQuota.Used() != 0 {
 			t.Errorf("%d bytes and %d requests are still reserved", s.bodyQuota.Used(), s.requestQuota.Used())
--- a/internal/frontend/readrequest.go
+++ b/internal/frontend/readrequest.go
@@ -21,10 +21,10 @@
 
 // readRequest reads one request, whose time counts from the given instant. It returns the request, or a rejection, or neither
 // where the client has left.
-func (c *conn) readRequest(from time.Time) (*openRequest, *Rejection) {
+func (c *conn) readRequest(start time.Time) (*openRequest, *Rejection) {
 	bounds := c.server.Bounds()
 	defer c.SetReadDeadline(time.Time{})
-	c.SetReadDeadline(from.Add(bounds.ReadTimeout))
+	c.SetReadDeadline(start.Add(bounds.ReadTimeout))
 	req, rejection := c.readHead(&bounds)
 	if req == nil {
 		return nil, rejection
@@ -40,7 +40,7 @@
 	}
 	body, reserved, rejection := c.server.readBody(req, &dst, int64(bounds.BodyBytes))
 	if rejection != nil {
-		return nil, c.counted(rejection)
+		return nil, c.countRejection(rejection)
 	}
 	receivedAt := c.server.Now()
 	if rejection = unroutable; rejection == nil {
@@ -53,7 +53,7 @@
 	if rejection != nil {
 		c.server.release(reserved)
 		rejection.CloseConnection = rejection.CloseConnection || req.Close
-		return nil, c.counted(rejection)
+		return nil, c.countRejection(rejection)
 	}
 	open.reservation, open.closeConnection, open.receivedAt = reserved, req.Close, receivedAt
 	return open, nil
@@ -128,17 +128,17 @@
 }
 
 func isNetError(err error) bool {
-	var op *net.OpError
-	return errors.As(err, &op)
+	var opErr *net.OpError
+	return errors.As(err, &opErr)
 }
 
 // rejectUnread makes the rejection of a request of which the rest is not read, so that the connection cannot go on.
 func (c *conn) rejectUnread(status int, reason string) *Rejection {
-	return c.counted(&Rejection{Status: status, Reason: reason, bodyUnread: true})
+	return c.countRejection(&Rejection{Status: status, Reason: reason, bodyUnread: true})
 }
 
 // counted reports a rejection to the dispatcher's counters.
-func (c *conn) counted(r *Rejection) *Rejection {
+func (c *conn) countRejection(r *Rejection) *Rejection {
 	if !r.uncounted {
 		c.server.Post(dispatch.RejectedByFrontend{})
 	}
@@ -175,11 +175,11 @@
 	if !s.TraceRequests {
 		return &openRequest{}, nil
 	}
-	both := &struct {
+	allocation := &struct {
 		openRequest
 		origin trace.Origin
 	}{}
-	o := &both.origin
+	o := &allocation.origin
 	o.Front, o.Tells = "calls", true
 	if parents := h["Traceparent"]; len(parents) == 1 {
 		if c, ok := trace.ParseParent(parents[0]); ok {
@@ -187,5 +187,5 @@
 			o.State, _ = trace.ParseState(h["Tracestate"]...)
 		}
 	}
-	return &both.openRequest, o
+	return &allocation.openRequest, o
 }
--- a/internal/frontend/recording_test.go
+++ b/internal/frontend/recording_test.go
@@ -74,24 +74,24 @@
 func playRecording(t *testing.T, file string) {
 	t.Helper()
 	r := newRecording(t)
-	preset := int64(0)
+	reservedBefore := int64(0)
 	switch filepath.Base(file) {
 	case "over_limit.txt":
 		r.server.conns = map[*conn]struct{}{{server: r.server, busy: true, hasReceived: true}: {}}
 	case "body_quota.txt":
-		preset = 60
-		r.server.bodyQuota.Take(noPool, preset)
+		reservedBefore = 60
+		r.server.bodyQuota.Take(noPool, reservedBefore)
 	}
-	near, far := net.Pipe()
+	serverConn, clientConn := net.Pipe()
 	ended := make(chan struct{})
-	go func() { r.server.ServeConn(near); close(ended) }()
-	replay.Play(t, far, file, r.steps())
-	far.Close()
+	go func() { r.server.ServeConn(serverConn); close(ended) }()
+	replay.Play(t, clientConn, file, r.steps())
+	clientConn.Close()
 	<-ended
 	if r.open != nil {
 		r.open.release() // as its end does, should the recording have stopped before
 	}
-	if n := r.server.bodyQuota.Used() - preset; n != 0 {
+	if n := r.server.bodyQuota.Used() - reservedBefore; n != 0 {
 		t.Errorf("%d bytes of bodies are still reserved", n)
 	}
 }
--- a/internal/frontend/requestheaders.go
+++ b/internal/frontend/requestheaders.go
@@ -13,12 +13,12 @@
 
 // Headers of a request on the platform, in their canonical form.
 const (
-	idHeader      = "X-Call-Id"
-	classHeader   = "X-Call-Class"
-	sessionHeader = "X-Route-Hash"
-	budgetHeader  = "X-Budget"
-	infoHeader    = "X-Call-Info"
-	attemptHeader = "X-Again"
+	idHeader          = "X-Call-Id"
+	classHeader       = "X-Call-Class"
+	sessionHeader     = "X-Route-Hash"
+	budgetHeader      = "X-Budget"
+	infoHeader        = "X-Call-Info"
+	clientRetryHeader = "X-Again"
 )
 
 // parseRequest reads what the decision module gets of a request, or returns the reason for a rejection. classIndex finds a
@@ -50,7 +50,7 @@
 	if session := h.Get(sessionHeader); session != "" {
 		q.Session = parseHash(session)
 	}
-	switch h.Get(attemptHeader) {
+	switch h.Get(clientRetryHeader) {
 	case "1":
 		q.IsClientRetry = true
 	case "again":
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -62,7 +62,7 @@
 // Serve accepts connections until the listener is closed. It returns nil then.
 func (s *Server) Serve(ln net.Listener) error {
 	for {
-		nc, err := ln.Accept()
+		netConn, err := ln.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return nil
@@ -70,14 +70,14 @@
 			time.Sleep(10 * time.Millisecond) // out of file descriptors, or the client has closed it already
 			continue
 		}
-		s.wg.Go(func() { s.ServeConn(nc) })
+		s.wg.Go(func() { s.ServeConn(netConn) })
 	}
 }
 
 // ServeConn serves one connection to its end, and closes it.
-func (s *Server) ServeConn(nc net.Conn) {
-	defer nc.Close()
-	c := newConn(s, nc)
+func (s *Server) ServeConn(netConn net.Conn) {
+	defer netConn.Close()
+	c := newConn(s, netConn)
 	admitted := s.add(c)
 	defer s.remove(c)
 	if !admitted {
@@ -108,12 +108,12 @@
 // such a connection holds a file descriptor. The caller holds mu.
 func (s *Server) evictIdle(now time.Time) bool {
 	var oldest *conn
-	var since time.Time
-	var used bool
+	var oldestSince time.Time
+	var oldestReceived bool
 	for c := range s.conns {
-		at, received, idle := c.idleSince(now)
-		if idle && (oldest == nil || used && !received || used == received && at.Before(since)) {
-			oldest, since, used = c, at, received
+		idleSince, received, idle := c.idleSince(now)
+		if idle && (oldest == nil || oldestReceived && !received || oldestReceived == received && idleSince.Before(oldestSince)) {
+			oldest, oldestSince, oldestReceived = c, idleSince, received
 		}
 	}
 	if oldest == nil || !oldest.closeIdle() {
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -21,10 +21,10 @@
 		})
 		s.Limits.ClientConns, s.Limits.RejectConns = 3, 0
 		open := func() net.Conn {
-			near, far := net.Pipe()
-			go s.ServeConn(near)
+			serverConn, clientConn := net.Pipe()
+			go s.ServeConn(serverConn)
 			synctest.Wait()
-			return far
+			return clientConn
 		}
 		unused, old, young := open(), open(), open()
 		for _, c := range []net.Conn{old, young} {
@@ -67,18 +67,18 @@
 					}
 				},
 			})
-			near, far := net.Pipe()
+			serverConn, clientConn := net.Pipe()
 			go func() {
 				buf := make([]byte, 4096)
 				for {
-					if _, err := far.Read(buf); err != nil {
+					if _, err := clientConn.Read(buf); err != nil {
 						return
 					}
 				}
 			}()
 			ended := make(chan struct{})
-			go func() { _, _ = far.Write(in); time.Sleep(time.Second); far.Close(); close(ended) }()
-			s.ServeConn(near)
+			go func() { _, _ = clientConn.Write(in); time.Sleep(time.Second); clientConn.Close(); close(ended) }()
+			s.ServeConn(serverConn)
 			<-ended
 		})
 	})
--- a/internal/frontend/trace_test.go
+++ b/internal/frontend/trace_test.go
@@ -22,10 +22,10 @@
 			Now:  func() time.Duration { return time.Hour },
 			Post: func(e dispatch.Event) { events <- e },
 		})
-		near, far := net.Pipe()
-		go s.ServeConn(near)
+		serverConn, clientConn := net.Pipe()
+		go s.ServeConn(serverConn)
 		var open *openRequest
-		replay.Play(t, far, "testdata/parts/traced.txt", replay.Steps{
+		replay.Play(t, clientConn, "testdata/parts/traced.txt", replay.Steps{
 			"origin": func(want string) {
 				e := (<-events).(dispatch.RequestReceived)
 				open = e.Client.(*openRequest)
@@ -41,6 +41,6 @@
 				}
 			},
 		})
-		far.Close()
+		clientConn.Close()
 	})
 }
