--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -1,6 +1,6 @@
-// Package framing checks the head of an HTTP/1.1 message as a whole before it is parsed, for requests and responses alike. It
-// prevents request smuggling: net/http accepts heads whose end of message another reader of the same bytes may see elsewhere, so
-// that the rest of a body would pass for another message (RFC 9112, section 11.2).
+// Package framing checks the complete head of an HTTP/1.1 request or response before it is parsed. It prevents request smuggling:
+// net/http accepts heads for which another parser may determine a different end of the message and take the rest of the body for
+// another message (RFC 9112, section 11.2).
 package framing
 
 import (
@@ -8,8 +8,8 @@
 	"bytes"
 )
 
-// PeekHead returns the next head without consuming it. It reads until the empty line that ends the head. The reader's buffer bounds
-// it: a head that does not fit is the error bufio.ErrBufferFull.
+// PeekHead returns the next head, up to and including the empty line that ends it, without consuming it. If the head does not fit
+// into the buffer of br, the error is bufio.ErrBufferFull.
 func PeekHead(br *bufio.Reader) ([]byte, error) {
 	for {
 		b, _ := br.Peek(br.Buffered())
@@ -22,7 +22,7 @@
 	}
 }
 
-// headEnd returns the offset after the first empty line of b, or 0.
+// headEnd returns the offset after the first empty line of b, or 0 if there is none.
 func headEnd(b []byte) int {
 	for at := 0; ; {
 		n := bytes.IndexByte(b[at:], '\n')
@@ -38,9 +38,9 @@
 	}
 }
 
-// HasUniqueFraming reports whether a head says in just one way where its message ends. It does not with a Content-Length beside a
-// Transfer-Encoding, with either of them twice, with folded lines, with a bare carriage return, or with white space in a header's
-// name (which net/http takes for an unknown header and passes on).
+// HasUniqueFraming reports whether a head unambiguously determines the end of its message. These make it ambiguous: more than one
+// Content-Length or Transfer-Encoding header, counted together; a folded line; a bare carriage return; and white space in a header
+// name, which net/http accepts as part of an unknown name.
 func HasUniqueFraming(head []byte) bool {
 	framingHeaders, isFirstLine := 0, true
 	for line := range bytes.Lines(head) {
@@ -63,8 +63,8 @@
 
 func isBlank(c byte) bool { return c == ' ' || c == '\t' }
 
-// ContainsStatusLine reports whether the status line of another response stands within a head. A peer that broke off within a head
-// and went on with the next response sends both as one head, which parses as one with an odd header.
+// ContainsStatusLine reports whether a head contains the status line of another response. If a faulty peer truncates a head and
+// continues with the next response, both would otherwise be parsed as a single head with an unknown header.
 func ContainsStatusLine(head []byte) bool {
 	const version, rest = "HTTP/1.", len("1 200 ")
 	for at := len(version); ; {
@@ -82,15 +82,15 @@
 	}
 }
 
-// isStatusLineRest reports whether b is what follows "HTTP/1." in a status line: a minor version, a blank, three digits and a blank
-// or the end of the line.
+// isStatusLineRest reports whether b can follow "HTTP/1." in a status line: any minor version, a space, three digits, and a space or
+// the end of the line.
 func isStatusLineRest(b []byte) bool {
 	code, end := b[2:5], b[5]
 	isNumber := bytes.IndexFunc(code, func(c rune) bool { return c < '0' || c > '9' }) < 0
 	return b[1] == ' ' && (end == ' ' || end == '\r' || end == '\n') && isNumber
 }
 
-// HasNoControlBytes reports whether a head has no control characters but tabs and those that end its lines.
+// HasNoControlBytes reports whether a head contains no control characters other than tab, carriage return and line feed.
 func HasNoControlBytes(head []byte) bool {
 	for _, c := range head {
 		if c < ' ' && c != '\t' && c != '\r' && c != '\n' || c == 0x7f {
--- a/internal/frontend/bounds_test.go
+++ b/internal/frontend/bounds_test.go
@@ -16,7 +16,7 @@
 	"notchhinge/internal/limits"
 )
 
-// ownBodyDeadline is a dialect in which bodies have a deadline of their own.
+// ownBodyDeadline is a dialect with a separate deadline for bodies.
 type ownBodyDeadline struct {
 	platform
 	bodyTimeout time.Duration
@@ -28,7 +28,8 @@
 	return dst, rejection
 }
 
-// boundedServer is a server whose bounds can be changed.
+// boundedServer returns a server that uses the current value of bounds and rejects all requests. A positive bodyTimeout sets a
+// separate deadline for bodies.
 func boundedServer(bounds *atomic.Pointer[limits.RequestBounds], bodyTimeout time.Duration) *Server {
 	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024}, limits.Site{})
 	lim.RequestHeadBytes = 1 << 10
@@ -50,7 +51,7 @@
 const requestHead = "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-Call-Id: 1\r\nX-Call-Class: chat\r\nX-Budget: 900000m\r\n" +
 	"X-Call-Info: prompt_len=1,prefix_len=0,max_out=1\r\n"
 
-// requestText is a request with headers and a body of these lengths, or a little more.
+// requestText returns a request with headers of at least, and a body of exactly, these numbers of bytes.
 func requestText(headers, body int) string {
 	pad := ""
 	for len(pad)+len(requestHead) < headers {
@@ -60,7 +61,7 @@
 }
 
 func TestBoundsApplyToConnectionsAlreadyOpen(t *testing.T) {
-	// The bounds of a request are those in force as it comes in, also on connections that were open before.
+	// A request is subject to the bounds at the time when it is read, also on a connection that was opened earlier.
 	synctest.Test(t, func(t *testing.T) {
 		bounds := &atomic.Pointer[limits.RequestBounds]{}
 		bounds.Store(&limits.RequestBounds{HeadBytes: 24 << 10, HeaderBytes: 16 << 10, BodyBytes: 1000, ReadTimeout: time.Second, IdleTimeout: 5 * time.Second})
@@ -79,38 +80,38 @@
 			return resp.StatusCode
 		}
 		if got := sendRequest(requestText(15<<10, 900)); got != 503 {
-			t.Errorf("within the bounds: %d", got)
+			t.Errorf("request within the bounds: status %d", got)
 		}
 		synctest.Wait() // the body is released after the response
 		if used := s.bodyQuota.Used(); used == 0 || used > 32<<10 {
-			t.Errorf("a buffer that has grown counts as %d bytes", used)
+			t.Errorf("%d bytes are reserved for a buffer that has grown", used)
 		}
 		wider := *bounds.Load()
 		wider.BodyBytes = 4000
 		bounds.Store(&wider)
 		if got := sendRequest(requestText(500, 3900)); got != 503 {
-			t.Errorf("within wider bounds: %d", got)
+			t.Errorf("request within wider bounds: status %d", got)
 		}
 		narrower := wider
 		narrower.HeaderBytes = 2 << 10
 		bounds.Store(&narrower)
 		if got := sendRequest(requestText(3<<10, 10)); got != 431 {
-			t.Errorf("beyond narrower bounds: %d", got)
+			t.Errorf("request beyond narrower bounds: status %d", got)
 		}
 		clientConn.Close()
 		<-ended
 		if used := s.bodyQuota.Used(); used != 0 {
-			t.Errorf("%d bytes are still reserved after the close", used)
+			t.Errorf("%d bytes are still reserved after the connection was closed", used)
 		}
 	})
 }
 
-func TestReadAndIdleTimeoutsAreThoseOfTheBounds(t *testing.T) {
+func TestReadAndIdleTimeoutsFollowTheBounds(t *testing.T) {
 	for name, c := range map[string]struct {
-		bodyTimeout time.Duration // its own deadline; 0 = none
-		send        []string      // a second apart
-		want        int           // 0 = the connection is closed without a response
-		at          time.Duration // from the first byte
+		bodyTimeout time.Duration // separate timeout for the body; 0 = none
+		send        []string      // parts, sent one second apart
+		want        int           // status; 0 = the connection is closed without a response
+		at          time.Duration // since the start of the connection
 	}{
 		"a head that comes slowly":          {0, []string{"POST / HT", "TP/1.1\r\n", "Host", ": a", "\r\n"}, 408, 3 * time.Second},
 		"a body within the head's deadline": {0, []string{requestHead + "Content-Length: 9\r\n\r\n", "1", "2", "3", "4"}, 400, 3 * time.Second},
@@ -141,24 +142,25 @@
 					got = resp.StatusCode
 				}
 				if took := time.Since(start); got != c.want || took < c.at || took > c.at+10*time.Millisecond {
-					t.Errorf("%d after %v, not %d after %v", got, took, c.want, c.at)
+					t.Errorf("status %d after %v, want %d after %v", got, took, c.want, c.at)
 				}
 				if c.want != 503 {
 					return
 				}
-				// Idle from now on: the connection closes at the idle time-out.
+				// The connection is idle from now on and closes after the idle timeout.
 				io.Copy(io.Discard, resp.Body)
 				answered := time.Now()
 				if _, err := clientConn.Read(make([]byte, 1)); err == nil || time.Since(answered) != 7*time.Second {
-					t.Errorf("idle for %v: %v", time.Since(answered), err)
+					t.Errorf("connection closed after %v: %v", time.Since(answered), err)
 				}
 			})
 		})
 	}
 }
 
-func TestGrowingHeadsAreWithinTheBodyQuota(t *testing.T) {
-	// Heads within the bounds reserve bytes; where there are none, the client gets a time to come back, and nothing stays reserved.
+func TestGrownHeadBuffersCountInTheBodyQuota(t *testing.T) {
+	// A long head within the bounds reserves bytes. If none are left, the request is rejected with Retry-After and nothing stays
+	// reserved.
 	synctest.Test(t, func(t *testing.T) {
 		bounds := &atomic.Pointer[limits.RequestBounds]{}
 		bounds.Store(&limits.RequestBounds{HeadBytes: 72 << 10, HeaderBytes: 64 << 10, BodyBytes: 1000, ReadTimeout: time.Second, IdleTimeout: time.Second})
@@ -174,7 +176,7 @@
 		clientConn.Close()
 		synctest.Wait()
 		if left := s.bodyQuota.Used(); left != s.Limits.TotalBodyBytes-4<<10 {
-			t.Errorf("%d bytes are reserved, not %d", left, s.Limits.TotalBodyBytes-4<<10)
+			t.Errorf("%d bytes are reserved, want %d", left, s.Limits.TotalBodyBytes-4<<10)
 		}
 	})
 }
--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -9,28 +9,28 @@
 	"notchhinge/internal/dispatch"
 )
 
-// conn is a connection of a client.
+// conn is a client connection.
 type conn struct {
 	net.Conn
 	server         *Server
 	br             *bufio.Reader
-	bufferReserved int64 // bytes of its buffer beyond the initial size, which count in the body quota
-	overLimit      bool  // above the maximum: its requests are rejected
+	bufferReserved int64 // bytes reserved in the body quota for growth of br
+	overLimit      bool  // accepted above the maximum, so its requests are rejected
 	acceptedAt     time.Time
 
 	mu           sync.Mutex
-	busy         bool      // a request is coming in, or its response is not at its end
-	hasReceived  bool      // a byte has come in
-	lastResponse time.Time // the end of the last response
+	busy         bool      // a request is being read or answered
+	hasReceived  bool      // at least one byte was received
+	lastResponse time.Time // when the last response ended
 }
 
 func newConn(s *Server, netConn net.Conn) *conn {
-	// A head is checked as a whole before it is parsed, so that the size of the buffer bounds it (see peekHead).
+	// peekHead checks a whole head in the buffer before it is parsed, so the size of the buffer bounds the head.
 	return &conn{Conn: netConn, server: s, br: bufio.NewReaderSize(netConn, s.Limits.RequestHeadBytes), acceptedAt: time.Now()}
 }
 
-// serve serves requests one after another. While a response is on its way it waits for the next request already: so it learns
-// that the client has closed the connection.
+// serve reads and answers one request after another. While a response is being written it already waits for the next byte, in order
+// to detect that the client has closed the connection.
 func (c *conn) serve() {
 	c.SetReadDeadline(c.acceptedAt.Add(c.server.Bounds().ReadTimeout))
 	defer c.releaseBuffer()
@@ -49,7 +49,7 @@
 		switch {
 		case open != nil:
 			c.server.Post(open.receivedEvent())
-		case rejection == nil: // the client has left within a request
+		case rejection == nil: // the client disconnected within a request
 			return
 		case !c.writeRejection(rejection):
 			return
@@ -59,8 +59,8 @@
 	}
 }
 
-// awaitResponse waits for the end of a response and reports whether the connection goes on. readErr is what came of waiting
-// for the next request.
+// awaitResponse waits for the end of a response and reports whether the connection stays open. readErr is the result of waiting for
+// the next request; an error means that the client has disconnected.
 func (c *conn) awaitResponse(open *openRequest, readErr error) bool {
 	if readErr == nil {
 		return open.wait()
@@ -72,8 +72,8 @@
 	return false
 }
 
-// receive reads the request of which the first byte has come in. The time of a connection's first request counts from its
-// accept, so that a client that waits before its first byte gets no more time than others.
+// receive reads a request whose first byte has arrived. The read timeout starts at that byte, or at the accept for the first request
+// of a connection, so that a client cannot gain time by delaying its first byte.
 func (c *conn) receive(first bool) (*openRequest, *Rejection) {
 	start := time.Now()
 	var firstByteAt time.Duration
@@ -90,24 +90,24 @@
 	return open, rejection
 }
 
-// markBusy notes that a request is coming in.
+// markBusy marks the connection as reading a request.
 func (c *conn) markBusy() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.busy, c.hasReceived = true, true
 }
 
-// markIdle notes that a response is at its end, and starts the idle time-out.
+// markIdle marks the connection as idle after a response and starts the idle timeout.
 func (c *conn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.busy, c.hasReceived = false, true
 	c.lastResponse = time.Now()
-	// A request that crosses the close has not run, and the client sends it again.
+	// A request that arrives at the moment of the close does not run, and the client can send it again.
 	c.SetReadDeadline(c.lastResponse.Add(c.server.Bounds().IdleTimeout))
 }
 
-// closeIdle closes the connection unless it is busy, and reports whether it did.
+// closeIdle closes the connection unless it is busy, and reports whether it closed it.
 func (c *conn) closeIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,8 +117,8 @@
 	return !c.busy
 }
 
-// idleSince returns since when the connection is idle, and whether anything has ever come in on it. A connection within
-// limits.NewConnGrace of its accept does not count as idle.
+// idleSince returns when the connection became idle, whether it has received any byte, and whether it is idle now. An unused
+// connection does not count as idle within Limits.NewConnGrace of its accept.
 func (c *conn) idleSince(now time.Time) (since time.Time, hasReceived, isIdle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/frontend/dialect.go
+++ b/internal/frontend/dialect.go
@@ -10,64 +10,64 @@
 	"notchhinge/policy"
 )
 
-// Dialect defines what requests and responses of clients look like. Its methods are called by many connections at once.
+// Dialect defines the format of client requests and responses. Many connections call its methods concurrently.
 type Dialect interface {
-	// Route finds the destination of a request by its head. Where it rejects the request, the body is read first, within
-	// bounds, so that the connection can go on.
+	// Route determines the destination of a request from its head. If it rejects the request, the body is read within the bounds
+	// before the rejection is written, so that the connection can stay open.
 	Route(req *http.Request) (Destination, *Rejection)
-	// BuildRequest makes a request for the dispatcher out of a head and a complete body, or rejects it.
+	// BuildRequest builds the request for the dispatcher from a head and a complete body, or rejects it.
 	BuildRequest(req *http.Request, dst *Destination, body []byte) (Request, *Rejection)
-	// BuildResponseHead makes the head of a forwarded response. resp is nil where the upstream reports no head.
+	// BuildResponseHead builds the head of a forwarded response. resp is nil if the upstream did not report a head.
 	BuildResponseHead(r *Request, resp *http.Response) ResponseHead
-	// KeepErrorResponse makes what is kept of an upstream's response that is not forwarded; nil = nothing.
+	// KeepErrorResponse returns what to keep of an upstream response that is not forwarded; nil = nothing.
 	KeepErrorResponse(r *Request, result policy.Result, resp *http.Response, body []byte) *ErrorResponse
-	// Reject makes the response to a request that no attempt answered: a rejection, or an error response of an upstream.
-	// kept is the last one that KeepErrorResponse made, if any.
+	// Reject builds the response to a request that no attempt answered: either a rejection or an error response. mayHaveRun
+	// reports that an engine may have run the request. kept is the last result of KeepErrorResponse, or nil.
 	Reject(r *Request, verdict dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *ErrorResponse) (*Rejection, *ErrorResponse)
 }
 
-// Destination is where a request goes.
+// Destination is the pool and the target that a request is routed to.
 type Destination struct {
-	Pool         *directory.Pool // nil: the request is rejected once its body is read
-	Target, Host string          // as the upstream gets them
-	BodyDeadline time.Time       // for the body; zero = the deadline of the head holds for both
-	DialectData  any             // the dialect's own; no one else reads it
+	Pool         *directory.Pool // nil = the request is rejected after its body has been read
+	Target, Host string          // as sent upstream
+	BodyDeadline time.Time       // zero = the deadline of the head applies to the body as well
+	DialectData  any             // for use by the dialect only
 }
 
-// Request is a complete request of a client.
+// Request is a complete client request.
 type Request struct {
-	Policy   policy.Request   // what the decision module gets
-	Upstream upstream.Request // what an engine gets
-	// MaxAttempts bounds its attempts; 0 = the pool's bound holds alone.
+	Policy   policy.Request   // input of the decision module
+	Upstream upstream.Request // request sent to the engine
+	// MaxAttempts bounds the number of attempts in addition to the bound of the pool; 0 = no additional bound.
 	MaxAttempts int
-	// ClientRequestID names it: one request of a name may be open in a pool. "" = no name.
+	// ClientRequestID identifies the request; a pool accepts only one open request with the same ID. "" = no ID.
 	ClientRequestID string
-	// DialectData is the dialect's own; it comes back in BuildResponseHead, KeepErrorResponse and Reject.
+	// DialectData is for use by the dialect only, in BuildResponseHead, KeepErrorResponse and Reject.
 	DialectData any
 }
 
-// ResponseHead is the head of a response that is forwarded.
+// ResponseHead is the head of a response to the client.
 type ResponseHead struct {
-	Lines         []byte // status line and headers, each with its end of line; none of them concerns the connection
+	Lines         []byte // status line and headers with line ends, without headers for connection or framing
 	ContentLength int64  // of the body; -1 = chunked
 	NoBody        bool   // no body follows, whatever ContentLength is
 }
 
-// ErrorResponse is a complete small response of an upstream that was not forwarded.
+// ErrorResponse is a complete upstream response that was not forwarded.
 type ErrorResponse struct {
 	Result policy.Result
 	ResponseHead
 	Body []byte
 }
 
-// Rejection is a response that the frontend gives by itself.
+// Rejection is a response that the frontend creates itself.
 type Rejection struct {
 	Status          int
-	Reason          string        // the body, without its end of line
-	Allow           string        // the methods, with 405
-	RetryAfter      time.Duration // 0 = none
-	CloseConnection bool          // the connection ends after it
+	Reason          string        // the body, without the line end
+	Allow           string        // value of the Allow header; "" = none
+	RetryAfter      time.Duration // value of the Retry-After header; 0 = none
+	CloseConnection bool          // close the connection after the response
 
-	bodyUnread bool // the rest of the request may still come in, so that the connection ends after it
-	uncounted  bool // it answers a health check: it is no rejection in the counters
+	bodyUnread bool // the rest of the request was not read, so the connection closes
+	uncounted  bool // the response to a health check, which does not count as a rejection
 }
--- a/internal/frontend/openrequest.go
+++ b/internal/frontend/openrequest.go
@@ -17,31 +17,31 @@
 	"notchhinge/policy"
 )
 
-// openRequest is a request that is handed to the dispatcher and not yet answered: the dispatch.Client of its events, and the
-// upstream.Downstream of its attempts.
+// openRequest is a request that was passed to the dispatcher and is not yet answered. It is the dispatch.Client of its events and
+// the upstream.Downstream of its attempts.
 //
-// Only the attempt that the dispatcher has bound writes the response (ObserveHead, WriteBody, Finish). Others may call
-// UpstreamRequest and ReadErrorResponse at the same time.
+// Only the attempt that the dispatcher has bound writes the response (ObserveHead, WriteBody, Finish). Other attempts may call
+// UpstreamRequest and ReadErrorResponse concurrently.
 type openRequest struct {
 	conn *conn
 	Request
 	pool       hoststate.PoolID
-	receivedAt time.Duration // of its last byte
+	receivedAt time.Duration // when the last byte was received
 	origin     *trace.Origin // nil = not traced
 
-	reservation reservation // released once, at the end at the latest
+	reservation reservation // released once, when the request ends or the client disconnects
 	releaseOnce sync.Once
 
-	head            ResponseHead // of the response that is forwarded
+	head            ResponseHead // of the response
 	headWritten     bool
-	closeConnection bool // the connection ends after the response
+	closeConnection bool // close the connection after the response
 
 	errorResponseMu sync.Mutex
 	errorResponse   *ErrorResponse // the last response that was not forwarded
 
-	ended     atomic.Bool   // nothing more is written but what is in writing
-	keepAlive bool          // the connection goes on; valid once done is closed
-	done      chan struct{} // closed when the response is at its end
+	ended     atomic.Bool   // no further write starts
+	keepAlive bool          // the connection stays open; valid once done is closed
+	done      chan struct{} // closed when the response is complete
 }
 
 var (
@@ -52,7 +52,7 @@
 
 var errRequestEnded = errors.New("the request has ended")
 
-// received is the event that hands the request to the dispatcher.
+// receivedEvent returns the event that passes the request to the dispatcher.
 func (r *openRequest) receivedEvent() dispatch.RequestReceived {
 	return dispatch.RequestReceived{
 		Client: r, Pool: r.pool, ClientRequestID: r.ClientRequestID, ReceivedAt: r.receivedAt, Request: r.Policy,
@@ -68,8 +68,8 @@
 	r.head = r.conn.server.Dialect.BuildResponseHead(&r.Request, resp)
 }
 
-// ReadErrorResponse implements upstream.ErrorResponseReader. It keeps a small response that is not forwarded, since it may be
-// all that the client can get.
+// ReadErrorResponse implements upstream.ErrorResponseReader. It keeps a small error response, because the client receives it if no
+// attempt succeeds and the dialect allows it.
 func (r *openRequest) ReadErrorResponse(result policy.Result, resp *http.Response, engine net.Conn) (complete bool) {
 	const (
 		maxBytes = 16 << 10
@@ -88,9 +88,9 @@
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
-// WriteBody implements upstream.Downstream. What it gets leaves in one write, with the head before the first.
+// WriteBody implements upstream.Downstream. It sends each part in a single write; the first one includes the response head.
 func (r *openRequest) WriteBody(part []byte) error {
-	const overhead = 192 // about the length of a head, or of a chunk's frame
+	const overhead = 192 // approximate size of a head or of the framing of a chunk, in bytes
 	if r.ended.Load() {
 		return errRequestEnded
 	}
@@ -98,17 +98,17 @@
 	b = r.appendBody(b, part)
 	err := r.conn.write(b)
 	if err != nil {
-		r.conn.Close() // ends the reading of the connection too
+		r.conn.Close() // also unblocks the read in conn.serve
 	}
 	return err
 }
 
-// Finish implements upstream.Downstream. A response that broke off closes the connection without the last chunk.
+// Finish implements upstream.Downstream. After an incomplete response it closes the connection without writing the last chunk.
 func (r *openRequest) Finish(complete bool) error {
 	var err error
 	if complete {
 		r.ended.Store(true)
-		b := r.appendHeadOnce(nil) // not yet written where there is no body
+		b := r.appendHeadOnce(nil) // not yet written if the body is empty
 		if r.head.ContentLength < 0 && !r.head.NoBody {
 			b = append(b, "0\r\n\r\n"...)
 		}
@@ -116,18 +116,19 @@
 			err = r.conn.write(b)
 		}
 	}
-	// The head of a response that began before a drain does not announce the close; the connection is closed all the same,
-	// since the client might use it for ever.
+	// A response that began before a drain does not announce the close in its head. The connection is closed nevertheless,
+	// because the client could otherwise keep it open indefinitely.
 	r.end(complete && err == nil && !r.closeConnection && !r.conn.server.closesAfterResponse())
 	return err
 }
 
-// Reject answers a request that no attempt answered, for a platform where it makes no difference whether one may have run.
+// Reject answers a request that no attempt answered. It is for dialects whose response does not depend on whether the request may
+// have run; see RejectAfterAttempts.
 func (r *openRequest) Reject(verdict dispatch.Verdict, retryAfter time.Duration) {
 	r.RejectAfterAttempts(verdict, retryAfter, false)
 }
 
-// RejectAfterAttempts answers a request that no attempt answered. mayHaveRun says that an engine may have executed it.
+// RejectAfterAttempts answers a request that no attempt answered. mayHaveRun reports that an engine may have run it.
 func (r *openRequest) RejectAfterAttempts(verdict dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool) {
 	server := r.conn.server
 	r.errorResponseMu.Lock()
@@ -150,7 +151,7 @@
 	r.end(keepAlive)
 }
 
-// appendHeadOnce appends the head of the forwarded response unless it is written already.
+// appendHeadOnce appends the head of the forwarded response unless it was already written.
 func (r *openRequest) appendHeadOnce(b []byte) []byte {
 	if r.headWritten {
 		return b
@@ -160,7 +161,7 @@
 	return r.appendHead(b)
 }
 
-// appendHead appends the head of the response, and the headers that concern the connection.
+// appendHead appends the head of the response, including the headers for connection and framing.
 func (r *openRequest) appendHead(b []byte) []byte {
 	if r.head.Lines == nil {
 		r.head = r.conn.server.Dialect.BuildResponseHead(&r.Request, nil)
@@ -180,7 +181,7 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// appendBody appends a part of the body, as a chunk where the length is unknown.
+// appendBody appends a part of the body, encoded as a chunk if the length of the body is unknown.
 func (r *openRequest) appendBody(b, part []byte) []byte {
 	if r.head.ContentLength >= 0 || r.head.NoBody {
 		return append(b, part...)
@@ -191,7 +192,7 @@
 	return append(b, "\r\n"...)
 }
 
-// end ends the request, and closes its connection unless keepAlive.
+// end ends the request and closes its connection unless keepAlive is set.
 func (r *openRequest) end(keepAlive bool) {
 	r.ended.Store(true)
 	r.release()
@@ -204,12 +205,12 @@
 	close(r.done)
 }
 
-// release releases what the request has reserved.
+// release releases the reservation of the request. Further calls have no effect.
 func (r *openRequest) release() {
 	r.releaseOnce.Do(func() { r.conn.server.release(r.reservation) })
 }
 
-// wait waits for the end and reports whether the connection goes on.
+// wait waits until the request has ended and reports whether the connection stays open.
 func (r *openRequest) wait() bool {
 	<-r.done
 	return r.keepAlive
--- a/internal/frontend/platform.go
+++ b/internal/frontend/platform.go
@@ -14,9 +14,10 @@
 	"notchhinge/policy"
 )
 
-// platform is the dialect of the platform that notchhinge serve runs on.
+// platform is the default dialect, used by "notchhinge serve".
 type platform struct{ *Server }
 
+// Paths of the health checks of the platform.
 const (
 	readyPath = "/health/ready"
 	livePath  = "/health/live"
@@ -24,7 +25,7 @@
 
 // Route implements Dialect. A request's pool depends on its host, path, method, class and headers.
 func (p platform) Route(req *http.Request) (Destination, *Rejection) {
-	path, rawQuery, hasQuery := strings.Cut(req.RequestURI, "?") // as received, since it is forwarded so
+	path, rawQuery, hasQuery := strings.Cut(req.RequestURI, "?") // not decoded, because it is forwarded as received
 	if path == readyPath || path == livePath {
 		return Destination{}, p.checkHealth(req.Method, path)
 	}
@@ -50,7 +51,7 @@
 	return dst, nil
 }
 
-// checkHealth answers a health check of the platform.
+// checkHealth returns the response to a health check of the platform.
 func (p platform) checkHealth(method, path string) *Rejection {
 	switch {
 	case method != http.MethodGet:
@@ -61,7 +62,7 @@
 	return &Rejection{Status: http.StatusOK, Reason: "ok", uncounted: true}
 }
 
-// rejectUnroutable makes the rejection of a request that no route takes.
+// rejectUnroutable returns the rejection of a request that no route matches.
 func rejectUnroutable(d *directory.Directory, q *route.Query) *Rejection {
 	if allow := d.Table.AllowedMethods(q); len(allow) > 0 {
 		list := strings.Join(allow, ", ")
@@ -73,7 +74,8 @@
 	return &Rejection{Status: http.StatusNotFound, Reason: "no such path"}
 }
 
-// conversation is what a request hashes to where its route splits over pools: requests of a session go to the same one.
+// conversationHash returns the hash by which a route that splits over several pools selects one. Requests of a session have the same
+// hash. It returns 0 if the route does not split.
 func conversationHash(target *route.Target, h http.Header) uint64 {
 	if !target.IsSplit() {
 		return 0
@@ -84,12 +86,12 @@
 	return route.HashConversation(h.Get(idHeader))
 }
 
-// normalize brings host and path into one spelling, in which they are both routed and forwarded. The query string is not
-// touched: Target has none afterwards.
+// normalize sets Host and Target, and Host and Path of q, to the normalized host and path, so that a request is forwarded exactly as
+// it was routed. Target does not include the query string.
 func (d *Destination) normalize(req *http.Request, q *route.Query) *Rejection {
 	path := q.Path
-	// In the absolute form of a target its authority is the host, whatever the Host header says (RFC 9112, section 3.2.2);
-	// net/http has set req.Host to it.
+	// If the target is in absolute form, its authority takes precedence over the Host header (RFC 9112, section 3.2.2). net/http
+	// has already set req.Host to it.
 	if !strings.HasPrefix(path, "/") {
 		if req.URL.Scheme != "http" && req.URL.Scheme != "https" || req.URL.User != nil {
 			return &Rejection{Status: http.StatusBadRequest, Reason: "bad_target: the target has no form that is served here"}
@@ -116,7 +118,7 @@
 	q, reason := parseRequest(req.Header, dst.Pool.ClassIndex, dst.Pool.MaxBudget)
 	contentType := req.Header.Get("Content-Type")
 	if reason == "" && !(httpguts.ValidHostHeader(dst.Host) && httpguts.ValidHeaderFieldValue(contentType)) {
-		reason = "Host or Content-Type is bad" // they are forwarded
+		reason = "Host or Content-Type is bad" // both are forwarded
 	}
 	if reason != "" {
 		return Request{}, &Rejection{Status: http.StatusBadRequest, Reason: reason}
@@ -127,19 +129,19 @@
 	}}, nil
 }
 
-// BuildResponseHead implements Dialect: whatever the engine's head says, the response is an event stream.
+// BuildResponseHead implements Dialect. Every response is an event stream, regardless of the head that the engine sent.
 func (platform) BuildResponseHead(*Request, *http.Response) ResponseHead {
 	return ResponseHead{
 		Lines: []byte("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-cache\r\n"), ContentLength: -1,
 	}
 }
 
-// KeepErrorResponse implements Dialect: nothing is kept.
+// KeepErrorResponse implements Dialect. The platform keeps no error responses.
 func (platform) KeepErrorResponse(*Request, policy.Result, *http.Response, []byte) *ErrorResponse {
 	return nil
 }
 
-// Reject implements Dialect.
+// Reject implements Dialect. It always returns a rejection.
 func (platform) Reject(_ *Request, verdict dispatch.Verdict, retryAfter time.Duration, _ bool, _ *ErrorResponse) (*Rejection, *ErrorResponse) {
 	switch verdict {
 	case dispatch.VerdictFailed:
--- a/internal/frontend/platform_test.go
+++ b/internal/frontend/platform_test.go
@@ -16,8 +16,8 @@
 	"notchhinge/policy"
 )
 
-// TestRequestsAreForwardedAsRouted plays requests in all spellings against a server with two services: what is routed is what is
-// forwarded, and nothing reaches a pool by two spellings of one path.
+// TestRequestsAreForwardedAsRouted sends differently spelled hosts and paths to a server with two services. It checks that each
+// request is forwarded with the normalized host and path by which it was routed, so no spelling bypasses a route.
 func TestRequestsAreForwardedAsRouted(t *testing.T) {
 	poolIDs := map[string]int{"runs": 1, "calib": 2}
 	table, faults := route.New(
@@ -55,14 +55,14 @@
 				e := (<-events).(dispatch.RequestReceived)
 				open := e.Client.(*openRequest)
 				if got := fmt.Sprintf("pool %d class %d as %s %s", e.Pool, e.Request.Class, open.Request.Upstream.Host, open.Request.Upstream.Target); got != want {
-					t.Errorf("%s, want %s", got, want)
+					t.Errorf("routed to %s, want %s", got, want)
 				}
 				go open.Reject(dispatch.VerdictRejected, 0)
 			},
 			"nothing": func(string) {
 				synctest.Wait()
 				if len(events) > 0 {
-					t.Errorf("%+v was handed over", <-events)
+					t.Errorf("unexpected event %+v", <-events)
 				}
 			},
 		})
--- a/internal/frontend/quota.go
+++ b/internal/frontend/quota.go
@@ -7,16 +7,16 @@
 	"notchhinge/internal/quota"
 )
 
-// noPool is the pool of the quotas that accounts for requests without a pool, and for read buffers.
+// noPool is the quota key of requests without a pool and of read buffers.
 const noPool = -1
 
-// reservation is what a request holds of the quotas.
+// reservation is the share of the quotas that a request holds: one request, and the bytes of its body.
 type reservation struct {
 	pool int
 	body int64 // bytes
 }
 
-// ConfigurePool sets a pool's claims: of the bytes of bodies, and of the requests that may be coming in or open at once.
+// ConfigurePool sets the claims of a pool: to bytes of bodies, and to requests that are being read or answered.
 func (s *Server) ConfigurePool(id hoststate.PoolID, bodies, requests quota.Claim) {
 	s.quotaMu.Lock()
 	defer s.quotaMu.Unlock()
@@ -24,7 +24,7 @@
 	s.requestQuota.SetClaim(int(id), requests)
 }
 
-// RemovePool removes a pool's claims.
+// RemovePool removes the claims of a pool.
 func (s *Server) RemovePool(id hoststate.PoolID) {
 	s.quotaMu.Lock()
 	defer s.quotaMu.Unlock()
@@ -32,14 +32,14 @@
 	s.requestQuota.EndClaim(int(id))
 }
 
-// BodyBytes returns how many bytes of bodies a pool has reserved.
+// BodyBytes returns the number of body bytes that the requests of a pool have reserved.
 func (s *Server) BodyBytes(id hoststate.PoolID) int64 {
 	s.quotaMu.Lock()
 	defer s.quotaMu.Unlock()
 	return s.bodyQuota.Reserved(int(id))
 }
 
-// reserve reserves a request of a pool and the bytes of its body, or rejects it.
+// reserve reserves quota for a request and the bytes of its body, or rejects the request.
 func (s *Server) reserve(dst *Destination, body int64) (reservation, *Rejection) {
 	r := reservation{noPool, body}
 	retryAfter := s.Limits.OverloadRetryAfter
@@ -51,7 +51,7 @@
 	}
 	s.quotaMu.Lock()
 	defer s.quotaMu.Unlock()
-	if dst.Pool == nil || s.requestQuota.Take(r.pool, 1) { // without a pool, the number of connections is the bound
+	if dst.Pool == nil || s.requestQuota.Take(r.pool, 1) { // requests without a pool are bounded by the number of connections
 		if s.bodyQuota.Take(r.pool, body) {
 			return r, nil
 		}
@@ -60,7 +60,7 @@
 	return reservation{}, &Rejection{Status: http.StatusServiceUnavailable, Reason: "no room", RetryAfter: retryAfter, bodyUnread: true}
 }
 
-// extend reserves more bytes for a body that is coming in, if there are any.
+// extend reserves additional bytes for a body that is being read. It reports whether they are available.
 func (s *Server) extend(r *reservation, bytes int64) bool {
 	s.quotaMu.Lock()
 	defer s.quotaMu.Unlock()
@@ -78,7 +78,7 @@
 	s.requestQuota.Release(r.pool, 1)
 }
 
-// reserveBuffer reserves bytes for the read buffer of a connection, if there are any.
+// reserveBuffer reserves bytes for the read buffer of a connection and reports whether they are available.
 func (s *Server) reserveBuffer(bytes int64) bool {
 	s.quotaMu.Lock()
 	defer s.quotaMu.Unlock()
--- a/internal/frontend/readbody.go
+++ b/internal/frontend/readbody.go
@@ -7,16 +7,16 @@
 	"os"
 )
 
-// initialChunkedBody is how many bytes a chunked body has reserved at first; the reservation doubles as the body grows.
+// initialChunkedBody is the initial reservation for a chunked body, in bytes. The reservation doubles as the body grows.
 const initialChunkedBody = 256 << 10
 
 var (
-	errNoBodyCapacity = errors.New("the body quota is used up")
-	errBodyTooLarge   = errors.New("the body is too large")
+	errNoBodyCapacity = errors.New("body quota exhausted")
+	errBodyTooLarge   = errors.New("request body too large")
 )
 
-// readBody reads the body of a request, of maxBytes at most, or rejects the request. What it reserves is the caller's to
-// release, unless it rejects.
+// readBody reads the body of a request, up to maxBytes, or rejects the request. Unless it rejects the request, the caller must
+// release the reservation.
 func (s *Server) readBody(req *http.Request, dst *Destination, maxBytes int64) ([]byte, reservation, *Rejection) {
 	if req.ContentLength > maxBytes {
 		return nil, reservation{}, s.rejectBody(errBodyTooLarge, dst)
@@ -44,8 +44,8 @@
 	return body, reserved, nil
 }
 
-// readChunked reads a body of unknown length, and extends its reservation before it reads more than is reserved. Its errors
-// are those of r, errNoBodyCapacity and errBodyTooLarge.
+// readChunked reads a body of unknown length. It extends the reservation whenever the body exceeds it, so the body is never more than
+// one byte larger. It returns errNoBodyCapacity, errBodyTooLarge, or an error of r.
 func (s *Server) readChunked(r io.Reader, reserved *reservation, maxBytes int64) ([]byte, error) {
 	var body []byte
 	for {
@@ -65,7 +65,7 @@
 	}
 }
 
-// rejectBody makes the rejection of a request whose body could not be read.
+// rejectBody returns the rejection of a request whose body could not be read.
 func (s *Server) rejectBody(err error, dst *Destination) *Rejection {
 	switch {
 	case errors.Is(err, errBodyTooLarge):
--- a/internal/frontend/readrequest.go
+++ b/internal/frontend/readrequest.go
@@ -16,11 +16,11 @@
 	"notchhinge/internal/trace"
 )
 
-// errNoHeadCapacity reports a head that is within the bounds, and for which the body quota has no bytes left.
-var errNoHeadCapacity = errors.New("no capacity for a head")
+// errNoHeadCapacity reports a head that is within the bounds but for which the body quota is exhausted.
+var errNoHeadCapacity = errors.New("body quota exhausted by a request head")
 
-// readRequest reads one request, whose time counts from the given instant. It returns the request, or a rejection, or neither
-// where the client has left.
+// readRequest reads one request, whose read timeout counts from start. It returns the request or a rejection, or neither if the
+// client has disconnected.
 func (c *conn) readRequest(start time.Time) (*openRequest, *Rejection) {
 	bounds := c.server.Bounds()
 	defer c.SetReadDeadline(time.Time{})
@@ -59,8 +59,7 @@
 	return open, nil
 }
 
-// readHead reads and parses the head that comes next. It returns the head, or a rejection, or neither where the client has
-// left.
+// readHead reads and parses the next head. It returns the head or a rejection, or neither if the client has disconnected.
 func (c *conn) readHead(b *limits.RequestBounds) (*http.Request, *Rejection) {
 	head, err := c.peekHead(b)
 	switch {
@@ -76,7 +75,7 @@
 	switch {
 	case err != nil:
 		return nil, c.rejectHead(err)
-	case c.br.Buffered() != unread: // net/http ends the head elsewhere
+	case c.br.Buffered() != unread: // net/http disagrees on where the head ends
 		return nil, c.rejectUnread(http.StatusBadRequest, "the head is ambiguous")
 	case req.Host == "" && req.ProtoAtLeast(1, 1):
 		return nil, c.rejectUnread(http.StatusBadRequest, "the head is malformed")
@@ -84,8 +83,8 @@
 	return req, nil
 }
 
-// peekHead returns the head that comes next without taking it from the buffer. The buffer grows within the bounds, as far as
-// the body quota has bytes left. A head beyond the bounds ends in bufio.ErrBufferFull.
+// peekHead returns the next head without consuming it. The buffer grows up to the bounds, and the body quota must have room for the
+// growth; otherwise the error is errNoHeadCapacity. A head that exceeds the bounds is the error bufio.ErrBufferFull.
 func (c *conn) peekHead(b *limits.RequestBounds) ([]byte, error) {
 	for {
 		head, err := framing.PeekHead(c.br)
@@ -107,10 +106,10 @@
 	}
 }
 
-// releaseBuffer releases what the buffer has reserved.
+// releaseBuffer releases the reservation of the read buffer.
 func (c *conn) releaseBuffer() { c.server.releaseBuffer(c.bufferReserved) }
 
-// rejectHead makes the rejection for a head that could not be read; nil where the client has left.
+// rejectHead returns the rejection for a head that could not be read, or nil if the client has disconnected.
 func (c *conn) rejectHead(err error) *Rejection {
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
@@ -132,12 +131,12 @@
 	return errors.As(err, &opErr)
 }
 
-// rejectUnread makes the rejection of a request of which the rest is not read, so that the connection cannot go on.
+// rejectUnread returns and counts the rejection of a request whose rest is not read. The connection closes after it.
 func (c *conn) rejectUnread(status int, reason string) *Rejection {
 	return c.countRejection(&Rejection{Status: status, Reason: reason, bodyUnread: true})
 }
 
-// counted reports a rejection to the dispatcher's counters.
+// countRejection reports a rejection to the dispatcher, for its counters, and returns it.
 func (c *conn) countRejection(r *Rejection) *Rejection {
 	if !r.uncounted {
 		c.server.Post(dispatch.RejectedByFrontend{})
@@ -145,9 +144,9 @@
 	return r
 }
 
-// checkConnection rejects what the connection, rather than the request, stands in the way of.
+// checkConnection rejects a request whose connection is above the maximum, or whose HTTP version is not supported.
 func (c *conn) checkConnection(req *http.Request) *Rejection {
-	if !req.ProtoAtLeast(1, 1) { // a client of HTTP/1.0 takes no chunked response
+	if !req.ProtoAtLeast(1, 1) { // an HTTP/1.0 client cannot read a chunked response
 		return &Rejection{Status: http.StatusHTTPVersionNotSupported, Reason: "HTTP/1.1 is wanted", CloseConnection: true}
 	}
 	if c.overLimit {
@@ -158,7 +157,7 @@
 	return nil
 }
 
-// buildRequest makes a request of a head and a complete body, or rejects it.
+// buildRequest builds an openRequest from a head and a complete body, or rejects the request.
 func (c *conn) buildRequest(req *http.Request, dst *Destination, body []byte) (*openRequest, *Rejection) {
 	r, rejection := c.server.Dialect.BuildRequest(req, dst, body)
 	if rejection != nil {
@@ -169,8 +168,8 @@
 	return open, nil
 }
 
-// newOpenRequest allocates a request and, where requests are traced, its origin with it. A malformed trace context (W3C Trace
-// Context, traceparent) is dropped, and a new trace begins.
+// newOpenRequest allocates a request and, if requests are traced, its origin, in a single allocation. If the trace context (W3C Trace
+// Context, traceparent) is missing or malformed, a new trace begins.
 func (s *Server) newOpenRequest(h http.Header) (*openRequest, *trace.Origin) {
 	if !s.TraceRequests {
 		return &openRequest{}, nil
--- a/internal/frontend/recording_test.go
+++ b/internal/frontend/recording_test.go
@@ -17,17 +17,18 @@
 	"notchhinge/policy"
 )
 
-// TestBytesOfConnectionsAreAsRecorded plays recorded connections against a server. The steps that stand for the dispatcher:
+// TestRecordedConnections plays recorded connections against a server and compares every byte. Steps of the fake dispatcher:
 //
-//	received ...   the server has handed over this request
-//	none           it has handed over nothing since, and reported no client that left
-//	left           it has reported that the client left
-//	forward TEXT   an event is forwarded; also finish, break, reject 0.5s and fail
-//	drain, idle    SIGTERM has come; idle connections are to be closed
-func TestBytesOfConnectionsAreAsRecorded(t *testing.T) {
+//	received ...   check that the server has passed this request to the dispatcher
+//	none           check that the server has posted no other event
+//	left           check that the server has reported that the client disconnected
+//	forward TEXT   forward an event; also finish, break, reject 0.5s and fail
+//	drain          start a drain, as on SIGTERM
+//	idle           close idle connections
+func TestRecordedConnections(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) < 10 {
-		t.Fatalf("%d recordings, %v", len(files), err)
+		t.Fatalf("found %d recordings: %v", len(files), err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -36,7 +37,7 @@
 	}
 }
 
-// onePool is a directory of one pool with these classes.
+// onePool returns a function that returns a directory of one pool with these classes.
 func onePool(classes ...string) func() *directory.Directory {
 	var all []policy.Class
 	for _, c := range classes {
@@ -46,12 +47,12 @@
 	return func() *directory.Directory { return d }
 }
 
-// recording is a server as a recording sees it.
+// recording is a server and the state of the recording that is played against it.
 type recording struct {
 	t      *testing.T
 	server *Server
-	events []dispatch.Event // not yet looked at, but for counted rejections
-	open   *openRequest     // the latest request
+	events []dispatch.Event // events that no step has checked yet, except RejectedByFrontend
+	open   *openRequest     // the last request received
 }
 
 func newRecording(t *testing.T) *recording {
@@ -70,7 +71,7 @@
 	return r
 }
 
-// playRecording plays a file. Two of them need a server with a connection, or with bytes of bodies, already there.
+// playRecording plays a file. Two recordings need a server that already has a connection or a reservation of body bytes.
 func playRecording(t *testing.T, file string) {
 	t.Helper()
 	r := newRecording(t)
@@ -89,10 +90,10 @@
 	clientConn.Close()
 	<-ended
 	if r.open != nil {
-		r.open.release() // as its end does, should the recording have stopped before
+		r.open.release() // in case the recording ends before the request does
 	}
 	if n := r.server.bodyQuota.Used() - reservedBefore; n != 0 {
-		t.Errorf("%d bytes of bodies are still reserved", n)
+		t.Errorf("%d body bytes are still reserved", n)
 	}
 }
 
@@ -101,12 +102,12 @@
 		"received": r.received,
 		"none": func(string) {
 			if e := r.next(); e != nil {
-				r.t.Fatalf("an event: %#v", e)
+				r.t.Fatalf("unexpected event %#v", e)
 			}
 		},
 		"left": func(string) {
 			if e, ok := r.next().(dispatch.ClientLeft); !ok || e.Client != r.open {
-				r.t.Fatal("the client that left is not reported")
+				r.t.Fatal("the server did not report that the client disconnected")
 			}
 		},
 		"forward": func(text string) { go func() { _ = r.open.WriteBody([]byte(text + "\n\n")) }() },
@@ -125,7 +126,7 @@
 	}
 }
 
-// next takes the next event; nil = none.
+// next removes and returns the next event, or nil if there is none.
 func (r *recording) next() dispatch.Event {
 	synctest.Wait()
 	if len(r.events) == 0 {
@@ -136,11 +137,11 @@
 	return e
 }
 
-// received checks the request that has been handed over.
+// received checks the next event, which must be a RequestReceived.
 func (r *recording) received(want string) {
 	e, ok := r.next().(dispatch.RequestReceived)
 	if !ok {
-		r.t.Fatal("no request was handed over")
+		r.t.Fatal("the server did not pass a request to the dispatcher")
 	}
 	r.open = e.Client.(*openRequest)
 	o, q := r.open.Upstream, e.Request
--- a/internal/frontend/rejection.go
+++ b/internal/frontend/rejection.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// writeRejection writes a rejection and reports whether the connection goes on.
+// writeRejection writes a rejection and reports whether the connection stays open.
 func (c *conn) writeRejection(r *Rejection) bool {
 	closes := r.CloseConnection || r.bodyUnread || c.server.closesAfterResponse()
 	if err := c.write(r.encode(closes)); err != nil {
@@ -19,7 +19,7 @@
 	return !closes
 }
 
-// encode returns the bytes of the response.
+// encode returns the encoded response. closes adds a Connection: close header.
 func (r *Rejection) encode(closes bool) []byte {
 	b := append([]byte("HTTP/1.1 "), strconv.Itoa(r.Status)...)
 	b = append(b, ' ')
@@ -42,9 +42,8 @@
 	return append(b, '\n')
 }
 
-// discardUnread ends the writing side and reads what is still coming in, for a bounded time and number of bytes, before the
-// connection is closed. A close with unread bytes resets the connection, and the client might lose its response (RFC 9112,
-// section 9.6).
+// discardUnread closes the write side of the connection and then discards incoming bytes, up to a maximum time and size. Closing a
+// connection with unread bytes resets it, and the client could lose the response (RFC 9112, section 9.6).
 func (c *conn) discardUnread() {
 	const (
 		maxWait  = 500 * time.Millisecond
@@ -52,6 +51,6 @@
 	)
 	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok && w.CloseWrite() == nil {
 		c.SetReadDeadline(time.Now().Add(maxWait))
-		_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxBytes)) // however it ends, the connection is closed next
+		_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxBytes)) // the connection is closed next in any case
 	}
 }
--- a/internal/frontend/requestheaders.go
+++ b/internal/frontend/requestheaders.go
@@ -11,7 +11,7 @@
 	"notchhinge/policy"
 )
 
-// Headers of a request on the platform, in their canonical form.
+// Request headers of the platform, in canonical form.
 const (
 	idHeader          = "X-Call-Id"
 	classHeader       = "X-Call-Class"
@@ -21,8 +21,8 @@
 	clientRetryHeader = "X-Again"
 )
 
-// parseRequest reads what the decision module gets of a request, or returns the reason for a rejection. classIndex finds a
-// class by its name; the time that a request may take is cut to maxBudget.
+// parseRequest parses the headers into the input of the decision module, or returns the reason for a rejection. classIndex returns
+// the index of a class with a given name. The timeout of the request is limited to maxBudget.
 func parseRequest(h http.Header, classIndex func(string) (int, bool), maxBudget time.Duration) (q policy.Request, reason string) {
 	for _, name := range []string{idHeader, classHeader, budgetHeader, infoHeader} {
 		switch len(h.Values(name)) {
@@ -59,7 +59,7 @@
 	return q, ""
 }
 
-// isValidID reports whether an id is one of 1 to 128 visible ASCII characters.
+// isValidID reports whether an ID consists of 1 to 128 visible ASCII characters.
 func isValidID(id string) bool {
 	const maxIDBytes = 128
 	for _, c := range []byte(id) {
@@ -70,7 +70,7 @@
 	return id != "" && len(id) <= maxIDBytes
 }
 
-// parseBudget reads a number and its unit: m for milliseconds, u for microseconds. What is above maxBudget is cut to it.
+// parseBudget parses a decimal number with the unit m (milliseconds) or u (microseconds). The result is at most maxBudget.
 func parseBudget(s string, maxBudget time.Duration) (time.Duration, bool) {
 	var unit time.Duration
 	if n, ok := strings.CutSuffix(s, "m"); ok {
@@ -88,7 +88,7 @@
 	return time.Duration(min(d, float64(maxBudget))), true
 }
 
-// parseDecimal reads a decimal number that is not negative, without an exponent.
+// parseDecimal parses a non-negative decimal number without an exponent.
 func parseDecimal(s string) (float64, bool) {
 	for _, c := range []byte(s) {
 		if (c < '0' || c > '9') && c != '.' {
@@ -99,7 +99,7 @@
 	return v, err == nil && !math.IsInf(v, 0)
 }
 
-// parseInfo reads name=value pairs into q. Unknown names are ignored; each of the lengths must be there once.
+// parseInfo parses name=value pairs into q. It ignores unknown names. Each of the three lengths must occur exactly once.
 func parseInfo(s string, q *policy.Request) bool {
 	lengths := map[string]*float64{"prompt_len": &q.PromptTokens, "prefix_len": &q.PrefixTokens, "max_out": &q.MaxTokens}
 	missing := len(lengths)
@@ -115,7 +115,7 @@
 		}
 		if length, known := lengths[name]; known {
 			if length == nil {
-				return false // given twice
+				return false // duplicate
 			}
 			if *length, ok = parseDecimal(value); !ok || *length > math.MaxFloat32 {
 				return false
@@ -127,7 +127,7 @@
 	return missing == 0
 }
 
-// parseHash reads a 64-bit hexadecimal number; any other text is hashed to one (FNV-1a). 0 means none.
+// parseHash parses a 64-bit hexadecimal number, or returns the FNV-1a hash of any other text. 0 means that there is none.
 func parseHash(s string) uint64 {
 	v, err := strconv.ParseUint(s, 16, 64)
 	if err != nil {
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -17,17 +17,17 @@
 // Options configures a Server. Limits, Directory, Post, Now and IsReady are required.
 type Options struct {
 	Limits    limits.Limits
-	Dialect   Dialect                     // nil = the platform's
-	Directory func() *directory.Directory // the services in force; called for each request
-	Post      func(dispatch.Event)        // hands an event to the dispatcher; it must not wait for the response
+	Dialect   Dialect                     // nil = the dialect of the platform
+	Directory func() *directory.Directory // returns the current routing directory; called for each request
+	Post      func(dispatch.Event)        // passes an event to the dispatcher; must not wait for the response
 	Now       dispatch.Clock
-	IsReady   func() bool                 // whether the router knows of endpoints
-	Bounds    func() limits.RequestBounds // the bounds in force; nil = those of Limits
-	// TraceRequests has trace contexts read, and written rejections reported with dispatch.RejectionWritten.
+	IsReady   func() bool                 // whether the router has discovered endpoints
+	Bounds    func() limits.RequestBounds // returns the current bounds; nil = those of Limits
+	// TraceRequests enables parsing of trace contexts, and dispatch.RejectionWritten events.
 	TraceRequests bool
 }
 
-// Server is the frontend: the set of client connections, and what they share.
+// Server manages the set of client connections and the state that they share.
 type Server struct {
 	Options
 
@@ -35,16 +35,16 @@
 	conns map[*conn]struct{}
 
 	quotaMu      sync.Mutex
-	bodyQuota    *quota.Quota // bytes of bodies and of grown read buffers, by pool
-	requestQuota *quota.Quota // requests that are coming in or open, by pool
+	bodyQuota    *quota.Quota // bytes of bodies and of read buffer growth, by pool
+	requestQuota *quota.Quota // requests that are being read or answered, by pool
 
 	draining            atomic.Bool
 	handingOver         atomic.Bool  // another process accepts new connections
-	connectionReduction atomic.Int64 // by how much MaxConnections is below the limit
+	connectionReduction atomic.Int64 // Limits.ClientConns minus MaxConnections
 	wg                  sync.WaitGroup
 }
 
-// New returns a server. Its pools have no claims yet.
+// New returns a Server without any claims of pools.
 func New(o Options) *Server {
 	s := &Server{
 		Options: o, conns: map[*conn]struct{}{}, bodyQuota: quota.New(o.Limits.TotalBodyBytes),
@@ -59,7 +59,7 @@
 	return s
 }
 
-// Serve accepts connections until the listener is closed. It returns nil then.
+// Serve accepts and serves connections until the listener is closed, and then returns nil.
 func (s *Server) Serve(ln net.Listener) error {
 	for {
 		netConn, err := ln.Accept()
@@ -67,27 +67,28 @@
 			if errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			time.Sleep(10 * time.Millisecond) // out of file descriptors, or the client has closed it already
+			time.Sleep(10 * time.Millisecond) // out of file descriptors, or the client has already closed the connection
 			continue
 		}
 		s.wg.Go(func() { s.ServeConn(netConn) })
 	}
 }
 
-// ServeConn serves one connection to its end, and closes it.
+// ServeConn serves one connection until it ends, and closes it.
 func (s *Server) ServeConn(netConn net.Conn) {
 	defer netConn.Close()
 	c := newConn(s, netConn)
 	admitted := s.add(c)
 	defer s.remove(c)
 	if !admitted {
-		s.Post(dispatch.RejectedByFrontend{}) // without a response: there is no capacity left to write one
+		s.Post(dispatch.RejectedByFrontend{}) // without a response, because there is no capacity left to write one
 		return
 	}
 	c.serve()
 }
 
-// add admits a connection unless RejectConns of them are above the maximum. Those above the maximum get rejections only.
+// add adds a connection to the set and reports whether it is admitted. Up to Limits.RejectConns connections above the maximum are
+// admitted, but their requests are rejected.
 func (s *Server) add(c *conn) (admitted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -103,9 +104,9 @@
 	delete(s.conns, c)
 }
 
-// evictIdle closes the connection that has been idle for the longest, if one is; connections without any request so far go
-// first. Clients open more connections than they use, and some open hundreds and send nothing: no request is rejected while
-// such a connection holds a file descriptor. The caller holds mu.
+// evictIdle closes the connection that has been idle for the longest time and reports whether it closed one. It prefers connections
+// that have not received a request: some clients open hundreds of them and send nothing. So no request is rejected while an idle
+// connection holds a file descriptor. The caller holds mu.
 func (s *Server) evictIdle(now time.Time) bool {
 	var oldest *conn
 	var oldestSince time.Time
@@ -123,32 +124,32 @@
 	return true
 }
 
-// Drain has every connection closed after its next response, and readiness denied.
+// Drain starts a drain: every connection closes after its next response, and the readiness check fails.
 func (s *Server) Drain() { s.draining.Store(true) }
 
 // Undrain ends a drain.
 func (s *Server) Undrain() { s.draining.Store(false) }
 
-// IsDraining reports whether the server drains.
+// IsDraining reports whether a drain is in progress.
 func (s *Server) IsDraining() bool { return s.draining.Load() }
 
-// StartHandover has every connection closed after its next response, since another process accepts new ones. Readiness stays
-// as it is: it is that of the address, whichever process answers.
+// StartHandover starts a handover to another process, which accepts new connections: every connection closes after its next
+// response. The readiness check is unaffected, because it applies to the address and not to the process.
 func (s *Server) StartHandover() { s.handingOver.Store(true) }
 
 // CancelHandover undoes StartHandover.
 func (s *Server) CancelHandover() { s.handingOver.Store(false) }
 
-// closesAfterResponse reports whether connections end with their next response.
+// closesAfterResponse reports whether connections close after their next response.
 func (s *Server) closesAfterResponse() bool { return s.draining.Load() || s.handingOver.Load() }
 
-// MaxConnections returns how many connections may be open.
+// MaxConnections returns the maximum number of open connections.
 func (s *Server) MaxConnections() int {
 	return s.Limits.ClientConns - int(s.connectionReduction.Load())
 }
 
-// SetMaxConnections changes how many connections may be open. Idle connections above that are closed at once; the others
-// close when they are idle and a new connection needs their place.
+// SetMaxConnections changes the maximum number of open connections. It closes idle connections above the maximum at once. Busy
+// connections stay open until a new connection evicts them once they are idle.
 func (s *Server) SetMaxConnections(limit int) {
 	s.connectionReduction.Store(int64(s.Limits.ClientConns - limit))
 	s.mu.Lock()
@@ -157,14 +158,14 @@
 	}
 }
 
-// Connections returns how many connections are open.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// CloseIdle closes the connections without an open request.
+// CloseIdle closes all connections without an open request.
 func (s *Server) CloseIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +174,8 @@
 	}
 }
 
-// CloseIdleExceptNew is CloseIdle, but for connections so new (limits.NewConnGrace) that their first request may be on its way.
+// CloseIdleExceptNew is like CloseIdle, but keeps connections within Limits.NewConnGrace of their accept, whose first request may be
+// in transit.
 func (s *Server) CloseIdleExceptNew() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,7 +187,7 @@
 	}
 }
 
-// Wait returns once every connection of Serve is closed, or ctx is done.
+// Wait waits until all connections of Serve are closed or ctx is done.
 func (s *Server) Wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() { s.wg.Wait(); close(done) }()
--- a/internal/frontend/server_test.go
+++ b/internal/frontend/server_test.go
@@ -12,8 +12,8 @@
 )
 
 func TestNewConnectionEvictsTheLongestIdle(t *testing.T) {
-	// At the maximum, a new connection replaces one without any request so far, and then the one that has been idle for the
-	// longest. One that is new itself is about to be used, and stays.
+	// At the maximum, a new connection evicts first an unused connection and then the one that has been idle for the longest time.
+	// A connection that is itself new is not evicted, because it is about to be used.
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Options{
 			Limits: limits.New(limits.Machine{MemoryMB: 192, Sockets: 1024}, limits.Site{}), IsReady: func() bool { return true },
@@ -39,7 +39,7 @@
 			replay.Play(t, c, "testdata/parts/health_once.txt", nil)
 			time.Sleep(time.Millisecond)
 		}
-		fresh := open() // replaces young; then all are new or busy, and one more is closed at once
+		fresh := open() // evicts young; all connections are now new or busy, so another one is closed at once
 		for _, c := range []net.Conn{next, last} {
 			replay.Play(t, c, "testdata/parts/health_begun.txt", nil)
 		}
--- a/internal/frontend/trace_test.go
+++ b/internal/frontend/trace_test.go
@@ -31,13 +31,13 @@
 				open = e.Client.(*openRequest)
 				got := fmt.Sprintf("%v %v %d %s", e.Origin.Trace, e.Origin.Span, e.Origin.Flags, cmp.Or(e.Origin.State, "-"))
 				if got != want || e.Origin.Begun != time.Hour || !e.Origin.Tells {
-					t.Errorf("origin %s, wanted %s: %+v", got, want, e.Origin)
+					t.Errorf("origin %s, want %s: %+v", got, want, e.Origin)
 				}
 			},
 			"reject": func(string) { go open.Reject(dispatch.VerdictRejected, time.Second/2) },
 			"rejected": func(string) {
 				if e := (<-events).(dispatch.RejectionWritten); e.Client != open || e.At != time.Hour {
-					t.Errorf("rejected: %+v", e)
+					t.Errorf("event of the rejection: %+v", e)
 				}
 			},
 		})
