--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -105,8 +105,8 @@
 }
 
 // evictIdle closes the connection that has been idle for the longest time and reports whether it closed one. It prefers connections
-// that have not received a request: some clients open hundreds of them and send nothing. So no request is rejected while an idle
-// connection holds a file descriptor. The caller holds mu.
+// that have not received any byte, because some clients open hundreds of connections and send nothing. A new connection thus
+// replaces an idle one instead of having its requests rejected. The caller holds mu.
 func (s *Server) evictIdle(now time.Time) bool {
 	var oldest *conn
 	var oldestSince time.Time
--- a/internal/upstream/downstream.go
+++ b/internal/upstream/downstream.go
@@ -17,7 +17,7 @@
 	Header            []byte    // encoded header lines; unused by the platform's dialect
 	WithContentLength bool      // send a Content-Length; the platform's dialect always does
 	Deadline          time.Time // the client's deadline; unused by the platform's dialect
-	// NonIdempotent marks a request that must not run twice. It cannot be retried after a reset, even on a stale connection.
+	// NonIdempotent marks a request that must not run twice. It cannot be retried after a reset, even if the connection was stale.
 	NonIdempotent bool
 }
 
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -9,7 +9,7 @@
 	"notchhinge/policy"
 )
 
-// loadHeader names a load report, which is a header of a response or a comment in an event stream.
+// loadHeader is the name of the response header, or of the comment in an event stream, that carries a load report.
 const loadHeader = "X-Load-Report"
 
 // ParseLoadReport parses a load report such as "x1=1.5,concurrent=7". Missing columns are 0. Names that are not columns and values
