--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -17,71 +17,71 @@
 
 func TestConnectionIsReusedAndClosedWhenIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dial, far := pipes()
-		d, c := newHarness(dial), &downstream{body: []byte(`{"model":"chat"}`)}
+		dial, accepted := pipes()
+		h, client := newHarness(dial), &downstream{body: []byte(`{"model":"chat"}`)}
 		var conn net.Conn
 		for n := range 2 {
-			d.StartAttempt(send(n, c))
+			h.StartAttempt(startEffect(n, client))
 			if n == 0 {
-				conn = <-far
+				conn = <-accepted
 			}
 			play(t, conn, "served")
 			synctest.Wait()
 		}
-		idle := d.cfg.Limits.UpstreamIdleTimeout
+		idle := h.cfg.Limits.UpstreamIdleTimeout
 		want := []dispatch.Event{dispatch.ConnectionIdle{Connection: 1, Idle: idle}, dispatch.ConnectionIdle{Connection: 2, Idle: idle}}
-		if diff := cmp.Diff(want, d.events); diff != "" || len(far) != 0 {
-			t.Errorf("idle, %d more connections (-want +got):\n%s", len(far), diff)
+		if diff := cmp.Diff(want, h.events); diff != "" || len(accepted) != 0 {
+			t.Errorf("%d more connections, idle connections (-want +got):\n%s", len(accepted), diff)
 		}
-		d.conns.closeIdle(1) // idle under another id since: nothing happens
-		if d.conns.open != 1 {
-			t.Error("a connection was closed under its old id")
+		h.conns.closeIdle(1) // the connection has a new idle ID by now, so nothing happens
+		if h.conns.open != 1 {
+			t.Error("a connection was closed by its old idle ID")
 		}
-		d.conns.closeIdle(2)
-		if d.conns.open != 0 || len(d.conns.idle) != 0 {
+		h.conns.closeIdle(2)
+		if h.conns.open != 0 || len(h.conns.idle) != 0 {
 			t.Error("the connection was not closed")
 		}
 	})
 }
 
 func TestConnectionLimitEvictsIdleOnes(t *testing.T) {
-	// Descriptors are bounded: an idle connection to one host is evicted for another, and with none idle there is no connection.
-	// The connection of a host that has gone does not serve its successor at the same address.
+	// At the limit, an idle connection to one host is evicted for another host, and without an idle connection get fails. A
+	// connection to one host is not reused for another host at the same address.
 	synctest.Test(t, func(t *testing.T) {
-		dial, far := pipes()
-		d := newHarness(dial)
-		d.conns.quota.Resize(1)
-		d.ConfigurePool(0, d.cfg.LoadReporting, quota.Claim{Guarantee: 1})
-		first, err := d.conns.get(t.Context(), endpoint{1, "a", 0}, connWait{timeout: time.Second})
+		dial, accepted := pipes()
+		h := newHarness(dial)
+		h.conns.quota.Resize(1)
+		h.ConfigurePool(0, h.cfg.LoadReporting, quota.Claim{Guarantee: 1})
+		first, err := h.conns.get(t.Context(), endpoint{1, "a", 0}, connOptions{timeout: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := d.conns.get(t.Context(), endpoint{2, "a", 0}, connWait{timeout: time.Second}); !errors.Is(err, errConnectionLimit) {
-			t.Errorf("a second connection: %v", err)
+		if _, err := h.conns.get(t.Context(), endpoint{2, "a", 0}, connOptions{timeout: time.Second}); !errors.Is(err, errConnectionLimit) {
+			t.Errorf("a connection above the limit: error %v", err)
 		}
-		d.conns.put(first)
-		second, err := d.conns.get(t.Context(), endpoint{2, "a", 0}, connWait{timeout: time.Second})
-		if err != nil || d.conns.open != 1 {
-			t.Fatalf("%v, %d open", err, d.conns.open)
+		h.conns.put(first)
+		second, err := h.conns.get(t.Context(), endpoint{2, "a", 0}, connOptions{timeout: time.Second})
+		if err != nil || h.conns.open != 1 {
+			t.Fatalf("%v, %d open", err, h.conns.open)
 		}
 		_ = second.Close()
 		for range 2 {
-			(<-far).Close()
+			(<-accepted).Close()
 		}
 	})
 }
 
-// twoPools is a harness with two pools, each with a guarantee of one of three connections.
+// twoPools is a harness with two pools and three connections, one of which is guaranteed to each pool.
 type twoPools struct {
 	*harness
-	t   *testing.T
-	far chan net.Conn
+	t        *testing.T
+	accepted chan net.Conn
 }
 
 func newTwoPools(t *testing.T) twoPools {
 	t.Helper()
-	dial, far := pipes()
-	p := twoPools{newHarness(dial), t, far}
+	dial, accepted := pipes()
+	p := twoPools{newHarness(dial), t, accepted}
 	p.conns.quota.Resize(3)
 	for id := range hoststate.PoolID(2) {
 		p.ConfigurePool(id, p.cfg.LoadReporting, quota.Claim{Guarantee: 1})
@@ -91,22 +91,22 @@
 
 func (p twoPools) get(pool hoststate.PoolID, host policy.ReplicaID) *conn {
 	p.t.Helper()
-	c, err := p.conns.get(p.t.Context(), endpoint{host, "a", pool}, connWait{timeout: time.Second})
+	c, err := p.conns.get(p.t.Context(), endpoint{host, "a", pool}, connOptions{timeout: time.Second})
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	return c
 }
 
-// mustBeFull checks that a pool gets no further connection.
+// mustBeFull checks that a pool cannot open another connection.
 func (p twoPools) mustBeFull(pool hoststate.PoolID, host policy.ReplicaID) {
 	p.t.Helper()
-	if _, err := p.conns.get(p.t.Context(), endpoint{host, "a", pool}, connWait{timeout: time.Second}); !errors.Is(err, errConnectionLimit) {
-		p.t.Errorf("a connection of the other pool's guarantee: %v", err)
+	if _, err := p.conns.get(p.t.Context(), endpoint{host, "a", pool}, connOptions{timeout: time.Second}); !errors.Is(err, errConnectionLimit) {
+		p.t.Errorf("a connection within the guarantee of the other pool: error %v", err)
 	}
 }
 
-// mustCount checks how many connections the pools have, and that no others are open.
+// mustCount checks the numbers of open connections of the pools and in total.
 func (p twoPools) mustCount(first, second int) {
 	p.t.Helper()
 	if p.Connections(0) != first || p.Connections(1) != second || p.conns.open != first+second {
@@ -115,48 +115,48 @@
 }
 
 func (p twoPools) closeFarEnds() {
-	for len(p.far) > 0 {
-		(<-p.far).Close()
+	for len(p.accepted) > 0 {
+		(<-p.accepted).Close()
 	}
 }
 
-// TestGuaranteedConnectionsOfTwoPools: connections to a host that two pools share are each pool's own. A pool gets back what
-// another has beyond its guarantee, and nothing of what that is guaranteed.
+// TestGuaranteedConnectionsOfTwoPools checks that pools do not share connections to the same host, and that a pool can evict idle
+// connections of another pool only above the other pool's guarantee.
 func TestGuaranteedConnectionsOfTwoPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTwoPools(t)
 		first, second := p.get(0, 1), p.get(0, 2)
 		p.mustBeFull(0, 3)
 		if other := p.get(1, 1); other == first {
-			t.Error("one connection for two pools")
+			t.Error("two pools share a connection")
 		}
 		p.mustCount(2, 1)
 		for _, c := range []*conn{first, second} {
 			p.conns.put(c)
 		}
-		p.get(1, 2) // an idle one of the first pool, which has more than its guarantee, is evicted for it
+		p.get(1, 2) // evicts an idle connection of the first pool, which exceeds its guarantee
 		p.mustCount(1, 2)
 		p.mustBeFull(1, 4)
 		p.closeFarEnds()
 	})
 }
 
-// TestClosedConnectionClosesThoseOfOtherPools: an endpoint that closed an idle connection of one pool has closed the other
-// pool's, too; connections to other hosts stay. A pool that is removed leaves none.
-func TestClosedConnectionClosesThoseOfOtherPools(t *testing.T) {
+// TestStaleConnectionClosesIdleOnesOfAllPools checks that closeIdleToHost closes the idle connections of all pools to a host and
+// keeps those to other hosts, and that RemovePool closes the rest of its pool.
+func TestStaleConnectionClosesIdleOnesOfAllPools(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newTwoPools(t)
-		mine, theirs, elsewhere := p.get(0, 1), p.get(1, 1), p.get(1, 2)
-		for _, c := range []*conn{mine, theirs, elsewhere} {
+		first, second, otherHost := p.get(0, 1), p.get(1, 1), p.get(1, 2)
+		for _, c := range []*conn{first, second, otherHost} {
 			p.conns.put(c)
 		}
-		p.conns.closeIdleToHost(mine.endpoint)
-		if len(p.conns.idle) != 1 || len(p.conns.idle[elsewhere.endpoint]) != 1 || p.conns.open != 1 {
-			t.Errorf("idle after the endpoint closed: %v", p.conns.idle)
+		p.conns.closeIdleToHost(first.endpoint)
+		if len(p.conns.idle) != 1 || len(p.conns.idle[otherHost.endpoint]) != 1 || p.conns.open != 1 {
+			t.Errorf("idle connections after closeIdleToHost: %v", p.conns.idle)
 		}
 		p.RemovePool(1)
 		if p.conns.open != 0 || p.conns.quota.Used() != 0 {
-			t.Errorf("%d connections of a pool that was removed", p.conns.open)
+			t.Errorf("%d open connections after RemovePool", p.conns.open)
 		}
 		p.closeFarEnds()
 	})
