--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -100,7 +100,7 @@
 	req.clientLeft = true
 	d.closeRequest(req)
 	d.traceEnd(req, trace.Gone, 0)
-	req.pool.module.Departed(d.now, req.pool, req.id)
+	req.pool.module.ClientDisconnected(d.now, req.pool, req.id)
 	// What the module does not cancel itself runs for nobody: a stream that has begun, or attempts that the settings do not
 	// allow to cancel. Their outcome says nothing of the host.
 	for _, att := range req.attempts {
--- a/internal/simadapter/event.go
+++ b/internal/simadapter/event.go
@@ -85,7 +85,7 @@
 func (a *Adapter) deliver(balancer *policy.Balancer, now policy.Time, r record) error {
 	switch r.u8(0) {
 	case eventClientGone:
-		balancer.Departed(now, a, policy.RequestID(r.u64(1)))
+		balancer.ClientDisconnected(now, a, policy.RequestID(r.u64(1)))
 	case eventList:
 		list, err := a.list(r)
 		if err != nil {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -96,7 +96,7 @@
 func TestClientThatLeavesDuringAProbeIsForgotten(t *testing.T) {
 	b, a := start(t, many(80), room(40))
 	b.Arrive(t0, a, req(1, 0, 77))
-	b.Departed(t0+ms, a, 1)
+	b.ClientDisconnected(t0+ms, a, 1)
 	b.Timer(t0+probeTimeout, a, timerProbes)
 	if len(a.sends) != 0 || a.count("cancel") != 0 || len(b.requests) != 0 || len(b.awaitingProbes) != 0 {
 		t.Errorf("%q, %d requests held", a.lines, len(b.requests))
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -213,8 +213,8 @@
 	}
 }
 
-// Departed takes in that the client has left; it gets no answer.
-func (b *Balancer) Departed(now Time, a Actions, id RequestID) {
+// ClientDisconnected takes in that the client has left; it gets no answer.
+func (b *Balancer) ClientDisconnected(now Time, a Actions, id RequestID) {
 	r := b.requests[id]
 	if r == nil || r.answered {
 		return
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -191,7 +191,7 @@
 		}, 0},
 		{"the client leaves", func(b *Balancer, a *recorder) {
 			b.Arrive(t0, a, req(1, 0, 7))
-			b.Departed(t0+sec, a, 1)
+			b.ClientDisconnected(t0+sec, a, 1)
 			b.Finished(t0+sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultCancelled, RequestEnded: true})
 		}, 0},
 		{"all attempts are used", func(b *Balancer, a *recorder) {
@@ -218,7 +218,7 @@
 			}
 			n := len(a.sends)
 			b.Finished(t0+6*sec, a, Outcome{ID: 1, Replica: 1, Result: ResultError})
-			b.Departed(t0+6*sec, a, 1)
+			b.ClientDisconnected(t0+6*sec, a, 1)
 			if len(a.sends) != n || a.ends(1) != tc.own {
 				t.Errorf("late events moved a finished request: %q", a.lines)
 			}
@@ -416,7 +416,7 @@
 	n := len(a.lines)
 	b.Started(t0, a, Started{ID: 9, Replica: 99})
 	b.Finished(t0, a, Outcome{ID: 9, Replica: 99, Attempt: -1})
-	b.Departed(t0, a, 9)
+	b.ClientDisconnected(t0, a, 9)
 	b.Probed(t0, a, ProbeResult{Replica: 99})
 	b.Timer(t0, a, 1<<60)
 	if len(a.lines) != n {
@@ -1041,7 +1041,7 @@
 		b.Arrive(at, a, req(id, 0, uint64(i+1)))
 		to := a.last(t).to
 		b.Started(at+sec, a, Started{ID: 9999, Replica: to}) // it answers others
-		b.Departed(at+5*sec, a, id)
+		b.ClientDisconnected(at+5*sec, a, id)
 		end := Outcome{ID: id, Replica: to, Result: ResultTimedOut, Elapsed: 5 * sec, RequestEnded: true}
 		b.Finished(at+5*sec, a, end)
 	}
@@ -1050,7 +1050,7 @@
 	}
 	b.Arrive(t0+100*sec, a, req(1000, 0, 1000))
 	hung := a.last(t).to
-	b.Departed(t0+105*sec, a, 1000)
+	b.ClientDisconnected(t0+105*sec, a, 1000)
 	end := Outcome{ID: 1000, Replica: hung, Result: ResultTimedOut, Elapsed: 5 * sec, RequestEnded: true}
 	b.Finished(t0+105*sec, a, end)
 	if b.fleet.byID[hung].duration == 0 {
