--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -87,7 +87,7 @@
 	if d.traces != nil {
 		req.trace = d.traces.Taken(d.now, req.id, req.client, e.ClientRequestID, e.ReceivedAt, &e.Request, e.Origin, p.traceSet)
 	}
-	p.module.Arrive(d.now, p, e.Request)
+	p.module.RequestArrived(d.now, p, e.Request)
 }
 
 // clientLeft closes the request of a client that has left.
--- a/internal/simadapter/event.go
+++ b/internal/simadapter/event.go
@@ -112,7 +112,7 @@
 		}
 		balancer.Probed(now, a, probe)
 	case eventRequest:
-		balancer.Arrive(now, a, r.request())
+		balancer.RequestArrived(now, a, r.request())
 	}
 	return nil
 }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -19,7 +19,7 @@
 				now := t0 + Time(i)*sec
 				q := req(RequestID(i+1), 0, uint64(i%5000+1))
 				q.Prefix = uint64(i%50 + 1)
-				g.Arrive(now, a, q)
+				g.RequestArrived(now, a, q)
 				for len(g.awaitingProbes) > 0 {
 					for _, to := range g.awaitingProbes[0].probed {
 						g.Probed(now, a, ProbeResult{Replica: to.ID, Report: report(1)})
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -30,6 +30,6 @@
 	}
 	now := policy.Time(0) // the router's own clock
 	b.Listed(now, router{}, policy.List{Kind: policy.ListFull, Replicas: []policy.Replica{{ID: 7, Weight: 1}}})
-	b.Arrive(now, router{}, policy.Request{ID: 1, Session: 99, Timeout: 5 * time.Second})
+	b.RequestArrived(now, router{}, policy.Request{ID: 1, Session: 99, Timeout: 5 * time.Second})
 	// Output: request 1 goes to replica 7
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -37,7 +37,7 @@
 
 func TestManyRoutersProbeTwoReplicasAndSendToTheLessLoaded(t *testing.T) {
 	b, a := start(t, many(80), room(40))
-	b.Arrive(t0, a, req(1, 0, 77))
+	b.RequestArrived(t0, a, req(1, 0, 77))
 	slow, free := b.probed(t)
 	if len(a.sends) != 0 || a.count("probe") != 2 {
 		t.Fatalf("%q", a.lines)
@@ -48,12 +48,12 @@
 		t.Errorf("sent to %d, the free one is %d", a.last(t).to, free.ID)
 	}
 	// What was asked a moment ago is not asked again; a few routers know their replicas and ask nobody.
-	b.Arrive(t0+4*ms, a, req(2, 0, 77+0))
+	b.RequestArrived(t0+4*ms, a, req(2, 0, 77+0))
 	if a.count("probe") != 2 || len(a.sends) != 2 {
 		t.Errorf("%q", a.lines)
 	}
 	c, few := start(t, many(probeFromRouters-1), room(40))
-	c.Arrive(t0, few, req(1, 0, 77))
+	c.RequestArrived(t0, few, req(1, 0, 77))
 	if few.count("probe") != 0 || len(few.sends) != 1 {
 		t.Errorf("of a few routers one did %q", few.lines)
 	}
@@ -62,7 +62,7 @@
 func TestDeadReplicaCostsOneProbeAndNoAttempt(t *testing.T) {
 	for name, silent := range map[string]bool{"rejects": false, "silent": true} {
 		b, a := start(t, many(80), room(40))
-		b.Arrive(t0, a, req(1, 0, 77))
+		b.RequestArrived(t0, a, req(1, 0, 77))
 		gone, there := b.probed(t)
 		b.Probed(t0+2*ms, a, ProbeResult{Replica: there.ID, Report: report(50)})
 		if len(a.sends) != 0 {
@@ -84,7 +84,7 @@
 
 func TestBothProbedReplicasAreDead(t *testing.T) {
 	b, a := start(t, many(80), room(40))
-	b.Arrive(t0, a, req(1, 0, 77))
+	b.RequestArrived(t0, a, req(1, 0, 77))
 	one, two := b.probed(t)
 	b.Probed(t0+ms, a, ProbeResult{Replica: one.ID, Result: ResultConnectFailed})
 	b.Probed(t0+ms, a, ProbeResult{Replica: two.ID, Result: ResultConnectFailed})
@@ -95,7 +95,7 @@
 
 func TestClientThatLeavesDuringAProbeIsForgotten(t *testing.T) {
 	b, a := start(t, many(80), room(40))
-	b.Arrive(t0, a, req(1, 0, 77))
+	b.RequestArrived(t0, a, req(1, 0, 77))
 	b.ClientDisconnected(t0+ms, a, 1)
 	b.Timer(t0+probeTimeout, a, timerProbes)
 	if len(a.sends) != 0 || a.count("cancel") != 0 || len(b.requests) != 0 || len(b.awaitingProbes) != 0 {
@@ -122,7 +122,7 @@
 			}
 			q := req(RequestID(i+1), 0, uint64(1000+i))
 			q.Prefix, q.PromptTokens = uint64(i%10+1), 8000
-			b.Arrive(t0+Time(i)*sec, a, q)
+			b.RequestArrived(t0+Time(i)*sec, a, q)
 			for len(b.awaitingProbes) > 0 {
 				for _, to := range b.awaitingProbes[0].probed {
 					b.Probed(t0+Time(i)*sec, a, ProbeResult{Replica: to.ID, Report: report(3)})
@@ -162,7 +162,7 @@
 		b, a := start(t, s, room(40))
 		q := req(1, 0, 77)
 		q.PromptTokens = 8000
-		b.Arrive(t0, a, q)
+		b.RequestArrived(t0, a, q)
 		one, two := b.probed(t)
 		c.first.Replica, c.second.Replica = one.ID, two.ID
 		b.Probed(t0+ms, a, c.first)
@@ -191,7 +191,7 @@
 		b, a := start(t, s, room(40))
 		q := req(1, 0, 77)
 		q.IsResumed = c.resumed
-		b.Arrive(t0, a, q)
+		b.RequestArrived(t0, a, q)
 		one, two := b.probed(t)
 		c.one.Replica, c.two.Replica = one.ID, two.ID
 		b.Probed(t0+ms, a, c.one)
@@ -214,7 +214,7 @@
 		a := &recorder{}
 		b.Listed(t0, a, List{Kind: ListFull, Replicas: fleet(b)})
 		for i := range requests {
-			b.Arrive(t0, a, req(RequestID(i+1), 0, uint64(g*1000+i+1)))
+			b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(g*1000+i+1)))
 			for len(b.awaitingProbes) > 0 {
 				for _, to := range b.awaitingProbes[0].probed {
 					b.Probed(t0, a, ProbeResult{Replica: to.ID})
@@ -300,7 +300,7 @@
 		}
 		a[g] = &recorder{}
 		b[g].Listed(t0, a[g], List{Kind: ListCached, Replicas: room(40)})
-		b[g].Arrive(t0, a[g], req(1, 0, 77)) // the list at the start serves at once
+		b[g].RequestArrived(t0, a[g], req(1, 0, 77)) // the list at the start serves at once
 		if a[g].count("probe") != 2 {
 			t.Fatalf("router %d waits for discovery: %q", g, a[g].lines)
 		}
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -13,7 +13,7 @@
 	old, r := start(t, s, hosts)
 	assigned := map[uint64]*replica{}
 	for n := range uint64(40) {
-		old.Arrive(t0, r, Request{ID: RequestID(n + 1), Session: n + 1, Class: 0, Timeout: sec})
+		old.RequestArrived(t0, r, Request{ID: RequestID(n + 1), Session: n + 1, Class: 0, Timeout: sec})
 		assigned[n+1] = old.sessions.find(t0, n+1)
 	}
 	old.fleet.byID[1].ejection.extend(t0)
@@ -53,7 +53,7 @@
 	if err := b.SetClasses(more); err != nil {
 		t.Fatal(err)
 	}
-	b.Arrive(t0, r, Request{ID: 1, Class: len(more) - 1, Timeout: sec})
+	b.RequestArrived(t0, r, Request{ID: 1, Class: len(more) - 1, Timeout: sec})
 	if r.count("send") != 1 || b.minValue != 0.1 {
 		t.Errorf("a request of the new class: %v, lowest value %v", r.last(t), b.minValue)
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -140,8 +140,8 @@
 	staleConnection bool // its connection was at fault, not the replica
 }
 
-// Arrive takes in a request.
-func (b *Balancer) Arrive(now Time, a Actions, q Request) {
+// RequestArrived takes in a request.
+func (b *Balancer) RequestArrived(now Time, a Actions, q Request) {
 	if _, known := b.requests[q.ID]; known {
 		return
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -129,11 +129,11 @@
 
 func TestSessionStaysWithItsReplica(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(9))
-	b.Arrive(t0, a, req(1, 0, 77))
+	b.RequestArrived(t0, a, req(1, 0, 77))
 	first := a.last(t).to
 	for i := range 20 {
 		now := t0 + Time(i)*sec
-		b.Arrive(now, a, req(RequestID(i+2), 0, 77))
+		b.RequestArrived(now, a, req(RequestID(i+2), 0, 77))
 		if got := a.last(t).to; got != first {
 			t.Fatalf("turn %d went to %d, the session is assigned to %d", i, got, first)
 		}
@@ -144,7 +144,7 @@
 	b, a := start(t, settings(), fleetOf(8))
 	seen := map[ReplicaID]int{}
 	for i := range 800 {
-		b.Arrive(t0, a, req(RequestID(i+1), 0, uint64(i+1)*7919))
+		b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)*7919))
 		seen[a.last(t).to]++
 	}
 	for id := ReplicaID(1); id <= 8; id++ {
@@ -156,14 +156,14 @@
 
 func TestFailedConnectionIsRetriedElsewhereAndTheSessionMoves(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(9))
-	b.Arrive(t0, a, req(1, 0, 77))
+	b.RequestArrived(t0, a, req(1, 0, 77))
 	first := a.last(t).to
 	b.Finished(t0+10*ms, a, Outcome{ID: 1, Attempt: 0, Replica: first, Result: ResultConnectFailed})
 	second := a.last(t).to
 	if len(a.sends) != 2 || second == first {
 		t.Fatalf("sends %v: want a second attempt elsewhere", a.sends)
 	}
-	b.Arrive(t0+20*ms, a, req(2, 0, 77))
+	b.RequestArrived(t0+20*ms, a, req(2, 0, 77))
 	if got := a.last(t).to; got != second {
 		t.Errorf("the session's next turn went to %d, it was served last by %d", got, second)
 	}
@@ -176,35 +176,35 @@
 		own  int // final answers that the balancer must give itself
 	}{
 		{"times out at the deadline", func(b *Balancer, a *recorder) {
-			b.Arrive(t0, a, req(1, 0, 7))
+			b.RequestArrived(t0, a, req(1, 0, 7))
 			b.Finished(t0+5*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultTimedOut})
 		}, 1},
 		{"served", func(b *Balancer, a *recorder) {
-			b.Arrive(t0, a, req(1, 0, 7))
+			b.RequestArrived(t0, a, req(1, 0, 7))
 			b.Started(t0+sec, a, Started{ID: 1, Replica: a.sends[0].to})
 			b.Finished(t0+2*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultOK, RequestEnded: true})
 		}, 0},
 		{"the stream breaks", func(b *Balancer, a *recorder) {
-			b.Arrive(t0, a, req(1, 0, 7))
+			b.RequestArrived(t0, a, req(1, 0, 7))
 			b.Started(t0+sec, a, Started{ID: 1, Replica: a.sends[0].to})
 			b.Finished(t0+2*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultReset, RequestEnded: true})
 		}, 0},
 		{"the client leaves", func(b *Balancer, a *recorder) {
-			b.Arrive(t0, a, req(1, 0, 7))
+			b.RequestArrived(t0, a, req(1, 0, 7))
 			b.ClientDisconnected(t0+sec, a, 1)
 			b.Finished(t0+sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultCancelled, RequestEnded: true})
 		}, 0},
 		{"all attempts are used", func(b *Balancer, a *recorder) {
-			b.Arrive(t0, a, req(1, 0, 7))
+			b.RequestArrived(t0, a, req(1, 0, 7))
 			for i := range 3 {
 				b.Finished(t0+Time(i)*ms, a, Outcome{ID: 1, Attempt: i, Replica: a.sends[i].to, Result: ResultFull})
 			}
 		}, 1},
 		{"expires on arrival", func(b *Balancer, a *recorder) {
-			b.Arrive(t0, a, Request{ID: 1})
+			b.RequestArrived(t0, a, Request{ID: 1})
 		}, 1},
 		{"of an unknown class", func(b *Balancer, a *recorder) {
-			b.Arrive(t0, a, Request{ID: 1, Class: 99, Timeout: sec})
+			b.RequestArrived(t0, a, Request{ID: 1, Class: 99, Timeout: sec})
 		}, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -228,7 +228,7 @@
 
 func TestNoReplicaAtAll(t *testing.T) {
 	b, a := start(t, settings(), nil)
-	b.Arrive(t0, a, req(1, 1, 7))
+	b.RequestArrived(t0, a, req(1, 1, 7))
 	if a.count("reject 1") != 1 || len(a.sends) != 0 {
 		t.Errorf("got %q, want one rejection", a.lines)
 	}
@@ -247,7 +247,7 @@
 		{ResultTimedOut, 1, "fail 1"},
 	} {
 		b, a := start(t, settings(), fleetOf(9))
-		b.Arrive(t0, a, req(1, 1, 7))
+		b.RequestArrived(t0, a, req(1, 1, 7))
 		b.Finished(t0+ms, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: tc.result})
 		if len(a.sends) != tc.sends || tc.end != "" && a.count(tc.end) != 1 {
 			t.Errorf("after result %d: %q", tc.result, a.lines)
@@ -257,7 +257,7 @@
 
 func TestKeyedRequestsStayInTheirGroupAndWindow(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(12))
-	b.Arrive(t0, a, req(1, 2, 7))
+	b.RequestArrived(t0, a, req(1, 2, 7))
 	zone := func(id ReplicaID) int { return b.fleet.byID[id].Zone }
 	b.Finished(t0+ms, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultError})
 	if len(a.sends) != 2 || zone(a.sends[0].to) != zone(a.sends[1].to) {
@@ -272,25 +272,25 @@
 func TestDrainingReplicaKeepsItsSessionsForTheGraceOnly(t *testing.T) {
 	fleet := fleetOf(9)
 	b, a := start(t, settings(), fleet)
-	b.Arrive(t0, a, req(1, 0, 77))
+	b.RequestArrived(t0, a, req(1, 0, 77))
 	to := a.last(t).to
 	drained := fleet[to-1]
 	drained.State = StateDraining
 	// The watch fails meanwhile: the last list stays in force.
 	b.Listed(t0+sec, a, List{Kind: ListDelta, Replicas: []Replica{drained}})
 	b.Listed(t0+sec, a, List{Kind: ListFailed})
-	b.Arrive(t0+sec+499*ms, a, req(2, 0, 77))
+	b.RequestArrived(t0+sec+499*ms, a, req(2, 0, 77))
 	if got := a.last(t).to; got != to {
 		t.Errorf("within the grace the session went to %d, want %d", got, to)
 	}
 	// Told again: the first time counts.
 	b.Listed(t0+sec+499*ms, a, List{Kind: ListDelta, Replicas: []Replica{drained}})
-	b.Arrive(t0+sec+501*ms, a, req(3, 0, 77))
+	b.RequestArrived(t0+sec+501*ms, a, req(3, 0, 77))
 	if got := a.last(t).to; got == to {
 		t.Error("a draining replica was sent a request after the grace")
 	}
 	for i := range 300 {
-		b.Arrive(t0+sec, a, req(RequestID(10+i), 0, uint64(1000+i)))
+		b.RequestArrived(t0+sec, a, req(RequestID(10+i), 0, uint64(1000+i)))
 		if a.last(t).to == to {
 			t.Fatal("a new session was drawn to a draining replica")
 		}
@@ -299,7 +299,7 @@
 
 func TestGoneReplicaGetsNothing(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(9))
-	b.Arrive(t0, a, req(1, 0, 77))
+	b.RequestArrived(t0, a, req(1, 0, 77))
 	to := a.last(t).to
 	var rest []Replica
 	for _, e := range fleetOf(9) {
@@ -308,7 +308,7 @@
 		}
 	}
 	b.Listed(t0+sec, a, List{Kind: ListFull, Replicas: rest})
-	b.Arrive(t0+sec, a, req(2, 0, 77))
+	b.RequestArrived(t0+sec, a, req(2, 0, 77))
 	if a.last(t).to == to {
 		t.Error("a replica that left the list was sent a request")
 	}
@@ -320,7 +320,7 @@
 	b, a := start(t, settings(), fleet)
 	const n = 4000
 	for i := range n {
-		b.Arrive(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
+		b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
 	}
 	starting := a.sends[0].to
 	warmCount := 0
@@ -334,7 +334,7 @@
 	b.Listed(t0+2*sec, a, List{Kind: ListDelta, Replicas: []Replica{restarted}})
 	a.sends = nil
 	for i := range n {
-		b.Arrive(t0+2*sec, a, req(RequestID(n+i+1), 0, uint64(i+1)))
+		b.RequestArrived(t0+2*sec, a, req(RequestID(n+i+1), 0, uint64(i+1)))
 	}
 	got := 0
 	for _, s := range a.sends {
@@ -459,8 +459,8 @@
 		fleet[1].Weight = 3
 		b1.Listed(t0, a1, List{Kind: ListCached, Replicas: fleet})
 		b2.Listed(t0, a2, List{Kind: ListCached, Replicas: fleet})
-		b1.Arrive(t0, a1, req(1, 0, session))
-		b2.Arrive(t0, a2, req(1, 0, session))
+		b1.RequestArrived(t0, a1, req(1, 0, session))
+		b2.RequestArrived(t0, a2, req(1, 0, session))
 		if a1.last(t).to != a2.last(t).to {
 			t.Fatalf("session %d was drawn to %d and to %d", session, a1.last(t).to, a2.last(t).to)
 		}
@@ -483,7 +483,7 @@
 		b.fleet.byID[2].slowStartUntil = coldSince
 		n := 0
 		for i := range 2000 {
-			b.Arrive(now, a, req(RequestID(i+1), 0, uint64(i+1)))
+			b.RequestArrived(now, a, req(RequestID(i+1), 0, uint64(i+1)))
 			if a.last(t).to == 2 {
 				n++
 			}
@@ -513,7 +513,7 @@
 		} else if i%2 == 0 {
 			q.Prefix = uint64(1000 + i)
 		}
-		b.Arrive(t0, a, q)
+		b.RequestArrived(t0, a, q)
 		if set := used[q.Prefix]; set != nil && i >= 200 {
 			set[a.last(t).to] = true
 		}
@@ -531,7 +531,7 @@
 		b, a := start(t, settings(), replicas)
 		n := 0
 		for i := range 1000 {
-			b.Arrive(t0, a, req(RequestID(i+1), 0, uint64(i+1)*31))
+			b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)*31))
 			if b.fleet.byID[a.last(t).to].Zone == 0 {
 				n++
 			}
@@ -555,7 +555,7 @@
 func TestLatenessInTheZoneSpills(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(9))
 	for i := range 20 {
-		b.Arrive(t0, a, req(RequestID(i+1), 0, uint64(i+1)*31))
+		b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)*31))
 		b.Started(t0+3*sec, a, Started{ID: RequestID(i + 1), Replica: a.last(t).to, Elapsed: 3 * sec})
 	}
 	high := b.spillShare
@@ -563,7 +563,7 @@
 		t.Errorf("spilled share %.2f after late answers only", high)
 	}
 	for i := range 400 {
-		b.Arrive(t0, a, req(RequestID(i+100), 0, uint64(i+100)*31))
+		b.RequestArrived(t0, a, req(RequestID(i+100), 0, uint64(i+100)*31))
 		b.Started(t0+9*ms, a, Started{ID: RequestID(i + 100), Replica: a.last(t).to, Elapsed: 9 * ms})
 	}
 	if b.spillShare >= high && b.settings.CrossZonePrice > 0 {
@@ -573,29 +573,29 @@
 
 func TestLatenessShedsNewSessionsBeforeKnownOnes(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(9))
-	b.Arrive(t0, a, req(1, 0, 4242)) // a session that is known before the trouble
+	b.RequestArrived(t0, a, req(1, 0, 4242)) // a session that is known before the trouble
 	now := t0
 	for i := range 200 {
 		now += 100 * ms
 		id := RequestID(i + 10)
-		b.Arrive(now, a, req(id, 0, uint64(i+1)*31))
+		b.RequestArrived(now, a, req(id, 0, uint64(i+1)*31))
 		b.Started(now, a, Started{ID: id, Replica: a.last(t).to, Elapsed: 2 * sec})
 	}
 	if b.shedShare != maxShedShare {
 		t.Fatalf("share rejected is %.2f after late answers only", b.shedShare)
 	}
 	n := a.count("reject")
-	b.Arrive(now, a, req(900, 0, 4242))
+	b.RequestArrived(now, a, req(900, 0, 4242))
 	if a.count("reject") != n {
 		t.Error("a session with kept prompts was rejected")
 	}
 	rejected := 0
 	for i := range 200 {
 		first, again := RequestID(1000+2*i), RequestID(1001+2*i)
-		b.Arrive(now, a, req(first, 0, uint64(i+7000)))
+		b.RequestArrived(now, a, req(first, 0, uint64(i+7000)))
 		if a.ends(first) == 1 {
 			rejected++
-			b.Arrive(now, a, req(again, 0, uint64(i+7000)))
+			b.RequestArrived(now, a, req(again, 0, uint64(i+7000)))
 			if a.count(fmt.Sprintf("send %d ", again)) != 0 {
 				t.Error("a rejected session got in by trying again")
 			}
@@ -608,10 +608,10 @@
 
 func TestHungReplicaIsEjectedUntilItAnswers(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(9))
-	b.Arrive(t0, a, req(1, 0, 77))
+	b.RequestArrived(t0, a, req(1, 0, 77))
 	hung := a.last(t).to
 	b.Finished(t0+5*sec, a, Outcome{ID: 1, Replica: hung, Result: ResultTimedOut, Elapsed: 5 * sec})
-	b.Arrive(t0+5*sec, a, req(2, 0, 77))
+	b.RequestArrived(t0+5*sec, a, req(2, 0, 77))
 	if a.last(t).to == hung {
 		t.Fatal("a session stayed with a replica that hangs")
 	}
@@ -620,7 +620,7 @@
 	b.fleet.inFlight = 1000 // so that the bound on own attempts is out of the way
 	a.sends = nil
 	for i := range 300 {
-		b.Arrive(now, a, req(RequestID(10+i), 0, uint64(500+i)))
+		b.RequestArrived(now, a, req(RequestID(10+i), 0, uint64(500+i)))
 	}
 	tried := 0
 	for _, s := range a.sends {
@@ -641,7 +641,7 @@
 	// A replica may close connections that it keeps at any time: that closes no replica, drives no session away
 	// from its cached prompt, and uses up none of what is saved for a crash.
 	b, a := start(t, settings(), fleetOf(1))
-	b.Arrive(t0, a, req(1, 0, 77))
+	b.RequestArrived(t0, a, req(1, 0, 77))
 	saved := b.savedRetries
 	b.Finished(t0+ms, a, Outcome{ID: 1, Replica: 1, Result: ResultReset, StaleConnection: true})
 	if len(a.sends) != 2 || b.fleet.byID[1].duration != 0 || b.savedRetries != saved {
@@ -659,7 +659,7 @@
 	for name, answers := range map[string]bool{"hung": false, "overloaded": true} {
 		b, a := start(t, settings(), fleetOf(1))
 		for i := range 40 {
-			b.Arrive(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
+			b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
 		}
 		for i := range 40 {
 			now := t0 + 5*sec + Time(i)*sec/4
@@ -679,7 +679,7 @@
 	b, a := start(t, settings(), fleetOf(9))
 	for i := range 40 {
 		now, id := t0+Time(i)*sec/4, RequestID(i+1)
-		b.Arrive(now, a, req(id, 0, uint64(id)))
+		b.RequestArrived(now, a, req(id, 0, uint64(id)))
 		b.Finished(now, a, Outcome{ID: id, Replica: a.last(t).to, Result: ResultFull})
 	}
 	if b.shedShare > 0 || len(a.sends) < 80 {
@@ -689,7 +689,7 @@
 
 func TestTimeOutAtAnAnsweringReplicaEjectsNothing(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(1))
-	b.Arrive(t0, a, req(1, 0, 77))
+	b.RequestArrived(t0, a, req(1, 0, 77))
 	b.Started(t0+2*ms, a, Started{ID: 2, Replica: 1, Elapsed: ms})
 	b.Finished(t0+5*sec, a, Outcome{ID: 1, Replica: 1, Result: ResultTimedOut, Elapsed: 5 * sec})
 	if to := b.fleet.byID[1]; to.duration != 0 {
@@ -733,7 +733,7 @@
 		for i := range 10 {
 			q := req(RequestID(i+1), 0, uint64(g*1000+i+1))
 			q.Prefix = 9
-			b.Arrive(t0, a, q)
+			b.RequestArrived(t0, a, q)
 			if a.last(t).to == 1 {
 				total++
 			}
@@ -747,11 +747,11 @@
 
 func TestFullReplicaIsNotAskedAgainAtOnce(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(9))
-	b.Arrive(t0, a, req(1, 0, 77))
+	b.RequestArrived(t0, a, req(1, 0, 77))
 	full := a.last(t).to
 	b.Finished(t0+ms, a, Outcome{ID: 1, Replica: full, Result: ResultFull})
 	for i := range 50 {
-		b.Arrive(t0+2*ms, a, req(RequestID(10+i), 0, uint64(i+1)))
+		b.RequestArrived(t0+2*ms, a, req(RequestID(10+i), 0, uint64(i+1)))
 		if a.last(t).to == full {
 			t.Fatal("a replica that was full a moment ago was asked again while others were free")
 		}
@@ -764,7 +764,7 @@
 	b, a := start(t, s, fleetOf(9))
 	before := map[uint64]ReplicaID{}
 	for i := range uint64(300) {
-		b.Arrive(t0, a, req(RequestID(i+1), 0, i+1))
+		b.RequestArrived(t0, a, req(RequestID(i+1), 0, i+1))
 		before[i+1] = a.last(t).to
 	}
 	busy := fleetOf(9)
@@ -775,7 +775,7 @@
 	c.Listed(t0, a, List{Kind: ListDelta, Replicas: busy})
 	moved := 0
 	for i := range uint64(300) {
-		c.Arrive(t0, a, req(RequestID(i+1), 0, i+1))
+		c.RequestArrived(t0, a, req(RequestID(i+1), 0, i+1))
 		if a.last(t).to != before[i+1] {
 			moved++
 		}
@@ -811,7 +811,7 @@
 		b.eject(t0, a, zone0[i], "test")
 	}
 	for i := range 10 {
-		b.Arrive(t0+ms, a, req(RequestID(i+1), 0, uint64(i+1)))
+		b.RequestArrived(t0+ms, a, req(RequestID(i+1), 0, uint64(i+1)))
 		if to := b.fleet.byID[a.last(t).to]; to.Zone == 0 {
 			t.Fatalf("sent to replica %d of a zone in which %d failed in a row", to.ID, zoneFailureLimit)
 		}
@@ -836,7 +836,7 @@
 		b.eject(t0, a, b.fleet.sameZone.replicas[i], "test")
 	}
 	for i := range 200 {
-		b.Arrive(t0+ms, a, req(RequestID(i+1), 0, uint64(i+1)))
+		b.RequestArrived(t0+ms, a, req(RequestID(i+1), 0, uint64(i+1)))
 		if to := b.fleet.byID[a.last(t).to]; to.duration > 0 {
 			t.Fatalf("sent to replica %d, which is closed", to.ID)
 		}
@@ -871,7 +871,7 @@
 		b.shedShare = 0.3
 		far := 0
 		for i := range 1000 {
-			b.Arrive(t0, a, req(RequestID(i+1), 0, uint64(i+1)*31))
+			b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)*31))
 			if b.fleet.byID[a.last(t).to].Zone != 0 {
 				far++
 			}
@@ -890,7 +890,7 @@
 	}
 	b.Finished(t0+sec, a, Outcome{ID: 901, Replica: 1, Result: ResultError, Elapsed: ms})
 	for i := range 100 {
-		b.Arrive(t0+sec, a, req(RequestID(i+1), 0, uint64(i+1)))
+		b.RequestArrived(t0+sec, a, req(RequestID(i+1), 0, uint64(i+1)))
 		if a.last(t).to == 1 {
 			t.Fatal("a replica that answers errors was sent a new session")
 		}
@@ -905,7 +905,7 @@
 func TestReplicaThatLeavesTheListAndReturns(t *testing.T) {
 	fleet := fleetOf(9)
 	b, a := start(t, settings(), fleet)
-	b.Arrive(t0, a, req(1, 0, 77))
+	b.RequestArrived(t0, a, req(1, 0, 77))
 	to := a.last(t).to
 	var rest []Replica
 	for _, e := range fleet {
@@ -916,12 +916,12 @@
 	for i := range 5 {
 		now := t0 + Time(i)*sec
 		b.Listed(now, a, List{Kind: ListFull, Replicas: rest})
-		b.Arrive(now, a, req(RequestID(10+2*i), 0, 77))
+		b.RequestArrived(now, a, req(RequestID(10+2*i), 0, 77))
 		if a.last(t).to == to {
 			t.Fatal("sent to a replica that has left the list")
 		}
 		b.Listed(now, a, List{Kind: ListFull, Replicas: fleet})
-		b.Arrive(now, a, req(RequestID(11+2*i), 0, uint64(900+i)))
+		b.RequestArrived(now, a, req(RequestID(11+2*i), 0, uint64(900+i)))
 	}
 	b.Finished(t0+6*sec, a, Outcome{ID: 1, Replica: to, Result: ResultOK, RequestEnded: true})
 	if b.requests[1] != nil {
@@ -934,13 +934,13 @@
 
 func TestClockJumpForward(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(9))
-	b.Arrive(t0, a, req(1, 0, 77))
+	b.RequestArrived(t0, a, req(1, 0, 77))
 	later := t0 + 30*24*time.Hour
 	b.Finished(later, a, Outcome{ID: 1, Replica: a.last(t).to, Result: ResultError, Elapsed: sec})
 	if len(a.sends) != 1 || a.ends(1) != 1 {
 		t.Errorf("after its deadline a request got %q", a.lines)
 	}
-	b.Arrive(later, a, req(2, 0, 77))
+	b.RequestArrived(later, a, req(2, 0, 77))
 	if len(a.sends) != 2 || len(b.sessions.entries) != 1 {
 		t.Errorf("after the jump: %q and %d sessions", a.lines, len(b.sessions.entries))
 	}
@@ -957,7 +957,7 @@
 		b.Finished(t0, a, Outcome{ID: 900, Replica: 1, Report: Report{N: 2, Values: [4]float64{v, 0.5}}})
 	}
 	for i := range 50 {
-		b.Arrive(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
+		b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
 	}
 	if to := b.fleet.byID[1]; len(a.sends) != 50 || to.load != to.load || to.backlog != to.backlog {
 		t.Errorf("%d of 50 requests were sent, the load is %v and %v", len(a.sends), to.load, to.backlog)
@@ -971,7 +971,7 @@
 		b, a := start(t, s, fleetOf(8))
 		counts := map[ReplicaID]int{}
 		for i := range 240 {
-			b.Arrive(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
+			b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
 			counts[a.last(t).to]++
 		}
 		high := 0
@@ -990,7 +990,7 @@
 	b, a := start(t, settings(), fleetOf(9))
 	for i := range 30 {
 		id := RequestID(i + 1)
-		b.Arrive(t0+Time(i)*sec, a, req(id, 1, 0))
+		b.RequestArrived(t0+Time(i)*sec, a, req(id, 1, 0))
 		if a.ends(id) == 0 {
 			b.Finished(t0+Time(i)*sec, a, Outcome{
 				ID: id, Replica: a.last(t).to,
@@ -1017,7 +1017,7 @@
 	b.eject(t0, a, b.fleet.byID[ejected], "no connection")
 	over := 0
 	for i := range 40 {
-		b.Arrive(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
+		b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
 		if a.why == ReasonOverBound {
 			over++
 		}
@@ -1038,7 +1038,7 @@
 	b, a := start(t, s, fleetOf(4))
 	for i := range 200 {
 		id, at := RequestID(i+1), t0+time.Duration(i)*sec/10
-		b.Arrive(at, a, req(id, 0, uint64(i+1)))
+		b.RequestArrived(at, a, req(id, 0, uint64(i+1)))
 		to := a.last(t).to
 		b.Started(at+sec, a, Started{ID: 9999, Replica: to}) // it answers others
 		b.ClientDisconnected(at+5*sec, a, id)
@@ -1048,7 +1048,7 @@
 	if b.shedShare != 0 {
 		t.Errorf("a share of %v is rejected", b.shedShare)
 	}
-	b.Arrive(t0+100*sec, a, req(1000, 0, 1000))
+	b.RequestArrived(t0+100*sec, a, req(1000, 0, 1000))
 	hung := a.last(t).to
 	b.ClientDisconnected(t0+105*sec, a, 1000)
 	end := Outcome{ID: 1000, Replica: hung, Result: ResultTimedOut, Elapsed: 5 * sec, RequestEnded: true}
