--- a/policy/policy.go
+++ b/policy/policy.go
@@ -164,8 +164,8 @@
 	b.place(now, a, r)
 }
 
-// Started takes in that an answer has begun.
-func (b *Balancer) Started(now Time, a Actions, e Started) {
+// ResponseStarted takes in that an answer has begun.
+func (b *Balancer) ResponseStarted(now Time, a Actions, e Started) {
 	b.fleet.recordAnswer(now, e.Replica)
 	if r := b.requests[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.attempts) {
 		b.learnLatency(now, r, &r.attempts[e.Attempt], e.Elapsed)
