--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -42,7 +42,7 @@
 	if d.traces != nil {
 		d.traces.Bound(d.now, req.id, req.trace, id.Index)
 	}
-	req.pool.module.ResponseStarted(d.now, req.pool, policy.Started{
+	req.pool.module.ResponseStarted(d.now, req.pool, policy.ResponseStarted{
 		ID: req.id, Attempt: id.Index, Replica: att.host, Elapsed: d.now - att.sentAt,
 	})
 	for _, other := range req.attempts {
--- a/internal/simadapter/event.go
+++ b/internal/simadapter/event.go
@@ -99,7 +99,7 @@
 		}
 		balancer.Finished(now, a, outcome)
 	case eventAttemptStarted:
-		balancer.ResponseStarted(now, a, policy.Started{
+		balancer.ResponseStarted(now, a, policy.ResponseStarted{
 			ID: policy.RequestID(r.u64(1)), Attempt: int(r.u8(9)), Replica: policy.ReplicaID(r.u32(10)),
 			Elapsed: duration(uint64(r.u32(14))),
 		})
--- a/policy/api.go
+++ b/policy/api.go
@@ -204,8 +204,8 @@
 	Values [4]float64
 }
 
-// Started is the begin of the answer to an attempt: the request is bound to it.
-type Started struct {
+// ResponseStarted is the begin of the answer to an attempt: the request is bound to it.
+type ResponseStarted struct {
 	ID      RequestID
 	Attempt int
 	Replica ReplicaID
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -165,7 +165,7 @@
 }
 
 // ResponseStarted takes in that an answer has begun.
-func (b *Balancer) ResponseStarted(now Time, a Actions, e Started) {
+func (b *Balancer) ResponseStarted(now Time, a Actions, e ResponseStarted) {
 	b.fleet.recordAnswer(now, e.Replica)
 	if r := b.requests[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.attempts) {
 		b.learnLatency(now, r, &r.attempts[e.Attempt], e.Elapsed)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -181,12 +181,12 @@
 		}, 1},
 		{"served", func(b *Balancer, a *recorder) {
 			b.RequestArrived(t0, a, req(1, 0, 7))
-			b.ResponseStarted(t0+sec, a, Started{ID: 1, Replica: a.sends[0].to})
+			b.ResponseStarted(t0+sec, a, ResponseStarted{ID: 1, Replica: a.sends[0].to})
 			b.Finished(t0+2*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultOK, RequestEnded: true})
 		}, 0},
 		{"the stream breaks", func(b *Balancer, a *recorder) {
 			b.RequestArrived(t0, a, req(1, 0, 7))
-			b.ResponseStarted(t0+sec, a, Started{ID: 1, Replica: a.sends[0].to})
+			b.ResponseStarted(t0+sec, a, ResponseStarted{ID: 1, Replica: a.sends[0].to})
 			b.Finished(t0+2*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultReset, RequestEnded: true})
 		}, 0},
 		{"the client leaves", func(b *Balancer, a *recorder) {
@@ -414,7 +414,7 @@
 func TestUnknownEventsAreIgnored(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(3))
 	n := len(a.lines)
-	b.ResponseStarted(t0, a, Started{ID: 9, Replica: 99})
+	b.ResponseStarted(t0, a, ResponseStarted{ID: 9, Replica: 99})
 	b.Finished(t0, a, Outcome{ID: 9, Replica: 99, Attempt: -1})
 	b.ClientDisconnected(t0, a, 9)
 	b.Probed(t0, a, ProbeResult{Replica: 99})
@@ -556,7 +556,7 @@
 	b, a := start(t, settings(), fleetOf(9))
 	for i := range 20 {
 		b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)*31))
-		b.ResponseStarted(t0+3*sec, a, Started{ID: RequestID(i + 1), Replica: a.last(t).to, Elapsed: 3 * sec})
+		b.ResponseStarted(t0+3*sec, a, ResponseStarted{ID: RequestID(i + 1), Replica: a.last(t).to, Elapsed: 3 * sec})
 	}
 	high := b.spillShare
 	if high < 0.5 {
@@ -564,7 +564,7 @@
 	}
 	for i := range 400 {
 		b.RequestArrived(t0, a, req(RequestID(i+100), 0, uint64(i+100)*31))
-		b.ResponseStarted(t0+9*ms, a, Started{ID: RequestID(i + 100), Replica: a.last(t).to, Elapsed: 9 * ms})
+		b.ResponseStarted(t0+9*ms, a, ResponseStarted{ID: RequestID(i + 100), Replica: a.last(t).to, Elapsed: 9 * ms})
 	}
 	if b.spillShare >= high && b.settings.CrossZonePrice > 0 {
 		t.Errorf("spilled share %.2f after prompt answers, %.2f before", b.spillShare, high)
@@ -579,7 +579,7 @@
 		now += 100 * ms
 		id := RequestID(i + 10)
 		b.RequestArrived(now, a, req(id, 0, uint64(i+1)*31))
-		b.ResponseStarted(now, a, Started{ID: id, Replica: a.last(t).to, Elapsed: 2 * sec})
+		b.ResponseStarted(now, a, ResponseStarted{ID: id, Replica: a.last(t).to, Elapsed: 2 * sec})
 	}
 	if b.shedShare != maxShedShare {
 		t.Fatalf("share rejected is %.2f after late answers only", b.shedShare)
@@ -631,7 +631,7 @@
 	if tried != 1 {
 		t.Errorf("%d requests tried a replica whose ejection had lapsed, want 1", tried)
 	}
-	b.ResponseStarted(now+ms, a, Started{ID: 1, Replica: hung, Elapsed: 2 * sec})
+	b.ResponseStarted(now+ms, a, ResponseStarted{ID: 1, Replica: hung, Elapsed: 2 * sec})
 	if !b.isUsable(now+ms, b.fleet.byID[hung], b.requests[2], purposeNewSession) {
 		t.Error("an answer did not clear the ejection")
 	}
@@ -690,7 +690,7 @@
 func TestTimeOutAtAnAnsweringReplicaEjectsNothing(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(1))
 	b.RequestArrived(t0, a, req(1, 0, 77))
-	b.ResponseStarted(t0+2*ms, a, Started{ID: 2, Replica: 1, Elapsed: ms})
+	b.ResponseStarted(t0+2*ms, a, ResponseStarted{ID: 2, Replica: 1, Elapsed: ms})
 	b.Finished(t0+5*sec, a, Outcome{ID: 1, Replica: 1, Result: ResultTimedOut, Elapsed: 5 * sec})
 	if to := b.fleet.byID[1]; to.duration != 0 {
 		t.Error("a replica that answers others was ejected for one heavy request")
@@ -816,7 +816,7 @@
 			t.Fatalf("sent to replica %d of a zone in which %d failed in a row", to.ID, zoneFailureLimit)
 		}
 	}
-	b.ResponseStarted(t0+2*ms, a, Started{ID: 1, Replica: zone0[9].ID})
+	b.ResponseStarted(t0+2*ms, a, ResponseStarted{ID: 1, Replica: zone0[9].ID})
 	if !b.isUsable(t0+2*ms, zone0[9], b.requests[1], purposeNewSession) {
 		t.Error("an answer from the zone did not open it")
 	}
@@ -1040,7 +1040,7 @@
 		id, at := RequestID(i+1), t0+time.Duration(i)*sec/10
 		b.RequestArrived(at, a, req(id, 0, uint64(i+1)))
 		to := a.last(t).to
-		b.ResponseStarted(at+sec, a, Started{ID: 9999, Replica: to}) // it answers others
+		b.ResponseStarted(at+sec, a, ResponseStarted{ID: 9999, Replica: to}) // it answers others
 		b.ClientDisconnected(at+5*sec, a, id)
 		end := Outcome{ID: id, Replica: to, Result: ResultTimedOut, Elapsed: 5 * sec, RequestEnded: true}
 		b.Finished(at+5*sec, a, end)
