--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -111,7 +111,7 @@
 	if req.bound == att && !req.answered {
 		d.closeBound(req, result)
 	}
-	p.module.Finished(d.now, p, policy.Outcome{
+	p.module.AttemptFinished(d.now, p, policy.Outcome{
 		ID: req.id, Attempt: att.id.Index, Replica: att.host, Result: result, Elapsed: d.now - att.sentAt,
 		RequestEnded: req.answered || req.bound != nil, CachedTokens: o.cachedTokens, Report: o.report,
 		StaleConnection: att.staleConnection,
--- a/internal/simadapter/event.go
+++ b/internal/simadapter/event.go
@@ -97,7 +97,7 @@
 		if err != nil {
 			return err
 		}
-		balancer.Finished(now, a, outcome)
+		balancer.AttemptFinished(now, a, outcome)
 	case eventAttemptStarted:
 		balancer.ResponseStarted(now, a, policy.ResponseStarted{
 			ID: policy.RequestID(r.u64(1)), Attempt: int(r.u8(9)), Replica: policy.ReplicaID(r.u32(10)),
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -26,7 +26,7 @@
 					}
 				}
 				to := a.sends[len(a.sends)-1].to
-				g.Finished(now+ms, a, Outcome{ID: q.ID, Replica: to, Result: ResultOK, RequestEnded: true})
+				g.AttemptFinished(now+ms, a, Outcome{ID: q.ID, Replica: to, Result: ResultOK, RequestEnded: true})
 				a.lines, a.sends, a.wakes = a.lines[:0], a.sends[:0], a.wakes[:0]
 			}
 		})
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -129,7 +129,7 @@
 				}
 			}
 			end := Outcome{ID: q.ID, Replica: a.last(t).to, Result: ResultOK, RequestEnded: true}
-			b.Finished(t0+Time(i)*sec+ms, a, end)
+			b.AttemptFinished(t0+Time(i)*sec+ms, a, end)
 			seen[g][q.Session] = a.last(t).to
 		}
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -179,8 +179,8 @@
 	b.learnShedShare(now, late*(1-r.class.LateValue))
 }
 
-// Finished takes in the outcome of an attempt.
-func (b *Balancer) Finished(now Time, a Actions, o Outcome) {
+// AttemptFinished takes in the outcome of an attempt.
+func (b *Balancer) AttemptFinished(now Time, a Actions, o Outcome) {
 	b.recordOutcome(now, a, &o)
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].done {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -158,7 +158,7 @@
 	b, a := start(t, settings(), fleetOf(9))
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	first := a.last(t).to
-	b.Finished(t0+10*ms, a, Outcome{ID: 1, Attempt: 0, Replica: first, Result: ResultConnectFailed})
+	b.AttemptFinished(t0+10*ms, a, Outcome{ID: 1, Attempt: 0, Replica: first, Result: ResultConnectFailed})
 	second := a.last(t).to
 	if len(a.sends) != 2 || second == first {
 		t.Fatalf("sends %v: want a second attempt elsewhere", a.sends)
@@ -177,27 +177,27 @@
 	}{
 		{"times out at the deadline", func(b *Balancer, a *recorder) {
 			b.RequestArrived(t0, a, req(1, 0, 7))
-			b.Finished(t0+5*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultTimedOut})
+			b.AttemptFinished(t0+5*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultTimedOut})
 		}, 1},
 		{"served", func(b *Balancer, a *recorder) {
 			b.RequestArrived(t0, a, req(1, 0, 7))
 			b.ResponseStarted(t0+sec, a, ResponseStarted{ID: 1, Replica: a.sends[0].to})
-			b.Finished(t0+2*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultOK, RequestEnded: true})
+			b.AttemptFinished(t0+2*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultOK, RequestEnded: true})
 		}, 0},
 		{"the stream breaks", func(b *Balancer, a *recorder) {
 			b.RequestArrived(t0, a, req(1, 0, 7))
 			b.ResponseStarted(t0+sec, a, ResponseStarted{ID: 1, Replica: a.sends[0].to})
-			b.Finished(t0+2*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultReset, RequestEnded: true})
+			b.AttemptFinished(t0+2*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultReset, RequestEnded: true})
 		}, 0},
 		{"the client leaves", func(b *Balancer, a *recorder) {
 			b.RequestArrived(t0, a, req(1, 0, 7))
 			b.ClientDisconnected(t0+sec, a, 1)
-			b.Finished(t0+sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultCancelled, RequestEnded: true})
+			b.AttemptFinished(t0+sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultCancelled, RequestEnded: true})
 		}, 0},
 		{"all attempts are used", func(b *Balancer, a *recorder) {
 			b.RequestArrived(t0, a, req(1, 0, 7))
 			for i := range 3 {
-				b.Finished(t0+Time(i)*ms, a, Outcome{ID: 1, Attempt: i, Replica: a.sends[i].to, Result: ResultFull})
+				b.AttemptFinished(t0+Time(i)*ms, a, Outcome{ID: 1, Attempt: i, Replica: a.sends[i].to, Result: ResultFull})
 			}
 		}, 1},
 		{"expires on arrival", func(b *Balancer, a *recorder) {
@@ -217,7 +217,7 @@
 				t.Errorf("the request is still held: %+v", b.requests[1])
 			}
 			n := len(a.sends)
-			b.Finished(t0+6*sec, a, Outcome{ID: 1, Replica: 1, Result: ResultError})
+			b.AttemptFinished(t0+6*sec, a, Outcome{ID: 1, Replica: 1, Result: ResultError})
 			b.ClientDisconnected(t0+6*sec, a, 1)
 			if len(a.sends) != n || a.ends(1) != tc.own {
 				t.Errorf("late events moved a finished request: %q", a.lines)
@@ -248,7 +248,7 @@
 	} {
 		b, a := start(t, settings(), fleetOf(9))
 		b.RequestArrived(t0, a, req(1, 1, 7))
-		b.Finished(t0+ms, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: tc.result})
+		b.AttemptFinished(t0+ms, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: tc.result})
 		if len(a.sends) != tc.sends || tc.end != "" && a.count(tc.end) != 1 {
 			t.Errorf("after result %d: %q", tc.result, a.lines)
 		}
@@ -259,11 +259,11 @@
 	b, a := start(t, settings(), fleetOf(12))
 	b.RequestArrived(t0, a, req(1, 2, 7))
 	zone := func(id ReplicaID) int { return b.fleet.byID[id].Zone }
-	b.Finished(t0+ms, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultError})
+	b.AttemptFinished(t0+ms, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultError})
 	if len(a.sends) != 2 || zone(a.sends[0].to) != zone(a.sends[1].to) {
 		t.Fatalf("sends %v: want a repeat in the same zone", a.sends)
 	}
-	b.Finished(t0+2*sec, a, Outcome{ID: 1, Attempt: 1, Replica: a.sends[1].to, Result: ResultError})
+	b.AttemptFinished(t0+2*sec, a, Outcome{ID: 1, Attempt: 1, Replica: a.sends[1].to, Result: ResultError})
 	if len(a.sends) != 2 || a.count("fail 1") != 1 {
 		t.Errorf("after the window: %q", a.lines)
 	}
@@ -415,7 +415,7 @@
 	b, a := start(t, settings(), fleetOf(3))
 	n := len(a.lines)
 	b.ResponseStarted(t0, a, ResponseStarted{ID: 9, Replica: 99})
-	b.Finished(t0, a, Outcome{ID: 9, Replica: 99, Attempt: -1})
+	b.AttemptFinished(t0, a, Outcome{ID: 9, Replica: 99, Attempt: -1})
 	b.ClientDisconnected(t0, a, 9)
 	b.Probed(t0, a, ProbeResult{Replica: 99})
 	b.Timer(t0, a, 1<<60)
@@ -477,8 +477,8 @@
 	share := func(now Time, coldSince Time) float64 {
 		b, a := start(t, s, fleetOf(2))
 		for range 40 { // replica 1 is busy, replica 2 nearly idle
-			b.Finished(t0, a, Outcome{ID: 1e9, Replica: 1, Report: Report{N: 2, Values: [4]float64{0, 0.9}}})
-			b.Finished(t0, a, Outcome{ID: 1e9, Replica: 2, Report: Report{N: 2, Values: [4]float64{9, 0.1}}})
+			b.AttemptFinished(t0, a, Outcome{ID: 1e9, Replica: 1, Report: Report{N: 2, Values: [4]float64{0, 0.9}}})
+			b.AttemptFinished(t0, a, Outcome{ID: 1e9, Replica: 2, Report: Report{N: 2, Values: [4]float64{9, 0.1}}})
 		}
 		b.fleet.byID[2].slowStartUntil = coldSince
 		n := 0
@@ -610,7 +610,7 @@
 	b, a := start(t, settings(), fleetOf(9))
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	hung := a.last(t).to
-	b.Finished(t0+5*sec, a, Outcome{ID: 1, Replica: hung, Result: ResultTimedOut, Elapsed: 5 * sec})
+	b.AttemptFinished(t0+5*sec, a, Outcome{ID: 1, Replica: hung, Result: ResultTimedOut, Elapsed: 5 * sec})
 	b.RequestArrived(t0+5*sec, a, req(2, 0, 77))
 	if a.last(t).to == hung {
 		t.Fatal("a session stayed with a replica that hangs")
@@ -643,12 +643,12 @@
 	b, a := start(t, settings(), fleetOf(1))
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	saved := b.savedRetries
-	b.Finished(t0+ms, a, Outcome{ID: 1, Replica: 1, Result: ResultReset, StaleConnection: true})
+	b.AttemptFinished(t0+ms, a, Outcome{ID: 1, Replica: 1, Result: ResultReset, StaleConnection: true})
 	if len(a.sends) != 2 || b.fleet.byID[1].duration != 0 || b.savedRetries != saved {
 		ejection := b.fleet.byID[1].duration
 		t.Errorf("%d sends, ejection %v, %v of %v saved", len(a.sends), ejection, b.savedRetries, saved)
 	}
-	b.Finished(t0+2*ms, a, Outcome{ID: 1, Attempt: 1, Replica: 1, Result: ResultReset})
+	b.AttemptFinished(t0+2*ms, a, Outcome{ID: 1, Attempt: 1, Replica: 1, Result: ResultReset})
 	if len(a.sends) != 2 || b.fleet.byID[1].duration == 0 {
 		t.Errorf("a reset of a new connection: %d sends, ejection %v", len(a.sends), b.fleet.byID[1].duration)
 	}
@@ -666,7 +666,7 @@
 			if answers {
 				b.fleet.recordAnswer(now-ms, 1)
 			}
-			b.Finished(now, a, Outcome{ID: RequestID(i + 1), Replica: 1, Result: ResultTimedOut, Elapsed: now - t0})
+			b.AttemptFinished(now, a, Outcome{ID: RequestID(i + 1), Replica: 1, Result: ResultTimedOut, Elapsed: now - t0})
 		}
 		if rejects := b.shedShare > 0; rejects != answers {
 			t.Errorf("%s: new sessions are rejected: %v", name, rejects)
@@ -680,7 +680,7 @@
 	for i := range 40 {
 		now, id := t0+Time(i)*sec/4, RequestID(i+1)
 		b.RequestArrived(now, a, req(id, 0, uint64(id)))
-		b.Finished(now, a, Outcome{ID: id, Replica: a.last(t).to, Result: ResultFull})
+		b.AttemptFinished(now, a, Outcome{ID: id, Replica: a.last(t).to, Result: ResultFull})
 	}
 	if b.shedShare > 0 || len(a.sends) < 80 {
 		t.Errorf("%v of the new sessions are rejected, %d sends", b.shedShare, len(a.sends))
@@ -691,7 +691,7 @@
 	b, a := start(t, settings(), fleetOf(1))
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	b.ResponseStarted(t0+2*ms, a, ResponseStarted{ID: 2, Replica: 1, Elapsed: ms})
-	b.Finished(t0+5*sec, a, Outcome{ID: 1, Replica: 1, Result: ResultTimedOut, Elapsed: 5 * sec})
+	b.AttemptFinished(t0+5*sec, a, Outcome{ID: 1, Replica: 1, Result: ResultTimedOut, Elapsed: 5 * sec})
 	if to := b.fleet.byID[1]; to.duration != 0 {
 		t.Error("a replica that answers others was ejected for one heavy request")
 	}
@@ -749,7 +749,7 @@
 	b, a := start(t, settings(), fleetOf(9))
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	full := a.last(t).to
-	b.Finished(t0+ms, a, Outcome{ID: 1, Replica: full, Result: ResultFull})
+	b.AttemptFinished(t0+ms, a, Outcome{ID: 1, Replica: full, Result: ResultFull})
 	for i := range 50 {
 		b.RequestArrived(t0+2*ms, a, req(RequestID(10+i), 0, uint64(i+1)))
 		if a.last(t).to == full {
@@ -884,18 +884,18 @@
 
 func TestFastErrorsEjectAReplica(t *testing.T) {
 	b, a := start(t, settings(), fleetOf(9))
-	b.Finished(t0, a, Outcome{ID: 900, Replica: 1, Result: ResultError, Elapsed: ms})
+	b.AttemptFinished(t0, a, Outcome{ID: 900, Replica: 1, Result: ResultError, Elapsed: ms})
 	if b.fleet.byID[1].duration != 0 {
 		t.Fatal("one error ejected a replica")
 	}
-	b.Finished(t0+sec, a, Outcome{ID: 901, Replica: 1, Result: ResultError, Elapsed: ms})
+	b.AttemptFinished(t0+sec, a, Outcome{ID: 901, Replica: 1, Result: ResultError, Elapsed: ms})
 	for i := range 100 {
 		b.RequestArrived(t0+sec, a, req(RequestID(i+1), 0, uint64(i+1)))
 		if a.last(t).to == 1 {
 			t.Fatal("a replica that answers errors was sent a new session")
 		}
 	}
-	b.Finished(t0+2*sec, a, Outcome{ID: 902, Replica: 1, Result: ResultOK, Elapsed: ms})
+	b.AttemptFinished(t0+2*sec, a, Outcome{ID: 902, Replica: 1, Result: ResultOK, Elapsed: ms})
 	if b.fleet.byID[1].duration != 0 {
 		t.Error("an answer did not clear the ejection")
 	}
@@ -923,7 +923,7 @@
 		b.Listed(now, a, List{Kind: ListFull, Replicas: fleet})
 		b.RequestArrived(now, a, req(RequestID(11+2*i), 0, uint64(900+i)))
 	}
-	b.Finished(t0+6*sec, a, Outcome{ID: 1, Replica: to, Result: ResultOK, RequestEnded: true})
+	b.AttemptFinished(t0+6*sec, a, Outcome{ID: 1, Replica: to, Result: ResultOK, RequestEnded: true})
 	if b.requests[1] != nil {
 		t.Error("the request that was out at the flapping replica is still held")
 	}
@@ -936,7 +936,7 @@
 	b, a := start(t, settings(), fleetOf(9))
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	later := t0 + 30*24*time.Hour
-	b.Finished(later, a, Outcome{ID: 1, Replica: a.last(t).to, Result: ResultError, Elapsed: sec})
+	b.AttemptFinished(later, a, Outcome{ID: 1, Replica: a.last(t).to, Result: ResultError, Elapsed: sec})
 	if len(a.sends) != 1 || a.ends(1) != 1 {
 		t.Errorf("after its deadline a request got %q", a.lines)
 	}
@@ -954,7 +954,7 @@
 	s.ReportColumns = []string{"util", "x0"}
 	b, a := start(t, s, fleetOf(9))
 	for _, v := range []float64{math.NaN(), math.Inf(1), -1} {
-		b.Finished(t0, a, Outcome{ID: 900, Replica: 1, Report: Report{N: 2, Values: [4]float64{v, 0.5}}})
+		b.AttemptFinished(t0, a, Outcome{ID: 900, Replica: 1, Report: Report{N: 2, Values: [4]float64{v, 0.5}}})
 	}
 	for i := range 50 {
 		b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
@@ -992,7 +992,7 @@
 		id := RequestID(i + 1)
 		b.RequestArrived(t0+Time(i)*sec, a, req(id, 1, 0))
 		if a.ends(id) == 0 {
-			b.Finished(t0+Time(i)*sec, a, Outcome{
+			b.AttemptFinished(t0+Time(i)*sec, a, Outcome{
 				ID: id, Replica: a.last(t).to,
 				Result: ResultOK, Elapsed: 4 * sec, RequestEnded: true,
 			})
@@ -1043,7 +1043,7 @@
 		b.ResponseStarted(at+sec, a, ResponseStarted{ID: 9999, Replica: to}) // it answers others
 		b.ClientDisconnected(at+5*sec, a, id)
 		end := Outcome{ID: id, Replica: to, Result: ResultTimedOut, Elapsed: 5 * sec, RequestEnded: true}
-		b.Finished(at+5*sec, a, end)
+		b.AttemptFinished(at+5*sec, a, end)
 	}
 	if b.shedShare != 0 {
 		t.Errorf("a share of %v is rejected", b.shedShare)
@@ -1052,7 +1052,7 @@
 	hung := a.last(t).to
 	b.ClientDisconnected(t0+105*sec, a, 1000)
 	end := Outcome{ID: 1000, Replica: hung, Result: ResultTimedOut, Elapsed: 5 * sec, RequestEnded: true}
-	b.Finished(t0+105*sec, a, end)
+	b.AttemptFinished(t0+105*sec, a, end)
 	if b.fleet.byID[hung].duration == 0 {
 		t.Error("a replica that answers nobody is not ejected")
 	}
