--- a/internal/dispatch/hosts.go
+++ b/internal/dispatch/hosts.go
@@ -33,7 +33,7 @@
 		p.hosts[id] = &h
 		list.Replicas = append(list.Replicas, h.replica(id))
 	}
-	p.module.Listed(d.now, p, list)
+	p.module.ListUpdated(d.now, p, list)
 	if e.Kind != policy.ListFailed {
 		p.removeHosts(isListed, e.Kind == policy.ListDelta)
 	}
@@ -126,7 +126,7 @@
 			p.readyHosts++
 		}
 		p.hosts[n.Replica] = &h
-		p.module.Listed(d.now, p, policy.List{Kind: policy.ListDelta, Replicas: []policy.Replica{h.replica(n.Replica)}})
+		p.module.ListUpdated(d.now, p, policy.List{Kind: policy.ListDelta, Replicas: []policy.Replica{h.replica(n.Replica)}})
 	}
 }
 
--- a/internal/simadapter/event.go
+++ b/internal/simadapter/event.go
@@ -91,7 +91,7 @@
 		if err != nil {
 			return err
 		}
-		balancer.Listed(now, a, list)
+		balancer.ListUpdated(now, a, list)
 	case eventAttemptFinished:
 		outcome, err := r.outcome()
 		if err != nil {
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -14,7 +14,7 @@
 				b.Fatal(err)
 			}
 			a := &recorder{}
-			g.Listed(t0, a, List{Kind: ListFull, Replicas: room(n)})
+			g.ListUpdated(t0, a, List{Kind: ListFull, Replicas: room(n)})
 			for i := 0; b.Loop(); i++ {
 				now := t0 + Time(i)*sec
 				q := req(RequestID(i+1), 0, uint64(i%5000+1))
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -29,7 +29,7 @@
 		return
 	}
 	now := policy.Time(0) // the router's own clock
-	b.Listed(now, router{}, policy.List{Kind: policy.ListFull, Replicas: []policy.Replica{{ID: 7, Weight: 1}}})
+	b.ListUpdated(now, router{}, policy.List{Kind: policy.ListFull, Replicas: []policy.Replica{{ID: 7, Weight: 1}}})
 	b.RequestArrived(now, router{}, policy.Request{ID: 1, Session: 99, Timeout: 5 * time.Second})
 	// Output: request 1 goes to replica 7
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -114,7 +114,7 @@
 			t.Fatal(err)
 		}
 		a := &recorder{}
-		b.Listed(t0, a, List{Kind: ListFull, Replicas: room(40)})
+		b.ListUpdated(t0, a, List{Kind: ListFull, Replicas: room(40)})
 		for i := range n {
 			if g == 1 { // it has met another mix of prefixes, and one replica that was busy for a moment
 				b.prefixes.countRequest(uint64(i % 3))
@@ -212,7 +212,7 @@
 			t.Fatal(err)
 		}
 		a := &recorder{}
-		b.Listed(t0, a, List{Kind: ListFull, Replicas: fleet(b)})
+		b.ListUpdated(t0, a, List{Kind: ListFull, Replicas: fleet(b)})
 		for i := range requests {
 			b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(g*1000+i+1)))
 			for len(b.awaitingProbes) > 0 {
@@ -255,7 +255,7 @@
 	const routers, each, n = 80, 15, 40
 	count := all(t, routers, each, func(b *Balancer) []Replica {
 		l := room(n)
-		b.Listed(t0, &recorder{}, List{Kind: ListFull, Replicas: l})
+		b.ListUpdated(t0, &recorder{}, List{Kind: ListFull, Replicas: l})
 		for _, to := range b.fleet.byID {
 			if to.ID > 1 {
 				to.fullUntil = t0 + sec
@@ -299,7 +299,7 @@
 			t.Fatal(err)
 		}
 		a[g] = &recorder{}
-		b[g].Listed(t0, a[g], List{Kind: ListCached, Replicas: room(40)})
+		b[g].ListUpdated(t0, a[g], List{Kind: ListCached, Replicas: room(40)})
 		b[g].RequestArrived(t0, a[g], req(1, 0, 77)) // the list at the start serves at once
 		if a[g].count("probe") != 2 {
 			t.Fatalf("router %d waits for discovery: %q", g, a[g].lines)
@@ -313,7 +313,7 @@
 	longest := many(routers).WatchWithin
 	for try := range 8 {
 		for g := range routers {
-			b[g].Listed(t0, a[g], List{Kind: ListFailed})
+			b[g].ListUpdated(t0, a[g], List{Kind: ListFailed})
 			waits[g] = ask(g)
 			if want := min(minWatchBackoff<<try, longest); waits[g] < want/2 || waits[g] > want {
 				t.Fatalf("failure %d: router %d calls after %v, wanted half of %v to all", try, g, waits[g], want)
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -891,8 +891,8 @@
 	backoff time.Duration // wait before the next call after a failure
 }
 
-// Listed takes in an update of the list of replicas.
-func (b *Balancer) Listed(now Time, a Actions, l List) {
+// ListUpdated takes in an update of the list of replicas.
+func (b *Balancer) ListUpdated(now Time, a Actions, l List) {
 	if l.Kind == ListFailed {
 		b.watch.backoff = min(max(2*b.watch.backoff, minWatchBackoff), b.settings.WatchWithin)
 		b.scheduleWatch(a, b.watch.backoff/2, b.watch.backoff)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	a := &recorder{}
-	b.Listed(100*sec, a, List{Kind: ListCached, Replicas: replicas})
+	b.ListUpdated(100*sec, a, List{Kind: ListCached, Replicas: replicas})
 	return b, a
 }
 
@@ -277,14 +277,14 @@
 	drained := fleet[to-1]
 	drained.State = StateDraining
 	// The watch fails meanwhile: the last list stays in force.
-	b.Listed(t0+sec, a, List{Kind: ListDelta, Replicas: []Replica{drained}})
-	b.Listed(t0+sec, a, List{Kind: ListFailed})
+	b.ListUpdated(t0+sec, a, List{Kind: ListDelta, Replicas: []Replica{drained}})
+	b.ListUpdated(t0+sec, a, List{Kind: ListFailed})
 	b.RequestArrived(t0+sec+499*ms, a, req(2, 0, 77))
 	if got := a.last(t).to; got != to {
 		t.Errorf("within the grace the session went to %d, want %d", got, to)
 	}
 	// Told again: the first time counts.
-	b.Listed(t0+sec+499*ms, a, List{Kind: ListDelta, Replicas: []Replica{drained}})
+	b.ListUpdated(t0+sec+499*ms, a, List{Kind: ListDelta, Replicas: []Replica{drained}})
 	b.RequestArrived(t0+sec+501*ms, a, req(3, 0, 77))
 	if got := a.last(t).to; got == to {
 		t.Error("a draining replica was sent a request after the grace")
@@ -307,7 +307,7 @@
 			rest = append(rest, e)
 		}
 	}
-	b.Listed(t0+sec, a, List{Kind: ListFull, Replicas: rest})
+	b.ListUpdated(t0+sec, a, List{Kind: ListFull, Replicas: rest})
 	b.RequestArrived(t0+sec, a, req(2, 0, 77))
 	if a.last(t).to == to {
 		t.Error("a replica that left the list was sent a request")
@@ -331,7 +331,7 @@
 	}
 	restarted := fleet[starting-1]
 	restarted.ReadyAt = t0 + sec
-	b.Listed(t0+2*sec, a, List{Kind: ListDelta, Replicas: []Replica{restarted}})
+	b.ListUpdated(t0+2*sec, a, List{Kind: ListDelta, Replicas: []Replica{restarted}})
 	a.sends = nil
 	for i := range n {
 		b.RequestArrived(t0+2*sec, a, req(RequestID(n+i+1), 0, uint64(i+1)))
@@ -356,19 +356,19 @@
 			t.Fatal(err)
 		}
 		a := &recorder{}
-		b.Listed(t0, a, List{Kind: ListCached, Replicas: fleetOf(3)})
+		b.ListUpdated(t0, a, List{Kind: ListCached, Replicas: fleetOf(3)})
 		if len(a.wakes) != 1 || a.count("watch") != 0 {
 			t.Fatalf("at the start: %q", a.lines)
 		}
 		waits[a.wakes[0].after] = true
 		b.Timer(t0+a.wakes[0].after, a, a.wakes[0].token)
-		b.Listed(t0+sec, a, List{Kind: ListDelta})
+		b.ListUpdated(t0+sec, a, List{Kind: ListDelta})
 		if a.count("watch") != 1 || len(a.wakes) != 1 {
 			t.Fatalf("one watch and no polling wanted: %q", a.lines)
 		}
 		most := time.Duration(0)
 		for range 6 {
-			b.Listed(t0+2*sec, a, List{Kind: ListFailed})
+			b.ListUpdated(t0+2*sec, a, List{Kind: ListFailed})
 			w := a.wakes[len(a.wakes)-1].after
 			if w > settings().WatchWithin {
 				t.Fatalf("a wait of %v outlasts WatchWithin", w)
@@ -457,8 +457,8 @@
 		a1, a2 := &recorder{}, &recorder{}
 		fleet := fleetOf(2)
 		fleet[1].Weight = 3
-		b1.Listed(t0, a1, List{Kind: ListCached, Replicas: fleet})
-		b2.Listed(t0, a2, List{Kind: ListCached, Replicas: fleet})
+		b1.ListUpdated(t0, a1, List{Kind: ListCached, Replicas: fleet})
+		b2.ListUpdated(t0, a2, List{Kind: ListCached, Replicas: fleet})
 		b1.RequestArrived(t0, a1, req(1, 0, session))
 		b2.RequestArrived(t0, a2, req(1, 0, session))
 		if a1.last(t).to != a2.last(t).to {
@@ -723,10 +723,10 @@
 			t.Fatal(err)
 		}
 		a := &recorder{}
-		b.Listed(t0, a, List{Kind: ListCached, Replicas: fleet})
+		b.ListUpdated(t0, a, List{Kind: ListCached, Replicas: fleet})
 		restarted := fleet[0]
 		restarted.ReadyAt = t0
-		b.Listed(t0, a, List{Kind: ListDelta, Replicas: []Replica{restarted}})
+		b.ListUpdated(t0, a, List{Kind: ListDelta, Replicas: []Replica{restarted}})
 		for _, to := range b.fleet.all.replicas[1:] {
 			to.fullUntil = t0 + sec // all others turn requests away
 		}
@@ -772,7 +772,7 @@
 		busy[i].Weight = 1 / float64(1+i%3) // a burst: for a moment some hold three times as much
 	}
 	c, _ := start(t, s, fleetOf(9))
-	c.Listed(t0, a, List{Kind: ListDelta, Replicas: busy})
+	c.ListUpdated(t0, a, List{Kind: ListDelta, Replicas: busy})
 	moved := 0
 	for i := range uint64(300) {
 		c.RequestArrived(t0, a, req(RequestID(i+1), 0, i+1))
@@ -915,12 +915,12 @@
 	}
 	for i := range 5 {
 		now := t0 + Time(i)*sec
-		b.Listed(now, a, List{Kind: ListFull, Replicas: rest})
+		b.ListUpdated(now, a, List{Kind: ListFull, Replicas: rest})
 		b.RequestArrived(now, a, req(RequestID(10+2*i), 0, 77))
 		if a.last(t).to == to {
 			t.Fatal("sent to a replica that has left the list")
 		}
-		b.Listed(now, a, List{Kind: ListFull, Replicas: fleet})
+		b.ListUpdated(now, a, List{Kind: ListFull, Replicas: fleet})
 		b.RequestArrived(now, a, req(RequestID(11+2*i), 0, uint64(900+i)))
 	}
 	b.AttemptFinished(t0+6*sec, a, Outcome{ID: 1, Replica: to, Result: ResultOK, RequestEnded: true})
