--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -166,7 +166,7 @@
 	if p == nil {
 		return
 	}
-	p.module.Probed(d.now, p, policy.ProbeResult{
+	p.module.ProbeFinished(d.now, p, policy.ProbeResult{
 		Replica: e.Host, Result: e.Result, Elapsed: d.now - e.Sent, Report: e.Report,
 	})
 }
--- a/internal/dispatch/hosts.go
+++ b/internal/dispatch/hosts.go
@@ -138,7 +138,7 @@
 	}
 	for _, other := range d.sharedHosts.OtherPools(nil, p.id, h.identity()) {
 		if q := d.pools[other.Pool]; q != nil {
-			q.module.Probed(d.now, q, policy.ProbeResult{Replica: other.Replica, Result: policy.ResultConnectFailed})
+			q.module.ProbeFinished(d.now, q, policy.ProbeResult{Replica: other.Replica, Result: policy.ResultConnectFailed})
 		}
 	}
 }
--- a/internal/simadapter/event.go
+++ b/internal/simadapter/event.go
@@ -110,7 +110,7 @@
 		if err != nil {
 			return err
 		}
-		balancer.Probed(now, a, probe)
+		balancer.ProbeFinished(now, a, probe)
 	case eventRequest:
 		balancer.RequestArrived(now, a, r.request())
 	}
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -22,7 +22,7 @@
 				g.RequestArrived(now, a, q)
 				for len(g.awaitingProbes) > 0 {
 					for _, to := range g.awaitingProbes[0].probed {
-						g.Probed(now, a, ProbeResult{Replica: to.ID, Report: report(1)})
+						g.ProbeFinished(now, a, ProbeResult{Replica: to.ID, Report: report(1)})
 					}
 				}
 				to := a.sends[len(a.sends)-1].to
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -42,8 +42,8 @@
 	if len(a.sends) != 0 || a.count("probe") != 2 {
 		t.Fatalf("%q", a.lines)
 	}
-	b.Probed(t0+2*ms, a, ProbeResult{Replica: slow.ID, Report: report(30)})
-	b.Probed(t0+3*ms, a, ProbeResult{Replica: free.ID, Report: report(1)})
+	b.ProbeFinished(t0+2*ms, a, ProbeResult{Replica: slow.ID, Report: report(30)})
+	b.ProbeFinished(t0+3*ms, a, ProbeResult{Replica: free.ID, Report: report(1)})
 	if a.last(t).to != free.ID || b.sessions.find(t0, 77) != free {
 		t.Errorf("sent to %d, the free one is %d", a.last(t).to, free.ID)
 	}
@@ -64,14 +64,14 @@
 		b, a := start(t, many(80), room(40))
 		b.RequestArrived(t0, a, req(1, 0, 77))
 		gone, there := b.probed(t)
-		b.Probed(t0+2*ms, a, ProbeResult{Replica: there.ID, Report: report(50)})
+		b.ProbeFinished(t0+2*ms, a, ProbeResult{Replica: there.ID, Report: report(50)})
 		if len(a.sends) != 0 {
 			t.Fatalf("%s: sent before both were heard", name)
 		}
 		if silent {
 			b.Timer(t0+probeTimeout, a, timerProbes)
 		} else {
-			b.Probed(t0+3*ms, a, ProbeResult{Replica: gone.ID, Result: ResultConnectFailed})
+			b.ProbeFinished(t0+3*ms, a, ProbeResult{Replica: gone.ID, Result: ResultConnectFailed})
 			if gone.duration == 0 {
 				t.Error("a replica that takes no connection is not ejected")
 			}
@@ -86,8 +86,8 @@
 	b, a := start(t, many(80), room(40))
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	one, two := b.probed(t)
-	b.Probed(t0+ms, a, ProbeResult{Replica: one.ID, Result: ResultConnectFailed})
-	b.Probed(t0+ms, a, ProbeResult{Replica: two.ID, Result: ResultConnectFailed})
+	b.ProbeFinished(t0+ms, a, ProbeResult{Replica: one.ID, Result: ResultConnectFailed})
+	b.ProbeFinished(t0+ms, a, ProbeResult{Replica: two.ID, Result: ResultConnectFailed})
 	if to := a.last(t).to; to == one.ID || to == two.ID {
 		t.Errorf("sent to %d, which takes no connection", to)
 	}
@@ -125,7 +125,7 @@
 			b.RequestArrived(t0+Time(i)*sec, a, q)
 			for len(b.awaitingProbes) > 0 {
 				for _, to := range b.awaitingProbes[0].probed {
-					b.Probed(t0+Time(i)*sec, a, ProbeResult{Replica: to.ID, Report: report(3)})
+					b.ProbeFinished(t0+Time(i)*sec, a, ProbeResult{Replica: to.ID, Report: report(3)})
 				}
 			}
 			end := Outcome{ID: q.ID, Replica: a.last(t).to, Result: ResultOK, RequestEnded: true}
@@ -165,8 +165,8 @@
 		b.RequestArrived(t0, a, q)
 		one, two := b.probed(t)
 		c.first.Replica, c.second.Replica = one.ID, two.ID
-		b.Probed(t0+ms, a, c.first)
-		b.Probed(t0+ms, a, c.second)
+		b.ProbeFinished(t0+ms, a, c.first)
+		b.ProbeFinished(t0+ms, a, c.second)
 		if moved := a.last(t).to == two.ID; moved != c.moves {
 			t.Errorf("%s: moved %v", name, moved)
 		}
@@ -194,8 +194,8 @@
 		b.RequestArrived(t0, a, q)
 		one, two := b.probed(t)
 		c.one.Replica, c.two.Replica = one.ID, two.ID
-		b.Probed(t0+ms, a, c.one)
-		b.Probed(t0+ms, a, c.two)
+		b.ProbeFinished(t0+ms, a, c.one)
+		b.ProbeFinished(t0+ms, a, c.two)
 		if a.count("reject 1") != c.rejected || len(a.sends) != 1-c.rejected || len(b.requests) != 1-c.rejected {
 			t.Errorf("%s: %q", name, a.lines)
 		}
@@ -217,7 +217,7 @@
 			b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(g*1000+i+1)))
 			for len(b.awaitingProbes) > 0 {
 				for _, to := range b.awaitingProbes[0].probed {
-					b.Probed(t0, a, ProbeResult{Replica: to.ID})
+					b.ProbeFinished(t0, a, ProbeResult{Replica: to.ID})
 				}
 			}
 			count[a.last(t).to]++
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -783,8 +783,8 @@
 	return 1 + (f*f-1)*fresh
 }
 
-// Probed takes in the result of a probe.
-func (b *Balancer) Probed(now Time, a Actions, p ProbeResult) {
+// ProbeFinished takes in the result of a probe.
+func (b *Balancer) ProbeFinished(now Time, a Actions, p ProbeResult) {
 	to := b.fleet.byID[p.Replica]
 	if to == nil {
 		return
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -417,7 +417,7 @@
 	b.ResponseStarted(t0, a, ResponseStarted{ID: 9, Replica: 99})
 	b.AttemptFinished(t0, a, Outcome{ID: 9, Replica: 99, Attempt: -1})
 	b.ClientDisconnected(t0, a, 9)
-	b.Probed(t0, a, ProbeResult{Replica: 99})
+	b.ProbeFinished(t0, a, ProbeResult{Replica: 99})
 	b.Timer(t0, a, 1<<60)
 	if len(a.lines) != n {
 		t.Errorf("got %q", a.lines[n:])
