--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -196,6 +196,6 @@
 	case t.connection != 0:
 		d.emit(CloseIdleConnection{t.connection})
 	case !t.pool.ended:
-		t.pool.module.Timer(d.now, t.pool, t.token)
+		t.pool.module.TimerFired(d.now, t.pool, t.token)
 	}
 }
--- a/internal/simadapter/event.go
+++ b/internal/simadapter/event.go
@@ -104,7 +104,7 @@
 			Elapsed: duration(uint64(r.u32(14))),
 		})
 	case eventTimer:
-		balancer.Timer(now, a, r.u64(1))
+		balancer.TimerFired(now, a, r.u64(1))
 	case eventProbed:
 		probe, err := r.probeResult()
 		if err != nil {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -69,7 +69,7 @@
 			t.Fatalf("%s: sent before both were heard", name)
 		}
 		if silent {
-			b.Timer(t0+probeTimeout, a, timerProbes)
+			b.TimerFired(t0+probeTimeout, a, timerProbes)
 		} else {
 			b.ProbeFinished(t0+3*ms, a, ProbeResult{Replica: gone.ID, Result: ResultConnectFailed})
 			if gone.duration == 0 {
@@ -97,7 +97,7 @@
 	b, a := start(t, many(80), room(40))
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	b.ClientDisconnected(t0+ms, a, 1)
-	b.Timer(t0+probeTimeout, a, timerProbes)
+	b.TimerFired(t0+probeTimeout, a, timerProbes)
 	if len(a.sends) != 0 || a.count("cancel") != 0 || len(b.requests) != 0 || len(b.awaitingProbes) != 0 {
 		t.Errorf("%q, %d requests held", a.lines, len(b.requests))
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -225,8 +225,8 @@
 	}
 }
 
-// Timer is called when a wait set by Actions.Wake has passed.
-func (b *Balancer) Timer(now Time, a Actions, token uint64) {
+// TimerFired is called when a wait set by Actions.Wake has passed.
+func (b *Balancer) TimerFired(now Time, a Actions, token uint64) {
 	switch token {
 	case timerWatch:
 		a.Watch()
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -361,7 +361,7 @@
 			t.Fatalf("at the start: %q", a.lines)
 		}
 		waits[a.wakes[0].after] = true
-		b.Timer(t0+a.wakes[0].after, a, a.wakes[0].token)
+		b.TimerFired(t0+a.wakes[0].after, a, a.wakes[0].token)
 		b.ListUpdated(t0+sec, a, List{Kind: ListDelta})
 		if a.count("watch") != 1 || len(a.wakes) != 1 {
 			t.Fatalf("one watch and no polling wanted: %q", a.lines)
@@ -418,7 +418,7 @@
 	b.AttemptFinished(t0, a, Outcome{ID: 9, Replica: 99, Attempt: -1})
 	b.ClientDisconnected(t0, a, 9)
 	b.ProbeFinished(t0, a, ProbeResult{Replica: 99})
-	b.Timer(t0, a, 1<<60)
+	b.TimerFired(t0, a, 1<<60)
 	if len(a.lines) != n {
 		t.Errorf("got %q", a.lines[n:])
 	}
