--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -34,8 +34,8 @@
 		until = min(until, d.now+timeout)
 	}
 	if h == nil || req.answered || req.bound != nil || len(req.attempts) > req.maxAttempts || until <= d.now {
-		d.traceNotSent(req, att, policy.ResultMoot)
-		d.endDeferred(req, att, policy.ResultMoot)
+		d.traceNotSent(req, att, policy.ResultNotSent)
+		d.endDeferred(req, att, policy.ResultNotSent)
 		return
 	}
 	if p.isTooCold(h) {
@@ -44,7 +44,7 @@
 		return
 	}
 	if p.retryBudget != nil && req.reachedHost && !p.retryBudget.TryTake(d.now) {
-		d.endDeferred(req, att, policy.ResultMoot)
+		d.endDeferred(req, att, policy.ResultNotSent)
 		return
 	}
 	p.counters.Attempts++
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -100,7 +100,7 @@
 // reportOutcome gives the module the one outcome of an attempt. The end of a bound attempt, complete or not, ends the request.
 func (d *Dispatcher) reportOutcome(req *request, att *attempt, o outcome) {
 	p, result := req.pool, o.result
-	neverReached := result == policy.ResultConnectFailed || result == policy.ResultMoot
+	neverReached := result == policy.ResultConnectFailed || result == policy.ResultNotSent
 	req.running--
 	req.reachedHost = req.reachedHost || att.reachedOtherHost || !neverReached
 	req.mayHaveRun = req.mayHaveRun || result != policy.ResultFull && !neverReached
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -156,7 +156,7 @@
 			t.Errorf("%s: %v", name, r.effects)
 		}
 	}
-	if n := r.pools[0].counters.Outcomes[policy.ResultMoot]; n != 2 {
+	if n := r.pools[0].counters.Outcomes[policy.ResultNotSent]; n != 2 {
 		t.Errorf("%d moot", n)
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -174,7 +174,7 @@
 
 func (r *Router) print(what string, args []any, c *dispatch.Counters) {
 	var legs []any
-	for result := policy.ResultOK; result <= policy.ResultMoot; result++ {
+	for result := policy.ResultOK; result <= policy.ResultNotSent; result++ {
 		if n := c.Outcomes[result]; n > 0 {
 			legs = append(legs, slog.Int(trace.Result(result).String(), n))
 		}
--- a/internal/simadapter/event.go
+++ b/internal/simadapter/event.go
@@ -44,7 +44,7 @@
 // resultCodes are the results of attempts and probes by their codes.
 var resultCodes = map[uint16]policy.Result{
 	100: policy.ResultOK, 301: policy.ResultError, 302: policy.ResultFull, 303: policy.ResultTimedOut,
-	304: policy.ResultConnectFailed, 305: policy.ResultReset, 306: policy.ResultCancelled, 307: policy.ResultMoot,
+	304: policy.ResultConnectFailed, 305: policy.ResultReset, 306: policy.ResultCancelled, 307: policy.ResultNotSent,
 }
 
 // handleEvent carries out one event of a batch.
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -46,7 +46,7 @@
 
 var resultNames = [...]string{
 	policy.ResultOK: "ok", policy.ResultError: "error", policy.ResultFull: "full", policy.ResultTimedOut: "timed_out",
-	policy.ResultConnectFailed: "connect_failed", policy.ResultReset: "reset", policy.ResultCancelled: "cancelled", policy.ResultMoot: "moot",
+	policy.ResultConnectFailed: "connect_failed", policy.ResultReset: "reset", policy.ResultCancelled: "cancelled", policy.ResultNotSent: "moot",
 }
 
 func (r Result) String() string {
--- a/policy/api.go
+++ b/policy/api.go
@@ -195,7 +195,7 @@
 	ResultConnectFailed
 	ResultReset
 	ResultCancelled
-	ResultMoot
+	ResultNotSent
 )
 
 // Report is a load report, ordered as Settings.ReportColumns; N is 0 where there was none.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -188,7 +188,7 @@
 	}
 	t := &r.attempts[o.Attempt]
 	t.done = true
-	t.mayHaveRun = o.Result != ResultFull && o.Result != ResultConnectFailed && o.Result != ResultMoot
+	t.mayHaveRun = o.Result != ResultFull && o.Result != ResultConnectFailed && o.Result != ResultNotSent
 	t.staleConnection = o.StaleConnection
 	t.replica.inFlight--
 	b.fleet.inFlight--
@@ -196,7 +196,7 @@
 	switch {
 	case r.answered || o.RequestEnded:
 		delete(b.requests, r.ID)
-	case o.Result == ResultMoot || now >= r.deadline:
+	case o.Result == ResultNotSent || now >= r.deadline:
 		b.fail(a, r, ReasonDeadline)
 	default:
 		b.retry(now, a, r)
