--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -79,7 +79,7 @@
 )
 
 var whyNames = [...]string{
-	policy.ReasonNone: "none", policy.ReasonAffinity: "pinned", policy.ReasonDrawn: "drawn", policy.ReasonAffinityLost: "orphaned",
+	policy.ReasonNone: "none", policy.ReasonAffinity: "pinned", policy.ReasonSelected: "drawn", policy.ReasonAffinityLost: "orphaned",
 	policy.ReasonOtherZone: "spilled", policy.ReasonOverBound: "over_bound", policy.ReasonLastResort: "last_resort",
 	policy.ReasonLoadShed: "shedding", policy.ReasonNoReplica: "no_replica", policy.ReasonRetryBudget: "no_retries",
 	policy.ReasonMaxAttempts: "no_attempts", policy.ReasonDeadline: "out_of_time", policy.ReasonBadRequest: "bad_request",
--- a/policy/api.go
+++ b/policy/api.go
@@ -240,7 +240,7 @@
 const (
 	ReasonNone         Reason = iota
 	ReasonAffinity            // the session's replica
-	ReasonDrawn               // a new session
+	ReasonSelected            // a new session
 	ReasonAffinityLost        // the session's replica may not be used
 	ReasonOtherZone           // drawn outside of the zone
 	ReasonOverBound           // all usable replicas are over the load bound
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -311,7 +311,7 @@
 }
 
 func (b *Balancer) send(now Time, a Actions, r *request, to *replica, why Reason) {
-	if r.affinityLost && why == ReasonDrawn && len(r.attempts) == 0 {
+	if r.affinityLost && why == ReasonSelected && len(r.attempts) == 0 {
 		why = ReasonAffinityLost
 	}
 	r.probed = nil
@@ -475,7 +475,7 @@
 	case to.Zone != b.settings.Zone:
 		return ReasonOtherZone
 	}
-	return ReasonDrawn
+	return ReasonSelected
 }
 
 // pick returns the first replica in the session's order that r may go to.
