--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -11,13 +11,13 @@
 // are the names of the fields where these have no tag.
 func TestGoldenHandover(t *testing.T) {
 	l := &legacy{Pools: map[string]*policy.Snapshot{"scribe": {
-		Sessions: []policy.SnapshotSession{{Session: 3, Replica: 4, Used: 5}},
+		Sessions: []policy.SnapshotSession{{Session: 3, Replica: 4, UsedAt: 5}},
 		Replicas: []policy.SnapshotReplica{{
-			ID: 4, ReadyAt: 1, EjectedUntil: 2, EjectionTime: 3, DrainAt: 4, AnsweredAt: 5, ReportAt: 6, FullUntil: 7,
+			ID: 4, ReadyAt: 1, EjectedUntil: 2, EjectionDuration: 3, DrainingSince: 4, LastResponseAt: 5, ReportedAt: 6, FullUntil: 7,
 			Weight: 0.1, SlowStartBudget: 0.2, SlowStartBudgetAt: 0.3, Load: 0.4, Backlog: 0.5,
 		}},
-		Prefixes: map[uint64]float64{7: 8}, Loads: [4]float64{1, 2, 3, 4}, Retries: 1.5, ShedShare: 0.5, LostValue: 0.25, SpillShare: 0.125,
-		ShedAt: 9, Arrived: 10, UsualReplicas: 11, Tenants: []float64{12, 13},
+		Prefixes: map[uint64]float64{7: 8}, Loads: [4]float64{1, 2, 3, 4}, RetryBudget: 1.5, ShedShare: 0.5, LostValue: 0.25, SpillShare: 0.125,
+		ShedUpdatedAt: 9, Arrivals: 10, RecentMaxReplicas: 11, Tenants: []float64{12, 13},
 	}}}
 	golden.RoundTrip(t, "handover.hex", l, func(l *legacy) []byte {
 		b, err := l.encode()
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -214,7 +214,7 @@
 
 func TestLegacy(t *testing.T) {
 	l := &legacy{Pools: map[string]*policy.Snapshot{"": {
-		Sessions: []policy.SnapshotSession{{Session: 3, Replica: 4, Used: 5}},
+		Sessions: []policy.SnapshotSession{{Session: 3, Replica: 4, UsedAt: 5}},
 		Replicas: []policy.SnapshotReplica{{ID: 4, ReadyAt: 1, EjectedUntil: 9, Weight: 2}},
 		Prefixes: map[uint64]float64{7: 8}, ShedShare: 0.5,
 	}}}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -52,7 +52,7 @@
 	if a.count("probe") != 2 || len(a.sends) != 2 {
 		t.Errorf("%q", a.lines)
 	}
-	c, few := start(t, many(probeFromRouters-1), room(40))
+	c, few := start(t, many(minRoutersForProbes-1), room(40))
 	c.RequestArrived(t0, few, req(1, 0, 77))
 	if few.count("probe") != 0 || len(few.sends) != 1 {
 		t.Errorf("of a few routers one did %q", few.lines)
@@ -265,7 +265,7 @@
 		return l
 	})
 	share := float64(routers*each) / n
-	if most := maxColdShare * share; count[1] > most || count[1] == 0 {
+	if most := maxSlowStartShare * share; count[1] > most || count[1] == 0 {
 		t.Errorf("%.0f requests went to the replica in slow start, at most %.0f allowed", count[1], most)
 	}
 }
--- a/policy/handover_test.go
+++ b/policy/handover_test.go
@@ -35,14 +35,14 @@
 	// What no sound balancer could have written does no harm.
 	next.Restore(t0, &Snapshot{
 		Sessions:  []SnapshotSession{{1, 99, t0}},
-		Replicas:  []SnapshotReplica{{ID: 99}, {ID: 3, EjectionTime: -1, EjectedUntil: 1 << 60}},
-		ShedShare: 7, SpillShare: -3, Retries: 1e9, Tenants: make([]float64, 99),
+		Replicas:  []SnapshotReplica{{ID: 99}, {ID: 3, EjectionDuration: -1, EjectedUntil: 1 << 60}},
+		ShedShare: 7, SpillShare: -3, RetryBudget: 1e9, Tenants: make([]float64, 99),
 	})
 	three := next.fleet.byID[3]
-	if next.shedShare > maxShedShare || next.spillShare < 0 || next.savedRetries > maxSavedRetries ||
+	if next.shedShare > maxShedShare || next.spillShare < 0 || next.retryBudget > maxRetryBudget ||
 		three.until > t0+maxEjection {
 		t.Errorf("shed %v, spill %v, retries %v, until %v",
-			next.shedShare, next.spillShare, next.savedRetries, three.until)
+			next.shedShare, next.spillShare, next.retryBudget, three.until)
 	}
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -521,7 +521,7 @@
 	if rare, popular := len(used[2]), len(used[1]); rare > 8 || popular < 20 {
 		t.Errorf("a prefix of 5%% of the traffic used %d replicas, one of 50%% used %d", rare, popular)
 	}
-	if n := len(b.prefixes.count); n > 2*prefixMemory {
+	if n := len(b.prefixes.count); n > 2*prefixWindow {
 		t.Errorf("%d prefixes are remembered", n)
 	}
 }
@@ -642,11 +642,11 @@
 	// from its cached prompt, and uses up none of what is saved for a crash.
 	b, a := start(t, settings(), fleetOf(1))
 	b.RequestArrived(t0, a, req(1, 0, 77))
-	saved := b.savedRetries
+	saved := b.retryBudget
 	b.AttemptFinished(t0+ms, a, Outcome{ID: 1, Replica: 1, Result: ResultReset, StaleConnection: true})
-	if len(a.sends) != 2 || b.fleet.byID[1].duration != 0 || b.savedRetries != saved {
+	if len(a.sends) != 2 || b.fleet.byID[1].duration != 0 || b.retryBudget != saved {
 		ejection := b.fleet.byID[1].duration
-		t.Errorf("%d sends, ejection %v, %v of %v saved", len(a.sends), ejection, b.savedRetries, saved)
+		t.Errorf("%d sends, ejection %v, %v of %v saved", len(a.sends), ejection, b.retryBudget, saved)
 	}
 	b.AttemptFinished(t0+2*ms, a, Outcome{ID: 1, Attempt: 1, Replica: 1, Result: ResultReset})
 	if len(a.sends) != 2 || b.fleet.byID[1].duration == 0 {
@@ -664,7 +664,7 @@
 		for i := range 40 {
 			now := t0 + 5*sec + Time(i)*sec/4
 			if answers {
-				b.fleet.recordAnswer(now-ms, 1)
+				b.fleet.recordResponse(now-ms, 1)
 			}
 			b.AttemptFinished(now, a, Outcome{ID: RequestID(i + 1), Replica: 1, Result: ResultTimedOut, Elapsed: now - t0})
 		}
@@ -790,14 +790,14 @@
 	now := t0
 	for range 100 {
 		now += 100 * ms
-		b.learnShedShare(now, 1)
+		b.updateShedShare(now, 1)
 	}
 	if b.shedShare != maxShedShare {
 		t.Fatalf("share rejected is %.2f in overload", b.shedShare)
 	}
 	for range 100 {
 		now += 100 * ms
-		b.learnShedShare(now, 0)
+		b.updateShedShare(now, 0)
 	}
 	if b.shedShare != 0 {
 		t.Errorf("share rejected is still %.2f ten seconds after the overload", b.shedShare)
