--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"notchhinge/policy"
 )
 
-// router stands for the operator's own code, which carries the decisions out.
+// router implements policy.Actions; a real router executes the decisions.
 type router struct{ policy.Actions }
 
 func (router) Explain(policy.RequestID, policy.Reason) {}
@@ -28,8 +28,11 @@
 		fmt.Println(err)
 		return
 	}
-	now := policy.Time(0) // the router's own clock
-	b.ListUpdated(now, router{}, policy.List{Kind: policy.ListFull, Replicas: []policy.Replica{{ID: 7, Weight: 1}}})
+	now := policy.Time(0) // the router's clock
+	b.ListUpdated(now, router{}, policy.List{
+		Kind:     policy.ListFull,
+		Replicas: []policy.Replica{{ID: 7, Weight: 1}},
+	})
 	b.RequestArrived(now, router{}, policy.Request{ID: 1, Session: 99, Timeout: 5 * time.Second})
 	// Output: request 1 goes to replica 7
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -13,12 +13,12 @@
 	sec = time.Second
 )
 
-// recorder keeps what the balancer does, as lines, and what it sent last.
+// recorder is an Actions that records every call.
 type recorder struct {
-	why   Reason // of the latest action
-	lines []string
-	sends []send
-	wakes []wake
+	why    Reason // of the last action
+	lines  []string
+	sends  []send
+	timers []timerCall
 }
 
 type send struct {
@@ -27,7 +27,7 @@
 	timeout time.Duration
 }
 
-type wake struct {
+type timerCall struct {
 	after time.Duration
 	token uint64
 }
@@ -50,7 +50,7 @@
 func (r *recorder) Log(line string)                               {}
 func (r *recorder) SetTimer(after time.Duration, token uint64) {
 	r.add("wake %v %d", after, token)
-	r.wakes = append(r.wakes, wake{after, token})
+	r.timers = append(r.timers, timerCall{after, token})
 }
 
 func (r *recorder) count(prefix string) int {
@@ -63,7 +63,7 @@
 	return n
 }
 
-func settings() Settings {
+func testSettings() Settings {
 	return Settings{
 		Routers: 4, Zones: 2, WeightMeaning: WeightSize,
 		Classes: []Class{
@@ -84,8 +84,8 @@
 	}
 }
 
-// fleetOf lists n ready replicas, numbered from 1, all in zone 0 but for every third.
-func fleetOf(n int) []Replica {
+// newFleet lists n ready replicas, numbered from 1. Every third one is in zone 1, the others in zone 0.
+func newFleet(n int) []Replica {
 	var l []Replica
 	for i := 1; i <= n; i++ {
 		zone := 0
@@ -122,26 +122,26 @@
 	return r.sends[len(r.sends)-1]
 }
 
-// ends counts the final answers that the balancer gave to a request.
-func (r *recorder) ends(id RequestID) int {
+// finalResponses returns how often the balancer rejected or failed a request.
+func (r *recorder) finalResponses(id RequestID) int {
 	return r.count(fmt.Sprintf("reject %d", id)) + r.count(fmt.Sprintf("fail %d", id))
 }
 
 func TestSessionStaysWithItsReplica(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(9))
+	b, a := start(t, testSettings(), newFleet(9))
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	first := a.last(t).to
 	for i := range 20 {
 		now := t0 + Time(i)*sec
 		b.RequestArrived(now, a, req(RequestID(i+2), 0, 77))
 		if got := a.last(t).to; got != first {
-			t.Fatalf("turn %d went to %d, the session is assigned to %d", i, got, first)
+			t.Fatalf("turn %d went to %d, want %d as before", i, got, first)
 		}
 	}
 }
 
 func TestNewSessionsAreSpread(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(8))
+	b, a := start(t, testSettings(), newFleet(8))
 	seen := map[ReplicaID]int{}
 	for i := range 800 {
 		b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)*7919))
@@ -155,7 +155,7 @@
 }
 
 func TestFailedConnectionIsRetriedElsewhereAndTheSessionMoves(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(9))
+	b, a := start(t, testSettings(), newFleet(9))
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	first := a.last(t).to
 	b.AttemptFinished(t0+10*ms, a, Outcome{ID: 1, Attempt: 0, Replica: first, Result: ResultConnectFailed})
@@ -165,15 +165,15 @@
 	}
 	b.RequestArrived(t0+20*ms, a, req(2, 0, 77))
 	if got := a.last(t).to; got != second {
-		t.Errorf("the session's next turn went to %d, it was served last by %d", got, second)
+		t.Errorf("the session's next turn went to %d, want %d as in the last attempt", got, second)
 	}
 }
 
-func TestOneFinalAnswerOnEveryPath(t *testing.T) {
+func TestEveryRequestGetsOneFinalResponse(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		run  func(b *Balancer, a *recorder)
-		own  int // final answers that the balancer must give itself
+		own  int // final responses expected from the balancer
 	}{
 		{"times out at the deadline", func(b *Balancer, a *recorder) {
 			b.RequestArrived(t0, a, req(1, 0, 7))
@@ -182,22 +182,26 @@
 		{"served", func(b *Balancer, a *recorder) {
 			b.RequestArrived(t0, a, req(1, 0, 7))
 			b.ResponseStarted(t0+sec, a, ResponseStarted{ID: 1, Replica: a.sends[0].to})
-			b.AttemptFinished(t0+2*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultOK, RequestEnded: true})
+			b.AttemptFinished(t0+2*sec, a,
+				Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultOK, RequestEnded: true})
 		}, 0},
 		{"the stream breaks", func(b *Balancer, a *recorder) {
 			b.RequestArrived(t0, a, req(1, 0, 7))
 			b.ResponseStarted(t0+sec, a, ResponseStarted{ID: 1, Replica: a.sends[0].to})
-			b.AttemptFinished(t0+2*sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultReset, RequestEnded: true})
+			b.AttemptFinished(t0+2*sec, a,
+				Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultReset, RequestEnded: true})
 		}, 0},
 		{"the client leaves", func(b *Balancer, a *recorder) {
 			b.RequestArrived(t0, a, req(1, 0, 7))
 			b.ClientDisconnected(t0+sec, a, 1)
-			b.AttemptFinished(t0+sec, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultCancelled, RequestEnded: true})
+			b.AttemptFinished(t0+sec, a,
+				Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultCancelled, RequestEnded: true})
 		}, 0},
 		{"all attempts are used", func(b *Balancer, a *recorder) {
 			b.RequestArrived(t0, a, req(1, 0, 7))
 			for i := range 3 {
-				b.AttemptFinished(t0+Time(i)*ms, a, Outcome{ID: 1, Attempt: i, Replica: a.sends[i].to, Result: ResultFull})
+				b.AttemptFinished(t0+Time(i)*ms, a,
+					Outcome{ID: 1, Attempt: i, Replica: a.sends[i].to, Result: ResultFull})
 			}
 		}, 1},
 		{"expires on arrival", func(b *Balancer, a *recorder) {
@@ -208,33 +212,33 @@
 		}, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, a := start(t, settings(), fleetOf(9))
+			b, a := start(t, testSettings(), newFleet(9))
 			tc.run(b, a)
-			if got := a.ends(1); got != tc.own {
-				t.Errorf("%d final answers, want %d: %q", got, tc.own, a.lines)
+			if got := a.finalResponses(1); got != tc.own {
+				t.Errorf("%d final responses, want %d: %q", got, tc.own, a.lines)
 			}
 			if len(b.requests) != 0 {
-				t.Errorf("the request is still held: %+v", b.requests[1])
+				t.Errorf("the request was not removed: %+v", b.requests[1])
 			}
 			n := len(a.sends)
 			b.AttemptFinished(t0+6*sec, a, Outcome{ID: 1, Replica: 1, Result: ResultError})
 			b.ClientDisconnected(t0+6*sec, a, 1)
-			if len(a.sends) != n || a.ends(1) != tc.own {
-				t.Errorf("late events moved a finished request: %q", a.lines)
+			if len(a.sends) != n || a.finalResponses(1) != tc.own {
+				t.Errorf("late events changed a finished request: %q", a.lines)
 			}
 		})
 	}
 }
 
-func TestNoReplicaAtAll(t *testing.T) {
-	b, a := start(t, settings(), nil)
+func TestRequestIsRejectedWithoutReplicas(t *testing.T) {
+	b, a := start(t, testSettings(), nil)
 	b.RequestArrived(t0, a, req(1, 1, 7))
 	if a.count("reject 1") != 1 || len(a.sends) != 0 {
 		t.Errorf("got %q, want one rejection", a.lines)
 	}
 }
 
-func TestUnsafeRequestsAreSentAgainOnlyAfterProof(t *testing.T) {
+func TestUnsafeRequestIsRetriedOnlyIfItHasNotRun(t *testing.T) {
 	for _, tc := range []struct {
 		result Result
 		sends  int
@@ -246,7 +250,7 @@
 		{ResultReset, 1, "fail 1"},
 		{ResultTimedOut, 1, "fail 1"},
 	} {
-		b, a := start(t, settings(), fleetOf(9))
+		b, a := start(t, testSettings(), newFleet(9))
 		b.RequestArrived(t0, a, req(1, 1, 7))
 		b.AttemptFinished(t0+ms, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: tc.result})
 		if len(a.sends) != tc.sends || tc.end != "" && a.count(tc.end) != 1 {
@@ -255,13 +259,13 @@
 	}
 }
 
-func TestKeyedRequestsStayInTheirGroupAndWindow(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(12))
+func TestKeyedRequestIsRetriedInItsGroupAndWindowOnly(t *testing.T) {
+	b, a := start(t, testSettings(), newFleet(12))
 	b.RequestArrived(t0, a, req(1, 2, 7))
 	zone := func(id ReplicaID) int { return b.fleet.byID[id].Zone }
 	b.AttemptFinished(t0+ms, a, Outcome{ID: 1, Replica: a.sends[0].to, Result: ResultError})
 	if len(a.sends) != 2 || zone(a.sends[0].to) != zone(a.sends[1].to) {
-		t.Fatalf("sends %v: want a repeat in the same zone", a.sends)
+		t.Fatalf("sends %v: want a retry in the same zone", a.sends)
 	}
 	b.AttemptFinished(t0+2*sec, a, Outcome{ID: 1, Attempt: 1, Replica: a.sends[1].to, Result: ResultError})
 	if len(a.sends) != 2 || a.count("fail 1") != 1 {
@@ -269,40 +273,40 @@
 	}
 }
 
-func TestDrainingReplicaKeepsItsSessionsForTheGraceOnly(t *testing.T) {
-	fleet := fleetOf(9)
-	b, a := start(t, settings(), fleet)
+func TestDrainingReplicaKeepsItsSessionsForTheGracePeriodOnly(t *testing.T) {
+	fleet := newFleet(9)
+	b, a := start(t, testSettings(), fleet)
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	to := a.last(t).to
 	drained := fleet[to-1]
 	drained.State = StateDraining
-	// The watch fails meanwhile: the last list stays in force.
+	// A failed call to discovery does not change the list.
 	b.ListUpdated(t0+sec, a, List{Kind: ListDelta, Replicas: []Replica{drained}})
 	b.ListUpdated(t0+sec, a, List{Kind: ListFailed})
 	b.RequestArrived(t0+sec+499*ms, a, req(2, 0, 77))
 	if got := a.last(t).to; got != to {
-		t.Errorf("within the grace the session went to %d, want %d", got, to)
+		t.Errorf("within the grace period the session went to %d, want %d", got, to)
 	}
-	// Told again: the first time counts.
+	// A repeated draining state does not extend the grace period.
 	b.ListUpdated(t0+sec+499*ms, a, List{Kind: ListDelta, Replicas: []Replica{drained}})
 	b.RequestArrived(t0+sec+501*ms, a, req(3, 0, 77))
 	if got := a.last(t).to; got == to {
-		t.Error("a draining replica was sent a request after the grace")
+		t.Error("a draining replica was sent a request after the grace period")
 	}
 	for i := range 300 {
 		b.RequestArrived(t0+sec, a, req(RequestID(10+i), 0, uint64(1000+i)))
 		if a.last(t).to == to {
-			t.Fatal("a new session was drawn to a draining replica")
+			t.Fatal("a new session was sent to a draining replica")
 		}
 	}
 }
 
 func TestGoneReplicaGetsNothing(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(9))
+	b, a := start(t, testSettings(), newFleet(9))
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	to := a.last(t).to
 	var rest []Replica
-	for _, e := range fleetOf(9) {
+	for _, e := range newFleet(9) {
 		if e.ID != to {
 			rest = append(rest, e)
 		}
@@ -314,10 +318,10 @@
 	}
 }
 
-// A restarted replica is sent its slow start share at most, with its known sessions counted.
+// A restarted replica gets at most its share in slow start, known sessions included.
 func TestReplicaInSlowStartGetsItsShareOfKnownAndNewSessions(t *testing.T) {
-	fleet := fleetOf(8)
-	b, a := start(t, settings(), fleet)
+	fleet := newFleet(8)
+	b, a := start(t, testSettings(), fleet)
 	const n = 4000
 	for i := range n {
 		b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
@@ -344,57 +348,57 @@
 	}
 	// At an age of 1 s of 20 the share is 0.24 of the usual traffic.
 	if usual := float64(warmCount); float64(got) > 0.32*usual || got == 0 {
-		t.Errorf("%d requests went to the replica in slow start, which usually takes %d", got, warmCount)
+		t.Errorf("%d requests went to the replica in slow start, %d before its restart", got, warmCount)
 	}
 }
 
 func TestWatchIsSpreadAndRetriedWithBackoff(t *testing.T) {
-	waits := map[time.Duration]bool{}
+	delays := map[time.Duration]bool{}
 	for seed := range uint64(50) {
-		b, err := New(settings(), seed)
+		b, err := New(testSettings(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		a := &recorder{}
-		b.ListUpdated(t0, a, List{Kind: ListCached, Replicas: fleetOf(3)})
-		if len(a.wakes) != 1 || a.count("watch") != 0 {
+		b.ListUpdated(t0, a, List{Kind: ListCached, Replicas: newFleet(3)})
+		if len(a.timers) != 1 || a.count("watch") != 0 {
 			t.Fatalf("at the start: %q", a.lines)
 		}
-		waits[a.wakes[0].after] = true
-		b.TimerFired(t0+a.wakes[0].after, a, a.wakes[0].token)
+		delays[a.timers[0].after] = true
+		b.TimerFired(t0+a.timers[0].after, a, a.timers[0].token)
 		b.ListUpdated(t0+sec, a, List{Kind: ListDelta})
-		if a.count("watch") != 1 || len(a.wakes) != 1 {
-			t.Fatalf("one watch and no polling wanted: %q", a.lines)
+		if a.count("watch") != 1 || len(a.timers) != 1 {
+			t.Fatalf("want one watch and no polling: %q", a.lines)
 		}
-		most := time.Duration(0)
+		longest := time.Duration(0)
 		for range 6 {
 			b.ListUpdated(t0+2*sec, a, List{Kind: ListFailed})
-			w := a.wakes[len(a.wakes)-1].after
-			if w > settings().WatchWithin {
-				t.Fatalf("a wait of %v outlasts WatchWithin", w)
+			delay := a.timers[len(a.timers)-1].after
+			if delay > testSettings().WatchWithin {
+				t.Fatalf("delay %v is longer than WatchWithin", delay)
 			}
-			most = max(most, w)
+			longest = max(longest, delay)
 		}
-		if most < 4*sec {
-			t.Errorf("the waits do not grow: %q", a.lines)
+		if longest < 4*sec {
+			t.Errorf("the delays do not grow: %q", a.lines)
 		}
 	}
-	if len(waits) < 40 {
-		t.Errorf("only %d different first waits over 50 routers", len(waits))
+	if len(delays) < 40 {
+		t.Errorf("only %d different first delays of 50 routers", len(delays))
 	}
 }
 
 func TestPushedListIsNotWatched(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.NeedsWatch = false
-	_, a := start(t, s, fleetOf(3))
+	_, a := start(t, s, newFleet(3))
 	if len(a.lines) != 0 {
 		t.Errorf("got %q", a.lines)
 	}
 }
 
 func TestSessionTableIsBoundedAndExpires(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(3))
+	b, a := start(t, testSettings(), newFleet(3))
 	for i := range maxSessions + 1000 {
 		b.sessions.assign(t0, uint64(i+1), b.fleet.byID[1])
 	}
@@ -402,7 +406,7 @@
 		t.Errorf("%d entries, want %d", n, maxSessions)
 	}
 	if b.sessions.find(t0, 1) != nil || b.sessions.find(t0, maxSessions+1000) == nil {
-		t.Error("the oldest entry should have left, the newest should be there")
+		t.Error("want the oldest entry evicted and the newest one present")
 	}
 	b.sessions.assign(t0+sessionIdle+sec, 5, b.fleet.byID[1])
 	if n := len(b.sessions.entries); n != 1 {
@@ -412,7 +416,7 @@
 }
 
 func TestUnknownEventsAreIgnored(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(3))
+	b, a := start(t, testSettings(), newFleet(3))
 	n := len(a.lines)
 	b.ResponseStarted(t0, a, ResponseStarted{ID: 9, Replica: 99})
 	b.AttemptFinished(t0, a, Outcome{ID: 9, Replica: 99, Attempt: -1})
@@ -424,7 +428,7 @@
 	}
 }
 
-func TestNewNamesTheSettingAtFault(t *testing.T) {
+func TestNewNamesTheInvalidSetting(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"Classes":            func(s *Settings) { s.Classes = nil },
 		"Limits.MaxAttempts": func(s *Settings) { s.Limits.MaxAttempts = 0 },
@@ -438,7 +442,7 @@
 		"ReportColumns":      func(s *Settings) { s.ReportColumns = make([]string, 5) },
 		"keyed":              func(s *Settings) { s.Classes[2].Deadline = 0 },
 	} {
-		s := settings()
+		s := testSettings()
 		change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s out of range: error %v", name, err)
@@ -446,41 +450,41 @@
 	}
 }
 
-func TestRoutersDrawAlikeForOneSession(t *testing.T) {
+func TestRoutersSelectTheSameReplicaForASession(t *testing.T) {
 	counts := map[ReplicaID]int{}
 	for session := uint64(1); session <= 3000; session++ {
-		b1, err1 := New(settings(), 1)
-		b2, err2 := New(settings(), 2)
+		b1, err1 := New(testSettings(), 1)
+		b2, err2 := New(testSettings(), 2)
 		if err1 != nil || err2 != nil {
 			t.Fatal(err1, err2)
 		}
 		a1, a2 := &recorder{}, &recorder{}
-		fleet := fleetOf(2)
+		fleet := newFleet(2)
 		fleet[1].Weight = 3
 		b1.ListUpdated(t0, a1, List{Kind: ListCached, Replicas: fleet})
 		b2.ListUpdated(t0, a2, List{Kind: ListCached, Replicas: fleet})
 		b1.RequestArrived(t0, a1, req(1, 0, session))
 		b2.RequestArrived(t0, a2, req(1, 0, session))
 		if a1.last(t).to != a2.last(t).to {
-			t.Fatalf("session %d was drawn to %d and to %d", session, a1.last(t).to, a2.last(t).to)
+			t.Fatalf("session %d was sent to %d and to %d", session, a1.last(t).to, a2.last(t).to)
 		}
 		counts[a1.last(t).to]++
 	}
 	if share := float64(counts[2]) / 3000; share < 0.7 || share > 0.8 {
-		t.Errorf("a replica of weight 3 beside one of 1 got %.2f of the sessions", share)
+		t.Errorf("a replica of weight 3 got %.2f of the sessions beside one of weight 1, want 0.75", share)
 	}
 }
 
-func TestReportsShiftTheDrawAndExpire(t *testing.T) {
-	s := settings()
+func TestReportsShiftTheSelectionAndExpire(t *testing.T) {
+	s := testSettings()
 	s.ReportColumns = []string{"eps", "util"}
-	share := func(now Time, coldSince Time) float64 {
-		b, a := start(t, s, fleetOf(2))
+	share := func(now Time, startingUntil Time) float64 {
+		b, a := start(t, s, newFleet(2))
 		for range 40 { // replica 1 is busy, replica 2 nearly idle
 			b.AttemptFinished(t0, a, Outcome{ID: 1e9, Replica: 1, Report: Report{N: 2, Values: [4]float64{0, 0.9}}})
 			b.AttemptFinished(t0, a, Outcome{ID: 1e9, Replica: 2, Report: Report{N: 2, Values: [4]float64{9, 0.1}}})
 		}
-		b.fleet.byID[2].slowStartUntil = coldSince
+		b.fleet.byID[2].slowStartUntil = startingUntil
 		n := 0
 		for i := range 2000 {
 			b.RequestArrived(now, a, req(RequestID(i+1), 0, uint64(i+1)))
@@ -491,19 +495,19 @@
 		return float64(n) / 2000
 	}
 	if got := share(t0, 0); got < 0.75 {
-		t.Errorf("the idle replica drew %.2f of the sessions, the busy one the rest", got)
+		t.Errorf("the idle replica got %.2f of the sessions, want at least 0.75", got)
 	}
 	if got := share(t0+reportLifetime, 0); got < 0.45 || got > 0.55 {
-		t.Errorf("by a stale report the idle replica drew %.2f", got)
+		t.Errorf("with a stale report the idle replica got %.2f, want 0.5", got)
 	}
-	// A replica in slow start is idle because it is starting: it may only lose by its report.
-	if got := share(t0, t0+settings().SlowStart); got > 0.2 {
-		t.Errorf("a starting idle replica drew %.2f", got)
+	// In slow start, a report of low load must not raise a replica's weight.
+	if got := share(t0, t0+testSettings().SlowStart); got > 0.2 {
+		t.Errorf("an idle replica in slow start got %.2f", got)
 	}
 }
 
 func TestPopularPrefixesGetMoreReplicas(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(60))
+	b, a := start(t, testSettings(), newFleet(60))
 	used := map[uint64]map[ReplicaID]bool{1: {}, 2: {}}
 	for i := range 400 {
 		q := req(RequestID(i+1), 0, uint64(i+1)*31)
@@ -522,13 +526,13 @@
 		t.Errorf("a prefix of 5%% of the traffic used %d replicas, one of 50%% used %d", rare, popular)
 	}
 	if n := len(b.prefixes.count); n > 2*prefixWindow {
-		t.Errorf("%d prefixes are remembered", n)
+		t.Errorf("%d prefixes are counted", n)
 	}
 }
 
 func TestOwnZoneFirstAndASmallZoneSpills(t *testing.T) {
 	nearShare := func(replicas []Replica) float64 {
-		b, a := start(t, settings(), replicas)
+		b, a := start(t, testSettings(), replicas)
 		n := 0
 		for i := range 1000 {
 			b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)*31))
@@ -538,42 +542,44 @@
 		}
 		return float64(n) / 1000
 	}
-	if got := nearShare(fleetOf(9)); got != 1 {
-		t.Errorf("%.2f stayed in a zone that holds two thirds of the fleet", got)
+	if got := nearShare(newFleet(9)); got != 1 {
+		t.Errorf("%.2f stayed in a zone with two thirds of the fleet, want 1", got)
 	}
-	small := fleetOf(10)
+	small := newFleet(10)
 	for i := range small {
 		small[i].Zone = 1
 	}
 	small[0].Zone = 0
-	// A tenth of the fleet for half of the clients: it keeps a fifth, and its part of what spills.
+	// The zone has a tenth of the fleet for half of the clients: it keeps a fifth and its part of the rest.
 	if got := nearShare(small); got < 0.1 || got > 0.35 {
-		t.Errorf("%.2f stayed in a zone that holds a tenth of the fleet", got)
+		t.Errorf("%.2f stayed in a zone with a tenth of the fleet, want about 0.2", got)
 	}
 }
 
 func TestLatenessInTheZoneSpills(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(9))
+	b, a := start(t, testSettings(), newFleet(9))
 	for i := range 20 {
 		b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)*31))
-		b.ResponseStarted(t0+3*sec, a, ResponseStarted{ID: RequestID(i + 1), Replica: a.last(t).to, Elapsed: 3 * sec})
+		b.ResponseStarted(t0+3*sec, a,
+			ResponseStarted{ID: RequestID(i + 1), Replica: a.last(t).to, Elapsed: 3 * sec})
 	}
 	high := b.spillShare
 	if high < 0.5 {
-		t.Errorf("spilled share %.2f after late answers only", high)
+		t.Errorf("spilled share %.2f after only late responses", high)
 	}
 	for i := range 400 {
 		b.RequestArrived(t0, a, req(RequestID(i+100), 0, uint64(i+100)*31))
-		b.ResponseStarted(t0+9*ms, a, ResponseStarted{ID: RequestID(i + 100), Replica: a.last(t).to, Elapsed: 9 * ms})
+		b.ResponseStarted(t0+9*ms, a,
+			ResponseStarted{ID: RequestID(i + 100), Replica: a.last(t).to, Elapsed: 9 * ms})
 	}
 	if b.spillShare >= high && b.settings.CrossZonePrice > 0 {
-		t.Errorf("spilled share %.2f after prompt answers, %.2f before", b.spillShare, high)
+		t.Errorf("spilled share %.2f after prompt responses, %.2f before", b.spillShare, high)
 	}
 }
 
 func TestLatenessShedsNewSessionsBeforeKnownOnes(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(9))
-	b.RequestArrived(t0, a, req(1, 0, 4242)) // a session that is known before the trouble
+	b, a := start(t, testSettings(), newFleet(9))
+	b.RequestArrived(t0, a, req(1, 0, 4242)) // a known session
 	now := t0
 	for i := range 200 {
 		now += 100 * ms
@@ -582,22 +588,22 @@
 		b.ResponseStarted(now, a, ResponseStarted{ID: id, Replica: a.last(t).to, Elapsed: 2 * sec})
 	}
 	if b.shedShare != maxShedShare {
-		t.Fatalf("share rejected is %.2f after late answers only", b.shedShare)
+		t.Fatalf("share rejected is %.2f after only late responses", b.shedShare)
 	}
 	n := a.count("reject")
 	b.RequestArrived(now, a, req(900, 0, 4242))
 	if a.count("reject") != n {
-		t.Error("a session with kept prompts was rejected")
+		t.Error("a known session was rejected")
 	}
 	rejected := 0
 	for i := range 200 {
 		first, again := RequestID(1000+2*i), RequestID(1001+2*i)
 		b.RequestArrived(now, a, req(first, 0, uint64(i+7000)))
-		if a.ends(first) == 1 {
+		if a.finalResponses(first) == 1 {
 			rejected++
 			b.RequestArrived(now, a, req(again, 0, uint64(i+7000)))
 			if a.count(fmt.Sprintf("send %d ", again)) != 0 {
-				t.Error("a rejected session got in by trying again")
+				t.Error("a rejected session was admitted on its retry")
 			}
 		}
 	}
@@ -607,17 +613,17 @@
 }
 
 func TestHungReplicaIsEjectedUntilItAnswers(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(9))
+	b, a := start(t, testSettings(), newFleet(9))
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	hung := a.last(t).to
 	b.AttemptFinished(t0+5*sec, a, Outcome{ID: 1, Replica: hung, Result: ResultTimedOut, Elapsed: 5 * sec})
 	b.RequestArrived(t0+5*sec, a, req(2, 0, 77))
 	if a.last(t).to == hung {
-		t.Fatal("a session stayed with a replica that hangs")
+		t.Fatal("a session stayed with a hung replica")
 	}
-	// Its ejection over, one request tries it, and while that is out no other.
+	// After the ejection only one trial request is sent at a time.
 	now := t0 + 5*sec + minEjection
-	b.fleet.inFlight = 1000 // so that the bound on own attempts is out of the way
+	b.fleet.inFlight = 1000 // so that the load bound does not apply
 	a.sends = nil
 	for i := range 300 {
 		b.RequestArrived(now, a, req(RequestID(10+i), 0, uint64(500+i)))
@@ -629,24 +635,24 @@
 		}
 	}
 	if tried != 1 {
-		t.Errorf("%d requests tried a replica whose ejection had lapsed, want 1", tried)
+		t.Errorf("%d trial requests after the ejection, want 1", tried)
 	}
 	b.ResponseStarted(now+ms, a, ResponseStarted{ID: 1, Replica: hung, Elapsed: 2 * sec})
 	if !b.isUsable(now+ms, b.fleet.byID[hung], b.requests[2], purposeNewSession) {
-		t.Error("an answer did not clear the ejection")
+		t.Error("a response did not clear the ejection")
 	}
 }
 
 func TestStaleConnectionDoesNotEjectItsReplica(t *testing.T) {
-	// A replica may close connections that it keeps at any time: that closes no replica, drives no session away
-	// from its cached prompt, and uses up none of what is saved for a crash.
-	b, a := start(t, settings(), fleetOf(1))
+	// A replica may close an idle connection at any time. That must neither eject the replica, move its
+	// sessions, nor use the retry budget.
+	b, a := start(t, testSettings(), newFleet(1))
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	saved := b.retryBudget
 	b.AttemptFinished(t0+ms, a, Outcome{ID: 1, Replica: 1, Result: ResultReset, StaleConnection: true})
 	if len(a.sends) != 2 || b.fleet.byID[1].duration != 0 || b.retryBudget != saved {
 		ejection := b.fleet.byID[1].duration
-		t.Errorf("%d sends, ejection %v, %v of %v saved", len(a.sends), ejection, b.retryBudget, saved)
+		t.Errorf("%d sends, ejection %v, retry budget %v, want %v", len(a.sends), ejection, b.retryBudget, saved)
 	}
 	b.AttemptFinished(t0+2*ms, a, Outcome{ID: 1, Attempt: 1, Replica: 1, Result: ResultReset})
 	if len(a.sends) != 2 || b.fleet.byID[1].duration == 0 {
@@ -654,51 +660,52 @@
 	}
 }
 
-func TestHungReplicaShedsNobody(t *testing.T) {
-	// Time-outs at a replica that hangs are no overload: shedding new sessions would not help the ones it holds.
-	for name, answers := range map[string]bool{"hung": false, "overloaded": true} {
-		b, a := start(t, settings(), fleetOf(1))
+func TestHungReplicaDoesNotCauseShedding(t *testing.T) {
+	// Timeouts at a hung replica are no overload: shedding new sessions would not help its requests.
+	for name, isResponsive := range map[string]bool{"hung": false, "overloaded": true} {
+		b, a := start(t, testSettings(), newFleet(1))
 		for i := range 40 {
 			b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
 		}
 		for i := range 40 {
 			now := t0 + 5*sec + Time(i)*sec/4
-			if answers {
+			if isResponsive {
 				b.fleet.recordResponse(now-ms, 1)
 			}
-			b.AttemptFinished(now, a, Outcome{ID: RequestID(i + 1), Replica: 1, Result: ResultTimedOut, Elapsed: now - t0})
+			b.AttemptFinished(now, a,
+				Outcome{ID: RequestID(i + 1), Replica: 1, Result: ResultTimedOut, Elapsed: now - t0})
 		}
-		if rejects := b.shedShare > 0; rejects != answers {
-			t.Errorf("%s: new sessions are rejected: %v", name, rejects)
+		if isShedding := b.shedShare > 0; isShedding != isResponsive {
+			t.Errorf("%s: shedding is %v", name, isShedding)
 		}
 	}
 }
 
-func TestRejectionsOfReplicasShedNobody(t *testing.T) {
-	// A replica that drains turns all away while others have room: that is no overload; the request goes on.
-	b, a := start(t, settings(), fleetOf(9))
+func TestRejectionsByReplicasDoNotCauseShedding(t *testing.T) {
+	// A replica that rejects requests while others have capacity is no overload: the requests are retried.
+	b, a := start(t, testSettings(), newFleet(9))
 	for i := range 40 {
 		now, id := t0+Time(i)*sec/4, RequestID(i+1)
 		b.RequestArrived(now, a, req(id, 0, uint64(id)))
 		b.AttemptFinished(now, a, Outcome{ID: id, Replica: a.last(t).to, Result: ResultFull})
 	}
 	if b.shedShare > 0 || len(a.sends) < 80 {
-		t.Errorf("%v of the new sessions are rejected, %d sends", b.shedShare, len(a.sends))
+		t.Errorf("share rejected is %v, %d sends", b.shedShare, len(a.sends))
 	}
 }
 
-func TestTimeOutAtAnAnsweringReplicaEjectsNothing(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(1))
+func TestTimeoutDoesNotEjectAResponsiveReplica(t *testing.T) {
+	b, a := start(t, testSettings(), newFleet(1))
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	b.ResponseStarted(t0+2*ms, a, ResponseStarted{ID: 2, Replica: 1, Elapsed: ms})
 	b.AttemptFinished(t0+5*sec, a, Outcome{ID: 1, Replica: 1, Result: ResultTimedOut, Elapsed: 5 * sec})
 	if to := b.fleet.byID[1]; to.duration != 0 {
-		t.Error("a replica that answers others was ejected for one heavy request")
+		t.Error("a responsive replica was ejected after one slow request")
 	}
 }
 
 func TestNeverTooMuchOfTheFleetIsEjected(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(10))
+	b, a := start(t, testSettings(), newFleet(10))
 	for _, to := range b.fleet.all.replicas {
 		b.eject(t0, a, to, "test")
 	}
@@ -713,12 +720,12 @@
 	}
 }
 
-// Full replicas beside it, a popular prefix and its pins must not push a replica in slow start over.
+// Neither full replicas nor a popular prefix must overload a replica in slow start.
 func TestSlowStartBudgetHoldsWhateverTheLoad(t *testing.T) {
-	fleet := fleetOf(10)
+	fleet := newFleet(10)
 	total, routers := 0, 40
 	for g := range routers {
-		b, err := New(settings(), uint64(g))
+		b, err := New(testSettings(), uint64(g))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -728,7 +735,7 @@
 		restarted.ReadyAt = t0
 		b.ListUpdated(t0, a, List{Kind: ListDelta, Replicas: []Replica{restarted}})
 		for _, to := range b.fleet.all.replicas[1:] {
-			to.fullUntil = t0 + sec // all others turn requests away
+			to.fullUntil = t0 + sec // all others reject requests
 		}
 		for i := range 10 {
 			q := req(RequestID(i+1), 0, uint64(g*1000+i+1))
@@ -739,39 +746,39 @@
 			}
 		}
 	}
-	// 400 requests: an even share is 40, of which a replica in slow start may have SlowStartInitial.
-	if most := 40 * settings().SlowStartInitial; float64(total) > 1.5*most || total == 0 {
+	// The even share of 400 requests is 40. In slow start a replica gets SlowStartInitial of that.
+	if most := 40 * testSettings().SlowStartInitial; float64(total) > 1.5*most || total == 0 {
 		t.Errorf("%d requests went to the replica in slow start, want about %.0f at most", total, most)
 	}
 }
 
-func TestFullReplicaIsNotAskedAgainAtOnce(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(9))
+func TestFullReplicaGetsNoRequestForAWhile(t *testing.T) {
+	b, a := start(t, testSettings(), newFleet(9))
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	full := a.last(t).to
 	b.AttemptFinished(t0+ms, a, Outcome{ID: 1, Replica: full, Result: ResultFull})
 	for i := range 50 {
 		b.RequestArrived(t0+2*ms, a, req(RequestID(10+i), 0, uint64(i+1)))
 		if a.last(t).to == full {
-			t.Fatal("a replica that was full a moment ago was asked again while others were free")
+			t.Fatal("a full replica was sent a request again while others were free")
 		}
 	}
 }
 
 func TestLiveWeightsAreSmoothed(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.WeightMeaning = WeightLive
-	b, a := start(t, s, fleetOf(9))
+	b, a := start(t, s, newFleet(9))
 	before := map[uint64]ReplicaID{}
 	for i := range uint64(300) {
 		b.RequestArrived(t0, a, req(RequestID(i+1), 0, i+1))
 		before[i+1] = a.last(t).to
 	}
-	busy := fleetOf(9)
+	busy := newFleet(9)
 	for i := range busy {
-		busy[i].Weight = 1 / float64(1+i%3) // a burst: for a moment some hold three times as much
+		busy[i].Weight = 1 / float64(1+i%3) // a burst: some briefly have three times the load
 	}
-	c, _ := start(t, s, fleetOf(9))
+	c, _ := start(t, s, newFleet(9))
 	c.ListUpdated(t0, a, List{Kind: ListDelta, Replicas: busy})
 	moved := 0
 	for i := range uint64(300) {
@@ -781,12 +788,12 @@
 		}
 	}
 	if moved > 30 {
-		t.Errorf("%d of 300 sessions are drawn elsewhere after one list of other loads", moved)
+		t.Errorf("%d of 300 sessions moved after one list with other weights", moved)
 	}
 }
 
 func TestSheddingEndsSoonAfterTheOverload(t *testing.T) {
-	b, _ := start(t, settings(), fleetOf(9))
+	b, _ := start(t, testSettings(), newFleet(9))
 	now := t0
 	for range 100 {
 		now += 100 * ms
@@ -805,7 +812,7 @@
 }
 
 func TestZoneThatIsCutOffIsEjectedAsAWhole(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(30))
+	b, a := start(t, testSettings(), newFleet(30))
 	zone0 := b.fleet.sameZone.replicas
 	for i := range zoneFailureLimit {
 		b.eject(t0, a, zone0[i], "test")
@@ -813,21 +820,21 @@
 	for i := range 10 {
 		b.RequestArrived(t0+ms, a, req(RequestID(i+1), 0, uint64(i+1)))
 		if to := b.fleet.byID[a.last(t).to]; to.Zone == 0 {
-			t.Fatalf("sent to replica %d of a zone in which %d failed in a row", to.ID, zoneFailureLimit)
+			t.Fatalf("sent to replica %d of a zone with %d consecutive failures", to.ID, zoneFailureLimit)
 		}
 	}
 	b.ResponseStarted(t0+2*ms, a, ResponseStarted{ID: 1, Replica: zone0[9].ID})
 	if !b.isUsable(t0+2*ms, zone0[9], b.requests[1], purposeNewSession) {
-		t.Error("an answer from the zone did not open it")
+		t.Error("a response from the zone did not end its ejection")
 	}
 }
 
 func TestOnlyZoneIsNeverEjected(t *testing.T) {
-	// That would close the whole fleet: every session would be sent as a last resort, which asks for no
-	// ejections, and so to the very replicas that fail.
-	s := settings()
+	// Its ejection would eject the whole fleet. Every request would then be sent as a last resort, which ignores
+	// ejections, and could go to a failed replica.
+	s := testSettings()
 	s.Zones = 1
-	fleet := fleetOf(30)
+	fleet := newFleet(30)
 	for i := range fleet {
 		fleet[i].Zone = 0
 	}
@@ -838,52 +845,52 @@
 	for i := range 200 {
 		b.RequestArrived(t0+ms, a, req(RequestID(i+1), 0, uint64(i+1)))
 		if to := b.fleet.byID[a.last(t).to]; to.duration > 0 {
-			t.Fatalf("sent to replica %d, which is closed", to.ID)
+			t.Fatalf("sent to replica %d, which is ejected", to.ID)
 		}
 	}
 }
 
 func TestTrafficBeyondAShareIsRejectedFirst(t *testing.T) {
-	x := tenants{share: []float64{0.5, 0.5}, count: []float64{0, 0}}
+	counts := tenants{share: []float64{0.5, 0.5}, count: []float64{0, 0}}
 	for i := range 60 {
-		x.countRequest(i % 3 / 2) // tenant 0 sends two thirds
+		counts.countRequest(i % 3 / 2) // two thirds from tenant 0
 	}
-	if got := x.rejectShare(1, 0.1); got != 0 {
-		t.Errorf("a tenant within its share is rejected %.2f", got)
+	if got := counts.rejectShare(1, 0.1); got != 0 {
+		t.Errorf("share rejected of a tenant within its share is %.2f, want 0", got)
 	}
-	if got := x.rejectShare(0, 0.1); got < 0.14 || got > 0.16 {
-		t.Errorf("the tenant beyond its share is rejected %.2f, want 0.15 for a tenth of all", got)
+	if got := counts.rejectShare(0, 0.1); got < 0.14 || got > 0.16 {
+		t.Errorf("share rejected of the tenant beyond its share is %.2f, want 0.15 for a tenth of all", got)
 	}
-	a, b := x.rejectShare(0, 0.5), x.rejectShare(1, 0.5)
-	if b <= 0 || a <= b || 2*a/3+b/3 < 0.49 || 2*a/3+b/3 > 0.51 {
-		t.Errorf("of half of all, %.2f and %.2f are rejected", a, b)
+	first, second := counts.rejectShare(0, 0.5), counts.rejectShare(1, 0.5)
+	if second <= 0 || first <= second || 2*first/3+second/3 < 0.49 || 2*first/3+second/3 > 0.51 {
+		t.Errorf("shares rejected for half of all are %.2f and %.2f", first, second)
 	}
-	if got := x.rejectShare(7, 0.3); got != 0.3 {
-		t.Errorf("a request without a tenant is rejected %.2f", got)
+	if got := counts.rejectShare(7, 0.3); got != 0.3 {
+		t.Errorf("share rejected of a request without a tenant is %.2f, want 0.3", got)
 	}
 }
 
 func TestSheddingSpillsWhereNothingIsReported(t *testing.T) {
 	for _, columns := range [][]string{nil, {"util"}} {
-		s := settings()
+		s := testSettings()
 		s.ReportColumns = columns
-		b, a := start(t, s, fleetOf(9))
+		b, a := start(t, s, newFleet(9))
 		b.shedShare = 0.3
-		far := 0
+		otherZone := 0
 		for i := range 1000 {
 			b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)*31))
 			if b.fleet.byID[a.last(t).to].Zone != 0 {
-				far++
+				otherZone++
 			}
 		}
-		if blind := columns == nil; blind != (far > 100) {
-			t.Errorf("with report columns %v, %d of 1000 went to the other zone", columns, far)
+		if noReports := columns == nil; noReports != (otherZone > 100) {
+			t.Errorf("with report columns %v, %d of 1000 went to the other zone", columns, otherZone)
 		}
 	}
 }
 
 func TestFastErrorsEjectAReplica(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(9))
+	b, a := start(t, testSettings(), newFleet(9))
 	b.AttemptFinished(t0, a, Outcome{ID: 900, Replica: 1, Result: ResultError, Elapsed: ms})
 	if b.fleet.byID[1].duration != 0 {
 		t.Fatal("one error ejected a replica")
@@ -892,19 +899,19 @@
 	for i := range 100 {
 		b.RequestArrived(t0+sec, a, req(RequestID(i+1), 0, uint64(i+1)))
 		if a.last(t).to == 1 {
-			t.Fatal("a replica that answers errors was sent a new session")
+			t.Fatal("a replica that returns errors was sent a new session")
 		}
 	}
 	b.AttemptFinished(t0+2*sec, a, Outcome{ID: 902, Replica: 1, Result: ResultOK, Elapsed: ms})
 	if b.fleet.byID[1].duration != 0 {
-		t.Error("an answer did not clear the ejection")
+		t.Error("a response did not clear the ejection")
 	}
 }
 
-// A list that flaps must not lose requests or leave a replica's counts wrong.
+// A flapping list must not lose requests or corrupt a replica's counters.
 func TestReplicaThatLeavesTheListAndReturns(t *testing.T) {
-	fleet := fleetOf(9)
-	b, a := start(t, settings(), fleet)
+	fleet := newFleet(9)
+	b, a := start(t, testSettings(), fleet)
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	to := a.last(t).to
 	var rest []Replica
@@ -918,27 +925,27 @@
 		b.ListUpdated(now, a, List{Kind: ListFull, Replicas: rest})
 		b.RequestArrived(now, a, req(RequestID(10+2*i), 0, 77))
 		if a.last(t).to == to {
-			t.Fatal("sent to a replica that has left the list")
+			t.Fatal("sent to a replica that is not listed")
 		}
 		b.ListUpdated(now, a, List{Kind: ListFull, Replicas: fleet})
 		b.RequestArrived(now, a, req(RequestID(11+2*i), 0, uint64(900+i)))
 	}
 	b.AttemptFinished(t0+6*sec, a, Outcome{ID: 1, Replica: to, Result: ResultOK, RequestEnded: true})
 	if b.requests[1] != nil {
-		t.Error("the request that was out at the flapping replica is still held")
+		t.Error("the request in flight at the flapping replica was not removed")
 	}
 	if got := b.fleet.byID[to].inFlight; got < 0 {
-		t.Errorf("the replica that returned counts %d attempts out", got)
+		t.Errorf("the replica that returned has %d attempts in flight", got)
 	}
 }
 
 func TestClockJumpForward(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(9))
+	b, a := start(t, testSettings(), newFleet(9))
 	b.RequestArrived(t0, a, req(1, 0, 77))
 	later := t0 + 30*24*time.Hour
 	b.AttemptFinished(later, a, Outcome{ID: 1, Replica: a.last(t).to, Result: ResultError, Elapsed: sec})
-	if len(a.sends) != 1 || a.ends(1) != 1 {
-		t.Errorf("after its deadline a request got %q", a.lines)
+	if len(a.sends) != 1 || a.finalResponses(1) != 1 {
+		t.Errorf("after the deadline: %q, want one final response", a.lines)
 	}
 	b.RequestArrived(later, a, req(2, 0, 77))
 	if len(a.sends) != 2 || len(b.sessions.entries) != 1 {
@@ -950,9 +957,9 @@
 }
 
 func TestReportsThatAreNotNumbersAreIgnored(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.ReportColumns = []string{"util", "x0"}
-	b, a := start(t, s, fleetOf(9))
+	b, a := start(t, s, newFleet(9))
 	for _, v := range []float64{math.NaN(), math.Inf(1), -1} {
 		b.AttemptFinished(t0, a, Outcome{ID: 900, Replica: 1, Report: Report{N: 2, Values: [4]float64{v, 0.5}}})
 	}
@@ -960,38 +967,38 @@
 		b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
 	}
 	if to := b.fleet.byID[1]; len(a.sends) != 50 || to.load != to.load || to.backlog != to.backlog {
-		t.Errorf("%d of 50 requests were sent, the load is %v and %v", len(a.sends), to.load, to.backlog)
+		t.Errorf("%d of 50 requests were sent, load %v, backlog %v", len(a.sends), to.load, to.backlog)
 	}
 }
 
 func TestLoadBoundIsTighterWhereNoWeightsAreListed(t *testing.T) {
-	most := func(w WeightMeaning) int {
-		s := settings()
+	maxAttempts := func(w WeightMeaning) int {
+		s := testSettings()
 		s.WeightMeaning = w
-		b, a := start(t, s, fleetOf(8))
+		b, a := start(t, s, newFleet(8))
 		counts := map[ReplicaID]int{}
 		for i := range 240 {
 			b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
 			counts[a.last(t).to]++
 		}
-		high := 0
+		highest := 0
 		for _, n := range counts {
-			high = max(high, n)
+			highest = max(highest, n)
 		}
-		return high
+		return highest
 	}
-	// 240 attempts at 8 replicas: at most the mean of 30, and one.
-	if sized, unsized := most(WeightSize), most(WeightUnused); unsized > 31 || unsized >= sized {
-		t.Errorf("of 240 attempts out, one of 8 replicas holds %d with sizes listed, %d without", sized, unsized)
+	// The mean of 240 attempts at 8 replicas is 30; the bound without sizes is the mean and one.
+	if sized, unsized := maxAttempts(WeightSize), maxAttempts(WeightUnused); unsized > 31 || unsized >= sized {
+		t.Errorf("most attempts of a replica: %d with sizes listed, %d without, want at most 31", sized, unsized)
 	}
 }
 
 func TestLatenessOfAnswersWithoutAStream(t *testing.T) {
-	b, a := start(t, settings(), fleetOf(9))
+	b, a := start(t, testSettings(), newFleet(9))
 	for i := range 30 {
 		id := RequestID(i + 1)
 		b.RequestArrived(t0+Time(i)*sec, a, req(id, 1, 0))
-		if a.ends(id) == 0 {
+		if a.finalResponses(id) == 0 {
 			b.AttemptFinished(t0+Time(i)*sec, a, Outcome{
 				ID: id, Replica: a.last(t).to,
 				Result: ResultOK, Elapsed: 4 * sec, RequestEnded: true,
@@ -999,61 +1006,60 @@
 		}
 	}
 	if b.shedShare == 0 {
-		t.Error("late answers of a class that is not streamed went unnoticed")
+		t.Error("late responses of a class without streaming did not cause shedding")
 	}
 }
 
 func TestFullFleetDoesNotTryEjectedReplicas(t *testing.T) {
-	// Every replica that may be used is over the load bound: that is no reason to ignore the ejection of
-	// one that does not answer. Guards a deploy, where replicas in slow start keep the mean low.
-	s := settings()
+	// The ejection of a replica must hold even if all usable replicas are over the load bound. This happens in a
+	// deployment, when replicas in slow start keep the mean low.
+	s := testSettings()
 	s.WeightMeaning, s.SlowStart = WeightUnused, 100*sec
-	replicas := fleetOf(8)
+	replicas := newFleet(8)
 	for i := 2; i < len(replicas); i++ {
-		replicas[i].ReadyAt = t0 // starting: they take next to nothing
+		replicas[i].ReadyAt = t0 // in slow start: almost no traffic
 	}
 	b, a := start(t, s, replicas)
 	ejected := replicas[0].ID
 	b.eject(t0, a, b.fleet.byID[ejected], "no connection")
-	over := 0
+	overBound := 0
 	for i := range 40 {
 		b.RequestArrived(t0, a, req(RequestID(i+1), 0, uint64(i+1)))
 		if a.why == ReasonOverBound {
-			over++
+			overBound++
 		}
 		if a.last(t).to == ejected || a.why == ReasonLastResort {
-			t.Fatalf("request %d went to replica %d: %v, the ejected one is %d", i+1, a.last(t).to, a.why, ejected)
+			t.Fatalf("request %d went to replica %d (%v), the ejected one is %d", i+1, a.last(t).to, a.why, ejected)
 		}
 	}
-	if over == 0 {
-		t.Error("the bound was never reached")
+	if overBound == 0 {
+		t.Error("the load bound was never exceeded")
 	}
 }
 
-func TestClientThatLeftAtItsDeadlineCountsForItsReplicaOnly(t *testing.T) {
-	// Its time-out ejects a replica that answers nobody, but is no sign of overload: that rejected a third of
-	// the requests on a recorded incident.
-	s := settings()
+func TestDisconnectAtTheDeadlineEjectsButDoesNotShed(t *testing.T) {
+	// The timeout of a request whose client disconnected may eject its replica but must not cause shedding.
+	s := testSettings()
 	s.Classes[0].Effect = EffectSafe
-	b, a := start(t, s, fleetOf(4))
+	b, a := start(t, s, newFleet(4))
 	for i := range 200 {
 		id, at := RequestID(i+1), t0+time.Duration(i)*sec/10
 		b.RequestArrived(at, a, req(id, 0, uint64(i+1)))
 		to := a.last(t).to
-		b.ResponseStarted(at+sec, a, ResponseStarted{ID: 9999, Replica: to}) // it answers others
+		b.ResponseStarted(at+sec, a, ResponseStarted{ID: 9999, Replica: to}) // a response to another request
 		b.ClientDisconnected(at+5*sec, a, id)
-		end := Outcome{ID: id, Replica: to, Result: ResultTimedOut, Elapsed: 5 * sec, RequestEnded: true}
-		b.AttemptFinished(at+5*sec, a, end)
+		outcome := Outcome{ID: id, Replica: to, Result: ResultTimedOut, Elapsed: 5 * sec, RequestEnded: true}
+		b.AttemptFinished(at+5*sec, a, outcome)
 	}
 	if b.shedShare != 0 {
-		t.Errorf("a share of %v is rejected", b.shedShare)
+		t.Errorf("share rejected is %v, want 0", b.shedShare)
 	}
 	b.RequestArrived(t0+100*sec, a, req(1000, 0, 1000))
 	hung := a.last(t).to
 	b.ClientDisconnected(t0+105*sec, a, 1000)
-	end := Outcome{ID: 1000, Replica: hung, Result: ResultTimedOut, Elapsed: 5 * sec, RequestEnded: true}
-	b.AttemptFinished(t0+105*sec, a, end)
+	outcome := Outcome{ID: 1000, Replica: hung, Result: ResultTimedOut, Elapsed: 5 * sec, RequestEnded: true}
+	b.AttemptFinished(t0+105*sec, a, outcome)
 	if b.fleet.byID[hung].duration == 0 {
-		t.Error("a replica that answers nobody is not ejected")
+		t.Error("a replica without responses is not ejected")
 	}
 }
