--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter puts the decision module behind the platform simulator's wire format: batches of events on
-// standard input, one reply to each on standard output, until the input ends.
+// Command simadapter connects the decision module to the platform's simulator. It reads batches of events from standard input
+// and writes one reply to each to standard output, until the input ends.
 package main
 
 import (
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,5 @@
-// Command wirehost is the earlier name of simadapter, kept for one release: it says so on standard error and does the same.
+// Command wirehost is the deprecated name of simadapter, which remains for one release. It behaves like simadapter and prints a
+// deprecation notice to standard error.
 package main
 
 import (
@@ -9,7 +10,7 @@
 )
 
 func main() {
-	fmt.Fprintln(os.Stderr, "wirehost: deprecated, use simadapter, which does the same")
+	fmt.Fprintln(os.Stderr, "wirehost: this command is deprecated; use simadapter instead")
 	if err := simadapter.New().Run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -10,24 +10,24 @@
 	"notchhinge/policy"
 )
 
-// Adapter runs the balancers of many simulated instances. They share nothing but the process and the lists of endpoints.
+// Adapter runs the balancers of many simulated router instances, which share only the stored replica lists.
 type Adapter struct {
 	balancers      map[uint32]*policy.Balancer // by instance
-	lists          [maxLists][]policy.Replica  // by list number; nil = not given yet
+	lists          [maxLists][]policy.Replica  // by list number; nil = not received yet
 	reply          reply
-	current        uint32 // the instance that events belong to
+	current        uint32 // the instance selected for the next events
 	hasCurrent     bool
-	replySource    uint32 // the instance that the reply named last
+	replySource    uint32 // the instance selected last in the reply
 	hasReplySource bool
 }
 
-// The adapter is the policy.Actions of the current instance.
+// Adapter implements policy.Actions for the current instance.
 var _ policy.Actions = (*Adapter)(nil)
 
 // New returns an adapter without instances.
 func New() *Adapter { return &Adapter{balancers: map[uint32]*policy.Balancer{}} }
 
-// Run answers batches until the input ends, and then returns nil.
+// Run reads batches and writes a reply to each. It returns nil at the end of the input.
 func (a *Adapter) Run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
 	var buf []byte
@@ -52,7 +52,7 @@
 	}
 }
 
-// handleBatch carries out the events of a batch. The actions are left in the reply.
+// handleBatch handles the events of a batch and collects the resulting actions in a.reply.
 func (a *Adapter) handleBatch(b *batch) error {
 	a.reply.reset()
 	a.hasCurrent, a.hasReplySource = false, false
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// replyAsCurrent returns the reply, in which the next action belongs to the current instance.
+// replyAsCurrent returns the reply with the current instance selected for the next action.
 func (a *Adapter) replyAsCurrent() *reply {
 	if !a.hasReplySource || a.replySource != a.current {
 		a.reply.selectInstance(a.current)
@@ -79,7 +79,7 @@
 	a.replyAsCurrent().startAttempt(uint64(id), uint32(to), int32(clampMicros(timeout, 1<<31-1)))
 }
 
-// Explain implements policy.Actions. The format has no action for a reason.
+// Explain implements policy.Actions. It does nothing, because the format has no action for reasons.
 func (a *Adapter) Explain(policy.RequestID, policy.Reason) {}
 
 // Reject implements policy.Actions.
@@ -101,7 +101,7 @@
 // Watch implements policy.Actions.
 func (a *Adapter) Watch() { a.replyAsCurrent().setWatch(true) }
 
-// SetTimer implements policy.Actions. Delays are cut to 71 minutes, near the most that the field holds.
+// SetTimer implements policy.Actions. Delays are limited to 71 minutes, because the field has 32 bits of microseconds.
 func (a *Adapter) SetTimer(after time.Duration, token uint64) {
 	const maxDelayMicros = 71 * 60 * 1000000
 	a.replyAsCurrent().setTimer(uint32(clampMicros(after, maxDelayMicros)), token)
@@ -112,7 +112,8 @@
 
 func duration(us uint64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// clampMicros returns a duration in microseconds between 0 and maximum. It rounds up, so that no positive one becomes 0.
+// clampMicros converts a duration to microseconds between 0 and maximum. It rounds up, so that a positive duration does not
+// become 0.
 func clampMicros(d time.Duration, maximum int64) int64 {
 	return max(0, min(int64((d+time.Microsecond-1)/time.Microsecond), maximum))
 }
--- a/internal/simadapter/doc.go
+++ b/internal/simadapter/doc.go
@@ -1,16 +1,15 @@
-// Package simadapter puts the decision module, package policy, behind the platform simulator's wire format: batches of
-// events in, one reply of actions to each out. It decides nothing itself.
+// Package simadapter connects the decision module, package policy, to the platform's simulator. It reads batches of events in
+// the simulator's wire format and writes one reply with actions to each batch. It makes no decisions.
 //
-// It owns the encoding of batches (frame.go) and replies (reply.go), the decoding of events into calls of policy.Balancer
-// (event.go), the balancers of all simulated instances (adapter.go), and the decoding of the settings object (settings.go),
-// which package platformconfig shares.
+// Batches are decoded in frame.go, events in event.go and the settings object in settings.go, which package platformconfig
+// also uses. Replies are encoded in reply.go. The balancers of all simulated instances are in adapter.go.
 //
-// It promises one reply to each batch, of the same number, and that instances share nothing but the process and the lists that
-// the simulator gives: what one does depends on its own events, its seed and those lists. Malformed input ends Run with an
-// error of one line, not with a panic. Reading a batch allocates at most about twice the bytes that have arrived, and 1 MiB.
+// Each batch gets one reply with the same number. The actions of an instance depend only on its own events, its seed and the
+// lists from the simulator. Malformed input ends Run with a one-line error, never with a panic. Reading a batch allocates at
+// most about twice the number of bytes received, plus 1 MiB.
 //
-// It assumes that batches come one after the other; an Adapter is not safe for concurrent use. Integers and floats are
-// little-endian. Times are in microseconds and at most maxMicros.
+// An Adapter is not safe for concurrent use. Integers and floats are little-endian. Times are in microseconds and at most
+// maxMicros.
 //
-// Source: the platform's page on the simulator's wire format. The comments at the codes give that page's names.
+// The format is defined by the platform's page on the simulator's wire format. Comments at the codes give that page's names.
 package simadapter
--- a/internal/simadapter/event.go
+++ b/internal/simadapter/event.go
@@ -23,7 +23,7 @@
 	eventRequest         = 12 // Knock
 )
 
-// Kinds of list in an eventList: how it relates to the list before it.
+// Kinds of list in an eventList: how it relates to the previous list.
 const (
 	listDelta  = 0
 	listFailed = 1
@@ -38,16 +38,16 @@
 	flagIsResumed     = 16
 )
 
-// errNoInstance says that an event needs an instance and none has been selected in its batch.
-var errNoInstance = errors.New("an event before any Select")
+// errNoInstance reports an event that needs an instance, in a batch that has not selected one.
+var errNoInstance = errors.New("event without a preceding Select")
 
-// resultCodes are the results of attempts and probes by their codes.
+// resultCodes maps the codes of the format to results of attempts and probes.
 var resultCodes = map[uint16]policy.Result{
 	100: policy.ResultOK, 301: policy.ResultError, 302: policy.ResultFull, 303: policy.ResultTimedOut,
 	304: policy.ResultConnectFailed, 305: policy.ResultReset, 306: policy.ResultCancelled, 307: policy.ResultNotSent,
 }
 
-// handleEvent carries out one event of a batch.
+// handleEvent handles one event of a batch.
 func (a *Adapter) handleEvent(b *batch, now policy.Time, r record) error {
 	code := r.u8(0)
 	switch code {
@@ -60,7 +60,7 @@
 		return a.startInstance(b, r)
 	}
 	if code < eventClientGone || code > eventRequest {
-		return fmt.Errorf("event code %d is unknown", code)
+		return fmt.Errorf("unknown event code %d", code)
 	}
 	if !a.hasCurrent {
 		return errNoInstance
@@ -74,7 +74,7 @@
 		return fmt.Errorf("event code %d for instance %d, which is not running", code, a.current)
 	}
 	if code == eventPeerMessage {
-		// Routers share nothing on this format: a message is checked and dropped.
+		// Balancers do not exchange messages, so the message is validated and dropped.
 		_, err := b.tailBytes(r, 3, 1)
 		return err
 	}
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// startInstance starts the current instance, in the place of one that is running.
+// startInstance starts the current instance and replaces one that is running.
 func (a *Adapter) startInstance(b *batch, r record) error {
 	if !a.hasCurrent {
 		return errNoInstance
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// storeList keeps the entries of a list under its number, for the events eventList that name it.
+// storeList stores the entries of a list under its number, to which eventList refers.
 func (a *Adapter) storeList(b *batch, r record) error {
 	number := int(r.u16(1))
 	if number >= maxLists {
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	// A new slice each time: balancers keep the one that they were given.
+	// Balancers retain the slice that they receive, so each list gets a new one.
 	replicas := make([]policy.Replica, 0, len(data)/listEntrySize)
 	for at := 0; at < len(data); at += listEntrySize {
 		replica, err := record(data[at : at+listEntrySize]).listEntry()
@@ -165,7 +165,7 @@
 func (r record) listEntry() (policy.Replica, error) {
 	readyAt := r.u64(14)
 	if r.u8(9) > uint8(policy.StateGone) {
-		return policy.Replica{}, fmt.Errorf("replica state %d is unknown", r.u8(9))
+		return policy.Replica{}, fmt.Errorf("unknown replica state %d", r.u8(9))
 	}
 	if readyAt > maxMicros {
 		return policy.Replica{}, fmt.Errorf("start time %d is out of range", readyAt)
@@ -176,7 +176,7 @@
 	}, nil
 }
 
-// list returns the list of an eventList: the one stored last under the number that the event names.
+// list returns the list that was stored last under the number in an eventList.
 func (a *Adapter) list(r record) (policy.List, error) {
 	var list policy.List
 	switch kind := r.u8(11); kind {
@@ -189,11 +189,11 @@
 	case listCached:
 		list.Kind = policy.ListCached
 	default:
-		return list, fmt.Errorf("list kind %d is unknown", kind)
+		return list, fmt.Errorf("unknown list kind %d", kind)
 	}
 	number := int(r.u16(9))
 	if number >= maxLists || a.lists[number] == nil {
-		return list, fmt.Errorf("list number %d has not been given", number)
+		return list, fmt.Errorf("list number %d has no entries yet", number)
 	}
 	list.Replicas = a.lists[number]
 	return list, nil
@@ -245,11 +245,11 @@
 	return request
 }
 
-// loadReport decodes a load report, which stands at the given offset of the record.
+// loadReport decodes the load report at the given offset of the record.
 func (r record) loadReport(at int) (policy.Report, error) {
 	report := policy.Report{N: int(r.u8(at))}
 	if report.N > len(report.Values) {
-		return report, fmt.Errorf("a load report of %d values", report.N)
+		return report, fmt.Errorf("load report with %d values is too long", report.N)
 	}
 	for i := range report.N {
 		report.Values[i] = r.f32(at + 1 + 4*i)
@@ -257,11 +257,11 @@
 	return report, nil
 }
 
-// resultOf returns the result of a code.
+// resultOf returns the result that a code stands for.
 func resultOf(code uint16) (policy.Result, error) {
 	result, ok := resultCodes[code]
 	if !ok {
-		return 0, fmt.Errorf("result %d is unknown", code)
+		return 0, fmt.Errorf("unknown result code %d", code)
 	}
 	return result, nil
 }
--- a/internal/simadapter/frame.go
+++ b/internal/simadapter/frame.go
@@ -8,7 +8,7 @@
 	"math"
 )
 
-// Sizes in bytes, and limits of the format.
+// Sizes in bytes and limits of the format.
 const (
 	batchHeaderSize = 20
 	replyHeaderSize = 12
@@ -17,22 +17,22 @@
 	listEntrySize   = 22
 	// maxLists is the number of list numbers.
 	maxLists = 16
-	// maxBodySize bounds a batch without its header. A larger one counts as a malformed header, before memory is allocated.
+	// maxBodySize is the largest size of a batch without its header. A larger size is rejected before memory is allocated.
 	maxBodySize = 1 << 30
-	// maxMicros is the largest time in microseconds that still fits a time.Duration.
+	// maxMicros is the largest number of microseconds that fits a time.Duration.
 	maxMicros = math.MaxInt64 / 1000
 )
 
-// batch is one frame of events. Only its lengths have been checked.
+// batch is one frame of events. Its lengths and its clock are validated, but not its events.
 type batch struct {
 	number      uint32
 	clockMicros uint64
 	events      []byte // records of eventSize
-	tail        []byte // what events refer to by offset and length
+	tail        []byte // data that events refer to by offset and length
 }
 
-// readBatch reads one batch into buf and returns it with the buffer for the next call, which overwrites the batch. At the end
-// of the input it returns io.EOF.
+// readBatch reads one batch into buf. It returns the batch and the buffer for the next call, which overwrites the batch. At the
+// end of the input it returns io.EOF.
 func readBatch(r io.Reader, buf []byte) (*batch, []byte, error) {
 	var head [batchHeaderSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -46,7 +46,7 @@
 	clock := binary.LittleEndian.Uint64(head[12:])
 	switch {
 	case size > maxBodySize:
-		return nil, buf, fmt.Errorf("batch of %d bytes is over the limit of %d", size, maxBodySize)
+		return nil, buf, fmt.Errorf("batch of %d bytes exceeds the limit of %d", size, maxBodySize)
 	case count > size/eventSize:
 		return nil, buf, fmt.Errorf("batch of %d bytes cannot hold %d records", size, count)
 	case clock > maxMicros:
@@ -64,8 +64,8 @@
 	}, body, nil
 }
 
-// readBody fills buf with size bytes. The buffer grows as the bytes arrive, by at least 1 MiB or to its double, so that a wrong
-// size in a header does not allocate that much.
+// readBody fills buf with size bytes. The buffer grows while the bytes arrive, so that a wrong size in a header does not
+// allocate that much memory.
 func readBody(r io.Reader, buf []byte, size int) ([]byte, error) {
 	const step = 1 << 20
 	buf = buf[:0]
@@ -85,7 +85,7 @@
 	return buf, nil
 }
 
-// record is the fixed part of one event, action or list entry. Its fields are named by their offset in bytes.
+// record is the fixed-size part of an event, an action or a list entry. Fields are addressed by their offset in bytes.
 type record []byte
 
 func (r record) u8(at int) uint8    { return r[at] }
@@ -94,12 +94,12 @@
 func (r record) u64(at int) uint64  { return binary.LittleEndian.Uint64(r[at:]) }
 func (r record) f32(at int) float64 { return float64(math.Float32frombits(r.u32(at))) }
 
-// tailBytes returns the part of the tail whose offset and length stand at the given offset of the record; the length counts
-// units of the given size in bytes.
+// tailBytes returns a part of the tail. The record has its offset at the given position, followed by its length in units of the
+// given size in bytes.
 func (b *batch) tailBytes(r record, at, unit int) ([]byte, error) {
 	offset, length := uint64(r.u32(at)), uint64(r.u32(at+4))*uint64(unit)
 	if offset+length > uint64(len(b.tail)) {
-		return nil, fmt.Errorf("bytes %d to %d lie outside a tail of %d", offset, offset+length, len(b.tail))
+		return nil, fmt.Errorf("bytes %d to %d are outside the tail of %d bytes", offset, offset+length, len(b.tail))
 	}
 	return b.tail[offset : offset+length], nil
 }
--- a/internal/simadapter/reply.go
+++ b/internal/simadapter/reply.go
@@ -26,14 +26,14 @@
 // reply collects the actions that answer one batch.
 type reply struct {
 	records []byte // of actionSize
-	tail    []byte // bytes that records refer to
+	tail    []byte // data that records refer to by offset and length
 	count   uint32 // of records
 }
 
-// reset empties the reply, keeping its memory.
+// reset empties the reply and keeps its memory for reuse.
 func (out *reply) reset() { out.records, out.tail, out.count = out.records[:0], out.tail[:0], 0 }
 
-// add appends a record of the given code and returns it, for its other fields.
+// add appends a record with the given code and returns it, so that the caller sets its other fields.
 func (out *reply) add(code byte) record {
 	from := len(out.records)
 	out.records = append(out.records, make([]byte, actionSize)...)
@@ -45,17 +45,17 @@
 func (r record) put32(at int, v uint32) { binary.LittleEndian.PutUint32(r[at:], v) }
 func (r record) put64(at int, v uint64) { binary.LittleEndian.PutUint64(r[at:], v) }
 
-// putBytes appends data to the tail and writes its offset and length at the given offset of the record.
+// putBytes appends data to the tail and writes its offset and length to the record at the given offset.
 func (out *reply) putBytes(r record, at int, data string) {
 	r.put32(at, uint32(len(out.tail)))
 	r.put32(at+4, uint32(len(data)))
 	out.tail = append(out.tail, data...)
 }
 
-// selectInstance names the instance that the actions after it belong to.
+// selectInstance selects the instance to which the following actions belong.
 func (out *reply) selectInstance(instance uint32) { out.add(actionSelectInstance).put32(1, instance) }
 
-// startAttempt starts the next attempt of a request, which may take timeout microseconds.
+// startAttempt starts the next attempt of a request with a timeout in microseconds.
 func (out *reply) startAttempt(request uint64, replica uint32, timeout int32) {
 	r := out.add(actionStartAttempt)
 	r.put64(1, request)
@@ -70,10 +70,10 @@
 	r.put32(9, retryAfter)
 }
 
-// failRequest ends a request with an error that does not say whether it has run.
+// failRequest ends a request with an error that leaves open whether it has run.
 func (out *reply) failRequest(request uint64) { out.add(actionFail).put64(1, request) }
 
-// cancelAttempt cancels an attempt.
+// cancelAttempt cancels an attempt. Its eventAttemptFinished still follows.
 func (out *reply) cancelAttempt(request uint64, attempt uint8) {
 	r := out.add(actionCancelAttempt)
 	r.put64(1, request)
@@ -94,7 +94,7 @@
 	}
 }
 
-// fetchList requests the full list once.
+// fetchList requests the full list once, without a subscription.
 func (out *reply) fetchList() { out.add(actionFetchList) }
 
 // sendPeerMessage sends bytes to another instance.
@@ -114,13 +114,13 @@
 	r.put64(5, token)
 }
 
-// log writes a line to the simulator's report.
+// log adds a line to the simulator's report.
 func (out *reply) log(line string) { out.putBytes(out.add(actionLog), 1, line) }
 
-// abort ends the run, as a failure of the decision module.
+// abort ends the simulation as a failure of the decision module.
 func (out *reply) abort(reason string) { out.putBytes(out.add(actionAbort), 1, reason) }
 
-// writeTo writes the reply to the batch of the given number.
+// writeTo writes the encoded reply to the batch with the given number.
 func (out *reply) writeTo(w io.Writer, number uint32) error {
 	var head [replyHeaderSize]byte
 	h := record(head[:])
--- a/internal/simadapter/settings.go
+++ b/internal/simadapter/settings.go
@@ -9,14 +9,14 @@
 	"notchhinge/policy"
 )
 
-// micros is a duration in microseconds, as the settings give it.
+// micros is a duration in microseconds, the unit of the settings object.
 type micros float64
 
 func (m micros) duration() time.Duration {
 	return time.Duration(float64(m) * float64(time.Microsecond))
 }
 
-// settingsJSON is the settings object of an eventStartInstance. Keys that it does not have are ignored.
+// settingsJSON is the settings object of an eventStartInstance. Other keys are ignored.
 type settingsJSON struct {
 	AZs        []string `json:"azs"`
 	Discovery  string   `json:"discovery"`
@@ -64,7 +64,7 @@
 	Zone    int    `json:"zone"`
 }
 
-// The names of the settings object, and what they mean.
+// The values and column names in the settings object and their meanings.
 var (
 	effects     = map[string]policy.Effect{"pure": policy.EffectSafe, "token": policy.EffectKeyed, "side_effect": policy.EffectUnsafe}
 	dedupGroups = map[string]policy.DedupGroup{
@@ -81,11 +81,11 @@
 	}
 )
 
-// maxReportColumns is the most values that a load report has.
+// maxReportColumns is the maximum number of values in a load report.
 const maxReportColumns = 4
 
-// ParseSettings decodes the settings object of the platform. Errors name the key that is wrong; the decision module checks the
-// values itself.
+// ParseSettings decodes the settings object of the platform. Its errors name the invalid key. The decision module validates the
+// values.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	var in settingsJSON
 	if err := json.Unmarshal(text, &in); err != nil {
@@ -106,11 +106,11 @@
 		s.NeedsWatch = true
 	case "automatic":
 	default:
-		return s, fmt.Errorf("settings: discovery %q is unknown", in.Discovery)
+		return s, fmt.Errorf("settings: unknown discovery %q", in.Discovery)
 	}
 	meaning, ok := weightMeanings[in.Weights]
 	if !ok {
-		return s, fmt.Errorf("settings: weights %q is unknown", in.Weights)
+		return s, fmt.Errorf("settings: unknown weights %q", in.Weights)
 	}
 	s.WeightMeaning = meaning
 	for i := range in.Grades {
@@ -124,10 +124,10 @@
 		s.Tenants = append(s.Tenants, policy.Tenant{Name: realm.Name, Share: realm.Share})
 	}
 	if len(in.Report.Columns) > maxReportColumns {
-		return s, errors.New("settings: report.columns holds more than four names")
+		return s, errors.New("settings: report.columns has more than four names")
 	}
 	for _, name := range in.Report.Columns {
-		s.ReportColumns = append(s.ReportColumns, reportColumns[name]) // an unknown column counts, without a name
+		s.ReportColumns = append(s.ReportColumns, reportColumns[name]) // an unknown column keeps its position with an empty name
 	}
 	return s, nil
 }
@@ -138,7 +138,7 @@
 	effect, isEffect := effects[grade.Effect]
 	group, isGroup := dedupGroups[grade.Group]
 	if !isEffect || !isGroup {
-		return policy.Class{}, fmt.Errorf("settings: grades[%d] has effect %q and group %q", i, grade.Effect, grade.Group)
+		return policy.Class{}, fmt.Errorf("settings: grades[%d]: unknown effect %q or group %q", i, grade.Effect, grade.Group)
 	}
 	class := policy.Class{
 		Name: grade.Name, TargetLatency: grade.Objective.duration(), Deadline: grade.Deadline.duration(),
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -15,7 +15,7 @@
 	"notchhinge/policy"
 )
 
-func unhex(t testing.TB, text string) []byte {
+func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
 	if err != nil {
@@ -24,14 +24,14 @@
 	return b
 }
 
-// padded returns a record of the given size in bytes, which begins with the bytes of the text and has zeros after them.
+// padded returns a record of the given size in bytes: the bytes of the hexadecimal text, followed by zeros.
 func padded(t testing.TB, size int, text string) []byte {
-	b := unhex(t, text)
+	b := decodeHex(t, text)
 	return append(b, make([]byte, size-len(b))...)
 }
 
-// frame returns an encoded batch.
-func frame(number uint32, clock uint64, tail []byte, events ...[]byte) []byte {
+// encodeBatch returns an encoded batch.
+func encodeBatch(number uint32, clock uint64, tail []byte, events ...[]byte) []byte {
 	body := append(slices.Concat(events...), tail...)
 	b := binary.LittleEndian.AppendUint32(nil, number)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(events)))
@@ -53,27 +53,27 @@
 	return binary.LittleEndian.AppendUint32([]byte{eventSelectInstance}, instance)
 }
 
-func pad(b []byte) []byte { return append(b, make([]byte, eventSize-len(b))...) }
+func padEvent(b []byte) []byte { return append(b, make([]byte, eventSize-len(b))...) }
 
 func startEvent(seed uint64, length int) []byte {
 	b := binary.LittleEndian.AppendUint64([]byte{eventStartInstance}, seed)
 	b = binary.LittleEndian.AppendUint32(b, 0) // the offset
-	return pad(binary.LittleEndian.AppendUint32(b, uint32(length)))
+	return padEvent(binary.LittleEndian.AppendUint32(b, uint32(length)))
 }
 
 func listEntriesEvent(number uint16, offset, entries int) []byte {
 	b := binary.LittleEndian.AppendUint16([]byte{eventListEntries}, number)
 	b = binary.LittleEndian.AppendUint32(b, uint32(offset))
-	return pad(binary.LittleEndian.AppendUint32(b, uint32(entries)))
+	return padEvent(binary.LittleEndian.AppendUint32(b, uint32(entries)))
 }
 
 func listEvent(number uint16, kind uint8) []byte {
 	b := binary.LittleEndian.AppendUint64([]byte{eventList}, 1)
 	b = binary.LittleEndian.AppendUint16(b, number)
-	return pad(append(b, kind))
+	return padEvent(append(b, kind))
 }
 
-func entry(id uint32, state uint8) []byte {
+func listEntryBytes(id uint32, state uint8) []byte {
 	b := binary.LittleEndian.AppendUint32(nil, id)
 	b = append(b, 0, 0, 0, 0, 0, state)
 	b = binary.LittleEndian.AppendUint32(b, math.Float32bits(1))
@@ -84,16 +84,16 @@
 	b := binary.LittleEndian.AppendUint64([]byte{eventRequest}, id)
 	b = append(b, 0, 0, 0, 0, 0, 0)
 	b = binary.LittleEndian.AppendUint64(b, session)
-	return pad(binary.LittleEndian.AppendUint32(b, 3_000_000))
+	return padEvent(binary.LittleEndian.AppendUint32(b, 3_000_000))
 }
 
-func attemptFinishedEvent(id uint64, attempt uint8, replica uint32, res uint16, ended uint8) []byte {
+func attemptFinishedEvent(id uint64, attempt uint8, replica uint32, result uint16, ended uint8) []byte {
 	b := binary.LittleEndian.AppendUint64([]byte{eventAttemptFinished}, id)
 	b = append(b, attempt)
 	b = binary.LittleEndian.AppendUint32(b, replica)
-	b = binary.LittleEndian.AppendUint16(b, res)
+	b = binary.LittleEndian.AppendUint16(b, result)
 	b = binary.LittleEndian.AppendUint32(b, 1000)
-	return pad(append(b, ended))
+	return padEvent(append(b, ended))
 }
 
 // action is one decoded record of a reply.
@@ -118,7 +118,7 @@
 	return out
 }
 
-func answer(t testing.TB, a *Adapter, data []byte) []action {
+func handleFrame(t testing.TB, a *Adapter, data []byte) []action {
 	t.Helper()
 	b, _, err := readBatch(bytes.NewReader(data), nil)
 	if err != nil {
@@ -130,27 +130,27 @@
 	return decodeReply(t, &a.reply)
 }
 
-// running returns an adapter with instances of the given numbers, each of which knows three replicas.
-func running(t testing.TB, instances ...uint32) *Adapter {
+// newRunningAdapter returns an adapter with the given instances, each of which has a list of three replicas.
+func newRunningAdapter(t testing.TB, instances ...uint32) *Adapter {
 	t.Helper()
-	h := New()
-	answer(t, h, startFrame(t, instances...))
-	return h
+	adapter := New()
+	handleFrame(t, adapter, startFrame(t, instances...))
+	return adapter
 }
 
 func startFrame(t testing.TB, instances ...uint32) []byte {
 	text := settingsText(t)
-	tail := slices.Concat([]byte(text), entry(11, 0), entry(12, 0), entry(13, 0))
+	tail := slices.Concat([]byte(text), listEntryBytes(11, 0), listEntryBytes(12, 0), listEntryBytes(13, 0))
 	events := [][]byte{listEntriesEvent(0, len(text), 3)}
 	for _, i := range instances {
-		events = append(events, pad(selectEvent(i)), startEvent(uint64(i)+5, len(text)), listEvent(0, listCached))
+		events = append(events, padEvent(selectEvent(i)), startEvent(uint64(i)+5, len(text)), listEvent(0, listCached))
 	}
-	return frame(1, 1_000_000, tail, events...)
+	return encodeBatch(1, 1_000_000, tail, events...)
 }
 
-// The byte examples are those of the platform's page on the format.
-func TestEmptyBatchOfTheFormatsExamplesIsAnswered(t *testing.T) {
-	empty := unhex(t, "01000000 00000000 00000000 5a5c800000000000")
+// The byte examples in this file are those of the platform's page on the format.
+func TestEmptyBatchIsAnsweredAsInTheFormatsExamples(t *testing.T) {
+	empty := decodeHex(t, "01000000 00000000 00000000 5a5c800000000000")
 	b, _, err := readBatch(bytes.NewReader(empty), nil)
 	if err != nil || b.number != 1 || b.clockMicros != 0x805c5a || len(b.events) != 0 {
 		t.Fatalf("empty batch: %+v, %v", b, err)
@@ -159,13 +159,13 @@
 	if err := New().Run(bytes.NewReader(empty), &out); err != nil {
 		t.Fatal(err)
 	}
-	if want := unhex(t, "01000000 00000000 00000000"); !bytes.Equal(out.Bytes(), want) {
+	if want := decodeHex(t, "01000000 00000000 00000000"); !bytes.Equal(out.Bytes(), want) {
 		t.Errorf("reply %x, want %x", out.Bytes(), want)
 	}
 }
 
 func TestBatchIsDecodedAsInTheFormatsExamples(t *testing.T) {
-	two := slices.Concat(unhex(t, "0c000000 05000000 18010000 5a5c800000000000"),
+	two := slices.Concat(decodeHex(t, "0c000000 05000000 18010000 5a5c800000000000"),
 		padded(t, eventSize, "05 03000000"),
 		padded(t, eventSize, `0c c4913a5ddf780a00 0000 00000000 640ad2557c3bf091 80a90300 e02e0000
 			107cf3d901648e2b 0000e144 00009644 00008043 0100`),
@@ -194,13 +194,13 @@
 	if err := p.writeTo(&out, 12); err != nil {
 		t.Fatal(err)
 	}
-	want := slices.Concat(unhex(t, "0c000000 89000000 05000000"),
+	want := slices.Concat(decodeHex(t, "0c000000 89000000 05000000"),
 		padded(t, actionSize, "0c 03000000"),
 		padded(t, actionSize, "0a c4913a5ddf780a00 074a1203 80380100"),
 		padded(t, actionSize, "09 20a10700 4d00000000000000"),
 		padded(t, actionSize, "0c 05000000"),
 		padded(t, actionSize, "04 00000000 11000000"),
-		unhex(t, "74776f2073657276657273206b6e6f776e"))
+		decodeHex(t, "74776f2073657276657273206b6e6f776e"))
 	if !bytes.Equal(out.Bytes(), want) {
 		t.Errorf("reply\n%x, want\n%x", out.Bytes(), want)
 	}
@@ -232,9 +232,9 @@
 }
 
 func TestEventsOfTheFormatsExamplesReachTheBalancer(t *testing.T) {
-	h := running(t, 3)
-	tail := unhex(t, "074a1203 0000 00 0000 00 0000803f 0000000000000000 f211902c 0100 00 0000 00 0000c03f 20145d0000000000")
-	got := answer(t, h, frame(2, 9_000_000, tail,
+	adapter := newRunningAdapter(t, 3)
+	tail := decodeHex(t, "074a1203 0000 00 0000 00 0000803f 0000000000000000 f211902c 0100 00 0000 00 0000c03f 20145d0000000000")
+	got := handleFrame(t, adapter, encodeBatch(2, 9_000_000, tail,
 		padded(t, eventSize, "05 03000000"),
 		padded(t, eventSize, "04 0000 00000000 02000000"),
 		padded(t, eventSize, "02 2900000000000000 0000 03"),
@@ -246,8 +246,8 @@
 	if to != 0x03124a07 && to != 0x2c9011f2 {
 		t.Fatalf("sent to %#x, which is not listed", to)
 	}
-	// An unusual mix, all of it legal: none may end Run.
-	answer(t, h, frame(3, 9_100_000, []byte("hi 7"),
+	// All these events are valid, so none may end Run with an error.
+	handleFrame(t, adapter, encodeBatch(3, 9_100_000, []byte("hi 7"),
 		padded(t, eventSize, "05 03000000"),
 		padded(t, eventSize, "06 c4913a5ddf780a00 00 074a1203 22240000"),
 		padded(t, eventSize, "09 0200 00000000 04000000"),
@@ -257,20 +257,20 @@
 		padded(t, eventSize, "07 4d00000000000000")))
 }
 
-func TestListNumberMeansTheEntriesGivenLast(t *testing.T) {
-	h := running(t, 1, 2)
-	tail := slices.Concat(entry(21, 0), entry(31, 0))
-	got := answer(t, h, frame(2, 2_000_000, tail,
-		listEntriesEvent(4, 0, 1), pad(selectEvent(1)), listEvent(4, listFull),
-		listEntriesEvent(4, listEntrySize, 1), pad(selectEvent(2)), listEvent(4, listFull),
-		pad(selectEvent(1)), requestEvent(1, 5), pad(selectEvent(2)), requestEvent(2, 5)))
+func TestListNumberRefersToTheLatestEntries(t *testing.T) {
+	adapter := newRunningAdapter(t, 1, 2)
+	tail := slices.Concat(listEntryBytes(21, 0), listEntryBytes(31, 0))
+	got := handleFrame(t, adapter, encodeBatch(2, 2_000_000, tail,
+		listEntriesEvent(4, 0, 1), padEvent(selectEvent(1)), listEvent(4, listFull),
+		listEntriesEvent(4, listEntrySize, 1), padEvent(selectEvent(2)), listEvent(4, listFull),
+		padEvent(selectEvent(1)), requestEvent(1, 5), padEvent(selectEvent(2)), requestEvent(2, 5)))
 	want := map[uint32]uint32{1: 21, 2: 31}
 	sends := 0
 	for _, a := range got {
 		if a.u8(0) == actionStartAttempt {
 			sends++
 			if a.u32(9) != want[a.instance] {
-				t.Errorf("instance %d sent to %d, its list holds only %d", a.instance, a.u32(9), want[a.instance])
+				t.Errorf("instance %d sent to %d, which is not in its list, want %d", a.instance, a.u32(9), want[a.instance])
 			}
 		}
 	}
@@ -279,16 +279,16 @@
 	}
 }
 
-func TestRestartInOneBatchForgetsTheEarlierList(t *testing.T) {
-	h := running(t, 1)
+func TestRestartWithinABatchDiscardsTheEarlierList(t *testing.T) {
+	adapter := newRunningAdapter(t, 1)
 	text := settingsText(t)
-	tail := slices.Concat([]byte(text), entry(41, 0))
-	answer(t, h, frame(2, 2_000_000, nil, pad(selectEvent(1)), requestEvent(1, 5)))
-	got := answer(t, h, frame(3, 3_000_000, tail, pad(selectEvent(1)), pad([]byte{eventStopInstance}),
+	tail := slices.Concat([]byte(text), listEntryBytes(41, 0))
+	handleFrame(t, adapter, encodeBatch(2, 2_000_000, nil, padEvent(selectEvent(1)), requestEvent(1, 5)))
+	got := handleFrame(t, adapter, encodeBatch(3, 3_000_000, tail, padEvent(selectEvent(1)), padEvent([]byte{eventStopInstance}),
 		startEvent(99, len(text)), listEntriesEvent(0, len(text), 1), listEvent(0, listCached), requestEvent(2, 5)))
 	for _, a := range got {
 		if a.u8(0) == actionStartAttempt && a.u32(9) != 41 {
-			t.Errorf("sent to %d: the list of the instance before the restart is still in use", a.u32(9))
+			t.Errorf("sent to %d, which only the list before the restart contains", a.u32(9))
 		}
 	}
 	if n := len(got); n < 2 {
@@ -298,29 +298,29 @@
 
 func TestMalformedInputEndsWithAnErrorOfOneLine(t *testing.T) {
 	good := startFrame(t, 1)
-	sel := pad(selectEvent(1))
+	sel := padEvent(selectEvent(1))
 	for name, data := range map[string][]byte{
 		"header cut":            good[:7],
 		"body cut":              good[:len(good)-1],
-		"count over the length": unhex(t, "01000000 02000000 38000000 0000000000000000"),
-		"length too large":      unhex(t, "01000000 00000000 ffffffff 0000000000000000"),
-		"clock out of range":    unhex(t, "01000000 00000000 00000000 ffffffffffffffff"),
-		"unknown event":         append(slices.Clone(good), frame(2, 0, nil, sel, pad([]byte{99}))...),
-		"no Select":             frame(1, 0, nil, pad([]byte{eventStopInstance})),
-		"not running":           frame(1, 0, nil, sel, requestEvent(1, 1)),
-		"tail span":             frame(1, 0, nil, sel, startEvent(1, 1)),
-		"entries span":          frame(1, 0, nil, listEntriesEvent(0, 1<<31, 1<<31)),
-		"list number":           frame(1, 0, nil, listEntriesEvent(16, 0, 0)),
-		"list never given":      append(slices.Clone(good), frame(2, 0, nil, sel, listEvent(7, listFull))...),
-		"list kind":             append(slices.Clone(good), frame(2, 0, nil, sel, listEvent(0, 9))...),
-		"replica state":         frame(1, 0, entry(1, 3), listEntriesEvent(0, 0, 1)),
-		"result":                append(slices.Clone(good), frame(2, 0, nil, sel, attemptFinishedEvent(1, 0, 11, 5, 0))...),
-		"settings":              frame(1, 0, []byte("{"), sel, startEvent(1, 1)),
-		"settings empty":        frame(1, 0, []byte("{}"), sel, startEvent(1, 2)),
+		"count over the length": decodeHex(t, "01000000 02000000 38000000 0000000000000000"),
+		"length too large":      decodeHex(t, "01000000 00000000 ffffffff 0000000000000000"),
+		"clock out of range":    decodeHex(t, "01000000 00000000 00000000 ffffffffffffffff"),
+		"unknown event":         append(slices.Clone(good), encodeBatch(2, 0, nil, sel, padEvent([]byte{99}))...),
+		"no Select":             encodeBatch(1, 0, nil, padEvent([]byte{eventStopInstance})),
+		"not running":           encodeBatch(1, 0, nil, sel, requestEvent(1, 1)),
+		"tail span":             encodeBatch(1, 0, nil, sel, startEvent(1, 1)),
+		"entries span":          encodeBatch(1, 0, nil, listEntriesEvent(0, 1<<31, 1<<31)),
+		"list number":           encodeBatch(1, 0, nil, listEntriesEvent(16, 0, 0)),
+		"list never given":      append(slices.Clone(good), encodeBatch(2, 0, nil, sel, listEvent(7, listFull))...),
+		"list kind":             append(slices.Clone(good), encodeBatch(2, 0, nil, sel, listEvent(0, 9))...),
+		"replica state":         encodeBatch(1, 0, listEntryBytes(1, 3), listEntriesEvent(0, 0, 1)),
+		"result":                append(slices.Clone(good), encodeBatch(2, 0, nil, sel, attemptFinishedEvent(1, 0, 11, 5, 0))...),
+		"settings":              encodeBatch(1, 0, []byte("{"), sel, startEvent(1, 1)),
+		"settings empty":        encodeBatch(1, 0, []byte("{}"), sel, startEvent(1, 2)),
 	} {
 		err := New().Run(bytes.NewReader(data), &bytes.Buffer{})
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v, want one plain line", name, err)
+			t.Errorf("%s: error %v, want an error of one line", name, err)
 		}
 	}
 }
@@ -367,7 +367,7 @@
 	}
 }
 
-func TestSettingsOfUnknownNamesAreRejected(t *testing.T) {
+func TestSettingsWithUnknownNamesAreRejected(t *testing.T) {
 	for good, bad := range map[string]string{
 		`"discovery": "subscribe"`: `"discovery": "sometimes"`,
 		`"effect": "pure"`:         `"effect": "odd"`,
@@ -381,7 +381,7 @@
 	}
 }
 
-func TestUnknownReportColumnCountsWithoutAName(t *testing.T) {
+func TestUnknownReportColumnKeepsItsPositionWithoutAName(t *testing.T) {
 	text := strings.Replace(settingsText(t), `"columns": []`, `"columns": ["tps", "novel", "concurrent"]`, 1)
 	s, err := ParseSettings([]byte(text))
 	if err != nil || !slices.Equal(s.ReportColumns, []string{"qps", "", "inflight"}) {
@@ -389,14 +389,14 @@
 	}
 }
 
-// scenarioFrames returns a run of encoded batches for the given instances: requests, failed attempts, timers.
+// scenarioFrames returns a sequence of encoded batches with requests and finished attempts of the given instances.
 func scenarioFrames(t testing.TB, instances ...uint32) [][]byte {
 	frames := [][]byte{startFrame(t, instances...)}
 	for n := range 60 {
 		var events [][]byte
 		for _, i := range instances {
 			id := uint64(n*100) + uint64(i)
-			events = append(events, pad(selectEvent(i)), requestEvent(id, uint64(n%7+1)))
+			events = append(events, padEvent(selectEvent(i)), requestEvent(id, uint64(n%7+1)))
 			if n > 0 {
 				code := []uint16{100, 301, 302, 304, 305}[n%5]
 				var ended uint8
@@ -406,16 +406,16 @@
 				events = append(events, attemptFinishedEvent(id-100, 0, 11+uint32(n)%3, code, ended))
 			}
 		}
-		frames = append(frames, frame(uint32(n+2), uint64(n+2)*200_000, nil, events...))
+		frames = append(frames, encodeBatch(uint32(n+2), uint64(n+2)*200_000, nil, events...))
 	}
 	return frames
 }
 
 func runFrames(t testing.TB, frames [][]byte) []string {
 	var lines []string
-	h := New()
+	adapter := New()
 	for n, f := range frames {
-		for _, a := range answer(t, h, f) {
+		for _, a := range handleFrame(t, adapter, f) {
 			fields := a.record
 			if a.u8(0) == actionLog {
 				fields = []byte{actionLog}
@@ -433,12 +433,12 @@
 		t.Fatalf("only %d actions", len(first))
 	}
 	if again := runFrames(t, scenarioFrames(t, 1, 2, 3)); !slices.Equal(first, again) {
-		t.Error("the same batches gave other actions")
+		t.Error("the same batches produced different actions")
 	}
 	split := append(runFrames(t, scenarioFrames(t, 1, 3)), runFrames(t, scenarioFrames(t, 2))...)
 	slices.Sort(split)
 	if !slices.Equal(first, split) {
-		t.Error("two adapters gave other actions than one")
+		t.Error("two adapters produced different actions than one")
 	}
 }
 
@@ -447,21 +447,21 @@
 		f.Add(s)
 	}
 	f.Add(slices.Concat(scenarioFrames(f, 1, 2)[:4]...))
-	f.Add(unhex(f, "01000000 02000000 38000000 0000000000000000"))
+	f.Add(decodeHex(f, "01000000 02000000 38000000 0000000000000000"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var out bytes.Buffer
 		err := New().Run(bytes.NewReader(data), &out)
 		if err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("error of several lines: %q", err)
+			t.Errorf("error has several lines: %q", err)
 		}
-		// Whatever came in, what went out is whole replies.
+		// Whatever the input, the output consists of complete replies.
 		for b := out.Bytes(); len(b) > 0; {
 			if len(b) < replyHeaderSize {
-				t.Fatalf("a reply of %d bytes", len(b))
+				t.Fatalf("reply of %d bytes is shorter than a header", len(b))
 			}
 			size, count := record(b).u32(4), record(b).u32(8)
 			if int(size) > len(b)-replyHeaderSize || count*actionSize > size {
-				t.Fatalf("a reply of %d records says %d bytes, %d are there", count, size, len(b)-replyHeaderSize)
+				t.Fatalf("reply of %d records declares %d bytes, but has %d", count, size, len(b)-replyHeaderSize)
 			}
 			b = b[replyHeaderSize+int(size):]
 		}
