--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -18,7 +18,7 @@
 
 func settings() policy.Settings {
 	return policy.Settings{
-		Routers: 1, Zones: 1, SlowStartInitial: 0.5, SlowStart: sec, DrainGrace: sec / 2, NeedsWatch: true, WatchWithin: 10 * sec,
+		Routers: 1, Zones: 1, SlowStartInitial: 0.5, SlowStart: sec, DrainGrace: sec / 2, NeedsWatch: true, MaxWatchDelay: 10 * sec,
 		Classes: []policy.Class{{Name: "chat", TargetLatency: sec, Deadline: 10 * sec, Value: 1, IsStreaming: true}},
 		Limits:  policy.Limits{CanCancel: true, CanProbe: true, SendsRetryAfter: true, MaxAttempts: 3, MaxRetryAfter: 2 * sec},
 	}
--- a/internal/simadapter/settings.go
+++ b/internal/simadapter/settings.go
@@ -97,7 +97,7 @@
 			CanCancel: in.Limits.Cancel, CanProbe: in.Limits.Probes, SendsRetryAfter: in.Limits.RetryAfter,
 			MaxAttempts: in.Limits.MostTries, MaxRetryAfter: in.Limits.MaxRetryAfter.duration(),
 		},
-		WatchWithin: in.Rules.AskWithin.duration(), DrainGrace: in.Rules.DrainGrace.duration(),
+		MaxWatchDelay: in.Rules.AskWithin.duration(), DrainGrace: in.Rules.DrainGrace.duration(),
 		SlowStartInitial: in.Rules.ColdFrom, SlowStart: in.Rules.WarmUp.duration(),
 		CrossZonePrice: in.Prices.CrossZone,
 	}
--- a/policy/api.go
+++ b/policy/api.go
@@ -91,8 +91,8 @@
 	Limits        Limits
 	WeightMeaning WeightMeaning
 
-	NeedsWatch  bool          // changes of the list are sent only after Actions.Watch
-	WatchWithin time.Duration // maximum delay before a call of Actions.Watch
+	NeedsWatch    bool          // changes of the list are sent only after Actions.Watch
+	MaxWatchDelay time.Duration // maximum delay before a call of Actions.Watch
 
 	DrainGrace       time.Duration // how long a draining replica still gets requests of its sessions
 	SlowStartInitial float64       // share of its usual traffic that a replica gets right after its start
@@ -109,7 +109,7 @@
 		err     string
 	}{
 		{
-			min(s.DrainGrace, s.SlowStart, s.WatchWithin, s.Limits.MaxRetryAfter) < 0,
+			min(s.DrainGrace, s.SlowStart, s.MaxWatchDelay, s.Limits.MaxRetryAfter) < 0,
 			"DrainGrace, SlowStart, WatchWithin and MaxRetryAfter must not be negative",
 		},
 		{len(s.Classes) == 0, "Classes must not be empty"},
@@ -117,7 +117,7 @@
 		{!(s.SlowStartInitial > 0 && s.SlowStartInitial <= 1), "SlowStartInitial must be above 0 and at most 1"},
 		{s.Routers < 1 || s.Router < 0 || s.Router >= s.Routers, "Router must be at least 0 and below Routers"},
 		{s.Zone < 0 || s.Zone >= s.Zones, "Zone must be at least 0 and below Zones"},
-		{s.NeedsWatch && s.WatchWithin == 0, "WatchWithin must be above 0 if NeedsWatch is set"},
+		{s.NeedsWatch && s.MaxWatchDelay == 0, "WatchWithin must be above 0 if NeedsWatch is set"},
 		{len(s.ReportColumns) > len(Report{}.Values), "ReportColumns has more columns than a Report has values"},
 	} {
 		if c.isWrong {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -315,7 +315,7 @@
 	if n := maxPerInterval(delays, 500*ms); n > routers/4 {
 		t.Errorf("%d of %d routers make their first call within the same half second", n, routers)
 	}
-	longest := manyRouters(routers).WatchWithin
+	longest := manyRouters(routers).MaxWatchDelay
 	for try := range 8 {
 		for g := range routers {
 			b[g].ListUpdated(t0, a[g], List{Kind: ListFailed})
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -904,7 +904,7 @@
 // ListUpdated handles an update of the replica list, or a failed call to discovery.
 func (b *Balancer) ListUpdated(now Time, a Actions, list List) {
 	if list.Kind == ListFailed {
-		b.watch.backoff = min(max(2*b.watch.backoff, minWatchBackoff), b.settings.WatchWithin)
+		b.watch.backoff = min(max(2*b.watch.backoff, minWatchBackoff), b.settings.MaxWatchDelay)
 		b.scheduleWatch(a, b.watch.backoff/2, b.watch.backoff)
 		b.log(now, a, "discovery", "discovery call failed; retrying with backoff")
 		return
@@ -916,7 +916,7 @@
 	if !b.watch.started {
 		// The delay is random, so that routers that start together do not call discovery together.
 		b.watch.started = true
-		b.scheduleWatch(a, 0, b.settings.WatchWithin/2)
+		b.scheduleWatch(a, 0, b.settings.MaxWatchDelay/2)
 	}
 }
 
