--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -343,7 +343,7 @@
 		{"Routers", got.Routers, 1},
 		{"NeedsWatch", got.NeedsWatch, true},
 		{"WeightMeaning", got.WeightMeaning, policy.WeightSize},
-		{"WatchWithin", got.MaxWatchDelay, 10 * time.Second},
+		{"MaxWatchDelay", got.MaxWatchDelay, 10 * time.Second},
 		{"SlowStartInitial", got.SlowStartInitial, 0.17},
 		{"SlowStart", got.SlowStart, 23 * time.Second},
 		{"DrainGrace", got.DrainGrace, 500 * time.Millisecond},
--- a/policy/api.go
+++ b/policy/api.go
@@ -110,14 +110,14 @@
 	}{
 		{
 			min(s.DrainGrace, s.SlowStart, s.MaxWatchDelay, s.Limits.MaxRetryAfter) < 0,
-			"DrainGrace, SlowStart, WatchWithin and MaxRetryAfter must not be negative",
+			"DrainGrace, SlowStart, MaxWatchDelay and MaxRetryAfter must not be negative",
 		},
 		{len(s.Classes) == 0, "Classes must not be empty"},
 		{s.Limits.MaxAttempts < 1, "Limits.MaxAttempts must be at least 1"},
 		{!(s.SlowStartInitial > 0 && s.SlowStartInitial <= 1), "SlowStartInitial must be above 0 and at most 1"},
 		{s.Routers < 1 || s.Router < 0 || s.Router >= s.Routers, "Router must be at least 0 and below Routers"},
 		{s.Zone < 0 || s.Zone >= s.Zones, "Zone must be at least 0 and below Zones"},
-		{s.NeedsWatch && s.MaxWatchDelay == 0, "WatchWithin must be above 0 if NeedsWatch is set"},
+		{s.NeedsWatch && s.MaxWatchDelay == 0, "MaxWatchDelay must be above 0 if NeedsWatch is set"},
 		{len(s.ReportColumns) > len(Report{}.Values), "ReportColumns has more columns than a Report has values"},
 	} {
 		if c.isWrong {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -375,7 +375,7 @@
 			b.ListUpdated(t0+2*sec, a, List{Kind: ListFailed})
 			delay := a.timers[len(a.timers)-1].after
 			if delay > testSettings().MaxWatchDelay {
-				t.Fatalf("delay %v is longer than WatchWithin", delay)
+				t.Fatalf("delay %v is longer than MaxWatchDelay", delay)
 			}
 			longest = max(longest, delay)
 		}
@@ -435,7 +435,7 @@
 		"SlowStartInitial":   func(s *Settings) { s.SlowStartInitial = 0 },
 		"Router":             func(s *Settings) { s.Router = 4 },
 		"Zone":               func(s *Settings) { s.Zone = -1 },
-		"WatchWithin":        func(s *Settings) { s.MaxWatchDelay = 0 },
+		"MaxWatchDelay":      func(s *Settings) { s.MaxWatchDelay = 0 },
 		"SlowStart":          func(s *Settings) { s.SlowStart = -1 },
 		"DrainGrace":         func(s *Settings) { s.DrainGrace = -1 },
 		"MaxRetryAfter":      func(s *Settings) { s.Limits.MaxRetryAfter = -1 },
