--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -42,7 +42,7 @@
 	if d.traces != nil {
 		d.traces.Bound(d.now, req.id, req.trace, id.Index)
 	}
-	req.pool.module.Started(d.now, req.pool, policy.Started{
+	req.pool.module.ResponseStarted(d.now, req.pool, policy.ResponseStarted{
 		ID: req.id, Attempt: id.Index, Replica: att.host, Elapsed: d.now - att.sentAt,
 	})
 	for _, other := range req.attempts {
@@ -100,7 +100,7 @@
 // reportOutcome gives the module the one outcome of an attempt. The end of a bound attempt, complete or not, ends the request.
 func (d *Dispatcher) reportOutcome(req *request, att *attempt, o outcome) {
 	p, result := req.pool, o.result
-	neverReached := result == policy.ResultConnectFailed || result == policy.ResultMoot
+	neverReached := result == policy.ResultConnectFailed || result == policy.ResultNotSent
 	req.running--
 	req.reachedHost = req.reachedHost || att.reachedOtherHost || !neverReached
 	req.mayHaveRun = req.mayHaveRun || result != policy.ResultFull && !neverReached
@@ -111,7 +111,7 @@
 	if req.bound == att && !req.answered {
 		d.closeBound(req, result)
 	}
-	p.module.Finished(d.now, p, policy.Outcome{
+	p.module.AttemptFinished(d.now, p, policy.Outcome{
 		ID: req.id, Attempt: att.id.Index, Replica: att.host, Result: result, Elapsed: d.now - att.sentAt,
 		RequestEnded: req.answered || req.bound != nil, CachedTokens: o.cachedTokens, Report: o.report,
 		StaleConnection: att.staleConnection,
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -166,7 +166,7 @@
 	if p == nil {
 		return
 	}
-	p.module.Probed(d.now, p, policy.ProbeResult{
+	p.module.ProbeFinished(d.now, p, policy.ProbeResult{
 		Replica: e.Host, Result: e.Result, Elapsed: d.now - e.Sent, Report: e.Report,
 	})
 }
@@ -196,6 +196,6 @@
 	case t.connection != 0:
 		d.emit(CloseIdleConnection{t.connection})
 	case !t.pool.ended:
-		t.pool.module.Timer(d.now, t.pool, t.token)
+		t.pool.module.TimerFired(d.now, t.pool, t.token)
 	}
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -87,7 +87,7 @@
 	if d.traces != nil {
 		req.trace = d.traces.Taken(d.now, req.id, req.client, e.ClientRequestID, e.ReceivedAt, &e.Request, e.Origin, p.traceSet)
 	}
-	p.module.Arrive(d.now, p, e.Request)
+	p.module.RequestArrived(d.now, p, e.Request)
 }
 
 // clientLeft closes the request of a client that has left.
@@ -100,7 +100,7 @@
 	req.clientLeft = true
 	d.closeRequest(req)
 	d.traceEnd(req, trace.Gone, 0)
-	req.pool.module.Departed(d.now, req.pool, req.id)
+	req.pool.module.ClientDisconnected(d.now, req.pool, req.id)
 	// What the module does not cancel itself runs for nobody: a stream that has begun, or attempts that the settings do not
 	// allow to cancel. Their outcome says nothing of the host.
 	for _, att := range req.attempts {
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -46,7 +46,7 @@
 
 var resultNames = [...]string{
 	policy.ResultOK: "ok", policy.ResultError: "error", policy.ResultFull: "full", policy.ResultTimedOut: "timed_out",
-	policy.ResultConnectFailed: "connect_failed", policy.ResultReset: "reset", policy.ResultCancelled: "cancelled", policy.ResultMoot: "moot",
+	policy.ResultConnectFailed: "connect_failed", policy.ResultReset: "reset", policy.ResultCancelled: "cancelled", policy.ResultNotSent: "moot",
 }
 
 func (r Result) String() string {
@@ -79,7 +79,7 @@
 )
 
 var whyNames = [...]string{
-	policy.ReasonNone: "none", policy.ReasonAffinity: "pinned", policy.ReasonDrawn: "drawn", policy.ReasonAffinityLost: "orphaned",
+	policy.ReasonNone: "none", policy.ReasonAffinity: "pinned", policy.ReasonSelected: "drawn", policy.ReasonAffinityLost: "orphaned",
 	policy.ReasonOtherZone: "spilled", policy.ReasonOverBound: "over_bound", policy.ReasonLastResort: "last_resort",
 	policy.ReasonLoadShed: "shedding", policy.ReasonNoReplica: "no_replica", policy.ReasonRetryBudget: "no_retries",
 	policy.ReasonMaxAttempts: "no_attempts", policy.ReasonDeadline: "out_of_time", policy.ReasonBadRequest: "bad_request",
