--- a/cmd/notchhinge/main.go
+++ b/cmd/notchhinge/main.go
@@ -121,7 +121,7 @@
 		if err != nil {
 			return err
 		}
-		if err := r.Batch(b, ln); err != nil {
+		if err := r.EnableBatch(b, ln); err != nil {
 			return err
 		}
 	}
--- a/internal/batch/proof_test.go
+++ b/internal/batch/proof_test.go
@@ -130,7 +130,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := r.Batch(b, doors[1]); err != nil {
+	if err := r.EnableBatch(b, doors[1]); err != nil {
 		t.Fatal(err)
 	}
 	stop, done = make(chan os.Signal, 1), make(chan error, 1)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -76,8 +76,8 @@
 	return r
 }
 
-// Batch turns the second front on, at a listener.
-func (r *Router) Batch(cfg *batch.Config, ln net.Listener) error {
+// EnableBatch turns the second front on, at a listener.
+func (r *Router) EnableBatch(cfg *batch.Config, ln net.Listener) error {
 	desk, err := batch.New(batch.Options{
 		Config: cfg, Limits: r.cfg.Limits, Directory: r.at.Load, Post: r.loop.Post, Now: r.loop.Now, Log: r.log,
 		IsTracing: r.traces != nil,
