--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -54,8 +54,8 @@
 
 func (o *operations) hear() { o.once.Do(func() { close(o.heard) }) }
 
-// Admin has the router answer operators at a listener. It is called before Serve.
-func (r *Router) Admin(ln net.Listener) { r.ops.admin = ln }
+// EnableAdmin has the router answer operators at a listener. It is called before Serve.
+func (r *Router) EnableAdmin(ln net.Listener) { r.ops.admin = ln }
 
 // serveAdmin answers operators, if that is on, and returns what ends it.
 func (r *Router) serveAdmin(served chan<- error) (stop func()) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -206,7 +206,7 @@
 		if err != nil {
 			return fmt.Errorf("admin: %w", err)
 		}
-		r.Admin(ln)
+		r.EnableAdmin(ln)
 	}
 	if err := r.claim(); err != nil {
 		return err
