--- a/cmd/notchhinge/main.go
+++ b/cmd/notchhinge/main.go
@@ -131,7 +131,7 @@
 			return err
 		}
 		defer ln.Close()
-		r.Control(ln)
+		r.EnableControl(ln)
 	}
 	limits := cfg.Limits // with what the process has, whatever is read later
 	return r.Serve(router.Signals{
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -68,8 +68,8 @@
 	return err
 }
 
-// Control has the router answer at a control socket. It is called before Serve.
-func (r *Router) Control(ln net.Listener) { r.control = ln }
+// EnableControl has the router answer at a control socket. It is called before Serve.
+func (r *Router) EnableControl(ln net.Listener) { r.control = ln }
 
 // serveControl answers at the control socket, if it is on, and returns what ends that.
 func (r *Router) serveControl(served chan<- error) (stop func()) {
