--- a/cmd/notchhinge/main.go
+++ b/cmd/notchhinge/main.go
@@ -112,7 +112,7 @@
 	}
 	r := router.New(cfg, p, log, (&net.Dialer{}).DialContext, dispatch.UnixClock())
 	if f.Trace != nil {
-		if err := r.Trace(f.Trace, programVersion()); err != nil {
+		if err := r.EnableTracing(f.Trace, programVersion()); err != nil {
 			return err
 		}
 	}
--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -53,8 +53,8 @@
 	return all
 }
 
-// Trace has journeys recorded and sent where the settings say. It is called before Serve and Batch.
-func (r *Router) Trace(s *operatorconfig.Trace, version string) error {
+// EnableTracing has journeys recorded and sent where the settings say. It is called before Serve and Batch.
+func (r *Router) EnableTracing(s *operatorconfig.Trace, version string) error {
 	t := &traces{}
 	if o := s.OTLP; o != nil {
 		headers, err := export.ParseHeaders(os.Getenv(o.HeadersEnv))
--- a/internal/router/trace_test.go
+++ b/internal/router/trace_test.go
@@ -41,7 +41,7 @@
 			}
 			return near, nil
 		}, dispatch.UnixClock())
-		if err := r.Trace(f.Trace, "test"); err != nil {
+		if err := r.EnableTracing(f.Trace, "test"); err != nil {
 			t.Fatal(err)
 		}
 		go func() { done <- r.ServeOn(front, Signals{Stop: stop}) }()
