--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -190,9 +190,9 @@
 
 // Signals are what the outside asks of a running router.
 type Signals struct {
-	Stop   <-chan os.Signal // drain and return
-	Audit  <-chan os.Signal // print the counters
-	Reload <-chan os.Signal // read the configuration again
+	Stop          <-chan os.Signal // drain and return
+	PrintCounters <-chan os.Signal // print the counters
+	Reload        <-chan os.Signal // read the configuration again
 	// Reread makes the plan that is to follow the running one.
 	Reread func(running *reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error)
 }
@@ -246,7 +246,7 @@
 		select {
 		case err := <-served:
 			return err
-		case <-sig.Audit:
+		case <-sig.PrintCounters:
 			r.loop.Post(dispatch.GetCounters{})
 		case <-sig.Reload:
 			r.reload(ctx, sig.Reread)
