--- a/cmd/notchhinge/main.go
+++ b/cmd/notchhinge/main.go
@@ -136,7 +136,7 @@
 	limits := cfg.Limits // with what the process has, whatever is read later
 	return r.Serve(router.Signals{
 		Stop: stop, PrintCounters: audit, Reload: reload,
-		Reread: func(running *reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error) {
+		LoadPlan: func(running *reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error) {
 			cfg, err := platformconfig.Reload(os.Getenv)
 			if err != nil {
 				return nil, nil, err
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -193,8 +193,8 @@
 	Stop          <-chan os.Signal // drain and return
 	PrintCounters <-chan os.Signal // print the counters
 	Reload        <-chan os.Signal // read the configuration again
-	// Reread makes the plan that is to follow the running one.
-	Reread func(running *reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error)
+	// LoadPlan makes the plan that is to follow the running one.
+	LoadPlan func(running *reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error)
 }
 
 // Serve runs the router until it is stopped and owes nothing more.
@@ -249,7 +249,7 @@
 		case <-sig.PrintCounters:
 			r.loop.Post(dispatch.GetCounters{})
 		case <-sig.Reload:
-			r.reload(ctx, sig.Reread)
+			r.reload(ctx, sig.LoadPlan)
 		case <-r.ops.dry:
 			r.log.Info("nothing is left to do here, and the heir serves")
 			r.end(ctx, stopBatch)
--- a/internal/router/services_test.go
+++ b/internal/router/services_test.go
@@ -101,7 +101,7 @@
 		world := &served{down: map[string]bool{"disc-calib:1": true}}
 		front, stop, hup, done := newPipeListener(), make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan error, 1)
 		r := New(cfg, begin, slog.New(slog.NewTextHandler(&log, nil)), world.dial, dispatch.UnixClock())
-		go func() { done <- r.ServeOn(front, Signals{Stop: stop, Reload: hup, Reread: reread}) }()
+		go func() { done <- r.ServeOn(front, Signals{Stop: stop, Reload: hup, LoadPlan: reread}) }()
 		ask := func(host string) string {
 			c := must(front.dial())
 			defer c.Close()
