--- a/cmd/notchhinge/services.go
+++ b/cmd/notchhinge/services.go
@@ -75,7 +75,7 @@
 		if name == "" {
 			name = "-"
 		}
-		if s.Leaving {
+		if s.IsEnding {
 			name += " (leaving)"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d/%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, s.Discovery, s.Ready, s.Hosts,
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -111,7 +111,7 @@
 type PoolState struct {
 	Name      string `json:"name"`
 	ID        int    `json:"id"`
-	Leaving   bool   `json:"leaving"` // nothing more is led to it
+	IsEnding  bool   `json:"leaving"` // nothing more is led to it
 	Discovery string `json:"discovery"`
 	Hosts     int    `json:"hosts"`
 	Ready     int    `json:"ready"` // of the hosts
@@ -143,7 +143,7 @@
 	}
 	for _, p := range c.Pools {
 		s := PoolState{
-			Name: p.Name, ID: int(p.Pool), Leaving: p.IsEnding, Hosts: p.Hosts, Ready: p.Ready, Open: p.Open,
+			Name: p.Name, ID: int(p.Pool), IsEnding: p.IsEnding, Hosts: p.Hosts, Ready: p.Ready, Open: p.Open,
 			Guarantee: p.RequestQuota.Guarantee, Most: p.RequestQuota.Max, Lines: r.upstream.Connections(p.Pool), Bodies: r.front.BodyBytes(p.Pool),
 			Taken: p.Received, Served: p.Served, Refused: p.Rejected, Failed: p.Failed, Broken: p.Broken, Gone: p.ClientsLeft,
 			Declined: p.RejectedByFrontend, Legs: p.Attempts,
