--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -109,25 +109,25 @@
 
 // PoolState is what a pool holds, as the control socket tells it.
 type PoolState struct {
-	Name      string `json:"name"`
-	ID        int    `json:"id"`
-	IsEnding  bool   `json:"leaving"` // nothing more is led to it
-	Discovery string `json:"discovery"`
-	Hosts     int    `json:"hosts"`
-	Ready     int    `json:"ready"` // of the hosts
-	Open      int    `json:"open"`  // requests without the end of their answer
-	Guarantee int64  `json:"open_guarantee"`
-	Most      int64  `json:"open_most"`
-	Lines     int    `json:"lines"`  // connections to boxes
-	Bodies    int64  `json:"bodies"` // bytes held
-	Taken     int    `json:"taken"`
-	Served    int    `json:"served"`
-	Refused   int    `json:"refused"`
-	Failed    int    `json:"failed"`
-	Broken    int    `json:"broken"`
-	Gone      int    `json:"gone"`
-	Declined  int    `json:"declined"` // for want of room, or for the id of an open one
-	Legs      int    `json:"legs"`
+	Name             string `json:"name"`
+	ID               int    `json:"id"`
+	IsEnding         bool   `json:"leaving"` // nothing more is led to it
+	Discovery        string `json:"discovery"`
+	Hosts            int    `json:"hosts"`
+	Ready            int    `json:"ready"` // of the hosts
+	Open             int    `json:"open"`  // requests without the end of their answer
+	RequestGuarantee int64  `json:"open_guarantee"`
+	Most             int64  `json:"open_most"`
+	Lines            int    `json:"lines"`  // connections to boxes
+	Bodies           int64  `json:"bodies"` // bytes held
+	Taken            int    `json:"taken"`
+	Served           int    `json:"served"`
+	Refused          int    `json:"refused"`
+	Failed           int    `json:"failed"`
+	Broken           int    `json:"broken"`
+	Gone             int    `json:"gone"`
+	Declined         int    `json:"declined"` // for want of room, or for the id of an open one
+	Legs             int    `json:"legs"`
 }
 
 // pools asks the loop what each pool holds.
@@ -144,7 +144,7 @@
 	for _, p := range c.Pools {
 		s := PoolState{
 			Name: p.Name, ID: int(p.Pool), IsEnding: p.IsEnding, Hosts: p.Hosts, Ready: p.Ready, Open: p.Open,
-			Guarantee: p.RequestQuota.Guarantee, Most: p.RequestQuota.Max, Lines: r.upstream.Connections(p.Pool), Bodies: r.front.BodyBytes(p.Pool),
+			RequestGuarantee: p.RequestQuota.Guarantee, Most: p.RequestQuota.Max, Lines: r.upstream.Connections(p.Pool), Bodies: r.front.BodyBytes(p.Pool),
 			Taken: p.Received, Served: p.Served, Refused: p.Rejected, Failed: p.Failed, Broken: p.Broken, Gone: p.ClientsLeft,
 			Declined: p.RejectedByFrontend, Legs: p.Attempts,
 		}
