--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -119,7 +119,7 @@
 	RequestGuarantee int64  `json:"open_guarantee"`
 	MaxRequests      int64  `json:"open_most"`
 	UpstreamConns    int    `json:"lines"`  // connections to boxes
-	Bodies           int64  `json:"bodies"` // bytes held
+	BodyBytes        int64  `json:"bodies"` // bytes held
 	Taken            int    `json:"taken"`
 	Served           int    `json:"served"`
 	Refused          int    `json:"refused"`
@@ -144,7 +144,7 @@
 	for _, p := range c.Pools {
 		s := PoolState{
 			Name: p.Name, ID: int(p.Pool), IsEnding: p.IsEnding, Hosts: p.Hosts, Ready: p.Ready, Open: p.Open,
-			RequestGuarantee: p.RequestQuota.Guarantee, MaxRequests: p.RequestQuota.Max, UpstreamConns: r.upstream.Connections(p.Pool), Bodies: r.front.BodyBytes(p.Pool),
+			RequestGuarantee: p.RequestQuota.Guarantee, MaxRequests: p.RequestQuota.Max, UpstreamConns: r.upstream.Connections(p.Pool), BodyBytes: r.front.BodyBytes(p.Pool),
 			Taken: p.Received, Served: p.Served, Refused: p.Rejected, Failed: p.Failed, Broken: p.Broken, Gone: p.ClientsLeft,
 			Declined: p.RejectedByFrontend, Legs: p.Attempts,
 		}
