--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -120,7 +120,7 @@
 	MaxRequests      int64  `json:"open_most"`
 	UpstreamConns    int    `json:"lines"`  // connections to boxes
 	BodyBytes        int64  `json:"bodies"` // bytes held
-	Taken            int    `json:"taken"`
+	Received         int    `json:"taken"`
 	Served           int    `json:"served"`
 	Refused          int    `json:"refused"`
 	Failed           int    `json:"failed"`
@@ -145,7 +145,7 @@
 		s := PoolState{
 			Name: p.Name, ID: int(p.Pool), IsEnding: p.IsEnding, Hosts: p.Hosts, Ready: p.Ready, Open: p.Open,
 			RequestGuarantee: p.RequestQuota.Guarantee, MaxRequests: p.RequestQuota.Max, UpstreamConns: r.upstream.Connections(p.Pool), BodyBytes: r.front.BodyBytes(p.Pool),
-			Taken: p.Received, Served: p.Served, Refused: p.Rejected, Failed: p.Failed, Broken: p.Broken, Gone: p.ClientsLeft,
+			Received: p.Received, Served: p.Served, Refused: p.Rejected, Failed: p.Failed, Broken: p.Broken, Gone: p.ClientsLeft,
 			Declined: p.RejectedByFrontend, Legs: p.Attempts,
 		}
 		if f := r.feed(p.Pool); f != nil {
