--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -125,7 +125,7 @@
 	Rejected         int    `json:"refused"`
 	Failed           int    `json:"failed"`
 	Broken           int    `json:"broken"`
-	Gone             int    `json:"gone"`
+	ClientsLeft      int    `json:"gone"`
 	Declined         int    `json:"declined"` // for want of room, or for the id of an open one
 	Legs             int    `json:"legs"`
 }
@@ -145,7 +145,7 @@
 		s := PoolState{
 			Name: p.Name, ID: int(p.Pool), IsEnding: p.IsEnding, Hosts: p.Hosts, Ready: p.Ready, Open: p.Open,
 			RequestGuarantee: p.RequestQuota.Guarantee, MaxRequests: p.RequestQuota.Max, UpstreamConns: r.upstream.Connections(p.Pool), BodyBytes: r.front.BodyBytes(p.Pool),
-			Received: p.Received, Served: p.Served, Rejected: p.Rejected, Failed: p.Failed, Broken: p.Broken, Gone: p.ClientsLeft,
+			Received: p.Received, Served: p.Served, Rejected: p.Rejected, Failed: p.Failed, Broken: p.Broken, ClientsLeft: p.ClientsLeft,
 			Declined: p.RejectedByFrontend, Legs: p.Attempts,
 		}
 		if f := r.feed(p.Pool); f != nil {
