--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -109,25 +109,25 @@
 
 // PoolState is what a pool holds, as the control socket tells it.
 type PoolState struct {
-	Name             string `json:"name"`
-	ID               int    `json:"id"`
-	IsEnding         bool   `json:"leaving"` // nothing more is led to it
-	Discovery        string `json:"discovery"`
-	Hosts            int    `json:"hosts"`
-	Ready            int    `json:"ready"` // of the hosts
-	Open             int    `json:"open"`  // requests without the end of their answer
-	RequestGuarantee int64  `json:"open_guarantee"`
-	MaxRequests      int64  `json:"open_most"`
-	UpstreamConns    int    `json:"lines"`  // connections to boxes
-	BodyBytes        int64  `json:"bodies"` // bytes held
-	Received         int    `json:"taken"`
-	Served           int    `json:"served"`
-	Rejected         int    `json:"refused"`
-	Failed           int    `json:"failed"`
-	Broken           int    `json:"broken"`
-	ClientsLeft      int    `json:"gone"`
-	Declined         int    `json:"declined"` // for want of room, or for the id of an open one
-	Legs             int    `json:"legs"`
+	Name               string `json:"name"`
+	ID                 int    `json:"id"`
+	IsEnding           bool   `json:"leaving"` // nothing more is led to it
+	Discovery          string `json:"discovery"`
+	Hosts              int    `json:"hosts"`
+	Ready              int    `json:"ready"` // of the hosts
+	Open               int    `json:"open"`  // requests without the end of their answer
+	RequestGuarantee   int64  `json:"open_guarantee"`
+	MaxRequests        int64  `json:"open_most"`
+	UpstreamConns      int    `json:"lines"`  // connections to boxes
+	BodyBytes          int64  `json:"bodies"` // bytes held
+	Received           int    `json:"taken"`
+	Served             int    `json:"served"`
+	Rejected           int    `json:"refused"`
+	Failed             int    `json:"failed"`
+	Broken             int    `json:"broken"`
+	ClientsLeft        int    `json:"gone"`
+	RejectedByFrontend int    `json:"declined"` // for want of room, or for the id of an open one
+	Legs               int    `json:"legs"`
 }
 
 // pools asks the loop what each pool holds.
@@ -146,7 +146,7 @@
 			Name: p.Name, ID: int(p.Pool), IsEnding: p.IsEnding, Hosts: p.Hosts, Ready: p.Ready, Open: p.Open,
 			RequestGuarantee: p.RequestQuota.Guarantee, MaxRequests: p.RequestQuota.Max, UpstreamConns: r.upstream.Connections(p.Pool), BodyBytes: r.front.BodyBytes(p.Pool),
 			Received: p.Received, Served: p.Served, Rejected: p.Rejected, Failed: p.Failed, Broken: p.Broken, ClientsLeft: p.ClientsLeft,
-			Declined: p.RejectedByFrontend, Legs: p.Attempts,
+			RejectedByFrontend: p.RejectedByFrontend, Legs: p.Attempts,
 		}
 		if f := r.feed(p.Pool); f != nil {
 			s.Discovery = f.Client.Addr
