--- a/cmd/notchhinge/services.go
+++ b/cmd/notchhinge/services.go
@@ -79,7 +79,7 @@
 			name += " (leaving)"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d/%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, s.Discovery, s.Ready, s.Hosts,
-			s.Open, s.RequestGuarantee, s.MaxRequests, s.UpstreamConns, s.BodyBytes, s.Received, s.Served, s.Rejected, s.Failed, s.Broken, s.ClientsLeft, s.RejectedByFrontend, s.Legs)
+			s.Open, s.RequestGuarantee, s.MaxRequests, s.UpstreamConns, s.BodyBytes, s.Received, s.Served, s.Rejected, s.Failed, s.Broken, s.ClientsLeft, s.RejectedByFrontend, s.Attempts)
 	}
 	return w.Flush()
 }
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -127,7 +127,7 @@
 	Broken             int    `json:"broken"`
 	ClientsLeft        int    `json:"gone"`
 	RejectedByFrontend int    `json:"declined"` // for want of room, or for the id of an open one
-	Legs               int    `json:"legs"`
+	Attempts           int    `json:"legs"`
 }
 
 // pools asks the loop what each pool holds.
@@ -146,7 +146,7 @@
 			Name: p.Name, ID: int(p.Pool), IsEnding: p.IsEnding, Hosts: p.Hosts, Ready: p.Ready, Open: p.Open,
 			RequestGuarantee: p.RequestQuota.Guarantee, MaxRequests: p.RequestQuota.Max, UpstreamConns: r.upstream.Connections(p.Pool), BodyBytes: r.front.BodyBytes(p.Pool),
 			Received: p.Received, Served: p.Served, Rejected: p.Rejected, Failed: p.Failed, Broken: p.Broken, ClientsLeft: p.ClientsLeft,
-			RejectedByFrontend: p.RejectedByFrontend, Legs: p.Attempts,
+			RejectedByFrontend: p.RejectedByFrontend, Attempts: p.Attempts,
 		}
 		if f := r.feed(p.Pool); f != nil {
 			s.Discovery = f.Client.Addr
