--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -158,16 +158,16 @@
 
 // Explanation says which route a request takes and why.
 type Explanation struct {
-	Host    string          `json:"host"` // in the spelling that is routed
-	Path    string          `json:"path"`
-	Method  string          `json:"method"`
-	Class   string          `json:"class"`
-	Service string          `json:"service"` // "" = no route takes it
-	Routes  []ExplainedPart `json:"routes"`  // the one that wins, then those that were close
+	Host    string           `json:"host"` // in the spelling that is routed
+	Path    string           `json:"path"`
+	Method  string           `json:"method"`
+	Class   string           `json:"class"`
+	Service string           `json:"service"` // "" = no route takes it
+	Routes  []ExplainedRoute `json:"routes"`  // the one that wins, then those that were close
 }
 
-// ExplainedPart is a route in an explanation.
-type ExplainedPart struct {
+// ExplainedRoute is a route in an explanation.
+type ExplainedRoute struct {
 	Service string `json:"service"`
 	Route   string `json:"route"`
 	Why     string `json:"why"`
@@ -205,7 +205,7 @@
 	}
 	const close = 5
 	for _, c := range t.Explain(&q, close) {
-		e.Routes = append(e.Routes, ExplainedPart{c.Route.Service, c.Route.Summary(), c.Reason, c.Wins, c.Matches})
+		e.Routes = append(e.Routes, ExplainedRoute{c.Route.Service, c.Route.Summary(), c.Reason, c.Wins, c.Matches})
 	}
 	return e, nil
 }
