--- a/cmd/notchhinge/services.go
+++ b/cmd/notchhinge/services.go
@@ -136,7 +136,7 @@
 		fmt.Printf("%s goes to service %s\n", what, e.Service)
 	}
 	for _, r := range e.Routes {
-		fmt.Printf("  %-8s %s\n           %s\n", r.Service, r.Route, r.Why)
+		fmt.Printf("  %-8s %s\n           %s\n", r.Service, r.Route, r.Reason)
 	}
 	return nil
 }
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -170,7 +170,7 @@
 type ExplainedRoute struct {
 	Service string `json:"service"`
 	Route   string `json:"route"`
-	Why     string `json:"why"`
+	Reason  string `json:"why"`
 	Wins    bool   `json:"wins"`
 	Matches bool   `json:"matches"`
 }
