--- a/cmd/notchhinge/main_test.go
+++ b/cmd/notchhinge/main_test.go
@@ -101,7 +101,7 @@
 	await("msg=counters")
 	write("{")
 	signal(syscall.SIGHUP)
-	await("configuration not taken over")
+	await("configuration not applied")
 	write(strings.Replace(string(text), `"discovery": "127.0.0.1:8500"`, `"discovery": "127.0.0.1:8501"`, 1))
 	signal(syscall.SIGHUP)
 	await("discovery=127.0.0.1:8501 moved=true")
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -20,22 +20,22 @@
 	"notchhinge/internal/route"
 )
 
-// ListenControl opens the control socket: for its owner only. What a router that was killed has left is taken away; a
-// socket that still answers is another router's.
+// ListenControl listens on a Unix socket with permissions for its owner only. It replaces the socket of a process that was killed,
+// and returns an error if another process accepts connections on it.
 func ListenControl(path string) (net.Listener, error) {
 	if c, err := (&net.Dialer{}).DialContext(context.Background(), "unix", path); err == nil {
 		c.Close()
-		return nil, fmt.Errorf("control: %s is the socket of a program that runs", path)
+		return nil, fmt.Errorf("control: %s is in use by another process", path)
 	}
 	if i, err := os.Lstat(path); err == nil {
 		if i.Mode()&os.ModeSocket == 0 {
-			return nil, fmt.Errorf("control: %s is there and is no socket", path)
+			return nil, fmt.Errorf("control: %s exists and is not a socket", path)
 		}
 		if err := os.Remove(path); err != nil {
 			return nil, fmt.Errorf("control: %w", err)
 		}
 	}
-	// It is made where nobody else can get at it, lest somebody come before its permissions are right.
+	// The socket is created in a directory of the owner, so that no other user can connect before its permissions are set.
 	dir, err := os.MkdirTemp(filepath.Dir(path), ".control-")
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
@@ -48,13 +48,13 @@
 	}
 	ln.SetUnlinkOnClose(false)
 	if err := errors.Join(os.Chmod(made, 0o600), os.Rename(made, path)); err != nil {
-		_ = ln.Close() // err is what is returned
+		_ = ln.Close() // the error returned is err
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	return controlListener{ln, path}, nil
 }
 
-// controlListener takes its socket away at its end.
+// controlListener removes its socket when it is closed.
 type controlListener struct {
 	*net.UnixListener
 	path string
@@ -62,111 +62,111 @@
 
 func (l controlListener) Close() error {
 	err := l.UnixListener.Close()
-	if gone := os.Remove(l.path); gone != nil && !errors.Is(gone, syscall.ENOENT) {
-		err = errors.Join(err, gone)
+	if removeErr := os.Remove(l.path); removeErr != nil && !errors.Is(removeErr, syscall.ENOENT) {
+		err = errors.Join(err, removeErr)
 	}
 	return err
 }
 
-// EnableControl has the router answer at a control socket. It is called before Serve.
-func (r *Router) EnableControl(ln net.Listener) { r.control = ln }
+// EnableControl enables the control API on a listener. It must be called before Serve.
+func (r *Router) EnableControl(ln net.Listener) { r.controlListener = ln }
 
-// serveControl answers at the control socket, if it is on, and returns what ends that.
-func (r *Router) serveControl(served chan<- error) (stop func()) {
-	if r.control == nil {
+// serveControl serves the control API, if it is enabled, and returns a function that stops it.
+func (r *Router) serveControl(serverErrors chan<- error) (stop func()) {
+	if r.controlListener == nil {
 		return func() {}
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /pools", func(w http.ResponseWriter, _ *http.Request) { reply(w, r.pools()) })
+	mux.HandleFunc("GET /pools", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, r.poolStates()) })
 	mux.HandleFunc("GET /routes/explain", func(w http.ResponseWriter, q *http.Request) {
-		a, err := Explain(r.at.Load().Table, q.URL.Query())
+		explanation, err := Explain(r.directory.Load().Table, q.URL.Query())
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		reply(w, a)
+		writeJSON(w, explanation)
 	})
 	lim := r.cfg.Limits
-	web := &http.Server{Handler: mux, ReadHeaderTimeout: lim.RequestReadTimeout, IdleTimeout: lim.ClientIdleTimeout, MaxHeaderBytes: lim.RequestHeadBytes}
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: lim.RequestReadTimeout, IdleTimeout: lim.ClientIdleTimeout, MaxHeaderBytes: lim.RequestHeadBytes}
 	go func() {
-		if err := web.Serve(netutil.LimitListener(r.control, limits.ControlSocketConns)); !errors.Is(err, http.ErrServerClosed) {
-			served <- err
+		if err := server.Serve(netutil.LimitListener(r.controlListener, limits.ControlSocketConns)); !errors.Is(err, http.ErrServerClosed) {
+			serverErrors <- err
 		}
 	}()
-	return func() { web.Close() }
+	return func() { server.Close() }
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // a reader that has gone needs no answer
+	_ = json.NewEncoder(w).Encode(v) // the client may have closed the connection
 }
 
-// State is what a router holds, as the control socket tells it.
+// State is the response to GET /pools of the control API.
 type State struct {
-	Generation int         `json:"generation"` // plans carried out since the start
+	Generation int         `json:"generation"` // number of plans applied since the start
 	Pools      []PoolState `json:"pools"`
 }
 
-// PoolState is what a pool holds, as the control socket tells it.
+// PoolState is the state of a pool and its counters since it was added.
 type PoolState struct {
 	Name               string `json:"name"`
 	ID                 int    `json:"id"`
-	IsEnding           bool   `json:"leaving"` // nothing more is led to it
+	IsEnding           bool   `json:"leaving"` // requests are no longer routed to it
 	Discovery          string `json:"discovery"`
 	Hosts              int    `json:"hosts"`
-	Ready              int    `json:"ready"` // of the hosts
-	Open               int    `json:"open"`  // requests without the end of their answer
+	Ready              int    `json:"ready"` // hosts that are ready
+	Open               int    `json:"open"`  // requests in flight
 	RequestGuarantee   int64  `json:"open_guarantee"`
 	MaxRequests        int64  `json:"open_most"`
-	UpstreamConns      int    `json:"lines"`  // connections to boxes
-	BodyBytes          int64  `json:"bodies"` // bytes held
+	UpstreamConns      int    `json:"lines"`  // open connections to endpoints
+	BodyBytes          int64  `json:"bodies"` // bytes of request bodies in memory
 	Received           int    `json:"taken"`
 	Served             int    `json:"served"`
 	Rejected           int    `json:"refused"`
 	Failed             int    `json:"failed"`
 	Broken             int    `json:"broken"`
 	ClientsLeft        int    `json:"gone"`
-	RejectedByFrontend int    `json:"declined"` // for want of room, or for the id of an open one
+	RejectedByFrontend int    `json:"declined"` // for lack of capacity, or because a request with the same id is in flight
 	Attempts           int    `json:"legs"`
 }
 
-// pools asks the loop what each pool holds.
-func (r *Router) pools() State {
-	out := State{Generation: int(r.generation.Load()), Pools: []PoolState{}}
-	to := make(chan dispatch.CountersReport, 1)
-	r.loop.Post(dispatch.GetCounters{ReplyTo: to})
-	var c dispatch.CountersReport
+// poolStates returns the state of every pool. The list is empty if the event loop does not respond within a second.
+func (r *Router) poolStates() State {
+	state := State{Generation: int(r.generation.Load()), Pools: []PoolState{}}
+	reply := make(chan dispatch.CountersReport, 1)
+	r.loop.Post(dispatch.GetCounters{ReplyTo: reply})
+	var report dispatch.CountersReport
 	select {
-	case c = <-to:
-	case <-time.After(time.Second): // the loop has ended, or is to
-		return out
+	case report = <-reply:
+	case <-time.After(time.Second): // the loop has stopped or is stopping
+		return state
 	}
-	for _, p := range c.Pools {
+	for _, p := range report.Pools {
 		s := PoolState{
 			Name: p.Name, ID: int(p.Pool), IsEnding: p.IsEnding, Hosts: p.Hosts, Ready: p.Ready, Open: p.Open,
-			RequestGuarantee: p.RequestQuota.Guarantee, MaxRequests: p.RequestQuota.Max, UpstreamConns: r.upstream.Connections(p.Pool), BodyBytes: r.front.BodyBytes(p.Pool),
+			RequestGuarantee: p.RequestQuota.Guarantee, MaxRequests: p.RequestQuota.Max, UpstreamConns: r.upstream.Connections(p.Pool), BodyBytes: r.frontend.BodyBytes(p.Pool),
 			Received: p.Received, Served: p.Served, Rejected: p.Rejected, Failed: p.Failed, Broken: p.Broken, ClientsLeft: p.ClientsLeft,
 			RejectedByFrontend: p.RejectedByFrontend, Attempts: p.Attempts,
 		}
 		if f := r.feed(p.Pool); f != nil {
 			s.Discovery = f.Client.Addr
 		}
-		out.Pools = append(out.Pools, s)
+		state.Pools = append(state.Pools, s)
 	}
-	return out
+	return state
 }
 
-// Explanation says which route a request takes and why.
+// Explanation describes which route a request takes, and why.
 type Explanation struct {
-	Host    string           `json:"host"` // in the spelling that is routed
+	Host    string           `json:"host"` // normalized, as routed
 	Path    string           `json:"path"`
 	Method  string           `json:"method"`
 	Class   string           `json:"class"`
-	Service string           `json:"service"` // "" = no route takes it
-	Routes  []ExplainedRoute `json:"routes"`  // the one that wins, then those that were close
+	Service string           `json:"service"` // "" = no route matches
+	Routes  []ExplainedRoute `json:"routes"`  // the route that wins, then those that differ least from a match
 }
 
-// ExplainedRoute is a route in an explanation.
+// ExplainedRoute is a route compared with the request.
 type ExplainedRoute struct {
 	Service string `json:"service"`
 	Route   string `json:"route"`
@@ -175,13 +175,14 @@
 	Matches bool   `json:"matches"`
 }
 
-// Explain explains how a table leads a request: host, path, method, class and header (as name:value) are given.
-func Explain(t *route.Table, asked map[string][]string) (*Explanation, error) {
-	get := func(name, without string) string {
-		if v := asked[name]; len(v) > 0 && v[0] != "" {
+// Explain describes how a table routes a request. Its parameters are those of the control API: host, path, method, class, and any
+// number of header, each as name:value.
+func Explain(t *route.Table, params map[string][]string) (*Explanation, error) {
+	get := func(name, fallback string) string {
+		if v := params[name]; len(v) > 0 && v[0] != "" {
 			return v[0]
 		}
-		return without
+		return fallback
 	}
 	e := &Explanation{Method: get("method", "POST"), Class: get("class", "")}
 	var err error
@@ -192,19 +193,19 @@
 		return nil, fmt.Errorf("path: %w", err)
 	}
 	q := route.Query{Host: e.Host, Path: e.Path, Method: e.Method, Class: e.Class, Header: map[string][]string{}}
-	for _, h := range asked["header"] {
+	for _, h := range params["header"] {
 		name, value, ok := strings.Cut(h, ":")
 		if !ok {
-			return nil, fmt.Errorf("header: %q is no name:value", h)
+			return nil, fmt.Errorf("header: %q is not of the form name:value", h)
 		}
 		name = http.CanonicalHeaderKey(strings.TrimSpace(name))
 		q.Header[name] = append(q.Header[name], strings.TrimSpace(value))
 	}
-	if to := t.Lookup(&q); to != nil {
-		e.Service = to.Service
+	if target := t.Lookup(&q); target != nil {
+		e.Service = target.Service
 	}
-	const close = 5
-	for _, c := range t.Explain(&q, close) {
+	const maxRoutes = 5
+	for _, c := range t.Explain(&q, maxRoutes) {
 		e.Routes = append(e.Routes, ExplainedRoute{c.Route.Service, c.Route.Summary(), c.Reason, c.Wins, c.Matches})
 	}
 	return e, nil
--- a/internal/router/golden_test.go
+++ b/internal/router/golden_test.go
@@ -7,10 +7,10 @@
 	"notchhinge/policy"
 )
 
-// TestGoldenHandover: what a process leaves to the one that follows it at its address has the bytes that it had. CBOR's keys
-// are the names of the fields where these have no tag.
+// TestGoldenHandover guards against changes of the encoded handover state, which another version of the program decodes. A CBOR
+// key is the name of a field that has no tag.
 func TestGoldenHandover(t *testing.T) {
-	l := &legacy{Pools: map[string]*policy.Snapshot{"scribe": {
+	state := &handoverState{Pools: map[string]*policy.Snapshot{"scribe": {
 		Sessions: []policy.SnapshotSession{{Session: 3, Replica: 4, Used: 5}},
 		Replicas: []policy.SnapshotReplica{{
 			ID: 4, ReadyAt: 1, EjectedUntil: 2, EjectionTime: 3, DrainAt: 4, AnsweredAt: 5, ReportAt: 6, FullUntil: 7,
@@ -19,11 +19,11 @@
 		Prefixes: map[uint64]float64{7: 8}, Loads: [4]float64{1, 2, 3, 4}, Retries: 1.5, ShedShare: 0.5, LostValue: 0.25, SpillShare: 0.125,
 		ShedAt: 9, Arrived: 10, UsualReplicas: 11, Tenants: []float64{12, 13},
 	}}}
-	golden.RoundTrip(t, "handover.hex", l, func(l *legacy) []byte {
-		b, err := l.encode()
+	golden.RoundTrip(t, "handover.hex", state, func(state *handoverState) []byte {
+		b, err := state.encode()
 		if err != nil {
 			t.Fatal(err)
 		}
 		return b
-	}, decodeLegacy)
+	}, decodeHandoverState)
 }
--- a/internal/router/legacy.go
+++ b/internal/router/legacy.go
@@ -11,42 +11,42 @@
 	"notchhinge/policy"
 )
 
-// legacy is what a router leaves to the process that follows it, by the names of its pools. On the wire it is a word with
-// the form's version, a checksum of the rest, and CBOR.
-type legacy struct {
+// handoverState is what the decision modules of a router have learned, passed to its successor in a hot restart. It is encoded
+// as a header with the format version, a checksum of the rest, and CBOR.
+type handoverState struct {
 	Pools map[string]*policy.Snapshot
 }
 
 const (
-	legacyForm = "nhleg01\n" // another form has another number, and is not taken
-	legacyMost = 64 << 20    // beyond what any table of sessions comes to
+	handoverMagic    = "nhleg01\n" // ends in the format version; other versions are rejected
+	maxHandoverBytes = 64 << 20    // more than the largest session table needs
 )
 
-var errLegacy = errors.New("what the process before left cannot be used")
+var errHandoverState = errors.New("invalid handover state")
 
-func (l *legacy) encode() ([]byte, error) {
+func (l *handoverState) encode() ([]byte, error) {
 	body, err := cbor.Marshal(l)
 	if err != nil {
 		return nil, err
 	}
-	b := append([]byte(legacyForm), make([]byte, 8)...)
-	binary.BigEndian.PutUint64(b[len(legacyForm):], xxhash.Sum64(body))
+	b := append([]byte(handoverMagic), make([]byte, 8)...)
+	binary.BigEndian.PutUint64(b[len(handoverMagic):], xxhash.Sum64(body))
 	return append(b, body...), nil
 }
 
-func decodeLegacy(b []byte) (*legacy, error) {
-	const head = len(legacyForm) + 8
+func decodeHandoverState(b []byte) (*handoverState, error) {
+	const headerBytes = len(handoverMagic) + 8
 	switch {
-	case len(b) < head, len(b) > legacyMost:
-		return nil, fmt.Errorf("%w: it has %d bytes", errLegacy, len(b))
-	case string(b[:len(legacyForm)]) != legacyForm:
-		return nil, fmt.Errorf("%w: it has another form", errLegacy)
-	case binary.BigEndian.Uint64(b[len(legacyForm):]) != xxhash.Sum64(b[head:]):
-		return nil, fmt.Errorf("%w: its checksum is wrong", errLegacy)
+	case len(b) < headerBytes, len(b) > maxHandoverBytes:
+		return nil, fmt.Errorf("%w: length of %d bytes", errHandoverState, len(b))
+	case string(b[:len(handoverMagic)]) != handoverMagic:
+		return nil, fmt.Errorf("%w: unknown format version", errHandoverState)
+	case binary.BigEndian.Uint64(b[len(handoverMagic):]) != xxhash.Sum64(b[headerBytes:]):
+		return nil, fmt.Errorf("%w: checksum mismatch", errHandoverState)
 	}
-	l := &legacy{}
-	if err := cbor.Unmarshal(b[head:], l); err != nil {
-		return nil, fmt.Errorf("%w: %w", errLegacy, err)
+	l := &handoverState{}
+	if err := cbor.Unmarshal(b[headerBytes:], l); err != nil {
+		return nil, fmt.Errorf("%w: %w", errHandoverState, err)
 	}
 	return l, nil
 }
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -16,91 +16,92 @@
 	"notchhinge/policy"
 )
 
-// operations is what operators and a successor have to do with.
+// operations is the state of readiness, drains and hot restarts.
 type operations struct {
-	admin     net.Listener      // nil where it is off
-	place     *hotrestart.Claim // nil where nobody succeeds
-	heard     chan struct{}     // closed once a discovery has told its list
-	once      sync.Once
-	listening atomic.Bool
-	stopping  atomic.Bool   // SIGTERM has come
-	yielded   atomic.Bool   // an heir serves, and nothing is accepted here any more
-	dry       chan struct{} // closed once nothing is left to do beside an heir
-	began     time.Time
+	adminListener net.Listener      // nil if disabled
+	claim         *hotrestart.Claim // nil if hot restarts are disabled
+	listReceived  chan struct{}     // closed when the first endpoint list was received from a discovery service
+	listOnce      sync.Once
+	listening     atomic.Bool
+	stopping      atomic.Bool   // shutdown has begun
+	handedOver    atomic.Bool   // the successor serves, and this process accepts no connections
+	handoverDone  chan struct{} // closed when no connection is left after a handover
+	claimedAt     time.Time
 
-	mu    sync.Mutex
-	sweep chan struct{} // closed at the end of the drain by call that there is; nil without one
-	ln    net.Listener  // of clients; closed while an heir serves
+	mu        sync.Mutex
+	stopSweep chan struct{} // closed to end the drain of an operator; nil if there is none
+	listener  net.Listener  // of clients; closed after a handover
 }
 
-// door is the clients' listener.
-func (o *operations) door() net.Listener {
+// clientListener returns the listener of clients.
+func (o *operations) clientListener() net.Listener {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.ln
+	return o.listener
 }
 
-// accept has the front take connections from a listener.
-func (r *Router) accept(ln net.Listener, served chan<- error) {
+// accept starts serving clients on a listener.
+func (r *Router) accept(ln net.Listener, serverErrors chan<- error) {
 	r.ops.mu.Lock()
-	r.ops.ln = ln
+	r.ops.listener = ln
 	r.ops.mu.Unlock()
 	go func() {
-		if err := r.front.Serve(ln); err != nil {
-			served <- err
+		if err := r.frontend.Serve(ln); err != nil {
+			serverErrors <- err
 		}
 	}()
 }
 
-func (o *operations) hear() { o.once.Do(func() { close(o.heard) }) }
+// markListReceived records that an endpoint list was received from a discovery service.
+func (o *operations) markListReceived() { o.listOnce.Do(func() { close(o.listReceived) }) }
 
-// EnableAdmin has the router answer operators at a listener. It is called before Serve.
-func (r *Router) EnableAdmin(ln net.Listener) { r.ops.admin = ln }
+// EnableAdmin enables the admin API on a listener. It must be called before Serve.
+func (r *Router) EnableAdmin(ln net.Listener) { r.ops.adminListener = ln }
 
-// serveAdmin answers operators, if that is on, and returns what ends it.
-func (r *Router) serveAdmin(served chan<- error) (stop func()) {
-	ln := r.ops.admin
+// serveAdmin serves the admin API, if it is enabled, and returns a function that stops it.
+func (r *Router) serveAdmin(serverErrors chan<- error) (stop func()) {
+	ln := r.ops.adminListener
 	if ln == nil {
 		return func() {}
 	}
 	s := &admin.Server{State: r}
 	go func() {
 		if err := s.Serve(ln); err != nil {
-			served <- err
+			serverErrors <- err
 		}
 	}()
 	return func() { ln.Close() }
 }
 
-// Serving implements admin.State.
+// Serving implements admin.State. It reports whether the router is ready, and why not otherwise.
 func (r *Router) Serving() (bool, string) {
 	switch {
 	case !r.ops.listening.Load():
 		return false, "starting: not listening yet"
 	case r.ops.stopping.Load():
 		return false, "stopping"
-	case r.front.IsDraining():
+	case r.frontend.IsDraining():
 		return false, "draining"
 	case !r.ready.Load():
-		return false, "starting: no issuer host is known yet"
-	case r.ops.place != nil && r.ops.place.Role() == hotrestart.RoleSuccessor && time.Since(r.ops.began) < limits.TakeoverReadyTimeout:
+		return false, "starting: no engine is known yet"
+	case r.ops.claim != nil && r.ops.claim.Role() == hotrestart.RoleSuccessor && time.Since(r.ops.claimedAt) < limits.TakeoverReadyTimeout:
 		return false, "taking over: the process before this one has work left"
 	}
 	return true, "ok"
 }
 
-// Fail implements admin.State: readiness says no, connections go with their answers, and from DrainIdle on what is idle
-// is closed. Work goes on, batches too: it is the clients' address that is drained.
+// Fail implements admin.State. It starts a drain: readiness fails, connections are closed after their next response, and after
+// DrainIdleDelay idle connections are closed. Requests in flight and batch jobs go on.
 func (r *Router) Fail() {
 	r.ops.mu.Lock()
 	defer r.ops.mu.Unlock()
-	r.front.Drain()
-	if r.ops.sweep != nil || r.ops.stopping.Load() {
+	r.frontend.Drain()
+	if r.ops.stopSweep != nil || r.ops.stopping.Load() {
 		return
 	}
-	r.log.Info("drained by call")
+	r.log.Info("draining on request of an operator")
 	done := make(chan struct{})
-	r.ops.sweep = done
+	r.ops.stopSweep = done
 	go func() {
 		wait := time.NewTimer(r.cfg.Limits.DrainIdleDelay)
 		defer wait.Stop()
@@ -110,15 +111,15 @@
 				return
 			case <-wait.C:
 			}
-			r.front.CloseIdleExceptNew()
+			r.frontend.CloseIdleExceptNew()
 			wait.Reset(limits.DrainSweepInterval)
 		}
 	}()
 }
 
-var errStopping = errors.New("the process is ending; a drain by SIGTERM has no way back")
+var errStopping = errors.New("the process is shutting down; the drain cannot be undone")
 
-// OK implements admin.State.
+// OK implements admin.State. It ends the drain that Fail started.
 func (r *Router) OK() error {
 	r.ops.mu.Lock()
 	defer r.ops.mu.Unlock()
@@ -126,80 +127,80 @@
 		return errStopping
 	}
 	if r.endSweep() {
-		r.log.Info("drain by call is over")
+		r.log.Info("drain ended by an operator")
 	}
-	r.front.Undrain()
+	r.frontend.Undrain()
 	return nil
 }
 
-// endSweep ends what closes idle connections, and tells whether anything did. The lock is held.
+// endSweep stops the goroutine that closes idle connections, and reports whether there was one. The caller holds the lock.
 func (r *Router) endSweep() bool {
-	if r.ops.sweep == nil {
+	if r.ops.stopSweep == nil {
 		return false
 	}
-	close(r.ops.sweep)
-	r.ops.sweep = nil
+	close(r.ops.stopSweep)
+	r.ops.stopSweep = nil
 	return true
 }
 
-// toEnd says that the process ends: a drain by call goes over into that by SIGTERM.
-func (r *Router) toEnd() {
+// markStopping records that the shutdown has begun, which replaces a drain of an operator.
+func (r *Router) markStopping() {
 	r.ops.mu.Lock()
 	defer r.ops.mu.Unlock()
 	r.ops.stopping.Store(true)
 	r.endSweep()
 }
 
-// claim takes the router's standing at its address, where there is a folder that a successor could share.
-func (r *Router) claim() error {
+// claimAddress claims the listen address as its owner or as the successor of a running process, if a shared directory is set.
+func (r *Router) claimAddress() error {
 	if r.cfg.SharedDir == "" {
 		return nil
 	}
-	r.ops.began = time.Now()
-	p, err := hotrestart.Acquire(r.cfg.SharedDir, r.cfg.ListenAddr)
+	r.ops.claimedAt = time.Now()
+	c, err := hotrestart.Acquire(r.cfg.SharedDir, r.cfg.ListenAddr)
 	if errors.Is(err, hotrestart.ErrAddressTaken) {
 		return err
 	}
 	if err != nil {
-		r.log.Warn("no process can take over from this one", "err", err)
+		r.log.Warn("hot restart is not available", "err", err)
 		return nil
 	}
-	if r.ops.place = p; p.Role() == hotrestart.RoleSuccessor {
-		r.resize(r.cfg.Limits.TakeoverCapacity())
+	if r.ops.claim = c; c.Role() == hotrestart.RoleSuccessor {
+		r.setCapacity(r.cfg.Limits.TakeoverCapacity())
 	}
 	return nil
 }
 
-// listen opens the clients' address. An heir first hears the list, since it gets all new connections from then on. A nil
-// listener says that the router was stopped before.
+// listen opens the listener of clients. A successor first waits for the endpoint list, since it receives all new connections as
+// soon as it listens. It returns a nil listener if the router was stopped meanwhile.
 func (r *Router) listen(ctx context.Context, sig Signals) (net.Listener, error) {
-	p := r.ops.place
-	if p == nil {
+	c := r.ops.claim
+	if c == nil {
 		return net.Listen("tcp", r.cfg.ListenAddr)
 	}
-	if p.Role() == hotrestart.RoleOwner {
+	if c.Role() == hotrestart.RoleOwner {
 		return hotrestart.Listen(context.Background(), r.cfg.ListenAddr, false)
 	}
-	r.log.Info("another process serves here; taking over from it once the list is there")
+	r.log.Info("another process serves this address; taking over when the endpoint list is received")
 	for _, f := range r.allFeeds() {
 		f.RequestWatchNow()
 	}
-	limit := time.NewTimer(limits.TakeoverListTimeout)
-	defer limit.Stop()
-	look := time.NewTicker(limits.TakeoverPollInterval)
-	defer look.Stop()
+	timeout := time.NewTimer(limits.TakeoverListTimeout)
+	defer timeout.Stop()
+	poll := time.NewTicker(limits.TakeoverPollInterval)
+	defer poll.Stop()
 wait:
 	for {
 		select {
-		case <-r.ops.heard:
+		case <-r.ops.listReceived:
 			break wait
-		case <-limit.C:
-			r.log.Warn("no list came; taking over with the one known at the start")
+		case <-timeout.C:
+			r.log.Warn("no endpoint list was received; taking over with the initial list")
 			break wait
-		case <-look.C:
-			if p.TryTakeOver() {
-				r.log.Info("the other process has ended")
-				r.resize(r.cfg.Limits.FullCapacity())
+		case <-poll.C:
+			if c.TryTakeOver() {
+				r.log.Info("the other process has exited")
+				r.setCapacity(r.cfg.Limits.FullCapacity())
 				return hotrestart.Listen(context.Background(), r.cfg.ListenAddr, false)
 			}
 		case <-sig.Stop:
@@ -208,137 +209,139 @@
 			return nil, ctx.Err()
 		}
 	}
-	r.inherit(ctx, p)
+	r.restoreState(ctx, c)
 	ln, err := hotrestart.Listen(context.Background(), r.cfg.ListenAddr, true)
 	if ln == nil {
 		return nil, err
 	}
 	if err != nil {
-		// Not every kernel can. Both get their part then, until the owner stops listening.
+		// Not every kernel can direct all new connections to the successor. Both processes accept connections until the owner
+		// closes its listener.
 		r.log.Info("taking over", "err", err)
 	}
-	return ln, p.AnnounceReady()
+	return ln, c.AnnounceReady()
 }
 
-// inherit waits for what the owner has learnt, and teaches it to the modules.
-func (r *Router) inherit(ctx context.Context, p *hotrestart.Claim) {
-	for until := time.Now().Add(limits.TakeoverStateTimeout); ; time.Sleep(limits.TakeoverPollInterval / 10) {
-		b, ok := p.TakeState()
-		if !ok && ctx.Err() == nil && time.Now().Before(until) {
+// restoreState waits for the state of the owner and restores it into the decision modules.
+func (r *Router) restoreState(ctx context.Context, c *hotrestart.Claim) {
+	for deadline := time.Now().Add(limits.TakeoverStateTimeout); ; time.Sleep(limits.TakeoverPollInterval / 10) {
+		b, ok := c.TakeState()
+		if !ok && ctx.Err() == nil && time.Now().Before(deadline) {
 			continue
 		}
 		if !ok {
-			r.log.Warn("the process before this one has left nothing of what it has learnt")
+			r.log.Warn("the previous process has handed over no state")
 			return
 		}
-		l, err := decodeLegacy(b)
+		state, err := decodeHandoverState(b)
 		if err != nil {
 			r.log.Warn("inheriting", "err", err)
 			return
 		}
-		pins := 0
+		sessions := 0
 		for _, q := range r.plan.Pools {
-			if k := l.Pools[q.Name]; k != nil {
-				r.loop.Post(dispatch.RestoreSnapshot{Pool: q.ID, Snapshot: k})
-				pins += len(k.Sessions)
+			if snapshot := state.Pools[q.Name]; snapshot != nil {
+				r.loop.Post(dispatch.RestoreSnapshot{Pool: q.ID, Snapshot: snapshot})
+				sessions += len(snapshot.Sessions)
 			}
 		}
-		r.log.Info("inherited from the process before", "bytes", len(b), "sessions", pins)
+		r.log.Info("restored the state of the previous process", "bytes", len(b), "sessions", sessions)
 		return
 	}
 }
 
-// bequeath leaves what the modules have learnt to the heir.
-func (r *Router) bequeath(ctx context.Context) {
-	to := make(chan map[string]*policy.Snapshot, 1)
-	r.loop.Post(dispatch.GetSnapshots{ReplyTo: to})
+// handOverState writes what the decision modules have learned for the successor.
+func (r *Router) handOverState(ctx context.Context) {
+	reply := make(chan map[string]*policy.Snapshot, 1)
+	r.loop.Post(dispatch.GetSnapshots{ReplyTo: reply})
 	select {
-	case all := <-to:
-		b, err := (&legacy{all}).encode()
+	case snapshots := <-reply:
+		b, err := (&handoverState{snapshots}).encode()
 		if err == nil {
-			err = r.ops.place.WriteState(b)
+			err = r.ops.claim.WriteState(b)
 		}
 		if err != nil {
-			r.log.Warn("the heir learns nothing from here", "err", err)
+			r.log.Warn("failed to hand over state to the successor", "err", err)
 		}
 	case <-ctx.Done():
 	}
 }
 
-// watchPlace follows what becomes of the other process, if there is one, and returns what ends that.
-func (r *Router) watchPlace(ctx context.Context, served chan<- error) (stop func()) {
-	p := r.ops.place
-	if p == nil {
+// watchClaim reacts to the start and exit of the other process at the address, if hot restarts are enabled. It returns a function
+// that ends the watch.
+func (r *Router) watchClaim(ctx context.Context, serverErrors chan<- error) (stop func()) {
+	c := r.ops.claim
+	if c == nil {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	yield := func() {}
-	go p.Watch(ctx, limits.TakeoverPollInterval, func(s hotrestart.SuccessorState) {
+	stopHandover := func() {}
+	go c.Watch(ctx, limits.TakeoverPollInterval, func(s hotrestart.SuccessorState) {
 		if r.ops.stopping.Load() {
 			return
 		}
 		switch s {
 		case hotrestart.SuccessorStarting:
-			r.log.Info("an heir has come; it gets half of the room")
-			r.resize(r.cfg.Limits.TakeoverCapacity())
-			r.bequeath(ctx)
+			r.log.Info("a successor has started; reducing the capacity by half")
+			r.setCapacity(r.cfg.Limits.TakeoverCapacity())
+			r.handOverState(ctx)
 		case hotrestart.SuccessorReady:
-			r.log.Info("the heir is ready; nothing more is accepted here, and connections end with their answers")
-			r.resize(r.cfg.Limits.TakeoverCapacity())
-			yield = r.yield(ctx)
+			r.log.Info("the successor is ready; closing the listener, and connections after their next response")
+			r.setCapacity(r.cfg.Limits.TakeoverCapacity())
+			stopHandover = r.handOverAddress(ctx)
 		case hotrestart.SuccessorNone:
-			r.log.Warn("the heir has gone; serving on alone")
-			yield()
-			r.resume(served)
-			r.resize(r.cfg.Limits.FullCapacity())
+			r.log.Warn("the successor has exited; serving alone")
+			stopHandover()
+			r.resumeListening(serverErrors)
+			r.setCapacity(r.cfg.Limits.FullCapacity())
 		}
 	}, func() {
-		r.log.Info("the process before this one has ended; serving alone")
-		r.resize(r.cfg.Limits.FullCapacity())
+		r.log.Info("the previous process has exited; serving alone")
+		r.setCapacity(r.cfg.Limits.FullCapacity())
 	})
 	return cancel
 }
 
-// yield leaves the address to the heir: what waits in the queue is accepted still, the listener closes, connections go
-// with their answers, and once nothing is left the process ends by itself. The stop it returns keeps it from that.
-func (r *Router) yield(ctx context.Context) (stop func()) {
+// handOverAddress leaves the address to the successor: it accepts what is in the accept queue, closes the listener, and closes
+// connections after their next response. When no connection is left the process shuts down, unless the returned stop was called.
+func (r *Router) handOverAddress(ctx context.Context) (stop func()) {
 	ctx, stop = context.WithCancel(ctx)
-	r.front.StartHandover()
+	r.frontend.StartHandover()
 	time.Sleep(limits.AcceptQueueDrainTime)
-	r.ops.door().Close()
-	r.ops.yielded.Store(true)
+	r.ops.clientListener().Close()
+	r.ops.handedOver.Store(true)
 	go func() {
-		for r.front.Connections() > 0 {
+		for r.frontend.Connections() > 0 {
 			select {
 			case <-ctx.Done():
 				return
 			case <-time.After(limits.DrainSweepInterval):
 			}
 		}
-		if ctx.Err() == nil && r.desk == nil { // batches end with SIGTERM alone
-			close(r.ops.dry)
+		if ctx.Err() == nil && r.batch == nil { // a process with batch jobs runs until SIGTERM
+			close(r.ops.handoverDone)
 		}
 	}()
 	return stop
 }
 
-// resume takes the address back.
-func (r *Router) resume(served chan<- error) {
-	r.front.CancelHandover()
-	if !r.ops.yielded.Swap(false) {
+// resumeListening undoes handOverAddress.
+func (r *Router) resumeListening(serverErrors chan<- error) {
+	r.frontend.CancelHandover()
+	if !r.ops.handedOver.Swap(false) {
 		return
 	}
 	ln, err := hotrestart.Listen(context.Background(), r.cfg.ListenAddr, false)
 	if err != nil {
-		served <- err
+		serverErrors <- err
 		return
 	}
-	r.accept(ln, served)
+	r.accept(ln, serverErrors)
 }
 
-// resize changes what the process may use.
-func (r *Router) resize(m limits.Capacity) {
-	debug.SetMemoryLimit(m.HeapBytes)
-	r.front.SetMaxConnections(m.ClientConns)
-	r.upstream.SetMaxConnections(m.UpstreamConns)
+// setCapacity sets the limits on memory and connections of the process.
+func (r *Router) setCapacity(c limits.Capacity) {
+	debug.SetMemoryLimit(c.HeapBytes)
+	r.frontend.SetMaxConnections(c.ClientConns)
+	r.upstream.SetMaxConnections(c.UpstreamConns)
 }
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -18,22 +18,22 @@
 	"notchhinge/policy"
 )
 
-const asks = "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nX-Class: doc-lookup\r\nContent-Length: 2\r\n\r\n{}"
+const completionRequest = "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nX-Class: doc-lookup\r\nContent-Length: 2\r\n\r\n{}"
 
-// ask asks for readiness on a new connection.
-func ask(t *testing.T, front *pipeListener) int {
+// readinessStatus returns the status code of the readiness check on a new connection.
+func readinessStatus(t *testing.T, front *pipeListener) int {
 	t.Helper()
 	c, err := front.dial()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	return get(t, c, readiness).StatusCode
+	return roundTrip(t, c, readinessRequest).StatusCode
 }
 
-const readiness = "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
+const readinessRequest = "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"
 
-func get(t *testing.T, c net.Conn, text string) *http.Response {
+func roundTrip(t *testing.T, c net.Conn, text string) *http.Response {
 	t.Helper()
 	go io.WriteString(c, text)
 	r, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -44,70 +44,70 @@
 	return r
 }
 
-// closed waits for the end of a connection and tells when it came.
-func closed(c net.Conn) <-chan time.Time {
+// closeTime sends the time at which the peer closes a connection.
+func closeTime(c net.Conn) <-chan time.Time {
 	at := make(chan time.Time, 1)
 	go func() { io.Copy(io.Discard, c); at <- time.Now() }()
 	return at
 }
 
-func TestDrainByCall(t *testing.T) {
-	// Twice over: fail, fail again, ok, ok again. Idle connections are closed in time, new ones are served and closed with
-	// their answer, and the process stays. At last SIGTERM comes within a drain, which then has no way back.
+func TestDrainByOperator(t *testing.T) {
+	// Fail and OK are each called twice, in two rounds. Idle connections are closed in time, and new ones are served and closed
+	// after their response. SIGTERM during a drain makes it final.
 	synctest.Test(t, func(t *testing.T) {
-		front, stop, done, _, r := bubbleOf(t, time.Second)
+		front, stop, done, _, r := startInMemory(t, time.Second)
 		for range 2 {
-			if s := ask(t, front); s != 200 {
-				t.Fatalf("ready: %d before a drain", s)
+			if s := readinessStatus(t, front); s != 200 {
+				t.Fatalf("readiness %d before a drain", s)
 			}
-			idle, used := must(front.dial()), must(front.dial())
-			get(t, used, readiness)
-			idleGone, usedGone := closed(idle), closed(used)
+			idle, used := mustDial(front.dial()), mustDial(front.dial())
+			roundTrip(t, used, readinessRequest)
+			idleClosed, usedClosed := closeTime(idle), closeTime(used)
 			began := time.Now()
 			r.Fail()
 			r.Fail()
-			if s := ask(t, front); s != 503 {
-				t.Errorf("ready: %d in a drain", s)
+			if s := readinessStatus(t, front); s != 503 {
+				t.Errorf("readiness %d during a drain", s)
 			}
 			if ok, _ := r.Serving(); ok {
-				t.Error("operators are told that it serves")
+				t.Error("Serving reports ready during a drain")
 			}
-			time.Sleep(300 * time.Millisecond) // the front has not noticed yet
-			late := must(front.dial())
-			if a := get(t, late, asks); a.StatusCode == 0 || !a.Close {
-				t.Errorf("a connection that came late: %d, and goes on: %v", a.StatusCode, !a.Close)
+			time.Sleep(300 * time.Millisecond) // the load balancer has not noticed yet
+			late := mustDial(front.dial())
+			if a := roundTrip(t, late, completionRequest); a.StatusCode == 0 || !a.Close {
+				t.Errorf("a late connection: status %d, stays open: %v", a.StatusCode, !a.Close)
 			}
-			for name, gone := range map[string]<-chan time.Time{"never asked": idleGone, "idle": usedGone} {
+			for name, gone := range map[string]<-chan time.Time{"without a request": idleClosed, "idle": usedClosed} {
 				if after := (<-gone).Sub(began); after < r.cfg.Limits.DrainIdleDelay || after > time.Second {
 					t.Errorf("%s: closed after %v", name, after)
 				}
 			}
-			// One that comes out of turn and says nothing is not held either.
-			odd := must(front.dial())
-			at := time.Now()
-			if after := (<-closed(odd)).Sub(at); after < r.cfg.Limits.NewConnGrace || after > time.Second {
+			// A new connection without a request is closed, too.
+			silent := mustDial(front.dial())
+			opened := time.Now()
+			if after := (<-closeTime(silent)).Sub(opened); after < r.cfg.Limits.NewConnGrace || after > time.Second {
 				t.Errorf("a silent connection was closed after %v", after)
 			}
-			if err := r.OK(); err != nil || ask(t, front) != 200 {
-				t.Errorf("ok: %v", err)
+			if err := r.OK(); err != nil || readinessStatus(t, front) != 200 {
+				t.Errorf("OK: %v", err)
 			}
-			if err := r.OK(); err != nil || ask(t, front) != 200 {
-				t.Errorf("ok without a drain: %v", err)
+			if err := r.OK(); err != nil || readinessStatus(t, front) != 200 {
+				t.Errorf("OK without a drain: %v", err)
 			}
 		}
-		kept := must(front.dial())
-		gone := closed(kept)
+		kept := mustDial(front.dial())
+		gone := closeTime(kept)
 		time.Sleep(time.Second)
 		select {
 		case <-gone:
-			t.Error("a drain that is over still closes connections")
+			t.Error("a connection was closed after the end of the drain")
 		default:
 		}
 		r.Fail()
 		stop <- syscall.SIGTERM
 		synctest.Wait()
 		if err := r.OK(); err == nil {
-			t.Error("a drain by SIGTERM was taken back")
+			t.Error("OK undid a drain by SIGTERM")
 		}
 		if err := <-done; err != nil {
 			t.Error(err)
@@ -115,34 +115,34 @@
 	})
 }
 
-// process is a router on a real address, as one of two.
+// process is a router on a TCP address that it shares with another one.
 type process struct {
 	*Router
 	stop chan os.Signal
 	done chan error
 }
 
-func start(t *testing.T, dir, listen string) *process {
+func startProcess(t *testing.T, dir, listen string) *process {
 	t.Helper()
-	cfg := load(t)
+	cfg := loadConfig(t)
 	cfg.SharedDir, cfg.ListenAddr = dir, listen
 	p := &process{Router: newRouter(t, cfg, 0, &strings.Builder{}), stop: make(chan os.Signal, 1), done: make(chan error, 1)}
-	if err := p.claim(); err != nil {
+	if err := p.claimAddress(); err != nil {
 		t.Fatal(err)
 	}
 	go func() { p.done <- p.serve(p.listen, Signals{Stop: p.stop}) }()
 	return p
 }
 
-func TestReplacedUnderLoad(t *testing.T) {
-	// The old process ends by itself once its connections have, and no call meets a closed door meanwhile.
+func TestReplacementUnderLoad(t *testing.T) {
+	// The old process exits when its connections are closed, and no call fails during the replacement.
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	listen, dir := free.Addr().String(), t.TempDir()
 	free.Close()
-	old := start(t, dir, listen)
+	old := startProcess(t, dir, listen)
 	calls, halt := make(chan error), make(chan struct{})
 	go func() {
 		defer close(calls)
@@ -166,23 +166,23 @@
 			calls <- err
 		}
 	}()
-	for err := range calls { // until the first is up
+	for err := range calls { // until the first process serves
 		if err == nil {
 			break
 		}
 	}
-	next := start(t, dir, listen)
-	if next.limits() != next.cfg.Limits.TakeoverCapacity() {
-		t.Errorf("an heir has %+v", next.limits())
+	next := startProcess(t, dir, listen)
+	if next.capacity() != next.cfg.Limits.TakeoverCapacity() {
+		t.Errorf("the capacity of a successor: %+v", next.capacity())
 	}
 	if ok, why := next.Serving(); ok {
-		t.Errorf("an heir says at once that it serves: %s", why)
+		t.Errorf("a successor is ready at once: %s", why)
 	}
 	served := 0
 	ended := false
 	for err := range calls {
 		if err != nil {
-			t.Errorf("a call: %v", err)
+			t.Errorf("call failed: %v", err)
 		}
 		if served++; !ended {
 			select {
@@ -190,7 +190,7 @@
 				if ended = true; err != nil {
 					t.Error(err)
 				}
-				old.ops.place.Close() // as its process's end would
+				old.ops.claim.Close() // as the exit of its process would
 				served = 0
 			default:
 			}
@@ -207,34 +207,34 @@
 	}
 }
 
-// limits is the room that a router keeps to.
-func (r *Router) limits() limits.Capacity {
-	return limits.Capacity{ClientConns: r.front.MaxConnections(), UpstreamConns: r.upstream.MaxConnections(), HeapBytes: r.cfg.Limits.TakeoverCapacity().HeapBytes}
+// capacity returns the limits that a router applies.
+func (r *Router) capacity() limits.Capacity {
+	return limits.Capacity{ClientConns: r.frontend.MaxConnections(), UpstreamConns: r.upstream.MaxConnections(), HeapBytes: r.cfg.Limits.TakeoverCapacity().HeapBytes}
 }
 
-func TestLegacy(t *testing.T) {
-	l := &legacy{Pools: map[string]*policy.Snapshot{"": {
+func TestHandoverStateEncoding(t *testing.T) {
+	state := &handoverState{Pools: map[string]*policy.Snapshot{"": {
 		Sessions: []policy.SnapshotSession{{Session: 3, Replica: 4, Used: 5}},
 		Replicas: []policy.SnapshotReplica{{ID: 4, ReadyAt: 1, EjectedUntil: 9, Weight: 2}},
 		Prefixes: map[uint64]float64{7: 8}, ShedShare: 0.5,
 	}}}
-	b, err := l.encode()
+	b, err := state.encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := decodeLegacy(b)
+	got, err := decodeHandoverState(b)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(l, got); diff != "" {
+	if diff := cmp.Diff(state, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 	for name, bad := range map[string][]byte{
-		"nothing": nil, "half": b[:len(b)/2], "short": b[:3], "another form": append([]byte("nhleg02\n"), b[8:]...),
+		"nothing": nil, "half": b[:len(b)/2], "short": b[:3], "another version": append([]byte("nhleg02\n"), b[8:]...),
 		"a flipped bit": append(append([]byte{}, b[:len(b)-1]...), b[len(b)-1]^1),
 	} {
-		if _, err := decodeLegacy(bad); err == nil {
-			t.Errorf("%s is taken", name)
+		if _, err := decodeHandoverState(bad); err == nil {
+			t.Errorf("%s was decoded without an error", name)
 		}
 	}
 }
--- a/internal/router/plan.go
+++ b/internal/router/plan.go
@@ -18,8 +18,8 @@
 	"notchhinge/policy"
 )
 
-// apply carries a plan out: pools that are new come first, then requests are led by the new routes, and last the pools
-// that nothing is led to any more begin to leave. What was led by the old routes is taken still.
+// apply makes a plan the running one. It adds the new pools, then routes requests by the new routes, then ends the pools that
+// the plan has no more. Requests that were routed before are still served by their pools.
 func (r *Router) apply(ctx context.Context, next *reconcile.Plan) error {
 	r.applying.Lock()
 	defer r.applying.Unlock()
@@ -33,15 +33,15 @@
 		modules[q.ID] = m
 	}
 	for _, q := range next.Pools {
-		r.set(&q, modules[q.ID])
+		r.configurePool(&q, modules[q.ID])
 	}
 	for _, q := range c.Added {
-		r.join(ctx, &q, true)
+		r.attachToFeed(ctx, &q, true)
 	}
 	for _, q := range c.SourceChanged {
-		r.join(ctx, &q, false)
+		r.attachToFeed(ctx, &q, false)
 	}
-	r.at.Store(next.Directory)
+	r.directory.Store(next.Directory)
 	for _, q := range c.Removed {
 		r.loop.Post(dispatch.EndPool{Pool: q.ID})
 	}
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// set gives a pool its parts of the process.
-func (r *Router) set(q *reconcile.Pool, module *policy.Balancer) {
+// configurePool sets the quotas and settings of a pool in the upstream transport, the frontend and the dispatcher.
+func (r *Router) configurePool(q *reconcile.Pool, module *policy.Balancer) {
 	r.upstream.ConfigurePool(q.ID, upstream.LoadReporting{
 		Columns: q.Module.LoadReportColumns, StatsPath: len(q.Module.LoadReportColumns) > 0, InResponses: q.Module.LoadReportsInResponses,
 	}, q.UpstreamConnQuota)
-	r.front.ConfigurePool(q.ID, q.BodyQuota, q.ClientConnQuota)
+	r.frontend.ConfigurePool(q.ID, q.BodyQuota, q.ClientConnQuota)
 	e := dispatch.ConfigurePool{
 		Pool: q.ID, Name: q.Name, Module: module, SlowStart: q.Module.Settings.SlowStart, SlowStartInitial: q.Module.Settings.SlowStartInitial,
 		Classes: traceClasses(&q.Module), RequestQuota: q.RequestQuota, TurnWeight: q.TurnWeight, RetryAfter: q.RetryAfter,
@@ -67,34 +67,35 @@
 	r.loop.Post(e)
 }
 
-// join has a pool hear of its part of its discovery's list, which may be another than it had.
-func (r *Router) join(ctx context.Context, q *reconcile.Pool, first bool) {
+// attachToFeed subscribes a pool to its selection of the endpoint list of its discovery address, and unsubscribes it from the
+// feed that it had before. isNew says that the pool was added by this plan.
+func (r *Router) attachToFeed(ctx context.Context, q *reconcile.Pool, isNew bool) {
 	r.mu.Lock()
-	f, old := r.feeds[q.DiscoveryAddr], r.feedOf[q.ID]
-	fresh := f == nil
-	if fresh {
-		f = listwatch.NewFeed(listwatch.Client{Addr: q.DiscoveryAddr, Limits: r.cfg.Limits, DialContext: r.dial}, r.listed)
+	f, old := r.feeds[q.DiscoveryAddr], r.poolFeeds[q.ID]
+	isNewFeed := f == nil
+	if isNewFeed {
+		f = listwatch.NewFeed(listwatch.Client{Addr: q.DiscoveryAddr, Limits: r.cfg.Limits, DialContext: r.dial}, r.postEndpoints)
 		r.feeds[q.DiscoveryAddr] = f
 	}
-	r.feedOf[q.ID] = f
+	r.poolFeeds[q.ID] = f
 	r.mu.Unlock()
-	if fresh && first && r.plan == nil && q.DiscoveryAddr == r.cfg.DiscoveryAddr {
+	if isNewFeed && isNew && r.plan == nil && q.DiscoveryAddr == r.cfg.DiscoveryAddr {
 		f.SetInitial(r.cfg.InitialEndpoints)
 	}
-	f.SetPool(q.ID, listwatch.PoolUse{Selection: q.Selection, Zones: q.Module.ZoneNames, IsNew: first})
-	if fresh {
+	f.SetPool(q.ID, listwatch.PoolUse{Selection: q.Selection, Zones: q.Module.ZoneNames, IsNew: isNew})
+	if isNewFeed {
 		f.Run(ctx)
-		if !first || q.Name != "" && !f.HasList() {
-			f.RequestWatchNow() // nothing is known of it, and the module would take its time to ask
+		if !isNew || q.Name != "" && !f.HasList() {
+			f.RequestWatchNow() // no list is cached, and the module would request the first watch only after a delay
 		}
 	}
 	if old != nil && old != f {
-		r.leave(old, q.ID)
+		r.detachFromFeed(old, q.ID)
 	}
 }
 
-// leave takes a pool out of a feed, which ends with its last.
-func (r *Router) leave(f *listwatch.Feed, id hoststate.PoolID) {
+// detachFromFeed removes a pool from a feed and stops a feed that has no pool left.
+func (r *Router) detachFromFeed(f *listwatch.Feed, id hoststate.PoolID) {
 	if f.RemovePool(id) {
 		return
 	}
@@ -108,59 +109,59 @@
 	}
 }
 
-// feed is where a pool has its list from.
+// feed returns the endpoint list feed of a pool, or nil.
 func (r *Router) feed(id hoststate.PoolID) *listwatch.Feed {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.feedOf[id]
+	return r.poolFeeds[id]
 }
 
-// allFeeds are those there are at present.
+// allFeeds returns the feeds of all pools, each once, in no order.
 func (r *Router) allFeeds() []*listwatch.Feed {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Collect(maps.Values(r.feeds))
 }
 
-// gone does broker.PoolGone.
-func (r *Router) gone(id hoststate.PoolID) {
+// removePool performs dispatch.PoolEnded: it releases what the process holds for a pool.
+func (r *Router) removePool(id hoststate.PoolID) {
 	r.applying.Lock()
 	defer r.applying.Unlock()
 	if f := r.feed(id); f != nil {
-		r.leave(f, id)
+		r.detachFromFeed(f, id)
 	}
 	r.mu.Lock()
-	delete(r.feedOf, id)
+	delete(r.poolFeeds, id)
 	r.mu.Unlock()
 	r.upstream.RemovePool(id)
-	r.front.RemovePool(id)
+	r.frontend.RemovePool(id)
 	r.log.Info("pool ended", "id", int(id))
 }
 
-// reload takes over what a running router can: discovery's address, and services, routes and pools. What is bad changes
-// nothing.
-func (r *Router) reload(ctx context.Context, reread func(*reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error)) {
-	cfg, next, err := reread(r.plan)
+// reload loads the configuration and applies what can change while the router runs: the discovery address, services, routes and
+// pools. An invalid configuration is logged and changes nothing.
+func (r *Router) reload(ctx context.Context, loadPlan func(*reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error)) {
+	cfg, next, err := loadPlan(r.plan)
 	if err == nil {
-		moved := cfg.DiscoveryAddr != r.cfg.DiscoveryAddr
+		discoveryChanged := cfg.DiscoveryAddr != r.cfg.DiscoveryAddr
 		c := next.ChangesFrom(r.plan)
 		if err = r.apply(ctx, next); err == nil {
 			r.cfg.DiscoveryAddr = cfg.DiscoveryAddr
-			args := []any{"discovery", cfg.DiscoveryAddr, "moved", moved}
+			args := []any{"discovery", cfg.DiscoveryAddr, "moved", discoveryChanged}
 			if len(c.Added)+len(c.Removed)+len(c.Renamed) > 0 || len(next.Pools) > 1 {
 				args = append(args, "pools", len(next.Pools), "added", len(c.Added), "ended", len(c.Removed), "renamed", len(c.Renamed),
 					"routes", next.Directory.Table.Len())
 			}
-			r.log.Info("configuration read again", args...)
+			r.log.Info("configuration reloaded", args...)
 			return
 		}
 	}
-	var faults tomlfile.Errors
-	if !errors.As(err, &faults) {
-		r.log.Error("configuration not taken over", "err", err)
+	var fileErrs tomlfile.Errors
+	if !errors.As(err, &fileErrs) {
+		r.log.Error("configuration not applied", "err", err)
 		return
 	}
-	for _, f := range faults {
-		r.log.Error("configuration not taken over", "file", f.File, "line", f.Line, "key", f.Key, "err", f.Message)
+	for _, e := range fileErrs {
+		r.log.Error("configuration not applied", "file", e.File, "line", e.Line, "key", e.Key, "err", e.Message)
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,4 +1,5 @@
-// Package router puts the parts of the program together and runs them.
+// Package router assembles the frontends, the dispatcher, the upstream transport and the endpoint list feeds of a router
+// process, applies configuration plans, and runs the process until it is stopped or replaced.
 package router
 
 import (
@@ -30,108 +31,108 @@
 	"notchhinge/policy"
 )
 
-// Router is one program's worth of parts.
+// Router runs all components of a router process.
 type Router struct {
-	cfg      *platformconfig.Config
-	log      *slog.Logger
-	dial     Dialer
-	broker   *dispatch.Dispatcher
-	loop     *dispatch.Loop
-	upstream *upstream.Transport
-	front    *frontend.Server
-	at       atomic.Pointer[directory.Directory]
-	ready    atomic.Bool
-	desk     *batch.Service // nil where the batch front is off
-	door     net.Listener
-	control  net.Listener // nil where it is off
-	traces   *traces      // nil where nothing is traced
-	ops      operations
+	cfg             *platformconfig.Config
+	log             *slog.Logger
+	dial            Dialer
+	dispatcher      *dispatch.Dispatcher
+	loop            *dispatch.Loop
+	upstream        *upstream.Transport
+	frontend        *frontend.Server
+	directory       atomic.Pointer[directory.Directory]
+	ready           atomic.Bool
+	batch           *batch.Service // nil if the batch API is disabled
+	batchListener   net.Listener
+	controlListener net.Listener // nil if disabled
+	traces          *traces      // nil if tracing is disabled
+	ops             operations
 
-	applying sync.Mutex      // one change of the plan, or end of a pool, at a time
-	plan     *reconcile.Plan // that is carried out; nil before Serve
+	applying sync.Mutex      // serializes changes of the plan and removals of pools
+	plan     *reconcile.Plan // the running plan; nil before Serve
 
-	generation atomic.Int64    // plans carried out
-	first      *reconcile.Plan // the one to begin with
-	mu         sync.Mutex      // never held while an event is posted: the loop takes it
-	feeds      map[string]*listwatch.Feed
-	feedOf     map[hoststate.PoolID]*listwatch.Feed
+	generation  atomic.Int64    // number of plans applied
+	initialPlan *reconcile.Plan // applied at the start
+	mu          sync.Mutex      // guards the feeds; not held while an event is posted, since the loop acquires it
+	feeds       map[string]*listwatch.Feed
+	poolFeeds   map[hoststate.PoolID]*listwatch.Feed
 }
 
-// Dialer opens connections.
+// Dialer opens a connection to an address, like net.Dialer.DialContext.
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// New makes a router out of its configuration and of the plan that it is to carry out.
+// New returns a router for a configuration and its first plan.
 func New(cfg *platformconfig.Config, p *reconcile.Plan, log *slog.Logger, dial Dialer, clock dispatch.Clock) *Router {
 	r := &Router{
-		cfg: cfg, log: log, dial: dial, broker: dispatch.New(cfg.Limits), first: p,
-		feeds: map[string]*listwatch.Feed{}, feedOf: map[hoststate.PoolID]*listwatch.Feed{},
-		ops: operations{heard: make(chan struct{}), dry: make(chan struct{})},
+		cfg: cfg, log: log, dial: dial, dispatcher: dispatch.New(cfg.Limits), initialPlan: p,
+		feeds: map[string]*listwatch.Feed{}, poolFeeds: map[hoststate.PoolID]*listwatch.Feed{},
+		ops: operations{listReceived: make(chan struct{}), handoverDone: make(chan struct{})},
 	}
-	r.at.Store(p.Directory)
-	r.loop = dispatch.NewLoop(r.broker, clock, r.perform)
+	r.directory.Store(p.Directory)
+	r.loop = dispatch.NewLoop(r.dispatcher, clock, r.perform)
 	r.upstream = upstream.New(upstream.Config{Limits: cfg.Limits, Post: r.loop.Post, Now: r.loop.Now, Dial: dial})
-	r.front = frontend.New(frontend.Options{
-		Limits: cfg.Limits, Directory: r.at.Load, Post: r.loop.Post, Now: r.loop.Now, IsReady: r.ready.Load,
+	r.frontend = frontend.New(frontend.Options{
+		Limits: cfg.Limits, Directory: r.directory.Load, Post: r.loop.Post, Now: r.loop.Now, IsReady: r.ready.Load,
 	})
 	return r
 }
 
-// EnableBatch turns the second front on, at a listener.
+// EnableBatch enables the batch API on a listener. It must be called before Serve.
 func (r *Router) EnableBatch(cfg *batch.Config, ln net.Listener) error {
-	desk, err := batch.New(batch.Options{
-		Config: cfg, Limits: r.cfg.Limits, Directory: r.at.Load, Post: r.loop.Post, Now: r.loop.Now, Log: r.log,
+	service, err := batch.New(batch.Options{
+		Config: cfg, Limits: r.cfg.Limits, Directory: r.directory.Load, Post: r.loop.Post, Now: r.loop.Now, Log: r.log,
 		IsTracing: r.traces != nil,
 	})
-	r.desk, r.door = desk, ln
+	r.batch, r.batchListener = service, ln
 	return err
 }
 
-// serveBatch runs the second front, if it is on, and returns what ends it.
-func (r *Router) serveBatch(served chan<- error) (stop func()) {
-	if r.desk == nil {
+// serveBatch serves the batch API, if it is enabled, and returns a function that stops it.
+func (r *Router) serveBatch(serverErrors chan<- error) (stop func()) {
+	if r.batch == nil {
 		return func() {}
 	}
 	halt := make(chan struct{})
-	go r.desk.Run(halt)
+	go r.batch.Run(halt)
 	lim := r.cfg.Limits
-	web := &http.Server{
-		Handler: r.desk.Handler(), ReadHeaderTimeout: lim.RequestReadTimeout, IdleTimeout: lim.BatchIdleTimeout, MaxHeaderBytes: lim.RequestHeadBytes,
+	server := &http.Server{
+		Handler: r.batch.Handler(), ReadHeaderTimeout: lim.RequestReadTimeout, IdleTimeout: lim.BatchIdleTimeout, MaxHeaderBytes: lim.RequestHeadBytes,
 	}
 	go func() {
-		if err := web.Serve(netutil.LimitListener(r.door, lim.BatchConns)); !errors.Is(err, http.ErrServerClosed) {
-			served <- err
+		if err := server.Serve(netutil.LimitListener(r.batchListener, lim.BatchConns)); !errors.Is(err, http.ErrServerClosed) {
+			serverErrors <- err
 		}
 	}()
 	return func() {
 		ctx, cancel := context.WithTimeout(context.Background(), lim.BatchDrainTimeout)
 		defer cancel()
-		if web.Shutdown(ctx) != nil {
-			web.Close() // feeds stay open as long as their batch; their clients take them up again
+		if server.Shutdown(ctx) != nil {
+			server.Close() // event streams stay open as long as their batch; clients reconnect
 		}
 		close(halt)
-		r.desk.Close()
+		r.batch.Close()
 	}
 }
 
-// listed passes news of the list on; with the first host the router is ready.
-func (r *Router) listed(e dispatch.Event) {
+// postEndpoints posts an update of an endpoint list to the loop. The first update with a host makes the router ready.
+func (r *Router) postEndpoints(e dispatch.Event) {
 	if l, ok := e.(dispatch.EndpointsListed); ok && len(l.Hosts) > 0 {
 		r.ready.Store(true)
 	}
 	if l, ok := e.(dispatch.EndpointsListed); ok && l.Kind != policy.ListCached && l.Kind != policy.ListFailed {
-		r.ops.hear()
+		r.ops.markListReceived()
 	}
 	r.loop.Post(e)
 }
 
-// perform has an effect done by its owner. It does not wait.
+// perform passes an effect of the dispatcher to the component that executes it. It does not block.
 func (r *Router) perform(e dispatch.Effect) {
 	if r.upstream.Perform(e) {
 		return
 	}
 	switch e := e.(type) {
 	case dispatch.ExportTrace:
-		r.traces.keep(e.Trace)
+		r.traces.put(e.Trace)
 	case dispatch.Reject:
 		go e.Client.(rejecter).Reject(e.Verdict, e.RetryAfter)
 	case dispatch.ReminderDue:
@@ -141,7 +142,7 @@
 			f.RequestWatch(e.Pool)
 		}
 	case dispatch.PoolEnded:
-		go r.gone(e.Pool)
+		go r.removePool(e.Pool)
 	case dispatch.Log:
 		if e.Pool != "" {
 			r.log.Info(e.Message, "pool", e.Pool)
@@ -149,55 +150,55 @@
 			r.log.Info(e.Message)
 		}
 	case dispatch.Snapshots:
-		e.ReplyTo.(chan map[string]*policy.Snapshot) <- e.Pools // it has room
+		e.ReplyTo.(chan map[string]*policy.Snapshot) <- e.Pools // buffered
 	case dispatch.CountersReport:
 		if to, ok := e.ReplyTo.(chan dispatch.CountersReport); ok {
-			to <- e // it has room
+			to <- e // buffered
 			return
 		}
-		r.print("counters", nil, &e.Counters)
+		r.logCounters("counters", nil, &e.Counters)
 		for i := range e.Pools {
 			if p := &e.Pools[i]; p.Name != "" {
-				r.print("pool", []any{"pool", p.Name, "hosts", p.Hosts, "ready", p.Ready, "leaving", p.IsEnding}, &p.Counters)
+				r.logCounters("pool", []any{"pool", p.Name, "hosts", p.Hosts, "ready", p.Ready, "leaving", p.IsEnding}, &p.Counters)
 			}
 		}
 	}
 }
 
-// rejecter is a client, of either frontend, that can be rejected.
+// rejecter is a client of either frontend whose request can be rejected.
 type rejecter interface {
 	Reject(why dispatch.Verdict, retryAfter time.Duration)
 }
 
-// reminder is what a frontend gave SetReminder as its token.
+// reminder is the token that a frontend passes in SetReminder.
 type reminder interface{ Due() }
 
-func (r *Router) print(what string, args []any, c *dispatch.Counters) {
-	var legs []any
+func (r *Router) logCounters(message string, args []any, c *dispatch.Counters) {
+	var results []any
 	for result := policy.ResultOK; result <= policy.ResultMoot; result++ {
 		if n := c.Outcomes[result]; n > 0 {
-			legs = append(legs, slog.Int(trace.Result(result).String(), n))
+			results = append(results, slog.Int(trace.Result(result).String(), n))
 		}
 	}
-	r.log.Info(what, append(args, "taken", c.Received, "declined", c.RejectedByFrontend, "open", c.Open, "legs", c.Attempts,
-		slog.Group("outcomes", legs...),
+	r.log.Info(message, append(args, "taken", c.Received, "declined", c.RejectedByFrontend, "open", c.Open, "legs", c.Attempts,
+		slog.Group("outcomes", results...),
 		slog.Group("answers", "served", c.Served, "broken", c.Broken, "refused", c.Rejected, "failed", c.Failed, "gone", c.ClientsLeft),
 		"probes", c.Probes, "lists", c.Lists, "list_lines", c.ListEntries)...)
 	if c.Traces != nil {
-		r.log.Info("traces", r.traces.account(c.Traces)...)
+		r.log.Info("traces", r.traces.counterArgs(c.Traces)...)
 	}
 }
 
-// Signals are what the outside asks of a running router.
+// Signals are the channels on which a running router receives process signals.
 type Signals struct {
-	Stop          <-chan os.Signal // drain and return
-	PrintCounters <-chan os.Signal // print the counters
-	Reload        <-chan os.Signal // read the configuration again
-	// LoadPlan makes the plan that is to follow the running one.
+	Stop          <-chan os.Signal // shut down gracefully and return
+	PrintCounters <-chan os.Signal // log the counters
+	Reload        <-chan os.Signal // load and apply the configuration again
+	// LoadPlan loads the configuration and returns it with the plan that follows the running one.
 	LoadPlan func(running *reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error)
 }
 
-// Serve runs the router until it is stopped and owes nothing more.
+// Serve runs the router until it is stopped and has answered every accepted request, or until a successor has taken over.
 func (r *Router) Serve(sig Signals) error {
 	runtime.GOMAXPROCS(r.cfg.Limits.Procs)
 	debug.SetMemoryLimit(r.cfg.Limits.HeapBytes)
@@ -208,68 +209,68 @@
 		}
 		r.EnableAdmin(ln)
 	}
-	if err := r.claim(); err != nil {
+	if err := r.claimAddress(); err != nil {
 		return err
 	}
 	return r.serve(r.listen, sig)
 }
 
-// ServeOn is Serve on a listener that is already open.
+// ServeOn is Serve on an open listener.
 func (r *Router) ServeOn(ln net.Listener, sig Signals) error {
 	return r.serve(func(context.Context, Signals) (net.Listener, error) { return ln, nil }, sig)
 }
 
-// serve runs the router. Its listener is opened once all else runs.
+// serve runs the router. It calls open for the listener of clients when everything else runs.
 func (r *Router) serve(open func(context.Context, Signals) (net.Listener, error), sig Signals) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	ended := make(chan struct{})
-	go func() { r.loop.Run(ctx); close(ended) }()
-	if err := r.apply(ctx, r.first); err != nil {
+	loopDone := make(chan struct{})
+	go func() { r.loop.Run(ctx); close(loopDone) }()
+	if err := r.apply(ctx, r.initialPlan); err != nil {
 		return err
 	}
-	served := make(chan error, 4)
-	defer r.serveAdmin(served)()
+	serverErrors := make(chan error, 4)
+	defer r.serveAdmin(serverErrors)()
 	ln, err := open(ctx, sig)
 	if err != nil || ln == nil {
 		return err
 	}
-	defer func() { r.ops.door().Close() }()
+	defer func() { r.ops.clientListener().Close() }()
 	r.log.Info("serving", "listen", ln.Addr().String(), "known_hosts", len(r.cfg.InitialEndpoints.Hosts))
 	r.ops.listening.Store(true)
-	stopBatch := r.serveBatch(served)
-	defer r.serveControl(served)()
-	r.accept(ln, served)
-	stopWatch := r.watchPlace(ctx, served)
-	defer stopWatch()
+	stopBatch := r.serveBatch(serverErrors)
+	defer r.serveControl(serverErrors)()
+	r.accept(ln, serverErrors)
+	stopWatching := r.watchClaim(ctx, serverErrors)
+	defer stopWatching()
 	for {
 		select {
-		case err := <-served:
+		case err := <-serverErrors:
 			return err
 		case <-sig.PrintCounters:
 			r.loop.Post(dispatch.GetCounters{})
 		case <-sig.Reload:
 			r.reload(ctx, sig.LoadPlan)
-		case <-r.ops.dry:
-			r.log.Info("nothing is left to do here, and the heir serves")
-			r.end(ctx, stopBatch)
+		case <-r.ops.handoverDone:
+			r.log.Info("all connections are closed; the successor serves")
+			r.shutDown(ctx, stopBatch)
 			cancel()
-			<-ended
+			<-loopDone
 			return nil
 		case <-sig.Stop:
-			r.end(ctx, stopBatch)
+			r.shutDown(ctx, stopBatch)
 			cancel()
-			<-ended
+			<-loopDone
 			return nil
 		}
 	}
 }
 
-// end ends what runs, in order.
-func (r *Router) end(ctx context.Context, stopBatch func()) {
-	r.toEnd()
-	if r.desk != nil {
-		r.desk.Stop()
+// shutDown stops all components in order: batch jobs, requests in flight, upstream connections, traces.
+func (r *Router) shutDown(ctx context.Context, stopBatch func()) {
+	r.markStopping()
+	if r.batch != nil {
+		r.batch.Stop()
 	}
 	r.loop.Post(dispatch.StartDrain{})
 	r.drain(ctx)
@@ -277,27 +278,27 @@
 	r.upstream.Close()
 	if r.traces != nil {
 		r.loop.Post(dispatch.FlushTraces{})
-		r.loop.Idle(ctx) // the loop has come past it
+		r.loop.Idle(ctx) // the loop has processed FlushTraces
 		r.traces.close()
 	}
 	r.loop.Post(dispatch.GetCounters{})
-	r.loop.Idle(ctx) // the loop has come past the audit
+	r.loop.Idle(ctx) // the loop has processed GetCounters
 }
 
-// drain ends a router in order. Connections keep arriving for a while after SIGTERM, so that the listener
-// outlives it; what is open on others is closed with its answer, and nothing that was taken is left behind.
+// drain closes the client connections and waits for the requests in flight. The listener stays open for DrainListenerDelay,
+// since the load balancer opens connections for a while after SIGTERM. Every accepted request is answered.
 func (r *Router) drain(ctx context.Context) {
 	r.log.Info("draining")
-	began := time.Now()
-	r.front.Drain()
-	if !r.ops.yielded.Load() { // else the heir listens, and what was idle here has had its time
+	start := time.Now()
+	r.frontend.Drain()
+	if !r.ops.handedOver.Load() { // after a handover the successor listens, and idle connections have had time to close
 		time.Sleep(r.cfg.Limits.DrainIdleDelay)
-		r.front.CloseIdle()
-		time.Sleep(r.cfg.Limits.DrainListenerDelay - time.Since(began))
+		r.frontend.CloseIdle()
+		time.Sleep(r.cfg.Limits.DrainListenerDelay - time.Since(start))
 	}
-	r.ops.door().Close()
-	r.front.CloseIdle()
+	r.ops.clientListener().Close()
+	r.frontend.CloseIdle()
 	r.loop.Idle(ctx)
-	r.front.CloseIdle()
-	r.front.Wait(ctx)
+	r.frontend.CloseIdle()
+	r.frontend.Wait(ctx)
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -24,7 +24,7 @@
 	"notchhinge/internal/testutil/replay"
 )
 
-func load(t *testing.T) *platformconfig.Config {
+func loadConfig(t *testing.T) *platformconfig.Config {
 	t.Helper()
 	c, err := platformconfig.Load(func(name string) string {
 		return map[string]string{"BALANCER_CONFIG": "../config/platformconfig/testdata/config.json"}[name]
@@ -35,8 +35,8 @@
 	return c
 }
 
-// begin makes the plan of a configuration without services.
-func begin(t *testing.T, cfg *platformconfig.Config) *reconcile.Plan {
+// firstPlan returns the plan of a configuration without services.
+func firstPlan(t *testing.T, cfg *platformconfig.Config) *reconcile.Plan {
 	t.Helper()
 	p, err := reconcile.NewPlan(cfg, nil, nil)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return p
 }
 
-// pipeListener is a listener whose connections are in memory.
+// pipeListener is a listener with connections in memory.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -77,8 +77,8 @@
 	}
 }
 
-// host stands in for an issuer host: it answers each request after a while.
-func host(conn net.Conn, after time.Duration) {
+// serveEngine serves a connection as an engine that answers each request after a delay.
+func serveEngine(conn net.Conn, delay time.Duration) {
 	defer conn.Close()
 	br := bufio.NewReader(conn)
 	for {
@@ -87,62 +87,62 @@
 			return
 		}
 		io.Copy(io.Discard, req.Body)
-		time.Sleep(after)
+		time.Sleep(delay)
 		if _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: 1\n\n\r\n0\r\n\r\n"); err != nil {
 			return
 		}
 	}
 }
 
-// newRouter makes a router whose discovery answers nothing and whose one host answers after a while.
-func newRouter(t *testing.T, cfg *platformconfig.Config, after time.Duration, log io.Writer) *Router {
-	return New(cfg, begin(t, cfg), slog.New(slog.NewTextHandler(log, nil)), func(ctx context.Context, _, addr string) (net.Conn, error) {
+// newRouter returns a router with a discovery service that never answers and one engine that answers after a delay.
+func newRouter(t *testing.T, cfg *platformconfig.Config, delay time.Duration, log io.Writer) *Router {
+	return New(cfg, firstPlan(t, cfg), slog.New(slog.NewTextHandler(log, nil)), func(ctx context.Context, _, addr string) (net.Conn, error) {
 		near, far := net.Pipe()
 		if addr == cfg.DiscoveryAddr {
 			go func() { io.Copy(io.Discard, far); far.Close() }()
 		} else {
-			go host(far, after)
+			go serveEngine(far, delay)
 		}
 		return near, nil
 	}, dispatch.UnixClock())
 }
 
-// bubble runs a router in memory.
-func bubble(t *testing.T, after time.Duration) (front *pipeListener, stop chan os.Signal, done chan error, log *strings.Builder) {
-	front, stop, done, log, _ = bubbleOf(t, after)
+// startRouter is startInMemory without the router itself.
+func startRouter(t *testing.T, delay time.Duration) (front *pipeListener, stop chan os.Signal, done chan error, log *strings.Builder) {
+	front, stop, done, log, _ = startInMemory(t, delay)
 	return front, stop, done, log
 }
 
-// bubbleOf is bubble with the router itself.
-func bubbleOf(t *testing.T, after time.Duration) (*pipeListener, chan os.Signal, chan error, *strings.Builder, *Router) {
+// startInMemory starts a router with connections in memory.
+func startInMemory(t *testing.T, delay time.Duration) (*pipeListener, chan os.Signal, chan error, *strings.Builder, *Router) {
 	front, stop, done, log := newPipeListener(), make(chan os.Signal, 1), make(chan error, 1), &strings.Builder{}
-	r := newRouter(t, load(t), after, log)
+	r := newRouter(t, loadConfig(t), delay, log)
 	go func() { done <- r.ServeOn(front, Signals{Stop: stop}) }()
 	return front, stop, done, log, r
 }
 
 func TestDrain(t *testing.T) {
-	// SIGTERM with an answer on its way, an idle connection, and a connection that arrives late: what was taken
-	// is answered, the idle one is closed, and the program ends once it owes nothing.
+	// SIGTERM comes with a response in flight, an idle connection, and a connection that is opened later. The requests are
+	// answered, the idle connection is closed, and the router ends after the last response.
 	synctest.Test(t, func(t *testing.T) {
-		front, stop, done, log := bubble(t, 3*time.Second)
-		waiting, idle := must(front.dial()), must(front.dial())
-		began := time.Now()
+		front, stop, done, log := startRouter(t, 3*time.Second)
+		waiting, idle := mustDial(front.dial()), mustDial(front.dial())
+		start := time.Now()
 		played := make(chan time.Duration, 3)
-		go func() { replay.Play(t, waiting, "testdata/last_answer.txt", nil); played <- time.Since(began) }()
-		go func() { replay.Play(t, idle, "testdata/idle.txt", nil); played <- time.Since(began) }()
+		go func() { replay.Play(t, waiting, "testdata/last_answer.txt", nil); played <- time.Since(start) }()
+		go func() { replay.Play(t, idle, "testdata/idle.txt", nil); played <- time.Since(start) }()
 		time.Sleep(time.Second)
 		stop <- syscall.SIGTERM
 		time.Sleep(400 * time.Millisecond)
-		late := must(front.dial())
-		go func() { replay.Play(t, late, "testdata/late_answer.txt", nil); played <- time.Since(began) }()
+		late := mustDial(front.dial())
+		go func() { replay.Play(t, late, "testdata/late_answer.txt", nil); played <- time.Since(start) }()
 		got := []time.Duration{<-played, <-played, <-played}
 		want := []time.Duration{1450 * time.Millisecond, 3 * time.Second, 4400 * time.Millisecond}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("ends (-want +got):\n%s", diff)
+			t.Errorf("times of the ends (-want +got):\n%s", diff)
 		}
-		if err := <-done; err != nil || time.Since(began) != 4400*time.Millisecond {
-			t.Errorf("the router ended after %v: %v", time.Since(began), err)
+		if err := <-done; err != nil || time.Since(start) != 4400*time.Millisecond {
+			t.Errorf("the router ended after %v: %v", time.Since(start), err)
 		}
 		if _, err := front.dial(); err == nil {
 			t.Error("still listening")
@@ -153,14 +153,14 @@
 	})
 }
 
-func TestDeadlineThroughTheWholeProgram(t *testing.T) {
-	// A host that takes work and answers nothing: the answer comes at the acquirer's deadline, not later.
+func TestUnansweredRequestEndsAtItsDeadline(t *testing.T) {
+	// An engine that does not answer: the client gets a response at its deadline.
 	synctest.Test(t, func(t *testing.T) {
-		front, stop, done, _ := bubble(t, time.Minute)
-		conn := must(front.dial())
-		began := time.Now()
+		front, stop, done, _ := startRouter(t, time.Minute)
+		conn := mustDial(front.dial())
+		start := time.Now()
 		replay.Play(t, conn, "testdata/deadline.txt", nil)
-		if d := time.Since(began); d != 4800*time.Millisecond {
+		if d := time.Since(start); d != 4800*time.Millisecond {
 			t.Errorf("answered after %v", d)
 		}
 		stop <- syscall.SIGTERM
@@ -168,20 +168,20 @@
 			t.Error(err)
 		}
 		conn.Close()
-		time.Sleep(2 * time.Minute) // the stand-in's
+		time.Sleep(2 * time.Minute) // until the engine ends
 	})
 }
 
-func TestSlowAcquirerHoldsNobodyUp(t *testing.T) {
-	// One that does not read its answer stalls its own leg only, and is cut off in the end.
+func TestSlowClientDelaysNoOtherClient(t *testing.T) {
+	// A client that does not read its response delays no other client, and is disconnected after a timeout.
 	synctest.Test(t, func(t *testing.T) {
-		front, stop, done, log := bubble(t, time.Second)
-		slow, quick := must(front.dial()), must(front.dial())
-		began := time.Now()
+		front, stop, done, log := startRouter(t, time.Second)
+		slow, quick := mustDial(front.dial()), mustDial(front.dial())
+		start := time.Now()
 		replay.Play(t, slow, "testdata/request.txt", nil)
 		replay.Play(t, quick, "testdata/served.txt", nil)
-		if d := time.Since(began); d != time.Second {
-			t.Errorf("the other was served after %v", d)
+		if d := time.Since(start); d != time.Second {
+			t.Errorf("the other client was served after %v", d)
 		}
 		time.Sleep(11 * time.Second)
 		replay.Play(t, slow, "testdata/is_closed.txt", nil)
@@ -196,7 +196,7 @@
 	})
 }
 
-func must(c net.Conn, err error) net.Conn {
+func mustDial(c net.Conn, err error) net.Conn {
 	if err != nil {
 		panic(err)
 	}
--- a/internal/router/services_test.go
+++ b/internal/router/services_test.go
@@ -23,13 +23,13 @@
 	"notchhinge/internal/reconcile"
 )
 
-// served stands for boxes and discoveries in memory. A box answers after a while and says its address.
-type served struct {
+// fakeNetwork serves engines and discovery services in memory. An engine answers after a delay, with its address.
+type fakeNetwork struct {
 	mu   sync.Mutex
-	down map[string]bool // discoveries that do not answer
+	down map[string]bool // discovery services that do not answer
 }
 
-func (s *served) dial(_ context.Context, _, addr string) (net.Conn, error) {
+func (n *fakeNetwork) dial(_ context.Context, _, addr string) (net.Conn, error) {
 	near, far := net.Pipe()
 	go func() {
 		defer far.Close()
@@ -41,9 +41,9 @@
 			}
 			io.Copy(io.Discard, req.Body)
 			if strings.HasPrefix(addr, "disc-") {
-				s.mu.Lock()
-				down := s.down[addr]
-				s.mu.Unlock()
+				n.mu.Lock()
+				down := n.down[addr]
+				n.mu.Unlock()
 				if down {
 					return
 				}
@@ -66,8 +66,8 @@
 	return near, nil
 }
 
-// TestServicesOfOneProcess: two services on one front, one of them with a discovery that is down from the start and comes
-// back; one is removed while its stream is open; a bad file; two signals at once; one while the router drains.
+// TestServicesOfOneProcess reloads the configuration of a router with two services: after the discovery service of one was down
+// from the start, with an invalid file, while a stream of a removed service is open, twice at once, and during a drain.
 func TestServicesOfOneProcess(t *testing.T) {
 	const two = "[[service]]\nname = \"runs\"\npool = \"runs\"\n[[service.route]]\nhost = \"runs\"\n" +
 		"[[service]]\nname = \"calib\"\npool = \"calib\"\n[[service.route]]\nhost = \"calib\"\n" +
@@ -77,9 +77,9 @@
 	one = strings.Replace(one, `pool = "runs"`, `pool = "renamed"`, 1)
 	path := filepath.Join(t.TempDir(), "f")
 	var log strings.Builder
-	cfg := load(t)
+	cfg := loadConfig(t)
 	cfg.Limits = cfg.Limits.WithEndpointSources(2)
-	reread := func(running *reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error) {
+	loadPlan := func(running *reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error) {
 		f, err := operatorconfig.Load(path, nil)
 		if err != nil {
 			return nil, nil, err
@@ -93,17 +93,17 @@
 		}
 	}
 	write(two)
-	_, begin, err := reread(nil)
+	_, plan, err := loadPlan(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		world := &served{down: map[string]bool{"disc-calib:1": true}}
-		front, stop, hup, done := newPipeListener(), make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan error, 1)
-		r := New(cfg, begin, slog.New(slog.NewTextHandler(&log, nil)), world.dial, dispatch.UnixClock())
-		go func() { done <- r.ServeOn(front, Signals{Stop: stop, Reload: hup, LoadPlan: reread}) }()
+		network := &fakeNetwork{down: map[string]bool{"disc-calib:1": true}}
+		front, stop, reload, done := newPipeListener(), make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan error, 1)
+		r := New(cfg, plan, slog.New(slog.NewTextHandler(&log, nil)), network.dial, dispatch.UnixClock())
+		go func() { done <- r.ServeOn(front, Signals{Stop: stop, Reload: reload, LoadPlan: loadPlan}) }()
 		ask := func(host string) string {
-			c := must(front.dial())
+			c := mustDial(front.dial())
 			defer c.Close()
 			go fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: %s\r\nX-Call-Id: %d\r\nX-Call-Class: doc-lookup\r\n"+
 				"X-Budget: 5000m\r\nX-Call-Info: prompt_len=1,prefix_len=1,max_out=1\r\nContent-Length: 2\r\n\r\n{}", host, time.Now().UnixNano())
@@ -126,15 +126,15 @@
 		const runs, calib = "200 data: box-disc-runs:1 runs /v1/chat/completions", "200 data: box-disc-calib:1 calib /v1/chat/completions"
 		time.Sleep(time.Second)
 		expect("runs", runs)
-		expect("calib", "503 try again") // its pool has no boxes
-		world.mu.Lock()
-		clear(world.down)
-		world.mu.Unlock()
+		expect("calib", "503 try again") // its pool has no engines
+		network.mu.Lock()
+		clear(network.down)
+		network.mu.Unlock()
 		time.Sleep(20 * time.Second)
 		expect("calib", calib)
 
 		write("[[service]]\nname = 7\n[trace]\nshar = 1\n")
-		hup <- syscall.SIGHUP
+		reload <- syscall.SIGHUP
 		time.Sleep(time.Second)
 		expect("calib", calib)
 
@@ -142,49 +142,49 @@
 		go func() { open <- ask("calib") }()
 		time.Sleep(time.Second)
 		write(one)
-		hup <- syscall.SIGHUP
-		hup <- syscall.SIGHUP
+		reload <- syscall.SIGHUP
+		reload <- syscall.SIGHUP
 		time.Sleep(100 * time.Millisecond)
 		expect("calib", "404 no_route: no route takes POST /v1/chat/completions at calib")
 		if got := <-open; got != calib {
-			t.Errorf("the open one: %s", got)
+			t.Errorf("the request of the removed service: %s", got)
 		}
 		expect("runs", runs)
 		synctest.Wait()
-		if s := r.pools(); len(s.Pools) != 1 || s.Pools[0].Name != "renamed" || s.Pools[0].ID != 0 || s.Pools[0].Served != 2 || s.Generation != 3 {
+		if s := r.poolStates(); len(s.Pools) != 1 || s.Pools[0].Name != "renamed" || s.Pools[0].ID != 0 || s.Pools[0].Served != 2 || s.Generation != 3 {
 			t.Errorf("%+v", s)
 		}
 		if len(r.feeds) != 1 {
-			t.Errorf("%d discoveries are watched", len(r.feeds))
+			t.Errorf("%d discovery services are watched", len(r.feeds))
 		}
 		go func() { open <- ask("runs") }()
 		time.Sleep(100 * time.Millisecond)
 		stop <- syscall.SIGTERM
 		write(two)
-		hup <- syscall.SIGHUP
+		reload <- syscall.SIGHUP
 		if got := <-open; got != runs {
 			t.Errorf("during the drain: %s", got)
 		}
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
-		time.Sleep(time.Minute) // the stand-ins'
+		time.Sleep(time.Minute) // until the engines end
 	})
 	text := log.String()
 	for _, want := range []string{"key=service[0].name", "key=trace.shar", "pool ended", "added=0 ended=1 renamed=1", "answers.served=6"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("the log lacks %q", want)
+			t.Errorf("the log does not contain %q", want)
 		}
 	}
-	if strings.Count(text, "configuration read again") != 2 {
-		t.Errorf("read again %d times", strings.Count(text, "configuration read again"))
+	if strings.Count(text, "configuration reloaded") != 2 {
+		t.Errorf("reloaded %d times", strings.Count(text, "configuration reloaded"))
 	}
 	if t.Failed() {
 		t.Log(text)
 	}
 }
 
-func TestControlSocketIsItsOwners(t *testing.T) {
+func TestControlSocketIsAccessibleToItsOwnerOnly(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c")
 	ln, err := ListenControl(path)
 	if err != nil {
@@ -194,18 +194,18 @@
 	if err != nil || i.Mode().Perm() != 0o600 {
 		t.Errorf("%v, %v", i.Mode(), err)
 	}
-	if _, err := ListenControl(path); err == nil || !strings.Contains(err.Error(), "runs") {
-		t.Errorf("a second router: %v", err)
+	if _, err := ListenControl(path); err == nil || !strings.Contains(err.Error(), "in use by another process") {
+		t.Errorf("listening on a socket in use: %v", err)
 	}
 	if err := ln.Close(); err != nil {
 		t.Error(err)
 	}
-	left, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	stale, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	left.SetUnlinkOnClose(false)
-	_ = left.Close() // as one that was killed leaves it
+	stale.SetUnlinkOnClose(false)
+	_ = stale.Close() // as a process that was killed leaves it
 	if ln, err = ListenControl(path); err != nil {
 		t.Fatal(err)
 	}
@@ -214,7 +214,7 @@
 		t.Fatal(err)
 	}
 	if _, err := ListenControl(path); err == nil {
-		t.Error("a file was taken for a socket")
+		t.Error("a regular file was replaced")
 	}
 }
 
@@ -233,7 +233,7 @@
 	}
 	for _, bad := range []map[string][]string{{"host": {"a b"}}, {"host": {"a"}, "path": {"/../x"}}, {"host": {"a"}, "header": {"x"}}} {
 		if _, err := Explain(table, bad); err == nil {
-			t.Errorf("%v was explained", bad)
+			t.Errorf("%v: no error", bad)
 		}
 	}
 }
--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -13,21 +13,21 @@
 	"notchhinge/internal/trace/export"
 )
 
-// sink is where records of journeys leave to. Put does not wait.
+// sink exports the trace records of requests. Put does not block.
 type sink interface {
 	Put(*trace.Try)
 	Counters() export.Counters
 	Close(context.Context)
 }
 
-// traces is what a router does with journeys.
+// traces exports the trace records of requests to the configured sinks.
 type traces struct {
-	names []string
-	sinks []sink
-	drain time.Duration
+	names        []string
+	sinks        []sink
+	drainTimeout time.Duration
 }
 
-// TraceOptions are those of a recorder for this router.
+// TraceOptions returns the options of the trace recorder for a configuration, a plan and the trace settings.
 func TraceOptions(cfg *platformconfig.Config, p *reconcile.Plan, s *operatorconfig.Trace) trace.Options {
 	o := trace.Options{
 		Router: cfg.RouterName, Seed: cfg.Seed, Share: *s.SampleRatio, PerSecond: *s.MaxSamplesPerS, Margin: time.Duration(*s.LatencyMargin),
@@ -41,19 +41,20 @@
 	return o
 }
 
-// traceClasses are a module's classes as a recorder must know them.
-func traceClasses(m *platformconfig.Module) (all []trace.Class) {
+// traceClasses returns the classes of a module with their latency targets, as the trace recorder needs them.
+func traceClasses(m *platformconfig.Module) (classes []trace.Class) {
 	for i, c := range m.Settings.Classes {
-		k := trace.Class{Name: c.Name, Aim: c.TargetLatency, AimPerKTokens: c.TargetLatencyPerKTokens}
+		class := trace.Class{Name: c.Name, Aim: c.TargetLatency, AimPerKTokens: c.TargetLatencyPerKTokens}
 		if i < len(m.TokenLatencyTargets) {
-			k.TokenAim = m.TokenLatencyTargets[i]
+			class.TokenAim = m.TokenLatencyTargets[i]
 		}
-		all = append(all, k)
+		classes = append(classes, class)
 	}
-	return all
+	return classes
 }
 
-// EnableTracing has journeys recorded and sent where the settings say. It is called before Serve and Batch.
+// EnableTracing records traces of requests and exports them to the sinks of the settings. It must be called before Serve and
+// EnableBatch.
 func (r *Router) EnableTracing(s *operatorconfig.Trace, version string) error {
 	t := &traces{}
 	if o := s.OTLP; o != nil {
@@ -68,7 +69,7 @@
 		if err != nil {
 			return err
 		}
-		t.names, t.sinks, t.drain = append(t.names, "otlp"), append(t.sinks, e), time.Duration(*o.DrainTimeout)
+		t.names, t.sinks, t.drainTimeout = append(t.names, "otlp"), append(t.sinks, e), time.Duration(*o.DrainTimeout)
 	}
 	if f := s.File; f != nil {
 		e, err := export.NewFile(export.FileOptions{
@@ -81,29 +82,29 @@
 		t.names, t.sinks = append(t.names, "file"), append(t.sinks, e)
 	}
 	r.traces = t
-	r.front.TraceRequests = true
-	r.broker.Trace(TraceOptions(r.cfg, r.first, s))
+	r.frontend.TraceRequests = true
+	r.dispatcher.Trace(TraceOptions(r.cfg, r.initialPlan, s))
 	return nil
 }
 
-// keep does broker.Keep.
-func (t *traces) keep(try *trace.Try) {
+// put performs dispatch.ExportTrace: it queues a record at every sink.
+func (t *traces) put(record *trace.Try) {
 	for _, s := range t.sinks {
-		s.Put(try)
+		s.Put(record)
 	}
 }
 
-// close sends what is queued, within its bound.
+// close sends the queued records, for at most drainTimeout, and closes the sinks.
 func (t *traces) close() {
-	ctx, cancel := context.WithTimeout(context.Background(), t.drain)
+	ctx, cancel := context.WithTimeout(context.Background(), t.drainTimeout)
 	defer cancel()
 	for _, s := range t.sinks {
 		s.Close(ctx)
 	}
 }
 
-// account adds what became of the records to the counters that are printed.
-func (t *traces) account(c *trace.Counters) []any {
+// counterArgs returns the counters of the recorder and of each sink as arguments of a log call.
+func (t *traces) counterArgs(c *trace.Counters) []any {
 	args := []any{
 		"taken", c.Taken, "kept", c.Kept, "share", c.Share, "dropped", c.Dropped, "early", c.Early,
 		"limited", c.Limited, "linked", c.Linked, "held", c.Held,
