--- a/internal/route/errors.go
+++ b/internal/route/errors.go
@@ -5,24 +5,26 @@
 	"fmt"
 )
 
-// Errors of a request's host and path. The client is at fault: 400.
+// Errors in the host or path of a request, for a response with status 400.
 var (
+	// ErrMalformedHost is returned for a host that is neither a host name nor an address, with an optional port.
 	ErrMalformedHost = errors.New("the host is malformed")
+	// ErrMalformedPath is returned for a path that RFC 3986 does not allow.
 	ErrMalformedPath = errors.New("the path is malformed")
-	// ErrAmbiguousPath is the error of a path with empty segments, . or .. segments, or an encoded slash, backslash or
-	// control character. Servers interpret such a path differently: it could be routed as one resource and served as
-	// another.
+	// ErrAmbiguousPath is returned for a path with empty segments, . or .. segments, a backslash, or an encoded slash,
+	// backslash or control character. Servers interpret such a path differently, so that it could be routed as one
+	// resource and served as another.
 	ErrAmbiguousPath = errors.New("the path can be read in two ways")
 )
 
-// noIndex is the index in an error or a target that concerns no service or no route.
+// noIndex stands for the absence of a service or a route.
 const noIndex = -1
 
-// TableError is an error in the services or routes of which a table is made.
+// TableError is an error in the services or routes passed to New.
 type TableError struct {
 	ServiceIndex int    // index in the list of services; -1 = none
 	RouteIndex   int    // index in the list of routes; -1 = none
-	Field        string // of the route or the service, as in the settings file; "" = the whole entry
+	Field        string // field of the route or service, as in the settings file; "" = the whole entry
 	Message      string
 }
 
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// Candidate is a route as compared with a request.
+// Candidate is the result of comparing a route with a request.
 type Candidate struct {
 	Route      Route // in canonical form
-	Index      int   // in the list that the table was made of
+	Index      int   // in the list passed to New
 	Matches    bool
 	Wins       bool
 	Reason     string // why the route wins, loses, or does not match
 	mismatches int
 }
 
-// Explain returns up to limit routes with the reason why a request takes or does not take them: the route that wins,
-// then those that match and lose, then those that do not match, the ones with the fewest mismatches first.
+// Explain compares a request with all routes and returns the first limit results: the route that wins, then the other
+// routes that match, then those that do not match, with the fewest mismatches first.
 func (t *Table) Explain(q *Query, limit int) []Candidate {
 	winner := noIndex
 	if target := t.Lookup(q); target != nil {
@@ -89,7 +89,7 @@
 	return r.Host == "" || r.Host == host
 }
 
-// specificity is what the precedence of routes is decided by: the first element that differs counts, the greater wins.
+// specificity orders routes by precedence. Of two routes, the one with the greater first differing element wins.
 type specificity [7]int
 
 func (r *Route) specificity() (s specificity) {
@@ -115,7 +115,7 @@
 	return s
 }
 
-// compareSpecificity is above 0 if r is more specific than other.
+// compareSpecificity returns a positive number if r is more specific than other, and a negative one if it is less specific.
 func (r *Route) compareSpecificity(other *Route) int {
 	x, y := r.specificity(), other.specificity()
 	return slices.Compare(x[:], y[:])
@@ -125,8 +125,8 @@
 func (r *Route) advantageOver(other *Route) string {
 	advantages := [len(specificity{})]string{
 		"the winner's host is exact", "the winner's host suffix is longer", "the winner's path is exact",
-		"the winner's prefix is longer", "the winner names the method", "the winner names the class",
-		"the winner asks for more headers",
+		"the winner's prefix is longer", "the winner requires the method", "the winner requires the class",
+		"the winner requires more headers",
 	}
 	x, y := r.specificity(), other.specificity()
 	for i := range x {
@@ -134,10 +134,10 @@
 			return advantages[i]
 		}
 	}
-	return "it is as specific as the winner" // New rejects a table with such routes
+	return "it is as specific as the winner" // unreachable: New rejects such routes
 }
 
-// Summary returns the patterns of a route on one line.
+// Summary describes the patterns of a route in one line.
 func (r *Route) Summary() string {
 	var parts []string
 	add := func(name, value string) {
--- a/internal/route/host.go
+++ b/internal/route/host.go
@@ -19,7 +19,7 @@
 	return host, err
 }
 
-// SplitHostPort is NormalizeHost, and returns the port as received: "", or with its colon.
+// SplitHostPort returns the canonical host, as NormalizeHost does, and the port as received: "", or a colon and the port.
 func SplitHostPort(s string) (host, port string, err error) {
 	if strings.HasPrefix(s, "[") {
 		return splitIPv6(s)
@@ -76,10 +76,10 @@
 			return false, false
 		}
 	}
-	return labelBytes > 0, hasUpper // a second trailing dot leaves an empty label
+	return labelBytes > 0, hasUpper // an empty last label means a second trailing dot
 }
 
-// isValidPort accepts what can follow a host: nothing, or a colon and up to five digits.
+// isValidPort reports whether s can follow a host: it is empty, or a colon and up to five digits.
 func isValidPort(s string) bool {
 	if s == "" {
 		return true
--- a/internal/route/index.go
+++ b/internal/route/index.go
@@ -12,19 +12,19 @@
 	exactPaths map[string]*pathNode
 	prefixes   map[string]*pathNode
 	anyPath    *pathNode
-	maxDepth   int // segments of the longest prefix
+	maxDepth   int // number of segments of the longest prefix
 }
 
 // pathNode holds the routes of one host and path pattern.
 type pathNode struct {
-	groups   map[methodClass][]headerGroup // the groups with the most headers first
-	hasRanks [4]bool                       // the ranks of the keys in groups
+	groups   map[methodClass][]headerGroup // sorted by the number of headers, descending
+	hasRanks [4]bool                       // by rank: whether groups has a key of the rank
 }
 
-// methodClass is what routes of one path are found by. An empty field matches anything.
+// methodClass is the method and the class that a route requires. An empty field matches anything.
 type methodClass struct{ method, class string }
 
-// Bits of the rank of a methodClass; a lower rank is more specific.
+// Bits of the rank of a methodClass. A lower rank is more specific.
 const (
 	rankAnyClass  = 1
 	rankAnyMethod = 2
@@ -44,8 +44,8 @@
 // headerGroup holds the routes that require the same header names.
 type headerGroup struct {
 	names           []string         // sorted
-	byHash          map[uint64][]int // indexes of routes, by the hash of the required values
-	headerlessRoute int              // the index of the one route that requires no header; -1 = none
+	byHash          map[uint64][]int // route indexes by the hash of the required values
+	headerlessRoute int              // index of the route without required headers; -1 = none
 }
 
 func (g *headerGroup) routeIndexes() (indexes []int) {
@@ -58,8 +58,8 @@
 	return indexes
 }
 
-// insert adds the route at index to the search structure. It returns the index of a route that can match the same
-// request and is as specific, or -1.
+// insert adds the route at index to the search structure. If a route that is equally specific can match the same request,
+// it returns the index of that route, otherwise -1.
 func (t *Table) insert(index int) (conflicting int) {
 	r := &t.routes[index]
 	node := t.hostNode(r.Host).pathNode(r)
@@ -102,13 +102,13 @@
 	return h.Sum64()
 }
 
-// writeHeaderValue adds a value and a separator to a hash. Both never fail.
+// writeHeaderValue adds a value and a separator to a hash.
 func writeHeaderValue(h *maphash.Hash, value string) {
 	h.WriteString(value)
 	h.WriteByte(0)
 }
 
-// hostNode finds or makes the node of a route's host pattern.
+// hostNode returns the node of a host pattern and adds it if it is missing.
 func (t *Table) hostNode(pattern string) *hostNode {
 	if pattern == "" {
 		return t.anyHost
@@ -127,7 +127,7 @@
 	return &hostNode{exactPaths: map[string]*pathNode{}, prefixes: map[string]*pathNode{}}
 }
 
-// pathNode finds or makes the node of a route's path pattern.
+// pathNode returns the node of a route's path pattern and adds it if it is missing.
 func (h *hostNode) pathNode(r *Route) *pathNode {
 	switch {
 	case r.Path != "":
@@ -151,7 +151,7 @@
 	return nodes[path]
 }
 
-// areDisjoint reports whether no request can have both sets of headers.
+// areDisjoint reports whether no request can satisfy both sets of required headers.
 func areDisjoint(x, y map[string]string) bool {
 	for name, value := range x {
 		if other, isInBoth := y[name]; isInBoth && value != other {
--- a/internal/route/lookup.go
+++ b/internal/route/lookup.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Query is what routes look at in a request. Host and Path are canonical.
+// Query holds the properties of a request that routes match. Host and Path are canonical.
 type Query struct {
 	Host, Path, Method, Class string
-	Header                    map[string][]string // canonical names; a header with two values matches nothing
+	Header                    map[string][]string // by canonical name; a header with several values matches no route
 }
 
-// Lookup returns the target of a request, or nil. It does not allocate. Its cost grows with the labels and segments of
-// the request, up to the deepest pattern of the table, and not with the number of routes.
+// Lookup returns the target of a request, or nil if no route matches. It does not allocate. Its cost grows with the number
+// of labels in the host and of segments in the path, up to the longest prefix, but not with the number of routes.
 func (t *Table) Lookup(q *Query) *Target {
 	if len(t.exactHosts) > 0 {
 		if node := t.exactHosts[q.Host]; node != nil {
@@ -29,7 +29,7 @@
 	return t.lookupInHost(t.anyHost, q)
 }
 
-// lookupBySuffix tries the suffixes of the host, the longest first.
+// lookupBySuffix searches the suffix patterns of the host, the longest first.
 func (t *Table) lookupBySuffix(q *Query) *Target {
 	for suffix := q.Host; ; {
 		dot := strings.IndexByte(suffix, '.')
@@ -52,7 +52,7 @@
 		}
 	}
 	if len(h.prefixes) > 0 {
-		// The depth bounds the work for a path of thousands of segments.
+		// maxDepth bounds the cost for a path with thousands of segments.
 		for p := firstSegments(q.Path, h.maxDepth); p != ""; p = p[:strings.LastIndexByte(p, '/')] {
 			if node := h.prefixes[p]; node != nil {
 				if target := t.lookupInPath(node, q); target != nil {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// firstSegments returns the first n segments of a path, or the whole path if it has no more.
+// firstSegments returns the first n segments of a path, or the whole path if it has fewer.
 func firstSegments(path string, n int) string {
 	for i := 1; i < len(path); i++ {
 		if path[i] == '/' {
@@ -92,7 +92,7 @@
 			key.class = ""
 		}
 		if key.rank() != rank {
-			continue // the request has no method or no class
+			continue // q has no method or class that a route of this rank requires
 		}
 		groups := node.groups[key]
 		for i := range groups {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// lookupInGroup returns the index of the route that requires the headers of the request, or -1.
+// lookupInGroup returns the index of the route in the group whose required headers the request has, or -1.
 func (t *Table) lookupInGroup(g *headerGroup, q *Query) int {
 	if len(g.names) == 0 {
 		return g.headerlessRoute
@@ -136,7 +136,7 @@
 }
 
 // AllowedMethods returns the methods with which a request that matches no route would match one, for an Allow header.
-// It is empty if no other method would help.
+// It is empty if the request would not match with any method.
 func (t *Table) AllowedMethods(q *Query) []string {
 	var allowed []string
 	for _, method := range t.methods {
--- a/internal/route/normalize_test.go
+++ b/internal/route/normalize_test.go
@@ -51,16 +51,16 @@
 			return
 		}
 		if again, err := NormalizePath(p); err != nil || again != p {
-			t.Fatalf("%q became %q, and that %q, %v", s, p, again, err)
+			t.Fatalf("%q is normalized to %q, and that to %q, %v", s, p, again, err)
 		}
-		// Whatever a server decodes, the segments stay the same.
+		// A server that decodes the path once more sees the same segments.
 		for _, seg := range strings.Split(p[1:], "/") {
 			if plain := decodeOnce(seg); plain == "." || plain == ".." || strings.ContainsAny(plain, "/\\") {
 				t.Fatalf("%q has the segment %q", p, plain)
 			}
 		}
 		if decodeOnce(s) != decodeOnce(p) {
-			t.Fatalf("%q became %q, which is another path", s, p)
+			t.Fatalf("%q is normalized to %q, which is another path", s, p)
 		}
 	})
 }
@@ -88,10 +88,10 @@
 			return
 		}
 		if again, p, err := SplitHostPort(JoinHostPort(h, port)); err != nil || again != h || p != port {
-			t.Fatalf("%q became %q%q, and that %q%q, %v", s, h, port, again, p, err)
+			t.Fatalf("%q is split into %q%q, and that into %q%q, %v", s, h, port, again, p, err)
 		}
 		if h != strings.ToLower(h) || strings.HasSuffix(h, ".") {
-			t.Fatalf("%q became %q", s, h)
+			t.Fatalf("%q is normalized to %q", s, h)
 		}
 	})
 }
--- a/internal/route/path.go
+++ b/internal/route/path.go
@@ -3,8 +3,8 @@
 import "strings"
 
 // NormalizePath returns the canonical form of a path by RFC 3986, section 6.2.2: unreserved characters are not encoded,
-// and hexadecimal digits are upper case. The result is both routed and forwarded. NormalizePath does not allocate if the
-// path is canonical. The error is ErrMalformedPath or ErrAmbiguousPath.
+// and hexadecimal digits are upper case. The result is used for routing and forwarded upstream. NormalizePath does not
+// allocate if the path is canonical. The error is ErrMalformedPath or ErrAmbiguousPath.
 func NormalizePath(s string) (string, error) {
 	isCanonical, err := checkPath(s)
 	if err != nil {
@@ -19,7 +19,7 @@
 			b = append(b, s[i])
 			continue
 		}
-		c, _ := decodeEscape(s, i) // checkPath has validated it
+		c, _ := decodeEscape(s, i) // checkPath has validated the escape
 		if isUnreserved(c) {
 			b = append(b, c)
 		} else {
--- a/internal/route/split.go
+++ b/internal/route/split.go
@@ -11,8 +11,8 @@
 type WeightedPool struct {
 	Pool   string
 	Weight float64 // relative to the other pools of the service; 0 = no conversations
-	// HashKey is what conversations are hashed with; "" = Pool. A renamed pool that keeps its HashKey keeps its
-	// conversations.
+	// HashKey identifies the pool in the hash of a conversation; "" = Pool. A renamed pool that keeps its HashKey keeps
+	// its conversations.
 	HashKey string
 }
 
@@ -23,10 +23,10 @@
 	keyHash uint64
 }
 
-// Target is the destination of a request: a service, and the route that leads to it.
+// Target is the destination of a request: a service, and the route that matched.
 type Target struct {
 	Service    string
-	RouteIndex int // index in the list that the table was made of; -1 = the service itself, without a route
+	RouteIndex int // index in the list passed to New; -1 = the service was addressed by name
 	pools      []weightedPool
 }
 
@@ -58,7 +58,7 @@
 		}
 	}
 	if total == 0 && len(errs) == 0 {
-		addError("one pool at least must have a weight above 0")
+		addError("at least one pool must have a weight above 0")
 	}
 	return pools, errs
 }
@@ -74,27 +74,28 @@
 	return numbers
 }
 
-// PoolFor returns the number of the pool for a conversation, by weighted rendezvous hashing. A conversation always has
-// the same pool, and the pools get conversations in proportion to their weights. When weights change, conversations move
-// only from pools whose fraction shrinks to pools whose fraction grows, and no more of them than necessary.
+// PoolFor returns the number of the pool for a conversation, by weighted rendezvous hashing. All requests of a conversation
+// have the same pool, and the conversations are distributed in proportion to the weights. When weights change, the fewest
+// possible conversations move, and only from pools whose share shrinks to pools whose share grows.
 func (t *Target) PoolFor(conversation uint64) int {
 	if len(t.pools) == 1 {
 		return t.pools[0].number
 	}
-	best, lowest := -1, math.Inf(1)
+	best, lowestScore := -1, math.Inf(1)
 	for i := range t.pools {
 		p := &t.pools[i]
-		if score := -math.Log(uniform(conversation, p.keyHash)) / p.weight; score < lowest {
-			best, lowest = p.number, score
+		if score := -math.Log(uniform(conversation, p.keyHash)) / p.weight; score < lowestScore {
+			best, lowestScore = p.number, score
 		}
 	}
 	return best
 }
 
-// HashConversation returns the conversation of a request without a session, by the id of the request.
+// HashConversation returns the conversation hash of a request without a session, from the id of the request.
 func HashConversation(id string) uint64 { return xxhash.Sum64String(id) }
 
-// uniform returns a number between 0 and 1, both excluded, for a conversation and a pool. It is the same on all routers.
+// uniform returns a pseudorandom number between 0 and 1, exclusive, for a conversation and a pool. It is the same on all
+// routers.
 func uniform(conversation, poolKey uint64) float64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], conversation)
--- a/internal/route/split_test.go
+++ b/internal/route/split_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestWeightChangeMovesTheFewestConversations: 90/10 becomes 50/50, then another pool comes, and one is renamed.
+// TestWeightChangeMovesTheFewestConversations changes weights from 90/10 to 50/50, adds a third pool, and renames a pool.
 func TestWeightChangeMovesTheFewestConversations(t *testing.T) {
 	const n = 20000
 	numbers := map[string]int{"a": 1, "b": 2, "c": 3, "new a": 1}
@@ -23,7 +23,7 @@
 		for i := range x {
 			if x[i] != y[i] {
 				if x[i] != from && from != 0 || y[i] != to {
-					t.Fatalf("one moved from %d to %d", x[i], y[i])
+					t.Fatalf("a conversation moved from pool %d to pool %d", x[i], y[i])
 				}
 				m++
 			}
@@ -33,7 +33,7 @@
 	checkFraction := func(what string, got int, fraction float64) {
 		t.Helper()
 		if math.Abs(float64(got)/n-fraction) > 0.015 {
-			t.Errorf("%s: %d of %d, want a share of %v", what, got, n, fraction)
+			t.Errorf("%s: %d of %d conversations moved, want a share of %v", what, got, n, fraction)
 		}
 	}
 	uneven, even := assign(WeightedPool{Pool: "a", Weight: 90}, WeightedPool{Pool: "b", Weight: 10}), assign(WeightedPool{Pool: "a", Weight: 5}, WeightedPool{Pool: "b", Weight: 5})
@@ -41,9 +41,9 @@
 	three := assign(WeightedPool{Pool: "a", Weight: 1}, WeightedPool{Pool: "b", Weight: 1}, WeightedPool{Pool: "c", Weight: 1})
 	checkFraction("a third pool", countMoved(even, three, 0, 3), 1.0/3)
 	if assign(WeightedPool{Pool: "new a", HashKey: "a", Weight: 5}, WeightedPool{Pool: "b", Weight: 5}) != even {
-		t.Error("a rename moved conversations")
+		t.Error("renaming a pool moved conversations")
 	}
 	if got := assign(WeightedPool{Pool: "a", Weight: 0}, WeightedPool{Pool: "b", Weight: 1}); countMoved(uneven, got, 1, 2) == 0 || got[0] != 2 {
-		t.Error("a weight of 0 still gets some")
+		t.Error("a pool with weight 0 got conversations")
 	}
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -9,15 +9,15 @@
 	"strings"
 )
 
-// Route leads the requests that match it to a service. An empty field matches anything.
+// Route assigns the requests that match it to a service. An empty pattern matches anything.
 type Route struct {
 	Service string
-	Host    string            // a name or address, or *.suffix for all names under it
+	Host    string            // a name, an address, or *.suffix for the subdomains of a suffix
 	Path    string            // exact
-	Prefix  string            // of whole segments; with or without a slash at its end
+	Prefix  string            // of whole segments; a trailing slash is optional
 	Method  string            // upper case
-	Class   string            // by name
-	Header  map[string]string // canonical names, and the one value that each must have
+	Class   string            // name of a request class
+	Header  map[string]string // required value by canonical name
 }
 
 // Service is the destination of routes.
@@ -26,23 +26,23 @@
 	Pools []WeightedPool
 }
 
-// Table finds the route of a request. It is immutable and safe for concurrent use.
+// Table is a compiled list of routes. It is immutable and safe for concurrent use.
 type Table struct {
 	exactHosts  map[string]*hostNode
-	suffixHosts map[string]*hostNode // by the suffix without *.
+	suffixHosts map[string]*hostNode // by suffix, without "*."
 	anyHost     *hostNode
 	routes      []Route            // with canonical hosts, paths and prefixes
-	targets     []*Target          // by the index of the route
+	targets     []*Target          // by route index
 	services    map[string]*Target // by name
-	methods     []string           // that any route names, sorted
+	methods     []string           // required by any route, sorted
 	seed        maphash.Seed
 }
 
-// MaxRoutes bounds a table, so that a faulty generated file is rejected before it exhausts the memory.
+// MaxRoutes is the maximum number of routes of a table. It rejects a faulty generated file before it exhausts the memory.
 const MaxRoutes = 100_000
 
 // New compiles a table. poolNumber returns the number of a pool by its name, and false if there is no such pool.
-// New returns either a table or every error that it found.
+// New returns either a table or all errors of the services and routes.
 func New(services []Service, routes []Route, poolNumber func(name string) (int, bool)) (*Table, []TableError) {
 	t := &Table{
 		exactHosts: map[string]*hostNode{}, suffixHosts: map[string]*hostNode{}, anyHost: newHostNode(),
@@ -71,7 +71,7 @@
 func (t *Table) addServices(services []Service, poolNumber func(name string) (int, bool)) (errs []TableError) {
 	for i, s := range services {
 		if t.services[s.Name] != nil {
-			errs = append(errs, serviceError(i, "name", "%q is another service already", s.Name))
+			errs = append(errs, serviceError(i, "name", "%q is already the name of another service", s.Name))
 		}
 		pools, splitErrs := compileSplit(i, s, poolNumber)
 		errs = append(errs, splitErrs...)
@@ -80,7 +80,7 @@
 	return errs
 }
 
-// addRoute makes the route at index canonical and adds it with its target. The services are in the table already.
+// addRoute converts the route at index to its canonical form and adds it with its target. The services have been added before.
 func (t *Table) addRoute(index int) (errs []TableError) {
 	r := &t.routes[index]
 	target := &Target{Service: r.Service, RouteIndex: index}
@@ -99,13 +99,13 @@
 	return errs
 }
 
-// Service returns the target of a service itself, without a route; nil if there is no such service.
+// Service returns the target of a service that is addressed by name, without a route, or nil if there is no such service.
 func (t *Table) Service(name string) *Target { return t.services[name] }
 
 // Len returns the number of routes.
 func (t *Table) Len() int { return len(t.routes) }
 
-// canonicalize brings the patterns of a route into the form that queries have.
+// canonicalize converts the patterns of a route to the canonical form that queries have.
 func (r *Route) canonicalize(index int) (errs []TableError) {
 	addError := func(field, format string, args ...any) {
 		errs = append(errs, routeError(index, field, format, args...))
@@ -131,7 +131,7 @@
 		if p, err := NormalizePath(r.Prefix); err != nil {
 			addError("prefix", "%q: %v", r.Prefix, err)
 		} else {
-			r.Prefix = strings.TrimSuffix(p, "/") // the prefix / is any path
+			r.Prefix = strings.TrimSuffix(p, "/") // the prefix / matches any path
 		}
 	}
 	for name, value := range r.Header {
@@ -142,8 +142,8 @@
 	return errs
 }
 
-// canonicalHostPattern returns the canonical form of a route's host, or what is wrong with it. IPv6 addresses may stand
-// without brackets.
+// canonicalHostPattern returns the canonical form of a route's host, or a description of what is invalid. IPv6 addresses
+// may be given without brackets.
 func canonicalHostPattern(pattern string) (host, problem string) {
 	name, isSuffix := strings.CutPrefix(pattern, "*.")
 	if a, err := netip.ParseAddr(name); err == nil && a.Is6() {
@@ -154,7 +154,7 @@
 	case err != nil:
 		return "", "is not a host: a name, an address, or *. and a name is expected"
 	case port != "":
-		return "", "has a port; routes do not look at ports"
+		return "", "has a port; routes do not match ports"
 	case isSuffix:
 		return "*." + host, ""
 	}
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -56,14 +56,14 @@
 		want string
 	}{
 		{Query{Host: "elsewhere", Path: "/"}, "any"},
-		{Query{Host: "example.org", Path: "/"}, "any"}, // the suffix is of names under it
+		{Query{Host: "example.org", Path: "/"}, "any"}, // a suffix matches subdomains only
 		{Query{Host: "xexample.org", Path: "/"}, "any"},
 		{Query{Host: "a.example.org", Path: "/"}, "suffix"},
 		{Query{Host: "a.runs.example.org", Path: "/v1/x"}, "longer"},
-		{Query{Host: "a.runs.example.org", Path: "/v2"}, "suffix"}, // the longer one does not match
+		{Query{Host: "a.runs.example.org", Path: "/v2"}, "suffix"}, // the path does not match the longer suffix
 		{Query{Host: "runs.example.org", Path: "/"}, "exact"},
 		{Query{Host: "runs.example.org", Path: "/v1/chat"}, "path"},
-		{Query{Host: "runs.example.org", Path: "/v1/chat/"}, "prefix"}, // another path
+		{Query{Host: "runs.example.org", Path: "/v1/chat/"}, "prefix"}, // not the exact path
 		{Query{Host: "runs.example.org", Path: "/v1"}, "prefix"},
 		{Query{Host: "runs.example.org", Path: "/v10"}, "exact"}, // whole segments only
 		{Query{Host: "runs.example.org", Path: "/v1/tools/a/b/c", Method: "POST"}, "deeper"},
@@ -72,7 +72,7 @@
 		{Query{Host: "runs.example.org", Path: "/v1/tools/a", Class: "batch", Method: "GET"}, "both"},
 		{Query{Host: "runs.example.org", Path: "/h", Header: team("a")}, "team a, two"},
 		{Query{Host: "runs.example.org", Path: "/h", Header: team("b")}, "team b"},
-		{Query{Host: "runs.example.org", Path: "/h", Header: team("a", "b")}, "exact"}, // given twice, it is neither
+		{Query{Host: "runs.example.org", Path: "/h", Header: team("a", "b")}, "exact"}, // a header with two values matches no route
 		{Query{Host: "2001:db8::1", Path: "/"}, "address"},
 	} {
 		if target := table.Lookup(&c.q); target == nil || target.Service != c.want {
@@ -86,11 +86,11 @@
 		routes []Route
 		want   []string
 	}{
-		"a tie": {
+		"equal patterns": {
 			[]Route{{Service: "a", Host: "A.b", Prefix: "/x/"}, {Service: "a", Host: "a.B.", Prefix: "/x"}},
 			[]string{"route 1: : could match what route 0 matches, and neither is more specific"},
 		},
-		"headers that overlap": {
+		"overlapping headers": {
 			[]Route{{Service: "a", Header: map[string]string{"X": "1"}}, {Service: "a", Header: map[string]string{"Y": "1"}}},
 			[]string{"route 1: : could match what route 0 matches, and neither is more specific"},
 		},
@@ -108,7 +108,7 @@
 				{Service: "a", Header: map[string]string{"X": ""}},
 			},
 			[]string{
-				`route 0: host: "a:80" has a port; routes do not look at ports`,
+				`route 0: host: "a:80" has a port; routes do not match ports`,
 				`route 1: host: "a.*.b" is not a host: a name, an address, or *. and a name is expected`,
 				`route 2: path: "x": the path is malformed`, `route 3: path: "/a/../b": the path can be read in two ways`,
 				`route 4: prefix: a route has a path or a prefix, not both`, `route 5: header: names and values must not be empty`,
@@ -130,15 +130,15 @@
 		{Name: "e", Pools: []WeightedPool{{Pool: "p", Weight: math.Inf(1)}}},
 	}
 	checkTableErrors(t, services, []Route{{Service: "b"}}, []string{
-		`service 0: split: there is no pool "nowhere"`, `service 1: name: "a" is another service already`,
-		`service 1: split: one pool at least must have a weight above 0`, `service 2: split: pool "p" is named twice`,
+		`service 0: split: there is no pool "nowhere"`, `service 1: name: "a" is already the name of another service`,
+		`service 1: split: at least one pool must have a weight above 0`, `service 2: split: pool "p" is named twice`,
 		`service 3: split: pool "p": the weight must be finite and 0 or more`,
 		`service 4: split: pool "p": the weight must be finite and 0 or more`,
 		`route 0: service: there is no service "b"`,
 	})
 }
 
-// checkTableErrors checks that New makes no table and returns exactly these errors. The only pool is p.
+// checkTableErrors checks that New returns no table and exactly these errors. The only pool is p.
 func checkTableErrors(t *testing.T, services []Service, routes []Route, want []string) {
 	t.Helper()
 	table, errs := New(services, routes, func(name string) (int, bool) { return 1, name == "p" })
@@ -151,7 +151,7 @@
 	}
 }
 
-// drawRoute makes a route of few names, so that many of them meet.
+// drawRoute draws a route from few values, so that routes often overlap.
 func drawRoute(t *rapid.T) Route {
 	r := Route{
 		Service: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service"),
@@ -179,7 +179,7 @@
 	return "/" + strings.Join(rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "ab"}), 0, 3).Draw(t, "path"), "/")
 }
 
-// drawRoutes makes routes that New accepts as one table.
+// drawRoutes draws a list of routes that New accepts.
 func drawRoutes(t *rapid.T) (routes []Route) {
 	for range rapid.IntRange(1, 12).Draw(t, "routes") {
 		r := drawRoute(t)
@@ -204,7 +204,7 @@
 	return q
 }
 
-// searchLinearly returns the index of the most specific route that matches, or -1, by the documented precedence.
+// searchLinearly returns the index of the most specific matching route by the documented precedence, or -1.
 func searchLinearly(routes []Route, q *Query) int {
 	best := -1
 	for i := range routes {
@@ -222,8 +222,8 @@
 	return -1
 }
 
-// TestLookupAgreesWithLinearSearch compares the compiled table with the documented precedence, route by route, and with
-// a table of the same routes in reverse order.
+// TestLookupAgreesWithLinearSearch compares Lookup with a linear search by the documented precedence, and with a table of
+// the same routes in reverse order.
 func TestLookupAgreesWithLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routes := drawRoutes(t)
@@ -249,7 +249,7 @@
 			}
 			first := table.Explain(q, 3)[0]
 			if best >= 0 && (!first.Wins || first.Index != best) || best < 0 && first.Matches {
-				t.Fatalf("explained as %+v", first)
+				t.Fatalf("first explained route: %+v", first)
 			}
 		}
 	})
@@ -272,7 +272,7 @@
 	}
 }
 
-// tableOfSize is one of n routes of all kinds.
+// tableOfSize returns a table of n routes of all kinds.
 func tableOfSize(t testing.TB, n int) *Table {
 	var routes []Route
 	for i := range n {
@@ -312,7 +312,7 @@
 	}
 }
 
-// FuzzNew compiles whatever comes, and looks it up by its own patterns.
+// FuzzNew compiles arbitrary routes and looks up a request made from the patterns of the first one.
 func FuzzNew(f *testing.F) {
 	f.Add("a.b", "/x", "", "GET", "c", "H", "1", "*.b", "", "/x/")
 	f.Add("[::1]", "", "/", "", "", "", "", "::1", "/%41", "")
@@ -323,7 +323,7 @@
 		}
 		table, errs := New(servicesOf(routes), routes, resolveAny)
 		if (table == nil) != (len(errs) > 0) {
-			t.Fatalf("%v and %v", table, errs)
+			t.Fatalf("table %v with errors %v", table, errs)
 		}
 		if table == nil {
 			return
@@ -334,7 +334,7 @@
 			q.Path = "/"
 		}
 		if table.Lookup(&q) == nil {
-			t.Fatalf("%+v does not match its own %+v", r, q)
+			t.Fatalf("%+v does not match %+v", r, q)
 		}
 	})
 }
