--- a/internal/reconcile/changes.go
+++ b/internal/reconcile/changes.go
@@ -2,16 +2,17 @@
 
 import "notchhinge/internal/hoststate"
 
-// Changes is what leads from one plan to the next.
+// Changes are the differences between a running plan and the next one.
 type Changes struct {
 	Added         []Pool
-	Kept          []Pool            // as the next plan has them
-	SourceChanged []Pool            // those of Kept with another endpoint list or another selection of it
-	Removed       []Pool            // as the previous plan had them
-	Renamed       map[string]string // of Kept: old name to new name
+	Kept          []Pool            // as in the next plan
+	SourceChanged []Pool            // the pools of Kept with a new discovery address or selection
+	Removed       []Pool            // as in the running plan
+	Renamed       map[string]string // new name by old name, of pools of Kept
 }
 
-// ChangesFrom returns what leads from the running plan, nil at the start, to this one. Pools are in the order of their plans.
+// ChangesFrom returns the changes from the running plan, which is nil at the start, to this one. Pools are in the order of their
+// plans.
 func (p *Plan) ChangesFrom(running *Plan) Changes {
 	if running == nil {
 		running = &Plan{}
--- a/internal/reconcile/doc.go
+++ b/internal/reconcile/doc.go
@@ -1,11 +1,11 @@
-// Package reconcile turns the configuration of a router (the platform's, and the operator's file where there is one) into a
-// [Plan]: which pools there are, each with its decision module, endpoint list and quotas, and which requests are routed to
-// which pool. [Plan.ChangesFrom] lists what a new plan adds, keeps and removes.
+// Package reconcile computes a [Plan] from the configuration of a router: the platform's settings and the operator's file, if
+// there is one. A plan lists the pools, each with its decision module, endpoint list and quotas, and the routes to them.
+// [Plan.ChangesFrom] lists the pools that a new plan adds, keeps and removes.
 //
-// A plan is immutable and made without side effects, except that settings files of pools are read; package router applies it.
-// A pool keeps its [hoststate.PoolID], and with it its conversations and statistics, from one plan to the next if its name,
-// or the name that it had before, and the settings of its module are the same.
+// A plan is immutable. Computing it has no side effects, but reads the settings files of pools; package router applies it.
+// A pool keeps its [hoststate.PoolID], and with it its conversations and statistics, from one plan to the next if the settings
+// of its module are the same and its name, or its former name, is that of the running pool.
 //
-// Errors are tomlfile.Errors with the lines of the operator's file, all at once. Durations and bounds are those of the
-// settings; quotas are numbers of requests, of connections and of bytes.
+// All errors of a configuration are returned together, as tomlfile.Errors with the lines of the operator's file. Quotas are
+// numbers of requests, connections and bytes.
 package reconcile
--- a/internal/reconcile/plan.go
+++ b/internal/reconcile/plan.go
@@ -13,15 +13,15 @@
 	"notchhinge/internal/hoststate"
 )
 
-// Plan is what a router process serves. It does not change.
+// Plan is the set of pools and routes that a router process serves. It is immutable.
 type Plan struct {
-	Directory *directory.Directory // routes and the pools that they lead to
+	Directory *directory.Directory // routes, and the pools that they select
 	Pools     []Pool               // in the order of the operator's file
-	nextID    hoststate.PoolID     // ids below it were used by this plan or by one before it
+	nextID    hoststate.PoolID     // lower ids are used by this plan or were used by an earlier one
 }
 
-// NewPlan returns the plan for a configuration and the operator's file, which may be nil. Running is the plan that is being
-// applied, nil at the start. The error is tomlfile.Errors with everything that is wrong.
+// NewPlan returns the plan for a configuration and the operator's file, which may be nil. Running is the plan that the router
+// serves, nil at the start. The error is tomlfile.Errors with all errors of the file.
 func NewPlan(cfg *platformconfig.Config, f *operatorconfig.File, running *Plan) (*Plan, error) {
 	p := &Plan{}
 	if running != nil {
@@ -39,7 +39,7 @@
 		errs = p.checkContracts(f)
 	}
 	if n := len(p.EndpointSources()); n > cfg.Limits.EndpointSources && running != nil {
-		errs = append(errs, f.Errorf([]string{"pool", "0"}, "%d discovery addresses; there is room for %d until the next start", n,
+		errs = append(errs, f.Errorf([]string{"pool", "0"}, "%d discovery addresses; the maximum is %d until the router is restarted", n,
 			cfg.Limits.EndpointSources))
 	}
 	if len(errs) > 0 {
@@ -48,7 +48,7 @@
 	return p, nil
 }
 
-// EndpointSources lists the addresses that the pools have their endpoint lists from, each once.
+// EndpointSources returns the distinct discovery addresses of the pools.
 func (p *Plan) EndpointSources() []string {
 	var addrs []string
 	for i := range p.Pools {
@@ -59,8 +59,8 @@
 	return addrs
 }
 
-// servePlatform makes the plan without services in the operator's file: one pool without a name, with the platform's
-// settings. Its module keeps the settings that it started with, as the platform expects.
+// servePlatform sets the plan of a router without services in an operator's file: one pool without a name, with the
+// platform's settings. Its module keeps its first settings across reloads, as the platform expects.
 func (p *Plan) servePlatform(cfg *platformconfig.Config, running *Plan) {
 	q := Pool{DiscoveryAddr: cfg.DiscoveryAddr, Module: cfg.Module, Seed: cfg.Seed, RetryAfter: cfg.Limits.OverloadRetryAfter}
 	if old := running.poolByName(""); old != nil {
@@ -90,8 +90,8 @@
 	return errs
 }
 
-// poolID returns the id of the running pool that q continues, otherwise a new one. A module keeps the settings that it was
-// made with, so that a pool with other settings is a new pool; and only one pool continues an old one.
+// poolID returns the id of the running pool that q continues, or a new id. The settings of a module cannot change, so that a pool
+// with other settings is a new pool. At most one pool continues a running one.
 func (p *Plan) poolID(q *Pool, formerName string, running *Plan) hoststate.PoolID {
 	for _, name := range []string{q.Name, formerName} {
 		old := running.poolByName(name)
@@ -111,7 +111,7 @@
 	return id
 }
 
-// poolByName returns nil where there is no such pool; p may be nil.
+// poolByName returns the pool with a name, or nil. p may be nil.
 func (p *Plan) poolByName(name string) *Pool {
 	if p == nil {
 		return nil
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// addRoutes makes the directory of the file's routes and of the pools. The file was checked for errors of routes before.
+// addRoutes sets the directory from the pools and the file's routes, which were validated when the file was loaded.
 func (p *Plan) addRoutes(f *operatorconfig.File) error {
 	ids := map[string]int{}
 	var pools []*directory.Pool
@@ -139,14 +139,14 @@
 	return nil
 }
 
-// checkContracts reports classes of batch contracts that no route takes, or that a pool of their route does not have.
+// checkContracts reports classes of batch contracts that match no route, or that a pool they are routed to does not have.
 func (p *Plan) checkContracts(f *operatorconfig.File) (errs tomlfile.Errors) {
 	for i, contract := range f.Contracts {
 		key := []string{"contract", strconv.Itoa(i), "classes"}
 		for _, class := range contract.Classes {
 			target := p.Directory.BatchTarget(contract.Service, class)
 			if target == nil {
-				errs = append(errs, f.Errorf(key, "no route takes requests of class %q: POST %s%s, as no service is named", class,
+				errs = append(errs, f.Errorf(key, "no route matches requests of class %q: POST %s%s (the contract names no service)", class,
 					directory.BatchHost, directory.CompletionsPath))
 				continue
 			}
--- a/internal/reconcile/pool.go
+++ b/internal/reconcile/pool.go
@@ -17,12 +17,12 @@
 	"notchhinge/policy"
 )
 
-// Pool is one pool of a plan: endpoints with a decision module and quotas of their own.
+// Pool is a set of endpoints with its own decision module and quotas.
 type Pool struct {
 	ID            hoststate.PoolID
-	Name          string                // "" = the platform's pool, without an operator's file
+	Name          string                // "" = the platform's pool
 	DiscoveryAddr string                // host and port of the endpoint list
-	Selection     listwatch.Selection   // the part of the list that the pool uses
+	Selection     listwatch.Selection   // entries of the list that the pool uses
 	Module        platformconfig.Module // settings of the decision module
 	Seed          uint64                // of the decision module
 
@@ -31,14 +31,14 @@
 	BodyQuota         quota.Claim // bytes of request bodies in memory
 	ClientConnQuota   quota.Claim // connections of clients
 
-	TurnWeight  float64       // share of the event loop relative to other pools
-	MaxAttempts int           // of one request; 0 = as the module's settings allow
-	RetryAfter  time.Duration // in responses that reject a request because a quota is used up
+	TurnWeight  float64       // share of event loop time relative to other pools
+	MaxAttempts int           // per request; 0 = the limit of the module's settings
+	RetryAfter  time.Duration // sent when a request is rejected because a quota is exhausted
 
-	moduleKey string // Module as JSON, to tell whether a pool's module changes
+	moduleKey string // Module as JSON, to detect a change of the module
 }
 
-// newPool returns the pool at an index of the operator's file, without its id and quotas.
+// newPool returns the pool at an index of the operator's file without its id and quotas.
 func newPool(cfg *platformconfig.Config, f *operatorconfig.File, index int) (Pool, tomlfile.Errors) {
 	s := &f.Pools[index]
 	key := []string{"pool", strconv.Itoa(index)}
@@ -61,7 +61,7 @@
 	if errs := overrideClasses(&q.Module, f, index); len(errs) > 0 {
 		return q, errs
 	}
-	if _, err := policy.New(q.Module.Settings, q.Seed); err != nil { // it checks the overrides
+	if _, err := policy.New(q.Module.Settings, q.Seed); err != nil { // validates the overrides
 		return q, tomlfile.Errors{f.Errorf(key, "%v", err)}
 	}
 	moduleKey, err := json.Marshal(q.Module)
@@ -72,14 +72,14 @@
 	return q, nil
 }
 
-// overrideClasses restricts a module to the classes that a pool of the file names, in the pool's order, with the values that
-// the pool gives for them. A pool that names none has all classes of the module.
+// overrideClasses restricts a module to the classes that a pool of the file lists, in that order, and replaces the values that
+// the pool sets. A pool that lists no classes has all classes of the module.
 func overrideClasses(m *platformconfig.Module, f *operatorconfig.File, index int) (errs tomlfile.Errors) {
 	overrides := f.Pools[index].Classes
 	if len(overrides) == 0 {
 		return nil
 	}
-	classes, tokenAims := m.Settings.Classes, m.TokenLatencyTargets
+	classes, tokenTargets := m.Settings.Classes, m.TokenLatencyTargets
 	m.Settings.Classes, m.TokenLatencyTargets = nil, nil
 	var names []string
 	for i := range classes {
@@ -92,11 +92,11 @@
 				continue
 			}
 			m.Settings.Classes = append(m.Settings.Classes, overrideClass(c, o))
-			var aim time.Duration // unknown
-			if i < len(tokenAims) {
-				aim = tokenAims[i]
+			var target time.Duration // unknown
+			if i < len(tokenTargets) {
+				target = tokenTargets[i]
 			}
-			m.TokenLatencyTargets = append(m.TokenLatencyTargets, aim)
+			m.TokenLatencyTargets = append(m.TokenLatencyTargets, target)
 		}
 		if !slices.Contains(names, o.Name) {
 			key := []string{"pool", strconv.Itoa(index), "class", strconv.Itoa(j), "name"}
@@ -121,8 +121,8 @@
 	}
 }
 
-// frontendPool is the pool as frontends see it. A request's time budget is at most four times the longest deadline of a class,
-// and a minute where that is less.
+// frontendPool returns the part of the pool that frontends use. The time budget of a request is at most four times the longest
+// deadline of a class, but may always be a minute.
 func (q *Pool) frontendPool() *directory.Pool {
 	var longest time.Duration
 	for i := range q.Module.Settings.Classes {
--- a/internal/reconcile/quotas.go
+++ b/internal/reconcile/quotas.go
@@ -9,31 +9,31 @@
 	"notchhinge/internal/quota"
 )
 
-// minTurnWeight lets a pool without a guarantee still have turns of the event loop.
+// minTurnWeight keeps a pool without a guarantee from being starved of event loop time.
 const minTurnWeight = 0.01
 
-// guaranteedShares returns each pool's guaranteed share of the process, from 0 to 1: as given, and for pools without one an
-// even part of half of what the given ones leave. The other half stays common to all pools.
+// guaranteedShares returns each pool's guaranteed share of the process's limits, from 0 to 1: the share that the file sets, and for
+// each other pool an equal part of half of the remainder. The other half is shared by all pools.
 func guaranteedShares(pools []operatorconfig.Pool) []float64 {
 	shares := make([]float64, len(pools))
-	remaining, without := 1.0, 0
+	remaining, unset := 1.0, 0
 	for i, p := range pools {
 		if p.Limits != nil && p.Limits.Guarantee != nil {
 			shares[i] = *p.Limits.Guarantee
 			remaining -= shares[i]
 		} else {
-			without++
+			unset++
 		}
 	}
 	for i, p := range pools {
 		if p.Limits == nil || p.Limits.Guarantee == nil {
-			shares[i] = max(remaining, 0) / 2 / float64(without)
+			shares[i] = max(remaining, 0) / 2 / float64(unset)
 		}
 	}
 	return shares
 }
 
-// setQuotas sets what the pool may use of the process's limits. S may be nil.
+// setQuotas sets the pool's quotas of the process's limits. s may be nil.
 func (q *Pool) setQuotas(l *limits.Limits, s *operatorconfig.PoolLimits, guarantee float64) {
 	if s == nil {
 		s = &operatorconfig.PoolLimits{}
@@ -44,7 +44,7 @@
 	maxShare := 1.0
 	setIfGiven(&maxShare, s.MaxShare)
 
-	// claim is the pool's part of a total; bound is a number that the file gives, 0 = none.
+	// claim returns the pool's quota of a total. bound is the absolute maximum that the file sets; 0 = none.
 	claim := func(total, bound int64) quota.Claim {
 		c := quota.Claim{Guarantee: int64(guarantee * float64(total)), Max: max(int64(math.Ceil(maxShare*float64(total))), 1)}
 		if bound > 0 {
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -40,8 +40,8 @@
 	return f
 }
 
-func serviceTOML(name, to string) string {
-	return fmt.Sprintf("[[service]]\nname = %q\n%s\n[[service.route]]\nhost = \"%s.example.org\"\n", name, to, name)
+func serviceTOML(name, destination string) string {
+	return fmt.Sprintf("[[service]]\nname = %q\n%s\n[[service.route]]\nhost = \"%s.example.org\"\n", name, destination, name)
 }
 
 func poolTOML(name, more string) string { return fmt.Sprintf("[[pool]]\nname = %q\n%s\n", name, more) }
@@ -65,7 +65,7 @@
 	return fmt.Sprint("added ", list(c.Added), " kept ", list(c.Kept), " source_changed ", list(c.SourceChanged), " removed ", list(c.Removed), " renamed ", c.Renamed)
 }
 
-// TestPoolsKeepTheirIDAcrossReloads takes one file through the changes that operators make.
+// TestPoolsKeepTheirIDAcrossReloads applies a sequence of changes to an operator's file.
 func TestPoolsKeepTheirIDAcrossReloads(t *testing.T) {
 	var p *Plan
 	two := serviceTOML("runs", `pool = "runs"`) + serviceTOML("calib", `pool = "calib"`)
@@ -83,7 +83,7 @@
 		{
 			two + poolTOML("runs", "[[pool.class]]\nname = \"doc-lookup\"\naim = \"1s\"") + poolTOML("calib", ""),
 			"added [runs=4] kept [calib=3] source_changed [] removed [runs=1] renamed map[]",
-		}, // a module keeps the settings that it was made with
+		}, // other settings make a new pool
 		{"", "added [=5] kept [] source_changed [] removed [runs=4 calib=3] renamed map[]"},
 	} {
 		next := mustPlan(t, c.text, p)
@@ -114,13 +114,13 @@
 	if err := quota.Check(int64(cfg.Limits.UpstreamConns), claims); err != nil {
 		t.Error(err)
 	}
-	a, b, lines := p.Pools[0], p.Pools[1], float64(cfg.Limits.UpstreamConns)
+	a, b, conns := p.Pools[0], p.Pools[1], float64(cfg.Limits.UpstreamConns)
 	got := []any{a.RequestQuota, a.UpstreamConnQuota, a.MaxAttempts, a.RetryAfter, b.UpstreamConnQuota, b.RetryAfter, b.MaxAttempts}
 	want := []any{
 		quota.Claim{Guarantee: 7, Max: 7},
-		quota.Claim{Guarantee: int64(0.4 * lines), Max: int64(0.5*lines + 0.5)},
+		quota.Claim{Guarantee: int64(0.4 * conns), Max: int64(0.5*conns + 0.5)},
 		2, 2 * time.Second,
-		quota.Claim{Guarantee: int64(0.15 * lines), Max: int64(lines)},
+		quota.Claim{Guarantee: int64(0.15 * conns), Max: int64(conns)},
 		cfg.Limits.OverloadRetryAfter, 0,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -130,13 +130,13 @@
 
 func TestPoolOverridesItsClasses(t *testing.T) {
 	p := mustPlan(t, serviceTOML("s", `pool = "a"`)+poolTOML("a", "[[pool.class]]\nname = \"doc-lookup\"\naim = \"700ms\"\nworth = 9.5"), nil)
-	to := p.Directory.Table.Lookup(&route.Query{Host: "s.example.org", Path: "/x", Method: "POST"})
-	if to == nil {
+	target := p.Directory.Table.Lookup(&route.Query{Host: "s.example.org", Path: "/x", Method: "POST"})
+	if target == nil {
 		t.Fatal("no route")
 	}
-	q := p.Directory.PoolFor(to, 0)
-	n, ok := q.ClassIndex("doc-lookup")
-	if _, other := q.ClassIndex("shift-agent"); !ok || n != 0 || other || q.Classes[0].TargetLatency != 700*time.Millisecond || q.Classes[0].Value != 9.5 {
+	q := p.Directory.PoolFor(target, 0)
+	index, ok := q.ClassIndex("doc-lookup")
+	if _, other := q.ClassIndex("shift-agent"); !ok || index != 0 || other || q.Classes[0].TargetLatency != 700*time.Millisecond || q.Classes[0].Value != 9.5 {
 		t.Errorf("%+v", q)
 	}
 }
@@ -175,9 +175,9 @@
 		"a contract without a service or a route": {
 			one + poolTOML("a", "") + "[[contract]]\nteam = \"t\"\nkey_env = \"K\"\n" +
 				"classes = [\"chat\"]\nlines = 1\nat_once = 1\nbudget_tokens = 1\nbudget_period = \"1h\"\nline_deadline = \"1m\"\n",
-			[]string{`:12: contract[0].classes: no route takes requests of class "chat": POST batch.notchhinge/v1/chat/completions`},
+			[]string{`:12: contract[0].classes: no route matches requests of class "chat": POST batch.notchhinge/v1/chat/completions`},
 		},
-		"discovery addresses": {many, []string{":1: pool[0]: 20 discovery addresses; there is room for 10"}},
+		"discovery addresses": {many, []string{":1: pool[0]: 20 discovery addresses; the maximum is 10"}},
 	} {
 		f, err := operatorconfig.Parse([]byte(c.text), "f", nil)
 		if err == nil {
