--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	// CompletionsPath is the path of the platform's requests.
+	// CompletionsPath is the path of completion requests.
 	CompletionsPath = "/v1/chat/completions"
-	// BatchHost is the host of requests that are items of a batch job.
+	// BatchHost is the host of requests made from the items of a batch job.
 	BatchHost = "batch.notchhinge"
 )
 
-// Directory finds the pools of requests. It is immutable and safe for concurrent use.
+// Directory maps requests to pools. It is immutable and safe for concurrent use.
 type Directory struct {
 	Table *route.Table
-	// NormalizesRequests is whether hosts and paths are normalized before they are routed and forwarded. Otherwise they
-	// are routed and forwarded as received, and the host is ignored.
+	// NormalizesRequests says that hosts and paths are normalized before they are routed and forwarded. Otherwise paths are
+	// routed and forwarded as received, and hosts are ignored.
 	NormalizesRequests bool
-	pools              map[int]*Pool // by ID, which is the number of the pool in Table
+	pools              map[int]*Pool // by ID, which is also the pool number in Table
 }
 
-// Pool is what a frontend knows of a pool.
+// Pool holds the settings of a pool that frontends use.
 type Pool struct {
 	ID           hoststate.PoolID
 	Name         string
 	Classes      []policy.Class
 	MaxBudget    time.Duration  // upper bound of a request's time budget
-	RetryAfter   time.Duration  // sent with a rejection for lack of capacity
-	classIndexes map[string]int // in Classes, by name
+	RetryAfter   time.Duration  // sent when a request is rejected for lack of capacity
+	classIndexes map[string]int // indexes in Classes by name
 }
 
-// New returns a directory. The numbers of pools in the table are the IDs of the pools.
+// New returns a directory of a table and its pools. The pool numbers of the table are the IDs of the pools.
 func New(table *route.Table, normalizesRequests bool, pools ...*Pool) *Directory {
 	d := &Directory{Table: table, NormalizesRequests: normalizesRequests, pools: map[int]*Pool{}}
 	for _, p := range pools {
@@ -47,13 +47,13 @@
 	return d
 }
 
-// SinglePool returns the directory of the platform's protocol: one pool that serves POST at CompletionsPath on any host.
+// SinglePool returns a directory with one pool, which serves POST requests to CompletionsPath on any host.
 func SinglePool(p *Pool) *Directory {
 	services := []route.Service{{Pools: []route.WeightedPool{{Weight: 1}}}}
 	routes := []route.Route{{Path: CompletionsPath, Method: "POST"}}
 	table, errs := route.New(services, routes, func(string) (int, bool) { return int(p.ID), true })
 	if len(errs) > 0 {
-		return nil // unreachable: the table is constant, and every test of a frontend makes it
+		return nil // unreachable: the routes and services are constant
 	}
 	return New(table, false, p)
 }
@@ -71,8 +71,8 @@
 	return pools
 }
 
-// BatchTarget returns the target of the items of a batch job: the service, or with an empty service the one that the
-// routes give for BatchHost and the class. It is nil if there is none.
+// BatchTarget returns the target of the items of a batch job: that of the service, or if service is empty, the one that the
+// routes select for BatchHost and the class. It returns nil if there is none.
 func (d *Directory) BatchTarget(service, class string) *route.Target {
 	if service != "" {
 		return d.Table.Service(service)
@@ -80,7 +80,7 @@
 	return d.Table.Lookup(&route.Query{Host: BatchHost, Path: CompletionsPath, Method: "POST", Class: class})
 }
 
-// ClassIndex returns the index of a class in Classes by its name.
+// ClassIndex returns the index in Classes of the class with a name, and whether there is one.
 func (p *Pool) ClassIndex(name string) (index int, ok bool) {
 	index, ok = p.classIndexes[name]
 	return index, ok
--- a/internal/directory/doc.go
+++ b/internal/directory/doc.go
@@ -1,4 +1,3 @@
-// Package directory finds the pool of a request: it joins the table of routes with what a frontend has to know of each
-// pool. The HTTP frontend and the batch service both use it. Package reconcile makes a new Directory for each
-// configuration; a Directory itself is immutable.
+// Package directory maps requests to pools: it combines the route table with the settings of each pool that frontends need.
+// The HTTP frontend and the batch service both use it. Package reconcile creates a Directory for each configuration.
 package directory
--- a/internal/listwatch/client.go
+++ b/internal/listwatch/client.go
@@ -17,15 +17,15 @@
 	"notchhinge/policy"
 )
 
-// listPath is where the service answers.
+// listPath is the path of the endpoint list.
 const listPath = "/registry/instances"
 
-// Client makes the calls of a watch, one after the other on one connection.
+// Client makes the calls of a watch, one at a time and on one connection.
 type Client struct {
 	Addr        string
 	Limits      limits.Limits
-	Deliver     func(policy.ListKind, List) error // an answer, or a failed call; the error is of an invalid entry
-	Post        func(dispatch.Event)              // log lines
+	Deliver     func(policy.ListKind, List) error // receives each list, or ListFailed; its error ends the watch
+	Post        func(dispatch.Event)              // receives log lines
 	DialContext func(ctx context.Context, network, addr string) (net.Conn, error)
 
 	sequence uint64
@@ -34,14 +34,14 @@
 	reader   *bufio.Reader
 }
 
-// NewClient returns a client of the service at c.Addr.
+// NewClient returns a copy of c that is ready to Run.
 func NewClient(c Client) *Client { return &c }
 
-// SetInitial sets the list that the router starts with.
+// SetInitial sets the list that the first call continues from.
 func (c *Client) SetInitial(l List) { c.sequence, c.hasList = l.Seq, len(l.Hosts) > 0 }
 
-// Run watches each time that it is requested, until a call fails, which it reports. A request during a watch is dropped. It
-// returns when the context is done.
+// Run waits for a request and then watches until a call fails, again and again. It reports each failure and drops requests that
+// come during a watch. It returns when the context is done.
 func (c *Client) Run(ctx context.Context, requested <-chan struct{}) {
 	defer c.closeConn()
 	for {
@@ -53,21 +53,21 @@
 		err := c.watch(ctx)
 		c.closeConn()
 		if ctx.Err() != nil {
-			return // to be stopped is no failure
+			return // stopped, not failed
 		}
 		select {
 		case <-requested: // during the watch
 		default:
 		}
-		_ = c.Deliver(policy.ListFailed, List{}) // it has no entry that could be invalid
+		_ = c.Deliver(policy.ListFailed, List{}) // no error, since there is no entry
 		c.Post(dispatch.LogLine("discovery: " + err.Error()))
 	}
 }
 
-// watch calls again right after each answer, until a call fails.
+// watch makes calls without a pause until one fails.
 func (c *Client) watch(ctx context.Context) error {
 	for {
-		began := time.Now()
+		start := time.Now()
 		l, err := c.call(ctx)
 		if err != nil {
 			return err
@@ -80,8 +80,8 @@
 		if err := c.Deliver(kind, l); err != nil {
 			return err
 		}
-		if len(l.Hosts) == 0 && time.Since(began) < c.Limits.WatchRetryDelay {
-			// A service that answers at once without a change must not be called without end; the watch goes on.
+		if len(l.Hosts) == 0 && time.Since(start) < c.Limits.WatchRetryDelay {
+			// Limits the rate of calls to a service that responds at once although nothing has changed.
 			select {
 			case <-ctx.Done():
 			case <-time.After(c.Limits.WatchRetryDelay):
@@ -90,7 +90,7 @@
 	}
 }
 
-// call makes one call.
+// call requests the list: a full one at first, then the changes since the last one.
 func (c *Client) call(ctx context.Context) (l List, err error) {
 	if err := c.connect(ctx); err != nil {
 		return l, err
@@ -98,12 +98,12 @@
 	conn := c.conn
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	path, wait := listPath, c.Limits.WatchResponseGrace
+	path, timeout := listPath, c.Limits.WatchResponseGrace
 	if c.hasList {
 		path += "?after=" + strconv.FormatUint(c.sequence, 10) + "&wait_ms=" + strconv.FormatInt(c.Limits.WatchTimeout.Milliseconds(), 10)
-		wait += c.Limits.WatchTimeout
+		timeout += c.Limits.WatchTimeout
 	}
-	if err := c.conn.SetDeadline(time.Now().Add(wait)); err != nil {
+	if err := c.conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return l, err
 	}
 	if _, err := io.WriteString(c.conn, "GET "+path+" HTTP/1.1\r\nHost: "+c.Addr+"\r\n\r\n"); err != nil {
@@ -112,7 +112,7 @@
 	return c.readList()
 }
 
-// connect opens the connection, if there is none.
+// connect opens a connection if there is none.
 func (c *Client) connect(ctx context.Context) error {
 	if c.conn != nil {
 		return nil
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// readList reads an answer, whose size is bounded.
+// readList reads a response of at most EndpointListBytes.
 func (c *Client) readList() (l List, err error) {
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -139,9 +139,9 @@
 	case err != nil:
 		return l, err
 	case resp.StatusCode != http.StatusOK:
-		return l, fmt.Errorf("answered %s", resp.Status)
+		return l, fmt.Errorf("unexpected status %s", resp.Status)
 	case int64(len(body)) > c.Limits.EndpointListBytes:
-		return l, errors.New("the list is too long")
+		return l, errors.New("the endpoint list is too long")
 	}
 	if err := json.Unmarshal(body, &l); err != nil {
 		return l, err
--- a/internal/listwatch/doc.go
+++ b/internal/listwatch/doc.go
@@ -1,6 +1,6 @@
-// Package listwatch keeps one watch on the endpoint list of a discovery service, and gives each pool its selection of it.
+// Package listwatch watches the endpoint list of a discovery service and delivers to each pool its selection of the list.
 //
-// A Client makes the calls: after each answer it calls again at once with the sequence of the list that it has, and the service
-// answers when the list has changed (a long poll), so that there is one watch however many pools use it. A Feed holds the list and
-// converts it for each pool. When to watch is decided by the decision modules (Feed.RequestWatch); a failed call ends the watch.
+// A [Client] makes long-poll calls: each call carries the sequence number of the last list, and the service responds when the list
+// has changed. A [Feed] holds the list and converts it for each pool, so that any number of pools share one watch. A watch ends
+// with the first failed call; the decision modules decide when to start the next one ([Feed.RequestWatch]).
 package listwatch
--- a/internal/listwatch/feed.go
+++ b/internal/listwatch/feed.go
@@ -13,7 +13,8 @@
 	"notchhinge/policy"
 )
 
-// Feed gives the list of one discovery service to several pools: to each its selection, with its own numbers of zones.
+// Feed delivers the endpoint list of one discovery service to several pools: to each its selection, with its own zone numbers.
+// It is safe for concurrent use.
 type Feed struct {
 	Client *Client
 
@@ -21,24 +22,24 @@
 	watchRequested chan struct{}
 	stop           context.CancelFunc
 
-	// The loop requests watches, and must not wait for mu, which is held while events are posted to it.
-	lastCallFailed atomic.Bool  // and the first pool was notified
-	firstPool      atomic.Int64 // the pool with the lowest id; its module paces the calls after a failure
+	// RequestWatch is called by the event loop, which must not wait for mu: events are posted to the loop while mu is held.
+	lastCallFailed atomic.Bool  // and firstPool was notified
+	firstPool      atomic.Int64 // lowest pool id; its module decides when to retry after a failure
 
 	mu      sync.Mutex
-	hasList bool             // a list has come, or was given
+	hasList bool             // a list was received or set
 	entries map[string]Entry // by name
 	pools   map[hoststate.PoolID]*poolSelection
 }
 
-// poolSelection is what a pool uses of the list.
+// poolSelection is the part of the list that a pool uses.
 type poolSelection struct {
 	selection Selection
 	zones     []string
-	selected  map[string]bool // hosts that the pool has; nil where it uses all
+	selected  map[string]bool // hosts of the pool; nil if it uses the whole list
 }
 
-// NewFeed returns a feed of the service at c.Addr. It sets c.Deliver and c.Post.
+// NewFeed returns a feed of the service at c.Addr. It overrides c.Deliver and c.Post.
 func NewFeed(c Client, post func(dispatch.Event)) *Feed {
 	f := &Feed{
 		post: post, watchRequested: make(chan struct{}, 1), pools: map[hoststate.PoolID]*poolSelection{}, entries: map[string]Entry{},
@@ -48,25 +49,25 @@
 	return f
 }
 
-// Run starts a goroutine that watches as requested, until Stop or until the context is done.
+// Run starts a goroutine that watches on request, until Stop is called or the context is done.
 func (f *Feed) Run(ctx context.Context) {
 	ctx, f.stop = context.WithCancel(ctx)
 	go f.Client.Run(ctx, f.watchRequested)
 }
 
-// Stop ends the watch.
+// Stop ends the goroutine that Run started.
 func (f *Feed) Stop() { f.stop() }
 
-// RequestWatch has the service watched from now on, as a pool's module wants it. It does not wait; during a watch it does nothing.
-// After a failed call only the first pool hears of the failure, and only its module says when to call again: were it all of
-// them, each failure would be followed by as many calls as there are pools, and each of these would fail for all.
+// RequestWatch starts a watch on behalf of a pool's module. It does not block, and does nothing during a watch. After a failed call
+// only the first pool is notified, and only its requests are accepted: if all pools retried, each failure would be followed by one
+// call for each pool.
 func (f *Feed) RequestWatch(id hoststate.PoolID) {
 	if !f.lastCallFailed.Load() || int64(id) == f.firstPool.Load() {
 		f.RequestWatchNow()
 	}
 }
 
-// RequestWatchNow is RequestWatch for no pool in particular.
+// RequestWatchNow starts a watch, also after a failed call. It does not block.
 func (f *Feed) RequestWatchNow() {
 	select {
 	case f.watchRequested <- struct{}{}:
@@ -74,7 +75,7 @@
 	}
 }
 
-// SetInitial sets the list that the feed starts with.
+// SetInitial sets the list that the feed starts with, such as one from the configuration.
 func (f *Feed) SetInitial(l List) {
 	f.Client.SetInitial(l)
 	f.mu.Lock()
@@ -87,22 +88,22 @@
 	}
 }
 
-// HasList reports whether a list has come, or was given.
+// HasList reports whether a list was received or set.
 func (f *Feed) HasList() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.hasList
 }
 
-// PoolUse is what a pool uses of a list.
+// PoolUse describes how a pool uses a list.
 type PoolUse struct {
 	Selection Selection
-	Zones     []string // numbers of zones are indexes of it
+	Zones     []string // a zone number is an index of Zones
 	IsNew     bool     // the pool has no hosts yet
 }
 
-// SetPool gives a pool its selection, and at once what is known of it: a cached list if the pool is new, else a full one. A pool
-// that is not new keeps its hosts while no list is known here.
+// SetPool adds a pool or replaces its selection, and delivers the current list at once: as a cached list if the pool is new, as a
+// full list otherwise. A pool that is not new keeps its hosts until the feed has a list.
 func (f *Feed) SetPool(id hoststate.PoolID, use PoolUse) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -120,10 +121,10 @@
 	if use.IsNew {
 		kind = policy.ListCached
 	}
-	_ = f.deliverTo(id, p, kind, l) // its entries were valid when they came
+	_ = f.deliverTo(id, p, kind, l) // the entries were validated when they were received
 }
 
-// RemovePool removes a pool and reports whether any is left.
+// RemovePool removes a pool and reports whether another one is left.
 func (f *Feed) RemovePool(id hoststate.PoolID) (anyLeft bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -132,8 +133,8 @@
 	return len(f.pools) > 0
 }
 
-// chooseFirstPool finds the first pool. If that is another one now and the last call failed, it must hear of the failure. The
-// lock is held.
+// chooseFirstPool updates the first pool. If it changes after a failed call, the new first pool is notified of the failure. The
+// caller holds the lock.
 func (f *Feed) chooseFirstPool() {
 	first := hoststate.PoolID(-1)
 	for id := range f.pools {
@@ -146,7 +147,8 @@
 	}
 }
 
-// deliver takes in an answer of the service, or a failed call. A list with an invalid entry is given to no pool.
+// deliver applies a list of the service, or a failed call, and delivers it to the pools. A list with an invalid entry is
+// delivered to no pool.
 func (f *Feed) deliver(kind policy.ListKind, l List) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -159,7 +161,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(f.pools)) {
 		if err := f.deliverTo(id, f.pools[id], kind, l); err != nil {
-			return err // an invalid entry is found for the first pool already
+			return err // conversion fails for the first pool, so that no pool has got the list
 		}
 	}
 	f.hasList = true
@@ -176,7 +178,7 @@
 	return nil
 }
 
-// deliverTo gives a pool its part of a list. A change that concerns other pools only is not delivered.
+// deliverTo posts a pool's selection of a list. A change that affects only other pools is not posted.
 func (f *Feed) deliverTo(id hoststate.PoolID, p *poolSelection, kind policy.ListKind, l List) error {
 	hosts, err := l.DispatchHosts(p.zones)
 	if err != nil {
@@ -192,7 +194,7 @@
 	return nil
 }
 
-// filter returns the hosts that are, or were, part of the selection. One that is no longer part of it is gone from the pool.
+// filter returns the hosts that are part of the selection, and those that are no longer part of it, with StateGone.
 func (p *poolSelection) filter(kind policy.ListKind, l List, hosts []dispatch.Host) []dispatch.Host {
 	if kind != policy.ListDelta {
 		clear(p.selected)
--- a/internal/listwatch/list.go
+++ b/internal/listwatch/list.go
@@ -9,10 +9,10 @@
 	"notchhinge/policy"
 )
 
-// List is an answer of the discovery service.
+// List is a response of the discovery service.
 type List struct {
 	Seq    uint64  `json:"seq"`
-	IsFull bool    `json:"whole"` // else it has the entries that have changed
+	IsFull bool    `json:"whole"` // otherwise Hosts has the changed entries only
 	Hosts  []Entry `json:"hosts"`
 }
 
@@ -22,26 +22,26 @@
 	Addr   string  `json:"dial"`
 	Zone   string  `json:"site"`
 	Cell   int     `json:"block"`
-	Class  string  `json:"class"` // where a service sorts hosts into classes; "" = none
+	Class  string  `json:"class"` // of the host; "" = the service has no classes
 	Health string  `json:"health"`
 	Weight float64 `json:"share"`
-	BornMS float64 `json:"born_ms"` // its start, on the platform's clock
+	BornMS float64 `json:"born_ms"` // start of the host on the platform's clock, in milliseconds
 }
 
-// What Entry.Health may be.
+// Values of Entry.Health.
 const (
 	healthReady       = "Ready"
 	healthTerminating = "Terminating"
 	healthGone        = "Gone"
 )
 
-// maxBornMS bounds a time that is converted to a time.Duration.
+// maxBornMS keeps the conversion to a time.Duration from overflowing.
 const maxBornMS = 1e15 / 2
 
-// unknownZone is the number of a zone that the settings do not name: it is none of theirs.
+// unknownZone is the number of a zone that the settings do not list.
 const unknownZone = -1
 
-// DispatchHosts converts the entries. A zone's number is its index among zones.
+// DispatchHosts converts the entries to hosts of the dispatcher. A zone's number is its index in zones.
 func (l List) DispatchHosts(zones []string) ([]dispatch.Host, error) {
 	hosts := make([]dispatch.Host, 0, len(l.Hosts))
 	for i := range l.Hosts {
--- a/internal/listwatch/listwatch_test.go
+++ b/internal/listwatch/listwatch_test.go
@@ -17,7 +17,7 @@
 	"notchhinge/policy"
 )
 
-// deliver records what a client delivers, as a pool with one zone gets it.
+// deliver returns a function that records the lists of a client as events of a pool with one zone.
 func deliver(got *[]dispatch.Event) func(policy.ListKind, List) error {
 	return func(kind policy.ListKind, l List) error {
 		if kind == policy.ListFailed {
@@ -32,7 +32,7 @@
 	}
 }
 
-// newClient returns a client whose deliveries and notes go to got, and the far ends of the connections that it opens.
+// newClient returns a client that records its deliveries and log lines in got, and the far ends of the connections that it opens.
 func newClient(got *[]dispatch.Event) (*Client, <-chan net.Conn) {
 	far := make(chan net.Conn, 1)
 	return &Client{
@@ -60,7 +60,7 @@
 			dispatch.EndpointsListed{Kind: policy.ListDelta, Hosts: []dispatch.Host{draining}},
 			dispatch.EndpointsListed{Kind: policy.ListDelta, Hosts: []dispatch.Host{}},
 			dispatch.EndpointsListed{Kind: policy.ListFull, Hosts: []dispatch.Host{ready}},
-			failed, dispatch.LogLine("discovery: answered 503 Service Unavailable"),
+			failed, dispatch.LogLine("discovery: unexpected status 503 Service Unavailable"),
 		}},
 		"hasty": {true, []dispatch.Event{
 			dispatch.EndpointsListed{Kind: policy.ListDelta, Hosts: []dispatch.Host{}},
@@ -76,19 +76,19 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var got []dispatch.Event
-				cl, far := newClient(&got)
+				client, far := newClient(&got)
 				if c.known {
-					cl.SetInitial(List{Seq: 41, Hosts: make([]Entry, 1)})
+					client.SetInitial(List{Seq: 41, Hosts: make([]Entry, 1)})
 				}
 				ctx, cancel := context.WithCancel(t.Context())
-				asked := make(chan struct{}, 1)
-				asked <- struct{}{}
-				go cl.Run(ctx, asked)
+				requested := make(chan struct{}, 1)
+				requested <- struct{}{}
+				go client.Run(ctx, requested)
 				conn := <-far
-				began := time.Now()
+				start := time.Now()
 				replay.Play(t, conn, "testdata/"+name+".txt", replay.Steps{"at": func(want string) {
-					if got := time.Since(began).String(); got != want {
-						t.Errorf("at %s, not %s", got, want)
+					if got := time.Since(start).String(); got != want {
+						t.Errorf("call after %s, want %s", got, want)
 					}
 				}})
 				synctest.Wait()
@@ -103,8 +103,8 @@
 }
 
 func TestStoppedFeedEndsAtOnce(t *testing.T) {
-	// A new configuration names another discovery: the call that waits at the old one is given up at once, the
-	// full list of the new one comes first, and no failure is delivered.
+	// A new configuration has another discovery service. The pending call to the old one is closed at once, the new one delivers a
+	// full list first, and no failure is delivered.
 	synctest.Test(t, func(t *testing.T) {
 		var got []dispatch.Event
 		far := make(chan net.Conn, 1)
@@ -131,7 +131,7 @@
 		second.Run(ctx)
 		second.RequestWatchNow()
 		if first.RemovePool(0) {
-			t.Error("a pool is left")
+			t.Error("RemovePool reports that a pool is left")
 		}
 		first.Stop()
 		synctest.Wait()
@@ -152,7 +152,7 @@
 	})
 }
 
-// TestPoolsGetTheirSelections has pools that select parts of one list: each gets its own hosts only, and learns which have left.
+// TestPoolsGetTheirSelections checks that each pool gets the hosts of its selection only, and those that have left it.
 func TestPoolsGetTheirSelections(t *testing.T) {
 	var got []string
 	f := NewFeed(Client{}, func(e dispatch.Event) {
@@ -173,10 +173,10 @@
 		}
 		got = nil
 	}
-	take := func(kind policy.ListKind, l List) {
+	deliverList := func(kind policy.ListKind, l List) {
 		t.Helper()
 		if err := f.deliver(kind, l); err != nil {
-			t.Errorf("list %v: %v", kind, err)
+			t.Errorf("deliver %v: %v", kind, err)
 		}
 	}
 	entry := func(name, site string, block int, class, health string) Entry {
@@ -186,19 +186,19 @@
 	f.SetPool(2, PoolUse{Selection: Selection{Cells: []int{7}}, IsNew: true})
 	f.SetPool(3, PoolUse{Selection: Selection{Classes: []string{"big"}}, IsNew: true})
 	expect("1 2:", "2 2:", "3 2:")
-	take(policy.ListFull, List{Hosts: []Entry{
+	deliverList(policy.ListFull, List{Hosts: []Entry{
 		entry("r-1", "a", 1, "", "Ready"), entry("r-2", "b", 7, "", "Ready"), entry("x", "a", 7, "big", "Ready"),
 	}})
 	expect("1 1: r-1=0", "2 1: r-2=0 x=0", "3 1: x=0")
-	take(policy.ListDelta, List{Hosts: []Entry{entry("r-1", "a", 1, "", "Terminating")}})
+	deliverList(policy.ListDelta, List{Hosts: []Entry{entry("r-1", "a", 1, "", "Terminating")}})
 	expect("1 0: r-1=1")
-	take(policy.ListDelta, List{Hosts: []Entry{entry("x", "a", 1, "big", "Ready")}}) // it moves out of block 7
+	deliverList(policy.ListDelta, List{Hosts: []Entry{entry("x", "a", 1, "big", "Ready")}}) // x leaves block 7
 	expect("2 0: x=2(left)", "3 0: x=0")
-	take(policy.ListDelta, List{Hosts: []Entry{entry("r-2", "b", 7, "", "Gone")}})
+	deliverList(policy.ListDelta, List{Hosts: []Entry{entry("r-2", "b", 7, "", "Gone")}})
 	expect("2 0: r-2=2")
-	take(policy.ListFailed, List{})
-	expect("1 3:")          // which asks again for all
-	f.SetPool(1, PoolUse{}) // another selection: at once the whole of it, as far as it is known
+	deliverList(policy.ListFailed, List{})
+	expect("1 3:")          // only the first pool
+	f.SetPool(1, PoolUse{}) // another selection: the known part is delivered at once
 	expect("1 1: r-1=1 x=0")
 	f.SetPool(4, PoolUse{Selection: Selection{Names: []string{"x"}}, IsNew: true})
 	expect("4 2: x=0")
@@ -207,7 +207,7 @@
 	}
 }
 
-// TestOnePoolPacesCallsAfterAFailure: a discovery that is down is not asked once for each pool after each failure.
+// TestOnePoolPacesCallsAfterAFailure checks that a failing discovery service is not called once for each pool.
 func TestOnePoolPacesCallsAfterAFailure(t *testing.T) {
 	var failed []hoststate.PoolID
 	f := NewFeed(Client{}, func(e dispatch.Event) {
@@ -215,7 +215,7 @@
 			failed = append(failed, l.Pool)
 		}
 	})
-	asked := func() bool {
+	watchRequested := func() bool {
 		select {
 		case <-f.watchRequested:
 			return true
@@ -226,33 +226,33 @@
 	for id := range hoststate.PoolID(3) {
 		f.SetPool(id+1, PoolUse{IsNew: true})
 	}
-	if f.RequestWatch(3); !asked() {
-		t.Error("before any failure anyone may ask")
+	if f.RequestWatch(3); !watchRequested() {
+		t.Error("a request before any failure was dropped")
 	}
 	if err := f.deliver(policy.ListFailed, List{}); err != nil {
 		t.Fatal(err)
 	}
-	if f.RequestWatch(2); asked() {
-		t.Error("another than the first asked again")
+	if f.RequestWatch(2); watchRequested() {
+		t.Error("a request of a pool other than the first was accepted after a failure")
 	}
-	if f.RequestWatch(1); !asked() {
-		t.Error("the first may not ask again")
+	if f.RequestWatch(1); !watchRequested() {
+		t.Error("a request of the first pool was dropped after a failure")
 	}
 	f.RemovePool(1)
 	f.RemovePool(3)
-	if f.RequestWatch(2); !asked() || !cmp.Equal(failed, []hoststate.PoolID{1, 2}) {
-		t.Errorf("delivered a failure to: %v", failed)
+	if f.RequestWatch(2); !watchRequested() || !cmp.Equal(failed, []hoststate.PoolID{1, 2}) {
+		t.Errorf("pools that were notified of a failure: %v", failed)
 	}
-	f.SetPool(0, PoolUse{}) // a pool of before comes from another discovery, and is the first now
-	if f.RequestWatch(0); !asked() || !cmp.Equal(failed, []hoststate.PoolID{1, 2, 0}) {
-		t.Errorf("delivered a failure to: %v", failed)
+	f.SetPool(0, PoolUse{}) // an older pool moves here from another feed and becomes the first
+	if f.RequestWatch(0); !watchRequested() || !cmp.Equal(failed, []hoststate.PoolID{1, 2, 0}) {
+		t.Errorf("pools that were notified of a failure: %v", failed)
 	}
 	f.RemovePool(0)
 	if err := f.deliver(policy.ListDelta, List{}); err != nil {
 		t.Fatal(err)
 	}
 	f.SetPool(4, PoolUse{IsNew: true})
-	if f.RequestWatch(4); !asked() {
-		t.Error("after a success anyone may ask")
+	if f.RequestWatch(4); !watchRequested() {
+		t.Error("a request after a success was dropped")
 	}
 }
--- a/internal/listwatch/selection.go
+++ b/internal/listwatch/selection.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// Selection is the part of a list that a pool uses. An empty field matches everything.
+// Selection is the condition on entries of a list that a pool uses. An empty field matches everything.
 type Selection struct {
 	Zones   []string
 	Cells   []int
 	Classes []string
-	Names   []string // patterns of path.Match
+	Names   []string // patterns as in path.Match
 }
 
-// Equal reports whether two selections are the same.
+// Equal reports whether two selections have the same fields.
 func (s *Selection) Equal(o *Selection) bool {
 	return slices.Equal(s.Zones, o.Zones) && slices.Equal(s.Cells, o.Cells) && slices.Equal(s.Classes, o.Classes) &&
 		slices.Equal(s.Names, o.Names)
@@ -25,7 +25,7 @@
 		(len(s.Cells) == 0 || slices.Contains(s.Cells, e.Cell)) &&
 		(len(s.Classes) == 0 || slices.Contains(s.Classes, e.Class)) &&
 		(len(s.Names) == 0 || slices.ContainsFunc(s.Names, func(pattern string) bool {
-			ok, _ := path.Match(pattern, e.Name) // patterns are checked with the settings
+			ok, _ := path.Match(pattern, e.Name) // patterns are validated with the settings
 			return ok
 		}))
 }
