--- a/internal/reconcile/changes.go
+++ b/internal/reconcile/changes.go
@@ -22,24 +22,24 @@
 	for i := range running.Pools {
 		unmatched[running.Pools[i].ID] = &running.Pools[i]
 	}
-	for _, q := range p.Pools {
-		old := unmatched[q.ID]
+	for _, pool := range p.Pools {
+		old := unmatched[pool.ID]
 		if old == nil {
-			c.Added = append(c.Added, q)
+			c.Added = append(c.Added, pool)
 			continue
 		}
-		delete(unmatched, q.ID)
-		c.Kept = append(c.Kept, q)
-		if old.Name != q.Name {
-			c.Renamed[old.Name] = q.Name
+		delete(unmatched, pool.ID)
+		c.Kept = append(c.Kept, pool)
+		if old.Name != pool.Name {
+			c.Renamed[old.Name] = pool.Name
 		}
-		if old.DiscoveryAddr != q.DiscoveryAddr || !old.Selection.Equal(&q.Selection) {
-			c.SourceChanged = append(c.SourceChanged, q)
+		if old.DiscoveryAddr != pool.DiscoveryAddr || !old.Selection.Equal(&pool.Selection) {
+			c.SourceChanged = append(c.SourceChanged, pool)
 		}
 	}
-	for _, q := range running.Pools {
-		if unmatched[q.ID] != nil {
-			c.Removed = append(c.Removed, q)
+	for _, pool := range running.Pools {
+		if unmatched[pool.ID] != nil {
+			c.Removed = append(c.Removed, pool)
 		}
 	}
 	return c
--- a/internal/reconcile/plan.go
+++ b/internal/reconcile/plan.go
@@ -62,14 +62,14 @@
 // servePlatform sets the plan of a router without services in an operator's file: one pool without a name, with the
 // platform's settings. Its module keeps its first settings across reloads, as the platform expects.
 func (p *Plan) servePlatform(cfg *platformconfig.Config, running *Plan) {
-	q := Pool{DiscoveryAddr: cfg.DiscoveryAddr, Module: cfg.Module, Seed: cfg.Seed, RetryAfter: cfg.Limits.OverloadRetryAfter}
+	pool := Pool{DiscoveryAddr: cfg.DiscoveryAddr, Module: cfg.Module, Seed: cfg.Seed, RetryAfter: cfg.Limits.OverloadRetryAfter}
 	if old := running.poolByName(""); old != nil {
-		q.ID, q.Module, q.Seed = old.ID, old.Module, old.Seed
+		pool.ID, pool.Module, pool.Seed = old.ID, old.Module, old.Seed
 	} else {
-		q.ID = p.newID()
+		pool.ID = p.newID()
 	}
-	p.Pools = []Pool{q}
-	frontendPool := q.frontendPool()
+	p.Pools = []Pool{pool}
+	frontendPool := pool.frontendPool()
 	frontendPool.MaxBudget = cfg.Limits.MaxRequestTimeout
 	p.Directory = directory.SinglePool(frontendPool)
 }
@@ -78,24 +78,24 @@
 func (p *Plan) addPools(cfg *platformconfig.Config, f *operatorconfig.File, running *Plan) (errs tomlfile.Errors) {
 	guarantees := guaranteedShares(f.Pools)
 	for i := range f.Pools {
-		q, poolErrs := newPool(cfg, f, i)
+		pool, poolErrs := newPool(cfg, f, i)
 		if len(poolErrs) > 0 {
 			errs = append(errs, poolErrs...)
 			continue
 		}
-		q.setQuotas(&cfg.Limits, f.Pools[i].Limits, guarantees[i])
-		q.ID = p.poolID(&q, f.Pools[i].FormerName, running)
-		p.Pools = append(p.Pools, q)
+		pool.setQuotas(&cfg.Limits, f.Pools[i].Limits, guarantees[i])
+		pool.ID = p.poolID(&pool, f.Pools[i].FormerName, running)
+		p.Pools = append(p.Pools, pool)
 	}
 	return errs
 }
 
-// poolID returns the id of the running pool that q continues, or a new id. The settings of a module cannot change, so that a pool
+// poolID returns the id of the running pool that a pool of this plan continues, or a new id. The settings of a module cannot change, so that a pool
 // with other settings is a new pool. At most one pool continues a running one.
-func (p *Plan) poolID(q *Pool, formerName string, running *Plan) hoststate.PoolID {
-	for _, name := range []string{q.Name, formerName} {
+func (p *Plan) poolID(pool *Pool, formerName string, running *Plan) hoststate.PoolID {
+	for _, name := range []string{pool.Name, formerName} {
 		old := running.poolByName(name)
-		if old == nil || name == "" || old.moduleKey != q.moduleKey {
+		if old == nil || name == "" || old.moduleKey != pool.moduleKey {
 			continue
 		}
 		if !slices.ContainsFunc(p.Pools, func(other Pool) bool { return other.ID == old.ID }) {
@@ -116,7 +116,7 @@
 	if p == nil {
 		return nil
 	}
-	if i := slices.IndexFunc(p.Pools, func(q Pool) bool { return q.Name == name }); i >= 0 {
+	if i := slices.IndexFunc(p.Pools, func(pool Pool) bool { return pool.Name == name }); i >= 0 {
 		return &p.Pools[i]
 	}
 	return nil
@@ -127,9 +127,9 @@
 	ids := map[string]int{}
 	var pools []*directory.Pool
 	for i := range p.Pools {
-		q := &p.Pools[i]
-		ids[q.Name] = int(q.ID)
-		pools = append(pools, q.frontendPool())
+		pool := &p.Pools[i]
+		ids[pool.Name] = int(pool.ID)
+		pools = append(pools, pool.frontendPool())
 	}
 	table, errs := f.Table(func(name string) (int, bool) { id, ok := ids[name]; return id, ok })
 	if len(errs) > 0 {
@@ -150,9 +150,9 @@
 					directory.BatchHost, directory.CompletionsPath))
 				continue
 			}
-			for _, q := range p.Directory.Pools(target) {
-				if _, ok := q.ClassIndex(class); !ok {
-					errs = append(errs, f.Errorf(key, "pool %q of service %q has no class %q", q.Name, target.Service, class))
+			for _, pool := range p.Directory.Pools(target) {
+				if _, ok := pool.ClassIndex(class); !ok {
+					errs = append(errs, f.Errorf(key, "pool %q of service %q has no class %q", pool.Name, target.Service, class))
 				}
 			}
 		}
--- a/internal/reconcile/pool.go
+++ b/internal/reconcile/pool.go
@@ -42,34 +42,34 @@
 func newPool(cfg *platformconfig.Config, f *operatorconfig.File, index int) (Pool, tomlfile.Errors) {
 	s := &f.Pools[index]
 	key := []string{"pool", strconv.Itoa(index)}
-	q := Pool{Name: s.Name, DiscoveryAddr: cfg.DiscoveryAddr, Module: cfg.Module, Seed: cfg.Seed}
+	pool := Pool{Name: s.Name, DiscoveryAddr: cfg.DiscoveryAddr, Module: cfg.Module, Seed: cfg.Seed}
 	if s.DiscoveryAddr != "" {
-		q.DiscoveryAddr = s.DiscoveryAddr
+		pool.DiscoveryAddr = s.DiscoveryAddr
 	}
 	if s.Select != nil {
-		q.Selection = listwatch.Selection{
+		pool.Selection = listwatch.Selection{
 			Zones: s.Select.Zones, Cells: s.Select.Cells, Classes: s.Select.Classes, Names: s.Select.NamePatterns,
 		}
 	}
 	if s.SettingsPath != "" {
 		m, err := platformconfig.LoadModule(s.SettingsPath, cfg.Seed)
 		if err != nil {
-			return q, tomlfile.Errors{f.Errorf(append(key, "settings"), "%v", err)}
+			return pool, tomlfile.Errors{f.Errorf(append(key, "settings"), "%v", err)}
 		}
-		q.Module = m
+		pool.Module = m
 	}
-	if errs := overrideClasses(&q.Module, f, index); len(errs) > 0 {
-		return q, errs
+	if errs := overrideClasses(&pool.Module, f, index); len(errs) > 0 {
+		return pool, errs
 	}
-	if _, err := policy.New(q.Module.Settings, q.Seed); err != nil { // validates the overrides
-		return q, tomlfile.Errors{f.Errorf(key, "%v", err)}
+	if _, err := policy.New(pool.Module.Settings, pool.Seed); err != nil { // validates the overrides
+		return pool, tomlfile.Errors{f.Errorf(key, "%v", err)}
 	}
-	moduleKey, err := json.Marshal(q.Module)
+	moduleKey, err := json.Marshal(pool.Module)
 	if err != nil {
-		return q, tomlfile.Errors{f.Errorf(append(key, "settings"), "%v", err)}
+		return pool, tomlfile.Errors{f.Errorf(append(key, "settings"), "%v", err)}
 	}
-	q.moduleKey = string(moduleKey)
-	return q, nil
+	pool.moduleKey = string(moduleKey)
+	return pool, nil
 }
 
 // overrideClasses restricts a module to the classes that a pool of the file lists, in that order, and replaces the values that
@@ -123,12 +123,12 @@
 
 // frontendPool returns the part of the pool that frontends use. The time budget of a request is at most four times the longest
 // deadline of a class, but may always be a minute.
-func (q *Pool) frontendPool() *directory.Pool {
+func (pool *Pool) frontendPool() *directory.Pool {
 	var longest time.Duration
-	for i := range q.Module.Settings.Classes {
-		longest = max(longest, q.Module.Settings.Classes[i].Deadline)
+	for i := range pool.Module.Settings.Classes {
+		longest = max(longest, pool.Module.Settings.Classes[i].Deadline)
 	}
 	return &directory.Pool{
-		ID: q.ID, Name: q.Name, Classes: q.Module.Settings.Classes, RetryAfter: q.RetryAfter, MaxBudget: max(4*longest, time.Minute),
+		ID: pool.ID, Name: pool.Name, Classes: pool.Module.Settings.Classes, RetryAfter: pool.RetryAfter, MaxBudget: max(4*longest, time.Minute),
 	}
 }
--- a/internal/reconcile/quotas.go
+++ b/internal/reconcile/quotas.go
@@ -34,13 +34,13 @@
 }
 
 // setQuotas sets the pool's quotas of the process's limits. s may be nil.
-func (q *Pool) setQuotas(l *limits.Limits, s *operatorconfig.PoolLimits, guarantee float64) {
+func (pool *Pool) setQuotas(l *limits.Limits, s *operatorconfig.PoolLimits, guarantee float64) {
 	if s == nil {
 		s = &operatorconfig.PoolLimits{}
 	}
-	q.MaxAttempts, q.TurnWeight = s.MaxAttempts, max(guarantee, minTurnWeight)
-	q.RetryAfter = l.OverloadRetryAfter
-	setIfGiven(&q.RetryAfter, (*time.Duration)(s.RetryAfter))
+	pool.MaxAttempts, pool.TurnWeight = s.MaxAttempts, max(guarantee, minTurnWeight)
+	pool.RetryAfter = l.OverloadRetryAfter
+	setIfGiven(&pool.RetryAfter, (*time.Duration)(s.RetryAfter))
 	maxShare := 1.0
 	setIfGiven(&maxShare, s.MaxShare)
 
@@ -53,8 +53,8 @@
 		c.Guarantee = min(c.Guarantee, c.Max)
 		return c
 	}
-	q.RequestQuota = claim(int64(l.ConcurrentRequests), int64(s.MaxRequests))
-	q.UpstreamConnQuota = claim(int64(l.UpstreamConns), int64(s.MaxUpstreamConns))
-	q.BodyQuota = claim(l.TotalBodyBytes, int64(s.MaxBodyMB)<<20)
-	q.ClientConnQuota = claim(int64(l.ClientConns), 0)
+	pool.RequestQuota = claim(int64(l.ConcurrentRequests), int64(s.MaxRequests))
+	pool.UpstreamConnQuota = claim(int64(l.UpstreamConns), int64(s.MaxUpstreamConns))
+	pool.BodyQuota = claim(l.TotalBodyBytes, int64(s.MaxBodyMB)<<20)
+	pool.ClientConnQuota = claim(int64(l.ClientConns), 0)
 }
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -108,8 +108,8 @@
 		poolTOML("a", "[pool.limits]\nguarantee = 0.4\nmost = 0.5\nopen = 7\nlegs = 2\nretry_after = \"2s\"")+poolTOML("b", "")+poolTOML("c", ""), nil)
 	cfg := loadConfig(t)
 	var claims []quota.Claim
-	for _, q := range p.Pools {
-		claims = append(claims, q.UpstreamConnQuota)
+	for _, pool := range p.Pools {
+		claims = append(claims, pool.UpstreamConnQuota)
 	}
 	if err := quota.Check(int64(cfg.Limits.UpstreamConns), claims); err != nil {
 		t.Error(err)
@@ -134,10 +134,10 @@
 	if target == nil {
 		t.Fatal("no route")
 	}
-	q := p.Directory.PoolFor(target, 0)
-	index, ok := q.ClassIndex("doc-lookup")
-	if _, other := q.ClassIndex("shift-agent"); !ok || index != 0 || other || q.Classes[0].TargetLatency != 700*time.Millisecond || q.Classes[0].Value != 9.5 {
-		t.Errorf("%+v", q)
+	pool := p.Directory.PoolFor(target, 0)
+	index, ok := pool.ClassIndex("doc-lookup")
+	if _, other := pool.ClassIndex("shift-agent"); !ok || index != 0 || other || pool.Classes[0].TargetLatency != 700*time.Millisecond || pool.Classes[0].Value != 9.5 {
+		t.Errorf("%+v", pool)
 	}
 }
 
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -239,9 +239,9 @@
 			return
 		}
 		sessions := 0
-		for _, q := range r.plan.Pools {
-			if snapshot := state.Pools[q.Name]; snapshot != nil {
-				r.loop.Post(dispatch.RestoreSnapshot{Pool: q.ID, Snapshot: snapshot})
+		for _, pool := range r.plan.Pools {
+			if snapshot := state.Pools[pool.Name]; snapshot != nil {
+				r.loop.Post(dispatch.RestoreSnapshot{Pool: pool.ID, Snapshot: snapshot})
 				sessions += len(snapshot.Sessions)
 			}
 		}
@@ -250,7 +250,7 @@
 	}
 }
 
-// handOverState writes what the decision modules have learned for the successor.
+// handOverState writes the snapshots of the decision modules for the successor.
 func (r *Router) handOverState(ctx context.Context) {
 	reply := make(chan map[string]*policy.Snapshot, 1)
 	r.loop.Post(dispatch.GetSnapshots{ReplyTo: reply})
@@ -318,7 +318,7 @@
 			case <-time.After(limits.DrainSweepInterval):
 			}
 		}
-		if ctx.Err() == nil && r.batch == nil { // a process with batch jobs runs until SIGTERM
+		if ctx.Err() == nil && r.batch == nil { // a process with the batch API runs until SIGTERM
 			close(r.ops.handoverDone)
 		}
 	}()
--- a/internal/router/plan.go
+++ b/internal/router/plan.go
@@ -19,31 +19,31 @@
 )
 
 // apply makes a plan the running one. It adds the new pools, then routes requests by the new routes, then ends the pools that
-// the plan has no more. Requests that were routed before are still served by their pools.
+// are no longer in the plan. Requests that were routed before are still served by their pools.
 func (r *Router) apply(ctx context.Context, next *reconcile.Plan) error {
 	r.applying.Lock()
 	defer r.applying.Unlock()
 	c := next.ChangesFrom(r.plan)
 	modules := map[hoststate.PoolID]*policy.Balancer{}
-	for _, q := range c.Added {
-		m, err := policy.New(q.Module.Settings, q.Seed)
+	for _, pool := range c.Added {
+		m, err := policy.New(pool.Module.Settings, pool.Seed)
 		if err != nil {
-			return fmt.Errorf("pool %q: %w", q.Name, err)
+			return fmt.Errorf("pool %q: %w", pool.Name, err)
 		}
-		modules[q.ID] = m
+		modules[pool.ID] = m
 	}
-	for _, q := range next.Pools {
-		r.configurePool(&q, modules[q.ID])
+	for _, pool := range next.Pools {
+		r.configurePool(&pool, modules[pool.ID])
 	}
-	for _, q := range c.Added {
-		r.attachToFeed(ctx, &q, true)
+	for _, pool := range c.Added {
+		r.attachToFeed(ctx, &pool, true)
 	}
-	for _, q := range c.SourceChanged {
-		r.attachToFeed(ctx, &q, false)
+	for _, pool := range c.SourceChanged {
+		r.attachToFeed(ctx, &pool, false)
 	}
 	r.directory.Store(next.Directory)
-	for _, q := range c.Removed {
-		r.loop.Post(dispatch.EndPool{Pool: q.ID})
+	for _, pool := range c.Removed {
+		r.loop.Post(dispatch.EndPool{Pool: pool.ID})
 	}
 	r.plan = next
 	r.generation.Add(1)
@@ -51,46 +51,46 @@
 }
 
 // configurePool sets the quotas and settings of a pool in the upstream transport, the frontend and the dispatcher.
-func (r *Router) configurePool(q *reconcile.Pool, module *policy.Balancer) {
-	r.upstream.ConfigurePool(q.ID, upstream.LoadReporting{
-		Columns: q.Module.LoadReportColumns, StatsPath: len(q.Module.LoadReportColumns) > 0, InResponses: q.Module.LoadReportsInResponses,
-	}, q.UpstreamConnQuota)
-	r.frontend.ConfigurePool(q.ID, q.BodyQuota, q.ClientConnQuota)
+func (r *Router) configurePool(pool *reconcile.Pool, module *policy.Balancer) {
+	r.upstream.ConfigurePool(pool.ID, upstream.LoadReporting{
+		Columns: pool.Module.LoadReportColumns, StatsPath: len(pool.Module.LoadReportColumns) > 0, InResponses: pool.Module.LoadReportsInResponses,
+	}, pool.UpstreamConnQuota)
+	r.frontend.ConfigurePool(pool.ID, pool.BodyQuota, pool.ClientConnQuota)
 	e := dispatch.ConfigurePool{
-		Pool: q.ID, Name: q.Name, Module: module, SlowStart: q.Module.Settings.SlowStart, SlowStartInitial: q.Module.Settings.SlowStartInitial,
-		Classes: traceClasses(&q.Module), RequestQuota: q.RequestQuota, TurnWeight: q.TurnWeight, RetryAfter: q.RetryAfter,
-		MaxAttempts: q.Module.Settings.Limits.MaxAttempts,
+		Pool: pool.ID, Name: pool.Name, Module: module, SlowStart: pool.Module.Settings.SlowStart, SlowStartInitial: pool.Module.Settings.SlowStartInitial,
+		Classes: traceClasses(&pool.Module), RequestQuota: pool.RequestQuota, TurnWeight: pool.TurnWeight, RetryAfter: pool.RetryAfter,
+		MaxAttempts: pool.Module.Settings.Limits.MaxAttempts,
 	}
-	if q.MaxAttempts > 0 {
-		e.MaxAttempts = min(e.MaxAttempts, q.MaxAttempts)
+	if pool.MaxAttempts > 0 {
+		e.MaxAttempts = min(e.MaxAttempts, pool.MaxAttempts)
 	}
 	r.loop.Post(e)
 }
 
 // attachToFeed subscribes a pool to its selection of the endpoint list of its discovery address, and unsubscribes it from the
 // feed that it had before. isNew says that the pool was added by this plan.
-func (r *Router) attachToFeed(ctx context.Context, q *reconcile.Pool, isNew bool) {
+func (r *Router) attachToFeed(ctx context.Context, pool *reconcile.Pool, isNew bool) {
 	r.mu.Lock()
-	f, old := r.feeds[q.DiscoveryAddr], r.poolFeeds[q.ID]
+	f, old := r.feeds[pool.DiscoveryAddr], r.poolFeeds[pool.ID]
 	isNewFeed := f == nil
 	if isNewFeed {
-		f = listwatch.NewFeed(listwatch.Client{Addr: q.DiscoveryAddr, Limits: r.cfg.Limits, DialContext: r.dial}, r.postEndpoints)
-		r.feeds[q.DiscoveryAddr] = f
+		f = listwatch.NewFeed(listwatch.Client{Addr: pool.DiscoveryAddr, Limits: r.cfg.Limits, DialContext: r.dial}, r.postEndpoints)
+		r.feeds[pool.DiscoveryAddr] = f
 	}
-	r.poolFeeds[q.ID] = f
+	r.poolFeeds[pool.ID] = f
 	r.mu.Unlock()
-	if isNewFeed && isNew && r.plan == nil && q.DiscoveryAddr == r.cfg.DiscoveryAddr {
+	if isNewFeed && isNew && r.plan == nil && pool.DiscoveryAddr == r.cfg.DiscoveryAddr {
 		f.SetInitial(r.cfg.InitialEndpoints)
 	}
-	f.SetPool(q.ID, listwatch.PoolUse{Selection: q.Selection, Zones: q.Module.ZoneNames, IsNew: isNew})
+	f.SetPool(pool.ID, listwatch.PoolUse{Selection: pool.Selection, Zones: pool.Module.ZoneNames, IsNew: isNew})
 	if isNewFeed {
 		f.Run(ctx)
-		if !isNew || q.Name != "" && !f.HasList() {
+		if !isNew || pool.Name != "" && !f.HasList() {
 			f.RequestWatchNow() // no list is cached, and the module would request the first watch only after a delay
 		}
 	}
 	if old != nil && old != f {
-		r.detachFromFeed(old, q.ID)
+		r.detachFromFeed(old, pool.ID)
 	}
 }
 
--- a/internal/router/services_test.go
+++ b/internal/router/services_test.go
@@ -102,7 +102,7 @@
 		front, stop, reload, done := newPipeListener(), make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan error, 1)
 		r := New(cfg, plan, slog.New(slog.NewTextHandler(&log, nil)), network.dial, dispatch.UnixClock())
 		go func() { done <- r.ServeOn(front, Signals{Stop: stop, Reload: reload, LoadPlan: loadPlan}) }()
-		ask := func(host string) string {
+		request := func(host string) string {
 			c := mustDial(front.dial())
 			defer c.Close()
 			go fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: %s\r\nX-Call-Id: %d\r\nX-Call-Class: doc-lookup\r\n"+
@@ -119,7 +119,7 @@
 		}
 		expect := func(host, want string) {
 			t.Helper()
-			if got := ask(host); got != want {
+			if got := request(host); got != want {
 				t.Errorf("%s: %s, want %s", host, got, want)
 			}
 		}
@@ -139,7 +139,7 @@
 		expect("calib", calib)
 
 		open := make(chan string)
-		go func() { open <- ask("calib") }()
+		go func() { open <- request("calib") }()
 		time.Sleep(time.Second)
 		write(one)
 		reload <- syscall.SIGHUP
@@ -157,7 +157,7 @@
 		if len(r.feeds) != 1 {
 			t.Errorf("%d discovery services are watched", len(r.feeds))
 		}
-		go func() { open <- ask("runs") }()
+		go func() { open <- request("runs") }()
 		time.Sleep(100 * time.Millisecond)
 		stop <- syscall.SIGTERM
 		write(two)
@@ -223,9 +223,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	table, faults := f.Table(func(string) (int, bool) { return 0, true })
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	table, errs := f.Table(func(string) (int, bool) { return 0, true })
+	if len(errs) > 0 {
+		t.Fatal(errs)
 	}
 	x, err := Explain(table, map[string][]string{"host": {"RUNS.example.org:80"}, "path": {"/%41"}, "header": {"X-Team: a"}})
 	if err != nil || x.Service != "runs" || x.Path != "/A" || len(x.Routes) != 1 || !x.Routes[0].Wins {
--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -33,8 +33,8 @@
 		Router: cfg.RouterName, Seed: cfg.Seed, Share: *s.SampleRatio, PerSecond: *s.MaxSamplesPerS, Margin: time.Duration(*s.LatencyMargin),
 		TellAll: s.PropagateSampled == "all", Steps: s.PendingMB << 20 / trace.StepBytes, Linger: cfg.Limits.TraceCompletionGrace,
 	}
-	for _, q := range p.Pools {
-		for _, c := range q.Module.Settings.Classes {
+	for _, pool := range p.Pools {
+		for _, c := range pool.Module.Settings.Classes {
 			o.Window = max(o.Window, c.Deadline)
 		}
 	}
