--- a/internal/reconcile/plan.go
+++ b/internal/reconcile/plan.go
@@ -90,8 +90,8 @@
 	return errs
 }
 
-// poolID returns the id of the running pool that a pool of this plan continues, or a new id. The settings of a module cannot change, so that a pool
-// with other settings is a new pool. At most one pool continues a running one.
+// poolID returns the id of the running pool that a pool of this plan continues, or a new id. The settings of a module cannot
+// change, so that a pool with other settings is a new pool. At most one pool continues a running one.
 func (p *Plan) poolID(pool *Pool, formerName string, running *Plan) hoststate.PoolID {
 	for _, name := range []string{pool.Name, formerName} {
 		old := running.poolByName(name)
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -111,23 +111,23 @@
 type PoolState struct {
 	Name               string `json:"name"`
 	ID                 int    `json:"id"`
-	IsEnding           bool   `json:"leaving"` // requests are no longer routed to it
-	Discovery          string `json:"discovery"`
+	IsEnding           bool   `json:"leaving"`   // requests are no longer routed to it
+	Discovery          string `json:"discovery"` // address of the endpoint list
 	Hosts              int    `json:"hosts"`
-	Ready              int    `json:"ready"` // hosts that are ready
-	Open               int    `json:"open"`  // requests in flight
-	RequestGuarantee   int64  `json:"open_guarantee"`
-	MaxRequests        int64  `json:"open_most"`
-	UpstreamConns      int    `json:"lines"`  // open connections to endpoints
-	BodyBytes          int64  `json:"bodies"` // bytes of request bodies in memory
-	Received           int    `json:"taken"`
+	Ready              int    `json:"ready"`          // hosts that are ready
+	Open               int    `json:"open"`           // requests in flight
+	RequestGuarantee   int64  `json:"open_guarantee"` // requests in flight that are guaranteed to the pool
+	MaxRequests        int64  `json:"open_most"`      // maximum of requests in flight
+	UpstreamConns      int    `json:"lines"`          // open connections to endpoints
+	BodyBytes          int64  `json:"bodies"`         // bytes of request bodies in memory
+	Received           int    `json:"taken"`          // requests received
 	Served             int    `json:"served"`
 	Rejected           int    `json:"refused"`
 	Failed             int    `json:"failed"`
-	Broken             int    `json:"broken"`
-	ClientsLeft        int    `json:"gone"`
+	Broken             int    `json:"broken"`   // response streams that failed after their first event
+	ClientsLeft        int    `json:"gone"`     // requests whose client left before the response
 	RejectedByFrontend int    `json:"declined"` // for lack of capacity, or because a request with the same id is in flight
-	Attempts           int    `json:"legs"`
+	Attempts           int    `json:"legs"`     // sent upstream
 }
 
 // poolStates returns the state of every pool. The list is empty if the event loop does not respond within a second.
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -21,9 +21,9 @@
 const completionRequest = "POST /v1/chat/completions HTTP/1.1\r\nHost: h\r\nX-Class: doc-lookup\r\nContent-Length: 2\r\n\r\n{}"
 
 // readinessStatus returns the status code of the readiness check on a new connection.
-func readinessStatus(t *testing.T, front *pipeListener) int {
+func readinessStatus(t *testing.T, listener *pipeListener) int {
 	t.Helper()
-	c, err := front.dial()
+	c, err := listener.dial()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,25 +55,25 @@
 	// Fail and OK are each called twice, in two rounds. Idle connections are closed in time, and new ones are served and closed
 	// after their response. SIGTERM during a drain makes it final.
 	synctest.Test(t, func(t *testing.T) {
-		front, stop, done, _, r := startInMemory(t, time.Second)
+		listener, stop, done, _, r := startInMemory(t, time.Second)
 		for range 2 {
-			if s := readinessStatus(t, front); s != 200 {
+			if s := readinessStatus(t, listener); s != 200 {
 				t.Fatalf("readiness %d before a drain", s)
 			}
-			idle, used := mustDial(front.dial()), mustDial(front.dial())
+			idle, used := mustDial(listener.dial()), mustDial(listener.dial())
 			roundTrip(t, used, readinessRequest)
 			idleClosed, usedClosed := closeTime(idle), closeTime(used)
 			began := time.Now()
 			r.Fail()
 			r.Fail()
-			if s := readinessStatus(t, front); s != 503 {
+			if s := readinessStatus(t, listener); s != 503 {
 				t.Errorf("readiness %d during a drain", s)
 			}
 			if ok, _ := r.Serving(); ok {
 				t.Error("Serving reports ready during a drain")
 			}
 			time.Sleep(300 * time.Millisecond) // the load balancer has not noticed yet
-			late := mustDial(front.dial())
+			late := mustDial(listener.dial())
 			if a := roundTrip(t, late, completionRequest); a.StatusCode == 0 || !a.Close {
 				t.Errorf("a late connection: status %d, stays open: %v", a.StatusCode, !a.Close)
 			}
@@ -83,19 +83,19 @@
 				}
 			}
 			// A new connection without a request is closed, too.
-			silent := mustDial(front.dial())
+			silent := mustDial(listener.dial())
 			opened := time.Now()
 			if after := (<-closeTime(silent)).Sub(opened); after < r.cfg.Limits.NewConnGrace || after > time.Second {
 				t.Errorf("a silent connection was closed after %v", after)
 			}
-			if err := r.OK(); err != nil || readinessStatus(t, front) != 200 {
+			if err := r.OK(); err != nil || readinessStatus(t, listener) != 200 {
 				t.Errorf("OK: %v", err)
 			}
-			if err := r.OK(); err != nil || readinessStatus(t, front) != 200 {
+			if err := r.OK(); err != nil || readinessStatus(t, listener) != 200 {
 				t.Errorf("OK without a drain: %v", err)
 			}
 		}
-		kept := mustDial(front.dial())
+		kept := mustDial(listener.dial())
 		gone := closeTime(kept)
 		time.Sleep(time.Second)
 		select {
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -107,26 +107,26 @@
 	}, dispatch.UnixClock())
 }
 
-// startRouter is startInMemory without the router itself.
-func startRouter(t *testing.T, delay time.Duration) (front *pipeListener, stop chan os.Signal, done chan error, log *strings.Builder) {
-	front, stop, done, log, _ = startInMemory(t, delay)
-	return front, stop, done, log
+// startRouter calls startInMemory and drops the router.
+func startRouter(t *testing.T, delay time.Duration) (listener *pipeListener, stop chan os.Signal, done chan error, log *strings.Builder) {
+	listener, stop, done, log, _ = startInMemory(t, delay)
+	return listener, stop, done, log
 }
 
 // startInMemory starts a router with connections in memory.
 func startInMemory(t *testing.T, delay time.Duration) (*pipeListener, chan os.Signal, chan error, *strings.Builder, *Router) {
-	front, stop, done, log := newPipeListener(), make(chan os.Signal, 1), make(chan error, 1), &strings.Builder{}
+	listener, stop, done, log := newPipeListener(), make(chan os.Signal, 1), make(chan error, 1), &strings.Builder{}
 	r := newRouter(t, loadConfig(t), delay, log)
-	go func() { done <- r.ServeOn(front, Signals{Stop: stop}) }()
-	return front, stop, done, log, r
+	go func() { done <- r.ServeOn(listener, Signals{Stop: stop}) }()
+	return listener, stop, done, log, r
 }
 
 func TestDrain(t *testing.T) {
 	// SIGTERM comes with a response in flight, an idle connection, and a connection that is opened later. The requests are
 	// answered, the idle connection is closed, and the router ends after the last response.
 	synctest.Test(t, func(t *testing.T) {
-		front, stop, done, log := startRouter(t, 3*time.Second)
-		waiting, idle := mustDial(front.dial()), mustDial(front.dial())
+		listener, stop, done, log := startRouter(t, 3*time.Second)
+		waiting, idle := mustDial(listener.dial()), mustDial(listener.dial())
 		start := time.Now()
 		played := make(chan time.Duration, 3)
 		go func() { replay.Play(t, waiting, "testdata/last_answer.txt", nil); played <- time.Since(start) }()
@@ -134,17 +134,17 @@
 		time.Sleep(time.Second)
 		stop <- syscall.SIGTERM
 		time.Sleep(400 * time.Millisecond)
-		late := mustDial(front.dial())
+		late := mustDial(listener.dial())
 		go func() { replay.Play(t, late, "testdata/late_answer.txt", nil); played <- time.Since(start) }()
 		got := []time.Duration{<-played, <-played, <-played}
 		want := []time.Duration{1450 * time.Millisecond, 3 * time.Second, 4400 * time.Millisecond}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("times of the ends (-want +got):\n%s", diff)
+			t.Errorf("times at which the connections end (-want +got):\n%s", diff)
 		}
 		if err := <-done; err != nil || time.Since(start) != 4400*time.Millisecond {
 			t.Errorf("the router ended after %v: %v", time.Since(start), err)
 		}
-		if _, err := front.dial(); err == nil {
+		if _, err := listener.dial(); err == nil {
 			t.Error("still listening")
 		}
 		if !strings.Contains(log.String(), "taken=2") || !strings.Contains(log.String(), "answers.served=2") {
@@ -156,8 +156,8 @@
 func TestUnansweredRequestEndsAtItsDeadline(t *testing.T) {
 	// An engine that does not answer: the client gets a response at its deadline.
 	synctest.Test(t, func(t *testing.T) {
-		front, stop, done, _ := startRouter(t, time.Minute)
-		conn := mustDial(front.dial())
+		listener, stop, done, _ := startRouter(t, time.Minute)
+		conn := mustDial(listener.dial())
 		start := time.Now()
 		replay.Play(t, conn, "testdata/deadline.txt", nil)
 		if d := time.Since(start); d != 4800*time.Millisecond {
@@ -175,8 +175,8 @@
 func TestSlowClientDelaysNoOtherClient(t *testing.T) {
 	// A client that does not read its response delays no other client, and is disconnected after a timeout.
 	synctest.Test(t, func(t *testing.T) {
-		front, stop, done, log := startRouter(t, time.Second)
-		slow, quick := mustDial(front.dial()), mustDial(front.dial())
+		listener, stop, done, log := startRouter(t, time.Second)
+		slow, quick := mustDial(listener.dial()), mustDial(listener.dial())
 		start := time.Now()
 		replay.Play(t, slow, "testdata/request.txt", nil)
 		replay.Play(t, quick, "testdata/served.txt", nil)
--- a/internal/router/services_test.go
+++ b/internal/router/services_test.go
@@ -99,11 +99,11 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		network := &fakeNetwork{down: map[string]bool{"disc-calib:1": true}}
-		front, stop, reload, done := newPipeListener(), make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan error, 1)
+		listener, stop, reload, done := newPipeListener(), make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan error, 1)
 		r := New(cfg, plan, slog.New(slog.NewTextHandler(&log, nil)), network.dial, dispatch.UnixClock())
-		go func() { done <- r.ServeOn(front, Signals{Stop: stop, Reload: reload, LoadPlan: loadPlan}) }()
+		go func() { done <- r.ServeOn(listener, Signals{Stop: stop, Reload: reload, LoadPlan: loadPlan}) }()
 		request := func(host string) string {
-			c := mustDial(front.dial())
+			c := mustDial(listener.dial())
 			defer c.Close()
 			go fmt.Fprintf(c, "POST /v1/chat/completions HTTP/1.1\r\nHost: %s\r\nX-Call-Id: %d\r\nX-Call-Class: doc-lookup\r\n"+
 				"X-Budget: 5000m\r\nX-Call-Info: prompt_len=1,prefix_len=1,max_out=1\r\nContent-Length: 2\r\n\r\n{}", host, time.Now().UnixNano())
--- a/internal/router/trace_test.go
+++ b/internal/router/trace_test.go
@@ -30,7 +30,7 @@
 	}
 	var log strings.Builder
 	synctest.Test(t, func(t *testing.T) {
-		front, stop, done := newPipeListener(), make(chan os.Signal, 1), make(chan error, 1)
+		listener, stop, done := newPipeListener(), make(chan os.Signal, 1), make(chan error, 1)
 		cfg := loadConfig(t)
 		r := New(cfg, firstPlan(t, cfg), slog.New(slog.NewTextHandler(&log, nil)), func(_ context.Context, _, addr string) (net.Conn, error) {
 			near, far := net.Pipe()
@@ -44,9 +44,9 @@
 		if err := r.EnableTracing(f.Trace, "test"); err != nil {
 			t.Fatal(err)
 		}
-		go func() { done <- r.ServeOn(front, Signals{Stop: stop}) }()
+		go func() { done <- r.ServeOn(listener, Signals{Stop: stop}) }()
 		played := make(chan struct{})
-		go func() { replay.Play(t, mustDial(front.dial()), "testdata/last_answer.txt", nil); close(played) }()
+		go func() { replay.Play(t, mustDial(listener.dial()), "testdata/last_answer.txt", nil); close(played) }()
 		time.Sleep(time.Second)
 		stop <- syscall.SIGTERM
 		<-played
