--- a/cmd/notchhinge/main.go
+++ b/cmd/notchhinge/main.go
@@ -112,7 +112,7 @@
 	}
 	r := router.New(cfg, p, log, (&net.Dialer{}).DialContext, dispatch.UnixClock())
 	if f.Trace != nil {
-		if err := r.Trace(f.Trace, programVersion()); err != nil {
+		if err := r.EnableTracing(f.Trace, programVersion()); err != nil {
 			return err
 		}
 	}
@@ -121,7 +121,7 @@
 		if err != nil {
 			return err
 		}
-		if err := r.Batch(b, ln); err != nil {
+		if err := r.EnableBatch(b, ln); err != nil {
 			return err
 		}
 	}
@@ -131,12 +131,12 @@
 			return err
 		}
 		defer ln.Close()
-		r.Control(ln)
+		r.EnableControl(ln)
 	}
 	limits := cfg.Limits // with what the process has, whatever is read later
 	return r.Serve(router.Signals{
-		Stop: stop, Audit: audit, Reload: reload,
-		Reread: func(running *reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error) {
+		Stop: stop, PrintCounters: audit, Reload: reload,
+		LoadPlan: func(running *reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error) {
 			cfg, err := platformconfig.Reload(os.Getenv)
 			if err != nil {
 				return nil, nil, err
--- a/cmd/notchhinge/services.go
+++ b/cmd/notchhinge/services.go
@@ -75,11 +75,11 @@
 		if name == "" {
 			name = "-"
 		}
-		if s.Leaving {
+		if s.IsEnding {
 			name += " (leaving)"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d/%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\n", name, s.Discovery, s.Ready, s.Hosts,
-			s.Open, s.Guarantee, s.Most, s.Lines, s.Bodies, s.Taken, s.Served, s.Refused, s.Failed, s.Broken, s.Gone, s.Declined, s.Legs)
+			s.Open, s.RequestGuarantee, s.MaxRequests, s.UpstreamConns, s.BodyBytes, s.Received, s.Served, s.Rejected, s.Failed, s.Broken, s.ClientsLeft, s.RejectedByFrontend, s.Attempts)
 	}
 	return w.Flush()
 }
@@ -136,7 +136,7 @@
 		fmt.Printf("%s goes to service %s\n", what, e.Service)
 	}
 	for _, r := range e.Routes {
-		fmt.Printf("  %-8s %s\n           %s\n", r.Service, r.Route, r.Why)
+		fmt.Printf("  %-8s %s\n           %s\n", r.Service, r.Route, r.Reason)
 	}
 	return nil
 }
--- a/internal/reconcile/changes.go
+++ b/internal/reconcile/changes.go
@@ -2,16 +2,17 @@
 
 import "notchhinge/internal/hoststate"
 
-// Changes is what leads from one plan to the next.
+// Changes are the differences between a running plan and the next one.
 type Changes struct {
 	Added         []Pool
-	Kept          []Pool            // as the next plan has them
-	SourceChanged []Pool            // those of Kept with another endpoint list or another selection of it
-	Removed       []Pool            // as the previous plan had them
-	Renamed       map[string]string // of Kept: old name to new name
+	Kept          []Pool            // as in the next plan
+	SourceChanged []Pool            // the pools of Kept with a new discovery address or selection
+	Removed       []Pool            // as in the running plan
+	Renamed       map[string]string // new name by old name, of pools of Kept
 }
 
-// ChangesFrom returns what leads from the running plan, nil at the start, to this one. Pools are in the order of their plans.
+// ChangesFrom returns the changes from the running plan, which is nil at the start, to this one. Pools are in the order of their
+// plans.
 func (p *Plan) ChangesFrom(running *Plan) Changes {
 	if running == nil {
 		running = &Plan{}
@@ -21,24 +22,24 @@
 	for i := range running.Pools {
 		unmatched[running.Pools[i].ID] = &running.Pools[i]
 	}
-	for _, q := range p.Pools {
-		old := unmatched[q.ID]
+	for _, pool := range p.Pools {
+		old := unmatched[pool.ID]
 		if old == nil {
-			c.Added = append(c.Added, q)
+			c.Added = append(c.Added, pool)
 			continue
 		}
-		delete(unmatched, q.ID)
-		c.Kept = append(c.Kept, q)
-		if old.Name != q.Name {
-			c.Renamed[old.Name] = q.Name
+		delete(unmatched, pool.ID)
+		c.Kept = append(c.Kept, pool)
+		if old.Name != pool.Name {
+			c.Renamed[old.Name] = pool.Name
 		}
-		if old.DiscoveryAddr != q.DiscoveryAddr || !old.Selection.Equal(&q.Selection) {
-			c.SourceChanged = append(c.SourceChanged, q)
+		if old.DiscoveryAddr != pool.DiscoveryAddr || !old.Selection.Equal(&pool.Selection) {
+			c.SourceChanged = append(c.SourceChanged, pool)
 		}
 	}
-	for _, q := range running.Pools {
-		if unmatched[q.ID] != nil {
-			c.Removed = append(c.Removed, q)
+	for _, pool := range running.Pools {
+		if unmatched[pool.ID] != nil {
+			c.Removed = append(c.Removed, pool)
 		}
 	}
 	return c
--- a/internal/router/plan.go
+++ b/internal/router/plan.go
@@ -18,83 +18,84 @@
 	"notchhinge/policy"
 )
 
-// apply carries a plan out: pools that are new come first, then requests are led by the new routes, and last the pools
-// that nothing is led to any more begin to leave. What was led by the old routes is taken still.
+// apply makes a plan the running one. It adds the new pools, then routes requests by the new routes, then ends the pools that
+// are no longer in the plan. Requests that were routed before are still served by their pools.
 func (r *Router) apply(ctx context.Context, next *reconcile.Plan) error {
 	r.applying.Lock()
 	defer r.applying.Unlock()
 	c := next.ChangesFrom(r.plan)
 	modules := map[hoststate.PoolID]*policy.Balancer{}
-	for _, q := range c.Added {
-		m, err := policy.New(q.Module.Settings, q.Seed)
+	for _, pool := range c.Added {
+		m, err := policy.New(pool.Module.Settings, pool.Seed)
 		if err != nil {
-			return fmt.Errorf("pool %q: %w", q.Name, err)
+			return fmt.Errorf("pool %q: %w", pool.Name, err)
 		}
-		modules[q.ID] = m
+		modules[pool.ID] = m
 	}
-	for _, q := range next.Pools {
-		r.set(&q, modules[q.ID])
+	for _, pool := range next.Pools {
+		r.configurePool(&pool, modules[pool.ID])
 	}
-	for _, q := range c.Added {
-		r.join(ctx, &q, true)
+	for _, pool := range c.Added {
+		r.attachToFeed(ctx, &pool, true)
 	}
-	for _, q := range c.SourceChanged {
-		r.join(ctx, &q, false)
+	for _, pool := range c.SourceChanged {
+		r.attachToFeed(ctx, &pool, false)
 	}
-	r.at.Store(next.Directory)
-	for _, q := range c.Removed {
-		r.loop.Post(dispatch.EndPool{Pool: q.ID})
+	r.directory.Store(next.Directory)
+	for _, pool := range c.Removed {
+		r.loop.Post(dispatch.EndPool{Pool: pool.ID})
 	}
 	r.plan = next
 	r.generation.Add(1)
 	return nil
 }
 
-// set gives a pool its parts of the process.
-func (r *Router) set(q *reconcile.Pool, module *policy.Balancer) {
-	r.upstream.ConfigurePool(q.ID, upstream.LoadReporting{
-		Columns: q.Module.LoadReportColumns, StatsPath: len(q.Module.LoadReportColumns) > 0, InResponses: q.Module.LoadReportsInResponses,
-	}, q.UpstreamConnQuota)
-	r.front.ConfigurePool(q.ID, q.BodyQuota, q.ClientConnQuota)
+// configurePool sets the quotas and settings of a pool in the upstream transport, the frontend and the dispatcher.
+func (r *Router) configurePool(pool *reconcile.Pool, module *policy.Balancer) {
+	r.upstream.ConfigurePool(pool.ID, upstream.LoadReporting{
+		Columns: pool.Module.LoadReportColumns, StatsPath: len(pool.Module.LoadReportColumns) > 0, InResponses: pool.Module.LoadReportsInResponses,
+	}, pool.UpstreamConnQuota)
+	r.frontend.ConfigurePool(pool.ID, pool.BodyQuota, pool.ClientConnQuota)
 	e := dispatch.ConfigurePool{
-		Pool: q.ID, Name: q.Name, Module: module, SlowStart: q.Module.Settings.SlowStart, SlowStartInitial: q.Module.Settings.SlowStartInitial,
-		Classes: traceClasses(&q.Module), RequestQuota: q.RequestQuota, TurnWeight: q.TurnWeight, RetryAfter: q.RetryAfter,
-		MaxAttempts: q.Module.Settings.Limits.MaxAttempts,
+		Pool: pool.ID, Name: pool.Name, Module: module, SlowStart: pool.Module.Settings.SlowStart, SlowStartInitial: pool.Module.Settings.SlowStartInitial,
+		Classes: traceClasses(&pool.Module), RequestQuota: pool.RequestQuota, TurnWeight: pool.TurnWeight, RetryAfter: pool.RetryAfter,
+		MaxAttempts: pool.Module.Settings.Limits.MaxAttempts,
 	}
-	if q.MaxAttempts > 0 {
-		e.MaxAttempts = min(e.MaxAttempts, q.MaxAttempts)
+	if pool.MaxAttempts > 0 {
+		e.MaxAttempts = min(e.MaxAttempts, pool.MaxAttempts)
 	}
 	r.loop.Post(e)
 }
 
-// join has a pool hear of its part of its discovery's list, which may be another than it had.
-func (r *Router) join(ctx context.Context, q *reconcile.Pool, first bool) {
+// attachToFeed subscribes a pool to its selection of the endpoint list of its discovery address, and unsubscribes it from the
+// feed that it had before. isNew says that the pool was added by this plan.
+func (r *Router) attachToFeed(ctx context.Context, pool *reconcile.Pool, isNew bool) {
 	r.mu.Lock()
-	f, old := r.feeds[q.DiscoveryAddr], r.feedOf[q.ID]
-	fresh := f == nil
-	if fresh {
-		f = listwatch.NewFeed(listwatch.Client{Addr: q.DiscoveryAddr, Limits: r.cfg.Limits, DialContext: r.dial}, r.listed)
-		r.feeds[q.DiscoveryAddr] = f
+	f, old := r.feeds[pool.DiscoveryAddr], r.poolFeeds[pool.ID]
+	isNewFeed := f == nil
+	if isNewFeed {
+		f = listwatch.NewFeed(listwatch.Client{Addr: pool.DiscoveryAddr, Limits: r.cfg.Limits, DialContext: r.dial}, r.postEndpoints)
+		r.feeds[pool.DiscoveryAddr] = f
 	}
-	r.feedOf[q.ID] = f
+	r.poolFeeds[pool.ID] = f
 	r.mu.Unlock()
-	if fresh && first && r.plan == nil && q.DiscoveryAddr == r.cfg.DiscoveryAddr {
+	if isNewFeed && isNew && r.plan == nil && pool.DiscoveryAddr == r.cfg.DiscoveryAddr {
 		f.SetInitial(r.cfg.InitialEndpoints)
 	}
-	f.SetPool(q.ID, listwatch.PoolUse{Selection: q.Selection, Zones: q.Module.ZoneNames, IsNew: first})
-	if fresh {
+	f.SetPool(pool.ID, listwatch.PoolUse{Selection: pool.Selection, Zones: pool.Module.ZoneNames, IsNew: isNew})
+	if isNewFeed {
 		f.Run(ctx)
-		if !first || q.Name != "" && !f.HasList() {
-			f.RequestWatchNow() // nothing is known of it, and the module would take its time to ask
+		if !isNew || pool.Name != "" && !f.HasList() {
+			f.RequestWatchNow() // no list is cached, and the module would request the first watch only after a delay
 		}
 	}
 	if old != nil && old != f {
-		r.leave(old, q.ID)
+		r.detachFromFeed(old, pool.ID)
 	}
 }
 
-// leave takes a pool out of a feed, which ends with its last.
-func (r *Router) leave(f *listwatch.Feed, id hoststate.PoolID) {
+// detachFromFeed removes a pool from a feed and stops a feed that has no pool left.
+func (r *Router) detachFromFeed(f *listwatch.Feed, id hoststate.PoolID) {
 	if f.RemovePool(id) {
 		return
 	}
@@ -108,59 +109,59 @@
 	}
 }
 
-// feed is where a pool has its list from.
+// feed returns the endpoint list feed of a pool, or nil.
 func (r *Router) feed(id hoststate.PoolID) *listwatch.Feed {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.feedOf[id]
+	return r.poolFeeds[id]
 }
 
-// allFeeds are those there are at present.
+// allFeeds returns the feeds of all pools, each once, in no order.
 func (r *Router) allFeeds() []*listwatch.Feed {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Collect(maps.Values(r.feeds))
 }
 
-// gone does broker.PoolGone.
-func (r *Router) gone(id hoststate.PoolID) {
+// removePool performs dispatch.PoolEnded: it releases what the process holds for a pool.
+func (r *Router) removePool(id hoststate.PoolID) {
 	r.applying.Lock()
 	defer r.applying.Unlock()
 	if f := r.feed(id); f != nil {
-		r.leave(f, id)
+		r.detachFromFeed(f, id)
 	}
 	r.mu.Lock()
-	delete(r.feedOf, id)
+	delete(r.poolFeeds, id)
 	r.mu.Unlock()
 	r.upstream.RemovePool(id)
-	r.front.RemovePool(id)
+	r.frontend.RemovePool(id)
 	r.log.Info("pool ended", "id", int(id))
 }
 
-// reload takes over what a running router can: discovery's address, and services, routes and pools. What is bad changes
-// nothing.
-func (r *Router) reload(ctx context.Context, reread func(*reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error)) {
-	cfg, next, err := reread(r.plan)
+// reload loads the configuration and applies what can change while the router runs: the discovery address, services, routes and
+// pools. An invalid configuration is logged and changes nothing.
+func (r *Router) reload(ctx context.Context, loadPlan func(*reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error)) {
+	cfg, next, err := loadPlan(r.plan)
 	if err == nil {
-		moved := cfg.DiscoveryAddr != r.cfg.DiscoveryAddr
+		discoveryChanged := cfg.DiscoveryAddr != r.cfg.DiscoveryAddr
 		c := next.ChangesFrom(r.plan)
 		if err = r.apply(ctx, next); err == nil {
 			r.cfg.DiscoveryAddr = cfg.DiscoveryAddr
-			args := []any{"discovery", cfg.DiscoveryAddr, "moved", moved}
+			args := []any{"discovery", cfg.DiscoveryAddr, "moved", discoveryChanged}
 			if len(c.Added)+len(c.Removed)+len(c.Renamed) > 0 || len(next.Pools) > 1 {
 				args = append(args, "pools", len(next.Pools), "added", len(c.Added), "ended", len(c.Removed), "renamed", len(c.Renamed),
 					"routes", next.Directory.Table.Len())
 			}
-			r.log.Info("configuration read again", args...)
+			r.log.Info("configuration reloaded", args...)
 			return
 		}
 	}
-	var faults tomlfile.Errors
-	if !errors.As(err, &faults) {
-		r.log.Error("configuration not taken over", "err", err)
+	var fileErrs tomlfile.Errors
+	if !errors.As(err, &fileErrs) {
+		r.log.Error("configuration not applied", "err", err)
 		return
 	}
-	for _, f := range faults {
-		r.log.Error("configuration not taken over", "file", f.File, "line", f.Line, "key", f.Key, "err", f.Message)
+	for _, e := range fileErrs {
+		r.log.Error("configuration not applied", "file", e.File, "line", e.Line, "key", e.Key, "err", e.Message)
 	}
 }
