--- a/internal/dispatch/hosts.go
+++ b/internal/dispatch/hosts.go
@@ -11,7 +11,7 @@
 func (h *Host) identity() hoststate.Host { return hoststate.Host{Name: h.Name, Addr: h.Addr} }
 
 func (h *Host) replica(id policy.ReplicaID) policy.Replica {
-	return policy.Replica{ID: id, Zone: h.Zone, Cell: h.Cell, State: h.State, Weight: h.Weight, ReadyAt: h.BornAt}
+	return policy.Replica{ID: id, Zone: h.Zone, Cell: h.Cell, State: h.State, Weight: h.Weight, ReadyAt: h.StartedAt}
 }
 
 // endpointsListed takes in what a pool's endpoint list says.
@@ -87,7 +87,7 @@
 	d.sharedHosts = hoststate.NewTracker(d.limits.DrainPrecedence)
 	for _, p := range d.pools {
 		for id, h := range p.hosts {
-			d.sharedHosts.Update(d.now, p.id, h.identity(), hoststate.Update{Replica: id, State: h.State, BornAt: h.BornAt})
+			d.sharedHosts.Update(d.now, p.id, h.identity(), hoststate.Update{Replica: id, State: h.State, BornAt: h.StartedAt})
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	case h.Addr != before.Addr: // it has moved, and is another host
 		d.sharedHosts.Update(d.now, p.id, before.identity(), hoststate.Update{State: policy.StateGone, Removed: true})
 	}
-	update := hoststate.Update{Replica: id, State: h.State, BornAt: h.BornAt, Removed: h.Removed}
+	update := hoststate.Update{Replica: id, State: h.State, BornAt: h.StartedAt, Removed: h.Removed}
 	state, notifications := d.sharedHosts.Update(d.now, p.id, h.identity(), update)
 	h.State = state
 	return notifications
@@ -146,16 +146,16 @@
 // isTooCold reports whether a host in slow start that several pools share has had all that it may have for now.
 func (p *pool) isTooCold(h *Host) bool {
 	d := p.dispatcher
-	if d.sharedHosts == nil || h.BornAt == 0 || d.now >= h.BornAt+p.slowStart || !d.sharedHosts.IsShared(h.identity()) {
+	if d.sharedHosts == nil || h.StartedAt == 0 || d.now >= h.StartedAt+p.slowStart || !d.sharedHosts.IsShared(h.identity()) {
 		return false
 	}
-	traffic := []hoststate.PoolTraffic{p.traffic(h.BornAt)}
+	traffic := []hoststate.PoolTraffic{p.traffic(h.StartedAt)}
 	for _, other := range d.sharedHosts.OtherPools(nil, p.id, h.identity()) {
 		if q := d.pools[other.Pool]; q != nil {
-			traffic = append(traffic, q.traffic(h.BornAt))
+			traffic = append(traffic, q.traffic(h.StartedAt))
 		}
 	}
-	return !d.sharedHosts.MaySendCold(h.identity(), h.BornAt, traffic)
+	return !d.sharedHosts.MaySendCold(h.identity(), h.StartedAt, traffic)
 }
 
 // traffic returns what the pool has seen, and the share of it that a host born at bornAt may have.
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -30,7 +30,7 @@
 func hosts(of hoststate.PoolID, names ...string) EndpointsListed {
 	l := EndpointsListed{Pool: of, Kind: policy.ListFull}
 	for _, n := range names {
-		l.Hosts = append(l.Hosts, Host{Name: n, Addr: "at " + n, Weight: 1, BornAt: 1})
+		l.Hosts = append(l.Hosts, Host{Name: n, Addr: "at " + n, Weight: 1, StartedAt: 1})
 	}
 	return l
 }
@@ -108,7 +108,7 @@
 	r.reduce(0, hosts(2, "shared")) // its own discovery is behind
 	r.expect(sec, inPool(2, received("y", r.now+sec, 4*sec)), "reject y rejected after 500ms")
 	again := hosts(2, "shared")
-	again.Hosts[0].BornAt = 2
+	again.Hosts[0].StartedAt = 2
 	r.reduce(sec, again) // another process
 	r.expect(sec, inPool(2, received("z", r.now+sec, 4*sec)), "send 3.0 for 4s")
 }
@@ -161,7 +161,7 @@
 			for k := range rapid.IntRange(1, 3).Draw(t, "own hosts") {
 				l.Hosts = append(l.Hosts, hosts(id, fmt.Sprint("own ", i, k)).Hosts...)
 			}
-			l.Hosts[0].BornAt = now
+			l.Hosts[0].StartedAt = now
 			usual[i] = float64(len(l.Hosts))
 			b.Reduce(now, l)
 		}
@@ -334,7 +334,7 @@
 		m.t.Fatalf("an attempt of pool %d to %s for %+v; its list: %v", f.Pool, f.Addr, c, m.lists[f.Pool])
 	}
 	end, hasEnded := m.ends[f.Addr]
-	if hasEnded && m.now >= end.at+sec/2 && h.BornAt <= end.bornAt && m.now < end.at+m.limits.DrainPrecedence {
+	if hasEnded && m.now >= end.at+sec/2 && h.StartedAt <= end.bornAt && m.now < end.at+m.limits.DrainPrecedence {
 		m.t.Fatalf("an attempt to %s, %v after its end was listed", f.Addr, m.now-end.at)
 	}
 }
@@ -401,11 +401,11 @@
 		name := fmt.Sprint("b", i)
 		h := Host{
 			Name: name, Addr: name, Weight: 1, State: policy.State(rapid.IntRange(0, 2).Draw(m.t, "state")),
-			BornAt: time.Duration(rapid.IntRange(1, 2).Draw(m.t, "born")),
+			StartedAt: time.Duration(rapid.IntRange(1, 2).Draw(m.t, "born")),
 		}
 		key := [2]any{pool, name}
-		h.BornAt = max(h.BornAt, m.births[key]) // no discovery goes back to an earlier process
-		m.births[key] = h.BornAt
+		h.StartedAt = max(h.StartedAt, m.births[key]) // no discovery goes back to an earlier process
+		m.births[key] = h.StartedAt
 		l.Hosts = append(l.Hosts, h)
 		m.noteEnd(pool, &h)
 	}
@@ -424,9 +424,9 @@
 // noteEnd notes that a list says that a process ends, or that another one is there.
 func (m *poolsModel) noteEnd(pool hoststate.PoolID, h *Host) {
 	before, had := m.lists[pool][h.Name]
-	bornAt := h.BornAt
+	bornAt := h.StartedAt
 	if h.State == policy.StateGone {
-		bornAt = before.BornAt
+		bornAt = before.StartedAt
 	}
 	end, hasEnded := m.ends[h.Name]
 	switch {
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -296,7 +296,7 @@
 		if w.routers[i].alive[k] {
 			h := dispatch.Host{Name: fmt.Sprint("e", k), Addr: fmt.Sprint(k), Weight: 1}
 			if w.Cold {
-				h.BornAt = time.Hour
+				h.StartedAt = time.Hour
 			}
 			l.Hosts = append(l.Hosts, h)
 		}
--- a/internal/listwatch/list.go
+++ b/internal/listwatch/list.go
@@ -69,7 +69,7 @@
 	if e.Name == "" || !(e.BornMS >= 0 && e.BornMS < maxBornMS) {
 		return h, fmt.Errorf("host %q: name or born_ms %v is invalid", e.Name, e.BornMS)
 	}
-	h.BornAt = time.Duration(e.BornMS * float64(time.Millisecond))
+	h.StartedAt = time.Duration(e.BornMS * float64(time.Millisecond))
 	if i := slices.Index(zones, e.Zone); i >= 0 {
 		h.Zone = i
 	}
--- a/internal/listwatch/listwatch_test.go
+++ b/internal/listwatch/listwatch_test.go
@@ -50,7 +50,7 @@
 func TestWatchDeliversLists(t *testing.T) {
 	ready := dispatch.Host{Name: "s-5b", Addr: "127.0.0.9:5000", Cell: 3, Weight: 1, State: policy.StateReady}
 	draining := ready
-	draining.State, draining.BornAt = policy.StateDraining, 1500*time.Millisecond
+	draining.State, draining.StartedAt = policy.StateDraining, 1500*time.Millisecond
 	failed := dispatch.EndpointsListed{Kind: policy.ListFailed}
 	for name, c := range map[string]struct {
 		known bool
--- a/internal/node/dataplaneconfig.go
+++ b/internal/node/dataplaneconfig.go
@@ -115,7 +115,7 @@
 		h.State = policy.StateDraining
 	}
 	if left := time.Duration(e.WarmAtMS-wallMS) * time.Millisecond; left > 0 {
-		h.BornAt = now + min(left, dialect.SlowStart) - dialect.SlowStart
+		h.StartedAt = now + min(left, dialect.SlowStart) - dialect.SlowStart
 	}
 	return h
 }
