--- a/internal/hoststate/tracker.go
+++ b/internal/hoststate/tracker.go
@@ -15,9 +15,9 @@
 
 // Update is what a pool's endpoint list says of a host.
 type Update struct {
-	Replica policy.ReplicaID // the host's number in that pool
-	State   policy.State
-	BornAt  time.Duration
+	Replica   policy.ReplicaID // the host's number in that pool
+	State     policy.State
+	StartedAt time.Duration
 	// Removed: the host is Gone from the pool, which says nothing of the host itself: a selection was changed, or a whole list
 	// does not name it any more.
 	Removed bool
@@ -90,7 +90,7 @@
 	}
 	view := r.setView(pool, update)
 	if update.State == policy.StateDraining {
-		return policy.StateDraining, r.ended(now, pool, policy.StateDraining, update.BornAt)
+		return policy.StateDraining, r.ended(now, pool, policy.StateDraining, update.StartedAt)
 	}
 	return t.readyState(now, r, view)
 }
@@ -140,7 +140,7 @@
 		i = len(r.pools)
 		r.pools = append(r.pools, poolView{})
 	}
-	r.pools[i] = poolView{PoolHost{pool, update.Replica}, update.State, update.State, update.BornAt}
+	r.pools[i] = poolView{PoolHost{pool, update.Replica}, update.State, update.State, update.StartedAt}
 	return &r.pools[i]
 }
 
--- a/internal/hoststate/tracker_test.go
+++ b/internal/hoststate/tracker_test.go
@@ -16,18 +16,18 @@
 var host = Host{"b1", "127.0.0.1:9"}
 
 func ready(id policy.ReplicaID, born time.Duration) Update {
-	return Update{Replica: id, State: policy.StateReady, BornAt: born}
+	return Update{Replica: id, State: policy.StateReady, StartedAt: born}
 }
 
 func TestDrainIsNotifiedToTheOtherPoolOnce(t *testing.T) {
 	tracker := NewTracker(drainPrecedence)
 	tracker.Update(0, 1, host, ready(11, 5))
 	tracker.Update(0, 2, host, ready(21, 5))
-	state, notified := tracker.Update(1, 1, host, Update{Replica: 11, State: policy.StateDraining, BornAt: 5})
+	state, notified := tracker.Update(1, 1, host, Update{Replica: 11, State: policy.StateDraining, StartedAt: 5})
 	if state != policy.StateDraining || !cmp.Equal(notified, []Notification{{2, 21, policy.StateDraining}}) {
 		t.Errorf("got %v, %v", state, notified)
 	}
-	if _, notified = tracker.Update(2, 1, host, Update{Replica: 11, State: policy.StateDraining, BornAt: 5}); len(notified) != 0 {
+	if _, notified = tracker.Update(2, 1, host, Update{Replica: 11, State: policy.StateDraining, StartedAt: 5}); len(notified) != 0 {
 		t.Errorf("it was notified twice: %v", notified)
 	}
 	if state, _ = tracker.Update(3, 2, host, ready(21, 5)); state != policy.StateDraining {
@@ -45,7 +45,7 @@
 	tracker := NewTracker(drainPrecedence)
 	tracker.Update(0, 1, host, ready(11, 5))
 	tracker.Update(0, 2, host, ready(21, 5))
-	tracker.Update(1, 1, host, Update{Replica: 11, State: policy.StateDraining, BornAt: 5})
+	tracker.Update(1, 1, host, Update{Replica: 11, State: policy.StateDraining, StartedAt: 5})
 	state, notified := tracker.Update(2, 1, host, ready(11, 5))
 	if state != policy.StateReady || !cmp.Equal(notified, []Notification{{2, 21, policy.StateReady}}) {
 		t.Errorf("got %v, %v", state, notified)
@@ -123,7 +123,7 @@
 	id := PoolID(rapid.IntRange(0, 2).Draw(t, "pool"))
 	update := Update{
 		Replica: policy.ReplicaID(id), State: policy.State(rapid.IntRange(0, 2).Draw(t, "state")),
-		BornAt: time.Duration(rapid.IntRange(1, 3).Draw(t, "born")),
+		StartedAt: time.Duration(rapid.IntRange(1, 3).Draw(t, "born")),
 	}
 	update.Removed = update.State == policy.StateGone && rapid.Bool().Draw(t, "left")
 	before, had := p.sees[id]
@@ -140,7 +140,7 @@
 	isDrain := update.State == policy.StateDraining && state == policy.StateDraining
 	if isDrain || update.State == policy.StateGone && had && !update.Removed && len(p.sees) > 0 {
 		if update.State == policy.StateGone {
-			update.BornAt = before.BornAt
+			update.StartedAt = before.StartedAt
 		}
 		p.ended(t, id, update)
 	}
@@ -156,7 +156,7 @@
 		t.Fatalf("listed as %v, seen as %v", update.State, state)
 	}
 	isReady := update.State == policy.StateReady && state == policy.StateReady
-	if isReady && p.hasEnded && update.BornAt <= p.end.BornAt && p.now-p.endAt <= drainPrecedence && id != p.endedBy {
+	if isReady && p.hasEnded && update.StartedAt <= p.end.StartedAt && p.now-p.endAt <= drainPrecedence && id != p.endedBy {
 		t.Fatalf("pool %d sees a host as ready that ended %v ago", id, p.now-p.endAt)
 	}
 }
@@ -177,11 +177,11 @@
 // ended notes the end that a list reported, which all other pools must see by now.
 func (p *pools) ended(t *rapid.T, id PoolID, end Update) {
 	t.Helper()
-	if !p.hasEnded || end.BornAt > p.end.BornAt || end.BornAt == p.end.BornAt && end.State > p.latestEnding {
+	if !p.hasEnded || end.StartedAt > p.end.StartedAt || end.StartedAt == p.end.StartedAt && end.State > p.latestEnding {
 		p.hasEnded, p.end, p.endAt, p.endedBy, p.latestEnding = true, end, p.now, id, end.State
 	}
 	for other, s := range p.sees {
-		if s.State == policy.StateReady && s.BornAt <= end.BornAt {
+		if s.State == policy.StateReady && s.StartedAt <= end.StartedAt {
 			t.Fatalf("pool %d's list reported an end, and %d still sees it as ready", id, other)
 		}
 	}
