--- a/internal/dispatch/event.go
+++ b/internal/dispatch/event.go
@@ -22,14 +22,14 @@
 
 // Host is an entry of the endpoint list.
 type Host struct {
-	Name      string // the same at every router
-	Addr      string // where this router reaches it
-	Zone      int
-	Cell      int
-	State     policy.State
-	Weight    float64
-	StartedAt time.Duration // its latest start, on the clock of the events; 0 = long ago
-	Removed   bool          // with policy.StateGone: the pool's selection changed, and the host may be in another pool
+	Name       string // the same at every router
+	Addr       string // where this router reaches it
+	Zone       int
+	Cell       int
+	State      policy.State
+	Weight     float64
+	StartedAt  time.Duration // its latest start, on the clock of the events; 0 = long ago
+	Deselected bool          // with policy.StateGone: the pool's selection changed, and the host may be in another pool
 }
 
 // Event is something that happened.
--- a/internal/dispatch/hosts.go
+++ b/internal/dispatch/hosts.go
@@ -104,7 +104,7 @@
 	case h.Addr != before.Addr: // it has moved, and is another host
 		d.sharedHosts.Update(d.now, p.id, before.identity(), hoststate.Update{State: policy.StateGone, Removed: true})
 	}
-	update := hoststate.Update{Replica: id, State: h.State, StartedAt: h.StartedAt, Removed: h.Removed}
+	update := hoststate.Update{Replica: id, State: h.State, StartedAt: h.StartedAt, Removed: h.Deselected}
 	state, notifications := d.sharedHosts.Update(d.now, p.id, h.identity(), update)
 	h.State = state
 	return notifications
--- a/internal/listwatch/feed.go
+++ b/internal/listwatch/feed.go
@@ -203,7 +203,7 @@
 		case p.selection.Matches(&l.Hosts[i]):
 			p.selected[h.Name] = h.State != policy.StateGone
 		case p.selected[h.Name]:
-			h.State, h.Removed = policy.StateGone, h.State != policy.StateGone
+			h.State, h.Deselected = policy.StateGone, h.State != policy.StateGone
 		default:
 			continue
 		}
--- a/internal/listwatch/listwatch_test.go
+++ b/internal/listwatch/listwatch_test.go
@@ -160,7 +160,7 @@
 		s := fmt.Sprintf("%d %d:", l.Pool, l.Kind)
 		for _, h := range l.Hosts {
 			s += fmt.Sprintf(" %s=%d", h.Name, h.State)
-			if h.Removed {
+			if h.Deselected {
 				s += "(left)"
 			}
 		}
