--- a/internal/dispatch/hosts.go
+++ b/internal/dispatch/hosts.go
@@ -50,7 +50,7 @@
 			continue
 		}
 		if d.sharedHosts != nil && !isNamed {
-			d.sharedHosts.Update(d.now, p.id, h.identity(), hoststate.Update{State: policy.StateGone, Removed: true})
+			d.sharedHosts.Update(d.now, p.id, h.identity(), hoststate.Update{State: policy.StateGone, Deselected: true})
 		}
 		delete(p.hosts, id)
 		delete(p.hostIDs, h.Name)
@@ -102,9 +102,9 @@
 	case h.State == policy.StateGone:
 		h.Addr = before.Addr // that it had, whatever its last entry says
 	case h.Addr != before.Addr: // it has moved, and is another host
-		d.sharedHosts.Update(d.now, p.id, before.identity(), hoststate.Update{State: policy.StateGone, Removed: true})
+		d.sharedHosts.Update(d.now, p.id, before.identity(), hoststate.Update{State: policy.StateGone, Deselected: true})
 	}
-	update := hoststate.Update{Replica: id, State: h.State, StartedAt: h.StartedAt, Removed: h.Deselected}
+	update := hoststate.Update{Replica: id, State: h.State, StartedAt: h.StartedAt, Deselected: h.Deselected}
 	state, notifications := d.sharedHosts.Update(d.now, p.id, h.identity(), update)
 	h.State = state
 	return notifications
--- a/internal/hoststate/tracker.go
+++ b/internal/hoststate/tracker.go
@@ -18,9 +18,9 @@
 	Replica   policy.ReplicaID // the host's number in that pool
 	State     policy.State
 	StartedAt time.Duration
-	// Removed: the host is Gone from the pool, which says nothing of the host itself: a selection was changed, or a whole list
+	// Deselected: the host is Gone from the pool, which says nothing of the host itself: a selection was changed, or a whole list
 	// does not name it any more.
-	Removed bool
+	Deselected bool
 }
 
 // Notification is what another pool's module must be notified of.
@@ -86,7 +86,7 @@
 		t.hosts[host] = r
 	}
 	if update.State == policy.StateGone {
-		return policy.StateGone, t.removeFromPool(now, pool, host, update.Removed)
+		return policy.StateGone, t.removeFromPool(now, pool, host, update.Deselected)
 	}
 	view := r.setView(pool, update)
 	if update.State == policy.StateDraining {
--- a/internal/hoststate/tracker_test.go
+++ b/internal/hoststate/tracker_test.go
@@ -69,7 +69,7 @@
 	tracker := NewTracker(drainPrecedence)
 	tracker.Update(0, 1, host, ready(1, 5))
 	tracker.Update(0, 2, host, ready(2, 5))
-	if _, notified := tracker.Update(1, 1, host, Update{State: policy.StateGone, Removed: true}); len(notified) != 0 {
+	if _, notified := tracker.Update(1, 1, host, Update{State: policy.StateGone, Deselected: true}); len(notified) != 0 {
 		t.Errorf("got %v", notified)
 	}
 	if state, _ := tracker.Update(2, 2, host, ready(2, 5)); state != policy.StateReady {
@@ -125,7 +125,7 @@
 		Replica: policy.ReplicaID(id), State: policy.State(rapid.IntRange(0, 2).Draw(t, "state")),
 		StartedAt: time.Duration(rapid.IntRange(1, 3).Draw(t, "born")),
 	}
-	update.Removed = update.State == policy.StateGone && rapid.Bool().Draw(t, "left")
+	update.Deselected = update.State == policy.StateGone && rapid.Bool().Draw(t, "left")
 	before, had := p.sees[id]
 	state, notified := p.tracker.Update(p.now, id, host, update)
 	p.checkOwnState(t, id, update, state)
@@ -138,7 +138,7 @@
 	}
 	p.notify(t, id, notified)
 	isDrain := update.State == policy.StateDraining && state == policy.StateDraining
-	if isDrain || update.State == policy.StateGone && had && !update.Removed && len(p.sees) > 0 {
+	if isDrain || update.State == policy.StateGone && had && !update.Deselected && len(p.sees) > 0 {
 		if update.State == policy.StateGone {
 			update.StartedAt = before.StartedAt
 		}
