--- a/internal/dispatch/hosts.go
+++ b/internal/dispatch/hosts.go
@@ -155,7 +155,7 @@
 			traffic = append(traffic, q.traffic(h.StartedAt))
 		}
 	}
-	return !d.sharedHosts.MaySendCold(h.identity(), h.StartedAt, traffic)
+	return !d.sharedHosts.TryTakeSlowStart(h.identity(), h.StartedAt, traffic)
 }
 
 // traffic returns what the pool has seen, and the share of it that a host born at bornAt may have.
--- a/internal/hoststate/slowstart.go
+++ b/internal/hoststate/slowstart.go
@@ -17,10 +17,10 @@
 	Share   float64 // of the host's usual traffic that it may have now, from 0 to 1
 }
 
-// MaySendCold takes one request out of the allowance of a host in slow start that several pools share, and reports whether it may
+// TryTakeSlowStart takes one request out of the allowance of a host in slow start that several pools share, and reports whether it may
 // be sent. Each pool's module keeps to the host's share of that pool's traffic; the allowance grows by the sum of these shares, and
 // at most one request is saved up for all pools together, as it is within one pool. traffic is of every pool that has the host.
-func (t *Tracker) MaySendCold(host Host, bornAt time.Duration, traffic []PoolTraffic) bool {
+func (t *Tracker) TryTakeSlowStart(host Host, bornAt time.Duration, traffic []PoolTraffic) bool {
 	r := t.hosts[host]
 	if r == nil || len(r.pools) < 2 {
 		return true
--- a/internal/hoststate/tracker_test.go
+++ b/internal/hoststate/tracker_test.go
@@ -202,7 +202,7 @@
 			n := float64(rapid.IntRange(0, 2).Draw(t, "arrivals"))
 			arrived[p] += n
 			allowed += share * n / hosts[p]
-			if tracker.MaySendCold(host, 5, []PoolTraffic{{1, arrived[0], hosts[0], share}, {2, arrived[1], hosts[1], share}}) {
+			if tracker.TryTakeSlowStart(host, 5, []PoolTraffic{{1, arrived[0], hosts[0], share}, {2, arrived[1], hosts[1], share}}) {
 				sent++
 			}
 			if sent > allowed+1e-9 {
