--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -69,8 +69,8 @@
 // Now reads the loop's clock.
 func (l *Loop) Now() time.Duration { return l.clock() }
 
-// Idle returns once no request is open, or the context is done.
-func (l *Loop) Idle(ctx context.Context) {
+// WaitIdle returns once no request is open, or the context is done.
+func (l *Loop) WaitIdle(ctx context.Context) {
 	done := make(chan struct{})
 	select {
 	case l.idle <- done:
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -58,7 +58,7 @@
 	time.Sleep(closeIdleDelay)
 	_ = listener.Close() // it is closed in either case
 	d.frontend.CloseIdle()
-	d.loop.Idle(ctx)
+	d.loop.WaitIdle(ctx)
 	d.frontend.CloseIdle()
 	d.frontend.Wait(ctx)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -277,11 +277,11 @@
 	r.upstream.Close()
 	if r.traces != nil {
 		r.loop.Post(dispatch.FlushTraces{})
-		r.loop.Idle(ctx) // the loop has come past it
+		r.loop.WaitIdle(ctx) // the loop has come past it
 		r.traces.close()
 	}
 	r.loop.Post(dispatch.GetCounters{})
-	r.loop.Idle(ctx) // the loop has come past the audit
+	r.loop.WaitIdle(ctx) // the loop has come past the audit
 }
 
 // drain ends a router in order. Connections keep arriving for a while after SIGTERM, so that the listener
@@ -297,7 +297,7 @@
 	}
 	r.ops.door().Close()
 	r.front.CloseIdle()
-	r.loop.Idle(ctx)
+	r.loop.WaitIdle(ctx)
 	r.front.CloseIdle()
 	r.front.Wait(ctx)
 }
