--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -73,7 +73,7 @@
 			IsEnding: p.ending, RequestQuota: d.requestQuota.Claim(int(id)),
 		})
 	}
-	all.Open = d.Open()
+	all.Open = d.OpenRequests()
 	if d.traces != nil {
 		t := d.traces.Counters()
 		all.Traces = &t
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -67,8 +67,8 @@
 // Next returns the time at which the dispatcher wants a Tick.
 func (d *Dispatcher) Next() (at time.Duration, ok bool) { return d.timers.NextDue() }
 
-// Open returns the number of requests that wait for the end of their answer.
-func (d *Dispatcher) Open() int { return len(d.byClient) }
+// OpenRequests returns the number of requests that wait for the end of their answer.
+func (d *Dispatcher) OpenRequests() int { return len(d.byClient) }
 
 // Reduce takes in an event and returns what is to be done. Everything that is due by now comes first. The effects are valid
 // until the next call.
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -112,8 +112,8 @@
 	r.expect(4*sec, Tick{}, "cancel 1.0", "reject a failed after 0s")
 	r.expect(5*sec, AttemptStarted{AttemptID{1, 0}}, "cancel 1.0") // too late to be the client's
 	r.expect(5*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultCancelled})
-	if n := r.pools[0].counters.Outcomes[policy.ResultTimedOut]; n != 1 || r.Open() != 0 {
-		t.Errorf("%d time-outs, %d open", n, r.Open())
+	if n := r.pools[0].counters.Outcomes[policy.ResultTimedOut]; n != 1 || r.OpenRequests() != 0 {
+		t.Errorf("%d time-outs, %d open", n, r.OpenRequests())
 	}
 }
 
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -154,7 +154,7 @@
 			waiting = append(waiting, done)
 		}
 		l.handle(e)
-		if l.dispatcher.Open() == 0 && len(l.events) == 0 {
+		if l.dispatcher.OpenRequests() == 0 && len(l.events) == 0 {
 			for _, done := range waiting {
 				close(done)
 			}
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -471,8 +471,8 @@
 		m.t.Fatalf("left: %d pools, %d requests, %d ids, %d hosts, %d reserved", len(d.pools), len(d.requests),
 			len(d.clientRequests), d.sharedHostCount(), d.requestQuota.Used())
 	}
-	if d.Open() != 0 {
-		m.t.Fatalf("%d requests are open", d.Open())
+	if d.OpenRequests() != 0 {
+		m.t.Fatalf("%d requests are open", d.OpenRequests())
 	}
 }
 
