--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -64,8 +64,8 @@
 }
 func (o traceOwner) Keep(t *trace.Try) { o.d.emit(ExportTrace{t}) }
 
-// Next returns the time at which the dispatcher wants a Tick.
-func (d *Dispatcher) Next() (at time.Duration, ok bool) { return d.timers.NextDue() }
+// NextDue returns the time at which the dispatcher wants a Tick.
+func (d *Dispatcher) NextDue() (at time.Duration, ok bool) { return d.timers.NextDue() }
 
 // OpenRequests returns the number of requests that wait for the end of their answer.
 func (d *Dispatcher) OpenRequests() int { return len(d.byClient) }
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -141,7 +141,7 @@
 	defer timer.Stop()
 	var waiting []chan struct{}
 	for {
-		if at, ok := l.dispatcher.Next(); ok {
+		if at, ok := l.dispatcher.NextDue(); ok {
 			timer.Reset(max(at-l.clock(), 0))
 		}
 		var e Event = Tick{}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -344,7 +344,7 @@
 			}
 		}
 	}
-	if at, ok := r.b.Next(); ok && (r.tick == 0 || at < r.tick) {
+	if at, ok := r.b.NextDue(); ok && (r.tick == 0 || at < r.tick) {
 		r.tick = max(at, w.now)
 		w.plan(event{at: r.tick, kind: ticks, i: i})
 	}
