--- a/internal/limits/router.go
+++ b/internal/limits/router.go
@@ -28,11 +28,11 @@
 	// UpstreamUserTimeout is TCP_USER_TIMEOUT towards engines: data unacknowledged for this long will hardly arrive.
 	UpstreamUserTimeout = 1200 * time.Millisecond
 
-	// StaleConnCaution is how long, after an engine was found to have dropped idle connections without closing them,
+	// StaleConnAvoidPeriod is how long, after an engine was found to have dropped idle connections without closing them,
 	// requests that must not run twice avoid connections idle for more than StaleConnMaxIdle. Others go on trying them:
 	// a failure costs them a retry only.
-	StaleConnCaution = 10 * time.Second
-	StaleConnMaxIdle = 100 * time.Millisecond
+	StaleConnAvoidPeriod = 10 * time.Second
+	StaleConnMaxIdle     = 100 * time.Millisecond
 	// StaleConnGossipInterval is the shortest interval at which a router tells others of it.
 	StaleConnGossipInterval = 2 * time.Second
 
--- a/internal/node/dataplane.go
+++ b/internal/node/dataplane.go
@@ -137,7 +137,7 @@
 
 // limitIdleReuse takes note that engines drop idle connections.
 func (d *dataPlane) limitIdleReuse() {
-	d.idleLimitedUntil.Store(int64(d.loop.Now() + limits.StaleConnCaution))
+	d.idleLimitedUntil.Store(int64(d.loop.Now() + limits.StaleConnAvoidPeriod))
 }
 
 // maxIdle is for how long a connection may have idled that carries a request that must not run twice; 0 = for any time.
