--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -9,21 +9,21 @@
 
 const tick = 10 * time.Millisecond
 
-// backend serves a number of requests a second and rejects the others.
-type backend struct {
+// testEngines serves a number of requests a second and rejects the others.
+type testEngines struct {
 	perSecond float64
 	available float64
 }
 
-// play sends requests at a rate a second for each priority, and returns the share of each that was served in the second half.
-func play(g *Gate, b *backend, rates map[int]float64, from, length time.Duration) map[int]float64 {
+// simulate sends requests at a rate a second for each priority, and returns the share of each that was served in the second half.
+func simulate(g *Gate, b *testEngines, rates map[int]float64, from, length time.Duration) map[int]float64 {
 	due, arrived, served := map[int]float64{}, map[int]int{}, map[int]int{}
 	for now := from; now < from+length; now += tick {
 		b.available = min(b.available+b.perSecond*tick.Seconds(), b.perSecond/10+1)
 		for _, priority := range []int{0, 1, 5, 9} { // the order within a tick favours none for long
 			for due[priority] += rates[priority] * tick.Seconds(); due[priority] >= 1; due[priority]-- {
-				late := now >= from+length/2
-				if late {
+				isMeasured := now >= from+length/2
+				if isMeasured {
 					arrived[priority]++
 				}
 				if !g.Admit(now, priority) {
@@ -35,7 +35,7 @@
 				}
 				b.available--
 				g.RequestServed(now)
-				if late {
+				if isMeasured {
 					served[priority]++
 				}
 			}
@@ -50,15 +50,15 @@
 
 func TestLowestPrioritiesAreShedFirst(t *testing.T) {
 	g := &Gate{}
-	e := &backend{perSecond: 100}
+	e := &testEngines{perSecond: 100}
 	rates := map[int]float64{0: 30, 1: 30, 5: 30, 9: 60}
-	got := play(g, e, rates, 0, 20*time.Second)
+	got := simulate(g, e, rates, 0, 20*time.Second)
 	if got[0] < 0.95 || got[1] < 0.95 || got[5] < 0.8 || got[9] > 0.5 {
 		t.Errorf("150 a second at engines for 100: %v", got)
 	}
 	// With enough capacity everything is served again, after some time.
 	e.perSecond = 400
-	got = play(g, e, rates, 20*time.Second, 100*time.Second)
+	got = simulate(g, e, rates, 20*time.Second, 100*time.Second)
 	for r, s := range got {
 		if s < 1 {
 			t.Errorf("enough for all, and priority %d gets %v", r, s)
@@ -77,7 +77,7 @@
 		"no engine at all":   {0, map[int]float64{0: 50, 9: 50}, 0}, // an outage says nothing of what can be served
 	} {
 		g := &Gate{}
-		play(g, &backend{perSecond: c.per}, c.rates, 0, 10*time.Second)
+		simulate(g, &testEngines{perSecond: c.per}, c.rates, 0, 10*time.Second)
 		if g.Rejected != c.want {
 			t.Errorf("%s: %d were rejected", name, g.Rejected)
 		}
--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -19,26 +19,26 @@
 
 // Send implements policy.Actions. It enforces what the module may have overlooked: an attempt for a request that is answered or
 // bound, beyond the maximum of attempts, past the deadline, or to an unknown host, ends as moot without being sent.
-func (p *pool) Send(id policy.RequestID, to policy.ReplicaID, timeout time.Duration) {
+func (p *pool) Send(id policy.RequestID, host policy.ReplicaID, timeout time.Duration) {
 	d, req := p.dispatcher, p.findRequest(id)
 	if req == nil {
 		return
 	}
-	att := &attempt{id: AttemptID{id, len(req.attempts)}, host: to, sentAt: d.now}
+	att := &attempt{id: AttemptID{id, len(req.attempts)}, host: host, sentAt: d.now}
 	req.attempts = append(req.attempts, att)
 	req.running++
-	h := p.hosts[to]
+	h := p.hosts[host]
 	span := p.traceSent(req, att, h)
-	until := req.deadline
+	expiresAt := req.deadline
 	if timeout != 0 {
-		until = min(until, d.now+timeout)
+		expiresAt = min(expiresAt, d.now+timeout)
 	}
-	if h == nil || req.answered || req.bound != nil || len(req.attempts) > req.maxAttempts || until <= d.now {
+	if h == nil || req.answered || req.bound != nil || len(req.attempts) > req.maxAttempts || expiresAt <= d.now {
 		d.traceNotSent(req, att, policy.ResultMoot)
 		d.endDeferred(req, att, policy.ResultMoot)
 		return
 	}
-	if p.isTooCold(h) {
+	if p.slowStartLimitReached(h) {
 		d.traceNotSent(req, att, policy.ResultFull)
 		d.endDeferred(req, att, policy.ResultFull) // as if the host itself had rejected it
 		return
@@ -48,11 +48,11 @@
 		return
 	}
 	p.counters.Attempts++
-	if until < req.deadline {
-		att.timer = d.timers.Add(until, timer{request: req, attempt: att})
+	if expiresAt < req.deadline {
+		att.timer = d.timers.Add(expiresAt, timer{request: req, attempt: att})
 	}
 	start := StartAttempt{
-		Pool: p.id, Attempt: att.id, Client: req.client, Host: to, HostName: h.Name, Addr: h.Addr, Timeout: until - d.now,
+		Pool: p.id, Attempt: att.id, Client: req.client, Host: host, HostName: h.Name, Addr: h.Addr, Timeout: expiresAt - d.now,
 	}
 	if d.traces != nil {
 		d.emit(StartTracedAttempt{start, span})
@@ -134,10 +134,10 @@
 }
 
 // Probe implements policy.Actions.
-func (p *pool) Probe(to policy.ReplicaID) {
-	if h := p.hosts[to]; h != nil {
+func (p *pool) Probe(host policy.ReplicaID) {
+	if h := p.hosts[host]; h != nil {
 		p.counters.Probes++
-		p.dispatcher.emit(SendProbe{Pool: p.id, Host: to, Addr: h.Addr, Sent: p.dispatcher.now})
+		p.dispatcher.emit(SendProbe{Pool: p.id, Host: host, Addr: h.Addr, Sent: p.dispatcher.now})
 	}
 }
 
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -16,7 +16,7 @@
 
 const sec = time.Second
 
-func settings() policy.Settings {
+func testSettings() policy.Settings {
 	return policy.Settings{
 		Routers: 1, Zones: 1, SlowStartInitial: 0.5, SlowStart: sec, DrainGrace: sec / 2, NeedsWatch: true, WatchWithin: 10 * sec,
 		Classes: []policy.Class{{Name: "chat", TargetLatency: sec, Deadline: 10 * sec, Value: 1, IsStreaming: true}},
@@ -31,9 +31,9 @@
 	now time.Duration
 }
 
-func module(t testing.TB) *policy.Balancer {
+func newModule(t testing.TB) *policy.Balancer {
 	t.Helper()
-	m, err := policy.New(settings(), 7)
+	m, err := policy.New(testSettings(), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 		change(&lim)
 	}
 	r := &fixture{Dispatcher: New(lim), t: t, now: 1000 * sec}
-	r.Reduce(r.now, ConfigurePool{Module: module(t), SlowStart: sec, SlowStartInitial: 0.5})
+	r.Reduce(r.now, ConfigurePool{Module: newModule(t), SlowStart: sec, SlowStartInitial: 0.5})
 	var l EndpointsListed
 	for i := range hosts {
 		l.Hosts = append(l.Hosts, Host{Name: fmt.Sprint("h", i), Addr: fmt.Sprint("d", i), Weight: 1})
@@ -59,26 +59,26 @@
 }
 
 func (r *fixture) reduce(at time.Duration, e Event) []string {
-	var words []string
+	var descriptions []string
 	for _, f := range r.Reduce(r.now+at, e) {
 		switch f := f.(type) {
 		case StartAttempt:
-			words = append(words, fmt.Sprintf("send %d.%d for %v", f.Attempt.Request, f.Attempt.Index, f.Timeout))
+			descriptions = append(descriptions, fmt.Sprintf("send %d.%d for %v", f.Attempt.Request, f.Attempt.Index, f.Timeout))
 		case BindAttempt:
-			words = append(words, fmt.Sprintf("bind %d.%d", f.Attempt.Request, f.Attempt.Index))
+			descriptions = append(descriptions, fmt.Sprintf("bind %d.%d", f.Attempt.Request, f.Attempt.Index))
 		case CancelAttempt:
-			words = append(words, fmt.Sprintf("cancel %d.%d", f.Attempt.Request, f.Attempt.Index))
+			descriptions = append(descriptions, fmt.Sprintf("cancel %d.%d", f.Attempt.Request, f.Attempt.Index))
 		case Reject:
-			words = append(words, fmt.Sprintf("reject %v %s after %v", f.Client, [...]string{"rejected", "failed", "duplicate"}[f.Verdict], f.RetryAfter))
+			descriptions = append(descriptions, fmt.Sprintf("reject %v %s after %v", f.Client, [...]string{"rejected", "failed", "duplicate"}[f.Verdict], f.RetryAfter))
 		case CloseIdleConnection:
-			words = append(words, fmt.Sprintf("close idle %d", f.Connection))
+			descriptions = append(descriptions, fmt.Sprintf("close idle %d", f.Connection))
 		case ReminderDue:
-			words = append(words, fmt.Sprint("remind ", f.Token))
+			descriptions = append(descriptions, fmt.Sprint("remind ", f.Token))
 		case SendProbe:
-			words = append(words, "probe "+f.Addr)
+			descriptions = append(descriptions, "probe "+f.Addr)
 		}
 	}
-	return words
+	return descriptions
 }
 
 func (r *fixture) expect(at time.Duration, e Event, want ...string) {
@@ -88,13 +88,13 @@
 	}
 }
 
-func received(from string, at, budget time.Duration) RequestReceived {
-	return RequestReceived{Client: from, ReceivedAt: at, Request: policy.Request{Session: 9, Timeout: budget}}
+func requestFrom(client string, at, timeout time.Duration) RequestReceived {
+	return RequestReceived{Client: client, ReceivedAt: at, Request: policy.Request{Session: 9, Timeout: timeout}}
 }
 
 func TestServedAttempt(t *testing.T) {
 	r := newFixture(t, 2, nil)
-	r.expect(0, received("a", r.now, 4*sec), "send 1.0 for 4s")
+	r.expect(0, requestFrom("a", r.now, 4*sec), "send 1.0 for 4s")
 	r.expect(sec, AttemptStarted{AttemptID{1, 0}}, "bind 1.0")
 	r.expect(9*sec, Tick{}) // once begun, the deadline runs no longer
 	r.expect(9*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultOK})
@@ -107,7 +107,7 @@
 func TestDeadlineAnswersAtOnce(t *testing.T) {
 	// Guards against an request that outlives its time because its attempts are silent.
 	r := newFixture(t, 2, nil)
-	r.expect(sec, received("a", r.now, 4*sec), "send 1.0 for 3s") // its time runs from its last byte
+	r.expect(sec, requestFrom("a", r.now, 4*sec), "send 1.0 for 3s") // its time runs from its last byte
 	r.expect(4*sec-1, Tick{})
 	r.expect(4*sec, Tick{}, "cancel 1.0", "reject a failed after 0s")
 	r.expect(5*sec, AttemptStarted{AttemptID{1, 0}}, "cancel 1.0") // too late to be the client's
@@ -120,8 +120,8 @@
 func TestDuplicateIDIsRejected(t *testing.T) {
 	// Passing a second request on under the id of an open one would be a second copy of that one's attempt.
 	r := newFixture(t, 2, nil)
-	second := received("b", r.now, 4*sec)
-	first := received("a", r.now, 4*sec)
+	second := requestFrom("b", r.now, 4*sec)
+	first := requestFrom("a", r.now, 4*sec)
 	first.ClientRequestID, second.ClientRequestID = "9b1f", "9b1f"
 	r.expect(0, first, "send 1.0 for 4s")
 	r.expect(0, second, "reject b duplicate after 0s")
@@ -134,7 +134,7 @@
 func TestAttemptsAreCapped(t *testing.T) {
 	// The module may go on only to hosts that it has not tried, and to three attempts at the most.
 	r := newFixture(t, 5, nil)
-	r.expect(0, received("a", r.now, 4*sec), "send 1.0 for 4s")
+	r.expect(0, requestFrom("a", r.now, 4*sec), "send 1.0 for 4s")
 	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed}, "send 1.1 for 3s")
 	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultFull}, "send 1.2 for 3s")
 	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 2}, Result: policy.ResultFull}, "reject a rejected after 500ms")
@@ -146,7 +146,7 @@
 
 func TestSendsForEndedRequestsAreMoot(t *testing.T) {
 	r := newFixture(t, 2, nil)
-	r.reduce(0, received("a", r.now, 4*sec))
+	r.reduce(0, requestFrom("a", r.now, 4*sec))
 	r.reduce(0, AttemptStarted{AttemptID{1, 0}})
 	for name, host := range map[string]policy.ReplicaID{"bound": r.pools[0].hostID("h1"), "unknown host": 1} {
 		r.effects = nil
@@ -164,7 +164,7 @@
 func TestFirstEventBindsTheRequest(t *testing.T) {
 	// With two copies out, the first event takes the request and the other copy is cancelled.
 	r := newFixture(t, 2, nil)
-	r.reduce(0, received("a", r.now, 4*sec))
+	r.reduce(0, requestFrom("a", r.now, 4*sec))
 	for _, name := range []string{"h0", "h1"} {
 		if id := r.pools[0].hostID(name); id != r.requests[1].attempts[0].host {
 			r.pools[0].Send(1, id, 0)
@@ -180,7 +180,7 @@
 
 func TestAttemptTimeOut(t *testing.T) {
 	r := newFixture(t, 3, nil)
-	r.reduce(0, received("a", r.now, 4*sec))
+	r.reduce(0, requestFrom("a", r.now, 4*sec))
 	for _, name := range []string{"h0", "h1", "h2"} {
 		if id := r.pools[0].hostID(name); id != r.requests[1].attempts[0].host {
 			r.pools[0].Send(1, id, sec)
@@ -196,7 +196,7 @@
 func TestClientThatLeavesCancelsItsAttempts(t *testing.T) {
 	for name, begun := range map[string]bool{"waiting": false, "streaming": true} {
 		r := newFixture(t, 2, nil)
-		r.reduce(0, received("a", r.now, 4*sec))
+		r.reduce(0, requestFrom("a", r.now, 4*sec))
 		if begun {
 			r.reduce(0, AttemptStarted{AttemptID{1, 0}})
 		}
@@ -211,8 +211,8 @@
 func TestRequestsBeyondTheLimitAreRejected(t *testing.T) {
 	// More requests than there are descriptors are rejected before the module hears of them.
 	r := newFixture(t, 2, func(l *limits.Limits) { l.ConcurrentRequests = 1 })
-	r.reduce(0, received("a", r.now, 4*sec))
-	r.expect(0, received("b", r.now, 4*sec), "reject b rejected after 500ms")
+	r.reduce(0, requestFrom("a", r.now, 4*sec))
+	r.expect(0, requestFrom("b", r.now, 4*sec), "reject b rejected after 500ms")
 	if c := r.pools[0].counters; c.Received != 1 || c.RejectedByFrontend != 1 {
 		t.Errorf("counters %+v", c)
 	}
@@ -221,7 +221,7 @@
 func TestClockNeverGoesBack(t *testing.T) {
 	r := newFixture(t, 2, nil)
 	r.reduce(2*sec, Tick{})
-	r.expect(0, received("a", r.now+2*sec, 4*sec), "send 1.0 for 4s")
+	r.expect(0, requestFrom("a", r.now+2*sec, 4*sec), "send 1.0 for 4s")
 	r.expect(6*sec, Tick{}, "cancel 1.0", "reject a failed after 0s")
 }
 
@@ -243,7 +243,7 @@
 func TestGoneHostGetsNothing(t *testing.T) {
 	r := newFixture(t, 1, nil)
 	r.expect(0, EndpointsListed{Kind: policy.ListDelta, Hosts: []Host{{Name: "h0", State: policy.StateGone}}})
-	r.expect(0, received("a", r.now, 4*sec), "reject a rejected after 500ms")
+	r.expect(0, requestFrom("a", r.now, 4*sec), "reject a rejected after 500ms")
 }
 
 func TestHostIDsAreHashesOfNames(t *testing.T) {
@@ -298,14 +298,14 @@
 		want policy.Result
 	}{{4*sec - 2*time.Millisecond, policy.ResultTimedOut}, {3 * sec, policy.ResultCancelled}} {
 		r := newFixture(t, 2, nil)
-		r.reduce(0, received("a", r.now, 4*sec))
+		r.reduce(0, requestFrom("a", r.now, 4*sec))
 		r.expect(c.at, ClientLeft{"a"}, "cancel 1.0")
 		if r.pools[0].counters.Outcomes[c.want] != 1 || r.pools[0].counters.ClientsLeft != 1 {
 			t.Errorf("left after %v: %+v", c.at, r.counters)
 		}
 	}
 	r := newFixture(t, 2, nil)
-	r.reduce(0, received("a", r.now, 4*sec))
+	r.reduce(0, requestFrom("a", r.now, 4*sec))
 	r.reduce(sec, AttemptStarted{AttemptID{1, 0}})
 	r.reduce(4*sec-1, ClientLeft{"a"}) // in its stream, whose time is not the deadline's
 	if r.pools[0].counters.Outcomes[policy.ResultCancelled] != 1 {
@@ -317,12 +317,12 @@
 func TestRetryAllowanceHoldsFromTheNextRetry(t *testing.T) {
 	r := newFixture(t, 3, nil)
 	r.Reduce(r.now, ConfigurePool{RetryBudget: &retrybudget.Budget{Allowance: 5, Window: 10 * sec}})
-	r.expect(0, received("a", r.now, 4*sec), "send 1.0 for 4s")
+	r.expect(0, requestFrom("a", r.now, 4*sec), "send 1.0 for 4s")
 	if again := r.reduce(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultFull}); len(again) != 1 || again[0] != "send 1.1 for 4s" {
 		t.Fatalf("within its part: %v", again)
 	}
 	r.Reduce(r.now, RetryAllowance(1.9)) // one was sent already
-	r.expect(sec, received("b", r.now+sec, 4*sec), "send 2.0 for 4s")
+	r.expect(sec, requestFrom("b", r.now+sec, 4*sec), "send 2.0 for 4s")
 	if again := r.reduce(sec, AttemptEnded{Attempt: AttemptID{2, 0}, Result: policy.ResultFull}); len(again) != 1 || !strings.HasPrefix(again[0], "reject b ") {
 		t.Errorf("beyond its part: %v", again)
 	}
@@ -338,7 +338,7 @@
 	for _, arrived := range []bool{false, true} {
 		r := newFixture(t, 3, nil)
 		r.Reduce(r.now, ConfigurePool{RetryBudget: &retrybudget.Budget{Allowance: 1, Window: 10 * sec}})
-		r.expect(0, received("a", r.now, 4*sec), "send 1.0 for 4s")
+		r.expect(0, requestFrom("a", r.now, 4*sec), "send 1.0 for 4s")
 		r.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed, ReachedOtherHost: arrived}, "send 1.1 for 4s")
 		again := r.reduce(0, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultConnectFailed, ReachedOtherHost: arrived})
 		if sent := len(again) == 1 && again[0] == "send 1.2 for 4s"; sent == arrived {
--- a/internal/dispatch/hosts.go
+++ b/internal/dispatch/hosts.go
@@ -45,8 +45,8 @@
 func (p *pool) removeHosts(isListed map[policy.ReplicaID]bool, isDelta bool) {
 	d := p.dispatcher
 	for id, h := range p.hosts {
-		stays, isNamed := isListed[id]
-		if stays || !isNamed && isDelta {
+		isPresent, isNamed := isListed[id]
+		if isPresent || !isNamed && isDelta {
 			continue
 		}
 		if d.sharedHosts != nil && !isNamed {
@@ -96,13 +96,13 @@
 // that this pool must see. It returns what the other pools must be notified of.
 func (p *pool) updateSharedHost(id policy.ReplicaID, h *Host) []hoststate.Notification {
 	d := p.dispatcher
-	before := p.hosts[id]
+	previous := p.hosts[id]
 	switch {
-	case before == nil:
+	case previous == nil:
 	case h.State == policy.StateGone:
-		h.Addr = before.Addr // that it had, whatever its last entry says
-	case h.Addr != before.Addr: // it has moved, and is another host
-		d.sharedHosts.Update(d.now, p.id, before.identity(), hoststate.Update{State: policy.StateGone, Deselected: true})
+		h.Addr = previous.Addr // that it had, whatever its last entry says
+	case h.Addr != previous.Addr: // it has moved, and is another host
+		d.sharedHosts.Update(d.now, p.id, previous.identity(), hoststate.Update{State: policy.StateGone, Deselected: true})
 	}
 	update := hoststate.Update{Replica: id, State: h.State, StartedAt: h.StartedAt, Deselected: h.Deselected}
 	state, notifications := d.sharedHosts.Update(d.now, p.id, h.identity(), update)
@@ -143,8 +143,8 @@
 	}
 }
 
-// isTooCold reports whether a host in slow start that several pools share has had all that it may have for now.
-func (p *pool) isTooCold(h *Host) bool {
+// slowStartLimitReached reports whether a host in slow start that several pools share has had all that it may have for now.
+func (p *pool) slowStartLimitReached(h *Host) bool {
 	d := p.dispatcher
 	if d.sharedHosts == nil || h.StartedAt == 0 || d.now >= h.StartedAt+p.slowStart || !d.sharedHosts.IsShared(h.identity()) {
 		return false
@@ -159,9 +159,9 @@
 }
 
 // traffic returns what the pool has seen, and the share of it that a host born at bornAt may have.
-func (p *pool) traffic(bornAt time.Duration) hoststate.PoolTraffic {
+func (p *pool) traffic(startedAt time.Duration) hoststate.PoolTraffic {
 	return hoststate.PoolTraffic{
 		Pool: p.id, Arrived: float64(p.counters.Received), Hosts: float64(p.readyHosts),
-		Share: hoststate.SlowStartShare(p.dispatcher.now-bornAt, p.slowStart, p.slowStartInitial),
+		Share: hoststate.SlowStartShare(p.dispatcher.now-startedAt, p.slowStart, p.slowStartInitial),
 	}
 }
--- a/internal/dispatch/hosts_bench_test.go
+++ b/internal/dispatch/hosts_bench_test.go
@@ -16,7 +16,7 @@
 	lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 512, Sockets: 65536},
 		limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
 	c, now := New(lim), 1000*sec
-	c.Reduce(now, ConfigurePool{Module: module(b), SlowStart: sec, SlowStartInitial: 0.5})
+	c.Reduce(now, ConfigurePool{Module: newModule(b), SlowStart: sec, SlowStartInitial: 0.5})
 	l := EndpointsListed{Kind: policy.ListFull}
 	for i := range hosts {
 		l.Hosts = append(l.Hosts, Host{Name: fmt.Sprint("b", i), Addr: fmt.Sprintf("127.0.%d.%d:80", i/200, i%200), Weight: 1})
@@ -25,8 +25,8 @@
 	return c, now
 }
 
-// serve takes an request to its end.
-func serve(c *Dispatcher, now time.Duration, i int, q policy.Request) {
+// serveRequest takes an request to its end.
+func serveRequest(c *Dispatcher, now time.Duration, i int, q policy.Request) {
 	var attempt AttemptID
 	for _, e := range c.Reduce(now, RequestReceived{Client: i, ReceivedAt: now, Request: q}) {
 		if s, ok := e.(StartAttempt); ok {
@@ -45,22 +45,22 @@
 			b.Run(fmt.Sprintf("%d hosts/%d prefixes", hosts, prefixes), func(b *testing.B) {
 				c, now := newDispatcherWithHosts(b, hosts)
 				rnd := rand.New(rand.NewPCG(1, 1))
-				z := rand.NewZipf(rnd, 1.01, 1, uint64(max(prefixes, 1)-1))
+				prefixRanks := rand.NewZipf(rnd, 1.01, 1, uint64(max(prefixes, 1)-1))
 				i := 0
-				one := func() {
+				serveNext := func() {
 					i++
 					now += 30 * time.Millisecond
 					q := policy.Request{Session: uint64(i + 1), Timeout: sec}
 					if prefixes > 0 {
-						q.Prefix, q.PrefixTokens = z.Uint64()+1, 500
+						q.Prefix, q.PrefixTokens = prefixRanks.Uint64()+1, 500
 					}
-					serve(c, now, i, q)
+					serveRequest(c, now, i, q)
 				}
 				for range 3000 {
-					one()
+					serveNext()
 				}
 				for b.Loop() {
-					one()
+					serveNext()
 				}
 			})
 		}
@@ -73,13 +73,13 @@
 		b.Run(fmt.Sprint(sessions), func(b *testing.B) {
 			for b.Loop() {
 				c, now := newDispatcherWithHosts(b, 20)
-				serve(c, now, 0, policy.Request{Session: 1, Timeout: sec})
-				before := heap()
+				serveRequest(c, now, 0, policy.Request{Session: 1, Timeout: sec})
+				before := heapBytes()
 				for i := range sessions {
 					now += time.Millisecond
-					serve(c, now, i+1, policy.Request{Session: uint64(i + 2), Timeout: sec})
+					serveRequest(c, now, i+1, policy.Request{Session: uint64(i + 2), Timeout: sec})
 				}
-				b.ReportMetric(float64(heap()-before)/float64(sessions), "B/session")
+				b.ReportMetric(float64(heapBytes()-before)/float64(sessions), "B/session")
 				runtime.KeepAlive(c)
 			}
 		})
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -25,12 +25,12 @@
 
 // Loop runs a Dispatcher: one goroutine (Run) reduces events in the order in which they were posted and has the effects done.
 type Loop struct {
-	dispatcher *Dispatcher
-	clock      Clock
-	perform    func(Effect)
-	events     chan Event
-	stopped    chan struct{}
-	idle       chan chan struct{}
+	dispatcher  *Dispatcher
+	clock       Clock
+	perform     func(Effect)
+	events      chan Event
+	stopped     chan struct{}
+	idleWaiters chan chan struct{}
 
 	isFair   atomic.Bool // there are several pools, and requests take turns by pool
 	mu       sync.Mutex
@@ -47,7 +47,7 @@
 func NewLoop(d *Dispatcher, clock Clock, perform func(Effect)) *Loop {
 	return &Loop{
 		dispatcher: d, clock: clock, perform: perform,
-		events: make(chan Event, eventBacklog), stopped: make(chan struct{}), idle: make(chan chan struct{}),
+		events: make(chan Event, eventBacklog), stopped: make(chan struct{}), idleWaiters: make(chan chan struct{}),
 		requests: quota.NewFairQueue[RequestReceived](),
 	}
 }
@@ -73,7 +73,7 @@
 func (l *Loop) WaitIdle(ctx context.Context) {
 	done := make(chan struct{})
 	select {
-	case l.idle <- done:
+	case l.idleWaiters <- done:
 	case <-ctx.Done():
 		return
 	case <-l.stopped:
@@ -150,7 +150,7 @@
 			return
 		case e = <-l.events:
 		case <-timer.C:
-		case done := <-l.idle:
+		case done := <-l.idleWaiters:
 			waiting = append(waiting, done)
 		}
 		l.handle(e)
--- a/internal/dispatch/pools_bench_test.go
+++ b/internal/dispatch/pools_bench_test.go
@@ -20,11 +20,11 @@
 			const hosts = 20
 			lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 512, Sockets: 65536},
 				limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
-			before := heap()
+			before := heapBytes()
 			c, now := New(lim), 1000*sec
 			for p := range n {
 				c.Reduce(now, ConfigurePool{
-					Pool: hoststate.PoolID(p), Name: fmt.Sprint("p", p), Module: module(b), SlowStart: sec, SlowStartInitial: 0.5,
+					Pool: hoststate.PoolID(p), Name: fmt.Sprint("p", p), Module: newModule(b), SlowStart: sec, SlowStartInitial: 0.5,
 					RequestQuota: quota.Claim{Guarantee: int64(lim.ConcurrentRequests / n / 2)},
 				})
 				l := EndpointsListed{Pool: hoststate.PoolID(p), Kind: policy.ListFull}
@@ -33,7 +33,7 @@
 				}
 				c.Reduce(now, l)
 			}
-			grown := heap() - before
+			heapGrowth := heapBytes() - before
 			i := 0
 			for b.Loop() {
 				i++
@@ -47,13 +47,13 @@
 				c.Reduce(now, AttemptStarted{attempt})
 				c.Reduce(now, AttemptEnded{Attempt: attempt, Result: policy.ResultOK})
 			}
-			b.ReportMetric(float64(grown)/float64(n), "B/pool")
+			b.ReportMetric(float64(heapGrowth)/float64(n), "B/pool")
 			runtime.KeepAlive(c)
 		})
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -15,36 +15,36 @@
 	"notchhinge/policy"
 )
 
-// pools gives a rig two pools more, 1 and 2, and takes the first away.
-func pools(t *testing.T, change func(*limits.Limits)) *fixture {
+// newTwoPoolFixture gives a rig two newTwoPoolFixture more, 1 and 2, and takes the first away.
+func newTwoPoolFixture(t *testing.T, change func(*limits.Limits)) *fixture {
 	r := newFixture(t, 0, change)
 	r.Reduce(r.now, ConfigurePool{
-		Pool: 1, Name: "one", Module: module(t), SlowStart: 10 * sec, SlowStartInitial: 0.5, RequestQuota: quota.Claim{Guarantee: 2, Max: 3},
+		Pool: 1, Name: "one", Module: newModule(t), SlowStart: 10 * sec, SlowStartInitial: 0.5, RequestQuota: quota.Claim{Guarantee: 2, Max: 3},
 		RetryAfter: 700 * time.Millisecond,
 	})
-	r.Reduce(r.now, ConfigurePool{Pool: 2, Name: "two", Module: module(t), SlowStart: 10 * sec, SlowStartInitial: 0.5, RequestQuota: quota.Claim{Guarantee: 2}})
+	r.Reduce(r.now, ConfigurePool{Pool: 2, Name: "two", Module: newModule(t), SlowStart: 10 * sec, SlowStartInitial: 0.5, RequestQuota: quota.Claim{Guarantee: 2}})
 	r.Reduce(r.now, EndPool{Pool: 0})
 	return r
 }
 
-func hosts(of hoststate.PoolID, names ...string) EndpointsListed {
-	l := EndpointsListed{Pool: of, Kind: policy.ListFull}
+func fullList(pool hoststate.PoolID, names ...string) EndpointsListed {
+	l := EndpointsListed{Pool: pool, Kind: policy.ListFull}
 	for _, n := range names {
 		l.Hosts = append(l.Hosts, Host{Name: n, Addr: "at " + n, Weight: 1, StartedAt: 1})
 	}
 	return l
 }
 
-func inPool(of hoststate.PoolID, e RequestReceived) RequestReceived {
-	e.Pool = of
-	return e
+func inPool(pool hoststate.PoolID, request RequestReceived) RequestReceived {
+	request.Pool = pool
+	return request
 }
 
 func TestOneClientRequestIDInTwoPools(t *testing.T) {
-	r := pools(t, nil)
-	r.reduce(0, hosts(1, "a"))
-	r.reduce(0, hosts(2, "b"))
-	x, y, z := received("x", r.now, sec), received("y", r.now, sec), received("z", r.now, sec)
+	r := newTwoPoolFixture(t, nil)
+	r.reduce(0, fullList(1, "a"))
+	r.reduce(0, fullList(2, "b"))
+	x, y, z := requestFrom("x", r.now, sec), requestFrom("y", r.now, sec), requestFrom("z", r.now, sec)
 	x.ClientRequestID, y.ClientRequestID, z.ClientRequestID = "id", "id", "id"
 	r.expect(0, inPool(1, x), "send 1.0 for 1s")
 	r.expect(0, inPool(2, y), "send 2.0 for 1s")
@@ -55,17 +55,17 @@
 }
 
 func TestPoolAtItsLimitRejectsWhileTheOtherServes(t *testing.T) {
-	r := pools(t, func(l *limits.Limits) { l.ConcurrentRequests = 5 })
-	r.reduce(0, hosts(1, "a", "b"))
-	r.reduce(0, hosts(2, "c", "d"))
+	r := newTwoPoolFixture(t, func(l *limits.Limits) { l.ConcurrentRequests = 5 })
+	r.reduce(0, fullList(1, "a", "b"))
+	r.reduce(0, fullList(2, "c", "d"))
 	for i := range 3 {
-		r.reduce(0, inPool(1, received(fmt.Sprint("x", i), r.now, sec)))
+		r.reduce(0, inPool(1, requestFrom(fmt.Sprint("x", i), r.now, sec)))
 	}
-	r.expect(0, inPool(1, received("x3", r.now, sec)), "reject x3 rejected after 700ms")
+	r.expect(0, inPool(1, requestFrom("x3", r.now, sec)), "reject x3 rejected after 700ms")
 	for i := range 2 {
-		r.expect(0, inPool(2, received(fmt.Sprint("y", i), r.now, sec)), fmt.Sprintf("send %d.0 for 1s", 4+i))
+		r.expect(0, inPool(2, requestFrom(fmt.Sprint("y", i), r.now, sec)), fmt.Sprintf("send %d.0 for 1s", 4+i))
 	}
-	r.expect(0, inPool(2, received("y2", r.now, sec)), "reject y2 rejected after 500ms") // all five are out
+	r.expect(0, inPool(2, requestFrom("y2", r.now, sec)), "reject y2 rejected after 500ms") // all five are out
 	c := r.countersReport(nil)
 	if len(c.Pools) != 2 || c.Pools[0].Open != 3 || c.Pools[1].Open != 2 || c.Counters.RejectedByFrontend != 2 || c.Counters.Received != 5 {
 		t.Errorf("%+v", c)
@@ -73,12 +73,12 @@
 }
 
 func TestEndedPoolIsRemovedWithItsLastRequest(t *testing.T) {
-	r := pools(t, nil)
-	r.reduce(0, hosts(1, "a", "b"))
-	r.expect(0, inPool(1, received("x", r.now, 4*sec)), "send 1.0 for 4s")
+	r := newTwoPoolFixture(t, nil)
+	r.reduce(0, fullList(1, "a", "b"))
+	r.expect(0, inPool(1, requestFrom("x", r.now, 4*sec)), "send 1.0 for 4s")
 	r.expect(0, EndPool{Pool: 1})
 	// What was led to it before the routes changed is taken, and tried again by its rules.
-	r.expect(0, inPool(1, received("y", r.now, 4*sec)), "send 2.0 for 4s")
+	r.expect(0, inPool(1, requestFrom("y", r.now, 4*sec)), "send 2.0 for 4s")
 	r.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed}, "send 1.1 for 4s")
 	for _, id := range []AttemptID{{1, 1}, {2, 0}} {
 		r.reduce(0, AttemptStarted{id})
@@ -90,7 +90,7 @@
 	if r.pools[1] != nil {
 		t.Error("it is still there")
 	}
-	r.expect(0, inPool(1, received("z", r.now, 4*sec)), "reject z rejected after 500ms")
+	r.expect(0, inPool(1, requestFrom("z", r.now, 4*sec)), "reject z rejected after 500ms")
 	if c := r.countersReport(nil).Counters; c.Received != 2 || c.Served != 2 || c.RejectedByFrontend != 1 {
 		t.Errorf("the counters of what has gone: %+v", c)
 	}
@@ -98,26 +98,26 @@
 }
 
 func TestDrainInOnePoolStopsBoth(t *testing.T) {
-	r := pools(t, nil)
-	r.reduce(0, hosts(1, "shared"))
-	r.reduce(0, hosts(2, "shared"))
-	r.expect(0, inPool(2, received("x", r.now, 4*sec)), "send 1.0 for 4s")
-	gone := hosts(1, "shared")
+	r := newTwoPoolFixture(t, nil)
+	r.reduce(0, fullList(1, "shared"))
+	r.reduce(0, fullList(2, "shared"))
+	r.expect(0, inPool(2, requestFrom("x", r.now, 4*sec)), "send 1.0 for 4s")
+	gone := fullList(1, "shared")
 	gone.Kind, gone.Hosts[0].State = policy.ListDelta, policy.StateDraining
 	r.expect(0, gone)
-	r.reduce(0, hosts(2, "shared")) // its own discovery is behind
-	r.expect(sec, inPool(2, received("y", r.now+sec, 4*sec)), "reject y rejected after 500ms")
-	again := hosts(2, "shared")
+	r.reduce(0, fullList(2, "shared")) // its own discovery is behind
+	r.expect(sec, inPool(2, requestFrom("y", r.now+sec, 4*sec)), "reject y rejected after 500ms")
+	again := fullList(2, "shared")
 	again.Hosts[0].StartedAt = 2
 	r.reduce(sec, again) // another process
-	r.expect(sec, inPool(2, received("z", r.now+sec, 4*sec)), "send 3.0 for 4s")
+	r.expect(sec, inPool(2, requestFrom("z", r.now+sec, 4*sec)), "send 3.0 for 4s")
 }
 
 func TestResetIsSeenByBothPools(t *testing.T) {
-	r := pools(t, nil)
-	r.reduce(0, hosts(1, "shared", "mine"))
-	r.reduce(0, hosts(2, "shared", "other", "third", "fourth"))
-	e := received("x", r.now, 4*sec)
+	r := newTwoPoolFixture(t, nil)
+	r.reduce(0, fullList(1, "shared", "mine"))
+	r.reduce(0, fullList(2, "shared", "other", "third", "fourth"))
+	e := requestFrom("x", r.now, 4*sec)
 	for e.Request.Session = 1; ; e.Request.Session++ { // one whose conversation is drawn to the shared host
 		var to string
 		for _, f := range r.Reduce(r.now, inPool(1, e)) {
@@ -147,9 +147,9 @@
 	const share = 0.5 // it warms up so slowly that it stays at that
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := New(limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 4096}, limits.Site{MaxAttempts: 3})), 1000*sec
-		var usual [2]float64
-		for i := range usual {
-			set := settings()
+		var hostCounts [2]float64
+		for i := range hostCounts {
+			set := testSettings()
 			set.SlowStartInitial, set.SlowStart = share, 1000*time.Hour
 			m, err := policy.New(set, rapid.Uint64().Draw(t, "seed"))
 			if err != nil {
@@ -157,28 +157,28 @@
 			}
 			id := hoststate.PoolID(i + 1)
 			b.Reduce(now, ConfigurePool{Pool: id, Name: fmt.Sprint(i), Module: m, SlowStart: set.SlowStart, SlowStartInitial: set.SlowStartInitial})
-			l := hosts(id, "shared")
+			l := fullList(id, "shared")
 			for k := range rapid.IntRange(1, 3).Draw(t, "own hosts") {
-				l.Hosts = append(l.Hosts, hosts(id, fmt.Sprint("own ", i, k)).Hosts...)
+				l.Hosts = append(l.Hosts, fullList(id, fmt.Sprint("own ", i, k)).Hosts...)
 			}
 			l.Hosts[0].StartedAt = now
-			usual[i] = float64(len(l.Hosts))
+			hostCounts[i] = float64(len(l.Hosts))
 			b.Reduce(now, l)
 		}
-		over, least := 0.0, 0.0 // what was sent less what the traffic allows, since the start, and the least that it was
+		excess, minExcess := 0.0, 0.0 // what was sent less what the traffic allows, since the start, and the least that it was
 		for n := range rapid.IntRange(1, 200).Draw(t, "calls") {
 			now += time.Millisecond
 			p := rapid.IntRange(0, 1).Draw(t, "pool")
-			over -= share / usual[p]
+			excess -= share / hostCounts[p]
 			for _, f := range b.Reduce(now, RequestReceived{Client: n, Pool: hoststate.PoolID(p + 1), ReceivedAt: now, Request: policy.Request{Session: uint64(n + 1), Timeout: sec}}) {
 				if s, ok := f.(StartAttempt); ok && s.Addr == "at shared" {
-					over++
+					excess++
 				}
 			}
-			if over-least > 1+1e-3 {
-				t.Fatalf("by call %d %.3f more than allowed was sent in some window", n+1, over-least-1)
+			if excess-minExcess > 1+1e-3 {
+				t.Fatalf("by call %d %.3f more than allowed was sent in some window", n+1, excess-minExcess-1)
 			}
-			least = min(least, over)
+			minExcess = min(minExcess, excess)
 		}
 	})
 }
@@ -187,7 +187,7 @@
 // client leaves while it waits is taken first.
 func TestPoolsTakeTurnsWhenOneFloods(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := pools(t, nil)
+		r := newTwoPoolFixture(t, nil)
 		var order []string
 		l := NewLoop(r.Dispatcher, func() time.Duration { return r.now }, func(e Effect) {
 			if d, ok := e.(Reject); ok {
@@ -196,9 +196,9 @@
 		})
 		l.isFair.Store(true)
 		for i := range 100 {
-			l.Post(inPool(1, received(fmt.Sprint("x", i), r.now, sec)))
+			l.Post(inPool(1, requestFrom(fmt.Sprint("x", i), r.now, sec)))
 		}
-		l.Post(inPool(2, received("y", r.now, sec)))
+		l.Post(inPool(2, requestFrom("y", r.now, sec)))
 		l.Post(ClientLeft{Client: "x99"})
 		go l.Run(t.Context())
 		synctest.Wait()
@@ -227,8 +227,8 @@
 	})
 }
 
-// call is a request of the model.
-type call struct {
+// modelRequest is a request of the model.
+type modelRequest struct {
 	pool    hoststate.PoolID
 	answers int
 	left    bool
@@ -236,27 +236,27 @@
 
 // processEnd is the end of the latest process at a host that any list reported.
 type processEnd struct {
-	at     time.Duration
-	bornAt time.Duration
-	by     hoststate.PoolID
-	state  policy.State
+	at         time.Duration
+	startedAt  time.Duration
+	reportedBy hoststate.PoolID
+	state      policy.State
 }
 
 // poolsModel plays up to three pools that share five hosts, and checks each effect against what lists and clients said.
 type poolsModel struct {
-	t          *rapid.T
-	dispatcher *Dispatcher
-	limits     limits.Limits
-	now        time.Duration
-	calls      map[int]*call
-	lastCall   int
-	attempts   map[AttemptID]int // the call that each is for
-	running    []AttemptID
-	lists      map[hoststate.PoolID]map[string]Host
-	pools      []hoststate.PoolID // that requests are routed to
-	nextPool   hoststate.PoolID
-	births     map[[2]any]time.Duration
-	ends       map[string]processEnd
+	t           *rapid.T
+	dispatcher  *Dispatcher
+	limits      limits.Limits
+	now         time.Duration
+	requests    map[int]*modelRequest
+	lastRequest int
+	attempts    map[AttemptID]int // the call that each is for
+	running     []AttemptID
+	lists       map[hoststate.PoolID]map[string]Host
+	pools       []hoststate.PoolID // that requests are routed to
+	nextPool    hoststate.PoolID
+	startTimes  map[[2]any]time.Duration
+	ends        map[string]processEnd
 }
 
 func newPoolsModel(t *rapid.T) *poolsModel {
@@ -264,8 +264,8 @@
 		limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
 	lim.ConcurrentRequests = 12
 	return &poolsModel{
-		t: t, dispatcher: New(lim), limits: lim, now: 1000 * sec, calls: map[int]*call{}, attempts: map[AttemptID]int{},
-		lists: map[hoststate.PoolID]map[string]Host{}, births: map[[2]any]time.Duration{}, ends: map[string]processEnd{},
+		t: t, dispatcher: New(lim), limits: lim, now: 1000 * sec, requests: map[int]*modelRequest{}, attempts: map[AttemptID]int{},
+		lists: map[hoststate.PoolID]map[string]Host{}, startTimes: map[[2]any]time.Duration{}, ends: map[string]processEnd{},
 	}
 }
 
@@ -273,11 +273,11 @@
 	t := m.t
 	switch rapid.IntRange(0, 11).Draw(t, "step") {
 	case 0:
-		m.reload()
+		m.reconfigure()
 	case 1, 2, 3:
-		m.list()
+		m.updateList()
 	case 4, 5, 6, 7:
-		m.call()
+		m.sendRequest()
 	case 8:
 		if len(m.running) > 0 {
 			m.reduce(AttemptStarted{rapid.SampledFrom(m.running).Draw(t, "attempt")})
@@ -288,10 +288,10 @@
 			m.endAttempt(id, policy.Result(rapid.IntRange(0, 6).Draw(t, "result")))
 		}
 	case 11:
-		if m.lastCall > 0 {
-			c := rapid.IntRange(1, m.lastCall).Draw(t, "who")
-			if m.calls[c].answers == 0 {
-				m.calls[c].left = true
+		if m.lastRequest > 0 {
+			c := rapid.IntRange(1, m.lastRequest).Draw(t, "who")
+			if m.requests[c].answers == 0 {
+				m.requests[c].left = true
 			}
 			m.reduce(ClientLeft{Client: c})
 		}
@@ -307,20 +307,20 @@
 			m.attempts[f.Attempt] = f.Client.(int)
 			m.running = append(m.running, f.Attempt)
 		case BindAttempt:
-			m.calls[m.attempts[f.Attempt]].answers++
+			m.requests[m.attempts[f.Attempt]].answers++
 		case Reject:
-			m.calls[f.Client.(int)].answers++
+			m.requests[f.Client.(int)].answers++
 		case PoolEnded:
 			m.checkPoolEnded(f.Pool)
 			delete(m.lists, f.Pool)
 		}
 	}
 	for name := range m.ends { // a host that no pool has is forgotten
-		if !has(m.lists, name) {
+		if !isListed(m.lists, name) {
 			delete(m.ends, name)
 		}
 	}
-	for id, c := range m.calls {
+	for id, c := range m.requests {
 		if c.answers > 1 {
 			m.t.Fatalf("%d has %d final answers", id, c.answers)
 		}
@@ -328,19 +328,19 @@
 }
 
 func (m *poolsModel) checkAttempt(f StartAttempt) {
-	c := m.calls[f.Client.(int)]
+	c := m.requests[f.Client.(int)]
 	h, isListed := m.lists[f.Pool][f.Addr]
 	if c == nil || c.pool != f.Pool || !isListed || c.answers > 0 || c.left {
 		m.t.Fatalf("an attempt of pool %d to %s for %+v; its list: %v", f.Pool, f.Addr, c, m.lists[f.Pool])
 	}
 	end, hasEnded := m.ends[f.Addr]
-	if hasEnded && m.now >= end.at+sec/2 && h.StartedAt <= end.bornAt && m.now < end.at+m.limits.DrainPrecedence {
+	if hasEnded && m.now >= end.at+sec/2 && h.StartedAt <= end.startedAt && m.now < end.at+m.limits.DrainPrecedence {
 		m.t.Fatalf("an attempt to %s, %v after its end was listed", f.Addr, m.now-end.at)
 	}
 }
 
 func (m *poolsModel) checkPoolEnded(pool hoststate.PoolID) {
-	for _, c := range m.calls {
+	for _, c := range m.requests {
 		if c.pool == pool && c.answers == 0 && !c.left {
 			m.t.Fatalf("pool %d ended before its requests", pool)
 		}
@@ -355,7 +355,7 @@
 }
 
 func (m *poolsModel) addPool() {
-	s := settings()
+	s := testSettings()
 	s.Limits.MaxAttempts = rapid.IntRange(1, 3).Draw(m.t, "attempts")
 	module, err := policy.New(s, rapid.Uint64().Draw(m.t, "seed"))
 	if err != nil {
@@ -372,8 +372,8 @@
 	m.nextPool++
 }
 
-// reload adds a pool, ends one, or changes a claim.
-func (m *poolsModel) reload() {
+// reconfigure adds a pool, ends one, or changes a claim.
+func (m *poolsModel) reconfigure() {
 	switch {
 	case len(m.pools) < 3 && rapid.Bool().Draw(m.t, "more"):
 		m.addPool()
@@ -387,8 +387,8 @@
 	}
 }
 
-// list has one pool's list say something of some of the hosts.
-func (m *poolsModel) list() {
+// updateList has one pool's updateList say something of some of the hosts.
+func (m *poolsModel) updateList() {
 	pool := rapid.SampledFrom(m.pools).Draw(m.t, "pool")
 	l := EndpointsListed{Pool: pool, Kind: policy.ListDelta}
 	if rapid.IntRange(0, 3).Draw(m.t, "whole") == 0 {
@@ -404,10 +404,10 @@
 			StartedAt: time.Duration(rapid.IntRange(1, 2).Draw(m.t, "born")),
 		}
 		key := [2]any{pool, name}
-		h.StartedAt = max(h.StartedAt, m.births[key]) // no discovery goes back to an earlier process
-		m.births[key] = h.StartedAt
+		h.StartedAt = max(h.StartedAt, m.startTimes[key]) // no discovery goes back to an earlier process
+		m.startTimes[key] = h.StartedAt
 		l.Hosts = append(l.Hosts, h)
-		m.noteEnd(pool, &h)
+		m.recordEnd(pool, &h)
 	}
 	if l.Kind == policy.ListFull {
 		clear(m.lists[pool])
@@ -421,32 +421,32 @@
 	m.reduce(l)
 }
 
-// noteEnd notes that a list says that a process ends, or that another one is there.
-func (m *poolsModel) noteEnd(pool hoststate.PoolID, h *Host) {
-	before, had := m.lists[pool][h.Name]
-	bornAt := h.StartedAt
+// recordEnd notes that a list says that a process ends, or that another one is there.
+func (m *poolsModel) recordEnd(pool hoststate.PoolID, h *Host) {
+	previous, wasListed := m.lists[pool][h.Name]
+	startedAt := h.StartedAt
 	if h.State == policy.StateGone {
-		bornAt = before.StartedAt
+		startedAt = previous.StartedAt
 	}
 	end, hasEnded := m.ends[h.Name]
 	switch {
-	case h.State == policy.StateDraining || h.State == policy.StateGone && had:
-		if !hasEnded || bornAt > end.bornAt || bornAt == end.bornAt && h.State > end.state {
-			m.ends[h.Name] = processEnd{m.now, bornAt, pool, h.State}
+	case h.State == policy.StateDraining || h.State == policy.StateGone && wasListed:
+		if !hasEnded || startedAt > end.startedAt || startedAt == end.startedAt && h.State > end.state {
+			m.ends[h.Name] = processEnd{m.now, startedAt, pool, h.State}
 		}
 	case h.State != policy.StateReady:
-	case bornAt > end.bornAt || m.now > end.at+m.limits.DrainPrecedence || pool == end.by:
+	case startedAt > end.startedAt || m.now > end.at+m.limits.DrainPrecedence || pool == end.reportedBy:
 		delete(m.ends, h.Name)
 	}
 }
 
-// call has a request arrive, by routes that may be of an earlier configuration.
-func (m *poolsModel) call() {
+// sendRequest has a request arrive, by routes that may be of an earlier configuration.
+func (m *poolsModel) sendRequest() {
 	pool := hoststate.PoolID(rapid.IntRange(0, int(m.nextPool)-1).Draw(m.t, "pool"))
-	m.lastCall++
-	m.calls[m.lastCall] = &call{pool: pool}
+	m.lastRequest++
+	m.requests[m.lastRequest] = &modelRequest{pool: pool}
 	m.reduce(RequestReceived{
-		Client: m.lastCall, Pool: pool, ClientRequestID: fmt.Sprint(m.lastCall % 7), ReceivedAt: m.now,
+		Client: m.lastRequest, Pool: pool, ClientRequestID: fmt.Sprint(m.lastRequest % 7), ReceivedAt: m.now,
 		Request: policy.Request{Session: uint64(rapid.IntRange(0, 5).Draw(m.t, "session")), Timeout: 2 * sec},
 	})
 }
@@ -458,7 +458,7 @@
 	for len(m.running) > 0 {
 		m.endAttempt(m.running[0], policy.ResultOK)
 	}
-	for id, c := range m.calls {
+	for id, c := range m.requests {
 		if c.answers == 0 && !c.left {
 			m.t.Fatalf("%d of pool %d has no answer", id, c.pool)
 		}
@@ -476,7 +476,7 @@
 	}
 }
 
-func has(lists map[hoststate.PoolID]map[string]Host, name string) bool {
+func isListed(lists map[hoststate.PoolID]map[string]Host, name string) bool {
 	for _, l := range lists {
 		if _, in := l[name]; in {
 			return true
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -10,14 +10,14 @@
 	"notchhinge/policy"
 )
 
-func traced(r *fixture, o trace.Options) {
+func enableTracing(r *fixture, o trace.Options) {
 	o.Router, o.Window, o.Linger, o.Steps, o.Seed = "n1", 10*sec, 2*sec, 1000, 5
 	r.Reduce(r.now, ConfigurePool{Classes: []trace.Class{{Name: "chat", Aim: sec}}})
 	r.Trace(o)
 }
 
-// exported takes an event in and returns the records that leave with it, and the spans that attempts are sent with.
-func (r *fixture) exported(at time.Duration, e Event) (kept []*trace.Try, spans []trace.Context) {
+// reduceTraced takes an event in and returns the records that leave with it, and the spans that attempts are sent with.
+func (r *fixture) reduceTraced(at time.Duration, e Event) (kept []*trace.Try, spans []trace.Context) {
 	for _, f := range r.Reduce(r.now+at, e) {
 		switch f := f.(type) {
 		case ExportTrace:
@@ -33,23 +33,23 @@
 	// A reset, another attempt that is too slow, and the deadline: the record holds both attempts with their results and what the
 	// module decided, and leaves once the client has its answer and the last attempt has ended.
 	r := newFixture(t, 3, nil)
-	traced(r, trace.Options{})
+	enableTracing(r, trace.Options{})
 	parent, _ := trace.ParseParent("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01")
-	e := received("a", r.now, 4*sec)
+	e := requestFrom("a", r.now, 4*sec)
 	e.ClientRequestID, e.Origin = "call", &trace.Origin{Context: parent, Front: "calls", Tells: true}
-	_, spans := r.exported(10*time.Millisecond, e)
+	_, spans := r.reduceTraced(10*time.Millisecond, e)
 	if len(spans) != 1 || spans[0].Trace != parent.Trace || spans[0].Span == parent.Span {
 		t.Fatalf("sent with %v", spans)
 	}
 	first := spans[0]
-	if _, spans = r.exported(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultReset}); len(spans) != 1 || spans[0].Span == first.Span {
+	if _, spans = r.reduceTraced(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultReset}); len(spans) != 1 || spans[0].Span == first.Span {
 		t.Fatalf("the second attempt was sent with %v", spans)
 	}
-	if kept, _ := r.exported(5*sec, Tick{}); len(kept) != 0 {
+	if kept, _ := r.reduceTraced(5*sec, Tick{}); len(kept) != 0 {
 		t.Fatal("it left before its client had its answer")
 	}
-	r.exported(5*sec, RejectionWritten{Client: "a", At: r.now + 5*sec})
-	kept, _ := r.exported(5*sec+sec/10, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultCancelled})
+	r.reduceTraced(5*sec, RejectionWritten{Client: "a", At: r.now + 5*sec})
+	kept, _ := r.reduceTraced(5*sec+sec/10, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultCancelled})
 	if len(kept) != 1 {
 		t.Fatalf("%d records", len(kept))
 	}
@@ -68,9 +68,9 @@
 
 func TestTraceOfWhatTheModuleNeverSees(t *testing.T) {
 	r := newFixture(t, 1, func(l *limits.Limits) { l.ConcurrentRequests = 1 })
-	traced(r, trace.Options{})
-	r.exported(0, received("a", r.now, 4*sec))
-	kept, _ := r.exported(0, received("b", r.now, 4*sec))
+	enableTracing(r, trace.Options{})
+	r.reduceTraced(0, requestFrom("a", r.now, 4*sec))
+	kept, _ := r.reduceTraced(0, requestFrom("b", r.now, 4*sec))
 	if len(kept) != 1 || kept[0].Why != trace.RouterFull || kept[0].Outcome != trace.Refused {
 		t.Errorf("%+v", kept)
 	}
@@ -78,9 +78,9 @@
 
 func TestFlushExportsAllTraces(t *testing.T) {
 	r := newFixture(t, 1, nil)
-	traced(r, trace.Options{})
-	r.exported(0, received("a", r.now, 4*sec))
-	if kept, _ := r.exported(sec, FlushTraces{}); len(kept) != 1 || kept[0].Outcome != trace.Open {
+	enableTracing(r, trace.Options{})
+	r.reduceTraced(0, requestFrom("a", r.now, 4*sec))
+	if kept, _ := r.reduceTraced(sec, FlushTraces{}); len(kept) != 1 || kept[0].Outcome != trace.Open {
 		t.Errorf("%+v", kept)
 	}
 }
@@ -92,10 +92,10 @@
 			lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 1024},
 				limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
 			x := New(lim)
-			x.Reduce(1000*sec, ConfigurePool{Module: module(b), SlowStart: sec, SlowStartInitial: 0.5})
+			x.Reduce(1000*sec, ConfigurePool{Module: newModule(b), SlowStart: sec, SlowStartInitial: 0.5})
 			r := &fixture{Dispatcher: x, now: 1000 * sec}
 			if on {
-				traced(r, trace.Options{Share: 0.01})
+				enableTracing(r, trace.Options{Share: 0.01})
 			}
 			x.Reduce(r.now, EndpointsListed{Kind: policy.ListFull, Hosts: []Host{{Name: "h", Addr: "d", Weight: 1}}})
 			var origin *trace.Origin
@@ -105,7 +105,7 @@
 			b.ReportAllocs()
 			for n := 1; b.Loop(); n++ {
 				r.now += 100 * time.Microsecond
-				e := received("a", r.now, 4*sec)
+				e := requestFrom("a", r.now, 4*sec)
 				e.Request.Session, e.Origin = uint64(n), origin
 				id := AttemptID{policy.RequestID(n), 0}
 				x.Reduce(r.now, e)
--- a/internal/hoststate/slowstart.go
+++ b/internal/hoststate/slowstart.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// coldAllowance is how many requests a host in slow start may still be sent by all pools together.
-type coldAllowance struct {
-	bornAt  time.Duration // the process that it is for
-	saved   float64       // requests, 1 at most
-	arrived map[PoolID]float64
+// slowStartAllowance is how many requests a host in slow start may still be sent by all pools together.
+type slowStartAllowance struct {
+	startedAt time.Duration // the process that it is for
+	credit    float64       // requests, 1 at most
+	arrived   map[PoolID]float64
 }
 
 // PoolTraffic is what a pool has seen, and what of it a host in slow start may have.
@@ -20,29 +20,29 @@
 // TryTakeSlowStart takes one request out of the allowance of a host in slow start that several pools share, and reports whether it may
 // be sent. Each pool's module keeps to the host's share of that pool's traffic; the allowance grows by the sum of these shares, and
 // at most one request is saved up for all pools together, as it is within one pool. traffic is of every pool that has the host.
-func (t *Tracker) TryTakeSlowStart(host Host, bornAt time.Duration, traffic []PoolTraffic) bool {
+func (t *Tracker) TryTakeSlowStart(host Host, startedAt time.Duration, traffic []PoolTraffic) bool {
 	r := t.hosts[host]
 	if r == nil || len(r.pools) < 2 {
 		return true
 	}
-	a := &r.cold
-	if a.arrived == nil || a.bornAt != bornAt {
-		*a = coldAllowance{bornAt: bornAt, arrived: map[PoolID]float64{}}
+	a := &r.slowStart
+	if a.arrived == nil || a.startedAt != startedAt {
+		*a = slowStartAllowance{startedAt: startedAt, arrived: map[PoolID]float64{}}
 		for _, p := range traffic {
 			a.arrived[p.Pool] = p.Arrived
 		}
 	}
 	for _, p := range traffic {
 		if before, ok := a.arrived[p.Pool]; ok {
-			a.saved += min(max(p.Share, 0), 1) * max(p.Arrived-before, 0) / max(p.Hosts, 1)
+			a.credit += min(max(p.Share, 0), 1) * max(p.Arrived-before, 0) / max(p.Hosts, 1)
 		}
 		a.arrived[p.Pool] = p.Arrived
 	}
-	a.saved = min(a.saved, 1)
-	if a.saved < 1 {
+	a.credit = min(a.credit, 1)
+	if a.credit < 1 {
 		return false
 	}
-	a.saved--
+	a.credit--
 	return true
 }
 
--- a/internal/hoststate/tracker.go
+++ b/internal/hoststate/tracker.go
@@ -44,23 +44,23 @@
 }
 
 type hostRecord struct {
-	pools []poolView
-	end   processEnd
-	cold  coldAllowance
+	pools     []poolView
+	end       processEnd
+	slowStart slowStartAllowance
 }
 
 // poolView is a host as one pool sees it.
 type poolView struct {
 	PoolHost
-	listed policy.State // by the pool's own list
-	seen   policy.State // by the pool's module
-	bornAt time.Duration
+	listed    policy.State // by the pool's own list
+	seen      policy.State // by the pool's module
+	startedAt time.Duration
 }
 
 // processEnd is the end of the latest process at a host that any pool's list reported.
 type processEnd struct {
 	state      policy.State  // Ready = none; else Draining or Gone
-	bornAt     time.Duration // of the process
+	startedAt  time.Duration // of the process
 	reportedAt time.Duration
 	reportedBy PoolID
 }
@@ -90,28 +90,28 @@
 	}
 	view := r.setView(pool, update)
 	if update.State == policy.StateDraining {
-		return policy.StateDraining, r.ended(now, pool, policy.StateDraining, update.StartedAt)
+		return policy.StateDraining, r.recordEnd(now, pool, policy.StateDraining, update.StartedAt)
 	}
 	return t.readyState(now, r, view)
 }
 
 // removeFromPool takes a host that is gone out of a pool, and notifies the others unless only the pool's selection changed.
-func (t *Tracker) removeFromPool(now time.Duration, pool PoolID, host Host, selectionChanged bool) []Notification {
+func (t *Tracker) removeFromPool(now time.Duration, pool PoolID, host Host, deselected bool) []Notification {
 	r := t.hosts[host]
 	i := r.indexOf(pool)
 	if i < 0 {
 		return nil
 	}
-	bornAt := r.pools[i].bornAt
+	startedAt := r.pools[i].startedAt
 	r.pools = slices.Delete(r.pools, i, i+1)
 	if len(r.pools) == 0 {
 		delete(t.hosts, host)
 		return nil
 	}
-	if selectionChanged {
+	if deselected {
 		return nil
 	}
-	return r.ended(now, pool, policy.StateGone, bornAt)
+	return r.recordEnd(now, pool, policy.StateGone, startedAt)
 }
 
 // readyState returns how a pool's module must see a host that its list calls ready.
@@ -119,11 +119,11 @@
 	end := &r.end
 	switch {
 	case end.state == policy.StateReady:
-	case view.bornAt > end.bornAt: // another process than the one that ended
+	case view.startedAt > end.startedAt: // another process than the one that ended
 		end.state = policy.StateReady
 	case end.reportedBy == view.Pool: // withdrawn by the list that it came from
 		end.state = policy.StateReady
-		return policy.StateReady, r.notify(view.Pool, policy.StateReady, end.bornAt)
+		return policy.StateReady, r.notifications(view.Pool, policy.StateReady, end.startedAt)
 	case now-end.reportedAt > t.drainPrecedence: // this list had long enough to learn what the other one knew
 		end.state = policy.StateReady
 	default:
@@ -144,25 +144,25 @@
 	return &r.pools[i]
 }
 
-// ended notes that the process that was born at bornAt ends, and notifies the pools that still see it in a better state.
-func (r *hostRecord) ended(now time.Duration, pool PoolID, state policy.State, bornAt time.Duration) []Notification {
+// recordEnd notes that the process that was born at bornAt ends, and notifies the pools that still see it in a better state.
+func (r *hostRecord) recordEnd(now time.Duration, pool PoolID, state policy.State, startedAt time.Duration) []Notification {
 	end := &r.end
-	isKnown := end.state != policy.StateReady && (end.bornAt > bornAt || end.bornAt == bornAt && end.state >= state)
-	if !isKnown {
-		*end = processEnd{state: state, bornAt: bornAt, reportedAt: now, reportedBy: pool}
-	} else if end.bornAt == bornAt {
+	alreadyReported := end.state != policy.StateReady && (end.startedAt > startedAt || end.startedAt == startedAt && end.state >= state)
+	if !alreadyReported {
+		*end = processEnd{state: state, startedAt: startedAt, reportedAt: now, reportedBy: pool}
+	} else if end.startedAt == startedAt {
 		return nil // all were notified
 	}
-	return r.notify(pool, state, bornAt)
+	return r.notifications(pool, state, startedAt)
 }
 
-// notify lists the other pools that must be notified of the end of the process born at bornAt, or that it was withdrawn: those whose
+// notifications lists the other pools that must be notified of the end of the process born at bornAt, or that it was withdrawn: those whose
 // lists have that process, or one before it, and whose modules see it in another state.
-func (r *hostRecord) notify(pool PoolID, state policy.State, bornAt time.Duration) (all []Notification) {
+func (r *hostRecord) notifications(pool PoolID, state policy.State, startedAt time.Duration) (all []Notification) {
 	for i := range r.pools {
 		v := &r.pools[i]
 		isWithdrawn := state == policy.StateReady && v.listed == policy.StateReady && v.seen != policy.StateReady
-		if v.Pool != pool && v.bornAt <= bornAt && (v.seen < state || isWithdrawn) {
+		if v.Pool != pool && v.startedAt <= startedAt && (v.seen < state || isWithdrawn) {
 			v.seen = state
 			all = append(all, Notification{v.Pool, v.Replica, state})
 		}
--- a/internal/hoststate/tracker_test.go
+++ b/internal/hoststate/tracker_test.go
@@ -15,8 +15,8 @@
 
 var host = Host{"b1", "127.0.0.1:9"}
 
-func ready(id policy.ReplicaID, born time.Duration) Update {
-	return Update{Replica: id, State: policy.StateReady, StartedAt: born}
+func ready(id policy.ReplicaID, startedAt time.Duration) Update {
+	return Update{Replica: id, State: policy.StateReady, StartedAt: startedAt}
 }
 
 func TestDrainIsNotifiedToTheOtherPoolOnce(t *testing.T) {
@@ -86,24 +86,24 @@
 	}
 }
 
-// pools plays the lists of three pools that share one host, and keeps what their modules see.
-type pools struct {
+// poolsModel plays the lists of three poolsModel that share one host, and keeps what their modules see.
+type poolsModel struct {
 	tracker *Tracker
 	now     time.Duration
 	sees    map[PoolID]Update
 
-	hasEnded     bool // one list reported an end, and no later process is there
-	end          Update
-	endAt        time.Duration
-	endedBy      PoolID
-	latestEnding policy.State
+	hasEnded bool // one list reported an end, and no later process is there
+	end      Update
+	endAt    time.Duration
+	endedBy  PoolID
+	endState policy.State
 }
 
 // TestNoPoolSeesAnEndedHostAsReady plays random lists of three pools: once one pool's list reported an end, no other may
 // see the host as ready until another process is there or the drain precedence has passed.
 func TestNoPoolSeesAnEndedHostAsReady(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &pools{tracker: NewTracker(drainPrecedence), sees: map[PoolID]Update{}, latestEnding: policy.StateReady}
+		p := &poolsModel{tracker: NewTracker(drainPrecedence), sees: map[PoolID]Update{}, endState: policy.StateReady}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			p.step(t)
 		}
@@ -117,7 +117,7 @@
 }
 
 // step has one pool's list say something.
-func (p *pools) step(t *rapid.T) {
+func (p *poolsModel) step(t *rapid.T) {
 	t.Helper()
 	p.now += time.Duration(rapid.IntRange(1, 10000).Draw(t, "ms")) * time.Millisecond
 	id := PoolID(rapid.IntRange(0, 2).Draw(t, "pool"))
@@ -126,7 +126,7 @@
 		StartedAt: time.Duration(rapid.IntRange(1, 3).Draw(t, "born")),
 	}
 	update.Deselected = update.State == policy.StateGone && rapid.Bool().Draw(t, "left")
-	before, had := p.sees[id]
+	previous, wasListed := p.sees[id]
 	state, notified := p.tracker.Update(p.now, id, host, update)
 	p.checkOwnState(t, id, update, state)
 	if update.State == policy.StateGone {
@@ -136,13 +136,13 @@
 		seen.State = state
 		p.sees[id] = seen
 	}
-	p.notify(t, id, notified)
+	p.applyNotifications(t, id, notified)
 	isDrain := update.State == policy.StateDraining && state == policy.StateDraining
-	if isDrain || update.State == policy.StateGone && had && !update.Deselected && len(p.sees) > 0 {
+	if isDrain || update.State == policy.StateGone && wasListed && !update.Deselected && len(p.sees) > 0 {
 		if update.State == policy.StateGone {
-			update.StartedAt = before.StartedAt
+			update.StartedAt = previous.StartedAt
 		}
-		p.ended(t, id, update)
+		p.recordEnd(t, id, update)
 	}
 	if state == policy.StateReady && update.State == policy.StateReady || len(p.sees) == 0 {
 		p.hasEnded = false
@@ -150,7 +150,7 @@
 }
 
 // checkOwnState checks what the pool whose list has spoken must see.
-func (p *pools) checkOwnState(t *rapid.T, id PoolID, update Update, state policy.State) {
+func (p *poolsModel) checkOwnState(t *rapid.T, id PoolID, update Update, state policy.State) {
 	t.Helper()
 	if update.State != policy.StateReady && state != update.State {
 		t.Fatalf("listed as %v, seen as %v", update.State, state)
@@ -161,8 +161,8 @@
 	}
 }
 
-// notify takes in what the other pools are notified of.
-func (p *pools) notify(t *rapid.T, id PoolID, notified []Notification) {
+// applyNotifications takes in what the other pools are notified of.
+func (p *poolsModel) applyNotifications(t *rapid.T, id PoolID, notified []Notification) {
 	t.Helper()
 	for _, n := range notified {
 		s, has := p.sees[n.Pool]
@@ -174,11 +174,11 @@
 	}
 }
 
-// ended notes the end that a list reported, which all other pools must see by now.
-func (p *pools) ended(t *rapid.T, id PoolID, end Update) {
+// recordEnd notes the end that a list reported, which all other pools must see by now.
+func (p *poolsModel) recordEnd(t *rapid.T, id PoolID, end Update) {
 	t.Helper()
-	if !p.hasEnded || end.StartedAt > p.end.StartedAt || end.StartedAt == p.end.StartedAt && end.State > p.latestEnding {
-		p.hasEnded, p.end, p.endAt, p.endedBy, p.latestEnding = true, end, p.now, id, end.State
+	if !p.hasEnded || end.StartedAt > p.end.StartedAt || end.StartedAt == p.end.StartedAt && end.State > p.endState {
+		p.hasEnded, p.end, p.endAt, p.endedBy, p.endState = true, end, p.now, id, end.State
 	}
 	for other, s := range p.sees {
 		if s.State == policy.StateReady && s.StartedAt <= end.StartedAt {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -8,8 +8,8 @@
 
 const testTotal = 100
 
-// account is a plain account of a Quota of testTotal units and up to four holders.
-type account struct {
+// quotaModel is a plain quotaModel of a Quota of testTotal units and up to four holders.
+type quotaModel struct {
 	quota       *Quota
 	reserved    map[int]int64
 	claims      map[int]Claim
@@ -19,7 +19,7 @@
 // TestQuotaKeepsGuarantees plays reservations, releases and changes of claims against a plain account.
 func TestQuotaKeepsGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := &account{quota: New(testTotal), reserved: map[int]int64{}, claims: map[int]Claim{}, isCommitted: true}
+		a := &quotaModel{quota: New(testTotal), reserved: map[int]int64{}, claims: map[int]Claim{}, isCommitted: true}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			id := rapid.IntRange(0, 3).Draw(t, "holder")
 			n := rapid.Int64Range(0, 40).Draw(t, "n")
@@ -32,13 +32,13 @@
 			case 5:
 				a.changeClaim(t, id)
 			}
-			a.compare(t)
+			a.checkAgainstQuota(t)
 		}
 		a.releaseAll(t)
 	})
 }
 
-func (a *account) take(t *rapid.T, id int, n int64) {
+func (a *quotaModel) take(t *rapid.T, id int, n int64) {
 	t.Helper()
 	isWithinGuarantee := a.reserved[id]+n <= a.claims[id].Guarantee
 	ok := a.quota.Take(id, n)
@@ -53,7 +53,7 @@
 	}
 }
 
-func (a *account) changeClaim(t *rapid.T, id int) {
+func (a *quotaModel) changeClaim(t *rapid.T, id int) {
 	t.Helper()
 	c := Claim{Guarantee: rapid.Int64Range(0, 25).Draw(t, "guarantee")}
 	if rapid.Bool().Draw(t, "bounded") {
@@ -69,15 +69,15 @@
 	a.isCommitted = a.committed() <= testTotal
 }
 
-func (a *account) committed() (sum int64) {
+func (a *quotaModel) committed() (sum int64) {
 	for i := range 4 {
 		sum += max(a.reserved[i], a.claims[i].Guarantee)
 	}
 	return sum
 }
 
-// compare holds the quota against the account.
-func (a *account) compare(t *rapid.T) {
+// checkAgainstQuota holds the quota against the account.
+func (a *quotaModel) checkAgainstQuota(t *rapid.T) {
 	t.Helper()
 	var sum int64
 	for i, n := range a.reserved {
@@ -94,7 +94,7 @@
 	}
 }
 
-func (a *account) releaseAll(t *rapid.T) {
+func (a *quotaModel) releaseAll(t *rapid.T) {
 	t.Helper()
 	for i := range 4 {
 		a.quota.EndClaim(i)
--- a/internal/retrybudget/share_test.go
+++ b/internal/retrybudget/share_test.go
@@ -15,10 +15,10 @@
 	budgets        []Budget
 	ids            []int // of the routers' incarnations
 	nextID         int
-	heard          [3]map[int]time.Duration // by each replica
-	cut            [3][]bool                // replicas from routers
-	holder         int
-	since          time.Duration // the holder has the lease
+	lastReports    [3]map[int]time.Duration // by each replica
+	isolated       [3][]bool                // replicas from routers
+	leaseHolder    int
+	holderSince    time.Duration // the holder has the lease
 	retries        []time.Duration
 	reportsAtOnce  bool // a replica that begins to count reports at once: must be found
 	reportsForever bool // a report is valid for good: likewise
@@ -40,41 +40,41 @@
 }
 
 func newFleet(seed uint64) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 0)), now: time.Hour, holder: 0}
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 0)), now: time.Hour, leaseHolder: 0}
 	n := 2 + f.rng.IntN(8)
 	f.shares, f.budgets, f.ids = make([]Share, n), make([]Budget, n), make([]int, n)
-	for k := range f.heard {
-		f.heard[k], f.cut[k] = map[int]time.Duration{}, make([]bool, n)
+	for k := range f.lastReports {
+		f.lastReports[k], f.isolated[k] = map[int]time.Duration{}, make([]bool, n)
 	}
 	for i := range n {
 		f.restart(i)
 	}
-	f.since = f.now
+	f.holderSince = f.now
 	return f
 }
 
 // step plays half a second.
 func (f *fleet) step() {
-	f.disturb()
+	f.injectFault()
 	f.report()
 	f.retry()
 	f.now += 500 * time.Millisecond
 }
 
-// disturb draws a fault, now and then.
-func (f *fleet) disturb() {
+// injectFault draws a fault, now and then.
+func (f *fleet) injectFault() {
 	switch f.rng.IntN(60) {
 	case 0:
 		f.partition()
 	case 1:
-		for k := range f.cut {
-			clear(f.cut[k])
+		for k := range f.isolated {
+			clear(f.isolated[k])
 		}
 	case 2:
-		f.holder, f.since = f.rng.IntN(3), f.now+3*time.Second // the lease must run out in between
-		f.heard[f.rng.IntN(3)] = map[int]time.Duration{}
+		f.leaseHolder, f.holderSince = f.rng.IntN(3), f.now+3*time.Second // the lease must run out in between
+		f.lastReports[f.rng.IntN(3)] = map[int]time.Duration{}
 	case 3: // the holder restarts
-		f.heard[f.holder], f.since = map[int]time.Duration{}, f.now
+		f.lastReports[f.leaseHolder], f.holderSince = map[int]time.Duration{}, f.now
 	case 4: // many routers restart
 		for i := range f.ids {
 			if f.rng.IntN(3) > 0 {
@@ -91,8 +91,8 @@
 	chance := 1 + f.rng.IntN(7)
 	for i := range f.ids {
 		side := f.rng.IntN(8) < chance
-		for k := range f.cut {
-			f.cut[k][i] = side == (k == 0)
+		for k := range f.isolated {
+			f.isolated[k][i] = side == (k == 0)
 		}
 	}
 }
@@ -100,9 +100,9 @@
 // report has every router ask every replica that it can reach.
 func (f *fleet) report() {
 	for i, id := range f.ids {
-		for k := range f.heard {
-			if !f.cut[k][i] {
-				f.heard[k][id] = f.now
+		for k := range f.lastReports {
+			if !f.isolated[k][i] {
+				f.lastReports[k][id] = f.now
 				f.shares[i].Update(f.now, f.now, f.count(k))
 			}
 		}
@@ -111,13 +111,13 @@
 
 // count returns the incarnations that a replica reports; 0 = it cannot say.
 func (f *fleet) count(replica int) (incarnations int) {
-	for _, at := range f.heard[replica] {
+	for _, at := range f.lastReports[replica] {
 		if f.now-at <= CountingPeriod(window, validity) {
 			incarnations++
 		}
 	}
-	cannotSay := f.now < f.since+CountingPeriod(window, validity) && !f.reportsAtOnce || f.now < f.since || f.rng.IntN(4) == 0
-	if !f.allReport && (replica != f.holder || cannotSay) {
+	cannotSay := f.now < f.holderSince+CountingPeriod(window, validity) && !f.reportsAtOnce || f.now < f.holderSince || f.rng.IntN(4) == 0
+	if !f.allReport && (replica != f.leaseHolder || cannotSay) {
 		return 0
 	}
 	return incarnations
@@ -133,11 +133,11 @@
 	}
 }
 
-// exceeded plays fleets and returns where there were more retries within a window than the total allows, and the most that there were.
-func exceeded(seeds uint64, breaks func(*fleet)) (found string, most int) {
+// findExcess plays fleets and returns where there were more retries within a window than the total allows, and the most that there were.
+func findExcess(seeds uint64, change func(*fleet)) (found string, maxRetries int) {
 	for seed := range seeds {
 		f := newFleet(seed)
-		breaks(f)
+		change(f)
 		for i := range f.shares {
 			f.restart(i)
 		}
@@ -149,26 +149,26 @@
 			for n < len(f.retries)-at && f.retries[at+n] < first+window {
 				n++
 			}
-			if most = max(most, n); n > total {
-				return fmt.Sprintf("seed %d: %d retries of %v in a window", seed, n, total), most
+			if maxRetries = max(maxRetries, n); n > total {
+				return fmt.Sprintf("seed %d: %d retries of %v in a window", seed, n, total), maxRetries
 			}
 		}
 	}
-	return "", most
+	return "", maxRetries
 }
 
 // TestSharesNeverExceedTheTotal plays partitions, holders that change or restart, and routers that restart by the dozen.
 func TestSharesNeverExceedTheTotal(t *testing.T) {
-	found, most := exceeded(100, func(*fleet) {})
-	if found != "" || most < total/2 {
-		t.Errorf("%q; %d at the most", found, most)
+	found, maxRetries := findExcess(100, func(*fleet) {})
+	if found != "" || maxRetries < total/2 {
+		t.Errorf("%q; %d at the most", found, maxRetries)
 	}
-	for name, breaks := range map[string]func(*fleet){
+	for name, change := range map[string]func(*fleet){
 		"a replica that begins to count reports at once": func(f *fleet) { f.reportsAtOnce = true },
 		"a report is valid for good":                     func(f *fleet) { f.reportsForever = true },
 		"every replica reports":                          func(f *fleet) { f.allReport = true },
 	} {
-		if found, _ := exceeded(100, breaks); found == "" {
+		if found, _ := findExcess(100, change); found == "" {
 			t.Errorf("%s: not found", name)
 		}
 	}
