--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -19,15 +19,15 @@
 
 // Send implements policy.Actions. It enforces what the module may have overlooked: an attempt for a request that is answered or
 // bound, beyond the maximum of attempts, past the deadline, or to an unknown host, ends as moot without being sent.
-func (p *pool) Send(id policy.RequestID, host policy.ReplicaID, timeout time.Duration) {
+func (p *pool) Send(id policy.RequestID, hostID policy.ReplicaID, timeout time.Duration) {
 	d, req := p.dispatcher, p.findRequest(id)
 	if req == nil {
 		return
 	}
-	att := &attempt{id: AttemptID{id, len(req.attempts)}, host: host, sentAt: d.now}
+	att := &attempt{id: AttemptID{id, len(req.attempts)}, host: hostID, sentAt: d.now}
 	req.attempts = append(req.attempts, att)
 	req.running++
-	h := p.hosts[host]
+	h := p.hosts[hostID]
 	span := p.traceSent(req, att, h)
 	expiresAt := req.deadline
 	if timeout != 0 {
@@ -52,7 +52,7 @@
 		att.timer = d.timers.Add(expiresAt, timer{request: req, attempt: att})
 	}
 	start := StartAttempt{
-		Pool: p.id, Attempt: att.id, Client: req.client, Host: host, HostName: h.Name, Addr: h.Addr, Timeout: expiresAt - d.now,
+		Pool: p.id, Attempt: att.id, Client: req.client, Host: hostID, HostName: h.Name, Addr: h.Addr, Timeout: expiresAt - d.now,
 	}
 	if d.traces != nil {
 		d.emit(StartTracedAttempt{start, span})
@@ -134,10 +134,10 @@
 }
 
 // Probe implements policy.Actions.
-func (p *pool) Probe(host policy.ReplicaID) {
-	if h := p.hosts[host]; h != nil {
+func (p *pool) Probe(hostID policy.ReplicaID) {
+	if h := p.hosts[hostID]; h != nil {
 		p.counters.Probes++
-		p.dispatcher.emit(SendProbe{Pool: p.id, Host: host, Addr: h.Addr, Sent: p.dispatcher.now})
+		p.dispatcher.emit(SendProbe{Pool: p.id, Host: hostID, Addr: h.Addr, Sent: p.dispatcher.now})
 	}
 }
 
