--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -9,7 +9,7 @@
 
 var _ policy.Actions = (*pool)(nil)
 
-// findRequest returns a request of this pool.
+// findRequest returns the request with the given id, or nil if it does not exist or belongs to another pool.
 func (p *pool) findRequest(id policy.RequestID) *request {
 	if req := p.dispatcher.requests[id]; req != nil && req.pool == p {
 		return req
@@ -17,8 +17,8 @@
 	return nil
 }
 
-// Send implements policy.Actions. It enforces what the module may have overlooked: an attempt for a request that is answered or
-// bound, beyond the maximum of attempts, past the deadline, or to an unknown host, ends as moot without being sent.
+// Send implements policy.Actions. It does not rely on the module to check the limits. An attempt ends as moot without being sent
+// if its request is already answered or bound, out of attempts or past its deadline, or if the host is unknown.
 func (p *pool) Send(id policy.RequestID, hostID policy.ReplicaID, timeout time.Duration) {
 	d, req := p.dispatcher, p.findRequest(id)
 	if req == nil {
@@ -40,7 +40,7 @@
 	}
 	if p.slowStartLimitReached(h) {
 		d.traceNotSent(req, att, policy.ResultFull)
-		d.endDeferred(req, att, policy.ResultFull) // as if the host itself had rejected it
+		d.endDeferred(req, att, policy.ResultFull) // the module treats it as a rejection by the host
 		return
 	}
 	if p.retryBudget != nil && req.reachedHost && !p.retryBudget.TryTake(d.now) {
@@ -61,7 +61,7 @@
 	d.emit(start)
 }
 
-// traceSent traces that the module sends an attempt, and returns the span that it carries; nil where nothing is traced.
+// traceSent records an attempt in the trace and returns the span that it carries, or nil if tracing is off.
 func (p *pool) traceSent(req *request, att *attempt, h *Host) *trace.Carried {
 	d := p.dispatcher
 	if d.traces == nil {
@@ -92,7 +92,7 @@
 // Fail implements policy.Actions.
 func (p *pool) Fail(id policy.RequestID) { p.answer(id, VerdictFailed, 0) }
 
-// answer gives a final answer without a result. One for a request that is answered already does nothing.
+// answer ends a request with a final answer that carries no result. It does nothing if the request is already answered or bound.
 func (p *pool) answer(id policy.RequestID, verdict Verdict, retryAfter time.Duration) {
 	d, req := p.dispatcher, p.findRequest(id)
 	if req == nil || req.answered || req.bound != nil {
@@ -119,7 +119,7 @@
 	}
 }
 
-// Cancel implements policy.Actions. An attempt whose answer the client gets is not cancelled while the client is there.
+// Cancel implements policy.Actions. The attempt that is bound to the request is cancelled only after the client has disconnected.
 func (p *pool) Cancel(id policy.RequestID, index int) {
 	d := p.dispatcher
 	req, att := d.findAttempt(AttemptID{id, index})
@@ -144,7 +144,7 @@
 // Watch implements policy.Actions.
 func (p *pool) Watch() { p.dispatcher.emit(WatchEndpoints{p.id}) }
 
-// SetTimer implements policy.Actions. The timer never fires within the call that sets it.
+// SetTimer implements policy.Actions. The timer always fires after the call that sets it, even with a zero delay.
 func (p *pool) SetTimer(after time.Duration, token uint64) {
 	d := p.dispatcher
 	d.timers.Add(d.now+max(after, 1), timer{pool: p, token: token})
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -8,18 +8,18 @@
 	"notchhinge/policy"
 )
 
-// attempt is one sending of a request to one host.
+// attempt is one try of a request at one host.
 type attempt struct {
 	id               AttemptID
 	host             policy.ReplicaID
 	sentAt           time.Duration
 	timer            timerqueue.Key
-	ended            bool // its one outcome is known
-	staleConnection  bool // its connection was at fault
-	reachedOtherHost bool // another host than the one that was meant has answered
+	ended            bool // its outcome is known
+	staleConnection  bool // the host had closed the reused connection
+	reachedOtherHost bool // a host other than the intended one answered
 }
 
-// findAttempt returns an attempt and its request; nil, nil if it is not known.
+// findAttempt returns an attempt and its request, or nil, nil if either is unknown.
 func (d *Dispatcher) findAttempt(id AttemptID) (*request, *attempt) {
 	req := d.requests[id.Request]
 	if req == nil || id.Index < 0 || id.Index >= len(req.attempts) {
@@ -28,7 +28,7 @@
 	return req, req.attempts[id.Index]
 }
 
-// attemptStarted binds the request to the attempt whose answer began first, and cancels the others.
+// attemptStarted binds the request to the first attempt whose response has begun, and cancels the other attempts.
 func (d *Dispatcher) attemptStarted(id AttemptID) {
 	req, att := d.findAttempt(id)
 	if att == nil || att.ended || req.answered || req.bound != nil {
@@ -52,7 +52,7 @@
 	}
 }
 
-// attemptEnded takes in the outcome of an attempt.
+// attemptEnded records the outcome that the upstream reported for an attempt.
 func (d *Dispatcher) attemptEnded(e *AttemptEnded) {
 	req, att := d.findAttempt(e.Attempt)
 	d.traceAttemptEnd(req, e)
@@ -69,13 +69,13 @@
 	report       policy.Report
 }
 
-// cancelAttempt abandons an attempt. The module hears of the outcome once it has returned.
+// cancelAttempt cancels an attempt. Its outcome is reported after the module has returned from the current call.
 func (d *Dispatcher) cancelAttempt(req *request, att *attempt, result policy.Result) {
 	d.emit(CancelAttempt{att.id})
 	d.endDeferred(req, att, result)
 }
 
-// attemptTimedOut abandons an attempt whose time is over.
+// attemptTimedOut cancels an attempt whose timeout has expired.
 func (d *Dispatcher) attemptTimedOut(req *request, att *attempt) {
 	if att.ended {
 		return
@@ -84,7 +84,7 @@
 	d.endAttempt(req, att, outcome{result: policy.ResultTimedOut})
 }
 
-// endDeferred ends an attempt during a call of the module, which hears of the outcome afterwards.
+// endDeferred ends an attempt while the module is running, and defers the report of its outcome until the module has returned.
 func (d *Dispatcher) endDeferred(req *request, att *attempt, result policy.Result) {
 	att.ended = true
 	d.timers.Remove(att.timer)
@@ -97,7 +97,8 @@
 	d.reportOutcome(req, att, o)
 }
 
-// reportOutcome gives the module the one outcome of an attempt. The end of a bound attempt, complete or not, ends the request.
+// reportOutcome passes the outcome of an attempt to the module, once for each attempt. If the attempt is bound, its end also ends
+// the request, whether the response is complete or not.
 func (d *Dispatcher) reportOutcome(req *request, att *attempt, o outcome) {
 	p, result := req.pool, o.result
 	neverReached := result == policy.ResultConnectFailed || result == policy.ResultMoot
@@ -122,7 +123,7 @@
 	d.removeIfFinished(req)
 }
 
-// closeBound closes a request whose answer has ended.
+// closeBound closes a request whose bound attempt has ended, and counts it as served or broken.
 func (d *Dispatcher) closeBound(req *request, result policy.Result) {
 	d.closeRequest(req)
 	if result == policy.ResultOK {
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -10,37 +10,37 @@
 	"notchhinge/policy"
 )
 
-// Counters count what a router received, sent and answered since its start.
+// Counters count the requests, attempts, probes and list updates of a router since its start.
 type Counters struct {
 	Received           int
-	RejectedByFrontend int                   // before the module heard of them
+	RejectedByFrontend int                   // rejected before they reached the module
 	Attempts           int                   // sent
 	Outcomes           map[policy.Result]int // of attempts
 	Served             int
-	Broken             int // streams that broke after their first event
+	Broken             int // responses that ended early after their first event
 	Rejected           int
 	Failed             int
-	ClientsLeft        int // before their answer
+	ClientsLeft        int // clients that disconnected before the end of their response
 	Probes             int
-	Lists              int // answers of discovery
-	ListEntries        int // entries in them
-	Open               int // requests now
+	Lists              int // endpoint list updates from discovery
+	ListEntries        int // entries in these updates
+	Open               int // requests open now
 	Traces             *trace.Counters
 }
 
-// PoolCounters are the counters of one pool.
+// PoolCounters are the counters of one pool, and its present size and state.
 type PoolCounters struct {
 	Counters
 	Pool         hoststate.PoolID
 	Name         string
 	Hosts        int
-	Ready        int // of the hosts
-	Unfinished   int // requests with an attempt running, those included that have their answer
+	Ready        int // hosts that are ready
+	Unfinished   int // open requests, and answered ones that still have a running attempt
 	IsEnding     bool
 	RequestQuota quota.Claim
 }
 
-// add adds another pool's counters.
+// add adds the counters of a pool.
 func (c *Counters) add(o *Counters) {
 	c.Received += o.Received
 	c.RejectedByFrontend += o.RejectedByFrontend
@@ -58,7 +58,7 @@
 	c.ListEntries += o.ListEntries
 }
 
-// countersReport answers GetCounters. Another goroutine may read what it returns.
+// countersReport answers GetCounters. The report shares no memory with the dispatcher, so other goroutines may read it.
 func (d *Dispatcher) countersReport(replyTo any) CountersReport {
 	all := d.counters
 	all.Outcomes = maps.Clone(all.Outcomes)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -11,29 +11,30 @@
 	"notchhinge/policy"
 )
 
-// Dispatcher is the reducer: Reduce is the only thing that changes it. It is not safe for concurrent use.
+// Dispatcher is the reducer: its state changes only in Reduce. It is not safe for concurrent use.
 type Dispatcher struct {
 	limits      limits.Limits
 	pools       map[hoststate.PoolID]*pool
-	poolsEnding bool               // at least one
-	sharedHosts *hoststate.Tracker // nil as long as there is one pool
+	poolsEnding bool               // at least one pool is ending
+	sharedHosts *hoststate.Tracker // nil until a second pool is added
 
 	requests       map[policy.RequestID]*request
 	byClient       map[Client]*request
-	clientRequests map[clientRequestKey]bool // of open requests
-	requestQuota   *quota.Quota              // of open requests, by pool
+	clientRequests map[clientRequestKey]bool // client request IDs of open requests
+	requestQuota   *quota.Quota              // limits the open requests of each pool
 	lastRequestID  policy.RequestID
 
 	now      time.Duration
 	timers   *timerqueue.Queue[timer]
 	effects  []Effect
-	deferred []func() // outcomes that a module hears of once it has returned from the present call
+	deferred []func() // reports of outcomes, run after a module has returned from its current call
 
-	counters Counters        // of requests for pools that have ended
-	traces   *trace.Recorder // nil where nothing is traced
+	counters Counters        // of pools that have ended, and of rejections that belong to no pool
+	traces   *trace.Recorder // nil if tracing is off
 }
 
-// timer says what is due: the end of an attempt or of a request, an idle connection, a reminder or a timer of a module.
+// timer is a timer queue entry: the timeout of an attempt or of a request, the closing of an idle connection, a reminder, or a
+// timer of a pool's module.
 type timer struct {
 	request    *request
 	attempt    *attempt
@@ -53,10 +54,10 @@
 	}
 }
 
-// Trace has all further requests traced. It is called before the first event.
+// Trace turns tracing on. It must be called before the first event.
 func (d *Dispatcher) Trace(o trace.Options) { d.traces = trace.New(o, traceOwner{d}) }
 
-// traceOwner is the dispatcher as the trace recorder sees it.
+// traceOwner gives the trace recorder its timers and exports the traces that it keeps.
 type traceOwner struct{ d *Dispatcher }
 
 func (o traceOwner) Wake(at time.Duration) {
@@ -64,16 +65,16 @@
 }
 func (o traceOwner) Keep(t *trace.Try) { o.d.emit(ExportTrace{t}) }
 
-// NextDue returns the time at which the dispatcher wants a Tick.
+// NextDue returns the time at which the next timer is due; ok is false if there is none. The caller then reduces a Tick.
 func (d *Dispatcher) NextDue() (at time.Duration, ok bool) { return d.timers.NextDue() }
 
-// OpenRequests returns the number of requests that wait for the end of their answer.
+// OpenRequests returns the number of requests whose response has not ended.
 func (d *Dispatcher) OpenRequests() int { return len(d.byClient) }
 
-// Reduce takes in an event and returns what is to be done. Everything that is due by now comes first. The effects are valid
-// until the next call.
+// Reduce handles an event and returns the effects to carry out. Timers that are due by now fire before the event is handled. The
+// returned slice is valid until the next call.
 func (d *Dispatcher) Reduce(now time.Duration, e Event) []Effect {
-	d.now = max(d.now, now) // the modules' clock never goes back
+	d.now = max(d.now, now) // the modules need a clock that never goes back
 	clear(d.effects)
 	d.effects = d.effects[:0]
 	for t, ok := d.timers.PopDue(d.now); ok; t, ok = d.timers.PopDue(d.now) {
@@ -88,7 +89,7 @@
 	return d.effects
 }
 
-// runDeferred reports to the modules what their own actions have caused.
+// runDeferred reports the outcomes that were deferred while a module was running.
 func (d *Dispatcher) runDeferred() {
 	for len(d.deferred) > 0 {
 		next := d.deferred[0]
@@ -100,7 +101,7 @@
 
 func (d *Dispatcher) emit(e Effect) { d.effects = append(d.effects, e) }
 
-// handle takes in an event of a request or of an attempt, and passes others on.
+// handle handles the events of requests, attempts and the process; those of pools and traces have handlers of their own.
 func (d *Dispatcher) handle(e Event) {
 	switch e := e.(type) {
 	case RequestReceived:
@@ -128,7 +129,7 @@
 	}
 }
 
-// handlePoolEvent takes in an event of a pool, or of all of them.
+// handlePoolEvent handles an event that concerns one pool or all pools.
 func (d *Dispatcher) handlePoolEvent(e Event) {
 	switch e := e.(type) {
 	case ProbeDone:
@@ -160,7 +161,7 @@
 	}
 }
 
-// probeDone passes the result of a probe on to the module that asked for it.
+// probeDone passes the result of a probe to the module of its pool.
 func (d *Dispatcher) probeDone(e ProbeDone) {
 	p := d.pools[e.Pool]
 	if p == nil {
@@ -171,7 +172,7 @@
 	})
 }
 
-// setRetryAllowance changes what each pool's retry budget allows beyond its ratio.
+// setRetryAllowance sets the number of retries that each pool's retry budget allows beyond its ratio.
 func (d *Dispatcher) setRetryAllowance(allowance float64) {
 	for _, p := range d.pools {
 		if p.retryBudget != nil {
@@ -180,7 +181,7 @@
 	}
 }
 
-// timerFired does what is due.
+// timerFired handles a timer that is due.
 func (d *Dispatcher) timerFired(t timer) {
 	switch {
 	case t.attempt != nil:
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// fixture is a dispatcher with hosts and the effects of its last turn, one word each.
+// fixture is a dispatcher with one pool of hosts, and a clock that the test advances.
 type fixture struct {
 	*Dispatcher
 	t   *testing.T
@@ -58,6 +58,7 @@
 	return r
 }
 
+// reduce reduces an event at a time after the start of the test, and describes each effect in a short text.
 func (r *fixture) reduce(at time.Duration, e Event) []string {
 	var descriptions []string
 	for _, f := range r.Reduce(r.now+at, e) {
@@ -81,6 +82,7 @@
 	return descriptions
 }
 
+// expect reduces an event and compares the descriptions of its effects.
 func (r *fixture) expect(at time.Duration, e Event, want ...string) {
 	r.t.Helper()
 	if diff := cmp.Diff(want, r.reduce(at, e)); diff != "" {
@@ -96,29 +98,29 @@
 	r := newFixture(t, 2, nil)
 	r.expect(0, requestFrom("a", r.now, 4*sec), "send 1.0 for 4s")
 	r.expect(sec, AttemptStarted{AttemptID{1, 0}}, "bind 1.0")
-	r.expect(9*sec, Tick{}) // once begun, the deadline runs no longer
+	r.expect(9*sec, Tick{}) // the deadline does not apply once the response has begun
 	r.expect(9*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultOK})
-	r.expect(9*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultReset}) // a second outcome is none
+	r.expect(9*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultReset}) // a second outcome is ignored
 	if c := r.pools[0].counters; c.Served != 1 || c.Outcomes[policy.ResultOK] != 1 || c.Outcomes[policy.ResultReset] != 0 || len(r.requests) != 0 {
-		t.Errorf("counters %+v, %d open", c, len(r.requests))
+		t.Errorf("counters %+v, %d open requests", c, len(r.requests))
 	}
 }
 
 func TestDeadlineAnswersAtOnce(t *testing.T) {
-	// Guards against an request that outlives its time because its attempts are silent.
+	// Guards against a request that stays open past its deadline because its hosts do not respond.
 	r := newFixture(t, 2, nil)
-	r.expect(sec, requestFrom("a", r.now, 4*sec), "send 1.0 for 3s") // its time runs from its last byte
+	r.expect(sec, requestFrom("a", r.now, 4*sec), "send 1.0 for 3s") // the deadline counts from the last byte of the request
 	r.expect(4*sec-1, Tick{})
 	r.expect(4*sec, Tick{}, "cancel 1.0", "reject a failed after 0s")
-	r.expect(5*sec, AttemptStarted{AttemptID{1, 0}}, "cancel 1.0") // too late to be the client's
+	r.expect(5*sec, AttemptStarted{AttemptID{1, 0}}, "cancel 1.0") // too late: the client has its answer
 	r.expect(5*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultCancelled})
 	if n := r.pools[0].counters.Outcomes[policy.ResultTimedOut]; n != 1 || r.OpenRequests() != 0 {
-		t.Errorf("%d time-outs, %d open", n, r.OpenRequests())
+		t.Errorf("%d timed-out attempts, %d open requests", n, r.OpenRequests())
 	}
 }
 
 func TestDuplicateIDIsRejected(t *testing.T) {
-	// Passing a second request on under the id of an open one would be a second copy of that one's attempt.
+	// A second request with the ID of an open one could run the same work twice.
 	r := newFixture(t, 2, nil)
 	second := requestFrom("b", r.now, 4*sec)
 	first := requestFrom("a", r.now, 4*sec)
@@ -132,15 +134,15 @@
 }
 
 func TestAttemptsAreCapped(t *testing.T) {
-	// The module may go on only to hosts that it has not tried, and to three attempts at the most.
+	// Guards against more attempts than the maximum of three.
 	r := newFixture(t, 5, nil)
 	r.expect(0, requestFrom("a", r.now, 4*sec), "send 1.0 for 4s")
 	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed}, "send 1.1 for 3s")
 	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultFull}, "send 1.2 for 3s")
 	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 2}, Result: policy.ResultFull}, "reject a rejected after 500ms")
-	r.pools[0].Send(1, 0, 0) // over: no effect, and no attempt
+	r.pools[0].Send(1, 0, 0) // the request is closed: no effect and no attempt
 	if r.pools[0].counters.Attempts != 3 {
-		t.Errorf("%d attempts", r.pools[0].counters.Attempts)
+		t.Errorf("%d attempts were sent, want 3", r.pools[0].counters.Attempts)
 	}
 }
 
@@ -153,16 +155,16 @@
 		r.pools[0].Send(1, host, 0)
 		r.runDeferred()
 		if len(r.effects) != 0 {
-			t.Errorf("%s: %v", name, r.effects)
+			t.Errorf("%s: unexpected effects %v", name, r.effects)
 		}
 	}
 	if n := r.pools[0].counters.Outcomes[policy.ResultMoot]; n != 2 {
-		t.Errorf("%d moot", n)
+		t.Errorf("%d attempts ended as moot, want 2", n)
 	}
 }
 
 func TestFirstEventBindsTheRequest(t *testing.T) {
-	// With two copies out, the first event takes the request and the other copy is cancelled.
+	// With two attempts running, the first event binds the request to its attempt and the other attempt is cancelled.
 	r := newFixture(t, 2, nil)
 	r.reduce(0, requestFrom("a", r.now, 4*sec))
 	for _, name := range []string{"h0", "h1"} {
@@ -172,13 +174,13 @@
 	}
 	r.expect(sec, AttemptStarted{AttemptID{1, 1}}, "bind 1.1", "cancel 1.0")
 	r.expect(sec, AttemptStarted{AttemptID{1, 0}}, "cancel 1.0")
-	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultReset}) // a broken stream ends the request
+	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultReset}) // the end of the bound attempt ends the request, even if the stream breaks
 	if c := r.pools[0].counters; c.Broken != 1 || c.Outcomes[policy.ResultCancelled] != 1 || len(r.requests) != 0 {
 		t.Errorf("counters %+v, %d open", c, len(r.requests))
 	}
 }
 
-func TestAttemptTimeOut(t *testing.T) {
+func TestAttemptTimeout(t *testing.T) {
 	r := newFixture(t, 3, nil)
 	r.reduce(0, requestFrom("a", r.now, 4*sec))
 	for _, name := range []string{"h0", "h1", "h2"} {
@@ -187,13 +189,13 @@
 			break
 		}
 	}
-	r.expect(sec, Tick{}, "cancel 1.1") // the first attempt stays out
+	r.expect(sec, Tick{}, "cancel 1.1") // the first attempt keeps running
 	if n := r.pools[0].counters.Outcomes[policy.ResultTimedOut]; n != 1 || r.requests[1].running != 1 {
-		t.Errorf("%d time-outs, %d running", n, r.requests[1].running)
+		t.Errorf("%d timed-out attempts, %d running", n, r.requests[1].running)
 	}
 }
 
-func TestClientThatLeavesCancelsItsAttempts(t *testing.T) {
+func TestClientDisconnectCancelsAttempts(t *testing.T) {
 	for name, begun := range map[string]bool{"waiting": false, "streaming": true} {
 		r := newFixture(t, 2, nil)
 		r.reduce(0, requestFrom("a", r.now, 4*sec))
@@ -209,12 +211,12 @@
 }
 
 func TestRequestsBeyondTheLimitAreRejected(t *testing.T) {
-	// More requests than there are descriptors are rejected before the module hears of them.
+	// Requests beyond the limit on concurrent requests must not reach the module.
 	r := newFixture(t, 2, func(l *limits.Limits) { l.ConcurrentRequests = 1 })
 	r.reduce(0, requestFrom("a", r.now, 4*sec))
 	r.expect(0, requestFrom("b", r.now, 4*sec), "reject b rejected after 500ms")
 	if c := r.pools[0].counters; c.Received != 1 || c.RejectedByFrontend != 1 {
-		t.Errorf("counters %+v", c)
+		t.Errorf("unexpected counters %+v", c)
 	}
 }
 
@@ -240,22 +242,22 @@
 	r.expect(2*sec, Tick{})
 }
 
-func TestGoneHostGetsNothing(t *testing.T) {
+func TestGoneHostReceivesNoAttempt(t *testing.T) {
 	r := newFixture(t, 1, nil)
 	r.expect(0, EndpointsListed{Kind: policy.ListDelta, Hosts: []Host{{Name: "h0", State: policy.StateGone}}})
 	r.expect(0, requestFrom("a", r.now, 4*sec), "reject a rejected after 500ms")
 }
 
 func TestHostIDsAreHashesOfNames(t *testing.T) {
-	// Every router must give a host the same number, since the module draws by it.
+	// Every router must derive the same ID for a host, since the module's choices depend on the IDs.
 	x, y := newFixture(t, 3, nil), newFixture(t, 9, nil)
 	if x.pools[0].hostID("h2") != y.pools[0].hostID("h2") || x.pools[0].hostID("h1") == x.pools[0].hostID("h2") {
-		t.Error("host ids differ between routers, or are shared")
+		t.Error("host IDs differ between routers, or two hosts have the same ID")
 	}
 }
 
 func TestDispatchImportsNoNetwork(t *testing.T) {
-	// Neither the reducer nor what it is built on may know the network.
+	// Neither the reducer nor its dependencies may use the network.
 	out, err := exec.CommandContext(t.Context(), "go", "list", "-deps", ".").Output()
 	if err != nil {
 		t.Fatal(err)
@@ -263,7 +265,7 @@
 	deps := strings.Fields(string(out))
 	for _, p := range deps {
 		if p == "net" || strings.HasPrefix(p, "net/") || strings.HasPrefix(p, "encoding/json") {
-			t.Errorf("the dispatcher depends on %s", p)
+			t.Errorf("package dispatch depends on %s", p)
 		}
 	}
 	if len(deps) < 5 {
@@ -271,8 +273,8 @@
 	}
 }
 
-func TestHostsThatHaveGoneAreForgotten(t *testing.T) {
-	// Guards against growth on a day on which hosts are replaced by others, one after the other.
+func TestGoneHostsAreRemoved(t *testing.T) {
+	// Guards against maps that grow as hosts are replaced.
 	r := newFixture(t, 3, nil)
 	host := func(i int, s policy.State) Host {
 		return Host{Name: fmt.Sprint("h", i), Addr: "d", Weight: 1, State: s}
@@ -286,13 +288,13 @@
 	r.reduce(0, EndpointsListed{Kind: policy.ListFull, Hosts: []Host{host(9000, policy.StateReady)}})
 	r.reduce(0, EndpointsListed{Kind: policy.ListFailed})
 	if len(r.pools[0].hosts) != 1 || len(r.pools[0].hostIDs) != 1 {
-		t.Errorf("%d hosts, %d names after a whole list", len(r.pools[0].hosts), len(r.pools[0].hostIDs))
+		t.Errorf("%d hosts, %d names after a full list", len(r.pools[0].hosts), len(r.pools[0].hostIDs))
 	}
 }
 
-func TestLeavingAtTheDeadlineIsATimeOut(t *testing.T) {
-	// A client that gives up when its time is over closes its connection a moment before the deadline is noticed here.
-	// As cancelled attempts these said nothing to the module, which never saw an overload on sockets.
+func TestDisconnectAtTheDeadlineCountsAsTimeout(t *testing.T) {
+	// A client that gives up at its deadline disconnects shortly before the deadline timer fires. If its attempts ended as
+	// cancelled, the module could not detect overload.
 	for _, c := range []struct {
 		at   time.Duration
 		want policy.Result
@@ -301,48 +303,49 @@
 		r.reduce(0, requestFrom("a", r.now, 4*sec))
 		r.expect(c.at, ClientLeft{"a"}, "cancel 1.0")
 		if r.pools[0].counters.Outcomes[c.want] != 1 || r.pools[0].counters.ClientsLeft != 1 {
-			t.Errorf("left after %v: %+v", c.at, r.counters)
+			t.Errorf("disconnected after %v: counters %+v", c.at, r.counters)
 		}
 	}
 	r := newFixture(t, 2, nil)
 	r.reduce(0, requestFrom("a", r.now, 4*sec))
 	r.reduce(sec, AttemptStarted{AttemptID{1, 0}})
-	r.reduce(4*sec-1, ClientLeft{"a"}) // in its stream, whose time is not the deadline's
+	r.reduce(4*sec-1, ClientLeft{"a"}) // while its response streams, which the deadline does not bound
 	if r.pools[0].counters.Outcomes[policy.ResultCancelled] != 1 {
-		t.Errorf("left in its stream: %+v", r.counters)
+		t.Errorf("disconnected during the response: counters %+v", r.counters)
 	}
 }
 
-// TestRetryAllowanceHoldsFromTheNextRetry changes the allowance while requests are open.
-func TestRetryAllowanceHoldsFromTheNextRetry(t *testing.T) {
+// TestRetryAllowanceAppliesFromTheNextRetry changes the allowance while requests are open.
+func TestRetryAllowanceAppliesFromTheNextRetry(t *testing.T) {
 	r := newFixture(t, 3, nil)
 	r.Reduce(r.now, ConfigurePool{RetryBudget: &retrybudget.Budget{Allowance: 5, Window: 10 * sec}})
 	r.expect(0, requestFrom("a", r.now, 4*sec), "send 1.0 for 4s")
 	if again := r.reduce(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultFull}); len(again) != 1 || again[0] != "send 1.1 for 4s" {
-		t.Fatalf("within its part: %v", again)
+		t.Fatalf("within the allowance: %v", again)
 	}
-	r.Reduce(r.now, RetryAllowance(1.9)) // one was sent already
+	r.Reduce(r.now, RetryAllowance(1.9)) // one retry was sent already
 	r.expect(sec, requestFrom("b", r.now+sec, 4*sec), "send 2.0 for 4s")
 	if again := r.reduce(sec, AttemptEnded{Attempt: AttemptID{2, 0}, Result: policy.ResultFull}); len(again) != 1 || !strings.HasPrefix(again[0], "reject b ") {
-		t.Errorf("beyond its part: %v", again)
+		t.Errorf("beyond the allowance: %v", again)
 	}
-	for lives := 1; lives < 2000; lives++ { // all start anew within a window: the old ones' parts and the new ones'
-		if sum := float64(lives)/limits.RetryShares(lives) + float64(lives)/limits.RetryShares(2*lives); sum > 1.0001 {
-			t.Fatalf("%d routers that start anew may send %.2f of the whole", lives, sum)
+	for routers := 1; routers < 2000; routers++ { // all restart within a window: the shares of the old and of the new incarnations
+		if sum := float64(routers)/limits.RetryShares(routers) + float64(routers)/limits.RetryShares(2*routers); sum > 1.0001 {
+			t.Fatalf("%d restarted routers may send %.2f of the total", routers, sum)
 		}
 	}
 }
 
-// TestAnswerOfAnotherHostCountsAsSent: 421 is another host's word. It has not run, and has arrived at the service all the same: the next is a repeat.
+// TestAnswerOfAnotherHostCountsAsSent checks that an attempt answered by another host (status 421) counts as sent although it has
+// not run: the next attempt is a retry that the budget must allow.
 func TestAnswerOfAnotherHostCountsAsSent(t *testing.T) {
-	for _, arrived := range []bool{false, true} {
+	for _, reachedOtherHost := range []bool{false, true} {
 		r := newFixture(t, 3, nil)
 		r.Reduce(r.now, ConfigurePool{RetryBudget: &retrybudget.Budget{Allowance: 1, Window: 10 * sec}})
 		r.expect(0, requestFrom("a", r.now, 4*sec), "send 1.0 for 4s")
-		r.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed, ReachedOtherHost: arrived}, "send 1.1 for 4s")
-		again := r.reduce(0, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultConnectFailed, ReachedOtherHost: arrived})
-		if sent := len(again) == 1 && again[0] == "send 1.2 for 4s"; sent == arrived {
-			t.Errorf("arrived %v: %v", arrived, again)
+		r.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed, ReachedOtherHost: reachedOtherHost}, "send 1.1 for 4s")
+		again := r.reduce(0, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultConnectFailed, ReachedOtherHost: reachedOtherHost})
+		if sent := len(again) == 1 && again[0] == "send 1.2 for 4s"; sent == reachedOtherHost {
+			t.Errorf("reached another host %v: %v", reachedOtherHost, again)
 		}
 	}
 }
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,12 +1,12 @@
-// Package dispatch owns the life of every request between the frontends and the upstreams: which requests are open, their
-// attempts, their deadlines, and the endpoints of each pool. It drives a decision module (package policy) for each pool.
+// Package dispatch holds the state of all requests between the frontends and the upstreams: the open requests, their attempts and
+// deadlines, and the endpoints of each pool. Each pool has a decision module (package policy) that chooses the hosts.
 //
-// Dispatcher is a reducer: events come in, effects go out, and nothing else changes it. It knows no socket, no HTTP and no
-// clock; Loop owns the clock and the order of events, and has the effects carried out. What it promises:
+// Dispatcher is a reducer: Reduce takes an event, updates the state and returns the effects to carry out. It has no sockets, no
+// HTTP and no clock. Loop reads the clock, orders the events and has the effects carried out. The guarantees:
 //
-//   - Every RequestReceived gets exactly one end: an answer (BindAttempt, then AttemptEnded), a Reject, or ClientLeft.
-//   - Every StartAttempt is followed by exactly one AttemptEnded of the upstream, and the module hears of exactly one outcome.
-//   - Nothing is sent for a request that is answered, bound to an attempt, or past its deadline, whatever the module says.
+//   - Every RequestReceived ends exactly once: with a response (BindAttempt, then AttemptEnded), a Reject, or ClientLeft.
+//   - The upstream reports exactly one AttemptEnded for every StartAttempt, and the module gets exactly one outcome for it.
+//   - No attempt starts for a request that is answered, bound to an attempt, or past its deadline, even if the module sends one.
 //
-// Times are of the loop's monotonic clock.
+// All times are readings of the loop's monotonic clock.
 package dispatch
--- a/internal/dispatch/effect.go
+++ b/internal/dispatch/effect.go
@@ -8,21 +8,21 @@
 	"notchhinge/policy"
 )
 
-// Verdict is why a request gets no result.
+// Verdict says why a request was answered without a result.
 type Verdict uint8
 
 // The verdicts.
 const (
 	VerdictRejected    Verdict = iota // a retry is harmless
-	VerdictFailed                     // nothing is promised
-	VerdictDuplicateID                // its id is that of another open request
+	VerdictFailed                     // whether a retry is safe is unknown
+	VerdictDuplicateID                // another open request has the same client request ID
 )
 
-// Effect is something to be done. Doing it must not wait.
+// Effect is an action for the caller of Reduce. Carrying it out must not block.
 type Effect interface{ effect() }
 
 type (
-	// StartAttempt sends a request to a host, which may take Timeout for the first event of its answer.
+	// StartAttempt sends a request to a host. Timeout bounds the time until the first event of the response.
 	StartAttempt struct {
 		Pool     hoststate.PoolID
 		Attempt  AttemptID
@@ -32,50 +32,50 @@
 		Addr     string
 		Timeout  time.Duration
 	}
-	// StartTracedAttempt is StartAttempt where requests are traced: the attempt carries a span to its host.
+	// StartTracedAttempt replaces StartAttempt when tracing is on. The attempt carries Span to the host.
 	StartTracedAttempt struct {
 		StartAttempt
 		Span *trace.Carried
 	}
-	// BindAttempt gives the client to the attempt: it passes its answer on.
+	// BindAttempt makes an attempt the one whose response is passed on to the client.
 	BindAttempt struct{ Attempt AttemptID }
-	// CancelAttempt abandons an attempt.
+	// CancelAttempt cancels an attempt; its AttemptEnded still follows.
 	CancelAttempt struct{ Attempt AttemptID }
-	// Reject is a final answer without a result.
+	// Reject ends a request with an answer that carries no result.
 	Reject struct {
 		Client     Client
 		Verdict    Verdict
 		RetryAfter time.Duration // 0 = no advice
-		MayHaveRun bool          // an attempt is not known not to have run
+		MayHaveRun bool          // at least one attempt may have run at a host
 	}
-	// SendProbe asks a host for an answer; ProbeDone follows.
+	// SendProbe sends a health check to a host; ProbeDone follows.
 	SendProbe struct {
 		Pool hoststate.PoolID
 		Host policy.ReplicaID
 		Addr string
 		Sent time.Duration
 	}
-	// CloseIdleConnection closes a connection, if it is still idle under that number.
+	// CloseIdleConnection closes the connection with this number if it is still idle.
 	CloseIdleConnection struct{ Connection uint64 }
-	// ReminderDue answers SetReminder, at its time or a little later.
+	// ReminderDue follows SetReminder, at the requested time or a little later.
 	ReminderDue struct{ Token any }
-	// WatchEndpoints asks a pool's discovery for changes from now on; EndpointsListed follows with each.
+	// WatchEndpoints starts the watch of a pool's endpoint list; EndpointsListed follows with each change.
 	WatchEndpoints struct{ Pool hoststate.PoolID }
-	// PoolEnded says that an EndPool is complete: the pool's connections and its watch may be closed.
+	// PoolEnded reports that an EndPool is complete: the pool's connections and its watch may be closed.
 	PoolEnded struct{ Pool hoststate.PoolID }
-	// Log writes a line to the log, of a pool or of none.
+	// Log writes a line to the log. Pool is empty if the line concerns no pool.
 	Log struct{ Pool, Message string }
-	// Snapshots answers GetSnapshots, by the names of the pools.
+	// Snapshots answers GetSnapshots. Pools is keyed by pool name.
 	Snapshots struct {
 		ReplyTo any
 		Pools   map[string]*policy.Snapshot
 	}
-	// ExportTrace hands over a trace that is to be exported.
+	// ExportTrace exports a finished trace.
 	ExportTrace struct{ Trace *trace.Try }
 	// CountersReport answers GetCounters.
 	CountersReport struct {
 		ReplyTo  any
-		Counters Counters // of all pools, those included that have ended
+		Counters Counters // of all pools, including those that have ended
 		Pools    []PoolCounters
 	}
 )
--- a/internal/dispatch/event.go
+++ b/internal/dispatch/event.go
@@ -10,8 +10,8 @@
 	"notchhinge/policy"
 )
 
-// Client identifies the party that a request came from for as long as the request is open. The dispatcher compares it and passes
-// it on; only the frontends and the attempts use what is behind it.
+// Client identifies the sender of an open request. The dispatcher only compares it and passes it on; the frontends and the
+// upstreams know its type.
 type Client any
 
 // AttemptID identifies an attempt: its request, and its index among the attempts of that request.
@@ -20,67 +20,67 @@
 	Index   int
 }
 
-// Host is an entry of the endpoint list.
+// Host is an entry of an endpoint list.
 type Host struct {
 	Name       string // the same at every router
-	Addr       string // where this router reaches it
+	Addr       string // address at which this router reaches the host
 	Zone       int
 	Cell       int
 	State      policy.State
 	Weight     float64
-	StartedAt  time.Duration // its latest start, on the clock of the events; 0 = long ago
-	Deselected bool          // with policy.StateGone: the pool's selection changed, and the host may be in another pool
+	StartedAt  time.Duration // start of the process, on the loop's clock; 0 = long ago
+	Deselected bool          // with policy.StateGone: the pool no longer selects the host, which may still run in another pool
 }
 
-// Event is something that happened.
+// Event is an input of Dispatcher.Reduce.
 type Event interface{ event() }
 
 // Events of requests.
 type (
-	// RequestReceived reports a complete request. The dispatcher gives it its ID.
+	// RequestReceived reports a request that was read completely. The dispatcher assigns its ID.
 	RequestReceived struct {
 		Client          Client
 		Pool            hoststate.PoolID
-		ClientRequestID string        // one open request each; "" = none
-		ReceivedAt      time.Duration // its last byte; its deadline counts from there
+		ClientRequestID string        // unique among the pool's open requests; "" = none
+		ReceivedAt      time.Duration // when its last byte was read; its deadline counts from here
 		Request         policy.Request
-		MaxAttempts     int           // 0 = as many as the pool allows
-		Origin          *trace.Origin // nil where nothing is traced
+		MaxAttempts     int           // 0 = the pool's maximum
+		Origin          *trace.Origin // nil if tracing is off
 	}
-	// RejectionWritten reports that a Reject was written to the client, or could not be. Frontends report it where requests
-	// are traced and their Origin says so.
+	// RejectionWritten reports that a Reject was written to the client, or that the write failed. Frontends send it when tracing
+	// is on and the request's Origin asks for it.
 	RejectionWritten struct {
 		Client Client
 		At     time.Duration
 	}
-	// RejectedByFrontend reports that a frontend rejected a message by itself; it is only counted.
+	// RejectedByFrontend reports a message that a frontend rejected by itself. It is only counted.
 	RejectedByFrontend struct{}
-	// ClientLeft reports that a client has closed its connection or cancelled its request.
+	// ClientLeft reports that a client has disconnected or cancelled its request.
 	ClientLeft struct{ Client Client }
-	// SetReminder has ReminderDue follow at a time.
+	// SetReminder requests a ReminderDue at the given time.
 	SetReminder struct {
 		At    time.Duration
-		Token any // given back
+		Token any // returned in ReminderDue
 	}
 )
 
 // Events of upstreams.
 type (
-	// AttemptStarted reports that the first event of an answer is there. The attempt waits for BindAttempt or CancelAttempt.
+	// AttemptStarted reports the first event of a response. The attempt then waits for BindAttempt or CancelAttempt.
 	AttemptStarted struct{ Attempt AttemptID }
 	// AttemptEnded reports the end of an attempt. Each StartAttempt is followed by exactly one.
 	AttemptEnded struct {
 		Attempt         AttemptID
 		Result          policy.Result
-		StaleConnection bool // a reused connection was closed without a byte of an answer
-		// ReachedOtherHost says, with policy.ResultConnectFailed, that a host has answered which is not the one that was meant.
-		// The request has not run, and counts as sent.
+		StaleConnection bool // a reused connection was closed before the first byte of a response
+		// ReachedOtherHost reports, with policy.ResultConnectFailed, that a host other than the intended one answered. The
+		// request has not run, but a further attempt counts against the retry budget.
 		ReachedOtherHost bool
 		CachedTokens     float64
 		Report           policy.Report
-		Times            *trace.Times // nil where nothing is traced
+		Times            *trace.Times // nil if tracing is off
 	}
-	// ProbeDone answers SendProbe.
+	// ProbeDone reports the result of a SendProbe.
 	ProbeDone struct {
 		Pool   hoststate.PoolID
 		Host   policy.ReplicaID
@@ -94,7 +94,7 @@
 		Kind  policy.ListKind
 		Hosts []Host
 	}
-	// ConnectionIdle reports a connection that is to be closed after a time, before its host closes it.
+	// ConnectionIdle reports an idle connection. CloseIdleConnection follows after Idle, before the host closes the connection.
 	ConnectionIdle struct {
 		Connection uint64
 		Idle       time.Duration
@@ -103,32 +103,33 @@
 
 // Events of pools.
 type (
-	// ConfigurePool adds a pool, or changes an existing one: all but its module and the settings of that.
+	// ConfigurePool adds a pool or reconfigures an existing one. Module, SlowStart and SlowStartInitial of an existing pool do not
+	// change.
 	ConfigurePool struct {
 		Pool             hoststate.PoolID
-		Name             string              // "" = the only pool
-		Module           *policy.Balancer    // belongs to the pool from now on
-		SlowStart        time.Duration       // of the module's settings
-		SlowStartInitial float64             // of the module's settings
-		Classes          []trace.Class       // where requests are traced
-		RequestQuota     quota.Claim         // to open requests
-		TurnWeight       float64             // of its turns against other pools'; 0 = 1
-		MaxAttempts      int                 // of one request; 0 = as the limits say
-		RetryAfter       time.Duration       // with a rejection for want of capacity; 0 = as the limits say
-		RetryBudget      *retrybudget.Budget // nil = only the module bounds retries
+		Name             string              // "" = the pool is the only one
+		Module           *policy.Balancer    // used by this pool alone from now on
+		SlowStart        time.Duration       // as in the module's settings
+		SlowStartInitial float64             // as in the module's settings
+		Classes          []trace.Class       // for traces
+		RequestQuota     quota.Claim         // limits the pool's open requests
+		TurnWeight       float64             // weight of the pool in the fair queue of requests; 0 = 1
+		MaxAttempts      int                 // attempts of one request; 0 = default
+		RetryAfter       time.Duration       // with a rejection for lack of capacity; 0 = default
+		RetryBudget      *retrybudget.Budget // nil = only the module limits retries
 	}
-	// AddClasses gives a pool's module further classes; those that it has stay.
+	// AddClasses adds request classes to a pool's module. The existing classes stay.
 	AddClasses struct {
 		Pool    hoststate.PoolID
 		Classes []policy.Class
 	}
-	// EndPool says that nothing more is routed to a pool. PoolEnded follows once it has no request left.
+	// EndPool removes a pool that no request is routed to any more. PoolEnded follows once its last request has finished.
 	EndPool struct{ Pool hoststate.PoolID }
-	// RetryAllowance is, from now on, what each pool's retry budget allows beyond its ratio.
+	// RetryAllowance sets the number of retries that each pool's retry budget allows beyond its ratio.
 	RetryAllowance float64
-	// GetSnapshots asks for what the modules have learned; Snapshots answers.
+	// GetSnapshots requests a snapshot of each pool's module; Snapshots answers.
 	GetSnapshots struct{ ReplyTo any }
-	// RestoreSnapshot gives a pool's module what another process's module had learned.
+	// RestoreSnapshot restores a pool's module from a snapshot that another process took.
 	RestoreSnapshot struct {
 		Pool     hoststate.PoolID
 		Snapshot *policy.Snapshot
@@ -137,15 +138,15 @@
 
 // Events of the process.
 type (
-	// Tick says that something may be due.
+	// Tick is an event without content. Reducing it fires the timers that are due.
 	Tick struct{}
-	// StartDrain says that the program will end: traces of finished requests leave at once from now on.
+	// StartDrain reports that the process is shutting down. Traces of finished requests are exported at once from now on.
 	StartDrain struct{}
-	// FlushTraces says that the program ends: all traces leave.
+	// FlushTraces exports all traces, including those of open requests, before the process exits.
 	FlushTraces struct{}
-	// GetCounters asks for the counters; CountersReport answers.
+	// GetCounters requests the counters; CountersReport answers.
 	GetCounters struct{ ReplyTo any }
-	// LogLine is a line for the log.
+	// LogLine writes a line to the log.
 	LogLine string
 )
 
--- a/internal/dispatch/hosts.go
+++ b/internal/dispatch/hosts.go
@@ -14,7 +14,7 @@
 	return policy.Replica{ID: id, Zone: h.Zone, Cell: h.Cell, State: h.State, Weight: h.Weight, ReadyAt: h.StartedAt}
 }
 
-// endpointsListed takes in what a pool's endpoint list says.
+// endpointsListed applies an update of the pool's endpoint list.
 func (p *pool) endpointsListed(e EndpointsListed) {
 	d := p.dispatcher
 	list := policy.List{Kind: e.Kind}
@@ -23,7 +23,7 @@
 		p.counters.ListEntries += len(e.Hosts)
 	}
 	var notifications []hoststate.Notification
-	isListed := map[policy.ReplicaID]bool{} // of those in the list: whether it is not gone
+	isListed := map[policy.ReplicaID]bool{} // for each host in the list: whether it is present, and not gone
 	for _, h := range e.Hosts {
 		id := p.hostID(h.Name)
 		isListed[id] = h.State != policy.StateGone
@@ -41,7 +41,8 @@
 	d.notifyPools(notifications)
 }
 
-// removeHosts forgets the hosts that are gone, and those that a whole list does not name: hosts are replaced without end.
+// removeHosts removes the hosts that are gone and, after a full list, those that it does not name. Without it the maps would grow
+// as hosts are replaced.
 func (p *pool) removeHosts(isListed map[policy.ReplicaID]bool, isDelta bool) {
 	d := p.dispatcher
 	for id, h := range p.hosts {
@@ -66,8 +67,8 @@
 	}
 }
 
-// hostID returns a host's number. It is a hash of the name, since the module draws by it and all routers should draw alike; a
-// second name with the same hash gets the next number.
+// hostID returns the ID of a host, a hash of its name. The module's choices depend on the IDs, so every router must derive the same
+// ones. On a hash collision the next free number is used.
 func (p *pool) hostID(name string) policy.ReplicaID {
 	if id, ok := p.hostIDs[name]; ok {
 		return id
@@ -82,7 +83,7 @@
 	return id
 }
 
-// trackSharedHosts begins to track the hosts that pools share; with one pool there are none.
+// trackSharedHosts starts to track the hosts that pools share. It is called when the second pool is added.
 func (d *Dispatcher) trackSharedHosts() {
 	d.sharedHosts = hoststate.NewTracker(d.limits.DrainPrecedence)
 	for _, p := range d.pools {
@@ -92,16 +93,16 @@
 	}
 }
 
-// updateSharedHost compares what a list says of a host with what other pools' lists said of it, and changes its state to the one
-// that this pool must see. It returns what the other pools must be notified of.
+// updateSharedHost reconciles an entry of this pool's list with the other pools' lists and sets h.State to the state that this
+// pool's module must see. It returns the notifications for the other pools.
 func (p *pool) updateSharedHost(id policy.ReplicaID, h *Host) []hoststate.Notification {
 	d := p.dispatcher
 	previous := p.hosts[id]
 	switch {
 	case previous == nil:
 	case h.State == policy.StateGone:
-		h.Addr = previous.Addr // that it had, whatever its last entry says
-	case h.Addr != previous.Addr: // it has moved, and is another host
+		h.Addr = previous.Addr // a removal need not repeat the address
+	case h.Addr != previous.Addr: // the name moved to another address, which is another host
 		d.sharedHosts.Update(d.now, p.id, previous.identity(), hoststate.Update{State: policy.StateGone, Deselected: true})
 	}
 	update := hoststate.Update{Replica: id, State: h.State, StartedAt: h.StartedAt, Deselected: h.Deselected}
@@ -110,7 +111,7 @@
 	return notifications
 }
 
-// notifyPools tells modules what other pools' lists said of hosts that they share.
+// notifyPools passes state changes that one pool's list reported to the modules of the other pools that share the hosts.
 func (d *Dispatcher) notifyPools(notifications []hoststate.Notification) {
 	for _, n := range notifications {
 		p := d.pools[n.Pool]
@@ -130,7 +131,7 @@
 	}
 }
 
-// notifyUnreachable tells the other pools that share a host that it could not be reached, or that it reset a connection.
+// notifyUnreachable reports a failed connection or a reset to the other pools that share the host, as a failed probe.
 func (p *pool) notifyUnreachable(id policy.ReplicaID) {
 	d, h := p.dispatcher, p.hosts[id]
 	if h == nil {
@@ -143,7 +144,8 @@
 	}
 }
 
-// slowStartLimitReached reports whether a host in slow start that several pools share has had all that it may have for now.
+// slowStartLimitReached reports whether a shared host in slow start has received its share of the traffic for now. If not, it takes
+// one request out of the host's allowance.
 func (p *pool) slowStartLimitReached(h *Host) bool {
 	d := p.dispatcher
 	if d.sharedHosts == nil || h.StartedAt == 0 || d.now >= h.StartedAt+p.slowStart || !d.sharedHosts.IsShared(h.identity()) {
@@ -158,7 +160,7 @@
 	return !d.sharedHosts.TryTakeSlowStart(h.identity(), h.StartedAt, traffic)
 }
 
-// traffic returns what the pool has seen, and the share of it that a host born at bornAt may have.
+// traffic returns the pool's traffic and the share of it that a host started at startedAt may receive.
 func (p *pool) traffic(startedAt time.Duration) hoststate.PoolTraffic {
 	return hoststate.PoolTraffic{
 		Pool: p.id, Arrived: float64(p.counters.Received), Hosts: float64(p.readyHosts),
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -9,21 +9,22 @@
 	"notchhinge/internal/quota"
 )
 
-// Clock reads the time; it never goes back.
+// Clock returns the current time. It must be monotonic.
 type Clock func() time.Duration
 
-// UnixClock returns a clock that starts at the system's Unix time and is monotonic from there on, whatever happens to the
-// system's time.
+// UnixClock returns a clock that starts at the system's Unix time and is monotonic from then on, even if the system time is
+// changed.
 func UnixClock() Clock {
 	start := time.Now()
 	unix := time.Duration(start.UnixNano())
 	return func() time.Duration { return unix + time.Since(start) }
 }
 
-// eventBacklog is how many events may wait for the loop before Post waits.
+// eventBacklog is the number of events that may be queued before Post blocks.
 const eventBacklog = 1024
 
-// Loop runs a Dispatcher: one goroutine (Run) reduces events in the order in which they were posted and has the effects done.
+// Loop runs a Dispatcher: one goroutine (Run) reduces the events in the order in which they were posted and carries out their
+// effects. With several pools, requests are taken from a fair queue instead.
 type Loop struct {
 	dispatcher  *Dispatcher
 	clock       Clock
@@ -32,18 +33,18 @@
 	stopped     chan struct{}
 	idleWaiters chan chan struct{}
 
-	isFair   atomic.Bool // there are several pools, and requests take turns by pool
+	isFair   atomic.Bool // set once there are several pools: requests go through the fair queue
 	mu       sync.Mutex
 	requests *quota.FairQueue[RequestReceived]
 }
 
-// requestQueued stands in the queue of events for a request that waits in the fair queue: there are as many as requests wait, and
-// each takes whichever request is next. So the requests of one pool do not delay another's.
+// requestQueued marks that a request was put into the fair queue. There is one for each queued request, and each lets the loop pop
+// whichever request is next, so that the requests of one pool do not delay those of another.
 type requestQueued struct{}
 
 func (requestQueued) event() {}
 
-// NewLoop returns a loop over a dispatcher. perform must not wait, and must not post.
+// NewLoop returns a loop over a dispatcher. perform carries out an effect; it must not block and must not call Post.
 func NewLoop(d *Dispatcher, clock Clock, perform func(Effect)) *Loop {
 	return &Loop{
 		dispatcher: d, clock: clock, perform: perform,
@@ -52,7 +53,7 @@
 	}
 }
 
-// Post hands in an event. It waits while the backlog is full; after the end of the loop the event is dropped.
+// Post queues an event. It blocks while the backlog is full. After the loop has ended, events are dropped.
 func (l *Loop) Post(e Event) {
 	if r, ok := e.(RequestReceived); ok && l.isFair.Load() {
 		l.mu.Lock()
@@ -69,7 +70,7 @@
 // Now reads the loop's clock.
 func (l *Loop) Now() time.Duration { return l.clock() }
 
-// WaitIdle returns once no request is open, or the context is done.
+// WaitIdle blocks until no request is open and no event is queued, the loop has ended, or the context is done.
 func (l *Loop) WaitIdle(ctx context.Context) {
 	done := make(chan struct{})
 	select {
@@ -86,7 +87,7 @@
 	}
 }
 
-// handle reduces an event; those that concern the fair queue are applied to it first.
+// handle reduces an event, and first applies it to the fair queue where it concerns that.
 func (l *Loop) handle(e Event) {
 	switch e := e.(type) {
 	case requestQueued:
@@ -95,7 +96,8 @@
 		}
 		return
 	case ClientLeft:
-		// The request may still wait for its turn, and must not be opened after its client is thought to have left.
+		// The request may still be in the fair queue. It is reduced first, because a request that is opened after its ClientLeft
+		// would never be closed by it.
 		if l.isFair.Load() {
 			if r, ok := l.popRequestOf(e.Client); ok {
 				l.reduce(r)
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -11,8 +11,8 @@
 	"notchhinge/policy"
 )
 
-// pool has a decision module of its own and the hosts that it may use. It is the module's policy.Actions, so that a module acts
-// on its own pool only.
+// pool holds a decision module and the hosts that the module may use. It implements policy.Actions for that module, so that a
+// module can only act on its own pool.
 type pool struct {
 	dispatcher       *Dispatcher
 	id               hoststate.PoolID
@@ -22,20 +22,20 @@
 	slowStartInitial float64
 	maxAttempts      int
 	retryAfter       time.Duration
-	retryBudget      *retrybudget.Budget // nil where only the module bounds retries
+	retryBudget      *retrybudget.Budget // nil = only the module limits retries
 
 	hosts      map[policy.ReplicaID]*Host
 	hostIDs    map[string]policy.ReplicaID // by name
 	readyHosts int
 
 	counters   Counters
-	unfinished int        // requests that are known
-	traceSet   *trace.Set // for traces
-	ending     bool       // nothing more is routed to it; it ends with its last request
+	unfinished int        // requests that are open or have a running attempt
+	traceSet   *trace.Set // classes for traces
+	ending     bool       // EndPool was received; the pool ends with its last request
 	ended      bool
 }
 
-// configurePool adds a pool, or changes what a pool may have.
+// configurePool adds a pool or reconfigures an existing one.
 func (d *Dispatcher) configurePool(e ConfigurePool) {
 	p := d.pools[e.Pool]
 	if p == nil {
@@ -66,7 +66,7 @@
 	d.requestQuota.SetClaim(int(p.id), e.RequestQuota)
 }
 
-// addClasses gives a pool's module further classes.
+// addClasses adds classes to a pool's module, and logs an error of the module.
 func (d *Dispatcher) addClasses(e AddClasses) {
 	p := d.pools[e.Pool]
 	if p == nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// endPools removes the ending pools that have no request left.
+// endPools removes the ending pools whose requests have all finished.
 func (d *Dispatcher) endPools() {
 	d.poolsEnding = false
 	for _, id := range slices.Sorted(maps.Keys(d.pools)) {
--- a/internal/dispatch/pools_bench_test.go
+++ b/internal/dispatch/pools_bench_test.go
@@ -12,8 +12,8 @@
 	"notchhinge/policy"
 )
 
-// BenchmarkPools is what a served request costs the dispatcher, from RequestReceived to its end, with many pools of 20 hosts each
-// against one; B/pool is what a pool with its hosts takes of the heap.
+// BenchmarkPools measures a served request, from RequestReceived to its end, with one pool and with many pools of 20 hosts each.
+// B/pool is the heap memory of a pool with its hosts.
 func BenchmarkPools(b *testing.B) {
 	for _, n := range []int{1, 200} {
 		b.Run(fmt.Sprintf("%d pools of 20 hosts", n), func(b *testing.B) {
@@ -21,9 +21,9 @@
 			lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 512, Sockets: 65536},
 				limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
 			before := heapBytes()
-			c, now := New(lim), 1000*sec
+			dispatcher, now := New(lim), 1000*sec
 			for p := range n {
-				c.Reduce(now, ConfigurePool{
+				dispatcher.Reduce(now, ConfigurePool{
 					Pool: hoststate.PoolID(p), Name: fmt.Sprint("p", p), Module: newModule(b), SlowStart: sec, SlowStartInitial: 0.5,
 					RequestQuota: quota.Claim{Guarantee: int64(lim.ConcurrentRequests / n / 2)},
 				})
@@ -31,7 +31,7 @@
 				for i := range hosts {
 					l.Hosts = append(l.Hosts, Host{Name: fmt.Sprintf("b%d-%d", p, i), Addr: fmt.Sprintf("127.0.%d.%d:80", p, i), Weight: 1})
 				}
-				c.Reduce(now, l)
+				dispatcher.Reduce(now, l)
 			}
 			heapGrowth := heapBytes() - before
 			i := 0
@@ -39,16 +39,16 @@
 				i++
 				now += 100 * time.Microsecond
 				var attempt AttemptID
-				for _, e := range c.Reduce(now, RequestReceived{Client: i, Pool: hoststate.PoolID(i % n), ReceivedAt: now, Request: policy.Request{Session: uint64(i%5000 + 1), Timeout: sec}}) {
+				for _, e := range dispatcher.Reduce(now, RequestReceived{Client: i, Pool: hoststate.PoolID(i % n), ReceivedAt: now, Request: policy.Request{Session: uint64(i%5000 + 1), Timeout: sec}}) {
 					if s, ok := e.(StartAttempt); ok {
 						attempt = s.Attempt
 					}
 				}
-				c.Reduce(now, AttemptStarted{attempt})
-				c.Reduce(now, AttemptEnded{Attempt: attempt, Result: policy.ResultOK})
+				dispatcher.Reduce(now, AttemptStarted{attempt})
+				dispatcher.Reduce(now, AttemptEnded{Attempt: attempt, Result: policy.ResultOK})
 			}
 			b.ReportMetric(float64(heapGrowth)/float64(n), "B/pool")
-			runtime.KeepAlive(c)
+			runtime.KeepAlive(dispatcher)
 		})
 	}
 }
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -15,7 +15,7 @@
 	"notchhinge/policy"
 )
 
-// newTwoPoolFixture gives a rig two newTwoPoolFixture more, 1 and 2, and takes the first away.
+// newTwoPoolFixture returns a fixture with the pools 1 and 2 in place of pool 0.
 func newTwoPoolFixture(t *testing.T, change func(*limits.Limits)) *fixture {
 	r := newFixture(t, 0, change)
 	r.Reduce(r.now, ConfigurePool{
@@ -27,6 +27,7 @@
 	return r
 }
 
+// fullList returns a full endpoint list of a pool, with one ready host for each name.
 func fullList(pool hoststate.PoolID, names ...string) EndpointsListed {
 	l := EndpointsListed{Pool: pool, Kind: policy.ListFull}
 	for _, n := range names {
@@ -35,6 +36,7 @@
 	return l
 }
 
+// inPool returns the request with its pool set.
 func inPool(pool hoststate.PoolID, request RequestReceived) RequestReceived {
 	request.Pool = pool
 	return request
@@ -51,10 +53,10 @@
 	r.expect(0, inPool(1, z), "reject z duplicate after 0s")
 	r.expect(0, AttemptStarted{AttemptID{1, 0}}, "bind 1.0")
 	r.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultOK})
-	r.expect(0, inPool(2, z), "reject z duplicate after 0s") // the other is open still
+	r.expect(0, inPool(2, z), "reject z duplicate after 0s") // the first one of that pool is still open
 }
 
-func TestPoolAtItsLimitRejectsWhileTheOtherServes(t *testing.T) {
+func TestPoolAtItsQuotaRejectsWhileAnotherServes(t *testing.T) {
 	r := newTwoPoolFixture(t, func(l *limits.Limits) { l.ConcurrentRequests = 5 })
 	r.reduce(0, fullList(1, "a", "b"))
 	r.reduce(0, fullList(2, "c", "d"))
@@ -65,7 +67,7 @@
 	for i := range 2 {
 		r.expect(0, inPool(2, requestFrom(fmt.Sprint("y", i), r.now, sec)), fmt.Sprintf("send %d.0 for 1s", 4+i))
 	}
-	r.expect(0, inPool(2, requestFrom("y2", r.now, sec)), "reject y2 rejected after 500ms") // all five are out
+	r.expect(0, inPool(2, requestFrom("y2", r.now, sec)), "reject y2 rejected after 500ms") // all five requests of the router are open
 	c := r.countersReport(nil)
 	if len(c.Pools) != 2 || c.Pools[0].Open != 3 || c.Pools[1].Open != 2 || c.Counters.RejectedByFrontend != 2 || c.Counters.Received != 5 {
 		t.Errorf("%+v", c)
@@ -77,27 +79,27 @@
 	r.reduce(0, fullList(1, "a", "b"))
 	r.expect(0, inPool(1, requestFrom("x", r.now, 4*sec)), "send 1.0 for 4s")
 	r.expect(0, EndPool{Pool: 1})
-	// What was led to it before the routes changed is taken, and tried again by its rules.
+	// A request that was routed to the pool before the routes changed is accepted, and retried as usual.
 	r.expect(0, inPool(1, requestFrom("y", r.now, 4*sec)), "send 2.0 for 4s")
 	r.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed}, "send 1.1 for 4s")
 	for _, id := range []AttemptID{{1, 1}, {2, 0}} {
 		r.reduce(0, AttemptStarted{id})
 		if r.pools[1] == nil {
-			t.Fatal("it went before its streams")
+			t.Fatal("the pool was removed while responses were streaming")
 		}
 		r.reduce(0, AttemptEnded{Attempt: id, Result: policy.ResultOK})
 	}
 	if r.pools[1] != nil {
-		t.Error("it is still there")
+		t.Error("the pool was not removed after its last request")
 	}
 	r.expect(0, inPool(1, requestFrom("z", r.now, 4*sec)), "reject z rejected after 500ms")
 	if c := r.countersReport(nil).Counters; c.Received != 2 || c.Served != 2 || c.RejectedByFrontend != 1 {
-		t.Errorf("the counters of what has gone: %+v", c)
+		t.Errorf("counters that include the ended pool: %+v", c)
 	}
-	r.expect(time.Minute, Tick{}) // its module's timers are nobody's
+	r.expect(time.Minute, Tick{}) // the module's remaining timers are ignored
 }
 
-func TestDrainInOnePoolStopsBoth(t *testing.T) {
+func TestDrainInOnePoolStopsAttemptsFromBoth(t *testing.T) {
 	r := newTwoPoolFixture(t, nil)
 	r.reduce(0, fullList(1, "shared"))
 	r.reduce(0, fullList(2, "shared"))
@@ -105,11 +107,11 @@
 	gone := fullList(1, "shared")
 	gone.Kind, gone.Hosts[0].State = policy.ListDelta, policy.StateDraining
 	r.expect(0, gone)
-	r.reduce(0, fullList(2, "shared")) // its own discovery is behind
+	r.reduce(0, fullList(2, "shared")) // the pool's own list does not show the drain yet
 	r.expect(sec, inPool(2, requestFrom("y", r.now+sec, 4*sec)), "reject y rejected after 500ms")
 	again := fullList(2, "shared")
 	again.Hosts[0].StartedAt = 2
-	r.reduce(sec, again) // another process
+	r.reduce(sec, again) // a new process at the same address
 	r.expect(sec, inPool(2, requestFrom("z", r.now+sec, 4*sec)), "send 3.0 for 4s")
 }
 
@@ -118,7 +120,7 @@
 	r.reduce(0, fullList(1, "shared", "mine"))
 	r.reduce(0, fullList(2, "shared", "other", "third", "fourth"))
 	e := requestFrom("x", r.now, 4*sec)
-	for e.Request.Session = 1; ; e.Request.Session++ { // one whose conversation is drawn to the shared host
+	for e.Request.Session = 1; ; e.Request.Session++ { // find a session that the module sends to the shared host
 		var to string
 		for _, f := range r.Reduce(r.now, inPool(1, e)) {
 			if s, ok := f.(StartAttempt); ok {
@@ -135,16 +137,16 @@
 	for i := range 60 {
 		for _, f := range r.Reduce(r.now, inPool(2, RequestReceived{Client: i, ReceivedAt: r.now, Request: policy.Request{Session: uint64(i + 1), Timeout: sec}})) {
 			if s, ok := f.(StartAttempt); ok && s.Addr == "at shared" {
-				t.Fatal("the other pool sends to a host that reset a connection just now")
+				t.Fatal("the other pool sends to a host that has just reset a connection")
 			}
 		}
 	}
 }
 
-// TestColdHostGetsItsShareFromBothPools: what both modules send a host that has just started stays, in any window, within the
-// share of both pools' traffic and the one request that may be saved up.
-func TestColdHostGetsItsShareFromBothPools(t *testing.T) {
-	const share = 0.5 // it warms up so slowly that it stays at that
+// TestPoolsTogetherStayWithinSlowStartShare checks a host that has just started: in any window, both modules together send it no
+// more than its share of both pools' traffic and the one request that may be saved up.
+func TestPoolsTogetherStayWithinSlowStartShare(t *testing.T) {
+	const share = 0.5 // constant, since slow start takes 1000 h
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := New(limits.New(limits.Machine{Cores: 1, MemoryMB: 192, Sockets: 4096}, limits.Site{MaxAttempts: 3})), 1000*sec
 		var hostCounts [2]float64
@@ -165,7 +167,7 @@
 			hostCounts[i] = float64(len(l.Hosts))
 			b.Reduce(now, l)
 		}
-		excess, minExcess := 0.0, 0.0 // what was sent less what the traffic allows, since the start, and the least that it was
+		excess, minExcess := 0.0, 0.0 // requests sent minus requests allowed since the start, and the minimum so far
 		for n := range rapid.IntRange(1, 200).Draw(t, "calls") {
 			now += time.Millisecond
 			p := rapid.IntRange(0, 1).Draw(t, "pool")
@@ -176,16 +178,16 @@
 				}
 			}
 			if excess-minExcess > 1+1e-3 {
-				t.Fatalf("by call %d %.3f more than allowed was sent in some window", n+1, excess-minExcess-1)
+				t.Fatalf("up to request %d, %.3f requests more than allowed were sent in some window", n+1, excess-minExcess-1)
 			}
 			minExcess = min(minExcess, excess)
 		}
 	})
 }
 
-// TestPoolsTakeTurnsWhenOneFloods: requests of one pool that wait do not stand before another's, and one whose
-// client leaves while it waits is taken first.
-func TestPoolsTakeTurnsWhenOneFloods(t *testing.T) {
+// TestFairQueueBoundsDelayByAFloodingPool checks that queued requests of one pool do not delay those of another, and that the
+// request of a client that leaves is reduced before its ClientLeft.
+func TestFairQueueBoundsDelayByAFloodingPool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newTwoPoolFixture(t, nil)
 		var order []string
@@ -207,15 +209,15 @@
 			at[s] = i
 		}
 		if len(order) != 101 || at["y"] > 2 {
-			t.Errorf("%d answers; the other pool's was number %d", len(order), at["y"]+1)
+			t.Errorf("%d requests were answered, want 101; that of the other pool was number %d", len(order), at["y"]+1)
 		}
 	})
 }
 
-// TestPoolsKeepTheRules plays random pools, lists, reloads and outcomes against the dispatcher: one final answer to each
-// request; an attempt only to a host of its pool's own list, and for an request of that pool; nothing new to a
-// host 500 ms after any list said that it ends; nothing left at the end.
-func TestPoolsKeepTheRules(t *testing.T) {
+// TestRandomEventsKeepInvariants reduces random lists, reconfigurations, requests and outcomes of several pools and checks the
+// invariants: one final answer for each request; attempts only for requests of the pool and to hosts of its list; no new attempt
+// to a host 500 ms after any list reported its end; no state left when everything has ended.
+func TestRandomEventsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newPoolsModel(t)
 		m.addPool()
@@ -227,7 +229,7 @@
 	})
 }
 
-// modelRequest is a request of the model.
+// modelRequest is what the model records of a request.
 type modelRequest struct {
 	pool    hoststate.PoolID
 	answers int
@@ -242,7 +244,8 @@
 	state      policy.State
 }
 
-// poolsModel plays up to three pools that share five hosts, and checks each effect against what lists and clients said.
+// poolsModel generates events of up to three pools that share five hosts, and checks each effect against the lists and requests so
+// far.
 type poolsModel struct {
 	t           *rapid.T
 	dispatcher  *Dispatcher
@@ -250,10 +253,10 @@
 	now         time.Duration
 	requests    map[int]*modelRequest
 	lastRequest int
-	attempts    map[AttemptID]int // the call that each is for
+	attempts    map[AttemptID]int // request number of each attempt
 	running     []AttemptID
 	lists       map[hoststate.PoolID]map[string]Host
-	pools       []hoststate.PoolID // that requests are routed to
+	pools       []hoststate.PoolID // pools that requests are routed to
 	nextPool    hoststate.PoolID
 	startTimes  map[[2]any]time.Duration
 	ends        map[string]processEnd
@@ -298,7 +301,7 @@
 	}
 }
 
-// reduce checks every effect of an event.
+// reduce reduces an event and checks every effect.
 func (m *poolsModel) reduce(e Event) {
 	for _, f := range m.dispatcher.Reduce(m.now, e) {
 		switch f := f.(type) {
@@ -315,14 +318,14 @@
 			delete(m.lists, f.Pool)
 		}
 	}
-	for name := range m.ends { // a host that no pool has is forgotten
+	for name := range m.ends { // a host that is in no list any more has no recorded end
 		if !isListed(m.lists, name) {
 			delete(m.ends, name)
 		}
 	}
 	for id, c := range m.requests {
 		if c.answers > 1 {
-			m.t.Fatalf("%d has %d final answers", id, c.answers)
+			m.t.Fatalf("request %d has %d final answers", id, c.answers)
 		}
 	}
 }
@@ -331,18 +334,18 @@
 	c := m.requests[f.Client.(int)]
 	h, isListed := m.lists[f.Pool][f.Addr]
 	if c == nil || c.pool != f.Pool || !isListed || c.answers > 0 || c.left {
-		m.t.Fatalf("an attempt of pool %d to %s for %+v; its list: %v", f.Pool, f.Addr, c, m.lists[f.Pool])
+		m.t.Fatalf("invalid attempt of pool %d to %s for request %+v; list of the pool: %v", f.Pool, f.Addr, c, m.lists[f.Pool])
 	}
 	end, hasEnded := m.ends[f.Addr]
 	if hasEnded && m.now >= end.at+sec/2 && h.StartedAt <= end.startedAt && m.now < end.at+m.limits.DrainPrecedence {
-		m.t.Fatalf("an attempt to %s, %v after its end was listed", f.Addr, m.now-end.at)
+		m.t.Fatalf("attempt to %s %v after a list reported its end", f.Addr, m.now-end.at)
 	}
 }
 
 func (m *poolsModel) checkPoolEnded(pool hoststate.PoolID) {
 	for _, c := range m.requests {
 		if c.pool == pool && c.answers == 0 && !c.left {
-			m.t.Fatalf("pool %d ended before its requests", pool)
+			m.t.Fatalf("pool %d ended while a request of it was open", pool)
 		}
 	}
 }
@@ -372,7 +375,7 @@
 	m.nextPool++
 }
 
-// reconfigure adds a pool, ends one, or changes a claim.
+// reconfigure adds a pool, ends one, or changes the quota of the only one.
 func (m *poolsModel) reconfigure() {
 	switch {
 	case len(m.pools) < 3 && rapid.Bool().Draw(m.t, "more"):
@@ -387,7 +390,7 @@
 	}
 }
 
-// updateList has one pool's updateList say something of some of the hosts.
+// updateList sends a random update of one pool's list, full or delta.
 func (m *poolsModel) updateList() {
 	pool := rapid.SampledFrom(m.pools).Draw(m.t, "pool")
 	l := EndpointsListed{Pool: pool, Kind: policy.ListDelta}
@@ -404,7 +407,7 @@
 			StartedAt: time.Duration(rapid.IntRange(1, 2).Draw(m.t, "born")),
 		}
 		key := [2]any{pool, name}
-		h.StartedAt = max(h.StartedAt, m.startTimes[key]) // no discovery goes back to an earlier process
+		h.StartedAt = max(h.StartedAt, m.startTimes[key]) // a list never reports an earlier process than before
 		m.startTimes[key] = h.StartedAt
 		l.Hosts = append(l.Hosts, h)
 		m.recordEnd(pool, &h)
@@ -421,7 +424,7 @@
 	m.reduce(l)
 }
 
-// recordEnd notes that a list says that a process ends, or that another one is there.
+// recordEnd records the end of a process that a list reports, and clears it when a list reports a new process or withdraws the end.
 func (m *poolsModel) recordEnd(pool hoststate.PoolID, h *Host) {
 	previous, wasListed := m.lists[pool][h.Name]
 	startedAt := h.StartedAt
@@ -440,7 +443,7 @@
 	}
 }
 
-// sendRequest has a request arrive, by routes that may be of an earlier configuration.
+// sendRequest sends a request to any pool so far; outdated routes may lead to one that has ended.
 func (m *poolsModel) sendRequest() {
 	pool := hoststate.PoolID(rapid.IntRange(0, int(m.nextPool)-1).Draw(m.t, "pool"))
 	m.lastRequest++
@@ -451,7 +454,7 @@
 	})
 }
 
-// endAll ends everything, and checks that nothing is left.
+// endAll ends all requests and pools, and checks that no state is left.
 func (m *poolsModel) endAll() {
 	m.now += 20 * sec
 	m.reduce(Tick{})
@@ -460,7 +463,7 @@
 	}
 	for id, c := range m.requests {
 		if c.answers == 0 && !c.left {
-			m.t.Fatalf("%d of pool %d has no answer", id, c.pool)
+			m.t.Fatalf("request %d of pool %d has no answer", id, c.pool)
 		}
 	}
 	for _, p := range m.pools {
@@ -468,7 +471,7 @@
 	}
 	d := m.dispatcher
 	if len(d.pools)+len(d.requests)+len(d.byClient)+len(d.clientRequests)+d.sharedHostCount() != 0 || d.requestQuota.Used() != 0 {
-		m.t.Fatalf("left: %d pools, %d requests, %d ids, %d hosts, %d reserved", len(d.pools), len(d.requests),
+		m.t.Fatalf("left over: %d pools, %d requests, %d client request IDs, %d hosts, %d reserved units", len(d.pools), len(d.requests),
 			len(d.clientRequests), d.sharedHostCount(), d.requestQuota.Used())
 	}
 	if d.OpenRequests() != 0 {
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -9,7 +9,7 @@
 	"notchhinge/policy"
 )
 
-// request is a request of a client, from its arrival until it is answered and all of its attempts have ended.
+// request is a client's request, from its arrival until it is answered and all of its attempts have ended.
 type request struct {
 	id              policy.RequestID
 	pool            *pool
@@ -19,16 +19,16 @@
 	timer           timerqueue.Key
 	maxAttempts     int
 	attempts        []*attempt
-	bound           *attempt // whose answer the client gets
-	answered        bool     // it has its final answer, or the client has left
+	bound           *attempt // the attempt whose response the client gets; nil before the first event
+	answered        bool     // the final answer was given, or the client has left
 	clientLeft      bool
-	reachedHost     bool  // an attempt has reached a host
-	mayHaveRun      bool  // an attempt has ended otherwise than by not having run
-	running         int32 // attempts whose outcome the module has not heard of
+	reachedHost     bool  // at least one attempt has reached a host
+	mayHaveRun      bool  // at least one ended attempt may have run
+	running         int32 // attempts whose outcome was not reported to the module yet
 	trace           *trace.Journey
 }
 
-// clientRequestKey is the id that a client gave an open request. Two services may use one id at once.
+// clientRequestKey identifies an open request by the ID that its client gave it. IDs are unique within a pool only.
 type clientRequestKey struct {
 	pool hoststate.PoolID
 	id   string
@@ -41,7 +41,7 @@
 	}
 	p := d.pools[e.Pool]
 	if p == nil {
-		// It was routed to a pool that has ended since, with its last open request: it has not run.
+		// The pool ended after the request was routed to it. The request has not run.
 		d.counters.RejectedByFrontend++
 		d.emit(Reject{Client: e.Client, RetryAfter: d.limits.OverloadRetryAfter})
 		return
@@ -53,8 +53,7 @@
 		return
 	}
 	if !d.requestQuota.Take(int(p.id), 1) {
-		// More would need more descriptors than there are, or than there are for this pool. The module need not know of what
-		// cannot be sent.
+		// No file descriptors are left for a further request of this pool. It could not be sent, so the module is not called.
 		p.counters.RejectedByFrontend++
 		p.traceRejection(&e, trace.RouterFull, p.retryAfter)
 		d.emit(Reject{Client: e.Client, RetryAfter: p.retryAfter})
@@ -63,7 +62,7 @@
 	d.open(p, &e)
 }
 
-// open makes a request known and hands it to the pool's module.
+// open registers a request and passes it to the pool's module.
 func (d *Dispatcher) open(p *pool, e *RequestReceived) {
 	p.counters.Received++
 	p.unfinished++
@@ -101,8 +100,8 @@
 	d.closeRequest(req)
 	d.traceEnd(req, trace.Gone, 0)
 	req.pool.module.Departed(d.now, req.pool, req.id)
-	// What the module does not cancel itself runs for nobody: a stream that has begun, or attempts that the settings do not
-	// allow to cancel. Their outcome says nothing of the host.
+	// The module leaves some attempts running: a stream that has begun, or attempts that its settings do not let it cancel. No
+	// client waits for them any more, so they are cancelled here.
 	for _, att := range req.attempts {
 		if !att.ended {
 			d.cancelAttempt(req, att, d.outcomeAfterLeaving(req))
@@ -110,9 +109,9 @@
 	}
 }
 
-// outcomeAfterLeaving returns the outcome of the attempts of a client that has left. A client that waits for as long as it said
-// leaves at its deadline, mostly a little before that is noticed here: then its attempts have timed out. The module must hear of
-// it, or it would learn nothing of an overload, nor of a host that hangs.
+// outcomeAfterLeaving returns the outcome for the attempts of a client that has left. A client that waits until its deadline often
+// disconnects shortly before the deadline timer fires here. Its attempts then count as timed out, so that the module can detect
+// overload and unresponsive hosts.
 func (d *Dispatcher) outcomeAfterLeaving(req *request) policy.Result {
 	if req.bound == nil && d.now >= req.deadline-d.limits.DeadlineTolerance {
 		return policy.ResultTimedOut
@@ -120,8 +119,8 @@
 	return policy.ResultCancelled
 }
 
-// requestTimedOut ends a request at its deadline. Its attempts time out, and the module answers then; if no attempt runs, it is
-// answered here, so that no client waits for ever.
+// requestTimedOut ends a request at its deadline. Its attempts time out, upon which the module usually answers. If it has not, the
+// request fails here, so that no client waits forever.
 func (d *Dispatcher) requestTimedOut(req *request) {
 	for _, att := range req.attempts {
 		if !att.ended {
@@ -135,7 +134,7 @@
 	}
 }
 
-// closeRequest ends a request towards its client. It stays known while attempts of it run.
+// closeRequest closes a request for its client. The request is kept until all of its attempts have ended.
 func (d *Dispatcher) closeRequest(req *request) {
 	req.answered = true
 	d.timers.Remove(req.timer)
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -10,28 +10,29 @@
 	"notchhinge/policy"
 )
 
+// enableTracing turns tracing on, with the options that all tests share.
 func enableTracing(r *fixture, o trace.Options) {
 	o.Router, o.Window, o.Linger, o.Steps, o.Seed = "n1", 10*sec, 2*sec, 1000, 5
 	r.Reduce(r.now, ConfigurePool{Classes: []trace.Class{{Name: "chat", Aim: sec}}})
 	r.Trace(o)
 }
 
-// reduceTraced takes an event in and returns the records that leave with it, and the spans that attempts are sent with.
-func (r *fixture) reduceTraced(at time.Duration, e Event) (kept []*trace.Try, spans []trace.Context) {
+// reduceTraced reduces an event and returns the traces that it exports and the spans of the attempts that it starts.
+func (r *fixture) reduceTraced(at time.Duration, e Event) (records []*trace.Try, spans []trace.Context) {
 	for _, f := range r.Reduce(r.now+at, e) {
 		switch f := f.(type) {
 		case ExportTrace:
-			kept = append(kept, f.Trace)
+			records = append(records, f.Trace)
 		case StartTracedAttempt:
 			spans = append(spans, f.Span.Context)
 		}
 	}
-	return kept, spans
+	return records, spans
 }
 
 func TestTraceOfARequest(t *testing.T) {
-	// A reset, another attempt that is too slow, and the deadline: the record holds both attempts with their results and what the
-	// module decided, and leaves once the client has its answer and the last attempt has ended.
+	// The first attempt is reset, the second one runs into the deadline. The record holds both attempts with their results and the
+	// module's reasons, and is exported once the client has its answer and the last attempt has ended.
 	r := newFixture(t, 3, nil)
 	enableTracing(r, trace.Options{})
 	parent, _ := trace.ParseParent("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01")
@@ -39,21 +40,21 @@
 	e.ClientRequestID, e.Origin = "call", &trace.Origin{Context: parent, Front: "calls", Tells: true}
 	_, spans := r.reduceTraced(10*time.Millisecond, e)
 	if len(spans) != 1 || spans[0].Trace != parent.Trace || spans[0].Span == parent.Span {
-		t.Fatalf("sent with %v", spans)
+		t.Fatalf("the first attempt was sent with spans %v", spans)
 	}
 	first := spans[0]
 	if _, spans = r.reduceTraced(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultReset}); len(spans) != 1 || spans[0].Span == first.Span {
-		t.Fatalf("the second attempt was sent with %v", spans)
+		t.Fatalf("the second attempt was sent with spans %v", spans)
 	}
-	if kept, _ := r.reduceTraced(5*sec, Tick{}); len(kept) != 0 {
-		t.Fatal("it left before its client had its answer")
+	if records, _ := r.reduceTraced(5*sec, Tick{}); len(records) != 0 {
+		t.Fatal("the record was exported before the client had its answer")
 	}
 	r.reduceTraced(5*sec, RejectionWritten{Client: "a", At: r.now + 5*sec})
-	kept, _ := r.reduceTraced(5*sec+sec/10, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultCancelled})
-	if len(kept) != 1 {
-		t.Fatalf("%d records", len(kept))
+	records, _ := r.reduceTraced(5*sec+sec/10, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultCancelled})
+	if len(records) != 1 {
+		t.Fatalf("%d records were exported, want 1", len(records))
 	}
-	record := kept[0]
+	record := records[0]
 	got := fmt.Sprintf("%v %v %v %v %v %v %v %v", record.Outcome == trace.Failed, record.Why, len(record.Legs), record.CallID,
 		record.Parent == parent.Span, record.End, record.Phases[trace.Queue], record.Phases[trace.Answer])
 	if want := "true out_of_time 2 call true 5s 10ms 0s"; got != want {
@@ -66,13 +67,13 @@
 	}
 }
 
-func TestTraceOfWhatTheModuleNeverSees(t *testing.T) {
+func TestTraceOfRequestRejectedBeforeTheModule(t *testing.T) {
 	r := newFixture(t, 1, func(l *limits.Limits) { l.ConcurrentRequests = 1 })
 	enableTracing(r, trace.Options{})
 	r.reduceTraced(0, requestFrom("a", r.now, 4*sec))
-	kept, _ := r.reduceTraced(0, requestFrom("b", r.now, 4*sec))
-	if len(kept) != 1 || kept[0].Why != trace.RouterFull || kept[0].Outcome != trace.Refused {
-		t.Errorf("%+v", kept)
+	records, _ := r.reduceTraced(0, requestFrom("b", r.now, 4*sec))
+	if len(records) != 1 || records[0].Why != trace.RouterFull || records[0].Outcome != trace.Refused {
+		t.Errorf("%+v", records)
 	}
 }
 
@@ -80,12 +81,12 @@
 	r := newFixture(t, 1, nil)
 	enableTracing(r, trace.Options{})
 	r.reduceTraced(0, requestFrom("a", r.now, 4*sec))
-	if kept, _ := r.reduceTraced(sec, FlushTraces{}); len(kept) != 1 || kept[0].Outcome != trace.Open {
-		t.Errorf("%+v", kept)
+	if records, _ := r.reduceTraced(sec, FlushTraces{}); len(records) != 1 || records[0].Outcome != trace.Open {
+		t.Errorf("%+v", records)
 	}
 }
 
-// BenchmarkReduce is a request's life in the reducer, without tracing and with it.
+// BenchmarkReduce measures a served request in the reducer, with tracing off and on.
 func BenchmarkReduce(b *testing.B) {
 	for name, on := range map[string]bool{"off": false, "on": true} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/dispatch/tracing.go
+++ b/internal/dispatch/tracing.go
@@ -7,7 +7,7 @@
 	"notchhinge/policy"
 )
 
-// handleTraceEvent passes an event on to the trace recorder, if there is one.
+// handleTraceEvent passes an event to the trace recorder if tracing is on.
 func (d *Dispatcher) handleTraceEvent(e Event) {
 	if d.traces == nil {
 		return
@@ -22,7 +22,7 @@
 	}
 }
 
-// traceAttemptEnd traces the end of an attempt; req is nil where the request is not known any more.
+// traceAttemptEnd records the end of an attempt in the trace. req is nil if the request has been removed.
 func (d *Dispatcher) traceAttemptEnd(req *request, e *AttemptEnded) {
 	switch {
 	case d.traces == nil:
@@ -33,21 +33,21 @@
 	}
 }
 
-// traceNotSent traces the end of an attempt that was never sent, so that no AttemptEnded follows.
+// traceNotSent records the end of an attempt that was never sent. No AttemptEnded follows for it.
 func (d *Dispatcher) traceNotSent(req *request, att *attempt, result policy.Result) {
 	if d.traces != nil {
 		d.traces.Ended(d.now, req.id, req.trace, att.id.Index, result, false, nil)
 	}
 }
 
-// traceEnd traces how a request ended towards its client.
+// traceEnd records how a request ended for its client.
 func (d *Dispatcher) traceEnd(req *request, o trace.Outcome, retryAfter time.Duration) {
 	if d.traces != nil {
 		d.traces.Closed(d.now, req.id, req.trace, o, retryAfter)
 	}
 }
 
-// traceRejection traces a request that the module never hears of.
+// traceRejection records a request that was rejected before it reached the module.
 func (p *pool) traceRejection(e *RequestReceived, reason trace.Why, retryAfter time.Duration) {
 	d := p.dispatcher
 	if d.traces == nil {
