--- a/internal/hoststate/doc.go
+++ b/internal/hoststate/doc.go
@@ -1,9 +1,9 @@
-// Package hoststate keeps what the pools of one process owe each other where they share hosts (engines): a drain that one pool's
-// endpoint list announces is made known to the other pools, and a host in slow start is sent its share by all pools together.
+// Package hoststate coordinates the pools of one process that share hosts (engines). A drain in one pool's endpoint list is passed
+// on to the other pools, and all pools together send a host in slow start no more than its share.
 //
-// It owns no decision module, no connection and no endpoint list: it is given what each pool's list says of a host, and returns
-// what the other pools' modules must be notified of. It does no I/O; times are of the caller's monotonic clock, and are given.
+// The caller passes in the updates of each pool's list and gets back the notifications for the other pools' decision modules. The
+// package does no I/O and reads no clock: times are readings of the caller's monotonic clock.
 //
-// Two entries are of one host where name and address agree: two teams may call a host alike, and two hosts may follow each other
-// at one address. Of one host, processes that follow each other are distinguished by the time of their start (BornAt).
+// Two list entries are the same host if both name and address agree: two teams may use the same name, and an address may be reused.
+// Successive processes of one host are told apart by the time of their start (StartedAt).
 package hoststate
--- a/internal/hoststate/slowstart.go
+++ b/internal/hoststate/slowstart.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// slowStartAllowance is how many requests a host in slow start may still be sent by all pools together.
+// slowStartAllowance is the number of requests that all pools together may still send to a host in slow start.
 type slowStartAllowance struct {
-	startedAt time.Duration // the process that it is for
-	credit    float64       // requests, 1 at most
-	arrived   map[PoolID]float64
+	startedAt time.Duration      // start of the process that the allowance is for
+	credit    float64            // in requests, at most 1
+	arrived   map[PoolID]float64 // requests of each pool so far, at the last call
 }
 
-// PoolTraffic is what a pool has seen, and what of it a host in slow start may have.
+// PoolTraffic is the traffic of a pool, and the share of it that a host in slow start may receive.
 type PoolTraffic struct {
 	Pool    PoolID
-	Arrived float64 // requests so far
-	Hosts   float64 // that share them
-	Share   float64 // of the host's usual traffic that it may have now, from 0 to 1
+	Arrived float64 // requests received so far
+	Hosts   float64 // ready hosts among which the requests are divided
+	Share   float64 // part of its usual traffic that the host may receive now, from 0 to 1
 }
 
-// TryTakeSlowStart takes one request out of the allowance of a host in slow start that several pools share, and reports whether it may
-// be sent. Each pool's module keeps to the host's share of that pool's traffic; the allowance grows by the sum of these shares, and
-// at most one request is saved up for all pools together, as it is within one pool. traffic is of every pool that has the host.
+// TryTakeSlowStart reports whether one more request may be sent to a host in slow start, and if so takes it out of the host's
+// allowance. The allowance grows by the sum of the host's shares of all pools' traffic, and at most one request is saved up. Each
+// pool's module applies the same rule within its own pool. traffic lists every pool that has the host; a host that only one pool
+// has is not limited here.
 func (t *Tracker) TryTakeSlowStart(host Host, startedAt time.Duration, traffic []PoolTraffic) bool {
 	r := t.hosts[host]
 	if r == nil || len(r.pools) < 2 {
@@ -46,8 +47,8 @@
 	return true
 }
 
-// SlowStartShare returns the share of its usual traffic that a host may have at an age: initial at its start, growing evenly to 1
-// at the end of slowStart. It is the decision module's rule.
+// SlowStartShare returns the share of its usual traffic that a host of the given age may receive: initial at its start, growing
+// linearly to 1 at the end of slowStart. The decision module uses the same rule.
 func SlowStartShare(age, slowStart time.Duration, initial float64) float64 {
 	if slowStart <= 0 || age >= slowStart {
 		return 1
--- a/internal/hoststate/tracker.go
+++ b/internal/hoststate/tracker.go
@@ -7,66 +7,66 @@
 	"notchhinge/policy"
 )
 
-// PoolID identifies a pool. No two pools of a process ever have the same id, even one after the other.
+// PoolID identifies a pool. A process never reuses the ID of a pool that has ended.
 type PoolID int
 
-// Host identifies a host.
+// Host identifies a host by its name and address.
 type Host struct{ Name, Addr string }
 
-// Update is what a pool's endpoint list says of a host.
+// Update is the entry of a host in a pool's endpoint list.
 type Update struct {
-	Replica   policy.ReplicaID // the host's number in that pool
+	Replica   policy.ReplicaID // ID of the host in that pool
 	State     policy.State
-	StartedAt time.Duration
-	// Deselected: the host is Gone from the pool, which says nothing of the host itself: a selection was changed, or a whole list
-	// does not name it any more.
+	StartedAt time.Duration // start of the process; identifies it among the successive processes of the host
+	// Deselected qualifies StateGone: the host left this pool only, because the pool's selection changed or a full list no longer
+	// names it. Its process may still run.
 	Deselected bool
 }
 
-// Notification is what another pool's module must be notified of.
+// Notification is a state change that the module of another pool must be notified of.
 type Notification struct {
 	Pool    PoolID
 	Replica policy.ReplicaID
-	State   policy.State // Ready where an end was withdrawn
+	State   policy.State // Ready if a drain or an end was withdrawn
 }
 
-// PoolHost is a host as one pool numbers it.
+// PoolHost is a host under its ID in one pool.
 type PoolHost struct {
 	Pool    PoolID
 	Replica policy.ReplicaID
 }
 
-// Tracker knows all hosts of all pools. A host that only one pool has costs an entry and nothing else. It is not safe for
-// concurrent use.
+// Tracker holds the state of all hosts in all pools. It is not safe for concurrent use.
 type Tracker struct {
 	hosts           map[Host]*hostRecord
-	drainPrecedence time.Duration // for so long a drain that one list reported prevails against another's list that says Ready
+	drainPrecedence time.Duration // how long a drain in one pool's list overrides Ready in another pool's list
 }
 
+// hostRecord is the state of one host in the pools that have it.
 type hostRecord struct {
 	pools     []poolView
 	end       processEnd
 	slowStart slowStartAllowance
 }
 
-// poolView is a host as one pool sees it.
+// poolView is the state of a host in one pool.
 type poolView struct {
 	PoolHost
-	listed    policy.State // by the pool's own list
-	seen      policy.State // by the pool's module
+	listed    policy.State // in the pool's own list
+	seen      policy.State // last given to the pool's module
 	startedAt time.Duration
 }
 
-// processEnd is the end of the latest process at a host that any pool's list reported.
+// processEnd is the end of a host's latest process, as reported by any pool's list.
 type processEnd struct {
-	state      policy.State  // Ready = none; else Draining or Gone
+	state      policy.State  // Draining or Gone; Ready = no end was reported
 	startedAt  time.Duration // of the process
 	reportedAt time.Duration
 	reportedBy PoolID
 }
 
-// NewTracker returns a tracker without hosts. drainPrecedence is how long a drain that one list reported prevails against
-// another pool's list.
+// NewTracker returns a tracker without hosts. drainPrecedence is how long a drain in one pool's list overrides Ready in another
+// pool's list.
 func NewTracker(drainPrecedence time.Duration) *Tracker {
 	return &Tracker{hosts: map[Host]*hostRecord{}, drainPrecedence: drainPrecedence}
 }
@@ -74,8 +74,8 @@
 // Len returns the number of hosts.
 func (t *Tracker) Len() int { return len(t.hosts) }
 
-// Update takes in what a pool's list says of a host. It returns the state in which the pool's own module must see the host, and
-// what the modules of other pools must be notified of. The time within which they must stop counts from the first Update.
+// Update applies an entry of a pool's list. It returns the state that the pool's own module must see, and the notifications for the
+// modules of other pools. The time that those have to stop sending counts from the first Update that reports an end.
 func (t *Tracker) Update(now time.Duration, pool PoolID, host Host, update Update) (policy.State, []Notification) {
 	r := t.hosts[host]
 	if r == nil {
@@ -95,7 +95,7 @@
 	return t.readyState(now, r, view)
 }
 
-// removeFromPool takes a host that is gone out of a pool, and notifies the others unless only the pool's selection changed.
+// removeFromPool removes a host that is gone from a pool. It notifies the other pools unless the host was only deselected.
 func (t *Tracker) removeFromPool(now time.Duration, pool PoolID, host Host, deselected bool) []Notification {
 	r := t.hosts[host]
 	i := r.indexOf(pool)
@@ -114,17 +114,17 @@
 	return r.recordEnd(now, pool, policy.StateGone, startedAt)
 }
 
-// readyState returns how a pool's module must see a host that its list calls ready.
+// readyState returns the state that a pool's module must see for a host that is ready in the pool's list.
 func (t *Tracker) readyState(now time.Duration, r *hostRecord, view *poolView) (policy.State, []Notification) {
 	end := &r.end
 	switch {
 	case end.state == policy.StateReady:
-	case view.startedAt > end.startedAt: // another process than the one that ended
+	case view.startedAt > end.startedAt: // a later process than the one that ended
 		end.state = policy.StateReady
-	case end.reportedBy == view.Pool: // withdrawn by the list that it came from
+	case end.reportedBy == view.Pool: // withdrawn by the list that reported it
 		end.state = policy.StateReady
 		return policy.StateReady, r.notifications(view.Pool, policy.StateReady, end.startedAt)
-	case now-end.reportedAt > t.drainPrecedence: // this list had long enough to learn what the other one knew
+	case now-end.reportedAt > t.drainPrecedence: // this list has had enough time to catch up with the other one
 		end.state = policy.StateReady
 	default:
 		view.seen = end.state
@@ -133,7 +133,7 @@
 	return policy.StateReady, nil
 }
 
-// setView notes what a pool's list says of the host.
+// setView stores the entry of the host in a pool's list.
 func (r *hostRecord) setView(pool PoolID, update Update) *poolView {
 	i := r.indexOf(pool)
 	if i < 0 {
@@ -144,20 +144,21 @@
 	return &r.pools[i]
 }
 
-// recordEnd notes that the process that was born at bornAt ends, and notifies the pools that still see it in a better state.
+// recordEnd records that the process started at startedAt is ending, and returns notifications for the pools whose modules see
+// it in a better state.
 func (r *hostRecord) recordEnd(now time.Duration, pool PoolID, state policy.State, startedAt time.Duration) []Notification {
 	end := &r.end
 	alreadyReported := end.state != policy.StateReady && (end.startedAt > startedAt || end.startedAt == startedAt && end.state >= state)
 	if !alreadyReported {
 		*end = processEnd{state: state, startedAt: startedAt, reportedAt: now, reportedBy: pool}
 	} else if end.startedAt == startedAt {
-		return nil // all were notified
+		return nil // the other pools were notified before
 	}
 	return r.notifications(pool, state, startedAt)
 }
 
-// notifications lists the other pools that must be notified of the end of the process born at bornAt, or that it was withdrawn: those whose
-// lists have that process, or one before it, and whose modules see it in another state.
+// notifications returns the notifications for the other pools about the end of the process started at startedAt, or about the
+// withdrawal of that end. They go to the pools whose lists have that process or an earlier one and whose modules see another state.
 func (r *hostRecord) notifications(pool PoolID, state policy.State, startedAt time.Duration) (all []Notification) {
 	for i := range r.pools {
 		v := &r.pools[i]
@@ -170,12 +171,12 @@
 	return all
 }
 
-// indexOf returns the index of a pool's view, or -1.
+// indexOf returns the index of a pool's view, or -1 if the pool does not have the host.
 func (r *hostRecord) indexOf(pool PoolID) int {
 	return slices.IndexFunc(r.pools, func(v poolView) bool { return v.Pool == pool })
 }
 
-// RemovePool forgets a pool.
+// RemovePool removes a pool and the hosts that only it had. The other pools are not notified.
 func (t *Tracker) RemovePool(pool PoolID) {
 	for host, r := range t.hosts {
 		i := r.indexOf(pool)
@@ -189,7 +190,7 @@
 	}
 }
 
-// OtherPools appends to all the other pools that have a host.
+// OtherPools appends the other pools that have a host to all, and returns the extended slice.
 func (t *Tracker) OtherPools(all []PoolHost, pool PoolID, host Host) []PoolHost {
 	r := t.hosts[host]
 	if r == nil || len(r.pools) < 2 {
@@ -203,7 +204,7 @@
 	return all
 }
 
-// IsShared reports whether more than one pool has a host.
+// IsShared reports whether more than one pool has the host.
 func (t *Tracker) IsShared(host Host) bool {
 	r := t.hosts[host]
 	return r != nil && len(r.pools) > 1
--- a/internal/hoststate/tracker_test.go
+++ b/internal/hoststate/tracker_test.go
@@ -28,16 +28,16 @@
 		t.Errorf("got %v, %v", state, notified)
 	}
 	if _, notified = tracker.Update(2, 1, host, Update{Replica: 11, State: policy.StateDraining, StartedAt: 5}); len(notified) != 0 {
-		t.Errorf("it was notified twice: %v", notified)
+		t.Errorf("the drain was notified twice: %v", notified)
 	}
 	if state, _ = tracker.Update(3, 2, host, ready(21, 5)); state != policy.StateDraining {
-		t.Errorf("the other pool's stale list made it %v again", state)
+		t.Errorf("after the other pool's stale list the host is %v", state)
 	}
 	if _, notified = tracker.Update(4, 1, host, Update{State: policy.StateGone}); !cmp.Equal(notified, []Notification{{2, 21, policy.StateGone}}) {
-		t.Errorf("gone: got %v", notified)
+		t.Errorf("after the host is gone: got %v", notified)
 	}
 	if state, _ = tracker.Update(5, 2, host, ready(21, 6)); state != policy.StateReady {
-		t.Errorf("a new process at its address is %v", state)
+		t.Errorf("a new process at the address is %v", state)
 	}
 }
 
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestRemovalFromASelectionIsNotNotified(t *testing.T) {
+func TestDeselectedHostIsNotNotified(t *testing.T) {
 	tracker := NewTracker(drainPrecedence)
 	tracker.Update(0, 1, host, ready(1, 5))
 	tracker.Update(0, 2, host, ready(2, 5))
@@ -86,21 +86,21 @@
 	}
 }
 
-// poolsModel plays the lists of three poolsModel that share one host, and keeps what their modules see.
+// poolsModel sends updates of three pools that share one host, and records what their modules see.
 type poolsModel struct {
 	tracker *Tracker
 	now     time.Duration
 	sees    map[PoolID]Update
 
-	hasEnded bool // one list reported an end, and no later process is there
+	hasEnded bool // a list reported an end, and no later process has started
 	end      Update
 	endAt    time.Duration
 	endedBy  PoolID
 	endState policy.State
 }
 
-// TestNoPoolSeesAnEndedHostAsReady plays random lists of three pools: once one pool's list reported an end, no other may
-// see the host as ready until another process is there or the drain precedence has passed.
+// TestNoPoolSeesAnEndedHostAsReady sends random updates of three pools' lists. Once one list has reported an end, no other pool may
+// see the host as ready until a later process has started or the drain precedence has passed.
 func TestNoPoolSeesAnEndedHostAsReady(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := &poolsModel{tracker: NewTracker(drainPrecedence), sees: map[PoolID]Update{}, endState: policy.StateReady}
@@ -116,7 +116,7 @@
 	})
 }
 
-// step has one pool's list say something.
+// step sends a random update of one pool's list.
 func (p *poolsModel) step(t *rapid.T) {
 	t.Helper()
 	p.now += time.Duration(rapid.IntRange(1, 10000).Draw(t, "ms")) * time.Millisecond
@@ -149,7 +149,7 @@
 	}
 }
 
-// checkOwnState checks what the pool whose list has spoken must see.
+// checkOwnState checks the state that a pool must see after an update of its own list.
 func (p *poolsModel) checkOwnState(t *rapid.T, id PoolID, update Update, state policy.State) {
 	t.Helper()
 	if update.State != policy.StateReady && state != update.State {
@@ -157,24 +157,24 @@
 	}
 	isReady := update.State == policy.StateReady && state == policy.StateReady
 	if isReady && p.hasEnded && update.StartedAt <= p.end.StartedAt && p.now-p.endAt <= drainPrecedence && id != p.endedBy {
-		t.Fatalf("pool %d sees a host as ready that ended %v ago", id, p.now-p.endAt)
+		t.Fatalf("pool %d sees a host as ready whose process ended %v ago", id, p.now-p.endAt)
 	}
 }
 
-// applyNotifications takes in what the other pools are notified of.
+// applyNotifications applies the notifications to what the other pools see.
 func (p *poolsModel) applyNotifications(t *rapid.T, id PoolID, notified []Notification) {
 	t.Helper()
 	for _, n := range notified {
 		s, has := p.sees[n.Pool]
 		if !has || n.Pool == id || n.State != policy.StateReady && s.State >= n.State {
-			t.Fatalf("pool %d is notified of %v, but has %v (%v)", n.Pool, n.State, s.State, has)
+			t.Fatalf("pool %d is notified of %v, but sees %v (has the host: %v)", n.Pool, n.State, s.State, has)
 		}
 		s.State = n.State
 		p.sees[n.Pool] = s
 	}
 }
 
-// recordEnd notes the end that a list reported, which all other pools must see by now.
+// recordEnd records the end that a list reported and checks that all other pools see it.
 func (p *poolsModel) recordEnd(t *rapid.T, id PoolID, end Update) {
 	t.Helper()
 	if !p.hasEnded || end.StartedAt > p.end.StartedAt || end.StartedAt == p.end.StartedAt && end.State > p.endState {
@@ -182,13 +182,13 @@
 	}
 	for other, s := range p.sees {
 		if s.State == policy.StateReady && s.StartedAt <= end.StartedAt {
-			t.Fatalf("pool %d's list reported an end, and %d still sees it as ready", id, other)
+			t.Fatalf("pool %d's list reported an end, but pool %d still sees the host as ready", id, other)
 		}
 	}
 }
 
-// TestColdHostIsSentItsShareByAllPoolsTogether has two pools that ask as often as they like.
-func TestColdHostIsSentItsShareByAllPoolsTogether(t *testing.T) {
+// TestSlowStartShareBoundsAllPoolsTogether lets two pools send as many requests as TryTakeSlowStart allows.
+func TestSlowStartShareBoundsAllPoolsTogether(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := NewTracker(drainPrecedence)
 		tracker.Update(0, 1, host, ready(1, 5))
@@ -206,7 +206,7 @@
 				sent++
 			}
 			if sent > allowed+1e-9 {
-				t.Fatalf("%v were sent, %v are allowed", sent, allowed)
+				t.Fatalf("%v requests were sent, %v are allowed", sent, allowed)
 			}
 		}
 	})
@@ -218,7 +218,7 @@
 		want float64
 	}{{0, 0.2}, {5 * time.Second, 0.6}, {10 * time.Second, 1}, {time.Minute, 1}, {-time.Second, 0.2}} {
 		if got := SlowStartShare(c.age, 10*time.Second, 0.2); math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("after %v: %v, want %v", c.age, got, c.want)
+			t.Errorf("at age %v: %v, want %v", c.age, got, c.want)
 		}
 	}
 }
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRetriesStayWithinTheBudget plays routers that want to retry every request: in no window, wherever it begins, are there more
-// retries than the platform allows.
+// TestRetriesStayWithinTheBudget simulates routers that retry whenever they may. No sliding window may contain more retries than
+// the platform allows.
 func TestRetriesStayWithinTheBudget(t *testing.T) {
 	const window, ratio, extra = 10 * time.Second, 0.2, 12.0
 	rapid.Check(t, func(t *rapid.T) {
@@ -43,10 +43,11 @@
 			return n
 		}
 		for _, end := range all {
-			// The platform's rule: the requests of that window, of the one before it or of half a window before, whichever are most.
+			// The platform compares with the largest number of requests in this window, the one half a window earlier and the one a
+			// whole window earlier.
 			requests := max(count(end.at, false), count(end.at-window/2, false), count(end.at-window, false))
 			if retries := count(end.at, true); retries > ratio*requests+extra {
-				t.Fatalf("%v retries of %v requests in the window up to %v", retries, requests, end.at)
+				t.Fatalf("%v retries for %v requests in the window that ends at %v", retries, requests, end.at)
 			}
 		}
 	})
@@ -56,11 +57,11 @@
 	b := Budget{Ratio: 0.2, Allowance: 2, Window: 10 * time.Second}
 	for range 2 {
 		if !b.TryTake(time.Hour) {
-			t.Error("a retry within the allowance is rejected")
+			t.Error("a retry within the allowance was rejected")
 		}
 	}
 	if b.TryTake(time.Hour) {
-		t.Error("more retries than the allowance are granted")
+		t.Error("a retry beyond the allowance was granted")
 	}
 	if !b.TryTake(time.Hour + 11*time.Second) {
 		t.Error("no retry is available after a window")
--- a/internal/retrybudget/doc.go
+++ b/internal/retrybudget/doc.go
@@ -1,8 +1,8 @@
-// Package retrybudget bounds how many requests the routers of a fleet retry, without asking one another for each retry.
+// Package retrybudget limits the retries of all routers of a fleet without communication for each retry.
 //
-// The platform allows a ratio of the requests that began in a window, and a number of retries beyond that for all routers
-// together. A router's Budget has half of the ratio of its own requests, since traffic may fall while a window slides past it,
-// and its Share of the number. The shares add up to no more than the total, whoever is cut off from whom.
+// In each sliding window, the platform allows retries up to a ratio of the requests, plus a fixed number for all routers together.
+// A router's Budget allows half of the ratio for its own requests, because traffic may fall while the window slides, and its Share
+// of the fixed number. The shares never add up to more than the total, even during a network partition.
 //
-// The package is pure: times are of one process's monotonic clock, and are given.
+// The package does no I/O and reads no clock: times are readings of the process's monotonic clock, passed in by the caller.
 package retrybudget
--- a/internal/retrybudget/share_test.go
+++ b/internal/retrybudget/share_test.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// fleet is routers that retry as much as they may, and replicas that count the routers' incarnations, one of which holds the lease.
+// fleet simulates routers that retry as much as they may, and replicas that count the routers' incarnations. One replica holds the
+// lease.
 type fleet struct {
 	rng            *rand.Rand
 	now            time.Duration
 	shares         []Share
 	budgets        []Budget
-	ids            []int // of the routers' incarnations
+	ids            []int // current incarnation of each router
 	nextID         int
-	lastReports    [3]map[int]time.Duration // by each replica
-	isolated       [3][]bool                // replicas from routers
+	lastReports    [3]map[int]time.Duration // time of the last request of each incarnation, by replica
+	isolated       [3][]bool                // by replica and router: whether they are partitioned
 	leaseHolder    int
-	holderSince    time.Duration // the holder has the lease
+	holderSince    time.Duration // from when the holder has the lease
 	retries        []time.Duration
-	reportsAtOnce  bool // a replica that begins to count reports at once: must be found
-	reportsForever bool // a report is valid for good: likewise
-	allReport      bool // every replica reports, whether it holds the lease or not: likewise
+	reportsAtOnce  bool // fault: a replica that starts to count reports at once
+	reportsForever bool // fault: a report never expires
+	allReport      bool // fault: replicas without the lease report, too
 }
 
 const (
@@ -53,7 +54,7 @@
 	return f
 }
 
-// step plays half a second.
+// step simulates half a second.
 func (f *fleet) step() {
 	f.injectFault()
 	f.report()
@@ -61,7 +62,7 @@
 	f.now += 500 * time.Millisecond
 }
 
-// injectFault draws a fault, now and then.
+// injectFault injects a random fault in some steps.
 func (f *fleet) injectFault() {
 	switch f.rng.IntN(60) {
 	case 0:
@@ -71,7 +72,7 @@
 			clear(f.isolated[k])
 		}
 	case 2:
-		f.leaseHolder, f.holderSince = f.rng.IntN(3), f.now+3*time.Second // the lease must run out in between
+		f.leaseHolder, f.holderSince = f.rng.IntN(3), f.now+3*time.Second // the old lease expires in between
 		f.lastReports[f.rng.IntN(3)] = map[int]time.Duration{}
 	case 3: // the holder restarts
 		f.lastReports[f.leaseHolder], f.holderSince = map[int]time.Duration{}, f.now
@@ -86,7 +87,7 @@
 	}
 }
 
-// partition cuts routers off from replicas, with the holder on one side.
+// partition splits the fleet: each router reaches either replica 0 only, or all replicas but that one.
 func (f *fleet) partition() {
 	chance := 1 + f.rng.IntN(7)
 	for i := range f.ids {
@@ -97,7 +98,7 @@
 	}
 }
 
-// report has every router ask every replica that it can reach.
+// report sends a request of every router to every replica that it can reach.
 func (f *fleet) report() {
 	for i, id := range f.ids {
 		for k := range f.lastReports {
@@ -109,7 +110,7 @@
 	}
 }
 
-// count returns the incarnations that a replica reports; 0 = it cannot say.
+// count returns the number of incarnations that a replica reports; 0 = unknown.
 func (f *fleet) count(replica int) (incarnations int) {
 	for _, at := range f.lastReports[replica] {
 		if f.now-at <= CountingPeriod(window, validity) {
@@ -123,7 +124,7 @@
 	return incarnations
 }
 
-// retry has every router retry as much as it may.
+// retry lets every router send a random number of the retries that its budget allows.
 func (f *fleet) retry() {
 	for i := range f.ids {
 		f.budgets[i].Allowance = f.shares[i].Allowance(f.now)
@@ -133,7 +134,8 @@
 	}
 }
 
-// findExcess plays fleets and returns where there were more retries within a window than the total allows, and the most that there were.
+// findExcess simulates a fleet for each seed until a window has more retries than the total. It returns a description of that
+// window, or "", and the largest number of retries found in a window.
 func findExcess(seeds uint64, change func(*fleet)) (found string, maxRetries int) {
 	for seed := range seeds {
 		f := newFleet(seed)
@@ -150,26 +152,27 @@
 				n++
 			}
 			if maxRetries = max(maxRetries, n); n > total {
-				return fmt.Sprintf("seed %d: %d retries of %v in a window", seed, n, total), maxRetries
+				return fmt.Sprintf("seed %d: %d retries in a window, %v are allowed", seed, n, total), maxRetries
 			}
 		}
 	}
 	return "", maxRetries
 }
 
-// TestSharesNeverExceedTheTotal plays partitions, holders that change or restart, and routers that restart by the dozen.
+// TestSharesNeverExceedTheTotal simulates partitions, changes and restarts of the lease holder, and simultaneous restarts of many
+// routers. Each of the faults in the algorithm must be detected.
 func TestSharesNeverExceedTheTotal(t *testing.T) {
 	found, maxRetries := findExcess(100, func(*fleet) {})
 	if found != "" || maxRetries < total/2 {
-		t.Errorf("%q; %d at the most", found, maxRetries)
+		t.Errorf("excess %q; at most %d retries in a window", found, maxRetries)
 	}
 	for name, change := range map[string]func(*fleet){
-		"a replica that begins to count reports at once": func(f *fleet) { f.reportsAtOnce = true },
-		"a report is valid for good":                     func(f *fleet) { f.reportsForever = true },
+		"a replica that starts to count reports at once": func(f *fleet) { f.reportsAtOnce = true },
+		"a report never expires":                         func(f *fleet) { f.reportsForever = true },
 		"every replica reports":                          func(f *fleet) { f.allReport = true },
 	} {
 		if found, _ := findExcess(100, change); found == "" {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: the excess was not detected", name)
 		}
 	}
 }
