--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -1,6 +1,6 @@
-// Package admission sheds load by priority. A Gate belongs to one service at one router: while engines reject requests for want
-// of capacity, it rejects requests of the lowest priorities at once, so that the higher ones are served. It never delays a
-// request, and without overload it admits everything. It is pure: the time is given, on the caller's monotonic clock.
+// Package admission sheds load by priority. Each router has a Gate for each service. While engines reject requests for lack of
+// capacity, the Gate rejects those of the lowest priorities early, so that the higher ones are served. It never delays a request,
+// and without overload it admits all. It does no I/O; times are readings of the caller's monotonic clock.
 package admission
 
 import (
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Priority combines the priorities of a tenant and of a route into one; 0 is the highest. The tenant's priority is compared
-// first. Values outside of 0 to 1024 (tenant) and 0 to 1023 (route) are clamped.
+// Priority combines the priorities of a tenant and of a route into one number; 0 is the highest priority. The tenant's priority
+// takes precedence over the route's. Values outside 0 to 1024 (tenant) and 0 to 1023 (route) are clamped.
 func Priority(tenant, route int) int {
 	const maxPriority = 1 << 10
 	return min(max(tenant, 0), maxPriority)*maxPriority + min(max(route, 0), maxPriority-1)
@@ -17,32 +17,32 @@
 
 const (
 	windowLength     = time.Second
-	minRejected      = 5    // rejections of engines in a window below which nothing is shed
-	minRejectedShare = 0.10 // likewise, as a share of the window's arrivals
-	headroom         = 1.1  // arrivals admitted in the next window, as a multiple of those served in the last one
-	maxCalmWindows   = 16   // upper bound of the calm windows that are waited for before the next priority is admitted again
-	idleWindows      = 3    // after so many windows without an arrival the gate opens
+	minRejected      = 5    // minimum rejections by engines in a window for it to count as overloaded
+	minRejectedShare = 0.10 // likewise, as a share of the requests that arrived in the window
+	headroom         = 1.1  // requests admitted in the next window, as a multiple of those served in the last one
+	maxCalmWindows   = 16   // upper bound of calmWindowsNeeded
+	idleWindows      = 3    // the gate stops shedding after this many windows without an event
 )
 
 // Gate decides which requests of one service are admitted. The zero Gate admits all. It is not safe for concurrent use.
 type Gate struct {
-	// Rejected counts the requests that the gate has rejected.
+	// Rejected is the number of requests that the gate itself has rejected.
 	Rejected uint64
 
 	shedding    bool
-	maxPriority int // while shedding: the lowest priority (highest number) that is admitted
+	maxPriority int // the lowest priority (highest number) that is admitted while shedding
 
 	windowStart   time.Duration
-	arrivals      map[int]int // in this window, by priority
+	arrivals      map[int]int // requests in this window, by priority
 	totalArrivals int
 	served        int
-	rejected      int // by engines, for want of capacity
+	rejected      int // by engines, for lack of capacity
 
-	calmWindows       int // windows in a row without overload
-	calmWindowsNeeded int // before the next priority is admitted; doubled each time that this was too early
+	calmWindows       int // consecutive windows without overload
+	calmWindowsNeeded int // before the next lower priority is admitted; doubled when overload returns
 }
 
-// Admit counts an arriving request and reports whether it may go on. One that may not is to be answered with a time to retry.
+// Admit counts an arriving request and reports whether it is admitted. The caller answers a rejected one with a Retry-After.
 func (g *Gate) Admit(now time.Duration, priority int) bool {
 	g.rollWindow(now)
 	g.totalArrivals++
@@ -54,19 +54,19 @@
 	return true
 }
 
-// RequestServed counts a request whose answer has begun.
+// RequestServed counts a request whose response has begun.
 func (g *Gate) RequestServed(now time.Duration) {
 	g.rollWindow(now)
 	g.served++
 }
 
-// RequestRejected counts a request that no engine had the capacity to take.
+// RequestRejected counts a request that engines rejected for lack of capacity.
 func (g *Gate) RequestRejected(now time.Duration) {
 	g.rollWindow(now)
 	g.rejected++
 }
 
-// rollWindow ends the present window once it is over, and adjusts what is admitted in the next one.
+// rollWindow starts a new window if the current one is over, and adjusts which priorities are admitted.
 func (g *Gate) rollWindow(now time.Duration) {
 	if g.arrivals == nil {
 		g.windowStart, g.arrivals = now, map[int]int{}
@@ -91,14 +91,14 @@
 	clear(g.arrivals)
 }
 
-// isOverloaded reports whether engines rejected more requests in this window than chance explains. Where none was served, it is
-// an outage, which says nothing of the engines' capacity.
+// isOverloaded reports whether engines rejected a significant share of this window's requests. A window in which no request was
+// served is an outage, not an overload.
 func (g *Gate) isOverloaded() bool {
 	return g.rejected >= minRejected && float64(g.rejected) > minRejectedShare*float64(g.totalArrivals) && g.served > 0
 }
 
-// shed admits as many requests as were served in this window, plus headroom: the highest priorities first, and the highest one in
-// any case. priorities are those of this window, sorted.
+// shed sets maxPriority so that about as many requests are admitted as were served in this window, plus headroom. The highest
+// priority is always admitted. priorities are the sorted priorities of this window.
 func (g *Gate) shed(priorities []int) {
 	g.calmWindowsNeeded = min(max(2*g.calmWindowsNeeded, 1), maxCalmWindows)
 	if g.calmWindows > 2*g.calmWindowsNeeded {
@@ -116,7 +116,7 @@
 	}
 }
 
-// relax admits one priority more after enough calm windows, and opens the gate at the lowest one.
+// relax admits the next lower priority after enough calm windows. It ends load shedding once the lowest one would be admitted.
 func (g *Gate) relax(priorities []int) {
 	g.calmWindows++
 	if !g.shedding || g.calmWindows < g.calmWindowsNeeded {
--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -9,18 +9,19 @@
 
 const tick = 10 * time.Millisecond
 
-// testEngines serves a number of requests a second and rejects the others.
+// testEngines serves a limited number of requests per second and rejects the rest.
 type testEngines struct {
 	perSecond float64
 	available float64
 }
 
-// simulate sends requests at a rate a second for each priority, and returns the share of each that was served in the second half.
+// simulate sends requests at a rate per second for each priority, and returns the share of each that was served in the second
+// half.
 func simulate(g *Gate, b *testEngines, rates map[int]float64, from, length time.Duration) map[int]float64 {
 	due, arrived, served := map[int]float64{}, map[int]int{}, map[int]int{}
 	for now := from; now < from+length; now += tick {
 		b.available = min(b.available+b.perSecond*tick.Seconds(), b.perSecond/10+1)
-		for _, priority := range []int{0, 1, 5, 9} { // the order within a tick favours none for long
+		for _, priority := range []int{0, 1, 5, 9} { // a tick is short enough that the order within it does not matter
 			for due[priority] += rates[priority] * tick.Seconds(); due[priority] >= 1; due[priority]-- {
 				isMeasured := now >= from+length/2
 				if isMeasured {
@@ -54,14 +55,14 @@
 	rates := map[int]float64{0: 30, 1: 30, 5: 30, 9: 60}
 	got := simulate(g, e, rates, 0, 20*time.Second)
 	if got[0] < 0.95 || got[1] < 0.95 || got[5] < 0.8 || got[9] > 0.5 {
-		t.Errorf("150 a second at engines for 100: %v", got)
+		t.Errorf("150 requests/s at engines with capacity for 100/s: served shares %v", got)
 	}
-	// With enough capacity everything is served again, after some time.
+	// With enough capacity all requests are served again after some time.
 	e.perSecond = 400
 	got = simulate(g, e, rates, 20*time.Second, 100*time.Second)
 	for r, s := range got {
 		if s < 1 {
-			t.Errorf("enough for all, and priority %d gets %v", r, s)
+			t.Errorf("with enough capacity, priority %d has a served share of %v", r, s)
 		}
 	}
 }
@@ -74,12 +75,12 @@
 	}{
 		"enough for all":     {1000, map[int]float64{0: 50, 9: 50}, 0},
 		"one priority alone": {10, map[int]float64{5: 100}, 0},
-		"no engine at all":   {0, map[int]float64{0: 50, 9: 50}, 0}, // an outage says nothing of what can be served
+		"no engine at all":   {0, map[int]float64{0: 50, 9: 50}, 0}, // an outage is not an overload
 	} {
 		g := &Gate{}
 		simulate(g, &testEngines{perSecond: c.per}, c.rates, 0, 10*time.Second)
 		if g.Rejected != c.want {
-			t.Errorf("%s: %d were rejected", name, g.Rejected)
+			t.Errorf("%s: %d requests were rejected", name, g.Rejected)
 		}
 	}
 }
@@ -87,7 +88,7 @@
 func TestTenantPriorityGoesBeforeRoutePriority(t *testing.T) {
 	for _, c := range [][4]int{{0, 9, 1, 0}, {1, 0, 1, 1}, {0, 1023, 1, 0}, {-5, 3, 0, 4}} {
 		if Priority(c[0], c[1]) >= Priority(c[2], c[3]) {
-			t.Errorf("tenant %d, route %d is not higher than %d, %d", c[0], c[1], c[2], c[3])
+			t.Errorf("tenant %d, route %d has no higher priority than tenant %d, route %d", c[0], c[1], c[2], c[3])
 		}
 	}
 }
@@ -106,7 +107,7 @@
 			default:
 				priority := rapid.IntRange(0, 5).Draw(t, "priority")
 				if !g.Admit(now, priority) && priority == 0 {
-					t.Fatal("the highest priority was rejected")
+					t.Fatal("a request of the highest priority was rejected")
 				}
 			}
 		}
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,4 +1,4 @@
-// Package quota divides what a process has only so much of between its pools: file descriptors, bytes of bodies, open requests
-// (Quota), and turns of its event loop (FairQueue). It owns the arithmetic and its guarantees and does no I/O; the resources
-// themselves belong to its users. Nothing here is safe for concurrent use.
+// Package quota divides limited resources of a process among its pools: file descriptors, bytes of request bodies and open requests
+// (Quota), and turns of the event loop (FairQueue). It only does the accounting; the resources belong to the callers. Its types are
+// not safe for concurrent use.
 package quota
--- a/internal/quota/fairqueue.go
+++ b/internal/quota/fairqueue.go
@@ -1,26 +1,27 @@
 package quota
 
-// FairQueue is a queue with a flow for each holder, which take turns in proportion to their weights: what one holder has queued
-// does not delay another's first entry. Within a flow the order is kept. It is start-time fair queueing (Goyal, Vin and Cheng,
-// 1996): each entry has a start tag, the lowest tag is served next, and a flow that was empty starts at the tag served last, so
-// that it neither saves up turns nor has to make up for any.
+// FairQueue is a queue with one flow for each holder. The flows take turns in proportion to their weights, so that a long flow does
+// not delay the first entry of another one. Entries of a flow keep their order. The algorithm is start-time fair queueing (Goyal,
+// Vin and Cheng, 1996): each entry has a start tag, the entry with the lowest tag is served next, and a flow that was empty
+// continues at the tag that was served last, so that it neither gains nor loses turns while it is empty.
 type FairQueue[T any] struct {
 	flows       map[int]*flow[T]
 	virtualTime float64 // start tag of the entry that was served last
 	length      int
 }
 
+// flow is the queue of one holder.
 type flow[T any] struct {
 	entries   []T
 	weight    float64
-	startTag  float64 // of its first entry
-	permanent bool    // its weight was set: it stays while it is empty
+	startTag  float64 // start tag of the first entry
+	permanent bool    // the weight was set; the flow is kept while it is empty
 }
 
 // NewFairQueue returns an empty queue.
 func NewFairQueue[T any]() *FairQueue[T] { return &FairQueue[T]{flows: map[int]*flow[T]{}} }
 
-// SetWeight sets a holder's weight against the others'. Without one, or with one that is not above 0, it is 1.
+// SetWeight sets the weight of a holder. The default is 1, which also replaces a weight of 0 or less.
 func (q *FairQueue[T]) SetWeight(id int, weight float64) {
 	if !(weight > 0) {
 		weight = 1
@@ -29,7 +30,7 @@
 	f.weight, f.permanent = weight, true
 }
 
-// EndFlow forgets a holder's weight. What it has queued, or still queues, is served; its flow is removed when it is empty.
+// EndFlow resets a holder's weight once its flow is empty, and removes the flow. Entries that are queued now or later are served.
 func (q *FairQueue[T]) EndFlow(id int) {
 	if f := q.flows[id]; f != nil {
 		f.permanent = false
@@ -52,7 +53,7 @@
 	return f
 }
 
-// Push queues an entry of a holder.
+// Push appends an entry to the flow of a holder.
 func (q *FairQueue[T]) Push(id int, entry T) {
 	f := q.flow(id)
 	if len(f.entries) == 0 {
@@ -62,7 +63,7 @@
 	q.length++
 }
 
-// Len returns the number of entries.
+// Len returns the number of entries in all flows.
 func (q *FairQueue[T]) Len() int { return q.length }
 
 // Pop removes and returns the next entry; ok is false if the queue is empty.
@@ -84,7 +85,7 @@
 	return entry, true
 }
 
-// nextFlow returns the flow with the lowest start tag; among equal ones that of the lowest id, whatever the map's order.
+// nextFlow returns the nonempty flow with the lowest start tag, and among equal tags the one with the lowest ID.
 func (q *FairQueue[T]) nextFlow() (id int, next *flow[T]) {
 	for i, f := range q.flows {
 		if len(f.entries) == 0 {
@@ -97,7 +98,7 @@
 	return id, next
 }
 
-// PopIf removes and returns the first entry that matches, wherever it stands in its flow.
+// PopIf removes and returns an entry that matches, at any position: the first one of its flow. ok is false if none matches.
 func (q *FairQueue[T]) PopIf(matches func(T) bool) (entry T, ok bool) {
 	for id, f := range q.flows {
 		for i, e := range f.entries {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Claim is what one holder may reserve of a Quota.
+// Claim bounds the units that one holder may reserve of a Quota.
 type Claim struct {
-	Guarantee int64 // nobody else can use up this much
-	Max       int64 // upper bound; 0 = as much as there is
+	Guarantee int64 // units that no other holder can take
+	Max       int64 // upper bound; 0 = the total
 }
 
-// Quota is a number of equal units that several holders reserve. Each holder has its guarantee for itself; what is beyond all
-// guarantees is common, and goes to whoever comes first. So a holder at its limit takes nothing from another's guarantee, and
-// with a single holder that is guaranteed everything a Quota is a plain counter.
+// Quota is a number of equal units that several holders reserve. Each holder has its guarantee to itself. Units beyond all
+// guarantees are shared, and are reserved first come, first served. With a single holder whose guarantee is the total, a Quota is
+// a plain counter.
 type Quota struct {
 	total     int64
 	committed int64 // sum over the holders of the larger of what is reserved and what is guaranteed
@@ -18,37 +18,39 @@
 	holders   map[int]*holder
 }
 
+// holder is the claim of one holder and what it has reserved.
 type holder struct {
 	Claim
 	reserved int64
-	ended    bool // without a claim: it is forgotten once nothing is reserved
+	ended    bool // has no claim; removed once nothing is reserved
 }
 
+// committed returns the units that are unavailable to other holders.
 func (h *holder) committed() int64 { return max(h.reserved, h.Guarantee) }
 
-// New returns a quota of total units that nobody has a claim to.
+// New returns a quota of total units without claims.
 func New(total int64) *Quota { return &Quota{total: total, holders: map[int]*holder{}} }
 
-// Check reports whether all claims can be kept at once.
+// Check returns an error if the claims are invalid, or if their guarantees exceed the total.
 func Check(total int64, claims []Claim) error {
 	var sum int64
 	for _, c := range claims {
 		switch {
 		case c.Guarantee < 0 || c.Max < 0:
-			return fmt.Errorf("guarantee %d, max %d: negative", c.Guarantee, c.Max)
+			return fmt.Errorf("guarantee %d and max %d must not be negative", c.Guarantee, c.Max)
 		case c.Max > 0 && c.Max < c.Guarantee:
 			return fmt.Errorf("guarantee %d is above max %d", c.Guarantee, c.Max)
 		}
 		sum += c.Guarantee
 	}
 	if sum > total {
-		return fmt.Errorf("guarantees add up to %d of %d", sum, total)
+		return fmt.Errorf("guarantees add up to %d, more than the total of %d", sum, total)
 	}
 	return nil
 }
 
-// SetClaim gives a holder a claim, or another one than it had. What it has reserved stays; where that is more than the claim now
-// allows it gets nothing until it has released enough.
+// SetClaim sets the claim of a holder. Its reserved units stay reserved; if they exceed the new claim, it gets no further ones until
+// it has released enough.
 func (q *Quota) SetClaim(id int, c Claim) {
 	h := q.holders[id]
 	if h == nil {
@@ -60,7 +62,7 @@
 	q.committed += h.committed()
 }
 
-// EndClaim takes a holder's claim away. What it has reserved stays reserved until it is released.
+// EndClaim removes a holder's claim. Its reserved units stay reserved until they are released.
 func (q *Quota) EndClaim(id int) {
 	h := q.holders[id]
 	if h == nil {
@@ -71,7 +73,7 @@
 	q.removeIfUnused(id, h)
 }
 
-// Take reserves n units for a holder and reports whether it may have them. A holder without a claim takes from what is common.
+// Take reserves n units for a holder and reports whether that succeeded. A holder without a claim takes shared units.
 func (q *Quota) Take(id int, n int64) bool {
 	h := q.holders[id]
 	if h == nil {
@@ -80,8 +82,8 @@
 	}
 	after := h.reserved + n
 	committed := q.committed - h.committed() + max(after, h.Guarantee)
-	// Within its guarantee a holder adds nothing to what is committed. After claims were changed more may be committed than there
-	// is; then only what is really left counts for it.
+	// Within its guarantee a holder does not add to the committed units. After a change of claims more units may be committed than
+	// exist; then only the units that are still free limit it.
 	fits := committed <= q.total || after <= h.Guarantee
 	if n < 0 || !fits || q.reserved+n > q.total || h.Max > 0 && after > h.Max {
 		q.removeIfUnused(id, h)
@@ -91,7 +93,7 @@
 	return true
 }
 
-// Release gives n units of a holder back; more than it has reserved is ignored.
+// Release returns n units of a holder; units beyond those that it has reserved are ignored.
 func (q *Quota) Release(id int, n int64) {
 	h := q.holders[id]
 	if h == nil {
@@ -111,10 +113,10 @@
 	}
 }
 
-// Resize changes the total.
+// Resize changes the total. Reserved units stay reserved, even if they exceed it.
 func (q *Quota) Resize(total int64) { q.total = total }
 
-// Total returns the number of units.
+// Total returns the number of units, free or reserved.
 func (q *Quota) Total() int64 { return q.total }
 
 // Used returns the units that all holders have reserved.
@@ -128,7 +130,7 @@
 	return 0
 }
 
-// Claim returns a holder's claim; the zero Claim if it has none.
+// Claim returns a holder's claim, or the zero Claim if it has none.
 func (q *Quota) Claim(id int) Claim {
 	if h := q.holders[id]; h != nil {
 		return h.Claim
@@ -136,7 +138,7 @@
 	return Claim{}
 }
 
-// IsOverGuarantee reports whether a holder has reserved more than its guarantee. What is beyond it is common, and may be
+// IsOverGuarantee reports whether a holder has reserved more than its guarantee. The excess consists of shared units, which may be
 // reclaimed.
 func (q *Quota) IsOverGuarantee(id int) bool {
 	h := q.holders[id]
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -8,15 +8,15 @@
 
 const testTotal = 100
 
-// quotaModel is a plain quotaModel of a Quota of testTotal units and up to four holders.
+// quotaModel is a reference model of a Quota of testTotal units and four holders.
 type quotaModel struct {
 	quota       *Quota
 	reserved    map[int]int64
 	claims      map[int]Claim
-	isCommitted bool // the claims and what is reserved fit together
+	isCommitted bool // claims and reserved units fit into the total
 }
 
-// TestQuotaKeepsGuarantees plays reservations, releases and changes of claims against a plain account.
+// TestQuotaKeepsGuarantees compares random reservations, releases and changes of claims with a reference model.
 func TestQuotaKeepsGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := &quotaModel{quota: New(testTotal), reserved: map[int]int64{}, claims: map[int]Claim{}, isCommitted: true}
@@ -46,10 +46,10 @@
 		a.reserved[id] += n
 	}
 	if isWithinGuarantee && a.isCommitted && !ok {
-		t.Fatalf("holder %d was rejected %d within its guarantee: reserved %v, claims %v", id, n, a.reserved, a.claims)
+		t.Fatalf("holder %d was refused %d units within its guarantee: reserved %v, claims %v", id, n, a.reserved, a.claims)
 	}
 	if ok && a.claims[id].Max > 0 && a.reserved[id] > a.claims[id].Max {
-		t.Fatalf("holder %d has %d, more than its max", id, a.reserved[id])
+		t.Fatalf("holder %d has reserved %d units, more than its max", id, a.reserved[id])
 	}
 }
 
@@ -76,18 +76,18 @@
 	return sum
 }
 
-// checkAgainstQuota holds the quota against the account.
+// checkAgainstQuota compares the quota's reserved units with the model.
 func (a *quotaModel) checkAgainstQuota(t *rapid.T) {
 	t.Helper()
 	var sum int64
 	for i, n := range a.reserved {
 		sum += n
 		if a.quota.Reserved(i) != n {
-			t.Fatalf("holder %d has reserved %d by the quota, %d by the account", i, a.quota.Reserved(i), n)
+			t.Fatalf("holder %d has reserved %d units by the quota, %d by the model", i, a.quota.Reserved(i), n)
 		}
 	}
 	if sum > testTotal {
-		t.Fatalf("%d of %d are reserved", sum, testTotal)
+		t.Fatalf("%d of %d units are reserved", sum, testTotal)
 	}
 	if !a.isCommitted {
 		a.isCommitted = a.committed() <= testTotal
@@ -101,7 +101,7 @@
 		a.quota.Release(i, a.reserved[i])
 	}
 	if q := a.quota; len(q.holders) != 0 || q.committed != 0 || q.reserved != 0 {
-		t.Fatalf("left: %d holders, %d committed, %d reserved", len(q.holders), q.committed, q.reserved)
+		t.Fatalf("left over: %d holders, %d committed units, %d reserved units", len(q.holders), q.committed, q.reserved)
 	}
 }
 
@@ -110,15 +110,15 @@
 	q.SetClaim(0, Claim{Guarantee: 3})
 	for range 3 {
 		if !q.Take(0, 1) {
-			t.Fatal("rejected below the total")
+			t.Fatal("a unit below the total was refused")
 		}
 	}
 	if q.Take(0, 1) {
-		t.Error("more than the total was taken")
+		t.Error("a unit beyond the total was granted")
 	}
 	q.Release(0, 1)
 	if !q.Take(0, 1) {
-		t.Error("what was released cannot be taken")
+		t.Error("a released unit cannot be taken again")
 	}
 }
 
@@ -138,7 +138,7 @@
 	}
 }
 
-// TestFlowsShareTurnsByWeight floods one flow: the others' entries must not wait behind it, and turns go by weight.
+// TestFlowsShareTurnsByWeight floods one flow. The entries of another flow must not wait behind it, and both are served by weight.
 func TestFlowsShareTurnsByWeight(t *testing.T) {
 	q := NewFairQueue[int]()
 	q.SetWeight(1, 3)
@@ -153,7 +153,7 @@
 	for n := 0; ; n++ {
 		if x, _ := q.Pop(); x == 2 {
 			if n > 1 {
-				t.Errorf("%d turns went to the full flow first", n)
+				t.Errorf("%d entries of the flooded flow were served first", n)
 			}
 			break
 		}
@@ -167,11 +167,11 @@
 		count[x]++
 	}
 	if count[1] < 298 || count[1] > 302 {
-		t.Errorf("of 400 turns %d went to the flow of weight 3, %d to that of weight 1", count[1], count[2])
+		t.Errorf("of 400 entries %d were of the flow of weight 3, %d of that of weight 1", count[1], count[2])
 	}
 }
 
-// TestEndedFlowIsRemovedOnceEmpty checks a flow that has entries when it ends, and one that gets an entry afterwards.
+// TestEndedFlowIsRemovedOnceEmpty checks a flow that has entries when it is ended, and one that gets an entry afterwards.
 func TestEndedFlowIsRemovedOnceEmpty(t *testing.T) {
 	q := NewFairQueue[int]()
 	q.SetWeight(1, 2)
@@ -209,21 +209,21 @@
 				q.Push(id, entry{id, pushed})
 			case 2:
 				take(q.Pop())
-			case 3: // the first of a flow, out of turn
+			case 3: // the first entry of a flow, whatever its turn
 				take(q.PopIf(func(e entry) bool { return e.flow == id }))
 			case 4:
 				q.SetWeight(id, rapid.Float64Range(0, 4).Draw(t, "weight"))
 				q.EndFlow(rapid.IntRange(0, 3).Draw(t, "ended"))
 			}
 			if q.Len() != pushed-popped {
-				t.Fatalf("%d are queued; %d were pushed, %d popped", q.Len(), pushed, popped)
+				t.Fatalf("%d entries are queued; %d were pushed, %d popped", q.Len(), pushed, popped)
 			}
 		}
 		for q.Len() > 0 {
 			take(q.Pop())
 		}
 		if _, ok := q.Pop(); ok || pushed != popped {
-			t.Fatalf("pushed %d, popped %d", pushed, popped)
+			t.Fatalf("%d entries were pushed, %d popped", pushed, popped)
 		}
 		for id := range 4 {
 			q.EndFlow(id)
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -1,5 +1,5 @@
-// Package timerqueue keeps values ordered by the time at which they are due. A reducer holds all of its timers in one queue and
-// asks its owner to be woken for the first of them. Times are of the owner's monotonic clock.
+// Package timerqueue provides a queue of values ordered by due time. A reducer keeps all of its timers in one queue, and its event
+// loop sets a single system timer for the first of them. Times are readings of the caller's monotonic clock.
 package timerqueue
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/tidwall/btree"
 )
 
-// Key identifies an entry of a Queue. The zero Key identifies none.
+// Key identifies an entry of a Queue. The zero Key never identifies an entry.
 type Key struct {
 	at  time.Duration
 	seq uint64
@@ -19,8 +19,8 @@
 	value V
 }
 
-// Queue holds values by due time. Values that are due at the same time leave in the order in which they were added. It is not
-// safe for concurrent use.
+// Queue holds values ordered by due time. Values with the same due time keep the order in which they were added. It is not safe
+// for concurrent use.
 type Queue[V any] struct {
 	tree    *btree.BTreeG[entry[V]]
 	lastSeq uint64
@@ -32,7 +32,7 @@
 	return &Queue[V]{tree: btree.NewBTreeGOptions(less, btree.Options{NoLocks: true})}
 }
 
-// Add inserts a value that is due at a time and returns the key that removes it.
+// Add inserts a value that is due at the given time, and returns the key with which Remove deletes it.
 func (q *Queue[V]) Add(at time.Duration, value V) Key {
 	q.lastSeq++
 	key := Key{at, q.lastSeq}
@@ -43,7 +43,7 @@
 // Remove deletes an entry, if it is still in the queue.
 func (q *Queue[V]) Remove(key Key) { q.tree.Delete(entry[V]{Key: key}) }
 
-// PopDue removes and returns the first value that is due at or before now.
+// PopDue removes and returns the first value that is due at or before now; ok is false if there is none.
 func (q *Queue[V]) PopDue(now time.Duration) (value V, ok bool) {
 	first, ok := q.tree.Min()
 	if !ok || first.at > now {
--- a/internal/timerqueue/queue_test.go
+++ b/internal/timerqueue/queue_test.go
@@ -14,9 +14,9 @@
 	q.Add(time.Second, "a")
 	q.Add(time.Second, "b")
 	q.Remove(first)
-	q.Remove(Key{}) // identifies none
+	q.Remove(Key{}) // the zero Key removes nothing
 	if at, ok := q.NextDue(); at != time.Second || !ok {
-		t.Errorf("NextDue: %v %v", at, ok)
+		t.Errorf("NextDue returned %v, %v", at, ok)
 	}
 	var got []string
 	for v, ok := q.PopDue(2 * time.Second); ok; v, ok = q.PopDue(2 * time.Second) {
