--- a/internal/limits/discovery.go
+++ b/internal/limits/discovery.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Failure detection and gossip. That drain acknowledgements, GossipSpreadTime and DrainGrace stay within the platform's drain
-// timeout is checked by a test of the dialect.
+// Failure detection and gossip. A test of package dialect checks that drain acknowledgements, GossipSpreadTime and DrainGrace fit
+// into the platform's drain timeout.
 const (
-	// MissedHeartbeats is how many heartbeats, and a half, an engine may miss before it is taken for failed.
+	// MissedHeartbeats is the number of heartbeats that an engine may miss. It is considered failed half an interval later.
 	MissedHeartbeats = 3
-	// FailureSweepInterval is the interval at which failed engines are looked for.
+	// FailureSweepInterval is the interval at which engines are checked for missed heartbeats.
 	FailureSweepInterval = 500 * time.Millisecond
-	// DrainAckPeers is how many other processes must know of an engine's drain before it is acknowledged to the engine: with
-	// two, one is left if this process and another fail.
+	// DrainAckPeers is the number of other processes that must have received an engine's drain before it is acknowledged to the
+	// engine. With two, the drain survives the failure of this process and of one other.
 	DrainAckPeers = 2
-	// GossipSpreadTime is the time within which an update reaches every process.
+	// GossipSpreadTime is the time within which gossip delivers an update to every process.
 	GossipSpreadTime = 1200 * time.Millisecond
 )
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Machine is what the deployment grants to one router.
+// Machine describes the resources that the deployment grants to one router.
 type Machine struct {
 	Cores    float64 // processor time, in cores
 	MemoryMB int     // resident memory, in MiB
 	Sockets  int     // file descriptors
 }
 
-// Site is what the settings say about timeouts and counts, apart from what the policy module reads itself.
+// Site holds the timeouts and counts from the settings that the limits depend on. Package policy has settings of its own.
 type Site struct {
 	ConnectTimeout        time.Duration // to an upstream; 0 = one second
 	UpstreamIdleClose     time.Duration // after which upstreams close an idle connection
-	MaxConcurrentRequests int           // 0 = as many as there are upstream connections
+	MaxConcurrentRequests int           // 0 = the number of upstream connections
 	MaxAttempts           int           // upstream attempts of one request
-	MaxDeadline           time.Duration // the longest deadline of any request class
+	MaxDeadline           time.Duration // longest deadline of all request classes
 }
 
-// Limits are the bounds of one running program.
+// Limits holds the limits of one process.
 type Limits struct {
 	Procs     int   // GOMAXPROCS
 	HeapBytes int64 // soft limit of the Go heap
@@ -27,10 +27,10 @@
 	ResponseHeadBytes int   // head of one upstream response
 	BodyBytes         int   // body of one message
 	TotalBodyBytes    int64 // all request bodies in memory at once
-	ControlReadBytes  int   // read buffer towards the endpoint list; body of a health check response
+	ControlReadBytes  int   // read buffer for the endpoint list; also the body of a health check response
 	StreamEventBytes  int   // one event of a streamed response
 
-	ClientConns        int // concurrent client connections
+	ClientConns        int // concurrent client connections that are served
 	RejectConns        int // client connections above ClientConns, each kept only until one request is rejected
 	ConcurrentRequests int // requests in flight
 	UpstreamConns      int // connections to upstreams, idle ones included
@@ -48,11 +48,11 @@
 	StreamIdleTimeout   time.Duration // between two events of a stream
 	HealthCheckTimeout  time.Duration // one health check, connecting included
 	DeadlineTolerance   time.Duration // a client that disconnects this close to its deadline counts as timed out
-	MaxRequestTimeout   time.Duration // upper bound of any request's time, whatever it asks for
+	MaxRequestTimeout   time.Duration // upper bound of the timeout that a request may ask for
 
 	WatchTimeout       time.Duration // long poll of the endpoint list
 	WatchRetryDelay    time.Duration // pause after a poll that returned at once without a change
-	WatchResponseGrace time.Duration // what a poll may take beyond WatchTimeout
+	WatchResponseGrace time.Duration // time beyond WatchTimeout after which a poll fails
 	EndpointListBytes  int64         // one response of the endpoint list
 	EndpointSources    int           // endpoint lists that are watched at once
 	DrainPrecedence    time.Duration // a drain seen in one pool's endpoint list overrides another pool's list for this long
@@ -84,7 +84,7 @@
 		RequestHeadBytes:  8 << 10, // also the read buffer of a connection; a typical head has 400 bytes
 		ResponseHeadBytes: 8 << 10,
 		BodyBytes:         256 << 10,
-		TotalBodyBytes:    int64(m.MemoryMB) << 20 / 6, // each attempt copies the body once more to write it
+		TotalBodyBytes:    int64(m.MemoryMB) << 20 / 6, // each attempt makes one copy of the body
 		ControlReadBytes:  4 << 10,
 		StreamEventBytes:  64 << 10,
 
@@ -92,8 +92,8 @@
 		IdlePerEndpoint: 64,
 		MaxAttempts:     max(s.MaxAttempts, 1),
 
-		RequestReadTimeout:  2500 * time.Millisecond, // the platform wants slow clients answered or closed within 3 s
-		ClientIdleTimeout:   4 * time.Second,         // the platform asks for 2 s at least; some clients never return
+		RequestReadTimeout:  2500 * time.Millisecond, // the platform requires an answer or a close within 3 s
+		ClientIdleTimeout:   4 * time.Second,         // the platform requires at least 2 s
 		NewConnGrace:        100 * time.Millisecond,
 		ClientWriteTimeout:  10 * time.Second,
 		ConnectTimeout:      s.ConnectTimeout,
@@ -102,7 +102,7 @@
 		FirstEventTimeout:   2 * time.Second, // the head arrives with the first token, the first event a few tokens later
 		StreamIdleTimeout:   4 * time.Second, // clients wait up to 5 s for the next event
 		HealthCheckTimeout:  time.Second,
-		DeadlineTolerance:   50 * time.Millisecond, // the tolerance of the platform's own deadlines
+		DeadlineTolerance:   50 * time.Millisecond, // the platform's deadlines have the same tolerance
 		MaxRequestTimeout:   max(4*s.MaxDeadline, time.Minute),
 
 		WatchTimeout:       20 * time.Second,
@@ -110,7 +110,7 @@
 		WatchResponseGrace: 2 * time.Second,
 		EndpointListBytes:  8 << 20,
 		EndpointSources:    1,
-		DrainPrecedence:    30 * time.Second, // a list that is still without the drain after a full watch is the one to trust
+		DrainPrecedence:    30 * time.Second, // longer than a full watch, after which the other list is up to date
 		OverloadRetryAfter: 500 * time.Millisecond,
 
 		BatchConns:         32,
@@ -141,6 +141,6 @@
 	return l
 }
 
-// MaxDiscardedBody is how many bytes of a response that answers no request are discarded to reach the one that does.
-// A connection with more is closed.
+// MaxDiscardedBody is the number of bytes of a response to another request that are discarded to reach the response to the current
+// one. A connection with a longer body is closed.
 const MaxDiscardedBody = 1 << 20
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestDescriptorsSuffice: connections, what is set aside and the reserve fit into the descriptors that the machine grants.
+// TestDescriptorsSuffice checks that connections and reserved descriptors together fit into the descriptors of the machine.
 func TestDescriptorsSuffice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sockets := rapid.IntRange(200, 1<<16).Draw(t, "sockets")
@@ -16,12 +16,12 @@
 		l := New(Machine{Cores: 1, MemoryMB: 256, Sockets: sockets}, Site{})
 		used := func() int { return l.ClientConns + l.UpstreamConns + l.RejectConns + reservedDescriptors }
 		if used() > sockets {
-			t.Errorf("%d descriptors of %d", used(), sockets)
+			t.Errorf("%d descriptors are used, the machine has %d", used(), sockets)
 		}
 		l = l.WithEndpointSources(sources).WithAdmin().WithBatch(files)
 		further := l.EndpointSources - 1 + ControlSocketConns + AdminConns + 1 + l.BatchConns + files
 		if l.ClientConns > 1 && l.UpstreamConns > 1 && used()+further > sockets {
-			t.Errorf("%d descriptors and %d set aside of %d", used(), further, sockets)
+			t.Errorf("%d descriptors are used and %d reserved, the machine has %d", used(), further, sockets)
 		}
 		if l.ConcurrentRequests > l.UpstreamConns {
 			t.Errorf("%d concurrent requests on %d upstream connections", l.ConcurrentRequests, l.UpstreamConns)
@@ -29,7 +29,7 @@
 		full, half := l.FullCapacity(), l.TakeoverCapacity()
 		if half.ClientConns > 1 && half.UpstreamConns > 1 && (2*half.ClientConns > full.ClientConns || 2*half.UpstreamConns > full.UpstreamConns ||
 			2*half.HeapBytes > full.HeapBytes) {
-			t.Errorf("two processes with %+v each exceed %+v", half, full)
+			t.Errorf("two processes with %+v each together exceed %+v", half, full)
 		}
 	})
 }
@@ -61,7 +61,8 @@
 	}
 }
 
-// TestRetrySharesAllowARestartOfAll: the shares of all routers and of as many that have just restarted are within the whole.
+// TestRetrySharesAllowARestartOfAll checks that the shares of all routers, and of as many that have just restarted, stay within the
+// total.
 func TestRetrySharesAllowARestartOfAll(t *testing.T) {
 	for _, n := range []int{1, 2, 10, 100} {
 		if sum := float64(n)/RetryShares(n) + float64(n)/RetryShares(2*n); sum > 1.0001 {
@@ -70,18 +71,18 @@
 	}
 }
 
-// TestTimeoutsAddUp: a timeout is shorter than what waits for it.
-func TestTimeoutsAddUp(t *testing.T) {
-	const operatorWaits = time.Second
+// TestInnerTimeoutsFitOuterTimeouts checks that each timeout is shorter than that of the caller that waits for it.
+func TestInnerTimeoutsFitOuterTimeouts(t *testing.T) {
+	const operatorClientTimeout = time.Second
 	for _, c := range []struct {
 		name         string
 		inner, outer time.Duration
 	}{
 		{"two calls to replicas within an operator's", 2 * ReplicaCallTimeout, OperatorCallTimeout},
-		{"an operator's call within what an operator waits", OperatorCallTimeout + time.Millisecond, operatorWaits},
-		{"two replicas tried within what an operator waits", 2 * ReplicaFailoverTimeout, operatorWaits},
+		{"an operator's call within the timeout of its client", OperatorCallTimeout + time.Millisecond, operatorClientTimeout},
+		{"two replicas tried within the timeout of an operator's client", 2 * ReplicaFailoverTimeout, operatorClientTimeout},
 		{"a call to a replica before the failover", ReplicaCallTimeout + time.Millisecond, ReplicaFailoverTimeout},
-		{"reports within the life of a share", 2 * RouterReportInterval, RetryShareTTL},
+		{"two reports within the validity of a share", 2 * RouterReportInterval, RetryShareTTL},
 		{"three calls before a voter is replaced", 3 * ReplicaCallTimeout, VoterReplaceDelay},
 		{"a replica leaves before a router's drain ends", ReadinessDrainDelay, ReplicaLeaveTimeout},
 		{"serving without a quorum before serving without a replica", ReadyWithoutQuorumAfter, ReadyWithoutReplicaAfter},
--- a/internal/limits/request.go
+++ b/internal/limits/request.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// RequestBounds bound the requests of clients. In a fleet they change with its configuration.
+// RequestBounds are the size and time limits of client requests. In a fleet they come from its configuration.
 type RequestBounds struct {
-	HeadBytes   int           // a head, its request line included
-	HeaderBytes int           // a head without its request line; 0 = HeadBytes alone counts
-	BodyBytes   int           // a body
-	ReadTimeout time.Duration // a head from its first byte; its body too where that has no timeout of its own
-	IdleTimeout time.Duration // a connection without a request in flight
+	HeadBytes   int           // request head, including the request line
+	HeaderBytes int           // request head without the request line; 0 = only HeadBytes applies
+	BodyBytes   int           // request body
+	ReadTimeout time.Duration // to read a head from its first byte; also to read a body that has no timeout of its own
+	IdleTimeout time.Duration // of a connection without a request in flight
 }
 
-// DefaultBounds are the bounds of a program whose configuration does not set any.
+// DefaultBounds returns the bounds that apply unless a configuration sets others.
 func (l *Limits) DefaultBounds() RequestBounds {
 	return RequestBounds{
 		HeadBytes: l.RequestHeadBytes, BodyBytes: l.BodyBytes, ReadTimeout: l.RequestReadTimeout, IdleTimeout: l.ClientIdleTimeout,
 	}
 }
 
-// The most that a fleet configuration may ask of a machine.
+// Upper bounds of the settings in a fleet configuration.
 const (
 	MaxHeaderBytes   = 256 << 10
-	RequestLineBytes = 8 << 10 // on top of the headers, which max_header_bytes counts alone
+	RequestLineBytes = 8 << 10 // added to max_header_bytes, which counts the headers only
 	MaxHeaderTimeout = 2 * time.Minute
 	MaxIdleTimeout   = time.Hour
 )
 
-// defaultHeaderBytes holds where a fleet configuration does not set max_header_bytes.
+// defaultHeaderBytes is used if a fleet configuration does not set max_header_bytes.
 const defaultHeaderBytes = 16 << 10
 
-// ConfiguredBounds are the bounds that a fleet configuration asks for, as far as the machine allows; 0 leaves a default.
-// capped reports that the machine allows less than was asked for.
+// ConfiguredBounds returns the bounds that a fleet configuration sets, capped at those that the machine allows. A value of 0
+// selects the default. capped reports whether a value was reduced.
 func (l *Limits) ConfiguredBounds(headerBytes, bodyBytes int, head, idle time.Duration) (b RequestBounds, capped bool) {
 	b = l.DefaultBounds()
 	b.HeaderBytes = defaultHeaderBytes
@@ -38,7 +38,7 @@
 		b.HeaderBytes = min(headerBytes, MaxHeaderBytes)
 	}
 	if bodyBytes > 0 {
-		b.BodyBytes = min(bodyBytes, int(l.TotalBodyBytes/2)) // one body must not take the memory of all others
+		b.BodyBytes = min(bodyBytes, int(l.TotalBodyBytes/2)) // one body must leave memory for others
 	}
 	if head > 0 {
 		b.ReadTimeout = min(head, MaxHeaderTimeout)
