--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -12,20 +12,20 @@
 
 // Counters count the requests, attempts, probes and list updates of a router since its start.
 type Counters struct {
-	Received           int
-	RejectedByFrontend int                   // rejected before they reached the module
-	Attempts           int                   // sent
-	Outcomes           map[policy.Result]int // of attempts
-	Served             int
-	Broken             int // responses that ended early after their first event
-	Rejected           int
-	Failed             int
-	ClientsLeft        int // clients that disconnected before the end of their response
-	Probes             int
-	Lists              int // endpoint list updates from discovery
-	ListEntries        int // entries in these updates
-	Open               int // requests open now
-	Traces             *trace.Counters
+	Received             int
+	RejectedBeforeModule int                   // rejected before they reached the module
+	Attempts             int                   // sent
+	Outcomes             map[policy.Result]int // of attempts
+	Served               int
+	Broken               int // responses that ended early after their first event
+	Rejected             int
+	Failed               int
+	ClientsLeft          int // clients that disconnected before the end of their response
+	Probes               int
+	Lists                int // endpoint list updates from discovery
+	ListEntries          int // entries in these updates
+	Open                 int // requests open now
+	Traces               *trace.Counters
 }
 
 // PoolCounters are the counters of one pool, and its present size and state.
@@ -43,7 +43,7 @@
 // add adds the counters of a pool.
 func (c *Counters) add(o *Counters) {
 	c.Received += o.Received
-	c.RejectedByFrontend += o.RejectedByFrontend
+	c.RejectedBeforeModule += o.RejectedBeforeModule
 	c.Attempts += o.Attempts
 	for r, n := range o.Outcomes {
 		c.Outcomes[r] += n
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -107,7 +107,7 @@
 	case RequestReceived:
 		d.requestReceived(e)
 	case RejectedByFrontend:
-		d.counters.RejectedByFrontend++
+		d.counters.RejectedBeforeModule++
 	case ClientLeft:
 		d.clientLeft(e.Client)
 	case AttemptStarted:
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -215,7 +215,7 @@
 	r := newFixture(t, 2, func(l *limits.Limits) { l.ConcurrentRequests = 1 })
 	r.reduce(0, requestFrom("a", r.now, 4*sec))
 	r.expect(0, requestFrom("b", r.now, 4*sec), "reject b rejected after 500ms")
-	if c := r.pools[0].counters; c.Received != 1 || c.RejectedByFrontend != 1 {
+	if c := r.pools[0].counters; c.Received != 1 || c.RejectedBeforeModule != 1 {
 		t.Errorf("unexpected counters %+v", c)
 	}
 }
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -69,7 +69,7 @@
 	}
 	r.expect(0, inPool(2, requestFrom("y2", r.now, sec)), "reject y2 rejected after 500ms") // all five requests of the router are open
 	c := r.countersReport(nil)
-	if len(c.Pools) != 2 || c.Pools[0].Open != 3 || c.Pools[1].Open != 2 || c.Counters.RejectedByFrontend != 2 || c.Counters.Received != 5 {
+	if len(c.Pools) != 2 || c.Pools[0].Open != 3 || c.Pools[1].Open != 2 || c.Counters.RejectedBeforeModule != 2 || c.Counters.Received != 5 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -93,7 +93,7 @@
 		t.Error("the pool was not removed after its last request")
 	}
 	r.expect(0, inPool(1, requestFrom("z", r.now, 4*sec)), "reject z rejected after 500ms")
-	if c := r.countersReport(nil).Counters; c.Received != 2 || c.Served != 2 || c.RejectedByFrontend != 1 {
+	if c := r.countersReport(nil).Counters; c.Received != 2 || c.Served != 2 || c.RejectedBeforeModule != 1 {
 		t.Errorf("counters that include the ended pool: %+v", c)
 	}
 	r.expect(time.Minute, Tick{}) // the module's remaining timers are ignored
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -42,19 +42,19 @@
 	p := d.pools[e.Pool]
 	if p == nil {
 		// The pool ended after the request was routed to it. The request has not run.
-		d.counters.RejectedByFrontend++
+		d.counters.RejectedBeforeModule++
 		d.emit(Reject{Client: e.Client, RetryAfter: d.limits.OverloadRetryAfter})
 		return
 	}
 	if d.clientRequests[clientRequestKey{p.id, e.ClientRequestID}] {
-		p.counters.RejectedByFrontend++
+		p.counters.RejectedBeforeModule++
 		p.traceRejection(&e, trace.IDTaken, 0)
 		d.emit(Reject{Client: e.Client, Verdict: VerdictDuplicateID})
 		return
 	}
 	if !d.requestQuota.Take(int(p.id), 1) {
 		// No file descriptors are left for a further request of this pool. It could not be sent, so the module is not called.
-		p.counters.RejectedByFrontend++
+		p.counters.RejectedBeforeModule++
 		p.traceRejection(&e, trace.RouterFull, p.retryAfter)
 		d.emit(Reject{Client: e.Client, RetryAfter: p.retryAfter})
 		return
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -146,7 +146,7 @@
 			Name: p.Name, ID: int(p.Pool), Leaving: p.IsEnding, Hosts: p.Hosts, Ready: p.Ready, Open: p.Open,
 			Guarantee: p.RequestQuota.Guarantee, Most: p.RequestQuota.Max, Lines: r.upstream.Connections(p.Pool), Bodies: r.front.BodyBytes(p.Pool),
 			Taken: p.Received, Served: p.Served, Refused: p.Rejected, Failed: p.Failed, Broken: p.Broken, Gone: p.ClientsLeft,
-			Declined: p.RejectedByFrontend, Legs: p.Attempts,
+			Declined: p.RejectedBeforeModule, Legs: p.Attempts,
 		}
 		if f := r.feed(p.Pool); f != nil {
 			s.Discovery = f.Client.Addr
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -179,7 +179,7 @@
 			legs = append(legs, slog.Int(trace.Result(result).String(), n))
 		}
 	}
-	r.log.Info(what, append(args, "taken", c.Received, "declined", c.RejectedByFrontend, "open", c.Open, "legs", c.Attempts,
+	r.log.Info(what, append(args, "taken", c.Received, "declined", c.RejectedBeforeModule, "open", c.Open, "legs", c.Attempts,
 		slog.Group("outcomes", legs...),
 		slog.Group("answers", "served", c.Served, "broken", c.Broken, "refused", c.Rejected, "failed", c.Failed, "gone", c.ClientsLeft),
 		"probes", c.Probes, "lists", c.Lists, "list_lines", c.ListEntries)...)
