--- a/internal/admission/gate_test.go
+++ b/internal/admission/gate_test.go
@@ -43,8 +43,8 @@
 		}
 	}
 	shares := map[int]float64{}
-	for r, n := range arrived {
-		shares[r] = float64(served[r]) / float64(n)
+	for priority, n := range arrived {
+		shares[priority] = float64(served[priority]) / float64(n)
 	}
 	return shares
 }
@@ -60,25 +60,25 @@
 	// With enough capacity all requests are served again after some time.
 	e.perSecond = 400
 	got = simulate(g, e, rates, 20*time.Second, 100*time.Second)
-	for r, s := range got {
-		if s < 1 {
-			t.Errorf("with enough capacity, priority %d has a served share of %v", r, s)
+	for priority, share := range got {
+		if share < 1 {
+			t.Errorf("with enough capacity, priority %d has a served share of %v", priority, share)
 		}
 	}
 }
 
 func TestNothingIsShedWithoutOverload(t *testing.T) {
 	for name, c := range map[string]struct {
-		per   float64
-		rates map[int]float64
-		want  uint64 // rejected by the gate
+		capacity float64 // requests per second
+		rates    map[int]float64
+		want     uint64 // rejected by the gate
 	}{
 		"enough for all":     {1000, map[int]float64{0: 50, 9: 50}, 0},
 		"one priority alone": {10, map[int]float64{5: 100}, 0},
 		"no engine at all":   {0, map[int]float64{0: 50, 9: 50}, 0}, // an outage is not an overload
 	} {
 		g := &Gate{}
-		simulate(g, &testEngines{perSecond: c.per}, c.rates, 0, 10*time.Second)
+		simulate(g, &testEngines{perSecond: c.capacity}, c.rates, 0, 10*time.Second)
 		if g.Rejected != c.want {
 			t.Errorf("%s: %d requests were rejected", name, g.Rejected)
 		}
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -47,46 +47,46 @@
 	if change != nil {
 		change(&lim)
 	}
-	r := &fixture{Dispatcher: New(lim), t: t, now: 1000 * sec}
-	r.Reduce(r.now, ConfigurePool{Module: newModule(t), SlowStart: sec, SlowStartInitial: 0.5})
+	f := &fixture{Dispatcher: New(lim), t: t, now: 1000 * sec}
+	f.Reduce(f.now, ConfigurePool{Module: newModule(t), SlowStart: sec, SlowStartInitial: 0.5})
 	var l EndpointsListed
 	for i := range hosts {
 		l.Hosts = append(l.Hosts, Host{Name: fmt.Sprint("h", i), Addr: fmt.Sprint("d", i), Weight: 1})
 	}
 	l.Kind = policy.ListFull
-	r.Reduce(r.now, l)
-	return r
+	f.Reduce(f.now, l)
+	return f
 }
 
 // reduce reduces an event at a time after the start of the test, and describes each effect in a short text.
-func (r *fixture) reduce(at time.Duration, e Event) []string {
+func (f *fixture) reduce(at time.Duration, e Event) []string {
 	var descriptions []string
-	for _, f := range r.Reduce(r.now+at, e) {
-		switch f := f.(type) {
+	for _, effect := range f.Reduce(f.now+at, e) {
+		switch effect := effect.(type) {
 		case StartAttempt:
-			descriptions = append(descriptions, fmt.Sprintf("send %d.%d for %v", f.Attempt.Request, f.Attempt.Index, f.Timeout))
+			descriptions = append(descriptions, fmt.Sprintf("send %d.%d for %v", effect.Attempt.Request, effect.Attempt.Index, effect.Timeout))
 		case BindAttempt:
-			descriptions = append(descriptions, fmt.Sprintf("bind %d.%d", f.Attempt.Request, f.Attempt.Index))
+			descriptions = append(descriptions, fmt.Sprintf("bind %d.%d", effect.Attempt.Request, effect.Attempt.Index))
 		case CancelAttempt:
-			descriptions = append(descriptions, fmt.Sprintf("cancel %d.%d", f.Attempt.Request, f.Attempt.Index))
+			descriptions = append(descriptions, fmt.Sprintf("cancel %d.%d", effect.Attempt.Request, effect.Attempt.Index))
 		case Reject:
-			descriptions = append(descriptions, fmt.Sprintf("reject %v %s after %v", f.Client, [...]string{"rejected", "failed", "duplicate"}[f.Verdict], f.RetryAfter))
+			descriptions = append(descriptions, fmt.Sprintf("reject %v %s after %v", effect.Client, [...]string{"rejected", "failed", "duplicate"}[effect.Verdict], effect.RetryAfter))
 		case CloseIdleConnection:
-			descriptions = append(descriptions, fmt.Sprintf("close idle %d", f.Connection))
+			descriptions = append(descriptions, fmt.Sprintf("close idle %d", effect.Connection))
 		case ReminderDue:
-			descriptions = append(descriptions, fmt.Sprint("remind ", f.Token))
+			descriptions = append(descriptions, fmt.Sprint("remind ", effect.Token))
 		case SendProbe:
-			descriptions = append(descriptions, "probe "+f.Addr)
+			descriptions = append(descriptions, "probe "+effect.Addr)
 		}
 	}
 	return descriptions
 }
 
 // expect reduces an event and compares the descriptions of its effects.
-func (r *fixture) expect(at time.Duration, e Event, want ...string) {
-	r.t.Helper()
-	if diff := cmp.Diff(want, r.reduce(at, e)); diff != "" {
-		r.t.Fatalf("after %T at %v (-want +got):\n%s", e, at, diff)
+func (f *fixture) expect(at time.Duration, e Event, want ...string) {
+	f.t.Helper()
+	if diff := cmp.Diff(want, f.reduce(at, e)); diff != "" {
+		f.t.Fatalf("after %T at %v (-want +got):\n%s", e, at, diff)
 	}
 }
 
@@ -95,157 +95,157 @@
 }
 
 func TestServedAttempt(t *testing.T) {
-	r := newFixture(t, 2, nil)
-	r.expect(0, requestFrom("a", r.now, 4*sec), "send 1.0 for 4s")
-	r.expect(sec, AttemptStarted{AttemptID{1, 0}}, "bind 1.0")
-	r.expect(9*sec, Tick{}) // the deadline does not apply once the response has begun
-	r.expect(9*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultOK})
-	r.expect(9*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultReset}) // a second outcome is ignored
-	if c := r.pools[0].counters; c.Served != 1 || c.Outcomes[policy.ResultOK] != 1 || c.Outcomes[policy.ResultReset] != 0 || len(r.requests) != 0 {
-		t.Errorf("counters %+v, %d open requests", c, len(r.requests))
+	f := newFixture(t, 2, nil)
+	f.expect(0, requestFrom("a", f.now, 4*sec), "send 1.0 for 4s")
+	f.expect(sec, AttemptStarted{AttemptID{1, 0}}, "bind 1.0")
+	f.expect(9*sec, Tick{}) // the deadline does not apply once the response has begun
+	f.expect(9*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultOK})
+	f.expect(9*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultReset}) // a second outcome is ignored
+	if c := f.pools[0].counters; c.Served != 1 || c.Outcomes[policy.ResultOK] != 1 || c.Outcomes[policy.ResultReset] != 0 || len(f.requests) != 0 {
+		t.Errorf("counters %+v, %d open requests", c, len(f.requests))
 	}
 }
 
 func TestDeadlineAnswersAtOnce(t *testing.T) {
 	// Guards against a request that stays open past its deadline because its hosts do not respond.
-	r := newFixture(t, 2, nil)
-	r.expect(sec, requestFrom("a", r.now, 4*sec), "send 1.0 for 3s") // the deadline counts from the last byte of the request
-	r.expect(4*sec-1, Tick{})
-	r.expect(4*sec, Tick{}, "cancel 1.0", "reject a failed after 0s")
-	r.expect(5*sec, AttemptStarted{AttemptID{1, 0}}, "cancel 1.0") // too late: the client has its answer
-	r.expect(5*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultCancelled})
-	if n := r.pools[0].counters.Outcomes[policy.ResultTimedOut]; n != 1 || r.OpenRequests() != 0 {
-		t.Errorf("%d timed-out attempts, %d open requests", n, r.OpenRequests())
+	f := newFixture(t, 2, nil)
+	f.expect(sec, requestFrom("a", f.now, 4*sec), "send 1.0 for 3s") // the deadline counts from the last byte of the request
+	f.expect(4*sec-1, Tick{})
+	f.expect(4*sec, Tick{}, "cancel 1.0", "reject a failed after 0s")
+	f.expect(5*sec, AttemptStarted{AttemptID{1, 0}}, "cancel 1.0") // too late: the client has its answer
+	f.expect(5*sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultCancelled})
+	if n := f.pools[0].counters.Outcomes[policy.ResultTimedOut]; n != 1 || f.OpenRequests() != 0 {
+		t.Errorf("%d timed-out attempts, %d open requests", n, f.OpenRequests())
 	}
 }
 
 func TestDuplicateIDIsRejected(t *testing.T) {
 	// A second request with the ID of an open one could run the same work twice.
-	r := newFixture(t, 2, nil)
-	second := requestFrom("b", r.now, 4*sec)
-	first := requestFrom("a", r.now, 4*sec)
+	f := newFixture(t, 2, nil)
+	second := requestFrom("b", f.now, 4*sec)
+	first := requestFrom("a", f.now, 4*sec)
 	first.ClientRequestID, second.ClientRequestID = "9b1f", "9b1f"
-	r.expect(0, first, "send 1.0 for 4s")
-	r.expect(0, second, "reject b duplicate after 0s")
-	r.expect(sec, AttemptStarted{AttemptID{1, 0}}, "bind 1.0")
-	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultOK})
-	second.ReceivedAt = r.now + sec
-	r.expect(sec, second, "send 2.0 for 4s")
+	f.expect(0, first, "send 1.0 for 4s")
+	f.expect(0, second, "reject b duplicate after 0s")
+	f.expect(sec, AttemptStarted{AttemptID{1, 0}}, "bind 1.0")
+	f.expect(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultOK})
+	second.ReceivedAt = f.now + sec
+	f.expect(sec, second, "send 2.0 for 4s")
 }
 
 func TestAttemptsAreCapped(t *testing.T) {
 	// Guards against more attempts than the maximum of three.
-	r := newFixture(t, 5, nil)
-	r.expect(0, requestFrom("a", r.now, 4*sec), "send 1.0 for 4s")
-	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed}, "send 1.1 for 3s")
-	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultFull}, "send 1.2 for 3s")
-	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 2}, Result: policy.ResultFull}, "reject a rejected after 500ms")
-	r.pools[0].Send(1, 0, 0) // the request is closed: no effect and no attempt
-	if r.pools[0].counters.Attempts != 3 {
-		t.Errorf("%d attempts were sent, want 3", r.pools[0].counters.Attempts)
+	f := newFixture(t, 5, nil)
+	f.expect(0, requestFrom("a", f.now, 4*sec), "send 1.0 for 4s")
+	f.expect(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed}, "send 1.1 for 3s")
+	f.expect(sec, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultFull}, "send 1.2 for 3s")
+	f.expect(sec, AttemptEnded{Attempt: AttemptID{1, 2}, Result: policy.ResultFull}, "reject a rejected after 500ms")
+	f.pools[0].Send(1, 0, 0) // the request is closed: no effect and no attempt
+	if f.pools[0].counters.Attempts != 3 {
+		t.Errorf("%d attempts were sent, want 3", f.pools[0].counters.Attempts)
 	}
 }
 
 func TestSendsForEndedRequestsAreMoot(t *testing.T) {
-	r := newFixture(t, 2, nil)
-	r.reduce(0, requestFrom("a", r.now, 4*sec))
-	r.reduce(0, AttemptStarted{AttemptID{1, 0}})
-	for name, host := range map[string]policy.ReplicaID{"bound": r.pools[0].hostID("h1"), "unknown host": 1} {
-		r.effects = nil
-		r.pools[0].Send(1, host, 0)
-		r.runDeferred()
-		if len(r.effects) != 0 {
-			t.Errorf("%s: unexpected effects %v", name, r.effects)
+	f := newFixture(t, 2, nil)
+	f.reduce(0, requestFrom("a", f.now, 4*sec))
+	f.reduce(0, AttemptStarted{AttemptID{1, 0}})
+	for name, host := range map[string]policy.ReplicaID{"bound": f.pools[0].hostID("h1"), "unknown host": 1} {
+		f.effects = nil
+		f.pools[0].Send(1, host, 0)
+		f.runDeferred()
+		if len(f.effects) != 0 {
+			t.Errorf("%s: unexpected effects %v", name, f.effects)
 		}
 	}
-	if n := r.pools[0].counters.Outcomes[policy.ResultMoot]; n != 2 {
+	if n := f.pools[0].counters.Outcomes[policy.ResultMoot]; n != 2 {
 		t.Errorf("%d attempts ended as moot, want 2", n)
 	}
 }
 
 func TestFirstEventBindsTheRequest(t *testing.T) {
 	// With two attempts running, the first event binds the request to its attempt and the other attempt is cancelled.
-	r := newFixture(t, 2, nil)
-	r.reduce(0, requestFrom("a", r.now, 4*sec))
+	f := newFixture(t, 2, nil)
+	f.reduce(0, requestFrom("a", f.now, 4*sec))
 	for _, name := range []string{"h0", "h1"} {
-		if id := r.pools[0].hostID(name); id != r.requests[1].attempts[0].host {
-			r.pools[0].Send(1, id, 0)
+		if id := f.pools[0].hostID(name); id != f.requests[1].attempts[0].host {
+			f.pools[0].Send(1, id, 0)
 		}
 	}
-	r.expect(sec, AttemptStarted{AttemptID{1, 1}}, "bind 1.1", "cancel 1.0")
-	r.expect(sec, AttemptStarted{AttemptID{1, 0}}, "cancel 1.0")
-	r.expect(sec, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultReset}) // the end of the bound attempt ends the request, even if the stream breaks
-	if c := r.pools[0].counters; c.Broken != 1 || c.Outcomes[policy.ResultCancelled] != 1 || len(r.requests) != 0 {
-		t.Errorf("counters %+v, %d open", c, len(r.requests))
+	f.expect(sec, AttemptStarted{AttemptID{1, 1}}, "bind 1.1", "cancel 1.0")
+	f.expect(sec, AttemptStarted{AttemptID{1, 0}}, "cancel 1.0")
+	f.expect(sec, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultReset}) // the end of the bound attempt ends the request, even if the stream breaks
+	if c := f.pools[0].counters; c.Broken != 1 || c.Outcomes[policy.ResultCancelled] != 1 || len(f.requests) != 0 {
+		t.Errorf("counters %+v, %d open requests", c, len(f.requests))
 	}
 }
 
 func TestAttemptTimeout(t *testing.T) {
-	r := newFixture(t, 3, nil)
-	r.reduce(0, requestFrom("a", r.now, 4*sec))
+	f := newFixture(t, 3, nil)
+	f.reduce(0, requestFrom("a", f.now, 4*sec))
 	for _, name := range []string{"h0", "h1", "h2"} {
-		if id := r.pools[0].hostID(name); id != r.requests[1].attempts[0].host {
-			r.pools[0].Send(1, id, sec)
+		if id := f.pools[0].hostID(name); id != f.requests[1].attempts[0].host {
+			f.pools[0].Send(1, id, sec)
 			break
 		}
 	}
-	r.expect(sec, Tick{}, "cancel 1.1") // the first attempt keeps running
-	if n := r.pools[0].counters.Outcomes[policy.ResultTimedOut]; n != 1 || r.requests[1].running != 1 {
-		t.Errorf("%d timed-out attempts, %d running", n, r.requests[1].running)
+	f.expect(sec, Tick{}, "cancel 1.1") // the first attempt keeps running
+	if n := f.pools[0].counters.Outcomes[policy.ResultTimedOut]; n != 1 || f.requests[1].running != 1 {
+		t.Errorf("%d timed-out attempts, %d running", n, f.requests[1].running)
 	}
 }
 
 func TestClientDisconnectCancelsAttempts(t *testing.T) {
 	for name, begun := range map[string]bool{"waiting": false, "streaming": true} {
-		r := newFixture(t, 2, nil)
-		r.reduce(0, requestFrom("a", r.now, 4*sec))
+		f := newFixture(t, 2, nil)
+		f.reduce(0, requestFrom("a", f.now, 4*sec))
 		if begun {
-			r.reduce(0, AttemptStarted{AttemptID{1, 0}})
+			f.reduce(0, AttemptStarted{AttemptID{1, 0}})
 		}
-		r.expect(sec, ClientLeft{"a"}, "cancel 1.0")
-		r.expect(sec, ClientLeft{"a"})
-		if c := r.pools[0].counters; c.ClientsLeft != 1 || c.Outcomes[policy.ResultCancelled] != 1 || len(r.requests) != 0 {
-			t.Errorf("%s: counters %+v, %d open", name, c, len(r.requests))
+		f.expect(sec, ClientLeft{"a"}, "cancel 1.0")
+		f.expect(sec, ClientLeft{"a"})
+		if c := f.pools[0].counters; c.ClientsLeft != 1 || c.Outcomes[policy.ResultCancelled] != 1 || len(f.requests) != 0 {
+			t.Errorf("%s: counters %+v, %d open requests", name, c, len(f.requests))
 		}
 	}
 }
 
 func TestRequestsBeyondTheLimitAreRejected(t *testing.T) {
 	// Requests beyond the limit on concurrent requests must not reach the module.
-	r := newFixture(t, 2, func(l *limits.Limits) { l.ConcurrentRequests = 1 })
-	r.reduce(0, requestFrom("a", r.now, 4*sec))
-	r.expect(0, requestFrom("b", r.now, 4*sec), "reject b rejected after 500ms")
-	if c := r.pools[0].counters; c.Received != 1 || c.RejectedBeforeModule != 1 {
+	f := newFixture(t, 2, func(l *limits.Limits) { l.ConcurrentRequests = 1 })
+	f.reduce(0, requestFrom("a", f.now, 4*sec))
+	f.expect(0, requestFrom("b", f.now, 4*sec), "reject b rejected after 500ms")
+	if c := f.pools[0].counters; c.Received != 1 || c.RejectedBeforeModule != 1 {
 		t.Errorf("unexpected counters %+v", c)
 	}
 }
 
 func TestClockNeverGoesBack(t *testing.T) {
-	r := newFixture(t, 2, nil)
-	r.reduce(2*sec, Tick{})
-	r.expect(0, requestFrom("a", r.now+2*sec, 4*sec), "send 1.0 for 4s")
-	r.expect(6*sec, Tick{}, "cancel 1.0", "reject a failed after 0s")
+	f := newFixture(t, 2, nil)
+	f.reduce(2*sec, Tick{})
+	f.expect(0, requestFrom("a", f.now+2*sec, 4*sec), "send 1.0 for 4s")
+	f.expect(6*sec, Tick{}, "cancel 1.0", "reject a failed after 0s")
 }
 
 func TestIdleConnectionIsClosed(t *testing.T) {
-	r := newFixture(t, 0, nil)
-	r.expect(0, ConnectionIdle{3, 4 * sec})
-	r.expect(4*sec-1, Tick{})
-	r.expect(4*sec, Tick{}, "close idle 3") // a second before the host would
+	f := newFixture(t, 0, nil)
+	f.expect(0, ConnectionIdle{3, 4 * sec})
+	f.expect(4*sec-1, Tick{})
+	f.expect(4*sec, Tick{}, "close idle 3") // a second before the host would
 }
 
 func TestReminder(t *testing.T) {
-	r := newFixture(t, 0, nil)
-	r.expect(0, SetReminder{At: r.now + sec, Token: "line"})
-	r.expect(sec-1, Tick{})
-	r.expect(sec, Tick{}, "remind line")
-	r.expect(2*sec, Tick{})
+	f := newFixture(t, 0, nil)
+	f.expect(0, SetReminder{At: f.now + sec, Token: "line"})
+	f.expect(sec-1, Tick{})
+	f.expect(sec, Tick{}, "remind line")
+	f.expect(2*sec, Tick{})
 }
 
 func TestGoneHostReceivesNoAttempt(t *testing.T) {
-	r := newFixture(t, 1, nil)
-	r.expect(0, EndpointsListed{Kind: policy.ListDelta, Hosts: []Host{{Name: "h0", State: policy.StateGone}}})
-	r.expect(0, requestFrom("a", r.now, 4*sec), "reject a rejected after 500ms")
+	f := newFixture(t, 1, nil)
+	f.expect(0, EndpointsListed{Kind: policy.ListDelta, Hosts: []Host{{Name: "h0", State: policy.StateGone}}})
+	f.expect(0, requestFrom("a", f.now, 4*sec), "reject a rejected after 500ms")
 }
 
 func TestHostIDsAreHashesOfNames(t *testing.T) {
@@ -275,20 +275,20 @@
 
 func TestGoneHostsAreRemoved(t *testing.T) {
 	// Guards against maps that grow as hosts are replaced.
-	r := newFixture(t, 3, nil)
+	f := newFixture(t, 3, nil)
 	host := func(i int, s policy.State) Host {
 		return Host{Name: fmt.Sprint("h", i), Addr: "d", Weight: 1, State: s}
 	}
 	for i := range 500 {
-		r.reduce(0, EndpointsListed{Kind: policy.ListDelta, Hosts: []Host{host(i, policy.StateGone), host(i+3, policy.StateReady)}})
+		f.reduce(0, EndpointsListed{Kind: policy.ListDelta, Hosts: []Host{host(i, policy.StateGone), host(i+3, policy.StateReady)}})
 	}
-	if len(r.pools[0].hosts) != 3 || len(r.pools[0].hostIDs) != 3 {
-		t.Errorf("%d hosts, %d names after deltas", len(r.pools[0].hosts), len(r.pools[0].hostIDs))
+	if len(f.pools[0].hosts) != 3 || len(f.pools[0].hostIDs) != 3 {
+		t.Errorf("%d hosts, %d names after deltas", len(f.pools[0].hosts), len(f.pools[0].hostIDs))
 	}
-	r.reduce(0, EndpointsListed{Kind: policy.ListFull, Hosts: []Host{host(9000, policy.StateReady)}})
-	r.reduce(0, EndpointsListed{Kind: policy.ListFailed})
-	if len(r.pools[0].hosts) != 1 || len(r.pools[0].hostIDs) != 1 {
-		t.Errorf("%d hosts, %d names after a full list", len(r.pools[0].hosts), len(r.pools[0].hostIDs))
+	f.reduce(0, EndpointsListed{Kind: policy.ListFull, Hosts: []Host{host(9000, policy.StateReady)}})
+	f.reduce(0, EndpointsListed{Kind: policy.ListFailed})
+	if len(f.pools[0].hosts) != 1 || len(f.pools[0].hostIDs) != 1 {
+		t.Errorf("%d hosts, %d names after a full list", len(f.pools[0].hosts), len(f.pools[0].hostIDs))
 	}
 }
 
@@ -299,33 +299,33 @@
 		at   time.Duration
 		want policy.Result
 	}{{4*sec - 2*time.Millisecond, policy.ResultTimedOut}, {3 * sec, policy.ResultCancelled}} {
-		r := newFixture(t, 2, nil)
-		r.reduce(0, requestFrom("a", r.now, 4*sec))
-		r.expect(c.at, ClientLeft{"a"}, "cancel 1.0")
-		if r.pools[0].counters.Outcomes[c.want] != 1 || r.pools[0].counters.ClientsLeft != 1 {
-			t.Errorf("disconnected after %v: counters %+v", c.at, r.counters)
+		f := newFixture(t, 2, nil)
+		f.reduce(0, requestFrom("a", f.now, 4*sec))
+		f.expect(c.at, ClientLeft{"a"}, "cancel 1.0")
+		if f.pools[0].counters.Outcomes[c.want] != 1 || f.pools[0].counters.ClientsLeft != 1 {
+			t.Errorf("disconnected after %v: counters %+v", c.at, f.counters)
 		}
 	}
-	r := newFixture(t, 2, nil)
-	r.reduce(0, requestFrom("a", r.now, 4*sec))
-	r.reduce(sec, AttemptStarted{AttemptID{1, 0}})
-	r.reduce(4*sec-1, ClientLeft{"a"}) // while its response streams, which the deadline does not bound
-	if r.pools[0].counters.Outcomes[policy.ResultCancelled] != 1 {
-		t.Errorf("disconnected during the response: counters %+v", r.counters)
+	f := newFixture(t, 2, nil)
+	f.reduce(0, requestFrom("a", f.now, 4*sec))
+	f.reduce(sec, AttemptStarted{AttemptID{1, 0}})
+	f.reduce(4*sec-1, ClientLeft{"a"}) // while its response streams, which the deadline does not bound
+	if f.pools[0].counters.Outcomes[policy.ResultCancelled] != 1 {
+		t.Errorf("disconnected during the response: counters %+v", f.counters)
 	}
 }
 
 // TestRetryAllowanceAppliesFromTheNextRetry changes the allowance while requests are open.
 func TestRetryAllowanceAppliesFromTheNextRetry(t *testing.T) {
-	r := newFixture(t, 3, nil)
-	r.Reduce(r.now, ConfigurePool{RetryBudget: &retrybudget.Budget{Allowance: 5, Window: 10 * sec}})
-	r.expect(0, requestFrom("a", r.now, 4*sec), "send 1.0 for 4s")
-	if again := r.reduce(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultFull}); len(again) != 1 || again[0] != "send 1.1 for 4s" {
+	f := newFixture(t, 3, nil)
+	f.Reduce(f.now, ConfigurePool{RetryBudget: &retrybudget.Budget{Allowance: 5, Window: 10 * sec}})
+	f.expect(0, requestFrom("a", f.now, 4*sec), "send 1.0 for 4s")
+	if again := f.reduce(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultFull}); len(again) != 1 || again[0] != "send 1.1 for 4s" {
 		t.Fatalf("within the allowance: %v", again)
 	}
-	r.Reduce(r.now, RetryAllowance(1.9)) // one retry was sent already
-	r.expect(sec, requestFrom("b", r.now+sec, 4*sec), "send 2.0 for 4s")
-	if again := r.reduce(sec, AttemptEnded{Attempt: AttemptID{2, 0}, Result: policy.ResultFull}); len(again) != 1 || !strings.HasPrefix(again[0], "reject b ") {
+	f.Reduce(f.now, RetryAllowance(1.9)) // one retry was sent already
+	f.expect(sec, requestFrom("b", f.now+sec, 4*sec), "send 2.0 for 4s")
+	if again := f.reduce(sec, AttemptEnded{Attempt: AttemptID{2, 0}, Result: policy.ResultFull}); len(again) != 1 || !strings.HasPrefix(again[0], "reject b ") {
 		t.Errorf("beyond the allowance: %v", again)
 	}
 	for routers := 1; routers < 2000; routers++ { // all restart within a window: the shares of the old and of the new incarnations
@@ -339,11 +339,11 @@
 // not run: the next attempt is a retry that the budget must allow.
 func TestAnswerOfAnotherHostCountsAsSent(t *testing.T) {
 	for _, reachedOtherHost := range []bool{false, true} {
-		r := newFixture(t, 3, nil)
-		r.Reduce(r.now, ConfigurePool{RetryBudget: &retrybudget.Budget{Allowance: 1, Window: 10 * sec}})
-		r.expect(0, requestFrom("a", r.now, 4*sec), "send 1.0 for 4s")
-		r.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed, ReachedOtherHost: reachedOtherHost}, "send 1.1 for 4s")
-		again := r.reduce(0, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultConnectFailed, ReachedOtherHost: reachedOtherHost})
+		f := newFixture(t, 3, nil)
+		f.Reduce(f.now, ConfigurePool{RetryBudget: &retrybudget.Budget{Allowance: 1, Window: 10 * sec}})
+		f.expect(0, requestFrom("a", f.now, 4*sec), "send 1.0 for 4s")
+		f.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed, ReachedOtherHost: reachedOtherHost}, "send 1.1 for 4s")
+		again := f.reduce(0, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultConnectFailed, ReachedOtherHost: reachedOtherHost})
 		if sent := len(again) == 1 && again[0] == "send 1.2 for 4s"; sent == reachedOtherHost {
 			t.Errorf("reached another host %v: %v", reachedOtherHost, again)
 		}
--- a/internal/dispatch/event.go
+++ b/internal/dispatch/event.go
@@ -48,7 +48,7 @@
 		Origin          *trace.Origin // nil if tracing is off
 	}
 	// RejectionWritten reports that a Reject was written to the client, or that the write failed. Frontends send it when tracing
-	// is on and the request's Origin asks for it.
+	// is on and the request's Origin requires it.
 	RejectionWritten struct {
 		Client Client
 		At     time.Duration
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -119,8 +119,8 @@
 }
 
 func (l *Loop) reduce(e Event) {
-	for _, f := range l.dispatcher.Reduce(l.clock(), e) {
-		l.perform(f)
+	for _, effect := range l.dispatcher.Reduce(l.clock(), e) {
+		l.perform(effect)
 	}
 }
 
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -17,14 +17,14 @@
 
 // newTwoPoolFixture returns a fixture with the pools 1 and 2 in place of pool 0.
 func newTwoPoolFixture(t *testing.T, change func(*limits.Limits)) *fixture {
-	r := newFixture(t, 0, change)
-	r.Reduce(r.now, ConfigurePool{
+	f := newFixture(t, 0, change)
+	f.Reduce(f.now, ConfigurePool{
 		Pool: 1, Name: "one", Module: newModule(t), SlowStart: 10 * sec, SlowStartInitial: 0.5, RequestQuota: quota.Claim{Guarantee: 2, Max: 3},
 		RetryAfter: 700 * time.Millisecond,
 	})
-	r.Reduce(r.now, ConfigurePool{Pool: 2, Name: "two", Module: newModule(t), SlowStart: 10 * sec, SlowStartInitial: 0.5, RequestQuota: quota.Claim{Guarantee: 2}})
-	r.Reduce(r.now, EndPool{Pool: 0})
-	return r
+	f.Reduce(f.now, ConfigurePool{Pool: 2, Name: "two", Module: newModule(t), SlowStart: 10 * sec, SlowStartInitial: 0.5, RequestQuota: quota.Claim{Guarantee: 2}})
+	f.Reduce(f.now, EndPool{Pool: 0})
+	return f
 }
 
 // fullList returns a full endpoint list of a pool, with one ready host for each name.
@@ -43,100 +43,100 @@
 }
 
 func TestOneClientRequestIDInTwoPools(t *testing.T) {
-	r := newTwoPoolFixture(t, nil)
-	r.reduce(0, fullList(1, "a"))
-	r.reduce(0, fullList(2, "b"))
-	x, y, z := requestFrom("x", r.now, sec), requestFrom("y", r.now, sec), requestFrom("z", r.now, sec)
+	f := newTwoPoolFixture(t, nil)
+	f.reduce(0, fullList(1, "a"))
+	f.reduce(0, fullList(2, "b"))
+	x, y, z := requestFrom("x", f.now, sec), requestFrom("y", f.now, sec), requestFrom("z", f.now, sec)
 	x.ClientRequestID, y.ClientRequestID, z.ClientRequestID = "id", "id", "id"
-	r.expect(0, inPool(1, x), "send 1.0 for 1s")
-	r.expect(0, inPool(2, y), "send 2.0 for 1s")
-	r.expect(0, inPool(1, z), "reject z duplicate after 0s")
-	r.expect(0, AttemptStarted{AttemptID{1, 0}}, "bind 1.0")
-	r.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultOK})
-	r.expect(0, inPool(2, z), "reject z duplicate after 0s") // the first one of that pool is still open
+	f.expect(0, inPool(1, x), "send 1.0 for 1s")
+	f.expect(0, inPool(2, y), "send 2.0 for 1s")
+	f.expect(0, inPool(1, z), "reject z duplicate after 0s")
+	f.expect(0, AttemptStarted{AttemptID{1, 0}}, "bind 1.0")
+	f.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultOK})
+	f.expect(0, inPool(2, z), "reject z duplicate after 0s") // the first one of that pool is still open
 }
 
 func TestPoolAtItsQuotaRejectsWhileAnotherServes(t *testing.T) {
-	r := newTwoPoolFixture(t, func(l *limits.Limits) { l.ConcurrentRequests = 5 })
-	r.reduce(0, fullList(1, "a", "b"))
-	r.reduce(0, fullList(2, "c", "d"))
+	f := newTwoPoolFixture(t, func(l *limits.Limits) { l.ConcurrentRequests = 5 })
+	f.reduce(0, fullList(1, "a", "b"))
+	f.reduce(0, fullList(2, "c", "d"))
 	for i := range 3 {
-		r.reduce(0, inPool(1, requestFrom(fmt.Sprint("x", i), r.now, sec)))
+		f.reduce(0, inPool(1, requestFrom(fmt.Sprint("x", i), f.now, sec)))
 	}
-	r.expect(0, inPool(1, requestFrom("x3", r.now, sec)), "reject x3 rejected after 700ms")
+	f.expect(0, inPool(1, requestFrom("x3", f.now, sec)), "reject x3 rejected after 700ms")
 	for i := range 2 {
-		r.expect(0, inPool(2, requestFrom(fmt.Sprint("y", i), r.now, sec)), fmt.Sprintf("send %d.0 for 1s", 4+i))
+		f.expect(0, inPool(2, requestFrom(fmt.Sprint("y", i), f.now, sec)), fmt.Sprintf("send %d.0 for 1s", 4+i))
 	}
-	r.expect(0, inPool(2, requestFrom("y2", r.now, sec)), "reject y2 rejected after 500ms") // all five requests of the router are open
-	c := r.countersReport(nil)
+	f.expect(0, inPool(2, requestFrom("y2", f.now, sec)), "reject y2 rejected after 500ms") // all five requests of the router are open
+	c := f.countersReport(nil)
 	if len(c.Pools) != 2 || c.Pools[0].Open != 3 || c.Pools[1].Open != 2 || c.Counters.RejectedBeforeModule != 2 || c.Counters.Received != 5 {
 		t.Errorf("%+v", c)
 	}
 }
 
 func TestEndedPoolIsRemovedWithItsLastRequest(t *testing.T) {
-	r := newTwoPoolFixture(t, nil)
-	r.reduce(0, fullList(1, "a", "b"))
-	r.expect(0, inPool(1, requestFrom("x", r.now, 4*sec)), "send 1.0 for 4s")
-	r.expect(0, EndPool{Pool: 1})
+	f := newTwoPoolFixture(t, nil)
+	f.reduce(0, fullList(1, "a", "b"))
+	f.expect(0, inPool(1, requestFrom("x", f.now, 4*sec)), "send 1.0 for 4s")
+	f.expect(0, EndPool{Pool: 1})
 	// A request that was routed to the pool before the routes changed is accepted, and retried as usual.
-	r.expect(0, inPool(1, requestFrom("y", r.now, 4*sec)), "send 2.0 for 4s")
-	r.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed}, "send 1.1 for 4s")
+	f.expect(0, inPool(1, requestFrom("y", f.now, 4*sec)), "send 2.0 for 4s")
+	f.expect(0, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultConnectFailed}, "send 1.1 for 4s")
 	for _, id := range []AttemptID{{1, 1}, {2, 0}} {
-		r.reduce(0, AttemptStarted{id})
-		if r.pools[1] == nil {
+		f.reduce(0, AttemptStarted{id})
+		if f.pools[1] == nil {
 			t.Fatal("the pool was removed while responses were streaming")
 		}
-		r.reduce(0, AttemptEnded{Attempt: id, Result: policy.ResultOK})
+		f.reduce(0, AttemptEnded{Attempt: id, Result: policy.ResultOK})
 	}
-	if r.pools[1] != nil {
+	if f.pools[1] != nil {
 		t.Error("the pool was not removed after its last request")
 	}
-	r.expect(0, inPool(1, requestFrom("z", r.now, 4*sec)), "reject z rejected after 500ms")
-	if c := r.countersReport(nil).Counters; c.Received != 2 || c.Served != 2 || c.RejectedBeforeModule != 1 {
+	f.expect(0, inPool(1, requestFrom("z", f.now, 4*sec)), "reject z rejected after 500ms")
+	if c := f.countersReport(nil).Counters; c.Received != 2 || c.Served != 2 || c.RejectedBeforeModule != 1 {
 		t.Errorf("counters that include the ended pool: %+v", c)
 	}
-	r.expect(time.Minute, Tick{}) // the module's remaining timers are ignored
+	f.expect(time.Minute, Tick{}) // the module's remaining timers are ignored
 }
 
 func TestDrainInOnePoolStopsAttemptsFromBoth(t *testing.T) {
-	r := newTwoPoolFixture(t, nil)
-	r.reduce(0, fullList(1, "shared"))
-	r.reduce(0, fullList(2, "shared"))
-	r.expect(0, inPool(2, requestFrom("x", r.now, 4*sec)), "send 1.0 for 4s")
+	f := newTwoPoolFixture(t, nil)
+	f.reduce(0, fullList(1, "shared"))
+	f.reduce(0, fullList(2, "shared"))
+	f.expect(0, inPool(2, requestFrom("x", f.now, 4*sec)), "send 1.0 for 4s")
 	gone := fullList(1, "shared")
 	gone.Kind, gone.Hosts[0].State = policy.ListDelta, policy.StateDraining
-	r.expect(0, gone)
-	r.reduce(0, fullList(2, "shared")) // the pool's own list does not show the drain yet
-	r.expect(sec, inPool(2, requestFrom("y", r.now+sec, 4*sec)), "reject y rejected after 500ms")
+	f.expect(0, gone)
+	f.reduce(0, fullList(2, "shared")) // the pool's own list does not show the drain yet
+	f.expect(sec, inPool(2, requestFrom("y", f.now+sec, 4*sec)), "reject y rejected after 500ms")
 	again := fullList(2, "shared")
 	again.Hosts[0].StartedAt = 2
-	r.reduce(sec, again) // a new process at the same address
-	r.expect(sec, inPool(2, requestFrom("z", r.now+sec, 4*sec)), "send 3.0 for 4s")
+	f.reduce(sec, again) // a new process at the same address
+	f.expect(sec, inPool(2, requestFrom("z", f.now+sec, 4*sec)), "send 3.0 for 4s")
 }
 
 func TestResetIsSeenByBothPools(t *testing.T) {
-	r := newTwoPoolFixture(t, nil)
-	r.reduce(0, fullList(1, "shared", "mine"))
-	r.reduce(0, fullList(2, "shared", "other", "third", "fourth"))
-	e := requestFrom("x", r.now, 4*sec)
+	f := newTwoPoolFixture(t, nil)
+	f.reduce(0, fullList(1, "shared", "mine"))
+	f.reduce(0, fullList(2, "shared", "other", "third", "fourth"))
+	e := requestFrom("x", f.now, 4*sec)
 	for e.Request.Session = 1; ; e.Request.Session++ { // find a session that the module sends to the shared host
 		var to string
-		for _, f := range r.Reduce(r.now, inPool(1, e)) {
-			if s, ok := f.(StartAttempt); ok {
+		for _, effect := range f.Reduce(f.now, inPool(1, e)) {
+			if s, ok := effect.(StartAttempt); ok {
 				to = s.Addr
 			}
 		}
 		if to == "at shared" {
 			break
 		}
-		r.reduce(0, ClientLeft{"x"})
-		r.reduce(0, AttemptEnded{Attempt: AttemptID{r.lastRequestID, 0}, Result: policy.ResultCancelled})
+		f.reduce(0, ClientLeft{"x"})
+		f.reduce(0, AttemptEnded{Attempt: AttemptID{f.lastRequestID, 0}, Result: policy.ResultCancelled})
 	}
-	r.reduce(0, AttemptEnded{Attempt: AttemptID{r.lastRequestID, 0}, Result: policy.ResultReset})
+	f.reduce(0, AttemptEnded{Attempt: AttemptID{f.lastRequestID, 0}, Result: policy.ResultReset})
 	for i := range 60 {
-		for _, f := range r.Reduce(r.now, inPool(2, RequestReceived{Client: i, ReceivedAt: r.now, Request: policy.Request{Session: uint64(i + 1), Timeout: sec}})) {
-			if s, ok := f.(StartAttempt); ok && s.Addr == "at shared" {
+		for _, effect := range f.Reduce(f.now, inPool(2, RequestReceived{Client: i, ReceivedAt: f.now, Request: policy.Request{Session: uint64(i + 1), Timeout: sec}})) {
+			if s, ok := effect.(StartAttempt); ok && s.Addr == "at shared" {
 				t.Fatal("the other pool sends to a host that has just reset a connection")
 			}
 		}
@@ -172,8 +172,8 @@
 			now += time.Millisecond
 			p := rapid.IntRange(0, 1).Draw(t, "pool")
 			excess -= share / hostCounts[p]
-			for _, f := range b.Reduce(now, RequestReceived{Client: n, Pool: hoststate.PoolID(p + 1), ReceivedAt: now, Request: policy.Request{Session: uint64(n + 1), Timeout: sec}}) {
-				if s, ok := f.(StartAttempt); ok && s.Addr == "at shared" {
+			for _, effect := range b.Reduce(now, RequestReceived{Client: n, Pool: hoststate.PoolID(p + 1), ReceivedAt: now, Request: policy.Request{Session: uint64(n + 1), Timeout: sec}}) {
+				if s, ok := effect.(StartAttempt); ok && s.Addr == "at shared" {
 					excess++
 				}
 			}
@@ -189,18 +189,18 @@
 // request of a client that leaves is reduced before its ClientLeft.
 func TestFairQueueBoundsDelayByAFloodingPool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newTwoPoolFixture(t, nil)
+		f := newTwoPoolFixture(t, nil)
 		var order []string
-		l := NewLoop(r.Dispatcher, func() time.Duration { return r.now }, func(e Effect) {
+		l := NewLoop(f.Dispatcher, func() time.Duration { return f.now }, func(e Effect) {
 			if d, ok := e.(Reject); ok {
 				order = append(order, d.Client.(string))
 			}
 		})
 		l.isFair.Store(true)
 		for i := range 100 {
-			l.Post(inPool(1, requestFrom(fmt.Sprint("x", i), r.now, sec)))
+			l.Post(inPool(1, requestFrom(fmt.Sprint("x", i), f.now, sec)))
 		}
-		l.Post(inPool(2, requestFrom("y", r.now, sec)))
+		l.Post(inPool(2, requestFrom("y", f.now, sec)))
 		l.Post(ClientLeft{Client: "x99"})
 		go l.Run(t.Context())
 		synctest.Wait()
@@ -303,19 +303,19 @@
 
 // reduce reduces an event and checks every effect.
 func (m *poolsModel) reduce(e Event) {
-	for _, f := range m.dispatcher.Reduce(m.now, e) {
-		switch f := f.(type) {
+	for _, effect := range m.dispatcher.Reduce(m.now, e) {
+		switch effect := effect.(type) {
 		case StartAttempt:
-			m.checkAttempt(f)
-			m.attempts[f.Attempt] = f.Client.(int)
-			m.running = append(m.running, f.Attempt)
+			m.checkAttempt(effect)
+			m.attempts[effect.Attempt] = effect.Client.(int)
+			m.running = append(m.running, effect.Attempt)
 		case BindAttempt:
-			m.requests[m.attempts[f.Attempt]].answers++
+			m.requests[m.attempts[effect.Attempt]].answers++
 		case Reject:
-			m.requests[f.Client.(int)].answers++
+			m.requests[effect.Client.(int)].answers++
 		case PoolEnded:
-			m.checkPoolEnded(f.Pool)
-			delete(m.lists, f.Pool)
+			m.checkPoolEnded(effect.Pool)
+			delete(m.lists, effect.Pool)
 		}
 	}
 	for name := range m.ends { // a host that is in no list any more has no recorded end
@@ -330,15 +330,15 @@
 	}
 }
 
-func (m *poolsModel) checkAttempt(f StartAttempt) {
-	c := m.requests[f.Client.(int)]
-	h, isListed := m.lists[f.Pool][f.Addr]
-	if c == nil || c.pool != f.Pool || !isListed || c.answers > 0 || c.left {
-		m.t.Fatalf("invalid attempt of pool %d to %s for request %+v; list of the pool: %v", f.Pool, f.Addr, c, m.lists[f.Pool])
+func (m *poolsModel) checkAttempt(effect StartAttempt) {
+	c := m.requests[effect.Client.(int)]
+	h, isListed := m.lists[effect.Pool][effect.Addr]
+	if c == nil || c.pool != effect.Pool || !isListed || c.answers > 0 || c.left {
+		m.t.Fatalf("invalid attempt of pool %d to %s for request %+v; list of the pool: %v", effect.Pool, effect.Addr, c, m.lists[effect.Pool])
 	}
-	end, hasEnded := m.ends[f.Addr]
+	end, hasEnded := m.ends[effect.Addr]
 	if hasEnded && m.now >= end.at+sec/2 && h.StartedAt <= end.startedAt && m.now < end.at+m.limits.DrainPrecedence {
-		m.t.Fatalf("attempt to %s %v after a list reported its end", f.Addr, m.now-end.at)
+		m.t.Fatalf("attempt to %s %v after a list reported its end", effect.Addr, m.now-end.at)
 	}
 }
 
@@ -350,11 +350,11 @@
 	}
 }
 
-func (m *poolsModel) endAttempt(id AttemptID, r policy.Result) {
+func (m *poolsModel) endAttempt(id AttemptID, result policy.Result) {
 	if i := slices.Index(m.running, id); i >= 0 {
 		m.running = slices.Delete(slices.Clone(m.running), i, i+1)
 	}
-	m.reduce(AttemptEnded{Attempt: id, Result: r})
+	m.reduce(AttemptEnded{Attempt: id, Result: result})
 }
 
 func (m *poolsModel) addPool() {
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -11,20 +11,20 @@
 )
 
 // enableTracing turns tracing on, with the options that all tests share.
-func enableTracing(r *fixture, o trace.Options) {
+func enableTracing(f *fixture, o trace.Options) {
 	o.Router, o.Window, o.Linger, o.Steps, o.Seed = "n1", 10*sec, 2*sec, 1000, 5
-	r.Reduce(r.now, ConfigurePool{Classes: []trace.Class{{Name: "chat", Aim: sec}}})
-	r.Trace(o)
+	f.Reduce(f.now, ConfigurePool{Classes: []trace.Class{{Name: "chat", Aim: sec}}})
+	f.Trace(o)
 }
 
 // reduceTraced reduces an event and returns the traces that it exports and the spans of the attempts that it starts.
-func (r *fixture) reduceTraced(at time.Duration, e Event) (records []*trace.Try, spans []trace.Context) {
-	for _, f := range r.Reduce(r.now+at, e) {
-		switch f := f.(type) {
+func (f *fixture) reduceTraced(at time.Duration, e Event) (records []*trace.Try, spans []trace.Context) {
+	for _, effect := range f.Reduce(f.now+at, e) {
+		switch effect := effect.(type) {
 		case ExportTrace:
-			records = append(records, f.Trace)
+			records = append(records, effect.Trace)
 		case StartTracedAttempt:
-			spans = append(spans, f.Span.Context)
+			spans = append(spans, effect.Span.Context)
 		}
 	}
 	return records, spans
@@ -33,24 +33,24 @@
 func TestTraceOfARequest(t *testing.T) {
 	// The first attempt is reset, the second one runs into the deadline. The record holds both attempts with their results and the
 	// module's reasons, and is exported once the client has its answer and the last attempt has ended.
-	r := newFixture(t, 3, nil)
-	enableTracing(r, trace.Options{})
+	f := newFixture(t, 3, nil)
+	enableTracing(f, trace.Options{})
 	parent, _ := trace.ParseParent("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01")
-	e := requestFrom("a", r.now, 4*sec)
+	e := requestFrom("a", f.now, 4*sec)
 	e.ClientRequestID, e.Origin = "call", &trace.Origin{Context: parent, Front: "calls", Tells: true}
-	_, spans := r.reduceTraced(10*time.Millisecond, e)
+	_, spans := f.reduceTraced(10*time.Millisecond, e)
 	if len(spans) != 1 || spans[0].Trace != parent.Trace || spans[0].Span == parent.Span {
 		t.Fatalf("the first attempt was sent with spans %v", spans)
 	}
 	first := spans[0]
-	if _, spans = r.reduceTraced(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultReset}); len(spans) != 1 || spans[0].Span == first.Span {
+	if _, spans = f.reduceTraced(sec, AttemptEnded{Attempt: AttemptID{1, 0}, Result: policy.ResultReset}); len(spans) != 1 || spans[0].Span == first.Span {
 		t.Fatalf("the second attempt was sent with spans %v", spans)
 	}
-	if records, _ := r.reduceTraced(5*sec, Tick{}); len(records) != 0 {
+	if records, _ := f.reduceTraced(5*sec, Tick{}); len(records) != 0 {
 		t.Fatal("the record was exported before the client had its answer")
 	}
-	r.reduceTraced(5*sec, RejectionWritten{Client: "a", At: r.now + 5*sec})
-	records, _ := r.reduceTraced(5*sec+sec/10, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultCancelled})
+	f.reduceTraced(5*sec, RejectionWritten{Client: "a", At: f.now + 5*sec})
+	records, _ := f.reduceTraced(5*sec+sec/10, AttemptEnded{Attempt: AttemptID{1, 1}, Result: policy.ResultCancelled})
 	if len(records) != 1 {
 		t.Fatalf("%d records were exported, want 1", len(records))
 	}
@@ -68,20 +68,20 @@
 }
 
 func TestTraceOfRequestRejectedBeforeTheModule(t *testing.T) {
-	r := newFixture(t, 1, func(l *limits.Limits) { l.ConcurrentRequests = 1 })
-	enableTracing(r, trace.Options{})
-	r.reduceTraced(0, requestFrom("a", r.now, 4*sec))
-	records, _ := r.reduceTraced(0, requestFrom("b", r.now, 4*sec))
+	f := newFixture(t, 1, func(l *limits.Limits) { l.ConcurrentRequests = 1 })
+	enableTracing(f, trace.Options{})
+	f.reduceTraced(0, requestFrom("a", f.now, 4*sec))
+	records, _ := f.reduceTraced(0, requestFrom("b", f.now, 4*sec))
 	if len(records) != 1 || records[0].Why != trace.RouterFull || records[0].Outcome != trace.Refused {
 		t.Errorf("%+v", records)
 	}
 }
 
 func TestFlushExportsAllTraces(t *testing.T) {
-	r := newFixture(t, 1, nil)
-	enableTracing(r, trace.Options{})
-	r.reduceTraced(0, requestFrom("a", r.now, 4*sec))
-	if records, _ := r.reduceTraced(sec, FlushTraces{}); len(records) != 1 || records[0].Outcome != trace.Open {
+	f := newFixture(t, 1, nil)
+	enableTracing(f, trace.Options{})
+	f.reduceTraced(0, requestFrom("a", f.now, 4*sec))
+	if records, _ := f.reduceTraced(sec, FlushTraces{}); len(records) != 1 || records[0].Outcome != trace.Open {
 		t.Errorf("%+v", records)
 	}
 }
@@ -94,24 +94,24 @@
 				limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
 			x := New(lim)
 			x.Reduce(1000*sec, ConfigurePool{Module: newModule(b), SlowStart: sec, SlowStartInitial: 0.5})
-			r := &fixture{Dispatcher: x, now: 1000 * sec}
+			f := &fixture{Dispatcher: x, now: 1000 * sec}
 			if on {
-				enableTracing(r, trace.Options{Share: 0.01})
+				enableTracing(f, trace.Options{Share: 0.01})
 			}
-			x.Reduce(r.now, EndpointsListed{Kind: policy.ListFull, Hosts: []Host{{Name: "h", Addr: "d", Weight: 1}}})
+			x.Reduce(f.now, EndpointsListed{Kind: policy.ListFull, Hosts: []Host{{Name: "h", Addr: "d", Weight: 1}}})
 			var origin *trace.Origin
 			if on {
 				origin = &trace.Origin{}
 			}
 			b.ReportAllocs()
 			for n := 1; b.Loop(); n++ {
-				r.now += 100 * time.Microsecond
-				e := requestFrom("a", r.now, 4*sec)
+				f.now += 100 * time.Microsecond
+				e := requestFrom("a", f.now, 4*sec)
 				e.Request.Session, e.Origin = uint64(n), origin
 				id := AttemptID{policy.RequestID(n), 0}
-				x.Reduce(r.now, e)
-				x.Reduce(r.now, AttemptStarted{id})
-				x.Reduce(r.now, AttemptEnded{Attempt: id, Result: policy.ResultOK})
+				x.Reduce(f.now, e)
+				x.Reduce(f.now, AttemptStarted{id})
+				x.Reduce(f.now, AttemptEnded{Attempt: id, Result: policy.ResultOK})
 			}
 		})
 	}
--- a/internal/hoststate/doc.go
+++ b/internal/hoststate/doc.go
@@ -5,5 +5,5 @@
 // package does no I/O and reads no clock: times are readings of the caller's monotonic clock.
 //
 // Two list entries are the same host if both name and address agree: two teams may use the same name, and an address may be reused.
-// Successive processes of one host are told apart by the time of their start (StartedAt).
+// Successive processes of one host are distinguished by the time of their start (StartedAt).
 package hoststate
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -19,88 +19,88 @@
 // TestQuotaKeepsGuarantees compares random reservations, releases and changes of claims with a reference model.
 func TestQuotaKeepsGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := &quotaModel{quota: New(testTotal), reserved: map[int]int64{}, claims: map[int]Claim{}, isCommitted: true}
+		m := &quotaModel{quota: New(testTotal), reserved: map[int]int64{}, claims: map[int]Claim{}, isCommitted: true}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			id := rapid.IntRange(0, 3).Draw(t, "holder")
 			n := rapid.Int64Range(0, 40).Draw(t, "n")
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1, 2:
-				a.take(t, id, n)
+				m.take(t, id, n)
 			case 3, 4:
-				a.quota.Release(id, n)
-				a.reserved[id] -= min(n, a.reserved[id])
+				m.quota.Release(id, n)
+				m.reserved[id] -= min(n, m.reserved[id])
 			case 5:
-				a.changeClaim(t, id)
+				m.changeClaim(t, id)
 			}
-			a.checkAgainstQuota(t)
+			m.checkAgainstQuota(t)
 		}
-		a.releaseAll(t)
+		m.releaseAll(t)
 	})
 }
 
-func (a *quotaModel) take(t *rapid.T, id int, n int64) {
+func (m *quotaModel) take(t *rapid.T, id int, n int64) {
 	t.Helper()
-	isWithinGuarantee := a.reserved[id]+n <= a.claims[id].Guarantee
-	ok := a.quota.Take(id, n)
+	isWithinGuarantee := m.reserved[id]+n <= m.claims[id].Guarantee
+	ok := m.quota.Take(id, n)
 	if ok {
-		a.reserved[id] += n
+		m.reserved[id] += n
 	}
-	if isWithinGuarantee && a.isCommitted && !ok {
-		t.Fatalf("holder %d was refused %d units within its guarantee: reserved %v, claims %v", id, n, a.reserved, a.claims)
+	if isWithinGuarantee && m.isCommitted && !ok {
+		t.Fatalf("holder %d was refused %d units within its guarantee: reserved %v, claims %v", id, n, m.reserved, m.claims)
 	}
-	if ok && a.claims[id].Max > 0 && a.reserved[id] > a.claims[id].Max {
-		t.Fatalf("holder %d has reserved %d units, more than its max", id, a.reserved[id])
+	if ok && m.claims[id].Max > 0 && m.reserved[id] > m.claims[id].Max {
+		t.Fatalf("holder %d has reserved %d units, more than its max", id, m.reserved[id])
 	}
 }
 
-func (a *quotaModel) changeClaim(t *rapid.T, id int) {
+func (m *quotaModel) changeClaim(t *rapid.T, id int) {
 	t.Helper()
 	c := Claim{Guarantee: rapid.Int64Range(0, 25).Draw(t, "guarantee")}
 	if rapid.Bool().Draw(t, "bounded") {
 		c.Max = c.Guarantee + rapid.Int64Range(0, 60).Draw(t, "beyond")
 	}
 	if rapid.IntRange(0, 4).Draw(t, "end") == 0 {
-		a.quota.EndClaim(id)
+		m.quota.EndClaim(id)
 		c = Claim{}
 	} else {
-		a.quota.SetClaim(id, c)
+		m.quota.SetClaim(id, c)
 	}
-	a.claims[id] = c
-	a.isCommitted = a.committed() <= testTotal
+	m.claims[id] = c
+	m.isCommitted = m.committed() <= testTotal
 }
 
-func (a *quotaModel) committed() (sum int64) {
+func (m *quotaModel) committed() (sum int64) {
 	for i := range 4 {
-		sum += max(a.reserved[i], a.claims[i].Guarantee)
+		sum += max(m.reserved[i], m.claims[i].Guarantee)
 	}
 	return sum
 }
 
 // checkAgainstQuota compares the quota's reserved units with the model.
-func (a *quotaModel) checkAgainstQuota(t *rapid.T) {
+func (m *quotaModel) checkAgainstQuota(t *rapid.T) {
 	t.Helper()
 	var sum int64
-	for i, n := range a.reserved {
+	for i, n := range m.reserved {
 		sum += n
-		if a.quota.Reserved(i) != n {
-			t.Fatalf("holder %d has reserved %d units by the quota, %d by the model", i, a.quota.Reserved(i), n)
+		if m.quota.Reserved(i) != n {
+			t.Fatalf("holder %d has reserved %d units by the quota, %d by the model", i, m.quota.Reserved(i), n)
 		}
 	}
 	if sum > testTotal {
 		t.Fatalf("%d of %d units are reserved", sum, testTotal)
 	}
-	if !a.isCommitted {
-		a.isCommitted = a.committed() <= testTotal
+	if !m.isCommitted {
+		m.isCommitted = m.committed() <= testTotal
 	}
 }
 
-func (a *quotaModel) releaseAll(t *rapid.T) {
+func (m *quotaModel) releaseAll(t *rapid.T) {
 	t.Helper()
 	for i := range 4 {
-		a.quota.EndClaim(i)
-		a.quota.Release(i, a.reserved[i])
+		m.quota.EndClaim(i)
+		m.quota.Release(i, m.reserved[i])
 	}
-	if q := a.quota; len(q.holders) != 0 || q.committed != 0 || q.reserved != 0 {
+	if q := m.quota; len(q.holders) != 0 || q.committed != 0 || q.reserved != 0 {
 		t.Fatalf("left over: %d holders, %d committed units, %d reserved units", len(q.holders), q.committed, q.reserved)
 	}
 }
--- a/internal/retrybudget/share.go
+++ b/internal/retrybudget/share.go
@@ -7,7 +7,7 @@
 )
 
 // Share is one router's share of the retries that all routers may send beyond the ratio. The replica that holds the singleton lease
-// counts the incarnations of routers and reports their number to each router that asks.
+// counts the incarnations of routers and reports their number to each router that requests it.
 //
 // These rules keep the sum of the shares within the total:
 //   - A report is valid for Validity from the time of the request for it. A router without a valid report falls back to Initial.
