--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,7 +1,7 @@
 // Package dispatch holds the state of all requests between the frontends and the upstreams: the open requests, their attempts and
 // deadlines, and the endpoints of each pool. Each pool has a decision module (package policy) that chooses the hosts.
 //
-// Dispatcher is a reducer: Reduce takes an event, updates the state and returns the effects to carry out. It has no sockets, no
+// Dispatcher is a reducer: Reduce takes an event, updates the state and returns the effects to carry out. It uses no sockets, no
 // HTTP and no clock. Loop reads the clock, orders the events and has the effects carried out. The guarantees:
 //
 //   - Every RequestReceived ends exactly once: with a response (BindAttempt, then AttemptEnded), a Reject, or ClientLeft.
