--- a/internal/dispatch/pools_bench_test.go
+++ b/internal/dispatch/pools_bench_test.go
@@ -12,48 +12,48 @@
 	"notchhinge/policy"
 )
 
-// BenchmarkPools is what a served request costs the dispatcher, from RequestReceived to its end, with many pools of 20 hosts each
-// against one; B/pool is what a pool with its hosts takes of the heap.
+// BenchmarkPools measures a served request, from RequestReceived to its end, with one pool and with many pools of 20 hosts each.
+// B/pool is the heap memory of a pool with its hosts.
 func BenchmarkPools(b *testing.B) {
 	for _, n := range []int{1, 200} {
 		b.Run(fmt.Sprintf("%d pools of 20 hosts", n), func(b *testing.B) {
 			const hosts = 20
 			lim := limits.New(limits.Machine{Cores: 1, MemoryMB: 512, Sockets: 65536},
 				limits.Site{ConnectTimeout: sec / 10, UpstreamIdleClose: 5 * sec, MaxAttempts: 3, MaxDeadline: 10 * sec})
-			before := heap()
-			c, now := New(lim), 1000*sec
+			before := heapBytes()
+			dispatcher, now := New(lim), 1000*sec
 			for p := range n {
-				c.Reduce(now, ConfigurePool{
-					Pool: hoststate.PoolID(p), Name: fmt.Sprint("p", p), Module: module(b), SlowStart: sec, SlowStartInitial: 0.5,
+				dispatcher.Reduce(now, ConfigurePool{
+					Pool: hoststate.PoolID(p), Name: fmt.Sprint("p", p), Module: newModule(b), SlowStart: sec, SlowStartInitial: 0.5,
 					RequestQuota: quota.Claim{Guarantee: int64(lim.ConcurrentRequests / n / 2)},
 				})
 				l := EndpointsListed{Pool: hoststate.PoolID(p), Kind: policy.ListFull}
 				for i := range hosts {
 					l.Hosts = append(l.Hosts, Host{Name: fmt.Sprintf("b%d-%d", p, i), Addr: fmt.Sprintf("127.0.%d.%d:80", p, i), Weight: 1})
 				}
-				c.Reduce(now, l)
+				dispatcher.Reduce(now, l)
 			}
-			grown := heap() - before
+			heapGrowth := heapBytes() - before
 			i := 0
 			for b.Loop() {
 				i++
 				now += 100 * time.Microsecond
 				var attempt AttemptID
-				for _, e := range c.Reduce(now, RequestReceived{Client: i, Pool: hoststate.PoolID(i % n), ReceivedAt: now, Request: policy.Request{Session: uint64(i%5000 + 1), Timeout: sec}}) {
+				for _, e := range dispatcher.Reduce(now, RequestReceived{Client: i, Pool: hoststate.PoolID(i % n), ReceivedAt: now, Request: policy.Request{Session: uint64(i%5000 + 1), Timeout: sec}}) {
 					if s, ok := e.(StartAttempt); ok {
 						attempt = s.Attempt
 					}
 				}
-				c.Reduce(now, AttemptStarted{attempt})
-				c.Reduce(now, AttemptEnded{Attempt: attempt, Result: policy.ResultOK})
+				dispatcher.Reduce(now, AttemptStarted{attempt})
+				dispatcher.Reduce(now, AttemptEnded{Attempt: attempt, Result: policy.ResultOK})
 			}
-			b.ReportMetric(float64(grown)/float64(n), "B/pool")
-			runtime.KeepAlive(c)
+			b.ReportMetric(float64(heapGrowth)/float64(n), "B/pool")
+			runtime.KeepAlive(dispatcher)
 		})
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -146,7 +146,7 @@
 			Name: p.Name, ID: int(p.Pool), IsEnding: p.IsEnding, Hosts: p.Hosts, Ready: p.Ready, Open: p.Open,
 			RequestGuarantee: p.RequestQuota.Guarantee, MaxRequests: p.RequestQuota.Max, UpstreamConns: r.upstream.Connections(p.Pool), BodyBytes: r.frontend.BodyBytes(p.Pool),
 			Received: p.Received, Served: p.Served, Rejected: p.Rejected, Failed: p.Failed, Broken: p.Broken, ClientsLeft: p.ClientsLeft,
-			RejectedByFrontend: p.RejectedByFrontend, Attempts: p.Attempts,
+			RejectedByFrontend: p.RejectedBeforeModule, Attempts: p.Attempts,
 		}
 		if f := r.feed(p.Pool); f != nil {
 			s.Discovery = f.Client.Addr
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -180,7 +180,7 @@
 			results = append(results, slog.Int(trace.Result(result).String(), n))
 		}
 	}
-	r.log.Info(message, append(args, "taken", c.Received, "declined", c.RejectedByFrontend, "open", c.Open, "legs", c.Attempts,
+	r.log.Info(message, append(args, "taken", c.Received, "declined", c.RejectedBeforeModule, "open", c.Open, "legs", c.Attempts,
 		slog.Group("outcomes", results...),
 		slog.Group("answers", "served", c.Served, "broken", c.Broken, "refused", c.Rejected, "failed", c.Failed, "gone", c.ClientsLeft),
 		"probes", c.Probes, "lists", c.Lists, "list_lines", c.ListEntries)...)
@@ -278,11 +278,11 @@
 	r.upstream.Close()
 	if r.traces != nil {
 		r.loop.Post(dispatch.FlushTraces{})
-		r.loop.Idle(ctx) // the loop has processed FlushTraces
+		r.loop.WaitIdle(ctx) // the loop has processed FlushTraces
 		r.traces.close()
 	}
 	r.loop.Post(dispatch.GetCounters{})
-	r.loop.Idle(ctx) // the loop has processed GetCounters
+	r.loop.WaitIdle(ctx) // the loop has processed GetCounters
 }
 
 // drain closes the client connections and waits for the requests in flight. The listener stays open for DrainListenerDelay,
@@ -298,7 +298,7 @@
 	}
 	r.ops.clientListener().Close()
 	r.frontend.CloseIdle()
-	r.loop.Idle(ctx)
+	r.loop.WaitIdle(ctx)
 	r.frontend.CloseIdle()
 	r.frontend.Wait(ctx)
 }
