--- a/internal/control/gossip/antientropy.go
+++ b/internal/control/gossip/antientropy.go
@@ -12,41 +12,41 @@
 // not fit into the answer to one packet follows with a later comparison.
 
 // mayRetryCompare reports whether the current comparison is open and may be followed by another soon.
-func (n *Node) mayRetryCompare() bool { return n.compareWith != 0 && n.retriesLeft > 0 }
+func (n *Node) canRetryCompare() bool { return n.comparingWith != 0 && n.compareRetriesLeft > 0 }
 
 func (n *Node) runCompareTimer() {
 	switch {
 	case n.now >= n.nextCompare:
 		n.nextCompare = n.now + n.jitter(compareInterval)
-		n.retriesLeft = compareRetries
+		n.compareRetriesLeft = compareRetries
 		n.compare()
-	case n.mayRetryCompare() && n.now >= n.nextRetry:
-		n.retriesLeft--
+	case n.canRetryCompare() && n.now >= n.nextCompareRetry:
+		n.compareRetriesLeft--
 		n.compare()
 	}
 }
 
 // compare sends the root digest to a random peer of the view, or now and then to a replica.
 func (n *Node) compare() {
-	n.compareWith = 0
+	n.comparingWith = 0
 	peer := n.comparePeer()
 	if peer == nil {
-		n.askSeeds()
+		n.shuffleWithSeeds()
 		return
 	}
 	if len(n.replicas) == 0 && len(n.seeds) > 0 { // the peers of the view may know of no replica either
-		n.sendShuffle(n.seeds[n.rnd.IntN(len(n.seeds))])
+		n.sendShuffle(n.seeds[n.rng.IntN(len(n.seeds))])
 	}
-	n.compareWith, n.nextRetry = peer.ID, n.now+compareRetryDelay
-	peer.expectAnswer(n.now)
+	n.comparingWith, n.nextCompareRetry = peer.ID, n.now+compareRetryDelay
+	peer.recordRequest(n.now)
 	n.send(peer.Addr, &packet{kind: kindRootDigest, root: n.items.rootDigest(peer.comparesContent())})
 }
 
 // comparePeer draws the peer to compare with; nil if there is none.
 func (n *Node) comparePeer() *peerState {
 	peers := n.randomPeers(1)
-	if ids := sortedKeys(n.replicas); len(ids) > 0 && n.rnd.IntN(replicaCompares) == 0 {
-		return &n.replicas[ids[n.rnd.IntN(len(ids))]].peerState
+	if ids := sortedKeys(n.replicas); len(ids) > 0 && n.rng.IntN(replicaComparePeriod) == 0 {
+		return &n.replicas[ids[n.rng.IntN(len(ids))]].peerState
 	}
 	if len(peers) == 0 {
 		return nil
@@ -69,27 +69,27 @@
 
 // handleRangeDigests answers with the versions of the ranges that differ, or with their digests where they have many items here.
 func (n *Node) handleRangeDigests(p *packet) {
-	var few, many []keyRange
+	var smallRanges, largeRanges []keyRange
 	for i := range p.ranges {
-		theirs := &p.ranges[i]
-		ours := n.items.childDigests(theirs.keyRange)
-		for c := range theirs.digests {
-			r := theirs.child(c)
+		remote := &p.ranges[i]
+		localDigests := n.items.childDigests(remote.keyRange)
+		for index := range remote.digests {
+			r := remote.child(index)
 			switch {
-			case ours[c] == theirs.digests[c]:
+			case localDigests[index] == remote.digests[index]:
 			case r.depth < maxRangeDepth && n.items.countInRange(r, maxRangeItems+1) > maxRangeItems:
-				many = append(many, r)
+				largeRanges = append(largeRanges, r)
 			default:
-				few = append(few, r)
+				smallRanges = append(smallRanges, r)
 			}
 		}
 	}
-	if len(few)+len(many) == 0 {
+	if len(smallRanges)+len(largeRanges) == 0 {
 		n.send(p.from.Addr, &packet{kind: kindAck})
 		return
 	}
-	n.sendRangeVersions(p.from.Addr, few)
-	n.sendRangeDigests(p.from.Addr, many)
+	n.sendRangeVersions(p.from.Addr, smallRanges)
+	n.sendRangeDigests(p.from.Addr, largeRanges)
 }
 
 // sendRangeVersions sends the versions of ranges: of random ones if they need more than maxAnswerPackets, since a range may differ
@@ -101,9 +101,9 @@
 		all[i] = rangeVersions{r, versions[:min(len(versions), maxRangeItems)]} // of the deepest range there may be more
 	}
 	packets := packVersions(all)
-	if len(packets) > maxAnswerPackets {
-		n.rnd.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		packets = packVersions(all)[:maxAnswerPackets]
+	if len(packets) > maxResponsePackets {
+		n.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+		packets = packVersions(all)[:maxResponsePackets]
 	}
 	for _, versions := range packets {
 		n.send(to, &packet{kind: kindRangeVersions, versions: versions})
@@ -128,7 +128,7 @@
 
 // size is an upper bound of the encoded size in bytes.
 func (v *rangeVersions) size() int {
-	size := rangeHeadBytes
+	size := rangeHeaderBytes
 	for i := range v.versions {
 		size += keyHashBytes + encoding.UvarintBytes(v.versions[i].version) + contentHashBytes
 	}
@@ -137,9 +137,9 @@
 
 // sendRangeDigests sends the digests of ranges, of random ones likewise.
 func (n *Node) sendRangeDigests(to netip.AddrPort, ranges []keyRange) {
-	if len(ranges) > maxAnswerPackets*maxDigestRanges {
-		n.rnd.Shuffle(len(ranges), func(i, j int) { ranges[i], ranges[j] = ranges[j], ranges[i] })
-		ranges = ranges[:maxAnswerPackets*maxDigestRanges]
+	if len(ranges) > maxResponsePackets*maxDigestRanges {
+		n.rng.Shuffle(len(ranges), func(i, j int) { ranges[i], ranges[j] = ranges[j], ranges[i] })
+		ranges = ranges[:maxResponsePackets*maxDigestRanges]
 	}
 	for chunk := range slices.Chunk(ranges, maxDigestRanges) {
 		all := make([]rangeDigests, len(chunk))
@@ -153,45 +153,45 @@
 // handleRangeVersions sends the items that the other node lacks, and asks for those that this node lacks.
 func (n *Node) handleRangeVersions(p *packet) {
 	var items []Item
-	var wanted []uint64
+	var requestedKeys []uint64
 	for i := range p.versions {
 		newer, lacking := n.diffRange(&p.versions[i])
-		items, wanted = append(items, newer...), append(wanted, lacking...)
+		items, requestedKeys = append(items, newer...), append(requestedKeys, lacking...)
 	}
 	n.repair(p.from.Addr, items)
-	for len(wanted) > 0 {
-		count := min(len(wanted), maxRequests)
-		n.send(p.from.Addr, &packet{kind: kindItemRequest, wanted: wanted[:count]})
-		wanted = wanted[count:]
+	for len(requestedKeys) > 0 {
+		count := min(len(requestedKeys), maxRequestedKeys)
+		n.send(p.from.Addr, &packet{kind: kindItemRequest, requestedKeys: requestedKeys[:count]})
+		requestedKeys = requestedKeys[count:]
 	}
 }
 
 // diffRange returns the items of a range that may be newer here, ordered by key, and the hashes of keys that may be newer there.
 // Of two bodies of one version both nodes send theirs: the greater wins.
-func (n *Node) diffRange(theirs *rangeVersions) (newer []Item, wanted []uint64) {
-	remaining := make(map[uint64]contentVersion, len(theirs.versions)) // by the hash of the key
-	for _, v := range theirs.versions {
+func (n *Node) diffRange(remote *rangeVersions) (newer []Item, requestedKeys []uint64) {
+	remaining := make(map[uint64]contentVersion, len(remote.versions)) // by the hash of the key
+	for _, v := range remote.versions {
 		remaining[v.keyHash] = v
 	}
-	for _, i := range n.items.inRange(theirs.keyRange) {
-		hash := Hash(i.Key)
-		there, isThere := remaining[hash]
-		differs := isThere && there.version == i.Version && there.content != i.contentHash()
-		if !isThere || there.version < i.Version || differs {
-			newer = append(newer, *i)
+	for _, item := range n.items.inRange(remote.keyRange) {
+		hash := Hash(item.Key)
+		remoteVersion, isListed := remaining[hash]
+		differs := isListed && remoteVersion.version == item.Version && remoteVersion.content != item.contentHash()
+		if !isListed || remoteVersion.version < item.Version || differs {
+			newer = append(newer, *item)
 		}
-		if isThere && there.version > i.Version || differs {
-			wanted = append(wanted, hash)
+		if isListed && remoteVersion.version > item.Version || differs {
+			requestedKeys = append(requestedKeys, hash)
 		}
 		delete(remaining, hash)
 	}
-	return newer, append(wanted, sortedKeys(remaining)...)
+	return newer, append(requestedKeys, sortedKeys(remaining)...)
 }
 
 // handleItemRequest sends the items of keys that the other node has asked for.
 func (n *Node) handleItemRequest(p *packet) {
 	var items []Item
-	for _, hash := range p.wanted {
+	for _, hash := range p.requestedKeys {
 		items = append(items, n.items.byHash(hash)...)
 	}
 	n.repair(p.from.Addr, items)
@@ -200,7 +200,7 @@
 // repair sends items to a node that lacks them: no more than a socket's buffer holds, and random ones of more than that.
 func (n *Node) repair(to netip.AddrPort, items []Item) {
 	if len(items) > maxRepairItems {
-		n.rnd.Shuffle(len(items), func(i, j int) { items[i], items[j] = items[j], items[i] })
+		n.rng.Shuffle(len(items), func(i, j int) { items[i], items[j] = items[j], items[i] })
 		items = items[:maxRepairItems]
 	}
 	n.sendItems(to, items, kindItems, 0)
--- a/internal/control/gossip/broadcast.go
+++ b/internal/control/gossip/broadcast.go
@@ -4,22 +4,22 @@
 
 // broadcast stores items of this node and queues those that are new.
 func (n *Node) broadcast(e Broadcast) {
-	for _, i := range e.Items {
-		if i.fits() && n.items.merge(i) {
-			n.broadcastQueue = append(n.broadcastQueue, i)
+	for _, item := range e.Items {
+		if item.fits() && n.items.merge(item) {
+			n.broadcastQueue = append(n.broadcastQueue, item)
 		}
 	}
 }
 
 // learnItems stores items from another node and queues those that are new here, so that they are passed on.
-func (n *Node) learnItems(p *packet) {
-	for _, i := range p.items {
-		if !i.fits() || n.IsStale != nil && n.IsStale(&i) || !n.items.merge(i) {
+func (n *Node) mergeReceivedItems(p *packet) {
+	for _, item := range p.items {
+		if !item.fits() || n.IsStale != nil && n.IsStale(&item) || !n.items.merge(item) {
 			continue
 		}
-		n.out = append(n.out, ItemLearned{Item: i, From: p.from})
+		n.effects = append(n.effects, ItemLearned{Item: item, From: p.from})
 		if len(n.broadcastQueue) < maxQueuedItems {
-			n.broadcastQueue = append(n.broadcastQueue, i)
+			n.broadcastQueue = append(n.broadcastQueue, item)
 		}
 	}
 }
--- a/internal/control/gossip/codec.go
+++ b/internal/control/gossip/codec.go
@@ -39,17 +39,17 @@
 	kind packetKind
 	from Peer
 
-	items      []Item           // kindItems, kindUrgentItems
-	ackID      ackID            // kindUrgentItems, kindAck; 0 = answers a comparison
-	heartbeats []Heartbeat      // kindHeartbeats
-	audible    []PeerID         // kindHeartbeats of a replica: the replicas that it hears
-	peers      []Peer           // kindShuffle, kindShuffleReply
-	root       uint64           // kindRootDigest
-	digests    []uint64         // kindBucketDigests: one of each bucket
-	buckets    []bucketVersions // kindVersions
-	ranges     []rangeDigests   // kindRangeDigests
-	versions   []rangeVersions  // kindRangeVersions
-	wanted     []uint64         // kindItemRequest: hashes of keys
+	items         []Item           // kindItems, kindUrgentItems
+	ackID         ackID            // kindUrgentItems, kindAck; 0 = answers a comparison
+	heartbeats    []Heartbeat      // kindHeartbeats
+	heardReplicas []PeerID         // kindHeartbeats of a replica: the replicas that it hears
+	peers         []Peer           // kindShuffle, kindShuffleReply
+	root          uint64           // kindRootDigest
+	digests       []uint64         // kindBucketDigests: one of each bucket
+	buckets       []bucketVersions // kindVersions
+	ranges        []rangeDigests   // kindRangeDigests
+	versions      []rangeVersions  // kindRangeVersions
+	requestedKeys []uint64         // kindItemRequest: hashes of keys
 }
 
 func (p *packet) encode() []byte {
@@ -77,8 +77,8 @@
 	case kindRangeVersions:
 		writeRangeVersions(&w, p.versions)
 	case kindItemRequest:
-		w.Uvarint(uint64(len(p.wanted)))
-		for _, hash := range p.wanted {
+		w.Uvarint(uint64(len(p.requestedKeys)))
+		for _, hash := range p.requestedKeys {
 			w.Fixed64(hash)
 		}
 	case kindShuffle, kindShuffleReply:
@@ -130,8 +130,8 @@
 	case kindRangeVersions:
 		p.versions = readRangeVersions(r)
 	case kindItemRequest:
-		for range r.Length(maxRequests, 8) {
-			p.wanted = append(p.wanted, r.Fixed64())
+		for range r.Length(maxRequestedKeys, 8) {
+			p.requestedKeys = append(p.requestedKeys, r.Fixed64())
 		}
 	default:
 		err = errMalformed
@@ -255,16 +255,16 @@
 
 func readItems(r *encoding.Reader) (items []Item) {
 	for range r.Length(maxItems, 4) {
-		i := Item{Kind: r.Byte(), Key: r.String(maxKeyBytes), Version: r.Uvarint()}
-		i.Body = append([]byte(nil), r.Bytes(maxBodyBytes)...)
-		items = append(items, i)
+		item := Item{Kind: r.Byte(), Key: r.String(maxKeyBytes), Version: r.Uvarint()}
+		item.Body = append([]byte(nil), r.Bytes(maxBodyBytes)...)
+		items = append(items, item)
 	}
 	return items
 }
 
 func writeHeartbeats(w *encoding.Writer, p *packet) {
-	w.Uvarint(uint64(len(p.audible)))
-	for _, id := range p.audible {
+	w.Uvarint(uint64(len(p.heardReplicas)))
+	for _, id := range p.heardReplicas {
 		w.Fixed64(uint64(id))
 	}
 	w.Uvarint(uint64(len(p.heartbeats)))
@@ -277,7 +277,7 @@
 
 func readHeartbeats(r *encoding.Reader, p *packet) {
 	for range r.Length(maxPeers, 8) {
-		p.audible = append(p.audible, PeerID(r.Fixed64()))
+		p.heardReplicas = append(p.heardReplicas, PeerID(r.Fixed64()))
 	}
 	for range r.Length(maxHeartbeats, 10) {
 		p.heartbeats = append(p.heartbeats, Heartbeat{Key: r.Fixed64(), Sequence: r.Uvarint(), AgeMS: r.Uvarint()})
--- a/internal/control/gossip/fleet_test.go
+++ b/internal/control/gossip/fleet_test.go
@@ -14,7 +14,7 @@
 	nodes          []*Node
 	byAddr         map[netip.AddrPort]int
 	now            time.Duration
-	rnd            *rand.Rand
+	rng            *rand.Rand
 	packets        int
 	loss           float64             // probability that a packet is lost
 	isolated       map[int]bool        // neither sends nor receives
@@ -28,7 +28,7 @@
 
 func newFleet(size int, seed uint64) *fleet {
 	f := &fleet{
-		byAddr: map[netip.AddrPort]int{}, rnd: rand.New(rand.NewPCG(seed, 1)), acks: map[BroadcastID]int{},
+		byAddr: map[netip.AddrPort]int{}, rng: rand.New(rand.NewPCG(seed, 1)), acks: map[BroadcastID]int{},
 		isolated: map[int]bool{}, sendBlocked: map[int]bool{}, receiveBlocked: map[int]bool{},
 	}
 	for i := range size {
@@ -127,7 +127,7 @@
 	if f.isPartitioned != nil && f.isPartitioned(from, to) {
 		return false
 	}
-	return f.rnd.Float64() >= f.loss
+	return f.rng.Float64() >= f.loss
 }
 
 // advance lets time pass.
--- a/internal/control/gossip/golden_test.go
+++ b/internal/control/gossip/golden_test.go
@@ -27,7 +27,7 @@
 		"updates":              {kind: kindItems, from: from, items: items},
 		"updates-acknowledged": {kind: kindUrgentItems, from: from, items: items[:1], ackID: 300},
 		"acknowledgement":      {kind: kindAck, from: from, ackID: 300},
-		"heartbeats": {kind: kindHeartbeats, from: from, audible: []PeerID{7, 1 << 63}, heartbeats: []Heartbeat{
+		"heartbeats": {kind: kindHeartbeats, from: from, heardReplicas: []PeerID{7, 1 << 63}, heartbeats: []Heartbeat{
 			{Key: 0x1122334455667788, Sequence: 12, AgeMS: 400}, {Key: 1, Sequence: 1 << 40},
 		}},
 		"digest":               {kind: kindRootDigest, from: from, root: 0xfedcba9876543210},
@@ -35,7 +35,7 @@
 		"repair-request":       {kind: kindVersions, from: from, buckets: []bucketVersions{{bucket: 31, versions: []itemVersion{{1, 2}, {1 << 63, 300}}}, {bucket: 0}}},
 		"range-digests":        {kind: kindRangeDigests, from: from, ranges: []rangeDigests{{rootRange, [rangeFanout]uint64(digests)}, {keyRange{2, 1023}, [rangeFanout]uint64{1}}}},
 		"range-versions":       {kind: kindRangeVersions, from: from, versions: []rangeVersions{{keyRange{1, 31}, []contentVersion{{1, 2, 3}, {1 << 63, 300, 1 << 31}}}, {keyRange{3, 0}, nil}}},
-		"item-request":         {kind: kindItemRequest, from: from, wanted: []uint64{1, 1 << 63}},
+		"item-request":         {kind: kindItemRequest, from: from, requestedKeys: []uint64{1, 1 << 63}},
 		"peer-exchange":        {kind: kindShuffle, from: from, peers: others},
 		"peer-exchange-answer": {kind: kindShuffleReply, from: from, peers: others[:1]},
 	} {
--- a/internal/control/gossip/heartbeats.go
+++ b/internal/control/gossip/heartbeats.go
@@ -16,14 +16,14 @@
 }
 
 // observation is a heartbeat whose age is replaced by the time at which it was sent, in ms of this node's clock.
-type observation struct {
+type timedHeartbeat struct {
 	key, sequence uint64
 	sentAtMS      uint64
 }
 
 // reportedHeartbeat is a heartbeat that a replica has reported.
-type reportedHeartbeat struct {
-	observation
+type receivedReport struct {
+	timedHeartbeat
 	reportedAt time.Duration
 }
 
@@ -31,13 +31,13 @@
 func (n *Node) nowMS() int64 { return int64(n.now / time.Millisecond) }
 
 // observe turns the age of a heartbeat into a time. Ages beyond the start of the clock count as its start.
-func (n *Node) observe(h Heartbeat) observation {
-	return observation{key: h.Key, sequence: h.Sequence, sentAtMS: uint64(max(n.nowMS()-int64(h.AgeMS), 0))}
+func (n *Node) toTimed(h Heartbeat) timedHeartbeat {
+	return timedHeartbeat{key: h.Key, sequence: h.Sequence, sentAtMS: uint64(max(n.nowMS()-int64(h.AgeMS), 0))}
 }
 
 // heartbeat turns the time of an observation into an age.
-func (n *Node) heartbeat(o observation) Heartbeat {
-	return Heartbeat{Key: o.key, Sequence: o.sequence, AgeMS: uint64(max(n.nowMS()-int64(o.sentAtMS), 0))}
+func (n *Node) toHeartbeat(timed timedHeartbeat) Heartbeat {
+	return Heartbeat{Key: timed.key, Sequence: timed.sequence, AgeMS: uint64(max(n.nowMS()-int64(timed.sentAtMS), 0))}
 }
 
 // queueHeartbeat queues a heartbeat for all replicas. Of one endpoint only the latest is kept.
@@ -46,7 +46,7 @@
 		return
 	}
 	if len(n.heartbeatQueue) < maxQueuedHeartbeats {
-		n.heartbeatQueue[h.Key] = n.observe(h)
+		n.heartbeatQueue[h.Key] = n.toTimed(h)
 	}
 }
 
@@ -56,17 +56,17 @@
 	if !n.self.isReplica() {
 		return
 	}
-	o := n.observe(e.Heartbeat)
+	timed := n.toTimed(e.Heartbeat)
 	for id, r := range n.replicas {
-		if id != e.From && r.isAudible(n.now) && !slices.Contains(r.audible, e.From) {
-			n.queueRelay(id, o)
+		if id != e.From && r.isHeard(n.now) && !slices.Contains(r.heardReplicas, e.From) {
+			n.queueRelay(id, timed)
 		}
 	}
 }
 
-func (n *Node) queueRelay(replica PeerID, o observation) {
+func (n *Node) queueRelay(replica PeerID, timed timedHeartbeat) {
 	if len(n.relayQueue[replica]) < maxQueuedHeartbeats {
-		n.relayQueue[replica] = append(n.relayQueue[replica], o)
+		n.relayQueue[replica] = append(n.relayQueue[replica], timed)
 	}
 }
 
@@ -75,26 +75,26 @@
 func (n *Node) sendHeartbeats() {
 	queued := make([]Heartbeat, 0, len(n.heartbeatQueue))
 	for _, key := range sortedKeys(n.heartbeatQueue) {
-		queued = append(queued, n.heartbeat(n.heartbeatQueue[key]))
+		queued = append(queued, n.toHeartbeat(n.heartbeatQueue[key]))
 	}
 	clear(n.heartbeatQueue)
-	audible := n.audibleReplicas()
+	heardReplicas := n.heardReplicas()
 	for _, id := range sortedKeys(n.replicas) {
 		heartbeats := slices.Clip(queued)
-		for _, o := range n.relayQueue[id] {
-			heartbeats = append(heartbeats, n.heartbeat(o))
+		for _, timed := range n.relayQueue[id] {
+			heartbeats = append(heartbeats, n.toHeartbeat(timed))
 		}
-		n.sendHeartbeatsTo(n.replicas[id].Addr, heartbeats, audible)
+		n.sendHeartbeatsTo(n.replicas[id].Addr, heartbeats, heardReplicas)
 	}
 	clear(n.relayQueue)
 	n.updateContact()
 }
 
 // sendHeartbeatsTo sends heartbeats in as many packets as they need, at least one.
-func (n *Node) sendHeartbeatsTo(replica netip.AddrPort, heartbeats []Heartbeat, audible []PeerID) {
+func (n *Node) sendHeartbeatsTo(replica netip.AddrPort, heartbeats []Heartbeat, heardReplicas []PeerID) {
 	for {
-		count := fittingHeartbeats(heartbeats, len(audible))
-		n.send(replica, &packet{kind: kindHeartbeats, audible: audible, heartbeats: heartbeats[:count]})
+		count := countFittingHeartbeats(heartbeats, len(heardReplicas))
+		n.send(replica, &packet{kind: kindHeartbeats, heardReplicas: heardReplicas, heartbeats: heartbeats[:count]})
 		if heartbeats = heartbeats[count:]; len(heartbeats) == 0 {
 			return
 		}
@@ -102,7 +102,7 @@
 }
 
 // fittingHeartbeats returns how many heartbeats one packet holds beside the ids of replicas.
-func fittingHeartbeats(heartbeats []Heartbeat, ids int) int {
+func countFittingHeartbeats(heartbeats []Heartbeat, ids int) int {
 	size := packetOverhead + 8*ids
 	for i, h := range heartbeats {
 		size += 8 + encoding.UvarintBytes(h.Sequence) + encoding.UvarintBytes(h.AgeMS)
@@ -116,20 +116,20 @@
 // handleHeartbeats takes in the heartbeats that another node reports, and from a replica also whom it hears.
 func (n *Node) handleHeartbeats(p *packet) {
 	if r := n.replicas[p.from.ID]; r != nil {
-		if !r.isAudible(n.now) {
+		if !r.isHeard(n.now) {
 			n.nextBroadcast = n.now // it waits to learn whether it is heard, and others wait for the list of replicas that this one hears
 		}
-		n.recordReported(r, p)
+		n.recordReports(r, p)
 		n.relayMissed(r, p)
-		r.lastHeartbeats, r.audible = max(n.now, 1), p.audible
+		r.lastHeartbeatPacket, r.heardReplicas = max(n.now, 1), p.heardReplicas
 		r.hearsUsAt = 0
-		if slices.Contains(p.audible, n.self.ID) {
+		if slices.Contains(p.heardReplicas, n.self.ID) {
 			r.hearsUsAt = n.now
 		}
 		n.updateContact()
 	}
 	for _, h := range p.heartbeats {
-		n.out = append(n.out, HeartbeatLearned{Heartbeat: h, From: p.from.ID})
+		n.effects = append(n.effects, HeartbeatLearned{Heartbeat: h, From: p.from.ID})
 	}
 }
 
@@ -137,14 +137,14 @@
 const relayWindow = quorumTimeout + 2*BroadcastInterval
 
 // recordReported keeps the heartbeats that a replica reports until the relay window is over.
-func (n *Node) recordReported(r *replicaState, p *packet) {
+func (n *Node) recordReports(r *replicaState, p *packet) {
 	if !n.self.isReplica() {
 		return
 	}
-	r.reported = slices.DeleteFunc(r.reported, func(h reportedHeartbeat) bool { return n.now-h.reportedAt > relayWindow })
+	r.reported = slices.DeleteFunc(r.reported, func(h receivedReport) bool { return n.now-h.reportedAt > relayWindow })
 	for _, h := range p.heartbeats {
 		if len(r.reported) < maxQueuedHeartbeats {
-			r.reported = append(r.reported, reportedHeartbeat{observation: n.observe(h), reportedAt: n.now})
+			r.reported = append(r.reported, receivedReport{timedHeartbeat: n.toTimed(h), reportedAt: n.now})
 		}
 	}
 }
@@ -155,14 +155,14 @@
 	if !n.self.isReplica() {
 		return
 	}
-	for _, id := range r.audible {
+	for _, id := range r.heardReplicas {
 		other := n.replicas[id]
-		if other == nil || id == n.self.ID || slices.Contains(p.audible, id) {
+		if other == nil || id == n.self.ID || slices.Contains(p.heardReplicas, id) {
 			continue
 		}
 		for _, h := range other.reported {
 			if n.now-h.reportedAt <= relayWindow {
-				n.queueRelay(r.ID, h.observation)
+				n.queueRelay(r.ID, h.timedHeartbeat)
 			}
 		}
 	}
--- a/internal/control/gossip/items.go
+++ b/internal/control/gossip/items.go
@@ -35,34 +35,34 @@
 }
 
 // merge stores an item if it is newer than what is stored under its key, and reports whether it is.
-func (s *itemStore) merge(i Item) bool {
-	old := s.byKey[i.Key]
-	if old != nil && !i.supersedes(old) {
+func (s *itemStore) merge(item Item) bool {
+	old := s.byKey[item.Key]
+	if old != nil && !item.supersedes(old) {
 		return false
 	}
 	if old != nil {
-		s.toggle(old)
+		s.toggleInDigests(old)
 	}
-	s.byKey[i.Key] = &i
-	hash := s.toggle(&i)
-	s.keys[hash%bucketCount][i.Key] = hash
+	s.byKey[item.Key] = &item
+	hash := s.toggleInDigests(&item)
+	s.keys[hash%bucketCount][item.Key] = hash
 	return true
 }
 
 // toggle adds an item to the digests, or takes it out of them, and returns the hash of its key.
-func (s *itemStore) toggle(i *Item) (keyHash uint64) {
-	keyHash = Hash(i.Key)
-	s.digests[keyHash%bucketCount] ^= i.hash()
-	s.legacyDigests[keyHash%bucketCount] ^= i.legacyHash()
+func (s *itemStore) toggleInDigests(item *Item) (keyHash uint64) {
+	keyHash = Hash(item.Key)
+	s.digests[keyHash%bucketCount] ^= item.hash()
+	s.legacyDigests[keyHash%bucketCount] ^= item.legacyHash()
 	return keyHash
 }
 
 func (s *itemStore) remove(key string) {
-	i := s.byKey[key]
-	if i == nil {
+	item := s.byKey[key]
+	if item == nil {
 		return
 	}
-	hash := s.toggle(i)
+	hash := s.toggleInDigests(item)
 	delete(s.byKey, key)
 	delete(s.keys[hash%bucketCount], key)
 }
@@ -80,40 +80,40 @@
 }
 
 // supersedes reports whether an item is newer than another of the same key.
-func (i *Item) supersedes(old *Item) bool {
-	return i.Version > old.Version || i.Version == old.Version && bytes.Compare(i.Body, old.Body) > 0
+func (item *Item) supersedes(old *Item) bool {
+	return item.Version > old.Version || item.Version == old.Version && bytes.Compare(item.Body, old.Body) > 0
 }
 
 // hash covers all of the item.
-func (i *Item) hash() uint64 { return CombineHashes(i.legacyHash(), xxhash.Sum64(i.Body)) }
+func (item *Item) hash() uint64 { return CombineHashes(item.legacyHash(), xxhash.Sum64(item.Body)) }
 
 // contentHash covers what a comparison does not show otherwise.
-func (i *Item) contentHash() uint32 {
-	return uint32(CombineHashes(uint64(i.Kind), xxhash.Sum64(i.Body)))
+func (item *Item) contentHash() uint32 {
+	return uint32(CombineHashes(uint64(item.Kind), xxhash.Sum64(item.Body)))
 }
 
 // legacyHash covers the key, the kind and the version. Two bodies of one version have one hash, so that a digest does not show
 // that they differ.
-func (i *Item) legacyHash() uint64 {
+func (item *Item) legacyHash() uint64 {
 	d := xxhash.New()
-	d.WriteString(i.Key)
+	d.WriteString(item.Key)
 	d.Write([]byte{
-		0, i.Kind, byte(i.Version), byte(i.Version >> 8), byte(i.Version >> 16), byte(i.Version >> 24),
-		byte(i.Version >> 32), byte(i.Version >> 40), byte(i.Version >> 48), byte(i.Version >> 56),
+		0, item.Kind, byte(item.Version), byte(item.Version >> 8), byte(item.Version >> 16), byte(item.Version >> 24),
+		byte(item.Version >> 32), byte(item.Version >> 40), byte(item.Version >> 48), byte(item.Version >> 56),
 	})
 	return d.Sum64()
 }
 
 // size is an upper bound of the encoded size in bytes.
-func (i *Item) size() int { return len(i.Key) + len(i.Body) + itemOverhead }
+func (item *Item) size() int { return len(item.Key) + len(item.Body) + itemOverhead }
 
 // fits reports whether a datagram holds the item.
-func (i *Item) fits() bool { return i.size() <= MaxPacketBytes-packetOverhead }
+func (item *Item) fits() bool { return item.size() <= MaxPacketBytes-packetOverhead }
 
 // Item returns the stored item of a key.
 func (n *Node) Item(key string) (Item, bool) {
-	if i := n.items.byKey[key]; i != nil {
-		return *i, true
+	if item := n.items.byKey[key]; item != nil {
+		return *item, true
 	}
 	return Item{}, false
 }
--- a/internal/control/gossip/legacy.go
+++ b/internal/control/gossip/legacy.go
@@ -28,7 +28,7 @@
 }
 
 // fitting returns the first buckets that one packet holds. The others follow with a later comparison.
-func fitting(buckets []bucketVersions) []bucketVersions {
+func firstFittingBuckets(buckets []bucketVersions) []bucketVersions {
 	size := packetOverhead
 	for i, b := range buckets {
 		if size += 4 + 13*len(b.versions); size > MaxPacketBytes && i > 0 {
@@ -50,40 +50,40 @@
 		n.send(p.from.Addr, &packet{kind: kindAck})
 		return
 	}
-	n.send(p.from.Addr, &packet{kind: kindVersions, buckets: fitting(buckets)})
+	n.send(p.from.Addr, &packet{kind: kindVersions, buckets: firstFittingBuckets(buckets)})
 }
 
 // handleVersions sends the items that the other node lacks, and asks for those that this node lacks by sending its versions.
 func (n *Node) handleVersions(p *packet) {
 	var items []Item
 	var behind []bucketVersions
-	for _, theirs := range p.buckets {
-		newer, isBehind := n.diffBucket(theirs)
+	for _, remote := range p.buckets {
+		newer, isBehind := n.diffBucket(remote)
 		items = append(items, newer...)
 		if isBehind {
-			behind = append(behind, bucketVersions{bucket: theirs.bucket, versions: n.items.legacyVersions(theirs.bucket)})
+			behind = append(behind, bucketVersions{bucket: remote.bucket, versions: n.items.legacyVersions(remote.bucket)})
 		}
 	}
 	n.sendItems(p.from.Addr, items, kindItems, 0)
 	if len(behind) > 0 {
-		n.send(p.from.Addr, &packet{kind: kindVersions, buckets: fitting(behind[:min(len(behind), maxVersionBuckets)])})
+		n.send(p.from.Addr, &packet{kind: kindVersions, buckets: firstFittingBuckets(behind[:min(len(behind), maxVersionBuckets)])})
 	}
 }
 
 // diffBucket returns the items of a bucket that are newer here, ordered by key, and reports whether any is newer there.
-func (n *Node) diffBucket(theirs bucketVersions) (newer []Item, isBehind bool) {
-	remaining := make(map[uint64]uint64, len(theirs.versions)) // version by the hash of the key
-	for _, v := range theirs.versions {
+func (n *Node) diffBucket(remote bucketVersions) (newer []Item, isBehind bool) {
+	remaining := make(map[uint64]uint64, len(remote.versions)) // version by the hash of the key
+	for _, v := range remote.versions {
 		remaining[v.key] = v.version
 	}
-	hashes := n.items.keys[theirs.bucket]
+	hashes := n.items.keys[remote.bucket]
 	for _, key := range sortedKeys(hashes) {
-		i, hash := n.items.byKey[key], hashes[key]
-		version, isThere := remaining[hash]
-		if !isThere || version < i.Version {
-			newer = append(newer, *i)
+		item, hash := n.items.byKey[key], hashes[key]
+		version, isListed := remaining[hash]
+		if !isListed || version < item.Version {
+			newer = append(newer, *item)
 		}
-		isBehind = isBehind || isThere && version > i.Version
+		isBehind = isBehind || isListed && version > item.Version
 		delete(remaining, hash)
 	}
 	return newer, isBehind || len(remaining) > 0
--- a/internal/control/gossip/limits.go
+++ b/internal/control/gossip/limits.go
@@ -21,10 +21,10 @@
 
 // Anti-entropy. The interval is short because few nodes may lack an item one second after its broadcast.
 const (
-	compareInterval   = 400 * time.Millisecond // on average; each is drawn between half and one and a half of it
-	compareRetryDelay = 150 * time.Millisecond // after a comparison that found a difference or got no answer: packets of either may be lost
-	compareRetries    = 2
-	replicaCompares   = 8 // one of so many comparisons goes to a replica
+	compareInterval      = 400 * time.Millisecond // on average; each is drawn between half and one and a half of it
+	compareRetryDelay    = 150 * time.Millisecond // after a comparison that found a difference or got no answer: packets of either may be lost
+	compareRetries       = 2
+	replicaComparePeriod = 8 // one of so many comparisons goes to a replica
 )
 
 // Membership.
@@ -35,8 +35,8 @@
 	shuffleInterval = 2 * time.Second // on average, as compareInterval
 	responseTimeout = 4 * time.Second // after an unanswered request a peer leaves the view
 
-	replicaExpiry    = 3 * time.Minute  // a replica that was not heard for so long is dropped
-	replicaAdvertise = 30 * time.Second // a replica is advertised to others if it was heard within this time
+	replicaExpiry           = 3 * time.Minute  // a replica that was not heard for so long is dropped
+	replicaAdvertiseTimeout = 30 * time.Second // a replica is advertised to others if it was heard within this time
 
 	maxLostPeers        = 16 // addresses of dropped peers that are remembered
 	lostPeerProbePeriod = 4  // one of so many shuffles probes an address beyond the view
@@ -68,15 +68,15 @@
 
 	maxVersionBuckets = 4 // buckets whose versions go back in answer to versions of the previous release
 
-	rangeHeadBytes      = 1 + 9 + 2 // of a range: depth, prefix, number of versions
+	rangeHeaderBytes    = 1 + 9 + 2 // of a range: depth, prefix, number of versions
 	keyHashBytes        = 8
 	maxVersionBytes     = 10
 	contentHashBytes    = 4
 	contentVersionBytes = keyHashBytes + maxVersionBytes + contentHashBytes
-	maxRangeItems       = (MaxPacketBytes - packetOverhead - rangeHeadBytes) / contentVersionBytes // a range with more is divided
-	maxDigestRanges     = (MaxPacketBytes - packetOverhead) / (rangeHeadBytes + 8*rangeFanout)
+	maxRangeItems       = (MaxPacketBytes - packetOverhead - rangeHeaderBytes) / contentVersionBytes // a range with more is divided
+	maxDigestRanges     = (MaxPacketBytes - packetOverhead) / (rangeHeaderBytes + 8*rangeFanout)
 	maxVersionRanges    = maxDigestRanges * rangeFanout
-	maxRequests         = (MaxPacketBytes - packetOverhead) / 8
-	maxAnswerPackets    = 4    // of versions, and of digests, in answer to one packet
+	maxRequestedKeys    = (MaxPacketBytes - packetOverhead) / 8
+	maxResponsePackets  = 4    // of versions, and of digests, in answer to one packet
 	maxRepairItems      = 2048 // in answer to one packet; some 130 datagrams of endpoint records
 )
--- a/internal/control/gossip/node.go
+++ b/internal/control/gossip/node.go
@@ -13,10 +13,10 @@
 
 // Node is one process's part in the protocol. It is not safe for concurrent use.
 type Node struct {
-	self Peer
-	rnd  *rand.Rand
-	now  time.Duration
-	out  []Effect
+	self    Peer
+	rng     *rand.Rand
+	now     time.Duration
+	effects []Effect
 
 	view         map[PeerID]*peerState
 	replicas     map[PeerID]*replicaState // known beside the view
@@ -25,19 +25,19 @@
 	shuffleCount int
 	nextShuffle  time.Duration
 
-	items       itemStore
-	compareWith PeerID // the peer that was sent a digest and has not said that it has the same; 0 = none
-	retriesLeft int    // of the current comparison
-	nextCompare time.Duration
-	nextRetry   time.Duration // of the current comparison
+	items              itemStore
+	comparingWith      PeerID // the peer that was sent a digest and has not said that it has the same; 0 = none
+	compareRetriesLeft int    // of the current comparison
+	nextCompare        time.Duration
+	nextCompareRetry   time.Duration // of the current comparison
 
 	broadcastQueue []Item
 	nextBroadcast  time.Duration // also of heartbeats
 	urgent         map[ackID]*urgentBroadcast
 	lastAckID      ackID
 
-	heartbeatQueue map[uint64]observation   // by the heartbeat's key
-	relayQueue     map[PeerID][]observation // by the replica that they are for
+	heartbeatQueue map[uint64]timedHeartbeat   // by the heartbeat's key
+	relayQueue     map[PeerID][]timedHeartbeat // by the replica that they are for
 
 	voters       []PeerID      // nil = unknown
 	contactSince time.Duration // in contact with a majority of the voters; noContact = not
@@ -56,14 +56,14 @@
 	self.Flags |= FlagComparesContent
 	return &Node{
 		self:           self,
-		rnd:            rand.New(rand.NewPCG(seed, uint64(self.ID))),
+		rng:            rand.New(rand.NewPCG(seed, uint64(self.ID))),
 		view:           map[PeerID]*peerState{},
 		replicas:       map[PeerID]*replicaState{},
 		items:          newItemStore(),
 		urgent:         map[ackID]*urgentBroadcast{},
 		lastAckID:      firstAckID(self.ID, seed),
-		heartbeatQueue: map[uint64]observation{},
-		relayQueue:     map[PeerID][]observation{},
+		heartbeatQueue: map[uint64]timedHeartbeat{},
+		relayQueue:     map[PeerID][]timedHeartbeat{},
 		contactSince:   noContact,
 	}
 }
@@ -71,8 +71,8 @@
 // Reduce handles an event at the time now. The effects are valid until the next call.
 func (n *Node) Reduce(now time.Duration, e Event) []Effect {
 	n.now = max(n.now, now)
-	clear(n.out)
-	n.out = n.out[:0]
+	clear(n.effects)
+	n.effects = n.effects[:0]
 	switch e := e.(type) {
 	case PacketReceived:
 		if p, err := decode(e.Payload); err == nil && p.from.ID != n.self.ID && p.from.Addr.IsValid() {
@@ -91,19 +91,19 @@
 		n.voters = e.IDs
 	case SeedsChanged:
 		n.seeds = e.Addrs
-		n.askSeeds()
+		n.shuffleWithSeeds()
 	case CallCompleted:
 		n.recordCall(e)
 	}
 	n.runTimers()
-	return n.out
+	return n.effects
 }
 
 // NextTimer returns when the node expects a Tick.
 func (n *Node) NextTimer() time.Duration {
 	next := min(n.nextCompare, n.nextShuffle)
-	if n.mayRetryCompare() {
-		next = min(next, n.nextRetry)
+	if n.canRetryCompare() {
+		next = min(next, n.nextCompareRetry)
 	}
 	if n.hasBroadcast() {
 		next = min(next, n.nextBroadcast)
@@ -126,7 +126,7 @@
 		n.nextShuffle = n.now + n.jitter(shuffleInterval)
 		n.dropUnresponsive()
 		n.shuffle()
-		n.probeBeyondView()
+		n.probeOutsideView()
 	}
 }
 
@@ -138,14 +138,14 @@
 
 // jitter draws a duration between half and one and a half of mean.
 func (n *Node) jitter(mean time.Duration) time.Duration {
-	return mean/2 + time.Duration(n.rnd.Int64N(int64(mean)))
+	return mean/2 + time.Duration(n.rng.Int64N(int64(mean)))
 }
 
 func (n *Node) handlePacket(p *packet) {
-	n.heardFrom(p.from)
+	n.recordSender(p.from)
 	switch p.kind {
 	case kindItems:
-		n.learnItems(p)
+		n.mergeReceivedItems(p)
 	case kindUrgentItems:
 		n.handleUrgentItems(p)
 	case kindHeartbeats:
@@ -180,7 +180,7 @@
 	b := p.encode()
 	n.SentBytes += uint64(len(b)) + headerBytes
 	n.SentPackets++
-	n.out = append(n.out, SendPacket{To: to, Payload: b})
+	n.effects = append(n.effects, SendPacket{To: to, Payload: b})
 }
 
 // Hash returns the hash of a key that digests and heartbeats carry.
--- a/internal/control/gossip/quorum.go
+++ b/internal/control/gossip/quorum.go
@@ -22,7 +22,7 @@
 func (n *Node) updateContact() {
 	reached := 0
 	for _, id := range n.voters {
-		if r := n.replicas[id]; id == n.self.ID || r != nil && r.isAudible(n.now) && r.hearsUs(n.now) {
+		if r := n.replicas[id]; id == n.self.ID || r != nil && r.isHeard(n.now) && r.hearsUs(n.now) {
 			reached++
 		}
 	}
@@ -35,13 +35,13 @@
 }
 
 // audibleReplicas lists the replicas that this replica hears, ordered by id; nil if it is none.
-func (n *Node) audibleReplicas() []PeerID {
+func (n *Node) heardReplicas() []PeerID {
 	if !n.self.isReplica() {
 		return nil
 	}
 	var ids []PeerID
 	for _, id := range sortedKeys(n.replicas) {
-		if n.replicas[id].isAudible(n.now) && len(ids) < maxPeers {
+		if n.replicas[id].isHeard(n.now) && len(ids) < maxPeers {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/control/gossip/ranges.go
+++ b/internal/control/gossip/ranges.go
@@ -99,8 +99,8 @@
 
 // versionsIn lists the versions of a range, ordered by key.
 func (s *itemStore) versionsIn(r keyRange) (versions []contentVersion) {
-	for _, i := range s.inRange(r) {
-		versions = append(versions, contentVersion{keyHash: Hash(i.Key), version: i.Version, content: i.contentHash()})
+	for _, item := range s.inRange(r) {
+		versions = append(versions, contentVersion{keyHash: Hash(item.Key), version: item.Version, content: item.contentHash()})
 	}
 	return versions
 }
--- a/internal/control/gossip/replicas.go
+++ b/internal/control/gossip/replicas.go
@@ -9,15 +9,15 @@
 // lastHeartbeats.
 type replicaState struct {
 	peerState
-	lastHeartbeats time.Duration       // when its last heartbeat packet came; 0 = never
-	hearsUsAt      time.Duration       // when it last said that it hears this node; 0 = its last packet did not say so
-	audible        []PeerID            // the replicas that it hears, as its last packet said
-	reported       []reportedHeartbeat // heartbeats that it reported lately
+	lastHeartbeatPacket time.Duration    // when its last heartbeat packet came; 0 = never
+	hearsUsAt           time.Duration    // when it last said that it hears this node; 0 = its last packet did not say so
+	heardReplicas       []PeerID         // the replicas that it hears, as its last packet said
+	reported            []receivedReport // heartbeats that it reported lately
 }
 
 // isAudible reports whether heartbeat packets of the replica arrive here.
-func (r *replicaState) isAudible(now time.Duration) bool {
-	return r.lastHeartbeats != 0 && now-r.lastHeartbeats <= quorumTimeout
+func (r *replicaState) isHeard(now time.Duration) bool {
+	return r.lastHeartbeatPacket != 0 && now-r.lastHeartbeatPacket <= quorumTimeout
 }
 
 // hearsUs reports whether the replica has said lately that this node's heartbeat packets arrive there.
@@ -33,7 +33,7 @@
 // isResponsive reports whether a replica is likely to answer: no request to it is overdue, and the latest call was answered.
 // In a large fleet its packets are too rare to show it.
 func (n *Node) isResponsive(s *peerState) bool {
-	return !s.callFailed && !s.isOverdue(n.now) && !s.isExpired(n.now)
+	return !s.callFailed && !s.isResponseOverdue(n.now) && !s.isExpired(n.now)
 }
 
 // Replicas lists the known replicas. Those that are likely to answer come first, of these the ones in this node's zone.
--- a/internal/control/gossip/shuffle.go
+++ b/internal/control/gossip/shuffle.go
@@ -14,10 +14,10 @@
 		}
 	}
 	if oldest == nil {
-		n.askSeeds()
+		n.shuffleWithSeeds()
 		return
 	}
-	oldest.expectAnswer(n.now)
+	oldest.recordRequest(n.now)
 	n.sendShuffle(oldest.Addr)
 }
 
@@ -28,13 +28,13 @@
 func (n *Node) handleShuffle(p *packet) {
 	n.send(p.from.Addr, &packet{kind: kindShuffleReply, peers: n.samplePeers()})
 	for _, q := range p.peers {
-		n.learnPeer(q)
+		n.addAdvertisedPeer(q)
 	}
 }
 
 func (n *Node) handleShuffleReply(p *packet) {
 	for _, q := range p.peers {
-		n.learnPeer(q)
+		n.addAdvertisedPeer(q)
 	}
 }
 
@@ -47,7 +47,7 @@
 	}
 	for _, id := range sortedKeys(n.replicas) {
 		r := n.replicas[id]
-		isRecent := r.lastHeard != 0 && n.now-r.lastHeard <= replicaAdvertise
+		isRecent := r.lastHeard != 0 && n.now-r.lastHeard <= replicaAdvertiseTimeout
 		isListed := slices.ContainsFunc(peers, func(p Peer) bool { return p.ID == id })
 		if isRecent && !isListed && len(peers) < maxPeers {
 			peers = append(peers, r.Peer)
@@ -57,7 +57,7 @@
 }
 
 // askSeeds asks the seeds for peers.
-func (n *Node) askSeeds() {
+func (n *Node) shuffleWithSeeds() {
 	for _, addr := range n.seeds {
 		n.sendShuffle(addr)
 	}
@@ -66,7 +66,7 @@
 // dropUnresponsive drops peers that do not answer, in order of their ids, since the list of lost peers keeps that order.
 func (n *Node) dropUnresponsive() {
 	for _, id := range sortedKeys(n.view) {
-		if s := n.view[id]; s.isOverdue(n.now) {
+		if s := n.view[id]; s.isResponseOverdue(n.now) {
 			delete(n.view, id)
 			n.rememberLost(s.Addr)
 		}
@@ -78,7 +78,7 @@
 		}
 	}
 	if len(n.view) < minViewSize {
-		n.askSeeds()
+		n.shuffleWithSeeds()
 	}
 }
 
@@ -90,13 +90,13 @@
 
 // probeBeyondView asks a seed or a lost peer now and then. Two partitions that have dropped each other's peers, each with full
 // views, would not merge otherwise. A node without a responsive replica probes each time.
-func (n *Node) probeBeyondView() {
+func (n *Node) probeOutsideView() {
 	n.shuffleCount++
 	addrs := slices.Concat(n.seeds, n.lostPeers)
 	if len(addrs) == 0 {
 		return
 	}
 	if n.shuffleCount%lostPeerProbePeriod == 0 || len(n.ResponsiveReplicas()) == 0 {
-		n.sendShuffle(addrs[n.rnd.IntN(len(addrs))])
+		n.sendShuffle(addrs[n.rng.IntN(len(addrs))])
 	}
 }
--- a/internal/control/gossip/urgent.go
+++ b/internal/control/gossip/urgent.go
@@ -19,7 +19,7 @@
 	id       BroadcastID
 	items    []Item
 	minAcks  int // unless fewer peers are known
-	asked    map[PeerID]*peerState
+	sentTo   map[PeerID]*peerState
 	acked    map[PeerID]bool
 	attempts int
 	deadline time.Duration // of the current attempt
@@ -27,13 +27,13 @@
 
 // startUrgent stores items and sends them at once.
 func (n *Node) startUrgent(e UrgentBroadcast) {
-	items := slices.DeleteFunc(slices.Clone(e.Items), func(i Item) bool { return !i.fits() })
-	for _, i := range items {
-		n.items.merge(i)
+	items := slices.DeleteFunc(slices.Clone(e.Items), func(item Item) bool { return !item.fits() })
+	for _, item := range items {
+		n.items.merge(item)
 	}
 	u := &urgentBroadcast{
 		id: e.ID, items: items, minAcks: e.MinAcks,
-		asked: map[PeerID]*peerState{}, acked: map[PeerID]bool{},
+		sentTo: map[PeerID]*peerState{}, acked: map[PeerID]bool{},
 	}
 	n.lastAckID++
 	if e.MinAcks > 0 {
@@ -43,7 +43,7 @@
 }
 
 // knownPeers counts the peers in the view and the replicas beyond it.
-func (n *Node) knownPeers() int {
+func (n *Node) knownPeerCount() int {
 	count := len(n.view)
 	for id := range n.replicas {
 		if n.view[id] == nil {
@@ -64,7 +64,7 @@
 
 // attemptUrgent sends an urgent broadcast to peers that have not been sent it yet, or ends it if attempts or peers are exhausted.
 func (n *Node) attemptUrgent(ack ackID, u *urgentBroadcast) {
-	targets := n.urgentTargets(u.asked)
+	targets := n.urgentTargets(u.sentTo)
 	n.completeIfAcked(ack, u)
 	if u.attempts >= urgentAttempts || len(targets) == 0 && u.attempts > 0 {
 		if n.urgent[ack] != nil {
@@ -75,8 +75,8 @@
 	u.attempts++
 	u.deadline = n.now + ackTimeout
 	for _, s := range targets {
-		u.asked[s.ID] = s
-		s.expectAnswer(n.now)
+		u.sentTo[s.ID] = s
+		s.recordRequest(n.now)
 		n.sendItems(s.Addr, u.items, kindUrgentItems, ack)
 	}
 }
@@ -84,7 +84,7 @@
 // handleUrgentItems acknowledges urgent items and passes on what is new at once. A replica without quorum contact does not: it is
 // cut off with those that it hears, and what it knows reaches nobody else.
 func (n *Node) handleUrgentItems(p *packet) {
-	n.learnItems(p)
+	n.mergeReceivedItems(p)
 	if _, hasContact := n.QuorumContact(); hasContact || !n.self.isReplica() {
 		n.send(p.from.Addr, &packet{kind: kindAck, ackID: p.ackID})
 	}
@@ -93,10 +93,10 @@
 
 // handleAck takes in an acknowledgement: of an urgent broadcast, or, with number 0, that the peer has the same items.
 func (n *Node) handleAck(p *packet) {
-	if p.ackID == 0 && p.from.ID == n.compareWith {
-		n.compareWith = 0
+	if p.ackID == 0 && p.from.ID == n.comparingWith {
+		n.comparingWith = 0
 	}
-	if u := n.urgent[p.ackID]; u != nil && u.asked[p.from.ID] != nil {
+	if u := n.urgent[p.ackID]; u != nil && u.sentTo[p.from.ID] != nil {
 		u.acked[p.from.ID] = true
 		n.completeIfAcked(p.ackID, u)
 	}
@@ -107,8 +107,8 @@
 	if n.urgent[ack] == nil {
 		return
 	}
-	minAcks := min(u.minAcks, max(n.knownPeers(), 1)) // now: at its start a process knows nobody
-	if n.isAlone() || len(u.acked) >= minAcks && u.ackedAcrossDomains(n.self.Zone) && n.reachesQuorum(u) {
+	minAcks := min(u.minAcks, max(n.knownPeerCount(), 1)) // now: at its start a process knows nobody
+	if n.isAlone() || len(u.acked) >= minAcks && u.ackedAcrossFailureDomains(n.self.Zone) && n.reachesQuorum(u) {
 		n.completeUrgent(ack, true)
 	}
 }
@@ -116,7 +116,7 @@
 func (n *Node) completeUrgent(ack ackID, isSufficient bool) {
 	u := n.urgent[ack]
 	delete(n.urgent, ack)
-	n.out = append(n.out, BroadcastCompleted{ID: u.id, Acks: len(u.acked), Sufficient: isSufficient})
+	n.effects = append(n.effects, BroadcastCompleted{ID: u.id, Acks: len(u.acked), Sufficient: isSufficient})
 }
 
 // reachesQuorum reports whether a replica in quorum contact has the items: this node, or one that has acknowledged them. Routers
@@ -145,52 +145,52 @@
 
 // ackedAcrossDomains reports whether the acknowledgements do not come from replicas alone, nor from the zone home alone, if
 // others were asked: all replicas, or all processes of a zone, may fail together.
-func (u *urgentBroadcast) ackedAcrossDomains(home uint32) bool {
-	var askedRouter, askedAway, ackedRouter, ackedAway bool
-	for id, s := range u.asked {
-		isRouter, isAway := !s.isReplica(), s.Zone != home
-		askedRouter, askedAway = askedRouter || isRouter, askedAway || isAway
+func (u *urgentBroadcast) ackedAcrossFailureDomains(ownZone uint32) bool {
+	var sentToRouter, sentToOtherZone, ackedByRouter, ackedByOtherZone bool
+	for id, s := range u.sentTo {
+		isRouter, isOtherZone := !s.isReplica(), s.Zone != ownZone
+		sentToRouter, sentToOtherZone = sentToRouter || isRouter, sentToOtherZone || isOtherZone
 		if u.acked[id] {
-			ackedRouter, ackedAway = ackedRouter || isRouter, ackedAway || isAway
+			ackedByRouter, ackedByOtherZone = ackedByRouter || isRouter, ackedByOtherZone || isOtherZone
 		}
 	}
-	return ackedRouter == askedRouter && ackedAway == askedAway
+	return ackedByRouter == sentToRouter && ackedByOtherZone == sentToOtherZone
 }
 
 // urgentTargets draws up to urgentFanout peers that were not asked yet: a responsive replica, a peer that is none, another replica,
 // since the first may be out of contact, then peers of further zones, so that a node that has the items survives the loss of all
 // replicas or of a zone.
-func (n *Node) urgentTargets(asked map[PeerID]*peerState) []*peerState {
-	candidates := n.urgentCandidates(asked)
-	n.rnd.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
+func (n *Node) urgentTargets(sentTo map[PeerID]*peerState) []*peerState {
+	candidates := n.urgentCandidates(sentTo)
+	n.rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	zones := map[uint32]bool{n.self.Zone: true}
 	isReplica := func(s *peerState) bool { return s.isReplica() && n.isResponsive(s) }
 	isRouter := func(s *peerState) bool { return !s.isReplica() }
-	isElsewhere := func(s *peerState) bool { return !zones[s.Zone] }
+	isNewZone := func(s *peerState) bool { return !zones[s.Zone] }
 	isAny := func(*peerState) bool { return true }
 	var targets []*peerState
-	for _, fits := range []func(*peerState) bool{isReplica, isRouter, isReplica, isElsewhere, isElsewhere, isAny, isAny, isAny} {
-		at := slices.IndexFunc(candidates, fits)
-		if at < 0 || len(targets) == urgentFanout {
+	for _, matches := range []func(*peerState) bool{isReplica, isRouter, isReplica, isNewZone, isNewZone, isAny, isAny, isAny} {
+		index := slices.IndexFunc(candidates, matches)
+		if index < 0 || len(targets) == urgentFanout {
 			continue
 		}
-		target := candidates[at]
-		candidates = slices.Delete(candidates, at, at+1)
+		target := candidates[index]
+		candidates = slices.Delete(candidates, index, index+1)
 		targets, zones[target.Zone] = append(targets, target), true
 	}
 	return targets
 }
 
 // urgentCandidates lists the peers of the view and then the replicas beyond it, each ordered by id, without those in asked.
-func (n *Node) urgentCandidates(asked map[PeerID]*peerState) []*peerState {
+func (n *Node) urgentCandidates(sentTo map[PeerID]*peerState) []*peerState {
 	var candidates []*peerState
 	for _, id := range sortedKeys(n.view) {
-		if asked[id] == nil {
+		if sentTo[id] == nil {
 			candidates = append(candidates, n.view[id])
 		}
 	}
 	for _, id := range sortedKeys(n.replicas) {
-		if asked[id] == nil && n.view[id] == nil {
+		if sentTo[id] == nil && n.view[id] == nil {
 			candidates = append(candidates, &n.replicas[id].peerState)
 		}
 	}
--- a/internal/control/gossip/view.go
+++ b/internal/control/gossip/view.go
@@ -38,14 +38,14 @@
 }
 
 // expectAnswer notes that a request was sent to the peer.
-func (s *peerState) expectAnswer(now time.Duration) {
+func (s *peerState) recordRequest(now time.Duration) {
 	if s.pendingSince == 0 {
 		s.pendingSince = now
 	}
 }
 
 // isOverdue reports whether a request to the peer has been unanswered for too long.
-func (s *peerState) isOverdue(now time.Duration) bool {
+func (s *peerState) isResponseOverdue(now time.Duration) bool {
 	return s.pendingSince != 0 && now-s.pendingSince > responseTimeout
 }
 
@@ -79,7 +79,7 @@
 }
 
 // heardFrom notes that a packet from a peer has come.
-func (n *Node) heardFrom(p Peer) {
+func (n *Node) recordSender(p Peer) {
 	if !n.isUsable(p) {
 		return
 	}
@@ -88,28 +88,28 @@
 	}
 	s := n.view[p.ID]
 	if s == nil {
-		s = n.insert(p)
+		s = n.addToView(p)
 	}
 	s.Peer, s.lastHeard, s.pendingSince = p, n.now, 0
 }
 
 // learnPeer takes in a peer that another peer has listed. Where the view is full it replaces one with probability 1/2.
-func (n *Node) learnPeer(p Peer) {
+func (n *Node) addAdvertisedPeer(p Peer) {
 	if !n.isUsable(p) {
 		return
 	}
 	n.updateReplica(p)
-	if n.view[p.ID] != nil || len(n.view) >= viewSize && n.rnd.IntN(2) == 0 {
+	if n.view[p.ID] != nil || len(n.view) >= viewSize && n.rng.IntN(2) == 0 {
 		return
 	}
-	n.insert(p).lastHeard = n.now - 1 // older than those that were heard
+	n.addToView(p).lastHeard = n.now - 1 // older than those that were heard
 }
 
 // insert adds a peer to the view, in the place of a random one if the view is full.
-func (n *Node) insert(p Peer) *peerState {
+func (n *Node) addToView(p Peer) *peerState {
 	if len(n.view) >= viewSize {
 		ids := sortedKeys(n.view)
-		delete(n.view, ids[n.rnd.IntN(len(ids))])
+		delete(n.view, ids[n.rng.IntN(len(ids))])
 	}
 	s := &peerState{Peer: p, addedAt: n.now}
 	n.view[p.ID] = s
@@ -119,7 +119,7 @@
 // randomPeers draws up to count different peers of the view.
 func (n *Node) randomPeers(count int) []*peerState {
 	ids := sortedKeys(n.view)
-	n.rnd.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
+	n.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	var peers []*peerState
 	for _, id := range ids[:min(count, len(ids))] {
 		peers = append(peers, n.view[id])
