--- a/internal/control/gossip/antientropy.go
+++ b/internal/control/gossip/antientropy.go
@@ -7,11 +7,11 @@
 	"notchhinge/internal/control/encoding"
 )
 
-// A comparison has up to three steps for each level of the tree of ranges that it descends: root digests, digests of the ranges
-// that differ, and versions of those that have few items. Most end with the first one, which costs two small packets. What does
-// not fit into the answer to one packet follows with a later comparison.
+// A comparison starts with root digests, continues with the digests of ranges that differ, one level of the tree after another, and
+// ends with the versions of differing ranges that have few items. Most comparisons end after the root digests, at the cost of two
+// small packets. Differences that do not fit into the response to one packet are left to a later comparison.
 
-// mayRetryCompare reports whether the current comparison is open and may be followed by another soon.
+// canRetryCompare reports whether a comparison is pending and has retries left.
 func (n *Node) canRetryCompare() bool { return n.comparingWith != 0 && n.compareRetriesLeft > 0 }
 
 func (n *Node) runCompareTimer() {
@@ -26,7 +26,7 @@
 	}
 }
 
-// compare sends the root digest to a random peer of the view, or now and then to a replica.
+// compare starts a comparison: it sends the root digest to a random peer of the view or, less often, to a replica.
 func (n *Node) compare() {
 	n.comparingWith = 0
 	peer := n.comparePeer()
@@ -34,7 +34,7 @@
 		n.shuffleWithSeeds()
 		return
 	}
-	if len(n.replicas) == 0 && len(n.seeds) > 0 { // the peers of the view may know of no replica either
+	if len(n.replicas) == 0 && len(n.seeds) > 0 { // the peers of the view may not know a replica either
 		n.sendShuffle(n.seeds[n.rng.IntN(len(n.seeds))])
 	}
 	n.comparingWith, n.nextCompareRetry = peer.ID, n.now+compareRetryDelay
@@ -42,7 +42,7 @@
 	n.send(peer.Addr, &packet{kind: kindRootDigest, root: n.items.rootDigest(peer.comparesContent())})
 }
 
-// comparePeer draws the peer to compare with; nil if there is none.
+// comparePeer draws the peer for a comparison; nil if there is none.
 func (n *Node) comparePeer() *peerState {
 	peers := n.randomPeers(1)
 	if ids := sortedKeys(n.replicas); len(ids) > 0 && n.rng.IntN(replicaComparePeriod) == 0 {
@@ -54,7 +54,7 @@
 	return peers[0]
 }
 
-// handleRootDigest answers with the digests of the root's children where the items differ, else with an acknowledgement.
+// handleRootDigest answers with an acknowledgement if the root digests are equal, else with the digests of the root's children.
 func (n *Node) handleRootDigest(p *packet) {
 	comparesContent := p.from.comparesContent()
 	switch {
@@ -67,7 +67,7 @@
 	}
 }
 
-// handleRangeDigests answers with the versions of the ranges that differ, or with their digests where they have many items here.
+// handleRangeDigests answers with the versions of the ranges that differ, or with their digests if they have many local items.
 func (n *Node) handleRangeDigests(p *packet) {
 	var smallRanges, largeRanges []keyRange
 	for i := range p.ranges {
@@ -92,13 +92,13 @@
 	n.sendRangeDigests(p.from.Addr, largeRanges)
 }
 
-// sendRangeVersions sends the versions of ranges: of random ones if they need more than maxAnswerPackets, since a range may differ
-// for as long as its items are obsolete for one of the two nodes.
+// sendRangeVersions sends the versions of ranges. If they need more than maxResponsePackets, it picks random ranges: some may
+// differ for long, because one of the two nodes rejects an obsolete item, and must not displace the others each time.
 func (n *Node) sendRangeVersions(to netip.AddrPort, ranges []keyRange) {
 	all := make([]rangeVersions, len(ranges))
 	for i, r := range ranges {
 		versions := n.items.versionsIn(r)
-		all[i] = rangeVersions{r, versions[:min(len(versions), maxRangeItems)]} // of the deepest range there may be more
+		all[i] = rangeVersions{r, versions[:min(len(versions), maxRangeItems)]} // only a range of maximum depth can have more
 	}
 	packets := packVersions(all)
 	if len(packets) > maxResponsePackets {
@@ -110,7 +110,7 @@
 	}
 }
 
-// packVersions divides ranges among packets, each as full as it may be.
+// packVersions divides ranges among packets, in order and each filled up to MaxPacketBytes.
 func packVersions(all []rangeVersions) (packets [][]rangeVersions) {
 	first, size := 0, packetOverhead
 	for i := range all {
@@ -126,7 +126,7 @@
 	return packets
 }
 
-// size is an upper bound of the encoded size in bytes.
+// size returns an upper bound of the encoded size in bytes.
 func (v *rangeVersions) size() int {
 	size := rangeHeaderBytes
 	for i := range v.versions {
@@ -135,7 +135,7 @@
 	return size
 }
 
-// sendRangeDigests sends the digests of ranges, of random ones likewise.
+// sendRangeDigests sends the digests of ranges; of random ones if they need more than maxResponsePackets.
 func (n *Node) sendRangeDigests(to netip.AddrPort, ranges []keyRange) {
 	if len(ranges) > maxResponsePackets*maxDigestRanges {
 		n.rng.Shuffle(len(ranges), func(i, j int) { ranges[i], ranges[j] = ranges[j], ranges[i] })
@@ -150,13 +150,13 @@
 	}
 }
 
-// handleRangeVersions sends the items that the other node lacks, and asks for those that this node lacks.
+// handleRangeVersions sends the items that the other node lacks, and requests those that this node lacks.
 func (n *Node) handleRangeVersions(p *packet) {
 	var items []Item
 	var requestedKeys []uint64
 	for i := range p.versions {
-		newer, lacking := n.diffRange(&p.versions[i])
-		items, requestedKeys = append(items, newer...), append(requestedKeys, lacking...)
+		newer, missing := n.diffRange(&p.versions[i])
+		items, requestedKeys = append(items, newer...), append(requestedKeys, missing...)
 	}
 	n.repair(p.from.Addr, items)
 	for len(requestedKeys) > 0 {
@@ -166,10 +166,10 @@
 	}
 }
 
-// diffRange returns the items of a range that may be newer here, ordered by key, and the hashes of keys that may be newer there.
-// Of two bodies of one version both nodes send theirs: the greater wins.
+// diffRange returns the local items of a range that may be newer than the other node's, ordered by key, and the key hashes of items
+// that may be newer at the other node. If versions are equal and contents differ, both nodes send their item, and the greater wins.
 func (n *Node) diffRange(remote *rangeVersions) (newer []Item, requestedKeys []uint64) {
-	remaining := make(map[uint64]contentVersion, len(remote.versions)) // by the hash of the key
+	remaining := make(map[uint64]contentVersion, len(remote.versions)) // by key hash
 	for _, v := range remote.versions {
 		remaining[v.keyHash] = v
 	}
@@ -188,7 +188,7 @@
 	return newer, append(requestedKeys, sortedKeys(remaining)...)
 }
 
-// handleItemRequest sends the items of keys that the other node has asked for.
+// handleItemRequest sends the items that the other node has requested.
 func (n *Node) handleItemRequest(p *packet) {
 	var items []Item
 	for _, hash := range p.requestedKeys {
@@ -197,7 +197,8 @@
 	n.repair(p.from.Addr, items)
 }
 
-// repair sends items to a node that lacks them: no more than a socket's buffer holds, and random ones of more than that.
+// repair sends items to a node that lacks them. If there are more than maxRepairItems, it sends random ones, so as not to overflow
+// the receive buffer of the node's socket.
 func (n *Node) repair(to netip.AddrPort, items []Item) {
 	if len(items) > maxRepairItems {
 		n.rng.Shuffle(len(items), func(i, j int) { items[i], items[j] = items[j], items[i] })
--- a/internal/control/gossip/broadcast.go
+++ b/internal/control/gossip/broadcast.go
@@ -2,7 +2,7 @@
 
 import "net/netip"
 
-// broadcast stores items of this node and queues those that are new.
+// broadcast stores items of this node, and queues the new ones for the next round.
 func (n *Node) broadcast(e Broadcast) {
 	for _, item := range e.Items {
 		if item.fits() && n.items.merge(item) {
@@ -11,7 +11,7 @@
 	}
 }
 
-// learnItems stores items from another node and queues those that are new here, so that they are passed on.
+// mergeReceivedItems stores items from another node, and queues the new ones to be passed on.
 func (n *Node) mergeReceivedItems(p *packet) {
 	for _, item := range p.items {
 		if !item.fits() || n.IsStale != nil && n.IsStale(&item) || !n.items.merge(item) {
@@ -24,26 +24,27 @@
 	}
 }
 
-// sendBroadcast sends the queued items to random peers. Without a peer they stay queued.
+// sendBroadcast sends the queued items to random peers. If the view is empty, they stay queued.
 func (n *Node) sendBroadcast() {
 	peers := n.randomPeers(Fanout)
 	if len(peers) == 0 {
 		return
 	}
-	for _, s := range peers {
-		n.sendItems(s.Addr, n.broadcastQueue, kindItems, 0)
+	for _, peer := range peers {
+		n.sendItems(peer.Addr, n.broadcastQueue, kindItems, 0)
 	}
 	n.broadcastQueue = nil
 }
 
-// forwardNow sends the queued items to random peers, without waiting for the next round, except to the peer that they came from.
+// forwardNow sends the queued items to random peers without waiting for the next round. It skips the peer except, from which
+// they came.
 func (n *Node) forwardNow(except PeerID) {
 	if len(n.broadcastQueue) == 0 {
 		return
 	}
-	for _, s := range n.randomPeers(Fanout) {
-		if s.ID != except {
-			n.sendItems(s.Addr, n.broadcastQueue, kindItems, 0)
+	for _, peer := range n.randomPeers(Fanout) {
+		if peer.ID != except {
+			n.sendItems(peer.Addr, n.broadcastQueue, kindItems, 0)
 		}
 	}
 	n.broadcastQueue = nil
--- a/internal/control/gossip/codec.go
+++ b/internal/control/gossip/codec.go
@@ -7,11 +7,11 @@
 	"notchhinge/internal/control/encoding"
 )
 
-// A datagram is "nh", the format version, the kind, the sender, and fields that depend on the kind.
+// Layout of a datagram: "nh", the format version, the kind, the sender, and the fields of the kind.
 const (
 	formatVersion  = 2
-	prefixBytes    = 4  // before the sender
-	packetOverhead = 64 // upper bound of what a packet needs beside its items or versions
+	prefixBytes    = 4  // up to the sender
+	packetOverhead = 64 // upper bound of the encoded size of a packet without its items or versions
 )
 
 var errMalformed = errors.New("malformed gossip packet")
@@ -21,35 +21,35 @@
 
 const (
 	kindItems         packetKind = iota + 1
-	kindBucketDigests            // answer to a root digest that differs, to and from the previous release
-	kindVersions                 // answer to bucket digests that differ, and to versions; likewise
+	kindBucketDigests            // response to a root digest that differs; exchanged with the previous release
+	kindVersions                 // response to bucket digests that differ, or to kindVersions; exchanged with the previous release
 	kindShuffle
 	kindShuffleReply
-	kindUrgentItems // asks for kindAck
+	kindUrgentItems // answered by kindAck
 	kindAck
 	kindHeartbeats
 	kindRootDigest
-	kindRangeDigests  // answer to a root digest, or to digests of ranges, that differ
-	kindRangeVersions // answer to digests of ranges that differ
-	kindItemRequest   // answer to versions that are newer; answered by kindItems
+	kindRangeDigests  // response to a root digest, or range digests, that differ
+	kindRangeVersions // response to range digests that differ
+	kindItemRequest   // response to newer versions; answered by kindItems
 )
 
-// packet is a decoded datagram. Which fields are set depends on its kind.
+// packet is a decoded datagram. The comments list the kinds that use a field.
 type packet struct {
 	kind packetKind
 	from Peer
 
 	items         []Item           // kindItems, kindUrgentItems
-	ackID         ackID            // kindUrgentItems, kindAck; 0 = answers a comparison
+	ackID         ackID            // kindUrgentItems, kindAck; 0 = acknowledges a comparison
 	heartbeats    []Heartbeat      // kindHeartbeats
-	heardReplicas []PeerID         // kindHeartbeats of a replica: the replicas that it hears
+	heardReplicas []PeerID         // kindHeartbeats of a replica: replicas whose heartbeat packets it receives
 	peers         []Peer           // kindShuffle, kindShuffleReply
 	root          uint64           // kindRootDigest
-	digests       []uint64         // kindBucketDigests: one of each bucket
+	digests       []uint64         // kindBucketDigests: by bucket
 	buckets       []bucketVersions // kindVersions
 	ranges        []rangeDigests   // kindRangeDigests
 	versions      []rangeVersions  // kindRangeVersions
-	requestedKeys []uint64         // kindItemRequest: hashes of keys
+	requestedKeys []uint64         // kindItemRequest: key hashes
 }
 
 func (p *packet) encode() []byte {
@@ -90,7 +90,7 @@
 	return w.Buf
 }
 
-// decode reads a datagram. Only the bodies of items are copied from b; nothing else refers to it.
+// decode decodes a datagram. The packet does not refer to b.
 func decode(b []byte) (*packet, error) {
 	if len(b) < prefixBytes || b[0] != 'n' || b[1] != 'h' || b[2] != formatVersion {
 		return nil, errMalformed
@@ -116,7 +116,7 @@
 	return p, r.Finish()
 }
 
-// readComparison reads the fields of a packet of a comparison.
+// readComparison reads the fields of a packet that belongs to a comparison.
 func readComparison(r *encoding.Reader, p *packet) (err error) {
 	switch p.kind {
 	case kindRootDigest:
@@ -142,7 +142,7 @@
 	return err
 }
 
-// hasValidRanges reports whether all ranges of the packet are of the tree. Digests have to be of a range that has children.
+// hasValidRanges reports whether all ranges of the packet belong to the tree, and those with digests have children.
 func (p *packet) hasValidRanges() bool {
 	for i := range p.ranges {
 		if r := p.ranges[i].keyRange; !r.isValid() || r.depth >= maxRangeDepth {
@@ -310,7 +310,7 @@
 	return buckets, nil
 }
 
-// Purpose says what a datagram is for.
+// Purpose classifies datagrams.
 type Purpose uint8
 
 const (
--- a/internal/control/gossip/event.go
+++ b/internal/control/gossip/event.go
@@ -8,13 +8,13 @@
 type (
 	// PacketReceived is a datagram from another process.
 	PacketReceived struct{ Payload []byte }
-	// Tick says that the time that [Node.NextTimer] named has come.
+	// Tick runs the due timers. The caller sends it at the time of [Node.NextTimer].
 	Tick struct{}
-	// Broadcast disseminates items of this node with the next broadcast round. Items that are not newer than what the node
-	// has are dropped, and so are those above [MaxItemBytes].
+	// Broadcast disseminates items of this node in the next broadcast round. Items above [MaxItemBytes] and items that are not
+	// newer than the stored ones are dropped.
 	Broadcast struct{ Items []Item }
-	// UrgentBroadcast sends items at once, also those that the node has already. With MinAcks > 0 it ends with
-	// [BroadcastCompleted], which carries ID.
+	// UrgentBroadcast sends items at once, even if the node has them already. If MinAcks > 0, a [BroadcastCompleted] with the
+	// same ID follows.
 	UrgentBroadcast struct {
 		ID      BroadcastID
 		Items   []Item
@@ -22,16 +22,16 @@
 	}
 	// HeartbeatObserved is a heartbeat that this node received from the endpoint itself.
 	HeartbeatObserved struct{ Heartbeat Heartbeat }
-	// RelayHeartbeat passes a heartbeat that the peer From has reported to the replicas that do not hear From.
+	// RelayHeartbeat forwards a heartbeat, reported by the peer From, to the replicas that receive no packets of From.
 	RelayHeartbeat struct {
 		Heartbeat Heartbeat
 		From      PeerID
 	}
-	// VotersChanged names the replicas that vote, by their peer ids.
+	// VotersChanged sets the peer ids of the voters.
 	VotersChanged struct{ IDs []PeerID }
-	// SeedsChanged names addresses where other processes may be found.
+	// SeedsChanged sets the seed addresses, at which other processes may be reachable.
 	SeedsChanged struct{ Addrs []netip.AddrPort }
-	// CallCompleted says whether a call to a peer, outside gossip, was answered.
+	// CallCompleted reports whether a peer answered a call outside the gossip protocol.
 	CallCompleted struct {
 		PeerID   PeerID
 		Answered bool
@@ -52,23 +52,23 @@
 type Effect interface{ effect() }
 
 type (
-	// SendPacket asks for a datagram to be sent.
+	// SendPacket is a datagram for the caller to send.
 	SendPacket struct {
 		To      netip.AddrPort
 		Payload []byte
 	}
-	// ItemLearned is an item from another node that is new here.
+	// ItemLearned is an item from another node that was stored because it is new or newer than the stored one.
 	ItemLearned struct {
 		Item Item
 		From Peer
 	}
-	// HeartbeatLearned is a heartbeat that the peer From has reported.
+	// HeartbeatLearned is a heartbeat that the peer From has reported. It may be a duplicate.
 	HeartbeatLearned struct {
 		Heartbeat Heartbeat
 		From      PeerID
 	}
-	// BroadcastCompleted ends an urgent broadcast that Acks other nodes have acknowledged. With Sufficient these are as many
-	// as were asked for, or all there are; without it too few have answered in time.
+	// BroadcastCompleted ends an urgent broadcast that Acks other nodes have acknowledged. Sufficient reports whether they are
+	// MinAcks nodes, or all known nodes if there are fewer. It is false if attempts or peers were exhausted before.
 	BroadcastCompleted struct {
 		ID         BroadcastID
 		Acks       int
@@ -81,5 +81,5 @@
 func (HeartbeatLearned) effect()   {}
 func (BroadcastCompleted) effect() {}
 
-// BroadcastID correlates [UrgentBroadcast] and [BroadcastCompleted]. The caller chooses it.
+// BroadcastID correlates an [UrgentBroadcast] with its [BroadcastCompleted]. The caller chooses it.
 type BroadcastID uint64
--- a/internal/control/gossip/heartbeats.go
+++ b/internal/control/gossip/heartbeats.go
@@ -8,39 +8,39 @@
 	"notchhinge/internal/control/encoding"
 )
 
-// Heartbeat says that an endpoint sent the heartbeat Sequence, AgeMS milliseconds ago.
+// Heartbeat reports that an endpoint sent its heartbeat number Sequence AgeMS milliseconds ago.
 type Heartbeat struct {
 	Key      uint64 // [Hash] of the endpoint's key
 	Sequence uint64
 	AgeMS    uint64
 }
 
-// observation is a heartbeat whose age is replaced by the time at which it was sent, in ms of this node's clock.
+// timedHeartbeat is a heartbeat with its send time, in ms on this node's clock, in place of its age.
 type timedHeartbeat struct {
 	key, sequence uint64
 	sentAtMS      uint64
 }
 
-// reportedHeartbeat is a heartbeat that a replica has reported.
+// receivedReport is a heartbeat that a replica has reported, with the time of the report.
 type receivedReport struct {
 	timedHeartbeat
 	reportedAt time.Duration
 }
 
-// nowMS is the time in ms.
+// nowMS returns the current time in ms.
 func (n *Node) nowMS() int64 { return int64(n.now / time.Millisecond) }
 
-// observe turns the age of a heartbeat into a time. Ages beyond the start of the clock count as its start.
+// toTimed converts the age of a heartbeat to a send time. A heartbeat from before the start of the clock gets the time 0.
 func (n *Node) toTimed(h Heartbeat) timedHeartbeat {
 	return timedHeartbeat{key: h.Key, sequence: h.Sequence, sentAtMS: uint64(max(n.nowMS()-int64(h.AgeMS), 0))}
 }
 
-// heartbeat turns the time of an observation into an age.
+// toHeartbeat converts a send time to an age.
 func (n *Node) toHeartbeat(timed timedHeartbeat) Heartbeat {
 	return Heartbeat{Key: timed.key, Sequence: timed.sequence, AgeMS: uint64(max(n.nowMS()-int64(timed.sentAtMS), 0))}
 }
 
-// queueHeartbeat queues a heartbeat for all replicas. Of one endpoint only the latest is kept.
+// queueHeartbeat queues a heartbeat for all replicas. The queue holds only the latest heartbeat of each endpoint.
 func (n *Node) queueHeartbeat(h Heartbeat) {
 	if old, ok := n.heartbeatQueue[h.Key]; ok && old.sequence >= h.Sequence {
 		return
@@ -50,8 +50,8 @@
 	}
 }
 
-// relayHeartbeat queues a heartbeat for the replicas that do not hear the one that reported it. Without a relay, of two replicas
-// that do not hear each other one would suspect the endpoints that send their heartbeats to the other.
+// relayHeartbeat queues a heartbeat for the replicas that receive no packets of the node that reported it. Without a relay, a
+// replica that is partitioned from another one would suspect the endpoints that send their heartbeats to that one.
 func (n *Node) relayHeartbeat(e RelayHeartbeat) {
 	if !n.self.isReplica() {
 		return
@@ -70,8 +70,8 @@
 	}
 }
 
-// sendHeartbeats sends the queued heartbeats to every replica. Replicas also get an empty packet, since the packets show who
-// is in contact with whom.
+// sendHeartbeats sends the queued heartbeats to every replica. It sends a packet even if there are none, because the packets show
+// which replicas are in contact.
 func (n *Node) sendHeartbeats() {
 	queued := make([]Heartbeat, 0, len(n.heartbeatQueue))
 	for _, key := range sortedKeys(n.heartbeatQueue) {
@@ -90,7 +90,7 @@
 	n.updateContact()
 }
 
-// sendHeartbeatsTo sends heartbeats in as many packets as they need, at least one.
+// sendHeartbeatsTo sends heartbeats to a replica, in at least one packet.
 func (n *Node) sendHeartbeatsTo(replica netip.AddrPort, heartbeats []Heartbeat, heardReplicas []PeerID) {
 	for {
 		count := countFittingHeartbeats(heartbeats, len(heardReplicas))
@@ -101,7 +101,7 @@
 	}
 }
 
-// fittingHeartbeats returns how many heartbeats one packet holds beside the ids of replicas.
+// countFittingHeartbeats returns how many of the heartbeats fit into a packet that also holds a number of replica ids.
 func countFittingHeartbeats(heartbeats []Heartbeat, ids int) int {
 	size := packetOverhead + 8*ids
 	for i, h := range heartbeats {
@@ -113,11 +113,12 @@
 	return len(heartbeats)
 }
 
-// handleHeartbeats takes in the heartbeats that another node reports, and from a replica also whom it hears.
+// handleHeartbeats handles the heartbeats that another node reports. The packet of a replica also lists the replicas whose
+// heartbeat packets it receives.
 func (n *Node) handleHeartbeats(p *packet) {
 	if r := n.replicas[p.from.ID]; r != nil {
 		if !r.isHeard(n.now) {
-			n.nextBroadcast = n.now // it waits to learn whether it is heard, and others wait for the list of replicas that this one hears
+			n.nextBroadcast = n.now // send the changed list of heard replicas at once: others derive quorum contact from it
 		}
 		n.recordReports(r, p)
 		n.relayMissed(r, p)
@@ -133,10 +134,10 @@
 	}
 }
 
-// relayWindow covers the time that two replicas need to notice that they have lost contact, and to say so.
+// relayWindow covers the time until two replicas detect that they have lost contact and announce it.
 const relayWindow = quorumTimeout + 2*BroadcastInterval
 
-// recordReported keeps the heartbeats that a replica reports until the relay window is over.
+// recordReports keeps the heartbeats that a replica reports for relayWindow.
 func (n *Node) recordReports(r *replicaState, p *packet) {
 	if !n.self.isReplica() {
 		return
@@ -149,8 +150,8 @@
 	}
 }
 
-// relayMissed queues, for a replica that says that it hears another one no more, what that one has reported within the relay
-// window: the loss of contact is known only now, and a heartbeat is reported once.
+// relayMissed compares the replica's new list of heard replicas with its previous one. For each replica that is no longer on it,
+// it relays the heartbeats which that replica reported within relayWindow: they may have been lost, and each is reported only once.
 func (n *Node) relayMissed(r *replicaState, p *packet) {
 	if !n.self.isReplica() {
 		return
--- a/internal/control/gossip/items.go
+++ b/internal/control/gossip/items.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Item is a versioned value that is disseminated and reconciled. Of one key the higher version wins; of two bodies of one
-// version the greater.
+// Item is a versioned value that is disseminated and reconciled. For one key the higher version wins; for equal versions, the
+// greater body.
 type Item struct {
 	Kind    uint8
 	Key     string
@@ -15,15 +15,15 @@
 	Body    []byte
 }
 
-// bucketCount is the number of buckets into which the hashes of their keys divide the items.
+// bucketCount is the number of buckets of an itemStore. The hash of an item's key selects its bucket.
 const bucketCount = rangeFanout
 
-// itemStore holds the current version of each item, with digests of it that are kept up to date. A bucket is a child of rootRange.
+// itemStore holds the latest version of each item, and updates the digests with every change. A bucket is a child of rootRange.
 type itemStore struct {
 	byKey         map[string]*Item
-	digests       [bucketCount]uint64            // of each bucket: XOR of the hashes of its items
-	legacyDigests [bucketCount]uint64            // the same for nodes of the previous release
-	keys          [bucketCount]map[string]uint64 // of each bucket, with their hashes
+	digests       [bucketCount]uint64            // by bucket: XOR of the hashes of its items
+	legacyDigests [bucketCount]uint64            // by bucket: XOR of the legacy hashes, for nodes of the previous release
+	keys          [bucketCount]map[string]uint64 // by bucket: its keys and their hashes
 }
 
 func newItemStore() itemStore {
@@ -34,7 +34,7 @@
 	return s
 }
 
-// merge stores an item if it is newer than what is stored under its key, and reports whether it is.
+// merge stores an item if it is newer than the stored item of its key, and reports whether it did.
 func (s *itemStore) merge(item Item) bool {
 	old := s.byKey[item.Key]
 	if old != nil && !item.supersedes(old) {
@@ -49,7 +49,7 @@
 	return true
 }
 
-// toggle adds an item to the digests, or takes it out of them, and returns the hash of its key.
+// toggleInDigests adds an item to the digests, or removes it if it is included already. It returns the hash of the item's key.
 func (s *itemStore) toggleInDigests(item *Item) (keyHash uint64) {
 	keyHash = Hash(item.Key)
 	s.digests[keyHash%bucketCount] ^= item.hash()
@@ -67,7 +67,7 @@
 	delete(s.keys[hash%bucketCount], key)
 }
 
-// rootDigest is a digest of all items, with or without their bodies.
+// rootDigest returns a digest of all items, with or without their bodies.
 func (s *itemStore) rootDigest(withContent bool) (root uint64) {
 	digests := &s.legacyDigests
 	if withContent {
@@ -84,16 +84,15 @@
 	return item.Version > old.Version || item.Version == old.Version && bytes.Compare(item.Body, old.Body) > 0
 }
 
-// hash covers all of the item.
+// hash covers the whole item.
 func (item *Item) hash() uint64 { return CombineHashes(item.legacyHash(), xxhash.Sum64(item.Body)) }
 
-// contentHash covers what a comparison does not show otherwise.
+// contentHash covers the fields that a comparison does not list: the kind and the body.
 func (item *Item) contentHash() uint32 {
 	return uint32(CombineHashes(uint64(item.Kind), xxhash.Sum64(item.Body)))
 }
 
-// legacyHash covers the key, the kind and the version. Two bodies of one version have one hash, so that a digest does not show
-// that they differ.
+// legacyHash covers the key, the kind and the version, but not the body: digests of it do not reveal different bodies of one version.
 func (item *Item) legacyHash() uint64 {
 	d := xxhash.New()
 	d.WriteString(item.Key)
@@ -104,13 +103,13 @@
 	return d.Sum64()
 }
 
-// size is an upper bound of the encoded size in bytes.
+// size returns an upper bound of the encoded size in bytes.
 func (item *Item) size() int { return len(item.Key) + len(item.Body) + itemOverhead }
 
-// fits reports whether a datagram holds the item.
+// fits reports whether the item fits into one datagram.
 func (item *Item) fits() bool { return item.size() <= MaxPacketBytes-packetOverhead }
 
-// Item returns the stored item of a key.
+// Item returns the stored item with a key, and whether there is one.
 func (n *Node) Item(key string) (Item, bool) {
 	if item := n.items.byKey[key]; item != nil {
 		return *item, true
@@ -121,6 +120,6 @@
 // ItemCount returns the number of stored items.
 func (n *Node) ItemCount() int { return len(n.items.byKey) }
 
-// RemoveItem drops an item that is obsolete everywhere. Nodes drop it at different times, so that one that still has it may
-// send it again; its owner must tolerate that or reject it by IsStale.
+// RemoveItem removes an obsolete item from the store. Nodes remove it at different times, so another node may send it again. The
+// caller must tolerate that, or reject the item by IsStale.
 func (n *Node) RemoveItem(key string) { n.items.remove(key) }
--- a/internal/control/gossip/legacy.go
+++ b/internal/control/gossip/legacy.go
@@ -1,25 +1,25 @@
 package gossip
 
-// Comparisons with nodes of the release before FlagComparesContent: bucket digests and versions, neither of which covers the
-// bodies. They end once no such node is left, and go with the next release.
+// Comparisons with nodes of the release before FlagComparesContent. They use digests and versions of buckets, which do not cover
+// item bodies. The next release can remove this file.
 
-// itemVersion is a version of an item as such a node shows it.
+// itemVersion describes an item in a comparison with a node of the previous release.
 type itemVersion struct {
-	key     uint64 // hash
+	key     uint64 // hash of the key
 	version uint64
 }
 
-// bucketVersions are the versions of a bucket's items at the sender.
+// bucketVersions contains the sender's versions of the items of a bucket.
 type bucketVersions struct {
 	bucket   int
 	versions []itemVersion
 }
 
-// maxLegacyVersions is how many versions one packet holds.
+// maxLegacyVersions is the number of versions that fit into one packet.
 const maxLegacyVersions = (MaxPacketBytes - packetOverhead) / 13
 
-// legacyVersions lists the versions of a bucket, ordered by key, as many as one packet holds: the other node sends the items that
-// are not listed.
+// legacyVersions returns the versions of a bucket, ordered by key and limited to one packet. The other node sends its items of the
+// bucket that are not listed.
 func (s *itemStore) legacyVersions(bucket int) (versions []itemVersion) {
 	for _, key := range sortedKeys(s.keys[bucket]) {
 		versions = append(versions, itemVersion{key: s.keys[bucket][key], version: s.byKey[key].Version})
@@ -27,7 +27,7 @@
 	return versions[:min(len(versions), maxLegacyVersions)]
 }
 
-// fitting returns the first buckets that one packet holds. The others follow with a later comparison.
+// firstFittingBuckets returns the first buckets that fit into one packet. The others are left to a later comparison.
 func firstFittingBuckets(buckets []bucketVersions) []bucketVersions {
 	size := packetOverhead
 	for i, b := range buckets {
@@ -53,7 +53,7 @@
 	n.send(p.from.Addr, &packet{kind: kindVersions, buckets: firstFittingBuckets(buckets)})
 }
 
-// handleVersions sends the items that the other node lacks, and asks for those that this node lacks by sending its versions.
+// handleVersions sends the items that the other node lacks. If this node lacks items, it sends its own versions to request them.
 func (n *Node) handleVersions(p *packet) {
 	var items []Item
 	var behind []bucketVersions
@@ -70,9 +70,10 @@
 	}
 }
 
-// diffBucket returns the items of a bucket that are newer here, ordered by key, and reports whether any is newer there.
+// diffBucket returns the local items of a bucket that are newer than the other node's, ordered by key, and reports whether any item
+// of the other node is newer or missing here.
 func (n *Node) diffBucket(remote bucketVersions) (newer []Item, isBehind bool) {
-	remaining := make(map[uint64]uint64, len(remote.versions)) // version by the hash of the key
+	remaining := make(map[uint64]uint64, len(remote.versions)) // version by key hash
 	for _, v := range remote.versions {
 		remaining[v.key] = v.version
 	}
--- a/internal/control/gossip/limits.go
+++ b/internal/control/gossip/limits.go
@@ -2,49 +2,49 @@
 
 import "time"
 
-// Dissemination. All figures are per node and do not depend on the size of the fleet.
+// Limits of dissemination, per node and independent of the size of the fleet.
 const (
-	// Fanout is the number of peers to which a node passes on a new item.
+	// Fanout is the number of peers to which a node forwards a new item.
 	Fanout = 3
-	// BroadcastInterval is the time between two rounds of dissemination.
+	// BroadcastInterval is the time between two broadcast rounds.
 	BroadcastInterval = 400 * time.Millisecond
 
-	maxQueuedItems = 4096 // new items that wait for the next broadcast
+	maxQueuedItems = 4096 // new items that wait for the next round
 )
 
-// Urgent broadcasts.
+// Limits of urgent broadcasts.
 const (
 	urgentFanout   = Fanout + 2
-	urgentAttempts = 2                      // an endpoint waits for one second
-	ackTimeout     = 300 * time.Millisecond // before an attempt is repeated at other peers
+	urgentAttempts = 2                      // both must end within the second for which an endpoint waits
+	ackTimeout     = 300 * time.Millisecond // before the next attempt, which goes to other peers
 )
 
-// Anti-entropy. The interval is short because few nodes may lack an item one second after its broadcast.
+// Limits of anti-entropy. The interval is short so that few nodes lack an item one second after its broadcast.
 const (
-	compareInterval      = 400 * time.Millisecond // on average; each is drawn between half and one and a half of it
-	compareRetryDelay    = 150 * time.Millisecond // after a comparison that found a difference or got no answer: packets of either may be lost
+	compareInterval      = 400 * time.Millisecond // mean; the actual interval is drawn by jitter
+	compareRetryDelay    = 150 * time.Millisecond // after a comparison that found a difference or got no response, since packets may be lost
 	compareRetries       = 2
-	replicaComparePeriod = 8 // one of so many comparisons goes to a replica
+	replicaComparePeriod = 8 // one in so many comparisons goes to a replica
 )
 
-// Membership.
+// Limits of membership.
 const (
 	viewSize        = 16
-	minViewSize     = 2               // with fewer peers the seeds are asked
+	minViewSize     = 2               // below it, the node sends shuffles to the seeds
 	shuffleSize     = 6               // peers in one shuffle
-	shuffleInterval = 2 * time.Second // on average, as compareInterval
-	responseTimeout = 4 * time.Second // after an unanswered request a peer leaves the view
+	shuffleInterval = 2 * time.Second // mean, as for compareInterval
+	responseTimeout = 4 * time.Second // a peer that leaves a request unanswered for longer is dropped
 
-	replicaExpiry           = 3 * time.Minute  // a replica that was not heard for so long is dropped
-	replicaAdvertiseTimeout = 30 * time.Second // a replica is advertised to others if it was heard within this time
+	replicaExpiry           = 3 * time.Minute  // a replica without a packet for longer is dropped
+	replicaAdvertiseTimeout = 30 * time.Second // a replica without a packet for longer is not advertised to others
 
-	maxLostPeers        = 16 // addresses of dropped peers that are remembered
-	lostPeerProbePeriod = 4  // one of so many shuffles probes an address beyond the view
+	maxLostPeers        = 16 // remembered addresses of dropped peers
+	lostPeerProbePeriod = 4  // one in so many shuffle rounds probes an address outside the view
 )
 
-// Heartbeats.
+// Limits of heartbeats.
 const (
-	// quorumTimeout is the time without heartbeat packets after which two replicas are out of contact.
+	// quorumTimeout is the time without heartbeat packets after which two replicas count as out of contact.
 	quorumTimeout = 4 * BroadcastInterval
 
 	maxQueuedHeartbeats = 4096
@@ -53,30 +53,30 @@
 
 // Bounds of the wire format.
 const (
-	// MaxPacketBytes bounds a datagram, below the MTU of every link here.
+	// MaxPacketBytes bounds a datagram. It is below the usual Ethernet MTU, so that datagrams are not fragmented.
 	MaxPacketBytes = 1400
-	// MaxItemBytes bounds the key and the body of an item together. A larger one is not stored.
+	// MaxItemBytes bounds the total size of an item's key and body. Larger items are not stored.
 	MaxItemBytes = MaxPacketBytes - packetOverhead - itemOverhead
 
-	itemOverhead  = 16 // upper bound of what an item needs beside its key and body
+	itemOverhead  = 16 // upper bound of the encoded size of an item without its key and body
 	maxItems      = 256
 	maxHeartbeats = 512
-	maxPeers      = 32  // also the number of replicas that are known
-	maxVersions   = 256 // of a bucket, in a packet of the previous release
+	maxPeers      = 32  // in a packet; also the maximum number of known replicas
+	maxVersions   = 256 // of a range, or of a bucket, in one packet
 	maxKeyBytes   = 256
 	maxBodyBytes  = 1200
 
-	maxVersionBuckets = 4 // buckets whose versions go back in answer to versions of the previous release
+	maxVersionBuckets = 4 // buckets in the response to kindVersions
 
-	rangeHeaderBytes    = 1 + 9 + 2 // of a range: depth, prefix, number of versions
+	rangeHeaderBytes    = 1 + 9 + 2 // depth, prefix and number of versions of a range
 	keyHashBytes        = 8
 	maxVersionBytes     = 10
 	contentHashBytes    = 4
 	contentVersionBytes = keyHashBytes + maxVersionBytes + contentHashBytes
-	maxRangeItems       = (MaxPacketBytes - packetOverhead - rangeHeaderBytes) / contentVersionBytes // a range with more is divided
+	maxRangeItems       = (MaxPacketBytes - packetOverhead - rangeHeaderBytes) / contentVersionBytes // a range with more items is divided
 	maxDigestRanges     = (MaxPacketBytes - packetOverhead) / (rangeHeaderBytes + 8*rangeFanout)
 	maxVersionRanges    = maxDigestRanges * rangeFanout
 	maxRequestedKeys    = (MaxPacketBytes - packetOverhead) / 8
-	maxResponsePackets  = 4    // of versions, and of digests, in answer to one packet
-	maxRepairItems      = 2048 // in answer to one packet; some 130 datagrams of endpoint records
+	maxResponsePackets  = 4    // of each kind, in response to one packet
+	maxRepairItems      = 2048 // in response to one packet
 )
--- a/internal/control/gossip/node.go
+++ b/internal/control/gossip/node.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Node is one process's part in the protocol. It is not safe for concurrent use.
+// Node is the protocol state of one process. It is not safe for concurrent use.
 type Node struct {
 	self    Peer
 	rng     *rand.Rand
@@ -19,39 +19,39 @@
 	effects []Effect
 
 	view         map[PeerID]*peerState
-	replicas     map[PeerID]*replicaState // known beside the view
+	replicas     map[PeerID]*replicaState // in addition to the view
 	seeds        []netip.AddrPort
-	lostPeers    []netip.AddrPort // addresses of dropped peers, the latest last
+	lostPeers    []netip.AddrPort // addresses of dropped peers, the most recent last
 	shuffleCount int
 	nextShuffle  time.Duration
 
 	items              itemStore
-	comparingWith      PeerID // the peer that was sent a digest and has not said that it has the same; 0 = none
-	compareRetriesLeft int    // of the current comparison
+	comparingWith      PeerID // the peer that got the root digest and has not confirmed that its items are equal; 0 = none
+	compareRetriesLeft int    // of the pending comparison
 	nextCompare        time.Duration
-	nextCompareRetry   time.Duration // of the current comparison
+	nextCompareRetry   time.Duration // of the pending comparison
 
 	broadcastQueue []Item
-	nextBroadcast  time.Duration // also of heartbeats
+	nextBroadcast  time.Duration // of items and heartbeats
 	urgent         map[ackID]*urgentBroadcast
 	lastAckID      ackID
 
-	heartbeatQueue map[uint64]timedHeartbeat   // by the heartbeat's key
-	relayQueue     map[PeerID][]timedHeartbeat // by the replica that they are for
+	heartbeatQueue map[uint64]timedHeartbeat   // by key
+	relayQueue     map[PeerID][]timedHeartbeat // by destination replica
 
 	voters       []PeerID      // nil = unknown
-	contactSince time.Duration // in contact with a majority of the voters; noContact = not
+	contactSince time.Duration // start of the current contact with a majority of the voters; noContact = no contact
 
-	// IsStale reports whether an item is obsolete, so that it is not taken over from other nodes any more. nil = none is.
+	// IsStale reports whether an item is obsolete. The node ignores obsolete items of other nodes. nil = no item is obsolete.
 	IsStale func(*Item) bool
-	// SentBytes and SentPackets count the datagrams sent, with the headers of UDP and IPv4.
+	// SentBytes and SentPackets count the sent datagrams; bytes include UDP and IPv4 headers.
 	SentBytes, SentPackets uint64
 }
 
 // headerBytes is the size of the headers of IPv4 and UDP.
 const headerBytes = 28
 
-// New returns a node that knows no peers.
+// New returns a node with an empty view.
 func New(self Peer, seed uint64) *Node {
 	self.Flags |= FlagComparesContent
 	return &Node{
@@ -68,7 +68,7 @@
 	}
 }
 
-// Reduce handles an event at the time now. The effects are valid until the next call.
+// Reduce handles an event at the time now and returns its effects, which are valid until the next call.
 func (n *Node) Reduce(now time.Duration, e Event) []Effect {
 	n.now = max(n.now, now)
 	clear(n.effects)
@@ -78,7 +78,7 @@
 		if p, err := decode(e.Payload); err == nil && p.from.ID != n.self.ID && p.from.Addr.IsValid() {
 			n.handlePacket(p)
 		}
-	case Tick: // timers run after every event
+	case Tick: // every event runs the due timers
 	case Broadcast:
 		n.broadcast(e)
 	case UrgentBroadcast:
@@ -99,7 +99,7 @@
 	return n.effects
 }
 
-// NextTimer returns when the node expects a Tick.
+// NextTimer returns the time at which the node needs its next [Tick].
 func (n *Node) NextTimer() time.Duration {
 	next := min(n.nextCompare, n.nextShuffle)
 	if n.canRetryCompare() {
@@ -130,13 +130,13 @@
 	}
 }
 
-// hasBroadcast reports whether the next broadcast round has something to send. Replicas always send heartbeat packets to each
-// other, which show that they are there.
+// hasBroadcast reports whether the next broadcast round has anything to send. Replicas send each other heartbeat packets in every
+// round, which show that they are reachable.
 func (n *Node) hasBroadcast() bool {
 	return len(n.broadcastQueue) > 0 || len(n.heartbeatQueue) > 0 || n.self.isReplica() && len(n.replicas) > 0
 }
 
-// jitter draws a duration between half and one and a half of mean.
+// jitter draws a duration between 0.5 and 1.5 times mean.
 func (n *Node) jitter(mean time.Duration) time.Duration {
 	return mean/2 + time.Duration(n.rng.Int64N(int64(mean)))
 }
@@ -171,7 +171,7 @@
 	}
 }
 
-// send encodes a packet and asks for it to be sent; packets to this node itself are dropped.
+// send encodes a packet and emits a [SendPacket] effect. Packets to the node's own address are dropped.
 func (n *Node) send(to netip.AddrPort, p *packet) {
 	if to == n.self.Addr {
 		return
@@ -183,13 +183,13 @@
 	n.effects = append(n.effects, SendPacket{To: to, Payload: b})
 }
 
-// Hash returns the hash of a key that digests and heartbeats carry.
+// Hash returns the hash of a key, as digests and heartbeats contain it.
 func Hash(key string) uint64 { return xxhash.Sum64String(key) }
 
-// PeerIDOf returns the id of a process, the hash of its name.
+// PeerIDOf returns the id of the process with a name: the hash of the name.
 func PeerIDOf(name string) PeerID { return PeerID(Hash(name)) }
 
-// CombineHashes hashes two numbers into one. Nodes that combine the same numbers make the same choice.
+// CombineHashes hashes two numbers into one. The result is the same on every node, so that nodes can use it to make equal choices.
 func CombineHashes(a, b uint64) uint64 {
 	var x [16]byte
 	binary.BigEndian.PutUint64(x[:8], a)
@@ -197,7 +197,7 @@
 	return xxhash.Sum64(x[:])
 }
 
-// sortedKeys lists the keys of a map in order, so that effects and random draws do not depend on the order of iteration.
+// sortedKeys returns the sorted keys of a map, so that effects and random draws do not depend on its iteration order.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
--- a/internal/control/gossip/quorum.go
+++ b/internal/control/gossip/quorum.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// noContact is the value of Node.contactSince without quorum contact.
+// noContact is the value of Node.contactSince if there is no quorum contact.
 const noContact time.Duration = -1
 
-// QuorumContact returns for how long a replica has been in contact with a majority of the voters, itself included, in both
-// directions; false if it is not. A replica that does not know the voters, since its disk is new, has no contact. A node that
-// is no replica always has.
+// QuorumContact returns how long this replica has been in contact with a majority of the voters, itself included, in both
+// directions. hasContact is false if it is not in contact. If the voters are unknown, as on a replica with a new disk, a replica
+// has no contact; other nodes have contact.
 func (n *Node) QuorumContact() (duration time.Duration, hasContact bool) {
 	if len(n.voters) == 0 {
 		return 0, !n.self.isReplica()
@@ -18,7 +18,7 @@
 	return n.now - n.contactSince, true
 }
 
-// updateContact counts the voters that this node hears and that hear it.
+// updateContact updates contactSince. A voter counts as reached if packets arrive in both directions.
 func (n *Node) updateContact() {
 	reached := 0
 	for _, id := range n.voters {
@@ -34,7 +34,7 @@
 	}
 }
 
-// audibleReplicas lists the replicas that this replica hears, ordered by id; nil if it is none.
+// heardReplicas returns the ids of the replicas whose heartbeat packets arrive at this replica, in order; nil if it is not a replica.
 func (n *Node) heardReplicas() []PeerID {
 	if !n.self.isReplica() {
 		return nil
--- a/internal/control/gossip/ranges.go
+++ b/internal/control/gossip/ranges.go
@@ -1,29 +1,29 @@
 package gossip
 
-// rangeFanout is the number of ranges into which a range is divided, by rangeBits bits of the hashes of its keys.
+// Shape of the tree of ranges. rangeFanout is the number of children of a range; rangeBits bits of a key's hash select one of them.
 const (
 	rangeBits   = 5
 	rangeFanout = 1 << rangeBits
 
-	maxRangeDepth = 12 // 60 bits: beyond it keys that differ have equal hashes
+	maxRangeDepth = 12 // uses 60 of the 64 bits of a hash
 )
 
-// keyRange is the set of keys whose hash has the lowest rangeBits*depth bits of prefix. The ranges form a tree, in which the
-// digests of a difference are followed from the root to ranges of few items, as in a Merkle tree.
+// keyRange is the set of keys whose lowest rangeBits*depth hash bits are prefix. The ranges form a tree. A comparison descends it
+// from the root along the digests that differ until it reaches ranges with few items, as in a Merkle tree.
 type keyRange struct {
 	depth  uint8
 	prefix uint64
 }
 
-// rootRange has all keys.
+// rootRange contains all keys.
 var rootRange = keyRange{}
 
-// child returns the range of a range's keys whose next bits are those of i.
+// child returns child i of the range: the keys whose next rangeBits hash bits are i.
 func (r keyRange) child(i int) keyRange {
 	return keyRange{depth: r.depth + 1, prefix: r.prefix | uint64(i)<<(rangeBits*r.depth)}
 }
 
-// childOf returns which child of the range has a key's hash.
+// childOf returns the index of the child that contains the key with a hash.
 func (r keyRange) childOf(hash uint64) int { return int(hash >> (rangeBits * r.depth) % rangeFanout) }
 
 func (r keyRange) contains(hash uint64) bool {
@@ -31,31 +31,31 @@
 	return hash&mask == r.prefix
 }
 
-// isValid reports whether a range from the network is one of the tree.
+// isValid reports whether a range from the network belongs to the tree.
 func (r keyRange) isValid() bool {
 	return r.depth <= maxRangeDepth && r.prefix>>(rangeBits*r.depth) == 0
 }
 
-// rangeDigests are the digests of the children of a range at the sender.
+// rangeDigests contains the sender's digests of the children of a range.
 type rangeDigests struct {
 	keyRange
 	digests [rangeFanout]uint64
 }
 
-// rangeVersions are the versions of all items of a range at the sender.
+// rangeVersions contains the sender's versions of all items of a range.
 type rangeVersions struct {
 	keyRange
 	versions []contentVersion
 }
 
-// contentVersion is what a comparison shows of an item.
+// contentVersion describes an item in a comparison.
 type contentVersion struct {
 	keyHash uint64
 	version uint64
 	content uint32 // hash of the kind and the body
 }
 
-// inRange lists the items of a range, ordered by key.
+// inRange returns the items of a range, ordered by key.
 func (s *itemStore) inRange(r keyRange) (items []*Item) {
 	if r.depth == 0 {
 		for bucket := range s.keys {
@@ -72,7 +72,7 @@
 	return items
 }
 
-// countInRange counts the items of a range, up to a maximum.
+// countInRange counts the items of a range, but stops at maximum.
 func (s *itemStore) countInRange(r keyRange, maximum int) (count int) {
 	for _, hash := range s.keys[r.prefix%bucketCount] {
 		if r.contains(hash) {
@@ -84,7 +84,7 @@
 	return count
 }
 
-// childDigests returns the digests of the children of a range: XOR of the hashes of their items.
+// childDigests returns the digest of each child of a range, the XOR of the hashes of its items.
 func (s *itemStore) childDigests(r keyRange) (digests [rangeFanout]uint64) {
 	if r.depth == 0 {
 		return s.digests
@@ -97,7 +97,7 @@
 	return digests
 }
 
-// versionsIn lists the versions of a range, ordered by key.
+// versionsIn returns the versions of the items of a range, ordered by key.
 func (s *itemStore) versionsIn(r keyRange) (versions []contentVersion) {
 	for _, item := range s.inRange(r) {
 		versions = append(versions, contentVersion{keyHash: Hash(item.Key), version: item.Version, content: item.contentHash()})
@@ -105,7 +105,7 @@
 	return versions
 }
 
-// byHash lists the items whose keys have a hash, in most cases one.
+// byHash returns the items whose keys have a hash. There is more than one only if hashes collide.
 func (s *itemStore) byHash(hash uint64) (items []Item) {
 	hashes := s.keys[hash%bucketCount]
 	for _, key := range sortedKeys(hashes) {
--- a/internal/control/gossip/replicas.go
+++ b/internal/control/gossip/replicas.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// replicaState is what a node knows of a replica. The times of heartbeat packets are set on replicas only, apart from
-// lastHeartbeats.
+// replicaState is the local state of a replica. The fields on its heartbeat packets are set on replicas only, since other nodes
+// receive none.
 type replicaState struct {
 	peerState
-	lastHeartbeatPacket time.Duration    // when its last heartbeat packet came; 0 = never
-	hearsUsAt           time.Duration    // when it last said that it hears this node; 0 = its last packet did not say so
-	heardReplicas       []PeerID         // the replicas that it hears, as its last packet said
-	reported            []receivedReport // heartbeats that it reported lately
+	lastHeartbeatPacket time.Duration    // when its last heartbeat packet arrived; 0 = never
+	hearsUsAt           time.Duration    // when its last heartbeat packet arrived, if that listed this node as heard; else 0
+	heardReplicas       []PeerID         // replicas whose heartbeat packets it receives, as listed in its last one
+	reported            []receivedReport // heartbeats that it has reported within relayWindow
 }
 
-// isAudible reports whether heartbeat packets of the replica arrive here.
+// isHeard reports whether heartbeat packets of the replica arrive at this node.
 func (r *replicaState) isHeard(now time.Duration) bool {
 	return r.lastHeartbeatPacket != 0 && now-r.lastHeartbeatPacket <= quorumTimeout
 }
 
-// hearsUs reports whether the replica has said lately that this node's heartbeat packets arrive there.
+// hearsUs reports whether this node's heartbeat packets arrive at the replica, according to its packets.
 func (r *replicaState) hearsUs(now time.Duration) bool {
 	return r.hearsUsAt != 0 && now-r.hearsUsAt <= quorumTimeout
 }
 
-// isExpired reports whether nothing was heard of the peer for so long that it counts as gone.
+// isExpired reports whether the peer has not been heard from for longer than replicaExpiry.
 func (s *peerState) isExpired(now time.Duration) bool {
 	return now-max(s.lastHeard, s.addedAt) > replicaExpiry
 }
 
-// isResponsive reports whether a replica is likely to answer: no request to it is overdue, and the latest call was answered.
-// In a large fleet its packets are too rare to show it.
+// isResponsive reports whether a replica is likely to answer: it is not expired, no response is overdue, and the latest call has
+// succeeded. Recent packets are not required, because they are rare in a large fleet.
 func (n *Node) isResponsive(s *peerState) bool {
 	return !s.callFailed && !s.isResponseOverdue(n.now) && !s.isExpired(n.now)
 }
 
-// Replicas lists the known replicas. Those that are likely to answer come first, of these the ones in this node's zone.
+// Replicas returns the known replicas, the responsive ones first. Among equally responsive ones, those in this node's zone come
+// first.
 func (n *Node) Replicas() []Peer {
 	rank := func(r *replicaState) (rank int) {
 		if r.Zone != n.self.Zone {
@@ -56,7 +57,7 @@
 	return peers
 }
 
-// ResponsiveReplicas lists the replicas that are likely to answer, ordered by id.
+// ResponsiveReplicas returns the replicas that are likely to answer, ordered by id.
 func (n *Node) ResponsiveReplicas() []Peer {
 	var peers []Peer
 	for _, id := range sortedKeys(n.replicas) {
@@ -67,7 +68,8 @@
 	return peers
 }
 
-// updateReplica notes where a replica is, and returns its state; nil if the peer is none or too many are known.
+// updateReplica stores the address and attributes of a replica, and returns its state. It returns nil if the peer is not a replica,
+// or if it is unknown and maxPeers replicas are known already.
 func (n *Node) updateReplica(p Peer) *replicaState {
 	if !p.isReplica() {
 		return nil
@@ -83,8 +85,8 @@
 	return r
 }
 
-// recordCall notes whether a replica has answered a call. A packet from it does not undo a failed call: that it can be heard
-// says nothing of whether it answers.
+// recordCall records whether a replica has answered a call. Only a successful call clears a failed one, not a packet of the replica:
+// packets may arrive from a replica that cannot be called.
 func (n *Node) recordCall(c CallCompleted) {
 	r := n.replicas[c.PeerID]
 	if r == nil {
--- a/internal/control/gossip/shuffle.go
+++ b/internal/control/gossip/shuffle.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// shuffle exchanges part of the view with the peer that was heard longest ago.
+// shuffle exchanges part of the view with the peer whose last packet is the oldest.
 func (n *Node) shuffle() {
 	var oldest *peerState
 	for _, s := range n.view {
@@ -27,23 +27,23 @@
 
 func (n *Node) handleShuffle(p *packet) {
 	n.send(p.from.Addr, &packet{kind: kindShuffleReply, peers: n.samplePeers()})
-	for _, q := range p.peers {
-		n.addAdvertisedPeer(q)
+	for _, peer := range p.peers {
+		n.addAdvertisedPeer(peer)
 	}
 }
 
 func (n *Node) handleShuffleReply(p *packet) {
-	for _, q := range p.peers {
-		n.addAdvertisedPeer(q)
+	for _, peer := range p.peers {
+		n.addAdvertisedPeer(peer)
 	}
 }
 
-// samplePeers draws peers of the view to list to another node, and adds the replicas that were heard lately, which all nodes
-// need.
+// samplePeers draws the peers to advertise to another node: random ones of the view, and all replicas that have sent a packet
+// within replicaAdvertiseTimeout, since every node needs the replicas.
 func (n *Node) samplePeers() []Peer {
 	var peers []Peer
-	for _, s := range n.randomPeers(shuffleSize) {
-		peers = append(peers, s.Peer)
+	for _, peer := range n.randomPeers(shuffleSize) {
+		peers = append(peers, peer.Peer)
 	}
 	for _, id := range sortedKeys(n.replicas) {
 		r := n.replicas[id]
@@ -56,14 +56,15 @@
 	return peers
 }
 
-// askSeeds asks the seeds for peers.
+// shuffleWithSeeds sends a shuffle request to every seed.
 func (n *Node) shuffleWithSeeds() {
 	for _, addr := range n.seeds {
 		n.sendShuffle(addr)
 	}
 }
 
-// dropUnresponsive drops peers that do not answer, in order of their ids, since the list of lost peers keeps that order.
+// dropUnresponsive drops peers with overdue responses and expired replicas. It goes by id, which makes the order of lostPeers
+// deterministic.
 func (n *Node) dropUnresponsive() {
 	for _, id := range sortedKeys(n.view) {
 		if s := n.view[id]; s.isResponseOverdue(n.now) {
@@ -82,14 +83,14 @@
 	}
 }
 
-// rememberLost keeps the address of a peer that was dropped.
+// rememberLost adds the address of a dropped peer to lostPeers, or moves it to the end.
 func (n *Node) rememberLost(addr netip.AddrPort) {
 	n.lostPeers = append(slices.DeleteFunc(n.lostPeers, func(a netip.AddrPort) bool { return a == addr }), addr)
 	n.lostPeers = n.lostPeers[max(len(n.lostPeers)-maxLostPeers, 0):]
 }
 
-// probeBeyondView asks a seed or a lost peer now and then. Two partitions that have dropped each other's peers, each with full
-// views, would not merge otherwise. A node without a responsive replica probes each time.
+// probeOutsideView sends a shuffle to a random seed or lost peer, in every lostPeerProbePeriod-th round, or in every round if no
+// replica is responsive. Without it, two partitions whose views hold only their own peers would never merge.
 func (n *Node) probeOutsideView() {
 	n.shuffleCount++
 	addrs := slices.Concat(n.seeds, n.lostPeers)
--- a/internal/control/gossip/urgent.go
+++ b/internal/control/gossip/urgent.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// ackID correlates urgent items and their acknowledgement on the wire. Numbers begin at one that differs with each start of a
-// process, so that an acknowledgement for the process before it at this address does not count; 0 answers a comparison.
+// ackID correlates urgent items and their acknowledgements on the wire. The first number differs at each start of a process, so
+// that acknowledgements for the previous process at this address do not count. 0 answers a comparison.
 type ackID uint64
 
-// firstAckID returns the number before the first one of a process.
+// firstAckID returns the number that precedes the first ackID of a process.
 func firstAckID(self PeerID, seed uint64) ackID {
 	return ackID(uint32(CombineHashes(uint64(self), seed)))
 }
 
-// urgentBroadcast is an urgent broadcast that waits for acknowledgements.
+// urgentBroadcast is the state of an urgent broadcast that waits for acknowledgements.
 type urgentBroadcast struct {
 	id       BroadcastID
 	items    []Item
-	minAcks  int // unless fewer peers are known
+	minAcks  int // all known peers if they are fewer
 	sentTo   map[PeerID]*peerState
 	acked    map[PeerID]bool
 	attempts int
 	deadline time.Duration // of the current attempt
 }
 
-// startUrgent stores items and sends them at once.
+// startUrgent stores urgent items and starts the first attempt.
 func (n *Node) startUrgent(e UrgentBroadcast) {
 	items := slices.DeleteFunc(slices.Clone(e.Items), func(item Item) bool { return !item.fits() })
 	for _, item := range items {
@@ -42,7 +42,7 @@
 	n.attemptUrgent(n.lastAckID, u)
 }
 
-// knownPeers counts the peers in the view and the replicas beyond it.
+// knownPeerCount counts the peers in the view and the replicas outside it.
 func (n *Node) knownPeerCount() int {
 	count := len(n.view)
 	for id := range n.replicas {
@@ -53,7 +53,7 @@
 	return count
 }
 
-// runUrgentTimers starts the next attempt of the broadcasts whose acknowledgements are overdue.
+// runUrgentTimers starts the next attempt of each broadcast whose deadline has passed.
 func (n *Node) runUrgentTimers() {
 	for _, ack := range sortedKeys(n.urgent) {
 		if u := n.urgent[ack]; n.now >= u.deadline {
@@ -62,7 +62,7 @@
 	}
 }
 
-// attemptUrgent sends an urgent broadcast to peers that have not been sent it yet, or ends it if attempts or peers are exhausted.
+// attemptUrgent sends an urgent broadcast to peers that were not sent it before, or ends it if attempts or peers are exhausted.
 func (n *Node) attemptUrgent(ack ackID, u *urgentBroadcast) {
 	targets := n.urgentTargets(u.sentTo)
 	n.completeIfAcked(ack, u)
@@ -74,15 +74,15 @@
 	}
 	u.attempts++
 	u.deadline = n.now + ackTimeout
-	for _, s := range targets {
-		u.sentTo[s.ID] = s
-		s.recordRequest(n.now)
-		n.sendItems(s.Addr, u.items, kindUrgentItems, ack)
+	for _, target := range targets {
+		u.sentTo[target.ID] = target
+		target.recordRequest(n.now)
+		n.sendItems(target.Addr, u.items, kindUrgentItems, ack)
 	}
 }
 
-// handleUrgentItems acknowledges urgent items and passes on what is new at once. A replica without quorum contact does not: it is
-// cut off with those that it hears, and what it knows reaches nobody else.
+// handleUrgentItems stores urgent items, acknowledges them, and forwards new ones at once. A replica without quorum contact sends
+// no acknowledgement: it is in a minority partition, where its items do not reach the other nodes.
 func (n *Node) handleUrgentItems(p *packet) {
 	n.mergeReceivedItems(p)
 	if _, hasContact := n.QuorumContact(); hasContact || !n.self.isReplica() {
@@ -91,7 +91,7 @@
 	n.forwardNow(p.from.ID)
 }
 
-// handleAck takes in an acknowledgement: of an urgent broadcast, or, with number 0, that the peer has the same items.
+// handleAck handles the acknowledgement of an urgent broadcast, or, with number 0, of a comparison that found no difference.
 func (n *Node) handleAck(p *packet) {
 	if p.ackID == 0 && p.from.ID == n.comparingWith {
 		n.comparingWith = 0
@@ -102,12 +102,12 @@
 	}
 }
 
-// completeIfAcked ends an urgent broadcast that has enough acknowledgements, or that has nobody to go to.
+// completeIfAcked ends an urgent broadcast that has enough acknowledgements, or that has no possible recipient.
 func (n *Node) completeIfAcked(ack ackID, u *urgentBroadcast) {
 	if n.urgent[ack] == nil {
 		return
 	}
-	minAcks := min(u.minAcks, max(n.knownPeerCount(), 1)) // now: at its start a process knows nobody
+	minAcks := min(u.minAcks, max(n.knownPeerCount(), 1)) // counted now, since a new process has few peers when it starts a broadcast
 	if n.isAlone() || len(u.acked) >= minAcks && u.ackedAcrossFailureDomains(n.self.Zone) && n.reachesQuorum(u) {
 		n.completeUrgent(ack, true)
 	}
@@ -119,8 +119,9 @@
 	n.effects = append(n.effects, BroadcastCompleted{ID: u.id, Acks: len(u.acked), Sufficient: isSufficient})
 }
 
-// reachesQuorum reports whether a replica in quorum contact has the items: this node, or one that has acknowledged them. Routers
-// that are cut off together would acknowledge to each other what nobody else learns. Without any known replica it is true.
+// reachesQuorum reports whether this node is a replica or a replica has acknowledged the items; replicas do so only in quorum
+// contact. Without this condition, routers in a minority partition could acknowledge items to each other that never leave the
+// partition. If no replica is known, the result is true.
 func (n *Node) reachesQuorum(u *urgentBroadcast) bool {
 	if n.self.isReplica() || len(n.replicas) == 0 {
 		return true
@@ -133,7 +134,7 @@
 	return false
 }
 
-// isAlone reports whether this node knows of no other process and has nowhere to ask for one.
+// isAlone reports whether this node has no peers, no replicas, and no seeds other than itself.
 func (n *Node) isAlone() bool {
 	for _, addr := range n.seeds {
 		if addr != n.self.Addr {
@@ -143,8 +144,8 @@
 	return len(n.view) == 0 && len(n.replicas) == 0
 }
 
-// ackedAcrossDomains reports whether the acknowledgements do not come from replicas alone, nor from the zone home alone, if
-// others were asked: all replicas, or all processes of a zone, may fail together.
+// ackedAcrossFailureDomains reports whether a router and a node outside ownZone have acknowledged the items, where such nodes got
+// them. All replicas, or all processes of a zone, may fail together.
 func (u *urgentBroadcast) ackedAcrossFailureDomains(ownZone uint32) bool {
 	var sentToRouter, sentToOtherZone, ackedByRouter, ackedByOtherZone bool
 	for id, s := range u.sentTo {
@@ -157,9 +158,9 @@
 	return ackedByRouter == sentToRouter && ackedByOtherZone == sentToOtherZone
 }
 
-// urgentTargets draws up to urgentFanout peers that were not asked yet: a responsive replica, a peer that is none, another replica,
-// since the first may be out of contact, then peers of further zones, so that a node that has the items survives the loss of all
-// replicas or of a zone.
+// urgentTargets draws up to urgentFanout peers that are not in sentTo, in this order: a responsive replica; a router; a second
+// replica, since the first may lack quorum contact; two peers of zones without a target; any peers. With targets of different roles
+// and zones, some node keeps the items after the loss of all replicas or of a zone.
 func (n *Node) urgentTargets(sentTo map[PeerID]*peerState) []*peerState {
 	candidates := n.urgentCandidates(sentTo)
 	n.rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
@@ -181,7 +182,7 @@
 	return targets
 }
 
-// urgentCandidates lists the peers of the view and then the replicas beyond it, each ordered by id, without those in asked.
+// urgentCandidates returns the peers of the view, then the replicas outside it, each ordered by id, without those in sentTo.
 func (n *Node) urgentCandidates(sentTo map[PeerID]*peerState) []*peerState {
 	var candidates []*peerState
 	for _, id := range sortedKeys(n.view) {
--- a/internal/control/gossip/view.go
+++ b/internal/control/gossip/view.go
@@ -8,11 +8,11 @@
 // PeerID identifies a process: the hash of its name, see [PeerIDOf].
 type PeerID uint64
 
-// Peer is a process as other processes know it.
+// Peer describes a process to other processes.
 type Peer struct {
 	ID    PeerID
-	Addr  netip.AddrPort // of calls and datagrams alike
-	Zone  uint32         // hash of its zone's name
+	Addr  netip.AddrPort // for both calls and datagrams
+	Zone  uint32         // hash of the zone name
 	Flags uint8
 }
 
@@ -20,7 +20,7 @@
 const (
 	FlagReplica uint8 = 1 << iota // holds the control plane's state
 	FlagRouter                    // carries client traffic
-	// FlagComparesContent: compares items by ranges, bodies included. A node sets it by itself; those of earlier releases do not.
+	// FlagComparesContent marks a node whose comparisons cover item bodies. [New] sets it; earlier releases do not know it.
 	FlagComparesContent
 )
 
@@ -28,28 +28,28 @@
 
 func (p *Peer) isReplica() bool { return p.Flags&FlagReplica != 0 }
 
-// peerState is what a node knows of a peer.
+// peerState is the local state of a peer.
 type peerState struct {
 	Peer
 	addedAt      time.Duration
-	lastHeard    time.Duration // when the last packet from it came
-	pendingSince time.Duration // when the first request was sent that it has not answered; 0 = none
-	callFailed   bool          // the latest call to it was not answered
+	lastHeard    time.Duration // when its last packet, or its last response to a call, arrived
+	pendingSince time.Duration // when the oldest unanswered request was sent; 0 = none
+	callFailed   bool          // the latest call to it got no response
 }
 
-// expectAnswer notes that a request was sent to the peer.
+// recordRequest records that a request was sent to the peer, which has to answer it.
 func (s *peerState) recordRequest(now time.Duration) {
 	if s.pendingSince == 0 {
 		s.pendingSince = now
 	}
 }
 
-// isOverdue reports whether a request to the peer has been unanswered for too long.
+// isResponseOverdue reports whether a request to the peer has been unanswered for longer than responseTimeout.
 func (s *peerState) isResponseOverdue(now time.Duration) bool {
 	return s.pendingSince != 0 && now-s.pendingSince > responseTimeout
 }
 
-// Peers lists the view, ordered by id.
+// Peers returns the peers of the view, ordered by id.
 func (n *Node) Peers() []Peer {
 	var peers []Peer
 	for _, id := range sortedKeys(n.view) {
@@ -58,7 +58,7 @@
 	return peers
 }
 
-// ZoneOf returns the zone of a machine, if a process there is known.
+// ZoneOf returns the zone of the machine at an address. It is known if the node has a peer there.
 func (n *Node) ZoneOf(addr netip.Addr) (zone uint32, isKnown bool) {
 	for _, r := range n.replicas {
 		if r.Addr.Addr() == addr {
@@ -73,12 +73,12 @@
 	return 0, false
 }
 
-// isUsable reports whether a peer can be taken into the view: it is another process, at an address that can be sent to.
+// isUsable reports whether a peer can enter the view: it is another process and has a valid address.
 func (n *Node) isUsable(p Peer) bool {
 	return p.ID != n.self.ID && p.Addr.IsValid() && p.Addr.Port() != 0
 }
 
-// heardFrom notes that a packet from a peer has come.
+// recordSender updates the state of a peer from which a packet has arrived.
 func (n *Node) recordSender(p Peer) {
 	if !n.isUsable(p) {
 		return
@@ -93,7 +93,8 @@
 	s.Peer, s.lastHeard, s.pendingSince = p, n.now, 0
 }
 
-// learnPeer takes in a peer that another peer has listed. Where the view is full it replaces one with probability 1/2.
+// addAdvertisedPeer adds a peer that another peer has advertised. If the view is full, it replaces a random peer with
+// probability 1/2.
 func (n *Node) addAdvertisedPeer(p Peer) {
 	if !n.isUsable(p) {
 		return
@@ -102,10 +103,10 @@
 	if n.view[p.ID] != nil || len(n.view) >= viewSize && n.rng.IntN(2) == 0 {
 		return
 	}
-	n.addToView(p).lastHeard = n.now - 1 // older than those that were heard
+	n.addToView(p).lastHeard = n.now - 1 // before that of a peer which sends a packet now
 }
 
-// insert adds a peer to the view, in the place of a random one if the view is full.
+// addToView adds a peer to the view. If the view is full, it replaces a random peer.
 func (n *Node) addToView(p Peer) *peerState {
 	if len(n.view) >= viewSize {
 		ids := sortedKeys(n.view)
@@ -116,7 +117,7 @@
 	return s
 }
 
-// randomPeers draws up to count different peers of the view.
+// randomPeers draws up to count distinct peers of the view.
 func (n *Node) randomPeers(count int) []*peerState {
 	ids := sortedKeys(n.view)
 	n.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
