--- a/internal/control/gossip/antientropy_test.go
+++ b/internal/control/gossip/antientropy_test.go
@@ -8,131 +8,132 @@
 	"pgregory.net/rapid"
 )
 
-// pair is two nodes that know each other and hold items which no broadcast has brought.
-func pair(seed uint64) *fleet {
+// newPair returns a fleet of two nodes that know each other. The tests put items into their stores without a broadcast.
+func newPair(seed uint64) *fleet {
 	f := newFleet(2, seed)
 	f.advance(2 * time.Second)
 	return f
 }
 
-// converge lets time pass until both nodes hold the same, and returns how long that took.
+// converge advances time until both nodes hold the same items, and returns the time it took.
 func (f *fleet) converge(t interface{ Fatalf(string, ...any) }, within time.Duration) time.Duration {
 	began := f.now
 	for f.nodes[0].items.rootDigest(true) != f.nodes[1].items.rootDigest(true) {
 		if f.advance(100 * time.Millisecond); f.now-began > within {
-			t.Fatalf("after %v one node holds %d items and the other %d, which differ", within, f.nodes[0].ItemCount(), f.nodes[1].ItemCount())
+			t.Fatalf("stores still differ after %v: %d and %d items", within, f.nodes[0].ItemCount(), f.nodes[1].ItemCount())
 		}
 	}
 	return f.now - began
 }
 
-// difference is how an item differs between two nodes.
+// difference describes how an item differs between the two nodes.
 type difference int
 
 const (
-	differsNot difference = iota
-	differsMissingFirst
-	differsMissingSecond
-	differsOlderFirst
-	differsOlderSecond
-	differsBody
-	differences
+	noDifference difference = iota
+	missingAtFirst
+	missingAtSecond
+	olderAtFirst
+	olderAtSecond
+	bodyDiffers
+	differenceCount
 )
 
-// place puts an item that differs so at both nodes.
-func (f *fleet) place(key string, d difference) {
+// placeItem stores an item with a difference at the two nodes.
+func (f *fleet) placeItem(key string, d difference) {
 	item := Item{Kind: 1, Key: key, Version: 1000, Body: []byte("the record of an engine, as long as most of them are, with its address and zone")}
 	first, second := item, item
 	switch d {
-	case differsOlderFirst:
+	case olderAtFirst:
 		first.Version--
-	case differsOlderSecond:
+	case olderAtSecond:
 		second.Version--
-	case differsBody:
+	case bodyDiffers:
 		second.Body = []byte("another body of the same version")
 	}
-	if d != differsMissingFirst {
+	if d != missingAtFirst {
 		f.nodes[0].items.merge(first)
 	}
-	if d != differsMissingSecond {
+	if d != missingAtSecond {
 		f.nodes[1].items.merge(second)
 	}
 }
 
-// TestAnyDifferenceConverges: two nodes come to hold the same, whatever differs between them, and no datagram is longer than it
-// may be (the fleet sees to that).
+// TestAnyDifferenceConverges checks that anti-entropy repairs any mix of differences between two nodes. The fleet checks the length of
+// datagrams.
 func TestAnyDifferenceConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := pair(rapid.Uint64().Draw(t, "seed"))
+		f := newPair(rapid.Uint64().Draw(t, "seed"))
 		common := rapid.SampledFrom([]int{0, 40, 2500}).Draw(t, "common items")
 		for i := range common {
-			f.place(fmt.Sprint("e/common-", i), differsNot)
+			f.placeItem(fmt.Sprint("e/common-", i), noDifference)
 		}
 		for i := range rapid.IntRange(1, 300).Draw(t, "items that may differ") {
-			f.place(fmt.Sprint("e/engine-", i), difference(rapid.IntRange(0, int(differences)-1).Draw(t, "difference")))
+			f.placeItem(fmt.Sprint("e/engine-", i), difference(rapid.IntRange(0, int(differenceCount)-1).Draw(t, "difference")))
 		}
 		f.loss = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "loss")
 		f.converge(t, 20*time.Second)
 	})
 }
 
-// TestTwentyThousandItemsConverge: the same with as many items as endpoints are bounded to.
+// TestTwentyThousandItemsConverge checks convergence at the maximum number of endpoints.
 func TestTwentyThousandItemsConverge(t *testing.T) {
 	const count = 20_000
-	for name, of := range map[string]func(i int) difference{
-		"one node has nothing": func(int) difference { return differsMissingFirst },
-		"each has one half":    func(i int) difference { return differsMissingFirst + difference(i%2) },
-		"one item is older":    func(i int) difference { return map[bool]difference{i == 777: differsOlderFirst}[true] },
-		"one body differs":     func(i int) difference { return map[bool]difference{i == 777: differsBody}[true] },
-		"each differs somehow": func(i int) difference { return difference(i % int(differences)) },
+	for name, differenceOf := range map[string]func(i int) difference{
+		"one node has nothing": func(int) difference { return missingAtFirst },
+		"each has one half":    func(i int) difference { return missingAtFirst + difference(i%2) },
+		"one item is older":    func(i int) difference { return map[bool]difference{i == 777: olderAtFirst}[true] },
+		"one body differs":     func(i int) difference { return map[bool]difference{i == 777: bodyDiffers}[true] },
+		"each differs somehow": func(i int) difference { return difference(i % int(differenceCount)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := pair(3)
+			f := newPair(3)
 			for i := range count {
-				f.place(fmt.Sprint("e/i-", i), of(i))
+				f.placeItem(fmt.Sprint("e/i-", i), differenceOf(i))
 			}
 			took := f.converge(t, 30*time.Second)
 			if t.Logf("%v, %d packets", took, f.packets); f.nodes[0].ItemCount() != count {
-				t.Errorf("%d items", f.nodes[0].ItemCount())
+				t.Errorf("node 0 holds %d items", f.nodes[0].ItemCount())
 			}
 		})
 	}
 }
 
-// TestEarlierReleaseConverges: with a node of the previous release items still converge, but for bodies of one version, which that
-// does not compare; and the two send nothing but root digests once they hold the same.
-func TestEarlierReleaseConverges(t *testing.T) {
+// TestConvergesWithPreviousRelease checks convergence with a node of the previous release, which does not compare bodies of equal
+// versions, and that the two nodes send only root digests afterwards.
+func TestConvergesWithPreviousRelease(t *testing.T) {
 	for _, count := range []int{200, 6000} {
-		f := pair(5)
+		f := newPair(5)
 		f.legacy = map[int]bool{1: true}
 		f.nodes[1].self.Flags &^= FlagComparesContent
-		f.advance(10 * time.Second) // until both know what the other is
+		f.advance(10 * time.Second) // until both know the other's flags
 		for i := range count {
-			f.place(fmt.Sprint("e/i-", i), difference(i%int(differsBody)))
+			f.placeItem(fmt.Sprint("e/i-", i), difference(i%int(bodyDiffers)))
 		}
 		f.converge(t, 60*time.Second)
 		f.advance(2 * time.Second)
 		packets := f.packets
 		if f.advance(10 * time.Second); f.packets-packets > 200 {
-			t.Errorf("%d items: %d packets in 10 s after they have converged", count, f.packets-packets)
+			t.Errorf("%d items: %d packets in the 10 s after convergence, want at most 200", count, f.packets-packets)
 		}
 	}
 }
 
-// TestLargeItemsAreNotStored: an item that no datagram holds is not stored, and does not spoil what is broadcast with it.
+// TestLargeItemsAreNotStored checks that an item too large for a datagram is dropped, and that the items of the same broadcast are
+// sent.
 func TestLargeItemsAreNotStored(t *testing.T) {
-	f := pair(7)
+	f := newPair(7)
 	large := Item{Kind: 1, Key: "large", Version: 1, Body: make([]byte, MaxItemBytes-len("large")+1)}
 	largest := Item{Kind: 1, Key: "largest", Version: 1, Body: make([]byte, maxBodyBytes)}
 	f.reduce(0, Broadcast{Items: []Item{large, largest, testItem("small", 1)}})
 	f.reduce(0, UrgentBroadcast{ID: 1, Items: []Item{large}, MinAcks: 1})
 	f.advance(5 * time.Second)
 	if n := f.nodes[1]; n.holds("large") || !n.holds("largest") || !n.holds("small") || f.nodes[0].holds("large") {
-		t.Errorf("the other node holds %d items", n.ItemCount())
+		t.Errorf("node 1 holds %d items; want the largest and the small one, and the large one at neither node", n.ItemCount())
 	}
 }
 
-// TestHeartbeatPacketsAreBounded: heartbeats with large numbers take more packets, none of them too long.
+// TestHeartbeatPacketsAreBounded checks that heartbeats with long encodings are divided among packets. The fleet checks their length.
 func TestHeartbeatPacketsAreBounded(t *testing.T) {
 	f := newFleet(testReplicas, 1)
 	f.advance(3 * time.Second)
@@ -141,6 +142,6 @@
 	}
 	f.advance(2 * time.Second)
 	if n := len(f.heartbeats[1]); n != 200 {
-		t.Errorf("%d heartbeats of 200 have come", n)
+		t.Errorf("replica 1 has received %d of 200 heartbeats", n)
 	}
 }
--- a/internal/control/gossip/broadcast_test.go
+++ b/internal/control/gossip/broadcast_test.go
@@ -18,14 +18,14 @@
 			f.reduce(size-1, UrgentBroadcast{ID: id, Items: []Item{{Kind: 1, Key: "k", Version: 3, Body: []byte("b")}}, MinAcks: 2})
 			f.advance(limits.GossipSpreadTime)
 			if n := f.holders("k", 3); n < size*97/100 {
-				t.Errorf("%d of %d nodes hold the item after 1.2 s", n, size)
+				t.Errorf("%d of %d nodes hold the item after GossipSpreadTime", n, size)
 			}
 			if f.acks[id] < min(2, size-1) {
-				t.Errorf("%d acknowledgements", f.acks[id])
+				t.Errorf("only %d acknowledgements", f.acks[id])
 			}
 			f.advance(8 * time.Second)
 			if n := f.holders("k", 3); n != size {
-				t.Errorf("anti-entropy has left %d nodes without the item", size-n)
+				t.Errorf("%d nodes lack the item after anti-entropy", size-n)
 			}
 		})
 	}
@@ -42,7 +42,7 @@
 	f.advance(5 * time.Second)
 	f.reduce(isolated, Broadcast{Items: []Item{testItem("own", 1)}})
 	if n := f.nodes[isolated].ItemCount(); n != 1 {
-		t.Fatalf("the isolated node holds %d items, want its own", n)
+		t.Fatalf("the isolated node holds %d items, want only its own", n)
 	}
 	f.isolated[isolated] = false
 	f.advance(10 * time.Second)
@@ -53,13 +53,13 @@
 	}
 }
 
-// TestOneWayFaultDoesNotDelayOthers: a node that is cut off in one direction does no more harm than an isolated one.
+// TestOneWayFaultDoesNotDelayOthers checks that a node with a one-way link fault does not disturb the other nodes.
 func TestOneWayFaultDoesNotDelayOthers(t *testing.T) {
-	for name, faulty := range oneWayFaults {
+	for name, blockedNodes := range oneWayFaults {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(14, 3)
 			f.advance(5 * time.Second)
-			faulty(f)[9] = true
+			blockedNodes(f)[9] = true
 			for i := range 20 {
 				f.reduce(i%9, UrgentBroadcast{ID: BroadcastID(i), Items: []Item{testItem(fmt.Sprint("k", i), 1)}, MinAcks: 2})
 				f.advance(300 * time.Millisecond)
@@ -71,14 +71,14 @@
 					t.Errorf("%d of the 13 other nodes hold item %d", n, i)
 				}
 				if f.acks[BroadcastID(i)] < 2 {
-					t.Errorf("item %d has %d acknowledgements", i, f.acks[BroadcastID(i)])
+					t.Errorf("item %d has %d acknowledgements, want at least 2", i, f.acks[BroadcastID(i)])
 				}
 			}
-			clear(faulty(f))
+			clear(blockedNodes(f))
 			f.advance(10 * time.Second)
 			for i, n := range f.nodes {
 				if n.ItemCount() != 21 {
-					t.Errorf("node %d holds %d of 21 items after the fault", i, n.ItemCount())
+					t.Errorf("node %d holds %d of 21 items after the end of the fault", i, n.ItemCount())
 				}
 			}
 		})
--- a/internal/control/gossip/codec_test.go
+++ b/internal/control/gossip/codec_test.go
@@ -27,7 +27,7 @@
 			return
 		}
 		if _, err := decode(p.encode()); err != nil {
-			t.Errorf("a decoded packet cannot be decoded after encoding: %v", err)
+			t.Errorf("cannot decode a packet that was decoded and encoded again: %v", err)
 		}
 		n := New(Peer{ID: 1, Addr: netip.MustParseAddrPort("10.0.0.1:7000")}, 1)
 		n.Reduce(time.Second, PacketReceived{b})
--- a/internal/control/gossip/cost_test.go
+++ b/internal/control/gossip/cost_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// sentBytes adds up what all nodes have sent.
+// sentBytes returns the total of bytes that all nodes have sent.
 func (f *fleet) sentBytes() (sum uint64) {
 	for _, n := range f.nodes {
 		sum += n.SentBytes
@@ -29,7 +29,7 @@
 	}
 }
 
-// BenchmarkIdle simulates a second of an idle fleet, and reports what a node sends and computes in it.
+// BenchmarkIdle simulates an idle fleet, and reports the traffic and CPU time of a node per second.
 func BenchmarkIdle(b *testing.B) {
 	for _, size := range []int{14, 200} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/control/gossip/fleet_test.go
+++ b/internal/control/gossip/fleet_test.go
@@ -9,7 +9,7 @@
 
 const testReplicas = 3 // the first nodes of a fleet
 
-// fleet is nodes with a simulated network. Node i has the peer id i+1 and the zone i%3.
+// fleet is a set of nodes on a simulated network. Node i has the peer id i+1 and the zone i%3.
 type fleet struct {
 	nodes          []*Node
 	byAddr         map[netip.AddrPort]int
@@ -18,11 +18,11 @@
 	packets        int
 	loss           float64             // probability that a packet is lost
 	isolated       map[int]bool        // neither sends nor receives
-	sendBlocked    map[int]bool        // receives, but nobody receives its packets
-	receiveBlocked map[int]bool        // the other way round
-	isPartitioned  func(i, k int) bool // no packets between these two; nil = none
-	legacy         map[int]bool        // of the previous release: others look so to it as well
-	heartbeats     []map[uint64]uint64 // of each node: the latest sequence that it learned, by key
+	sendBlocked    map[int]bool        // receives packets, but its own are lost
+	receiveBlocked map[int]bool        // sends packets, but receives none
+	isPartitioned  func(i, k int) bool // packets between these nodes are lost; nil = no partition
+	legacy         map[int]bool        // nodes of the previous release, which see other nodes as such, too
+	heartbeats     []map[uint64]uint64 // by node: the latest learned sequence of each key
 	acks           map[BroadcastID]int
 }
 
@@ -67,7 +67,7 @@
 	payload []byte
 }
 
-// reduce gives a node an event, and delivers all packets that follow from it.
+// reduce passes an event to a node, and delivers all packets that result from it, directly or indirectly.
 func (f *fleet) reduce(i int, e Event) {
 	queue := f.reduceOne(i, e)
 	for len(queue) > 0 {
@@ -76,7 +76,7 @@
 	}
 }
 
-// reduceOne gives a node an event, and returns the packets that are not lost.
+// reduceOne passes an event to a node, and returns the resulting packets that are not lost.
 func (f *fleet) reduceOne(i int, e Event) (deliveries []delivery) {
 	events := []Event{e}
 	for len(events) > 0 {
@@ -86,10 +86,10 @@
 			case SendPacket:
 				f.packets++
 				if len(x.Payload) > MaxPacketBytes {
-					panic(fmt.Sprintf("a datagram of %d bytes", len(x.Payload)))
+					panic(fmt.Sprintf("a datagram has %d bytes, more than MaxPacketBytes", len(x.Payload)))
 				}
 				if to, ok := f.byAddr[x.To]; ok && f.delivers(i, to) {
-					deliveries = append(deliveries, delivery{to, f.asSeenBy(to, x.Payload)})
+					deliveries = append(deliveries, delivery{to, f.withoutUnknownFlags(to, x.Payload)})
 				}
 			case HeartbeatLearned:
 				if x.Heartbeat.Sequence > f.heartbeats[i][x.Heartbeat.Key] {
@@ -106,8 +106,8 @@
 	return deliveries
 }
 
-// asSeenBy returns a packet as the node to understands it: one of the previous release does not know FlagComparesContent.
-func (f *fleet) asSeenBy(to int, payload []byte) []byte {
+// withoutUnknownFlags clears FlagComparesContent in a packet to a node of the previous release, which does not know it.
+func (f *fleet) withoutUnknownFlags(to int, payload []byte) []byte {
 	if !f.legacy[to] {
 		return payload
 	}
@@ -119,7 +119,7 @@
 	return p.encode()
 }
 
-// delivers decides whether a packet arrives.
+// delivers reports whether a packet arrives. It draws the random loss.
 func (f *fleet) delivers(from, to int) bool {
 	if f.isolated[from] || f.isolated[to] || f.sendBlocked[from] || f.receiveBlocked[to] {
 		return false
@@ -130,7 +130,7 @@
 	return f.rng.Float64() >= f.loss
 }
 
-// advance lets time pass.
+// advance advances the clock in steps, and runs the due timers of all nodes after each.
 func (f *fleet) advance(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.now += 50 * time.Millisecond
@@ -142,7 +142,7 @@
 	}
 }
 
-// restart replaces a node by one without memory, which gets the seeds.
+// restart replaces a node by a new one with the same identity and the given seeds.
 func (f *fleet) restart(i int, seeds ...int) {
 	f.nodes[i] = New(f.nodes[i].self, uint64(1000+i)+uint64(f.now))
 	f.heartbeats[i] = map[uint64]uint64{}
@@ -150,8 +150,8 @@
 	f.reduce(i, VotersChanged{testVoters()})
 }
 
-// add adds a node that gets the seeds, and returns its index.
-func (f *fleet) add(seeds ...int) int {
+// addNode adds a node with the given seeds, and returns its index.
+func (f *fleet) addNode(seeds ...int) int {
 	i := len(f.nodes)
 	f.nodes = append(f.nodes, New(Peer{ID: PeerID(i + 1), Addr: testAddr(i)}, uint64(i)))
 	f.byAddr[testAddr(i)] = i
@@ -160,7 +160,7 @@
 	return i
 }
 
-// testVoters lists the replicas, which are the voters.
+// testVoters returns the ids of the voters, which are all replicas.
 func testVoters() (ids []PeerID) {
 	for i := range testReplicas {
 		ids = append(ids, PeerID(i+1))
@@ -168,7 +168,7 @@
 	return ids
 }
 
-// setVoters makes the replicas voters at all nodes.
+// setVoters sends the ids of the voters to all nodes.
 func (f *fleet) setVoters() {
 	for i := range f.nodes {
 		f.reduce(i, VotersChanged{testVoters()})
@@ -190,10 +190,10 @@
 	return count
 }
 
-// testItem is an item without a body.
+// testItem returns an item without a body.
 func testItem(key string, version uint64) Item { return Item{Kind: 1, Key: key, Version: version} }
 
-// oneWayFaults cut off a node in one direction: indices in the returned set are cut off.
+// oneWayFaults maps the direction of a link fault to the set of nodes that have it.
 var oneWayFaults = map[string]func(f *fleet) map[int]bool{
 	"send blocked":    func(f *fleet) map[int]bool { return f.sendBlocked },
 	"receive blocked": func(f *fleet) map[int]bool { return f.receiveBlocked },
--- a/internal/control/gossip/golden_test.go
+++ b/internal/control/gossip/golden_test.go
@@ -8,7 +8,7 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// TestGoldenPackets: the bytes of each kind of datagram stay as they are, since processes of two releases talk to each other.
+// TestGoldenPackets checks that the encoding of each kind of datagram does not change: processes of two releases exchange them.
 func TestGoldenPackets(t *testing.T) {
 	from := Peer{ID: 0x0102030405060708, Addr: netip.MustParseAddrPort("10.1.2.3:7001"), Zone: 0x89abcdef, Flags: FlagReplica}
 	others := []Peer{
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestGoldenDigests: two releases that hold the same items have the same digests; otherwise they would exchange all items all the time.
+// TestGoldenDigests checks that digests do not change. Two releases with different digests would exchange all items in each comparison.
 func TestGoldenDigests(t *testing.T) {
 	n := New(Peer{ID: 1, Addr: netip.MustParseAddrPort("10.0.0.1:7000")}, 1)
 	for _, i := range []Item{
--- a/internal/control/gossip/membership_test.go
+++ b/internal/control/gossip/membership_test.go
@@ -15,7 +15,7 @@
 		}
 		want := testReplicas
 		if i < testReplicas {
-			want-- // not itself
+			want-- // a replica does not list itself
 		}
 		if got := len(n.Replicas()); got != want {
 			t.Errorf("node %d knows %d replicas, want %d", i, got, want)
@@ -23,31 +23,31 @@
 	}
 }
 
-// TestJoinWithUnreachableOrStaleSeeds: of the seeds one is isolated, one is an address without a process, and one is there. A
-// node none of whose seeds is there joins as soon as one is.
+// TestJoinWithUnreachableOrStaleSeeds checks that a node joins through the one reachable seed of three, and that a node without a
+// reachable seed joins once a seed is reachable.
 func TestJoinWithUnreachableOrStaleSeeds(t *testing.T) {
 	f := newFleet(14, 8)
 	f.advance(5 * time.Second)
 	f.reduce(4, Broadcast{Items: []Item{testItem("k", 1)}})
 	f.isolated[0] = true
 	f.restart(9, 0, 500, 2)
-	newcomer := f.add(0, 500, 501)
+	newcomer := f.addNode(0, 500, 501)
 	f.advance(6 * time.Second)
 	if n := f.nodes[9]; !n.holds("k") || len(n.view) < 4 {
-		t.Errorf("with one of three seeds: %d items, %d peers", n.ItemCount(), len(n.view))
+		t.Errorf("with one reachable seed of three: %d items, %d peers", n.ItemCount(), len(n.view))
 	}
 	if n := f.nodes[newcomer]; len(n.view) > 0 {
-		t.Errorf("without a seed: %d peers", len(n.view))
+		t.Errorf("without a reachable seed: %d peers, want none", len(n.view))
 	}
 	delete(f.isolated, 0)
 	f.advance(6 * time.Second)
 	if n := f.nodes[newcomer]; !n.holds("k") || len(n.view) < 4 {
-		t.Errorf("once a seed is back: %d items, %d peers", n.ItemCount(), len(n.view))
+		t.Errorf("after the isolation of a seed has ended: %d items, %d peers", n.ItemCount(), len(n.view))
 	}
 }
 
-// TestZoneRejoinsAfterRestart: all processes of a zone restart at once, a replica and seed among them. They get the items that
-// they have lost, and others get theirs.
+// TestZoneRejoinsAfterRestart restarts all processes of a zone at once, among them a replica that is a seed. They recover the items
+// that they have lost, and their new items reach the other nodes.
 func TestZoneRejoinsAfterRestart(t *testing.T) {
 	f := newFleet(42, 4)
 	f.advance(6 * time.Second)
@@ -64,15 +64,15 @@
 			t.Errorf("node %d holds %d of 30 items and knows %d peers, %d replicas", i, n.ItemCount(), len(n.view), len(n.Replicas()))
 		}
 	}
-	f.reduce(7, Broadcast{Items: []Item{testItem("k7", 3)}}) // a node of that zone
+	f.reduce(7, Broadcast{Items: []Item{testItem("k7", 3)}}) // a restarted node
 	f.advance(1200 * time.Millisecond)
 	if n := f.holders("k7", 3); n < 40 {
-		t.Errorf("%d of 42 nodes hold an item of a node that has restarted", n)
+		t.Errorf("%d of 42 nodes hold an item of a restarted node, want at least 40", n)
 	}
 }
 
-// TestPartitionsMerge: two halves, with a replica and a seed in each, are partitioned for longer than a replica is remembered,
-// so that all views are full of peers of one half. They are one fleet again within a minute.
+// TestPartitionsMerge partitions a fleet for longer than replicaExpiry, so that the view of each node has only peers of its own half.
+// The halves must merge within a minute after the partition.
 func TestPartitionsMerge(t *testing.T) {
 	f := newFleet(90, 9)
 	f.advance(5 * time.Second)
@@ -81,22 +81,22 @@
 	f.reduce(1, Broadcast{Items: []Item{testItem("k", 1)}})
 	f.advance(5 * time.Second)
 	if n := f.holders("k", 1); n != 45 || len(f.nodes[0].Replicas()) != 1 {
-		t.Fatalf("%d nodes hold the item, and replica 0 knows %d others", n, len(f.nodes[0].Replicas()))
+		t.Fatalf("during the partition %d nodes hold the item, want 45, and replica 0 knows %d other replicas, want 1", n, len(f.nodes[0].Replicas()))
 	}
 	f.isPartitioned = nil
 	f.advance(time.Minute)
 	if n := f.holders("k", 1); n != 90 {
-		t.Errorf("%d of 90 nodes hold the item a minute after the partition", n)
+		t.Errorf("%d of 90 nodes hold the item a minute after the end of the partition", n)
 	}
 }
 
-// TestReplicaFindsOthersAfterPartition: a replica and two routers restart behind a partition, which ends for the replica alone. It
-// finds the other replicas within two seconds, though its view is not empty and none of its peers knows them.
+// TestReplicaFindsOthersAfterPartition partitions a replica and two routers from the other replicas, and ends the partition for the
+// replica only. It must find the other replicas through its seeds within two seconds, although its view has peers.
 func TestReplicaFindsOthersAfterPartition(t *testing.T) {
 	for seed := range uint64(20) {
 		f := newFleet(5, seed)
 		f.isPartitioned = func(i, k int) bool { return (i < 2) != (k < 2) }
-		for i := range f.nodes { // all restart, so that no node remembers the others
+		for i := range f.nodes { // restart all nodes, so that none remembers addresses of the other side
 			f.nodes[i] = New(f.nodes[i].self, seed)
 		}
 		for i := range f.nodes {
@@ -109,24 +109,24 @@
 		f.advance(3 * time.Second)
 		n := f.nodes[2]
 		if len(n.Replicas()) != 0 || len(n.Peers()) < 2 {
-			t.Fatalf("seed %d: it knows %d replicas and %d peers", seed, len(n.Replicas()), len(n.Peers()))
+			t.Fatalf("seed %d: during the partition the replica knows %d replicas, want 0, and %d peers, want 2 or more", seed, len(n.Replicas()), len(n.Peers()))
 		}
 		f.isPartitioned = func(i, k int) bool { return min(i, k) < 2 && max(i, k) > 2 }
 		f.advance(2 * time.Second)
 		if len(n.Replicas()) != 2 {
-			t.Errorf("seed %d: two seconds after the partition it knows %d replicas", seed, len(n.Replicas()))
+			t.Errorf("seed %d: two seconds after the end of the partition the replica knows %d replicas, want 2", seed, len(n.Replicas()))
 		}
 	}
 }
 
-// TestPacketsDoNotProveResponsiveness: a replica that does not answer calls counts as unresponsive, though packets from it arrive,
-// until it answers a call.
+// TestPacketsDoNotProveResponsiveness checks that a replica with a failed call stays unresponsive until it answers a call, even if its
+// packets arrive.
 func TestPacketsDoNotProveResponsiveness(t *testing.T) {
 	f := newFleet(6, 5)
 	f.advance(4 * time.Second)
 	n := f.nodes[5]
 	if got := len(n.ResponsiveReplicas()); got != testReplicas {
-		t.Fatalf("%d responsive replicas at first", got)
+		t.Fatalf("%d responsive replicas before any call, want all", got)
 	}
 	for _, answered := range []bool{false, true} {
 		for _, r := range n.Replicas() {
@@ -143,27 +143,27 @@
 	}
 }
 
-// TestResponsiveReplicasComeFirst: in a large fleet packets of a replica come seldom, and the outcome of calls counts too.
+// TestResponsiveReplicasComeFirst checks that the outcome of calls orders the replicas in a large fleet, where packets of a replica are rare.
 func TestResponsiveReplicasComeFirst(t *testing.T) {
 	f := newFleet(60, 5)
 	f.advance(4 * time.Second)
 	n := f.nodes[30]
 	if len(n.Replicas()) != testReplicas {
-		t.Fatalf("%d replicas are known", len(n.Replicas()))
+		t.Fatalf("%d replicas are known, want all", len(n.Replicas()))
 	}
 	first := n.Replicas()[0].ID
 	f.reduce(30, CallCompleted{PeerID: first, Answered: false})
 	if all := n.ResponsiveReplicas(); len(all) != 2 || n.Replicas()[2].ID != first {
-		t.Errorf("after a failed call: responsive are %v, the last replica is %v", all, n.Replicas()[2].ID)
+		t.Errorf("after a failed call: responsive replicas are %v, the last replica is %v", all, n.Replicas()[2].ID)
 	}
 	f.reduce(30, CallCompleted{PeerID: first, Answered: true})
 	if n.Replicas()[0].ID != first {
-		t.Error("a replica that answers again does not come first")
+		t.Error("a replica that has answered again is not the first")
 	}
 	for _, r := range n.Replicas() {
 		f.reduce(30, CallCompleted{PeerID: r.ID, Answered: false})
 	}
 	if len(n.ResponsiveReplicas()) != 0 || len(n.Replicas()) != testReplicas {
-		t.Error("without a responsive replica this node must still know all, to try them")
+		t.Error("after failed calls to all replicas: want no responsive replica, and all still listed")
 	}
 }
--- a/internal/control/gossip/quorum_test.go
+++ b/internal/control/gossip/quorum_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// TestIsolatedReplicaLosesQuorumContact: a replica that is cut off from the others, in one direction or both, loses contact within
-// three seconds, and the others keep it. After the fault it has contact again.
+// TestIsolatedReplicaLosesQuorumContact checks that a replica with a link fault, in one direction or both, loses quorum contact, that
+// the other replicas keep it, and that contact resumes after the fault.
 func TestIsolatedReplicaLosesQuorumContact(t *testing.T) {
 	faults := maps.Clone(oneWayFaults)
 	faults["isolated"] = func(f *fleet) map[int]bool { return f.isolated }
-	for name, faulty := range faults {
+	for name, blockedNodes := range faults {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(20, 6)
 			f.setVoters()
@@ -25,21 +25,21 @@
 			}
 			f.advance(4 * time.Second)
 			checkContact(true, true, true)
-			faulty(f)[1] = true
+			blockedNodes(f)[1] = true
 			f.advance(quorumTimeout + 3*BroadcastInterval)
 			checkContact(true, false, true)
-			clear(faulty(f))
+			clear(blockedNodes(f))
 			f.advance(2 * BroadcastInterval)
 			checkContact(true, true, true)
 			if d, _ := f.nodes[1].QuorumContact(); d > 2*BroadcastInterval {
-				t.Errorf("contact lasts for %v again", d)
+				t.Errorf("replica 1 reports contact for %v, which includes the fault", d)
 			}
 		})
 	}
 }
 
-// TestQuorumContactAfterCommonStart: replicas that start at one moment announce whom they hear as soon as they hear somebody, without
-// waiting for their timers.
+// TestQuorumContactAfterCommonStart checks that replicas which start together send their lists of heard replicas at once, without
+// waiting for the next round.
 func TestQuorumContactAfterCommonStart(t *testing.T) {
 	f := newFleet(12, 3)
 	f.setVoters()
--- a/internal/control/gossip/urgent_test.go
+++ b/internal/control/gossip/urgent_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// sentPackets returns the decoded packets among effects.
+// sentPackets decodes the packets among the effects.
 func sentPackets(t *testing.T, effects []Effect) (packets []*packet) {
 	t.Helper()
 	for _, e := range effects {
@@ -21,7 +21,7 @@
 	return packets
 }
 
-// isCompleted reports whether an urgent broadcast has ended with enough acknowledgements.
+// isCompleted reports whether the effects end an urgent broadcast with enough acknowledgements.
 func isCompleted(effects []Effect) bool {
 	for _, e := range effects {
 		if c, ok := e.(BroadcastCompleted); ok && c.Sufficient {
@@ -31,17 +31,16 @@
 	return false
 }
 
-// TestAcknowledgementsOfThePredecessorDoNotCount: a process that starts anew repeats an urgent broadcast. An acknowledgement that
-// was on its way to the process before it says nothing of what others will know once that and this one have ended, and neither
-// does one of a peer that this process has not asked.
-func TestAcknowledgementsOfThePredecessorDoNotCount(t *testing.T) {
+// TestAcknowledgementsForPreviousProcessDoNotCount checks that a restarted process which repeats an urgent broadcast ignores an
+// acknowledgement for the process before it, and one of a peer to which it has not sent the items.
+func TestAcknowledgementsForPreviousProcessDoNotCount(t *testing.T) {
 	self, peer := Peer{ID: 1, Addr: testAddr(0), Flags: FlagRouter}, Peer{ID: 2, Addr: testAddr(1), Flags: FlagRouter}
-	hello := (&packet{kind: kindShuffleReply, from: peer}).encode()
+	shuffleReply := (&packet{kind: kindShuffleReply, from: peer}).encode()
 	urgent := UrgentBroadcast{ID: 1, Items: []Item{testItem("k", 1)}, MinAcks: 2}
-	ackOf := func(n *Node, isAsked bool) []byte {
+	ackOf := func(n *Node, knowsPeer bool) []byte {
 		n.Reduce(time.Second, SeedsChanged{testAddrs(1)})
-		if isAsked {
-			n.Reduce(time.Second, PacketReceived{hello})
+		if knowsPeer {
+			n.Reduce(time.Second, PacketReceived{shuffleReply})
 		}
 		for _, p := range sentPackets(t, n.Reduce(time.Second, urgent)) {
 			if p.kind == kindUrgentItems {
@@ -51,23 +50,23 @@
 		return (&packet{kind: kindAck, from: peer, ackID: n.lastAckID}).encode()
 	}
 
-	predecessor, successor := New(self, 10), New(self, 11)
-	old, current := ackOf(predecessor, true), ackOf(successor, true)
-	if isCompleted(successor.Reduce(time.Second, PacketReceived{old})) {
-		t.Error("the acknowledgement for the process before counts")
+	previous, restarted := New(self, 10), New(self, 11)
+	staleAck, currentAck := ackOf(previous, true), ackOf(restarted, true)
+	if isCompleted(restarted.Reduce(time.Second, PacketReceived{staleAck})) {
+		t.Error("an acknowledgement for the previous process counts")
 	}
-	if !isCompleted(successor.Reduce(time.Second, PacketReceived{current})) {
-		t.Error("its own does not count: it knows one peer, which has acknowledged")
+	if !isCompleted(restarted.Reduce(time.Second, PacketReceived{currentAck})) {
+		t.Error("the acknowledgement of the only known peer does not complete the broadcast")
 	}
-	stranger := New(self, 12)
-	if isCompleted(stranger.Reduce(time.Second, PacketReceived{ackOf(stranger, false)})) {
-		t.Error("the acknowledgement of a peer that was not asked counts")
+	nodeWithoutPeers := New(self, 12)
+	if isCompleted(nodeWithoutPeers.Reduce(time.Second, PacketReceived{ackOf(nodeWithoutPeers, false)})) {
+		t.Error("the acknowledgement of a peer that was not sent the items counts")
 	}
 }
 
-// TestPeersKnownLaterAreAsked: a process that has just started knows one peer; those that it learns of before that has
-// acknowledged count, so that the acknowledgements of two are wanted.
-func TestPeersKnownLaterAreAsked(t *testing.T) {
+// TestUrgentBroadcastIncludesPeersFoundLater checks that a new process with one known peer needs two acknowledgements if it finds
+// more peers before the first acknowledgement.
+func TestUrgentBroadcastIncludesPeersFoundLater(t *testing.T) {
 	const step = 10 * time.Millisecond
 	f := newFleet(8, 3)
 	f.advance(3 * time.Second)
@@ -77,15 +76,15 @@
 		f.advance(step)
 	}
 	if f.acks[9] < 2 || f.holders("k", 1) < 3 {
-		t.Errorf("%d acknowledgements, %d nodes have the item", f.acks[9], f.holders("k", 1))
+		t.Errorf("%d acknowledgements, want 2 or more; %d nodes hold the item, want 3 or more", f.acks[9], f.holders("k", 1))
 	}
 }
 
-// TestIslandsDoNotAcknowledge: nodes that reach no majority of the replicas acknowledge nothing to each other, however many they are;
-// those that do acknowledge.
-func TestIslandsDoNotAcknowledge(t *testing.T) {
+// TestMinorityPartitionDoesNotAcknowledge checks that an urgent broadcast succeeds only in a partition with a majority of the replicas,
+// however many nodes the partition has.
+func TestMinorityPartitionDoesNotAcknowledge(t *testing.T) {
 	for name, c := range map[string]struct {
-		island         []int // the replicas are 0, 1 and 2
+		partition      []int // the replicas are 0, 1 and 2
 		isAcknowledged bool
 	}{
 		"routers alone":             {[]int{5, 6, 7, 8, 9}, false},
@@ -95,14 +94,14 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(20, 4)
 			f.advance(5 * time.Second)
-			f.isPartitioned = func(i, k int) bool { return slices.Contains(c.island, i) != slices.Contains(c.island, k) }
+			f.isPartitioned = func(i, k int) bool { return slices.Contains(c.partition, i) != slices.Contains(c.partition, k) }
 			f.advance(2 * quorumTimeout)
-			for range 3 { // as an engine repeats its call
+			for range 3 { // an engine retries its call
 				f.reduce(7, UrgentBroadcast{ID: 5, Items: []Item{testItem("k", 1)}, MinAcks: 2})
 				f.advance(4 * ackTimeout)
 			}
 			if acks := f.acks[5]; (acks > 0) != c.isAcknowledged {
-				t.Errorf("%d acknowledgements; known to %d nodes", acks, f.holders("k", 1))
+				t.Errorf("%d acknowledgements; %d nodes hold the item", acks, f.holders("k", 1))
 			}
 		})
 	}
