--- a/internal/control/discovery/failure.go
+++ b/internal/control/discovery/failure.go
@@ -40,7 +40,7 @@
 
 // refute tells others that an endpoint is not suspect.
 func (n *Node) refute(e *endpoints.Endpoint) {
-	n.publish(suspicionItem(endpoints.Suspicion{ID: e.ID, CallCount: e.LatestCall}))
+	n.publish(suspicionItem(endpoints.Suspicion{ID: e.ID, CallCount: e.LatestCallCount}))
 }
 
 // learnSuspicion takes in another process's suspicion or refutation. It refutes a suspicion if this process knows of a later heartbeat.
@@ -49,7 +49,7 @@
 		n.endpointsChanged = true
 	}
 	e := n.Endpoints.Find(x.ID)
-	if x.Suspect && e != nil && e.LatestCall > x.CallCount && !e.Suspect && e.State != endpoints.StateGone {
+	if x.Suspect && e != nil && e.LatestCallCount > x.CallCount && !e.Suspect && e.State != endpoints.StateGone {
 		n.refute(e)
 	}
 }
@@ -78,7 +78,7 @@
 	suspects, failed := n.Endpoints.Detect()
 	for _, id := range suspects {
 		n.endpointsChanged = true
-		n.publish(suspicionItem(endpoints.Suspicion{ID: id, CallCount: n.Endpoints.Find(id).LatestCall, Suspect: true}))
+		n.publish(suspicionItem(endpoints.Suspicion{ID: id, CallCount: n.Endpoints.Find(id).LatestCallCount, Suspect: true}))
 	}
 	for _, id := range failed {
 		for _, r := range n.Endpoints.MarkFailed(n.now, id, n.wallMS) {
--- a/internal/control/discovery/failure_test.go
+++ b/internal/control/discovery/failure_test.go
@@ -49,7 +49,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f.isLost = isLost
-			callCount := f.nodes[1].Endpoints.Find("i-1").LatestCall
+			callCount := f.nodes[1].Endpoints.Find("i-1").LatestCallCount
 			rejected := 0
 			for range 8 {
 				f.advance(heartbeatInterval)
--- a/internal/control/endpoints/doc.go
+++ b/internal/control/endpoints/doc.go
@@ -1,19 +1,20 @@
-// Package endpoints owns the registry of the fleet's endpoints (inference engines) as a state-based CRDT: records of one
-// endpoint are totally ordered and the greatest wins, so that processes that have received the same records hold the same
-// registry, in whatever order and however often the records came. Compare Shapiro et al., Conflict-free Replicated Data Types
+// Package endpoints implements the registry of the fleet's endpoints (inference engines) as a state-based CRDT. The records of one
+// endpoint are totally ordered, and the greatest wins. Processes that have received the same records therefore hold the same
+// registry, in whatever order and however often they received them. Compare Shapiro et al., Conflict-free Replicated Data Types
 // (2011).
 //
-// A [Record] is what an endpoint says about itself, ordered by the number of the heartbeat that first said so (call_count in
-// the platform's protocol). The time of the latest heartbeat stands beside the record and is not replicated with it, since it
-// changes all the time. Every start of an engine has an id of its own: an endpoint that has deregistered never comes back.
+// A [Record] contains what an endpoint reports about itself. It is ordered by the number of the heartbeat that first reported it
+// (call_count in the platform's protocol). The time of the latest heartbeat changes all the time, so it is kept beside the record
+// and not replicated with it. An engine gets a new id at every start: an endpoint that has deregistered never returns.
 //
-// An endpoint goes through these states:
+// An endpoint is in one of these states:
 //
-//   - live, ready or draining;
+//   - live: ready or draining;
 //   - suspect: its heartbeats have stopped. It gets no traffic. A newer heartbeat refutes the suspicion, as in SWIM (Das, Gupta,
 //     Motivala, 2002);
-//   - failed: without a heartbeat for over a minute, and recorded as gone. A newer heartbeat brings it back;
+//   - failed: it has sent no heartbeat for over a minute, and is recorded as gone. A newer heartbeat makes it live again;
 //   - gone: it has deregistered, or another endpoint has its address. Its record is dropped after a minute.
 //
-// The package is pure. Times are durations on the caller's steady clock; wall times are in ms since the Unix epoch.
+// The package does no I/O and reads no clock. Times are durations on the caller's monotonic clock; wall times are in ms since the
+// Unix epoch.
 package endpoints
--- a/internal/control/endpoints/failure.go
+++ b/internal/control/endpoints/failure.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Suspicion says that the heartbeats of an endpoint have stopped after the one with number CallCount, or, without Suspect, that
-// they have not: it refutes suspicions of that and earlier heartbeats.
+// Suspicion is a suspicion of an endpoint, or the refutation of one. With Suspect, the endpoint has sent no heartbeat after number
+// CallCount. Without it, suspicions with this or a lower CallCount are refuted.
 type Suspicion struct {
 	ID        string
 	CallCount uint64
 	Suspect   bool
 }
 
-// MergeSuspicion takes in another process's suspicion or refutation, and returns whether it changes the state of the endpoint.
-func (s *Registry) MergeSuspicion(now time.Duration, x Suspicion) bool {
-	e := s.byID[x.ID]
-	if e == nil || e.State == StateGone || x.CallCount < e.LatestCall {
+// MergeSuspicion merges a suspicion or refutation of another process, and reports whether it changes the state of the endpoint.
+func (s *Registry) MergeSuspicion(now time.Duration, suspicion Suspicion) bool {
+	e := s.byID[suspicion.ID]
+	if e == nil || e.State == StateGone || suspicion.CallCount < e.LatestCallCount {
 		return false
 	}
 	wasSuspect := e.Suspect
-	if !x.Suspect && x.CallCount > e.LatestCall { // it implies a heartbeat, and may arrive before it
-		s.recordHeartbeat(e, x.CallCount, now)
+	if !suspicion.Suspect && suspicion.CallCount > e.LatestCallCount { // a refutation implies a heartbeat, which may arrive later
+		s.recordHeartbeat(e, suspicion.CallCount, now)
 	}
-	e.LatestCall, e.Suspect = x.CallCount, x.Suspect
-	return x.Suspect != wasSuspect
+	e.LatestCallCount, e.Suspect = suspicion.CallCount, suspicion.Suspect
+	return suspicion.Suspect != wasSuspect
 }
 
-// Expire drops the records that have been gone for long, and returns their ids, ordered.
+// Expire drops the records that have been gone for longer than expiryTimeout, and returns their ids in order.
 func (s *Registry) Expire(now time.Duration) (expired []string) {
 	for id, e := range s.byID {
-		if e.State == StateGone && now-e.GoneAt > expiry {
+		if e.State == StateGone && now-e.GoneAt > expiryTimeout {
 			delete(s.byID, id)
 			expired = append(expired, id)
 		}
@@ -39,15 +39,15 @@
 	return expired
 }
 
-// Detect finds the endpoints whose heartbeats have stopped. It marks and returns new suspects, and returns those that
-// have been suspect for so long that they count as failed; both ordered by id. Time is measured up to the latest heartbeat of any
-// endpoint, since a process that is cut off receives none and must not suspect all.
+// Detect finds the endpoints whose heartbeats have stopped. It marks and returns new suspects. It also returns the endpoints that count
+// as failed, because their last heartbeat is older than expiryTimeout. Both lists are ordered by id. The age of a heartbeat is relative
+// to the latest heartbeat of any endpoint: an isolated process receives no heartbeats and must not suspect all endpoints.
 func (s *Registry) Detect() (suspects, failed []string) {
 	for id, e := range s.byID {
 		elapsed := s.lastHeartbeat - e.LastHeartbeat
 		switch {
 		case e.State == StateGone:
-		case elapsed > expiry:
+		case elapsed > expiryTimeout:
 			failed = append(failed, id)
 		case !e.Suspect && elapsed > s.heartbeatTimeout:
 			e.Suspect = true
@@ -59,14 +59,14 @@
 	return suspects, failed
 }
 
-// MarkFailed records a failed endpoint as gone, and returns its record if that is new. Unlike one that has deregistered it
-// comes back with a later heartbeat.
+// MarkFailed records a failed endpoint as gone, and returns the new record; none if it was gone already. Unlike a deregistered endpoint,
+// a failed one is live again after a later heartbeat.
 func (s *Registry) MarkFailed(now time.Duration, id string, wallMS int64) []Record {
 	e := s.byID[id]
 	if e == nil || e.State == StateGone {
 		return nil
 	}
 	r := e.Record
-	r.State, r.CallCount, r.WarmAtMS = StateGone, e.LatestCall, wallMS
+	r.State, r.CallCount, r.WarmAtMS = StateGone, e.LatestCallCount, wallMS
 	return s.Merge(now, r)
 }
--- a/internal/control/endpoints/record.go
+++ b/internal/control/endpoints/record.go
@@ -7,7 +7,7 @@
 	"notchhinge/internal/control/encoding"
 )
 
-// State is the state that an endpoint reports. Of two states reported by one heartbeat the greater wins.
+// State is the state that an endpoint reports. If two records have the same CallCount, the greater state wins.
 type State uint8
 
 // States of an endpoint.
@@ -17,30 +17,32 @@
 	StateGone
 )
 
-// Record is what an endpoint says about itself.
+// Record contains what an endpoint reports about itself.
 type Record struct {
 	ID        string
 	Service   string
 	Addr      string
 	Zone      string
 	Revision  string
-	Slots     uint64 // requests that it serves at one time
+	Slots     uint64 // maximum number of concurrent requests
 	State     State
-	CallCount uint64 // number of the heartbeat that first said this
-	WarmAtMS  int64  // wall time at which its slow start ends; 0 = it has none. With StateGone: since when it is gone
+	CallCount uint64 // number of the heartbeat that first reported this record
+	WarmAtMS  int64  // wall time at which slow start ends; 0 = no slow start. In StateGone: wall time at which it ended
 }
 
 const (
 	maxFieldBytes = 256
 	maxSlots      = 1 << 20
 
-	// deregistered is the CallCount of an endpoint that has deregistered, above that of any heartbeat. Discovery needs some
-	// bits above it.
-	deregistered = 1 << 60
+	// deregisteredCallCount is the CallCount of a deregistered endpoint, above that of any heartbeat. Package discovery shifts
+	// it left to make room for flags, so the upper bits must be free.
+	deregisteredCallCount = 1 << 60
 
-	expiry = 60 * time.Second // a record that is gone is kept for so long, far beyond any late heartbeat
-	// staleAfter is the age from which a record that is gone is not taken over from others: it would circulate for ever.
-	staleAfter = expiry / 2
+	// expiryTimeout is the time without a heartbeat after which an endpoint counts as failed, and the time for which a gone record
+	// is kept. It is far above the delay of any heartbeat.
+	expiryTimeout = 60 * time.Second
+	// staleAfter is the age of a gone record above which other processes do not accept it. Without this limit it would circulate forever.
+	staleAfter = expiryTimeout / 2
 )
 
 // Encode returns the binary form of the record.
@@ -58,35 +60,35 @@
 	return w.Buf
 }
 
-// Decode reads the binary form of a record. Slots above the bound are capped.
+// Decode decodes the binary form of a record. It caps Slots at maxSlots.
 func Decode(b []byte) (Record, error) {
-	x := encoding.Reader{Buf: b}
+	reader := encoding.Reader{Buf: b}
 	r := Record{
-		ID: x.String(maxFieldBytes), Service: x.String(maxFieldBytes), Addr: x.String(maxFieldBytes), Zone: x.String(maxFieldBytes),
-		Revision: x.String(maxFieldBytes), Slots: min(x.Uvarint(), maxSlots), State: State(x.Byte()), CallCount: x.Uvarint(),
-		WarmAtMS: int64(x.Uvarint() &^ (1 << 63)),
+		ID: reader.String(maxFieldBytes), Service: reader.String(maxFieldBytes), Addr: reader.String(maxFieldBytes), Zone: reader.String(maxFieldBytes),
+		Revision: reader.String(maxFieldBytes), Slots: min(reader.Uvarint(), maxSlots), State: State(reader.Byte()), CallCount: reader.Uvarint(),
+		WarmAtMS: int64(reader.Uvarint() &^ (1 << 63)),
 	}
-	if (r.State > StateGone || r.CallCount > deregistered) && x.Err == nil {
+	if (r.State > StateGone || r.CallCount > deregisteredCallCount) && reader.Err == nil {
 		return r, encoding.ErrTooLong
 	}
-	return r, x.Finish()
+	return r, reader.Finish()
 }
 
-// IsStale reports whether the record is of an endpoint that has been gone for so long that no process needs it.
+// IsStale reports whether the endpoint has been gone for so long that no process needs the record.
 func (r *Record) IsStale(wallMS int64) bool {
 	return r.State == StateGone && wallMS-r.WarmAtMS > staleAfter.Milliseconds()
 }
 
-// supersedes reports whether the record is newer than another of the same endpoint. The order is total: by heartbeat, then by
-// state, then by the other fields.
+// supersedes reports whether the record is greater than another record of the same endpoint. The order is total: by CallCount,
+// then by state, then by the other fields.
 func (r *Record) supersedes(old *Record) bool {
 	return cmp.Or(cmp.Compare(r.CallCount, old.CallCount), cmp.Compare(r.State, old.State), cmp.Compare(r.Service, old.Service),
 		cmp.Compare(r.Addr, old.Addr), cmp.Compare(r.Zone, old.Zone), cmp.Compare(r.Revision, old.Revision),
 		cmp.Compare(r.Slots, old.Slots), cmp.Compare(r.WarmAtMS, old.WarmAtMS)) > 0
 }
 
-// saysTheSame reports whether two records agree in all but the times.
-func (r *Record) saysTheSame(old *Record) bool {
+// equalsExceptTimes reports whether two records are equal apart from CallCount and WarmAtMS.
+func (r *Record) equalsExceptTimes(old *Record) bool {
 	x, y := *r, *old
 	x.CallCount, y.CallCount, x.WarmAtMS, y.WarmAtMS = 0, 0, 0, 0
 	return x == y
--- a/internal/control/endpoints/record_test.go
+++ b/internal/control/endpoints/record_test.go
@@ -12,7 +12,7 @@
 			return
 		}
 		if again, err := Decode(r.Encode()); err != nil || again != r {
-			t.Errorf("%+v, %+v, %v", r, again, err)
+			t.Errorf("record %+v is %+v after encoding and decoding, error %v", r, again, err)
 		}
 	})
 }
--- a/internal/control/endpoints/registry.go
+++ b/internal/control/endpoints/registry.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// MaxEndpoints is the number of endpoints that a registry holds; further ones are rejected.
+// MaxEndpoints is the maximum number of endpoints in a registry. Further endpoints are rejected.
 const MaxEndpoints = 20_000
 
-// Endpoint is a record with what the local process knows of the endpoint's heartbeats.
+// Endpoint is a record with the local state on the endpoint's heartbeats.
 type Endpoint struct {
 	Record
-	LastHeartbeat time.Duration // when the latest heartbeat was sent
-	LatestCall    uint64        // its number
-	GoneAt        time.Duration // when the record became StateGone here
-	Suspect       bool          // its heartbeats have stopped
+	LastHeartbeat   time.Duration // when the latest known heartbeat was sent
+	LatestCallCount uint64        // CallCount of that heartbeat
+	GoneAt          time.Duration // when this process learned that it is gone
+	Suspect         bool          // its heartbeats have stopped; it gets no traffic
 }
 
 // Registry holds all known endpoints. It is not safe for concurrent use.
 type Registry struct {
 	byID             map[string]*Endpoint
-	byAddr           map[string]string // id of the latest endpoint at an address that is not gone
+	byAddr           map[string]string // by address: id of the latest endpoint that is not gone
 	heartbeatTimeout time.Duration
 	lastHeartbeat    time.Duration // of any endpoint
 }
@@ -33,10 +33,10 @@
 	return &Registry{byID: map[string]*Endpoint{}, byAddr: map[string]string{}, heartbeatTimeout: heartbeatTimeout}
 }
 
-// Find returns an endpoint; nil if it is unknown.
+// Find returns the endpoint with an id; nil if it is unknown.
 func (s *Registry) Find(id string) *Endpoint { return s.byID[id] }
 
-// Live lists the endpoints of a service that are neither gone nor suspect, ordered by id.
+// Live returns the endpoints of a service that are neither gone nor suspect, ordered by id.
 func (s *Registry) Live(service string) []*Endpoint {
 	var live []*Endpoint
 	for _, e := range s.byID {
@@ -48,75 +48,76 @@
 	return live
 }
 
-// All iterates over all endpoints, those included that are gone, in no order.
+// All iterates over all endpoints, including gone ones, in no particular order.
 func (s *Registry) All() iter.Seq[*Endpoint] { return maps.Values(s.byID) }
 
-// Len returns the number of known endpoints, those included that are gone.
+// Len returns the number of endpoints, including gone ones.
 func (s *Registry) Len() int { return len(s.byID) }
 
-// HeartbeatTimeout is the time without a heartbeat after which an endpoint becomes suspect.
+// HeartbeatTimeout returns the time without a heartbeat after which an endpoint becomes suspect.
 func (s *Registry) HeartbeatTimeout() time.Duration { return s.heartbeatTimeout }
 
-// Heartbeat takes in a heartbeat that came from the endpoint itself. It returns the records that it changes, of which other
-// processes must learn, and whether it is newer than the latest known one.
+// Heartbeat handles a heartbeat received from the endpoint itself. It returns the changed records, which must be sent to the other
+// processes, and reports whether the heartbeat is newer than the latest known one.
 func (s *Registry) Heartbeat(now time.Duration, r Record, wallMS int64) (changed []Record, isNew bool) {
-	if r.CallCount >= deregistered {
-		return nil, false // no endpoint sends so many
+	if r.CallCount >= deregisteredCallCount {
+		return nil, false // not a valid heartbeat number
 	}
 	e := s.byID[r.ID]
 	if e == nil {
-		return s.firstHeartbeat(now, r, wallMS), true
+		return s.recordFirstHeartbeat(now, r, wallMS), true
 	}
-	if e.isLate(&r) {
+	if e.isOutdated(&r) {
 		return nil, false
 	}
 	s.recordHeartbeat(e, r.CallCount, now)
-	if r.saysTheSame(&e.Record) {
+	if r.equalsExceptTimes(&e.Record) {
 		return nil, true
 	}
 	return s.Merge(now, r), true
 }
 
-// isLate reports whether a heartbeat is older than what is known, or comes after the endpoint has deregistered.
-func (e *Endpoint) isLate(r *Record) bool {
-	if e.CallCount == deregistered {
+// isOutdated reports whether a heartbeat is not newer than the known state, or follows the deregistration of the endpoint.
+func (e *Endpoint) isOutdated(r *Record) bool {
+	if e.CallCount == deregisteredCallCount {
 		return true
 	}
-	hasLaterState := r.State > e.State && r.CallCount >= e.CallCount
-	return r.CallCount <= e.LatestCall && !hasLaterState
+	advancesState := r.State > e.State && r.CallCount >= e.CallCount
+	return r.CallCount <= e.LatestCallCount && !advancesState
 }
 
-// firstHeartbeat takes in the first heartbeat of an endpoint. Another endpoint at its address has ended, unless this heartbeat is a
-// late one of an endpoint that had the address before: that one has sent more heartbeats than one that has just started.
-func (s *Registry) firstHeartbeat(now time.Duration, r Record, wallMS int64) []Record {
-	before := s.byID[s.byAddr[r.Addr]]
+// recordFirstHeartbeat handles the first known heartbeat of an endpoint. If another endpoint is registered at its address, one of the
+// two has ended: the registered one, if it has sent more heartbeats than the new one or has been silent; else this is a late heartbeat of
+// an earlier endpoint.
+func (s *Registry) recordFirstHeartbeat(now time.Duration, r Record, wallMS int64) []Record {
+	previous := s.byID[s.byAddr[r.Addr]]
 	changed := s.Merge(now, r)
-	if before == nil || before.ID == r.ID || before.State == StateGone {
+	if previous == nil || previous.ID == r.ID || previous.State == StateGone {
 		return changed
 	}
-	if r.CallCount < before.LatestCall || now-before.LastHeartbeat > s.heartbeatTimeout/2 {
-		changed = append(changed, s.Deregister(now, before.ID, wallMS)...)
+	if r.CallCount < previous.LatestCallCount || now-previous.LastHeartbeat > s.heartbeatTimeout/2 {
+		changed = append(changed, s.Deregister(now, previous.ID, wallMS)...)
 		s.byAddr[r.Addr] = r.ID
 	}
 	return changed
 }
 
-// Deregister records that an endpoint has ended, and returns its record if that is new. An unknown endpoint is recorded as well: a
-// late heartbeat of it may follow.
+// Deregister records that an endpoint has ended, and returns the new record; none if it was deregistered already. An unknown endpoint is
+// recorded, too, because a late heartbeat may follow.
 func (s *Registry) Deregister(now time.Duration, id string, wallMS int64) []Record {
 	r := Record{ID: id}
 	if e := s.byID[id]; e != nil {
-		if e.CallCount == deregistered {
+		if e.CallCount == deregisteredCallCount {
 			return nil
 		}
 		r = e.Record
 	}
-	r.State, r.CallCount, r.WarmAtMS = StateGone, deregistered, wallMS
+	r.State, r.CallCount, r.WarmAtMS = StateGone, deregisteredCallCount, wallMS
 	return s.Merge(now, r)
 }
 
-// Merge takes in a record from wherever it comes, and returns it if it changes the registry. It does not end another endpoint at
-// the record's address, as [Registry.Heartbeat] does: the order of two endpoints' records is unknown.
+// Merge merges a record, and returns it if it changes the registry. Unlike [Registry.Heartbeat], it does not end another endpoint at the
+// record's address, because the order of two endpoints' records is unknown.
 func (s *Registry) Merge(now time.Duration, r Record) []Record {
 	e := s.byID[r.ID]
 	switch {
@@ -124,47 +125,47 @@
 		if len(s.byID) >= MaxEndpoints {
 			return nil
 		}
-		e = &Endpoint{Record: r, LastHeartbeat: now, LatestCall: r.CallCount}
+		e = &Endpoint{Record: r, LastHeartbeat: now, LatestCallCount: r.CallCount}
 		s.byID[r.ID] = e
 		s.lastHeartbeat = max(s.lastHeartbeat, now)
 	case !r.supersedes(&e.Record):
 		return nil
 	default:
-		s.replace(now, e, r)
+		s.replaceRecord(now, e, r)
 	}
 	if r.State == StateGone {
 		e.GoneAt = now
-		s.freeAddr(&r)
+		s.releaseAddr(&r)
 	} else {
 		s.byAddr[r.Addr] = r.ID
 	}
 	return []Record{r}
 }
 
-// replace puts a newer record in the place of an endpoint's.
-func (s *Registry) replace(now time.Duration, e *Endpoint, r Record) {
+// replaceRecord replaces an endpoint's record by a newer one.
+func (s *Registry) replaceRecord(now time.Duration, e *Endpoint, r Record) {
 	if r.State == StateGone {
-		s.freeAddr(&e.Record) // the new record lacks the address if the process that wrote it did not know the endpoint
+		s.releaseAddr(&e.Record) // the new record has no address if its author did not know the endpoint
 	}
 	e.Record = r
-	if r.CallCount != deregistered && r.CallCount > e.LatestCall {
+	if r.CallCount != deregisteredCallCount && r.CallCount > e.LatestCallCount {
 		s.recordHeartbeat(e, r.CallCount, now)
 	}
 }
 
-func (s *Registry) freeAddr(r *Record) {
+func (s *Registry) releaseAddr(r *Record) {
 	if s.byAddr[r.Addr] == r.ID {
 		delete(s.byAddr, r.Addr)
 	}
 }
 
-// MergeHeartbeat takes in another process's report of a heartbeat that was sent age ago, and returns whether it is new.
+// MergeHeartbeat merges another process's report of a heartbeat that was sent age ago, and reports whether it is new.
 func (s *Registry) MergeHeartbeat(now time.Duration, id string, callCount uint64, age time.Duration) bool {
 	e := s.byID[id]
-	if e == nil || e.State == StateGone || callCount < e.LatestCall {
+	if e == nil || e.State == StateGone || callCount < e.LatestCallCount {
 		return false
 	}
-	if callCount == e.LatestCall { // known by its record, which does not say when it was sent
+	if callCount == e.LatestCallCount { // known from a record, which does not contain its send time
 		e.LastHeartbeat = max(e.LastHeartbeat, now-age)
 		return false
 	}
@@ -173,7 +174,7 @@
 }
 
 func (s *Registry) recordHeartbeat(e *Endpoint, callCount uint64, sentAt time.Duration) {
-	e.LatestCall = max(e.LatestCall, callCount)
+	e.LatestCallCount = max(e.LatestCallCount, callCount)
 	e.LastHeartbeat = max(e.LastHeartbeat, sentAt)
 	s.lastHeartbeat = max(s.lastHeartbeat, e.LastHeartbeat)
 	e.Suspect = false
