--- a/internal/control/discovery/cost_bench_test.go
+++ b/internal/control/discovery/cost_bench_test.go
@@ -10,8 +10,7 @@
 	"notchhinge/internal/control/gossip"
 )
 
-// BenchmarkRouter simulates fleets with four endpoints per router, which send heartbeats to their home replicas, and reports the
-// bytes that a router and a replica send per second.
+// BenchmarkRouter simulates fleets with four endpoints per router, and reports the bytes that a router and a replica send per second.
 func BenchmarkRouter(b *testing.B) {
 	for _, routers := range []int{59, 86, 200} {
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
@@ -45,8 +44,8 @@
 	}
 }
 
-// BenchmarkEndpoints is a process that knows many endpoints: what a heartbeat costs a replica, with the packets to others; what a
-// tick costs; and the heap per endpoint.
+// BenchmarkEndpoints measures a process with many endpoints: the time to handle a heartbeat at a replica, packets to other nodes
+// included; the time to handle a tick; and the heap per endpoint.
 func BenchmarkEndpoints(b *testing.B) {
 	for _, count := range []int{150, 500, 1500} {
 		before := heapBytes()
--- a/internal/control/discovery/event.go
+++ b/internal/control/discovery/event.go
@@ -12,21 +12,21 @@
 type Event interface{ event() }
 
 type (
-	// Gossip passes on an event to the gossip node.
+	// Gossip passes an event to the gossip node.
 	Gossip struct{ Event gossip.Event }
-	// Heartbeat is a heartbeat of an endpoint. It ends with a [Reply].
+	// Heartbeat is a heartbeat that an endpoint has sent to this process. A [Reply] follows.
 	Heartbeat struct {
 		Request RequestID
 		Record  endpoints.Record
 	}
-	// Deregister says that an endpoint has ended. It ends with a [Reply].
+	// Deregister is the deregistration of an endpoint. A [Reply] follows.
 	Deregister struct {
 		Request    RequestID
 		EndpointID string
 	}
-	// ConfigStored says that this process holds the configuration at a log index.
+	// ConfigStored reports that this process has stored the configuration with a log index.
 	ConfigStored struct{ Index uint64 }
-	// IdleDropObserved says that an endpoint has dropped an idle connection without closing it.
+	// IdleDropObserved reports that an endpoint has dropped an idle connection without closing it.
 	IdleDropObserved struct{}
 )
 
@@ -40,20 +40,20 @@
 type Effect interface{ effect() }
 
 type (
-	// SendPacket asks for a gossip datagram to be sent.
+	// SendPacket is a gossip datagram for the caller to send.
 	SendPacket gossip.SendPacket
-	// Reply answers a heartbeat or a deregistration. HomeReplica is the replica that should receive the endpoint's further
-	// heartbeats; invalid = any process may.
+	// Reply answers a [Heartbeat] or [Deregister]. HomeReplica is the replica that should receive the endpoint's further
+	// heartbeats. If it is invalid, any process may.
 	Reply struct {
 		Request     RequestID
 		Err         error
 		HomeReplica netip.AddrPort
 	}
-	// EndpointsChanged says that the set of live endpoints may have changed.
+	// EndpointsChanged reports that the set of live endpoints may have changed.
 	EndpointsChanged struct{}
-	// IdleDropReported says that an endpoint of some process has dropped an idle connection; others may do so too.
+	// IdleDropReported reports that this or another process has observed an idle drop. Other endpoints may drop connections, too.
 	IdleDropReported struct{}
-	// ConfigAnnounced says that From holds the configuration at a log index.
+	// ConfigAnnounced reports that the peer From has stored the configuration with a log index.
 	ConfigAnnounced struct {
 		Index uint64
 		From  gossip.Peer
@@ -69,7 +69,7 @@
 // RequestID correlates a [Heartbeat] or [Deregister] with its [Reply]. The caller chooses it.
 type RequestID uint64
 
-// Errors of replies. The endpoint tries another process.
+// Errors of a [Reply]. The endpoint retries at another process.
 var (
 	ErrNotAcknowledged  = errors.New("no other processes have acknowledged it in time")
 	ErrNoQuorumContact  = errors.New("no contact with the replicas")
--- a/internal/control/discovery/failure.go
+++ b/internal/control/discovery/failure.go
@@ -7,20 +7,20 @@
 	"notchhinge/internal/control/gossip"
 )
 
-// learnHeartbeat takes in a heartbeat that another process has reported, and relays a new one to the replicas that do not hear
+// mergeHeartbeat merges a heartbeat that another process has reported. A new one is relayed to the replicas that receive no packets of
 // that process.
-func (n *Node) learnHeartbeat(l gossip.HeartbeatLearned) {
-	id, isKnown := n.idByHash[l.Heartbeat.Key]
+func (n *Node) mergeHeartbeat(learned gossip.HeartbeatLearned) {
+	id, isKnown := n.idByHash[learned.Heartbeat.Key]
 	if !isKnown {
 		return
 	}
 	wasSuspect := n.isSuspect(id)
-	age := time.Duration(l.Heartbeat.AgeMS) * time.Millisecond
-	if n.Endpoints.MergeHeartbeat(n.now, id, l.Heartbeat.Sequence, age) {
-		n.queue = append(n.queue, gossip.RelayHeartbeat(l))
+	age := time.Duration(learned.Heartbeat.AgeMS) * time.Millisecond
+	if n.Endpoints.MergeHeartbeat(n.now, id, learned.Heartbeat.Sequence, age) {
+		n.gossipEvents = append(n.gossipEvents, gossip.RelayHeartbeat(learned))
 	}
 	if wasSuspect {
-		n.announceRecovery(id)
+		n.refuteIfRecovered(id)
 	}
 }
 
@@ -29,8 +29,8 @@
 	return e != nil && e.Suspect
 }
 
-// announceRecovery refutes the suspicion of an endpoint, which was suspect before a heartbeat and may be no more.
-func (n *Node) announceRecovery(id string) {
+// refuteIfRecovered publishes a refutation if an endpoint that was suspect is not suspect any more.
+func (n *Node) refuteIfRecovered(id string) {
 	if n.isSuspect(id) {
 		return
 	}
@@ -38,25 +38,25 @@
 	n.refute(n.Endpoints.Find(id))
 }
 
-// refute tells others that an endpoint is not suspect.
+// refute publishes that an endpoint is not suspect.
 func (n *Node) refute(e *endpoints.Endpoint) {
 	n.publish(suspicionItem(endpoints.Suspicion{ID: e.ID, CallCount: e.LatestCallCount}))
 }
 
-// learnSuspicion takes in another process's suspicion or refutation. It refutes a suspicion if this process knows of a later heartbeat.
-func (n *Node) learnSuspicion(x endpoints.Suspicion) {
-	if n.Endpoints.MergeSuspicion(n.now, x) {
+// mergeSuspicion merges a suspicion or refutation of another process. It refutes a suspicion if this process has a later heartbeat.
+func (n *Node) mergeSuspicion(suspicion endpoints.Suspicion) {
+	if n.Endpoints.MergeSuspicion(n.now, suspicion) {
 		n.endpointsChanged = true
 	}
-	e := n.Endpoints.Find(x.ID)
-	if x.Suspect && e != nil && e.LatestCallCount > x.CallCount && !e.Suspect && e.State != endpoints.StateGone {
+	e := n.Endpoints.Find(suspicion.ID)
+	if suspicion.Suspect && e != nil && e.LatestCallCount > suspicion.CallCount && !e.Suspect && e.State != endpoints.StateGone {
 		n.refute(e)
 	}
 }
 
-// sweep detects suspect and failed endpoints, where this process may, and drops expired records.
+// sweep detects suspect and failed endpoints, if this process runs the failure detector, and drops expired records.
 func (n *Node) sweep() {
-	if n.mayDetect() {
+	if n.canDetectFailures() {
 		n.detectFailures()
 	}
 	for _, id := range n.Endpoints.Expire(n.now) {
@@ -67,9 +67,9 @@
 	}
 }
 
-// mayDetect reports whether this process runs the failure detector: it is a replica, and it has been in contact with a majority
-// of the voters for long enough to have received what the others have.
-func (n *Node) mayDetect() bool {
+// canDetectFailures reports whether this process runs the failure detector: it is a replica, and its quorum contact has lasted long
+// enough to receive the heartbeats that the other replicas have received.
+func (n *Node) canDetectFailures() bool {
 	duration, hasContact := n.Gossip.QuorumContact()
 	return hasContact && n.self.Flags&gossip.FlagReplica != 0 && duration >= n.Endpoints.HeartbeatTimeout()
 }
--- a/internal/control/discovery/failure_test.go
+++ b/internal/control/discovery/failure_test.go
@@ -9,14 +9,14 @@
 	"notchhinge/internal/control/gossip"
 )
 
-// TestReplicasDetectFailuresForAll: endpoints send heartbeats to their home replicas; all nodes learn which has stopped, and which
-// goes on again.
+// TestReplicasDetectFailuresForAll checks that all nodes receive a suspicion after the heartbeats of an endpoint have stopped, and its
+// refutation after another heartbeat.
 func TestReplicasDetectFailuresForAll(t *testing.T) {
 	f := newFleet(30)
 	for k := range 4 {
 		reply, ok := f.heartbeat(20+k, k, 1, endpoints.StateReady)
 		if !ok || reply.Err != nil || reply.HomeReplica != testAddr(k%3) {
-			t.Fatalf("endpoint %d: %+v, want the home replica %d, of its zone", k, reply, k%3)
+			t.Fatalf("endpoint %d: reply %+v, want home replica %d, which is in its zone", k, reply, k%3)
 		}
 	}
 	for callCount := uint64(2); callCount < 8; callCount++ { // endpoint 3 has stopped
@@ -27,7 +27,7 @@
 	}
 	f.advance(time.Second)
 	if f.liveAt(0) != 30 || f.liveAt(3) != 0 {
-		t.Errorf("endpoint 0 is live at %d of 30 nodes, endpoint 3 at %d", f.liveAt(0), f.liveAt(3))
+		t.Errorf("endpoint 0 is live at %d of 30 nodes, want all; endpoint 3 at %d, want none", f.liveAt(0), f.liveAt(3))
 	}
 	f.heartbeat(25, 3, 2, endpoints.StateReady)
 	f.advance(time.Second)
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestIsolatedReplicaNeitherDetectsNorReplies: it would suspect endpoints that send heartbeats to others, and what it publishes
-// reaches nobody.
+// TestIsolatedReplicaNeitherDetectsNorReplies checks that a replica without quorum contact rejects heartbeats and suspects no endpoint.
+// It lacks the heartbeats that other processes receive, and its items reach no other node.
 func TestIsolatedReplicaNeitherDetectsNorReplies(t *testing.T) {
 	f := newFleet(12)
 	for k := range 3 {
@@ -57,12 +57,12 @@
 				for k := range 3 {
 					if reply, ok := f.heartbeat(k, k, callCount, endpoints.StateReady); !ok || errors.Is(reply.Err, ErrNoQuorumContact) {
 						rejected++
-						f.heartbeat(5+k, k, callCount, endpoints.StateReady) // the endpoint tries another process
+						f.heartbeat(5+k, k, callCount, endpoints.StateReady) // the endpoint retries at another process
 					}
 				}
 			}
 			if rejected < 5 || rejected > 8 {
-				t.Errorf("%d heartbeats were rejected", rejected)
+				t.Errorf("%d heartbeats were rejected, want 5 to 8", rejected)
 			}
 			for k := range 3 {
 				if n := f.liveAt(k); n != 12 {
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestGoneEndpointsAreForgotten: of endpoints that have deregistered or failed nothing is left at any node after a while, and no
-// node brings them back to others; and the items of a node do not grow with the healthy endpoints.
+// TestGoneEndpointsAreForgotten checks that the records and items of gone endpoints are removed from all nodes, and that no node sends
+// them to another one again.
 func TestGoneEndpointsAreForgotten(t *testing.T) {
 	f := newFleet(12)
 	for k := range 40 {
@@ -94,7 +94,7 @@
 	f.advance(time.Second)
 	for k := range 40 {
 		if n := f.liveAt(k); n > 0 {
-			t.Errorf("endpoint %d has deregistered and is live at %d of 12 nodes", k, n)
+			t.Errorf("endpoint %d has deregistered but is live at %d of 12 nodes", k, n)
 		}
 	}
 	for range 50 {
@@ -103,7 +103,7 @@
 	}
 	for i, n := range f.nodes {
 		if n.Endpoints.Len() != 1 || n.Gossip.ItemCount() > 2 {
-			t.Errorf("node %d knows %d endpoints, %d items", i, n.Endpoints.Len(), n.Gossip.ItemCount())
+			t.Errorf("node %d has %d endpoints, want 1, and %d items, want at most 2", i, n.Endpoints.Len(), n.Gossip.ItemCount())
 		}
 	}
 }
@@ -115,19 +115,19 @@
 	f.advance(time.Second)
 	for i, n := range f.idleDrops {
 		if n != 1 && i != 9 {
-			t.Errorf("node %d has got %d reports", i, n)
+			t.Errorf("node %d has %d reports, want 1", i, n)
 		}
 	}
 }
 
-// TestMalformedSuspicionIsIgnored: the key of a suspicion comes from the network.
+// TestMalformedSuspicionIsIgnored checks suspicions with keys that are too short or unknown.
 func TestMalformedSuspicionIsIgnored(t *testing.T) {
 	for _, key := range []string{"", "q", "q/", "q/unknown"} {
 		f := newFleet(2)
 		f.heartbeat(0, 1, 1, endpoints.StateReady)
-		f.nodes[1].learnItem(gossip.ItemLearned{Item: gossip.Item{Kind: itemSuspicion, Key: key, Version: 99}})
+		f.nodes[1].handleItem(gossip.ItemLearned{Item: gossip.Item{Kind: itemSuspicion, Key: key, Version: 99}})
 		if n := f.liveAt(1); n != 2 {
-			t.Errorf("key %q: the endpoint is live at %d of 2 nodes", key, n)
+			t.Errorf("key %q: the endpoint is live at %d of 2 nodes, want both", key, n)
 		}
 	}
 }
--- a/internal/control/discovery/fleet_test.go
+++ b/internal/control/discovery/fleet_test.go
@@ -16,15 +16,15 @@
 	testReplicas      = 3 // the first nodes of a fleet
 )
 
-// fleet is nodes with a simulated network that delivers at once. Node i has the zone i%3.
+// fleet is a set of nodes on a simulated network that delivers packets at once. Node i has the zone i%3.
 type fleet struct {
 	nodes       []*Node
 	now         time.Duration
-	isLost      func(from, to int) bool // packets that are lost
+	isLost      func(from, to int) bool // whether a packet is lost
 	lastRequest RequestID
 	replies     map[RequestID]Reply
-	idleDrops   []int // reports to each node
-	sentBytes   []int // by each node
+	idleDrops   []int // number of IdleDropReported effects by node
+	sentBytes   []int // by node, with IPv4 and UDP headers
 }
 
 func newFleet(size int) *fleet {
@@ -60,10 +60,10 @@
 	return addrs
 }
 
-// heal ends all faults of the network.
+// heal removes all network faults.
 func (f *fleet) heal() { f.isLost = func(int, int) bool { return false } }
 
-// reduce gives a node an event, and delivers all packets that follow from it.
+// reduce passes an event to a node, and delivers all packets that result from it, directly or indirectly.
 func (f *fleet) reduce(i int, e Event) {
 	type delivery struct {
 		to    int
@@ -88,7 +88,7 @@
 	}
 }
 
-// advance lets time pass.
+// advance advances the clock in steps, and runs the due timers of all nodes after each.
 func (f *fleet) advance(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.now += 100 * time.Millisecond
@@ -102,14 +102,14 @@
 
 func endpointID(k int) string { return fmt.Sprint("i-", k) }
 
-// testRecord is the record of endpoint k, whose zone is k%3.
+// testRecord returns a record of endpoint k. Its zone is that of node k%3.
 func testRecord(k int, callCount uint64, s endpoints.State) endpoints.Record {
 	return endpoints.Record{
 		ID: endpointID(k), Service: "s", Addr: fmt.Sprintf("10.9.0.%d:80", k), Zone: strings.Repeat("z", k%3), CallCount: callCount, State: s,
 	}
 }
 
-// heartbeat sends a heartbeat of endpoint k to a node, and returns the reply if there is one yet.
+// heartbeat sends a heartbeat of endpoint k to a node, and returns the reply if it is available at once.
 func (f *fleet) heartbeat(node, k int, callCount uint64, s endpoints.State) (Reply, bool) {
 	f.lastRequest++
 	request := f.lastRequest
@@ -118,7 +118,7 @@
 	return reply, ok
 }
 
-// deregister deregisters endpoint k at a node, and returns the reply if there is one yet.
+// deregister deregisters endpoint k at a node, and returns the reply if it is available at once.
 func (f *fleet) deregister(node, k int) (Reply, bool) {
 	f.lastRequest++
 	request := f.lastRequest
@@ -127,7 +127,7 @@
 	return reply, ok
 }
 
-// liveAt counts the nodes at which endpoint k is live.
+// liveAt returns the number of nodes at which endpoint k is live.
 func (f *fleet) liveAt(k int) (count int) {
 	for _, n := range f.nodes {
 		for _, e := range n.Endpoints.Live("s") {
--- a/internal/control/discovery/golden_test.go
+++ b/internal/control/discovery/golden_test.go
@@ -10,7 +10,7 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// goldenPair is a node whose datagrams are compared with golden files, and a node that gets the bytes of these files.
+// goldenPair is a node whose datagrams are compared with golden files, and a node that receives the golden files as datagrams.
 type goldenPair struct {
 	from, to *Node
 	now      time.Duration
@@ -34,11 +34,11 @@
 	return p
 }
 
-// send gives the one node an event, after which it must send the datagram of a golden file, and the other node that file. It
-// returns the effects there.
+// send passes an event to node from and compares the urgent datagram that it sends with a golden file. It then passes the golden file
+// to node to, and returns the effects.
 func (p *goldenPair) send(t *testing.T, name string, e Event) []Effect {
 	t.Helper()
-	const kindUrgentItems = 6 // of a datagram
+	const kindUrgentItems = 6 // fourth byte of a datagram
 	p.now += time.Millisecond
 	var got []SendPacket
 	for _, f := range p.from.Reduce(p.now, p.wallMS, e) {
@@ -47,7 +47,7 @@
 		}
 	}
 	if len(got) != 1 || got[0].To != testAddr(2) {
-		t.Fatalf("%s: datagrams %v", name, got)
+		t.Fatalf("%s: datagrams %v, want one to the other node", name, got)
 	}
 	golden.Check(t, name+".hex", got[0].Payload)
 	return p.to.Reduce(p.now, p.wallMS, Gossip{gossip.PacketReceived{Payload: golden.Read(t, name+".hex")}})
@@ -61,18 +61,18 @@
 			return f
 		}
 	}
-	t.Errorf("no %T in %+v", found, effects)
+	t.Errorf("no %T among the effects %+v", found, effects)
 	return found
 }
 
-// TestGoldenItems: items leave in the same datagrams as before, and a process that receives such a datagram learns the same.
+// TestGoldenItems checks that the encoding of each item does not change, and that a process handles the golden datagrams correctly.
 func TestGoldenItems(t *testing.T) {
 	p := newGoldenPair(t)
 	record := endpoints.Record{ID: "engine-1", Service: "scribe", Addr: "10.0.0.5:8000", Zone: "a", Revision: "r7", Slots: 12, CallCount: 300}
 	p.send(t, "item-endpoint", Heartbeat{Record: record})
 	e := p.to.Endpoints.Find(record.ID)
 	if e == nil {
-		t.Fatal("the endpoint is not known")
+		t.Fatal("the receiver does not know the endpoint")
 	}
 	golden.Equal(t, "the record", record, e.Record)
 
@@ -100,13 +100,13 @@
 	}
 }
 
-// TestLargestRecordsFit: the record of an engine with names as long as the API takes them is within a gossip item.
+// TestLargestRecordsFit checks that the record of an endpoint with names of the maximum length fits into a gossip item.
 func TestLargestRecordsFit(t *testing.T) {
-	name := strings.Repeat("x", 200) // as in package api
+	name := strings.Repeat("x", 200) // limit of package api
 	i := endpointItem(&endpoints.Record{
 		ID: name, Service: name, Addr: name, Zone: name, Revision: name, Slots: 1 << 20, State: endpoints.StateGone, CallCount: 1 << 60, WarmAtMS: 1 << 62,
 	})
 	if n := len(i.Key) + len(i.Body); n > gossip.MaxItemBytes {
-		t.Errorf("%d bytes of %d", n, gossip.MaxItemBytes)
+		t.Errorf("the item has %d bytes, more than %d", n, gossip.MaxItemBytes)
 	}
 }
--- a/internal/control/discovery/heartbeat.go
+++ b/internal/control/discovery/heartbeat.go
@@ -8,9 +8,9 @@
 	"notchhinge/internal/limits"
 )
 
-// handleHeartbeat takes in a heartbeat from an endpoint and replies to it, at once or after acknowledgements.
+// handleHeartbeat handles a heartbeat from an endpoint, and replies at once or after acknowledgements.
 func (n *Node) handleHeartbeat(h Heartbeat) {
-	if !n.hasQuorumContact() { // neither the heartbeat nor the record would reach anybody who acts on it
+	if !n.hasQuorumContact() { // neither the heartbeat nor the record would reach a replica in quorum contact
 		n.reject(h.Request, ErrNoQuorumContact)
 		return
 	}
@@ -19,7 +19,7 @@
 	switch e := n.Endpoints.Find(r.ID); {
 	case e == nil:
 		n.reject(h.Request, ErrTooManyEndpoints)
-	case r.State == endpoints.StateReady && n.lacksReplicas(): // the record is disseminated, but no replica learns of the heartbeat
+	case r.State == endpoints.StateReady && n.lacksResponsiveReplica(): // the record is disseminated, but no replica receives the heartbeat
 		n.reject(h.Request, ErrNoQuorumContact)
 	case r.State != endpoints.StateReady && e.State != endpoints.StateReady:
 		n.replyOnceAcked(h.Request, &e.Record)
@@ -28,7 +28,7 @@
 	}
 }
 
-// recordHeartbeat updates the registry, publishes changed records and reports the heartbeat to the replicas.
+// recordHeartbeat updates the registry, publishes the changed records, and reports the heartbeat to the replicas.
 func (n *Node) recordHeartbeat(r *endpoints.Record) {
 	wasSuspect := n.isSuspect(r.ID)
 	changed, isNew := n.Endpoints.Heartbeat(n.now, *r, n.wallMS)
@@ -40,14 +40,14 @@
 		}
 	}
 	if isNew {
-		n.queue = append(n.queue, gossip.HeartbeatObserved{Heartbeat: gossip.Heartbeat{Key: gossip.Hash(r.ID), Sequence: r.CallCount}})
+		n.gossipEvents = append(n.gossipEvents, gossip.HeartbeatObserved{Heartbeat: gossip.Heartbeat{Key: gossip.Hash(r.ID), Sequence: r.CallCount}})
 	}
 	if wasSuspect {
-		n.announceRecovery(r.ID)
+		n.refuteIfRecovered(r.ID)
 	}
 }
 
-// handleDeregister takes in the deregistration of an endpoint, and replies after acknowledgements.
+// handleDeregister handles the deregistration of an endpoint, and replies after acknowledgements.
 func (n *Node) handleDeregister(d Deregister) {
 	if !n.hasQuorumContact() {
 		n.reject(d.Request, ErrNoQuorumContact)
@@ -69,17 +69,17 @@
 	return hasContact
 }
 
-// lacksReplicas reports whether this is a router that knows no responsive replica, as after its start.
-func (n *Node) lacksReplicas() bool {
+// lacksResponsiveReplica reports whether this process is not a replica and knows no responsive one, as after its start.
+func (n *Node) lacksResponsiveReplica() bool {
 	return n.self.Flags&gossip.FlagReplica == 0 && len(n.Gossip.ResponsiveReplicas()) == 0
 }
 
 func (n *Node) reject(request RequestID, err error) {
-	n.out = append(n.out, Reply{Request: request, Err: err})
+	n.effects = append(n.effects, Reply{Request: request, Err: err})
 }
 
 func (n *Node) reply(request RequestID, r *endpoints.Record) {
-	n.out = append(n.out, Reply{Request: request, HomeReplica: n.homeReplica(r)})
+	n.effects = append(n.effects, Reply{Request: request, HomeReplica: n.homeReplica(r)})
 }
 
 // pendingReply is a reply that waits for acknowledgements of a record.
@@ -88,37 +88,37 @@
 	record  endpoints.Record
 }
 
-// replyOnceAcked replies once enough other processes have acknowledged the record of an endpoint that drains or is gone. It sends
-// the record until they have acknowledged it to this process, even if they have it from another one, which may have failed since,
-// and they with it.
+// replyOnceAcked replies after enough other processes have acknowledged the record of a draining or gone endpoint to this process.
+// It does not count that another process may have distributed the record: that process and the ones that acknowledged to it may
+// have failed since.
 func (n *Node) replyOnceAcked(request RequestID, r *endpoints.Record) {
 	if n.ackedState[r.ID] >= r.State {
 		n.reply(request, r)
 		return
 	}
 	n.lastBroadcastID++
-	n.waiting[n.lastBroadcastID] = pendingReply{request: request, record: *r}
-	n.queue = append(n.queue, gossip.UrgentBroadcast{ID: n.lastBroadcastID, MinAcks: limits.DrainAckPeers, Items: []gossip.Item{endpointItem(r)}})
+	n.pendingReplies[n.lastBroadcastID] = pendingReply{request: request, record: *r}
+	n.gossipEvents = append(n.gossipEvents, gossip.UrgentBroadcast{ID: n.lastBroadcastID, MinAcks: limits.DrainAckPeers, Items: []gossip.Item{endpointItem(r)}})
 }
 
-// completeReply replies to a request whose broadcast has ended.
-func (n *Node) completeReply(c gossip.BroadcastCompleted) {
-	w, ok := n.waiting[c.ID]
+// completeReply replies to the request that waited for a broadcast.
+func (n *Node) completeReply(completed gossip.BroadcastCompleted) {
+	pending, ok := n.pendingReplies[completed.ID]
 	if !ok {
 		return
 	}
-	delete(n.waiting, c.ID)
-	if !c.Sufficient {
-		n.reject(w.request, ErrNotAcknowledged)
+	delete(n.pendingReplies, completed.ID)
+	if !completed.Sufficient {
+		n.reject(pending.request, ErrNotAcknowledged)
 		return
 	}
-	n.ackedState[w.record.ID] = max(n.ackedState[w.record.ID], w.record.State)
-	n.reply(w.request, &w.record)
+	n.ackedState[pending.record.ID] = max(n.ackedState[pending.record.ID], pending.record.State)
+	n.reply(pending.request, &pending.record)
 }
 
-// homeReplica is the replica that should receive an endpoint's heartbeats: a responsive one in the endpoint's zone, by rendezvous
-// hashing, so that replicas share the load. A heartbeat at any other process has to be forwarded. The result is invalid if there is
-// none.
+// homeReplica returns the address of the replica that should receive an endpoint's heartbeats; invalid if there is none. Rendezvous
+// hashing picks it from the responsive replicas in the endpoint's zone, which balances their load. Any other process would have to
+// forward the heartbeats.
 func (n *Node) homeReplica(r *endpoints.Record) (home netip.AddrPort) {
 	zone, highest := n.zoneHash(r.Zone), uint64(0)
 	var candidates []gossip.Peer
--- a/internal/control/discovery/items.go
+++ b/internal/control/discovery/items.go
@@ -8,10 +8,10 @@
 
 // Kinds of gossip items.
 const (
-	itemEndpoint  uint8 = iota + 1 // an endpoint's record; the version is its CallCount and its State
-	itemConfig                     // a configuration exists; the version is its log index
-	itemIdleDrop                   // an endpoint has dropped an idle connection; the version is the wall time in ms
-	itemSuspicion                  // a suspicion or refutation; the version is the CallCount, and a bit that is set for a suspicion
+	itemEndpoint  uint8 = iota + 1 // record of an endpoint; the version contains its CallCount and State
+	itemConfig                     // announcement of a configuration; the version is its log index
+	itemIdleDrop                   // report of an idle drop; the version is about the wall time in ms
+	itemSuspicion                  // suspicion or refutation; the version contains the CallCount, and the lowest bit is set for a suspicion
 )
 
 // Keys of gossip items, and their prefixes.
@@ -26,18 +26,18 @@
 	return gossip.Item{Kind: itemEndpoint, Key: endpointPrefix + r.ID, Version: r.CallCount<<2 | uint64(r.State), Body: r.Encode()}
 }
 
-func suspicionItem(x endpoints.Suspicion) gossip.Item {
-	i := gossip.Item{Kind: itemSuspicion, Key: suspicionPrefix + x.ID, Version: x.CallCount << 1}
-	if x.Suspect {
-		i.Version |= 1
+func suspicionItem(suspicion endpoints.Suspicion) gossip.Item {
+	item := gossip.Item{Kind: itemSuspicion, Key: suspicionPrefix + suspicion.ID, Version: suspicion.CallCount << 1}
+	if suspicion.Suspect {
+		item.Version |= 1
 	}
-	return i
+	return item
 }
 
-// suspicionOf decodes a suspicion item. The prefix of the key is not checked: a key from the network may be shorter.
-func suspicionOf(i *gossip.Item) endpoints.Suspicion {
-	id := i.Key[min(len(suspicionPrefix), len(i.Key)):]
-	return endpoints.Suspicion{ID: id, CallCount: i.Version >> 1, Suspect: i.Version&1 != 0}
+// suspicionOf decodes a suspicion item. A key from the network may be shorter than the prefix, which is not checked.
+func suspicionOf(item *gossip.Item) endpoints.Suspicion {
+	id := item.Key[min(len(suspicionPrefix), len(item.Key)):]
+	return endpoints.Suspicion{ID: id, CallCount: item.Version >> 1, Suspect: item.Version&1 != 0}
 }
 
 func configItem(index uint64) gossip.Item {
@@ -50,41 +50,40 @@
 	return gossip.Item{Kind: itemIdleDrop, Key: idleDropKey, Version: version}
 }
 
-// isStale reports whether an item of another process is not to be taken over: the record of an endpoint that has been gone for
-// long, or a malformed one.
-func (n *Node) isStale(i *gossip.Item) bool {
-	if i.Kind != itemEndpoint {
+// isStale reports whether an item of another process must be ignored: a stale record of a gone endpoint, or a malformed record.
+func (n *Node) isStale(item *gossip.Item) bool {
+	if item.Kind != itemEndpoint {
 		return false
 	}
-	r, err := endpoints.Decode(i.Body)
-	return err != nil || endpointPrefix+r.ID != i.Key || r.IsStale(n.wallMS)
+	r, err := endpoints.Decode(item.Body)
+	return err != nil || endpointPrefix+r.ID != item.Key || r.IsStale(n.wallMS)
 }
 
-// learnItem takes in an item that is new here.
-func (n *Node) learnItem(l gossip.ItemLearned) {
-	switch i := &l.Item; i.Kind {
+// handleItem handles a new item from another process.
+func (n *Node) handleItem(learned gossip.ItemLearned) {
+	switch item := &learned.Item; item.Kind {
 	case itemEndpoint:
-		n.learnRecord(i)
+		n.mergeRecord(item)
 	case itemSuspicion:
-		n.learnSuspicion(suspicionOf(i))
+		n.mergeSuspicion(suspicionOf(item))
 	case itemIdleDrop:
 		n.lastIdleDrop = n.now
-		n.out = append(n.out, IdleDropReported{})
+		n.effects = append(n.effects, IdleDropReported{})
 	case itemConfig:
-		n.out = append(n.out, ConfigAnnounced{Index: i.Version, From: l.From})
+		n.effects = append(n.effects, ConfigAnnounced{Index: item.Version, From: learned.From})
 	}
 }
 
-func (n *Node) learnRecord(i *gossip.Item) {
-	r, err := endpoints.Decode(i.Body)
+func (n *Node) mergeRecord(item *gossip.Item) {
+	r, err := endpoints.Decode(item.Body)
 	if err != nil {
-		return // isStale has decoded it before
+		return // cannot happen: isStale rejects malformed records
 	}
 	if len(n.Endpoints.Merge(n.now, r)) > 0 {
 		n.endpointsChanged = true
 		n.idByHash[gossip.Hash(r.ID)] = r.ID
 	}
-	if s, ok := n.Gossip.Item(suspicionPrefix + r.ID); ok { // it may have arrived before the record
-		n.learnSuspicion(suspicionOf(&s))
+	if suspicion, ok := n.Gossip.Item(suspicionPrefix + r.ID); ok { // may have arrived before the record
+		n.mergeSuspicion(suspicionOf(&suspicion))
 	}
 }
--- a/internal/control/discovery/node.go
+++ b/internal/control/discovery/node.go
@@ -8,49 +8,49 @@
 	"notchhinge/internal/limits"
 )
 
-// Node is one process's part. It is not safe for concurrent use.
+// Node is the discovery state of one process. It is not safe for concurrent use.
 type Node struct {
 	Gossip    *gossip.Node
 	Endpoints *endpoints.Registry
 
-	self     gossip.Peer
-	zoneHash func(string) uint32
-	now      time.Duration
-	wallMS   int64
-	queue    []gossip.Event // for the gossip node
-	out      []Effect
+	self         gossip.Peer
+	zoneHash     func(string) uint32
+	now          time.Duration
+	wallMS       int64
+	gossipEvents []gossip.Event // queued for the gossip node
+	effects      []Effect
 
-	idByHash         map[uint64]string          // ids of endpoints by their hashes, which heartbeats carry
-	ackedState       map[string]endpoints.State // by endpoint: the state that others have acknowledged to this process
-	waiting          map[gossip.BroadcastID]pendingReply
+	idByHash         map[uint64]string          // endpoint ids by the key hash in heartbeats
+	ackedState       map[string]endpoints.State // by endpoint id: the latest state that other processes have acknowledged to this one
+	pendingReplies   map[gossip.BroadcastID]pendingReply
 	lastBroadcastID  gossip.BroadcastID
-	endpointsChanged bool          // since the last EndpointsChanged
-	nextSweep        time.Duration // of expired records and failed endpoints
-	lastIdleDrop     time.Duration // when one was last announced, here or elsewhere; 0 = never
+	endpointsChanged bool          // since the last EndpointsChanged effect
+	nextSweep        time.Duration // next run of the failure detector and of the removal of expired records
+	lastIdleDrop     time.Duration // when an idle drop was last announced by any process; 0 = never
 }
 
-// New returns a node that knows no peers. heartbeatTimeout is the time without a heartbeat after which an endpoint becomes
-// suspect; zoneHash hashes the name of a zone as peers do for their Zone.
+// New returns a node without peers or endpoints. An endpoint without a heartbeat for heartbeatTimeout becomes suspect. zoneHash hashes
+// the name of a zone as for [gossip.Peer].Zone.
 func New(self gossip.Peer, seed uint64, heartbeatTimeout time.Duration, zoneHash func(string) uint32) *Node {
 	n := &Node{
 		Gossip: gossip.New(self, seed), Endpoints: endpoints.New(heartbeatTimeout), self: self, zoneHash: zoneHash,
-		idByHash: map[uint64]string{}, ackedState: map[string]endpoints.State{}, waiting: map[gossip.BroadcastID]pendingReply{},
+		idByHash: map[uint64]string{}, ackedState: map[string]endpoints.State{}, pendingReplies: map[gossip.BroadcastID]pendingReply{},
 	}
 	n.Gossip.IsStale = n.isStale
 	return n
 }
 
-// NextTimer returns when the node expects a [gossip.Tick].
+// NextTimer returns the time at which the node needs its next [gossip.Tick].
 func (n *Node) NextTimer() time.Duration { return min(n.Gossip.NextTimer(), n.nextSweep) }
 
-// Reduce handles an event at the time now; wallMS is the wall time. The effects are valid until the next call.
+// Reduce handles an event at the time now, and returns its effects, which are valid until the next call. wallMS is the wall time.
 func (n *Node) Reduce(now time.Duration, wallMS int64, e Event) []Effect {
 	n.now, n.wallMS = max(n.now, now), wallMS
-	clear(n.out)
-	n.out = n.out[:0]
+	clear(n.effects)
+	n.effects = n.effects[:0]
 	switch e := e.(type) {
 	case Gossip:
-		n.queue = append(n.queue, e.Event)
+		n.gossipEvents = append(n.gossipEvents, e.Event)
 	case Heartbeat:
 		n.handleHeartbeat(e)
 	case Deregister:
@@ -68,40 +68,41 @@
 	}
 	if n.endpointsChanged {
 		n.endpointsChanged = false
-		n.out = append(n.out, EndpointsChanged{})
+		n.effects = append(n.effects, EndpointsChanged{})
 	}
-	return n.out
+	return n.effects
 }
 
-// runGossip gives the gossip node the queued events, and handles its effects, which may queue further events.
+// runGossip passes the queued events to the gossip node and handles its effects, which may queue further events.
 func (n *Node) runGossip() {
-	for len(n.queue) > 0 {
-		e := n.queue[0]
-		n.queue = n.queue[1:]
-		for _, f := range n.Gossip.Reduce(n.now, e) {
-			switch f := f.(type) {
+	for len(n.gossipEvents) > 0 {
+		e := n.gossipEvents[0]
+		n.gossipEvents = n.gossipEvents[1:]
+		for _, effect := range n.Gossip.Reduce(n.now, e) {
+			switch effect := effect.(type) {
 			case gossip.SendPacket:
-				n.out = append(n.out, SendPacket(f))
+				n.effects = append(n.effects, SendPacket(effect))
 			case gossip.ItemLearned:
-				n.learnItem(f)
+				n.handleItem(effect)
 			case gossip.HeartbeatLearned:
-				n.learnHeartbeat(f)
+				n.mergeHeartbeat(effect)
 			case gossip.BroadcastCompleted:
-				n.completeReply(f)
+				n.completeReply(effect)
 			}
 		}
 	}
-	n.queue = nil
+	n.gossipEvents = nil
 }
 
-// publish queues an item that goes out at once.
-func (n *Node) publish(i gossip.Item) {
-	n.queue = append(n.queue, gossip.UrgentBroadcast{Items: []gossip.Item{i}})
+// publish queues an urgent broadcast of an item.
+func (n *Node) publish(item gossip.Item) {
+	n.gossipEvents = append(n.gossipEvents, gossip.UrgentBroadcast{Items: []gossip.Item{item}})
 }
 
-// announceIdleDrop reports an idle drop to this process, and to others unless that was announced lately.
+// announceIdleDrop emits [IdleDropReported], and publishes the idle drop to other processes, at most once per
+// [limits.StaleConnGossipInterval].
 func (n *Node) announceIdleDrop() {
-	n.out = append(n.out, IdleDropReported{})
+	n.effects = append(n.effects, IdleDropReported{})
 	if n.lastIdleDrop != 0 && n.now-n.lastIdleDrop <= limits.StaleConnGossipInterval {
 		return
 	}
