--- a/internal/control/discovery/heartbeat.go
+++ b/internal/control/discovery/heartbeat.go
@@ -89,8 +89,7 @@
 }
 
 // replyOnceAcked replies after enough other processes have acknowledged the record of a draining or gone endpoint to this process.
-// It does not count that another process may have distributed the record: that process and the ones that acknowledged to it may
-// have failed since.
+// Acknowledgements to another process do not count: that process, and the ones that acknowledged to it, may have failed since.
 func (n *Node) replyOnceAcked(request RequestID, r *endpoints.Record) {
 	if n.ackedState[r.ID] >= r.State {
 		n.reply(request, r)
--- a/internal/control/endpoints/record.go
+++ b/internal/control/endpoints/record.go
@@ -27,7 +27,7 @@
 	Slots     uint64 // maximum number of concurrent requests
 	State     State
 	CallCount uint64 // number of the heartbeat that first reported this record
-	WarmAtMS  int64  // wall time at which slow start ends; 0 = no slow start. In StateGone: wall time at which it ended
+	WarmAtMS  int64  // wall time at which slow start ends; 0 = no slow start. In StateGone: wall time at which the endpoint ended
 }
 
 const (
@@ -87,8 +87,8 @@
 		cmp.Compare(r.Slots, old.Slots), cmp.Compare(r.WarmAtMS, old.WarmAtMS)) > 0
 }
 
-// equalsExceptTimes reports whether two records are equal apart from CallCount and WarmAtMS.
-func (r *Record) equalsExceptTimes(old *Record) bool {
+// hasSameContent reports whether two records are equal apart from CallCount and WarmAtMS.
+func (r *Record) hasSameContent(old *Record) bool {
 	x, y := *r, *old
 	x.CallCount, y.CallCount, x.WarmAtMS, y.WarmAtMS = 0, 0, 0, 0
 	return x == y
--- a/internal/control/endpoints/registry.go
+++ b/internal/control/endpoints/registry.go
@@ -71,7 +71,7 @@
 		return nil, false
 	}
 	s.recordHeartbeat(e, r.CallCount, now)
-	if r.equalsExceptTimes(&e.Record) {
+	if r.hasSameContent(&e.Record) {
 		return nil, true
 	}
 	return s.Merge(now, r), true
--- a/internal/control/gossip/antientropy.go
+++ b/internal/control/gossip/antientropy.go
@@ -92,8 +92,8 @@
 	n.sendRangeDigests(p.from.Addr, largeRanges)
 }
 
-// sendRangeVersions sends the versions of ranges. If they need more than maxResponsePackets, it picks random ranges: some may
-// differ for long, because one of the two nodes rejects an obsolete item, and must not displace the others each time.
+// sendRangeVersions sends the versions of ranges. If they need more than maxResponsePackets, it picks random ranges. A fixed choice could
+// repeat the same ranges in every comparison: a range differs for as long as one of the nodes rejects an obsolete item of it.
 func (n *Node) sendRangeVersions(to netip.AddrPort, ranges []keyRange) {
 	all := make([]rangeVersions, len(ranges))
 	for i, r := range ranges {
--- a/internal/control/gossip/broadcast.go
+++ b/internal/control/gossip/broadcast.go
@@ -36,14 +36,13 @@
 	n.broadcastQueue = nil
 }
 
-// forwardNow sends the queued items to random peers without waiting for the next round. It skips the peer except, from which
-// they came.
-func (n *Node) forwardNow(except PeerID) {
+// forwardNow sends the queued items to random peers without waiting for the next round. It skips the peer source, which has sent them.
+func (n *Node) forwardNow(source PeerID) {
 	if len(n.broadcastQueue) == 0 {
 		return
 	}
 	for _, peer := range n.randomPeers(Fanout) {
-		if peer.ID != except {
+		if peer.ID != source {
 			n.sendItems(peer.Addr, n.broadcastQueue, kindItems, 0)
 		}
 	}
--- a/internal/control/gossip/codec.go
+++ b/internal/control/gossip/codec.go
@@ -10,7 +10,7 @@
 // Layout of a datagram: "nh", the format version, the kind, the sender, and the fields of the kind.
 const (
 	formatVersion  = 2
-	prefixBytes    = 4  // up to the sender
+	prefixBytes    = 4  // before the sender
 	packetOverhead = 64 // upper bound of the encoded size of a packet without its items or versions
 )
 
--- a/internal/control/gossip/heartbeats.go
+++ b/internal/control/gossip/heartbeats.go
@@ -10,7 +10,7 @@
 
 // Heartbeat reports that an endpoint sent its heartbeat number Sequence AgeMS milliseconds ago.
 type Heartbeat struct {
-	Key      uint64 // [Hash] of the endpoint's key
+	Key      uint64 // [Hash] of the endpoint's id
 	Sequence uint64
 	AgeMS    uint64
 }
@@ -150,8 +150,9 @@
 	}
 }
 
-// relayMissed compares the replica's new list of heard replicas with its previous one. For each replica that is no longer on it,
-// it relays the heartbeats which that replica reported within relayWindow: they may have been lost, and each is reported only once.
+// relayMissed compares the list of heard replicas in a packet of r with the previous list. For each replica that is no longer listed,
+// it queues for r the heartbeats that this replica reported within relayWindow: they may not have reached r, and each is reported
+// only once.
 func (n *Node) relayMissed(r *replicaState, p *packet) {
 	if !n.self.isReplica() {
 		return
--- a/internal/control/gossip/shuffle.go
+++ b/internal/control/gossip/shuffle.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// dropUnresponsive drops peers with overdue responses and expired replicas. It goes by id, which makes the order of lostPeers
-// deterministic.
+// dropUnresponsive drops peers with overdue responses, and expired replicas. It iterates in the order of ids, which makes the order of
+// lostPeers deterministic.
 func (n *Node) dropUnresponsive() {
 	for _, id := range sortedKeys(n.view) {
 		if s := n.view[id]; s.isResponseOverdue(n.now) {
--- a/internal/control/gossip/urgent.go
+++ b/internal/control/gossip/urgent.go
@@ -82,7 +82,7 @@
 }
 
 // handleUrgentItems stores urgent items, acknowledges them, and forwards new ones at once. A replica without quorum contact sends
-// no acknowledgement: it is in a minority partition, where its items do not reach the other nodes.
+// no acknowledgement: it may be in a minority partition, from which items do not reach the other nodes.
 func (n *Node) handleUrgentItems(p *packet) {
 	n.mergeReceivedItems(p)
 	if _, hasContact := n.QuorumContact(); hasContact || !n.self.isReplica() {
--- a/internal/control/gossip/view.go
+++ b/internal/control/gossip/view.go
@@ -58,7 +58,7 @@
 	return peers
 }
 
-// ZoneOf returns the zone of the machine at an address. It is known if the node has a peer there.
+// ZoneOf returns the zone of the machine at an address. isKnown is false if the node knows no peer there.
 func (n *Node) ZoneOf(addr netip.Addr) (zone uint32, isKnown bool) {
 	for _, r := range n.replicas {
 		if r.Addr.Addr() == addr {
@@ -103,7 +103,7 @@
 	if n.view[p.ID] != nil || len(n.view) >= viewSize && n.rng.IntN(2) == 0 {
 		return
 	}
-	n.addToView(p).lastHeard = n.now - 1 // before that of a peer which sends a packet now
+	n.addToView(p).lastHeard = n.now - 1 // shuffle prefers it to peers that have just sent a packet
 }
 
 // addToView adds a peer to the view. If the view is full, it replaces a random peer.
