--- a/internal/control/gossip/broadcast.go
+++ b/internal/control/gossip/broadcast.go
@@ -2,48 +2,48 @@
 
 import "net/netip"
 
-// broadcast stores items of this node and queues those that are new.
+// broadcast stores items of this node, and queues the new ones for the next round.
 func (n *Node) broadcast(e Broadcast) {
-	for _, i := range e.Items {
-		if i.fits() && n.items.merge(i) {
-			n.broadcastQueue = append(n.broadcastQueue, i)
+	for _, item := range e.Items {
+		if item.fits() && n.items.merge(item) {
+			n.broadcastQueue = append(n.broadcastQueue, item)
 		}
 	}
 }
 
-// learnItems stores items from another node and queues those that are new here, so that they are passed on.
-func (n *Node) learnItems(p *packet) {
-	for _, i := range p.items {
-		if !i.fits() || n.IsStale != nil && n.IsStale(&i) || !n.items.merge(i) {
+// mergeReceivedItems stores items from another node, and queues the new ones to be passed on.
+func (n *Node) mergeReceivedItems(p *packet) {
+	for _, item := range p.items {
+		if !item.fits() || n.IsStale != nil && n.IsStale(&item) || !n.items.merge(item) {
 			continue
 		}
-		n.out = append(n.out, ItemLearned{Item: i, From: p.from})
+		n.effects = append(n.effects, ItemLearned{Item: item, From: p.from})
 		if len(n.broadcastQueue) < maxQueuedItems {
-			n.broadcastQueue = append(n.broadcastQueue, i)
+			n.broadcastQueue = append(n.broadcastQueue, item)
 		}
 	}
 }
 
-// sendBroadcast sends the queued items to random peers. Without a peer they stay queued.
+// sendBroadcast sends the queued items to random peers. If the view is empty, they stay queued.
 func (n *Node) sendBroadcast() {
 	peers := n.randomPeers(Fanout)
 	if len(peers) == 0 {
 		return
 	}
-	for _, s := range peers {
-		n.sendItems(s.Addr, n.broadcastQueue, kindItems, 0)
+	for _, peer := range peers {
+		n.sendItems(peer.Addr, n.broadcastQueue, kindItems, 0)
 	}
 	n.broadcastQueue = nil
 }
 
-// forwardNow sends the queued items to random peers, without waiting for the next round, except to the peer that they came from.
-func (n *Node) forwardNow(except PeerID) {
+// forwardNow sends the queued items to random peers without waiting for the next round. It skips the peer source, which has sent them.
+func (n *Node) forwardNow(source PeerID) {
 	if len(n.broadcastQueue) == 0 {
 		return
 	}
-	for _, s := range n.randomPeers(Fanout) {
-		if s.ID != except {
-			n.sendItems(s.Addr, n.broadcastQueue, kindItems, 0)
+	for _, peer := range n.randomPeers(Fanout) {
+		if peer.ID != source {
+			n.sendItems(peer.Addr, n.broadcastQueue, kindItems, 0)
 		}
 	}
 	n.broadcastQueue = nil
