--- a/internal/config/nodeconfig/load.go
+++ b/internal/config/nodeconfig/load.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// EnvVar is the environment variable that names the settings file.
+// EnvVar is the environment variable that holds the path of the settings file.
 const EnvVar = "NOTCHHINGE_BOOT"
 
-// FieldErrors are all that is wrong with a settings file, sorted by key.
+// FieldErrors lists all errors of a settings file, sorted by key.
 type FieldErrors []error
 
-// Error has one line for each.
+// Error returns one line for each error.
 func (f FieldErrors) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, err := range f {
@@ -23,7 +23,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads and checks a settings file. If the file can be read but is wrong, the error is FieldErrors.
+// Load reads and checks a settings file. If the file can be read but is invalid, the error is FieldErrors.
 func Load(path string) (*Config, error) {
 	if path == "" {
 		return nil, errors.New(EnvVar + " is not set")
@@ -33,15 +33,15 @@
 		return nil, fmt.Errorf("read settings: %w", err)
 	}
 	c, err := Parse(text)
-	if fields, ok := errors.AsType[FieldErrors](err); ok {
-		for i := range fields {
-			fields[i] = fmt.Errorf("%s: %w", path, fields[i])
+	if fieldErrs, ok := errors.AsType[FieldErrors](err); ok {
+		for i := range fieldErrs {
+			fieldErrs[i] = fmt.Errorf("%s: %w", path, fieldErrs[i])
 		}
 	}
 	return c, err
 }
 
-// Parse reads and checks settings, and fills in defaults. The error is FieldErrors.
+// Parse decodes settings, sets defaults for absent keys and checks the result. The error is FieldErrors.
 func Parse(text []byte) (*Config, error) {
 	c := &Config{HeartbeatIntervalMS: 1500, Bounds: Bounds{
 		ContactMS: 4000, DrainTimeoutMS: 3000, GracePeriodS: 6, ConfigApplyMS: 3000, LeaseMS: 3000, UsageWindowS: 5, UsageDelayS: 10,
--- a/internal/config/nodeconfig/nodeconfig_test.go
+++ b/internal/config/nodeconfig/nodeconfig_test.go
@@ -17,8 +17,8 @@
  "request_limits":{"cpu_fraction":0.3,"cpu_cores":1,"memory_mb":280,"max_open_files":4096},
  "cloud_api":{"address":"10.200.0.1:80","duties":["autoscaler"]},"bounds":{"lease_ms":2000},"later_field":{"x":[1]}}`
 
-// change replaces a part of the valid settings, which must be in them.
-func change(t *testing.T, from, to string) []byte {
+// replaceSetting returns the valid settings with one text replaced; from must occur in them.
+func replaceSetting(t *testing.T, from, to string) []byte {
 	t.Helper()
 	text := strings.Replace(validSettings, from, to, 1)
 	if text == validSettings {
@@ -47,10 +47,10 @@
 		t.Error(diff)
 	}
 	if !got.IsReplica() || got.HeartbeatInterval() != 1500*time.Millisecond {
-		t.Errorf("replica %v, heartbeats every %v", got.IsReplica(), got.HeartbeatInterval())
+		t.Errorf("IsReplica %v, HeartbeatInterval %v; want true, 1.5s", got.IsReplica(), got.HeartbeatInterval())
 	}
 	if !got.CloudAPI.HasRole(RoleAutoscaler) || got.CloudAPI.HasRole(RoleUsage) {
-		t.Errorf("roles %v", got.CloudAPI.SingletonRoles)
+		t.Errorf("roles %v, want only the autoscaler", got.CloudAPI.SingletonRoles)
 	}
 }
 
@@ -77,9 +77,9 @@
 		{`"/data"`, `null`, "data_directory"},
 		{`"bootstrap":true`, `"fault_tolerance":{"machines":-1}`, "fault_tolerance"},
 	} {
-		_, err := Parse(change(t, c.from, c.to))
+		_, err := Parse(replaceSetting(t, c.from, c.to))
 		if _, ok := errors.AsType[FieldErrors](err); !ok || !strings.Contains(err.Error(), c.key) {
-			t.Errorf("%s instead of %s: got %v, want an error of %s", c.to, c.from, err, c.key)
+			t.Errorf("%s instead of %s: got %v, want an error that names %s", c.to, c.from, err, c.key)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 func TestLoadRequiresAFile(t *testing.T) {
 	for _, path := range []string{"", "none.json"} {
 		if _, err := Load(path); err == nil {
-			t.Errorf("path %q is accepted", path)
+			t.Errorf("path %q: no error", path)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		c, err := Parse(b)
 		if (c == nil) == (err == nil) {
-			t.Errorf("settings %v with error %v", c, err)
+			t.Errorf("settings %v with error %v, want exactly one of them", c, err)
 		}
 	})
 }
