--- a/internal/config/platformconfig/config.go
+++ b/internal/config/platformconfig/config.go
@@ -12,29 +12,29 @@
 	"notchhinge/policy"
 )
 
-// Config is a checked configuration.
+// Config is a checked configuration of a router.
 type Config struct {
-	RouterName       string         // in logs and traces
-	ListenAddr       string         // host and port for clients
+	RouterName       string         // appears in logs and traces
+	ListenAddr       string         // host and port on which clients connect
 	DiscoveryAddr    string         // host and port of the platform's endpoint list
-	AdminAddr        string         // host and port for operators; "" = none
+	AdminAddr        string         // host and port of the admin listener; "" = none
 	SharedDir        string         // directory that a successor process shares, for a hot restart; "" = no hot restart
-	Seed             uint64         // of the decision module's random numbers
-	InitialEndpoints listwatch.List // the endpoint list until discovery answers
+	Seed             uint64         // seeds the decision module's random number generator
+	InitialEndpoints listwatch.List // endpoint list until the first one from discovery
 	Module
 	Limits limits.Limits
 }
 
-// Module is what the platform's settings say for one decision module.
+// Module holds the platform's settings for one decision module.
 type Module struct {
 	Settings               policy.Settings
-	LoadReportColumns      []string        // names of the values in a load report, in their order; none = no load reports
-	ZoneNames              []string        // by zone number
-	LoadReportsInResponses bool            // any response may carry a load report
-	TokenLatencyTargets    []time.Duration // by class: mean time between tokens; may have fewer entries than there are classes
+	LoadReportColumns      []string        // names of the values of a load report, in order; empty = no load reports
+	ZoneNames              []string        // indexed by zone number
+	LoadReportsInResponses bool            // responses may carry load reports
+	TokenLatencyTargets    []time.Duration // mean time between tokens, indexed by class; may be shorter than the list of classes
 }
 
-// LoadModule reads the settings of a further module from a file that has the form of "settings" in the platform's file.
+// LoadModule reads the settings of another decision module from a file in the format of "settings" in the platform's file.
 func LoadModule(path string, seed uint64) (Module, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -49,29 +49,29 @@
 
 // routerSettings are the keys of "settings" that the decision module does not use. Times are in microseconds.
 type routerSettings struct {
-	AZs    []string `json:"azs"` // zone names by number
+	AZs    []string `json:"azs"` // zone names, indexed by zone number
 	Limits struct {
-		ConnectTimeout float64 `json:"connectTimeout"` // of a connection to an engine
-		IdleClose      float64 `json:"idleClose"`      // after which engines close an idle connection
-		MaxOpen        int     `json:"maxOpen"`        // requests in flight
+		ConnectTimeout float64 `json:"connectTimeout"` // bounds the time to connect to an engine
+		IdleClose      float64 `json:"idleClose"`      // idle time after which engines close a connection
+		MaxOpen        int     `json:"maxOpen"`        // maximum number of requests in flight
 	} `json:"limits"`
 	Report struct {
 		Columns []string `json:"columns"`
-		How     string   `json:"how"` // reportInResponses, or load reports are requested
+		How     string   `json:"how"` // reportInResponses; with any other value load reports are polled
 	} `json:"report"`
 	FamilyInfo struct {
-		TokenAim []float64 `json:"tokenAim"` // by class
+		TokenAim []float64 `json:"tokenAim"` // mean time between tokens, indexed by class
 	} `json:"familyInfo"`
 }
 
-// reportInResponses is the value of "report.how" if responses carry load reports.
+// reportInResponses is the value of "report.how" for load reports that are carried in responses.
 const reportInResponses = "piggyback"
 
 func parseModule(text []byte, seed uint64) (m Module, r routerSettings, err error) {
 	if m.Settings, err = simadapter.ParseSettings(text); err != nil {
 		return m, r, err
 	}
-	if _, err := policy.New(m.Settings, seed); err != nil { // the module checks its settings itself
+	if _, err := policy.New(m.Settings, seed); err != nil { // New checks the settings
 		return m, r, err
 	}
 	if err := json.Unmarshal(text, &r); err != nil {
--- a/internal/config/platformconfig/load.go
+++ b/internal/config/platformconfig/load.go
@@ -13,17 +13,17 @@
 	"notchhinge/internal/listwatch"
 )
 
-// Environment variables that Load reads. The last four override keys of the file.
+// Environment variables that Load reads. envName, envListen, envDiscovery and envAdmin override keys of the file.
 const (
 	envConfig    = "BALANCER_CONFIG"
 	envName      = "BALANCER_NAME"
 	envListen    = "BALANCER_LISTEN"
 	envDiscovery = "BALANCER_DISCOVERY"
 	envAdmin     = "BALANCER_ADMIN"
-	envSharedDir = "TMPDIR" // shared by the processes of one router
+	envSharedDir = "TMPDIR" // directory that the processes of one router share
 )
 
-// Bounds of the machine: a process does not start below the minima, and more cores are a mistake.
+// Bounds of the machine's resources. A value outside them is a configuration error.
 const (
 	minMemoryMB = 16
 	minSockets  = 64
@@ -48,8 +48,8 @@
 	return c, nil
 }
 
-// Reload is Load for a running process. It ignores BALANCER_DISCOVERY: the variable is as old as the process, and the file may
-// have been replaced by one with another address.
+// Reload is Load for a running process. It ignores BALANCER_DISCOVERY: the variable was set when the process started, and the
+// file may since have been replaced by one with another address.
 func Reload(getenv func(string) string) (*Config, error) {
 	return Load(func(name string) string {
 		if name == envDiscovery {
@@ -69,9 +69,9 @@
 	Limits    struct {
 		Cores    float64 `json:"cores"`
 		MemoryMB int     `json:"memory_mb"`
-		Sockets  int     `json:"sockets"` // descriptors
+		Sockets  int     `json:"sockets"` // file descriptors
 	} `json:"limits"`
-	Known    listwatch.List  `json:"known"` // endpoints at the start
+	Known    listwatch.List  `json:"known"` // endpoints at startup
 	Settings json.RawMessage `json:"settings"`
 }
 
@@ -93,7 +93,7 @@
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	if r.Limits.IdleClose <= 0 {
-		return nil, errors.New("settings: limits.idleClose must be above 0")
+		return nil, errors.New("settings: limits.idleClose must be greater than 0")
 	}
 	return &Config{
 		RouterName: f.Name, ListenAddr: f.Listen, DiscoveryAddr: f.Discovery, AdminAddr: f.Admin, Seed: seed,
@@ -101,7 +101,7 @@
 	}, nil
 }
 
-// override replaces keys of the file by the variables that are set.
+// override replaces keys of the file by the environment variables that are set.
 func (f *file) override(getenv func(string) string) {
 	for name, field := range map[string]*string{
 		envName: &f.Name, envListen: &f.Listen, envDiscovery: &f.Discovery, envAdmin: &f.Admin,
@@ -112,7 +112,7 @@
 	}
 }
 
-// check returns the seed, or the first error of the addresses, the seed and the limits of the machine.
+// check checks the addresses, the seed and the machine's limits. It returns the seed, or the first error.
 func (f *file) check() (seed uint64, err error) {
 	if _, _, err := net.SplitHostPort(f.Listen); err != nil {
 		return 0, fmt.Errorf("listen: %w", err)
@@ -131,7 +131,7 @@
 	}
 	l := &f.Limits
 	if !(l.Cores > 0 && l.Cores <= maxCores) || l.MemoryMB < minMemoryMB || l.Sockets < minSockets {
-		return 0, fmt.Errorf("limits: cores %v, memory_mb %d, sockets %d: must be above 0 and at most %d, at least %d, and at least %d",
+		return 0, fmt.Errorf("limits: cores %v, memory_mb %d, sockets %d: must be greater than 0 and at most %d, at least %d, and at least %d",
 			l.Cores, l.MemoryMB, l.Sockets, maxCores, minMemoryMB, minSockets)
 	}
 	return seed, nil
@@ -149,17 +149,17 @@
 	return nil
 }
 
-// limits derives the limits of the process from the machine and from the settings.
+// limits derives the limits of the process from the machine's resources and the settings.
 func (f *file) limits(m *Module, r *routerSettings) limits.Limits {
-	var longest time.Duration
+	var maxDeadline time.Duration
 	for i := range m.Settings.Classes {
-		longest = max(longest, m.Settings.Classes[i].Deadline)
+		maxDeadline = max(maxDeadline, m.Settings.Classes[i].Deadline)
 	}
 	l := limits.New(
 		limits.Machine{Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets},
 		limits.Site{
 			ConnectTimeout: microseconds(r.Limits.ConnectTimeout), UpstreamIdleClose: microseconds(r.Limits.IdleClose),
-			MaxConcurrentRequests: r.Limits.MaxOpen, MaxAttempts: m.Settings.Limits.MaxAttempts, MaxDeadline: longest,
+			MaxConcurrentRequests: r.Limits.MaxOpen, MaxAttempts: m.Settings.Limits.MaxAttempts, MaxDeadline: maxDeadline,
 		})
 	if f.Admin != "" {
 		l = l.WithAdmin()
--- a/internal/config/platformconfig/operator.go
+++ b/internal/config/platformconfig/operator.go
@@ -8,8 +8,8 @@
 	"notchhinge/internal/config/operatorconfig"
 )
 
-// LoadOperatorFile reads the operator's file, and returns the configuration of the batch service too where the file has one.
-// The error is tomlfile.Errors if the file is wrong by itself.
+// LoadOperatorFile reads the operator's file. It also returns the configuration of the batch service, or nil if the file has
+// none. Errors that the file's own checks find are of type tomlfile.Errors.
 func (c *Config) LoadOperatorFile(path string, getenv func(string) string) (*operatorconfig.File, *batch.Config, error) {
 	var classes []string
 	for i := range c.Settings.Classes {
@@ -19,22 +19,22 @@
 	if err != nil || f.Batch == nil {
 		return f, nil, err
 	}
-	b := &batch.Config{Listen: f.Batch.Listen, Spool: f.Batch.Spool}
-	for _, k := range f.Contracts {
-		b.Contracts = append(b.Contracts, batch.Contract{
-			Team: k.Team, KeyEnv: k.KeyEnv, Service: k.Service, Classes: k.Classes, MaxItems: k.MaxItems, MaxConcurrent: k.MaxConcurrent,
-			BudgetTokens: k.BudgetTokens, BudgetPeriod: batch.Period(k.BudgetPeriod),
-			ItemDeadline: batch.Period(k.ItemDeadline), OpenAPI: k.OpenAPI,
+	config := &batch.Config{Listen: f.Batch.Listen, Spool: f.Batch.Spool}
+	for _, c := range f.Contracts {
+		config.Contracts = append(config.Contracts, batch.Contract{
+			Team: c.Team, KeyEnv: c.KeyEnv, Service: c.Service, Classes: c.Classes, MaxItems: c.MaxItems, MaxConcurrent: c.MaxConcurrent,
+			BudgetTokens: c.BudgetTokens, BudgetPeriod: batch.Period(c.BudgetPeriod),
+			ItemDeadline: batch.Period(c.ItemDeadline), OpenAPI: c.OpenAPI,
 		})
 	}
-	// Classes were checked by operatorconfig.Load, or are by package reconcile where there are pools.
-	if err := b.Validate(nil, getenv); err != nil {
+	// The classes were checked by operatorconfig.Load. If the file has pools, package reconcile checks them.
+	if err := config.Validate(nil, getenv); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return f, b, nil
+	return f, config, nil
 }
 
-// LoadBatchFile reads the deprecated file of the batch service, which may listen on loopback addresses only.
+// LoadBatchFile reads the deprecated file of the batch service. The service may listen only on a loopback address.
 func (c *Config) LoadBatchFile(path string, getenv func(string) string) (*batch.Config, error) {
 	classes := map[string]int{}
 	for i := range c.Settings.Classes {
--- a/internal/config/platformconfig/platformconfig_test.go
+++ b/internal/config/platformconfig/platformconfig_test.go
@@ -10,6 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// getenvOf returns a getenv function over pairs of a name and a value.
 func getenvOf(pairs ...string) func(string) string {
 	m := map[string]string{}
 	for i := 0; i < len(pairs); i += 2 {
@@ -39,7 +40,7 @@
 }
 
 func TestReloadTakesDiscoveryAddressFromTheFile(t *testing.T) {
-	// The variable is as old as the process; after a replacement of the file it would give the old address.
+	// The variable keeps its value from process start, so it may be older than the file.
 	vars := getenvOf("BALANCER_CONFIG", "testdata/config.json", "BALANCER_DISCOVERY", "127.0.0.9:1", "BALANCER_LISTEN", "127.0.0.7:5000")
 	for name, want := range map[string]string{"start": "127.0.0.9:1", "again": "127.0.0.1:8500"} {
 		c, err := map[string]func(func(string) string) (*Config, error){"start": Load, "again": Reload}[name](vars)
@@ -58,10 +59,10 @@
 	if err != nil || with.AdminAddr != "127.0.0.1:9" || with.Limits.ClientConns >= without.Limits.ClientConns {
 		t.Errorf("%+v, %v", with, err)
 	}
-	// During a hot restart two processes together keep to the descriptors of one router.
+	// During a hot restart two processes share the file descriptors of one router.
 	l := with.Limits
-	if both := l.TakeoverCapacity(); 2*(both.ClientConns+both.UpstreamConns+l.RejectConns+24+17) > 1024 {
-		t.Errorf("%+v each", both)
+	if each := l.TakeoverCapacity(); 2*(each.ClientConns+each.UpstreamConns+l.RejectConns+24+17) > 1024 {
+		t.Errorf("each of two processes has %+v, together more than 1024 descriptors", each)
 	}
 }
 
@@ -71,11 +72,11 @@
 		t.Fatal(err)
 	}
 	l := c.Limits
-	if all := l.ClientConns + l.RejectConns + l.UpstreamConns; all > 1024-16 || l.ConcurrentRequests > l.UpstreamConns {
-		t.Errorf("%d connections of 1024 descriptors, %d requests in flight for %d upstream connections", all, l.ConcurrentRequests, l.UpstreamConns)
+	if conns := l.ClientConns + l.RejectConns + l.UpstreamConns; conns > 1024-16 || l.ConcurrentRequests > l.UpstreamConns {
+		t.Errorf("%d connections of 1024 descriptors, %d requests in flight for %d upstream connections", conns, l.ConcurrentRequests, l.UpstreamConns)
 	}
 	if l.HeapBytes+l.TotalBodyBytes > 192<<20 {
-		t.Errorf("a heap of %d and bodies of %d exceed the memory", l.HeapBytes, l.TotalBodyBytes)
+		t.Errorf("%d bytes of heap and %d bytes of bodies exceed 192 MiB", l.HeapBytes, l.TotalBodyBytes)
 	}
 }
 
@@ -126,10 +127,10 @@
 		t.Fatal(err)
 	}
 	if b, err := c.LoadBatchFile("../../../deploy/batch.toml", func(name string) string { return "key of " + name }); err != nil {
-		t.Errorf("the file under deploy: %v", err)
+		t.Errorf("deploy/batch.toml: %v", err)
 	} else if l := c.Limits.WithBatch(b.MaxOpenFiles()); l.ClientConns+l.UpstreamConns+l.BatchConns+b.MaxOpenFiles() >
 		c.Limits.ClientConns+c.Limits.UpstreamConns || l.ConcurrentRequests > l.UpstreamConns {
-		t.Errorf("no descriptors are reserved for the batch service: %+v", l)
+		t.Errorf("no file descriptors are reserved for the batch service: %+v", l)
 	}
 	const contract = "\n[[contract]]\nteam='crews'\nkey_env='K'\nclasses=['batch-summary']\nlines=9\nat_once=2\n" +
 		"budget_tokens=99\nbudget_period='24h'\nline_deadline='1m'\n"
