--- a/internal/config/tomlfile/check.go
+++ b/internal/config/tomlfile/check.go
@@ -8,20 +8,20 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Source knows in which line of a file each key is.
+// Source maps the keys of a file to their lines, for error messages.
 type Source struct {
 	path  string
 	lines lineIndex
 }
 
-// Errorf is an error of a key: names of tables and keys, and indices of array entries. A key that the file does not have gets
-// the line of the table that it belongs to.
+// Errorf returns an error about a key. The key is a path of names of tables and keys, and indices of array entries. If the file
+// does not have the key, the error has the line of the innermost enclosing table.
 func (s *Source) Errorf(key []string, format string, args ...any) Error {
 	return Error{File: s.path, Line: s.lines.find(key), Key: formatKey(key), Message: fmt.Sprintf(format, args...)}
 }
 
-// Check parses a text and validates it against a JSON Schema. It returns the lines of its keys and everything that violates
-// the schema. The error is Errors for a text that is not TOML; any other one says that the check itself failed.
+// Check parses a text and validates it against a JSON Schema. It returns the lines of the text's keys and all violations of the
+// schema. If the text is not valid TOML, the error is of type Errors; any other error means that the check itself failed.
 func Check(text []byte, path string, schema []byte) (*Source, Errors, error) {
 	lines, err := indexLines(text)
 	var syntax *unstable.ParserError
@@ -32,10 +32,10 @@
 		return nil, nil, Errors{{File: path, Message: err.Error()}}
 	}
 	var tree map[string]any
-	if err := toml.Unmarshal(text, &tree); err != nil { // a key that is given twice, for one
+	if err := toml.Unmarshal(text, &tree); err != nil { // for example a duplicate key
 		e := Error{File: path, Message: err.Error()}
-		if d := (*toml.DecodeError)(nil); errors.As(err, &d) {
-			e.Line, _ = d.Position()
+		if decodeErr := (*toml.DecodeError)(nil); errors.As(err, &decodeErr) {
+			e.Line, _ = decodeErr.Position()
 		}
 		return nil, nil, Errors{e}
 	}
--- a/internal/config/tomlfile/doc.go
+++ b/internal/config/tomlfile/doc.go
@@ -1,7 +1,7 @@
-// Package tomlfile checks TOML files against a JSON Schema and reports everything that is wrong with them, each error with its
-// line and its key. It is shared by the operator's file of a router (package operatorconfig) and by fleet configuration files
-// (package configfile), which decode the values themselves and report what a schema cannot express with [Source.Errorf].
+// Package tomlfile validates TOML files against a JSON Schema and reports every error with its line and key. It is used for the
+// operator's file of a router (package operatorconfig) and for fleet configuration files (package configfile). These packages
+// decode the values themselves, and report with [Source.Errorf] what a schema cannot express.
 //
-// Lines are counted from 1. Messages of the schema are those of the JSON Schema library, in English, followed by the
-// description that the schema gives of the key.
+// Lines are counted from 1. Messages about violations of the schema come from the JSON Schema library, in English, followed by
+// the schema's description of the key.
 package tomlfile
--- a/internal/config/tomlfile/duration.go
+++ b/internal/config/tomlfile/duration.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Duration is a time as TOML files give it, such as "90s" or "1h30m".
+// Duration is a time.Duration that TOML files write as a string, such as "90s" or "1h30m".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
--- a/internal/config/tomlfile/errors.go
+++ b/internal/config/tomlfile/errors.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// Error is one thing that is wrong with a file.
+// Error is one error in a file.
 type Error struct {
 	File    string
-	Line    int    // from 1; 0 = the file as a whole
-	Key     string // as trace.otlp.endpoint or contract[0].team; "" = none
-	Message string // what is wrong and what is expected
+	Line    int    // counted from 1; 0 = the whole file
+	Key     string // such as trace.otlp.endpoint or contract[0].team; "" = none
+	Message string // what is wrong, and what is expected
 }
 
-// Error is the file, the line, the key and the message.
+// Error returns the file, the line, the key and the message.
 func (e Error) Error() string {
 	s := e.File
 	if e.Line > 0 {
@@ -26,10 +26,10 @@
 	return s + ": " + e.Message
 }
 
-// Errors is everything that is wrong with a file.
+// Errors lists all errors in a file.
 type Errors []Error
 
-// Error has a line for each error.
+// Error returns one line for each error.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
 	for i := range e {
@@ -38,7 +38,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Sorted sorts the errors by line, in place, and returns them. Errors of one line keep their order.
+// Sorted sorts the errors by line, in place, and returns them. Errors on the same line keep their order.
 func (e Errors) Sorted() Errors {
 	slices.SortStableFunc(e, func(x, y Error) int { return x.Line - y.Line })
 	return e
--- a/internal/config/tomlfile/lines.go
+++ b/internal/config/tomlfile/lines.go
@@ -9,20 +9,21 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// lineIndex has the lines of keys and tables, by their path joined with slashes.
+// lineIndex maps keys and tables, named by pathID, to their lines.
 type lineIndex map[string]int
 
+// pathID returns a path as a key of a lineIndex.
 func pathID(path []string) string { return strings.Join(path, "/") }
 
-// indexer builds a lineIndex, one TOML expression after the other.
+// indexer builds a lineIndex from one TOML expression after another.
 type indexer struct {
 	parser       unstable.Parser
 	lines        lineIndex
-	arrayLengths map[string]int // by path of an array of tables: its tables so far
-	table        []string       // path of the table that keys belong to now
+	arrayLengths map[string]int // number of tables read so far, by the path of their array
+	table        []string       // path of the current table
 }
 
-// indexLines returns the lines up to the first syntax error, which is an *unstable.ParserError.
+// indexLines indexes a text up to its first syntax error. The error is an *unstable.ParserError.
 func indexLines(text []byte) (lineIndex, error) {
 	x := indexer{lines: lineIndex{}, arrayLengths: map[string]int{}}
 	x.parser.Reset(text)
@@ -32,7 +33,7 @@
 	return x.lines, x.parser.Error()
 }
 
-// add indexes a table header, or a key and what is inline in its value.
+// add indexes a table header, or a key and the inline tables in its value.
 func (x *indexer) add(e *unstable.Node) {
 	path, line := x.resolve(e)
 	switch e.Kind {
@@ -51,8 +52,8 @@
 	}
 }
 
-// resolve returns the path of an expression and the line of its last part. A header [a.b] where a is an array of tables means
-// the latest table of a.
+// resolve returns the path of an expression and the line of the path's last part. If a is an array of tables, the header [a.b]
+// refers to the last table of a.
 func (x *indexer) resolve(e *unstable.Node) (path []string, line int) {
 	if e.Kind == unstable.KeyValue {
 		path = slices.Clone(x.table)
@@ -70,7 +71,7 @@
 	return path, line
 }
 
-// addInline indexes the keys of inline tables, and of those in arrays.
+// addInline indexes the keys of an inline table, or of the inline tables in an array.
 func (x *indexer) addInline(value *unstable.Node, path []string) {
 	if value == nil {
 		return
@@ -97,7 +98,7 @@
 
 func (l lineIndex) has(id string) bool { _, ok := l[id]; return ok }
 
-// find returns the line of a key, or else of the innermost table around it that the file has; 0 = none.
+// find returns the line of a key, or of the innermost enclosing table if the file does not have the key; 0 = neither.
 func (l lineIndex) find(key []string) (line int) {
 	for n := len(key); n > 0 && line == 0; n-- {
 		line = l[pathID(key[:n])]
@@ -105,7 +106,7 @@
 	return line
 }
 
-// formatKey is a path as in contract[0].team.
+// formatKey formats a path such as contract[0].team.
 func formatKey(key []string) (s string) {
 	for _, k := range key {
 		if _, err := strconv.Atoi(k); err == nil && s != "" {
@@ -120,8 +121,8 @@
 	return s
 }
 
-// lineOf returns the line of a part of the text, 0 if it is empty. The part shares the text's array and ends of capacity, as
-// slices of it do; the parser gives no other position of a syntax error.
+// lineOf returns the line of part, a subslice of text; 0 if it is empty. It computes the offset from the capacities, because
+// the parser reports the position of a syntax error only as a subslice.
 func lineOf(text, part []byte) int {
 	if len(part) == 0 {
 		return 0
--- a/internal/config/tomlfile/schema.go
+++ b/internal/config/tomlfile/schema.go
@@ -18,7 +18,7 @@
 func (s *Source) validate(tree map[string]any, schemaText []byte) (errs Errors, err error) {
 	text, err := json.Marshal(tree)
 	if err != nil {
-		return nil, err // a value that JSON does not have, such as inf
+		return nil, err // a value that JSON cannot represent, such as inf
 	}
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
 	if err != nil {
@@ -43,7 +43,7 @@
 }
 
 func compile(document any) (*jsonschema.Schema, error) {
-	const url = "file.schema.json" // it appears nowhere
+	const url = "file.schema.json" // an arbitrary name; errors do not contain it
 	c := jsonschema.NewCompiler()
 	if err := c.AddResource(url, document); err != nil {
 		return nil, err
@@ -51,7 +51,7 @@
 	return c.Compile(url)
 }
 
-// leaves returns the violations that have no further cause, in order.
+// leaves returns the violations without a more specific cause, in order.
 func leaves(e *jsonschema.ValidationError) (all []*jsonschema.ValidationError) {
 	if e == nil {
 		return nil
@@ -65,7 +65,7 @@
 	return all
 }
 
-// violationErrors returns one error, or one for each unknown key of a table.
+// violationErrors returns one error for a violation, or for unknown keys of a table one error each.
 func (s *Source) violationErrors(e *jsonschema.ValidationError, document any) (errs Errors) {
 	if unknown, ok := e.ErrorKind.(*kind.AdditionalProperties); ok {
 		for _, name := range unknown.Properties {
@@ -80,36 +80,36 @@
 	return Errors{s.Errorf(e.InstanceLocation, "%s", text)}
 }
 
-// description returns what the schema says of a key, "" if it says nothing.
+// description returns the schema's description of a key, "" if it has none.
 func description(document any, key []string) (text string) {
 	root, _ := document.(map[string]any)
 	definitions, _ := root["$defs"].(map[string]any)
-	at := root
+	schema := root
 	for _, k := range key {
-		at = followRefs(at, definitions)
-		if items, ok := at["items"].(map[string]any); ok { // k is an index
-			at = items
+		schema = followRefs(schema, definitions)
+		if items, ok := schema["items"].(map[string]any); ok { // k is an index
+			schema = items
 			continue
 		}
-		properties, _ := at["properties"].(map[string]any)
+		properties, _ := schema["properties"].(map[string]any)
 		property, ok := properties[k].(map[string]any)
 		if !ok {
 			return ""
 		}
-		at = property
-		text, _ = at["description"].(string)
+		schema = property
+		text, _ = schema["description"].(string)
 	}
 	return text
 }
 
 // followRefs returns the definition that a schema refers to, or the schema if it refers to none.
-func followRefs(at, definitions map[string]any) map[string]any {
+func followRefs(schema, definitions map[string]any) map[string]any {
 	for {
-		ref, _ := at["$ref"].(string)
+		ref, _ := schema["$ref"].(string)
 		definition, ok := definitions[strings.TrimPrefix(ref, "#/$defs/")].(map[string]any)
 		if ref == "" || !ok {
-			return at
+			return schema
 		}
-		at = definition
+		schema = definition
 	}
 }
--- a/internal/config/tomlfile/tomlfile_test.go
+++ b/internal/config/tomlfile/tomlfile_test.go
@@ -24,7 +24,7 @@
 		"type": {
 			"size = \"x\"\n", []string{"f:1: size: got string, want integer; expected: number of entries"},
 		},
-		"table within the second of an array": {
+		"table within the second table of an array": {
 			"[[entry]]\n[entry.part]\n[[entry]]\n[entry.part]\nname = 1\n",
 			[]string{"f:5: entry[1].part.name: got number, want string; expected: name of the entry"},
 		},
@@ -32,8 +32,8 @@
 			"entry = [{name = \"a\"},\n {part = {\n  name = 1}}]\n",
 			[]string{"f:3: entry[1].part.name: got number, want string; expected: name of the entry"},
 		},
-		"syntax":      {"size = 1\n[entry\n", []string{"f:2: expected ']' to close table name"}},
-		"given twice": {"size = 1\nsize = 2\n", []string{"f:2: toml: key size is already defined"}},
+		"syntax":        {"size = 1\n[entry\n", []string{"f:2: expected ']' to close table name"}},
+		"duplicate key": {"size = 1\nsize = 2\n", []string{"f:2: toml: key size is already defined"}},
 	} {
 		_, errs, err := Check([]byte(c.text), "f", []byte(testSchema))
 		if err != nil && !errors.As(err, &errs) {
@@ -61,7 +61,7 @@
 		"f: other: x":                {"other"},
 	} {
 		if got := s.Errorf(key, "%s", "x").Error(); got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 }
@@ -69,19 +69,19 @@
 func TestBrokenSchemaIsNotAnErrorOfTheFile(t *testing.T) {
 	_, _, err := Check([]byte("size = 1\n"), "f", []byte("{"))
 	if errs := (Errors{}); err == nil || errors.As(err, &errs) {
-		t.Errorf("%v", err)
+		t.Errorf("got %v, want an error that is not of type Errors", err)
 	}
 }
 
-func TestDurationIsReadAsWritten(t *testing.T) {
+func TestDurationTextEncoding(t *testing.T) {
 	var d Duration
 	if err := d.UnmarshalText([]byte("1h30m")); err != nil || time.Duration(d) != 90*time.Minute {
-		t.Errorf("%v, %v", d, err)
+		t.Errorf("got %v, %v; want 1h30m", d, err)
 	}
 	if text, err := d.MarshalText(); err != nil || string(text) != "1h30m0s" {
-		t.Errorf("%s, %v", text, err)
+		t.Errorf("got %s, %v; want 1h30m0s", text, err)
 	}
 	if err := d.UnmarshalText([]byte("soon")); err == nil {
-		t.Error("no error")
+		t.Error("\"soon\" is accepted as a duration")
 	}
 }
