--- a/internal/config/operatorconfig/defaults.go
+++ b/internal/config/operatorconfig/defaults.go
@@ -7,7 +7,7 @@
 	"notchhinge/internal/config/tomlfile"
 )
 
-// setDefaults sets the defaults that the schema names.
+// setDefaults sets the defaults that the schema documents.
 func (f *File) setDefaults() {
 	for i := range f.Services {
 		for j := range f.Services[i].Routes {
@@ -38,20 +38,20 @@
 	}
 }
 
-// setDefault is for keys whose zero value the schema excludes.
+// setDefault sets a field that is zero. It is for keys whose schema excludes the zero value.
 func setDefault[T comparable](field *T, value T) { *field = cmp.Or(*field, value) }
 
-// setDefaultPointer is for keys whose zero value means zero.
+// setDefaultPointer sets a field that is nil. It is for keys whose zero value is valid.
 func setDefaultPointer[T any](field **T, value T) {
 	if *field == nil {
 		*field = &value
 	}
 }
 
-// valueOr returns what p points at, or the default if it is nil.
-func valueOr[T any](p *T, value T) T {
+// valueOr returns *p, or fallback if p is nil.
+func valueOr[T any](p *T, fallback T) T {
 	if p == nil {
-		return value
+		return fallback
 	}
 	return *p
 }
--- a/internal/config/operatorconfig/doc.go
+++ b/internal/config/operatorconfig/doc.go
@@ -1,9 +1,9 @@
-// Package operatorconfig reads the operator's own file of `notchhinge serve` (deploy/notchhinge.toml): one table for each
-// subsystem, which is off without its table. The package owns the form of the file, its JSON Schema, its defaults, and the
-// report of everything that is wrong with it; what a table does is decided by its subsystem. The platform's JSON is read by
-// package platformconfig.
+// Package operatorconfig reads the operator's own file of `notchhinge serve` (deploy/notchhinge.toml). It has one table for each
+// subsystem; a subsystem is off without its table. The package defines the format of the file, its JSON Schema and its defaults,
+// and reports every error in it. The subsystems implement what the tables configure. Package platformconfig reads the platform's
+// JSON file.
 //
-// The schema under deploy is generated from the types by a test (-update): jsonschema tags are the short form of a key's
-// manual in editors and in error messages, doc comments the long one. A further check covers what no schema can express, such
-// as references between tables. Errors are [tomlfile.Errors], all at once, or those of reading the file.
+// A test generates the schema under deploy from the types (-update). The jsonschema tag of a field is the short description that
+// editors and error messages show; the doc comment is the full one. Checks after the schema cover what it cannot express, such as
+// references between tables. Errors are of type [tomlfile.Errors] and list all errors at once, unless the file cannot be read.
 package operatorconfig
--- a/internal/config/operatorconfig/load.go
+++ b/internal/config/operatorconfig/load.go
@@ -11,8 +11,8 @@
 	"notchhinge/internal/config/tomlfile"
 )
 
-// Load reads and checks a file. Relative paths in it are made to start from its directory. Classes are the request classes
-// that contracts may name where the file has no pools; nil = any.
+// Load reads and checks a file. It resolves relative paths in it against the file's directory. If the file has no pools, contracts
+// may name only the given request classes; nil = any.
 func Load(path string, classes []string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return Parse(text, path, classes)
 }
 
-// Parse is Load for a text that is already in memory.
+// Parse is Load for a file whose text is already in memory.
 func Parse(text []byte, path string, classes []string) (*File, error) {
 	source, errs, err := tomlfile.Check(text, path, deploy.Schema)
 	if err != nil {
@@ -31,12 +31,12 @@
 		return nil, errs.Sorted()
 	}
 	f := &File{Source: *source}
-	if err := toml.Unmarshal(text, f); err != nil { // the schema does not check durations
-		var d *toml.DecodeError
-		if !errors.As(err, &d) {
+	if err := toml.Unmarshal(text, f); err != nil { // for example an invalid duration, which the schema does not check
+		var decodeErr *toml.DecodeError
+		if !errors.As(err, &decodeErr) {
 			return nil, tomlfile.Errors{{File: path, Message: err.Error()}}
 		}
-		return nil, tomlfile.Errors{f.Errorf(d.Key(), "%s; expected: a time such as \"20ms\" or \"1h30m\"", d.Error())}
+		return nil, tomlfile.Errors{f.Errorf(decodeErr.Key(), "%s; expected: a duration such as \"20ms\" or \"1h30m\"", decodeErr.Error())}
 	}
 	f.setDefaults()
 	if errs := f.validate(classes); len(errs) > 0 {
@@ -46,7 +46,7 @@
 	return f, nil
 }
 
-// resolvePaths makes relative paths start from a directory.
+// resolvePaths resolves relative paths against a directory.
 func (f *File) resolvePaths(dir string) {
 	resolve := func(path *string) {
 		if *path != "" && !filepath.IsAbs(*path) {
--- a/internal/config/operatorconfig/routes.go
+++ b/internal/config/operatorconfig/routes.go
@@ -9,14 +9,14 @@
 // anyMethod is the method of routes that match every method.
 const anyMethod = "any"
 
-// Table compiles the routes. PoolID returns the id of a pool by its name, or false if there is none. Errors number the routes
-// of all services in the order of the file.
+// Table compiles the routes. poolID returns the id of the pool with a name, or false if there is none. RouteIndex in the errors
+// counts the routes of all services in the order of the file.
 func (f *File) Table(poolID func(name string) (int, bool)) (*route.Table, []route.TableError) {
 	var services []route.Service
 	var routes []route.Route
 	for i := range f.Services {
 		s := &f.Services[i]
-		services = append(services, route.Service{Name: s.Name, Pools: f.shares(s)})
+		services = append(services, route.Service{Name: s.Name, Pools: f.weightedPools(s)})
 		for j := range s.Routes {
 			routes = append(routes, s.Routes[j].compile(s.Name))
 		}
@@ -24,20 +24,20 @@
 	return route.New(services, routes, poolID)
 }
 
-// shares are the pools of a service with their weights. Renamed pools have the key of the former name, so that sessions stay
-// with their pool.
-func (f *File) shares(s *Service) (shares []route.WeightedPool) {
+// weightedPools returns the pools of a service with their weights. The hash key of a renamed pool is its former name, so that
+// sessions stay with their pool.
+func (f *File) weightedPools(s *Service) (pools []route.WeightedPool) {
 	formerNames := map[string]string{}
 	for i := range f.Pools {
 		formerNames[f.Pools[i].Name] = f.Pools[i].FormerName
 	}
-	if s.Pool != "" { // with a split it is an error that validate reports
+	if s.Pool != "" { // validate reports a service that has a split as well
 		return []route.WeightedPool{{Pool: s.Pool, Weight: 1, HashKey: formerNames[s.Pool]}}
 	}
 	for _, p := range s.Split {
-		shares = append(shares, route.WeightedPool{Pool: p.Pool, Weight: p.Weight, HashKey: formerNames[p.Pool]})
+		pools = append(pools, route.WeightedPool{Pool: p.Pool, Weight: p.Weight, HashKey: formerNames[p.Pool]})
 	}
-	return shares
+	return pools
 }
 
 func (r *Route) compile(service string) route.Route {
@@ -54,14 +54,14 @@
 	return compiled
 }
 
-// routeKey is the key of a route by its number among the routes of all services.
-func (f *File) routeKey(number int) []string {
+// routeKey returns the key of a route, given its index among the routes of all services.
+func (f *File) routeKey(index int) []string {
 	for i := range f.Services {
 		routes := len(f.Services[i].Routes)
-		if number < routes {
-			return append(entryKey("service", i), entryKey("route", number)...)
+		if index < routes {
+			return append(entryKey("service", i), entryKey("route", index)...)
 		}
-		number -= routes
+		index -= routes
 	}
 	return []string{"service", "0"}
 }
--- a/internal/config/operatorconfig/schema_test.go
+++ b/internal/config/operatorconfig/schema_test.go
@@ -16,18 +16,18 @@
 	"notchhinge/deploy"
 )
 
-var update = flag.Bool("update", false, "write deploy/notchhinge.schema.json anew")
+var update = flag.Bool("update", false, "rewrite deploy/notchhinge.schema.json")
 
-// generate makes the schema out of the Go types.
-func generate(t *testing.T) []byte {
+// generateSchema generates the schema from the Go types.
+func generateSchema(t *testing.T) []byte {
 	t.Helper()
-	// The names under $defs stay as published; schemas of users may refer to them.
-	published := map[string]string{"TraceFile": "Sink", "Selection": "Select"}
+	// The published names under $defs do not change, because schemas of users may refer to them.
+	publishedNames := map[string]string{"TraceFile": "Sink", "Selection": "Select"}
 	r := jsonschema.Reflector{
 		FieldNameTag: "toml", RequiredFromJSONSchemaTags: true, ExpandedStruct: true, Anonymous: true,
-		Namer: func(t reflect.Type) string { return cmp.Or(published[t.Name()], t.Name()) },
-		Mapper: func(of reflect.Type) *jsonschema.Schema {
-			if of == reflect.TypeFor[tomlfile.Duration]() {
+		Namer: func(t reflect.Type) string { return cmp.Or(publishedNames[t.Name()], t.Name()) },
+		Mapper: func(fieldType reflect.Type) *jsonschema.Schema {
+			if fieldType == reflect.TypeFor[tomlfile.Duration]() {
 				return &jsonschema.Schema{Type: "string"}
 			}
 			return nil
@@ -43,7 +43,7 @@
 }
 
 func TestSchemaMatchesTheTypes(t *testing.T) {
-	text := generate(t)
+	text := generateSchema(t)
 	if *update {
 		if err := os.WriteFile("../../../deploy/notchhinge.schema.json", text, 0o644); err != nil {
 			t.Fatal(err)
--- a/internal/config/operatorconfig/validate.go
+++ b/internal/config/operatorconfig/validate.go
@@ -10,10 +10,10 @@
 	"notchhinge/internal/config/tomlfile"
 )
 
-// maxLatencyMargin bounds Trace.LatencyMargin: above it every request would be late.
+// maxLatencyMargin bounds Trace.LatencyMargin. With a larger margin every request would count as late.
 const maxLatencyMargin = tomlfile.Duration(time.Minute)
 
-// validator collects errors that no schema can express.
+// validator collects the errors that a schema cannot express.
 type validator struct {
 	f    *File
 	errs tomlfile.Errors
@@ -37,31 +37,31 @@
 	v.errs = append(v.errs, v.f.Errorf(key, format, args...))
 }
 
-// above0 rejects durations that are given and not above 0.
-func (v *validator) above0(d *tomlfile.Duration, key ...string) {
+// positive rejects a duration that is present and not greater than 0.
+func (v *validator) positive(d *tomlfile.Duration, key ...string) {
 	if d != nil && *d <= 0 {
-		v.addf(key, "must be a time above 0")
+		v.addf(key, "must be greater than 0")
 	}
 }
 
-// entryKey is the path of a key in an array of tables.
+// entryKey returns the path of a key in an array of tables.
 func entryKey(array string, index int, keys ...string) []string {
 	return append([]string{array, strconv.Itoa(index)}, keys...)
 }
 
 func (v *validator) trace(t *Trace) {
 	if *t.LatencyMargin < 0 || *t.LatencyMargin > maxLatencyMargin {
-		v.addf([]string{"trace", "margin"}, "must be a time from 0 to %v", time.Duration(maxLatencyMargin))
+		v.addf([]string{"trace", "margin"}, "must be from 0 to %v", time.Duration(maxLatencyMargin))
 	}
 	if o := t.OTLP; o != nil {
 		if u, err := url.Parse(o.Endpoint); err != nil || u.Host == "" {
 			v.addf([]string{"trace", "otlp", "endpoint"}, "must be a URL with a host")
 		}
-		v.above0(o.CallTimeout, "trace", "otlp", "timeout")
-		v.above0(o.DrainTimeout, "trace", "otlp", "drain")
+		v.positive(o.CallTimeout, "trace", "otlp", "timeout")
+		v.positive(o.DrainTimeout, "trace", "otlp", "drain")
 	}
 	if s := t.File; s != nil {
-		v.above0(s.FlushInterval, "trace", "file", "flush")
+		v.positive(s.FlushInterval, "trace", "file", "flush")
 	}
 }
 
@@ -75,7 +75,8 @@
 	}
 }
 
-// contracts checks classes only where there are no pools: those of pools are known when a plan is made (package reconcile).
+// contracts checks the contracts. It checks their classes only if there are no pools; the classes of pools are checked by package
+// reconcile.
 func (v *validator) contracts(classes []string) {
 	teams := map[string]bool{}
 	for i := range v.f.Contracts {
@@ -84,7 +85,7 @@
 			v.addf(entryKey("contract", i, "service"), "there is no service %q", c.Service)
 		}
 		if teams[c.Team] {
-			v.addf(entryKey("contract", i, "team"), "%q has another contract", c.Team)
+			v.addf(entryKey("contract", i, "team"), "team %q has another contract", c.Team)
 		}
 		teams[c.Team] = true
 		for _, class := range c.Classes {
@@ -92,7 +93,7 @@
 				v.addf(entryKey("contract", i, "classes"), "unknown class %q; there are %q", class, classes)
 			}
 		}
-		v.above0(&c.BudgetPeriod, entryKey("contract", i, "budget_period")...)
-		v.above0(&c.ItemDeadline, entryKey("contract", i, "line_deadline")...)
+		v.positive(&c.BudgetPeriod, entryKey("contract", i, "budget_period")...)
+		v.positive(&c.ItemDeadline, entryKey("contract", i, "line_deadline")...)
 	}
 }
--- a/internal/config/operatorconfig/validatepools.go
+++ b/internal/config/operatorconfig/validatepools.go
@@ -9,7 +9,7 @@
 	"notchhinge/internal/route"
 )
 
-// roundingError is what a sum of guarantees such as 0.1 + 0.2 + 0.7 may exceed 1 by.
+// roundingError is the amount by which a sum of guarantees such as 0.1 + 0.2 + 0.7 may exceed 1.
 const roundingError = 1e-9
 
 func (v *validator) pools() {
@@ -17,7 +17,7 @@
 	for i := range v.f.Pools {
 		p := &v.f.Pools[i]
 		if names[p.Name] {
-			v.addf(entryKey("pool", i, "name"), "another pool is named %q", p.Name)
+			v.addf(entryKey("pool", i, "name"), "another pool has the name %q", p.Name)
 		}
 		names[p.Name] = true
 		if p.DiscoveryAddr != "" {
@@ -28,21 +28,21 @@
 		if p.Select != nil {
 			for _, pattern := range p.Select.NamePatterns {
 				if _, err := path.Match(pattern, ""); err != nil {
-					v.addf(entryKey("pool", i, "select", "names"), "%q is not a pattern; it may have * and ? and [a-z]", pattern)
+					v.addf(entryKey("pool", i, "select", "names"), "%q is not a valid pattern; a pattern may contain *, ? and ranges such as [a-z]", pattern)
 				}
 			}
 		}
 		if l := p.Limits; l != nil {
 			guarantees += valueOr(l.Guarantee, 0)
 			if valueOr(l.Guarantee, 0) > valueOr(l.MaxShare, 1) {
-				v.addf(entryKey("pool", i, "limits", "guarantee"), "%v is above the maximum, %v", *l.Guarantee, valueOr(l.MaxShare, 1))
+				v.addf(entryKey("pool", i, "limits", "guarantee"), "%v is greater than the maximum share, %v", *l.Guarantee, valueOr(l.MaxShare, 1))
 			}
-			v.above0(l.RetryAfter, entryKey("pool", i, "limits", "retry_after")...)
+			v.positive(l.RetryAfter, entryKey("pool", i, "limits", "retry_after")...)
 		}
 		v.poolClasses(i, p.Classes)
 	}
 	if guarantees > 1+roundingError {
-		v.addf([]string{"pool", "0"}, "the guarantees of all pools add up to %.3g; must be at most 1", guarantees)
+		v.addf([]string{"pool", "0"}, "the guarantees of all pools add up to %.3g; the sum must be at most 1", guarantees)
 	}
 }
 
@@ -52,27 +52,27 @@
 		c := &classes[j]
 		key := func(k string) []string { return entryKey("pool", pool, "class", strconv.Itoa(j), k) }
 		if names[c.Name] {
-			v.addf(key("name"), "%q is given twice", c.Name)
+			v.addf(key("name"), "class %q is listed twice", c.Name)
 		}
 		names[c.Name] = true
 		v.notNegative(c.TargetLatency, key("aim"))
 		v.notNegative(c.TargetLatencyPerKTokens, key("aim_per_1000_tokens"))
-		v.above0(c.Deadline, key("deadline")...)
+		v.positive(c.Deadline, key("deadline")...)
 	}
 }
 
-// notNegative rejects durations that are given and below 0.
+// notNegative rejects a duration that is present and less than 0.
 func (v *validator) notNegative(d *tomlfile.Duration, key []string) {
 	if d != nil && *d < 0 {
-		v.addf(key, "must be a time of 0 or more")
+		v.addf(key, "must be 0 or more")
 	}
 }
 
-// services checks that services and pools refer to each other, and the routes.
+// services checks the routes, and that each service has a pool and each pool a service.
 func (v *validator) services() {
 	if len(v.f.Services) == 0 {
 		if len(v.f.Pools) > 0 {
-			v.addf([]string{"pool", "0"}, "pools need at least one [[service]] that uses them")
+			v.addf([]string{"pool", "0"}, "at least one [[service]] must use the pools")
 		}
 		return
 	}
@@ -104,7 +104,7 @@
 	}
 }
 
-// routeErrorKey is the key of the file that an error of package route is about.
+// routeErrorKey returns the key of the file to which an error of package route refers.
 func (f *File) routeErrorKey(e *route.TableError) []string {
 	switch {
 	case e.RouteIndex >= 0 && e.Field != "":
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -165,7 +165,7 @@
 		},
 		"a class without a deadline": {
 			one + poolTOML("a", "[[pool.class]]\nname = \"doc-lookup\"\nworth = 1.0\ndeadline = \"0s\""),
-			[]string{":11: pool[0].class[0].deadline: must be a time above 0"},
+			[]string{":11: pool[0].class[0].deadline: must be greater than 0"},
 		},
 		"a contract's classes": {
 			one + poolTOML("a", "[[pool.class]]\nname = \"doc-lookup\"") + "[[contract]]\nteam = \"t\"\nkey_env = \"K\"\nservice = \"s\"\n" +
