--- a/internal/control/fleetconfig/codec.go
+++ b/internal/control/fleetconfig/codec.go
@@ -9,20 +9,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxBytes bounds a configuration: tens of thousands of routes of about 250 bytes.
+// MaxBytes is the maximum size of an encoded configuration. It fits tens of thousands of routes of about 250 bytes.
 const MaxBytes = 8 << 20
 
-// YieldInterval is the number of routes or tenants that are decoded or compiled between two calls of yield.
+// YieldInterval is the number of routes or tenants that are decoded or compiled between two calls of a yield function.
 const YieldInterval = 32
 
-// ErrInvalid is a configuration that must not be accepted. Errors of decoding and FieldErrors match it.
+// ErrInvalid means that a configuration cannot be accepted. Errors of decoding and FieldErrors match it.
 var ErrInvalid = errors.New("invalid configuration")
 
-// Digest identifies a configuration by its meaning: SHA-256 of its canonical encoding (RFC 8949, section 4.2.3, length
-// first), fields unknown to this program included. Two encodings of one configuration share it.
+// Digest identifies a configuration by its meaning. It is the SHA-256 of the canonical encoding (RFC 8949, section 4.2.3,
+// length-first), including fields unknown to this program. All encodings of a configuration have the same digest.
 type Digest [sha256.Size]byte
 
-// decMode decodes with bounds on nesting and counts, and rejects duplicate keys.
+// decMode returns a decoding mode that bounds nesting and counts, and rejects duplicate keys.
 var decMode = sync.OnceValues(func() (cbor.DecMode, error) {
 	return cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxNestedLevels: 16, MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 12,
@@ -30,11 +30,11 @@
 	}.DecMode()
 })
 
-// encMode encodes canonically.
+// encMode returns the canonical encoding mode.
 var encMode = sync.OnceValues(cbor.CanonicalEncOptions().EncMode)
 
-// Decode reads a configuration. yield, if not nil, is called after every YieldInterval routes or tenants: on a router with a
-// sixth of a core thousands of them take longer than a stream may pause.
+// Decode decodes a configuration. If yield is not nil, it is called after every YieldInterval routes or tenants: on a router with
+// a fraction of a core, decoding thousands of them at once would delay streams too long.
 func Decode(b []byte, yield func()) (*Config, error) {
 	if len(b) > MaxBytes {
 		return nil, fmt.Errorf("%w: %d bytes, at most %d allowed", ErrInvalid, len(b), MaxBytes)
@@ -42,28 +42,28 @@
 	if !isCBORMap(b) {
 		return nil, fmt.Errorf("%w: not a CBOR map", ErrInvalid)
 	}
-	var parts struct {
+	var partial struct {
 		Revision      uint64            `cbor:"revision"`
 		Routes        []cbor.RawMessage `cbor:"routes"`
 		Services      []Service         `cbor:"services"`
 		RequestLimits RequestLimits     `cbor:"request_limits"`
 		Tenants       []cbor.RawMessage `cbor:"tenants,omitempty"`
 	}
-	if err := unmarshal(b, &parts); err != nil {
+	if err := unmarshal(b, &partial); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
-	c := &Config{Revision: parts.Revision, Services: parts.Services, RequestLimits: parts.RequestLimits}
+	c := &Config{Revision: partial.Revision, Services: partial.Services, RequestLimits: partial.RequestLimits}
 	var err error
-	if c.Routes, err = decodeList[Route]("routes", parts.Routes, yield); err != nil {
+	if c.Routes, err = decodeList[Route]("routes", partial.Routes, yield); err != nil {
 		return nil, err
 	}
-	if c.Tenants, err = decodeList[Tenant]("tenants", parts.Tenants, yield); err != nil {
+	if c.Tenants, err = decodeList[Tenant]("tenants", partial.Tenants, yield); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// DecodeWithDigest reads a configuration and computes its digest, which costs as much as all the rest.
+// DecodeWithDigest decodes a configuration and computes its digest. The digest costs about as much time as the decoding.
 func DecodeWithDigest(b []byte) (*Config, Digest, error) {
 	c, err := Decode(b, nil)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return c, d, nil
 }
 
-// digest decodes all fields, known or not, and hashes their canonical encoding.
+// digest decodes all fields, known and unknown, and hashes their canonical encoding.
 func digest(b []byte) (Digest, error) {
 	var fields any
 	if err := unmarshal(b, &fields); err != nil {
@@ -93,7 +93,7 @@
 	return sha256.Sum256(canonical), nil
 }
 
-// decodeList decodes the entries of a list one by one, so that it can yield in between.
+// decodeList decodes the entries of a list one at a time, so that it can yield in between.
 func decodeList[T any](key string, entries []cbor.RawMessage, yield func()) ([]T, error) {
 	if entries == nil {
 		return nil, nil
@@ -110,7 +110,7 @@
 	return list, nil
 }
 
-// isCBORMap reports whether the first item is a map, CBOR's major type 5.
+// isCBORMap reports whether the first data item is a map (CBOR major type 5).
 func isCBORMap(b []byte) bool { return len(b) > 0 && b[0]>>5 == 5 }
 
 func unmarshal(b []byte, v any) error {
--- a/internal/control/fleetconfig/doc.go
+++ b/internal/control/fleetconfig/doc.go
@@ -1,11 +1,11 @@
-// Package fleetconfig owns a fleet configuration as the operator submits it: its bounded decoding, its validation and its
-// digest. It knows nothing of how a configuration is agreed upon or distributed, and does no I/O.
+// Package fleetconfig defines the fleet configuration that an operator submits: decoding with bounds, validation and the digest.
+// It does no I/O. Agreement on a configuration and its distribution are implemented elsewhere.
 //
-// The source of truth is the CBOR text as submitted: it is stored and passed on byte by byte, so that fields which this
-// program does not know survive. [Decode] reads the fields that it knows, [DecodeWithDigest] also computes the digest that
-// identifies a configuration by its meaning, and [Config.Validate] checks it. Decoding never returns a Config that has been
-// validated: a file that leaves the revision to the tool is validated only after one was filled in.
+// The submitted CBOR text is authoritative: it is stored and forwarded byte for byte, so that fields unknown to this program are
+// preserved. [Decode] reads the known fields, [DecodeWithDigest] also computes the digest that identifies a configuration by its
+// meaning, and [Config.Validate] checks a decoded configuration. Decoding does not validate, because a file may omit the revision,
+// which the tool sets before validation.
 //
-// The same types are the schema of configuration files in TOML (package configfile); their doc comments are the manual of
-// each key, and the jsonschema tags its short form in editors and error messages.
+// The same types define the schema of configuration files in TOML (package configfile). Their doc comments document each key in
+// full; the jsonschema tags are the short descriptions in editors and error messages.
 package fleetconfig
--- a/internal/control/fleetconfig/errors.go
+++ b/internal/control/fleetconfig/errors.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// FieldError is one thing that is wrong with a configuration.
+// FieldError is one error in a configuration.
 type FieldError struct {
-	Path    []string // to the field: names, and indices of list entries
-	Owner   string   // name of the route, service or tenant that the field belongs to; "" = none
+	Path    []string // path to the field: field names, and indices of list entries
+	Owner   string   // name of the route, service or tenant of the field; "" = none
 	Message string
 }
 
-// String is the path as in routes[3].timeout_ms, the owner and the message.
+// String returns the path, such as routes[3].timeout_ms, the owner and the message.
 func (e FieldError) String() string {
 	var b strings.Builder
 	for _, p := range e.Path {
@@ -31,16 +31,17 @@
 	return b.String() + ": " + e.Message
 }
 
-// FieldErrors are all that is wrong with a configuration, in its order. They match ErrInvalid.
+// FieldErrors lists the errors in a configuration, in the order of its fields. It matches ErrInvalid.
 type FieldErrors []FieldError
 
+// Error returns all errors on one line.
 func (f FieldErrors) Error() string {
-	all := make([]string, 0, len(f))
+	messages := make([]string, 0, len(f))
 	for _, e := range f {
-		all = append(all, e.String())
+		messages = append(messages, e.String())
 	}
-	return ErrInvalid.Error() + ": " + strings.Join(all, "; ")
+	return ErrInvalid.Error() + ": " + strings.Join(messages, "; ")
 }
 
-// Is makes errors.Is find ErrInvalid.
+// Is reports whether target is ErrInvalid, for errors.Is.
 func (f FieldErrors) Is(target error) bool { return target == ErrInvalid }
--- a/internal/control/fleetconfig/fleetconfig_bench_test.go
+++ b/internal/control/fleetconfig/fleetconfig_bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// BenchmarkTenants decodes configurations of many tenants: as a router does ("read"), and with the digest, as each replica
-// does when it accepts one and again when it is chosen.
+// BenchmarkTenants decodes configurations with many tenants: without the digest, as a router does ("read"), and with it, as a
+// replica does when it accepts a configuration and again when the configuration is chosen.
 func BenchmarkTenants(b *testing.B) {
 	for _, n := range []int{1400, 4600, 14000} {
 		c := &Config{Revision: 1, Services: []Service{{Name: "s"}}}
@@ -19,12 +19,12 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		for _, what := range []string{"read", "digest"} {
-			b.Run(fmt.Sprintf("%s/%d", what, n), func(b *testing.B) {
+		for _, mode := range []string{"read", "digest"} {
+			b.Run(fmt.Sprintf("%s/%d", mode, n), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					var err error
-					if what == "read" {
+					if mode == "read" {
 						_, err = Decode(text, nil)
 					} else {
 						_, _, err = DecodeWithDigest(text)
--- a/internal/control/fleetconfig/fleetconfig_test.go
+++ b/internal/control/fleetconfig/fleetconfig_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// validConfig is a configuration as the operator submits it, with a field that this program does not know.
+// validConfig returns a configuration as an operator submits it, with a field that is unknown to this program.
 func validConfig() map[string]any {
 	return map[string]any{
 		"revision": 7,
@@ -38,6 +38,7 @@
 	}
 }
 
+// entryOf returns the entry at an index of a list.
 func entryOf(v map[string]any, list string, i int) map[string]any {
 	return v[list].([]any)[i].(map[string]any)
 }
@@ -95,7 +96,7 @@
 	}
 	yields := 0
 	if _, err := Decode(marshal(t, c), func() { yields++ }); err != nil || yields != 3 {
-		t.Errorf("%d yields, %v; want 3", yields, err)
+		t.Errorf("%d calls of yield, error %v; want 3 calls", yields, err)
 	}
 }
 
@@ -111,7 +112,7 @@
 		t.Fatal(err)
 	}
 	if _, other, err := DecodeWithDigest(b); err != nil || other != digest {
-		t.Errorf("two encodings of one configuration differ: %v", err)
+		t.Errorf("two encodings of one configuration have different digests, or error %v", err)
 	}
 	entryOf(v, "routes", 1)["later_field"] = []any{1, 3}
 	if _, other := decode(t, v); other == digest {
@@ -121,7 +122,7 @@
 
 func TestInvalidConfigurationIsRejected(t *testing.T) {
 	for _, c := range []struct {
-		name, want string // want is part of the error
+		name, want string // want is contained in the error
 		change     func(map[string]any)
 	}{
 		{"no revision", "revision", func(v map[string]any) { v["revision"] = 0 }},
--- a/internal/control/fleetconfig/validate.go
+++ b/internal/control/fleetconfig/validate.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// maxFieldErrors bounds what is reported: a file of thousands of routes may be wrong throughout.
+// maxFieldErrors bounds the number of reported errors: each of thousands of routes may be invalid.
 const maxFieldErrors = 64
 
-// Validate reports everything that is wrong with a configuration by itself, as FieldErrors; nil = nothing. A configuration is
-// accepted only if it is valid.
+// Validate returns the errors in the configuration as FieldErrors, at most maxFieldErrors of them; nil means that it is valid. Only
+// a valid configuration is accepted.
 func (c *Config) Validate() error {
 	v := validator{}
 	if c.Revision == 0 {
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// validator collects errors. owner is the name of the entry that is being checked.
+// validator collects errors. owner is the name of the entry that is currently checked.
 type validator struct {
 	errs  FieldErrors
 	owner string
@@ -39,17 +39,18 @@
 	}
 }
 
-// entry is the path to one entry of a list.
+// entry identifies an entry of a list.
 type entry struct {
 	list  string
 	index int
 }
 
+// at returns the path of a field of the entry.
 func (e entry) at(keys ...string) []string {
 	return append([]string{e.list, strconv.Itoa(e.index)}, keys...)
 }
 
-// nonNegative rejects numbers below 0, and NaN.
+// nonNegative rejects numbers less than 0, and NaN.
 func (v *validator) nonNegative(path []string, value float64) {
 	if !(value >= 0) {
 		v.addf(path, "must be 0 or more, not %v", value)
@@ -70,7 +71,7 @@
 	}
 }
 
-// services returns the names of all services.
+// services checks the services and returns their names.
 func (v *validator) services(services []Service) map[string]bool {
 	names := map[string]bool{}
 	for i := range services {
@@ -91,7 +92,7 @@
 	return names
 }
 
-// routeKey is what tells routes apart when a request is matched.
+// routeKey is the pair of fields that requests are matched against.
 type routeKey struct{ hostname, pathPrefix string }
 
 func (v *validator) routes(routes []Route, services map[string]bool) {
@@ -105,7 +106,8 @@
 	}
 }
 
-// match checks which requests a route matches, and that no other one matches the same. seen has the routes before it.
+// match checks the fields of a route that requests are matched against, and that no earlier route has the same. seen maps the keys
+// of earlier routes to their indices.
 func (v *validator) match(routes []Route, e entry, seen map[routeKey]int) {
 	r := &routes[e.index]
 	if r.Hostname == "" {
@@ -121,7 +123,7 @@
 	seen[key] = e.index
 }
 
-// behavior checks what becomes of a route's requests.
+// behavior checks a route's type, times and number of attempts.
 func (v *validator) behavior(r *Route, e entry) {
 	switch r.Type {
 	case RouteIdempotent, RouteNonIdempotent, RouteStreaming:
