--- a/internal/control/configcache/configcache_test.go
+++ b/internal/control/configcache/configcache_test.go
@@ -10,7 +10,7 @@
 	"notchhinge/internal/limits"
 )
 
-// configText is a large configuration; two versions differ in one figure.
+// configText returns a large configuration. Two versions differ in one number.
 func configText(version int) []byte {
 	var b bytes.Buffer
 	for i := range 2000 {
@@ -19,7 +19,7 @@
 	return b.Bytes()
 }
 
-// filled returns a cache that six versions were added to, at the indices 10, 20 to 60. The first two are evicted.
+// filled returns a cache to which six versions were added, with the indices 10, 20, ..., 60. The first two are evicted.
 func filled(t *testing.T) *Cache {
 	t.Helper()
 	c := &Cache{}
@@ -30,28 +30,28 @@
 }
 
 func TestReplyIsADeltaIfTheBaseIsCached(t *testing.T) {
-	const maxDelta, maxWhole = 500, 30000
+	const maxDeltaBytes, maxFullBytes = 500, 30000
 	c := filled(t)
 	for _, x := range []struct {
-		name     string
-		has      uint64
-		base     []byte
-		maxBytes int
+		name      string
+		peerIndex uint64
+		base      []byte
+		maxBytes  int
 	}{
-		{"none", 0, nil, maxWhole},
-		{"previous", 50, configText(4), maxDelta},
-		{"oldest in the cache", 30, configText(2), maxDelta},
-		{"evicted", 10, configText(0), maxWhole},
-		{"never in the cache", 7, nil, maxWhole},
+		{"none", 0, nil, maxFullBytes},
+		{"previous", 50, configText(4), maxDeltaBytes},
+		{"oldest in the cache", 30, configText(2), maxDeltaBytes},
+		{"evicted", 10, configText(0), maxFullBytes},
+		{"never in the cache", 7, nil, maxFullBytes},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			b := c.EncodeReply(x.has)
+			b := c.EncodeReply(x.peerIndex)
 			index, text, err := DecodeReply(b, x.base)
 			if err != nil || index != 60 || !bytes.Equal(text, configText(5)) {
 				t.Errorf("index %d, %d bytes, %v; want the newest configuration", index, len(text), err)
 			}
 			if len(b) > x.maxBytes {
-				t.Errorf("a reply of %d bytes, want at most %d", len(b), x.maxBytes)
+				t.Errorf("the reply has %d bytes, want at most %d", len(b), x.maxBytes)
 			}
 		})
 	}
@@ -60,7 +60,7 @@
 func TestReplyToThePeerWithTheNewestIsEmpty(t *testing.T) {
 	index, text, err := DecodeReply(filled(t).EncodeReply(60), configText(5))
 	if index != 0 || text != nil || err != nil {
-		t.Errorf("index %d, %d bytes, %v; want none", index, len(text), err)
+		t.Errorf("index %d, %d bytes, error %v; want an empty reply", index, len(text), err)
 	}
 }
 
@@ -75,15 +75,15 @@
 		t.Errorf("empty cache: index %d, %d bytes", index, len(text))
 	}
 	if index, text := filled(t).Newest(); index != 60 || !bytes.Equal(text, configText(5)) {
-		t.Errorf("filled cache: index %d, %d bytes; want 60 and its configuration", index, len(text))
+		t.Errorf("filled cache: index %d, %d bytes; want index 60 and its configuration", index, len(text))
 	}
 }
 
-func TestNewestIsKeptWhateverItsSize(t *testing.T) {
+func TestLargeNewestConfigurationIsKept(t *testing.T) {
 	c := filled(t)
 	large := make([]byte, limits.CachedConfigBytes+1)
 	c.Add(70, large)
 	if index, text := c.Newest(); index != 70 || len(text) != len(large) || len(c.configs) != 1 {
-		t.Errorf("index %d, %d bytes, %d configurations; want the large one alone", index, len(text), len(c.configs))
+		t.Errorf("index %d, %d bytes, %d configurations; want only the large one", index, len(text), len(c.configs))
 	}
 }
--- a/internal/control/delta/bench_test.go
+++ b/internal/control/delta/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// tenantsConfig returns a configuration with a number of tenants, as a file has it. The tenant with the index changed has
-// another rate; -1 = none has.
+// tenantsConfig returns the text of a configuration with a number of tenants. The tenant at the index changed has a different rate;
+// -1 = none has.
 func tenantsConfig(tenants, changed int) []byte {
 	var b bytes.Buffer
 	for i := range tenants {
@@ -31,7 +31,7 @@
 	}
 }
 
-// BenchmarkTenants encodes a configuration relative to one that differs in the rate of one tenant.
+// BenchmarkTenants encodes a configuration relative to a base that differs in the rate of one tenant.
 func BenchmarkTenants(b *testing.B) {
 	for _, n := range []int{1400, 4600, 9200, 10000, 11000, 12000, 14000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// BenchmarkLevels does the same with each level of the compressor.
+// BenchmarkLevels encodes the same configurations with each compression level.
 func BenchmarkLevels(b *testing.B) {
 	for _, level := range []zstd.EncoderLevel{zstd.SpeedFastest, zstd.SpeedDefault, zstd.SpeedBetterCompression} {
 		for _, n := range []int{10, 100, 1000, 4600, 14000, 28000, 56000} {
@@ -57,7 +57,7 @@
 				var delta []byte
 				for b.Loop() {
 					delta = compress(formatDelta, base, data,
-						append(options(level, len(base)+len(data)), zstd.WithEncoderDictRaw(dictionaryID, base)))
+						append(encoderOptions(level, len(base)+len(data)), zstd.WithEncoderDictRaw(dictionaryID, base)))
 				}
 				b.ReportMetric(float64(len(delta)), "delta-bytes")
 			})
--- a/internal/control/delta/delta.go
+++ b/internal/control/delta/delta.go
@@ -1,9 +1,9 @@
-// Package delta encodes data relative to a base that the receiver already has. A configuration of thousands of routes
-// changes in a few places at a time; its delta is a small fraction of it. The package is pure.
+// Package delta encodes data relative to a base that the receiver already has. A configuration of thousands of routes changes in
+// a few places at a time, so its delta is a small fraction of its size. The package keeps no state and does no I/O.
 //
-// An encoding is one byte for the format, and for the compressed formats the xxHash64 of the base and of the data, 8 bytes
-// each, big-endian, followed by a Zstandard frame (RFC 8878). In formatDelta the base is the frame's raw dictionary. The
-// hashes detect a wrong base and corrupt data.
+// An encoding begins with one byte for the format. formatPlain continues with the data. The compressed formats continue with the
+// xxHash64 of the base and of the data, 8 bytes each, big-endian, followed by a Zstandard frame (RFC 8878). In formatDelta the base
+// is the raw dictionary of the frame. The hashes detect a wrong base and corrupt data.
 package delta
 
 import (
@@ -15,54 +15,56 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// Formats, as encoded.
+// Formats: the first byte of an encoding.
 const (
-	formatPlain      byte = iota // the data itself
+	formatPlain      byte = iota // uncompressed data
 	formatCompressed             // compressed without a base
 	formatDelta                  // compressed with the base as a dictionary
 )
 
 const (
-	minBytes      = 512       // data or a base below that is not worth a compression
-	smallDelta    = 16        // a delta so many times smaller than its data is not worth another attempt
-	maxFastBase   = 512 << 10 // bytes of the largest base in which the compressor's fastest level finds what is unchanged
-	maxWindow     = 16 << 20  // bytes that the compressor looks back at most
-	dictionaryID  = 1         // of the base
-	headBytes     = 1 + 8 + 8
-	extraDecoding = 32 << 20 // bytes of memory that the decoder may use beyond its output
+	minBytes        = 512       // smaller data is not compressed, and a smaller base is not used
+	smallDeltaRatio = 16        // if data is this many times larger than its delta, no other format is tried
+	maxFastBase     = 512 << 10 // bytes of the largest base for which the fastest compression level is used
+	maxWindow       = 16 << 20  // bytes of the largest compression window
+	dictionaryID    = 1         // identifies the base in a frame
+	headerBytes     = 1 + 8 + 8 // format and two hashes
+	decoderOverhead = 32 << 20  // bytes of memory that the decoder may use beyond its output
 )
 
 // Errors of Decode.
 var (
+	// ErrWrongBase means that the data was encoded relative to a different base.
 	ErrWrongBase = errors.New("delta: encoded against another base")
-	ErrCorrupt   = errors.New("delta: corrupt data")
+	// ErrCorrupt means that the encoding is invalid or that the data is too long.
+	ErrCorrupt = errors.New("delta: corrupt data")
 )
 
-// Encode returns a short encoding of data: relative to base, which may be nil, where that is a fraction of the data, and else
-// the shortest of that, the compressed and the plain data.
+// Encode returns a short encoding of data. It returns the delta to base if that is much smaller than data, and otherwise the
+// shortest of the delta, the compressed data and the plain data. base may be nil.
 func Encode(base, data []byte) []byte {
 	if len(data) < minBytes {
 		return append([]byte{formatPlain}, data...)
 	}
 	best := append([]byte{formatPlain}, data...)
 	if len(base) >= minBytes {
-		options := append(options(deltaLevel(base), len(base)+len(data)), zstd.WithEncoderDictRaw(dictionaryID, base))
-		if b := compress(formatDelta, base, data, options); b != nil && len(b) < len(best) {
+		deltaOptions := append(encoderOptions(deltaLevel(base), len(base)+len(data)), zstd.WithEncoderDictRaw(dictionaryID, base))
+		if b := compress(formatDelta, base, data, deltaOptions); b != nil && len(b) < len(best) {
 			best = b
 		}
-		if len(best) < len(data)/smallDelta {
+		if len(best) < len(data)/smallDeltaRatio {
 			return best
 		}
 	}
-	if b := compress(formatCompressed, nil, data, options(zstd.SpeedFastest, len(base)+len(data))); b != nil && len(b) < len(best) {
+	if b := compress(formatCompressed, nil, data, encoderOptions(zstd.SpeedFastest, len(base)+len(data))); b != nil && len(b) < len(best) {
 		best = b
 	}
 	return best
 }
 
-// deltaLevel returns the compressor's level for a delta. The fastest one remembers one place for each of its hashes, which
-// later ones overwrite: from half a megabyte of keys on it finds less and less of the base. A base of many routes or tenants therefore takes
-// a level that remembers more, with 8 MB of memory beside the base.
+// deltaLevel returns the compression level of a delta. The fastest level stores only the latest position for each hash, so that it
+// misses more and more matches in a base above maxFastBase. A larger base therefore uses a level that stores more positions, which
+// needs 8 MB of additional memory.
 func deltaLevel(base []byte) zstd.EncoderLevel {
 	if len(base) <= maxFastBase {
 		return zstd.SpeedFastest
@@ -70,36 +72,36 @@
 	return zstd.SpeedBetterCompression
 }
 
-// options returns those of a compressor of a level whose window spans so many bytes.
-func options(level zstd.EncoderLevel, span int) []zstd.EOption {
-	return []zstd.EOption{zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(level), zstd.WithWindowSize(window(span))}
+// encoderOptions returns the options of an encoder with a level, whose window spans the given number of bytes.
+func encoderOptions(level zstd.EncoderLevel, span int) []zstd.EOption {
+	return []zstd.EOption{zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(level), zstd.WithWindowSize(windowSize(span))}
 }
 
-// window returns the power of two that spans n bytes, within the bounds.
-func window(n int) int {
-	w := zstd.MinWindowSize
-	for w < n && w < maxWindow {
-		w *= 2
+// windowSize returns the smallest power of two that spans n bytes, from zstd.MinWindowSize to maxWindow.
+func windowSize(n int) int {
+	size := zstd.MinWindowSize
+	for size < n && size < maxWindow {
+		size *= 2
 	}
-	return w
+	return size
 }
 
-// compress returns nil if the compressor cannot be made; another format then serves.
+// compress returns data in a compressed format. It returns nil if the encoder cannot be created; the caller then uses another format.
 func compress(format byte, base, data []byte, options []zstd.EOption) []byte {
 	e, err := zstd.NewWriter(nil, options...)
 	if err != nil {
 		return nil
 	}
-	defer func() { _ = e.Close() }() // EncodeAll leaves nothing to flush
-	b := make([]byte, headBytes, headBytes+len(data)/4)
+	defer func() { _ = e.Close() }() // EncodeAll leaves no data to flush
+	b := make([]byte, headerBytes, headerBytes+len(data)/4)
 	b[0] = format
 	binary.BigEndian.PutUint64(b[1:], xxhash.Sum64(base))
 	binary.BigEndian.PutUint64(b[9:], xxhash.Sum64(data))
 	return e.EncodeAll(data, b)
 }
 
-// Decode returns the data of an encoding, at most maxBytes of it. The data of formatPlain share memory with encoded. The
-// error matches ErrWrongBase or ErrCorrupt.
+// Decode returns the data of an encoding. It rejects data longer than maxBytes. The data of formatPlain shares memory with encoded.
+// The error matches ErrWrongBase or ErrCorrupt.
 func Decode(base, encoded []byte, maxBytes int) ([]byte, error) {
 	if len(encoded) == 0 {
 		return nil, ErrCorrupt
@@ -111,10 +113,10 @@
 		}
 		return encoded[1:], nil
 	}
-	if format > formatDelta || len(encoded) < headBytes {
+	if format > formatDelta || len(encoded) < headerBytes {
 		return nil, ErrCorrupt
 	}
-	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(maxBytes) + extraDecoding)}
+	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(uint64(maxBytes) + decoderOverhead)}
 	if format == formatDelta {
 		if binary.BigEndian.Uint64(encoded[1:]) != xxhash.Sum64(base) {
 			return nil, ErrWrongBase
@@ -126,7 +128,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	defer d.Close()
-	data, err := d.DecodeAll(encoded[headBytes:], nil)
+	data, err := d.DecodeAll(encoded[headerBytes:], nil)
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
--- a/internal/control/delta/delta_test.go
+++ b/internal/control/delta/delta_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// routesConfig returns a configuration with a number of routes, of the length of an encoded one. The route with the index
-// changed differs in its time-out; -1 = none does.
+// routesConfig returns a text about as long as an encoded configuration with a number of routes. The route at the index changed has
+// a different timeout; -1 = none has.
 func routesConfig(routes, changed int) []byte {
 	var b bytes.Buffer
 	for i := range routes {
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestDeltaOfManyTenantsIsAFractionOfTheData: one tenant's rate is found at the sizes of two years, and somewhat beyond.
+// TestDeltaOfManyTenantsIsAFractionOfTheData guards against a compression level that misses matches in a large base.
 func TestDeltaOfManyTenantsIsAFractionOfTheData(t *testing.T) {
 	const maxDeltaBytes = 1000
 	for _, tenants := range []int{100, 4600, 9200, 14_000, 28_000} {
@@ -70,12 +70,12 @@
 		want          error
 	}{
 		"another base":        {routesConfig(5000, 7), delta, len(data), ErrWrongBase},
-		"data above a bound":  {base, delta, len(data) - 1, ErrCorrupt},
-		"plain above a bound": {nil, Encode(nil, []byte("four")), 3, ErrCorrupt},
+		"data too long":       {base, delta, len(data) - 1, ErrCorrupt},
+		"plain data too long": {nil, Encode(nil, []byte("four")), 3, ErrCorrupt},
 		"a flipped bit":       {base, flipped, len(data), ErrCorrupt},
 		"nothing":             {nil, nil, 1, ErrCorrupt},
 		"an unknown format":   {nil, []byte{formatDelta + 1}, 1, ErrCorrupt},
-		"a head alone":        {base, delta[:headBytes-1], len(data), ErrCorrupt},
+		"truncated header":    {base, delta[:headerBytes-1], len(data), ErrCorrupt},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := Decode(c.base, c.encoded, c.maxBytes); !errors.Is(err, c.want) {
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestDataSurviveARoundTrip(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		base := rapid.SliceOfN(rapid.Byte(), 0, 3000).Draw(t, "base")
 		data := append([]byte{}, base...)
@@ -95,7 +95,7 @@
 		}
 		got, err := Decode(base, Encode(base, data), 1<<20)
 		if err != nil || !bytes.Equal(got, data) {
-			t.Fatalf("%v: %d bytes became %d", err, len(data), len(got))
+			t.Fatalf("error %v: %d bytes encoded, %d decoded", err, len(data), len(got))
 		}
 	})
 }
@@ -108,7 +108,7 @@
 	f.Add([]byte{formatDelta})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if data, err := Decode(base, b, maxBytes); err == nil && len(data) > maxBytes {
-			t.Errorf("%d bytes, above the bound", len(data))
+			t.Errorf("%d bytes decoded, more than maxBytes", len(data))
 		}
 	})
 }
--- a/internal/control/delta/golden_test.go
+++ b/internal/control/delta/golden_test.go
@@ -8,8 +8,8 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// TestGoldenDeltas: each format has the bytes of its golden file. A newer compressor may write other bytes; the files must be decoded
-// all the same.
+// TestGoldenDeltas checks that the encoding of each format does not change. A newer version of the compressor may write other
+// bytes, but must still decode the files.
 func TestGoldenDeltas(t *testing.T) {
 	data := func(version int) []byte {
 		var b bytes.Buffer
@@ -33,7 +33,7 @@
 			b := golden.Read(t, c.name+".hex")
 			got, err := Decode(c.base, b, 1<<20)
 			if err != nil || !bytes.Equal(got, c.data) || b[0] != c.format {
-				t.Errorf("format %d: %q %v", b[0], got, err)
+				t.Errorf("format %d, data %q, error %v", b[0], got, err)
 			}
 		})
 	}
