--- a/internal/config/nodeconfig/config.go
+++ b/internal/config/nodeconfig/config.go
@@ -102,7 +102,8 @@
 	// default 4000. It is checked but has no effect.
 	ContactMS int `json:"contact_ms"`
 	// DrainTimeoutMS is the time in milliseconds from the acknowledgement of an engine's drain after which no request may reach
-	// the engine, greater than 0; default 3000. Requests of known sessions may still be sent for limits.DrainGrace of it.
+	// the engine, greater than 0; default 3000. limits.DrainGrace is the part of it in which requests of known sessions may
+	// still be sent.
 	DrainTimeoutMS int `json:"drain_timeout_ms"`
 	// GracePeriodS is the time from SIGTERM to SIGKILL in seconds, greater than 0; default 6. Requests in flight may finish
 	// within it.
@@ -119,8 +120,8 @@
 	FencingEnabled bool `json:"fencing_enabled"`
 	// UsageWindowS is the length of a usage report window in seconds, greater than 0; default 5.
 	UsageWindowS float64 `json:"usage_window_s"`
-	// UsageDelayS is the time in seconds after a window's end within which its report is due; default 10. A window is reported
-	// after 0.3 of it, when the last counts have arrived.
+	// UsageDelayS is the time in seconds after a window's end within which its report is due; default 10. After 0.3 of this time the
+	// last counts have arrived and the window is reported.
 	UsageDelayS float64 `json:"usage_delay_s"`
 	// RetryBudgetRatio is the maximum ratio of retries to requests, such as 0.2. Routers use half of it.
 	RetryBudgetRatio float64 `json:"retry_budget_ratio"`
--- a/internal/config/operatorconfig/doc.go
+++ b/internal/config/operatorconfig/doc.go
@@ -4,6 +4,6 @@
 // JSON file.
 //
 // A test generates the schema under deploy from the types (-update). The jsonschema tag of a field is the short description that
-// editors and error messages show; the doc comment is the full one. Checks after the schema cover what it cannot express, such as
+// editors and error messages show; the doc comment is the full one. Further checks cover what a schema cannot express, such as
 // references between tables. Errors are of type [tomlfile.Errors] and list all errors at once, unless the file cannot be read.
 package operatorconfig
--- a/internal/config/operatorconfig/file.go
+++ b/internal/config/operatorconfig/file.go
@@ -24,10 +24,10 @@
 	// LatencyMargin is subtracted from the latency target: a later response counts as late. At most one minute.
 	LatencyMargin *tomlfile.Duration `toml:"margin" jsonschema:"default=20ms,description=a response that is within this time of its latency target counts as late"`
 	// PropagateSampled selects the requests that are sent upstream with the sampled flag in the traceparent header: "share" for
-	// those that are sampled, or "all". Engines use resources to trace them.
+	// those that are sampled, or "all". Engines may trace these requests, which costs them resources.
 	PropagateSampled string `toml:"tell_hosts" jsonschema:"enum=share,enum=all,default=share,description=requests that are sent upstream with the sampled flag in traceparent: those of the share or all"`
-	// PendingMB bounds the memory for records of finished requests that the client may still retry.
-	PendingMB int `toml:"memory_mb" jsonschema:"minimum=1,maximum=1024,default=1,description=memory in MiB for records of finished requests that the client may still retry"`
+	// PendingMB bounds the memory for records of finished requests that may still be retried.
+	PendingMB int `toml:"memory_mb" jsonschema:"minimum=1,maximum=1024,default=1,description=memory in MiB for records of finished requests that may still be retried"`
 
 	OTLP *OTLP      `toml:"otlp" jsonschema:"description=export to a collector with OTLP over HTTP"`
 	File *TraceFile `toml:"file" jsonschema:"description=export to files that notchhinge trace find and show read"`
@@ -87,7 +87,7 @@
 // Service is a named destination of requests. It has either a pool or a split.
 type Service struct {
 	Name   string  `toml:"name" jsonschema:"required,pattern=^[A-Za-z0-9_.-]{1\\,64}$,description=name of letters digits - . and _"`
-	Pool   string  `toml:"pool" jsonschema:"description=pool that serves the service; exclusive with split"`
+	Pool   string  `toml:"pool" jsonschema:"description=pool that serves the service; cannot be combined with split"`
 	Split  []Split `toml:"split" jsonschema:"description=pools that serve the service by weight; a session stays with its pool"`
 	Routes []Route `toml:"route" jsonschema:"required,minItems=1,description=routes of requests to the service; the most specific route wins regardless of the order"`
 }
--- a/internal/config/platformconfig/load.go
+++ b/internal/config/platformconfig/load.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// check checks the addresses, the seed and the machine's limits. It returns the seed, or the first error.
+// check validates the addresses, the seed and the machine's limits. It returns the seed, or the first error.
 func (f *file) check() (seed uint64, err error) {
 	if _, _, err := net.SplitHostPort(f.Listen); err != nil {
 		return 0, fmt.Errorf("listen: %w", err)
--- a/internal/config/platformconfig/operator.go
+++ b/internal/config/platformconfig/operator.go
@@ -20,11 +20,12 @@
 		return f, nil, err
 	}
 	config := &batch.Config{Listen: f.Batch.Listen, Spool: f.Batch.Spool}
-	for _, c := range f.Contracts {
+	for _, contract := range f.Contracts {
 		config.Contracts = append(config.Contracts, batch.Contract{
-			Team: c.Team, KeyEnv: c.KeyEnv, Service: c.Service, Classes: c.Classes, MaxItems: c.MaxItems, MaxConcurrent: c.MaxConcurrent,
-			BudgetTokens: c.BudgetTokens, BudgetPeriod: batch.Period(c.BudgetPeriod),
-			ItemDeadline: batch.Period(c.ItemDeadline), OpenAPI: c.OpenAPI,
+			Team: contract.Team, KeyEnv: contract.KeyEnv, Service: contract.Service, Classes: contract.Classes,
+			MaxItems: contract.MaxItems, MaxConcurrent: contract.MaxConcurrent,
+			BudgetTokens: contract.BudgetTokens, BudgetPeriod: batch.Period(contract.BudgetPeriod),
+			ItemDeadline: batch.Period(contract.ItemDeadline), OpenAPI: contract.OpenAPI,
 		})
 	}
 	// The classes were checked by operatorconfig.Load. If the file has pools, package reconcile checks them.
--- a/internal/control/delta/delta.go
+++ b/internal/control/delta/delta.go
@@ -86,7 +86,8 @@
 	return size
 }
 
-// compress returns data in a compressed format. It returns nil if the encoder cannot be created; the caller then uses another format.
+// compress returns data in a compressed format. It returns nil if the encoder cannot be created; the caller then uses another
+// format.
 func compress(format byte, base, data []byte, options []zstd.EOption) []byte {
 	e, err := zstd.NewWriter(nil, options...)
 	if err != nil {
--- a/internal/control/fleetconfig/config.go
+++ b/internal/control/fleetconfig/config.go
@@ -11,13 +11,13 @@
 	// one before; gaps are allowed. If a file omits it, the tool uses the current revision plus 1.
 	Revision uint64 `cbor:"revision" toml:"revision" jsonschema:"minimum=0,description=version of the configuration; by default the current version plus 1"`
 	// Routes map requests to services. If several routes match, the one with the longest path_prefix wins.
-	Routes []Route `cbor:"routes" toml:"routes" jsonschema:"description=A route of requests to services. The longest matching path_prefix wins."`
+	Routes []Route `cbor:"routes" toml:"routes" jsonschema:"description=Routes of requests to services. The longest matching path_prefix wins."`
 	// Services are the services that engines run. Routes may name only these.
-	Services []Service `cbor:"services" toml:"services" jsonschema:"description=A service that engines run."`
+	Services []Service `cbor:"services" toml:"services" jsonschema:"description=Services that engines run."`
 	// RequestLimits bound the requests of clients on all routes.
 	RequestLimits RequestLimits `cbor:"request_limits" toml:"request_limits" jsonschema:"description=Limits on the requests of clients."`
 	// Tenants are the owners of API keys. If there are none, requests need no key.
-	Tenants []Tenant `cbor:"tenants,omitempty" toml:"tenants" jsonschema:"description=An owner of API keys. Without any tenant no request needs a key."`
+	Tenants []Tenant `cbor:"tenants,omitempty" toml:"tenants" jsonschema:"description=Owners of API keys. Without any tenant no request needs a key."`
 }
 
 // Route sends requests for a host and a path prefix to one or more services.
