--- a/cmd/notchhinge/configs.go
+++ b/cmd/notchhinge/configs.go
@@ -22,103 +22,104 @@
 )
 
 type configCmd struct {
-	Check    configCheck    `cmd:"" help:"Check a file and say every fault, with its line. It asks no fleet."`
-	Diff     configDiff     `cmd:"" help:"Say what changes from one file to another. It asks no fleet."`
-	Plan     configPlan     `cmd:"" help:"Say what a file would change of what is in force. Nothing is changed."`
-	Apply    configApply    `cmd:"" help:"Have the fleet take a file's configuration, upon the version that is in force."`
-	Rollback configRollback `cmd:"" help:"Have the fleet take an earlier configuration again, from a file, under the next number."`
-	Describe configDescribe `cmd:"" help:"Print the newest configuration that the fleet has agreed on."`
-	History  configHistory  `cmd:"" help:"List the configurations that the fleet has taken, the newest last."`
-	Schema   configSchema   `cmd:"" help:"Print the JSON Schema of configurations in files."`
+	Check    configCheck    `cmd:"" help:"Check a file and report every error with its line. No fleet is contacted."`
+	Diff     configDiff     `cmd:"" help:"List the changes from one file to another. No fleet is contacted."`
+	Plan     configPlan     `cmd:"" help:"List what a file would change in the current configuration. Nothing is changed."`
+	Apply    configApply    `cmd:"" help:"Replace the current configuration of the fleet with that of a file."`
+	Rollback configRollback `cmd:"" help:"Replace the current configuration with an earlier one from a file, under the next revision number."`
+	Describe configDescribe `cmd:"" help:"Print the newest configuration of the fleet."`
+	History  configHistory  `cmd:"" help:"List the configurations that the fleet has accepted, the newest last."`
+	Schema   configSchema   `cmd:"" help:"Print the JSON Schema of configuration files."`
 }
 
-// configFileArg is a file that commands take.
+// configFileArg is the argument of commands that read a configuration file.
 type configFileArg struct {
-	File string `arg:"" help:"The configuration: TOML, or CBOR as the wire has it." type:"existingfile"`
+	File string `arg:"" help:"The configuration file: TOML, or CBOR as printed by config describe --output cbor." type:"existingfile"`
 }
 
+// readFile reads and checks a configuration file. Errors in its content are a configError.
 func readFile(path string) (*configfile.File, error) {
 	f, err := configfile.Load(path, os.Getenv)
-	if faults := (tomlfile.Errors{}); errors.As(err, &faults) {
-		return nil, badConfig{err}
+	if fileErrs := (tomlfile.Errors{}); errors.As(err, &fileErrs) {
+		return nil, configError{err}
 	}
 	return f, err
 }
 
 type configCheck struct{ configFileArg }
 
-// Run checks a file.
+// Run checks a file and prints a summary.
 func (c configCheck) Run() error {
 	f, err := readFile(c.File)
 	if err != nil {
 		return err
 	}
-	version := "the next version"
+	revision := "the next revision"
 	if f.HasRevision {
-		version = fmt.Sprintf("revision %d", f.Revision)
+		revision = fmt.Sprintf("revision %d", f.Revision)
 	}
-	fmt.Printf("%s: good; %s, %d routes, %d services, %d tenants\n", c.File, version, len(f.Routes), len(f.Services), len(f.Tenants))
+	fmt.Printf("%s: valid; %s, %d routes, %d services, %d tenants\n", c.File, revision, len(f.Routes), len(f.Services), len(f.Tenants))
 	for _, k := range f.UnresolvedKeys {
-		fmt.Printf("not here: %s, which apply will want\n", k)
+		fmt.Printf("unresolved key: %s; config apply requires it\n", k)
 	}
 	return nil
 }
 
-// output is the form in which a list is printed.
-type output struct {
-	Output string `help:"Form: ${enum}." enum:"table,json" default:"table"`
+// outputFormat is the format in which a list is printed.
+type outputFormat struct {
+	Output string `help:"Output format: ${enum}." enum:"table,json" default:"table"`
 }
 
-// changes prints what changes.
-func (o output) changes(all []configfile.Change) error {
+// printChanges prints a list of changes.
+func (o outputFormat) printChanges(changes []configfile.Change) error {
 	if o.Output == "json" {
-		if all == nil {
-			all = []configfile.Change{}
+		if changes == nil {
+			changes = []configfile.Change{} // encoded as [], not null
 		}
-		return asJSON(all)
+		return printJSON(changes)
 	}
-	for _, c := range all {
+	for _, c := range changes {
 		fmt.Println(c)
 	}
-	if len(all) == 0 {
-		fmt.Println("nothing changes")
+	if len(changes) == 0 {
+		fmt.Println("no changes")
 	}
 	return nil
 }
 
-func asJSON(v any) error {
+func printJSON(v any) error {
 	e := json.NewEncoder(os.Stdout)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
 }
 
 type configDiff struct {
-	Old string `arg:"" help:"The one." type:"existingfile"`
-	New string `arg:"" help:"The other." type:"existingfile"`
-	output
+	Old string `arg:"" help:"The old configuration file." type:"existingfile"`
+	New string `arg:"" help:"The new configuration file." type:"existingfile"`
+	outputFormat
 }
 
-// Run compares two files.
+// Run lists the changes from one file to the other.
 func (c configDiff) Run() error {
-	a, err := readFile(c.Old)
+	from, err := readFile(c.Old)
 	if err != nil {
 		return err
 	}
-	b, err := readFile(c.New)
+	to, err := readFile(c.New)
 	if err != nil {
 		return err
 	}
-	return c.changes(configfile.Diff(a.Config, b.Config))
+	return c.printChanges(configfile.Diff(from.Config, to.Config))
 }
 
-// toFleet is where a command finds the fleet.
-type toFleet struct {
-	Control string `help:"A control address, of any process." required:"" placeholder:"IP:PORT"`
+// fleetClient calls the control plane through one process of the fleet.
+type fleetClient struct {
+	Control string `help:"The control address of any process of the fleet." required:"" placeholder:"IP:PORT"`
 }
 
-// current reads the newest configuration, as bytes too; nil is none yet.
-func (t toFleet) current() (*fleetconfig.Config, []byte, error) {
-	resp, err := call(http.MethodGet, "http://"+t.Control+"/Configuration.Describe", nil)
+// currentConfig returns the newest configuration of the fleet, also in its encoded form. Both are nil if there is none yet.
+func (fc fleetClient) currentConfig() (*fleetconfig.Config, []byte, error) {
+	resp, err := doRequest(http.MethodGet, "http://"+fc.Control+"/Configuration.Describe", nil)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -126,7 +127,7 @@
 	if resp.StatusCode == http.StatusNotFound {
 		return nil, nil, nil
 	}
-	b, err := answered(resp)
+	b, err := readResponse(resp)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -136,103 +137,104 @@
 
 type configPlan struct {
 	configFileArg
-	toFleet
-	output
+	fleetClient
+	outputFormat
 }
 
-// Run says what would change.
+// Run lists what the file would change in the current configuration.
 func (c configPlan) Run() error {
-	f, now, _, err := c.against(c.File)
+	f, current, _, err := c.loadWithCurrent(c.File)
 	if err != nil {
 		return err
 	}
 	if c.Output == "table" {
-		fmt.Printf("upon revision %d, as revision %d\n", revision(now), f.Revision)
+		fmt.Printf("current revision %d, planned revision %d\n", revisionOf(current), f.Revision)
 		for _, k := range f.UnresolvedKeys {
-			fmt.Printf("not here: %s; it counts as a key that changes\n", k)
+			fmt.Printf("unresolved key: %s; counted as a changed key\n", k)
 		}
 	}
-	return c.changes(configfile.Diff(now, f.Config))
+	return c.printChanges(configfile.Diff(current, f.Config))
 }
 
-func revision(c *fleetconfig.Config) uint64 {
+// revisionOf returns the revision of a configuration, 0 for none.
+func revisionOf(c *fleetconfig.Config) uint64 {
 	if c == nil {
 		return 0
 	}
 	return c.Revision
 }
 
-// against reads a file and what is in force; a file without a number gets the next.
-func (t toFleet) against(path string) (*configfile.File, *fleetconfig.Config, []byte, error) {
+// loadWithCurrent reads a configuration file, and the current configuration as currentConfig does. A file that gives no revision
+// gets the one after the current revision.
+func (fc fleetClient) loadWithCurrent(path string) (*configfile.File, *fleetconfig.Config, []byte, error) {
 	f, err := readFile(path)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	now, text, err := t.current()
+	current, text, err := fc.currentConfig()
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	if !f.HasRevision {
-		f.Revision = revision(now) + 1
+		f.Revision = revisionOf(current) + 1
 	}
-	return f, now, text, nil
+	return f, current, text, nil
 }
 
 type configApply struct {
 	configFileArg
-	toFleet
-	applying
+	fleetClient
+	applyFlags
 }
 
-// applying is how a configuration is sent.
-type applying struct {
-	On   *uint64       `help:"Only upon this version: what was planned holds." placeholder:"REVISION"`
-	Save string        `help:"Keep what is in force until now in this file, for rollback. It holds keys of tenants." type:"path" placeholder:"FILE.cbor"`
-	Wait time.Duration `help:"Send it again for so long, as long as there is no clear answer." default:"30s"`
+// applyFlags has the flags of commands that replace the configuration of the fleet.
+type applyFlags struct {
+	On   *uint64       `help:"Fail unless this revision is the current one, so that the plan still holds." placeholder:"REVISION"`
+	Save string        `help:"Save the current configuration in this file for a rollback. The file contains the API keys of tenants." type:"path" placeholder:"FILE.cbor"`
+	Wait time.Duration `help:"How long to retry while the outcome is unknown." default:"30s"`
 }
 
-// Run applies a file.
+// Run applies the configuration of a file.
 func (c configApply) Run() error {
-	f, now, text, err := c.against(c.File)
+	f, current, text, err := c.loadWithCurrent(c.File)
 	if err != nil {
 		return err
 	}
-	return c.apply(c.toFleet, f, now, text)
+	return c.apply(c.fleetClient, f, current, text)
 }
 
 type configRollback struct {
 	configFileArg
-	toFleet
-	applying
+	fleetClient
+	applyFlags
 }
 
-// Run applies an earlier configuration under the next number.
+// Run applies an earlier configuration under the next revision number.
 func (c configRollback) Run() error {
-	f, now, text, err := c.against(c.File)
+	f, current, text, err := c.loadWithCurrent(c.File)
 	if err != nil {
 		return err
 	}
-	f.Revision = revision(now) + 1
-	return c.apply(c.toFleet, f, now, text)
+	f.Revision = revisionOf(current) + 1
+	return c.apply(c.fleetClient, f, current, text)
 }
 
-// apply sends a configuration until there is a clear answer. It is the very same each time, so that one that was taken and
-// whose answer was lost is not taken twice.
-func (a applying) apply(t toFleet, f *configfile.File, now *fleetconfig.Config, before []byte) error {
-	on := revision(now)
+// apply checks a configuration against the current one, saves the current one if --save is set, and submits the new one.
+func (a applyFlags) apply(fc fleetClient, f *configfile.File, current *fleetconfig.Config, currentText []byte) error {
+	base := revisionOf(current)
 	switch {
 	case len(f.UnresolvedKeys) > 0:
-		return badConfig{fmt.Errorf("%s: keys are not here: %v", f.Path, f.UnresolvedKeys)}
-	case a.On != nil && *a.On != on:
-		return lostRace{fmt.Errorf("revision %d is in force, not %d: nothing was sent; plan again", on, *a.On)}
-	case f.Revision <= on && f.HasRevision && len(configfile.Diff(now, f.Config)) == 0:
-		fmt.Printf("revision %d is in force already\n", on)
+		return configError{fmt.Errorf("%s: unresolved keys: %v", f.Path, f.UnresolvedKeys)}
+	case a.On != nil && *a.On != base:
+		return revisionConflict{fmt.Errorf("the current revision is %d, not %d; nothing was sent; run config plan again", base, *a.On)}
+	case f.Revision <= base && f.HasRevision && len(configfile.Diff(current, f.Config)) == 0:
+		fmt.Printf("revision %d is already the current one\n", base)
 		return nil
-	case f.Revision <= on:
-		return badConfig{fmt.Errorf("%s: revision: %d is not above the one in force, %d; leave it out to get the next", f.Path, f.Revision, on)}
+	case f.Revision <= base:
+		return configError{fmt.Errorf("%s: revision: %d is not above the current revision %d; omit it to use the next one", f.Path, f.Revision, base)}
 	}
-	if a.Save != "" && before != nil {
-		if err := os.WriteFile(a.Save, before, 0o600); err != nil {
+	if a.Save != "" && currentText != nil {
+		if err := os.WriteFile(a.Save, currentText, 0o600); err != nil {
 			return err
 		}
 	}
@@ -240,100 +242,103 @@
 	if err != nil {
 		return err
 	}
-	return a.submit(t.Control, f, on, text)
+	return a.submit(fc.Control, f, base, text)
 }
 
-// submit sends an encoded configuration to be stored upon revision on, until there is a clear answer.
-func (a applying) submit(to string, f *configfile.File, on uint64, text []byte) error {
+// submit sends an encoded configuration that is based on revision base, until its outcome is known. Every attempt sends the same
+// bytes, so that a configuration that was accepted without a response is not accepted twice.
+func (a applyFlags) submit(addr string, f *configfile.File, base uint64, text []byte) error {
 	client := http.Client{Timeout: 5 * time.Second}
-	for end := time.Now().Add(a.Wait); ; {
-		status, says, err := send(&client, to, on, text)
+	for deadline := time.Now().Add(a.Wait); ; {
+		status, message, err := send(&client, addr, base, text)
 		switch {
 		case err == nil && status == http.StatusOK:
-			fmt.Printf("revision %d is acknowledged, upon %d\n", f.Revision, on)
+			fmt.Printf("accepted revision %d, based on %d\n", f.Revision, base)
 			return nil
 		case err == nil && status == http.StatusPreconditionFailed:
-			return lostRace{fmt.Errorf("another configuration came before (%s): nothing of this one was taken; plan again", says)}
+			return revisionConflict{fmt.Errorf("another configuration was accepted first (%s); this one was rejected; run config plan again", message)}
 		case err == nil && status < 500:
-			return badConfig{fmt.Errorf("%s: the fleet does not take it: %s", f.Path, says)}
+			return configError{fmt.Errorf("%s: rejected by the fleet: %s", f.Path, message)}
 		case err == nil:
-			err = fmt.Errorf("%d: %s", status, says)
+			err = fmt.Errorf("%d: %s", status, message)
 		}
-		if time.Now().After(end) {
-			return fmt.Errorf("no clear answer for %v, the last: %w; it may have been taken: the same command may be given again", a.Wait, err)
+		if time.Now().After(deadline) {
+			return fmt.Errorf("outcome still unknown after %v; last error: %w; the configuration may have been accepted, and the command can be repeated", a.Wait, err)
 		}
 		time.Sleep(300 * time.Millisecond)
 	}
 }
 
-func send(client *http.Client, to string, on uint64, text []byte) (status int, says string, err error) {
-	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+to+"/Configuration.Replace", bytes.NewReader(text))
+// send submits a configuration once. It returns the status of the response and the message of an error response. Err is an error
+// of the transport.
+func send(client *http.Client, addr string, base uint64, text []byte) (status int, message string, err error) {
+	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+addr+"/Configuration.Replace", bytes.NewReader(text))
 	if err != nil {
 		return 0, "", err
 	}
-	req.Header.Set("X-Revision-Match", strconv.FormatUint(on, 10))
+	req.Header.Set("X-Revision-Match", strconv.FormatUint(base, 10))
 	req.Header.Set("Content-Type", "application/cbor")
 	resp, err := client.Do(req)
 	if err != nil {
 		return 0, "", err
 	}
 	defer resp.Body.Close()
-	if _, err := answered(resp); err != nil {
+	if _, err := readResponse(resp); err != nil {
 		return resp.StatusCode, err.Error(), nil
 	}
 	return resp.StatusCode, "", nil
 }
 
 type configDescribe struct {
-	toFleet
-	Output string `help:"Form: ${enum}. cbor is the very bytes, with keys of tenants; the others hide them." enum:"json,toml,cbor" default:"json"`
+	fleetClient
+	Output string `help:"Output format: ${enum}. cbor is the stored encoding and contains the API keys of tenants; the others hide them." enum:"json,toml,cbor" default:"json"`
 }
 
-// Run prints a configuration.
+// Run prints the newest configuration.
 func (c configDescribe) Run() error {
-	conf, text, err := c.current()
+	config, text, err := c.currentConfig()
 	switch {
 	case err != nil:
 		return err
-	case conf == nil:
+	case config == nil:
 		return errors.New("there is no configuration yet")
 	case c.Output == "cbor":
 		_, err = os.Stdout.Write(text)
 		return err
 	case c.Output == "json":
-		return asJSON(configfile.Redact(conf))
+		return printJSON(configfile.Redact(config))
 	}
-	return toml.NewEncoder(os.Stdout).Encode(configfile.Redact(conf))
+	return toml.NewEncoder(os.Stdout).Encode(configfile.Redact(config))
 }
 
 type configHistory struct {
-	toFleet
-	output
+	fleetClient
+	outputFormat
 }
 
-// Run lists what was taken.
+// Run lists revisions and digests of the accepted configurations.
 func (c configHistory) Run() error {
-	var all []struct {
+	var history []struct {
 		Revision uint64 `json:"revision"`
 		Digest   string `json:"digest"`
 	}
-	if err := askJSON(c.Control, "/fleet/history", &all); err != nil {
+	if err := getJSON(c.Control, "/fleet/history", &history); err != nil {
 		return err
 	}
 	if c.Output == "json" {
-		return asJSON(all)
+		return printJSON(history)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "REVISION\tDIGEST")
-	for _, x := range all {
-		fmt.Fprintf(w, "%d\t%s\n", x.Revision, x.Digest)
+	for _, entry := range history {
+		fmt.Fprintf(w, "%d\t%s\n", entry.Revision, entry.Digest)
 	}
 	return w.Flush()
 }
 
 type configSchema struct{}
 
-// Run prints the schema.
+// Run prints the JSON Schema of configuration files.
 func (configSchema) Run() error {
 	_, err := os.Stdout.Write(deploy.ConfigurationSchema)
 	return err
--- a/cmd/notchhinge/fleet.go
+++ b/cmd/notchhinge/fleet.go
@@ -22,32 +22,32 @@
 )
 
 type fleetCmd struct {
-	Status fleetStatus `cmd:"" help:"Print what processes of the fleet know, from their control addresses."`
-	Watch  fleetWatch  `cmd:"" help:"Print a line whenever what a process knows of the fleet changes, until it is stopped."`
-	Remove fleetRemove `cmd:"" help:"Remove a voter that is gone for good. A replica that runs joins again."`
+	Status fleetStatus `cmd:"" help:"Print the status of processes of the fleet."`
+	Watch  fleetWatch  `cmd:"" help:"Print a line whenever the status of a process changes, until interrupted."`
+	Remove fleetRemove `cmd:"" help:"Remove a voter that is permanently lost. A replica that is still running joins again."`
 }
 
 type fleetRemove struct {
 	Name    string `arg:"" help:"The node_name of the machine."`
-	Control string `help:"A control address, of any process." required:"" placeholder:"IP:PORT"`
+	Control string `help:"The control address of any process of the fleet." required:"" placeholder:"IP:PORT"`
 }
 
-// Run asks for it once; what is not settled may be asked for again.
+// Run sends the request once. The command can be repeated if the outcome is unknown.
 func (c fleetRemove) Run() error {
-	resp, err := call(http.MethodDelete, "http://"+c.Control+"/fleet/members/"+url.PathEscape(c.Name), nil)
+	resp, err := doRequest(http.MethodDelete, "http://"+c.Control+"/fleet/members/"+url.PathEscape(c.Name), nil)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	if _, err := answered(resp); err != nil {
+	if _, err := readResponse(resp); err != nil {
 		return err
 	}
-	fmt.Printf("%s is no member any more\n", c.Name)
+	fmt.Printf("%s is no longer a member\n", c.Name)
 	return nil
 }
 
-// call makes a call of the control plane, which has five seconds. The caller closes the body.
-func call(method, url string, body io.Reader) (*http.Response, error) {
+// doRequest sends a request to the control plane, with a timeout of five seconds. The caller closes the body of the response.
+func doRequest(method, url string, body io.Reader) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(context.Background(), method, url, body)
 	if err != nil {
 		return nil, err
@@ -55,64 +55,66 @@
 	return (&http.Client{Timeout: 5 * time.Second}).Do(req)
 }
 
-// askJSON asks a control address for JSON.
-func askJSON(addr, path string, to any) error {
-	resp, err := call(http.MethodGet, "http://"+addr+path, nil)
+// getJSON sends a GET request to a control address and decodes the JSON of the response into result.
+func getJSON(addr, path string, result any) error {
+	resp, err := doRequest(http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	b, err := answered(resp)
+	b, err := readResponse(resp)
 	if err != nil {
 		return err
 	}
-	return json.Unmarshal(b, to)
+	return json.Unmarshal(b, result)
 }
 
-// answered reads an answer of the control plane; one that is not 200 is an error with what it says.
-func answered(resp *http.Response) ([]byte, error) {
+// readResponse returns the body of a response of the control plane. If the status is not 200, it returns an error with the status
+// and the error message of the response.
+func readResponse(resp *http.Response) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(resp.Body, fleetconfig.MaxBytes+1))
 	if err != nil {
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		var says struct {
+		var response struct {
 			Error string `cbor:"error_message"`
 		}
-		_ = cbor.Unmarshal(b, &says) // what cannot be read says nothing
-		return nil, fmt.Errorf("%s: %s", resp.Status, says.Error)
+		_ = cbor.Unmarshal(b, &response) // a response in another format has no message
+		return nil, fmt.Errorf("%s: %s", resp.Status, response.Error)
 	}
 	return b, nil
 }
 
 type fleetStatus struct {
-	Control []string `help:"Control addresses to ask." required:"" placeholder:"IP:PORT"`
-	Output  string   `help:"Form: ${enum}." enum:"table,json" default:"table"`
+	Control []string `help:"Control addresses of the processes." required:"" placeholder:"IP:PORT"`
+	Output  string   `help:"Output format: ${enum}." enum:"table,json" default:"table"`
 }
 
-// Run asks each address. One that does not answer is a line of its own, and makes the exit code 1.
+// Run prints the status of the process at each address. If an address does not respond, its line has the error, and the exit code
+// is 1.
 func (c fleetStatus) Run() error {
-	var all []map[string]any
-	silent := 0
+	var statuses []map[string]any
+	failed := 0
 	for _, addr := range c.Control {
-		s, err := status(addr)
+		s, err := fetchStatus(addr)
 		if err != nil {
 			s = map[string]any{"error": err.Error()}
-			silent++
+			failed++
 		}
 		s["address"] = addr
-		all = append(all, s)
+		statuses = append(statuses, s)
 	}
 	if c.Output == "json" {
 		e := json.NewEncoder(os.Stdout)
 		e.SetIndent("", "  ")
-		if err := e.Encode(all); err != nil {
+		if err := e.Encode(statuses); err != nil {
 			return err
 		}
 	} else {
 		w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(w, "NODE\tZONE\tREADY\tREVISION\tPLACE\tNEWEST\tPEERS\tENGINES\tCHAIN\tVOTES\tHOLDER\tADDRESS")
-		for _, s := range all {
+		for _, s := range statuses {
 			if s["error"] != nil {
 				fmt.Fprintf(w, "-\t-\t%v\t\t\t\t\t\t\t\t\t%v\n", s["error"], s["address"])
 				continue
@@ -124,125 +126,127 @@
 			return err
 		}
 	}
-	if silent > 0 {
-		return fmt.Errorf("%d of %d do not answer", silent, len(all))
+	if failed > 0 {
+		return fmt.Errorf("no status from %d of %d processes", failed, len(statuses))
 	}
 	return nil
 }
 
 type fleetWatch struct {
-	toFleet
-	Every time.Duration `help:"Pause between two looks." default:"1s"`
-	For   time.Duration `help:"End after this; 0 = never."`
+	fleetClient
+	Every time.Duration `help:"Interval between status requests." default:"1s"`
+	For   time.Duration `help:"Exit after this time; 0 = never."`
 }
 
-// Run prints what differs from the look before.
+// Run prints the keys of the status whose values have changed since the last request.
 //
-//nolint:unparam // kong calls a Run that returns an error
+//nolint:unparam // kong expects Run to return an error
 func (c fleetWatch) Run() error {
-	before, began := map[string]any{}, time.Now()
+	previous, start := map[string]any{}, time.Now()
 	for {
-		now, err := status(c.Control)
+		current, err := fetchStatus(c.Control)
 		if err != nil {
-			now = map[string]any{"error": err.Error()}
+			current = map[string]any{"error": err.Error()}
 		}
-		var all []string
-		for _, k := range watched {
-			if now[k] != before[k] && now[k] != nil {
-				all = append(all, fmt.Sprintf("%s=%v", k, now[k]))
+		var changes []string
+		for _, k := range watchedKeys {
+			if current[k] != previous[k] && current[k] != nil {
+				changes = append(changes, fmt.Sprintf("%s=%v", k, current[k]))
 			}
 		}
-		if len(all) > 0 {
-			fmt.Printf("%s %s\n", time.Now().UTC().Format(time.TimeOnly), strings.Join(all, " "))
+		if len(changes) > 0 {
+			fmt.Printf("%s %s\n", time.Now().UTC().Format(time.TimeOnly), strings.Join(changes, " "))
 		}
-		before = now
-		if c.For > 0 && time.Since(began)+c.Every > c.For {
+		previous = current
+		if c.For > 0 && time.Since(start)+c.Every > c.For {
 			return nil
 		}
 		time.Sleep(c.Every)
 	}
 }
 
-var watched = []string{
+// watchedKeys are the keys of /fleet/status whose changes fleet watch prints.
+var watchedKeys = []string{
 	"error", "node", "zone", "ready", "revision", "place", "newest_place", "peers", "keepers", "engines", "members", "votes", "holder", "fence",
 }
 
-func status(addr string) (s map[string]any, err error) {
-	err = askJSON(addr, "/fleet/status", &s) // before s is read
+func fetchStatus(addr string) (s map[string]any, err error) {
+	err = getJSON(addr, "/fleet/status", &s) // a statement of its own, so that s is set before it is returned
 	return s, err
 }
 
 type enginesCmd struct {
-	List    enginesList    `cmd:"" help:"List the engines that a process knows."`
-	Explain enginesExplain `cmd:"" help:"Say why an engine gets requests, or none."`
+	List    enginesList    `cmd:"" help:"List the engines that a process of the fleet knows."`
+	Explain enginesExplain `cmd:"" help:"Explain why an engine gets requests or not."`
 }
 
 type enginesList struct {
-	toFleet
-	Service string `help:"Of this service only." placeholder:"NAME"`
-	output
+	fleetClient
+	Service string `help:"Only engines of this service." placeholder:"NAME"`
+	outputFormat
 }
 
-func (t toFleet) engines() (all []node.EngineView, err error) {
-	err = askJSON(t.Control, "/fleet/engines", &all)
-	return all, err
+// engines returns the engines that the process knows.
+func (fc fleetClient) engines() (views []node.EngineView, err error) {
+	err = getJSON(fc.Control, "/fleet/engines", &views)
+	return views, err
 }
 
-// Run lists engines.
+// Run lists engines, of all services or of one.
 func (c enginesList) Run() error {
-	all, err := c.engines()
+	engines, err := c.engines()
 	if err != nil {
 		return err
 	}
-	all = slices.DeleteFunc(all, func(e node.EngineView) bool { return c.Service != "" && e.Service != c.Service })
+	engines = slices.DeleteFunc(engines, func(e node.EngineView) bool { return c.Service != "" && e.Service != c.Service })
 	if c.Output == "json" {
-		return asJSON(all)
+		return printJSON(engines)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SERVICE\tENGINE\tZONE\tSTATE\tHEARD\tSLOTS\tADDRESS")
-	for _, e := range all {
+	for _, e := range engines {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.1fs\t%d\t%s\n", e.Service, e.ID, e.Zone, e.State, e.HeardS, e.Slots, e.Address)
 	}
 	return w.Flush()
 }
 
 type enginesExplain struct {
-	toFleet
+	fleetClient
 	ID string `arg:"" help:"The engine's instance id."`
 }
 
-// Run explains an engine.
+// Run prints the state of an engine and what it means for requests.
 func (c enginesExplain) Run() error {
-	all, err := c.engines()
+	engines, err := c.engines()
 	if err != nil {
 		return err
 	}
-	for _, e := range all {
+	for _, e := range engines {
 		if e.ID == c.ID {
-			fmt.Printf("%s of %s at %s in %s, heard %.1f s ago: %s; %s\n", e.ID, e.Service, e.Address, e.Zone, e.HeardS, e.State, e.Says)
+			fmt.Printf("%s of %s at %s in %s, last heartbeat %.1f s ago: %s; %s\n", e.ID, e.Service, e.Address, e.Zone, e.HeardS, e.State, e.Says)
 			return nil
 		}
 	}
-	return fmt.Errorf("%s is not known at %s: it has not called any process that this one hears of, or is long gone", c.ID, c.Control)
+	return fmt.Errorf("%s is not known at %s: no heartbeat of the engine is known to this process, or the engine was removed", c.ID, c.Control)
 }
 
 type requestCmd struct {
-	Explain requestExplain `cmd:"" help:"Say what would become of a request: its route, tenant, service, and engines. Nothing is sent to an engine."`
+	Explain requestExplain `cmd:"" help:"Explain how a request would be routed: its route, tenant, service and engines. Nothing is sent to an engine."`
 }
 
 type requestExplain struct {
-	toFleet
-	URL    string   `arg:"" help:"What is asked for: http://HOST/PATH."`
-	Method string   `help:"The method." default:"POST"`
-	Header []string `help:"A header, NAME: VALUE; a key is better given by --key-env." short:"H" sep:"none" placeholder:"HEADER"`
-	KeyEnv string   `help:"The environment variable that holds the tenant's key." placeholder:"NAME"`
+	fleetClient
+	URL    string   `arg:"" help:"The URL of the request: http://HOST/PATH."`
+	Method string   `help:"The method of the request." default:"POST"`
+	Header []string `help:"A header of the request, as NAME: VALUE. Use --key-env for an API key." short:"H" sep:"none" placeholder:"HEADER"`
+	KeyEnv string   `help:"The environment variable that contains the API key of the tenant." placeholder:"NAME"`
 }
 
-// Run asks a router.
+// Run sends the head of the request to a router, and prints how the router would route it.
 func (c requestExplain) Run() error {
 	u, err := url.Parse(c.URL)
 	if err != nil || u.Host == "" {
-		return badConfig{fmt.Errorf("%q is no http://HOST/PATH", c.URL)}
+		return configError{fmt.Errorf("%q is not a URL of the form http://HOST/PATH", c.URL)}
 	}
 	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n", c.Method, cmp.Or(u.RequestURI(), "/"), u.Host)
 	for _, h := range c.Header {
@@ -261,7 +265,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	b, err := answered(resp)
+	b, err := readResponse(resp)
 	if err != nil {
 		return err
 	}
--- a/cmd/notchhinge/main.go
+++ b/cmd/notchhinge/main.go
@@ -1,4 +1,5 @@
-// Command notchhinge is a router before language-model servers.
+// Command notchhinge routes requests to language-model servers. It runs a router or a process of the fleet, and has the commands
+// with which operators inspect and configure them.
 package main
 
 import (
@@ -25,90 +26,92 @@
 	"notchhinge/internal/router"
 )
 
+// cli is the command line. The names of commands and flags are derived from the names of fields.
 type cli struct {
-	Serve       serve                        `cmd:"" help:"Run a router, as the environment tells it (BALANCER_CONFIG and the others)."`
-	CheckConfig checkConfig                  `cmd:"" help:"Check the configuration and say what is wrong with it."`
-	Schema      schema                       `cmd:"" help:"Print the JSON Schema of the operator's settings."`
-	Pools       pools                        `cmd:"" help:"Print what each pool of a running router holds."`
-	Routes      routesCmd                    `cmd:"" help:"Say how requests are led to services."`
-	Trace       traceCmd                     `cmd:"" help:"Find and show recorded requests."`
-	Node        nodeCmd                      `cmd:"" help:"Run a process of the fleet, as the file says that NOTCHHINGE_BOOT names."`
-	Fleet       fleetCmd                     `cmd:"" help:"Ask processes of the fleet how they are."`
-	Config      configCmd                    `cmd:"" help:"Check, compare, apply and show configurations of the fleet."`
-	Engines     enginesCmd                   `cmd:"" help:"List the fleet's engines, and say why they get requests."`
-	Request     requestCmd                   `cmd:"" help:"Say what would become of a request."`
-	State       stateCmd                     `cmd:"" help:"Look at, back up and restore the state on a replica's disk."`
-	Version     version                      `cmd:"" help:"Print the version."`
-	Completions kongplete.InstallCompletions `cmd:"" help:"Print what a shell must run to complete this program's commands."`
+	Serve       serveCmd                     `cmd:"" help:"Run a router, configured by environment variables (BALANCER_CONFIG and others)."`
+	CheckConfig checkConfigCmd               `cmd:"" help:"Check the configuration of a router and report its errors."`
+	Schema      schemaCmd                    `cmd:"" help:"Print the JSON Schema of the operator's settings."`
+	Pools       poolsCmd                     `cmd:"" help:"Print the state and counters of each pool of a running router."`
+	Routes      routesCmd                    `cmd:"" help:"Show how requests are routed to services."`
+	Trace       traceCmd                     `cmd:"" help:"Find and show request traces."`
+	Node        nodeCmd                      `cmd:"" help:"Run a process of the fleet with the settings file that NOTCHHINGE_BOOT names."`
+	Fleet       fleetCmd                     `cmd:"" help:"Show the status of processes of the fleet, and remove voters."`
+	Config      configCmd                    `cmd:"" help:"Check, compare, apply and print fleet configurations."`
+	Engines     enginesCmd                   `cmd:"" help:"List the fleet's engines, and explain why an engine gets requests or not."`
+	Request     requestCmd                   `cmd:"" help:"Explain how a request would be routed."`
+	State       stateCmd                     `cmd:"" help:"Inspect, back up and restore the state on a replica's disk."`
+	Version     versionCmd                   `cmd:"" help:"Print the version."`
+	Completions kongplete.InstallCompletions `cmd:"" help:"Print the shell commands that enable completion."`
 
-	LogFormat string `help:"Form of the log: ${enum}." enum:"text,json" default:"text"`
-	LogLevel  string `help:"Least level that is logged: ${enum}." enum:"debug,info,warn,error" default:"info"`
+	LogFormat string `help:"Format of the log: ${enum}." enum:"text,json" default:"text"`
+	LogLevel  string `help:"Minimum level of logged messages: ${enum}." enum:"debug,info,warn,error" default:"info"`
 }
 
-// logger makes the program's log, on standard error.
+// logger returns the logger of the program, which writes to standard error.
 func (c *cli) logger() *slog.Logger {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(c.LogLevel)); err != nil {
-		level = slog.LevelInfo // kong lets no other name through
+		level = slog.LevelInfo // not reached: kong accepts only the names of levels
 	}
-	o := &slog.HandlerOptions{Level: level}
+	options := &slog.HandlerOptions{Level: level}
 	if c.LogFormat == "json" {
-		return slog.New(slog.NewJSONHandler(os.Stderr, o))
+		return slog.New(slog.NewJSONHandler(os.Stderr, options))
 	}
-	return slog.New(slog.NewTextHandler(os.Stderr, o))
+	return slog.New(slog.NewTextHandler(os.Stderr, options))
 }
 
-// lostRace is a configuration that another came before; the program ends with exit code 3.
-type lostRace struct{ error }
+// revisionConflict is the error of a configuration that is based on a revision other than the current one. The exit code is 3.
+type revisionConflict struct{ error }
 
-// badConfig is an error of the configuration; the program ends with exit code 2.
-type badConfig struct{ error }
+// configError is an error in the configuration or in an argument. The exit code is 2.
+type configError struct{ error }
 
-type serve struct {
+type serveCmd struct {
 	Config string `help:"The operator's settings (deploy/notchhinge.toml)." type:"existingfile" placeholder:"FILE"`
-	Batch  string `help:"Deprecated: the batch front's own file (deploy/batch.toml). It has a place in --config." type:"existingfile" placeholder:"FILE"`
+	Batch  string `help:"Deprecated: a separate settings file of the batch service (deploy/batch.toml). Put its tables in the file of --config instead." type:"existingfile" placeholder:"FILE"`
 }
 
-// subsystems reads the operator's settings, and the batch front's old file where that is given.
-func subsystems(cfg *platformconfig.Config, path, old string) (f *operatorconfig.File, b *batch.Config, err error) {
+// loadOperatorSettings reads the operator's settings and the deprecated settings file of the batch service. Either path may be
+// empty. The batch configuration is nil if neither file has one.
+func loadOperatorSettings(cfg *platformconfig.Config, path, batchPath string) (f *operatorconfig.File, b *batch.Config, err error) {
 	f = &operatorconfig.File{}
 	if path != "" {
 		if f, b, err = cfg.LoadOperatorFile(path, os.Getenv); err != nil {
-			return nil, nil, badConfig{err}
+			return nil, nil, configError{err}
 		}
 	}
-	if old != "" {
+	if batchPath != "" {
 		if b != nil {
-			return nil, nil, badConfig{fmt.Errorf("%s: the batch front is set in %s already", old, path)}
+			return nil, nil, configError{fmt.Errorf("%s: the batch service is already configured in %s", batchPath, path)}
 		}
-		if b, err = cfg.LoadBatchFile(old, os.Getenv); err != nil {
-			return nil, nil, badConfig{err}
+		if b, err = cfg.LoadBatchFile(batchPath, os.Getenv); err != nil {
+			return nil, nil, configError{err}
 		}
 	}
 	return f, b, nil
 }
 
-// Run runs a router until SIGTERM or SIGINT; SIGUSR1 prints its counters, SIGHUP has the configuration read again.
-func (s serve) Run(c *cli) error {
+// Run runs a router until SIGTERM or SIGINT. SIGUSR1 logs its counters, and SIGHUP reloads the configuration.
+func (s serveCmd) Run(c *cli) error {
 	cfg, err := platformconfig.Load(os.Getenv)
 	if err != nil {
-		return badConfig{err}
+		return configError{err}
 	}
 	log := c.logger().With("router", cfg.RouterName)
-	stop, audit, reload := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
+	stop, printCounters, reload := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(audit, syscall.SIGUSR1)
+	signal.Notify(printCounters, syscall.SIGUSR1)
 	signal.Notify(reload, syscall.SIGHUP)
-	f, b, err := subsystems(cfg, s.Config, s.Batch)
+	f, b, err := loadOperatorSettings(cfg, s.Config, s.Batch)
 	if err != nil {
 		return err
 	}
 	if s.Batch != "" {
-		log.Warn("--batch is deprecated: its tables have a place in the file of --config", "file", s.Batch)
+		log.Warn("--batch is deprecated; move its tables to the file of --config", "file", s.Batch)
 	}
-	p, err := begin(cfg, f, b)
+	p, err := initialPlan(cfg, f, b)
 	if err != nil {
-		return badConfig{err}
+		return configError{err}
 	}
 	r := router.New(cfg, p, log, (&net.Dialer{}).DialContext, dispatch.UnixClock())
 	if f.Trace != nil {
@@ -133,16 +136,16 @@
 		defer ln.Close()
 		r.EnableControl(ln)
 	}
-	limits := cfg.Limits // with what the process has, whatever is read later
+	limits := cfg.Limits // a reload does not change the limits of the process
 	return r.Serve(router.Signals{
-		Stop: stop, PrintCounters: audit, Reload: reload,
+		Stop: stop, PrintCounters: printCounters, Reload: reload,
 		LoadPlan: func(running *reconcile.Plan) (*platformconfig.Config, *reconcile.Plan, error) {
 			cfg, err := platformconfig.Reload(os.Getenv)
 			if err != nil {
 				return nil, nil, err
 			}
 			cfg.Limits = limits
-			f, _, err := subsystems(cfg, s.Config, s.Batch)
+			f, _, err := loadOperatorSettings(cfg, s.Config, s.Batch)
 			if err != nil {
 				return nil, nil, err
 			}
@@ -152,8 +155,9 @@
 	})
 }
 
-// begin makes the plan to begin with, and room in the limits for what it and the batch front need.
-func begin(cfg *platformconfig.Config, f *operatorconfig.File, b *batch.Config) (*reconcile.Plan, error) {
+// initialPlan returns the plan that the router starts with. It reserves file descriptors in cfg.Limits for the batch service, the
+// connections to discovery services and the control socket.
+func initialPlan(cfg *platformconfig.Config, f *operatorconfig.File, b *batch.Config) (*reconcile.Plan, error) {
 	if b != nil {
 		cfg.Limits = cfg.Limits.WithBatch(b.MaxOpenFiles())
 	}
@@ -162,50 +166,50 @@
 		return p, err
 	}
 	cfg.Limits = cfg.Limits.WithEndpointSources(len(p.EndpointSources()))
-	return reconcile.NewPlan(cfg, f, nil) // its parts are of what is left
+	return reconcile.NewPlan(cfg, f, nil) // with quotas of the reduced limits
 }
 
-type checkConfig struct {
-	Config string `help:"Check the operator's settings, too." type:"existingfile" placeholder:"FILE"`
-	Batch  string `help:"Check the batch front's old file, too." type:"existingfile" placeholder:"FILE"`
+type checkConfigCmd struct {
+	Config string `help:"Also check the operator's settings in this file." type:"existingfile" placeholder:"FILE"`
+	Batch  string `help:"Deprecated: also check this settings file of the batch service." type:"existingfile" placeholder:"FILE"`
 }
 
-// Run loads the configuration as serve does.
-func (c checkConfig) Run() error {
+// Run loads the configuration as serve does, and prints a summary.
+func (c checkConfigCmd) Run() error {
 	cfg, err := platformconfig.Load(os.Getenv)
 	if err != nil {
-		return badConfig{err}
+		return configError{err}
 	}
-	f, b, err := subsystems(cfg, c.Config, c.Batch)
+	f, b, err := loadOperatorSettings(cfg, c.Config, c.Batch)
 	if err != nil {
 		return err
 	}
-	p, err := begin(cfg, f, b)
+	p, err := initialPlan(cfg, f, b)
 	if err != nil {
-		return badConfig{err}
+		return configError{err}
 	}
 	fmt.Printf("router %s on %s: %d classes, %d known engines\n",
 		cfg.RouterName, cfg.ListenAddr, len(cfg.Settings.Classes), len(cfg.InitialEndpoints.Hosts))
-	for _, q := range p.Pools {
-		if q.Name != "" {
-			fmt.Printf("pool %s: list of %s, %d classes, open %d to %d, lines %d to %d, bodies %d to %d bytes\n", q.Name, q.DiscoveryAddr,
-				len(q.Module.Settings.Classes), q.RequestQuota.Guarantee, q.RequestQuota.Max, q.UpstreamConnQuota.Guarantee, q.UpstreamConnQuota.Max,
-				q.BodyQuota.Guarantee, q.BodyQuota.Max)
+	for _, pool := range p.Pools {
+		if pool.Name != "" {
+			fmt.Printf("pool %s: endpoints from %s, %d classes, requests in flight %d to %d, upstream connections %d to %d, request bodies %d to %d bytes\n",
+				pool.Name, pool.DiscoveryAddr, len(pool.Module.Settings.Classes), pool.RequestQuota.Guarantee, pool.RequestQuota.Max, pool.UpstreamConnQuota.Guarantee,
+				pool.UpstreamConnQuota.Max, pool.BodyQuota.Guarantee, pool.BodyQuota.Max)
 		}
 	}
 	return nil
 }
 
 type nodeCmd struct {
-	Check bool `help:"Check the settings, say everything that is wrong with them, and end."`
+	Check bool `help:"Check the settings, report every error in them, and exit."`
 }
 
-// Run runs a process of the fleet until SIGTERM; SIGHUP has its settings read again.
+// Run runs a process of the fleet until SIGTERM or SIGINT. SIGHUP reloads its settings.
 func (n nodeCmd) Run(c *cli) error {
 	if n.Check {
 		s, err := nodeconfig.Load(os.Getenv(nodeconfig.EnvVar))
 		if err != nil {
-			return badConfig{err}
+			return configError{err}
 		}
 		fmt.Printf("%s on %s in %s: replica %v, traffic %v\n", s.NodeName, s.IPAddress, s.Zone, s.IsReplica(), s.Listeners.Frontend != "")
 		return nil
@@ -214,23 +218,23 @@
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reload, syscall.SIGHUP)
 	err := node.Run(os.Getenv(nodeconfig.EnvVar), c.logger(), node.Signals{Stop: stop, Reload: reload})
-	if faults := (nodeconfig.FieldErrors{}); errors.As(err, &faults) {
-		return badConfig{err}
+	if fieldErrs := (nodeconfig.FieldErrors{}); errors.As(err, &fieldErrs) {
+		return configError{err}
 	}
 	return err
 }
 
-type schema struct{}
+type schemaCmd struct{}
 
-// Run prints the schema that stands beside the settings.
-func (schema) Run() error {
+// Run prints the JSON Schema of the operator's settings.
+func (schemaCmd) Run() error {
 	_, err := os.Stdout.Write(deploy.Schema)
 	return err
 }
 
-type version struct{}
+type versionCmd struct{}
 
-// programVersion is the module's version, as far as the build tells.
+// programVersion returns the version of the main module, or "unknown" if the binary has no build information.
 func programVersion() string {
 	if info, ok := debug.ReadBuildInfo(); ok {
 		return info.Main.Version
@@ -238,11 +242,11 @@
 	return "unknown"
 }
 
-// Run prints the module's version and the Go release that built it.
-func (version) Run() error {
+// Run prints the module's version and the version of Go that built it.
+func (versionCmd) Run() error {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return fmt.Errorf("built without build information")
+		return fmt.Errorf("the binary has no build information")
 	}
 	fmt.Println("notchhinge", info.Main.Version, info.GoVersion)
 	return nil
@@ -250,8 +254,8 @@
 
 func main() {
 	var c cli
-	parser := kong.Must(&c, kong.Name("notchhinge"), kong.Description("A router before language-model servers."))
-	kongplete.Complete(parser) // answers and ends where a shell asks for completions
+	parser := kong.Must(&c, kong.Name("notchhinge"), kong.Description("A router for requests to language-model servers."))
+	kongplete.Complete(parser) // exits if a shell asks for completions
 	ctx, err := parser.Parse(os.Args[1:])
 	parser.FatalIfErrorf(err)
 	err = ctx.Run(&c)
@@ -259,10 +263,10 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "notchhinge:", err)
-	if bad := (badConfig{}); errors.As(err, &bad) { // kong wraps what a command returns
+	if configErr := (configError{}); errors.As(err, &configErr) { // kong may wrap the error of a command
 		os.Exit(2)
 	}
-	if lost := (lostRace{}); errors.As(err, &lost) {
+	if conflict := (revisionConflict{}); errors.As(err, &conflict) {
 		os.Exit(3)
 	}
 	os.Exit(1)
--- a/cmd/notchhinge/main_test.go
+++ b/cmd/notchhinge/main_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// TestMain lets the test's own program stand for the command.
+// TestMain runs the command in place of the tests if the test binary is started by the function command.
 func TestMain(m *testing.M) {
 	if os.Getenv("NOTCHHINGE_TEST_COMMAND") != "" {
 		main()
@@ -21,12 +21,13 @@
 	os.Exit(m.Run())
 }
 
-const goodConfig = "../../internal/config/platformconfig/testdata/config.json"
+const validConfig = "../../internal/config/platformconfig/testdata/config.json"
 
+// command returns a run of the program with a configuration of a router.
 func command(config string, args ...string) *exec.Cmd {
-	c := exec.CommandContext(context.Background(), os.Args[0], args...)
-	c.Env = append(os.Environ(), "NOTCHHINGE_TEST_COMMAND=1", "BALANCER_CONFIG="+config, "BALANCER_LISTEN=127.0.0.1:0")
-	return c
+	cmd := exec.CommandContext(context.Background(), os.Args[0], args...)
+	cmd.Env = append(os.Environ(), "NOTCHHINGE_TEST_COMMAND=1", "BALANCER_CONFIG="+config, "BALANCER_LISTEN=127.0.0.1:0")
+	return cmd
 }
 
 func TestExitCodes(t *testing.T) {
@@ -34,14 +35,14 @@
 		config string
 		args   []string
 		code   int
-		says   string
+		output string
 	}{
-		{goodConfig, []string{"check-config"}, 0, "router n1"},
+		{validConfig, []string{"check-config"}, 0, "router n1"},
 		{"none.json", []string{"check-config"}, 2, "none.json"},
 		{"none.json", []string{"serve"}, 2, "none.json"},
 		{"main.go", []string{"serve"}, 2, "main.go"},
-		{goodConfig, []string{"serve", "--batch", "../../deploy/batch.toml"}, 2, "holds no key"}, // keys are in no file
-		{goodConfig, []string{"version"}, 0, "notchhinge"},
+		{validConfig, []string{"serve", "--batch", "../../deploy/batch.toml"}, 2, "holds no key"}, // the key is in no file, and the variable is not set
+		{validConfig, []string{"version"}, 0, "notchhinge"},
 	} {
 		out, err := command(c.config, c.args...).CombinedOutput()
 		code := 0
@@ -50,16 +51,16 @@
 		} else if err != nil {
 			t.Fatal(err)
 		}
-		if code != c.code || !strings.Contains(string(out), c.says) {
-			t.Errorf("%s with %s: exit code %d\n%s", c.args, c.config, code, out)
+		if code != c.code || !strings.Contains(string(out), c.output) {
+			t.Errorf("%s with %s: unexpected exit code %d or output\n%s", c.args, c.config, code, out)
 		}
 	}
 }
 
+// TestSignals checks that SIGUSR1 logs the counters, that SIGHUP reloads a valid configuration and keeps the old one if the new one
+// is invalid, and that SIGTERM drains, logs the counters and exits with code 0.
 func TestSignals(t *testing.T) {
-	// SIGUSR1 prints the counters and the program goes on, as it does on SIGHUP, whether the configuration has
-	// become another or a bad one; SIGTERM drains, prints them and ends with 0.
-	text, err := os.ReadFile(goodConfig)
+	text, err := os.ReadFile(validConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,16 +80,16 @@
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Process.Kill() }() // it may have ended
+	defer func() { _ = c.Process.Kill() }() // fails if it has exited
 	lines := bufio.NewScanner(logs)
-	await := func(word string) {
+	waitForLog := func(want string) {
 		t.Helper()
 		for lines.Scan() {
-			if strings.Contains(lines.Text(), word) {
+			if strings.Contains(lines.Text(), want) {
 				return
 			}
 		}
-		t.Fatalf("the log ends without %q: %v", word, lines.Err())
+		t.Fatalf("the log ends without %q: %v", want, lines.Err())
 	}
 	signal := func(s os.Signal) {
 		t.Helper()
@@ -96,18 +97,18 @@
 			t.Fatal(err)
 		}
 	}
-	await("msg=serving")
+	waitForLog("msg=serving")
 	signal(syscall.SIGUSR1)
-	await("msg=counters")
+	waitForLog("msg=counters")
 	write("{")
 	signal(syscall.SIGHUP)
-	await("configuration not applied")
+	waitForLog("configuration not applied")
 	write(strings.Replace(string(text), `"discovery": "127.0.0.1:8500"`, `"discovery": "127.0.0.1:8501"`, 1))
 	signal(syscall.SIGHUP)
-	await("discovery=127.0.0.1:8501 moved=true")
+	waitForLog("discovery=127.0.0.1:8501 moved=true")
 	signal(syscall.SIGTERM)
-	await("msg=draining")
-	await("msg=counters")
+	waitForLog("msg=draining")
+	waitForLog("msg=counters")
 	for lines.Scan() {
 	}
 	if err := c.Wait(); err != nil {
--- a/cmd/notchhinge/services.go
+++ b/cmd/notchhinge/services.go
@@ -18,15 +18,15 @@
 	"notchhinge/internal/router"
 )
 
-// control is the way to a running router's control socket.
-type control struct {
-	Control string `help:"The router's control socket, as [control] names it." placeholder:"PATH"`
+// controlSocket sends requests to the control socket of a running router.
+type controlSocket struct {
+	Control string `help:"The router's control socket: path in [control] of its settings." placeholder:"PATH"`
 }
 
-// get asks a running router.
-func (c *control) get(path string, into any) error {
-	const wait = 5 * time.Second
-	web := &http.Client{Timeout: wait, Transport: &http.Transport{
+// get sends a GET request and decodes the JSON of the response into result.
+func (c *controlSocket) get(path string, result any) error {
+	const timeout = 5 * time.Second
+	client := &http.Client{Timeout: timeout, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", c.Control)
 		},
@@ -35,42 +35,42 @@
 	if err != nil {
 		return err
 	}
-	resp, err := web.Do(req)
+	resp, err := client.Do(req)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, 4<<10))
-		return fmt.Errorf("the router says: %s", strings.TrimSpace(string(text)))
+		message, _ := io.ReadAll(io.LimitReader(resp.Body, 4<<10))
+		return fmt.Errorf("the router returned an error: %s", strings.TrimSpace(string(message)))
 	}
-	return json.NewDecoder(resp.Body).Decode(into)
+	return json.NewDecoder(resp.Body).Decode(result)
 }
 
-type pools struct {
-	control
+type poolsCmd struct {
+	controlSocket
 	JSON bool `help:"Print JSON."`
 }
 
-// Run prints what each pool of a running router holds.
-func (p pools) Run() error {
+// Run prints the state and counters of each pool of a running router.
+func (p poolsCmd) Run() error {
 	if p.Control == "" {
-		return errors.New("--control is wanted")
+		return errors.New("--control is required")
 	}
-	var all router.State
-	if err := p.get("/pools", &all); err != nil {
+	var state router.State
+	if err := p.get("/pools", &state); err != nil {
 		return err
 	}
 	if p.JSON {
-		return json.NewEncoder(os.Stdout).Encode(all)
+		return json.NewEncoder(os.Stdout).Encode(state)
 	}
-	return table(os.Stdout, all.Pools)
+	return printPools(os.Stdout, state.Pools)
 }
 
-func table(to io.Writer, all []router.PoolState) error {
-	w := tabwriter.NewWriter(to, 0, 8, 2, ' ', 0)
+func printPools(out io.Writer, pools []router.PoolState) error {
+	w := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "POOL\tDISCOVERY\tREADY\tOPEN\tGUARANTEED\tMOST\tLINES\tBODIES\tTAKEN\tSERVED\tREFUSED\tFAILED\tBROKEN\tGONE\tDECLINED\tLEGS")
-	for _, s := range all {
+	for _, s := range pools {
 		name := s.Name
 		if name == "" {
 			name = "-"
@@ -85,55 +85,55 @@
 }
 
 type routesCmd struct {
-	Explain explain `cmd:"" help:"Say which route a request takes and why, and which others were close."`
+	Explain routesExplain `cmd:"" help:"Show which route a request takes and why, and which other routes nearly match."`
 }
 
-type explain struct {
-	control
-	Config string   `help:"The operator's settings, where no router is asked." type:"existingfile" placeholder:"FILE"`
+type routesExplain struct {
+	controlSocket
+	Config string   `help:"The operator's settings; use these instead of a running router." type:"existingfile" placeholder:"FILE"`
 	Host   string   `help:"The request's host." required:""`
 	Path   string   `help:"The request's path." default:"/v1/chat/completions"`
 	Method string   `help:"The request's method." default:"POST"`
 	Class  string   `help:"The request's class."`
-	Header []string `help:"A header as name:value." placeholder:"NAME:VALUE"`
+	Header []string `help:"A header of the request." placeholder:"NAME:VALUE"`
 	JSON   bool     `help:"Print JSON."`
 }
 
-// Run explains how a request is led, by a file or by a running router.
-func (x explain) Run() error {
-	asked := url.Values{"host": {x.Host}, "path": {x.Path}, "method": {x.Method}, "class": {x.Class}, "header": x.Header}
+// Run explains how a request is routed, according to a file or to a running router.
+func (c routesExplain) Run() error {
+	params := url.Values{"host": {c.Host}, "path": {c.Path}, "method": {c.Method}, "class": {c.Class}, "header": c.Header}
 	var e *router.Explanation
 	switch {
-	case (x.Config == "") == (x.Control == ""):
-		return errors.New("--config or --control is wanted, and not both")
-	case x.Control != "":
-		if err := x.get("/routes/explain?"+asked.Encode(), &e); err != nil {
+	case (c.Config == "") == (c.Control == ""):
+		return errors.New("exactly one of --config and --control is required")
+	case c.Control != "":
+		if err := c.get("/routes/explain?"+params.Encode(), &e); err != nil {
 			return err
 		}
 	default:
-		f, err := operatorconfig.Load(x.Config, nil)
+		f, err := operatorconfig.Load(c.Config, nil)
 		if err != nil {
-			return badConfig{err}
+			return configError{err}
 		}
-		t, faults := f.Table(func(string) (int, bool) { return 0, true })
-		if len(faults) > 0 { // the file was checked for these
-			return badConfig{faults[0]}
+		t, errs := f.Table(func(string) (int, bool) { return 0, true })
+		if len(errs) > 0 { // not reached: Load has checked the file
+			return configError{errs[0]}
 		}
-		if e, err = router.Explain(t, asked); err != nil {
-			return badConfig{err}
+		if e, err = router.Explain(t, params); err != nil {
+			return configError{err}
 		}
 	}
-	if x.JSON {
+	if c.JSON {
 		return json.NewEncoder(os.Stdout).Encode(e)
 	}
-	what := e.Method + " " + e.Host + e.Path
+	request := e.Method + " " + e.Host + e.Path
 	if e.Class != "" {
-		what += " of class " + e.Class
+		request += " of class " + e.Class
 	}
 	if e.Service == "" {
-		fmt.Printf("%s: no route takes it (404)\n", what)
+		fmt.Printf("%s: no route matches (404)\n", request)
 	} else {
-		fmt.Printf("%s goes to service %s\n", what, e.Service)
+		fmt.Printf("%s is routed to service %s\n", request, e.Service)
 	}
 	for _, r := range e.Routes {
 		fmt.Printf("  %-8s %s\n           %s\n", r.Service, r.Route, r.Reason)
--- a/cmd/notchhinge/state.go
+++ b/cmd/notchhinge/state.go
@@ -15,96 +15,98 @@
 )
 
 type stateCmd struct {
-	Show   stateShow   `cmd:"" help:"Print what a replica's disk holds, as JSON. The replica must not run."`
-	Check  stateCheck  `cmd:"" help:"Check that a replica's disk can be read and its configuration is valid."`
+	Show   stateShow   `cmd:"" help:"Print the state on a replica's disk as JSON. The replica must not be running."`
+	Check  stateCheck  `cmd:"" help:"Check that the state on a replica's disk can be read and that its configuration is valid."`
 	Export stateExport `cmd:"" help:"Write a backup of the state to a file."`
-	Import stateImport `cmd:"" help:"Make a replica's disk from a backup, as the only voter. For when a majority of disks is lost."`
+	Import stateImport `cmd:"" help:"Create a replica's disk from a backup, with the replica as the only voter. Use it if a majority of the disks is lost."`
 }
 
+// dataDir is the data directory of a replica that is not running.
 type dataDir struct {
 	Data string `help:"The replica's data_directory." required:"" type:"existingdir" placeholder:"DIR"`
 }
 
-// read opens a replica's disk, and closes it again.
-func (d dataDir) read() (*storage.Recovered, error) {
+// readState reads the state in the directory. It fails if there is none.
+func (d dataDir) readState() (*storage.Recovered, error) {
 	if _, err := os.Stat(filepath.Join(d.Data, "state")); err != nil {
-		return nil, err // to look must not make one
+		return nil, err // storage.Open would create a new state
 	}
-	s, k, err := storage.Open(d.Data, storage.Identity{})
+	store, recovered, err := storage.Open(d.Data, storage.Identity{})
 	if err != nil {
 		return nil, err
 	}
-	return k, s.Close()
+	return recovered, store.Close()
 }
 
 type stateShow struct{ dataDir }
 
-// Run prints the state. Keys of tenants are not printed.
+// Run prints the state without the configuration, which contains the API keys of tenants.
 func (c stateShow) Run() error {
-	k, err := c.read()
+	recovered, err := c.readState()
 	if err != nil {
 		return err
 	}
 	type member struct{ ID, Name, Addr string }
-	out := struct {
-		Member      string   `json:"member"`
-		Founder     bool     `json:"founder"`
-		Votes       bool     `json:"votes"`
-		Next        uint64   `json:"next_place"`
-		Members     []member `json:"members"`
-		Revision    uint64   `json:"revision"`
-		ConfigPlace uint64   `json:"configuration_place"`
-		ConfigBytes int      `json:"configuration_bytes"`
-		Holder      string   `json:"holder"`
-		Fence       uint64   `json:"fence"`
-		Windows     int      `json:"usage_windows"`
-		Promised    uint64   `json:"promised_round"`
-		Accepted    bool     `json:"accepted_something"`
+	summary := struct {
+		Member         string   `json:"member"`
+		Founder        bool     `json:"founder"`
+		IsVoter        bool     `json:"votes"`
+		NextLogIndex   uint64   `json:"next_place"`
+		Members        []member `json:"members"`
+		Revision       uint64   `json:"revision"`
+		ConfigLogIndex uint64   `json:"configuration_place"`
+		ConfigBytes    int      `json:"configuration_bytes"`
+		LeaseHolder    string   `json:"holder"`
+		LeaseToken     uint64   `json:"fence"`
+		WindowCount    int      `json:"usage_windows"`
+		Promised       uint64   `json:"promised_round"`
+		HasAccepted    bool     `json:"accepted_something"`
 	}{
-		Member: fmt.Sprintf("%016x", k.ID), Founder: k.IsFounder, Votes: k.State.Member(k.ID) != nil, Next: k.State.NextIndex,
-		Revision: k.State.Revision, ConfigPlace: k.State.ConfigIndex, ConfigBytes: len(k.State.Config), Holder: k.State.LeaseHolderName,
-		Fence: k.State.FencingToken, Windows: len(k.State.UsageWindows), Promised: k.Acceptor.Promised.Term, Accepted: k.Acceptor.Value != nil,
+		Member: fmt.Sprintf("%016x", recovered.ID), Founder: recovered.IsFounder, IsVoter: recovered.State.Member(recovered.ID) != nil,
+		NextLogIndex: recovered.State.NextIndex, Revision: recovered.State.Revision, ConfigLogIndex: recovered.State.ConfigIndex,
+		ConfigBytes: len(recovered.State.Config), LeaseHolder: recovered.State.LeaseHolderName, LeaseToken: recovered.State.FencingToken,
+		WindowCount: len(recovered.State.UsageWindows), Promised: recovered.Acceptor.Promised.Term, HasAccepted: recovered.Acceptor.Value != nil,
 	}
-	for _, m := range k.State.Members {
-		out.Members = append(out.Members, member{fmt.Sprintf("%016x", m.ID), m.Name, m.Addr})
+	for _, m := range recovered.State.Members {
+		summary.Members = append(summary.Members, member{fmt.Sprintf("%016x", m.ID), m.Name, m.Addr})
 	}
 	e := json.NewEncoder(os.Stdout)
 	e.SetIndent("", "  ")
-	return e.Encode(out)
+	return e.Encode(summary)
 }
 
 type stateCheck struct{ dataDir }
 
-// Run checks the state.
+// Run checks that the state can be read, and that its configuration is valid and matches its digest and revision.
 func (c stateCheck) Run() error {
-	k, err := c.read()
+	recovered, err := c.readState()
 	if err != nil {
 		return err
 	}
-	if k.State.Config != nil {
-		conf, digest, err := fleetconfig.DecodeWithDigest(k.State.Config)
+	if recovered.State.Config != nil {
+		conf, digest, err := fleetconfig.DecodeWithDigest(recovered.State.Config)
 		if err == nil {
 			err = conf.Validate()
 		}
-		if err == nil && (digest != k.State.Digest || conf.Revision != k.State.Revision) {
-			err = errors.New("the configuration is not the one that its digest and revision name")
+		if err == nil && (digest != recovered.State.Digest || conf.Revision != recovered.State.Revision) {
+			err = errors.New("the configuration does not match its stored digest or revision")
 		}
 		if err != nil {
 			return err
 		}
 	}
-	fmt.Printf("places up to %d, revision %d, %d members: whole\n", k.State.NextIndex, k.State.Revision, len(k.State.Members))
+	fmt.Printf("next log index %d, revision %d, %d members: valid\n", recovered.State.NextIndex, recovered.State.Revision, len(recovered.State.Members))
 	return nil
 }
 
 type stateExport struct {
 	dataDir
-	File string `help:"The backup to write; it must not be there yet." required:"" placeholder:"FILE"`
+	File string `help:"The backup to write; the file must not exist." required:"" placeholder:"FILE"`
 }
 
-// Run writes a backup. It holds the keys of tenants, so that only its owner may read it.
+// Run writes a backup. Only the owner of the file can read it, since it contains the API keys of tenants.
 func (c stateExport) Run() error {
-	k, err := c.read()
+	recovered, err := c.readState()
 	if err != nil {
 		return err
 	}
@@ -112,24 +114,24 @@
 	if err != nil {
 		return err
 	}
-	if _, err := f.Write(storage.EncodeBackup(&k.State)); err != nil {
-		_ = f.Close() // the error of the write counts
+	if _, err := f.Write(storage.EncodeBackup(&recovered.State)); err != nil {
+		_ = f.Close() // the error of the write is returned
 		return err
 	}
 	return errors.Join(f.Sync(), f.Close())
 }
 
 type stateImport struct {
-	Data string `help:"The new replica's data_directory, without a state." required:"" type:"path" placeholder:"DIR"`
-	File string `help:"The backup." required:"" type:"existingfile" placeholder:"FILE"`
-	Name string `help:"The machine's node_name." required:"" placeholder:"NAME"`
-	Addr string `help:"Its ip_address with the first port of internal_port_range." required:"" placeholder:"IP:PORT"`
+	Data string `help:"The data_directory of the new replica; it must not contain a state." required:"" type:"path" placeholder:"DIR"`
+	File string `help:"The backup to restore." required:"" type:"existingfile" placeholder:"FILE"`
+	Name string `help:"The node_name of the machine." required:"" placeholder:"NAME"`
+	Addr string `help:"The ip_address of the machine and the first port of its internal_port_range." required:"" placeholder:"IP:PORT"`
 }
 
-// Run makes a disk.
+// Run creates the state from the backup, with a new random member id.
 func (c stateImport) Run() error {
 	if _, err := netip.ParseAddrPort(c.Addr); err != nil {
-		return badConfig{fmt.Errorf("--addr: %w", err)}
+		return configError{fmt.Errorf("--addr: %w", err)}
 	}
 	b, err := os.ReadFile(c.File)
 	if err != nil {
@@ -137,12 +139,12 @@
 	}
 	s, err := storage.DecodeBackup(b)
 	if err != nil {
-		return badConfig{fmt.Errorf("%s: %w", c.File, err)}
+		return configError{fmt.Errorf("%s: %w", c.File, err)}
 	}
 	if err := storage.RestoreBackup(c.Data, s, replog.Member{ID: rand.Uint64() | 1, Name: c.Name, Addr: c.Addr}); err != nil {
 		return err
 	}
-	fmt.Printf("%s goes on from index %d, revision %d, as the only voter: start it, and the other replicas with empty directories\n",
+	fmt.Printf("%s is restored with next log index %d, revision %d, as the only voter; start it, and the other replicas with empty data directories\n",
 		c.Name, s.NextIndex, s.Revision)
 	return nil
 }
--- a/cmd/notchhinge/trace.go
+++ b/cmd/notchhinge/trace.go
@@ -13,50 +13,50 @@
 )
 
 type traceCmd struct {
-	Find traceFind `cmd:"" help:"List records of requests in the files that [trace.file] writes."`
-	Show traceShow `cmd:"" help:"Draw a trace: its requests and attempts as bars, with the decision and the result beside each."`
+	Find traceFind `cmd:"" help:"List the requests recorded in the files that [trace.file] writes."`
+	Show traceShow `cmd:"" help:"Draw a trace as a waterfall: a bar for each request and attempt, with its decision and result."`
 }
 
 type traceFind struct {
-	File       string        `help:"The file of [trace.file]; its older ones are read too." required:"" placeholder:"FILE"`
-	Class      string        `help:"Of this class." placeholder:"NAME"`
-	Team       string        `help:"Of this team." placeholder:"NAME"`
-	Host       string        `help:"With an attempt at this engine." placeholder:"NAME"`
-	Outcome    string        `help:"served, broken, refused, failed, gone or open." placeholder:"NAME"`
-	SlowerThan time.Duration `help:"That took longer until the first event, or the end where there was none." placeholder:"2s"`
-	Late       bool          `help:"Later than their class wants."`
-	Retried    bool          `help:"That are a client's retry."`
-	Since      string        `help:"From this time on: RFC 3339, or so long ago." placeholder:"15m"`
-	Until      string        `help:"Before this time, likewise." placeholder:"5m"`
-	Limit      int           `help:"The latest so many at the most." default:"50"`
-	JSON       bool          `name:"json" help:"A line of JSON each."`
+	File       string        `help:"The file that [trace.file] names; rotated files are read too." required:"" placeholder:"FILE"`
+	Class      string        `help:"Only requests of this class." placeholder:"NAME"`
+	Team       string        `help:"Only requests of this team." placeholder:"NAME"`
+	Host       string        `help:"Only requests with an attempt at this engine." placeholder:"NAME"`
+	Outcome    string        `help:"Only requests with this outcome: served, broken, refused, failed, gone or open." placeholder:"NAME"`
+	SlowerThan time.Duration `help:"Only requests that took at least this long until their first event, or until their end if there was none." placeholder:"2s"`
+	Late       bool          `help:"Only requests that missed a latency target of their class."`
+	Retried    bool          `help:"Only requests that are a client's retry of an earlier one."`
+	Since      string        `help:"Only requests from this time on: a time in RFC 3339, or a duration before now." placeholder:"15m"`
+	Until      string        `help:"Only requests before this time, in the same form as --since." placeholder:"5m"`
+	Limit      int           `help:"List at most this many requests, the latest ones." default:"50"`
+	JSON       bool          `name:"json" help:"Print each request as a line of JSON."`
 }
 
-// Run lists records; finding none is no error.
+// Run lists records. It is not an error to find none.
 func (f traceFind) Run() error {
-	want := show.Filter{Class: f.Class, Team: f.Team, Host: f.Host, SlowerThan: f.SlowerThan, Late: f.Late, Retried: f.Retried}
+	filter := show.Filter{Class: f.Class, Team: f.Team, Host: f.Host, SlowerThan: f.SlowerThan, Late: f.Late, Retried: f.Retried}
 	var err error
 	if f.Outcome != "" {
-		if want.Outcome, err = trace.ParseOutcome(f.Outcome); err != nil {
-			return badConfig{fmt.Errorf("--outcome: %w", err)}
+		if filter.Outcome, err = trace.ParseOutcome(f.Outcome); err != nil {
+			return configError{fmt.Errorf("--outcome: %w", err)}
 		}
 	}
-	if want.Since, err = moment(f.Since, time.Now()); err != nil {
-		return badConfig{fmt.Errorf("--since: %w", err)}
+	if filter.Since, err = parseTime(f.Since, time.Now()); err != nil {
+		return configError{fmt.Errorf("--since: %w", err)}
 	}
-	if want.Until, err = moment(f.Until, time.Now()); err != nil {
-		return badConfig{fmt.Errorf("--until: %w", err)}
+	if filter.Until, err = parseTime(f.Until, time.Now()); err != nil {
+		return configError{fmt.Errorf("--until: %w", err)}
 	}
 	if f.Limit < 1 {
-		return badConfig{errors.New("--limit: 1 or more is wanted")}
+		return configError{errors.New("--limit: must be at least 1")}
 	}
 	var found []*trace.Try
 	total := 0
 	err = show.Scan(f.File, os.Stderr, func(t *trace.Try) error {
-		if want.Match(t) {
+		if filter.Match(t) {
 			total++
 			found = append(found, t)
-			if len(found) >= 2*f.Limit {
+			if len(found) >= 2*f.Limit { // only the latest are needed; this bounds the memory
 				found = append(found[:0], found[len(found)-f.Limit:]...)
 			}
 		}
@@ -73,13 +73,13 @@
 		return err
 	}
 	if total > len(found) {
-		fmt.Fprintf(os.Stderr, "the latest %d of %d\n", len(found), total)
+		fmt.Fprintf(os.Stderr, "showing the latest %d of %d requests\n", len(found), total)
 	}
 	return nil
 }
 
-// moment reads a time, or a span before now; "" is 0.
-func moment(s string, now time.Time) (time.Duration, error) {
+// parseTime parses a time in RFC 3339, or a duration before now, into Unix time. It returns 0 for "".
+func parseTime(s string, now time.Time) (time.Duration, error) {
 	if s == "" {
 		return 0, nil
 	}
@@ -88,24 +88,24 @@
 	}
 	at, err := time.Parse(time.RFC3339Nano, s)
 	if err != nil {
-		return 0, fmt.Errorf("%q is neither a time such as 2026-12-01T12:00:00Z nor a span such as 15m", s)
+		return 0, fmt.Errorf("%q is neither a time such as 2026-12-01T12:00:00Z nor a duration such as 15m", s)
 	}
 	return time.Duration(at.UnixNano()), nil
 }
 
 type traceShow struct {
-	ID    string `arg:"" help:"Trace id, or the beginning of one."`
-	File  string `help:"The file of [trace.file]; its older ones are read too." required:"" placeholder:"FILE"`
-	Width int    `help:"Of the drawing, in characters; 0 = that of the terminal by COLUMNS, or 120." default:"0"`
-	JSON  bool   `name:"json" help:"The records as lines of JSON."`
+	ID    string `arg:"" help:"A trace id or a unique prefix of one."`
+	File  string `help:"The file that [trace.file] names; rotated files are read too." required:"" placeholder:"FILE"`
+	Width int    `help:"Width of the drawing in characters; 0 = the value of COLUMNS, or 120." default:"0"`
+	JSON  bool   `name:"json" help:"Print each record as a line of JSON."`
 }
 
-// Run draws a trace and those that are linked to it.
+// Run draws a trace and the traces that are linked to it.
 func (s traceShow) Run() error {
-	var all []*trace.Try
+	var records []*trace.Try
 	ids := map[trace.TraceID]bool{}
 	err := show.Scan(s.File, os.Stderr, func(t *trace.Try) error {
-		all = append(all, t)
+		records = append(records, t)
 		if strings.HasPrefix(t.Trace.String(), strings.ToLower(s.ID)) {
 			ids[t.Trace] = true
 		}
@@ -115,10 +115,10 @@
 		return err
 	}
 	if len(ids) != 1 {
-		return fmt.Errorf("%d traces begin with %q in %s", len(ids), s.ID, s.File)
+		return fmt.Errorf("%d trace ids begin with %q in %s; exactly one must", len(ids), s.ID, s.File)
 	}
 	for id := range ids {
-		step := show.Step(all, id)
+		step := show.Step(records, id)
 		if s.JSON {
 			return show.JSON(os.Stdout, step)
 		}
