--- a/internal/configfile/configfile_test.go
+++ b/internal/configfile/configfile_test.go
@@ -21,14 +21,14 @@
 	"notchhinge/internal/control/fleetconfig"
 )
 
-var update = flag.Bool("update", false, "write deploy/configuration.schema.json anew")
+var update = flag.Bool("update", false, "regenerate deploy/configuration.schema.json")
 
 func TestSchemaMatchesTheTypes(t *testing.T) {
-	// The names under $defs stay as published; schemas of users may refer to them.
-	published := map[string]string{"WeightedService": "Share", "Autoscaling": "Scale", "RequestLimits": "Limits"}
+	// Schemas of users may refer to the published names under $defs.
+	publishedNames := map[string]string{"WeightedService": "Share", "Autoscaling": "Scale", "RequestLimits": "Limits"}
 	r := jsonschema.Reflector{
 		FieldNameTag: "toml", RequiredFromJSONSchemaTags: true, ExpandedStruct: true, Anonymous: true,
-		Namer: func(t reflect.Type) string { return stdcmp.Or(published[t.Name()], t.Name()) },
+		Namer: func(t reflect.Type) string { return stdcmp.Or(publishedNames[t.Name()], t.Name()) },
 	}
 	s := r.Reflect(&fleetconfig.Config{})
 	s.ID, s.Title = "", "a configuration of the fleet"
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestEncodedFileIsReadAlike(t *testing.T) {
+func TestEncodedFileIsReadAsTheSameConfig(t *testing.T) {
 	f := parseValid(t)
 	f.Revision = 4
 	b, err := Encode(f.Config)
@@ -110,18 +110,18 @@
 		t.Fatal(err)
 	}
 	if again, err := Encode(f.Config); err != nil || !bytes.Equal(b, again) {
-		t.Errorf("a second encoding differs: %v", err)
+		t.Errorf("second encoding: different bytes, or an error: %v", err)
 	}
 	c, _, err := fleetconfig.DecodeWithDigest(b)
 	if err != nil || c.Validate() != nil || !cmp.Equal(c, f.Config) {
-		t.Errorf("%v %s", err, cmp.Diff(f.Config, c))
+		t.Errorf("decode and validate: %v (-want +got):\n%s", err, cmp.Diff(f.Config, c))
 	}
 	path := filepath.Join(t.TempDir(), "a.cbor")
 	if err := os.WriteFile(path, b, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if g, err := Load(path, testEnv); err != nil || !g.HasRevision || !cmp.Equal(g.Config, f.Config) {
-		t.Errorf("from CBOR: %+v %v", g, err)
+	if loaded, err := Load(path, testEnv); err != nil || !loaded.HasRevision || !cmp.Equal(loaded.Config, f.Config) {
+		t.Errorf("Load of the CBOR file: %+v %v", loaded, err)
 	}
 }
 
@@ -134,12 +134,12 @@
 }
 
 func TestEveryErrorIsReportedWithItsLine(t *testing.T) {
-	againstSchema := strings.NewReplacer(
-		`path_prefix = "/chat/"`, `path_prefix = "chat"`, // a pattern
+	schemaErrors := strings.NewReplacer(
+		`path_prefix = "/chat/"`, `path_prefix = "chat"`, // does not match the pattern
 		`max_attempts = 2`, `max_tries = 2`, // unknown key
 	).Replace(validFile)
-	againstChecks := strings.NewReplacer(
-		`target_service = "scribe"`+"\nmax", `target_service = "none"`+"\nmax", // a reference, which no schema can check
+	validationErrors := strings.NewReplacer(
+		`target_service = "scribe"`+"\nmax", `target_service = "none"`+"\nmax", // unknown service: the schema cannot check references
 		`weight = 1`, `weight = 0`,
 		`"one", "env`, `"one", "one", "env`,
 	).Replace(validFile)
@@ -147,19 +147,19 @@
 		text string
 		want []string
 	}{
-		"against the schema": {againstSchema, []string{"f.toml:17: routes[0].path_prefix", "f.toml:21: routes[0].max_tries: unknown key"}},
-		"against the checks": {againstChecks, []string{"f.toml:20: routes[0].target_service (chat): unknown service \"none\"", "f.toml:29: routes[1].traffic_split"}},
-		"no TOML":            {"[[routes]\n", []string{"f.toml:1"}},
+		"errors against the schema": {schemaErrors, []string{"f.toml:17: routes[0].path_prefix", "f.toml:21: routes[0].max_tries: unknown key"}},
+		"errors of Validate":        {validationErrors, []string{"f.toml:20: routes[0].target_service (chat): unknown service \"none\"", "f.toml:29: routes[1].traffic_split"}},
+		"invalid TOML":              {"[[routes]\n", []string{"f.toml:1"}},
 	} {
 		_, err := Parse([]byte(c.text), "f.toml", testEnv)
 		var errs tomlfile.Errors
 		if !errors.As(err, &errs) || len(errs) != len(c.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: unexpected errors: %v", name, err)
 			continue
 		}
 		for i, w := range c.want {
 			if !strings.HasPrefix(errs[i].Error(), w) {
-				t.Errorf("%s: %q, not %q", name, errs[i].Error(), w)
+				t.Errorf("%s: got error %q, want prefix %q", name, errs[i].Error(), w)
 			}
 		}
 	}
@@ -174,14 +174,14 @@
 		}
 		return f.Config
 	}
-	a := read(validFile)
-	if d := Diff(a, read(validFile)); len(d) > 0 {
-		t.Errorf("against itself: %v", d)
+	from := read(validFile)
+	if d := Diff(from, read(validFile)); len(d) > 0 {
+		t.Errorf("Diff of equal configurations: %v", d)
 	}
-	b := read(strings.NewReplacer("12000", "9000", "max_body_bytes = 1000000", "max_body_bytes = 5", `"one", `, `"three", "four", `,
+	to := read(strings.NewReplacer("12000", "9000", "max_body_bytes = 1000000", "max_body_bytes = 5", `"one", `, `"three", "four", `,
 		`path_prefix = "/"`, `path_prefix = "/new/"`, "max_instances = 12", "max_instances = 20", `weight = 1`, `weight = 3`).Replace(validFile))
 	var got []string
-	for _, c := range Diff(a, b) {
+	for _, c := range Diff(from, to) {
 		got = append(got, c.String())
 	}
 	want := []string{
@@ -195,7 +195,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
-	if first := Diff(nil, a); len(first) != 5 {
-		t.Errorf("against nothing: %v", first)
+	if added := Diff(nil, from); len(added) != 5 {
+		t.Errorf("Diff from nil: %v", added)
 	}
 }
--- a/internal/configfile/diff.go
+++ b/internal/configfile/diff.go
@@ -10,22 +10,23 @@
 	"notchhinge/internal/control/fleetconfig"
 )
 
-// Values of Change.What for entries that only one of two configurations has.
+// Values of Change.What for entries that only one of the configurations has.
 const (
 	entryAdded   = "added"
 	entryRemoved = "removed"
 )
 
-// Change is one difference between two configurations. Its JSON form is the output of the config commands.
+// Change is one difference between two configurations. Its JSON form is printed by the commands config diff and config plan.
 type Change struct {
 	Kind string `json:"kind"`           // route, service, tenant or request_limits
-	Name string `json:"name,omitempty"` // of the entry; of a route its hostname and path_prefix
+	Name string `json:"name,omitempty"` // name of the entry; hostname and path_prefix of a route
 	What string `json:"what"`           // added, removed, or the key of the field that differs
 	From string `json:"from,omitempty"` // "" = no value
 	To   string `json:"to,omitempty"`   // "" = no value
 }
 
-// String is one line as in "~ route a.example/chat/: timeout_ms 12000 -> 9000", with + and - for added and removed entries.
+// String returns a line such as "~ route a.example/chat/: timeout_ms 12000 -> 9000". The line of an added entry begins with +, that
+// of a removed one with -.
 func (c Change) String() string {
 	entry := c.Kind
 	if c.Name != "" {
@@ -40,9 +41,8 @@
 	return fmt.Sprintf("~ %s: %s %s -> %s", entry, c.What, cmp.Or(c.From, "(none)"), cmp.Or(c.To, "(none)"))
 }
 
-// Diff lists the differences of to against from, which may be nil: routes, services, tenants, then request limits. Routes are
-// identified by hostname and path_prefix, by which requests are matched; services and tenants by name. API keys are counted,
-// not shown.
+// Diff lists the changes from one configuration to another: those of routes, services, tenants and request limits, in this order.
+// From may be nil. Routes are identified by hostname and path_prefix, services and tenants by name. API keys are counted, not shown.
 func Diff(from, to *fleetconfig.Config) []Change {
 	if from == nil {
 		from = &fleetconfig.Config{}
@@ -55,7 +55,7 @@
 	)
 }
 
-// entryKind says how the entries of one list are identified and summarized.
+// entryKind defines how the entries of one list are identified and summarized.
 type entryKind[T any] struct {
 	kind    string
 	id      func(*T) string
@@ -86,7 +86,8 @@
 	}
 )
 
-// diffEntries compares two lists: entries that are new or differ in the order of to, then removed ones in the order of from.
+// diffEntries compares two lists. Added and changed entries come first, in the order of to, then removed entries in the order of
+// from.
 func diffEntries[T any](k entryKind[T], from, to []T) (changes []Change) {
 	unmatched := map[string]*T{} // entries of from by id
 	for i := range from {
@@ -110,30 +111,30 @@
 	return changes
 }
 
-// diffFields compares two structs of one type field by field, under their TOML keys.
+// diffFields compares two structs of the same type field by field. A change has the TOML key of its field.
 func diffFields(kind, name string, from, to reflect.Value) (changes []Change) {
 	for i := range from.NumField() {
 		c := Change{Kind: kind, Name: name, What: from.Type().Field(i).Tag.Get("toml")}
-		old, now := from.Field(i).Interface(), to.Field(i).Interface()
-		if keys, ok := old.([]string); ok { // API keys
-			added, removed := countMissing(now.([]string), keys), countMissing(keys, now.([]string))
+		before, after := from.Field(i).Interface(), to.Field(i).Interface()
+		if keys, ok := before.([]string); ok { // API keys, which must not be shown
+			added, removed := countMissing(after.([]string), keys), countMissing(keys, after.([]string))
 			if added+removed == 0 {
 				continue
 			}
 			c.From = fmt.Sprintf("%d (%d taken away)", len(keys), removed)
-			c.To = fmt.Sprintf("%d (%d new)", len(now.([]string)), added)
+			c.To = fmt.Sprintf("%d (%d new)", len(after.([]string)), added)
 		} else {
-			if reflect.DeepEqual(old, now) || isEmptySlice(old) && isEmptySlice(now) {
+			if reflect.DeepEqual(before, after) || isEmptySlice(before) && isEmptySlice(after) {
 				continue
 			}
-			c.From, c.To = formatValue(old), formatValue(now)
+			c.From, c.To = formatValue(before), formatValue(after)
 		}
 		changes = append(changes, c)
 	}
 	return changes
 }
 
-// countMissing counts the elements of list that other lacks.
+// countMissing returns the number of elements of list that are not in other.
 func countMissing(list, other []string) (n int) {
 	for _, s := range list {
 		if !slices.Contains(other, s) {
@@ -161,7 +162,7 @@
 	return fmt.Sprint(v)
 }
 
-// formatSplit is a traffic split as in scribe:1+reader:0.5.
+// formatSplit formats a traffic split, as in "scribe:1+reader:0.5".
 func formatSplit(split []fleetconfig.WeightedService) string {
 	targets := make([]string, len(split))
 	for i, t := range split {
--- a/internal/configfile/doc.go
+++ b/internal/configfile/doc.go
@@ -1,10 +1,10 @@
-// Package configfile owns fleet configurations as operators keep them in version control: reading and checking a file, and
-// listing what changes between two configurations. It contacts no fleet and prints no API key.
+// Package configfile reads and checks the fleet configurations that operators keep in files, and lists the differences between two
+// configurations. It contacts no fleet and prints no API key.
 //
-// A file is TOML, or CBOR as the API of the fleet takes it. TOML is checked in three steps, each of which reports everything
-// that it finds with the line: against the JSON Schema of deploy (generated from the types of package fleetconfig by a test
-// here), then the references to API keys, then [fleetconfig.Config.Validate]. A file may leave its revision out: it is
-// checked as if it had one, and whoever submits it fills it in.
+// A file is TOML, or CBOR as the API of the fleet accepts it. TOML is checked against the JSON Schema in package deploy, which a test
+// of this package generates from the types of package fleetconfig. If the schema finds no error, the references to API keys are
+// resolved and [fleetconfig.Config.Validate] is called. Each error has its line. A file may omit the revision: the file is checked as
+// if it had one, and the caller sets the revision before it submits the configuration.
 //
-// Errors are tomlfile.Errors, what is wrong with a file, or those of reading it.
+// Errors in the content of a file are [tomlfile.Errors]; other errors are those of reading the file.
 package configfile
--- a/internal/configfile/encode.go
+++ b/internal/configfile/encode.go
@@ -6,8 +6,8 @@
 	"notchhinge/internal/control/fleetconfig"
 )
 
-// Encode returns a configuration in canonical CBOR, as the API of the fleet takes it. Equal configurations have equal bytes,
-// so that a submission can be repeated.
+// Encode returns a configuration in canonical CBOR, as the API of the fleet accepts it. Equal configurations have equal bytes, so
+// that a submission can be repeated.
 func Encode(c *fleetconfig.Config) ([]byte, error) {
 	mode, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
--- a/internal/configfile/file.go
+++ b/internal/configfile/file.go
@@ -14,16 +14,16 @@
 	"notchhinge/internal/control/fleetconfig"
 )
 
-// File is a configuration that was read from a file.
+// File is a configuration that was read from a file, with what the file states about it.
 type File struct {
 	*fleetconfig.Config
 	Path           string
-	HasRevision    bool     // the file gives the revision; otherwise Revision is 0
-	UnresolvedKeys []string // references to API keys that are not on this machine, as env:NAME; the configuration still has them
+	HasRevision    bool     // whether the file sets the revision; if not, Revision is 0
+	UnresolvedKeys []string // references that could not be resolved, such as env:NAME; they remain in the API keys of the configuration
 }
 
-// Load reads and checks a file: CBOR if its name ends in .cbor or it begins as a CBOR map, otherwise TOML. API keys that are
-// references to the environment, which getenv reads, or to files are replaced by what they refer to.
+// Load reads and checks a file. It is CBOR if its name ends in .cbor or its content begins with a CBOR map, otherwise TOML.
+// References to API keys in environment variables, which getenv reads, or in files are replaced by the keys.
 func Load(path string, getenv func(string) string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -32,17 +32,18 @@
 	return Parse(text, path, getenv)
 }
 
-// Parse is Load for a text that is already in memory. Path appears in errors, and relative paths in the text start from its
-// directory.
+// Parse is like Load for content that is already in memory. Path appears in errors, and relative paths in the content start from
+// its directory.
 func Parse(text []byte, path string, getenv func(string) string) (*File, error) {
-	if filepath.Ext(path) == ".cbor" || beginsAsCBORMap(text) {
+	if filepath.Ext(path) == ".cbor" || beginsWithCBORMap(text) {
 		return parseCBOR(text, path)
 	}
 	return parseTOML(text, path, getenv)
 }
 
-// beginsAsCBORMap reports whether the first byte is a CBOR map's (RFC 8949, major type 5). No TOML begins with one.
-func beginsAsCBORMap(text []byte) bool {
+// beginsWithCBORMap reports whether the first byte is that of a CBOR map (RFC 8949, major type 5). TOML cannot begin with such a
+// byte: in UTF-8 it is a continuation byte.
+func beginsWithCBORMap(text []byte) bool {
 	return len(text) > 0 && text[0] >= 0xa0 && text[0] <= 0xbf
 }
 
@@ -71,35 +72,34 @@
 	}
 	f.HasRevision = f.Revision > 0
 	errs = f.resolveKeys(source, getenv)
-	checked := *f.Config
-	checked.Revision = max(checked.Revision, 1) // whoever submits the file fills it in
-	errs = append(errs, fileErrors(source, path, checked.Validate())...)
+	toValidate := *f.Config
+	toValidate.Revision = max(toValidate.Revision, 1) // the caller sets a revision that the file omits
+	errs = append(errs, fileErrors(source, path, toValidate.Validate())...)
 	if len(errs) > 0 {
 		return nil, errs.Sorted()
 	}
 	return f, nil
 }
 
-// fileErrors makes what is wrong with a configuration errors of its file, in the order of lines. Source is nil where the
-// file has no lines.
+// fileErrors converts an error of a configuration to errors of its file, sorted by line. Source is nil if the file has no lines.
 func fileErrors(source *tomlfile.Source, path string, err error) tomlfile.Errors {
-	var fields fleetconfig.FieldErrors
+	var fieldErrs fleetconfig.FieldErrors
 	switch {
 	case err == nil:
 		return nil
-	case !errors.As(err, &fields):
+	case !errors.As(err, &fieldErrs):
 		return tomlfile.Errors{{File: path, Message: err.Error()}}
 	}
 	var errs tomlfile.Errors
-	for _, e := range fields {
-		f := tomlfile.Error{File: path, Key: strings.TrimSuffix(e.String(), ": "+e.Message), Message: e.Message}
+	for _, e := range fieldErrs {
+		fileErr := tomlfile.Error{File: path, Key: strings.TrimSuffix(e.String(), ": "+e.Message), Message: e.Message}
 		if source != nil {
-			f = source.Errorf(e.Path, "%s", e.Message)
+			fileErr = source.Errorf(e.Path, "%s", e.Message)
 			if e.Owner != "" {
-				f.Key += " (" + e.Owner + ")"
+				fileErr.Key += " (" + e.Owner + ")"
 			}
 		}
-		errs = append(errs, f)
+		errs = append(errs, fileErr)
 	}
 	return errs.Sorted()
 }
--- a/internal/configfile/golden_test.go
+++ b/internal/configfile/golden_test.go
@@ -7,7 +7,7 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// TestGoldenConfiguration checks that a configuration with a value in each field keeps its bytes and its digest.
+// TestGoldenConfiguration checks that the encoding and the digest of a configuration with a value in each field do not change.
 func TestGoldenConfiguration(t *testing.T) {
 	c := &fleetconfig.Config{
 		Revision: 300,
--- a/internal/configfile/keys.go
+++ b/internal/configfile/keys.go
@@ -14,11 +14,11 @@
 	"notchhinge/internal/control/fleetconfig"
 )
 
-// errUnresolved says that the variable or the file of a reference does not exist here.
-var errUnresolved = errors.New("not on this machine")
+// errUnresolved means that the variable or the file of a reference does not exist on this machine.
+var errUnresolved = errors.New("does not exist on this machine")
 
-// resolveKeys replaces references to API keys by the keys. References that cannot be resolved here stay as they are and are
-// listed in UnresolvedKeys: a file can be checked on a machine that does not have its keys.
+// resolveKeys replaces references to API keys by the keys. References that cannot be resolved remain and are listed in
+// UnresolvedKeys, so that a file can be checked on a machine that does not have its keys.
 func (f *File) resolveKeys(source *tomlfile.Source, getenv func(string) string) (errs tomlfile.Errors) {
 	for i := range f.Tenants {
 		keys := f.Tenants[i].APIKeys
@@ -37,8 +37,8 @@
 	return errs
 }
 
-// resolveKey returns what env:NAME or file:PATH refers to; a relative path starts from dir. Any other key is returned as it
-// is. A variable that is empty and a file that does not exist are errUnresolved.
+// resolveKey returns the key that env:NAME or file:PATH refers to; a relative path starts from dir. Any other key is returned
+// unchanged. The error is errUnresolved if the variable is empty or the file does not exist.
 func resolveKey(key, dir string, getenv func(string) string) (string, error) {
 	if name, ok := strings.CutPrefix(key, "env:"); ok {
 		if v := getenv(name); v != "" {
@@ -66,13 +66,13 @@
 	return string(content), nil
 }
 
-// Redact returns a copy of a configuration in which each tenant's API keys are replaced by their number.
+// Redact returns a copy of a configuration in which each tenant's API keys are replaced by the number of its keys.
 func Redact(c *fleetconfig.Config) *fleetconfig.Config {
-	out := *c
-	out.Tenants = nil
+	redacted := *c
+	redacted.Tenants = nil
 	for _, t := range c.Tenants {
 		t.APIKeys = []string{fmt.Sprintf("(%d keys)", len(t.APIKeys))}
-		out.Tenants = append(out.Tenants, t)
+		redacted.Tenants = append(redacted.Tenants, t)
 	}
-	return &out
+	return &redacted
 }
