--- a/cmd/notchhinge/fleet.go
+++ b/cmd/notchhinge/fleet.go
@@ -170,6 +170,7 @@
 	"error", "node", "zone", "ready", "revision", "place", "newest_place", "peers", "keepers", "engines", "members", "votes", "holder", "fence",
 }
 
+// fetchStatus returns the response of /fleet/status of a process.
 func fetchStatus(addr string) (s map[string]any, err error) {
 	err = getJSON(addr, "/fleet/status", &s) // a statement of its own, so that s is set before it is returned
 	return s, err
--- a/cmd/notchhinge/main_test.go
+++ b/cmd/notchhinge/main_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// TestMain runs the command in place of the tests if the test binary is started by the function command.
+// TestMain runs the program instead of the tests in processes that the function command starts.
 func TestMain(m *testing.M) {
 	if os.Getenv("NOTCHHINGE_TEST_COMMAND") != "" {
 		main()
@@ -23,7 +23,7 @@
 
 const validConfig = "../../internal/config/platformconfig/testdata/config.json"
 
-// command returns a run of the program with a configuration of a router.
+// command returns a command that runs the program with a router configuration.
 func command(config string, args ...string) *exec.Cmd {
 	cmd := exec.CommandContext(context.Background(), os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "NOTCHHINGE_TEST_COMMAND=1", "BALANCER_CONFIG="+config, "BALANCER_LISTEN=127.0.0.1:0")
