--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -21,21 +21,21 @@
 	"notchhinge/internal/limits"
 )
 
-// Pauses between two attempts to get a configuration.
+// Intervals between attempts to obtain a configuration.
 const (
 	fetchRetryInterval   = 50 * time.Millisecond
 	confirmRetryInterval = 100 * time.Millisecond
 )
 
-// fetchMode is the option of an rpc.KindFetchConfig: nothing, or one byte. Earlier versions of the program ignore it.
+// fetchMode is the option of an rpc.KindFetchConfig call. It is absent or one byte. Earlier versions of the program ignore it.
 type fetchMode byte
 
 const (
-	fetchLocal     fetchMode = iota // the newest configuration that the peer has; it stands on the wire as no byte
-	fetchConfirmed                  // the newest there is: a replica asks a quorum first, and answers only if it reaches one
+	fetchLocal     fetchMode = iota // the newest configuration that the peer has; encoded as no byte
+	fetchConfirmed                  // the newest configuration of the fleet: a replica answers only after a quorum read
 )
 
-// encode is the option's form on the wire.
+// encode returns the wire format of the option.
 func (m fetchMode) encode() []byte {
 	if m == fetchLocal {
 		return nil
@@ -43,7 +43,7 @@
 	return []byte{byte(m)}
 }
 
-// decodeFetchMode reads an option; what it does not know is fetchLocal.
+// decodeFetchMode decodes an option. An unknown one counts as fetchLocal.
 func decodeFetchMode(b []byte) fetchMode {
 	if len(b) > 0 && b[0] == byte(fetchConfirmed) {
 		return fetchConfirmed
@@ -51,30 +51,32 @@
 	return fetchLocal
 }
 
-// configSync keeps the process on the newest fleet configuration. It learns of one from the replica here or by gossip,
-// fetches it from a peer, puts it in force, and announces it. Configurations are ordered by their log index.
+// configSync keeps the process on the newest fleet configuration. It receives one from the replica of this process, or is
+// notified by gossip and fetches it from a peer; then it puts the configuration in force and announces it. Configurations are
+// ordered by their log index.
 type configSync struct {
 	log       *slog.Logger
 	transport *transport.Transport
 	discovery *discoveryHost
 	dataPlane *dataPlane // nil unless the process has a frontend
 
-	cache           configcache.Cache // the newest ones as received, for peers that ask
+	cache           configcache.Cache // the newest configurations in encoded form, for peers that fetch them
 	current         atomic.Pointer[fleetconfig.Config]
 	currentIndex    atomic.Uint64    // log index of current; 0 = none
 	newestIndex     atomic.Uint64    // the highest log index that was announced
-	quorumConfirmed atomic.Bool      // since the start a replica with a quorum has reported the newest configuration
-	replicaAnswered atomic.Bool      // since the start some replica has reported what it has
-	fetchRequests   chan gossip.Peer // who announced a newer configuration; one is pending at most
+	quorumConfirmed atomic.Bool      // a replica with a quorum has reported the newest configuration since the start
+	replicaAnswered atomic.Bool      // some replica has reported its newest configuration since the start
+	fetchRequests   chan gossip.Peer // peers that announced a newer configuration; holds at most one
 
-	applyMu sync.Mutex // held while a configuration is put in force; it guards the order of writes to cache, current and currentIndex
+	applyMu sync.Mutex // held while a configuration is put in force; guards the order of writes to cache, current and currentIndex
 }
 
 func newConfigSync(log *slog.Logger, t *transport.Transport, d *discoveryHost) *configSync {
 	return &configSync{log: log, transport: t, discovery: d, fetchRequests: make(chan gossip.Peer, 1)}
 }
 
-// stateChanged takes over the replica's state. It is called with the replica's lock held, and does not wait for the network.
+// stateChanged applies the voters and the configuration of a new replica state. It is called with the replica's mu held, and
+// does not wait for the network.
 func (n *Node) stateChanged(s *replog.State) {
 	var ids []gossip.PeerID
 	for _, m := range s.Members {
@@ -86,13 +88,13 @@
 	}
 }
 
-// config is the configuration in force; nil = none yet.
+// config returns the configuration in force; nil = none yet.
 func (s *configSync) config() *fleetconfig.Config { return s.current.Load() }
 
-// isBehind tells whether a configuration newer than the one in force is known of.
+// isBehind reports whether a configuration newer than the one in force was announced.
 func (s *configSync) isBehind() bool { return s.currentIndex.Load() < s.newestIndex.Load() }
 
-// apply puts an encoded configuration in force if it is newer than the present one, and announces it.
+// apply puts an encoded configuration in force if it is newer than the current one, and announces it.
 func (s *configSync) apply(index uint64, encoded []byte) {
 	s.applyMu.Lock()
 	defer s.applyMu.Unlock()
@@ -100,7 +102,7 @@
 		return
 	}
 	var yield func()
-	if s.dataPlane != nil { // streams are passed on meanwhile
+	if s.dataPlane != nil { // lets the data plane forward streams while a large configuration is decoded
 		yield = func() { time.Sleep(limits.ConfigYieldPause) }
 	}
 	c, err := fleetconfig.Decode(encoded, yield)
@@ -115,10 +117,10 @@
 	s.cache.Add(index, encoded)
 	s.currentIndex.Store(index)
 	s.raiseNewest(index)
-	go s.discovery.step(discovery.ConfigStored{Index: index}) // the caller may hold the replica's lock, and must not wait
+	go s.discovery.step(discovery.ConfigStored{Index: index}) // in a goroutine, as the caller may hold the replica's mu
 }
 
-// raiseNewest takes note of a configuration's log index.
+// raiseNewest raises newestIndex to index if it is lower.
 func (s *configSync) raiseNewest(index uint64) {
 	for known := s.newestIndex.Load(); known < index; known = s.newestIndex.Load() {
 		if s.newestIndex.CompareAndSwap(known, index) {
@@ -127,8 +129,8 @@
 	}
 }
 
-// announced takes note that a peer has the configuration at a log index, and has run fetch it if it is newer. It does not
-// wait.
+// announced handles the announcement that a peer has the configuration at a log index. It requests a fetch if that
+// configuration is newer than the one in force. It does not block.
 func (s *configSync) announced(index uint64, from gossip.Peer) {
 	s.raiseNewest(index)
 	if index <= s.currentIndex.Load() {
@@ -136,7 +138,7 @@
 	}
 	select {
 	case s.fetchRequests <- from:
-	default: // a fetch is pending, and goes on until the newest is here
+	default: // a fetch is already requested, and continues until the newest configuration is in force
 	}
 }
 
@@ -157,7 +159,8 @@
 	}
 }
 
-// fetchNewer asks the announcer, if it has an address, and then the replicas, until the newest configuration is here.
+// fetchNewer fetches from the announcer, if its address is known, and then from the replicas, until the newest configuration
+// is in force.
 func (s *configSync) fetchNewer(ctx context.Context, announcer gossip.Peer) {
 	var peers []gossip.Peer
 	if announcer.Addr.IsValid() {
@@ -170,8 +173,8 @@
 	}
 }
 
-// fetch asks a peer for a configuration newer than the one here, and puts it in force. It tells whether the peer answered,
-// which it does with nothing where it has no newer one.
+// fetch requests a configuration newer than the local one from a peer and puts it in force. It reports whether the peer
+// answered; the answer is empty if the peer has no newer configuration.
 func (s *configSync) fetch(ctx context.Context, to netip.AddrPort, mode fetchMode) bool {
 	ctx, cancel := context.WithTimeout(ctx, limits.ReplicaFailoverTimeout)
 	defer cancel()
@@ -183,7 +186,7 @@
 		}
 		index, encoded, err := configcache.DecodeReply(reply, base)
 		if errors.Is(err, delta.ErrWrongBase) && baseIndex > 0 {
-			// The peer has another text at this index. That would be a fault, but it must not last: the whole text is fetched.
+			// The peer has different content at this index. This should not occur; fetching the full content recovers from it.
 			baseIndex, base = 0, nil
 			continue
 		}
@@ -198,8 +201,9 @@
 	}
 }
 
-// confirmNewest finds out after the start which configuration is the newest. It goes on until a replica with a quorum has
-// said so: one that is partitioned may be the only one that is known here. What such a one has is put in force meanwhile.
+// confirmNewest determines the newest configuration after the start. It repeats until a replica with a quorum has confirmed
+// it, because the only known replica may be partitioned. Meanwhile the configuration of any replica that answers is put in
+// force.
 func (s *configSync) confirmNewest(ctx context.Context) {
 	for !s.quorumConfirmed.Load() && ctx.Err() == nil {
 		replicas := s.discovery.replicas()
@@ -214,7 +218,7 @@
 	}
 }
 
-// fetchFromFirst fetches from the first of the replicas that answers, and tells whether any did.
+// fetchFromFirst fetches from the first replica that answers, and reports whether any did.
 func (s *configSync) fetchFromFirst(ctx context.Context, replicas []gossip.Peer, mode fetchMode) bool {
 	for _, p := range replicas {
 		if s.fetch(ctx, p.Addr, mode) {
--- a/internal/node/dataplane.go
+++ b/internal/node/dataplane.go
@@ -21,39 +21,39 @@
 	"notchhinge/policy"
 )
 
-// dataPlaneOptions are what a data plane is made of.
+// dataPlaneOptions are the parameters of newDataPlane.
 type dataPlaneOptions struct {
 	log         *slog.Logger
 	limits      limits.Limits
-	drainGrace  time.Duration // for how long a known session still goes to a draining engine
+	drainGrace  time.Duration // how long requests of a known session are still sent to a draining engine
 	seed        uint64        // of the policy modules
 	zone        string        // of this machine
 	traffic     *metrics.Traffic
-	endpoints   func(service string) []endpoints.Endpoint // those that may get requests
-	retryBudget retrybudget.Budget                        // of each service; no Window = there is no such budget
-	retryShare  retrybudget.Share                         // of the allowance that all routers have in common, beyond the ratio
+	endpoints   func(service string) []endpoints.Endpoint // those that may receive requests
+	retryBudget retrybudget.Budget                        // of each service; Window 0 = no retry budget
+	retryShare  retrybudget.Share                         // this router's share of the allowance beyond the ratio that all routers have in common
 }
 
-// dataPlane serves clients: connections from them (frontend), connections to engines (upstream), the loop that decides,
-// and a policy module for each service.
+// dataPlane serves clients. It consists of the connections from clients (frontend), the connections to engines (upstream),
+// the dispatch loop, and a policy module for each service.
 type dataPlane struct {
 	dataPlaneOptions
 	loop       *dispatch.Loop
 	upstream   *upstream.Transport
 	frontend   *frontend.Server
 	dialect    *dialect.Frontend
-	onIdleDrop func() // an engine has dropped an idle connection without a word; it must not wait
+	onIdleDrop func() // called after an engine has dropped an idle connection without an answer; must not block
 
-	endpointsChanged chan struct{} // run must pass the endpoints on
-	idleLimitedUntil atomic.Int64  // until then, in ns of the loop's clock, connections that idled are not for every request
+	endpointsChanged chan struct{} // signals run to publish the endpoints
+	idleLimitedUntil atomic.Int64  // time in ns of the loop's clock until which maxIdle limits the reuse of idle connections
 	routes           atomic.Pointer[dialect.CompiledConfig]
 	bounds           atomic.Pointer[limits.RequestBounds] // of the configuration in force
 	endpointZones    atomic.Pointer[map[string]string]    // zones of endpoints, by address
 
-	mu          sync.Mutex // held while a configuration is applied or endpoints are passed on; it guards what follows, and the retry options
+	mu          sync.Mutex // held while a configuration is applied or endpoints are published; guards the fields below and the retry options
 	nextPool    hoststate.PoolID
 	modules     map[hoststate.PoolID]*policy.Balancer
-	classCounts map[hoststate.PoolID]int // priority classes that a module has
+	classCounts map[hoststate.PoolID]int // number of priority classes of each module
 }
 
 func newDataPlane(o dataPlaneOptions) *dataPlane {
@@ -76,7 +76,7 @@
 	return d
 }
 
-// run runs the loop, and passes endpoints on to the modules when they have changed, until ctx is done.
+// run runs the dispatch loop and publishes changed endpoints to the policy modules until ctx is done.
 func (d *dataPlane) run(ctx context.Context) {
 	go d.loop.Run(ctx)
 	for {
@@ -93,7 +93,7 @@
 	}
 }
 
-// notifyEndpointsChanged has run pass the endpoints on. It does not wait.
+// notifyEndpointsChanged signals run to publish the endpoints. It does not block.
 func (d *dataPlane) notifyEndpointsChanged() {
 	select {
 	case d.endpointsChanged <- struct{}{}:
@@ -101,12 +101,12 @@
 	}
 }
 
-// rejecter is a client's request, as the frontend hands it to the loop.
+// rejecter is the part of the frontend's request type that rejects a request after its attempts have failed.
 type rejecter interface {
 	RejectAfterAttempts(why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool)
 }
 
-// perform has an effect of the loop carried out by its owner. It does not wait.
+// perform passes an effect of the dispatch loop to its owner. It does not block.
 func (d *dataPlane) perform(e dispatch.Effect) {
 	if d.upstream.Perform(e) {
 		return
@@ -115,18 +115,18 @@
 	case dispatch.Reject:
 		go e.Client.(rejecter).RejectAfterAttempts(e.Verdict, e.RetryAfter, e.MayHaveRun)
 	case dispatch.PoolEnded:
-		go d.poolEnded(e.Pool)
+		go d.removePool(e.Pool)
 	case dispatch.Log:
 		d.log.Info(e.Message, "service", e.Pool)
 	case dispatch.CountersReport:
 		if to, ok := e.ReplyTo.(chan dispatch.CountersReport); ok {
-			to <- e // it has room
+			to <- e // buffered for this one value
 		}
 	}
 }
 
-// poolEnded frees what a service had that is no longer configured, after its last request.
-func (d *dataPlane) poolEnded(id hoststate.PoolID) {
+// removePool frees the resources of a service that is no longer configured, after its last request has ended.
+func (d *dataPlane) removePool(id hoststate.PoolID) {
 	d.upstream.RemovePool(id)
 	d.frontend.RemovePool(id)
 	d.mu.Lock()
@@ -135,12 +135,12 @@
 	delete(d.classCounts, id)
 }
 
-// limitIdleReuse takes note that engines drop idle connections.
+// limitIdleReuse limits the reuse of idle connections for limits.StaleConnCaution, after an engine has dropped one.
 func (d *dataPlane) limitIdleReuse() {
 	d.idleLimitedUntil.Store(int64(d.loop.Now() + limits.StaleConnAvoidPeriod))
 }
 
-// maxIdle is for how long a connection may have idled that carries a request that must not run twice; 0 = for any time.
+// maxIdle returns how long a connection may have been idle to carry a non-idempotent request; 0 = no limit.
 func (d *dataPlane) maxIdle() time.Duration {
 	if int64(d.loop.Now()) < d.idleLimitedUntil.Load() {
 		return limits.StaleConnMaxIdle
@@ -148,13 +148,13 @@
 	return 0
 }
 
-// updateRetryShare takes over how many incarnations of routers share the retry allowance, as a replica has answered to a
-// question of the time asked, by the loop's clock; 0 = it has not answered.
-func (d *dataPlane) updateRetryShare(asked time.Duration, routers int) {
+// updateRetryShare updates this router's share of the retry allowance. routers is the number of router incarnations in a
+// replica's reply to a report made at requestedAt, by the loop's clock; 0 = unknown, which only lets an old share expire.
+func (d *dataPlane) updateRetryShare(requestedAt time.Duration, routers int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.loop.Now()
-	d.retryShare.Update(asked, now, routers)
+	d.retryShare.Update(requestedAt, now, routers)
 	allowance := d.retryShare.Allowance(now)
 	if d.retryBudget.Window == 0 || allowance == d.retryBudget.Allowance {
 		return
@@ -163,7 +163,7 @@
 	d.loop.Post(dispatch.RetryAllowance(allowance))
 }
 
-// hasEndpoints tells whether there is an endpoint for any of the configured services, or no service is configured.
+// hasEndpoints reports whether any of the configured services has an endpoint, or no service is configured.
 func (d *dataPlane) hasEndpoints() bool {
 	routes := d.routes.Load()
 	if routes == nil {
--- a/internal/node/dataplaneconfig.go
+++ b/internal/node/dataplaneconfig.go
@@ -13,7 +13,8 @@
 	"notchhinge/policy"
 )
 
-// applyConfig puts a configuration in force if its log index is above the present one's. Requests under way keep theirs.
+// applyConfig puts a configuration in force if its log index is higher than that of the current one. Requests in flight
+// continue under the configuration that they began with.
 func (d *dataPlane) applyConfig(index uint64, c *fleetconfig.Config) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -32,7 +33,7 @@
 		return err
 	}
 	for _, s := range next.Services() {
-		if err := d.setPool(s); err != nil {
+		if err := d.configurePool(s); err != nil {
 			return err
 		}
 	}
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// applyRequestLimits takes over what a client's message may have, as far as this machine can hold it. That it holds less is logged
-// when it changes: configurations come many times a second.
+// applyRequestLimits applies the configured limits of client messages, reduced to the capacity of this machine. It logs a
+// reduction only when the limits change, because configurations can arrive many times a second.
 func (d *dataPlane) applyRequestLimits(l *fleetconfig.RequestLimits) {
 	bounds, isReduced := d.limits.ConfiguredBounds(l.MaxHeaderBytes, l.MaxBodyBytes, fleetconfig.Milliseconds(l.HeaderTimeoutMS), fleetconfig.Milliseconds(l.IdleTimeoutMS))
 	previous := d.bounds.Swap(&bounds)
@@ -59,14 +60,14 @@
 	}
 }
 
-// setPool makes a service's policy module, or gives it the classes that it lacks. The lock is held.
-func (d *dataPlane) setPool(s *dialect.Service) error {
+// configurePool creates the policy module of a service, or adds the priority classes that an existing one lacks. d.mu is held.
+func (d *dataPlane) configurePool(s *dialect.Service) error {
 	_, exists := d.modules[s.ID]
 	if exists && d.classCounts[s.ID] == len(s.Classes) {
 		return nil
 	}
 	classes := s.Classes
-	if len(classes) == 0 { // no route leads to it yet
+	if len(classes) == 0 { // no route targets the service yet
 		classes = []policy.Class{{Name: "none", TargetLatency: time.Second, Deadline: time.Second, Value: 1}}
 	}
 	if exists && d.classCounts[s.ID] > 0 {
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// publishEndpoints passes the endpoints of each service on to its module. The lock is held.
+// publishEndpoints sends the endpoints of each service to its policy module. d.mu is held.
 func (d *dataPlane) publishEndpoints(routes *dialect.CompiledConfig) {
 	wallMS, now := time.Now().UnixMilli(), d.loop.Now()
 	zones := map[string]string{}
@@ -100,16 +101,16 @@
 		list := dispatch.EndpointsListed{Pool: s.ID, Kind: policy.ListFull}
 		for _, e := range d.endpoints(name) {
 			zones[e.Addr] = e.Zone
-			list.Hosts = append(list.Hosts, listedHost(&e, wallMS, now))
+			list.Hosts = append(list.Hosts, dispatchHost(&e, wallMS, now))
 		}
 		d.loop.Post(list)
 	}
 	d.endpointZones.Store(&zones)
 }
 
-// listedHost is an endpoint as a policy module knows it: one that is still warming up was born as much less than
-// edge.WarmUp ago as it needs still.
-func listedHost(e *endpoints.Endpoint, wallMS int64, now time.Duration) dispatch.Host {
+// dispatchHost converts an endpoint for its policy module. An endpoint that is still warming up gets a BornAt with which its
+// slow start ends at WarmAtMS.
+func dispatchHost(e *endpoints.Endpoint, wallMS int64, now time.Duration) dispatch.Host {
 	h := dispatch.Host{Name: e.ID, Addr: e.Addr, Weight: 1}
 	if e.State == endpoints.StateDraining {
 		h.State = policy.StateDraining
--- a/internal/node/discoveryhost.go
+++ b/internal/node/discoveryhost.go
@@ -13,23 +13,24 @@
 	"notchhinge/internal/control/transport"
 )
 
-// discoveryHost owns the process's discovery.Node: its lock, its clock and timer, and the datagrams that it sends and gets.
+// discoveryHost runs the discovery.Node of the process: its lock, clock and timer, and the datagrams that it sends and
+// receives.
 type discoveryHost struct {
 	transport *transport.Transport
 	clock     func() time.Duration // monotonic
 
-	// What follows from effects, called without the lock. None of them may wait.
-	onEndpointsChanged func()                               // engines have come, gone or changed
-	onIdleDropReported func()                               // another router saw an engine drop an idle connection
+	// Callbacks for effects, called without mu held. They must not block.
+	onEndpointsChanged func()                               // an endpoint was added, removed or changed
+	onIdleDropReported func()                               // another router has observed that an engine dropped an idle connection
 	onConfigAnnounced  func(index uint64, from gossip.Peer) // a peer has the configuration at a log index
 
-	wake chan struct{} // has run set its timer anew
+	wake chan struct{} // signals run to reset its timer
 
 	mu          sync.Mutex
 	reducer     *discovery.Node
-	timerAt     time.Duration // by clock, what run's timer is set to
+	timerAt     time.Duration // by clock, when run's timer fires
 	lastRequest discovery.RequestID
-	replies     map[discovery.RequestID]chan discovery.Reply // of requests in flight
+	replies     map[discovery.RequestID]chan discovery.Reply // of requests in flight; each channel is buffered for one value
 }
 
 func newDiscoveryHost(t *transport.Transport, self gossip.Peer, seed uint64, suspectAfter time.Duration) *discoveryHost {
@@ -42,14 +43,14 @@
 	}
 }
 
-// zoneHash is a zone's name as it stands in gossip: FNV-1a, 32 bits.
+// zoneHash returns the 32-bit FNV-1a hash that identifies a zone in gossip.
 func zoneHash(zone string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(zone))
 	return h.Sum32()
 }
 
-// step reduces an event and carries out the effects.
+// step passes an event to the reducer and performs the effects.
 func (h *discoveryHost) step(e discovery.Event) {
 	var callbacks []func()
 	h.mu.Lock()
@@ -59,7 +60,7 @@
 			h.transport.SendDatagram(f.To, f.Payload)
 		case discovery.Reply:
 			if reply, ok := h.replies[f.Request]; ok {
-				reply <- f // has room for the one reply of a request
+				reply <- f // does not block: a request has one reply
 			}
 		case discovery.EndpointsChanged:
 			callbacks = append(callbacks, h.onEndpointsChanged)
@@ -69,12 +70,12 @@
 			callbacks = append(callbacks, func() { h.onConfigAnnounced(f.Index, f.From) })
 		}
 	}
-	isSooner := h.reducer.NextTimer() < h.timerAt
+	resetTimer := h.reducer.NextTimer() < h.timerAt
 	h.mu.Unlock()
 	for _, f := range callbacks {
 		f()
 	}
-	if isSooner {
+	if resetTimer {
 		select {
 		case h.wake <- struct{}{}:
 		default:
@@ -82,8 +83,8 @@
 	}
 }
 
-// ask has the reducer handle an engine's call, and waits for the reply.
-func (h *discoveryHost) ask(ctx context.Context, event func(discovery.RequestID) discovery.Event) (discovery.Reply, error) {
+// handleEngineCall passes the event of an engine's call to the reducer and waits for the reply.
+func (h *discoveryHost) handleEngineCall(ctx context.Context, event func(discovery.RequestID) discovery.Event) (discovery.Reply, error) {
 	reply := make(chan discovery.Reply, 1)
 	h.mu.Lock()
 	h.lastRequest++
@@ -104,21 +105,21 @@
 	}
 }
 
-// replicas lists the known replicas, the best to ask first.
+// replicas lists the known replicas in the order in which to try them.
 func (h *discoveryHost) replicas() []gossip.Peer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reducer.Gossip.Replicas()
 }
 
-// responsiveReplicas lists the replicas that are likely to answer.
+// responsiveReplicas lists the replicas that are likely to respond.
 func (h *discoveryHost) responsiveReplicas() []gossip.Peer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reducer.Gossip.ResponsiveReplicas()
 }
 
-// endpoints copies the endpoints of a service that may get requests.
+// endpoints returns copies of the endpoints of a service that may receive requests.
 func (h *discoveryHost) endpoints(service string) (all []endpoints.Endpoint) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -128,14 +129,14 @@
 	return all
 }
 
-// zoneOf is the hash of the zone of a peer's address, if it is known.
+// zoneOf returns the zone hash of the peer at an address; ok is false if it is unknown.
 func (h *discoveryHost) zoneOf(addr netip.Addr) (zone uint32, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reducer.Gossip.ZoneOf(addr)
 }
 
-// run takes datagrams, until the transport is closed, and is the reducer's timer, until ctx is done.
+// run passes timer ticks to the reducer until ctx is done, and datagrams until the transport is closed.
 func (h *discoveryHost) run(ctx context.Context, seeds []netip.AddrPort) {
 	go h.transport.ServeDatagrams(func(b []byte) { h.step(discovery.Gossip{Event: gossip.PacketReceived{Payload: b}}) })
 	h.step(discovery.Gossip{Event: gossip.SeedsChanged{Addrs: seeds}})
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,24 +1,25 @@
-// Package node is one process of the fleet. It reads the settings, opens the sockets and the disk, starts the parts that
-// the settings ask for, reports readiness, and shuts down gracefully. It decides nothing itself: decisions are those of the
-// reducers in the packages under internal/control and of the policy modules.
+// Package node runs one process of the fleet. It reads the settings, opens the sockets and the disk, starts the components
+// that the settings enable, reports readiness, and shuts down gracefully. It contains no decision logic: the reducers in the
+// packages under internal/control and the policy modules decide.
 //
-// What it owns:
+// Files:
 //
-//   - node.go, startup.go, shutdown.go, readiness.go: the start and the end of the process.
-//   - configsync.go: which configuration is in force here, and how a newer one is fetched.
+//   - node.go, startup.go, shutdown.go, readiness.go: the lifecycle of the process.
+//   - configsync.go: the configuration in force, and fetching a newer one.
 //   - discoveryhost.go, replicahost.go (its disk in replicadisk.go), singletonhost.go: the three reducers of the control
-//     plane, each under one lock, with its clock, its timer and its calls. Events go in by step, effects are carried out.
-//   - dataplane.go, dataplaneconfig.go, upstreamdial.go: the client's requests, in a process with a frontend.
-//   - peercalls.go, enginecalls.go, operatorcalls.go: who answers a call of a peer, an engine, an operator.
-//   - usagereport.go, metrics.go, status.go: what the process reports of itself.
+//     plane, each with a lock, a clock, a timer and its outgoing calls. The step methods pass events to a reducer and perform
+//     the effects that it returns.
+//   - dataplane.go, dataplaneconfig.go, upstreamdial.go: client requests, in a process with a frontend.
+//   - peercalls.go, enginecalls.go, operatorcalls.go: calls received from peers, engines and operators.
+//   - usagereport.go, metrics.go, status.go: what the process reports about itself.
 //
-// What it promises: a process is ready only with the newest configuration that it can learn of (notReadyReason); a request
-// that was accepted before shutdown is answered, within grace_period_s.
+// Guarantees: a process is ready only under the newest configuration that it can find (notReadyReason). A request that was
+// accepted before the shutdown is answered within grace_period_s.
 //
-// Locks are taken in this order only: the singleton's, the replica's, configSync.applyMu, the data plane's, the discovery's.
-// Datagrams are sent, and counted, with the discovery's lock held (countTraffic).
+// Lock order: singletonHost, replicaHost, configSync.applyMu, dataPlane, discoveryHost. Datagrams are sent and counted with
+// the lock of discoveryHost held (countTraffic).
 //
-// Goroutines: Run starts all loops with a context that it cancels as it returns, and closes the transport, which ends those
-// that read from a socket. Nobody waits for them beyond that, since the process ends then. Calls that effects ask for run
-// under the same context.
+// Goroutines: Run starts all loops with a context that it cancels when it returns. It also closes the transport, which ends
+// the loops that read from a socket. Run does not wait for these goroutines, because the process exits. Calls that a reducer
+// requests run under the same context.
 package node
--- a/internal/node/enginecalls.go
+++ b/internal/node/enginecalls.go
@@ -9,10 +9,11 @@
 	"notchhinge/internal/control/endpoints"
 )
 
-// maxWarmupMS bounds what an engine may say of its warm-up: an hour.
+// maxWarmupMS bounds the warm-up time that an engine may report: an hour.
 const maxWarmupMS = 3.6e6
 
-// Heartbeat implements api.Handler. The address is that of the replica to which the engine should send its next heartbeats.
+// Heartbeat implements api.Handler. home is the control address of the replica to which the engine should send its next
+// heartbeats.
 func (n *Node) Heartbeat(ctx context.Context, b *api.Heartbeat) (home string, err error) {
 	r := endpoints.Record{
 		ID: b.ID, Service: b.TargetService, Addr: b.Address, Zone: b.Zone, Revision: b.Revision, Slots: uint64(max(b.CapacitySlots, 0)), CallCount: b.CallCount,
@@ -23,7 +24,7 @@
 	if b.WarmupRemainingMS > 0 {
 		r.WarmAtMS = time.Now().UnixMilli() + int64(min(b.WarmupRemainingMS, maxWarmupMS))
 	}
-	reply, err := n.discovery.ask(ctx, func(request discovery.RequestID) discovery.Event {
+	reply, err := n.discovery.handleEngineCall(ctx, func(request discovery.RequestID) discovery.Event {
 		return discovery.Heartbeat{Request: request, Record: r}
 	})
 	if err != nil || !reply.HomeReplica.IsValid() {
@@ -34,7 +35,7 @@
 
 // Deregister implements api.Handler.
 func (n *Node) Deregister(ctx context.Context, id string) error {
-	_, err := n.discovery.ask(ctx, func(request discovery.RequestID) discovery.Event {
+	_, err := n.discovery.handleEngineCall(ctx, func(request discovery.RequestID) discovery.Event {
 		return discovery.Deregister{Request: request, EndpointID: id}
 	})
 	return err
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -10,13 +10,13 @@
 	"notchhinge/internal/control/rpc"
 )
 
-// datagramHeaderBytes are the IPv4 and UDP headers of a datagram.
+// datagramHeaderBytes is the size of the IPv4 and UDP headers of a datagram.
 const datagramHeaderBytes = 28
 
-// countTraffic counts what goes to another process: a call's kind and bytes, both ways, or a datagram (kind 0).
+// countTraffic counts an exchange with another process: a call with the bytes of both directions, or a datagram (kind 0).
 func (n *Node) countTraffic(to netip.AddrPort, kind rpc.Kind, bytes int, datagram []byte) {
 	if kind == 0 {
-		// The discovery's lock is held: datagrams are sent by its step only.
+		// n.discovery.mu is held: only discoveryHost.step sends datagrams.
 		zone, ok := n.discovery.reducer.Gossip.ZoneOf(to.Addr())
 		n.traffic.Add(causeOfDatagram(datagram), bytes+datagramHeaderBytes, ok && zone != zoneHash(n.cfg.Zone))
 		return
@@ -25,7 +25,7 @@
 	n.traffic.Add(rpc.Lookup(kind).Cause, bytes, ok && zone != zoneHash(n.cfg.Zone))
 }
 
-// causeOfDatagram is what a datagram is for, in the metrics.
+// causeOfDatagram returns the cause under which the metrics count a datagram.
 func causeOfDatagram(datagram []byte) metrics.Cause {
 	switch gossip.PurposeOf(datagram) {
 	case gossip.PurposeAntiEntropy:
@@ -37,7 +37,7 @@
 	}
 }
 
-// logMetrics logs what the process has sent and received by cause, and what it has used.
+// logMetrics logs the traffic of the process by cause, and the resources that it has used.
 func (n *Node) logMetrics(ctx context.Context, level slog.Level) {
 	if !n.log.Enabled(ctx, level) {
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,7 +14,7 @@
 	"notchhinge/internal/control/transport"
 )
 
-// Node is one process of the fleet. Its parts are set before the first goroutine starts, and stay.
+// Node is one process of the fleet. Its components are set before the first goroutine starts and do not change.
 type Node struct {
 	cfg       *nodeconfig.Config
 	log       *slog.Logger
@@ -28,18 +28,18 @@
 	dataPlane *dataPlane     // nil unless the process has a frontend
 
 	traffic   metrics.Traffic
-	redirects atomic.Uint32 // operators' calls that were redirected to a replica
-	stopping  atomic.Bool   // the shutdown has begun
+	redirects atomic.Uint32 // number of operator calls that were redirected to a replica
+	stopping  atomic.Bool   // the shutdown has started
 }
 
-// Signals are the signals of the operating system that a running process obeys.
+// Signals are the operating system signals that Run handles.
 type Signals struct {
 	Stop   <-chan os.Signal // shut down gracefully
-	Reload <-chan os.Signal // read the seed nodes again
+	Reload <-chan os.Signal // reload the seed nodes
 }
 
-// Run runs a process with the settings file at path until it gets the signal to stop. The error says why it could not start, or
-// which of its servers failed.
+// Run runs a process with the settings file at path until sig.Stop receives a signal. It returns an error if the process
+// cannot start or one of its servers fails.
 func Run(path string, log *slog.Logger, sig Signals) error {
 	cfg, err := nodeconfig.Load(path)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return n.serve(ctx, path, sig)
 }
 
-// seconds is a setting in seconds as a duration.
+// seconds converts a setting in seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // sleep waits for d, or until ctx is done.
--- a/internal/node/peercalls.go
+++ b/internal/node/peercalls.go
@@ -11,7 +11,7 @@
 	"notchhinge/internal/limits"
 )
 
-// handleCall answers a peer's call: the owner of its kind does.
+// handleCall dispatches a call from a peer to the component that owns its kind.
 func (n *Node) handleCall(ctx context.Context, kind rpc.Kind, from netip.Addr, body []byte) ([]byte, error) {
 	switch rpc.Lookup(kind).Owner {
 	case rpc.OwnerConfigs:
@@ -27,7 +27,7 @@
 	return nil, rpc.UnknownKindError(kind)
 }
 
-// handleReplicaCall answers a call for the replica of this process.
+// handleReplicaCall passes a call to the replica of this process.
 func (n *Node) handleReplicaCall(ctx context.Context, kind rpc.Kind, from netip.Addr, body []byte) ([]byte, error) {
 	if n.replica == nil {
 		return nil, errNoReplica
@@ -37,8 +37,8 @@
 	return n.replica.handleCall(ctx, kind, from, body)
 }
 
-// handleFetch answers a peer that asks for the configuration, with its difference to the one that the peer has. A process
-// that is no replica answers with what it holds in either mode.
+// handleFetch answers a peer's fetch of the configuration with a delta to the configuration that the peer has. A process
+// without a replica answers from its cache in both modes.
 func (n *Node) handleFetch(ctx context.Context, body []byte) ([]byte, error) {
 	index, mode, err := replica.DecodeIndexed(body)
 	if err != nil {
@@ -47,10 +47,10 @@
 	if decodeFetchMode(mode) == fetchConfirmed && n.replica != nil {
 		ctx, cancel := context.WithTimeout(ctx, limits.ReplicaCallTimeout)
 		defer cancel()
-		r := n.replica.operate(ctx, func(id replica.RequestID, deadline time.Duration) replica.Event {
+		r := n.replica.handleOperatorCall(ctx, func(id replica.RequestID, deadline time.Duration) replica.Event {
 			return replica.ReadConfig{Request: id, Deadline: deadline, Passive: true}
 		})
-		if !r.Status.IsFinal() { // StatusNotFound is: there is none yet
+		if !r.Status.IsFinal() { // StatusNotFound is final: there is no configuration yet
 			return nil, errors.New(r.Message)
 		}
 	}
--- a/internal/node/readiness.go
+++ b/internal/node/readiness.go
@@ -8,24 +8,25 @@
 	"notchhinge/internal/limits"
 )
 
-// Reasons for a router not to be ready that end by themselves after a time (limits.ReadyWithout...).
+// Reasons for a router not to be ready that apply for a limited time after the start only (limits.ReadyWithoutReplicaAfter,
+// limits.ReadyWithoutQuorumAfter).
 const (
 	reasonNoReplica = "no replica has reported the newest configuration yet"
 	reasonNoQuorum  = "no replica with a quorum has confirmed the newest configuration yet"
 )
 
-// serveReadiness answers the platform's load balancer: 200, or 503 with the reason.
+// serveReadiness answers the health checks of the platform's load balancer: 200, or 503 with the reason.
 func (n *Node) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if reason := n.notReadyReason(); reason != "" {
 		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = io.WriteString(w, "ok\n") // a load balancer that has gone asks again
+	_, _ = io.WriteString(w, "ok\n") // the load balancer repeats a health check that failed
 }
 
-// notReadyReason says why the process should get no new clients; "" = it is ready. A router that was partitioned from the
-// replicas could serve under an old configuration, so it is not ready before a replica with a quorum has confirmed the
-// newest one; but where there is none a router that serves is worth more, so that the waits are bounded.
+// notReadyReason returns why the process should receive no new connections; "" = it is ready. A router that is partitioned
+// from the replicas could serve under an old configuration, so it waits until a replica with a quorum has confirmed the
+// newest one. The wait is bounded, so that routers also start while no quorum is available.
 func (n *Node) notReadyReason() string {
 	age := time.Since(n.startedAt)
 	switch {
--- a/internal/node/replicadisk.go
+++ b/internal/node/replicadisk.go
@@ -10,8 +10,8 @@
 
 var errDiskUnavailable = errors.New("storage does not take writes")
 
-// persist carries out a write, and reopens the disk first if the write before has failed. The lock is held. An error means
-// that the write may or may not be on the disk; the replica then votes for nothing until one succeeds.
+// persist carries out a write, after reopening the disk if the previous write has failed. h.mu is held. After an error the
+// write may or may not be on the disk, and the replica does not vote until a write succeeds.
 func (h *replicaHost) persist(w *replica.Write) error {
 	if h.diskClosed {
 		return errDiskUnavailable
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// reopenDisk reopens a disk that has failed, at most once in limits.DiskReopenInterval, and saves on it what was chosen and
-// accepted meanwhile. It tells whether the disk may be used again.
+// reopenDisk reopens a failed disk, at most once in limits.DiskReopenInterval, and saves the current state and acceptor
+// state on it. It reports whether the disk can be used again.
 func (h *replicaHost) reopenDisk() bool {
 	if time.Since(h.reopenedAt) < limits.DiskReopenInterval {
 		return false
--- a/internal/node/replicahost.go
+++ b/internal/node/replicahost.go
@@ -18,54 +18,54 @@
 )
 
 var (
-	errDiskBusy  = errors.New("replica waits for its disk")
-	errEnding    = errors.New("replica is shutting down")
-	errNoReplica = errors.New("no replica here")
+	errDiskBusy     = errors.New("replica waits for its disk")
+	errShuttingDown = errors.New("replica is shutting down")
+	errNoReplica    = errors.New("no replica here")
 )
 
 // peerCall makes a call to another process.
 type peerCall func(ctx context.Context, to netip.AddrPort, kind rpc.Kind, body []byte) ([]byte, error)
 
-// replicaHost owns the process's replica.Replica: its lock, its disk, its clock and timer, and the calls that it makes.
+// replicaHost runs the replica.Replica of the process: its lock, disk, clock, timer and outgoing calls.
 type replicaHost struct {
-	ctx            context.Context // of the process: calls that effects ask for end with it
+	ctx            context.Context // of the process; bounds the calls that effects start
 	log            *slog.Logger
 	self           replog.Member
 	isFounder      bool
 	clock          func() time.Duration // monotonic
 	call           peerCall
-	peers          func() []netip.AddrPort // known replicas, this one not among them
-	onStateChanged func(*replog.State)     // gets every new state, with mu held; it must not wait
+	peers          func() []netip.AddrPort // the other known replicas
+	onStateChanged func(*replog.State)     // called with every new state, with mu held; must not block
 
 	mu         contextMutex
 	reducer    *replica.Replica
 	disk       *storage.Store
 	diskFailed bool          // a write has failed; the disk must be reopened
-	diskClosed bool          // the process ends
-	reopenedAt time.Time     // the last attempt to reopen the disk, or the failure
-	timerAt    time.Duration // by clock, what run's timer is set to
-
-	// Who waits for the effects that answer events. The channels have room for one value.
-	calls     replica.Pending[chan callResult]
-	answers   replica.Pending[chan api.Result]
-	proposals replica.Pending[chan error]
-	leaves    replica.Pending[chan struct{}]
-
-	wake chan struct{} // has run set its timer anew
-	done chan struct{} // closed when run has returned: timers and time-outs come no more
+	diskClosed bool          // close was called
+	reopenedAt time.Time     // of the last attempt to reopen the disk, or of the failed write
+	timerAt    time.Duration // by clock, when run's timer fires
+
+	// Callers that wait for the effect that completes their request. Each channel is buffered for one value.
+	pendingCalls         replica.Pending[chan callResult]
+	pendingOperatorCalls replica.Pending[chan api.Result]
+	pendingProposals     replica.Pending[chan error]
+	pendingLeaves        replica.Pending[chan struct{}]
+
+	wake chan struct{} // signals run to reset its timer
+	done chan struct{} // closed when run has returned; the reducer gets no more ticks then, so deadlines no longer expire
 }
 
-// contextMutex is a lock whose wait can be given up. A replica does nothing else while its disk takes a write, and a caller
-// that has timed out meanwhile must not queue with a configuration in memory for as long as a stalled disk takes.
+// contextMutex is a mutex whose Lock can be abandoned. A replica holds its mutex during disk writes. Without a bound, callers
+// that have already timed out would queue up, each with its request body in memory, for as long as a disk stalls.
 type contextMutex chan struct{}
 
-// Lock waits for the lock.
+// Lock acquires the mutex.
 func (m contextMutex) Lock() { m <- struct{}{} }
 
-// Unlock frees the lock.
+// Unlock releases the mutex.
 func (m contextMutex) Unlock() { <-m }
 
-// LockContext waits for the lock until ctx is done, and tells whether it got it.
+// LockContext waits for the mutex until ctx is done, and reports whether it was acquired.
 func (m contextMutex) LockContext(ctx context.Context) bool {
 	select {
 	case m <- struct{}{}:
@@ -75,19 +75,19 @@
 	}
 }
 
-// replicaOptions are what a replica of this process is made of.
+// replicaOptions are the parameters of openReplica.
 type replicaOptions struct {
 	log           *slog.Logger
 	dataDir       string
 	name          string // of this machine
-	addr          string // where this process takes peers' calls
-	bootstrap     bool   // it is the fleet's first start: an empty disk may found it
-	machineFaults int    // machines that may be lost at once
+	addr          string // at which this process receives calls from peers
+	bootstrap     bool   // first start of the fleet: a replica with an empty disk may become a founding member
+	machineFaults int    // number of machines that may fail at the same time
 	call          peerCall
-	peers         func() []netip.AddrPort // known replicas, this one not among them
+	peers         func() []netip.AddrPort // the other known replicas
 }
 
-// openReplica opens the disk, makes a new identity if it is empty, and reads the state.
+// openReplica opens the disk, creates an identity if the disk is empty, and loads the state.
 func openReplica(ctx context.Context, o replicaOptions) (*replicaHost, error) {
 	var id uint64
 	for id == 0 {
@@ -122,27 +122,27 @@
 	}
 }
 
-// callResult is the answer to a peer's call.
+// callResult is the outcome of a call from a peer.
 type callResult struct {
 	body []byte
 	err  error
 }
 
-// step reduces an event and carries out the effects.
+// step passes an event to the reducer and performs the effects.
 func (h *replicaHost) step(e replica.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.stepLocked(e)
 }
 
-// request makes an event with the lock held, so that a RequestID can be chosen for it, and steps it.
+// request calls event with mu held, so that event can allocate a RequestID, and passes the result to the reducer.
 func (h *replicaHost) request(event func() replica.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.stepLocked(event())
 }
 
-// requestContext is request, unless ctx is done before the lock is free. It tells whether the event was reduced.
+// requestContext is request with a bounded wait for mu. It returns false, without an event, if ctx is done first.
 func (h *replicaHost) requestContext(ctx context.Context, event func() replica.Event) bool {
 	if !h.mu.LockContext(ctx) {
 		return false
@@ -152,14 +152,14 @@
 	return true
 }
 
-// deliver sends a value to whoever waits for the answer to a request. The lock is held.
-func deliver[T any](waiting *replica.Pending[chan T], id replica.RequestID, value T) {
-	if to, ok := waiting.Take(id); ok {
+// deliver sends the outcome of a request to its waiting caller, if there still is one. The replica's mu is held.
+func deliver[T any](pending *replica.Pending[chan T], id replica.RequestID, value T) {
+	if to, ok := pending.Take(id); ok {
 		to <- value
 	}
 }
 
-// stepLocked is step with the lock held.
+// stepLocked is step with mu held.
 func (h *replicaHost) stepLocked(e replica.Event) {
 	now := h.clock()
 	effects := append([]replica.Effect(nil), h.reducer.Reduce(now, e)...)
@@ -179,19 +179,19 @@
 	}
 }
 
-// perform carries out an effect other than a write. It does not wait: each channel has room for its one answer.
+// perform carries out an effect other than a write. It does not block: each channel is buffered for its one value.
 func (h *replicaHost) perform(e replica.Effect) {
 	switch e := e.(type) {
 	case replica.SendCall:
 		go h.sendCall(h.ctx, e)
 	case replica.SendReply:
-		deliver(&h.calls, e.Request, callResult{e.Body, e.Err})
+		deliver(&h.pendingCalls, e.Request, callResult{e.Body, e.Err})
 	case replica.OperatorAnswer:
-		deliver(&h.answers, e.Request, e.Result)
+		deliver(&h.pendingOperatorCalls, e.Request, e.Result)
 	case replica.ProposeDone:
-		deliver(&h.proposals, e.Request, e.Err)
+		deliver(&h.pendingProposals, e.Request, e.Err)
 	case replica.LeaveDone:
-		deliver(&h.leaves, e.Request, struct{}{})
+		deliver(&h.pendingLeaves, e.Request, struct{}{})
 	case replica.StateChanged:
 		h.onStateChanged(&e.State)
 	case replica.Log:
@@ -207,7 +207,7 @@
 	h.step(replica.CallReturned{ID: e.ID, Body: body, Err: err})
 }
 
-// run is the replica's timer, until ctx is done.
+// run passes timer ticks to the reducer until ctx is done.
 func (h *replicaHost) run(ctx context.Context) {
 	defer close(h.done)
 	timer := time.NewTimer(0)
@@ -231,31 +231,33 @@
 	}
 }
 
-// state is the replicated state as far as it is known here.
+// state returns the replicated state up to the last log entry that this replica has applied.
 func (h *replicaHost) state() replog.State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reducer.State()
 }
 
-// membershipPending tells whether a change of members was accepted here that may have been chosen.
+// membershipPending reports whether this replica has accepted a membership change whose outcome is not known yet.
 func (h *replicaHost) membershipPending() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reducer.MembershipPending()
 }
 
-// handOver has the replica hand over its vote to the members that stay, and returns when it has, or when ctx is done.
-func (h *replicaHost) handOver(ctx context.Context) {
-	left := make(chan struct{}, 1)
-	h.request(func() replica.Event { return replica.Leave{Request: h.leaves.Add(left), Deadline: h.deadline(ctx)} })
+// handOverVote makes the replica leave the voters, and returns when it has left or ctx is done.
+func (h *replicaHost) handOverVote(ctx context.Context) {
+	done := make(chan struct{}, 1)
+	h.request(func() replica.Event {
+		return replica.Leave{Request: h.pendingLeaves.Add(done), Deadline: h.deadline(ctx)}
+	})
 	select {
-	case <-left:
+	case <-done:
 	case <-ctx.Done():
 	}
 }
 
-// deadline is ctx's deadline by the replica's clock.
+// deadline returns the deadline of ctx by h.clock, or limits.OperatorCallTimeout from now if ctx has none.
 func (h *replicaHost) deadline(ctx context.Context) time.Duration {
 	if at, ok := ctx.Deadline(); ok {
 		return h.clock() + time.Until(at)
@@ -263,55 +265,56 @@
 	return h.clock() + limits.OperatorCallTimeout
 }
 
-// handleCall answers a peer's call. A call that waits for the lock for longer than its caller waits for the answer is
-// dropped: newer ones have come meanwhile, and by these a replica that lags takes a snapshot, not one entry after another.
+// handleCall answers a call from a peer. A call that waits for mu longer than its caller waits for the answer is dropped:
+// newer calls follow it, and they let a lagging replica catch up by a snapshot instead of entry by entry.
 func (h *replicaHost) handleCall(ctx context.Context, kind rpc.Kind, from netip.Addr, body []byte) ([]byte, error) {
-	answer := make(chan callResult, 1)
-	wait, cancel := context.WithTimeout(ctx, rpc.Lookup(kind).Timeout)
+	result := make(chan callResult, 1)
+	lockCtx, cancel := context.WithTimeout(ctx, rpc.Lookup(kind).Timeout)
 	defer cancel()
-	if !h.requestContext(wait, func() replica.Event {
-		return replica.CallReceived{Kind: kind, Body: body, From: from, Request: h.calls.Add(answer)}
+	if !h.requestContext(lockCtx, func() replica.Event {
+		return replica.CallReceived{Kind: kind, Body: body, From: from, Request: h.pendingCalls.Add(result)}
 	}) {
 		return nil, errDiskBusy
 	}
 	select {
-	case r := <-answer:
+	case r := <-result:
 		return r.body, r.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// operatorEvent makes the event of an operator's call, with its deadline by the replica's clock.
+// operatorEvent returns the event of an operator call. deadline is by the replica's clock.
 type operatorEvent func(id replica.RequestID, deadline time.Duration) replica.Event
 
-// operate has an operator's call answered.
-func (h *replicaHost) operate(ctx context.Context, event operatorEvent) api.Result {
-	answer := make(chan api.Result, 1)
+// handleOperatorCall passes an operator call to the reducer and returns its result. The reducer enforces the deadline of ctx.
+func (h *replicaHost) handleOperatorCall(ctx context.Context, event operatorEvent) api.Result {
+	result := make(chan api.Result, 1)
 	deadline := h.deadline(ctx)
-	wait, cancel := context.WithTimeout(ctx, deadline-h.clock())
+	lockCtx, cancel := context.WithTimeout(ctx, deadline-h.clock())
 	defer cancel()
-	if !h.requestContext(wait, func() replica.Event { return event(h.answers.Add(answer), deadline) }) {
+	if !h.requestContext(lockCtx, func() replica.Event { return event(h.pendingOperatorCalls.Add(result), deadline) }) {
 		return unavailable(errDiskBusy)
 	}
 	select {
-	case r := <-answer:
+	case r := <-result:
 		return r
 	case <-h.done:
-		return unavailable(errEnding)
+		return unavailable(errShuttingDown)
 	}
 }
 
-// unavailable is the answer to an operator whose call may be repeated elsewhere or later.
+// unavailable returns the result of an operator call that may be retried later or at another process.
 func unavailable(err error) api.Result {
 	return api.Result{Status: api.StatusUnavailable, Message: err.Error()}
 }
 
-// propose has entries chosen until next returns none. Between the call and its return next belongs to the replica.
+// propose proposes the log entries that next returns, one after another, until it returns nil. Until propose returns, only
+// the replica calls next.
 func (h *replicaHost) propose(ctx context.Context, next func(*replog.State) []byte) error {
 	result := make(chan error, 1)
 	h.request(func() replica.Event {
-		return replica.Propose{Next: next, Request: h.proposals.Add(result), Deadline: h.deadline(ctx)}
+		return replica.Propose{Next: next, Request: h.pendingProposals.Add(result), Deadline: h.deadline(ctx)}
 	})
 	select {
 	case err := <-result:
--- a/internal/node/replicahost_test.go
+++ b/internal/node/replicahost_test.go
@@ -28,7 +28,7 @@
 			}
 		}
 		called := time.Now()
-		r := h.operate(context.Background(), func(id replica.RequestID, deadline time.Duration) replica.Event {
+		r := h.handleOperatorCall(context.Background(), func(id replica.RequestID, deadline time.Duration) replica.Event {
 			return replica.ReadConfig{Request: id, Deadline: deadline}
 		})
 		if r.Status != http.StatusServiceUnavailable || time.Since(called) > time.Second {
--- a/internal/node/singletonhost.go
+++ b/internal/node/singletonhost.go
@@ -19,10 +19,10 @@
 	"notchhinge/internal/retrybudget"
 )
 
-// singletonHost owns the process's singleton.Controller: its lock, its clock and ticker, the calls that it makes to peers,
-// and those to the platform while this replica holds the lease.
+// singletonHost runs the singleton.Controller of the process: its lock, clock and ticker, its calls to peers and, while this
+// replica holds the lease, its calls to the platform.
 type singletonHost struct {
-	ctx     context.Context // of the process: calls that effects ask for end with it
+	ctx     context.Context // of the process; bounds the calls that effects start
 	replica *replicaHost
 	log     *slog.Logger
 	cloud   *cloudapi.Client
@@ -43,10 +43,11 @@
 		LeaseDuration: time.Duration(b.LeaseMS) * time.Millisecond,
 		UsageWindow:   seconds(b.UsageWindowS),
 		UsageDelay:    seconds(b.UsageDelayS),
-		// A machine whose disk was wiped may have granted a lease before; only at the very first start there was none.
+		// A replica whose disk was wiped may have granted a lease before. Only at the first start of the fleet is it certain
+		// that there was none.
 		NeverGranted:      n.replica.isFounder && n.replica.state().NextIndex == 0,
 		RouterWindow:      retrybudget.CountingPeriod(seconds(b.RetryWindowS), limits.RouterReportRetention),
-		CandidacyDelay:    time.Duration(n.replica.self.ID%1000) * time.Millisecond, // so that candidates do not come at once
+		CandidacyDelay:    time.Duration(n.replica.self.ID%1000) * time.Millisecond, // keeps replicas from becoming candidates at the same time
 		Incarnation:       rand.Uint64(),
 		ReportsUsage:      n.cfg.CloudAPI.HasRole(nodeconfig.RoleUsage),
 		ScalesEngines:     n.cfg.CloudAPI.HasRole(nodeconfig.RoleAutoscaler),
@@ -57,7 +58,7 @@
 	return h
 }
 
-// autoscaledServices lists the services whose engines are scaled, with the endpoints that are known here.
+// autoscaledServices lists the services with autoscaling, with the counts of their known endpoints.
 func (n *Node) autoscaledServices() (all []autoscale.Service) {
 	c := n.configs.config()
 	if c == nil {
@@ -71,7 +72,7 @@
 	return all
 }
 
-// autoscaledService counts the endpoints of a service: those that are ready in each zone where it has any, and their mean slots.
+// autoscaledService counts the endpoints of a service: the ready ones in each zone where it has any, and their mean slots.
 func (n *Node) autoscaledService(c *fleetconfig.Service) autoscale.Service {
 	s := autoscale.Service{
 		Name:   c.Name,
@@ -90,11 +91,11 @@
 	return s
 }
 
-// step reduces an event, carries out the effects, and returns the reply if the event was a call.
+// step passes an event to the reducer, performs the effects, and returns the reply if the event was a call.
 func (h *singletonHost) step(e singleton.Event) (reply singleton.SendReply) {
 	state := h.replica.state()
-	// The time is read before the lease is looked at: a process that is stopped after that calls the platform no more, since
-	// the calls' deadlines count from here.
+	// The deadlines of platform calls count from a time before the lease is checked. If the process is suspended in between,
+	// the calls expire instead of reaching the platform after the lease has ended.
 	began := time.Now()
 	h.mu.Lock()
 	effects := append([]singleton.Effect(nil), h.reducer.Reduce(h.clock(), time.Now(), &state, e)...)
@@ -109,7 +110,8 @@
 	return reply
 }
 
-// perform carries out an effect other than a reply, of an event that was reduced at began. It does not wait.
+// perform carries out an effect other than a reply. began is when its event was processed; timeouts count from it. It does
+// not block.
 func (h *singletonHost) perform(began time.Time, e singleton.Effect) {
 	switch e := e.(type) {
 	case singleton.SendCall:
@@ -137,24 +139,24 @@
 	h.step(singleton.CallReturned{ID: e.ID, Body: body, Err: err})
 }
 
-// propose has entries chosen by the replica here and reports the outcome to the reducer.
+// propose proposes log entries through the replica of this process and reports the outcome to the reducer.
 func (h *singletonHost) propose(ctx context.Context, e singleton.Propose) {
 	ctx, cancel := context.WithTimeout(ctx, e.Timeout)
 	defer cancel()
 	h.step(singleton.ProposalDone{Err: h.replica.propose(ctx, e.Next)})
 }
 
-// callPlatform makes a call to the platform in a goroutine of its own, until a time, and reports the outcome to the reducer.
-func (h *singletonHost) callPlatform(ctx context.Context, until time.Time, do func(context.Context) error) {
+// callPlatform starts a goroutine that calls the platform, bounded by a deadline, and reports the outcome to the reducer.
+func (h *singletonHost) callPlatform(ctx context.Context, deadline time.Time, call func(context.Context) error) {
 	h.traffic.Add(metrics.CausePlatform, 0, false)
 	go func() {
-		ctx, cancel := context.WithDeadline(ctx, until)
+		ctx, cancel := context.WithDeadline(ctx, deadline)
 		defer cancel()
-		h.step(singleton.PlatformAnswered{Err: do(ctx)})
+		h.step(singleton.PlatformAnswered{Err: call(ctx)})
 	}()
 }
 
-// run is the controller's ticker, until ctx is done.
+// run sends ticks to the reducer until ctx is done.
 func (h *singletonHost) run(ctx context.Context) {
 	tick := time.NewTicker(limits.SingletonTickInterval)
 	defer tick.Stop()
@@ -168,7 +170,7 @@
 	}
 }
 
-// handleCall answers a peer's call. The reducer answers each at once.
+// handleCall answers a call from a peer. The reducer replies to each call in the same step.
 func (h *singletonHost) handleCall(kind rpc.Kind, body []byte) ([]byte, error) {
 	reply := h.step(singleton.CallReceived{Kind: kind, Body: body})
 	return reply.Body, reply.Err
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -21,7 +21,7 @@
 	"notchhinge/internal/retrybudget"
 )
 
-// open opens the sockets between processes and, in a replica, the disk. It starts nothing.
+// open opens the sockets for traffic between processes and, in a replica, the disk. It starts no goroutine.
 func (n *Node) open(ctx context.Context) error {
 	if err := n.openTransport(); err != nil {
 		return err
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// openTransport opens the sockets at the first free port of the settings' range.
+// openTransport opens the sockets at the first free port of the configured range.
 func (n *Node) openTransport() error {
 	ip, err := netip.ParseAddr(n.cfg.IPAddress)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return err
 }
 
-// close closes the sockets between processes and the disk.
+// close closes the sockets for traffic between processes and the disk.
 func (n *Node) close() {
 	n.transport.Close()
 	if n.replica != nil {
@@ -83,8 +83,8 @@
 	}
 }
 
-// seeds are the seed nodes at their internal ports. The settings give their control addresses; the first internal port is
-// the same on all machines.
+// seeds returns the internal addresses of the seed nodes. The settings contain their control addresses; the first internal
+// port is the same on all machines.
 func (n *Node) seeds() (addrs []netip.AddrPort) {
 	for _, s := range n.cfg.SeedNodes {
 		if a, err := netip.ParseAddrPort(s); err == nil {
@@ -94,7 +94,7 @@
 	return addrs
 }
 
-// serve starts the parts and the servers, and runs until the process gets the signal to stop or a server fails.
+// serve starts the components and the servers, and runs until a stop signal arrives or a server fails.
 func (n *Node) serve(ctx context.Context, path string, sig Signals) error {
 	if n.cfg.Listeners.Frontend != "" {
 		n.startDataPlane(ctx)
@@ -109,7 +109,7 @@
 	return n.supervise(ctx, path, sig, s)
 }
 
-// startDataPlane starts what serves clients, and the reports on it. Its goroutines end with ctx.
+// startDataPlane starts the data plane and the usage reports. Their goroutines end with ctx.
 func (n *Node) startDataPlane(ctx context.Context) {
 	m, b := &n.cfg.Machine, &n.cfg.Bounds
 	o := dataPlaneOptions{
@@ -135,7 +135,8 @@
 	}
 }
 
-// startControlPlane starts the exchange with other processes. Its goroutines end with ctx or with the transport.
+// startControlPlane starts the components that communicate with other processes. Their goroutines end with ctx or when the
+// transport is closed.
 func (n *Node) startControlPlane(ctx context.Context) {
 	go n.configs.run(ctx)
 	if n.replica != nil {
@@ -155,19 +156,19 @@
 
 // servers are the process's HTTP servers and their listeners.
 type servers struct {
-	failed   chan error   // what a server ended with; it has room for all
+	failed   chan error   // the errors that servers return; buffered for all of them
 	frontend net.Listener // nil unless the process has a frontend
 	closers  []io.Closer
 }
 
-// close closes what was opened, the latest first. The goroutines that serve end by it.
+// close closes the servers and listeners in reverse order of opening, which ends the goroutines that serve.
 func (s *servers) close() {
 	for i := len(s.closers) - 1; i >= 0; i-- {
-		_ = s.closers[i].Close() // a listener that the shutdown has closed says so
+		_ = s.closers[i].Close() // fails for a listener that the shutdown has already closed
 	}
 }
 
-// listen opens a listener.
+// listen opens a TCP listener that close closes.
 func (s *servers) listen(ctx context.Context, addr string) (net.Listener, error) {
 	ln, err := (&net.ListenConfig{}).Listen(ctx, "tcp4", addr)
 	if err == nil {
@@ -176,16 +177,16 @@
 	return ln, err
 }
 
-// startServers opens the listeners of the settings and serves at them, until s is closed.
+// startServers opens the configured listeners and serves on them until s is closed.
 func (n *Node) startServers(ctx context.Context, s *servers) error {
 	if addr := n.cfg.Listeners.ControlPlane; addr != "" {
 		ln, err := s.listen(ctx, addr)
 		if err != nil {
 			return fmt.Errorf("listeners.control_plane: %w", err)
 		}
-		web := api.NewServer(n)
-		s.closers = append(s.closers, web)
-		go func() { s.failed <- api.Serve(web, ln) }()
+		server := api.NewServer(n)
+		s.closers = append(s.closers, server)
+		go func() { s.failed <- api.Serve(server, ln) }()
 	}
 	if n.dataPlane == nil {
 		return nil
@@ -194,17 +195,17 @@
 	if err != nil {
 		return fmt.Errorf("listeners.readiness: %w", err)
 	}
-	web := &http.Server{Handler: http.HandlerFunc(n.serveReadiness), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 10 * time.Second}
-	s.closers = append(s.closers, web)
-	go func() { s.failed <- web.Serve(ln) }()
+	server := &http.Server{Handler: http.HandlerFunc(n.serveReadiness), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 10 * time.Second}
+	s.closers = append(s.closers, server)
+	go func() { s.failed <- server.Serve(ln) }()
 	if s.frontend, err = s.listen(ctx, n.cfg.Listeners.Frontend); err != nil {
 		return fmt.Errorf("listeners.frontend: %w", err)
 	}
-	go func() { _ = n.dataPlane.frontend.Serve(s.frontend) }() // it ends when the listener is closed
+	go func() { _ = n.dataPlane.frontend.Serve(s.frontend) }() // returns when the listener is closed
 	return nil
 }
 
-// supervise obeys signals until the one to stop, and then shuts the process down; or until a server fails.
+// supervise handles signals until a stop signal, on which it shuts the process down, or until a server fails.
 func (n *Node) supervise(ctx context.Context, path string, sig Signals, s *servers) error {
 	metricsTick := time.NewTicker(limits.MetricsLogInterval)
 	defer metricsTick.Stop()
@@ -226,7 +227,7 @@
 	}
 }
 
-// reloadSeeds reads the settings file again and takes over its seed nodes. All other settings stay as they were.
+// reloadSeeds reads the settings file again and applies its seed nodes. All other settings remain unchanged.
 func (n *Node) reloadSeeds(path string) {
 	cfg, err := nodeconfig.Load(path)
 	if err != nil {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -12,20 +12,20 @@
 	"notchhinge/internal/dialect"
 )
 
-// status is what /fleet/status tells of this process. The keys are those that the command and operators' scripts read.
+// status is the response of /fleet/status. The command line tool and operators' scripts read its keys.
 type status struct {
 	Node         string `json:"node"`
 	Zone         string `json:"zone"`
 	Ready        string `json:"ready"`        // "yes", or why not
 	ConfigIndex  uint64 `json:"place"`        // log index of the configuration in force
-	NewestIndex  uint64 `json:"newest_place"` // the highest that was announced
+	NewestIndex  uint64 `json:"newest_place"` // highest announced log index of a configuration
 	Peers        int    `json:"peers"`
 	Replicas     int    `json:"keepers"`
 	Endpoints    int    `json:"engines"`
 	GossipItems  int    `json:"items"`
-	Revision     uint64 `json:"revision"` // of the configuration that requests begin under
+	Revision     uint64 `json:"revision"` // of the configuration that new requests use
 	IsReplica    bool   `json:"keeper"`
-	NextIndex    uint64 `json:"chain"` // log entries that this replica has applied
+	NextIndex    uint64 `json:"chain"` // number of log entries that this replica has applied
 	HasVote      bool   `json:"votes"`
 	Voters       int    `json:"members"`
 	LeaseHolder  string `json:"holder"`
@@ -72,7 +72,7 @@
 	State    string  `json:"state"`   // ready, draining, silent, gone
 	HeardS   float64 `json:"heard_s"` // since its last heartbeat
 	WarmInS  float64 `json:"warm_in_s"`
-	Says     string  `json:"says"` // why it gets requests, or none
+	Says     string  `json:"says"` // why it receives requests or none
 }
 
 // Engines implements api.Handler.
@@ -94,7 +94,7 @@
 	return all
 }
 
-// configuredServices are the names of a configuration's services; c may be nil.
+// configuredServices returns the set of the service names of a configuration; c may be nil.
 func configuredServices(c *fleetconfig.Config) map[string]bool {
 	names := map[string]bool{}
 	if c != nil {
@@ -105,8 +105,8 @@
 	return names
 }
 
-// explainEndpoint says in which state an endpoint is, and what that means for requests.
-func explainEndpoint(e *endpoints.Endpoint, isConfigured, isWarmingUp bool) (state, says string) {
+// explainEndpoint returns the state of an endpoint and its effect on requests, as texts for an operator.
+func explainEndpoint(e *endpoints.Endpoint, isConfigured, isWarmingUp bool) (state, explanation string) {
 	switch {
 	case e.State == endpoints.StateGone:
 		return "gone", "it has deregistered, or another engine has come at its address: it gets nothing"
@@ -123,7 +123,7 @@
 	}
 }
 
-// Explain implements api.Handler: what would become of a request with this head.
+// Explain implements api.Handler. It returns how a request with this head would be routed.
 func (n *Node) Explain(r *http.Request) any {
 	type explanation struct {
 		*dialect.Explanation
--- a/internal/node/upstreamdial.go
+++ b/internal/node/upstreamdial.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// dial opens a connection to an engine, and has its bytes counted.
+// dial opens a connection to an engine whose traffic is counted.
 func (d *dataPlane) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	c, err := (&net.Dialer{KeepAlive: -1, Control: setUserTimeout}).DialContext(ctx, network, addr)
 	if err != nil {
@@ -25,11 +25,11 @@
 	return d.traffic.Wrap(metrics.CauseEngines, c, zone != d.zone), nil
 }
 
-// setUserTimeout has a connection fail once what was sent on it is not acknowledged for limits.UpstreamUserTimeout
-// (TCP_USER_TIMEOUT, RFC 5482): a machine that is down or partitioned acknowledges nothing, one that is slow does.
+// setUserTimeout makes a connection fail when sent data stays unacknowledged for limits.UpstreamUserTimeout
+// (TCP_USER_TIMEOUT, RFC 5482). This detects a machine that is down or partitioned; a slow one still acknowledges.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
-		// Where a kernel does not know the option, requests wait for their deadlines.
+		// On a kernel without this option, requests fail at their deadlines instead.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limits.UpstreamUserTimeout.Milliseconds()))
 	})
 }
--- a/internal/node/usagereport.go
+++ b/internal/node/usagereport.go
@@ -19,21 +19,21 @@
 	meter usage.Meter
 }
 
-// countRequest counts a tenant's request.
+// countRequest adds a request to the usage of a tenant.
 func (u *usageMeter) countRequest(tenant string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.meter.CountRequest(time.Now(), tenant)
 }
 
-// handleAck takes a replica's acknowledgement of a report.
+// handleAck processes a replica's acknowledgement of a report.
 func (u *usageMeter) handleAck(replicaID uint64, ack usage.Ack, report *usage.Report) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.meter.HandleAck(replicaID, ack, report)
 }
 
-// reportLoop reports to the replicas what this router has counted and how busy its engines are, until ctx is done.
+// reportLoop periodically reports the counted usage and the load of the engines to the replicas, until ctx is done.
 func (n *Node) reportLoop(ctx context.Context, meter *usageMeter) {
 	tick := time.NewTicker(limits.RouterReportInterval)
 	defer tick.Stop()
@@ -47,14 +47,14 @@
 	}
 }
 
-// sendReports sends one report to every replica. It does not wait for their answers.
+// sendReports sends one report to every replica, without waiting for the acknowledgements.
 func (n *Node) sendReports(ctx context.Context, meter *usageMeter) {
 	loads, ok := n.serviceLoads(ctx)
 	if !ok {
 		return
 	}
-	asked := n.dataPlane.loop.Now()
-	n.dataPlane.updateRetryShare(asked, 0)
+	createdAt := n.dataPlane.loop.Now()
+	n.dataPlane.updateRetryShare(createdAt, 0)
 	replicas := n.discovery.replicas()
 	ids := make([]uint64, len(replicas))
 	for i, r := range replicas {
@@ -64,18 +64,18 @@
 	reports := meter.meter.Reports(time.Now(), loads, ids)
 	meter.mu.Unlock()
 	for i, r := range replicas {
-		go n.sendReport(ctx, meter, routerReport{to: r, asked: asked, report: &reports[i]})
+		go n.sendReport(ctx, meter, routerReport{to: r, createdAt: createdAt, report: &reports[i]})
 	}
 }
 
-// routerReport is a report on its way to a replica.
+// routerReport is a report with its destination.
 type routerReport struct {
-	to     gossip.Peer
-	asked  time.Duration // when it was made, by the loop's clock
-	report *usage.Report
+	to        gossip.Peer
+	createdAt time.Duration // by the loop's clock
+	report    *usage.Report
 }
 
-// sendReport sends a report to a replica, and takes its acknowledgement over.
+// sendReport sends a report to a replica and processes the acknowledgement.
 func (n *Node) sendReport(ctx context.Context, meter *usageMeter, r routerReport) {
 	ctx, cancel := context.WithTimeout(ctx, limits.ReplicaFailoverTimeout)
 	defer cancel()
@@ -86,18 +86,19 @@
 	}
 	ack, err := usage.DecodeAck(body)
 	if err != nil {
-		return // it is not acknowledged, and goes with the next report
+		return // the report stays unacknowledged, and its counts are sent again with the next one
 	}
-	n.dataPlane.updateRetryShare(r.asked, int(ack.Routers))
+	n.dataPlane.updateRetryShare(r.createdAt, int(ack.Routers))
 	meter.handleAck(uint64(r.to.ID), ack, r.report)
 }
 
-// serviceLoads asks the loop what runs at each service's engines; false = ctx is done.
+// serviceLoads returns the running and received requests of each service, as counted by the dispatch loop; ok is false if
+// ctx is done first.
 func (n *Node) serviceLoads(ctx context.Context) (loads []usage.Load, ok bool) {
-	counted := make(chan dispatch.CountersReport, 1)
-	n.dataPlane.loop.Post(dispatch.GetCounters{ReplyTo: counted})
+	counters := make(chan dispatch.CountersReport, 1)
+	n.dataPlane.loop.Post(dispatch.GetCounters{ReplyTo: counters})
 	select {
-	case c := <-counted:
+	case c := <-counters:
 		for _, s := range c.Pools {
 			loads = append(loads, usage.Load{Service: s.Name, Running: uint64(s.Open) * 100, Arrived: uint64(s.Received)})
 		}
