--- a/cmd/notchhinge/fleet.go
+++ b/cmd/notchhinge/fleet.go
@@ -224,7 +224,7 @@
 	}
 	for _, e := range engines {
 		if e.ID == c.ID {
-			fmt.Printf("%s of %s at %s in %s, last heartbeat %.1f s ago: %s; %s\n", e.ID, e.Service, e.Address, e.Zone, e.HeardS, e.State, e.Says)
+			fmt.Printf("%s of %s at %s in %s, last heartbeat %.1f s ago: %s; %s\n", e.ID, e.Service, e.Address, e.Zone, e.HeardS, e.State, e.Explanation)
 			return nil
 		}
 	}
