--- a/cmd/notchhinge/fleet.go
+++ b/cmd/notchhinge/fleet.go
@@ -206,7 +206,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SERVICE\tENGINE\tZONE\tSTATE\tHEARD\tSLOTS\tADDRESS")
 	for _, e := range engines {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.1fs\t%d\t%s\n", e.Service, e.ID, e.Zone, e.State, e.HeardS, e.Slots, e.Address)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.1fs\t%d\t%s\n", e.Service, e.ID, e.Zone, e.State, e.SinceHeartbeatS, e.Slots, e.Address)
 	}
 	return w.Flush()
 }
@@ -224,7 +224,7 @@
 	}
 	for _, e := range engines {
 		if e.ID == c.ID {
-			fmt.Printf("%s of %s at %s in %s, last heartbeat %.1f s ago: %s; %s\n", e.ID, e.Service, e.Address, e.Zone, e.HeardS, e.State, e.Explanation)
+			fmt.Printf("%s of %s at %s in %s, last heartbeat %.1f s ago: %s; %s\n", e.ID, e.Service, e.Address, e.Zone, e.SinceHeartbeatS, e.State, e.Explanation)
 			return nil
 		}
 	}
--- a/cmd/notchhinge/state_test.go
+++ b/cmd/notchhinge/state_test.go
@@ -199,7 +199,7 @@
 }
 
 func (f *fakeFleet) Engines() any {
-	return []node.EngineView{{ID: "i-1", Service: "s", Zone: "z", Address: "10.0.0.1:80", Slots: 13, State: "ready", HeardS: 0.5, Explanation: "it is selected"}}
+	return []node.EngineView{{ID: "i-1", Service: "s", Zone: "z", Address: "10.0.0.1:80", Slots: 13, State: "ready", SinceHeartbeatS: 0.5, Explanation: "it is selected"}}
 }
 
 func (f *fakeFleet) Explain(r *http.Request) any {
