--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -63,16 +63,16 @@
 
 // EngineView is an engine as this process knows it: an element of /fleet/engines.
 type EngineView struct {
-	ID              string  `json:"id"`
-	Service         string  `json:"service"`
-	Zone            string  `json:"zone"`
-	Address         string  `json:"address"`
-	Revision        string  `json:"revision"`
-	Slots           uint64  `json:"slots"`
-	State           string  `json:"state"`   // ready, draining, silent, gone
-	SinceHeartbeatS float64 `json:"heard_s"` // since its last heartbeat
-	WarmInS         float64 `json:"warm_in_s"`
-	Explanation     string  `json:"says"` // why it receives requests or none
+	ID               string  `json:"id"`
+	Service          string  `json:"service"`
+	Zone             string  `json:"zone"`
+	Address          string  `json:"address"`
+	Revision         string  `json:"revision"`
+	Slots            uint64  `json:"slots"`
+	State            string  `json:"state"`   // ready, draining, silent, gone
+	SinceHeartbeatS  float64 `json:"heard_s"` // since its last heartbeat
+	WarmupRemainingS float64 `json:"warm_in_s"`
+	Explanation      string  `json:"says"` // why it receives requests or none
 }
 
 // Engines implements api.Handler.
@@ -85,9 +85,9 @@
 	for e := range n.discovery.reducer.Endpoints.All() {
 		v := EngineView{
 			ID: e.ID, Service: e.Service, Zone: e.Zone, Address: e.Addr, Revision: e.Revision, Slots: e.Slots,
-			SinceHeartbeatS: (now - e.LastHeartbeat).Seconds(), WarmInS: max(float64(e.WarmAtMS-wallMS)/1000, 0),
+			SinceHeartbeatS: (now - e.LastHeartbeat).Seconds(), WarmupRemainingS: max(float64(e.WarmAtMS-wallMS)/1000, 0),
 		}
-		v.State, v.Explanation = explainEndpoint(e, isConfigured[e.Service], v.WarmInS > 0)
+		v.State, v.Explanation = explainEndpoint(e, isConfigured[e.Service], v.WarmupRemainingS > 0)
 		all = append(all, v)
 	}
 	slices.SortFunc(all, func(x, y EngineView) int { return cmp.Or(cmp.Compare(x.Service, y.Service), cmp.Compare(x.ID, y.ID)) })
