--- a/internal/node/benchhelpers_test.go
+++ b/internal/node/benchhelpers_test.go
@@ -28,7 +28,7 @@
 	b.Helper()
 	return benchServer(b, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Keep-Alive", "timeout=10")
-		for _, name := range []string{"X-Request-Id", "X-Call-Id"} { // an answer must name its request
+		for _, name := range []string{"X-Request-Id", "X-Call-Id"} { // a response must carry its request's id
 			if id := r.Header.Get(name); id != "" {
 				w.Header().Set(name, id)
 			}
@@ -46,13 +46,13 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	web := &http.Server{Handler: handler}
-	go web.Serve(ln)
-	b.Cleanup(func() { web.Close() })
+	server := &http.Server{Handler: handler}
+	go server.Serve(ln)
+	b.Cleanup(func() { server.Close() })
 	return ln.Addr().String()
 }
 
-// benchNode starts a node's data plane before an engine, and returns its address.
+// benchNode starts a node's data plane in front of an engine, and returns its address.
 func benchNode(b *testing.B, engine string) string {
 	b.Helper()
 	d := newDataPlane(dataPlaneOptions{
@@ -69,19 +69,19 @@
 	}); err != nil {
 		b.Fatal(err)
 	}
-	front, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { front.Close() })
-	go func() { _ = d.frontend.Serve(front) }() // it ends when the listener is closed
-	return front.Addr().String()
+	b.Cleanup(func() { listener.Close() })
+	go func() { _ = d.frontend.Serve(listener) }() // returns when the listener is closed
+	return listener.Addr().String()
 }
 
-// benchServe starts a router as `notchhinge run` does, before an engine that its settings name, and returns its address.
+// benchServe starts a router as `notchhinge run` does, in front of an engine from its settings, and returns its address.
 func benchServe(b *testing.B, engine string) string {
 	b.Helper()
-	front, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 	"grades": [{"name": "chat", "objective": 2500000, "deadline": 12000000, "dedupWindow": 5000000, "effect": "pure", "group": "all", "lateWorth": 0, "worth": 5, "streaming": true}],
 	"limits": {"cancel": true, "connectTimeout": 100000, "idleClose": 5000000, "maxOpen": 20000, "maxRetryAfter": 2000000, "mostTries": 4, "probes": true, "retryAfter": true},
 	"prices": {}, "report": {"columns": ["x1", "concurrent"], "how": "pull"},
-	"rules": {"askWithin": 10000000, "coldFrom": 0.36, "drainGrace": 500000, "warmUp": 8900000}}}`, front.Addr(), engine), 0o600); err != nil {
+	"rules": {"askWithin": 10000000, "coldFrom": 0.36, "drainGrace": 500000, "warmUp": 8900000}}}`, listener.Addr(), engine), 0o600); err != nil {
 		b.Fatal(err)
 	}
 	cfg, err := settings.Load(func(name string) string { return map[string]string{"BALANCER_CONFIG": path}[name] })
@@ -107,25 +107,25 @@
 		b.Fatal(err)
 	}
 	r := router.New(cfg, p, slog.New(slog.DiscardHandler), func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if addr == cfg.DiscoveryAddr { // it never answers
-			near, far := net.Pipe()
-			go func() { _, _ = io.Copy(io.Discard, far) }() // it ends when the router closes near
-			return near, nil
+		if addr == cfg.DiscoveryAddr { // the discovery service never answers
+			local, remote := net.Pipe()
+			go func() { _, _ = io.Copy(io.Discard, remote) }() // returns when the router closes local
+			return local, nil
 		}
 		return (&net.Dialer{}).DialContext(ctx, network, addr)
 	}, dispatch.UnixClock())
 	stop, done := make(chan os.Signal, 1), make(chan error, 1)
-	go func() { done <- r.ServeOn(front, router.Signals{Stop: stop}) }()
+	go func() { done <- r.ServeOn(listener, router.Signals{Stop: stop}) }()
 	b.Cleanup(func() {
 		stop <- os.Interrupt
 		if err := <-done; err != nil {
 			b.Error(err)
 		}
 	})
-	return front.Addr().String()
+	return listener.Addr().String()
 }
 
-// benchPacedEngine answers every request with a stream of an event each 35 ms, which is 28.6 a second.
+// benchPacedEngine answers every request with a stream of one event every 35 ms.
 func benchPacedEngine(b *testing.B) string {
 	b.Helper()
 	return benchServer(b, func(w http.ResponseWriter, r *http.Request) {
@@ -141,7 +141,7 @@
 	})
 }
 
-// cpuTime is the processor time of this process.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
--- a/internal/node/client_test.go
+++ b/internal/node/client_test.go
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-// requestCount numbers the clients' requests of all fleets in this process.
+// requestCount is the source of request ids, which are unique among all fleets in this process.
 var requestCount atomic.Int64
 
-// clientRequest makes a client's request at a router, with further headers by name and value, and returns the answer and its
-// body. There is no answer where the connection fails; the body is the error's text where it breaks.
+// clientRequest sends a client request to a router, with additional headers as pairs of name and value, and returns the
+// response and its body. If the connection fails, the response is nil; if reading fails, the body is the text of the error.
 func clientRequest(t *testing.T, m *testNode, path, key string, header ...string) (*http.Response, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+m.frontend+path, strings.NewReader(`{"q":1}`))
@@ -41,17 +41,17 @@
 	return resp, string(b)
 }
 
-// newPost is a client's request at a data plane.
+// newPost returns a client request to a data plane.
 func newPost(t *testing.T, addr, path string) *http.Request {
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+addr+path, strings.NewReader("{}"))
 	if err != nil {
-		panic(err) // the tests' own addresses and paths are well-formed; it is called off the test's goroutine, too
+		panic(err) // not t.Fatal, as newPost is also called outside the test's goroutine
 	}
 	req.Host = "h"
 	return req
 }
 
-// post makes a client's request at a data plane, and returns the answer and its body.
+// post sends a client request to a data plane, and returns the response and its body.
 func post(t *testing.T, addr, path string) (*http.Response, string, error) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(newPost(t, addr, path))
@@ -63,25 +63,25 @@
 	return resp, string(b), err
 }
 
-// outcomes counts what came of requests.
+// outcomes counts requests by outcome.
 type outcomes struct{ served, rejected, failed atomic.Int64 }
 
-// load is a number of requests for paths with a prefix.
+// load describes requests to paths with a common prefix.
 type load struct {
 	prefix      string
 	requests    int
 	concurrency int
 }
 
-// postMany makes requests and counts what came of them.
+// postMany sends the requests of a load and counts their outcomes.
 func postMany(t *testing.T, addr string, l load) *outcomes {
 	t.Helper()
 	o := &outcomes{}
-	var wait sync.WaitGroup
+	var workers sync.WaitGroup
 	next := make(chan int)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: l.concurrency}}
 	for range l.concurrency {
-		wait.Go(func() {
+		workers.Go(func() {
 			for i := range next {
 				o.count(client, newPost(t, addr, fmt.Sprint(l.prefix, i)))
 			}
@@ -91,11 +91,11 @@
 		next <- i
 	}
 	close(next)
-	wait.Wait()
+	workers.Wait()
 	return o
 }
 
-// count makes a request and counts what came of it.
+// count sends a request and counts its outcome.
 func (o *outcomes) count(client *http.Client, req *http.Request) {
 	resp, err := client.Do(req)
 	if err != nil {
--- a/internal/node/connections_test.go
+++ b/internal/node/connections_test.go
@@ -30,7 +30,7 @@
 	}
 	err = raw.Control(func(fd uintptr) {
 		if ms, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT); err != nil || ms != int(limits.UpstreamUserTimeout.Milliseconds()) {
-			t.Errorf("%d ms, %v", ms, err)
+			t.Errorf("TCP_USER_TIMEOUT is %d ms, %v", ms, err)
 		}
 	})
 	if err != nil {
@@ -38,10 +38,11 @@
 	}
 }
 
-// TestDroppedIdleConnectionLimitsReuse: engines answer one request on a connection and drop it while it idles. An idempotent
-// request meets that and is served all the same, and from then on the others use no connection that has idled for long.
+// TestDroppedIdleConnectionLimitsReuse: engines answer one request per connection and reset the connection at the next one.
+// An idempotent request on such a connection is retried and served; from then on, non-idempotent requests reuse only
+// connections that were idle for a short time.
 func TestDroppedIdleConnectionLimitsReuse(t *testing.T) {
-	var used sync.Map // connections that have carried an answer
+	var used sync.Map // connections that have carried a response
 	engines := make([]endpoints.Endpoint, 3)
 	for i := range engines {
 		engines[i] = endpointOf(fmt.Sprint("i-", i), "s", newScriptedEngine(t, func(c net.Conn, r *http.Request) bool {
@@ -53,25 +54,25 @@
 		}))
 	}
 	p := newTestPlane(t, 1, engines...)
-	noticed := make(chan struct{}, 1)
+	dropped := make(chan struct{}, 1)
 	p.dataPlane.onIdleDrop = func() {
 		p.dataPlane.limitIdleReuse()
 		select {
-		case noticed <- struct{}{}:
+		case dropped <- struct{}{}:
 		default:
 		}
 	}
-	for i, isNoticed := 0, false; !isNoticed; i++ {
+	for i, isDropped := 0, false; !isDropped; i++ {
 		if o := postMany(t, p.addr, load{prefix: "/again/", requests: 1, concurrency: 1}); o.served.Load() != 1 {
 			t.Fatalf("idempotent request %d was not served", i)
 		}
 		select {
-		case <-noticed:
-			isNoticed = true
+		case <-dropped:
+			isDropped = true
 		default:
 		}
 	}
 	if d := p.dataPlane.maxIdle(); d != limits.StaleConnMaxIdle {
-		t.Fatalf("a connection may have idled for %v", d)
+		t.Fatalf("non-idempotent requests may reuse connections that were idle for %v", d)
 	}
 }
--- a/internal/node/dataplane_test.go
+++ b/internal/node/dataplane_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestRequestThatMayHaveRunIsNotRetried: what becomes of a request whose first attempt fails depends on whether it may have
-// run there, and on whether it may run twice.
+// TestRequestThatMayHaveRunIsNotRetried: whether a request is retried after its first attempt fails depends on whether the
+// engine may have run it, and on whether the request is idempotent.
 func TestRequestThatMayHaveRunIsNotRetried(t *testing.T) {
 	reset := func(net.Conn, *http.Request) bool { return false }
 	cutOff := func(c net.Conn, _ *http.Request) bool {
@@ -21,9 +21,9 @@
 		return false
 	}
 	for name, c := range map[string]struct {
-		first     script // how the first engine answers
+		first     script // answers of the first engine
 		path      string
-		status    int  // of a request whose first attempt went there
+		status    int  // of a request whose first attempt went to the first engine
 		isRetried bool // at the second engine
 	}{
 		"a reset, non-idempotent":      {reset, "/once/1", 504, false},
@@ -39,7 +39,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			// Either engine may be selected: requests are made until the first attempt of one goes to the first engine.
+			// Either engine may be selected. Try seeds until the first attempt goes to the first engine.
 			for seed := range uint64(40) {
 				first, second := newScriptedEngine(t, c.first), newScriptedEngine(t, respondWith(answerServed))
 				addr := planeAddr(t, seed, map[string]*scriptedEngine{"first": first, "second": second})
@@ -51,10 +51,10 @@
 					continue
 				}
 				if resp.StatusCode != c.status || (second.requests.Load() > 0) != c.isRetried || first.requests.Load() != 1 {
-					t.Errorf("%d %q; the second engine got %d requests, the first %d", resp.StatusCode, body, second.requests.Load(), first.requests.Load())
+					t.Errorf("status %d, body %q; the second engine got %d requests, the first %d", resp.StatusCode, body, second.requests.Load(), first.requests.Load())
 				}
 				if c.status == 500 && (body != "bad" || resp.Header.Get("X-Response-Seal") != "f") {
-					t.Errorf("the engine's answer came as %q", body)
+					t.Errorf("the client got %q, not the engine's response", body)
 				}
 				return
 			}
@@ -63,7 +63,7 @@
 	}
 }
 
-// TestRejectedRequestSaysWhenToRetry: where no engine has run a request its client may repeat it, and learns when.
+// TestRejectedRequestSaysWhenToRetry: the response to a request that no engine has run has a Retry-After header.
 func TestRejectedRequestSaysWhenToRetry(t *testing.T) {
 	one, two := newScriptedEngine(t, respondWith(answerFull)), newScriptedEngine(t, respondWith(answerFull))
 	addr := planeAddr(t, 1, map[string]*scriptedEngine{"one": one, "two": two})
@@ -75,7 +75,7 @@
 	}
 }
 
-// TestBrokenStreamDoesNotLookComplete: a client can tell a stream that broke from one that ended.
+// TestBrokenStreamDoesNotLookComplete: a client can distinguish a truncated stream from a complete one.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	e := newScriptedEngine(t, func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -84,6 +84,6 @@
 	})
 	resp, body, err := post(t, planeAddr(t, 1, map[string]*scriptedEngine{"e": e}), "/stream/1")
 	if resp == nil || resp.StatusCode != 200 || !strings.HasPrefix(body, "id: 1") || err == nil {
-		t.Errorf("%+v %q %v: a broken stream must not look complete", resp, body, err)
+		t.Errorf("%+v %q %v: a truncated stream must not look complete", resp, body, err)
 	}
 }
--- a/internal/node/engines_test.go
+++ b/internal/node/engines_test.go
@@ -12,8 +12,8 @@
 	"notchhinge/internal/control/endpoints"
 )
 
-// TestFaultyEngineCostsFewRequests: one engine of five is faulty in a way of its own, though its endpoint is ready. Idempotent
-// requests are served by the others, and few go that engine's way; of the others no more are lost than it got.
+// TestFaultyEngineCostsFewRequests: one of five engines is faulty although its endpoint is ready. Idempotent requests are
+// served by the other engines, and few are sent to the faulty one. No more non-idempotent requests fail than it received.
 func TestFaultyEngineCostsFewRequests(t *testing.T) {
 	const n = 300
 	good := respondWith("HTTP/1.1 200 OK\nKeep-Alive: timeout=10\nContent-Length: 4\n\ngood")
@@ -22,7 +22,7 @@
 		io.Copy(io.Discard, c)
 		return false
 	}
-	every := func(k int64, fault script) script {
+	everyNth := func(k int64, fault script) script {
 		var count atomic.Int64
 		return func(c net.Conn, r *http.Request) bool {
 			if count.Add(1)%k == 0 {
@@ -31,7 +31,7 @@
 			return good(c, r)
 		}
 	}
-	someClients := func(c net.Conn, r *http.Request) bool {
+	failSomeClients := func(c net.Conn, r *http.Request) bool {
 		if strings.HasSuffix(r.URL.Path, "3") {
 			return respondWith(answerFailed)(c, r)
 		}
@@ -39,18 +39,18 @@
 	}
 	for name, c := range map[string]struct {
 		fault    script
-		maxGiven int64 // requests that the faulty engine may get, where it is known
-		maxLost  int64 // idempotent requests that may fail
+		maxGiven int64 // number of idempotent requests that the faulty engine may receive
+		maxLost  int64 // number of idempotent requests that may fail
 	}{
 		"always errors":           {respondWith(answerFailed), n / 3, 0},
-		"every other errors":      {every(2, respondWith(answerFailed)), n, 0},
+		"every other errors":      {everyNth(2, respondWith(answerFailed)), n, 0},
 		"resets":                  {reset, n / 3, 0},
 		"always full":             {respondWith(answerFull), n, 0},
 		"misdirected":             {respondWith(answerMisdirected), n / 3, 0},
 		"mute":                    {mute, n / 10, n / 10},
-		"flaps":                   {every(3, reset), n, n / 50},
+		"flaps":                   {everyNth(3, reset), n, n / 50},
 		"no HTTP":                 {respondWith("nonsense\n\n"), n / 3, 0},
-		"errors for some clients": {someClients, n, 0},
+		"errors for some clients": {failSomeClients, n, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -66,20 +66,20 @@
 			}
 			given := faulty.requests.Load()
 			if given > c.maxGiven {
-				t.Errorf("the faulty engine got %d of %d", given, n)
+				t.Errorf("the faulty engine got %d of %d idempotent requests", given, n)
 			}
 			once := postMany(t, p.addr, load{prefix: "/once/", requests: n, concurrency: 8})
 			if lost, given := n-once.served.Load(), faulty.requests.Load()-given; lost > given {
 				t.Errorf("%d non-idempotent requests were lost, and the faulty engine got %d", lost, given)
 			}
-			t.Logf("given %d, then %d; lost %d, then %d", given, faulty.requests.Load()-given, n-idempotent.served.Load(), n-once.served.Load())
+			t.Logf("idempotent, then non-idempotent: the faulty engine got %d, then %d; lost %d, then %d", given, faulty.requests.Load()-given, n-idempotent.served.Load(), n-once.served.Load())
 		})
 	}
 }
 
-// TestAddressReusedByAnotherServiceGetsNewConnections: an engine goes, and its address becomes that of another service's
-// engine, while an attempt is under way there and a connection that served the old one idles. Requests for the new engine
-// name it and come on new connections; the old service sends nothing there.
+// TestAddressReusedByAnotherServiceGetsNewConnections: an engine of another service takes over the address of an engine that
+// still has an attempt in flight and an idle connection. Requests to the new engine carry its id and use new connections, and
+// the old service sends nothing to the address.
 func TestAddressReusedByAnotherServiceGetsNewConnections(t *testing.T) {
 	reused, other := newRecordingEngine(t), newRecordingEngine(t)
 	p := newTestPlane(t, 1, endpointOf("i-old", "s", reused.scriptedEngine))
@@ -91,10 +91,11 @@
 	}
 	mustServe("/again/1")
 	idle := reused.recorded()[0].from
-	waitUntil(t, "an idle connection", func() bool { return p.dataPlane.upstream.IdleConnections() == 1 }) // after the answer has gone to the client
+	// The connection becomes idle after the client has received the response.
+	waitUntil(t, "an idle connection", func() bool { return p.dataPlane.upstream.IdleConnections() == 1 })
 	running := openStream(t, p.addr)
 	if got := reused.recorded()[1]; got.from != idle || got.instance != "i-old" {
-		t.Fatalf("%+v did not come on the idle connection", got)
+		t.Fatalf("%+v did not reuse the idle connection of i-old", got)
 	}
 	mustServe("/again/2") // leaves another idle connection
 	before := len(reused.recorded())
@@ -114,12 +115,12 @@
 	}
 	close(reused.resume)
 	if err := running.readRest(); err != nil {
-		t.Errorf("the attempt that was under way: %v", err)
+		t.Errorf("the attempt in flight: %v", err)
 	}
 }
 
-// checkReused checks that all requests after the first ones name the new engine, are its service's, and came on connections
-// that none of the first ones used.
+// checkReused checks that all requests after the first ones carry the id of the new engine, belong to its service, and use
+// connections that none of the first ones used.
 func checkReused(t *testing.T, requests []recordedRequest, first int) {
 	t.Helper()
 	isOld := map[string]bool{}
@@ -128,7 +129,7 @@
 	}
 	for _, r := range requests[first:] {
 		if r.instance != "i-new" || !strings.HasPrefix(r.path, "/other/") || isOld[r.from] {
-			t.Errorf("%+v on a connection that served the other engine: %v", r, isOld[r.from])
+			t.Errorf("request %+v reached the new engine; on a connection of the old engine: %v", r, isOld[r.from])
 		}
 	}
 }
--- a/internal/node/fakeengine_test.go
+++ b/internal/node/fakeengine_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// fakeEngine is an engine that answers requests that name it, and says which engine it is. It rejects others as misdirected.
+// fakeEngine is an engine that answers requests that carry its id, and rejects all others as misdirected. Its responses
+// contain the id.
 type fakeEngine struct {
 	t          *testing.T
 	id         string
@@ -21,7 +22,7 @@
 	heartbeats int // sent so far
 
 	mu          sync.Mutex
-	ran         map[string]int // how often each request ran, by its id
+	ran         map[string]int // number of executions by request id
 	lastRequest time.Time
 }
 
@@ -33,13 +34,13 @@
 		t.Fatal(err)
 	}
 	e.addr = ln.Addr().String()
-	web := &http.Server{Handler: e}
-	go web.Serve(ln)
-	t.Cleanup(func() { web.Close() })
+	server := &http.Server{Handler: e}
+	go server.Serve(ln)
+	t.Cleanup(func() { server.Close() })
 	return e
 }
 
-// ServeHTTP answers a request.
+// ServeHTTP implements http.Handler.
 func (e *fakeEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 	if r.Header.Get("X-Expect-Instance") != e.id {
@@ -65,7 +66,7 @@
 	fmt.Fprintf(w, "answer of %s", e.id)
 }
 
-// requests is how many requests ran here.
+// requests returns the number of executed requests.
 func (e *fakeEngine) requests() (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -83,17 +84,17 @@
 		"target_service": "s", "address": e.addr, "zone": "a", "revision": "v1", "capacity_slots": 4, "status": status, "call_count": e.heartbeats,
 	}})
 	if code != 200 {
-		e.t.Errorf("a heartbeat got %d", code)
+		e.t.Errorf("heartbeat: status %d, want 200", code)
 	}
 }
 
-// script answers a request on its connection, and tells whether the connection stays open.
+// script answers a request on its connection, and reports whether the connection stays open.
 type script func(c net.Conn, r *http.Request) (keepOpen bool)
 
-// scriptedEngine is an engine that answers by a script.
+// scriptedEngine is an engine whose answers are given by a script.
 type scriptedEngine struct {
 	addr     string
-	requests atomic.Int64 // so far
+	requests atomic.Int64 // received so far
 }
 
 func newScriptedEngine(t *testing.T, answer script) *scriptedEngine {
@@ -133,7 +134,7 @@
 	}
 }
 
-// respondWith answers each request with a text, in which lines end with LF.
+// respondWith returns a script that answers each request with a text, after replacing LF by CRLF.
 func respondWith(text string) script {
 	return func(c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, strings.ReplaceAll(text, "\n", "\r\n"))
@@ -141,7 +142,7 @@
 	}
 }
 
-// Answers of an engine.
+// Responses of an engine.
 const (
 	answerFull        = "HTTP/1.1 503 Service Unavailable\nX-Not-Executed: 1\nContent-Length: 0\n\n"
 	answerMisdirected = "HTTP/1.1 421 Misdirected Request\nX-Not-Executed: 1\nContent-Length: 0\n\n"
--- a/internal/node/fakeplatform_test.go
+++ b/internal/node/fakeplatform_test.go
@@ -14,20 +14,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// platformFault says what becomes of the platform's call of that number, from 1: a status instead of the answer (0 = the call
-// is carried out), after a wait.
-type platformFault func(call int) (status int, wait time.Duration)
+// platformFault returns the fault of a call to the platform; calls are numbered from 1. After the delay the call fails with the
+// status, or is executed if the status is 0.
+type platformFault func(call int) (status int, delay time.Duration)
 
-// fakePlatform is the platform's cloud API. It accepts all calls but those that its fault meets, and records them.
+// fakePlatform is a fake of the platform's cloud API. It records all calls that are executed.
 type fakePlatform struct {
 	addr string
 
 	mu            sync.Mutex
-	usage         map[uint64]map[string]uint64 // requests by window and tenant
-	conflicting   int                          // reports of a window that differ from the one before
+	usage         map[uint64]map[string]uint64 // reported requests by window and tenant
+	conflicting   int                          // number of reports that differ from an earlier one of the same window
 	fencingTokens []uint64                     // in the order of the calls
 	fault         platformFault                // nil = none
-	calls         int                          // with those that a fault met
+	calls         int                          // number of calls, including those that failed
 }
 
 func newFakePlatform(t *testing.T) *fakePlatform {
@@ -38,19 +38,19 @@
 		t.Fatal(err)
 	}
 	p.addr = ln.Addr().String()
-	web := &http.Server{Handler: p}
-	go web.Serve(ln)
-	t.Cleanup(func() { web.Close() })
+	server := &http.Server{Handler: p}
+	go server.Serve(ln)
+	t.Cleanup(func() { server.Close() })
 	return p
 }
 
-// ServeHTTP takes a call.
+// ServeHTTP implements http.Handler.
 func (p *fakePlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	status, wait := p.nextFault()
-	if wait > 0 {
+	status, delay := p.nextFault()
+	if delay > 0 {
 		select {
-		case <-time.After(wait):
+		case <-time.After(delay):
 		case <-r.Context().Done():
 		}
 	}
@@ -61,8 +61,8 @@
 	p.record(r, body)
 }
 
-// nextFault counts a call and says which fault it meets.
-func (p *fakePlatform) nextFault() (status int, wait time.Duration) {
+// nextFault counts a call and returns its fault.
+func (p *fakePlatform) nextFault() (status int, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
@@ -72,7 +72,7 @@
 	return p.fault(p.calls)
 }
 
-// record records a call that is carried out.
+// record records an executed call.
 func (p *fakePlatform) record(r *http.Request, body []byte) {
 	var report struct {
 		Window uint64            `cbor:"window_number"`
@@ -90,21 +90,21 @@
 	}
 }
 
-// setFault has later calls meet a fault.
+// setFault sets the fault of later calls.
 func (p *fakePlatform) setFault(fault platformFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = fault
 }
 
-// callCount is how many calls have come.
+// callCount returns the number of received calls.
 func (p *fakePlatform) callCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// reported sums what was reported of a tenant.
+// reported returns the sum of a tenant's reported requests.
 func (p *fakePlatform) reported(tenant string) (n uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,16 +114,16 @@
 	return n
 }
 
-// checkReports checks that no window was reported with two figures, and that no call had a lower fencing token than the one
-// before it.
+// checkReports checks that no window was reported with different counts, and that no call had a lower fencing token than the
+// previous one.
 func (p *fakePlatform) checkReports(t *testing.T) {
 	t.Helper()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.conflicting > 0 {
-		t.Errorf("%d windows were reported with two figures", p.conflicting)
+		t.Errorf("%d usage reports differ from an earlier report of the same window", p.conflicting)
 	}
 	if !slices.IsSorted(p.fencingTokens) {
-		t.Errorf("fencing tokens %v", p.fencingTokens)
+		t.Errorf("fencing tokens decrease: %v", p.fencingTokens)
 	}
 }
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// runningFleet is a fleet of three replicas and two routers with two engines, and the key of its tenant.
+// runningFleet is a fleet of three replicas, two routers and two engines, with one tenant.
 type runningFleet struct {
 	*testFleet
 	engineOne, engineTwo *fakeEngine
-	key                  string
-	revision             int // of the newest configuration
+	key                  string // the tenant's API key
+	revision             int    // of the first configuration
 }
 
-// TestFleetServesAndReports takes a fleet from its first configuration to its usage reports. Each step builds on the one
-// before it.
+// TestFleetServesAndReports runs a fleet from its first configuration to its usage reports. Each step depends on the previous
+// ones.
 func TestFleetServesAndReports(t *testing.T) {
 	f := &runningFleet{
 		testFleet: newTestFleet(t, 0, fleetSize{routers: 2}), engineOne: newFakeEngine(t, "i-one"), engineTwo: newFakeEngine(t, "i-two"), key: "key-1", revision: 3,
@@ -42,13 +42,13 @@
 	}
 }
 
-// checkConfigBases sends the first configuration by way of a router, which is no replica, and then others that must not be
-// accepted.
+// checkConfigBases submits the first configuration through a router, which redirects to a replica, and then configurations
+// that must be rejected.
 func (f *runningFleet) checkConfigBases(t *testing.T) {
 	if code := replaceConfig(t, f.routers[0].control, 0, encodedConfig(3, "key-1")); code != http.StatusOK {
-		t.Fatalf("the first configuration: %d", code)
+		t.Fatalf("first configuration: status %d", code)
 	}
-	for what, c := range map[string]struct {
+	for name, c := range map[string]struct {
 		base    int
 		encoded []byte
 		want    int
@@ -56,18 +56,18 @@
 		"the same again":             {0, encodedConfig(3, "key-1"), http.StatusOK},
 		"an old base":                {0, encodedConfig(4, "key-x"), http.StatusPreconditionFailed},
 		"a revision that is not new": {3, encodedConfig(3, "key-x"), http.StatusBadRequest},
-		"bytes that cannot be read":  {3, []byte{0xff, 0}, http.StatusBadRequest},
-		"a base that is yet to come": {9, encodedConfig(10, "key-x"), http.StatusPreconditionFailed},
+		"bytes that are not CBOR":    {3, []byte{0xff, 0}, http.StatusBadRequest},
+		"a base in the future":       {9, encodedConfig(10, "key-x"), http.StatusPreconditionFailed},
 	} {
 		for _, m := range []*testNode{f.routers[1], f.replicas[1]} {
 			if code := replaceConfig(t, m.control, c.base, c.encoded); code != c.want {
-				t.Errorf("%s: %d, want %d", what, code, c.want)
+				t.Errorf("%s: status %d, want %d", name, code, c.want)
 			}
 		}
 	}
 	noBase := controlRequest{method: http.MethodPost, path: "/Configuration.Replace", body: encodedConfig(9, "k")}
 	if code, _ := controlCall(t, f.routers[0].control, noBase); code != http.StatusBadRequest {
-		t.Errorf("without a base: %d", code)
+		t.Errorf("without a base: status %d, want 400", code)
 	}
 }
 
@@ -100,26 +100,26 @@
 	}
 	for _, want := range []string{`"route":"chat"`, `"tenant":"lab"`, `"service":"s"`, `"session":true`, `"ready":["i-one","i-two"]`} {
 		if got := explain(f.routers[0], "POST /chat/1 HTTP/1.1\r\nHost: f.example\r\nX-Credential: key-1\r\nX-Prompt-Prefix: 9"); !strings.Contains(got, want) {
-			t.Errorf("%s is not in %s", want, got)
+			t.Errorf("%s is missing in the explanation %s", want, got)
 		}
 	}
 	got := explain(f.routers[0], "GET /chat/1 HTTP/1.1\r\nHost: f.example\r\nX-Credential: none")
 	if !strings.Contains(got, `"status":401`) || strings.Contains(got, "none") {
-		t.Errorf("an unknown key: %s", got)
+		t.Errorf("explanation for an unknown key: %s", got)
 	}
 	if got := explain(f.replicas[0], "GET / HTTP/1.1\r\nHost: f.example"); !strings.Contains(got, "ask a router") {
-		t.Errorf("a replica explains: %s", got)
+		t.Errorf("explanation of a replica: %s", got)
 	}
 }
 
 func (f *runningFleet) checkOperatorViews(t *testing.T) {
 	_, engines := controlCall(t, f.replicas[2].control, controlRequest{method: http.MethodGet, path: "/fleet/engines"})
 	if bytes.Count(engines, []byte(`"state":"ready","heard_s"`)) != 2 {
-		t.Errorf("engines known at a replica: %s", engines)
+		t.Errorf("engines known to a replica: %s", engines)
 	}
 	_, history := controlCall(t, f.routers[0].control, controlRequest{method: http.MethodGet, path: "/fleet/history"})
 	if !bytes.HasPrefix(history, []byte(`[{"revision":3,`)) {
-		t.Errorf("the history: %s", history)
+		t.Errorf("history: %s", history)
 	}
 }
 
@@ -127,7 +127,7 @@
 	_, first := clientRequest(t, f.routers[0], "/chat/1", f.key, "X-Prompt-Prefix", "17")
 	for range 8 {
 		if _, next := clientRequest(t, f.routers[0], "/chat/1", f.key, "X-Prompt-Prefix", "17"); next != first || strings.Count(next, "id: ") != 3 {
-			t.Errorf("a request of the session got %q, not %q", next, first)
+			t.Errorf("a request of the session got %q, want %q", next, first)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	revoked := f.key
 	f.key = "key-2"
 	if code := replaceConfig(t, f.replicas[2].control, f.revision, encodedConfig(8, f.key)); code != http.StatusOK {
-		t.Errorf("the second configuration: %d", code)
+		t.Errorf("second configuration: status %d", code)
 	}
 	for _, m := range f.routers {
 		waitUntil(t, "the new key", func() bool {
@@ -152,16 +152,16 @@
 			return r != nil && r.StatusCode == http.StatusOK
 		})
 		if r, _ := clientRequest(t, m, "/read/1", revoked); r == nil || r.StatusCode != http.StatusUnauthorized {
-			t.Errorf("the revoked key: %v", r)
+			t.Errorf("request with the revoked key: %v", r)
 		}
 	}
 }
 
-// checkDrain: once an engine's drain is acknowledged and drain_timeout_ms (1.2 s) is over nothing reaches it.
+// checkDrain: no request reaches an engine later than drain_timeout_ms (1.2 s) after its drain was acknowledged.
 func (f *runningFleet) checkDrain(t *testing.T) {
 	f.engineTwo.heartbeat(f.replicas[0].control, "draining")
 	acknowledged := time.Now()
-	waitUntil(t, "the time to drain", func() bool {
+	waitUntil(t, "the end of the drain", func() bool {
 		clientRequest(t, f.routers[0], "/read/1", f.key)
 		clientRequest(t, f.routers[1], "/chat/1", f.key, "X-Prompt-Prefix", "3")
 		f.engineOne.heartbeat(f.replicas[1].control, "ready")
@@ -188,7 +188,7 @@
 	defer f.engineTwo.mu.Unlock()
 	for id, n := range f.engineTwo.ran {
 		if n > 1 {
-			t.Errorf("request %s ran %d times", id, n)
+			t.Errorf("request %s was executed %d times", id, n)
 		}
 	}
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -7,8 +7,8 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// TestGoldenFetch: the call for a configuration has the bytes that earlier versions of the program send and read.
+// TestGoldenFetch: the encoding of a fetch call is compatible with earlier versions of the program.
 func TestGoldenFetch(t *testing.T) {
-	golden.Equal(t, "the call for the newest that the peer has", []byte{7, 0}, replica.EncodeIndexed(7, fetchLocal.encode()))
-	golden.Equal(t, "the call for the newest there is", []byte{7, 1, 1}, replica.EncodeIndexed(7, fetchConfirmed.encode()))
+	golden.Equal(t, "fetch of the peer's newest configuration", []byte{7, 0}, replica.EncodeIndexed(7, fetchLocal.encode()))
+	golden.Equal(t, "fetch of the newest confirmed configuration", []byte{7, 1, 1}, replica.EncodeIndexed(7, fetchConfirmed.encode()))
 }
--- a/internal/node/localfleet_test.go
+++ b/internal/node/localfleet_test.go
@@ -18,17 +18,17 @@
 	"notchhinge/internal/lab/bootfile"
 )
 
-// A fleet on loopback: real nodes in this process, and fakes of the engines, the platform, the operator and the clients.
-// Nothing waits for a fixed time: each step waits until what it needs is there, and fails after waitLimit.
+// This file runs a fleet on loopback: real nodes in the test process, with fake engines and a fake platform. Tests wait for
+// conditions instead of fixed times, and fail after waitLimit.
 
 const waitLimit = 20 * time.Second
 
-// waitUntil waits until a condition holds.
-func waitUntil(t *testing.T, what string, isTrue func() bool) {
+// waitUntil polls a condition until it holds.
+func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitLimit); !isTrue(); {
+	for end := time.Now().Add(waitLimit); !condition(); {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %v", what, waitLimit)
+			t.Fatalf("%s: not within %v", description, waitLimit)
 		}
 		<-time.After(5 * time.Millisecond)
 	}
@@ -39,33 +39,33 @@
 	t         *testing.T
 	settings  bootfile.Process
 	path      string // of the settings file
-	frontend  string // addresses; "" = it does not listen
+	frontend  string // address; "" = no listener, as in the next two
 	control   string
 	readiness string
 
-	signals chan os.Signal // nil while it is stopped
-	done    chan error
+	signals chan os.Signal // nil while the process is stopped
+	done    chan error     // receives the result of Run
 }
 
-// testFleet is a fleet of such machines.
+// testFleet is a set of testNodes with a fake platform.
 type testFleet struct {
 	t         *testing.T
 	platform  *fakePlatform
 	replicas  []*testNode
 	routers   []*testNode
-	subnet    byte // the fleet's own in 127/8
-	internal  int  // ports, the same at all machines
-	control   int
+	subnet    byte // of this fleet in 127/8
+	internal  int  // internal port, the same on all machines
+	control   int  // control port, the same on all machines
 	seedNodes []string
 }
 
-// fleetSize says how many machines a fleet starts with.
+// fleetSize is the number of machines with which a fleet starts.
 type fleetSize struct {
 	replicas int // 0 = three
 	routers  int
 }
 
-// newTestFleet starts a fleet. Each machine has an address of its own in the subnet of 127/8; internal ports are the same.
+// newTestFleet starts a fleet. Each machine has its own address in the subnet of 127/8; the internal port is the same on all.
 func newTestFleet(t *testing.T, subnet byte, size fleetSize) *testFleet {
 	t.Helper()
 	if size.replicas == 0 {
@@ -96,10 +96,10 @@
 	return f
 }
 
-// nodes are the routers, then the replicas.
+// nodes returns the routers, then the replicas.
 func (f *testFleet) nodes() []*testNode { return slices.Concat(f.routers, f.replicas) }
 
-// ip is the address of machine i.
+// ip returns the IP address of machine i.
 func (f *testFleet) ip(i int) string { return fmt.Sprintf("127.%d.%d.1", 40+f.subnet, i+1) }
 
 // freePort returns a port that is free at an address.
@@ -113,7 +113,7 @@
 	return ln.Addr().(*net.TCPAddr).Port
 }
 
-// newNode makes machine i with a control address.
+// newNode returns machine i with a control address.
 func (f *testFleet) newNode(i int) *testNode {
 	m := &testNode{t: f.t, control: fmt.Sprintf("%s:%d", f.ip(i), f.control)}
 	m.settings = bootfile.Process{
@@ -126,7 +126,7 @@
 	return m
 }
 
-// addReplica makes machine i a replica. It is not started.
+// addReplica adds machine i as a replica, without starting it.
 func (f *testFleet) addReplica(i int) *testNode {
 	m := f.newNode(i)
 	m.settings.DataDir = filepath.Join(filepath.Dir(m.path), "data")
@@ -134,7 +134,7 @@
 	return m
 }
 
-// addRouter makes machine i a router. It is not started.
+// addRouter adds machine i as a router, without starting it.
 func (f *testFleet) addRouter(i int) *testNode {
 	m := f.newNode(i)
 	m.frontend, m.readiness = fmt.Sprintf("%s:%d", f.ip(i), freePort(f.t, f.ip(i))), fmt.Sprintf("%s:%d", f.ip(i), freePort(f.t, f.ip(i)))
@@ -143,13 +143,11 @@
 	return m
 }
 
-// name is the machine's name.
 func (m *testNode) name() string { return m.settings.Name }
 
-// dataDir is a replica's data directory.
 func (m *testNode) dataDir() string { return m.settings.DataDir }
 
-// start starts the process.
+// start writes the settings file and starts the process.
 func (m *testNode) start() {
 	m.t.Helper()
 	if err := m.settings.Write(m.path); err != nil {
@@ -162,10 +160,10 @@
 	}()
 }
 
-// isRunning tells whether the process was started and not stopped.
+// isRunning reports whether the process was started and not stopped since.
 func (m *testNode) isRunning() bool { return m.signals != nil }
 
-// stop shuts the process down gracefully, if it runs.
+// stop shuts the process down gracefully if it is running.
 func (m *testNode) stop() {
 	if !m.isRunning() {
 		return
@@ -177,7 +175,7 @@
 	m.signals = nil
 }
 
-// restart starts the process once more, as the platform does: it is not the fleet's first start.
+// restart starts the process again as the platform does, without the bootstrap setting of the fleet's first start.
 func (m *testNode) restart() {
 	m.t.Helper()
 	m.settings.Bootstrap = false
@@ -193,7 +191,7 @@
 	m.restart()
 }
 
-// isReady asks the process as the platform's load balancer does.
+// isReady checks the readiness of the process as the platform's load balancer does.
 func (m *testNode) isReady() bool {
 	req, err := http.NewRequestWithContext(m.t.Context(), http.MethodGet, "http://"+m.readiness+"/readiness", http.NoBody)
 	if err != nil {
@@ -207,7 +205,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// nodeStatus is what /fleet/status tells, by the keys that operators' scripts read.
+// nodeStatus is a part of the response of /fleet/status.
 type nodeStatus struct {
 	Ready       string `json:"ready"`
 	Revision    int    `json:"revision"`
@@ -217,18 +215,18 @@
 	LeaseHolder string `json:"holder"`
 }
 
-// status asks the process for its status; all of it is zero where the process does not answer.
+// status returns the status of the process, or the zero value if the process does not answer.
 func (m *testNode) status() (s nodeStatus) {
 	m.t.Helper()
 	if _, b := controlCall(m.t, m.control, controlRequest{method: http.MethodGet, path: "/fleet/status"}); len(b) > 0 {
 		if err := json.Unmarshal(b, &s); err != nil {
-			m.t.Errorf("the status of %s: %v", m.name(), err)
+			m.t.Errorf("status of %s: %v", m.name(), err)
 		}
 	}
 	return s
 }
 
-// hasConfig tells whether the process describes exactly this configuration as the newest.
+// hasConfig reports whether the process returns exactly this configuration as the newest.
 func (m *testNode) hasConfig(encoded []byte) bool {
 	code, b := controlCall(m.t, m.control, controlRequest{method: http.MethodGet, path: "/Configuration.Describe"})
 	return code == http.StatusOK && bytes.Equal(b, encoded)
--- a/internal/node/logmessages_test.go
+++ b/internal/node/logmessages_test.go
@@ -13,8 +13,8 @@
 	"testing"
 )
 
-// TestEveryLogMessageIsDocumented compares docs/fleet.md with the code of a node: each message of the code stands in the page's
-// table, with its meaning, and each of the table in the code.
+// TestEveryLogMessageIsDocumented: the table of log messages in docs/fleet.md explains every message in the code of a node,
+// and lists no other message.
 func TestEveryLogMessageIsDocumented(t *testing.T) {
 	logged := map[string]string{}
 	for _, root := range []string{".", "../control", "../dialect"} {
@@ -24,19 +24,19 @@
 	delete(documented, "engine N: ...; ejected for S") // the decision module's own message
 	for message, path := range logged {
 		if !documented[message] {
-			t.Errorf("%q (%s) is not explained in docs/fleet.md", message, path)
+			t.Errorf("docs/fleet.md does not explain %q (%s)", message, path)
 		}
 		delete(documented, message)
 	}
 	for message := range documented {
-		t.Errorf("%q is explained, and nothing logs it", message)
+		t.Errorf("docs/fleet.md explains %q, but no code logs it", message)
 	}
 	if len(logged) < 20 {
-		t.Errorf("only %d messages were found", len(logged))
+		t.Errorf("found only %d messages in the code", len(logged))
 	}
 }
 
-// collectMessages adds the constant log messages of the code under root, with the file of each.
+// collectMessages adds the constant log messages of the code under root to messages, each with its file.
 func collectMessages(t *testing.T, root string, messages map[string]string) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(path string, _ fs.DirEntry, err error) error {
@@ -62,13 +62,14 @@
 	}
 }
 
-// loggedMessage is the message of a call to a method that logs, if it is constant.
+// loggedMessage returns the message of a call to a logging method; ok is false for other calls and for messages that are
+// not constant.
 func loggedMessage(call *ast.CallExpr) (message string, ok bool) {
 	fun, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok {
 		return "", false
 	}
-	// The index of the message; a reducer's own log takes the level first.
+	// Index of the message among the arguments. The log methods of reducers have the level first.
 	index, ok := map[string]int{"Debug": 0, "Info": 0, "Warn": 0, "Error": 0, "Log": 2, "log": 1}[fun.Sel.Name]
 	if !ok || len(call.Args) <= index {
 		return "", false
@@ -81,7 +82,7 @@
 	return message, err == nil
 }
 
-// documentedMessages are those of the page's table. Each line of it must have a meaning.
+// documentedMessages returns the messages of the table in docs/fleet.md, and fails the test for a row without a meaning.
 func documentedMessages(t *testing.T) map[string]bool {
 	t.Helper()
 	page, err := os.ReadFile("../../docs/fleet.md")
@@ -90,7 +91,7 @@
 	}
 	_, table, ok := strings.Cut(string(page), "## What log lines say")
 	if !ok {
-		t.Fatal("the page has no table of log lines")
+		t.Fatal("docs/fleet.md has no table of log lines")
 	}
 	table, _, _ = strings.Cut(table, "\n## ")
 	quoted := regexp.MustCompile("`([^`]+)`")
@@ -104,7 +105,7 @@
 			messages[m[1]] = true
 		}
 		if strings.TrimSpace(cells[2]) == "" {
-			t.Errorf("%s: the page does not say what it means", cells[1])
+			t.Errorf("%s: docs/fleet.md has no meaning for it", cells[1])
 		}
 	}
 	return messages
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -12,14 +12,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// controlRequest is a call at a control address.
+// controlRequest is a call to a control address.
 type controlRequest struct {
 	method, path string
 	header       map[string]string
-	body         any // bytes, or what is encoded as CBOR; nil = none
+	body         any // []byte, or a value to be encoded as CBOR; nil = none
 }
 
-// encodedBody is the call's body as it is sent.
+// encodedBody returns the bytes of the body.
 func (r *controlRequest) encodedBody() ([]byte, error) {
 	switch b := r.body.(type) {
 	case nil:
@@ -31,21 +31,21 @@
 	}
 }
 
-// controlCall makes a call at a control address. The status is 0 where nobody answers.
+// controlCall sends a call to a control address. The status is 0 if the call gets no response.
 func controlCall(t *testing.T, to string, r controlRequest) (status int, body []byte) {
 	t.Helper()
-	sent, err := r.encodedBody()
+	requestBody, err := r.encodedBody()
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, r.method, "http://"+to+r.path, bytes.NewReader(sent))
+	req, err := http.NewRequestWithContext(ctx, r.method, "http://"+to+r.path, bytes.NewReader(requestBody))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for k, x := range r.header {
-		req.Header.Set(k, x)
+	for name, value := range r.header {
+		req.Header.Set(name, value)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return resp.StatusCode, body
 }
 
-// encodedConfig is a configuration with a streaming and an idempotent route to service s, and a tenant with a key.
+// encodedConfig returns a configuration with a streaming and an idempotent route to service s, and one tenant with an API key.
 func encodedConfig(revision int, key string) []byte {
 	mode, err := cbor.CanonicalEncOptions().EncMode() // the same bytes every time
 	if err != nil {
@@ -83,7 +83,7 @@
 	return b
 }
 
-// tryReplaceConfig sends a configuration once.
+// tryReplaceConfig submits a configuration once.
 func tryReplaceConfig(t *testing.T, to string, base int, encoded []byte) (code int) {
 	t.Helper()
 	code, _ = controlCall(t, to, controlRequest{
@@ -92,7 +92,7 @@
 	return code
 }
 
-// replaceConfig sends a configuration until it gets a definite answer.
+// replaceConfig submits a configuration until the outcome is definite: any response with a status below 500.
 func replaceConfig(t *testing.T, to string, base int, encoded []byte) (code int) {
 	t.Helper()
 	waitUntil(t, "a definite answer to a configuration", func() bool {
--- a/internal/node/recordingengine_test.go
+++ b/internal/node/recordingengine_test.go
@@ -11,14 +11,14 @@
 	"testing"
 )
 
-// recordedRequest is a request as an engine got it.
+// recordedRequest is a request that an engine has received.
 type recordedRequest struct {
 	path     string
-	instance string // which it expects
-	from     string // the address of the connection
+	instance string // value of X-Expect-Instance
+	from     string // remote address of the connection
 }
 
-// recordingEngine is an engine that records its requests. Streams stop after their first event until resume is closed.
+// recordingEngine is an engine that records its requests. Its streams pause after the first event until resume is closed.
 type recordingEngine struct {
 	*scriptedEngine
 	mu       sync.Mutex
@@ -45,19 +45,19 @@
 	return e
 }
 
-// recorded are the requests so far.
+// recorded returns the requests received so far.
 func (e *recordingEngine) recorded() []recordedRequest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]recordedRequest(nil), e.requests...)
 }
 
-// clientStream is a stream as its client gets it, after its first event.
+// clientStream is a response stream whose first event was read.
 type clientStream struct {
 	body *bufio.Reader
 }
 
-// openStream makes a request for a stream, and waits for its first event.
+// openStream requests a stream and reads its first event.
 func openStream(t *testing.T, addr string) *clientStream {
 	t.Helper()
 	c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp4", addr)
@@ -79,7 +79,7 @@
 	return s
 }
 
-// readRest reads the stream to its end, and checks that it is complete.
+// readRest reads the rest of the stream, and returns an error if it is not complete.
 func (s *clientStream) readRest() error {
 	b, err := io.ReadAll(s.body)
 	if err == nil && string(b) != "id: 1\ndata: y\n\n" {
--- a/internal/node/replicahost_test.go
+++ b/internal/node/replicahost_test.go
@@ -14,13 +14,13 @@
 	"notchhinge/internal/control/rpc"
 )
 
-// TestNoCallerWaitsForAStalledDisk: while a replica's disk takes no write, a call ends with the time for which its caller
-// waits, and its body is freed; so a stall of any length keeps only the calls of a moment in memory.
+// TestNoCallerWaitsForAStalledDisk: while the disk of a replica stalls, a call ends after its caller's timeout, so that calls
+// and their bodies do not accumulate in memory.
 func TestNoCallerWaitsForAStalledDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		h := &replicaHost{mu: make(contextMutex, 1), clock: func() time.Duration { return time.Since(began) }}
-		h.mu.Lock() // a write that does not return
+		h.mu.Lock() // as during a write that does not return
 		for _, kind := range []rpc.Kind{rpc.KindPaxos, rpc.KindSnapshot} {
 			called := time.Now()
 			if _, err := h.handleCall(context.Background(), kind, netip.Addr{}, nil); !errors.Is(err, errDiskBusy) || time.Since(called) != rpc.Lookup(kind).Timeout {
@@ -37,8 +37,8 @@
 	})
 }
 
-// TestEveryCallReachesTheReplica calls a process with every kind of call of replicas: each must be handed to the replica, which
-// here waits for its disk until the caller has given up.
+// TestEveryCallReachesTheReplica: every kind of call that the replica owns is passed to it. The lock is held, so each call
+// fails with errDiskBusy.
 func TestEveryCallReachesTheReplica(t *testing.T) {
 	for _, kind := range rpc.Kinds(rpc.OwnerReplica) {
 		t.Run(fmt.Sprint("call ", kind), func(t *testing.T) {
@@ -47,19 +47,19 @@
 				h.mu.Lock()
 				n := &Node{replica: h}
 				if _, err := n.handleCall(t.Context(), kind, netip.Addr{}, nil); !errors.Is(err, errDiskBusy) {
-					t.Errorf("got %v, want %v", err, errDiskBusy)
+					t.Errorf("error %v, want %v", err, errDiskBusy)
 				}
 			})
 		})
 	}
 }
 
-// TestEveryCallHasAnOwnerInTheProcess: no listed kind of call is unknown to a process, one without a replica included.
+// TestEveryCallHasAnOwnerInTheProcess: every process recognizes every listed kind of call, even without a replica.
 func TestEveryCallHasAnOwnerInTheProcess(t *testing.T) {
 	for _, owner := range []rpc.Owner{rpc.OwnerReplica, rpc.OwnerSingleton} {
 		for _, kind := range rpc.Kinds(owner) {
 			if _, err := (&Node{}).handleCall(t.Context(), kind, netip.Addr{}, nil); !errors.Is(err, errNoReplica) {
-				t.Errorf("call %d of a router: %v", kind, err)
+				t.Errorf("call %d to a router: error %v", kind, err)
 			}
 		}
 	}
@@ -71,6 +71,6 @@
 	}
 	const unused = rpc.Kind(12)
 	if _, err := n.handleCall(t.Context(), unused, netip.Addr{}, nil); !errors.Is(err, rpc.UnknownKindError(unused)) {
-		t.Errorf("an unknown call: %v", err)
+		t.Errorf("unknown kind of call: error %v", err)
 	}
 }
--- a/internal/node/request_bench_test.go
+++ b/internal/node/request_bench_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// BenchmarkRequest makes requests one after the other on one connection, to an engine on loopback: through a node, through
-// a router of `notchhinge run`, and to the engine itself, in one run.
+// BenchmarkRequest sends requests one after another on one connection to an engine on loopback: directly ("direct"), through
+// a router of `notchhinge run` ("serve"), and through a node of a fleet ("node").
 func BenchmarkRequest(b *testing.B) {
 	engine := benchEngine(b)
 	for _, to := range []struct {
--- a/internal/node/requestlimits_test.go
+++ b/internal/node/requestlimits_test.go
@@ -10,8 +10,8 @@
 	"notchhinge/internal/limits"
 )
 
-// TestReducedRequestLimitsAreLoggedWhenTheyChange: a machine that holds less than the configuration asks for says so once, and
-// again when the configuration asks for something else.
+// TestReducedRequestLimitsAreLoggedWhenTheyChange: limits above the capacity of the machine are logged once, not for each
+// configuration that repeats them.
 func TestReducedRequestLimitsAreLoggedWhenTheyChange(t *testing.T) {
 	var logged bytes.Buffer
 	d := &dataPlane{dataPlaneOptions: dataPlaneOptions{
@@ -24,13 +24,13 @@
 	for _, step := range []struct {
 		name   string
 		limits fleetconfig.RequestLimits
-		logged int // in all
+		logged int // number of messages so far
 	}{
-		{"above the machine", above, 1},
-		{"again, with the next configuration", above, 1},
-		{"within the machine", within, 1},
-		{"above it again", above, 2},
-		{"above it in another way", aboveInPart, 3},
+		{"above the capacity", above, 1},
+		{"unchanged in the next configuration", above, 1},
+		{"within the capacity", within, 1},
+		{"above the capacity again", above, 2},
+		{"only the headers above the capacity", aboveInPart, 3},
 	} {
 		d.applyRequestLimits(&step.limits)
 		if n := strings.Count(logged.String(), "request_limits reduced"); n != step.logged {
--- a/internal/node/runningrequests_test.go
+++ b/internal/node/runningrequests_test.go
@@ -7,8 +7,8 @@
 	"notchhinge/internal/control/fleetconfig"
 )
 
-// TestRunningRequestKeepsItsConfiguration: a configuration removes a running request's route, its service or its tenant's key.
-// The request goes on; a new one is rejected.
+// TestRunningRequestKeepsItsConfiguration: a new configuration removes the route or service of running requests, or requires
+// an API key. The running requests complete; a new one is rejected.
 func TestRunningRequestKeepsItsConfiguration(t *testing.T) {
 	withKey := planeConfig()
 	withKey.Revision, withKey.Tenants = 2, []fleetconfig.Tenant{{Name: "x", APIKeys: []string{"k"}}}
@@ -34,16 +34,16 @@
 				want = http.StatusUnauthorized
 			}
 			if resp, _, err := post(t, p.addr, "/long/2"); err != nil || resp.StatusCode != want {
-				t.Errorf("a new request: %+v %v, want %d", resp, err, want)
+				t.Errorf("new request: %+v %v, want status %d", resp, err, want)
 			}
 			close(e.resume)
 			for _, s := range running {
 				if err := s.readRest(); err != nil {
-					t.Errorf("a running request: %v", err)
+					t.Errorf("running request: %v", err)
 				}
 			}
 			if len(next.Services) == 0 || next.Services[0].Name == "t" {
-				waitUntil(t, "the service's module is gone", func() bool {
+				waitUntil(t, "removal of the service's policy module", func() bool {
 					p.dataPlane.mu.Lock()
 					defer p.dataPlane.mu.Unlock()
 					return len(p.dataPlane.modules) == len(next.Services)
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -14,7 +14,7 @@
 	"notchhinge/internal/config/nodeconfig"
 )
 
-// startShutdown starts the shutdown of a node around a data plane. How long it took comes on stopped.
+// startShutdown starts the shutdown of a node with the data plane of p. stopped receives the duration of the shutdown.
 func startShutdown(p *testPlane, gracePeriod time.Duration) (n *Node, stopped chan time.Duration) {
 	n = &Node{cfg: &nodeconfig.Config{}, log: slog.New(slog.NewTextHandler(io.Discard, nil)), dataPlane: p.dataPlane}
 	n.cfg.Bounds.GracePeriodS = gracePeriod.Seconds()
@@ -24,12 +24,12 @@
 		n.shutDown(context.Background(), p.listener)
 		stopped <- time.Since(began)
 	}()
-	waitUntil(p.t, "the shutdown", n.stopping.Load)
+	waitUntil(p.t, "the start of the shutdown", n.stopping.Load)
 	return n, stopped
 }
 
-// TestShutdownLetsStreamsFinish: SIGTERM comes in the midst of hundreds of streams. Each comes to its end, requests that come
-// before the platform's load balancer has noticed are served, and the process ends once all are answered.
+// TestShutdownLetsStreamsFinish: the process shuts down while hundreds of streams are open. All streams complete, requests
+// that arrive before the load balancer notices are served, and the process ends once all are answered.
 func TestShutdownLetsStreamsFinish(t *testing.T) {
 	t.Parallel()
 	e := newRecordingEngine(t)
@@ -41,17 +41,17 @@
 	n, stopped := startShutdown(p, 20*time.Second)
 	readiness := httptest.NewRecorder()
 	if n.serveReadiness(readiness, nil); readiness.Code != http.StatusServiceUnavailable {
-		t.Errorf("readiness says %d", readiness.Code)
+		t.Errorf("readiness: status %d, want 503", readiness.Code)
 	}
 	for i := range 20 {
 		resp, _, err := post(t, p.addr, fmt.Sprint("/again/", i))
 		if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
-			t.Errorf("a request during the shutdown: %+v %v", resp, err)
+			t.Errorf("request during the shutdown: %+v %v", resp, err)
 		}
 	}
 	select {
 	case took := <-stopped:
-		t.Fatalf("it ended after %v with %d streams open", took, len(running))
+		t.Fatalf("the shutdown ended after %v with %d streams open", took, len(running))
 	default:
 	}
 	close(e.resume)
@@ -61,18 +61,18 @@
 		}
 	}
 	if took := <-stopped; took > 15*time.Second {
-		t.Errorf("it ended after %v", took)
+		t.Errorf("the shutdown took %v after all streams were complete", took)
 	}
-	if left := p.dataPlane.frontend.Connections(); left != 0 {
-		t.Errorf("%d connections are left", left)
+	if open := p.dataPlane.frontend.Connections(); open != 0 {
+		t.Errorf("%d connections are still open", open)
 	}
 	if c, err := (&net.Dialer{}).DialContext(t.Context(), "tcp4", p.addr); err == nil {
 		c.Close()
-		t.Error("it still accepts connections")
+		t.Error("the process still accepts connections")
 	}
 }
 
-// TestShutdownEndsWithinItsGracePeriod: a stream that does not end must not keep the process until it is killed.
+// TestShutdownEndsWithinItsGracePeriod: a stream that does not end must not delay the shutdown beyond the grace period.
 func TestShutdownEndsWithinItsGracePeriod(t *testing.T) {
 	t.Parallel()
 	e := newRecordingEngine(t)
@@ -80,7 +80,7 @@
 	openStream(t, p.addr)
 	const gracePeriod = 3500 * time.Millisecond
 	if _, stopped := startShutdown(p, gracePeriod); <-stopped > gracePeriod {
-		t.Error("it ended after its grace period")
+		t.Error("the shutdown exceeded the grace period")
 	}
 	close(e.resume)
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -61,7 +61,7 @@
 	return s
 }
 
-// EngineView is an engine as this process knows it: an element of /fleet/engines.
+// EngineView is this process's view of an engine: an element of the response of /fleet/engines.
 type EngineView struct {
 	ID               string  `json:"id"`
 	Service          string  `json:"service"`
@@ -70,7 +70,7 @@
 	Revision         string  `json:"revision"`
 	Slots            uint64  `json:"slots"`
 	State            string  `json:"state"`   // ready, draining, silent, gone
-	SinceHeartbeatS  float64 `json:"heard_s"` // since its last heartbeat
+	SinceHeartbeatS  float64 `json:"heard_s"` // seconds since its last heartbeat
 	WarmupRemainingS float64 `json:"warm_in_s"`
 	Explanation      string  `json:"says"` // why it receives requests or none
 }
--- a/internal/node/status_test.go
+++ b/internal/node/status_test.go
@@ -11,7 +11,7 @@
 	"notchhinge/internal/control/endpoints"
 )
 
-// TestStatusKeysStay: operators' scripts and the command read /fleet/status and /fleet/engines by these keys.
+// TestStatusKeysStay: operators' scripts and the command line tool read these keys of /fleet/status and /fleet/engines.
 func TestStatusKeysStay(t *testing.T) {
 	for _, c := range []struct {
 		value any
@@ -37,7 +37,8 @@
 	}
 }
 
-// TestEndpointIsExplainedByItsWorstState: of all that holds for an endpoint the state that keeps requests away is said.
+// TestEndpointIsExplainedByItsWorstState: an endpoint to which several states apply is reported in the one that excludes it
+// from requests.
 func TestEndpointIsExplainedByItsWorstState(t *testing.T) {
 	gone := endpoints.Endpoint{Record: endpoints.Record{State: endpoints.StateGone}, Suspect: true}
 	suspect := endpoints.Endpoint{Record: endpoints.Record{State: endpoints.StateDraining}, Suspect: true}
@@ -49,8 +50,8 @@
 	}{
 		{gone, true, "gone"}, {suspect, true, "silent"}, {draining, false, "draining"}, {endpoints.Endpoint{}, false, "ready"}, {endpoints.Endpoint{}, true, "ready"},
 	} {
-		if state, says := explainEndpoint(&c.endpoint, c.isConfigured, true); state != c.want || says == "" {
-			t.Errorf("%+v: %s, %s, want %s", c.endpoint, state, says, c.want)
+		if state, explanation := explainEndpoint(&c.endpoint, c.isConfigured, true); state != c.want || explanation == "" {
+			t.Errorf("%+v: state %s (%s), want %s", c.endpoint, state, explanation, c.want)
 		}
 	}
 }
--- a/internal/node/stream_bench_test.go
+++ b/internal/node/stream_bench_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// BenchmarkEvents has a number of streams under way, an event each 35 ms on each, to the engine itself and through a router;
-// an iteration is a second of it. us/event is the processor time of this process; what the router takes is the difference of
-// the two.
+// BenchmarkEvents reads concurrent streams with one event every 35 ms each, directly from the engine ("direct") and through a
+// router ("node"). An iteration lasts one second. us/event is the CPU time of the whole process; the difference of the two is
+// the cost of the router.
 func BenchmarkEvents(b *testing.B) {
 	for _, streams := range []int{40, 120, 382} {
 		for _, through := range []string{"direct", "node"} {
@@ -30,7 +30,7 @@
 	}
 }
 
-// benchStreams reads streams from an address and reports what their events cost.
+// benchStreams reads streams from an address and reports the CPU time per event.
 func benchStreams(b *testing.B, to string, streams int) {
 	b.Helper()
 	ctx, cancel := context.WithCancel(b.Context())
@@ -52,7 +52,7 @@
 	}
 	n := events.Load() - events0
 	if n == 0 {
-		b.Fatal("no event has come")
+		b.Fatal("no event was received")
 	}
 	b.ReportMetric(float64((cpuTime()-cpu0).Microseconds())/float64(n), "us/event")
 	b.ReportMetric(float64(n)/b.Elapsed().Seconds(), "events/s")
--- a/internal/node/testplane_test.go
+++ b/internal/node/testplane_test.go
@@ -23,7 +23,7 @@
 	endpoints atomic.Pointer[[]endpoints.Endpoint]
 }
 
-// endpointOf is the endpoint of a scripted engine.
+// endpointOf returns an endpoint for a scripted engine.
 func endpointOf(id, service string, e *scriptedEngine) endpoints.Endpoint {
 	return endpoints.Endpoint{Record: endpoints.Record{ID: id, Service: service, Addr: e.addr}}
 }
@@ -55,11 +55,11 @@
 	}
 	t.Cleanup(func() { p.listener.Close() })
 	p.addr = p.listener.Addr().String()
-	go func() { _ = p.dataPlane.frontend.Serve(p.listener) }() // it ends when the listener is closed
+	go func() { _ = p.dataPlane.frontend.Serve(p.listener) }() // returns when the listener is closed
 	return p
 }
 
-// setEndpoints changes the endpoints; requests from now on get to these.
+// setEndpoints replaces the endpoints and publishes them to the policy modules.
 func (p *testPlane) setEndpoints(engines ...endpoints.Endpoint) {
 	p.endpoints.Store(&engines)
 	p.dataPlane.mu.Lock()
@@ -67,7 +67,8 @@
 	p.dataPlane.publishEndpoints(p.dataPlane.routes.Load())
 }
 
-// planeConfig has a route of each type to service s, one to service t, and one whose requests may last (20 s).
+// planeConfig returns a configuration with a route of each type to service s, a route to service t, and a streaming route with
+// a long timeout.
 func planeConfig() *fleetconfig.Config {
 	route := func(name, prefix string, kind fleetconfig.RouteType) fleetconfig.Route {
 		return fleetconfig.Route{Name: name, Hostname: "h", PathPrefix: prefix, Type: kind, TimeoutMS: 1500, TargetLatencyMS: 100, TargetService: "s", MaxAttempts: 2}
@@ -81,7 +82,7 @@
 	}}
 }
 
-// planeAddr starts a data plane before engines of service s, by name, and returns its address.
+// planeAddr starts a data plane in front of engines of service s, by id, and returns its address.
 func planeAddr(t *testing.T, seed uint64, engines map[string]*scriptedEngine) string {
 	t.Helper()
 	var all []endpoints.Endpoint
--- a/internal/node/usage_test.go
+++ b/internal/node/usage_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestUsageIsReportedOnceThroughFaults: the platform rejects reports, then fails, then accepts them and answers too late; the
-// lease holder stops meanwhile, and so does its successor. Each window is reported with one figure, and all of them add up
-// to the requests that began.
+// TestUsageIsReportedOnceThroughFaults: the platform throttles reports, then fails, then accepts them but answers too late.
+// The lease holder stops meanwhile, and so does its successor. All reports of a window agree, and the windows add up to the
+// number of served requests.
 func TestUsageIsReportedOnceThroughFaults(t *testing.T) {
 	f := newTestFleet(t, 5, fleetSize{routers: 1})
 	router := f.routers[0]
@@ -23,18 +23,18 @@
 		case call <= 5:
 			return http.StatusServiceUnavailable, 0
 		case call <= 7:
-			return 0, 2 * time.Second // it is accepted, and the sender does not learn of it
+			return 0, 2 * time.Second // executed, but the response is too late for the caller
 		}
 		return 0, 0
 	})
 	e.heartbeat(f.replicas[0].control, "ready")
 	waitUntil(t, "readiness", router.isReady)
-	began := uint64(0)
+	served := uint64(0)
 	sendRequests := func(n int) {
 		for range n {
 			e.heartbeat(router.control, "ready")
 			if resp, _ := clientRequest(t, router, "/read/1", "k"); resp != nil && resp.StatusCode == http.StatusOK {
-				began++
+				served++
 			}
 		}
 	}
@@ -49,17 +49,17 @@
 		sendRequests(20)
 		holder.restart()
 	}
-	waitUntil(t, "all that began is reported", func() bool {
+	waitUntil(t, "all served requests are reported", func() bool {
 		e.heartbeat(router.control, "ready")
-		return f.platform.reported("lab") == began
+		return f.platform.reported("lab") == served
 	})
 	f.platform.checkReports(t)
 	if calls := f.platform.callCount(); calls < 6 {
-		t.Errorf("the platform had only %d calls: not all of its faults were met", calls)
+		t.Errorf("the platform received only %d calls, which do not cover its faults", calls)
 	}
 }
 
-// leaseHolder is the replica that holds the lease as the first running replica that knows of any says; nil = none is known.
+// leaseHolder returns the lease holder that the first running replica with a known holder reports; nil = none is known.
 func (f *testFleet) leaseHolder() *testNode {
 	for _, m := range f.replicas {
 		if !m.isRunning() {
