--- a/internal/control/api/api.go
+++ b/internal/control/api/api.go
@@ -18,10 +18,10 @@
 	CallCount         uint64       `cbor:"call_count"` // orders its heartbeats
 }
 
-// EngineStatus is what an engine says about its readiness.
+// EngineStatus is the readiness that an engine reports.
 type EngineStatus string
 
-// The states of an engine.
+// Values of EngineStatus.
 const (
 	EngineReady    EngineStatus = "ready"
 	EngineDraining EngineStatus = "draining"
@@ -30,12 +30,12 @@
 // Result is the outcome of an operator's call.
 type Result struct {
 	Status   Status
-	Message  string // why it failed
-	Revision uint64 // the newest revision that is known
+	Message  string // the reason of a failure
+	Revision uint64 // the newest known revision
 	Body     []byte // the configuration as submitted, or the history as JSON
 }
 
-// Err is the failure of a call as an *Error; nil if it succeeded.
+// Err returns the failure of a call as an *Error, or nil if the call succeeded.
 func (r *Result) Err() error {
 	if r.Status == StatusOK {
 		return nil
@@ -43,29 +43,30 @@
 	return &Error{r.Status, r.Message}
 }
 
-// Handler executes calls. Methods with a context may block until it ends, and are safe for concurrent use.
+// Handler executes calls. All methods must be safe for concurrent use. Methods with a context may block until it is done.
 type Handler interface {
-	// RedirectTarget is the control address of a process that has the control state, if this one does not. It is empty where
-	// this process has it, or knows none that does.
+	// RedirectTarget returns the control address of a process that has the control state. It returns "" if this process has
+	// the state itself or knows no process that has it.
 	RedirectTarget() string
-	// Heartbeat returns the address for the engine's further heartbeats; "" = any. It returns once enough other processes
-	// know of the engine's state. An error that is no *Error is reported as StatusUnavailable.
-	Heartbeat(ctx context.Context, h *Heartbeat) (home string, err error)
+	// Heartbeat returns once enough other processes have received the engine's state. nextAddr is the control address for
+	// the engine's next heartbeats; "" = any. An error other than an *Error is reported as StatusUnavailable.
+	Heartbeat(ctx context.Context, h *Heartbeat) (nextAddr string, err error)
 	// Deregister removes an engine.
 	Deregister(ctx context.Context, id string) error
-	// ReplaceConfig submits a configuration that is based on a revision; it fails with StatusStaleRevision if another one is the
-	// newest.
+	// ReplaceConfig submits a configuration that is based on a revision. It fails with StatusStaleRevision if that revision is
+	// not the newest.
 	ReplaceConfig(ctx context.Context, baseRevision uint64, text []byte) Result
 	// DescribeConfig returns the newest configuration.
 	DescribeConfig(ctx context.Context) Result
-	// ConfigHistory returns revisions and digests of the accepted configurations as JSON.
+	// ConfigHistory returns the revisions and digests of the accepted configurations, as JSON.
 	ConfigHistory(ctx context.Context) Result
-	// RemoveMember removes a replica that is gone for good from the membership, by its node name.
+	// RemoveMember removes a permanently failed replica from the membership, by its node name.
 	RemoveMember(ctx context.Context, name string) Result
-	// Status returns the state of this process, to be written as JSON.
+	// Status returns the state of this process, which the server encodes as JSON.
 	Status() any
-	// Engines returns the engines that this process knows, to be written as JSON.
+	// Engines returns the engines that this process knows, which the server encodes as JSON.
 	Engines() any
-	// Explain returns how a request with this head would be routed, to be written as JSON. Nothing is sent.
+	// Explain returns how a request with this head would be routed, which the server encodes as JSON. It sends nothing to
+	// engines.
 	Explain(r *http.Request) any
 }
--- a/internal/control/api/api_test.go
+++ b/internal/control/api/api_test.go
@@ -19,14 +19,14 @@
 	"notchhinge/internal/control/fleetconfig"
 )
 
-// recorder is a Handler that notes its calls.
+// recorder is a Handler that records its calls.
 type recorder struct {
 	heartbeats   []Heartbeat
 	deregistered []string
 	baseRevision uint64
 	config       []byte
-	err          error  // of calls of engines
-	redirect     string // also the home of heartbeats
+	err          error  // returned to calls of engines
+	redirect     string // also the address for the next heartbeats
 }
 
 func (h *recorder) RedirectTarget() string { return h.redirect }
@@ -76,7 +76,7 @@
 	return b
 }
 
-// heartbeat is a valid one, with a field that this program does not know, but for one field.
+// heartbeat returns the body of a valid heartbeat with an additional unknown field. If key is set, that field has the value.
 func heartbeat(t *testing.T, key string, value any) []byte {
 	t.Helper()
 	b := map[string]any{
@@ -89,12 +89,12 @@
 	return marshal(t, b)
 }
 
-// call makes a call; header is the value of X-Revision-Match, "" = none.
-func call(t *testing.T, h Handler, method, path string, body []byte, header string) *httptest.ResponseRecorder {
+// call serves a call by h. baseRevision is the value of X-Revision-Match; "" = no such header.
+func call(t *testing.T, h Handler, method, path string, body []byte, baseRevision string) *httptest.ResponseRecorder {
 	t.Helper()
 	r := httptest.NewRequestWithContext(t.Context(), method, path, bytes.NewReader(body))
-	if header != "" {
-		r.Header.Set("X-Revision-Match", header)
+	if baseRevision != "" {
+		r.Header.Set("X-Revision-Match", baseRevision)
 	}
 	w := httptest.NewRecorder()
 	NewHandler(h).ServeHTTP(w, r)
@@ -122,8 +122,8 @@
 		{"long id", "POST", "/Instances.Heartbeat/" + strings.Repeat("i", 201), heartbeat(t, "", nil), 400},
 		{"no id", "POST", "/Instances.Heartbeat/", heartbeat(t, "", nil), 404},
 		{"other method", "GET", path, nil, 405},
-		{"sign-off", "POST", "/Instances.Deregister/i-1", nil, 200},
-		{"sign-off with a long id", "POST", "/Instances.Deregister/" + strings.Repeat("i", 201), nil, 400},
+		{"deregistration", "POST", "/Instances.Deregister/i-1", nil, 200},
+		{"deregistration with a long id", "POST", "/Instances.Deregister/" + strings.Repeat("i", 201), nil, 400},
 		{"unknown path", "GET", "/none", nil, 404},
 	} {
 		if w := call(t, h, c.method, c.path, c.body, ""); w.Code != c.want {
@@ -156,13 +156,13 @@
 		{"configuration", "POST", replace, []byte{0xa0}, "5", 200},
 		{"stale base", "POST", replace, []byte{0xa0}, "7", 412},
 		{"no base", "POST", replace, []byte{0xa0}, "", 400},
-		{"base that is no revision", "POST", replace, []byte{0xa0}, "-1", 400},
+		{"negative base", "POST", replace, []byte{0xa0}, "-1", 400},
 		{"too large", "POST", replace, make([]byte, fleetconfig.MaxBytes+1), "5", 413},
 		{"describe", "GET", "/Configuration.Describe", nil, "", 200},
 		{"status", "GET", "/fleet/status", nil, "", 200},
 		{"engines", "GET", "/fleet/engines", nil, "", 200},
 		{"explain", "POST", "/fleet/explain", []byte("GET /x HTTP/1.1\r\nHost: a"), "", 200},
-		{"explain what is no request", "POST", "/fleet/explain", []byte("hello"), "", 400},
+		{"explain a malformed request", "POST", "/fleet/explain", []byte("hello"), "", 400},
 		{"history", "GET", "/fleet/history", nil, "", 200},
 		{"remove a member", "DELETE", "/fleet/members/k-1", nil, "", 200},
 		{"remove an unknown member", "DELETE", "/fleet/members/k-2", nil, "", 404},
@@ -192,7 +192,7 @@
 		{"stale base", call(t, h, "POST", "/Configuration.Replace", []byte{0xa0}, "7"), map[string]any{"error_message": "revision 9 is current"}},
 		{"heartbeat", call(t, h, "POST", "/Instances.Heartbeat/i-1", heartbeat(t, "", nil), ""), map[string]any{}},
 		{
-			"heartbeat with a home", call(t, &recorder{redirect: "10.0.0.4:8080"}, "POST", "/Instances.Heartbeat/i-1", heartbeat(t, "", nil), ""),
+			"heartbeat with a next address", call(t, &recorder{redirect: "10.0.0.4:8080"}, "POST", "/Instances.Heartbeat/i-1", heartbeat(t, "", nil), ""),
 			map[string]any{"heartbeat_url": "10.0.0.4:8080"},
 		},
 	} {
@@ -206,7 +206,7 @@
 	}
 }
 
-// TestHandlerErrorIsUnavailable: an engine whose call failed for an unknown reason is sent elsewhere by 503.
+// TestHandlerErrorIsUnavailable: an untyped error of the handler becomes 503, so that the engine tries another process.
 func TestHandlerErrorIsUnavailable(t *testing.T) {
 	h := &recorder{err: errors.New("not now")}
 	for _, path := range []string{"/Instances.Heartbeat/i-1", "/Instances.Deregister/i-1"} {
@@ -217,12 +217,12 @@
 	}
 	h.err = &Error{StatusConflict, "no"}
 	if w := call(t, h, "POST", "/Instances.Deregister/i-1", nil, ""); w.Code != http.StatusConflict {
-		t.Errorf("status %d of a typed error, want its own", w.Code)
+		t.Errorf("status %d for a typed error, want 409", w.Code)
 	}
 }
 
-// TestRedirectPrecedesTheBody: a large configuration does not pass over the link of a machine without the state. The caller
-// gets the redirect while nearly all of the body is still to be sent, and a second one on the same connection.
+// TestRedirectPrecedesTheBody: a machine without the control state redirects a large configuration before receiving its body.
+// The connection serves another call after the rest of the body.
 func TestRedirectPrecedesTheBody(t *testing.T) {
 	h := &recorder{redirect: "10.0.0.4:8080"}
 	web := httptest.NewServer(NewHandler(h))
@@ -245,10 +245,10 @@
 		}
 		to := resp.Header.Get("Location")
 		if resp.StatusCode != http.StatusTemporaryRedirect || !strings.HasPrefix(to, "http://10.0.0.4:8080/Configuration.") {
-			t.Errorf("status %d to %q, want a redirect", resp.StatusCode, to)
+			t.Errorf("status %d with location %q, want a redirect", resp.StatusCode, to)
 		}
 		if h.config != nil {
-			t.Error("the call was handled here")
+			t.Error("the call was executed instead of redirected")
 		}
 	}
 }
--- a/internal/control/api/doc.go
+++ b/internal/control/api/doc.go
@@ -1,17 +1,17 @@
-// Package api serves the HTTP calls of engines and of the operator: HTTP/1.1, with CBOR bodies on the platform's paths and
-// JSON for people on /fleet/. It owns the form of the calls, their bounds and their status codes. What a call means is its
-// [Handler]'s; nothing is decided and nothing is kept here.
+// Package api serves the HTTP/1.1 calls of engines and operators, with CBOR bodies on the platform's paths and JSON bodies
+// on /fleet/. It defines the format of the calls, their size limits and their status codes. A [Handler] executes the calls;
+// this package holds no state.
 //
-//	POST   /Instances.Heartbeat/{id}    an engine reports itself
-//	POST   /Instances.Deregister/{id}   an engine signs off
-//	POST   /Configuration.Replace       the operator submits a fleet configuration on top of X-Revision-Match
-//	GET    /Configuration.Describe      the newest configuration, its revision in X-Revision
-//	GET    /fleet/history               the accepted configurations
-//	DELETE /fleet/members/{name}        removes a replica that is gone for good
-//	GET    /fleet/status                the state of this process
-//	GET    /fleet/engines               the engines that this process knows
-//	POST   /fleet/explain               how a request with the head in the body would be routed
+//	POST   /Instances.Heartbeat/{id}    reports the state of an engine
+//	POST   /Instances.Deregister/{id}   deregisters an engine
+//	POST   /Configuration.Replace       submits a fleet configuration that replaces revision X-Revision-Match
+//	GET    /Configuration.Describe      returns the newest configuration, with its revision in X-Revision
+//	GET    /fleet/history               lists the accepted configurations
+//	DELETE /fleet/members/{name}        removes a permanently failed replica
+//	GET    /fleet/status                returns the state of this process
+//	GET    /fleet/engines               lists the engines that this process knows
+//	POST   /fleet/explain               returns how a request with the head in the body would be routed
 //
-// Calls that need the control state are redirected (307) from a process without it to one that has it. Every failure is an
+// A process without the control state redirects (307) calls that need it to a process that has it. Every failure is an
 // [Error], written as {"error_message": text} with its [Status].
 package api
--- a/internal/control/api/engine.go
+++ b/internal/control/api/engine.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// heartbeat executes an engine's report.
+// heartbeat handles an engine's heartbeat.
 func (s *server) heartbeat(w http.ResponseWriter, r *http.Request) error {
 	b, err := readBody(w, r, maxCallBytes)
 	if err != nil {
@@ -23,19 +23,19 @@
 	if err := h.validate(); err != nil {
 		return err
 	}
-	home, err := s.h.Heartbeat(r.Context(), h)
+	nextAddr, err := s.h.Heartbeat(r.Context(), h)
 	if err != nil {
 		return err
 	}
 	response := map[string]string{}
-	if home != "" {
-		response["heartbeat_url"] = home
+	if nextAddr != "" {
+		response["heartbeat_url"] = nextAddr
 	}
 	writeCBOR(w, StatusOK, response)
 	return nil
 }
 
-// validate checks a heartbeat by itself.
+// validate checks the fields of a heartbeat.
 func (h *Heartbeat) validate() error {
 	for _, field := range []struct{ key, value string }{
 		{"target_service", h.TargetService}, {"zone", h.Zone}, {"revision", h.Revision}, {"address", h.Address},
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// deregister executes an engine's sign-off. Its body is ignored.
+// deregister handles the deregistration of an engine. The body is ignored.
 func (s *server) deregister(w http.ResponseWriter, r *http.Request) error {
 	if _, err := readBody(w, r, maxCallBytes); err != nil {
 		return err
--- a/internal/control/api/errors.go
+++ b/internal/control/api/errors.go
@@ -6,40 +6,40 @@
 	"net/http"
 )
 
-// Status says how a call ended. Its values are HTTP status codes, and no other place in the control plane chooses one. The
-// zero Status is none: a call without an outcome yet.
+// Status is the outcome of a call. Its values are HTTP status codes; the rest of the control plane uses no others. The zero
+// Status means that there is no outcome yet.
 type Status int
 
-// The outcomes of calls.
+// Outcomes of calls.
 const (
 	StatusOK            Status = http.StatusOK
 	StatusInvalid       Status = http.StatusBadRequest            // the call or its configuration is malformed or not allowed
-	StatusNotFound      Status = http.StatusNotFound              // what is asked for does not exist
-	StatusConflict      Status = http.StatusConflict              // the group of replicas would be too small
-	StatusStaleRevision Status = http.StatusPreconditionFailed    // another revision than the one named is the newest
-	StatusTooLarge      Status = http.StatusRequestEntityTooLarge // the body is above its bound
+	StatusNotFound      Status = http.StatusNotFound              // the requested object does not exist
+	StatusConflict      Status = http.StatusConflict              // too few replicas would remain
+	StatusStaleRevision Status = http.StatusPreconditionFailed    // the base revision is not the newest
+	StatusTooLarge      Status = http.StatusRequestEntityTooLarge // the body exceeds its limit
 	StatusInternal      Status = http.StatusInternalServerError   // a fault of this program
-	StatusUnavailable   Status = http.StatusServiceUnavailable    // not done in time, or this process cannot tell: another may
+	StatusUnavailable   Status = http.StatusServiceUnavailable    // no outcome in time, or not known to this process; another process may succeed
 )
 
-// IsFinal reports whether the same call always ends like this. After any other outcome it is unknown whether the call was
-// executed, and it may be sent again.
+// IsFinal reports whether the outcome of the call is definite. After any other outcome it is unknown whether the call was
+// executed, and the caller may retry it.
 func (s Status) IsFinal() bool { return s != 0 && s < http.StatusInternalServerError }
 
-// Error is a failed call.
+// Error is the error of a failed call.
 type Error struct {
 	Status  Status
-	Message string // for the caller: begins with the field or header that is wrong, if one is
+	Message string // for the caller; begins with the invalid field or header, if there is one
 }
 
 func (e *Error) Error() string { return e.Message }
 
-// errorf makes an Error.
+// errorf returns an *Error with a formatted message.
 func errorf(s Status, format string, args ...any) *Error {
 	return &Error{s, fmt.Sprintf(format, args...)}
 }
 
-// asError makes an Error of any error; one of unknown kind counts as StatusUnavailable, so that the caller tries elsewhere.
+// asError returns err as an *Error. Other error types become StatusUnavailable, so that the caller tries another process.
 func asError(err error) *Error {
 	if e, ok := errors.AsType[*Error](err); ok {
 		return e
--- a/internal/control/api/operator.go
+++ b/internal/control/api/operator.go
@@ -11,10 +11,10 @@
 	"notchhinge/internal/control/fleetconfig"
 )
 
-// redirected sends calls that need the control state to a process that has it. The redirect is written before the body is
-// read: a configuration may be as large as what the link of a machine with client traffic carries in a second. What the
-// caller sends of it all the same is read and discarded, as closing the connection could reset it before the caller has seen
-// the response.
+// redirected wraps a handler that needs the control state; a process without the state redirects the call. The redirect is
+// written before the body is read, because transferring a large configuration can take up a machine's link for a second. Body
+// bytes that the caller sends anyway are discarded: closing the connection early could reset it before the caller has read the
+// response.
 func (s *server) redirected(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		to := s.h.RedirectTarget()
@@ -29,7 +29,7 @@
 		w.Header().Set("Location", "http://"+to+r.URL.RequestURI())
 		w.Header().Set("Content-Length", "0")
 		w.WriteHeader(http.StatusTemporaryRedirect)
-		_ = rc.Flush()                                                           // a caller that has gone needs no response
+		_ = rc.Flush()                                                           // fails only if the caller has disconnected
 		_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, fleetconfig.MaxBytes)) // within the server's ReadTimeout
 	}
 }
@@ -74,7 +74,7 @@
 	return writeRevision(w, s.h.RemoveMember(r.Context(), name))
 }
 
-// writeRevision writes the outcome of a call that changes the control state.
+// writeRevision writes the resulting revision of a call that changes the control state, or returns its error.
 func writeRevision(w http.ResponseWriter, result Result) error {
 	if err := result.Err(); err != nil {
 		return err
@@ -91,7 +91,7 @@
 	return writeJSON(w, s.h.Engines())
 }
 
-// explain takes the head of a request as its body: what a client would send, up to the empty line.
+// explain reads the head of a request from the body: what a client would send, up to the empty line.
 func (s *server) explain(w http.ResponseWriter, r *http.Request) error {
 	b, err := readBody(w, r, maxExplainBytes)
 	if err != nil {
--- a/internal/control/api/server.go
+++ b/internal/control/api/server.go
@@ -13,10 +13,10 @@
 	"golang.org/x/net/netutil"
 )
 
-// Bounds of calls. A configuration is bounded by fleetconfig.MaxBytes.
+// Limits of calls. The limit of a configuration is fleetconfig.MaxBytes.
 const (
 	maxCallBytes        = 4 << 10  // body of an engine's call
-	maxExplainBytes     = 64 << 10 // head of a request to be explained
+	maxExplainBytes     = 64 << 10 // body of /fleet/explain
 	maxHeaderBytes      = 16 << 10 // head of a call
 	maxNameBytes        = 200      // an id, a name, an address
 	maxConns            = 256
@@ -29,12 +29,12 @@
 	headerRevisionMatch = "X-Revision-Match"
 )
 
-// server routes calls to their handler.
+// server decodes calls, passes them to a Handler, and encodes the responses.
 type server struct {
 	h Handler
 }
 
-// NewHandler returns what executes calls, without a listener.
+// NewHandler returns an http.Handler that serves the calls of this package by h.
 func NewHandler(h Handler) http.Handler {
 	s := &server{h: h}
 	mux := http.NewServeMux()
@@ -50,7 +50,7 @@
 	return mux
 }
 
-// NewServer returns a server for Serve, with time-outs and bounds set.
+// NewServer returns a server for Serve, with timeouts and limits set.
 func NewServer(h Handler) *http.Server {
 	return &http.Server{
 		Handler: NewHandler(h), ReadHeaderTimeout: headTimeout, ReadTimeout: headTimeout + bodyTimeout,
@@ -58,16 +58,16 @@
 	}
 }
 
-// Serve answers calls at a listener until the server or the listener is closed, which is no error.
-func Serve(web *http.Server, ln net.Listener) error {
-	err := web.Serve(netutil.LimitListener(ln, maxConns))
+// Serve serves calls on a listener until the server or the listener is closed, for which it returns nil.
+func Serve(server *http.Server, ln net.Listener) error {
+	err := server.Serve(netutil.LimitListener(ln, maxConns))
 	if errors.Is(err, net.ErrClosed) || errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return err
 }
 
-// respond writes the error that a call ended with. One that succeeded has written its response itself.
+// respond wraps a call and writes the error that it returns. A call that succeeds writes its own response.
 func respond(call func(w http.ResponseWriter, r *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if err := call(w, r); err != nil {
@@ -77,20 +77,20 @@
 	}
 }
 
-// readBody reads a body of at most max bytes.
-func readBody(w http.ResponseWriter, r *http.Request, max int64) ([]byte, error) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, max))
+// readBody reads a body of at most maxBytes bytes.
+func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, error) {
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, errorf(StatusTooLarge, "body: more than %d bytes", max)
+		return nil, errorf(StatusTooLarge, "body: more than %d bytes", maxBytes)
 	case err != nil:
 		return nil, errorf(StatusInvalid, "body: %v", err)
 	}
 	return b, nil
 }
 
-// pathName returns an id or name from the path.
+// pathName returns the path value of key, an id or name. Errors refer to it as field.
 func pathName(r *http.Request, key, field string) (string, error) {
 	name := r.PathValue(key)
 	if name == "" || len(name) > maxNameBytes {
@@ -111,11 +111,11 @@
 	w.Header().Set("Content-Type", contentType)
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	w.WriteHeader(int(s))
-	_, _ = w.Write(b) // a caller that has gone needs no response
+	_, _ = w.Write(b) // fails only if the caller has disconnected
 }
 
 func writeJSON(w http.ResponseWriter, v any) error {
 	w.Header().Set("Content-Type", contentTypeJSON)
-	_ = json.NewEncoder(w).Encode(v) // a caller that has gone needs no response
+	_ = json.NewEncoder(w).Encode(v) // fails only if the caller has disconnected
 	return nil
 }
--- a/internal/node/enginecalls.go
+++ b/internal/node/enginecalls.go
@@ -12,9 +12,9 @@
 // maxWarmupMS bounds the warm-up time that an engine may report: an hour.
 const maxWarmupMS = 3.6e6
 
-// Heartbeat implements api.Handler. home is the control address of the replica to which the engine should send its next
-// heartbeats.
-func (n *Node) Heartbeat(ctx context.Context, b *api.Heartbeat) (home string, err error) {
+// Heartbeat implements api.Handler. nextAddr is the control address of the engine's home replica, to which the engine should
+// send its next heartbeats.
+func (n *Node) Heartbeat(ctx context.Context, b *api.Heartbeat) (nextAddr string, err error) {
 	r := endpoints.Record{
 		ID: b.ID, Service: b.TargetService, Addr: b.Address, Zone: b.Zone, Revision: b.Revision, Slots: uint64(max(b.CapacitySlots, 0)), CallCount: b.CallCount,
 	}
