--- a/internal/node/replicahost.go
+++ b/internal/node/replicahost.go
@@ -52,7 +52,7 @@
 	pendingLeaves        replica.Pending[chan struct{}]
 
 	wake chan struct{} // signals run to reset its timer
-	done chan struct{} // closed when run has returned; the reducer gets no more ticks then, so deadlines no longer expire
+	done chan struct{} // closed when run has returned; without its ticks the reducer no longer enforces deadlines
 }
 
 // contextMutex is a mutex whose Lock can be abandoned. A replica holds its mutex during disk writes. Without a bound, callers
@@ -142,7 +142,7 @@
 	h.stepLocked(event())
 }
 
-// requestContext is request with a bounded wait for mu. It returns false, without an event, if ctx is done first.
+// requestContext is request with a bounded wait for mu. It returns false, without calling event, if ctx is done first.
 func (h *replicaHost) requestContext(ctx context.Context, event func() replica.Event) bool {
 	if !h.mu.LockContext(ctx) {
 		return false
@@ -245,7 +245,7 @@
 	return h.reducer.MembershipPending()
 }
 
-// handOverVote makes the replica leave the voters, and returns when it has left or ctx is done.
+// handOverVote makes the replica hand over its vote and leave the voters, and returns when it has left or ctx is done.
 func (h *replicaHost) handOverVote(ctx context.Context) {
 	done := make(chan struct{}, 1)
 	h.request(func() replica.Event {
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -59,7 +59,7 @@
 	return err
 }
 
-// openReplica opens the replica's disk.
+// openReplica creates the replica of this process from the settings and opens its disk.
 func (n *Node) openReplica(ctx context.Context) (err error) {
 	n.replica, err = openReplica(ctx, replicaOptions{
 		log: n.log, dataDir: n.cfg.DataDir, name: n.cfg.NodeName, addr: n.transport.Addr().String(),
@@ -154,7 +154,7 @@
 	go n.configs.confirmNewest(ctx)
 }
 
-// servers are the process's HTTP servers and their listeners.
+// servers holds the servers of the process and their listeners.
 type servers struct {
 	failed   chan error   // the errors that servers return; buffered for all of them
 	frontend net.Listener // nil unless the process has a frontend
--- a/internal/node/usagereport.go
+++ b/internal/node/usagereport.go
@@ -13,7 +13,7 @@
 	"notchhinge/internal/limits"
 )
 
-// usageMeter is a router's usage.Meter under a lock.
+// usageMeter is a usage.Meter that is safe for concurrent use.
 type usageMeter struct {
 	mu    sync.Mutex
 	meter usage.Meter
