--- a/internal/node/dataplane.go
+++ b/internal/node/dataplane.go
@@ -135,7 +135,7 @@
 	delete(d.classCounts, id)
 }
 
-// limitIdleReuse limits the reuse of idle connections for limits.StaleConnCaution, after an engine has dropped one.
+// limitIdleReuse limits the reuse of idle connections for limits.StaleConnAvoidPeriod after an engine has dropped one.
 func (d *dataPlane) limitIdleReuse() {
 	d.idleLimitedUntil.Store(int64(d.loop.Now() + limits.StaleConnAvoidPeriod))
 }
--- a/internal/node/dataplaneconfig.go
+++ b/internal/node/dataplaneconfig.go
@@ -108,8 +108,8 @@
 	d.endpointZones.Store(&zones)
 }
 
-// dispatchHost converts an endpoint for its policy module. For an endpoint that is still warming up, BornAt is set so that its
-// slow start ends at WarmAtMS, but at most dialect.SlowStart from now.
+// dispatchHost converts an endpoint for its policy module. For an endpoint that is still warming up, StartedAt is set so
+// that its slow start ends at WarmAtMS, but at most dialect.SlowStart from now.
 func dispatchHost(e *endpoints.Endpoint, wallMS int64, now time.Duration) dispatch.Host {
 	h := dispatch.Host{Name: e.ID, Addr: e.Addr, Weight: 1}
 	if e.State == endpoints.StateDraining {
