--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -12,20 +12,20 @@
 	"notchhinge/internal/dialect"
 )
 
-// status is what /fleet/status tells of this process. The keys are those that the command and operators' scripts read.
+// status is the response of /fleet/status. The command line tool and operators' scripts read its keys.
 type status struct {
 	Node         string `json:"node"`
 	Zone         string `json:"zone"`
 	Ready        string `json:"ready"`        // "yes", or why not
 	ConfigIndex  uint64 `json:"place"`        // log index of the configuration in force
-	NewestIndex  uint64 `json:"newest_place"` // the highest that was announced
+	NewestIndex  uint64 `json:"newest_place"` // highest announced log index of a configuration
 	Peers        int    `json:"peers"`
 	Replicas     int    `json:"keepers"`
 	Endpoints    int    `json:"engines"`
 	GossipItems  int    `json:"items"`
-	Revision     uint64 `json:"revision"` // of the configuration that requests begin under
+	Revision     uint64 `json:"revision"` // of the configuration that new requests use
 	IsReplica    bool   `json:"keeper"`
-	NextIndex    uint64 `json:"chain"` // log entries that this replica has applied
+	NextIndex    uint64 `json:"chain"` // number of log entries that this replica has applied
 	HasVote      bool   `json:"votes"`
 	Voters       int    `json:"members"`
 	LeaseHolder  string `json:"holder"`
@@ -61,18 +61,18 @@
 	return s
 }
 
-// EngineView is an engine as this process knows it: an element of /fleet/engines.
+// EngineView is this process's view of an engine: an element of the response of /fleet/engines.
 type EngineView struct {
-	ID       string  `json:"id"`
-	Service  string  `json:"service"`
-	Zone     string  `json:"zone"`
-	Address  string  `json:"address"`
-	Revision string  `json:"revision"`
-	Slots    uint64  `json:"slots"`
-	State    string  `json:"state"`   // ready, draining, silent, gone
-	HeardS   float64 `json:"heard_s"` // since its last heartbeat
-	WarmInS  float64 `json:"warm_in_s"`
-	Says     string  `json:"says"` // why it gets requests, or none
+	ID               string  `json:"id"`
+	Service          string  `json:"service"`
+	Zone             string  `json:"zone"`
+	Address          string  `json:"address"`
+	Revision         string  `json:"revision"`
+	Slots            uint64  `json:"slots"`
+	State            string  `json:"state"`   // ready, draining, silent, gone
+	SinceHeartbeatS  float64 `json:"heard_s"` // seconds since its last heartbeat
+	WarmupRemainingS float64 `json:"warm_in_s"`
+	Explanation      string  `json:"says"` // why it receives requests or none
 }
 
 // Engines implements api.Handler.
@@ -85,16 +85,16 @@
 	for e := range n.discovery.reducer.Endpoints.All() {
 		v := EngineView{
 			ID: e.ID, Service: e.Service, Zone: e.Zone, Address: e.Addr, Revision: e.Revision, Slots: e.Slots,
-			HeardS: (now - e.LastHeartbeat).Seconds(), WarmInS: max(float64(e.WarmAtMS-wallMS)/1000, 0),
+			SinceHeartbeatS: (now - e.LastHeartbeat).Seconds(), WarmupRemainingS: max(float64(e.WarmAtMS-wallMS)/1000, 0),
 		}
-		v.State, v.Says = explainEndpoint(e, isConfigured[e.Service], v.WarmInS > 0)
+		v.State, v.Explanation = explainEndpoint(e, isConfigured[e.Service], v.WarmupRemainingS > 0)
 		all = append(all, v)
 	}
 	slices.SortFunc(all, func(x, y EngineView) int { return cmp.Or(cmp.Compare(x.Service, y.Service), cmp.Compare(x.ID, y.ID)) })
 	return all
 }
 
-// configuredServices are the names of a configuration's services; c may be nil.
+// configuredServices returns the set of the service names of a configuration; c may be nil.
 func configuredServices(c *fleetconfig.Config) map[string]bool {
 	names := map[string]bool{}
 	if c != nil {
@@ -105,8 +105,8 @@
 	return names
 }
 
-// explainEndpoint says in which state an endpoint is, and what that means for requests.
-func explainEndpoint(e *endpoints.Endpoint, isConfigured, isWarmingUp bool) (state, says string) {
+// explainEndpoint returns the state of an endpoint and its effect on requests, as texts for an operator.
+func explainEndpoint(e *endpoints.Endpoint, isConfigured, isWarmingUp bool) (state, explanation string) {
 	switch {
 	case e.State == endpoints.StateGone:
 		return "gone", "it has deregistered, or another engine has come at its address: it gets nothing"
@@ -123,7 +123,7 @@
 	}
 }
 
-// Explain implements api.Handler: what would become of a request with this head.
+// Explain implements api.Handler. It returns how a request with this head would be routed.
 func (n *Node) Explain(r *http.Request) any {
 	type explanation struct {
 		*dialect.Explanation
