--- a/internal/dialect/dialect_test.go
+++ b/internal/dialect/dialect_test.go
@@ -338,7 +338,7 @@
 		}
 		return c
 	}()
-	d := &Frontend{Config: func() *CompiledConfig { return at }, SplitKey: func() uint64 { return 1 }, OnAnswer: func(string) {}, Clock: func() time.Duration { return 0 }}
+	d := &Frontend{Config: func() *CompiledConfig { return at }, SplitKey: func() uint64 { return 1 }, OnResponse: func(string) {}, Clock: func() time.Duration { return 0 }}
 	f.Fuzz(func(t *testing.T, asked, answered string) {
 		req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(asked)))
 		if err != nil {
--- a/internal/dialect/frontend.go
+++ b/internal/dialect/frontend.go
@@ -18,11 +18,11 @@
 
 // Frontend is the dialect of the fleet's frontend.
 type Frontend struct {
-	Config   func() *CompiledConfig // in force now; nil = none yet
-	Salt     uint64                 // makes the numbers of sessions this router's own, so that each router draws by itself
-	OnAnswer func(tenant string)    // called with the tenant of every answer that is passed on
-	SplitKey func() uint64          // called for each request: chooses among the services of a route
-	Clock    dispatch.Clock         // of admission
+	Config     func() *CompiledConfig // in force now; nil = none yet
+	Salt       uint64                 // makes the numbers of sessions this router's own, so that each router draws by itself
+	OnResponse func(tenant string)    // called with the tenant of every answer that is passed on
+	SplitKey   func() uint64          // called for each request: chooses among the services of a route
+	Clock      dispatch.Clock         // of admission
 }
 
 var _ frontend.Dialect = (*Frontend)(nil)
@@ -162,8 +162,8 @@
 	}
 	if r, ok := m.DialectData.(*routedRequest); ok {
 		r.service.gate.note(func(g *admission.Gate) { g.RequestServed(d.Clock()) })
-		if d.OnAnswer != nil && r.tenant != nil {
-			d.OnAnswer(r.tenant.Name)
+		if d.OnResponse != nil && r.tenant != nil {
+			d.OnResponse(r.tenant.Name)
 		}
 	}
 	return responseHead(m, resp)
--- a/internal/node/startup.go
+++ b/internal/node/startup.go
@@ -129,7 +129,7 @@
 	go n.dataPlane.run(ctx)
 
 	meter := &usageMeter{meter: usage.Meter{WindowLength: seconds(b.UsageWindowS), Incarnation: rand.Uint64(), Zone: n.cfg.Zone}}
-	n.dataPlane.dialect.OnAnswer = meter.countRequest
+	n.dataPlane.dialect.OnResponse = meter.countRequest
 	if n.cfg.CloudAPI.Address != "" {
 		go n.reportLoop(ctx, meter)
 	}
