--- a/internal/dialect/explain.go
+++ b/internal/dialect/explain.go
@@ -14,7 +14,7 @@
 	Prefix   string                        `json:"path_prefix,omitempty"`
 	Type     fleetconfig.RouteType         `json:"route_type,omitempty"`
 	Tenant   string                        `json:"tenant,omitempty"`
-	Shares   []fleetconfig.WeightedService `json:"split,omitempty"`
+	Split    []fleetconfig.WeightedService `json:"split,omitempty"`
 	Service  string                        `json:"service,omitempty"` // of a split, this time's
 	Class    string                        `json:"class,omitempty"`
 	Session  bool                          `json:"session"` // known sessions go by the table, others are drawn
@@ -32,7 +32,7 @@
 	w, no := d.Route(req)
 	if no == nil {
 		r := w.DialectData.(*routedRequest)
-		x.Route, x.Host, x.Prefix, x.Type, x.Shares = r.route.Name, r.route.Hostname, r.route.PathPrefix, r.route.Type, r.route.Targets()
+		x.Route, x.Host, x.Prefix, x.Type, x.Split = r.route.Name, r.route.Hostname, r.route.PathPrefix, r.route.Type, r.route.Targets()
 		x.Service = w.Pool.Name
 		if r.tenant != nil {
 			x.Tenant = r.tenant.Name
