--- a/internal/dialect/explain.go
+++ b/internal/dialect/explain.go
@@ -8,19 +8,19 @@
 
 // Explanation is what would become of a request.
 type Explanation struct {
-	Revision uint64                        `json:"revision"`
-	Route    string                        `json:"route,omitempty"`
-	Host     string                        `json:"hostname,omitempty"`
-	Prefix   string                        `json:"path_prefix,omitempty"`
-	Type     fleetconfig.RouteType         `json:"route_type,omitempty"`
-	Tenant   string                        `json:"tenant,omitempty"`
-	Split    []fleetconfig.WeightedService `json:"split,omitempty"`
-	Service  string                        `json:"service,omitempty"` // of a split, this time's
-	Class    string                        `json:"class,omitempty"`
-	Session  bool                          `json:"session"` // known sessions go by the table, others are drawn
-	LeftMS   int64                         `json:"left_ms,omitempty"`
-	Status   int                           `json:"status,omitempty"` // it is refused with
-	Refused  string                        `json:"refused,omitempty"`
+	Revision    uint64                        `json:"revision"`
+	Route       string                        `json:"route,omitempty"`
+	Host        string                        `json:"hostname,omitempty"`
+	Prefix      string                        `json:"path_prefix,omitempty"`
+	Type        fleetconfig.RouteType         `json:"route_type,omitempty"`
+	Tenant      string                        `json:"tenant,omitempty"`
+	Split       []fleetconfig.WeightedService `json:"split,omitempty"`
+	Service     string                        `json:"service,omitempty"` // of a split, this time's
+	Class       string                        `json:"class,omitempty"`
+	Session     bool                          `json:"session"` // known sessions go by the table, others are drawn
+	RemainingMS int64                         `json:"left_ms,omitempty"`
+	Status      int                           `json:"status,omitempty"` // it is refused with
+	Refused     string                        `json:"refused,omitempty"`
 }
 
 // Explain says what would become of a request, by its head. Nothing is sent or kept.
@@ -39,7 +39,7 @@
 		}
 		m, refused := d.BuildRequest(req, &w, nil)
 		no = refused
-		x.Session, x.LeftMS = m.Policy.Session != 0, m.Policy.Timeout.Milliseconds()
+		x.Session, x.RemainingMS = m.Policy.Session != 0, m.Policy.Timeout.Milliseconds()
 		x.Class = ClassOf(r.route.Route).Name
 	}
 	if no != nil {
