--- a/internal/dialect/explain.go
+++ b/internal/dialect/explain.go
@@ -20,7 +20,7 @@
 	Session     bool                          `json:"session"` // known sessions go by the table, others are drawn
 	RemainingMS int64                         `json:"left_ms,omitempty"`
 	Status      int                           `json:"status,omitempty"` // it is refused with
-	Refused     string                        `json:"refused,omitempty"`
+	Reason      string                        `json:"refused,omitempty"`
 }
 
 // Explain says what would become of a request, by its head. Nothing is sent or kept.
@@ -43,7 +43,7 @@
 		x.Class = ClassOf(r.route.Route).Name
 	}
 	if no != nil {
-		x.Status, x.Refused = no.Status, no.Reason
+		x.Status, x.Reason = no.Status, no.Reason
 	}
 	return x
 }
