--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -21,8 +21,8 @@
 type State interface {
 	// Serving tells whether requests are wanted here, and why not otherwise.
 	Serving() (bool, string)
-	// Fail begins a drain, or goes on with the one that there is.
-	Fail()
+	// StartDrain begins a drain, or goes on with the one that there is.
+	StartDrain()
 	// OK ends a drain, if there is one. An error says why it cannot.
 	OK() error
 }
@@ -150,7 +150,7 @@
 	}
 	switch path {
 	case Path + "/fail":
-		s.State.Fail()
+		s.State.StartDrain()
 		return http.StatusOK, "draining"
 	case Path + "/ok":
 		if err := s.State.OK(); err != nil {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -27,7 +27,7 @@
 	defer s.mu.Unlock()
 	return !s.draining, "draining"
 }
-func (s *state) Fail() { s.mu.Lock(); s.draining = true; s.mu.Unlock() }
+func (s *state) StartDrain() { s.mu.Lock(); s.draining = true; s.mu.Unlock() }
 func (s *state) OK() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -90,9 +90,9 @@
 	return true, "ok"
 }
 
-// Fail implements admin.State. It starts a drain: readiness fails, connections are closed after their next response, and after
+// StartDrain implements admin.State. It starts a drain: readiness fails, connections are closed after their next response, and after
 // DrainIdleDelay idle connections are closed. Requests in flight and batch jobs go on.
-func (r *Router) Fail() {
+func (r *Router) StartDrain() {
 	r.ops.mu.Lock()
 	defer r.ops.mu.Unlock()
 	r.frontend.Drain()
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -64,8 +64,8 @@
 			roundTrip(t, used, readinessRequest)
 			idleClosed, usedClosed := closeTime(idle), closeTime(used)
 			began := time.Now()
-			r.Fail()
-			r.Fail()
+			r.StartDrain()
+			r.StartDrain()
 			if s := readinessStatus(t, listener); s != 503 {
 				t.Errorf("readiness %d during a drain", s)
 			}
@@ -103,7 +103,7 @@
 			t.Error("a connection was closed after the end of the drain")
 		default:
 		}
-		r.Fail()
+		r.StartDrain()
 		stop <- syscall.SIGTERM
 		synctest.Wait()
 		if err := r.OK(); err == nil {
