--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -23,8 +23,8 @@
 	Serving() (bool, string)
 	// StartDrain begins a drain, or goes on with the one that there is.
 	StartDrain()
-	// OK ends a drain, if there is one. An error says why it cannot.
-	OK() error
+	// StopDrain ends a drain, if there is one. An error says why it cannot.
+	StopDrain() error
 }
 
 // Path is where operators call.
@@ -153,7 +153,7 @@
 		s.State.StartDrain()
 		return http.StatusOK, "draining"
 	case Path + "/ok":
-		if err := s.State.OK(); err != nil {
+		if err := s.State.StopDrain(); err != nil {
 			return http.StatusConflict, err.Error()
 		}
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -28,7 +28,7 @@
 	return !s.draining, "draining"
 }
 func (s *state) StartDrain() { s.mu.Lock(); s.draining = true; s.mu.Unlock() }
-func (s *state) OK() error {
+func (s *state) StopDrain() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ending {
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -119,8 +119,8 @@
 
 var errStopping = errors.New("the process is shutting down; the drain cannot be undone")
 
-// OK implements admin.State. It ends the drain that Fail started.
-func (r *Router) OK() error {
+// StopDrain implements admin.State. It ends the drain that Fail started.
+func (r *Router) StopDrain() error {
 	r.ops.mu.Lock()
 	defer r.ops.mu.Unlock()
 	if r.ops.stopping.Load() {
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -88,10 +88,10 @@
 			if after := (<-closeTime(silent)).Sub(opened); after < r.cfg.Limits.NewConnGrace || after > time.Second {
 				t.Errorf("a silent connection was closed after %v", after)
 			}
-			if err := r.OK(); err != nil || readinessStatus(t, listener) != 200 {
+			if err := r.StopDrain(); err != nil || readinessStatus(t, listener) != 200 {
 				t.Errorf("OK: %v", err)
 			}
-			if err := r.OK(); err != nil || readinessStatus(t, listener) != 200 {
+			if err := r.StopDrain(); err != nil || readinessStatus(t, listener) != 200 {
 				t.Errorf("OK without a drain: %v", err)
 			}
 		}
@@ -106,7 +106,7 @@
 		r.StartDrain()
 		stop <- syscall.SIGTERM
 		synctest.Wait()
-		if err := r.OK(); err == nil {
+		if err := r.StopDrain(); err == nil {
 			t.Error("OK undid a drain by SIGTERM")
 		}
 		if err := <-done; err != nil {
