--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin is the address for operators: whether this process is ready, and the drain by call. It owns its callers'
-// connections, HTTP/1.1 with one call each, and nothing else; what a call asks for is the State's to do. A caller that
-// is slow costs a place among a bounded number and holds up nobody.
+// Package admin serves the operators' HTTP API of a process: a readiness check, and calls that start and stop a drain. A connection
+// carries one HTTP/1.1 request. The number of open connections is bounded, and a new one replaces the oldest, so that slow clients do
+// not block others. The State performs the calls.
 package admin
 
 import (
@@ -17,109 +17,112 @@
 	"notchhinge/internal/limits"
 )
 
-// State is what operators ask about and change. None of its methods may wait for traffic.
+// State is the state of the process that operators read and change. Its methods must not wait for traffic.
 type State interface {
-	// Serving tells whether requests are wanted here, and why not otherwise.
+	// Serving reports whether the process is ready for requests and, if it is not, the reason.
 	Serving() (bool, string)
-	// StartDrain begins a drain, or goes on with the one that there is.
+	// StartDrain starts a drain. It has no effect if one is in progress.
 	StartDrain()
-	// StopDrain ends a drain, if there is one. An error says why it cannot.
+	// StopDrain ends the drain, if one is in progress. The error states why the drain cannot end.
 	StopDrain() error
 }
 
-// Path is where operators call.
+// Path is the path of the readiness check and the prefix of the paths that start and stop a drain.
 const Path = "/healthcheck"
 
-// Server answers operators.
+// Server serves the operators' API.
 type Server struct {
 	State State
 
-	mu      sync.Mutex
-	callers []*caller // oldest first
+	mu    sync.Mutex
+	conns []*clientConn // oldest first
 }
 
-// caller is a connection whose call has not been answered.
-type caller struct {
+// clientConn is an open connection of a client.
+type clientConn struct {
 	net.Conn
-	once sync.Once
+	closeOnce sync.Once
 }
 
-func (c *caller) Close() (err error) {
-	c.once.Do(func() { err = c.Conn.Close() })
+// Close closes the connection on the first call and does nothing on later ones.
+func (c *clientConn) Close() (err error) {
+	c.closeOnce.Do(func() { err = c.Conn.Close() })
 	return err
 }
 
-// Serve takes callers until the listener is closed.
+// Serve accepts and serves connections until the listener is closed.
 func (s *Server) Serve(ln net.Listener) error {
 	for {
-		nc, err := ln.Accept()
+		accepted, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
-			time.Sleep(limits.AdminAcceptBackoff) // out of descriptors, or a caller that was gone at once
+			time.Sleep(limits.AdminAcceptBackoff) // out of file descriptors, or the client has disconnected already
 			continue
 		}
-		c := &caller{Conn: nc}
-		s.enter(c)
+		c := &clientConn{Conn: accepted}
+		s.addConn(c)
 		go func() {
-			defer s.leave(c)
-			s.serve(c)
+			defer s.removeConn(c)
+			s.serveConn(c)
 		}()
 	}
 }
 
-// enter gives a caller its place: that of the one that has waited for longest, if all are taken.
-func (s *Server) enter(c *caller) {
+// addConn adds a connection. At the limit of limits.AdminConns it closes the oldest one.
+func (s *Server) addConn(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.callers) >= limits.AdminConns {
-		_ = s.callers[0].Close() // its serve ends by it
-		s.callers = s.callers[1:]
+	if len(s.conns) >= limits.AdminConns {
+		_ = s.conns[0].Close() // its serveConn then returns
+		s.conns = s.conns[1:]
 	}
-	s.callers = append(s.callers, c)
+	s.conns = append(s.conns, c)
 }
 
-func (s *Server) leave(c *caller) {
-	_ = c.Close() // it was answered, or nobody is there
+// removeConn closes a connection and removes it from the list.
+func (s *Server) removeConn(c *clientConn) {
+	_ = c.Close() // the response was sent, or the client has disconnected
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, o := range s.callers {
-		if o == c {
-			s.callers = append(s.callers[:i:i], s.callers[i+1:]...)
+	for i, other := range s.conns {
+		if other == c {
+			s.conns = append(s.conns[:i:i], s.conns[i+1:]...)
 			return
 		}
 	}
 }
 
-// Callers tells how many calls are not answered yet.
-func (s *Server) Callers() int {
+// OpenConns returns the number of open connections.
+func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.callers)
+	return len(s.conns)
 }
 
-// serve takes one call in and answers it.
-func (s *Server) serve(c net.Conn) {
+// serveConn reads one request, performs it and writes the response.
+func (s *Server) serveConn(c net.Conn) {
 	c.SetDeadline(time.Now().Add(limits.AdminTimeout))
-	status, says := s.read(c)
+	status, body := s.serveRequest(c)
 	if status == 0 {
-		return // nobody is there to be told
+		return // the client sent no complete request
 	}
 	allow := ""
 	if status == http.StatusMethodNotAllowed {
-		allow = "Allow: " + says + "\r\n"
-		says = "only " + says + " is served here"
+		allow = "Allow: " + body + "\r\n"
+		body = "only " + body + " is served here"
 	}
 	fmt.Fprintf(c, "HTTP/1.1 %d %s\r\n%sConnection: close\r\nContent-Type: text/plain; charset=utf-8\r\nContent-Length: %d\r\n\r\n%s\n",
-		status, http.StatusText(status), allow, len(says)+1, says)
+		status, http.StatusText(status), allow, len(body)+1, body)
 	if w, ok := c.(interface{ CloseWrite() error }); ok {
-		_ = w.CloseWrite() // a close on unread bytes would reset the answer
+		_ = w.CloseWrite() // closing a connection with unread bytes would reset it before the client has read the response
 	}
 }
 
-// read reads a call and does it.
-func (s *Server) read(c net.Conn) (status int, says string) {
+// serveRequest reads a request and performs it. A status of 0 means that no complete request arrived. With status 405, body is the
+// allowed method.
+func (s *Server) serveRequest(c net.Conn) (status int, body string) {
 	br := bufio.NewReaderSize(c, limits.AdminHeadBytes)
 	head, err := framing.PeekHead(br)
 	switch {
@@ -136,17 +139,17 @@
 	if err != nil {
 		return http.StatusBadRequest, "the head is malformed"
 	}
-	return s.call(req.Method, req.URL.Path)
+	return s.perform(req.Method, req.URL.Path)
 }
 
-// call does a call. With 405, says is the one method that is served.
-func (s *Server) call(method, path string) (status int, says string) {
-	wants := map[string]string{Path: http.MethodGet, Path + "/fail": http.MethodPost, Path + "/ok": http.MethodPost}[path]
+// perform performs a call. With status 405, body is the allowed method.
+func (s *Server) perform(method, path string) (status int, body string) {
+	allowed := map[string]string{Path: http.MethodGet, Path + "/fail": http.MethodPost, Path + "/ok": http.MethodPost}[path]
 	switch {
-	case wants == "":
+	case allowed == "":
 		return http.StatusNotFound, "no such path"
-	case method != wants:
-		return http.StatusMethodNotAllowed, wants
+	case method != allowed:
+		return http.StatusMethodNotAllowed, allowed
 	}
 	switch path {
 	case Path + "/fail":
@@ -157,8 +160,8 @@
 			return http.StatusConflict, err.Error()
 		}
 	}
-	if ok, why := s.State.Serving(); !ok && path == Path {
-		return http.StatusServiceUnavailable, why
+	if ready, reason := s.State.Serving(); !ready && path == Path {
+		return http.StatusServiceUnavailable, reason
 	}
 	return http.StatusOK, "ok"
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -15,7 +15,7 @@
 	"notchhinge/internal/limits"
 )
 
-// state is a router as operators see it.
+// state is a State of which the test sets the fields.
 type state struct {
 	mu       sync.Mutex
 	draining bool
@@ -38,6 +38,7 @@
 	return nil
 }
 
+// listener is an in-memory net.Listener.
 type listener struct{ conns chan net.Conn }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -55,7 +56,7 @@
 	return near
 }
 
-// call makes a call and returns its status and head.
+// call sends a request on a new connection and returns the head of the response.
 func call(t *testing.T, l *listener, text string) *http.Response {
 	t.Helper()
 	c := l.dial()
@@ -67,12 +68,12 @@
 	}
 	io.Copy(io.Discard, r.Body)
 	if !r.Close {
-		t.Errorf("%.40q: the connection is to go on", text)
+		t.Errorf("%.40q: the response does not announce that the connection closes", text)
 	}
 	return r
 }
 
-func TestCalls(t *testing.T) {
+func TestStatusOfHealthCheckCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st, l := &state{}, &listener{make(chan net.Conn)}
 		s := &Server{State: st}
@@ -96,9 +97,9 @@
 			{"GET /", 404},
 		} {
 			if r := call(t, l, c.call+" HTTP/1.1\r\nHost: x\r\n\r\n"); r.StatusCode != c.status {
-				t.Errorf("%s: %d, %d is wanted", c.call, r.StatusCode, c.status)
+				t.Errorf("%s: status %d, want %d", c.call, r.StatusCode, c.status)
 			} else if c.status == 405 && r.Header.Get("Allow") == "" {
-				t.Errorf("%s: no Allow", c.call)
+				t.Errorf("%s: no Allow header", c.call)
 			}
 		}
 		st.ending = true
@@ -109,39 +110,39 @@
 			"GET /healthcheck\r\n\r\n": 400,
 		} {
 			if r := call(t, l, text); r.StatusCode != status {
-				t.Errorf("%.60q: %d, %d is wanted", text, r.StatusCode, status)
+				t.Errorf("%.60q: status %d, want %d", text, r.StatusCode, status)
 			}
 		}
 	})
 }
 
-func TestSlowCallersHoldUpNobody(t *testing.T) {
+func TestSlowClientsDoNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &listener{make(chan net.Conn)}
 		s := &Server{State: &state{}}
 		go func() { _ = s.Serve(l) }()
 		defer l.Close()
 		var slow []net.Conn
-		for range 3 * limits.AdminConns { // far more than there are places for
+		for range 3 * limits.AdminConns { // more than the limit
 			c := l.dial()
 			slow = append(slow, c)
 			go io.WriteString(c, "GET /heal")
 		}
 		began := time.Now()
 		if r := call(t, l, "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n"); r.StatusCode != 200 {
-			t.Errorf("%d", r.StatusCode)
+			t.Errorf("status %d beside slow clients", r.StatusCode)
 		}
 		if d := time.Since(began); d > 0 {
-			t.Errorf("a good call took %v", d)
+			t.Errorf("a call beside slow clients took %v", d)
 		}
 		synctest.Wait()
-		if n := s.Callers(); n > limits.AdminConns {
-			t.Errorf("%d callers are kept", n)
+		if n := s.OpenConns(); n > limits.AdminConns {
+			t.Errorf("%d connections are open", n)
 		}
 		time.Sleep(limits.AdminTimeout)
 		synctest.Wait()
-		if n := s.Callers(); n != 0 {
-			t.Errorf("%d callers are kept after %v of silence", n, limits.AdminTimeout)
+		if n := s.OpenConns(); n != 0 {
+			t.Errorf("%d connections are open after %v of silence", n, limits.AdminTimeout)
 		}
 		for _, c := range slow {
 			c.Close()
--- a/internal/hotrestart/claim.go
+++ b/internal/hotrestart/claim.go
@@ -13,37 +13,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// Role is what a process is to its address.
+// Role is the role of a process for an address.
 type Role int
 
-// The roles.
+// The roles of a process.
 const (
-	RoleOwner     Role = iota // serves, alone or beside its successor
-	RoleSuccessor             // takes over from an owner that runs
+	RoleOwner     Role = iota // serves the address, alone or beside its successor
+	RoleSuccessor             // takes over when the running owner ends
 )
 
-// ErrAddressTaken is returned to a third process.
+// ErrAddressTaken is the error for a process that finds both an owner and a successor.
 var ErrAddressTaken = errors.New("the address has an owner and a successor already")
 
-// SuccessorState is what an owner sees of its successor.
+// SuccessorState is the state of the successor as observed by the owner.
 type SuccessorState int
 
 // The states of a successor.
 const (
 	SuccessorNone     SuccessorState = iota
-	SuccessorStarting                // it prepares itself
-	SuccessorReady                   // it takes new connections
+	SuccessorStarting                // not ready for connections yet
+	SuccessorReady                   // accepts new connections
 )
 
-// What a successor writes into the file of its lock.
+// Contents of the successor's lock file. Both have the same length, so that the later one overwrites the earlier one.
 const (
 	markStarting = "coming"
 	markReady    = "ready "
 )
 
-// Claim is a process's claim to an address. It is safe for concurrent use.
+// Claim is the claim of a process to an address. It is safe for concurrent use.
 type Claim struct {
-	statePath string // of the state that an owner leaves to its successor
+	statePath string // file with the state that an owner leaves to its successor
 
 	mu            sync.Mutex
 	ownerLock     *os.File // locked by the owner
@@ -51,7 +51,8 @@
 	role          Role
 }
 
-// Acquire claims an address: as its owner, else as its successor. If it has both, the error is ErrAddressTaken.
+// Acquire claims an address as its owner or, if it has an owner, as the successor. If it has both, the error is ErrAddressTaken. The
+// lock files are in dir.
 func Acquire(dir, address string) (*Claim, error) {
 	name := filepath.Join(dir, "notchhinge-"+strings.NewReplacer(":", "_", "/", "_").Replace(address))
 	c := &Claim{statePath: name + ".state"}
@@ -60,7 +61,7 @@
 		return nil, fmt.Errorf("hot restart: %w", err)
 	}
 	if c.successorLock, err = os.OpenFile(name+".heir", os.O_RDWR|os.O_CREATE, 0o600); err != nil {
-		_ = c.ownerLock.Close() // nothing was written to it
+		_ = c.ownerLock.Close() // nothing was written to the file
 		return nil, fmt.Errorf("hot restart: %w", err)
 	}
 	if err := c.chooseRole(address); err != nil {
@@ -70,20 +71,20 @@
 	return c, nil
 }
 
-// chooseRole takes the first lock that is free.
+// chooseRole locks the first file that is not locked, and sets the role accordingly.
 func (c *Claim) chooseRole(address string) error {
-	free, err := tryLock(c.ownerLock)
-	if err != nil || free {
+	locked, err := tryLock(c.ownerLock)
+	if err != nil || locked {
 		return err
 	}
 	c.role = RoleSuccessor
-	if free, err = tryLock(c.successorLock); err != nil {
+	if locked, err = tryLock(c.successorLock); err != nil {
 		return err
 	}
-	if !free {
+	if !locked {
 		return fmt.Errorf("hot restart: %s: %w", address, ErrAddressTaken)
 	}
-	// The state that was left to an earlier successor must be gone before the owner sees this one.
+	// The state for an earlier successor must be removed before the owner detects this one and writes new state.
 	if err := os.Remove(c.statePath); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
@@ -91,10 +92,10 @@
 	return err
 }
 
-// wholeFileLock is a lock on a whole file that belongs to the open file, not to the process.
-func wholeFileLock(kind int16) *unix.Flock_t { return &unix.Flock_t{Type: kind} }
+// wholeFileLock returns the parameters of a lock on a whole file, for use with the commands for open file description locks (F_OFD).
+func wholeFileLock(lockType int16) *unix.Flock_t { return &unix.Flock_t{Type: lockType} }
 
-// tryLock locks a file and reports whether it was free.
+// tryLock tries to lock a file without waiting and reports whether it succeeded.
 func tryLock(f *os.File) (bool, error) {
 	err := unix.FcntlFlock(f.Fd(), unix.F_OFD_SETLK, wholeFileLock(unix.F_WRLCK))
 	if errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EACCES) {
@@ -106,21 +107,21 @@
 	return true, nil
 }
 
-// isLocked reports whether another process has locked a file. It takes no lock itself, which could be in the way of a process
-// that starts at that moment.
+// isLocked reports whether another process has locked a file. It does not try to lock the file, since that could make the attempt of
+// a starting process fail.
 func isLocked(f *os.File) bool {
-	l := wholeFileLock(unix.F_WRLCK)
-	return unix.FcntlFlock(f.Fd(), unix.F_OFD_GETLK, l) == nil && l.Type != unix.F_UNLCK
+	lock := wholeFileLock(unix.F_WRLCK)
+	return unix.FcntlFlock(f.Fd(), unix.F_OFD_GETLK, lock) == nil && lock.Type != unix.F_UNLCK
 }
 
-// Role returns what the process is at present.
+// Role returns the current role of the process.
 func (c *Claim) Role() Role {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.role
 }
 
-// AnnounceReady has a successor announce that it is ready. An owner announces nothing.
+// AnnounceReady announces to the owner that this successor accepts connections. It does nothing if the process is the owner.
 func (c *Claim) AnnounceReady() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// Successor returns what an owner sees of its successor.
+// Successor returns the state of the successor; SuccessorNone if the process is not the owner.
 func (c *Claim) Successor() SuccessorState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,17 +142,17 @@
 		return SuccessorNone
 	}
 	b := make([]byte, len(markReady))
-	n, _ := c.successorLock.ReadAt(b, 0) // io.EOF with the shorter mark
+	n, _ := c.successorLock.ReadAt(b, 0) // a short file ends with io.EOF
 	switch string(b[:n]) {
 	case markReady:
 		return SuccessorReady
 	case markStarting:
 		return SuccessorStarting
 	}
-	return SuccessorNone // it has announced nothing yet
+	return SuccessorNone // the successor has not written its state yet
 }
 
-// WriteState leaves an owner's state to its successor, complete or not at all.
+// WriteState writes the state that an owner leaves to its successor. The file appears atomically.
 func (c *Claim) WriteState(b []byte) error {
 	part := c.statePath + ".part"
 	if err := os.WriteFile(part, b, 0o600); err != nil {
@@ -163,43 +164,43 @@
 	return nil
 }
 
-// TakeState returns and removes the state that the owner has left to this successor; ok is false if there is none.
+// TakeState returns and removes the state that the owner has written for this successor; ok is false if there is none.
 func (c *Claim) TakeState() (state []byte, ok bool) {
-	b, err := os.ReadFile(c.statePath)
+	state, err := os.ReadFile(c.statePath)
 	if err != nil {
 		return nil, false
 	}
-	_ = os.Remove(c.statePath) // the next owner writes it anew
-	return b, true
+	_ = os.Remove(c.statePath) // a file that remains is replaced by the next owner
+	return state, true
 }
 
-// TryTakeOver makes a successor the owner, if the owner has ended, and reports whether the process is the owner.
+// TryTakeOver makes a successor the owner if the previous owner has ended. It reports whether the process is the owner now.
 func (c *Claim) TryTakeOver() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.role == RoleOwner {
 		return true
 	}
-	if free, err := tryLock(c.ownerLock); err != nil || !free {
+	if locked, err := tryLock(c.ownerLock); err != nil || !locked {
 		return false
 	}
 	c.role = RoleOwner
-	_ = c.successorLock.Truncate(0)                                                          // its content counts only while it is locked
-	_ = unix.FcntlFlock(c.successorLock.Fd(), unix.F_OFD_SETLK, wholeFileLock(unix.F_UNLCK)) // of a lock that this process holds
+	_ = c.successorLock.Truncate(0)                                                          // the content is valid only while the file is locked
+	_ = unix.FcntlFlock(c.successorLock.Fd(), unix.F_OFD_SETLK, wholeFileLock(unix.F_UNLCK)) // releasing a lock that this process holds
 	return true
 }
 
-// Watch calls onSuccessor with what an owner sees of its successor, whenever that changes, and onTakeOver when a successor has
-// become the owner. It looks at an interval and returns when the context is done.
+// Watch polls the claim at an interval until the context is done. It calls onSuccessor when the state of an owner's successor has
+// changed, and onTakeOver when a successor has become the owner.
 func (c *Claim) Watch(ctx context.Context, interval time.Duration, onSuccessor func(SuccessorState), onTakeOver func()) {
 	last := SuccessorNone
-	tick := time.NewTicker(interval)
-	defer tick.Stop()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		if c.Role() == RoleSuccessor {
 			if c.TryTakeOver() {
@@ -207,14 +208,14 @@
 			}
 			continue
 		}
-		if now := c.Successor(); now != last {
-			last = now
-			onSuccessor(now)
+		if state := c.Successor(); state != last {
+			last = state
+			onSuccessor(state)
 		}
 	}
 }
 
-// Close gives the claim up. The locks are released with the files.
+// Close releases the claim. Closing the files releases their locks.
 func (c *Claim) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/hotrestart/claim_test.go
+++ b/internal/hotrestart/claim_test.go
@@ -52,7 +52,7 @@
 	}
 	wantSuccessor(t, owner, SuccessorStarting)
 	if successor.TryTakeOver() {
-		t.Error("a third process has changed something")
+		t.Error("the successor took over from a running owner after a third process was rejected")
 	}
 	other, err := Acquire(dir, "127.0.0.1:5001")
 	if err != nil {
@@ -70,17 +70,17 @@
 	}
 	successor := acquire(t, dir)
 	if b, ok := successor.TakeState(); ok {
-		t.Errorf("%q was left for another successor", b)
+		t.Errorf("state %q, written before this successor started", b)
 	}
-	if err := errors.Join(owner.WriteState([]byte("what I know")), successor.AnnounceReady()); err != nil {
+	if err := errors.Join(owner.WriteState([]byte("state of the owner")), successor.AnnounceReady()); err != nil {
 		t.Fatal(err)
 	}
-	if b, ok := successor.TakeState(); !ok || string(b) != "what I know" {
-		t.Errorf("%q, %v", b, ok)
+	if b, ok := successor.TakeState(); !ok || string(b) != "state of the owner" {
+		t.Errorf("state %q, %v", b, ok)
 	}
 	wantSuccessor(t, owner, SuccessorReady)
 	if successor.TryTakeOver() {
-		t.Error("the successor has taken over from an owner that runs")
+		t.Error("the successor took over from a running owner")
 	}
 }
 
@@ -90,14 +90,14 @@
 	if err := successor.AnnounceReady(); err != nil {
 		t.Fatal(err)
 	}
-	// A successor that ends leaves the address to the owner, and the next one has announced nothing yet.
+	// After a successor has ended, its announcement must not count for the next successor.
 	successor.Close()
 	wantSuccessor(t, owner, SuccessorNone)
 	successor = acquire(t, dir)
 	wantSuccessor(t, owner, SuccessorStarting)
 	owner.Close()
 	if !successor.TryTakeOver() {
-		t.Error("no takeover once the owner has ended")
+		t.Error("no takeover after the owner ended")
 	}
 	wantRole(t, successor, RoleOwner)
 	wantSuccessor(t, successor, SuccessorNone)
@@ -136,11 +136,11 @@
 
 func TestMissingDirectoryIsAnError(t *testing.T) {
 	if _, err := Acquire(t.TempDir()+"/none", address); err == nil || errors.Is(err, ErrAddressTaken) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want one of the file system", err)
 	}
 }
 
-// TestMain lets the test's program be a process that holds an address until it is killed.
+// TestMain runs the test binary as a process that holds an address until it is killed, if SUCCESSION_HOLD names a directory.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("SUCCESSION_HOLD"); dir != "" {
 		c, err := Acquire(dir, address)
@@ -172,9 +172,9 @@
 	if err := c.Process.Kill(); err != nil {
 		t.Fatal(err)
 	}
-	_ = c.Wait() // with "killed"
+	_ = c.Wait() // the error is "signal: killed"
 	if !other.TryTakeOver() {
-		t.Error("a killed process holds the address")
+		t.Error("a killed process still holds the address")
 	}
 }
 
@@ -189,7 +189,7 @@
 		t.Fatal(err)
 	}
 	defer second.Close()
-	isPreferred := err == nil // not every kernel can
+	isPreferred := err == nil // not all kernels support it
 	if ln, err := net.Listen("tcp", first.Addr().String()); err == nil {
 		ln.Close()
 		t.Error("a listener without SO_REUSEPORT shares the address")
@@ -224,7 +224,7 @@
 	first.Close()
 	for range 20 {
 		if got := dial(); got != "second" {
-			t.Fatalf("once the first has closed a connection reached %q", got)
+			t.Fatalf("a connection reached %q after the first listener was closed", got)
 		}
 	}
 }
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -7,7 +7,7 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// TestGoldenFiles: two processes of different versions find each other by the names of files and by the content of one.
+// TestGoldenFiles: processes of different versions must agree on the names and contents of the files.
 func TestGoldenFiles(t *testing.T) {
 	dir := t.TempDir()
 	var claims []*Claim
@@ -34,10 +34,10 @@
 		}
 		return all
 	}
-	golden.Equal(t, "files at first", map[string]string{"notchhinge-127.0.0.1_8080.owner": "", "notchhinge-127.0.0.1_8080.heir": "coming"}, files())
+	golden.Equal(t, "files after two claims", map[string]string{"notchhinge-127.0.0.1_8080.owner": "", "notchhinge-127.0.0.1_8080.heir": "coming"}, files())
 	if err := claims[1].AnnounceReady(); err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "files then", map[string]string{"notchhinge-127.0.0.1_8080.owner": "", "notchhinge-127.0.0.1_8080.heir": "ready "}, files())
-	golden.Equal(t, "the file of what is handed over", dir+"/notchhinge-127.0.0.1_8080.state", claims[1].statePath)
+	golden.Equal(t, "files after AnnounceReady", map[string]string{"notchhinge-127.0.0.1_8080.owner": "", "notchhinge-127.0.0.1_8080.heir": "ready "}, files())
+	golden.Equal(t, "path of the state file", dir+"/notchhinge-127.0.0.1_8080.state", claims[1].statePath)
 }
