--- a/internal/batch/attempt.go
+++ b/internal/batch/attempt.go
@@ -13,34 +13,35 @@
 	"notchhinge/policy"
 )
 
-// attempt is one request made for an item: the client that packages dispatch and upstream see.
+// attempt is one request for an item. Packages dispatch and upstream use it as the client.
 type attempt struct {
 	service     *Service
 	item        *item
 	request     upstream.Request
 	response    collector
-	isRetrySafe bool // the item may be run again from its start
+	isRetrySafe bool // the item may be run more than once
 }
 
-// attemptResult is the end of an attempt.
+// attemptResult describes how an attempt ended.
 type attemptResult struct {
 	kind         resultKind
-	retryAfter   time.Duration   // of resultRejected; 0 if none was given
+	retryAfter   time.Duration   // of resultRejected; 0 = not specified
 	code, reason string          // of resultFailed
 	body         json.RawMessage // of resultServed
 }
 
-// resultKind says how an attempt ended.
+// resultKind is the kind of an attemptResult.
 type resultKind int
 
-// The ends of an attempt.
+// The kinds of results.
 const (
-	resultServed   resultKind = iota
-	resultRejected            // retried after a delay
-	resultFailed              // the item fails with it
-	resultBroken              // an incomplete stream of an item that may be run again; retried as well
+	resultServed   resultKind = iota // the response is complete
+	resultRejected                   // the item is retried after a delay
+	resultFailed                     // the item fails
+	resultBroken                     // the response is incomplete; the item is retried, since it may be run again
 )
 
+// newAttempt returns an attempt at an item, with a new call ID.
 func newAttempt(s *Service, it *item) *attempt {
 	return &attempt{
 		service: s, item: it, isRetrySafe: it.class.Effect == policy.EffectSafe, response: collector{maxBytes: s.limits.BatchResponseBytes},
@@ -54,7 +55,7 @@
 // UpstreamRequest implements upstream.Downstream.
 func (a *attempt) UpstreamRequest() *upstream.Request { return &a.request }
 
-// WriteBody implements upstream.Downstream: it collects the events of the response.
+// WriteBody implements upstream.Downstream. It collects the events of the response.
 func (a *attempt) WriteBody(events []byte) error {
 	err := a.response.add(events)
 	if errors.Is(err, errResponseTooLong) {
@@ -63,7 +64,7 @@
 	return err
 }
 
-// Finish implements upstream.Downstream.
+// Finish implements upstream.Downstream. It ends the attempt as served, broken or failed.
 func (a *attempt) Finish(complete bool) error {
 	switch {
 	case complete:
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// Reject ends the attempt without a response: the dispatcher has rejected the request or given it up.
+// Reject ends the attempt without a response, because the dispatcher rejected or abandoned the request.
 func (a *attempt) Reject(verdict dispatch.Verdict, retryAfter time.Duration) {
 	if verdict != dispatch.VerdictRejected {
 		a.service.finishAttempt(a, attemptResult{kind: resultFailed, code: "timed_out", reason: "not served in time"})
@@ -85,14 +86,14 @@
 	a.service.finishAttempt(a, attemptResult{kind: resultRejected, retryAfter: retryAfter})
 }
 
-// finishAttempt handles the first end of an attempt: it records the item's outcome or schedules a retry. Later ends, and those of
-// withdrawn attempts, are ignored.
+// finishAttempt records the item's outcome or schedules a retry when an attempt ends. It ignores further calls for the same attempt, and
+// calls for withdrawn attempts.
 func (s *Service) finishAttempt(a *attempt, result attemptResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	it := a.item
 	if it.attempt != a {
-		return // withdrawn, or it has ended before
+		return // withdrawn or already finished
 	}
 	it.attempt = nil
 	t := it.job.team
@@ -110,7 +111,7 @@
 			Error: &OutcomeError{result.code, result.reason},
 		})
 	case resultRejected:
-		t.window = max(t.window/2, 1) // rejected items must not return at the same rate
+		t.window = max(t.window/2, 1) // so that the team's retries put less load on the engines
 		s.retry(it, result.retryAfter)
 	case resultBroken:
 		s.retry(it, 0)
@@ -118,7 +119,7 @@
 	s.wakeScheduler()
 }
 
-// retry schedules the next attempt at an item after a delay, by default limits.BatchRetryDelay. An item whose deadline comes first
+// retry schedules the next attempt at an item after a delay; 0 means limits.BatchRetryDelay. If the item's deadline comes first, the item
 // gets its outcome at once.
 func (s *Service) retry(it *item, delay time.Duration) {
 	if delay <= 0 {
--- a/internal/batch/batches.go
+++ b/internal/batch/batches.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// postBatch creates a batch of an uploaded file.
+// postBatch creates a batch from an uploaded file.
 func (s *Service) postBatch(t *team, w http.ResponseWriter, r *http.Request) error {
 	var in struct {
 		InputFileID      string            `json:"input_file_id"`
@@ -19,16 +19,16 @@
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.limits.BatchMessageBytes))
 	if err != nil {
-		return &apiError{status: http.StatusRequestEntityTooLarge, code: "too_large", message: "the message is too large"}
+		return &apiError{status: http.StatusRequestEntityTooLarge, code: "too_large", message: "the request body is too large"}
 	}
 	if err := json.Unmarshal(body, &in); err != nil {
-		return invalidValue("", "the message is not JSON of this form: %v", err)
+		return invalidValue("", "the request body is not valid JSON for this call: %v", err)
 	}
 	if in.Endpoint != endpoint {
 		return invalidValue("endpoint", "only %s is served", endpoint)
 	}
 	if in.CompletionWindow != "" && in.CompletionWindow != "24h" {
-		return invalidValue("completion_window", "only 24h is known; the contract's line deadline is what binds")
+		return invalidValue("completion_window", "only 24h is accepted; the line deadline of the contract applies")
 	}
 	id, ok := strings.CutPrefix(in.InputFileID, filePrefix)
 	if !ok {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// getBatch serves a batch's object.
+// getBatch serves a batch object.
 func (s *Service) getBatch(t *team, w http.ResponseWriter, r *http.Request) error {
 	j, err := s.findBatch(t, r)
 	if err == nil {
@@ -51,7 +51,7 @@
 	return err
 }
 
-// listBatches serves all batches of a team, the newest first.
+// listBatches serves the batch objects of a team, newest first.
 func (s *Service) listBatches(t *team, w http.ResponseWriter, r *http.Request) error {
 	s.mu.Lock()
 	jobs := make([]*job, 0, len(t.jobs))
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// findBatch returns the job that a call's path names.
+// findBatch returns the team's job with the ID in the path of a call.
 func (s *Service) findBatch(t *team, r *http.Request) (*job, error) {
 	id, ok := strings.CutPrefix(r.PathValue("id"), batchPrefix)
 	s.mu.Lock()
@@ -92,11 +92,11 @@
 	return nil, &apiError{status: http.StatusNotFound, code: "no_such_batch", message: "no such batch"}
 }
 
-// batchObject returns a batch as an object of the public API.
+// batchObject returns the API object of a batch.
 func (s *Service) batchObject(j *job) map[string]any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	stamp := func(t time.Time) any {
+	unixOrNull := func(t time.Time) any {
 		if t.IsZero() {
 			return nil
 		}
@@ -106,7 +106,7 @@
 		"id": batchPrefix + j.record.ID, "object": "batch", "endpoint": endpoint, "completion_window": "24h",
 		"input_file_id": filePrefix + j.record.FileID, "output_file_id": nil, "error_file_id": nil, "errors": nil,
 		"status": j.status(), "created_at": j.record.Created.Unix(), "completed_at": nil,
-		"cancelling_at": stamp(j.record.Cancelled), "cancelled_at": nil, "metadata": j.record.Metadata, "class": j.record.Class,
+		"cancelling_at": unixOrNull(j.record.Cancelled), "cancelled_at": nil, "metadata": j.record.Metadata, "class": j.record.Class,
 		"request_counts": map[string]int{
 			"total": j.file.Lines, "completed": j.counts[outcomeServed], "failed": j.counts[outcomeRefused] + j.counts[outcomeFailed],
 		},
@@ -115,9 +115,9 @@
 	if !j.record.Ended.IsZero() {
 		o["output_file_id"] = filePrefix + j.record.FileID + resultSuffix
 		if j.record.Cancelled.IsZero() {
-			o["completed_at"] = stamp(j.record.Ended)
+			o["completed_at"] = unixOrNull(j.record.Ended)
 		} else {
-			o["cancelled_at"] = stamp(j.record.Ended)
+			o["cancelled_at"] = unixOrNull(j.record.Ended)
 		}
 	}
 	if j.err != nil {
--- a/internal/batch/completion.go
+++ b/internal/batch/completion.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// collector assembles the events of a stream into one response.
+// collector assembles the events of a stream into one chat completion.
 type collector struct {
 	id, model, finish string
 	created           int64
@@ -18,7 +18,7 @@
 
 var errResponseTooLong = errors.New("the answer is too long")
 
-// add takes complete events. It returns errResponseTooLong when the text is longer than maxBytes.
+// add adds complete events. It returns errResponseTooLong if the text exceeds maxBytes.
 func (c *collector) add(events []byte) error {
 	for part := range bytes.SplitSeq(events, []byte("\n")) {
 		data, ok := bytes.CutPrefix(bytes.TrimRight(part, "\r"), []byte("data:"))
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// completion returns the complete response as an object of the public API.
+// completion returns the chat completion as JSON.
 func (c *collector) completion() json.RawMessage {
 	type message struct {
 		Role    string `json:"role"`
@@ -64,7 +64,7 @@
 		Message      message `json:"message"`
 		FinishReason string  `json:"finish_reason"`
 	}
-	b, _ := json.Marshal(struct { // strings and raw JSON that was decoded before: it cannot fail
+	b, _ := json.Marshal(struct { // cannot fail: strings and raw JSON that was decoded before
 		ID      string          `json:"id,omitempty"`
 		Object  string          `json:"object"`
 		Created int64           `json:"created,omitempty"`
--- a/internal/batch/config.go
+++ b/internal/batch/config.go
@@ -27,7 +27,7 @@
 		return nil, fmt.Errorf("%s: %s is not a key of this file", path, extra[0])
 	}
 	if c.Listen == "" || c.Spool == "" || len(c.Contracts) == 0 {
-		return nil, fmt.Errorf("%s: listen, spool and one contract at least are needed", path)
+		return nil, fmt.Errorf("%s: listen, spool and at least one contract are required", path)
 	}
 	dir := filepath.Dir(path)
 	c.Spool = resolvePath(dir, c.Spool)
@@ -42,8 +42,8 @@
 	return &c, nil
 }
 
-// Validate reads the contracts' keys from the environment and their schemas from disk, and checks all values. classes are those that
-// contracts may name; nil where they are checked elsewhere.
+// Validate reads the contracts' keys from the environment and their schemas from disk, and checks all values. classes has the names of
+// the classes that contracts may use; nil skips that check.
 func (c *Config) Validate(classes map[string]int, getenv func(string) string) error {
 	var err error
 	teams, keys := map[string]bool{}, map[string]bool{}
@@ -54,7 +54,7 @@
 			return fmt.Errorf("contract %q: %w", k.Team, err)
 		}
 		if teams[k.Team] || keys[k.key] {
-			return fmt.Errorf("contract %q: its team or its key is another's too", k.Team)
+			return fmt.Errorf("contract %q: its team or key is the same as another's", k.Team)
 		}
 		teams[k.Team], keys[k.key] = true, true
 		if k.OpenAPI != "" {
@@ -69,11 +69,11 @@
 	return nil
 }
 
-// MaxOpenFiles returns how many files the jobs of all teams may keep open, uploads included.
+// MaxOpenFiles returns the largest number of files that the jobs and uploads of all teams keep open.
 func (c *Config) MaxOpenFiles() int {
 	n := 0
 	for _, k := range c.Contracts {
-		n += 2*k.MaxConcurrent + 2 // at worst each item in flight is of another job, which has two files open
+		n += 2*k.MaxConcurrent + 2 // in the worst case, each item in flight belongs to a different job, which has two open files
 	}
 	return n
 }
--- a/internal/batch/files.go
+++ b/internal/batch/files.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// postFile stores the upload of a form with the parts purpose and file, in either order.
+// postFile stores an upload. The form has the parts purpose and file, in any order.
 func (s *Service) postFile(t *team, w http.ResponseWriter, r *http.Request) error {
 	r.Body = http.MaxBytesReader(w, r.Body, s.limits.BatchFileBytes+s.limits.BatchMessageBytes)
 	form, err := r.MultipartReader()
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// getFile serves a file's object.
+// getFile serves a file object.
 func (s *Service) getFile(t *team, w http.ResponseWriter, r *http.Request) error {
 	rec, _, err := s.findFile(t, r.PathValue("id"))
 	if err != nil {
@@ -84,24 +84,24 @@
 	return nil
 }
 
-// findFile returns the record and the path of an input or result file by its id in the API.
-func (s *Service) findFile(t *team, public string) (rec fileRecord, path string, err error) {
-	none := &apiError{status: http.StatusNotFound, code: "no_such_file", message: "no such file"}
-	id, ok := strings.CutPrefix(public, filePrefix)
+// findFile returns the record and the path of an input or result file by its ID in the API.
+func (s *Service) findFile(t *team, publicID string) (rec fileRecord, path string, err error) {
+	notFound := &apiError{status: http.StatusNotFound, code: "no_such_file", message: "no such file"}
+	id, ok := strings.CutPrefix(publicID, filePrefix)
 	id, isResult := strings.CutSuffix(id, resultSuffix)
-	home := filepath.Join(s.cfg.Spool, t.Team, id)
-	if !ok || !isPlainName(id) || readJSON(filepath.Join(home, fileName), &rec) != nil {
-		return rec, "", none
+	dir := filepath.Join(s.cfg.Spool, t.Team, id)
+	if !ok || !isPlainName(id) || readJSON(filepath.Join(dir, fileName), &rec) != nil {
+		return rec, "", notFound
 	}
-	path = filepath.Join(home, inputName)
+	path = filepath.Join(dir, inputName)
 	if isResult {
-		path = filepath.Join(home, resultName)
+		path = filepath.Join(dir, resultName)
 		rec.ID += resultSuffix
 		rec.Name = "result-" + rec.Name
 	}
 	info, err := os.Stat(path)
 	if err != nil {
-		return rec, "", none
+		return rec, "", notFound
 	}
 	if isResult {
 		rec.Bytes, rec.Uploaded, rec.Tokens = info.Size(), info.ModTime(), 0
@@ -109,7 +109,7 @@
 	return rec, path, nil
 }
 
-// fileObject returns a file as an object of the public API.
+// fileObject returns the API object of a file.
 func fileObject(rec fileRecord) map[string]any {
 	return map[string]any{
 		"id": filePrefix + rec.ID, "object": "file", "purpose": "batch", "filename": rec.Name, "bytes": rec.Bytes,
--- a/internal/batch/golden_test.go
+++ b/internal/batch/golden_test.go
@@ -13,13 +13,13 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// goldenSpool makes a spool with a completed job, one with some outcomes, a cancelled one and a file without a job.
+// goldenSpool writes a spool with a completed job, a job with some outcomes, a cancelled job and a file without a job.
 func goldenSpool(t *testing.T, dir string) {
 	t.Helper()
 	r := newHarness(t, dir, nil)
 	r.job(itemText("a") + "not JSON\n\n" + itemText("b"))
 	out := r.after(0)
-	out[0].request.CallID = "call-a" // which is random
+	out[0].request.CallID = "call-a" // replaces the random ID
 	out[0].serve()
 	out[1].Reject(dispatch.VerdictFailed, 0)
 	r.after(time.Second)
@@ -61,32 +61,32 @@
 	return all
 }
 
-// TestGoldenSpoolIsWrittenAndResumed: the service writes the same files as in the golden spool and resumes that spool: what has ended
-// stays so, and each remaining item gets its outcome.
+// TestGoldenSpoolIsWrittenAndResumed: the service must write the same files as in the golden spool, and resume that spool: ended jobs
+// stay unchanged, and each remaining item gets its outcome.
 func TestGoldenSpoolIsWrittenAndResumed(t *testing.T) {
 	const name = "batch-folder"
-	made := t.TempDir()
-	goldenSpool(t, made)
+	written := t.TempDir()
+	goldenSpool(t, written)
 	if golden.Updating() {
-		golden.SaveFolder(t, name, made)
+		golden.SaveFolder(t, name, written)
 	}
-	golden.Equal(t, "the files", files(t, golden.Path(name)), files(t, made))
+	golden.Equal(t, "the files", files(t, golden.Path(name)), files(t, written))
 
 	r := newHarness(t, golden.CopyFolder(t, name), nil)
-	states := map[string]string{}
+	statuses := map[string]string{}
 	var half *job
 	for _, j := range r.teams[key].jobs {
-		states[j.file.Name+" "+j.record.Created.Format("15:04:05")+" "+j.record.Metadata["name"]] = j.status()
+		statuses[j.file.Name+" "+j.record.Created.Format("15:04:05")+" "+j.record.Metadata["name"]] = j.status()
 		if j.record.Metadata["name"] == "half" {
 			half = j
 		}
 	}
 	golden.Equal(t, "the jobs", map[string]string{
 		"in.jsonl 00:16:40 ": "completed", "in.jsonl 00:16:41 half": "in_progress", "in.jsonl 00:16:42 ": "cancelled",
-	}, states)
+	}, statuses)
 	out := r.after(0)
 	if len(out) != 2 {
-		t.Fatalf("%d items are submitted", len(out))
+		t.Fatalf("%d items are submitted, want 2", len(out))
 	}
 	for _, a := range out {
 		a.serve()
@@ -95,9 +95,9 @@
 	golden.Equal(t, "outcomes", []string{"1 id-0 served", "2 id-1 served", "3 id-2 served"}, outcomesOf(t, half))
 }
 
-// TestGoldenSpoolRecordsKeepTheirBytes: each record of the golden spool is decoded and encoded to the same bytes.
+// TestGoldenSpoolRecordsKeepTheirBytes: decoding and encoding a record of the golden spool must yield the same bytes.
 func TestGoldenSpoolRecordsKeepTheirBytes(t *testing.T) {
-	again := func(name string, text []byte, v any) {
+	checkRoundTrip := func(name string, text []byte, v any) {
 		t.Helper()
 		d := json.NewDecoder(bytes.NewReader(text))
 		d.DisallowUnknownFields()
@@ -109,19 +109,19 @@
 			t.Errorf("%s: %v\nwant %s\ngot  %s", name, err, text, b)
 		}
 	}
-	seen := map[string]int{}
+	filesByName := map[string]int{}
 	for name, text := range files(t, golden.Path("batch-folder")) {
-		seen[filepath.Base(name)]++
+		filesByName[filepath.Base(name)]++
 		switch filepath.Base(name) {
 		case fileName:
-			again(name, []byte(text), &fileRecord{})
+			checkRoundTrip(name, []byte(text), &fileRecord{})
 		case jobName:
-			again(name, []byte(text), &jobRecord{})
+			checkRoundTrip(name, []byte(text), &jobRecord{})
 		case outcomesName, resultName:
 			for l := range bytes.Lines([]byte(text)) {
-				again(name, l, &Outcome{})
+				checkRoundTrip(name, l, &Outcome{})
 			}
 		}
 	}
-	golden.Equal(t, "files by name", map[string]int{"input.jsonl": 4, "file.json": 4, "job.json": 3, "outcomes.jsonl": 3, "result.jsonl": 2}, seen)
+	golden.Equal(t, "files by name", map[string]int{"input.jsonl": 4, "file.json": 4, "job.json": 3, "outcomes.jsonl": 3, "result.jsonl": 2}, filesByName)
 }
--- a/internal/batch/handler.go
+++ b/internal/batch/handler.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// The descriptions of the API and of its event streams, as they are served.
+// The documents that describe the API and its event stream, embedded to be served.
 var (
 	//go:embed openapi.yaml
 	openAPI []byte
@@ -15,7 +15,7 @@
 	asyncAPI []byte
 )
 
-// Parts of the ids in the API, which the spool does not have.
+// Prefixes and suffix of IDs in the API. The spool uses the IDs without them.
 const (
 	filePrefix   = "file-"
 	batchPrefix  = "batch_"
@@ -27,7 +27,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /openapi.yaml", serveDocument(openAPI))
 	mux.HandleFunc("GET /asyncapi.yaml", serveDocument(asyncAPI))
-	for pattern, f := range map[string]func(*team, http.ResponseWriter, *http.Request) error{
+	for pattern, serve := range map[string]func(*team, http.ResponseWriter, *http.Request) error{
 		"POST /v1/files":               s.postFile,
 		"GET /v1/files/{id}":           s.getFile,
 		"GET /v1/files/{id}/content":   s.getContent,
@@ -37,7 +37,7 @@
 		"POST /v1/batches/{id}/cancel": s.cancelBatch,
 		"GET /v1/batches/{id}/events":  s.streamEvents,
 	} {
-		mux.HandleFunc(pattern, s.forTeam(f))
+		mux.HandleFunc(pattern, s.forTeam(serve))
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, pattern := mux.Handler(r); pattern != "" {
@@ -46,20 +46,21 @@
 		}
 		var probe statusRecorder
 		mux.ServeHTTP(&probe, r)
-		p := &apiError{status: http.StatusNotFound, code: "no_such_path", message: "no such path"}
+		apiErr := &apiError{status: http.StatusNotFound, code: "no_such_path", message: "no such path"}
 		if probe.status == http.StatusMethodNotAllowed {
-			p = &apiError{status: probe.status, code: "wrong_method", message: "wrong method", allowMethod: probe.Header().Get("Allow")}
+			apiErr = &apiError{status: probe.status, code: "wrong_method", message: "wrong method", allowMethod: probe.Header().Get("Allow")}
 		}
-		s.writeError(w, p)
+		s.writeError(w, apiErr)
 	})
 }
 
-// statusRecorder records the mux's own response to an unknown path or method, which is then sent as JSON.
+// statusRecorder records the status and headers of the mux's response to an unknown path or method, and discards its body.
 type statusRecorder struct {
 	header http.Header
 	status int
 }
 
+// Header implements http.ResponseWriter.
 func (s *statusRecorder) Header() http.Header {
 	if s.header == nil {
 		s.header = http.Header{}
@@ -67,28 +68,30 @@
 	return s.header
 }
 
+// WriteHeader implements http.ResponseWriter.
 func (s *statusRecorder) WriteHeader(status int) { s.status = status }
 
+// Write implements http.ResponseWriter.
 func (s *statusRecorder) Write(b []byte) (int, error) { return len(b), nil }
 
 // serveDocument returns a handler that serves a YAML document.
 func serveDocument(text []byte) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/yaml")
-		_, _ = w.Write(text) // it fails only if the client has left
+		_, _ = w.Write(text) // fails only if the client has disconnected
 	}
 }
 
-// forTeam authenticates the team by its key, calls f and sends the error that f returns.
-func (s *Service) forTeam(f func(*team, http.ResponseWriter, *http.Request) error) http.HandlerFunc {
+// forTeam returns a handler that authenticates the team by its API key, calls serve and sends the error that serve returns.
+func (s *Service) forTeam(serve func(*team, http.ResponseWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		t := s.teams[key]
 		if !ok || t == nil {
-			s.writeError(w, &apiError{status: http.StatusUnauthorized, code: "no_team", message: "the key is missing or no team's"})
+			s.writeError(w, &apiError{status: http.StatusUnauthorized, code: "no_team", message: "the API key is missing or unknown"})
 			return
 		}
-		if err := f(t, w, r); err != nil {
+		if err := serve(t, w, r); err != nil {
 			s.writeError(w, err)
 		}
 	}
@@ -98,5 +101,5 @@
 func writeJSONResponse(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // it fails only if the client has left
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
--- a/internal/batch/http_test.go
+++ b/internal/batch/http_test.go
@@ -20,7 +20,7 @@
 	"notchhinge/internal/dispatch"
 )
 
-// client calls the handlers and checks every response against the API description.
+// client calls the handlers and checks each response against openapi.yaml.
 type client struct {
 	*harness
 	doc    *openapi3.T
@@ -42,7 +42,7 @@
 	return &client{r, doc, routes}
 }
 
-// call makes a call and returns its status and body. Responses outside the described paths are not checked.
+// call sends a request and returns the status and body of the response. Responses of paths that openapi.yaml lacks are not checked.
 func (c *client) call(method, path, contentType, body string, header ...string) (int, string) {
 	c.t.Helper()
 	req := httptest.NewRequestWithContext(c.t.Context(), method, path, strings.NewReader(body))
@@ -65,17 +65,18 @@
 	out := &openapi3filter.ResponseValidationInput{RequestValidationInput: in, Status: w.Code, Header: w.Header(), Options: options}
 	out.SetBodyBytes(w.Body.Bytes())
 	if err := openapi3filter.ValidateResponse(c.t.Context(), out); err != nil {
-		c.t.Errorf("%s %s: the response does not match the description: %v", method, path, err)
+		c.t.Errorf("%s %s: the response does not match openapi.yaml: %v", method, path, err)
 	}
 	if w.Code < 300 {
 		req.Body = io.NopCloser(strings.NewReader(body))
 		if err := openapi3filter.ValidateRequest(c.t.Context(), in); err != nil {
-			c.t.Errorf("%s %s: accepted, though it does not match the description: %v", method, path, err)
+			c.t.Errorf("%s %s: the request was accepted, but does not match openapi.yaml: %v", method, path, err)
 		}
 	}
 	return w.Code, w.Body.String()
 }
 
+// upload uploads a file and returns the status and body of the response.
 func (c *client) upload(text string) (int, string) {
 	c.t.Helper()
 	var b bytes.Buffer
@@ -87,7 +88,7 @@
 	return c.call("POST", "/v1/files", form.FormDataContentType(), b.String())
 }
 
-// field returns one field of a response.
+// field returns a string field of an API object or of its error.
 func field(t *testing.T, body, name string) string {
 	t.Helper()
 	var m map[string]any
@@ -101,7 +102,8 @@
 	return s
 }
 
-func create(file string) string {
+// createBody returns the body of a call that creates a batch.
+func createBody(file string) string {
 	return `{"input_file_id":"` + file + `","endpoint":"/v1/chat/completions","completion_window":"24h"}`
 }
 
@@ -110,10 +112,10 @@
 	status, body := c.upload(fileText(3) + "bad\n")
 	checkEqual(t, "upload", 200, status)
 	file := field(t, body, "id")
-	status, body = c.call("POST", "/v1/batches", "application/json", create(file))
+	status, body = c.call("POST", "/v1/batches", "application/json", createBody(file))
 	checkEqual(t, "create", 200, status)
 	id := field(t, body, "id")
-	status, body = c.call("POST", "/v1/batches", "application/json", create(file))
+	status, body = c.call("POST", "/v1/batches", "application/json", createBody(file))
 	checkEqual(t, "create again", []any{200, id}, []any{status, field(t, body, "id")})
 	status, body = c.call("GET", "/v1/batches/"+id, "", "")
 	checkEqual(t, "poll", []any{200, "in_progress"}, []any{status, field(t, body, "status")})
@@ -143,7 +145,7 @@
 			t.Errorf("line %s: %v", l, err)
 		}
 		if err := c.doc.Components.Schemas["Outcome"].Value.VisitJSON(v); err != nil {
-			t.Errorf("line %s does not match the description: %v", l, err)
+			t.Errorf("line %s does not match openapi.yaml: %v", l, err)
 		}
 	}
 	checkEqual(t, "lines", 4, n)
@@ -160,9 +162,9 @@
 	costly := field(t, body, "id")
 	const form, js = "multipart/form-data; boundary=b", "application/json"
 	for _, e := range []struct {
-		name, method, path, kind, body string
-		status                         int
-		code                           string
+		name, method, path, contentType, body string
+		status                                int
+		code                                  string
 	}{
 		{"no such path", "GET", "/v2/files", "", "", 404, "no_such_path"},
 		{"wrong method", "DELETE", "/v1/batches", "", "", 405, "wrong_method"},
@@ -173,22 +175,22 @@
 		{"no JSON", "POST", "/v1/batches", js, "{", 400, "invalid_value"},
 		{"too large", "POST", "/v1/batches", js, strings.Repeat(" ", 1<<17), 413, "too_large"},
 		{"other endpoint", "POST", "/v1/batches", js, `{"input_file_id":"` + file + `","endpoint":"/x"}`, 400, "invalid_value"},
-		{"other window", "POST", "/v1/batches", js, strings.Replace(create(file), "24h", "1h", 1), 400, "invalid_value"},
-		{"other class", "POST", "/v1/batches", js, strings.Replace(create(file), "}", `,"metadata":{"class":"x"}}`, 1), 400, "unknown_class"},
-		{"no such file", "POST", "/v1/batches", js, create("file-none"), 404, "no_such_file"},
-		{"a path as file", "POST", "/v1/batches", js, create("file-../crews"), 404, "no_such_file"},
-		{"first batch", "POST", "/v1/batches", js, create(file), 200, ""},
+		{"other window", "POST", "/v1/batches", js, strings.Replace(createBody(file), "24h", "1h", 1), 400, "invalid_value"},
+		{"other class", "POST", "/v1/batches", js, strings.Replace(createBody(file), "}", `,"metadata":{"class":"x"}}`, 1), 400, "unknown_class"},
+		{"no such file", "POST", "/v1/batches", js, createBody("file-none"), 404, "no_such_file"},
+		{"a path as file", "POST", "/v1/batches", js, createBody("file-../crews"), 404, "no_such_file"},
+		{"first batch", "POST", "/v1/batches", js, createBody(file), 200, ""},
 		{
 			"same file as another class", "POST", "/v1/batches", js,
-			strings.Replace(create(file), "}", `,"metadata":{"class":"doc-lookup"}}`, 1), 409, "other_batch",
+			strings.Replace(createBody(file), "}", `,"metadata":{"class":"doc-lookup"}}`, 1), 409, "other_batch",
 		},
-		{"budget spent", "POST", "/v1/batches", js, create(costly), 429, "budget_spent"},
+		{"budget spent", "POST", "/v1/batches", js, createBody(costly), 429, "budget_spent"},
 		{"no such batch", "GET", "/v1/batches/batch_none", "", "", 404, "no_such_batch"},
 		{"cancel no such batch", "POST", "/v1/batches/none/cancel", "", "", 404, "no_such_batch"},
 		{"feed of no such batch", "GET", "/v1/batches/none/events", "", "", 404, "no_such_batch"},
 		{"no such content", "GET", "/v1/files/none/content", "", "", 404, "no_such_file"},
 	} {
-		status, body := c.call(e.method, e.path, e.kind, e.body)
+		status, body := c.call(e.method, e.path, e.contentType, e.body)
 		checkEqual(t, e.name, []any{e.status, e.code}, []any{status, field(t, body, "code")})
 	}
 	for text, want := range map[string]string{
@@ -210,18 +212,18 @@
 	_, body := c.upload(fileText(1))
 	file := field(t, body, "id")
 	c.at += 59 * time.Minute
-	req := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/v1/batches", strings.NewReader(create(file)))
+	req := httptest.NewRequestWithContext(t.Context(), http.MethodPost, "/v1/batches", strings.NewReader(createBody(file)))
 	req.Header.Set("Authorization", "Bearer "+key)
 	w := httptest.NewRecorder()
 	c.Handler().ServeHTTP(w, req)
 	checkEqual(t, "too early", []any{429, "60"}, []any{w.Code, w.Header().Get("Retry-After")})
 	c.at += time.Minute
-	status, _ := c.call("POST", "/v1/batches", "application/json", create(file))
+	status, _ := c.call("POST", "/v1/batches", "application/json", createBody(file))
 	checkEqual(t, "after the period", 200, status)
 }
 
 func TestFeedSendsEachEventOnceAndResumes(t *testing.T) {
-	// Every event meets the feed's description, and a client that reconnects gets what it missed.
+	// Each event matches asyncapi.yaml, and a client that reconnects with Last-Event-ID gets the events after it.
 	c := newClient(newHarness(t, t.TempDir(), nil))
 	j := c.job(fileText(3))
 	for _, a := range c.after(0) {
@@ -249,7 +251,7 @@
 		text, err := json.Marshal(message.Payload)
 		var schema openapi3.Schema
 		if !ok || err != nil || json.Unmarshal(text, &schema) != nil {
-			t.Fatalf("no description of %q: %v", fields["event"], err)
+			t.Fatalf("asyncapi.yaml has no valid schema for event %q: %v", fields["event"], err)
 		}
 		var v any
 		if err := json.Unmarshal([]byte(fields["data"]), &v); err != nil {
--- a/internal/batch/input.go
+++ b/internal/batch/input.go
@@ -23,9 +23,10 @@
 	Body     json.RawMessage `json:"body"`
 }
 
+// endpoint is the only URL that items may have.
 const endpoint = directory.CompletionsPath
 
-// chatBody is what the service reads of a body.
+// chatBody has the fields of a request body that the service uses.
 type chatBody struct {
 	MaxTokens           float64 `json:"max_tokens"`
 	MaxCompletionTokens float64 `json:"max_completion_tokens"`
@@ -35,61 +36,61 @@
 }
 
 const (
-	tokenChars       = 4   // estimated characters per token
-	defaultMaxTokens = 800 // where a body gives no limit
+	tokenChars       = 4   // estimated length of a token, in bytes
+	defaultMaxTokens = 800 // for bodies without a limit
 )
 
-// parseItem decodes and validates one line of a file. It returns the request for the policy and the body to send; with an error, the
-// custom_id as far as there is one.
-func parseItem(text []byte, k *Contract) (in itemInput, q policy.Request, body []byte, err error) {
+// parseItem decodes and validates one line of a file. It returns the request for the decision module and the body to send. With an
+// error, in.CustomID is set if the line has one.
+func parseItem(text []byte, contract *Contract) (in itemInput, request policy.Request, body []byte, err error) {
 	if err := json.Unmarshal(text, &in); err != nil {
-		return in, q, nil, fmt.Errorf("not a JSON object of this form: %w", err)
+		return in, request, nil, fmt.Errorf("not a JSON object of this form: %w", err)
 	}
 	switch {
 	case in.CustomID == "":
-		return in, q, nil, errors.New("custom_id is missing")
+		return in, request, nil, errors.New("custom_id is missing")
 	case in.Method != "POST":
-		return in, q, nil, fmt.Errorf("method %q: only POST is served", in.Method)
+		return in, request, nil, fmt.Errorf("method %q: only POST is served", in.Method)
 	case in.URL != endpoint:
-		return in, q, nil, fmt.Errorf("url %q: only %s is served", in.URL, endpoint)
+		return in, request, nil, fmt.Errorf("url %q: only %s is served", in.URL, endpoint)
 	}
 	var fields map[string]json.RawMessage
-	var c chatBody
+	var chat chatBody
 	if err := json.Unmarshal(in.Body, &fields); err != nil || fields == nil {
-		return in, q, nil, errors.New("body must be a JSON object")
+		return in, request, nil, errors.New("body must be a JSON object")
 	}
-	if err := json.Unmarshal(in.Body, &c); err != nil {
-		return in, q, nil, fmt.Errorf("body: %w", err)
+	if err := json.Unmarshal(in.Body, &chat); err != nil {
+		return in, request, nil, fmt.Errorf("body: %w", err)
 	}
-	if len(c.Messages) == 0 {
-		return in, q, nil, errors.New("body.messages must not be empty")
+	if len(chat.Messages) == 0 {
+		return in, request, nil, errors.New("body.messages must not be empty")
 	}
-	if err := k.validateBody(in.Method, in.URL, in.Body); err != nil {
-		return in, q, nil, fmt.Errorf("body: %s", firstLine(err))
+	if err := contract.validateBody(in.Method, in.URL, in.Body); err != nil {
+		return in, request, nil, fmt.Errorf("body: %s", firstLine(err))
 	}
-	q.MaxTokens = max(c.MaxTokens, c.MaxCompletionTokens)
-	if q.MaxTokens <= 0 {
-		q.MaxTokens = defaultMaxTokens
+	request.MaxTokens = max(chat.MaxTokens, chat.MaxCompletionTokens)
+	if request.MaxTokens <= 0 {
+		request.MaxTokens = defaultMaxTokens
 	}
-	for i, m := range c.Messages {
-		q.PromptTokens += float64(countChars(m.Content)) / tokenChars
-		if i == 0 && len(c.Messages) > 1 { // the first message, which other items may share
-			q.PrefixTokens, q.Prefix = q.PromptTokens, fingerprint(m.Content)
+	for i, m := range chat.Messages {
+		request.PromptTokens += float64(contentBytes(m.Content)) / tokenChars
+		if i == 0 && len(chat.Messages) > 1 { // other items may have the same first message
+			request.PrefixTokens, request.Prefix = request.PromptTokens, fingerprint(m.Content)
 		}
 	}
 	fields["stream"] = json.RawMessage("true") // engines respond with event streams
 	body, err = json.Marshal(fields)
-	return in, q, body, err
+	return in, request, body, err
 }
 
-// firstLine returns the first line of an error's text.
+// firstLine returns the first line of an error message.
 func firstLine(err error) string {
 	s, _, _ := strings.Cut(err.Error(), "\n")
 	return s
 }
 
-// countChars returns the length of a message's content in bytes; content that is not a string counts as its JSON.
-func countChars(content json.RawMessage) int {
+// contentBytes returns the length of a message's content in bytes. Content that is not a string counts with its JSON encoding.
+func contentBytes(content json.RawMessage) int {
 	var s string
 	if json.Unmarshal(content, &s) == nil {
 		return len(s)
@@ -110,17 +111,17 @@
 // span is the position of a line in its file, in bytes.
 type span struct {
 	offset int64
-	size   int // with the line break
+	size   int // including the line break
 }
 
-// indexItems returns the lines of a file, without blank ones. It calls visit with the number of each, from 1, and its text, which is
-// nil for a line longer than maxBytes.
+// indexItems returns the positions of the lines of a file that are not blank. It calls visit with the number of each, starting at 1, and
+// its text, which is nil if the line is longer than maxBytes.
 func indexItems(r io.Reader, maxBytes int, visit func(n int, text []byte) error) ([]span, error) {
 	br := bufio.NewReaderSize(r, 64<<10)
 	var spans []span
-	var at int64
+	var offset int64
 	for {
-		start, size, text := at, 0, []byte(nil)
+		start, size, text := offset, 0, []byte(nil)
 		var err error
 		for more := true; more; {
 			var part []byte
@@ -131,7 +132,7 @@
 				text = append(text, part...)
 			}
 		}
-		at += int64(size)
+		offset += int64(size)
 		if size > maxBytes+1 {
 			text = nil
 		}
@@ -150,7 +151,7 @@
 	}
 }
 
-// readItemText reads one line of an input file. The text is nil for a line longer than maxBytes.
+// readItemText reads one line of an input file. The text is nil if the line is longer than maxBytes.
 func readItemText(f *os.File, s span, maxBytes int) ([]byte, error) {
 	if s.size > maxBytes+1 {
 		return nil, nil
--- a/internal/batch/item.go
+++ b/internal/batch/item.go
@@ -7,22 +7,22 @@
 	"notchhinge/policy"
 )
 
-// item is one line of an input file that was read and has no outcome yet.
+// item is one line of an input file that has been read and has no outcome yet.
 type item struct {
 	service     *Service
 	job         *job
-	index       int // in the input file, from 0, blank lines left out
+	index       int // in the input file, starting at 0, without blank lines
 	customID    string
 	body        []byte
 	request     policy.Request
-	class       *policy.Class // in the pool of its latest attempt
-	deadline    time.Duration // after which there are no more attempts
-	attempts    int           // so far
-	awaitsRetry bool          // its reminder is pending
-	attempt     *attempt      // in flight; nil if there is none
+	class       *policy.Class // in the pool of the latest attempt
+	deadline    time.Duration // no attempt starts after it
+	attempts    int           // number of attempts so far
+	awaitsRetry bool          // a reminder for the next attempt is pending
+	attempt     *attempt      // the attempt in flight, or nil
 }
 
-// Due makes the item ready for its next attempt. The dispatcher calls it when the reminder of a rejected item expires.
+// Due makes the item ready for its next attempt. The dispatcher calls it when the reminder of an item that awaits a retry expires.
 func (it *item) Due() {
 	it.service.mu.Lock()
 	defer it.service.mu.Unlock()
@@ -33,7 +33,7 @@
 	}
 }
 
-// withdraw cancels the attempt in flight or the pending retry of an item.
+// withdraw cancels an item's attempt in flight or its pending retry.
 func (s *Service) withdraw(it *item) {
 	it.awaitsRetry = false
 	if a := it.attempt; a != nil {
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -9,28 +9,28 @@
 	"slices"
 )
 
-// job is one batch: the items of a file with their outcomes. Service.mu guards it.
+// job is the state of one batch: the items of a file and their outcomes. Service.mu guards it.
 type job struct {
 	record    jobRecord
 	file      fileRecord
 	team      *team
 	dir       string
 	input     *os.File
-	outcomes  *os.File      // appended to
+	outcomes  *os.File      // opened for appending
 	spans     []span        // by index of the item
-	done      []bool        // by index: it has an outcome
+	done      []bool        // whether the item has an outcome, by index
 	remaining int           // items without an outcome
-	nextIndex int           // of the first item not yet read by this process
-	ready     []*item       // for a retry
-	started   map[int]*item // by index: read, without an outcome
-	err       error         // why it is suspended; nil if it is not
+	nextIndex int           // index of the first item that this process has not read yet
+	ready     []*item       // items that are due for a retry
+	started   map[int]*item // items that were read and have no outcome, by index
+	err       error         // why the job is suspended; nil if it is not
 
 	counts  map[string]int // items by outcome
-	events  []itemEvent    // in the order of the outcomes; of a completed job they are on disk only
+	events  []itemEvent    // in the order of the outcomes; nil for a completed job, whose events are read from disk
 	changed chan struct{}  // closed and replaced when there is a new event or the job ends
 }
 
-// openJob reads a job from its directory. It completes a job that has all its outcomes.
+// openJob reads a job from its directory. It completes a job whose items all have outcomes.
 func (s *Service) openJob(t *team, dir string, rec jobRecord) (j *job, err error) {
 	j = &job{
 		record: rec, team: t, dir: dir, started: map[int]*item{}, counts: map[string]int{}, changed: make(chan struct{}),
@@ -71,13 +71,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if j.remaining == 0 { // the process ended between the last outcome and completeJob
+	if j.remaining == 0 { // the process ended after the last outcome and before completeJob
 		err = s.completeJob(j)
 	}
 	return j, err
 }
 
-// openFiles opens the job's files, if they are not open. A job holds no descriptors until its first item is read.
+// openFiles opens the job's files, unless they are open. A job uses no file descriptors before its first item is read.
 func (j *job) openFiles() (err error) {
 	if j.input == nil {
 		if j.input, err = os.Open(filepath.Join(j.dir, inputName)); err != nil {
@@ -93,15 +93,15 @@
 // closeFiles closes the files that are open.
 func (j *job) closeFiles() {
 	if j.input != nil {
-		_ = j.input.Close() // it was only read
+		_ = j.input.Close() // opened for reading only
 	}
 	if j.outcomes != nil {
-		_ = j.outcomes.Close() // errors were reported by Write; completeJob syncs
+		_ = j.outcomes.Close() // Write has reported errors, and completeJob syncs the file
 	}
 	j.input, j.outcomes = nil, nil
 }
 
-// addOutcome updates the job for an outcome that is in the spool.
+// addOutcome updates the job's state for an outcome that has been written to the spool.
 func (j *job) addOutcome(o *Outcome) {
 	j.done[o.Line-1] = true
 	j.remaining--
@@ -116,7 +116,7 @@
 	j.changed = make(chan struct{})
 }
 
-// releaseState frees what only an unfinished job needs; there may be very many completed ones.
+// releaseState frees the state that only an unfinished job needs, since a team may have many completed jobs.
 func (j *job) releaseState() { j.done, j.spans, j.events, j.ready, j.started = nil, nil, nil, nil, nil }
 
 // dequeue removes the job from its team's queue.
@@ -124,20 +124,20 @@
 	j.team.queue = slices.DeleteFunc(j.team.queue, func(other *job) bool { return other == j })
 }
 
-// customID reads the custom_id of an item from the input file; "" if that cannot be read.
-func (j *job) customID(n, maxBytes int) string {
+// customID reads the custom_id of an item from the input file. It returns "" if the file cannot be read or the line is invalid.
+func (j *job) customID(index, maxBytes int) string {
 	var in itemInput
 	if j.openFiles() != nil {
 		return ""
 	}
-	text, err := readItemText(j.input, j.spans[n], maxBytes)
+	text, err := readItemText(j.input, j.spans[index], maxBytes)
 	if err != nil || json.Unmarshal(text, &in) != nil {
 		return ""
 	}
 	return in.CustomID
 }
 
-// status returns the job's status as the public API names it.
+// status returns the status of the job in the API.
 func (j *job) status() string {
 	switch {
 	case !j.record.Ended.IsZero() && !j.record.Cancelled.IsZero():
@@ -152,7 +152,7 @@
 	return "in_progress"
 }
 
-// completeJob writes the result file and the end of a job whose items all have outcomes, and frees its resources.
+// completeJob writes the result file of a job whose items all have outcomes, records the end of the job and frees its resources.
 func (s *Service) completeJob(j *job) error {
 	if err := j.openFiles(); err != nil {
 		return err
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// suspendJob withdraws all items of a job whose files cannot be read or written. The next start resumes it.
+// suspendJob withdraws all items of a job whose files cannot be read or written. The job resumes at the next start of the process.
 func (s *Service) suspendJob(j *job, err error) {
 	s.log.Error("batch suspended", "batch", j.record.ID, "err", err)
 	j.err = err
@@ -182,7 +182,7 @@
 	j.notify()
 }
 
-// cancelItems withdraws the items in flight and records all remaining ones as cancelled.
+// cancelItems withdraws the started items and records all remaining items as cancelled.
 func (s *Service) cancelItems(j *job) {
 	attempts := map[int]int{}
 	for _, it := range j.started {
@@ -190,7 +190,7 @@
 		s.withdraw(it)
 	}
 	j.ready = nil
-	done := j.done // completeJob sets it to nil
+	done := j.done // a copy, since completeJob sets j.done to nil
 	for n := range done {
 		if !done[n] {
 			s.recordOutcome(j, n, &Outcome{
--- a/internal/batch/outcome.go
+++ b/internal/batch/outcome.go
@@ -10,9 +10,9 @@
 	"slices"
 )
 
-// Outcome is the outcome of an item, as it stands in the spool and in result files.
+// Outcome is the outcome of an item. Its JSON is one line of the spool's outcomes file and of the result file.
 type Outcome struct {
-	Line     int           `json:"line"` // of the item in its file, from 1, blank lines left out
+	Line     int           `json:"line"` // number of the item in its file, starting at 1, without blank lines
 	CustomID string        `json:"custom_id"`
 	Outcome  string        `json:"outcome"` // served, refused or failed
 	Response *Response     `json:"response"`
@@ -20,14 +20,14 @@
 	Attempts int           `json:"tries"`
 }
 
-// Response is the response to an item that was served.
+// Response is the response of a served item.
 type Response struct {
 	StatusCode int             `json:"status_code"`
 	RequestID  string          `json:"request_id"`
 	Body       json.RawMessage `json:"body"`
 }
 
-// OutcomeError says why an item was not served.
+// OutcomeError states why an item was not served.
 type OutcomeError struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
@@ -36,11 +36,11 @@
 // The values of Outcome.Outcome.
 const (
 	outcomeServed  = "served"
-	outcomeRefused = "refused"
+	outcomeRefused = "refused" // rejected until the item's deadline
 	outcomeFailed  = "failed"
 )
 
-// itemEvent is the event of an item's outcome in the event stream.
+// itemEvent is the event for an item's outcome in the event stream.
 type itemEvent struct {
 	Line     int    `json:"line"`
 	CustomID string `json:"custom_id"`
@@ -48,7 +48,7 @@
 	Code     string `json:"code,omitempty"`
 }
 
-// event returns the outcome's event.
+// event returns the event for the outcome.
 func (o *Outcome) event() itemEvent {
 	e := itemEvent{Line: o.Line, CustomID: o.CustomID, Outcome: o.Outcome}
 	if o.Error != nil {
@@ -57,14 +57,14 @@
 	return e
 }
 
-// recordOutcome appends the outcome of an item to the spool, once; it completes a job with no items remaining. A job whose files
-// cannot be written is suspended.
-func (s *Service) recordOutcome(j *job, n int, o *Outcome) {
-	if j.done == nil || j.done[n] || j.err != nil {
+// recordOutcome appends the outcome of an item to the spool, unless the item has one. It completes the job if no items remain, and
+// suspends it if its files cannot be written.
+func (s *Service) recordOutcome(j *job, index int, o *Outcome) {
+	if j.done == nil || j.done[index] || j.err != nil {
 		return
 	}
-	delete(j.started, n)
-	o.Line = n + 1
+	delete(j.started, index)
+	o.Line = index + 1
 	b, err := json.Marshal(o)
 	if err == nil {
 		err = j.openFiles()
@@ -85,7 +85,7 @@
 	}
 }
 
-// recordExpired records the outcome of an item that was rejected until its deadline.
+// recordExpired records the outcome of an item that was not served before its deadline.
 func (s *Service) recordExpired(it *item) {
 	s.recordOutcome(it.job, it.index, &Outcome{
 		CustomID: it.customID, Outcome: outcomeRefused, Attempts: it.attempts,
@@ -93,16 +93,16 @@
 	})
 }
 
-// readOutcomes calls visit with each outcome in a file and truncates the file after the last complete one: a process that died while
-// it wrote leaves an incomplete line, whose item is run again.
-func readOutcomes(path string, visit func(o *Outcome, at span)) error {
+// readOutcomes calls visit with each outcome in a file and its position, and truncates the file after the last complete outcome. A
+// process that dies during a write leaves an incomplete line, whose item is run again.
+func readOutcomes(path string, visit func(o *Outcome, position span)) error {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	br := bufio.NewReader(f)
-	var at int64
+	var offset int64
 	for {
 		text, err := br.ReadBytes('\n')
 		var o Outcome
@@ -110,14 +110,14 @@
 			if err != nil && !errors.Is(err, io.EOF) {
 				return err
 			}
-			return f.Truncate(at)
+			return f.Truncate(offset)
 		}
-		visit(&o, span{at, len(text)})
-		at += int64(len(text))
+		visit(&o, span{offset, len(text)})
+		offset += int64(len(text))
 	}
 }
 
-// writeResult writes a job's result file: its outcomes in the order of the input.
+// writeResult writes a job's result file, which has the outcomes in the order of the input.
 func writeResult(dir string) error {
 	path := filepath.Join(dir, outcomesName)
 	type position struct {
@@ -125,7 +125,7 @@
 		span
 	}
 	var positions []position
-	if err := readOutcomes(path, func(o *Outcome, at span) { positions = append(positions, position{o.Line, at}) }); err != nil {
+	if err := readOutcomes(path, func(o *Outcome, where span) { positions = append(positions, position{o.Line, where}) }); err != nil {
 		return err
 	}
 	slices.SortFunc(positions, func(x, y position) int { return x.line - y.line })
--- a/internal/batch/proof_test.go
+++ b/internal/batch/proof_test.go
@@ -29,54 +29,56 @@
 
 const (
 	proofLines = 5000
-	proofBad   = 7 // in hundreds: every 700th item is invalid
+	proofBad   = 7 // every 700th item is invalid
 )
 
-// fleet is a set of fake engines, each of which fails after a given number of requests; 0 = never.
+// fleet is a set of fake engines.
 type fleet struct {
 	hosts  []*httptest.Server
 	served atomic.Int64
 	half   chan struct{} // closed at the request in the middle of the file
-	goOn   chan struct{} // requests after it wait until this is closed
+	resume chan struct{} // later requests wait until it is closed
 }
 
-// drainLog is a router's log; it closes goOn when the router begins to drain.
+// drainLog is the writer of a router's log. It closes resume when the router starts to drain.
 type drainLog struct {
-	goOn chan struct{}
-	once sync.Once
+	resume chan struct{}
+	once   sync.Once
 }
 
+// Write implements io.Writer.
 func (l *drainLog) Write(b []byte) (int, error) {
 	if bytes.Contains(b, []byte("msg=draining")) {
-		l.once.Do(func() { close(l.goOn) })
+		l.once.Do(func() { close(l.resume) })
 	}
 	return len(b), nil
 }
 
+// newFleet returns a fleet with one engine per element of failAfter, which fails after that number of requests; 0 = never.
 func newFleet(t *testing.T, failAfter ...int64) *fleet {
-	f := &fleet{half: make(chan struct{}), goOn: make(chan struct{})}
+	f := &fleet{half: make(chan struct{}), resume: make(chan struct{})}
 	for _, limit := range failAfter {
 		var received atomic.Int64
-		var dead atomic.Bool
+		var failed atomic.Bool
 		s := httptest.NewUnstartedServer(nil)
 		s.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			io.Copy(io.Discard, r.Body)
 			if n := received.Add(1); n == limit {
-				dead.Store(true)
-				s.Listener.Close() // new connections are refused from here on
+				failed.Store(true)
+				s.Listener.Close() // refuses new connections
 			}
 			if n := f.served.Add(1); n == proofLines/2 {
 				close(f.half)
 			} else if n > proofLines/2 {
-				<-f.goOn
+				<-f.resume
 			}
 			w.Header().Set("Content-Type", "text/event-stream")
-			if !dead.Load() || received.Load()%2 == 0 { // half of the responses of a failing host have begun
+			if !failed.Load() || received.Load()%2 == 0 { // a failed engine still starts half of its responses
 				io.WriteString(w, `data: {"choices":[{"delta":{"content":"summary"},"finish_reason":"stop"}]}`+"\n\n")
 				_ = http.NewResponseController(w).Flush()
 			}
-			if dead.Load() {
-				panic(http.ErrAbortHandler) // its connections are reset
+			if failed.Load() {
+				panic(http.ErrAbortHandler) // closes the connection
 			}
 			io.WriteString(w, "data: [DONE]\n\n")
 		})
@@ -88,7 +90,7 @@
 	return f
 }
 
-// start runs a router with its batch service on loopback until stop; done receives its error.
+// start runs a router with a batch service on loopback until it receives a signal on stop. done receives its error.
 func (f *fleet) start(t *testing.T, spool string, log slog.Handler) (api string, stop chan os.Signal, done chan error) {
 	t.Helper()
 	cfg, err := platformconfig.Load(func(name string) string {
@@ -103,12 +105,12 @@
 			Name: fmt.Sprint("s-", i), Addr: h.Listener.Addr().String(), Zone: "room", Health: "Ready", Weight: 1,
 		})
 	}
-	nobody, err := net.Listen("tcp", "127.0.0.1:0")
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody.Close()
-	cfg.DiscoveryAddr = nobody.Addr().String() // discovery is down throughout
+	closed.Close()
+	cfg.DiscoveryAddr = closed.Addr().String() // discovery is unavailable during the test
 	path := filepath.Join(spool, "batch.toml")
 	text := "listen='127.0.0.1:1'\nspool='jobs'\n[[contract]]\nteam='crews'\nkey_env='K'\nclasses=['batch-summary']\n" +
 		"lines=5000\nat_once=32\nbudget_tokens=10000000\nbudget_period='24h'\nline_deadline='5m'\n"
@@ -124,22 +126,22 @@
 		t.Fatal(err)
 	}
 	r := router.New(cfg, p, slog.New(log), (&net.Dialer{}).DialContext, dispatch.UnixClock())
-	var doors [2]net.Listener
-	for i := range doors {
-		if doors[i], err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	var listeners [2]net.Listener // of the frontend and of the batch API
+	for i := range listeners {
+		if listeners[i], err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := r.EnableBatch(b, doors[1]); err != nil {
+	if err := r.EnableBatch(b, listeners[1]); err != nil {
 		t.Fatal(err)
 	}
 	stop, done = make(chan os.Signal, 1), make(chan error, 1)
-	go func() { done <- r.ServeOn(doors[0], router.Signals{Stop: stop}) }()
-	return "http://" + doors[1].Addr().String(), stop, done
+	go func() { done <- r.ServeOn(listeners[0], router.Signals{Stop: stop}) }()
+	return "http://" + listeners[1].Addr().String(), stop, done
 }
 
-// ask makes a call to the batch API and decodes its response.
-func ask(t *testing.T, method, url, contentType string, body io.Reader) map[string]any {
+// callAPI sends a request to the batch API and decodes the JSON response.
+func callAPI(t *testing.T, method, url, contentType string, body io.Reader) map[string]any {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, body)
 	if err != nil {
@@ -159,7 +161,7 @@
 	return m
 }
 
-// submit uploads a file and creates a batch of it.
+// submit uploads a file and creates a batch from it.
 func submit(t *testing.T, api string, file []byte) map[string]any {
 	t.Helper()
 	var b bytes.Buffer
@@ -168,12 +170,12 @@
 	part, _ := form.CreateFormFile("file", "period.jsonl")
 	_, _ = part.Write(file)
 	_ = form.Close()
-	f := ask(t, "POST", api+"/v1/files", form.FormDataContentType(), &b)
-	return ask(t, "POST", api+"/v1/batches", "application/json",
+	f := callAPI(t, "POST", api+"/v1/files", form.FormDataContentType(), &b)
+	return callAPI(t, "POST", api+"/v1/batches", "application/json",
 		strings.NewReader(fmt.Sprintf(`{"input_file_id":%q,"endpoint":"/v1/chat/completions"}`, f["id"])))
 }
 
-// get returns the body of a response that is not JSON.
+// get returns the response body of a GET request; the caller closes it.
 func get(t *testing.T, url string) io.ReadCloser {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), "GET", url, nil)
@@ -188,14 +190,15 @@
 	return resp.Body
 }
 
-func valid(i int) bool { return i%(100*proofBad) != 0 }
+// isValid reports whether item i of the file is valid.
+func isValid(i int) bool { return i%(100*proofBad) != 0 }
 
-// TestEveryItemHasOneOutcomeThroughFaultsAndRestart: 5,000 items, hosts that fail mid-file, a repeated upload, and
-// a drain with a restart: every item has exactly one outcome.
+// TestEveryItemHasOneOutcomeThroughFaultsAndRestart: each of 5,000 items must have exactly one outcome, although engines fail, the file
+// is uploaded again and the router drains and restarts in the middle of the file.
 func TestEveryItemHasOneOutcomeThroughFaultsAndRestart(t *testing.T) {
 	var file bytes.Buffer
 	for i := range proofLines {
-		if !valid(i) {
+		if !isValid(i) {
 			fmt.Fprintf(&file, `{"custom_id":"line-%d","method":"PUT"}`+"\n", i)
 			continue
 		}
@@ -203,7 +206,7 @@
 			`"max_tokens":20,"messages":[{"role":"user","content":"period %d"}]}}`+"\n", i, i)
 	}
 	f, dir := newFleet(t, 300, 700, 0, 0, 0), t.TempDir()
-	api, stop, done := f.start(t, dir, slog.NewTextHandler(&drainLog{goOn: f.goOn}, nil))
+	api, stop, done := f.start(t, dir, slog.NewTextHandler(&drainLog{resume: f.resume}, nil))
 	first := submit(t, api, file.Bytes())
 	<-f.half
 	second := submit(t, api, file.Bytes())
@@ -222,11 +225,11 @@
 		t.Errorf("after the restart the file became %v", third["id"])
 	}
 	feed := get(t, fmt.Sprintf("%s/v1/batches/%v/events", api, third["id"]))
-	if _, err := io.Copy(io.Discard, feed); err != nil { // it ends with the batch
+	if _, err := io.Copy(io.Discard, feed); err != nil { // the stream ends with the batch
 		t.Fatal(err)
 	}
 	feed.Close()
-	b := ask(t, "GET", fmt.Sprintf("%s/v1/batches/%v", api, third["id"]), "", nil)
+	b := callAPI(t, "GET", fmt.Sprintf("%s/v1/batches/%v", api, third["id"]), "", nil)
 	if b["status"] != "completed" {
 		t.Fatalf("batch %v", b)
 	}
@@ -236,10 +239,11 @@
 		t.Fatal(err)
 	}
 	if afterDrain > proofLines/2+100 || f.served.Load() < proofLines-proofLines/100 {
-		t.Errorf("%d requests before the drain, %d in all: the drain was not mid-file", afterDrain, f.served.Load())
+		t.Errorf("%d requests before the drain, %d in total: the drain was not in the middle of the file", afterDrain, f.served.Load())
 	}
 }
 
+// checkResult checks that a result file has exactly one outcome per item.
 func checkResult(t *testing.T, r io.ReadCloser) {
 	t.Helper()
 	defer r.Close()
@@ -253,7 +257,7 @@
 		seen[o.CustomID]++
 		i := o.Line - 1
 		want := "served"
-		if !valid(i) {
+		if !isValid(i) {
 			want = "failed"
 		}
 		if o.CustomID != fmt.Sprint("line-", i) || o.Outcome != want {
@@ -269,6 +273,6 @@
 		}
 	}
 	if len(seen) != proofLines {
-		t.Errorf("%d items have an outcome", len(seen))
+		t.Errorf("%d items have an outcome, want all", len(seen))
 	}
 }
--- a/internal/batch/service.go
+++ b/internal/batch/service.go
@@ -16,15 +16,15 @@
 	"notchhinge/internal/limits"
 )
 
-// Options are the parts that a Service works with.
+// Options are the configuration and the dependencies of a Service.
 type Options struct {
 	Config    *Config
 	Limits    limits.Limits
-	Directory func() *directory.Directory // the current one
-	Post      func(dispatch.Event)
+	Directory func() *directory.Directory // returns the current directory
+	Post      func(dispatch.Event)        // posts an event to the dispatcher
 	Now       dispatch.Clock
 	Log       *slog.Logger
-	IsTracing bool // whether items get traces
+	IsTracing bool // items have traces
 }
 
 // Service owns the jobs of all teams and schedules their items under one lock.
@@ -37,23 +37,23 @@
 	log       *slog.Logger
 	isTracing bool
 
-	wake  chan struct{}    // of capacity 1: there may be items to submit
-	teams map[string]*team // by API key; the map is not changed after New
+	wake  chan struct{}    // capacity 1; signals that there may be items to submit
+	teams map[string]*team // by API key; the map does not change after New
 
-	mu         sync.Mutex // guards isStopping and what the teams hold
+	mu         sync.Mutex // guards isStopping and the state of the teams
 	isStopping bool
 }
 
-// team is a contract with its jobs.
+// team is the state of one contract.
 type team struct {
 	Contract
 	jobs     map[string]*job
-	queue    []*job  // unfinished, the oldest first
-	window   float64 // attempts that may be in flight, from 1 to MaxConcurrent
-	inFlight int     // attempts
+	queue    []*job  // unfinished jobs, oldest first
+	window   float64 // largest number of attempts in flight, from 1 to MaxConcurrent
+	inFlight int     // number of attempts in flight
 }
 
-// New returns a Service that resumes the jobs of the spool.
+// New returns a Service with the jobs of the spool.
 func New(o Options) (*Service, error) {
 	s := &Service{
 		cfg: o.Config, limits: o.Limits, directory: o.Directory, post: o.Post, now: o.Now, log: o.Log, isTracing: o.IsTracing,
@@ -69,7 +69,7 @@
 	return s, nil
 }
 
-// loadJobs opens the jobs in the spool of a team.
+// loadJobs opens the jobs in a team's spool directory.
 func (s *Service) loadJobs(t *team) error {
 	dir := filepath.Join(s.cfg.Spool, t.Team)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -81,15 +81,15 @@
 		return err
 	}
 	for _, e := range entries {
-		home := filepath.Join(dir, e.Name())
-		removeTemporaryFiles(home)
+		jobDir := filepath.Join(dir, e.Name())
+		removeTemporaryFiles(jobDir)
 		var rec jobRecord
-		if err := readJSON(filepath.Join(home, jobName), &rec); errors.Is(err, fs.ErrNotExist) {
-			continue
+		if err := readJSON(filepath.Join(jobDir, jobName), &rec); errors.Is(err, fs.ErrNotExist) {
+			continue // an uploaded file without a job
 		} else if err != nil {
 			return err
 		}
-		j, err := s.openJob(t, home, rec)
+		j, err := s.openJob(t, jobDir, rec)
 		if err != nil {
 			return err
 		}
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// Run submits items whenever the teams' windows allow it, until stop is closed.
+// Run submits items when the teams' windows allow it, until stop is closed.
 func (s *Service) Run(stop <-chan struct{}) {
 	s.wakeScheduler()
 	for {
@@ -117,7 +117,7 @@
 	}
 }
 
-// Stop ends the submission of items. Those in flight get their outcomes; all others wait for the next start.
+// Stop ends the submission of items. Items in flight still get their outcomes; the others resume at the next start of the process.
 func (s *Service) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +136,7 @@
 	}
 }
 
-// wakeScheduler makes Run schedule once more. It does not block.
+// wakeScheduler makes Run call schedule again. It does not block.
 func (s *Service) wakeScheduler() {
 	select {
 	case s.wake <- struct{}{}:
@@ -144,5 +144,5 @@
 	}
 }
 
-// wallTime returns the time of day by the dispatcher's clock, which never goes back.
+// wallTime returns the wall-clock time by the dispatcher's clock, which is monotonic.
 func (s *Service) wallTime() time.Time { return time.Unix(0, int64(s.now())).UTC() }
--- a/internal/batch/service_test.go
+++ b/internal/batch/service_test.go
@@ -23,17 +23,19 @@
 	"notchhinge/policy"
 )
 
-// harness is a Service with a given clock. It records the attempts that the service posts; the test answers in the dispatcher's place.
+// harness is a Service with a clock that the test sets. It records the attempts that the service posts, and the test ends them in place
+// of the dispatcher.
 type harness struct {
 	*Service
 	t         *testing.T
 	at        time.Duration
-	submitted []*attempt
+	submitted []*attempt // nil for a withdrawn one
 	reminders []dispatch.SetReminder
 }
 
 const key = "secret"
 
+// newHarness returns a harness with one team on a spool directory; change may modify the team's contract.
 func newHarness(t *testing.T, spool string, change func(*Contract)) *harness {
 	t.Helper()
 	k := Contract{
@@ -46,12 +48,12 @@
 	r := &harness{t: t, at: 1000 * time.Second}
 	lim := limits.New(limits.Machine{MemoryMB: 192, Sockets: 1024}, limits.Site{})
 	lim.BatchItemBytes = 1000
-	at := directory.SinglePool(&directory.Pool{Classes: []policy.Class{
+	dir := directory.SinglePool(&directory.Pool{Classes: []policy.Class{
 		{Name: "doc-lookup", Deadline: 6 * time.Second}, {Name: "batch-summary", Deadline: 12 * time.Second},
 	}})
 	s, err := New(Options{
 		Config: &Config{Spool: spool, Contracts: []Contract{k}}, Limits: lim,
-		Directory: func() *directory.Directory { return at }, Now: func() time.Duration { return r.at }, Log: slog.New(slog.DiscardHandler),
+		Directory: func() *directory.Directory { return dir }, Now: func() time.Duration { return r.at }, Log: slog.New(slog.DiscardHandler),
 		Post: func(e dispatch.Event) {
 			switch e := e.(type) {
 			case dispatch.RequestReceived:
@@ -71,7 +73,7 @@
 	return r
 }
 
-// after lets time pass, schedules once and returns the attempts that were submitted.
+// after advances the clock, delivers the reminders that are due, schedules once and returns the attempts that were submitted.
 func (r *harness) after(d time.Duration) []*attempt {
 	r.at += d
 	r.submitted = nil
@@ -90,6 +92,7 @@
 	return r.submitted
 }
 
+// job uploads a file and creates a job from it.
 func (r *harness) job(text string) *job {
 	r.t.Helper()
 	t := r.teams[key]
@@ -104,10 +107,12 @@
 	return j
 }
 
+// itemText returns a valid line with a custom_id.
 func itemText(id string) string {
 	return fmt.Sprintf(`{"custom_id":%q,"method":"POST","url":"/v1/chat/completions","body":{"max_tokens":10,"messages":[{"content":"a"}]}}`+"\n", id)
 }
 
+// fileText returns a file of n valid lines.
 func fileText(n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -116,7 +121,7 @@
 	return b.String()
 }
 
-// outcomesOf reads a job's result file: line, custom_id, outcome, error code and attempts of each item.
+// outcomesOf returns a line for each item in a job's result file: number, custom_id, outcome, attempts if more than one, and error code.
 func outcomesOf(t *testing.T, j *job) []string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(j.dir, resultName))
@@ -141,6 +146,7 @@
 	return got
 }
 
+// checkEqual reports the difference between two values as an error.
 func checkEqual(t *testing.T, what string, want, got any) {
 	t.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -148,6 +154,7 @@
 	}
 }
 
+// serve ends an attempt with a complete response.
 func (a *attempt) serve() {
 	_ = a.WriteBody([]byte(`data: {"choices":[{"delta":{"content":"hi"},"finish_reason":"stop"}]}` + "\n\ndata: [DONE]\n\n"))
 	_ = a.Finish(true)
@@ -164,9 +171,9 @@
 	out[1].serve() // a second end is ignored
 	out[2].Reject(dispatch.VerdictRejected, time.Minute)
 	_ = out[3].Finish(false) // an incomplete stream; the item is retried
-	again := r.after(time.Second)
-	checkEqual(t, "submitted again", 1, len(again))
-	again[0].serve()
+	retried := r.after(time.Second)
+	checkEqual(t, "submitted again", 1, len(retried))
+	retried[0].serve()
 	checkEqual(t, "status", "completed", j.status())
 	if j.done != nil || j.events != nil || j.input != nil {
 		t.Error("a completed job keeps state that only an unfinished one needs")
@@ -178,8 +185,8 @@
 }
 
 func TestRejectionsReduceTheTeamsConcurrency(t *testing.T) {
-	// Rejected items are retried after their Retry-After and not before, and fewer at once: a batch must not overload hosts that have
-	// just started.
+	// Rejected items are retried after their Retry-After and not earlier, and fewer at a time: a batch must not overload engines that
+	// have just started.
 	r := newHarness(t, t.TempDir(), nil)
 	r.job(fileText(9))
 	out := r.after(0)
@@ -211,7 +218,7 @@
 }
 
 func TestSameFileIsTheSameJobAcrossRestarts(t *testing.T) {
-	// The same file from the same team is the same job, before and after a restart; it is never run twice.
+	// A file that is submitted again, also after a restart, must not be run twice.
 	dir := t.TempDir()
 	r := newHarness(t, dir, nil)
 	j := r.job(fileText(2))
@@ -220,17 +227,17 @@
 		a.serve()
 	}
 	checkEqual(t, "third submission", true, r.job(fileText(2)) == j)
-	again := newHarness(t, dir, nil)
-	checkEqual(t, "after a restart", "completed", again.job(fileText(2)).status())
-	checkEqual(t, "submitted", 0, len(again.after(0)))
-	if _, err := again.createJob(again.teams[key], j.record.ID, "doc-lookup", nil); err == nil {
+	restarted := newHarness(t, dir, nil)
+	checkEqual(t, "after a restart", "completed", restarted.job(fileText(2)).status())
+	checkEqual(t, "submitted", 0, len(restarted.after(0)))
+	if _, err := restarted.createJob(restarted.teams[key], j.record.ID, "doc-lookup", nil); err == nil {
 		t.Error("no conflict for the same file with another class")
 	}
 }
 
 func TestRestartRunsOnlyItemsWithoutAnOutcome(t *testing.T) {
-	// A process that dies leaves items without an outcome, and maybe an incomplete line in the outcomes file. Both are run again; what
-	// has an outcome is not.
+	// A process that dies leaves items without an outcome, and possibly an incomplete line in the outcomes file. These items are run
+	// again, and items with an outcome are not.
 	dir := t.TempDir()
 	r := newHarness(t, dir, nil)
 	j := r.job(fileText(5))
@@ -246,15 +253,15 @@
 	if err := errors.Join(err, f.Close()); err != nil {
 		t.Fatal(err)
 	}
-	again := newHarness(t, dir, nil)
+	restarted := newHarness(t, dir, nil)
 	var ids []string
-	for _, a := range again.after(0) {
+	for _, a := range restarted.after(0) {
 		ids = append(ids, a.item.customID)
 		a.serve()
 	}
 	checkEqual(t, "run again", []string{"id-0", "id-3", "id-4"}, ids)
 	checkEqual(t, "result", []string{"1 id-0 served", "2 id-1 served", "3 id-2 failed timed_out", "4 id-3 served", "5 id-4 served"},
-		outcomesOf(t, again.teams[key].jobs[j.record.ID]))
+		outcomesOf(t, restarted.teams[key].jobs[j.record.ID]))
 }
 
 func TestStopSubmitsNoMoreItems(t *testing.T) {
@@ -283,12 +290,12 @@
 	checkEqual(t, "served, failed", []int{1, 5}, []int{j.counts[outcomeServed], j.counts[outcomeFailed]})
 	checkEqual(t, "in flight", 0, r.teams[key].inFlight)
 	if err := r.cancelJob(j); err == nil {
-		t.Error("a batch that has ended can be cancelled")
+		t.Error("a batch that has ended was cancelled")
 	}
 }
 
 func TestCancelOfAJobThatCompletesMeanwhile(t *testing.T) {
-	// The last item may be cancelled together with the rest, which completes the job while its items are being cancelled.
+	// Cancelling the last remaining item completes the job while cancelItems still iterates over its items.
 	r := newHarness(t, t.TempDir(), nil)
 	j := r.job(fileText(4))
 	out := r.after(0)
@@ -330,7 +337,7 @@
 }
 
 func TestItemsGoToTheServiceOfTheirContract(t *testing.T) {
-	// By its service's name, or by the routes of the batch host; an item without a route any more fails.
+	// The pool is selected by the service of the contract or by the routes of the batch host. An item whose route was removed fails.
 	directoryOf := func(names ...string) *directory.Directory {
 		var services []route.Service
 		routes := []route.Route{{Service: names[0], Host: directory.BatchHost, Method: "POST"}}
@@ -339,16 +346,16 @@
 			services = append(services, route.Service{Name: n, Pools: []route.WeightedPool{{Pool: n, Weight: 1}}})
 			pools = append(pools, &directory.Pool{ID: hoststate.PoolID(i + 1), Name: n, Classes: []policy.Class{{Name: "batch-summary", Deadline: 12 * time.Second}}})
 		}
-		table, faults := route.New(services, routes, func(name string) (int, bool) { return slices.Index(names, name) + 1, true })
-		if len(faults) > 0 {
-			t.Fatal(faults)
+		table, errs := route.New(services, routes, func(name string) (int, bool) { return slices.Index(names, name) + 1, true })
+		if len(errs) > 0 {
+			t.Fatal(errs)
 		}
 		return directory.New(table, true, pools...)
 	}
 	for name, want := range map[string]hoststate.PoolID{"calib": 2, "": 1} {
 		r := newHarness(t, t.TempDir(), func(k *Contract) { k.Service, k.MaxConcurrent = name, 1 })
-		at := directoryOf("runs", "calib")
-		r.directory = func() *directory.Directory { return at }
+		dir := directoryOf("runs", "calib")
+		r.directory = func() *directory.Directory { return dir }
 		var pools []hoststate.PoolID
 		post := r.post
 		r.post = func(e dispatch.Event) {
@@ -359,8 +366,8 @@
 		}
 		j := r.job(fileText(2))
 		r.after(0)[0].Reject(dispatch.VerdictFailed, 0)
-		if at = directoryOf("other"); name == "" {
-			at.Table, _ = route.New(nil, nil, nil)
+		if dir = directoryOf("other"); name == "" {
+			dir.Table, _ = route.New(nil, nil, nil)
 		}
 		r.after(0)
 		checkEqual(t, "pools", []hoststate.PoolID{want}, pools)
--- a/internal/batch/spool.go
+++ b/internal/batch/spool.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// The spool directory has one directory per team, which has one directory per uploaded file, named by the hash of its content. That
-// holds the input file, its record (file.json), the record of the job (job.json), the outcomes in the order in which they were recorded
-// (outcomes.jsonl) and, once the job is completed, the result file.
+// Names of files in the spool. The spool directory has one directory per team, with one directory per uploaded file, named by the hash
+// of the content. That directory contains the input file, its record (file.json), the record of the job (job.json), the outcomes in
+// the order in which they were recorded (outcomes.jsonl) and, when the job is completed, the result file (result.jsonl).
 const (
 	inputName    = "input.jsonl"
 	fileName     = "file.json"
@@ -28,11 +28,11 @@
 	Name     string    `json:"name"`
 	Bytes    int64     `json:"bytes"`
 	Lines    int       `json:"lines"`
-	Tokens   int64     `json:"tokens"` // of its valid items: prompts and max_tokens
+	Tokens   int64     `json:"tokens"` // prompt tokens and max_tokens of the valid items
 	Uploaded time.Time `json:"uploaded"`
 }
 
-// jobRecord describes a job as it was created, with the times of its cancellation and its end.
+// jobRecord describes a job. Cancelled and Ended are zero until the job is cancelled or has ended.
 type jobRecord struct {
 	ID        string            `json:"id"`
 	FileID    string            `json:"file_id"`
@@ -52,7 +52,7 @@
 	return json.Unmarshal(b, v)
 }
 
-// writeJSON replaces a file atomically by the JSON of v.
+// writeJSON atomically replaces the content of a file by the JSON of v.
 func writeJSON(path string, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return replaceFile(path, func(w io.Writer) error { _, err := w.Write(b); return err })
 }
 
-// replaceFile writes a temporary file with fill and renames it to path, so that a crash leaves the old file or the new one.
+// replaceFile writes a temporary file with fill and renames it to path, so that a crash leaves either the old or the new file.
 func replaceFile(path string, fill func(io.Writer) error) error {
 	tmp, err := os.CreateTemp(filepath.Dir(path), "new-*")
 	if err != nil {
@@ -76,12 +76,12 @@
 	return os.Rename(tmp.Name(), path)
 }
 
-// removeTemporaryFiles removes what interrupted uploads and writes left in a directory.
+// removeTemporaryFiles removes the temporary files of interrupted uploads and writes from a directory.
 func removeTemporaryFiles(dir string) {
 	entries, _ := os.ReadDir(dir)
 	for _, e := range entries {
 		if strings.HasPrefix(e.Name(), "upload-") || strings.HasPrefix(e.Name(), "new-") {
-			_ = os.Remove(filepath.Join(dir, e.Name())) // a file that stays is removed at the next start
+			_ = os.Remove(filepath.Join(dir, e.Name())) // if this fails, the next start tries again
 		}
 	}
 }
--- a/internal/batch/submission.go
+++ b/internal/batch/submission.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// createJob creates a job of an uploaded file, or returns the existing one. Errors of the call are of type *apiError.
+// createJob creates a job from an uploaded file, or returns the existing job of that file. Invalid calls return an *apiError.
 func (s *Service) createJob(t *team, fileID, class string, metadata map[string]string) (*job, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,7 +29,7 @@
 		if existing.record.Class != class {
 			return nil, &apiError{
 				status: 409, code: "other_batch", param: "metadata.class",
-				message: "this file is a batch already, of class " + existing.record.Class,
+				message: "a batch of this file already exists, with class " + existing.record.Class,
 			}
 		}
 		return existing, nil
@@ -52,7 +52,8 @@
 	return j, nil
 }
 
-// admit checks that a team may have a new job of a file now: the service is not stopping, and the team's queue and budget allow it.
+// admit checks that a team may create a job from a file now: the service is not stopping, and the limit of unfinished jobs and the
+// token budget allow it.
 func (s *Service) admit(t *team, file fileRecord, now time.Time) error {
 	if s.isStopping {
 		return &apiError{status: 503, code: "stopping", message: "the router is stopping"}
@@ -77,7 +78,7 @@
 	return e
 }
 
-// budget returns the tokens that remain of the team's budget, and the time until the oldest job that counts leaves the period.
+// budget returns the remaining tokens of the team's budget, and the time until the oldest job in the period no longer counts.
 func (t *team) budget(now time.Time) (remaining int64, renewal time.Duration) {
 	period := time.Duration(t.BudgetPeriod)
 	remaining, renewal = t.BudgetTokens, period
@@ -90,7 +91,7 @@
 	return remaining, renewal
 }
 
-// cancelJob records the cancellation of a job; the scheduler then cancels its items.
+// cancelJob records the cancellation of a job. The scheduler then cancels its items.
 func (s *Service) cancelJob(j *job) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/batch/trace_test.go
+++ b/internal/batch/trace_test.go
@@ -8,8 +8,7 @@
 )
 
 func TestAttemptsOfAnItemShareOneTrace(t *testing.T) {
-	// Each item has a trace of its own; a retry belongs to the same trace and is marked as a retry. Without tracing an item has no
-	// origin.
+	// Each item has its own trace. A retry belongs to the same trace and is marked as a retry. Without tracing, an item has no origin.
 	r := newHarness(t, t.TempDir(), nil)
 	r.job(fileText(2))
 	out := r.after(0)
@@ -20,13 +19,13 @@
 	first, other := r.origin(out[0].item), r.origin(out[1].item)
 	index := out[0].item.index
 	out[0].Reject(dispatch.VerdictRejected, time.Second)
-	again := r.after(2 * time.Second)
-	if len(again) != 1 || again[0].item.index != index {
-		t.Fatalf("%d attempts after the rejected one", len(again))
+	retried := r.after(2 * time.Second)
+	if len(retried) != 1 || retried[0].item.index != index {
+		t.Fatalf("%d attempts after the rejected one", len(retried))
 	}
-	second := r.origin(again[0].item)
+	second := r.origin(retried[0].item)
 	if first.Trace == other.Trace || first.Trace != second.Trace || first.Retry || !second.Retry || second.Team != "crews" ||
 		second.CallID == first.CallID || second.CallID == "" {
-		t.Errorf("%+v, %+v, another item %+v", first, second, other)
+		t.Errorf("first attempt %+v, retry %+v, another item %+v", first, second, other)
 	}
 }
--- a/internal/batch/upload.go
+++ b/internal/batch/upload.go
@@ -9,8 +9,8 @@
 	"path/filepath"
 )
 
-// storeUpload writes an upload to the spool, validates it and keeps it under the hash of its content. Errors of the upload are of
-// type *apiError.
+// storeUpload writes an upload to the spool, validates it and stores it under the hash of its content. An invalid upload returns an
+// *apiError.
 func (s *Service) storeUpload(t *team, name string, r io.Reader) (fileRecord, error) {
 	dir := filepath.Join(s.cfg.Spool, t.Team)
 	tmp, err := os.CreateTemp(dir, "upload-*")
@@ -40,15 +40,15 @@
 	return s.commitUpload(dir, tmp, rec)
 }
 
-// validateUpload reads the items of an upload and returns their number and the tokens of the valid ones. Invalid items are no error:
-// they get their outcomes when they are scheduled.
+// validateUpload reads the items of an upload and returns their number and the tokens of the valid ones. Invalid items are not an
+// error: they get their outcomes when they are scheduled.
 func (s *Service) validateUpload(t *team, r io.Reader) (lines int, tokens int64, err error) {
-	seen := map[string]int{} // numbers of lines by custom_id
+	seen := map[string]int{} // line numbers by custom_id
 	spans, err := indexItems(r, s.limits.BatchItemBytes, func(n int, text []byte) error {
 		if n > t.MaxItems {
 			return &apiError{status: 413, code: "too_many_lines", message: fmt.Sprintf("a file of this team may hold %d lines", t.MaxItems)}
 		}
-		in, q, _, err := parseItem(text, &t.Contract)
+		in, request, _, err := parseItem(text, &t.Contract)
 		if first := seen[in.CustomID]; first != 0 && in.CustomID != "" {
 			return &apiError{
 				status: 400, code: "duplicate_custom_id", param: "file",
@@ -57,7 +57,7 @@
 		}
 		seen[in.CustomID] = n
 		if err == nil {
-			tokens += int64(q.PromptTokens + q.MaxTokens)
+			tokens += int64(request.PromptTokens + request.MaxTokens)
 		}
 		return nil
 	})
@@ -70,7 +70,7 @@
 	return len(spans), tokens, nil
 }
 
-// commitUpload moves a validated upload to its final directory. It returns the record of the existing file if there is one.
+// commitUpload moves a validated upload to its final directory. If the file exists already, it returns the existing record.
 func (s *Service) commitUpload(dir string, tmp *os.File, rec fileRecord) (fileRecord, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,10 +88,10 @@
 	if err := os.Rename(tmp.Name(), filepath.Join(final, inputName)); err != nil {
 		return fileRecord{}, err
 	}
-	return rec, writeJSON(filepath.Join(final, fileName), rec) // last: a file without its record does not exist for the API
+	return rec, writeJSON(filepath.Join(final, fileName), rec) // written last, since the API ignores a file without a record
 }
 
-// contentID returns the id of a team's file by the SHA-256 of its content: the same content of the same team is the same file and job.
+// contentID returns the ID of a team's file from the SHA-256 of its content. The same content from the same team has the same ID.
 func contentID(team string, sum []byte) string {
 	h := sha256.Sum256(append([]byte(team+"\x00"), sum...))
 	return hex.EncodeToString(h[:16])
