--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
 // Package admin serves the operators' HTTP API of a process: a readiness check, and calls that start and stop a drain. A connection
-// carries one HTTP/1.1 request. The number of open connections is bounded, and a new one replaces the oldest, so that slow clients do
-// not block others. The State performs the calls.
+// carries one HTTP/1.1 request. The number of open connections is bounded; at the bound, a new one replaces the oldest, so that slow
+// clients do not block others. The State performs the calls.
 package admin
 
 import (
--- a/internal/batch/input.go
+++ b/internal/batch/input.go
@@ -36,7 +36,7 @@
 }
 
 const (
-	tokenChars       = 4   // estimated length of a token, in bytes
+	bytesPerToken    = 4   // estimate
 	defaultMaxTokens = 800 // for bodies without a limit
 )
 
@@ -73,7 +73,7 @@
 		request.MaxTokens = defaultMaxTokens
 	}
 	for i, m := range chat.Messages {
-		request.PromptTokens += float64(contentBytes(m.Content)) / tokenChars
+		request.PromptTokens += float64(contentBytes(m.Content)) / bytesPerToken
 		if i == 0 && len(chat.Messages) > 1 { // other items may have the same first message
 			request.PrefixTokens, request.Prefix = request.PromptTokens, fingerprint(m.Content)
 		}
--- a/internal/batch/job.go
+++ b/internal/batch/job.go
@@ -190,7 +190,7 @@
 		s.withdraw(it)
 	}
 	j.ready = nil
-	done := j.done // a copy, since completeJob sets j.done to nil
+	done := j.done // stays usable when completeJob sets j.done to nil
 	for n := range done {
 		if !done[n] {
 			s.recordOutcome(j, n, &Outcome{
--- a/internal/batch/proof_test.go
+++ b/internal/batch/proof_test.go
@@ -29,7 +29,7 @@
 
 const (
 	proofLines = 5000
-	proofBad   = 7 // every 700th item is invalid
+	proofBad   = 7 // hundreds of items from one invalid item to the next
 )
 
 // fleet is a set of fake engines.
@@ -65,7 +65,7 @@
 			io.Copy(io.Discard, r.Body)
 			if n := received.Add(1); n == limit {
 				failed.Store(true)
-				s.Listener.Close() // refuses new connections
+				s.Listener.Close() // new connections are refused
 			}
 			if n := f.served.Add(1); n == proofLines/2 {
 				close(f.half)
@@ -78,7 +78,7 @@
 				_ = http.NewResponseController(w).Flush()
 			}
 			if failed.Load() {
-				panic(http.ErrAbortHandler) // closes the connection
+				panic(http.ErrAbortHandler) // aborts the connection
 			}
 			io.WriteString(w, "data: [DONE]\n\n")
 		})
--- a/internal/dialect/dialect_test.go
+++ b/internal/dialect/dialect_test.go
@@ -300,8 +300,8 @@
 	}
 }
 
-// TestDrainGraceFitsIntoTheDrain: the grace for known sessions, the time until all routers know of the drain and the time that a request
-// takes to reach the engine must fit into the drain timeout of the platform.
+// TestDrainGraceFitsIntoTheDrain: the grace for known sessions, the time that gossip needs to reach all routers and the time that a
+// request needs to reach the engine must fit into the drain timeout of the platform.
 func TestDrainGraceFitsIntoTheDrain(t *testing.T) {
 	const drain = 3 * time.Second
 	connect := 500 * time.Millisecond
--- a/internal/dialect/service.go
+++ b/internal/dialect/service.go
@@ -55,7 +55,7 @@
 	return len(s.Classes) - 1
 }
 
-// lowestPriority bounds the decrease of a request's value: each step of the route priority halves the value, up to this one.
+// lowestPriority is the route priority beyond which a request's value does not decrease. Each step up to it halves the value.
 const lowestPriority = 8
 
 // ClassOf returns the class that the requests of a route have in the decision module.
@@ -78,8 +78,8 @@
 
 // Slow start of an engine. A longer remaining warm-up in a heartbeat counts as SlowStart.
 const (
-	SlowStart        = 4 * time.Second
-	SlowStartInitial = 0.4 // share of the capacity that is used at first
+	SlowStart        = 4 * time.Second // duration
+	SlowStartInitial = 0.4             // share of the capacity that is used at first
 )
 
 // maxRetryAfter is the longest Retry-After of the decision module.
