--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -119,7 +119,7 @@
 
 var errStopping = errors.New("the process is shutting down; the drain cannot be undone")
 
-// StopDrain implements admin.State. It ends the drain that Fail started.
+// StopDrain implements admin.State. It ends the drain that StartDrain started.
 func (r *Router) StopDrain() error {
 	r.ops.mu.Lock()
 	defer r.ops.mu.Unlock()
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -52,8 +52,8 @@
 }
 
 func TestDrainByOperator(t *testing.T) {
-	// Fail and OK are each called twice, in two rounds. Idle connections are closed in time, and new ones are served and closed
-	// after their response. SIGTERM during a drain makes it final.
+	// StartDrain and StopDrain are each called twice, in two rounds. Idle connections are closed in time, and new ones are served and
+	// closed after their response. SIGTERM during a drain makes it final.
 	synctest.Test(t, func(t *testing.T) {
 		listener, stop, done, _, r := startInMemory(t, time.Second)
 		for range 2 {
@@ -89,10 +89,10 @@
 				t.Errorf("a silent connection was closed after %v", after)
 			}
 			if err := r.StopDrain(); err != nil || readinessStatus(t, listener) != 200 {
-				t.Errorf("OK: %v", err)
+				t.Errorf("StopDrain: %v", err)
 			}
 			if err := r.StopDrain(); err != nil || readinessStatus(t, listener) != 200 {
-				t.Errorf("OK without a drain: %v", err)
+				t.Errorf("StopDrain without a drain: %v", err)
 			}
 		}
 		kept := mustDial(listener.dial())
@@ -107,7 +107,7 @@
 		stop <- syscall.SIGTERM
 		synctest.Wait()
 		if err := r.StopDrain(); err == nil {
-			t.Error("OK undid a drain by SIGTERM")
+			t.Error("StopDrain undid a drain by SIGTERM")
 		}
 		if err := <-done; err != nil {
 			t.Error(err)
