--- a/internal/batch/batches.go
+++ b/internal/batch/batches.go
@@ -19,16 +19,16 @@
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.limits.BatchMessageBytes))
 	if err != nil {
-		return &apiError{status: http.StatusRequestEntityTooLarge, code: "too_large", message: "the request body is too large"}
+		return &apiError{status: http.StatusRequestEntityTooLarge, code: "too_large", message: "the message is too large"}
 	}
 	if err := json.Unmarshal(body, &in); err != nil {
-		return invalidValue("", "the request body is not valid JSON for this call: %v", err)
+		return invalidValue("", "the message is not JSON of this form: %v", err)
 	}
 	if in.Endpoint != endpoint {
 		return invalidValue("endpoint", "only %s is served", endpoint)
 	}
 	if in.CompletionWindow != "" && in.CompletionWindow != "24h" {
-		return invalidValue("completion_window", "only 24h is accepted; the line deadline of the contract applies")
+		return invalidValue("completion_window", "only 24h is known; the contract's line deadline is what binds")
 	}
 	id, ok := strings.CutPrefix(in.InputFileID, filePrefix)
 	if !ok {
--- a/internal/batch/handler.go
+++ b/internal/batch/handler.go
@@ -88,7 +88,7 @@
 		key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		t := s.teams[key]
 		if !ok || t == nil {
-			s.writeError(w, &apiError{status: http.StatusUnauthorized, code: "no_team", message: "the API key is missing or unknown"})
+			s.writeError(w, &apiError{status: http.StatusUnauthorized, code: "no_team", message: "the key is missing or no team's"})
 			return
 		}
 		if err := serve(t, w, r); err != nil {
--- a/internal/batch/submission.go
+++ b/internal/batch/submission.go
@@ -29,7 +29,7 @@
 		if existing.record.Class != class {
 			return nil, &apiError{
 				status: 409, code: "other_batch", param: "metadata.class",
-				message: "a batch of this file already exists, with class " + existing.record.Class,
+				message: "this file is a batch already, of class " + existing.record.Class,
 			}
 		}
 		return existing, nil
--- a/internal/dialect/frontend.go
+++ b/internal/dialect/frontend.go
@@ -41,12 +41,12 @@
 	reasonNoConfiguration = "no_configuration: there is none yet"
 	reasonNoRoute         = "no_route: no route takes this host and path"
 	reasonUnknownKey      = "unknown_key: " + keyHeader + " names no tenant"
-	reasonBadDeadline     = "bad_deadline: " + deadlineHeader + " must be a number above 0"
-	reasonTooLate         = "too_late: the deadline passed before the request was read"
-	reasonShed            = "yields: overloaded; requests of a higher priority are served first"
-	reasonNotRun          = "not_run: no engine accepted the request"
-	reasonNoAnswerYet     = "no_answer: an engine received the request and did not respond in time"
-	reasonNoAnswer        = "no_answer: an engine received the request and may have run it"
+	reasonBadDeadline     = "bad_deadline: " + deadlineHeader + " is no number above 0"
+	reasonTooLate         = "too_late: its time was over before it was read"
+	reasonShed            = "yields: not all can be served, and others come first"
+	reasonNotRun          = "not_run: no engine could take it"
+	reasonNoAnswerYet     = "no_answer: an engine has it and has not answered"
+	reasonNoAnswer        = "no_answer: an engine has had it"
 )
 
 const (
--- a/internal/route/explain.go
+++ b/internal/route/explain.go
@@ -125,8 +125,8 @@
 func (r *Route) advantageOver(other *Route) string {
 	advantages := [len(specificity{})]string{
 		"the winner's host is exact", "the winner's host suffix is longer", "the winner's path is exact",
-		"the winner's prefix is longer", "the winner requires the method", "the winner requires the class",
-		"the winner requires more headers",
+		"the winner's prefix is longer", "the winner names the method", "the winner names the class",
+		"the winner asks for more headers",
 	}
 	x, y := r.specificity(), other.specificity()
 	for i := range x {
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -196,7 +196,7 @@
 	for _, h := range params["header"] {
 		name, value, ok := strings.Cut(h, ":")
 		if !ok {
-			return nil, fmt.Errorf("header: %q is not of the form name:value", h)
+			return nil, fmt.Errorf("header: %q is no name:value", h)
 		}
 		name = http.CanonicalHeaderKey(strings.TrimSpace(name))
 		q.Header[name] = append(q.Header[name], strings.TrimSpace(value))
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -83,7 +83,7 @@
 	case r.frontend.IsDraining():
 		return false, "draining"
 	case !r.ready.Load():
-		return false, "starting: no engine is known yet"
+		return false, "starting: no issuer host is known yet"
 	case r.ops.claim != nil && r.ops.claim.Role() == hotrestart.RoleSuccessor && time.Since(r.ops.claimedAt) < limits.TakeoverReadyTimeout:
 		return false, "taking over: the process before this one has work left"
 	}
@@ -117,7 +117,7 @@
 	}()
 }
 
-var errStopping = errors.New("the process is shutting down; the drain cannot be undone")
+var errStopping = errors.New("the process is ending; a drain by SIGTERM has no way back")
 
 // StopDrain implements admin.State. It ends the drain that StartDrain started.
 func (r *Router) StopDrain() error {
