--- a/cmd/notchlab/demo.go
+++ b/cmd/notchlab/demo.go
@@ -139,7 +139,7 @@
 }
 
 // after shows what became of it all, and one step that took several legs or tries.
-func (d demo) after(tries []load.Try, sinks []string) error {
+func (d demo) after(tries []load.Attempt, sinks []string) error {
 	calls, served, wrong := map[int]bool{}, map[int]bool{}, 0
 	for i := range tries {
 		calls[tries[i].Call] = true
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -54,8 +54,8 @@
 // TestJudge: the judge of traces finds each kind of fault that it is there for.
 func TestJudge(t *testing.T) {
 	start := time.Unix(1000, 0)
-	call := func(id string, o load.Outcome) load.Try {
-		return load.Try{CallID: id, Number: 1, Due: start, Sent: start, First: start.Add(time.Second), End: start.Add(2 * time.Second), Outcome: o, Late: true}
+	call := func(id string, o load.Outcome) load.Attempt {
+		return load.Attempt{CallID: id, Number: 1, Due: start, Sent: start, First: start.Add(time.Second), End: start.Add(2 * time.Second), Outcome: o, Late: true}
 	}
 	record := func(id string) *trace.Try {
 		y := &trace.Try{
@@ -66,7 +66,7 @@
 		y.Phases[trace.Stream] = y.End
 		return y
 	}
-	failed := func(tries []load.Try, records []*trace.Try, boxes ...standin.Span) map[string]bool {
+	failed := func(tries []load.Attempt, records []*trace.Try, boxes ...standin.Span) map[string]bool {
 		b := &boxSpans{all: map[string][]standin.Span{}}
 		for _, s := range boxes {
 			b.add(s)
@@ -90,7 +90,7 @@
 		return standin.Span{Parent: trace.SpanID{id[0], 1}, CallID: id, Host: "s"}
 	}
 	good := record("a")
-	if short := failed([]load.Try{call("a", load.Served)}, []*trace.Try{good}, box("a")); len(short) != 0 {
+	if short := failed([]load.Attempt{call("a", load.Served)}, []*trace.Try{good}, box("a")); len(short) != 0 {
 		t.Errorf("a good run falls short: %v", short)
 	}
 	slow, open, astray, off := record("a"), record("a"), record("a"), record("a")
@@ -99,20 +99,20 @@
 	astray.Outcome = trace.Failed
 	off.Phases[trace.Hold] = time.Second
 	for name, c := range map[string]struct {
-		tries   []load.Try
+		tries   []load.Attempt
 		records []*trace.Try
 		boxes   []standin.Span
 		bar     string
 	}{
-		"missing":       {[]load.Try{call("a", load.Served)}, nil, nil, "owed traces that are missing"},
-		"invented":      {[]load.Try{call("a", load.Served)}, []*trace.Try{good, record("b")}, []standin.Span{box("a"), box("b")}, "traces of no request, or twice"},
-		"twice":         {[]load.Try{call("a", load.Served)}, []*trace.Try{good, good}, []standin.Span{box("a")}, "traces of no request, or twice"},
-		"no box span":   {[]load.Try{call("a", load.Served)}, []*trace.Try{good}, nil, "traces that are not complete"},
-		"no result":     {[]load.Try{call("a", load.Served)}, []*trace.Try{open}, []standin.Span{box("a")}, "traces that are not complete"},
-		"outcome":       {[]load.Try{call("a", load.Served)}, []*trace.Try{astray}, []standin.Span{box("a")}, "traces that are not complete"},
-		"sum of phases": {[]load.Try{call("a", load.Served)}, []*trace.Try{off}, []standin.Span{box("a")}, "traces that are not complete"},
-		"time":          {[]load.Try{call("a", load.Served)}, []*trace.Try{slow}, []standin.Span{box("a")}, "phases against the client, 99%"},
-		"wrong answer":  {[]load.Try{call("a", load.Wrong)}, []*trace.Try{good}, []standin.Span{box("a")}, "answers lost or invented"},
+		"missing":       {[]load.Attempt{call("a", load.Served)}, nil, nil, "owed traces that are missing"},
+		"invented":      {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good, record("b")}, []standin.Span{box("a"), box("b")}, "traces of no request, or twice"},
+		"twice":         {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good, good}, []standin.Span{box("a")}, "traces of no request, or twice"},
+		"no box span":   {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good}, nil, "traces that are not complete"},
+		"no result":     {[]load.Attempt{call("a", load.Served)}, []*trace.Try{open}, []standin.Span{box("a")}, "traces that are not complete"},
+		"outcome":       {[]load.Attempt{call("a", load.Served)}, []*trace.Try{astray}, []standin.Span{box("a")}, "traces that are not complete"},
+		"sum of phases": {[]load.Attempt{call("a", load.Served)}, []*trace.Try{off}, []standin.Span{box("a")}, "traces that are not complete"},
+		"time":          {[]load.Attempt{call("a", load.Served)}, []*trace.Try{slow}, []standin.Span{box("a")}, "phases against the client, 99%"},
+		"wrong answer":  {[]load.Attempt{call("a", load.Wrong)}, []*trace.Try{good}, []standin.Span{box("a")}, "answers lost or invented"},
 	} {
 		if short := failed(c.tries, c.records, c.boxes...); !short[c.bar] {
 			t.Errorf("%s: only %v fall short", name, short)
--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -185,7 +185,7 @@
 }
 
 // ask has a service's clients ask a plan's calls.
-func (r *run) ask(ctx context.Context, t *two, host string, plan []load.Call, seed uint64) []load.Try {
+func (r *run) ask(ctx context.Context, t *two, host string, plan []load.Call, seed uint64) []load.Attempt {
 	c := &load.Client{Routers: t.Addrs(), Host: host, Retries: r.Traffic.Retries, Pause: 50 * time.Millisecond, Seed: seed}
 	defer c.Close()
 	l := &load.Ledger{}
@@ -203,7 +203,7 @@
 }
 
 // bad counts what must not happen to any try.
-func bad(tries []load.Try) (n int, examples []string) {
+func bad(tries []load.Attempt) (n int, examples []string) {
 	for i := range tries {
 		if t := &tries[i]; t.Outcome == load.Wrong || t.Outcome == load.Lost || t.Status == http.StatusConflict {
 			n++
@@ -229,7 +229,7 @@
 	for _, trouble := range append(troubles, "") {
 		first[trouble] = hdrhistogram.New(1, 600_000_000, 3)
 	}
-	var tries []load.Try
+	var tries []load.Attempt
 	turn := 0
 	play := func(seed uint64, trouble string) (float64, error) {
 		turn++
@@ -250,7 +250,7 @@
 			}
 		}
 		var both sync.WaitGroup
-		var own, other []load.Try
+		var own, other []load.Attempt
 		var drained error
 		both.Go(func() { own = r.ask(ctx, t, runsHost, plan, seed) })
 		both.Go(func() { other = r.ask(ctx, t, calibHost, calib, seed+1) })
@@ -406,7 +406,7 @@
 	defer cancel()
 	length := time.Duration(r.rounds) * time.Duration(float64(r.length)/float64(r.rounds))
 	var both sync.WaitGroup
-	ledgers := make([][]load.Try, 2)
+	ledgers := make([][]load.Attempt, 2)
 	for i, host := range []string{runsHost, calibHost} {
 		both.Go(func() {
 			plan := r.calls(r.Seed+uint64(i), []float64{r.Traffic.Rate, r.Services.Rate * 0.6}[i], length, 0)
@@ -438,7 +438,7 @@
 	if err := t.stop(); err != nil {
 		return err
 	}
-	var tries []load.Try
+	var tries []load.Attempt
 	at := map[string][]asked{}
 	for _, a := range t.asked {
 		at[a.id] = append(at[a.id], a)
@@ -516,7 +516,7 @@
 	t.calib.Delay = behind
 	var both sync.WaitGroup
 	plans := make([][]load.Call, 2)
-	ledgers := make([][]load.Try, 2)
+	ledgers := make([][]load.Attempt, 2)
 	for i, host := range []string{runsHost, calibHost} {
 		plans[i] = r.calls(r.Seed+uint64(i), []float64{r.Traffic.Rate, r.Services.Rate}[i], r.length, i)
 		both.Go(func() { ledgers[i] = r.ask(ctx, t, host, plans[i], r.Seed+uint64(i)) })
@@ -556,7 +556,7 @@
 		return err
 	}
 	var arrivals [2][]time.Time
-	var tries []load.Try
+	var tries []load.Attempt
 	for i := range ledgers {
 		tries = append(tries, ledgers[i]...)
 		for k := range ledgers[i] {
--- a/internal/lab/experiment/tracing.go
+++ b/internal/lab/experiment/tracing.go
@@ -51,7 +51,7 @@
 }
 
 // play has clients ask and troubles happen, and returns the ledger.
-func (r *run) play(ctx context.Context, f *fleet.Fleet) ([]load.Try, error) {
+func (r *run) play(ctx context.Context, f *fleet.Fleet) ([]load.Attempt, error) {
 	plan := load.Plan(r.Seed, r.classes, r.Traffic.Rate, r.length, r.Fleet.Routers, load.Style{Carry: r.Traffic.Carry, Mark: r.Traffic.Mark})
 	r.say("%d calls in %v over %d routers and %d boxes", len(plan), r.length, len(f.Routers), len(f.Boxes))
 	client := &load.Client{Routers: f.Addrs(), Retries: r.Traffic.Retries, Pause: 50 * time.Millisecond, Seed: r.Seed}
@@ -95,7 +95,7 @@
 }
 
 // judge holds ledger and traces against each other.
-func (r *run) judge(tries []load.Try, spans []*tracepb.Span, boxes *boxSpans) {
+func (r *run) judge(tries []load.Attempt, spans []*tracepb.Span, boxes *boxSpans) {
 	byCall, doubled := map[string]*traced{}, 0
 	roots := map[string]*traced{} // by span
 	for _, s := range spans {
@@ -246,7 +246,7 @@
 func (r *run) part() float64 { return float64(r.length) / float64(r.Traffic.Length) }
 
 // whole says what a trace lacks.
-func (r *run) whole(t *load.Try, got *traced, boxes *boxSpans) string {
+func (r *run) whole(t *load.Attempt, got *traced, boxes *boxSpans) string {
 	if n := int(standin.Number(got.root, "notchhinge.legs")); n != len(got.legs) {
 		return fmt.Sprintf("%d legs of %d", len(got.legs), n)
 	}
@@ -294,7 +294,7 @@
 }
 
 // timeline draws what clients got over the run.
-func (r *run) timeline(tries []load.Try) report.Chart {
+func (r *run) timeline(tries []load.Attempt) report.Chart {
 	c := report.Chart{File: "timeline.svg", Title: "Tries by outcome", X: "s", Y: "a second", Steps: true}
 	if len(tries) == 0 {
 		return c
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -33,8 +33,8 @@
 	Lost    Outcome = "lost" // the connection ended without an answer
 )
 
-// Try is a line of the ledger. Times are of the client.
-type Try struct {
+// Attempt is a line of the ledger. Times are of the client.
+type Attempt struct {
 	Call    int // number of its call
 	Number  int // 1 for the first try
 	CallID  string
@@ -58,17 +58,17 @@
 // Ledger is what became of every call. It is safe for concurrent use.
 type Ledger struct {
 	mu    sync.Mutex
-	tries []Try
+	tries []Attempt
 }
 
-func (l *Ledger) add(t Try) {
+func (l *Ledger) add(t Attempt) {
 	l.mu.Lock()
 	l.tries = append(l.tries, t)
 	l.mu.Unlock()
 }
 
 // Tries returns the lines so far.
-func (l *Ledger) Tries() []Try {
+func (l *Ledger) Tries() []Attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tries[:len(l.tries):len(l.tries)]
@@ -134,7 +134,7 @@
 	router, from := call.Router, 0
 	var again string
 	for number := 1; number <= 1+c.Retries; number++ {
-		t := Try{
+		t := Attempt{
 			Call: call.Number, Number: number, CallID: fmt.Sprintf("%016x", rnd.Uint64()), Trace: own, Class: call.Class.Name,
 			Router: router, Due: due,
 		}
@@ -208,7 +208,7 @@
 func (t *timed) Close() error { return nil }
 
 // request is an attempt as it is sent. wrote is called when the last of it has been taken to be written.
-func (c *Client) request(ctx context.Context, call *Call, t *Try, patience time.Duration, from int, again string, wrote func()) (*http.Request, error) {
+func (c *Client) request(ctx context.Context, call *Call, t *Attempt, patience time.Duration, from int, again string, wrote func()) (*http.Request, error) {
 	work, _ := json.Marshal(standin.Work{
 		Session: call.Session, Prefix: call.Prefix, Prompt: call.Prompt, Opening: call.Opening, Answer: call.Answer, From: from,
 	})
@@ -240,7 +240,7 @@
 }
 
 // ask makes one try, and returns how long the router wants the client to stay away.
-func (c *Client) ask(ctx context.Context, call *Call, t *Try, patience time.Duration, from int, again string) (wait time.Duration) {
+func (c *Client) ask(ctx context.Context, call *Call, t *Attempt, patience time.Duration, from int, again string) (wait time.Duration) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var sent time.Time
@@ -296,7 +296,7 @@
 var done = []byte("data: [DONE]")
 
 // read takes a stream to its end and checks that its tokens are those that were asked for, each once and in order.
-func (c *Client) read(body io.Reader, t *Try, giveUp *time.Timer, from, answer int) {
+func (c *Client) read(body io.Reader, t *Attempt, giveUp *time.Timer, from, answer int) {
 	lines := bufio.NewReader(body)
 	ended := false
 	for {
@@ -332,7 +332,7 @@
 }
 
 // close says how a stream came out whose reader met err, after tokens of so many.
-func (t *Try) close(err error, ended bool, tokens, answer int) {
+func (t *Attempt) close(err error, ended bool, tokens, answer int) {
 	switch {
 	case !errors.Is(err, io.EOF) || !ended:
 		t.Outcome, t.Detail = Broken, fmt.Sprint(err)
@@ -347,7 +347,7 @@
 }
 
 // judge says whether an answer was late for its class.
-func (c *Client) judge(call *Call, t *Try) {
+func (c *Client) judge(call *Call, t *Attempt) {
 	if t.First.IsZero() {
 		return
 	}
@@ -357,7 +357,7 @@
 }
 
 // Worth is what a ledger's calls were worth in time, as a share of what they all would be.
-func Worth(plan []Call, tries []Try) float64 {
+func Worth(plan []Call, tries []Attempt) float64 {
 	got := map[int]bool{}
 	for i := range tries {
 		if t := &tries[i]; t.Outcome == Served && !t.Late {
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -58,7 +58,7 @@
 		"without its end":    {event("x", "w0 w1 w2 ", ""), Wrong},
 		"more after its end": {event("x", "w0 w1 w2 ", end+event("x", "w3 ", "")), Wrong},
 	} {
-		try := &Try{CallID: "x"}
+		try := &Attempt{CallID: "x"}
 		(&Client{}).read(strings.NewReader(c.stream), try, time.NewTimer(time.Hour), 0, 3)
 		if try.Outcome != c.want {
 			t.Errorf("%s: %s %s", name, try.Outcome, try.Detail)
