--- a/cmd/notchlab/demo.go
+++ b/cmd/notchlab/demo.go
@@ -96,7 +96,7 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return d.after(ledger.Tries(), sinks)
+	return d.after(ledger.Attempts(), sinks)
 }
 
 // tell prints what clients got, every two seconds, and what happens meanwhile.
@@ -111,7 +111,7 @@
 		case <-time.After(2 * time.Second):
 		}
 		var n [6]int
-		tries := ledger.Tries()
+		tries := ledger.Attempts()
 		for i := range tries[seen:] {
 			t := &tries[seen+i]
 			switch {
--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -190,7 +190,7 @@
 	defer c.Close()
 	l := &load.Ledger{}
 	c.Run(ctx, plan, l)
-	return l.Tries()
+	return l.Attempts()
 }
 
 // calls draws a plan. Turns that ask the same do so in other conversations, so that none finds another's prompts kept.
--- a/internal/lab/experiment/tracing.go
+++ b/internal/lab/experiment/tracing.go
@@ -62,7 +62,7 @@
 	if err := <-trouble; err != nil {
 		return nil, err
 	}
-	return ledger.Tries(), ctx.Err()
+	return ledger.Attempts(), ctx.Err()
 }
 
 // tracing holds every late, failed or retried try of the ledger against the collector's traces.
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -67,8 +67,8 @@
 	l.mu.Unlock()
 }
 
-// Tries returns the lines so far.
-func (l *Ledger) Tries() []Attempt {
+// Attempts returns the lines so far.
+func (l *Ledger) Attempts() []Attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tries[:len(l.tries):len(l.tries)]
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -80,7 +80,7 @@
 	plan := Plan(1, classes, 200, 300*time.Millisecond, 1, Style{Carry: 1})
 	var l Ledger
 	(&Client{Routers: []string{b.Addr()}, Retries: 2}).Run(context.Background(), plan, &l)
-	tries := l.Tries()
+	tries := l.Attempts()
 	if len(plan) < 20 || len(tries) < len(plan) {
 		t.Fatalf("%d tries of %d calls", len(tries), len(plan))
 	}
