--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -185,7 +185,7 @@
 }
 
 // ask has a service's clients ask a plan's calls.
-func (r *run) ask(ctx context.Context, t *two, host string, plan []load.Call, seed uint64) []load.Attempt {
+func (r *run) ask(ctx context.Context, t *two, host string, plan []load.Request, seed uint64) []load.Attempt {
 	c := &load.Client{Routers: t.Addrs(), Host: host, Retries: r.Traffic.Retries, Pause: 50 * time.Millisecond, Seed: seed}
 	defer c.Close()
 	l := &load.Ledger{}
@@ -194,7 +194,7 @@
 }
 
 // calls draws a plan. Turns that ask the same do so in other conversations, so that none finds another's prompts kept.
-func (r *run) calls(seed uint64, rate float64, length time.Duration, turn int) []load.Call {
+func (r *run) calls(seed uint64, rate float64, length time.Duration, turn int) []load.Request {
 	plan := load.Plan(seed, r.classes, rate, length, 1, load.Style{Mark: 1})
 	for i := range plan {
 		plan[i].Session ^= uint64(turn+1) << 32
@@ -234,7 +234,7 @@
 	play := func(seed uint64, trouble string) (float64, error) {
 		turn++
 		plan := r.calls(seed, r.Traffic.Rate, r.length, turn)
-		var calib []load.Call
+		var calib []load.Request
 		switch trouble {
 		case "":
 		case "alone":
@@ -515,7 +515,7 @@
 	defer func() { _ = t.stop() }() // the first error counts
 	t.calib.Delay = behind
 	var both sync.WaitGroup
-	plans := make([][]load.Call, 2)
+	plans := make([][]load.Request, 2)
 	ledgers := make([][]load.Attempt, 2)
 	for i, host := range []string{runsHost, calibHost} {
 		plans[i] = r.calls(r.Seed+uint64(i), []float64{r.Traffic.Rate, r.Services.Rate}[i], r.length, i)
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -99,7 +99,7 @@
 func (c *Client) Close() { c.client().CloseIdleConnections() }
 
 // Run asks each call when it is due, from the start on, and returns once all have their end or the context is over.
-func (c *Client) Run(ctx context.Context, plan []Call, to *Ledger) {
+func (c *Client) Run(ctx context.Context, plan []Request, to *Ledger) {
 	var all sync.WaitGroup
 	defer all.Wait()
 	start := time.Now()
@@ -123,7 +123,7 @@
 
 // step makes the tries of a call, as the deployment's clients do: a try without a first token is given up after a part
 // of the call's deadline, and tried again at once or after a short wait.
-func (c *Client) step(ctx context.Context, call *Call, due time.Time, to *Ledger) {
+func (c *Client) step(ctx context.Context, call *Request, due time.Time, to *Ledger) {
 	rnd := rand.New(rand.NewPCG(c.Seed, uint64(call.Number)))
 	until := due.Add(call.Class.Deadline)
 	patience := time.Duration((0.3 + 0.25*rnd.Float64()) * float64(call.Class.Deadline))
@@ -208,7 +208,7 @@
 func (t *timed) Close() error { return nil }
 
 // request is an attempt as it is sent. wrote is called when the last of it has been taken to be written.
-func (c *Client) request(ctx context.Context, call *Call, t *Attempt, patience time.Duration, from int, again string, wrote func()) (*http.Request, error) {
+func (c *Client) request(ctx context.Context, call *Request, t *Attempt, patience time.Duration, from int, again string, wrote func()) (*http.Request, error) {
 	work, _ := json.Marshal(standin.Work{
 		Session: call.Session, Prefix: call.Prefix, Prompt: call.Prompt, Opening: call.Opening, Answer: call.Answer, From: from,
 	})
@@ -240,7 +240,7 @@
 }
 
 // ask makes one try, and returns how long the router wants the client to stay away.
-func (c *Client) ask(ctx context.Context, call *Call, t *Attempt, patience time.Duration, from int, again string) (wait time.Duration) {
+func (c *Client) ask(ctx context.Context, call *Request, t *Attempt, patience time.Duration, from int, again string) (wait time.Duration) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var sent time.Time
@@ -347,7 +347,7 @@
 }
 
 // judge says whether an answer was late for its class.
-func (c *Client) judge(call *Call, t *Attempt) {
+func (c *Client) judge(call *Request, t *Attempt) {
 	if t.First.IsZero() {
 		return
 	}
@@ -357,7 +357,7 @@
 }
 
 // Worth is what a ledger's calls were worth in time, as a share of what they all would be.
-func Worth(plan []Call, tries []Attempt) float64 {
+func Worth(plan []Request, tries []Attempt) float64 {
 	got := map[int]bool{}
 	for i := range tries {
 		if t := &tries[i]; t.Outcome == Served && !t.Late {
--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Call is one question of a client: a step, with as many tries as it takes.
-type Call struct {
+// Request is one question of a client: a step, with as many tries as it takes.
+type Request struct {
 	Number  int
 	Class   *Class
 	Session uint64
@@ -77,10 +77,10 @@
 // Plan draws the calls of a run: sessions begin evenly at random, at rate calls a second in all, until the end; turns
 // follow one another by the time that a good answer takes and a think time. The calls are in the order in which they
 // are due.
-func Plan(seed uint64, classes []Class, rate float64, length time.Duration, routers int, style Style) []Call {
+func Plan(seed uint64, classes []Class, rate float64, length time.Duration, routers int, style Style) []Request {
 	rnd := rand.New(rand.NewPCG(seed, 0xa0761d6478bd642f))
 	between := func(r [2]float64) float64 { return r[0] + rnd.Float64()*(r[1]-r[0]) }
-	var calls []Call
+	var calls []Request
 	for c := range classes {
 		k := &classes[c]
 		total := 0.0
@@ -107,7 +107,7 @@
 				prompt += int(between(k.New))
 				answer := max(int(between(k.Answer)), 1)
 				if due >= 0 && due < length {
-					calls = append(calls, Call{
+					calls = append(calls, Request{
 						Class: k, Session: session, Turn: turn, Prefix: uint64(c+1)<<32 | uint64(opening+1)<<1,
 						Opening: openings[opening], Prompt: prompt, Answer: answer, Due: due, Carries: carries, Marks: marks,
 						Router: rnd.IntN(max(routers, 1)),
@@ -118,7 +118,7 @@
 			}
 		}
 	}
-	slices.SortStableFunc(calls, func(x, y Call) int { return cmp.Compare(x.Due, y.Due) })
+	slices.SortStableFunc(calls, func(x, y Request) int { return cmp.Compare(x.Due, y.Due) })
 	for i := range calls {
 		calls[i].Number = i
 	}
