--- a/cmd/notchlab/demo.go
+++ b/cmd/notchlab/demo.go
@@ -120,7 +120,7 @@
 			case t.Outcome == load.Served:
 				n[0]++
 			default:
-				if at := slices.Index([]load.Outcome{load.Refused, load.Failed, load.Broken, load.Left}, t.Outcome); at >= 0 {
+				if at := slices.Index([]load.Outcome{load.Refused, load.Failed, load.Broken, load.Canceled}, t.Outcome); at >= 0 {
 					n[2+at]++
 				}
 			}
--- a/internal/lab/experiment/tracing.go
+++ b/internal/lab/experiment/tracing.go
@@ -207,7 +207,7 @@
 	share := float64(shared) / float64(max(ordinary, 1))
 	res := r.result
 	res.Add("tries", float64(len(tries)), "", "")
-	for _, o := range []load.Outcome{load.Served, load.Broken, load.Refused, load.Failed, load.Left, load.Lost, load.Wrong} {
+	for _, o := range []load.Outcome{load.Served, load.Broken, load.Refused, load.Failed, load.Canceled, load.Lost, load.Wrong} {
 		res.Add("tries "+string(o), float64(counts[o]), "", "")
 	}
 	res.Add("tries whose trace is owed", float64(owed), "", "late, not served, or a retry")
@@ -287,7 +287,7 @@
 		return fmt.Sprintf("phases add up to %d µs of %d", sum, total)
 	}
 	served := standin.Text(got.root, "notchhinge.outcome") == "served"
-	if served != (t.Outcome == load.Served) && t.Outcome != load.Left && t.Outcome != load.Wrong {
+	if served != (t.Outcome == load.Served) && t.Outcome != load.Canceled && t.Outcome != load.Wrong {
 		return fmt.Sprintf("the client has it %s, the trace %s", t.Outcome, standin.Text(got.root, "notchhinge.outcome"))
 	}
 	return ""
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -22,15 +22,15 @@
 // Outcome is what a client got of a try.
 type Outcome string
 
-// The outcomes. Left: the client gave the try up. Wrong: the answer is none that a box made for this request.
+// The outcomes. Canceled: the client gave the try up. Wrong: the answer is none that a box made for this request.
 const (
-	Served  Outcome = "served"
-	Broken  Outcome = "broken"
-	Refused Outcome = "refused"
-	Failed  Outcome = "failed"
-	Left    Outcome = "left"
-	Wrong   Outcome = "wrong"
-	Lost    Outcome = "lost" // the connection ended without an answer
+	Served   Outcome = "served"
+	Broken   Outcome = "broken"
+	Refused  Outcome = "refused"
+	Failed   Outcome = "failed"
+	Canceled Outcome = "left"
+	Wrong    Outcome = "wrong"
+	Lost     Outcome = "lost" // the connection ended without an answer
 )
 
 // Attempt is a line of the ledger. Times are of the client.
@@ -270,7 +270,7 @@
 	if err != nil {
 		t.Outcome, t.Detail = Lost, err.Error()
 		if errors.Is(err, context.Canceled) {
-			t.Outcome = Left
+			t.Outcome = Canceled
 		}
 		return 0
 	}
@@ -288,7 +288,7 @@
 	}
 	c.read(resp.Body, t, giveUp, from, call.Answer)
 	if t.Outcome == Broken && ctx.Err() != nil {
-		t.Outcome = Left
+		t.Outcome = Canceled
 	}
 	return 0
 }
