--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -40,7 +40,7 @@
 type two struct {
 	*fleet.Fleet
 	calib   *standin.Discovery
-	boxes   []*standin.Box // of the second service
+	boxes   []*standin.Engine // of the second service
 	control string
 
 	mu    sync.Mutex
@@ -65,7 +65,7 @@
 			return err
 		}
 		for n := range 2 * r.Fleet.Boxes {
-			b := &standin.Box{Params: o.Params, Asked: t.hear}
+			b := &standin.Engine{Params: o.Params, Asked: t.hear}
 			switch {
 			case same && n >= r.Fleet.Boxes:
 				continue
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -68,7 +68,7 @@
 
 // TestClientAgainstBox asks a box without a router between: every call is served whole, or turned away and tried again.
 func TestClientAgainstBox(t *testing.T) {
-	b := &standin.Box{Name: "s-1", Params: model.Default(50)}
+	b := &standin.Engine{Name: "s-1", Params: model.Default(50)}
 	if err := b.Start("127.0.0.1:0", false); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/standin/box.go
+++ b/internal/lab/standin/box.go
@@ -51,8 +51,8 @@
 	End    time.Time
 }
 
-// Box is an engine behind sockets.
-type Box struct {
+// Engine is an engine behind sockets.
+type Engine struct {
 	Name   string
 	Params model.Params
 	Spans  func(Span) // gets the box's own spans; may be nil
@@ -81,7 +81,7 @@
 }
 
 // Start begins a box at a loopback address; one that is cold has just been started, another is long warm.
-func (b *Box) Start(addr string, cold bool) error {
+func (b *Engine) Start(addr string, cold bool) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func (b *Box) set(e Entry) {
+func (b *Engine) set(e Entry) {
 	for _, d := range []*Discovery{b.Disc, b.Also} {
 		if d != nil {
 			d.Set(e)
@@ -129,19 +129,19 @@
 }
 
 // Addr is where it listens, or listened.
-func (b *Box) Addr() string {
+func (b *Engine) Addr() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.addr
 }
 
 // Drain has discovery tell that the box is terminating. It goes on with what it has.
-func (b *Box) Drain() { b.tell("Terminating") }
+func (b *Engine) Drain() { b.tell("Terminating") }
 
 // Gone has discovery tell that the box is no more.
-func (b *Box) Gone() { b.tell("Gone") }
+func (b *Engine) Gone() { b.tell("Gone") }
 
-func (b *Box) tell(health string) {
+func (b *Engine) tell(health string) {
 	b.mu.Lock()
 	e := Entry{Host: b.Name, Dial: b.addr, Site: "room", Class: "gpu", Health: health, Share: 1}
 	b.mu.Unlock()
@@ -149,7 +149,7 @@
 }
 
 // Die ends the process at once: its connections are closed and new ones refused.
-func (b *Box) Die() {
+func (b *Engine) Die() {
 	b.mu.Lock()
 	if !b.alive {
 		b.mu.Unlock()
@@ -164,14 +164,14 @@
 }
 
 // Rename gives the box's next life another host's name.
-func (b *Box) Rename(name string) {
+func (b *Engine) Rename(name string) {
 	b.mu.Lock()
 	b.Name = name
 	b.mu.Unlock()
 }
 
 // Suffer puts a fault on, or takes it off. It strikes a share of requests; 0 = all.
-func (b *Box) Suffer(f Fault, share float64) {
+func (b *Engine) Suffer(f Fault, share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.share = share
@@ -186,14 +186,14 @@
 }
 
 // now is the engine's time; the lock is held.
-func (b *Box) now() time.Duration {
+func (b *Engine) now() time.Duration {
 	if b.fault == Pause {
 		return b.paused.Sub(b.began) - b.still
 	}
 	return time.Since(b.began) - b.still
 }
 
-func (b *Box) nudge() {
+func (b *Engine) nudge() {
 	select {
 	case b.wake <- struct{}{}:
 	default:
@@ -201,7 +201,7 @@
 }
 
 // run turns the engine: one goroutine a life.
-func (b *Box) run(ctx context.Context, e *model.Engine, ended chan<- struct{}) {
+func (b *Engine) run(ctx context.Context, e *model.Engine, ended chan<- struct{}) {
 	defer close(ended)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -229,7 +229,7 @@
 	}
 }
 
-func (b *Box) report() string {
+func (b *Engine) report() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	run, wait, unread := b.engine.Load()
@@ -237,7 +237,7 @@
 }
 
 // strike tells whether the present fault strikes a request, and which.
-func (b *Box) strike() Fault {
+func (b *Engine) strike() Fault {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.fault == Fine || b.share > 0 && b.strikes.Float64() >= b.share {
@@ -248,7 +248,7 @@
 
 const maxBody = 1 << 20
 
-func (b *Box) serve(w http.ResponseWriter, r *http.Request) {
+func (b *Engine) serve(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	id := r.Header.Get("X-Call-Id")
 	if id == "" {
@@ -285,7 +285,7 @@
 }
 
 // struck has a fault befall a request before its stream, and tells whether that was its end.
-func (b *Box) struck(w http.ResponseWriter, r *http.Request, f Fault) bool {
+func (b *Engine) struck(w http.ResponseWriter, r *http.Request, f Fault) bool {
 	_, fresh := b.fresh.LoadAndDelete(r.RemoteAddr)
 	switch f {
 	case Refuse:
@@ -318,7 +318,7 @@
 	return false
 }
 
-func (b *Box) coin() bool {
+func (b *Engine) coin() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.strikes.IntN(2) == 0
@@ -337,7 +337,7 @@
 }
 
 // cutShort ends a stream by a reset, or leaves it without another event until somebody else ends it.
-func (b *Box) cutShort(w http.ResponseWriter, r *http.Request, f Fault) {
+func (b *Engine) cutShort(w http.ResponseWriter, r *http.Request, f Fault) {
 	if f == Reset {
 		reset(w)
 		return
@@ -350,7 +350,7 @@
 
 // stream has the engine make the answer, and writes its events. Every token says its number, so that a reader can tell
 // whether one was lost, doubled or invented.
-func (b *Box) stream(w http.ResponseWriter, r *http.Request, id string, work Work, f Fault) {
+func (b *Engine) stream(w http.ResponseWriter, r *http.Request, id string, work Work, f Fault) {
 	answer := max(work.Answer-work.From, 1)
 	out := make(chan model.Output, answer+1)
 	b.mu.Lock()
