--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -246,7 +246,7 @@
 		}
 		if trouble == "hung" {
 			for _, b := range t.boxes[:len(t.boxes)/2] {
-				b.Suffer(standin.StallFirst, 0)
+				b.SetFault(standin.StallFirst, 0)
 			}
 		}
 		var both sync.WaitGroup
@@ -267,7 +267,7 @@
 		switch trouble {
 		case "hung":
 			for _, b := range t.boxes {
-				b.Suffer(standin.Fine, 0)
+				b.SetFault(standin.Fine, 0)
 			}
 		case "drained":
 			if err := t.reload(ctx, t.plain(), 1); err != nil {
--- a/internal/lab/fleet/trouble.go
+++ b/internal/lab/fleet/trouble.go
@@ -83,7 +83,7 @@
 		case Drain:
 			b.Drain()
 		default:
-			b.Suffer(standin.Fault(t.What), t.Share)
+			b.SetFault(standin.Fault(t.What), t.Share)
 		}
 	}
 	wait(t.At + t.Lasts)
@@ -98,7 +98,7 @@
 		case Replace:
 			b.Rename(b.Name + "-r")
 		default:
-			b.Suffer(standin.Fine, 0)
+			b.SetFault(standin.Fine, 0)
 			continue
 		}
 		if err := b.Start(b.Addr(), true); err != nil {
--- a/internal/lab/standin/box.go
+++ b/internal/lab/standin/box.go
@@ -170,8 +170,8 @@
 	b.mu.Unlock()
 }
 
-// Suffer puts a fault on, or takes it off. It strikes a share of requests; 0 = all.
-func (b *Engine) Suffer(f Fault, share float64) {
+// SetFault puts a fault on, or takes it off. It strikes a share of requests; 0 = all.
+func (b *Engine) SetFault(f Fault, share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.share = share
