--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -267,7 +267,7 @@
 		switch trouble {
 		case "hung":
 			for _, b := range t.boxes {
-				b.SetFault(standin.Fine, 0)
+				b.SetFault(standin.NoFault, 0)
 			}
 		case "drained":
 			if err := t.reload(ctx, t.plain(), 1); err != nil {
--- a/internal/lab/fleet/trouble.go
+++ b/internal/lab/fleet/trouble.go
@@ -98,7 +98,7 @@
 		case Replace:
 			b.Rename(b.Name + "-r")
 		default:
-			b.SetFault(standin.Fine, 0)
+			b.SetFault(standin.NoFault, 0)
 			continue
 		}
 		if err := b.Start(b.Addr(), true); err != nil {
--- a/internal/lab/standin/box.go
+++ b/internal/lab/standin/box.go
@@ -31,7 +31,7 @@
 
 // The faults.
 const (
-	Fine        Fault = ""
+	NoFault     Fault = ""
 	StallFirst  Fault = "stall-first"  // takes requests and never begins their answers
 	StallStream Fault = "stall-stream" // streams freeze after a few events
 	Reset       Fault = "reset"        // connections are reset after the request, or in mid-stream
@@ -89,7 +89,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.addr = ln.Addr().String()
-	b.began, b.still, b.fault, b.paused = time.Now(), 0, Fine, time.Time{}
+	b.began, b.still, b.fault, b.paused = time.Now(), 0, NoFault, time.Time{}
 	born := -b.Params.WarmUp
 	var bornMS int64
 	if cold {
@@ -240,8 +240,8 @@
 func (b *Engine) strike() Fault {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.fault == Fine || b.share > 0 && b.strikes.Float64() >= b.share {
-		return Fine
+	if b.fault == NoFault || b.share > 0 && b.strikes.Float64() >= b.share {
+		return NoFault
 	}
 	return b.fault
 }
