--- a/internal/lab/fleet/trouble.go
+++ b/internal/lab/fleet/trouble.go
@@ -28,7 +28,7 @@
 )
 
 var faults = []standin.Fault{
-	standin.StallFirst, standin.StallStream, standin.Reset, standin.Refuse, standin.Break,
+	standin.StallFirst, standin.StallStream, standin.Reset, standin.Refuse, standin.ServerError,
 	standin.SlowConnect, standin.Pause,
 }
 
--- a/internal/lab/standin/box.go
+++ b/internal/lab/standin/box.go
@@ -36,7 +36,7 @@
 	StallStream Fault = "stall-stream" // streams freeze after a few events
 	Reset       Fault = "reset"        // connections are reset after the request, or in mid-stream
 	Refuse      Fault = "refuse"       // turns requests away
-	Break       Fault = "error"        // answers 500
+	ServerError Fault = "error"        // answers 500
 	SlowConnect Fault = "slow-connect" // a new connection's first request waits
 	Pause       Fault = "pause"        // the whole engine stands still
 )
@@ -292,7 +292,7 @@
 		w.Header().Set("X-Rejected", "1")
 		http.Error(w, "turned away", http.StatusServiceUnavailable)
 		return true
-	case Break:
+	case ServerError:
 		http.Error(w, "broken", http.StatusInternalServerError)
 		return true
 	case Reset:
