--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -65,7 +65,7 @@
 			return err
 		}
 		for n := range 2 * r.Fleet.Boxes {
-			b := &standin.Engine{Params: o.Params, Asked: t.hear}
+			b := &standin.Engine{Params: o.Params, OnRequest: t.hear}
 			switch {
 			case same && n >= r.Fleet.Boxes:
 				continue
--- a/internal/lab/standin/box.go
+++ b/internal/lab/standin/box.go
@@ -53,12 +53,12 @@
 
 // Engine is an engine behind sockets.
 type Engine struct {
-	Name   string
-	Params model.Params
-	Spans  func(Span) // gets the box's own spans; may be nil
-	Disc   *Discovery
-	Also   *Discovery                               // lists it, too; may be nil
-	Asked  func(box, host, id string, at time.Time) // hears of each request, its Host and its id; may be nil
+	Name      string
+	Params    model.Params
+	Spans     func(Span) // gets the box's own spans; may be nil
+	Disc      *Discovery
+	Also      *Discovery                               // lists it, too; may be nil
+	OnRequest func(box, host, id string, at time.Time) // hears of each request, its Host and its id; may be nil
 
 	mu      sync.Mutex
 	addr    string
@@ -263,11 +263,11 @@
 		http.Error(w, "no request of the lab", http.StatusBadRequest)
 		return
 	}
-	if b.Asked != nil {
+	if b.OnRequest != nil {
 		b.mu.Lock()
 		name := b.Name
 		b.mu.Unlock()
-		b.Asked(name, r.Host, id, began)
+		b.OnRequest(name, r.Host, id, began)
 	}
 	if c, ok := trace.ParseParent(r.Header.Get("Traceparent")); ok && b.Spans != nil {
 		b.mu.Lock()
