--- a/internal/lab/standin/box.go
+++ b/internal/lab/standin/box.go
@@ -55,7 +55,7 @@
 type Engine struct {
 	Name      string
 	Params    model.Params
-	Spans     func(Span) // gets the box's own spans; may be nil
+	OnSpan    func(Span) // gets the box's own spans; may be nil
 	Disc      *Discovery
 	Also      *Discovery                               // lists it, too; may be nil
 	OnRequest func(box, host, id string, at time.Time) // hears of each request, its Host and its id; may be nil
@@ -269,12 +269,12 @@
 		b.mu.Unlock()
 		b.OnRequest(name, r.Host, id, began)
 	}
-	if c, ok := trace.ParseParent(r.Header.Get("Traceparent")); ok && b.Spans != nil {
+	if c, ok := trace.ParseParent(r.Header.Get("Traceparent")); ok && b.OnSpan != nil {
 		b.mu.Lock()
 		name := b.Name
 		b.mu.Unlock()
 		defer func() {
-			b.Spans(Span{Trace: c.Trace, Parent: c.Span, CallID: id, Host: name, Start: began, End: time.Now()})
+			b.OnSpan(Span{Trace: c.Trace, Parent: c.Span, CallID: id, Host: name, Start: began, End: time.Now()})
 		}()
 	}
 	f := b.strike()
