--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -70,11 +70,11 @@
 			case same && n >= r.Fleet.Boxes:
 				continue
 			case same:
-				b.Name, b.Disc, b.Also = fmt.Sprintf("s-%d", n), f.Discovery, t.calib
+				b.Name, b.Discovery, b.Also = fmt.Sprintf("s-%d", n), f.Discovery, t.calib
 			case n < r.Fleet.Boxes:
-				b.Name, b.Disc = fmt.Sprintf("runs-%d", n), f.Discovery
+				b.Name, b.Discovery = fmt.Sprintf("runs-%d", n), f.Discovery
 			default:
-				b.Name, b.Disc = fmt.Sprintf("calib-%d", n-r.Fleet.Boxes), t.calib
+				b.Name, b.Discovery = fmt.Sprintf("calib-%d", n-r.Fleet.Boxes), t.calib
 			}
 			if err := b.Start("127.0.0.1:0", false); err != nil {
 				return err
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	for i := range o.Boxes {
-		b := &standin.Engine{Name: fmt.Sprintf("s-%08x", i*0x9e3779b1&0xffffffff), Params: o.Params, OnSpan: o.Spans, Disc: f.Discovery}
+		b := &standin.Engine{Name: fmt.Sprintf("s-%08x", i*0x9e3779b1&0xffffffff), Params: o.Params, OnSpan: o.Spans, Discovery: f.Discovery}
 		if err := b.Start("127.0.0.1:0", false); err != nil {
 			return nil, err
 		}
--- a/internal/lab/standin/box.go
+++ b/internal/lab/standin/box.go
@@ -56,7 +56,7 @@
 	Name      string
 	Params    model.Params
 	OnSpan    func(Span) // gets the box's own spans; may be nil
-	Disc      *Discovery
+	Discovery *Discovery
 	Also      *Discovery                               // lists it, too; may be nil
 	OnRequest func(box, host, id string, at time.Time) // hears of each request, its Host and its id; may be nil
 
@@ -121,7 +121,7 @@
 }
 
 func (b *Engine) set(e Entry) {
-	for _, d := range []*Discovery{b.Disc, b.Also} {
+	for _, d := range []*Discovery{b.Discovery, b.Also} {
 		if d != nil {
 			d.Set(e)
 		}
