--- a/cmd/notchlab/capacity.go
+++ b/cmd/notchlab/capacity.go
@@ -21,11 +21,11 @@
 // Run plays quiet days of the control plane at each size, and tells what a router and a keeper send and take.
 func (c capacityCmd) Run() error {
 	if len(c.Routers) != len(c.Engines) || c.Keepers < 1 {
-		return badFile{fmt.Errorf("--routers has %d figures and --engines %d; a keeper at least is wanted", len(c.Routers), len(c.Engines))}
+		return usageError{fmt.Errorf("--routers has %d figures and --engines %d; a keeper at least is wanted", len(c.Routers), len(c.Engines))}
 	}
 	const length, calm = 25 * time.Second, 15 * time.Second
 	all := make([]plane.Costs, len(c.Routers))
-	sideBySide(len(all), func(i int) {
+	runParallel(len(all), func(i int) {
 		d := &plane.Day{Seed: c.Seed, Keepers: c.Keepers, Routers: c.Routers[i], Engines: c.Engines[i], Tolerate: (c.Keepers - 1) / 2, Length: length}
 		all[i] = d.Measure(calm)
 	})
--- a/cmd/notchlab/compare.go
+++ b/cmd/notchlab/compare.go
@@ -21,7 +21,7 @@
 func (c compareCmd) Run(ctx context.Context) error {
 	f, err := trial.Load(c.File)
 	if err != nil {
-		return badFile{err}
+		return usageError{err}
 	}
 	if c.Seeds > 0 {
 		f.Seeds.Count = c.Seeds
--- a/cmd/notchlab/demo.go
+++ b/cmd/notchlab/demo.go
@@ -25,21 +25,21 @@
 }
 
 // story is what happens in the demo, by parts of its length.
-var story = []struct {
+var faultSchedule = []struct {
 	at, lasts float64
-	says      string
-	fleet.Trouble
+	label     string
+	fleet.ScheduledFault
 }{
-	{0.15, 0.15, "box 0 takes requests and answers none", fleet.Trouble{Boxes: []int{0}, What: string(standin.StallFirst)}},
-	{0.40, 0.10, "box 1 resets connections", fleet.Trouble{Boxes: []int{1}, What: string(standin.Reset)}},
-	{0.55, 0.15, "box 2 dies, and comes back cold", fleet.Trouble{Boxes: []int{2}, What: fleet.Die}},
-	{0.75, 0.10, "box 3 drains, and another takes its address", fleet.Trouble{Boxes: []int{3}, What: fleet.Drain}},
+	{0.15, 0.15, "box 0 takes requests and answers none", fleet.ScheduledFault{Engines: []int{0}, Fault: string(standin.StallFirst)}},
+	{0.40, 0.10, "box 1 resets connections", fleet.ScheduledFault{Engines: []int{1}, Fault: string(standin.Reset)}},
+	{0.55, 0.15, "box 2 dies, and comes back cold", fleet.ScheduledFault{Engines: []int{2}, Fault: fleet.Crash}},
+	{0.75, 0.10, "box 3 drains, and another takes its address", fleet.ScheduledFault{Engines: []int{3}, Fault: fleet.Drain}},
 }
 
 // Run plays the demo; an answer that was lost or invented fails it.
 func (d demo) Run(ctx context.Context) error {
 	if d.Seconds < 2 || d.Seconds > 45 || !(d.Rate > 0) || d.Boxes < 4 {
-		return badFile{fmt.Errorf("--seconds from 2 to 45, --rate above 0 and --boxes of 4 at least are wanted")}
+		return usageError{fmt.Errorf("--seconds from 2 to 45, --rate above 0 and --boxes of 4 at least are wanted")}
 	}
 	dir, err := os.MkdirTemp("", "notchlab-")
 	if err != nil {
@@ -55,15 +55,15 @@
 	classes := load.Classes(speed, size)
 	length := time.Duration(d.Seconds) * time.Second
 	settings := map[string]string{}
-	var kinds, sinks []string
+	var kinds, traceFiles []string
 	for i := range 2 {
 		kind := fmt.Sprint("router", i)
-		sinks = append(sinks, filepath.Join(dir, kind+".zst"))
-		settings[kind] = fmt.Sprintf("[trace]\nshare = 0.05\n[trace.file]\npath = %q\nflush = \"200ms\"\n", sinks[i])
+		traceFiles = append(traceFiles, filepath.Join(dir, kind+".zst"))
+		settings[kind] = fmt.Sprintf("[trace]\nshare = 0.05\n[trace.file]\npath = %q\nflush = \"200ms\"\n", traceFiles[i])
 		kinds = append(kinds, kind)
 	}
 	f, err := fleet.Start(ctx, fleet.Options{
-		Binary: binary, Dir: dir, Boxes: d.Boxes, Params: model.Default(speed), Classes: classes, Routers: kinds,
+		Binary: binary, Dir: dir, Engines: d.Boxes, Params: model.Default(speed), Classes: classes, Routers: kinds,
 		Settings: settings, Cores: 1, MemoryMB: 96, Sockets: 768,
 	})
 	if err != nil {
@@ -72,22 +72,22 @@
 	defer f.Stop()
 	plan := load.Plan(d.Seed, classes, d.Rate, length, 2, load.Style{Carry: 0.5, Mark: 0.5})
 	fmt.Printf("discovery %s, %d boxes, routers %v; %d calls in %v (times of a real deployment divided by %d)\n\n",
-		f.Discovery.Addr(), len(f.Boxes), f.Addrs(), len(plan), length, speed)
-	var troubles []fleet.Trouble
-	for _, s := range story {
-		t := s.Trouble
-		t.At, t.Lasts = time.Duration(s.at*float64(length)), time.Duration(s.lasts*float64(length))
-		troubles = append(troubles, t)
+		f.Discovery.Addr(), len(f.Engines), f.Addrs(), len(plan), length, speed)
+	var faults []fleet.ScheduledFault
+	for _, s := range faultSchedule {
+		t := s.ScheduledFault
+		t.At, t.Duration = time.Duration(s.at*float64(length)), time.Duration(s.lasts*float64(length))
+		faults = append(faults, t)
 	}
 	ledger := &load.Ledger{}
-	trouble, told := make(chan error, 1), make(chan struct{})
-	go func() { trouble <- f.Play(ctx, troubles) }()
+	faultsDone, progressDone := make(chan error, 1), make(chan struct{})
+	go func() { faultsDone <- f.InjectFaults(ctx, faults) }()
 	stop := make(chan struct{})
-	go func() { defer close(told); tell(ledger, troubles, stop) }()
+	go func() { defer close(progressDone); printProgress(ledger, faults, stop) }()
 	(&load.Client{Routers: f.Addrs(), Retries: 3, Pause: 50 * time.Millisecond, Seed: d.Seed}).Run(ctx, plan, ledger)
 	close(stop)
-	<-told
-	if err := <-trouble; err != nil {
+	<-progressDone
+	if err := <-faultsDone; err != nil {
 		return err
 	}
 	if err := f.Stop(); err != nil {
@@ -96,11 +96,11 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return d.after(ledger.Attempts(), sinks)
+	return d.printSummary(ledger.Attempts(), traceFiles)
 }
 
 // tell prints what clients got, every two seconds, and what happens meanwhile.
-func tell(ledger *load.Ledger, troubles []fleet.Trouble, stop <-chan struct{}) {
+func printProgress(ledger *load.Ledger, faults []fleet.ScheduledFault, stop <-chan struct{}) {
 	start, seen, next := time.Now(), 0, 0
 	fmt.Printf("%6s  %7s %6s %8s %7s %7s %6s\n", "time", "served", "late", "refused", "failed", "broken", "left")
 	for {
@@ -111,9 +111,9 @@
 		case <-time.After(2 * time.Second):
 		}
 		var n [6]int
-		tries := ledger.Attempts()
-		for i := range tries[seen:] {
-			t := &tries[seen+i]
+		attempts := ledger.Attempts()
+		for i := range attempts[seen:] {
+			t := &attempts[seen+i]
 			switch {
 			case t.Outcome == load.Served && t.Late:
 				n[1]++
@@ -125,11 +125,11 @@
 				}
 			}
 		}
-		seen = len(tries)
+		seen = len(attempts)
 		now := time.Since(start)
 		fmt.Printf("%5.0fs  %7d %6d %8d %7d %7d %6d", now.Seconds(), n[0], n[1], n[2], n[3], n[4], n[5])
-		for ; next < len(troubles) && troubles[next].At < now; next++ {
-			fmt.Printf("   %s", story[next].says)
+		for ; next < len(faults) && faults[next].At < now; next++ {
+			fmt.Printf("   %s", faultSchedule[next].label)
 		}
 		fmt.Println()
 		if ended {
@@ -139,45 +139,45 @@
 }
 
 // after shows what became of it all, and one step that took several legs or tries.
-func (d demo) after(tries []load.Attempt, sinks []string) error {
-	calls, served, wrong := map[int]bool{}, map[int]bool{}, 0
-	for i := range tries {
-		calls[tries[i].Call] = true
-		switch tries[i].Outcome {
+func (d demo) printSummary(attempts []load.Attempt, traceFiles []string) error {
+	requests, served, invalid := map[int]bool{}, map[int]bool{}, 0
+	for i := range attempts {
+		requests[attempts[i].Call] = true
+		switch attempts[i].Outcome {
 		case load.Served:
-			served[tries[i].Call] = true
+			served[attempts[i].Call] = true
 		case load.Wrong, load.Lost:
-			wrong++
-			fmt.Println("wrong:", tries[i].CallID, tries[i].Outcome, tries[i].Detail)
+			invalid++
+			fmt.Println("wrong:", attempts[i].CallID, attempts[i].Outcome, attempts[i].Detail)
 		}
 	}
-	var kept []*trace.Try
-	for _, s := range sinks {
-		if err := show.Scan(s, os.Stderr, func(t *trace.Try) error { kept = append(kept, t); return nil }); err != nil {
+	var traced []*trace.Try
+	for _, s := range traceFiles {
+		if err := show.Scan(s, os.Stderr, func(t *trace.Try) error { traced = append(traced, t); return nil }); err != nil {
 			return err
 		}
 	}
-	fmt.Printf("\n%d calls in %d tries: %d served in the end, %d answers lost or invented\n", len(calls), len(tries), len(served), wrong)
-	fmt.Printf("%d tries were traced; the step with most tries and legs:\n\n", len(kept))
-	var best []*trace.Try
+	fmt.Printf("\n%d calls in %d tries: %d served in the end, %d answers lost or invented\n", len(requests), len(attempts), len(served), invalid)
+	fmt.Printf("%d tries were traced; the step with most tries and legs:\n\n", len(traced))
+	var shown []*trace.Try
 	most := 0
-	for _, t := range kept {
+	for _, t := range traced {
 		if len(t.Legs) < 2 && t.Number < 2 {
 			continue
 		}
-		step := show.Step(kept, t.Trace)
+		step := show.Step(traced, t.Trace)
 		n := 0
 		for _, s := range step {
 			n += 1 + len(s.Legs)
 		}
 		if n > most && len(step) <= 4 {
-			best, most = step, n
+			shown, most = step, n
 		}
 	}
-	show.Waterfall(os.Stdout, best, 120)
+	show.Waterfall(os.Stdout, shown, 120)
 	fmt.Println("\nnext: ./test.sh; notchlab run lab/tracing.toml --short; docs/tracing.md")
-	if wrong > 0 {
-		return fmt.Errorf("%d answers were lost or invented", wrong)
+	if invalid > 0 {
+		return fmt.Errorf("%d answers were lost or invented", invalid)
 	}
 	return nil
 }
--- a/cmd/notchlab/fleet.go
+++ b/cmd/notchlab/fleet.go
@@ -28,12 +28,12 @@
 	Exchange bool `help:"With --mixed: what starts again runs the build that it has not run before."`
 }
 
-var errBroken = errors.New("a rule is broken")
+var errRuleBroken = errors.New("a rule is broken")
 
 // Run plays a fleet; a rule that is broken fails it.
 func (f fleetCmd) Run(ctx context.Context) error {
 	if f.Routers < 1 || f.Routers > 40 || f.Engines < 3 || f.Engines > 200 || !(f.Rate > 0) || f.Seconds < 5 || f.Seconds > 3600 {
-		return badFile{fmt.Errorf("--routers from 1 to 40, --engines from 3 to 200, --rate above 0 and --seconds from 5 to 3600 are wanted")}
+		return usageError{fmt.Errorf("--routers from 1 to 40, --engines from 3 to 200, --rate above 0 and --seconds from 5 to 3600 are wanted")}
 	}
 	dir := f.Keep
 	if dir == "" {
@@ -43,7 +43,7 @@
 		}
 		defer os.RemoveAll(dir)
 	} else if left, err := filepath.Glob(filepath.Join(dir, "*")); err != nil || len(left) > 0 {
-		return badFile{fmt.Errorf("--keep: %s is not empty: a fleet's first start needs disks without a state", dir)}
+		return usageError{fmt.Errorf("--keep: %s is not empty: a fleet's first start needs disks without a state", dir)}
 	}
 	fmt.Println("building the program, if it is not there ...")
 	binary, err := fleet.Binary(ctx, f.Router, dir)
@@ -73,7 +73,7 @@
 		fmt.Println("BROKEN:", b)
 	}
 	if len(r.Broken()) > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	fmt.Println("no rule was broken: nothing ran twice that may not, nothing reached an engine past its drain")
 	return nil
--- a/cmd/notchlab/main.go
+++ b/cmd/notchlab/main.go
@@ -16,26 +16,26 @@
 )
 
 type cli struct {
-	Demo    demo        `cmd:"" help:"Start discovery, boxes, a collector, two routers and clients on loopback, show requests being served through troubles, and end within a minute."`
-	Fleet   fleetCmd    `cmd:"" help:"Start a whole fleet with engines, an operator, a platform and clients, show it through troubles, and end with a report."`
-	Check   checkCmd    `cmd:"" help:"Walk through lives of ballots, members, founding and disks, as far as it is told."`
-	Sim     simCmd      `cmd:"" help:"Play a fleet's decisions in simulated time, beside baselines, at any size."`
-	Compare compareCmd  `cmd:"" help:"Play an experiment file in simulated time: variants with the same seeds, held against one of them."`
-	Size    capacityCmd `cmd:"" name:"capacity" help:"Play quiet days of the control plane at several sizes, and tell what its processes send."`
-	Scale   scaleCmd    `cmd:"" help:"Start a control plane of hundreds of routers and of engines in thousands on loopback, most of them hollow, and tell what each kind of process costs."`
-	Page    pageCmd     `cmd:"" name:"capacity-page" help:"Make the tables of docs/CAPACITY.md anew from the results."`
-	Hunt    huntCmd     `cmd:"" help:"Play days of the control plane in simulated time, and shrink those that break a rule."`
-	Play    replayCmd   `cmd:"" name:"replay" help:"Play a day again that hunt has written."`
-	Back    recoverCmd  `cmd:"" name:"recover" help:"Have all machines lose their power at once, and tell how long each part takes to be back."`
-	Shrink  shrinkCmd   `cmd:"" help:"Take away from such a day what its broken rule does not need."`
-	Run     run         `cmd:"" help:"Run an experiment file (lab/NAME.toml) and hold it to its bars."`
+	Demo         demo        `cmd:"" help:"Start discovery, boxes, a collector, two routers and clients on loopback, show requests being served through troubles, and end within a minute."`
+	Fleet        fleetCmd    `cmd:"" help:"Start a whole fleet with engines, an operator, a platform and clients, show it through troubles, and end with a report."`
+	Check        checkCmd    `cmd:"" help:"Walk through lives of ballots, members, founding and disks, as far as it is told."`
+	Sim          simCmd      `cmd:"" help:"Play a fleet's decisions in simulated time, beside baselines, at any size."`
+	Compare      compareCmd  `cmd:"" help:"Play an experiment file in simulated time: variants with the same seeds, held against one of them."`
+	Capacity     capacityCmd `cmd:"" name:"capacity" help:"Play quiet days of the control plane at several sizes, and tell what its processes send."`
+	Scale        scaleCmd    `cmd:"" help:"Start a control plane of hundreds of routers and of engines in thousands on loopback, most of them hollow, and tell what each kind of process costs."`
+	CapacityPage pageCmd     `cmd:"" name:"capacity-page" help:"Make the tables of docs/CAPACITY.md anew from the results."`
+	Hunt         huntCmd     `cmd:"" help:"Play days of the control plane in simulated time, and shrink those that break a rule."`
+	Replay       replayCmd   `cmd:"" name:"replay" help:"Play a day again that hunt has written."`
+	Recover      recoverCmd  `cmd:"" name:"recover" help:"Have all machines lose their power at once, and tell how long each part takes to be back."`
+	Shrink       shrinkCmd   `cmd:"" help:"Take away from such a day what its broken rule does not need."`
+	Run          run         `cmd:"" help:"Run an experiment file (lab/NAME.toml) and hold it to its bars."`
 }
 
 // badFile is an error of a file that was given; the program ends with exit code 2.
-type badFile struct{ error }
+type usageError struct{ error }
 
 // errShort says that a bar fell short; the program ends with exit code 1.
-var errShort = errors.New("a bar falls short")
+var errCriterionFailed = errors.New("a bar falls short")
 
 type run struct {
 	File   string `arg:"" help:"The experiment file."`
@@ -48,7 +48,7 @@
 func (r run) Run(ctx context.Context) error {
 	f, err := experiment.Load(r.File)
 	if err != nil {
-		return badFile{err}
+		return usageError{err}
 	}
 	result, err := experiment.Run(ctx, f, experiment.Options{Short: r.Short, Binary: r.Router, Out: os.Stdout})
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 	result.Print(os.Stdout)
 	if _, failed := result.Passed(); failed > 0 {
-		return errShort
+		return errCriterionFailed
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "notchlab:", err)
-	if bad := (badFile{}); errors.As(err, &bad) {
+	if bad := (usageError{}); errors.As(err, &bad) {
 		os.Exit(2)
 	}
 	os.Exit(1)
--- a/cmd/notchlab/page.go
+++ b/cmd/notchlab/page.go
@@ -15,15 +15,15 @@
 func (c pageCmd) Run() error {
 	text, err := os.ReadFile(c.Page)
 	if err != nil {
-		return badFile{err}
+		return usageError{err}
 	}
 	r, err := scale.Load(c.Results)
 	if err != nil {
-		return badFile{err}
+		return usageError{err}
 	}
 	made, err := scale.Page(string(text), r)
 	if err != nil {
-		return badFile{err}
+		return usageError{err}
 	}
 	return os.WriteFile(c.Page, []byte(made), 0o644)
 }
--- a/cmd/notchlab/plane.go
+++ b/cmd/notchlab/plane.go
@@ -25,7 +25,7 @@
 func (c huntCmd) Run(ctx context.Context) error {
 	s := plane.Size{Keepers: c.Keepers, Routers: c.Routers, Engines: c.Engines, Tolerate: c.Tolerate}
 	if c.Days < 1 || c.Routers < 1 || c.Engines < 1 || c.Tolerate < 1 || 2*c.Tolerate+1 > c.Keepers || c.Keepers+c.Routers > 4000 {
-		return badFile{errors.New("at least one day, router, engine and keeper that may be lost are wanted, and fewer than half of the keepers; 4000 machines at the most")}
+		return usageError{errors.New("at least one day, router, engine and keeper that may be lost are wanted, and fewer than half of the keepers; 4000 machines at the most")}
 	}
 	began, last := time.Now(), time.Now()
 	days, met := plane.Plan(c.First, c.Days, s)
@@ -43,18 +43,18 @@
 		}
 	}
 	for _, d := range broken {
-		if err := shrunk(d, c.Out); err != nil {
+		if err := printShrunk(d, c.Out); err != nil {
 			return err
 		}
 	}
 	if len(broken) > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	return ctx.Err()
 }
 
 // shrunk prints what is left of a day that breaks a rule, or writes it into a folder.
-func shrunk(d *plane.Day, out string) error {
+func printShrunk(d *plane.Day, out string) error {
 	r := d.Play("")
 	if len(r.Found) == 0 {
 		return nil
@@ -87,9 +87,9 @@
 func (c shrinkCmd) Run() error {
 	d, err := plane.Load(c.File)
 	if err != nil {
-		return badFile{err}
+		return usageError{err}
 	}
-	return shrunk(d, "")
+	return printShrunk(d, "")
 }
 
 type replayCmd struct {
@@ -100,7 +100,7 @@
 func (c replayCmd) Run() error {
 	d, err := plane.Load(c.File)
 	if err != nil {
-		return badFile{err}
+		return usageError{err}
 	}
 	r := d.Play("")
 	fmt.Printf("configurations %d, acknowledged %d, %d of them with all keepers lost that may be, the slowest in calm %v, read back %d; engines that drained %d; usage windows %d, not reported %d; orders %d; events %d\n", r.Changes, r.Acked, r.Dark,
@@ -109,7 +109,7 @@
 		fmt.Printf("%s at %v: %s\n", f.Rule, f.At.Round(time.Millisecond), f.Says)
 	}
 	if len(r.Found) > 0 {
-		return errBroken
+		return errRuleBroken
 	}
 	return nil
 }
--- a/cmd/notchlab/recover.go
+++ b/cmd/notchlab/recover.go
@@ -21,10 +21,10 @@
 // Run has all machines lose their power at once, and tells how long it takes until each part is back.
 func (c recoverCmd) Run() error {
 	if len(c.Routers) != len(c.Engines) || c.Keepers < 1 || c.Seeds < 1 || c.Down <= 0 {
-		return badFile{fmt.Errorf("--routers has %d figures and --engines %d; a keeper, a seed and a time are wanted", len(c.Routers), len(c.Engines))}
+		return usageError{fmt.Errorf("--routers has %d figures and --engines %d; a keeper, a seed and a time are wanted", len(c.Routers), len(c.Engines))}
 	}
 	all := make([]plane.Recovery, len(c.Routers)*c.Seeds)
-	sideBySide(len(all), func(i int) {
+	runParallel(len(all), func(i int) {
 		d := &plane.Day{
 			Seed: uint64(i%c.Seeds) + 1, Keepers: c.Keepers, Routers: c.Routers[i/c.Seeds], Engines: c.Engines[i/c.Seeds],
 			Tolerate: (c.Keepers - 1) / 2, Length: 10 * time.Second,
--- a/cmd/notchlab/scale.go
+++ b/cmd/notchlab/scale.go
@@ -36,7 +36,7 @@
 		Calm: c.Calm, Changes: c.Changes, Every: c.Every, Seed: c.Seed, Out: os.Stdout,
 	}
 	if err := o.Check(); err != nil {
-		return badFile{err}
+		return usageError{err}
 	}
 	dir := c.Keep
 	if dir == "" {
--- a/cmd/notchlab/sim.go
+++ b/cmd/notchlab/sim.go
@@ -30,7 +30,7 @@
 }
 
 // played is a run and what came of it.
-type played struct {
+type simRun struct {
 	sim.Options
 	sim.Figures
 }
@@ -38,14 +38,14 @@
 // Run plays every combination; runs stand beside each other on as many cores as there are, which changes no figure.
 func (c simCmd) Run() error {
 	if len(c.Routers) != len(c.Engines) {
-		return badFile{fmt.Errorf("--routers has %d figures and --engines %d", len(c.Routers), len(c.Engines))}
+		return usageError{fmt.Errorf("--routers has %d figures and --engines %d", len(c.Routers), len(c.Engines))}
 	}
 	all := c.combinations()
 	errs := make([]error, len(all))
-	sideBySide(len(all), func(i int) { all[i].Figures, errs[i] = sim.Run(all[i].Options) })
+	runParallel(len(all), func(i int) { all[i].Figures, errs[i] = sim.Run(all[i].Options) })
 	for _, err := range errs {
 		if err != nil {
-			return badFile{err}
+			return usageError{err}
 		}
 	}
 	if c.Output == "json" {
@@ -57,13 +57,13 @@
 }
 
 // combinations are the runs that are asked for, those of a variant with all seeds beside each other.
-func (c simCmd) combinations() (all []*played) {
+func (c simCmd) combinations() (all []*simRun) {
 	for i := range c.Routers {
 		for _, load := range c.Load {
 			for _, skew := range c.Skew {
 				for _, v := range c.Variants {
 					for _, seed := range c.Seeds {
-						all = append(all, &played{Options: sim.Options{
+						all = append(all, &simRun{Options: sim.Options{
 							Variant: v, Seed: seed, Routers: c.Routers[i], Engines: c.Engines[i], Zones: c.Zones, Load: load, Skew: skew, Crash: c.Crash,
 							Cold: c.Cold, Length: time.Duration(c.Seconds * float64(time.Second)), News: 1200 * time.Millisecond,
 						}})
@@ -76,7 +76,7 @@
 }
 
 // table prints the means over the seeds, and writes the report if a folder is named.
-func (c simCmd) table(all []*played) error {
+func (c simCmd) table(all []*simRun) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ROUTERS\tENGINES\tLOAD\tSKEW\tVARIANT\tASKED\tIN AIM\tLATE\tREFUSED\tFAILED\tP50 MS\tP99 MS\tKEPT\tBUSIEST\tLEGS")
 	r := report.Result{Name: "sim", About: "The data plane in simulated time, beside baselines on the same requests.", Seed: c.Seeds[0], Simulated: true}
@@ -116,7 +116,7 @@
 }
 
 // sideBySide does so many things on as many cores as there are.
-func sideBySide(n int, do func(i int)) {
+func runParallel(n int, do func(i int)) {
 	var wait sync.WaitGroup
 	turn := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i := range n {
@@ -130,7 +130,7 @@
 }
 
 // mean of runs that differ in their seed.
-func mean(some []*played) played {
+func mean(some []*simRun) simRun {
 	m := *some[0]
 	n := float64(len(some))
 	m.Figures = sim.Figures{}
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -23,13 +23,13 @@
 // cost measures what tracing takes from a router whose one core is full: two routers, one with tracing and one without,
 // are asked in turns by clients that ask again as soon as they are answered, before boxes that answer at once. A pair
 // of turns is a sample; the order within a pair changes.
-func cost(ctx context.Context, r *run) error {
-	o := r.options([]string{"off", "on"}, map[string]string{
+func runCost(ctx context.Context, r *run) error {
+	o := r.fleetOptions([]string{"off", "on"}, map[string]string{
 		"on": fmt.Sprintf("[trace]\nshare = %g\n[trace.file]\npath = %q\n", r.Trace.Share, filepath.Join(r.dir, "traces.zst")),
 	})
-	o.Boxes, o.Pin = 0, true
+	o.Engines, o.PinRouters = 0, true
 	f, err := fleet.StartWith(ctx, o, func(f *fleet.Fleet) error {
-		for i := range r.Fleet.Boxes {
+		for i := range r.Fleet.Engines {
 			if _, err := standin.StartQuick(fmt.Sprintf("q%d", i), f.Discovery); err != nil {
 				return err
 			}
@@ -63,8 +63,8 @@
 			return err
 		}
 	}
-	var ratios, cpus, busy []float64
-	var used, resident [2][]float64
+	var ratios, cpuRatios, coreShares []float64
+	var cpuSamples, resident [2][]float64
 	rates := [2]report.Series{{Name: "off"}, {Name: "on"}}
 	for round := range r.rounds {
 		var rate, cpu [2]float64
@@ -78,42 +78,42 @@
 			if err != nil {
 				return err
 			}
-			used[n], resident[n] = append(used[n], cpu[n]), append(resident[n], float64(now)/(1<<20))
+			cpuSamples[n], resident[n] = append(cpuSamples[n], cpu[n]), append(resident[n], float64(now)/(1<<20))
 		}
-		ratios, cpus = append(ratios, rate[1]/rate[0]), append(cpus, cpu[1]/cpu[0])
-		busy = append(busy, rate[0]*cpu[0]/1e6)
+		ratios, cpuRatios = append(ratios, rate[1]/rate[0]), append(cpuRatios, cpu[1]/cpu[0])
+		coreShares = append(coreShares, rate[0]*cpu[0]/1e6)
 		if round%10 != 9 && round != r.rounds-1 {
 			continue
 		}
-		r.say("pair %d of %d: %.0f a second off, %.0f on, ratio %.3f; %.1f and %.1f µs of CPU a request", round+1, r.rounds,
+		r.printf("pair %d of %d: %.0f a second off, %.0f on, ratio %.3f; %.1f and %.1f µs of CPU a request", round+1, r.rounds,
 			rate[0], rate[1], rate[1]/rate[0], cpu[0], cpu[1])
 	}
 	var memory [2]float64 // most resident
 	for n, router := range f.Routers {
-		_, most, err := router.Memory()
+		_, peak, err := router.Memory()
 		if err != nil {
 			return err
 		}
-		memory[n] = float64(most) / (1 << 20)
+		memory[n] = float64(peak) / (1 << 20)
 	}
 	res := r.result
 	throughput := res.Ratio("throughput, on against off", ratios, "pairs, geometric mean")
-	res.Ratio("CPU a request, on against off", cpus, "by the process's own account")
-	res.Mean("CPU a request, off", used[0], "µs", "")
-	res.Mean("CPU a request, on", used[1], "µs", "")
-	res.Mean("share of the core that the router used, off", busy, "", "")
-	late := len(resident[0]) / 2 // once the tables are full
-	without := res.Mean("memory, off", resident[0][late:], "MB", "resident after a turn, second half of the run")
-	with := res.Mean("memory, on", resident[1][late:], "MB", "")
+	res.Ratio("CPU a request, on against off", cpuRatios, "by the process's own account")
+	res.Mean("CPU a request, off", cpuSamples[0], "µs", "")
+	res.Mean("CPU a request, on", cpuSamples[1], "µs", "")
+	res.Mean("share of the core that the router used, off", coreShares, "", "")
+	steadyFrom := len(resident[0]) / 2 // once the tables are full
+	without := res.Mean("memory, off", resident[0][steadyFrom:], "MB", "resident after a turn, second half of the run")
+	with := res.Mean("memory, on", resident[1][steadyFrom:], "MB", "")
 	res.Add("most memory, off", memory[0], "MB", "")
 	res.Add("most memory, on", memory[1], "MB", "")
-	res.Bars = append(res.Bars,
-		report.NewBar("throughput with tracing against without", throughput, "", r.Bars["throughput"], math.MaxFloat64, ""),
-		report.NewBar("memory that tracing adds", with-without, "MB", -math.MaxFloat64, r.Bars["memory_mb"], ""))
+	res.Criteria = append(res.Criteria,
+		report.NewCriterion("throughput with tracing against without", throughput, "", r.Thresholds["throughput"], math.MaxFloat64, ""),
+		report.NewCriterion("memory that tracing adds", with-without, "MB", -math.MaxFloat64, r.Thresholds["memory_mb"], ""))
 	if err := f.Stop(); err != nil {
 		return err
 	}
-	n, err := account(f.Routers[1].Tail())
+	n, err := routerCounters(f.Routers[1].Tail())
 	if err != nil {
 		return err
 	}
@@ -136,7 +136,7 @@
 		go func() {
 			defer all.Done()
 			own := hdrhistogram.New(1, 60_000_000, 3)
-			e := ask(ctx, addr, uint64(until.UnixNano())*uint64(r.Traffic.Clients)+uint64(n)<<20, r.classes[0].Name, until, own)
+			e := requestLoop(ctx, addr, uint64(until.UnixNano())*uint64(r.Traffic.Clients)+uint64(n)<<20, r.classes[0].Name, until, own)
 			mu.Lock()
 			latency.Merge(own)
 			err = errors.Join(err, e)
@@ -148,7 +148,7 @@
 }
 
 // ask is one connection that asks until a time, each time in a new conversation: ids count from first on.
-func ask(ctx context.Context, addr string, first uint64, class string, until time.Time, to *hdrhistogram.Histogram) error {
+func requestLoop(ctx context.Context, addr string, first uint64, class string, until time.Time, to *hdrhistogram.Histogram) error {
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -31,7 +31,7 @@
 
 	Fleet struct {
 		Routers  int     `toml:"routers"`
-		Boxes    int     `toml:"boxes"`
+		Engines  int     `toml:"boxes"`
 		Speed    float64 `toml:"speed"` // times of the deployment's page are divided by this
 		Size     float64 `toml:"size"`  // and tokens multiplied by this
 		Cores    float64 `toml:"cores"` // of a router
@@ -52,22 +52,22 @@
 	Services struct {
 		Rate float64 `toml:"rate"` // calls a second that the second service's boxes can just carry
 	} `toml:"services"` // of kinds services, reloads and shared: the second service; fleet and traffic are the first's
-	Rounds  int       `toml:"rounds"` // of kind cost and services: pairs; of kind reloads: reloads
-	Trouble []Trouble `toml:"trouble"`
-	Short   struct {
+	Rounds int              `toml:"rounds"` // of kind cost and services: pairs; of kind reloads: reloads
+	Faults []ScheduledFault `toml:"trouble"`
+	Short  struct {
 		Length tomlfile.Duration `toml:"length"`
 		Rounds int               `toml:"rounds"`
 	} `toml:"short"` // what --short makes of it; troubles are moved in proportion
-	Bars map[string]float64 `toml:"bars"`
+	Thresholds map[string]float64 `toml:"bars"`
 }
 
 // Trouble is a table of the file.
-type Trouble struct {
-	At    tomlfile.Duration `toml:"at"`
-	Lasts tomlfile.Duration `toml:"lasts"`
-	Boxes []int             `toml:"boxes"`
-	What  string            `toml:"what"`
-	Share float64           `toml:"share"`
+type ScheduledFault struct {
+	At       tomlfile.Duration `toml:"at"`
+	Duration tomlfile.Duration `toml:"lasts"`
+	Engines  []int             `toml:"boxes"`
+	Fault    string            `toml:"what"`
+	Share    float64           `toml:"share"`
 }
 
 // Load reads and checks a file.
@@ -110,9 +110,9 @@
 	switch {
 	case f.Name == "" || f.About == "":
 		return errors.New("name and about are wanted")
-	case kinds[f.Kind] == nil:
-		return fmt.Errorf("kind: %q is none of %q", f.Kind, slices.Sorted(maps.Keys(known)))
-	case f.Fleet.Routers < 1 || f.Fleet.Boxes < 1 || !(f.Fleet.Speed > 0) || !(f.Fleet.Size > 0):
+	case runners[f.Kind] == nil:
+		return fmt.Errorf("kind: %q is none of %q", f.Kind, slices.Sorted(maps.Keys(thresholdNames)))
+	case f.Fleet.Routers < 1 || f.Fleet.Engines < 1 || !(f.Fleet.Speed > 0) || !(f.Fleet.Size > 0):
 		return errors.New("fleet: routers, boxes, speed and size above 0 are wanted")
 	case !(f.Fleet.Cores > 0) || f.Fleet.MemoryMB < 16 || f.Fleet.Sockets < 64:
 		return errors.New("fleet: cores above 0, memory_mb of 16 and sockets of 64 at least are wanted")
@@ -129,18 +129,18 @@
 	case !f.twoServices() && !(f.Trace.Share > 0 && f.Trace.Share <= 1):
 		return errors.New("trace.share above 0 and up to 1 is wanted")
 	}
-	for i, t := range f.Trouble {
-		if err := t.fleet(1).Check(f.Fleet.Boxes); err != nil {
+	for i, t := range f.Faults {
+		if err := t.scheduled(1).Check(f.Fleet.Engines); err != nil {
 			return fmt.Errorf("trouble %d: %w", i+1, err)
 		}
 	}
-	for name := range f.Bars {
-		if !known[f.Kind][name] {
+	for name := range f.Thresholds {
+		if !thresholdNames[f.Kind][name] {
 			return fmt.Errorf("bars: %q is no bar of kind %s", name, f.Kind)
 		}
 	}
-	for name := range known[f.Kind] {
-		if _, ok := f.Bars[name]; !ok {
+	for name := range thresholdNames[f.Kind] {
+		if _, ok := f.Thresholds[name]; !ok {
 			return fmt.Errorf("bars: %q is missing", name)
 		}
 	}
@@ -152,12 +152,12 @@
 }
 
 // kinds run the kinds of experiments; known are their bars.
-var kinds = map[string]func(context.Context, *run) error{
-	"tracing": tracing, "cost": cost, "collector": collector,
-	"services": services, "reloads": reloads, "shared": shared,
+var runners = map[string]func(context.Context, *run) error{
+	"tracing": runTracing, "cost": runCost, "collector": runCollector,
+	"services": runServices, "reloads": runReloads, "shared": runShared,
 }
 
-var known = map[string]map[string]bool{
+var thresholdNames = map[string]map[string]bool{
 	"tracing":   {"requests": true, "phase_error_ms": true, "share_error": true},
 	"cost":      {"throughput": true, "memory_mb": true},
 	"collector": {"answers": true},
@@ -166,9 +166,9 @@
 	"shared":    {"drain_ms": true},
 }
 
-func (t *Trouble) fleet(scale float64) *fleet.Trouble {
-	return &fleet.Trouble{
-		At: time.Duration(float64(t.At) * scale), Lasts: time.Duration(float64(t.Lasts) * scale), Boxes: t.Boxes, What: t.What,
+func (t *ScheduledFault) scheduled(scale float64) *fleet.ScheduledFault {
+	return &fleet.ScheduledFault{
+		At: time.Duration(float64(t.At) * scale), Duration: time.Duration(float64(t.Duration) * scale), Engines: t.Engines, Fault: t.Fault,
 		Share: t.Share,
 	}
 }
@@ -183,42 +183,42 @@
 // run is an experiment under way.
 type run struct {
 	*File
-	o        Options
-	binary   string
-	dir      string
-	length   time.Duration
-	rounds   int
-	troubles []fleet.Trouble
-	classes  []load.Class
-	result   *report.Result
+	opts    Options
+	binary  string
+	dir     string
+	length  time.Duration
+	rounds  int
+	faults  []fleet.ScheduledFault
+	classes []load.Class
+	result  *report.Result
 }
 
-func (r *run) say(format string, args ...any) { fmt.Fprintf(r.o.Out, format+"\n", args...) }
+func (r *run) printf(format string, args ...any) { fmt.Fprintf(r.opts.Out, format+"\n", args...) }
 
 // Run runs an experiment to its result. An error says that it could not be run.
-func Run(ctx context.Context, f *File, o Options) (*report.Result, error) {
+func Run(ctx context.Context, f *File, opts Options) (*report.Result, error) {
 	dir, err := os.MkdirTemp("", "notchlab-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
 	r := &run{
-		File: f, o: o, dir: dir, length: time.Duration(f.Traffic.Length), rounds: f.Rounds,
+		File: f, opts: opts, dir: dir, length: time.Duration(f.Traffic.Length), rounds: f.Rounds,
 		classes: load.Classes(f.Fleet.Speed, f.Fleet.Size),
-		result:  &report.Result{Name: f.Name, About: f.About, Seed: f.Seed, Short: o.Short},
+		result:  &report.Result{Name: f.Name, About: f.About, Seed: f.Seed, Short: opts.Short},
 	}
 	scale := 1.0
-	if o.Short {
+	if opts.Short {
 		scale = float64(f.Short.Length) / float64(f.Traffic.Length)
 		r.length, r.rounds = time.Duration(f.Short.Length), f.Short.Rounds
 	}
-	for _, t := range f.Trouble {
-		r.troubles = append(r.troubles, *t.fleet(scale))
+	for _, t := range f.Faults {
+		r.faults = append(r.faults, *t.scheduled(scale))
 	}
-	if r.binary, err = fleet.Binary(ctx, o.Binary, dir); err != nil {
+	if r.binary, err = fleet.Binary(ctx, opts.Binary, dir); err != nil {
 		return nil, err
 	}
-	if err := kinds[f.Kind](ctx, r); err != nil {
+	if err := runners[f.Kind](ctx, r); err != nil {
 		return nil, err
 	}
 	return r.result, nil
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -17,7 +17,7 @@
 	"notchhinge/policy"
 )
 
-func TestFilesOfTheRepository(t *testing.T) {
+func TestExperimentFilesOfTheRepositoryLoad(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/*.toml")
 	if err != nil || len(files) < 3 {
 		t.Fatalf("%d files, %v", len(files), err)
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestFaultsOfFiles(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	text, err := os.ReadFile("../../../lab/tracing.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 }
 
 // TestJudge: the judge of traces finds each kind of fault that it is there for.
-func TestJudge(t *testing.T) {
+func TestEvaluateTracesFindsEachDefect(t *testing.T) {
 	start := time.Unix(1000, 0)
 	call := func(id string, o load.Outcome) load.Attempt {
 		return load.Attempt{CallID: id, Number: 1, Due: start, Sent: start, First: start.Add(time.Second), End: start.Add(2 * time.Second), Outcome: o, Late: true}
@@ -66,66 +66,66 @@
 		y.Phases[trace.Stream] = y.End
 		return y
 	}
-	failed := func(tries []load.Attempt, records []*trace.Try, boxes ...standin.Span) map[string]bool {
-		b := &boxSpans{all: map[string][]standin.Span{}}
-		for _, s := range boxes {
+	failed := func(attempts []load.Attempt, records []*trace.Try, engines ...standin.Span) map[string]bool {
+		b := &engineSpans{all: map[string][]standin.Span{}}
+		for _, s := range engines {
 			b.add(s)
 		}
 		var spans []*tracepb.Span
 		for _, y := range records {
 			spans = append(spans, export.Spans(y)...)
 		}
-		r := &run{File: &File{Bars: map[string]float64{"phase_error_ms": 5, "share_error": 1}}, o: Options{Out: &strings.Builder{}}, result: &report.Result{}}
+		r := &run{File: &File{Thresholds: map[string]float64{"phase_error_ms": 5, "share_error": 1}}, opts: Options{Out: &strings.Builder{}}, result: &report.Result{}}
 		r.Traffic.Length, r.length, r.Trace.Share = 1, 1, 1
-		r.judge(tries, spans, b)
-		short := map[string]bool{}
-		for _, x := range r.result.Bars {
+		r.evaluateTraces(attempts, spans, b)
+		failing := map[string]bool{}
+		for _, x := range r.result.Criteria {
 			if !x.Holds {
-				short[x.Name] = true
+				failing[x.Name] = true
 			}
 		}
-		return short
+		return failing
 	}
-	box := func(id string) standin.Span {
+	engineSpan := func(id string) standin.Span {
 		return standin.Span{Parent: trace.SpanID{id[0], 1}, CallID: id, Host: "s"}
 	}
 	good := record("a")
-	if short := failed([]load.Attempt{call("a", load.Served)}, []*trace.Try{good}, box("a")); len(short) != 0 {
-		t.Errorf("a good run falls short: %v", short)
+	if failing := failed([]load.Attempt{call("a", load.Served)}, []*trace.Try{good}, engineSpan("a")); len(failing) != 0 {
+		t.Errorf("a good run falls short: %v", failing)
 	}
-	slow, open, astray, off := record("a"), record("a"), record("a"), record("a")
+	slow, noResult, wrongOutcome, wrongPhases := record("a"), record("a"), record("a"), record("a")
 	slow.End, slow.Phases[trace.Stream] = 3*time.Second, 3*time.Second
-	open.Legs[0].Result = trace.None
-	astray.Outcome = trace.Failed
-	off.Phases[trace.Hold] = time.Second
+	noResult.Legs[0].Result = trace.None
+	wrongOutcome.Outcome = trace.Failed
+	wrongPhases.Phases[trace.Hold] = time.Second
 	for name, c := range map[string]struct {
-		tries   []load.Attempt
-		records []*trace.Try
-		boxes   []standin.Span
-		bar     string
+		attempts  []load.Attempt
+		records   []*trace.Try
+		engines   []standin.Span
+		criterion string
 	}{
 		"missing":       {[]load.Attempt{call("a", load.Served)}, nil, nil, "owed traces that are missing"},
-		"invented":      {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good, record("b")}, []standin.Span{box("a"), box("b")}, "traces of no request, or twice"},
-		"twice":         {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good, good}, []standin.Span{box("a")}, "traces of no request, or twice"},
+		"invented":      {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good, record("b")}, []standin.Span{engineSpan("a"), engineSpan("b")}, "traces of no request, or twice"},
+		"twice":         {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good, good}, []standin.Span{engineSpan("a")}, "traces of no request, or twice"},
 		"no box span":   {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good}, nil, "traces that are not complete"},
-		"no result":     {[]load.Attempt{call("a", load.Served)}, []*trace.Try{open}, []standin.Span{box("a")}, "traces that are not complete"},
-		"outcome":       {[]load.Attempt{call("a", load.Served)}, []*trace.Try{astray}, []standin.Span{box("a")}, "traces that are not complete"},
-		"sum of phases": {[]load.Attempt{call("a", load.Served)}, []*trace.Try{off}, []standin.Span{box("a")}, "traces that are not complete"},
-		"time":          {[]load.Attempt{call("a", load.Served)}, []*trace.Try{slow}, []standin.Span{box("a")}, "phases against the client, 99%"},
-		"wrong answer":  {[]load.Attempt{call("a", load.Wrong)}, []*trace.Try{good}, []standin.Span{box("a")}, "answers lost or invented"},
+		"no result":     {[]load.Attempt{call("a", load.Served)}, []*trace.Try{noResult}, []standin.Span{engineSpan("a")}, "traces that are not complete"},
+		"outcome":       {[]load.Attempt{call("a", load.Served)}, []*trace.Try{wrongOutcome}, []standin.Span{engineSpan("a")}, "traces that are not complete"},
+		"sum of phases": {[]load.Attempt{call("a", load.Served)}, []*trace.Try{wrongPhases}, []standin.Span{engineSpan("a")}, "traces that are not complete"},
+		"time":          {[]load.Attempt{call("a", load.Served)}, []*trace.Try{slow}, []standin.Span{engineSpan("a")}, "phases against the client, 99%"},
+		"wrong answer":  {[]load.Attempt{call("a", load.Wrong)}, []*trace.Try{good}, []standin.Span{engineSpan("a")}, "answers lost or invented"},
 	} {
-		if short := failed(c.tries, c.records, c.boxes...); !short[c.bar] {
-			t.Errorf("%s: only %v fall short", name, short)
+		if failing := failed(c.attempts, c.records, c.engines...); !failing[c.criterion] {
+			t.Errorf("%s: only %v fall short", name, failing)
 		}
 	}
 }
 
-func TestAccount(t *testing.T) {
-	n, err := account("time=x level=INFO msg=counters taken=5\ntime=x level=INFO msg=traces router=n1 taken=7 kept=3 otlp_put=3\n")
+func TestRouterCounters(t *testing.T) {
+	n, err := routerCounters("time=x level=INFO msg=counters taken=5\ntime=x level=INFO msg=traces router=n1 taken=7 kept=3 otlp_put=3\n")
 	if err != nil || n["taken"] != 7 || n["otlp_put"] != 3 {
 		t.Errorf("%v, %v", n, err)
 	}
-	if _, err := account("nothing"); err == nil {
+	if _, err := routerCounters("nothing"); err == nil {
 		t.Error("a log without the line passes")
 	}
 }
--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -31,56 +31,56 @@
 )
 
 // asked is a request as a box saw it.
-type asked struct {
-	box, host, id string
-	at            time.Time
+type engineRequest struct {
+	engine, host, id string
+	at               time.Time
 }
 
 // two is a fleet of one router with two services.
-type two struct {
+type serviceFleet struct {
 	*fleet.Fleet
 	calib   *standin.Discovery
-	boxes   []*standin.Engine // of the second service
+	engines []*standin.Engine // of the second service
 	control string
 
-	mu    sync.Mutex
-	asked []asked
+	mu       sync.Mutex
+	requests []engineRequest
 }
 
-func (t *two) hear(box, host, id string, at time.Time) {
+func (t *serviceFleet) recordRequest(engine, host, id string, at time.Time) {
 	t.mu.Lock()
-	t.asked = append(t.asked, asked{box, host, id, at})
+	t.requests = append(t.requests, engineRequest{engine, host, id, at})
 	t.mu.Unlock()
 }
 
 // start starts two discoveries with boxes of their own, or with the same ones, and the router.
-func (r *run) start(ctx context.Context, same bool, config func(*two) string) (*two, error) {
-	t := &two{control: filepath.Join(r.dir, "control")}
-	o := r.options([]string{"services"}, map[string]string{})
-	o.Boxes = 0
+func (r *run) startServices(ctx context.Context, sharedEngines bool, config func(*serviceFleet) string) (*serviceFleet, error) {
+	t := &serviceFleet{control: filepath.Join(r.dir, "control")}
+	o := r.fleetOptions([]string{"services"}, map[string]string{})
+	o.Engines = 0
 	var err error
 	t.Fleet, err = fleet.StartWith(ctx, o, func(f *fleet.Fleet) error {
 		var err error
 		if t.calib, err = standin.StartDiscovery("127.0.0.1:0", 0); err != nil {
 			return err
 		}
-		for n := range 2 * r.Fleet.Boxes {
-			b := &standin.Engine{Params: o.Params, OnRequest: t.hear}
+		for n := range 2 * r.Fleet.Engines {
+			b := &standin.Engine{Params: o.Params, OnRequest: t.recordRequest}
 			switch {
-			case same && n >= r.Fleet.Boxes:
+			case sharedEngines && n >= r.Fleet.Engines:
 				continue
-			case same:
+			case sharedEngines:
 				b.Name, b.Discovery, b.Also = fmt.Sprintf("s-%d", n), f.Discovery, t.calib
-			case n < r.Fleet.Boxes:
+			case n < r.Fleet.Engines:
 				b.Name, b.Discovery = fmt.Sprintf("runs-%d", n), f.Discovery
 			default:
-				b.Name, b.Discovery = fmt.Sprintf("calib-%d", n-r.Fleet.Boxes), t.calib
+				b.Name, b.Discovery = fmt.Sprintf("calib-%d", n-r.Fleet.Engines), t.calib
 			}
 			if err := b.Start("127.0.0.1:0", false); err != nil {
 				return err
 			}
-			if f.Boxes = append(f.Boxes, b); n >= r.Fleet.Boxes {
-				t.boxes = append(t.boxes, b)
+			if f.Engines = append(f.Engines, b); n >= r.Fleet.Engines {
+				t.engines = append(t.engines, b)
 			}
 		}
 		o.Settings["services"] = config(t)
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	for n := range 100 { // the second list comes after the first
-		pools, err := t.state(ctx)
+		pools, err := t.fetchState(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -105,7 +105,7 @@
 	return t, nil
 }
 
-func (t *two) stop() error {
+func (t *serviceFleet) stop() error {
 	err := t.Fleet.Stop()
 	_ = t.calib.Close() // a server of this program, which is done with
 	return err
@@ -122,7 +122,7 @@
 }
 
 // state asks the router's control socket.
-func (t *two) state(ctx context.Context) (s routerState, err error) {
+func (t *serviceFleet) fetchState(ctx context.Context) (s routerState, err error) {
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", t.control)
 	}}}
@@ -139,13 +139,13 @@
 }
 
 // reload writes the router's file anew, has it read, and waits until it is carried out.
-func (t *two) reload(ctx context.Context, text string, signals int) error {
-	before, err := t.state(ctx)
+func (t *serviceFleet) reload(ctx context.Context, text string, signals int) error {
+	before, err := t.fetchState(ctx)
 	if err != nil {
 		return err
 	}
 	router := t.Routers[0]
-	if err := os.WriteFile(router.File, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(router.ConfigFile, []byte(text), 0o600); err != nil {
 		return err
 	}
 	for range signals {
@@ -154,7 +154,7 @@
 		}
 	}
 	for range 500 {
-		s, err := t.state(ctx)
+		s, err := t.fetchState(ctx)
 		if err != nil {
 			return err
 		}
@@ -167,25 +167,25 @@
 }
 
 // file is the router's file: which service goes to which pool, and the pools.
-func (t *two) file(services, pools string) string {
+func (t *serviceFleet) config(services, pools string) string {
 	return fmt.Sprintf("[control]\npath = %q\n%s%s", t.control, services, pools)
 }
 
-func service(name, host, pool string) string {
+func serviceConfig(name, host, pool string) string {
 	return fmt.Sprintf("[[service]]\nname = %q\n%s\n[[service.route]]\nhost = %q\nprefix = \"/v1\"\n", name, pool, host)
 }
 
-func (t *two) poolRuns() string { return "[[pool]]\nname = \"runs\"\n" }
-func (t *two) poolCalib() string {
+func (t *serviceFleet) runsPoolConfig() string { return "[[pool]]\nname = \"runs\"\n" }
+func (t *serviceFleet) calibPoolConfig() string {
 	return fmt.Sprintf("[[pool]]\nname = \"calib\"\ndiscovery = %q\n", t.calib.Addr())
 }
 
-func (t *two) plain() string {
-	return t.file(service("runs", runsHost, `pool = "runs"`)+service("calib", calibHost, `pool = "calib"`), t.poolRuns()+t.poolCalib())
+func (t *serviceFleet) defaultConfig() string {
+	return t.config(serviceConfig("runs", runsHost, `pool = "runs"`)+serviceConfig("calib", calibHost, `pool = "calib"`), t.runsPoolConfig()+t.calibPoolConfig())
 }
 
 // ask has a service's clients ask a plan's calls.
-func (r *run) ask(ctx context.Context, t *two, host string, plan []load.Request, seed uint64) []load.Attempt {
+func (r *run) sendPlan(ctx context.Context, t *serviceFleet, host string, plan []load.Request, seed uint64) []load.Attempt {
 	c := &load.Client{Routers: t.Addrs(), Host: host, Retries: r.Traffic.Retries, Pause: 50 * time.Millisecond, Seed: seed}
 	defer c.Close()
 	l := &load.Ledger{}
@@ -194,7 +194,7 @@
 }
 
 // calls draws a plan. Turns that ask the same do so in other conversations, so that none finds another's prompts kept.
-func (r *run) calls(seed uint64, rate float64, length time.Duration, turn int) []load.Request {
+func (r *run) drawPlan(seed uint64, rate float64, length time.Duration, turn int) []load.Request {
 	plan := load.Plan(seed, r.classes, rate, length, 1, load.Style{Mark: 1})
 	for i := range plan {
 		plan[i].Session ^= uint64(turn+1) << 32
@@ -203,9 +203,9 @@
 }
 
 // bad counts what must not happen to any try.
-func bad(tries []load.Attempt) (n int, examples []string) {
-	for i := range tries {
-		if t := &tries[i]; t.Outcome == load.Wrong || t.Outcome == load.Lost || t.Status == http.StatusConflict {
+func violations(attempts []load.Attempt) (n int, examples []string) {
+	for i := range attempts {
+		if t := &attempts[i]; t.Outcome == load.Wrong || t.Outcome == load.Lost || t.Status == http.StatusConflict {
 			n++
 			if len(examples) < 3 {
 				examples = append(examples, fmt.Sprintf("%s: %s %d %s", t.CallID, t.Outcome, t.Status, t.Detail))
@@ -217,129 +217,129 @@
 
 // services holds one service's worth in time, with the other in trouble, against its worth with the other idle: paired
 // turns that ask the same, interleaved.
-func services(ctx context.Context, r *run) error {
-	t, err := r.start(ctx, false, func(t *two) string { return t.plain() })
+func runServices(ctx context.Context, r *run) error {
+	t, err := r.startServices(ctx, false, func(t *serviceFleet) string { return t.defaultConfig() })
 	if err != nil {
 		return err
 	}
 	defer func() { _ = t.stop() }() // the first error counts
-	troubles := []string{"overloaded", "hung", "drained"}
-	ratios, worths, of := map[string][]float64{}, map[string][]float64{}, map[string]map[load.Outcome]int{}
-	first := map[string]*hdrhistogram.Histogram{} // of the first service: µs until the first event
-	for _, trouble := range append(troubles, "") {
-		first[trouble] = hdrhistogram.New(1, 600_000_000, 3)
+	conditions := []string{"overloaded", "hung", "drained"}
+	ratios, worths, outcomesOf := map[string][]float64{}, map[string][]float64{}, map[string]map[load.Outcome]int{}
+	firstEvent := map[string]*hdrhistogram.Histogram{} // of the first service: µs until the first event
+	for _, condition := range append(conditions, "") {
+		firstEvent[condition] = hdrhistogram.New(1, 600_000_000, 3)
 	}
-	var tries []load.Attempt
+	var attempts []load.Attempt
 	turn := 0
-	play := func(seed uint64, trouble string) (float64, error) {
+	play := func(seed uint64, condition string) (float64, error) {
 		turn++
-		plan := r.calls(seed, r.Traffic.Rate, r.length, turn)
+		plan := r.drawPlan(seed, r.Traffic.Rate, r.length, turn)
 		var calib []load.Request
-		switch trouble {
+		switch condition {
 		case "":
 		case "alone":
-			plan, calib = nil, r.calls(seed+1, r.Services.Rate, r.length, turn)
+			plan, calib = nil, r.drawPlan(seed+1, r.Services.Rate, r.length, turn)
 		case "overloaded":
-			calib = r.calls(seed+1, 3*r.Services.Rate, r.length, turn)
+			calib = r.drawPlan(seed+1, 3*r.Services.Rate, r.length, turn)
 		default:
-			calib = r.calls(seed+1, 0.6*r.Services.Rate, r.length, turn)
+			calib = r.drawPlan(seed+1, 0.6*r.Services.Rate, r.length, turn)
 		}
-		if trouble == "hung" {
-			for _, b := range t.boxes[:len(t.boxes)/2] {
+		if condition == "hung" {
+			for _, b := range t.engines[:len(t.engines)/2] {
 				b.SetFault(standin.StallFirst, 0)
 			}
 		}
-		var both sync.WaitGroup
+		var wait sync.WaitGroup
 		var own, other []load.Attempt
 		var drained error
-		both.Go(func() { own = r.ask(ctx, t, runsHost, plan, seed) })
-		both.Go(func() { other = r.ask(ctx, t, calibHost, calib, seed+1) })
-		if trouble == "drained" { // its service is taken away at its peak
-			both.Go(func() {
+		wait.Go(func() { own = r.sendPlan(ctx, t, runsHost, plan, seed) })
+		wait.Go(func() { other = r.sendPlan(ctx, t, calibHost, calib, seed+1) })
+		if condition == "drained" { // its service is taken away at its peak
+			wait.Go(func() {
 				time.Sleep(r.length / 3)
-				drained = t.reload(ctx, t.file(service("runs", runsHost, `pool = "runs"`), t.poolRuns()), 1)
+				drained = t.reload(ctx, t.config(serviceConfig("runs", runsHost, `pool = "runs"`), t.runsPoolConfig()), 1)
 			})
 		}
-		both.Wait()
+		wait.Wait()
 		if drained != nil {
 			return 0, drained
 		}
-		switch trouble {
+		switch condition {
 		case "hung":
-			for _, b := range t.boxes {
+			for _, b := range t.engines {
 				b.SetFault(standin.NoFault, 0)
 			}
 		case "drained":
-			if err := t.reload(ctx, t.plain(), 1); err != nil {
+			if err := t.reload(ctx, t.defaultConfig(), 1); err != nil {
 				return 0, err
 			}
 			time.Sleep(500 * time.Millisecond) // its list
 		}
-		tries = append(append(tries, own...), other...)
-		if of[trouble] == nil {
-			of[trouble] = map[load.Outcome]int{}
+		attempts = append(append(attempts, own...), other...)
+		if outcomesOf[condition] == nil {
+			outcomesOf[condition] = map[load.Outcome]int{}
 		}
 		for i := range other {
-			of[trouble][other[i].Outcome]++
+			outcomesOf[condition][other[i].Outcome]++
 		}
 		w := load.Worth(plan, own)
 		for i := range own {
-			if y := &own[i]; y.Outcome == load.Served && first[trouble] != nil {
+			if y := &own[i]; y.Outcome == load.Served && firstEvent[condition] != nil {
 				// An answer over 600 s is not counted; there is none, by the deadline.
-				_ = first[trouble].RecordValue(max(y.First.Sub(y.Sent).Microseconds(), 1))
+				_ = firstEvent[condition].RecordValue(max(y.First.Sub(y.Sent).Microseconds(), 1))
 			}
 		}
-		if trouble != "" {
-			worths[trouble+", the other"] = append(worths[trouble+", the other"], load.Worth(calib, other))
+		if condition != "" {
+			worths[condition+", the other"] = append(worths[condition+", the other"], load.Worth(calib, other))
 		}
 		time.Sleep(time.Duration(float64(time.Second) / r.Fleet.Speed * 4)) // what is under way ends
 		return w, ctx.Err()
 	}
-	for n, what := range []string{"", "alone", "alone", "alone"} { // caches fill; the last one counts
+	for n, condition := range []string{"", "alone", "alone", "alone"} { // caches fill; the last one counts
 		delete(worths, "alone, the other")
-		if _, err := play(r.Seed+uint64(n), what); err != nil {
+		if _, err := play(r.Seed+uint64(n), condition); err != nil {
 			return err
 		}
 	}
-	for _, h := range first {
+	for _, h := range firstEvent {
 		h.Reset()
 	}
 	for round := range r.rounds {
-		for i, trouble := range troubles {
+		for i, condition := range conditions {
 			seed := r.Seed + uint64(100*round+10*i+10)
 			var w [2]float64
 			for k := range 2 {
 				n := (round + k) % 2
-				what := trouble
+				played := condition
 				if n == 0 {
-					what = ""
+					played = ""
 				}
-				if w[n], err = play(seed, what); err != nil {
+				if w[n], err = play(seed, played); err != nil {
 					return err
 				}
 			}
-			ratios[trouble] = append(ratios[trouble], w[1]/w[0])
-			worths[trouble] = append(worths[trouble], w[1])
+			ratios[condition] = append(ratios[condition], w[1]/w[0])
+			worths[condition] = append(worths[condition], w[1])
 			worths["idle"] = append(worths["idle"], w[0])
-			r.say("pair %d of %d, the other %s: worth in time %.4f, %.4f with it idle", round+1, r.rounds, trouble, w[1], w[0])
+			r.printf("pair %d of %d, the other %s: worth in time %.4f, %.4f with it idle", round+1, r.rounds, condition, w[1], w[0])
 		}
 	}
 	if err := t.stop(); err != nil {
 		return err
 	}
-	wrong, examples := bad(tries)
-	misled := 0
-	for _, a := range t.asked {
-		if want := map[string]string{runsHost: "runs-", calibHost: "calib-"}[a.host]; want == "" || a.box[:len(want)] != want {
-			misled++
+	invalid, examples := violations(attempts)
+	misrouted := 0
+	for _, a := range t.requests {
+		if want := map[string]string{runsHost: "runs-", calibHost: "calib-"}[a.host]; want == "" || a.engine[:len(want)] != want {
+			misrouted++
 		}
 	}
 	res := r.result
-	res.Add("tries", float64(len(tries)), "", fmt.Sprint(examples))
+	res.Add("tries", float64(len(attempts)), "", fmt.Sprint(examples))
 	res.Mean("the other's worth in time alone, at the rate that is tripled", worths["alone, the other"], "", "")
 	res.Mean("worth in time, the other idle", worths["idle"], "", "share of all that was asked")
-	for _, trouble := range append([]string{""}, troubles...) {
-		h, name := first[trouble], trouble
+	for _, condition := range append([]string{""}, conditions...) {
+		h, name := firstEvent[condition], condition
 		if name == "" {
 			name = "idle"
 		}
@@ -347,20 +347,20 @@
 			fmt.Sprintf("median; 99 of 100 within %.0f ms", float64(h.ValueAtQuantile(99))/1e3))
 	}
 	chart := report.Chart{File: "worth.svg", Title: "Worth in time against that with the other service idle", X: "pair", Y: "ratio"}
-	for _, trouble := range troubles {
-		res.Mean("worth in time, the other "+trouble, worths[trouble], "", "")
-		res.Mean("the other's own worth in time, "+trouble, worths[trouble+", the other"], "", outcomes(of[trouble]))
-		ratio := res.Ratio("ratio of pairs, the other "+trouble, ratios[trouble], "geometric mean")
-		res.Bars = append(res.Bars, report.NewBar("worth in time with the other "+trouble, ratio, "", r.Bars["worth"], math.MaxFloat64, ""))
-		s := report.Series{Name: trouble}
-		for i, v := range ratios[trouble] {
+	for _, condition := range conditions {
+		res.Mean("worth in time, the other "+condition, worths[condition], "", "")
+		res.Mean("the other's own worth in time, "+condition, worths[condition+", the other"], "", outcomes(outcomesOf[condition]))
+		ratio := res.Ratio("ratio of pairs, the other "+condition, ratios[condition], "geometric mean")
+		res.Criteria = append(res.Criteria, report.NewCriterion("worth in time with the other "+condition, ratio, "", r.Thresholds["worth"], math.MaxFloat64, ""))
+		s := report.Series{Name: condition}
+		for i, v := range ratios[condition] {
 			s.Points = append(s.Points, report.Point{X: float64(i + 1), Y: v})
 		}
 		chart.Series = append(chart.Series, s)
 	}
-	res.Bars = append(res.Bars,
-		report.NewBar("lost, doubled or invented answers", float64(wrong), "", 0, 0, fmt.Sprintf("of %d tries", len(tries))),
-		report.NewBar("requests at a box of the other service", float64(misled), "", 0, 0, fmt.Sprintf("of %d", len(t.asked))))
+	res.Criteria = append(res.Criteria,
+		report.NewCriterion("lost, doubled or invented answers", float64(invalid), "", 0, 0, fmt.Sprintf("of %d tries", len(attempts))),
+		report.NewCriterion("requests at a box of the other service", float64(misrouted), "", 0, 0, fmt.Sprintf("of %d", len(t.requests))))
 	res.Charts = append(res.Charts, chart)
 	return nil
 }
@@ -374,8 +374,8 @@
 }
 
 // reloads has the router read its file again and again under load, each time with other routes, weights or pools.
-func reloads(ctx context.Context, r *run) error {
-	t, err := r.start(ctx, false, func(t *two) string { return t.plain() })
+func runReloads(ctx context.Context, r *run) error {
+	t, err := r.startServices(ctx, false, func(t *serviceFleet) string { return t.defaultConfig() })
 	if err != nil {
 		return err
 	}
@@ -386,16 +386,16 @@
 		text    string
 		swapped bool // runs is served by calib's boxes, and the other way round
 	}{
-		{t.plain(), false},
-		{t.file(service("runs", runsHost, `pool = "calib"`)+service("calib", calibHost, `pool = "runs"`), t.poolRuns()+t.poolCalib()), true},
-		{t.file(service("runs", runsHost, `split = [{pool = "runs", weight = 90.0}, {pool = "some", weight = 10.0}]`)+
-			service("calib", calibHost, `pool = "calib"`), t.poolRuns()+t.poolCalib()+pool("some", some)), false},
-		{t.file(service("runs", runsHost, `split = [{pool = "runs", weight = 50.0}, {pool = "some", weight = 50.0}]`)+
-			service("calib", calibHost, `pool = "calib"`), t.poolRuns()+t.poolCalib()+pool("some", some+"[pool.limits]\nguarantee = 0.2\n")), false},
-		{t.file(service("runs", runsHost, `pool = "renamed"`)+service("calib", calibHost, `pool = "calib"`),
-			pool("renamed", "was = \"runs\"\n")+t.poolCalib()), false},
-		{t.file(service("runs", runsHost, `pool = "runs"`)+service("calib", calibHost, `pool = "calib"`),
-			pool("runs", "was = \"renamed\"\n")+t.poolCalib()), false},
+		{t.defaultConfig(), false},
+		{t.config(serviceConfig("runs", runsHost, `pool = "calib"`)+serviceConfig("calib", calibHost, `pool = "runs"`), t.runsPoolConfig()+t.calibPoolConfig()), true},
+		{t.config(serviceConfig("runs", runsHost, `split = [{pool = "runs", weight = 90.0}, {pool = "some", weight = 10.0}]`)+
+			serviceConfig("calib", calibHost, `pool = "calib"`), t.runsPoolConfig()+t.calibPoolConfig()+pool("some", some)), false},
+		{t.config(serviceConfig("runs", runsHost, `split = [{pool = "runs", weight = 50.0}, {pool = "some", weight = 50.0}]`)+
+			serviceConfig("calib", calibHost, `pool = "calib"`), t.runsPoolConfig()+t.calibPoolConfig()+pool("some", some+"[pool.limits]\nguarantee = 0.2\n")), false},
+		{t.config(serviceConfig("runs", runsHost, `pool = "renamed"`)+serviceConfig("calib", calibHost, `pool = "calib"`),
+			pool("renamed", "was = \"runs\"\n")+t.calibPoolConfig()), false},
+		{t.config(serviceConfig("runs", runsHost, `pool = "runs"`)+serviceConfig("calib", calibHost, `pool = "calib"`),
+			pool("runs", "was = \"renamed\"\n")+t.calibPoolConfig()), false},
 	}
 	type change struct {
 		from, to time.Time
@@ -405,16 +405,16 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	length := time.Duration(r.rounds) * time.Duration(float64(r.length)/float64(r.rounds))
-	var both sync.WaitGroup
+	var wait sync.WaitGroup
 	ledgers := make([][]load.Attempt, 2)
 	for i, host := range []string{runsHost, calibHost} {
-		both.Go(func() {
-			plan := r.calls(r.Seed+uint64(i), []float64{r.Traffic.Rate, r.Services.Rate * 0.6}[i], length, 0)
-			ledgers[i] = r.ask(ctx, t, host, plan, r.Seed+uint64(i))
+		wait.Go(func() {
+			plan := r.drawPlan(r.Seed+uint64(i), []float64{r.Traffic.Rate, r.Services.Rate * 0.6}[i], length, 0)
+			ledgers[i] = r.sendPlan(ctx, t, host, plan, r.Seed+uint64(i))
 		})
 	}
 	began := time.Now()
-	pace := length / time.Duration(r.rounds)
+	interval := length / time.Duration(r.rounds)
 	var memory []report.Point
 	for n := range r.rounds {
 		f := files[n%len(files)]
@@ -430,37 +430,37 @@
 		}
 		memory = append(memory, report.Point{X: float64(n + 1), Y: float64(now) / (1 << 20)})
 		if n%100 == 99 {
-			r.say("%d reloads of %d; %.1f MB", n+1, r.rounds, memory[n].Y)
+			r.printf("%d reloads of %d; %.1f MB", n+1, r.rounds, memory[n].Y)
 		}
-		time.Sleep(time.Until(began.Add(time.Duration(n+1) * pace)))
+		time.Sleep(time.Until(began.Add(time.Duration(n+1) * interval)))
 	}
-	both.Wait()
+	wait.Wait()
 	if err := t.stop(); err != nil {
 		return err
 	}
-	var tries []load.Attempt
-	at := map[string][]asked{}
-	for _, a := range t.asked {
+	var attempts []load.Attempt
+	at := map[string][]engineRequest{}
+	for _, a := range t.requests {
 		at[a.id] = append(at[a.id], a)
 	}
-	var misled, checked, near int
+	var misrouted, checked, ambiguous int
 	for i, ledger := range ledgers {
-		tries = append(tries, ledger...)
+		attempts = append(attempts, ledger...)
 		for k := range ledger {
 			y := &ledger[k]
 			// Its route was looked up between its first byte and a little after its last.
 			first, last := y.Due, y.Sent.Add(20*time.Millisecond)
-			swapped, sure := false, true
+			swapped, certain := false, true
 			for _, c := range changes {
 				if !c.to.Before(first) && !c.from.After(last) {
-					sure = false
+					certain = false
 				}
 				if c.to.Before(first) {
 					swapped = c.swapped
 				}
 			}
-			if !sure {
-				near++
+			if !certain {
+				ambiguous++
 				continue
 			}
 			want := "runs-"
@@ -469,17 +469,17 @@
 			}
 			for _, a := range at[y.CallID] {
 				checked++
-				if a.box[:len(want)] != want {
-					misled++
+				if a.engine[:len(want)] != want {
+					misrouted++
 				}
 			}
 		}
 	}
-	wrong, examples := bad(tries)
+	invalid, examples := violations(attempts)
 	res := r.result
 	res.Add("reloads", float64(r.rounds), "", "with another file each time; every tenth signal doubled")
-	res.Add("tries", float64(len(tries)), "", fmt.Sprint(examples))
-	res.Add("legs held against the routes of their arrival", float64(checked), "", fmt.Sprintf("%d tries came too near to a reload to tell", near))
+	res.Add("tries", float64(len(attempts)), "", fmt.Sprint(examples))
+	res.Add("legs held against the routes of their arrival", float64(checked), "", fmt.Sprintf("%d tries came too near to a reload to tell", ambiguous))
 	var took []float64
 	for _, c := range changes {
 		took = append(took, float64(c.to.Sub(c.from))/1e6)
@@ -493,10 +493,10 @@
 		return m
 	}
 	grown := mean(memory[len(memory)-tenth:]) - mean(memory[tenth:2*tenth])
-	res.Bars = append(res.Bars,
-		report.NewBar("lost, doubled or invented answers", float64(wrong), "", 0, 0, fmt.Sprintf("of %d tries", len(tries))),
-		report.NewBar("legs to a pool that the route did not name", float64(misled), "", 0, 0, fmt.Sprintf("of %d", checked)),
-		report.NewBar("memory grown from the second tenth to the last", grown, "MB", -math.MaxFloat64, r.Bars["memory_mb"], ""))
+	res.Criteria = append(res.Criteria,
+		report.NewCriterion("lost, doubled or invented answers", float64(invalid), "", 0, 0, fmt.Sprintf("of %d tries", len(attempts))),
+		report.NewCriterion("legs to a pool that the route did not name", float64(misrouted), "", 0, 0, fmt.Sprintf("of %d", checked)),
+		report.NewCriterion("memory grown from the second tenth to the last", grown, "MB", -math.MaxFloat64, r.Thresholds["memory_mb"], ""))
 	res.Charts = append(res.Charts, report.Chart{
 		File: "memory.svg", Title: "Resident memory over reloads", X: "reloads", Y: "MB",
 		Series: []report.Series{{Name: "router", Points: memory}},
@@ -506,49 +506,49 @@
 
 // shared has boxes in two pools drained and restarted cold under load, one after the other; the second pool's discovery
 // learns of everything later. The boxes' own record is the judge.
-func shared(ctx context.Context, r *run) error {
-	const behind = 2 * time.Second
-	t, err := r.start(ctx, true, func(t *two) string { return t.plain() })
+func runShared(ctx context.Context, r *run) error {
+	const discoveryDelay = 2 * time.Second
+	t, err := r.startServices(ctx, true, func(t *serviceFleet) string { return t.defaultConfig() })
 	if err != nil {
 		return err
 	}
 	defer func() { _ = t.stop() }() // the first error counts
-	t.calib.Delay = behind
-	var both sync.WaitGroup
+	t.calib.Delay = discoveryDelay
+	var wait sync.WaitGroup
 	plans := make([][]load.Request, 2)
 	ledgers := make([][]load.Attempt, 2)
 	for i, host := range []string{runsHost, calibHost} {
-		plans[i] = r.calls(r.Seed+uint64(i), []float64{r.Traffic.Rate, r.Services.Rate}[i], r.length, i)
-		both.Go(func() { ledgers[i] = r.ask(ctx, t, host, plans[i], r.Seed+uint64(i)) })
+		plans[i] = r.drawPlan(r.Seed+uint64(i), []float64{r.Traffic.Rate, r.Services.Rate}[i], r.length, i)
+		wait.Go(func() { ledgers[i] = r.sendPlan(ctx, t, host, plans[i], r.Seed+uint64(i)) })
 	}
-	type life struct {
+	type incarnation struct {
 		name          string
 		born, drained time.Time
 		died          time.Time
 	}
-	var lives []life
-	const watched = 6 * time.Second // the router's modules begin to watch within 5 s of their start
-	pace := (r.length - watched) / time.Duration(r.Fleet.Boxes)
+	var incarnations []incarnation
+	const warmUpDelay = 6 * time.Second // the router's modules begin to watch within 5 s of their start
+	interval := (r.length - warmUpDelay) / time.Duration(r.Fleet.Engines)
 	var failed error
-	both.Go(func() {
-		began := time.Now().Add(watched)
-		for n, b := range t.Boxes {
-			time.Sleep(time.Until(began.Add(time.Duration(n) * pace)))
-			l := life{name: b.Name, drained: time.Now()}
+	wait.Go(func() {
+		began := time.Now().Add(warmUpDelay)
+		for n, b := range t.Engines {
+			time.Sleep(time.Until(began.Add(time.Duration(n) * interval)))
+			l := incarnation{name: b.Name, drained: time.Now()}
 			b.Drain()
-			time.Sleep(min(1500*time.Millisecond, pace/3))
+			time.Sleep(min(1500*time.Millisecond, interval/3))
 			b.Die()
 			l.died = time.Now()
 			b.Gone()
 			b.Rename(b.Name + "-r")
-			lives = append(lives, l, life{name: b.Name, born: time.Now()})
+			incarnations = append(incarnations, l, incarnation{name: b.Name, born: time.Now()})
 			if err := b.Start(b.Addr(), true); err != nil {
 				failed = err
 				return
 			}
 		}
 	})
-	both.Wait()
+	wait.Wait()
 	if failed != nil {
 		return failed
 	}
@@ -556,39 +556,39 @@
 		return err
 	}
 	var arrivals [2][]time.Time
-	var tries []load.Attempt
+	var attempts []load.Attempt
 	for i := range ledgers {
-		tries = append(tries, ledgers[i]...)
+		attempts = append(attempts, ledgers[i]...)
 		for k := range ledgers[i] {
 			arrivals[i] = append(arrivals[i], ledgers[i][k].Sent)
 		}
 		slices.SortFunc(arrivals[i], time.Time.Compare)
 	}
-	between := func(of []time.Time, from, to time.Time) int {
-		a, _ := slices.BinarySearchFunc(of, from, time.Time.Compare)
-		z, _ := slices.BinarySearchFunc(of, to, time.Time.Compare)
+	between := func(times []time.Time, from, to time.Time) int {
+		a, _ := slices.BinarySearchFunc(times, from, time.Time.Compare)
+		z, _ := slices.BinarySearchFunc(times, to, time.Time.Compare)
 		return z - a
 	}
-	byBox, byPool := map[string][]time.Time{}, map[string]map[string]int{}
-	for _, a := range t.asked {
-		byBox[a.box] = append(byBox[a.box], a.at)
-		if byPool[a.box] == nil {
-			byPool[a.box] = map[string]int{}
+	byEngine, poolsOfEngine := map[string][]time.Time{}, map[string]map[string]int{}
+	for _, a := range t.requests {
+		byEngine[a.engine] = append(byEngine[a.engine], a.at)
+		if poolsOfEngine[a.engine] == nil {
+			poolsOfEngine[a.engine] = map[string]int{}
 		}
-		byPool[a.box][a.host]++
+		poolsOfEngine[a.engine][a.host]++
 	}
-	params := r.options(nil, nil).Params
-	var late, cold, over, windows int
-	var latest, fullest float64
-	for _, l := range lives {
-		at := byBox[l.name]
+	params := r.fleetOptions(nil, nil).Params
+	var lateRequests, coldRequests, exceeded, windows int
+	var latestMS, maxShare float64
+	for _, l := range incarnations {
+		at := byEngine[l.name]
 		slices.SortFunc(at, time.Time.Compare)
 		if !l.drained.IsZero() {
 			for _, when := range at {
 				if d := when.Sub(l.drained); d > 0 && when.Before(l.died) {
-					latest = max(latest, float64(d)/1e6)
-					if float64(d)/1e6 > r.Bars["drain_ms"] {
-						late++
+					latestMS = max(latestMS, float64(d)/1e6)
+					if float64(d)/1e6 > r.Thresholds["drain_ms"] {
+						lateRequests++
 					}
 				}
 			}
@@ -602,38 +602,38 @@
 				// is on its way for a while, so that one that came just before the window may fall into it.
 				allowed := 1.0
 				for i := range arrivals {
-					allowed += share * float64(between(arrivals[i], from.Add(-50*time.Millisecond), to)) / float64(r.Fleet.Boxes-1)
+					allowed += share * float64(between(arrivals[i], from.Add(-50*time.Millisecond), to)) / float64(r.Fleet.Engines-1)
 				}
 				got := between(at, from, to)
 				windows++
-				fullest = max(fullest, float64(got)/allowed)
+				maxShare = max(maxShare, float64(got)/allowed)
 				if float64(got) > math.Ceil(allowed) {
-					over++
+					exceeded++
 				}
 			}
 		}
-		cold += between(at, l.born, l.born.Add(params.WarmUp))
+		coldRequests += between(at, l.born, l.born.Add(params.WarmUp))
 	}
-	wrong, examples := bad(tries)
+	invalid, examples := violations(attempts)
 	res := r.result
-	res.Add("tries", float64(len(tries)), "", fmt.Sprint(examples))
-	res.Add("boxes drained and restarted cold", float64(len(lives)/2), "", fmt.Sprintf("the second pool's discovery tells of it %v later", behind))
-	res.Add("requests to boxes while cold", float64(cold), "", fmt.Sprintf("in %d windows of 0.5, 1 and 2 s", windows))
-	res.Add("fullest window against what is allowed", fullest, "", "")
-	res.Add("latest request to a draining box", latest, "ms", "after its drain was told")
+	res.Add("tries", float64(len(attempts)), "", fmt.Sprint(examples))
+	res.Add("boxes drained and restarted cold", float64(len(incarnations)/2), "", fmt.Sprintf("the second pool's discovery tells of it %v later", discoveryDelay))
+	res.Add("requests to boxes while cold", float64(coldRequests), "", fmt.Sprintf("in %d windows of 0.5, 1 and 2 s", windows))
+	res.Add("fullest window against what is allowed", maxShare, "", "")
+	res.Add("latest request to a draining box", latestMS, "ms", "after its drain was told")
 	for i, name := range []string{"first", "second"} {
 		res.Add("worth in time of the "+name+" pool", load.Worth(plans[i], ledgers[i]), "", "")
 	}
 	fromBoth := 0
-	for _, n := range byPool {
+	for _, n := range poolsOfEngine {
 		if n[runsHost] > 0 && n[calibHost] > 0 {
 			fromBoth++
 		}
 	}
-	res.Add("boxes asked by both pools", float64(fromBoth), "", fmt.Sprintf("of %d", len(byPool)))
-	res.Bars = append(res.Bars,
-		report.NewBar("windows in which a cold box got more than is allowed", float64(over), "", 0, 0, fmt.Sprintf("of %d", windows)),
-		report.NewBar("requests to a draining box after its grace", float64(late), "", 0, 0, fmt.Sprintf("later than %v ms", r.Bars["drain_ms"])),
-		report.NewBar("lost, doubled or invented answers", float64(wrong), "", 0, 0, fmt.Sprintf("of %d tries", len(tries))))
+	res.Add("boxes asked by both pools", float64(fromBoth), "", fmt.Sprintf("of %d", len(poolsOfEngine)))
+	res.Criteria = append(res.Criteria,
+		report.NewCriterion("windows in which a cold box got more than is allowed", float64(exceeded), "", 0, 0, fmt.Sprintf("of %d", windows)),
+		report.NewCriterion("requests to a draining box after its grace", float64(lateRequests), "", 0, 0, fmt.Sprintf("later than %v ms", r.Thresholds["drain_ms"])),
+		report.NewCriterion("lost, doubled or invented answers", float64(invalid), "", 0, 0, fmt.Sprintf("of %d tries", len(attempts))))
 	return nil
 }
--- a/internal/lab/experiment/tracing.go
+++ b/internal/lab/experiment/tracing.go
@@ -18,34 +18,34 @@
 )
 
 // traced is what the collector has of one try.
-type traced struct {
-	root *tracepb.Span
-	legs []*tracepb.Span
+type attemptTrace struct {
+	root      *tracepb.Span
+	upstreams []*tracepb.Span
 }
 
 // boxSpans keeps the boxes' own spans by the leg that they hang below.
-type boxSpans struct {
+type engineSpans struct {
 	mu  sync.Mutex
 	all map[string][]standin.Span // by parent span
 	n   int
 }
 
-func (b *boxSpans) add(s standin.Span) {
+func (b *engineSpans) add(s standin.Span) {
 	b.mu.Lock()
 	b.all[s.Parent.String()] = append(b.all[s.Parent.String()], s)
 	b.n++
 	b.mu.Unlock()
 }
 
-func (r *run) options(kinds []string, settings map[string]string) fleet.Options {
+func (r *run) fleetOptions(kinds []string, settings map[string]string) fleet.Options {
 	return fleet.Options{
-		Binary: r.binary, Dir: r.dir, Boxes: r.Fleet.Boxes, Params: model.Default(r.Fleet.Speed), Classes: r.classes,
+		Binary: r.binary, Dir: r.dir, Engines: r.Fleet.Engines, Params: model.Default(r.Fleet.Speed), Classes: r.classes,
 		Routers: kinds, Settings: settings, Cores: r.Fleet.Cores, MemoryMB: r.Fleet.MemoryMB, Sockets: r.Fleet.Sockets,
 	}
 }
 
 // settings is a router's file that sends to a collector.
-func (r *run) settings(url string) string {
+func (r *run) collectorSettings(url string) string {
 	return fmt.Sprintf("[trace]\nshare = %g\nper_second = 0\nmargin = \"%v\"\ntell_hosts = \"all\"\n[trace.otlp]\nendpoint = %q\n"+
 		"queue_mb = 16\ntimeout = \"2s\"\ndrain = \"5s\"\n", r.Trace.Share, 5*time.Millisecond, url)
 }
@@ -53,34 +53,34 @@
 // play has clients ask and troubles happen, and returns the ledger.
 func (r *run) play(ctx context.Context, f *fleet.Fleet) ([]load.Attempt, error) {
 	plan := load.Plan(r.Seed, r.classes, r.Traffic.Rate, r.length, r.Fleet.Routers, load.Style{Carry: r.Traffic.Carry, Mark: r.Traffic.Mark})
-	r.say("%d calls in %v over %d routers and %d boxes", len(plan), r.length, len(f.Routers), len(f.Boxes))
+	r.printf("%d calls in %v over %d routers and %d boxes", len(plan), r.length, len(f.Routers), len(f.Engines))
 	client := &load.Client{Routers: f.Addrs(), Retries: r.Traffic.Retries, Pause: 50 * time.Millisecond, Seed: r.Seed}
 	ledger := &load.Ledger{}
-	trouble := make(chan error, 1)
-	go func() { trouble <- f.Play(ctx, r.troubles) }()
+	faultsDone := make(chan error, 1)
+	go func() { faultsDone <- f.InjectFaults(ctx, r.faults) }()
 	client.Run(ctx, plan, ledger)
-	if err := <-trouble; err != nil {
+	if err := <-faultsDone; err != nil {
 		return nil, err
 	}
 	return ledger.Attempts(), ctx.Err()
 }
 
 // tracing holds every late, failed or retried try of the ledger against the collector's traces.
-func tracing(ctx context.Context, r *run) error {
+func runTracing(ctx context.Context, r *run) error {
 	collector, err := standin.StartCollector("127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	defer collector.Close()
-	boxes := &boxSpans{all: map[string][]standin.Span{}}
+	engines := &engineSpans{all: map[string][]standin.Span{}}
 	kinds := slices.Repeat([]string{"traced"}, r.Fleet.Routers)
-	o := r.options(kinds, map[string]string{"traced": r.settings(collector.URL())})
-	o.Spans = boxes.add
+	o := r.fleetOptions(kinds, map[string]string{"traced": r.collectorSettings(collector.URL())})
+	o.OnSpan = engines.add
 	f, err := fleet.Start(ctx, o)
 	if err != nil {
 		return err
 	}
-	tries, err := r.play(ctx, f)
+	attempts, err := r.play(ctx, f)
 	if stopped := f.Stop(); err == nil {
 		err = stopped
 	}
@@ -88,23 +88,23 @@
 		return err
 	}
 	spans, bytes := collector.Spans()
-	r.judge(tries, spans, boxes)
+	r.evaluateTraces(attempts, spans, engines)
 	r.result.Add("spans at the collector", float64(len(spans)), "", "")
 	r.result.Add("bytes for each span", float64(bytes)/float64(max(len(spans), 1)), "", "uncompressed")
 	return nil
 }
 
 // judge holds ledger and traces against each other.
-func (r *run) judge(tries []load.Attempt, spans []*tracepb.Span, boxes *boxSpans) {
-	byCall, doubled := map[string]*traced{}, 0
-	roots := map[string]*traced{} // by span
+func (r *run) evaluateTraces(attempts []load.Attempt, spans []*tracepb.Span, engines *engineSpans) {
+	byCall, duplicated := map[string]*attemptTrace{}, 0
+	roots := map[string]*attemptTrace{} // by span
 	for _, s := range spans {
 		if s.Kind == tracepb.Span_SPAN_KIND_SERVER {
 			call := standin.Text(s, "notchhinge.call_id")
 			if byCall[call] != nil {
-				doubled++
+				duplicated++
 			}
-			t := &traced{root: s}
+			t := &attemptTrace{root: s}
 			byCall[call], roots[standin.Hex(s.SpanId)] = t, t
 		}
 	}
@@ -114,57 +114,57 @@
 			continue
 		}
 		if t := roots[standin.Hex(s.ParentSpanId)]; t != nil && string(t.root.TraceId) == string(s.TraceId) {
-			t.legs = append(t.legs, s)
+			t.upstreams = append(t.upstreams, s)
 		} else {
 			orphans++
 		}
 	}
-	steps := map[int]int{}
+	requests := map[int]int{}
 	first := map[[2]int]int{} // number of a call's first try at each router
-	for i := range tries {
-		t := &tries[i]
-		steps[t.Call]++
+	for i := range attempts {
+		t := &attempts[i]
+		requests[t.Call]++
 		if at := [2]int{t.Call, t.Router}; first[at] == 0 || t.Number < first[at] {
 			first[at] = t.Number
 		}
 	}
 	counts := map[load.Outcome]int{}
-	var owed, missing, incomplete, wrong, ordinary, shared, linkable, linked, unseen, unsent int
-	var off, begun []float64
+	var required, missing, incomplete, invalid, ordinary, shared, recognizable, linked, unrecognizable, unwritten int
+	var differences, firstEvents []float64
 	inLedger := map[string]bool{}
 	var examples []string
-	for i := range tries {
-		t := &tries[i]
+	for i := range attempts {
+		t := &attempts[i]
 		counts[t.Outcome]++
 		inLedger[t.CallID] = true
 		if t.Outcome == load.Wrong || t.Outcome == load.Lost {
-			wrong++
+			invalid++
 			examples = append(examples, fmt.Sprintf("%s %s: %s", t.Outcome, t.CallID, t.Detail))
 		}
 		if !t.First.IsZero() {
-			begun = append(begun, t.First.Sub(t.Sent).Seconds()*1000)
+			firstEvents = append(firstEvents, t.First.Sub(t.Sent).Seconds()*1000)
 		}
 		got := byCall[t.CallID]
 		if t.Unsent && got == nil {
-			unsent++
+			unwritten++
 			continue
 		}
-		must := t.Late || t.Outcome != load.Served
+		isRequired := t.Late || t.Outcome != load.Served
 		if t.Number > 1 {
 			// Routers share nothing: a retry that is not marked, at a router that has not seen its call, is a first try there.
 			if seen := t.Marked || first[[2]int{t.Call, t.Router}] < t.Number; seen {
-				must = true
-				linkable++
+				isRequired = true
+				recognizable++
 				if got != nil && (len(got.root.Links) > 0 || t.Trace != [16]byte{} && string(got.root.TraceId) == string(t.Trace[:])) {
 					linked++
 				}
 			} else {
-				unseen++
+				unrecognizable++
 			}
 		}
 		switch {
-		case must:
-			owed++
+		case isRequired:
+			required++
 			if got == nil {
 				missing++
 				examples = append(examples, fmt.Sprintf("missing: %s try %d %s late %v after %v", t.CallID, t.Number, t.Outcome, t.Late, t.End.Sub(t.Sent)))
@@ -180,13 +180,13 @@
 		if got == nil {
 			continue
 		}
-		if why := r.whole(t, got, boxes); why != "" {
+		if defect := r.traceDefect(t, got, engines); defect != "" {
 			incomplete++
-			examples = append(examples, fmt.Sprintf("incomplete: %s: %s", t.CallID, why))
+			examples = append(examples, fmt.Sprintf("incomplete: %s: %s", t.CallID, defect))
 		}
 		seen := t.End.Sub(t.Sent)
 		total := time.Duration(got.root.EndTimeUnixNano - got.root.StartTimeUnixNano)
-		off = append(off, math.Abs((seen-total).Seconds()*1000))
+		differences = append(differences, math.Abs((seen-total).Seconds()*1000))
 	}
 	invented := 0
 	for call := range byCall {
@@ -195,65 +195,65 @@
 		}
 	}
 	for _, e := range examples[:min(len(examples), 8)] {
-		r.say("  %s", e)
+		r.printf("  %s", e)
 	}
-	slices.Sort(off)
+	slices.Sort(differences)
 	quantile := func(q float64) float64 {
-		if len(off) == 0 {
+		if len(differences) == 0 {
 			return math.NaN()
 		}
-		return off[min(int(q*float64(len(off))), len(off)-1)]
+		return differences[min(int(q*float64(len(differences))), len(differences)-1)]
 	}
 	share := float64(shared) / float64(max(ordinary, 1))
 	res := r.result
-	res.Add("tries", float64(len(tries)), "", "")
+	res.Add("tries", float64(len(attempts)), "", "")
 	for _, o := range []load.Outcome{load.Served, load.Broken, load.Refused, load.Failed, load.Canceled, load.Lost, load.Wrong} {
 		res.Add("tries "+string(o), float64(counts[o]), "", "")
 	}
-	res.Add("tries whose trace is owed", float64(owed), "", "late, not served, or a retry")
+	res.Add("tries whose trace is owed", float64(required), "", "late, not served, or a retry")
 	res.Add("ordinary tries", float64(ordinary), "", "")
-	res.Add("retries that a router could tell", float64(linkable), "", "marked, or at the router of an earlier try")
+	res.Add("retries that a router could tell", float64(recognizable), "", "marked, or at the router of an earlier try")
 	res.Add("of these, with a link or in the trace of an earlier try", float64(linked), "", "a marked one at another router has neither")
-	res.Add("tries given up before they were written", float64(unsent), "", "no router took them")
-	res.Add("retries that no router could tell", float64(unseen), "", "plain ones at another router: first tries there, owed only if late or not served")
+	res.Add("tries given up before they were written", float64(unwritten), "", "no router took them")
+	res.Add("retries that no router could tell", float64(unrecognizable), "", "plain ones at another router: first tries there, owed only if late or not served")
 	res.Add("router against client, median", quantile(0.5), "ms", "difference of the whole time of a try")
 	res.Add("router against client, 99.9%", quantile(0.999), "ms", "")
-	res.Add("box spans", float64(boxes.n), "", "")
-	const most = math.MaxFloat64
-	res.Bars = append(res.Bars,
-		report.NewBar("requests", float64(len(steps)), "", r.Bars["requests"]*r.part(), most, ""),
-		report.NewBar("owed traces that are missing", float64(missing), "", 0, 0, ""),
-		report.NewBar("traces that are not complete", float64(incomplete), "", 0, 0, "each leg, each leg's result, the boxes' own spans below them, phases that add up"),
-		report.NewBar("traces of no request, or twice", float64(invented+doubled+orphans), "", 0, 0, ""),
-		report.NewBar("answers lost or invented", float64(wrong), "", 0, 0, "by the ledger"),
-		report.NewBar("phases against the client, 99%", quantile(0.99), "ms", 0, r.Bars["phase_error_ms"], ""),
-		report.NewBar("share of ordinary tries against the set one", share/r.Trace.Share, "", 1-r.Bars["share_error"], 1+r.Bars["share_error"],
+	res.Add("box spans", float64(engines.n), "", "")
+	const unbounded = math.MaxFloat64
+	res.Criteria = append(res.Criteria,
+		report.NewCriterion("requests", float64(len(requests)), "", r.Thresholds["requests"]*r.fractionRun(), unbounded, ""),
+		report.NewCriterion("owed traces that are missing", float64(missing), "", 0, 0, ""),
+		report.NewCriterion("traces that are not complete", float64(incomplete), "", 0, 0, "each leg, each leg's result, the boxes' own spans below them, phases that add up"),
+		report.NewCriterion("traces of no request, or twice", float64(invented+duplicated+orphans), "", 0, 0, ""),
+		report.NewCriterion("answers lost or invented", float64(invalid), "", 0, 0, "by the ledger"),
+		report.NewCriterion("phases against the client, 99%", quantile(0.99), "ms", 0, r.Thresholds["phase_error_ms"], ""),
+		report.NewCriterion("share of ordinary tries against the set one", share/r.Trace.Share, "", 1-r.Thresholds["share_error"], 1+r.Thresholds["share_error"],
 			fmt.Sprintf("%d of %d, %g set", shared, ordinary, r.Trace.Share)),
 	)
 	res.Charts = append(res.Charts,
 		report.Chart{
 			File: "first.svg", Title: "Until the first event, by the clients", X: "ms", Y: "share of answers",
-			Series: []report.Series{report.CDF("all", begun)},
+			Series: []report.Series{report.CDF("all", firstEvents)},
 		},
 		report.Chart{
 			File: "phases.svg", Title: "Router's account against the client's", X: "ms of difference", Y: "share of traces",
-			Series: []report.Series{report.CDF("whole time", off)},
+			Series: []report.Series{report.CDF("whole time", differences)},
 		},
-		r.timeline(tries))
+		r.timeline(attempts))
 }
 
 // part is the share of the whole run that this one is.
-func (r *run) part() float64 { return float64(r.length) / float64(r.Traffic.Length) }
+func (r *run) fractionRun() float64 { return float64(r.length) / float64(r.Traffic.Length) }
 
 // whole says what a trace lacks.
-func (r *run) whole(t *load.Attempt, got *traced, boxes *boxSpans) string {
-	if n := int(standin.Number(got.root, "notchhinge.legs")); n != len(got.legs) {
-		return fmt.Sprintf("%d legs of %d", len(got.legs), n)
+func (r *run) traceDefect(t *load.Attempt, got *attemptTrace, engines *engineSpans) string {
+	if n := int(standin.Number(got.root, "notchhinge.legs")); n != len(got.upstreams) {
+		return fmt.Sprintf("%d legs of %d", len(got.upstreams), n)
 	}
 	if t.Trace != [16]byte{} && string(got.root.TraceId) != string(t.Trace[:]) {
 		return "it is of another trace than the client's"
 	}
-	for _, l := range got.legs {
+	for _, l := range got.upstreams {
 		if res := standin.Text(l, "notchhinge.result"); res == "" || res == "none" {
 			return "a leg has no result"
 		}
@@ -264,13 +264,13 @@
 		for _, e := range l.Events {
 			answered = answered || e.Name == "notchhinge.first_byte"
 		}
-		boxes.mu.Lock()
-		own := boxes.all[standin.Hex(l.SpanId)]
-		boxes.mu.Unlock()
-		if answered && len(own) != 1 {
-			return fmt.Sprintf("a leg that was answered has %d spans of its box", len(own))
+		engines.mu.Lock()
+		ownSpans := engines.all[standin.Hex(l.SpanId)]
+		engines.mu.Unlock()
+		if answered && len(ownSpans) != 1 {
+			return fmt.Sprintf("a leg that was answered has %d spans of its box", len(ownSpans))
 		}
-		for _, s := range own {
+		for _, s := range ownSpans {
 			if s.CallID != t.CallID || s.Host != standin.Text(l, "notchhinge.host") {
 				return "a box's span is of another call or host"
 			}
@@ -294,15 +294,15 @@
 }
 
 // timeline draws what clients got over the run.
-func (r *run) timeline(tries []load.Attempt) report.Chart {
+func (r *run) timeline(attempts []load.Attempt) report.Chart {
 	c := report.Chart{File: "timeline.svg", Title: "Tries by outcome", X: "s", Y: "a second", Steps: true}
-	if len(tries) == 0 {
+	if len(attempts) == 0 {
 		return c
 	}
-	start := tries[0].Due
-	for i := range tries {
-		if tries[i].Due.Before(start) {
-			start = tries[i].Due
+	start := attempts[0].Due
+	for i := range attempts {
+		if attempts[i].Due.Before(start) {
+			start = attempts[i].Due
 		}
 	}
 	seconds := int(r.length.Seconds()) + 1
@@ -311,8 +311,8 @@
 		for i := range s.Points {
 			s.Points[i].X = float64(i)
 		}
-		for i := range tries {
-			t := &tries[i]
+		for i := range attempts {
+			t := &attempts[i]
 			kind := string(t.Outcome)
 			if t.Outcome == load.Served {
 				kind = "served in time"
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -45,38 +45,38 @@
 
 // Options say what a fleet is.
 type Options struct {
-	Binary   string // the router's program
-	Dir      string // for the routers' files and logs
-	Boxes    int
-	Params   model.Params
-	Classes  []load.Class
-	Settings map[string]string // of each kind of router: the text of its --config file; "" = without
-	Routers  []string          // kinds of the routers
-	Cores    float64           // of each router
-	MemoryMB int
-	Sockets  int
-	Pin      bool // routers run on the machine's first core, all else on the others
-	Spans    func(standin.Span)
+	Binary     string // the router's program
+	Dir        string // for the routers' files and logs
+	Engines    int
+	Params     model.Params
+	Classes    []load.Class
+	Settings   map[string]string // of each kind of router: the text of its --config file; "" = without
+	Routers    []string          // kinds of the routers
+	Cores      float64           // of each router
+	MemoryMB   int
+	Sockets    int
+	PinRouters bool // routers run on the machine's first core, all else on the others
+	OnSpan     func(standin.Span)
 }
 
 // Fleet is one that runs.
 type Fleet struct {
 	Discovery *standin.Discovery
-	Boxes     []*standin.Engine
+	Engines   []*standin.Engine
 	Routers   []*Router
-	o         Options
+	options   Options
 	stopped   bool
 }
 
 // Router is a router's process.
 type Router struct {
-	Name string
-	Kind string
-	Addr string
-	Log  string // file
-	File string // of its --config; "" = none
-	cmd  *exec.Cmd
-	done chan error
+	Name       string
+	Kind       string
+	Addr       string
+	LogFile    string // file
+	ConfigFile string // of its --config; "" = none
+	cmd        *exec.Cmd
+	done       chan error
 }
 
 // Start starts everything and waits until the routers are ready.
@@ -85,14 +85,14 @@
 }
 
 // StartWith is Start with something more that discovery is to know of before the routers start.
-func StartWith(ctx context.Context, o Options, more func(*Fleet) error) (f *Fleet, err error) {
-	f = &Fleet{o: o}
+func StartWith(ctx context.Context, o Options, prepare func(*Fleet) error) (f *Fleet, err error) {
+	f = &Fleet{options: o}
 	defer func() {
 		if err != nil {
 			_ = f.Stop() // err is what is returned
 		}
 	}()
-	if o.Pin {
+	if o.PinRouters {
 		if err := leaveFirstCore(); err != nil {
 			return nil, err
 		}
@@ -100,25 +100,25 @@
 	if f.Discovery, err = standin.StartDiscovery("127.0.0.1:0", 0); err != nil {
 		return nil, err
 	}
-	for i := range o.Boxes {
-		b := &standin.Engine{Name: fmt.Sprintf("s-%08x", i*0x9e3779b1&0xffffffff), Params: o.Params, OnSpan: o.Spans, Discovery: f.Discovery}
+	for i := range o.Engines {
+		b := &standin.Engine{Name: fmt.Sprintf("s-%08x", i*0x9e3779b1&0xffffffff), Params: o.Params, OnSpan: o.OnSpan, Discovery: f.Discovery}
 		if err := b.Start("127.0.0.1:0", false); err != nil {
 			return nil, err
 		}
-		f.Boxes = append(f.Boxes, b)
+		f.Engines = append(f.Engines, b)
 	}
-	if err := more(f); err != nil {
+	if err := prepare(f); err != nil {
 		return nil, err
 	}
 	for i, kind := range o.Routers {
-		r, err := f.router(i, kind)
+		r, err := f.startRouter(i, kind)
 		if err != nil {
 			return nil, err
 		}
 		f.Routers = append(f.Routers, r)
 	}
 	for _, r := range f.Routers {
-		if err := r.ready(ctx); err != nil {
+		if err := r.waitReady(ctx); err != nil {
 			return nil, err
 		}
 	}
@@ -126,7 +126,7 @@
 }
 
 // free takes a port that nothing listens on.
-func free() (string, error) {
+func freeAddr() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -141,7 +141,7 @@
 	type m = map[string]any
 	var grades []m
 	var perK, tokens []int64
-	for _, c := range f.o.Classes {
+	for _, c := range f.options.Classes {
 		grades = append(grades, m{
 			"name": c.Name, "objective": us(c.Aim), "deadline": us(c.Deadline), "dedupWindow": 5000000,
 			"effect": "pure", "group": "all", "lateWorth": 0, "worth": c.Worth, "streaming": true,
@@ -150,22 +150,22 @@
 	}
 	return json.MarshalIndent(m{
 		"name": r.Name, "listen": r.Addr, "discovery": f.Discovery.Addr(), "seed": fmt.Sprintf("%016x", 77+i),
-		"limits": m{"cores": f.o.Cores, "memory_mb": f.o.MemoryMB, "sockets": f.o.Sockets}, "known": f.Discovery.Known(),
+		"limits": m{"cores": f.options.Cores, "memory_mb": f.options.MemoryMB, "sockets": f.options.Sockets}, "known": f.Discovery.Known(),
 		"settings": m{
-			"azs": []string{"room"}, "discovery": "subscribe", "weights": "silent", "zone": 0, "me": i, "replicasOfMe": len(f.o.Routers),
+			"azs": []string{"room"}, "discovery": "subscribe", "weights": "silent", "zone": 0, "me": i, "replicasOfMe": len(f.options.Routers),
 			"grades": grades, "familyInfo": m{"aimUsPer1000PromptTokens": perK, "tokenAim": tokens, "resume": true},
 			"limits": m{
 				"cancel": true, "connectTimeout": 200000, "idleClose": 5000000, "maxOpen": 20000, "maxRetryAfter": 500000,
 				"mostTries": 4, "probes": true, "retryAfter": true,
 			},
 			"prices": m{}, "report": m{"columns": []string{"x1", "concurrent"}, "how": "pull"},
-			"rules": m{"askWithin": 10000000, "coldFrom": f.o.Params.ColdShare, "drainGrace": 500000, "warmUp": us(f.o.Params.WarmUp)},
+			"rules": m{"askWithin": 10000000, "coldFrom": f.options.Params.ColdShare, "drainGrace": 500000, "warmUp": us(f.options.Params.WarmUp)},
 		},
 	}, "", " ")
 }
 
-func (f *Fleet) router(i int, kind string) (*Router, error) {
-	addr, err := free()
+func (f *Fleet) startRouter(i int, kind string) (*Router, error) {
+	addr, err := freeAddr()
 	if err != nil {
 		return nil, err
 	}
@@ -174,31 +174,31 @@
 	if err != nil {
 		return nil, err
 	}
-	file := filepath.Join(f.o.Dir, r.Name+".json")
+	file := filepath.Join(f.options.Dir, r.Name+".json")
 	if err := os.WriteFile(file, cfg, 0o600); err != nil {
 		return nil, err
 	}
 	args := []string{"serve"}
-	if text := f.o.Settings[kind]; text != "" {
-		own := filepath.Join(f.o.Dir, r.Name+".toml")
+	if text := f.options.Settings[kind]; text != "" {
+		own := filepath.Join(f.options.Dir, r.Name+".toml")
 		if err := os.WriteFile(own, []byte(text), 0o600); err != nil {
 			return nil, err
 		}
-		r.File = own
+		r.ConfigFile = own
 		args = append(args, "--config", own)
 	}
-	r.Log = filepath.Join(f.o.Dir, r.Name+".log")
-	log, err := os.Create(r.Log)
+	r.LogFile = filepath.Join(f.options.Dir, r.Name+".log")
+	log, err := os.Create(r.LogFile)
 	if err != nil {
 		return nil, err
 	}
 	defer log.Close()
-	r.cmd = exec.Command(f.o.Binary, args...) //nolint:noctx // Stop drains it, which a context would cut short
+	r.cmd = exec.Command(f.options.Binary, args...) //nolint:noctx // Stop drains it, which a context would cut short
 	r.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+file)
 	r.cmd.Stdout, r.cmd.Stderr = log, log
 	r.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the lab
 	start := r.cmd.Start
-	if f.o.Pin {
+	if f.options.PinRouters {
 		start = func() error { return startPinned(r.cmd) }
 	}
 	if err := start(); err != nil {
@@ -209,7 +209,7 @@
 }
 
 // ready waits until the router says that it is.
-func (r *Router) ready(ctx context.Context) error {
+func (r *Router) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
 	for {
@@ -236,7 +236,7 @@
 
 // Tail is the end of the router's log.
 func (r *Router) Tail() string {
-	text, _ := os.ReadFile(r.Log)
+	text, _ := os.ReadFile(r.LogFile)
 	lines := bytes.Split(bytes.TrimSpace(text), []byte("\n"))
 	return string(bytes.Join(lines[max(len(lines)-10, 0):], []byte("\n")))
 }
@@ -317,14 +317,14 @@
 	}
 	f.stopped = true
 	var errs []error
-	ends := make(chan error, len(f.Routers))
+	results := make(chan error, len(f.Routers))
 	for _, r := range f.Routers {
-		go func() { ends <- r.Stop() }()
+		go func() { results <- r.Stop() }()
 	}
 	for range f.Routers {
-		errs = append(errs, <-ends)
+		errs = append(errs, <-results)
 	}
-	for _, b := range f.Boxes {
+	for _, b := range f.Engines {
 		b.Die()
 	}
 	if f.Discovery != nil {
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -23,19 +23,19 @@
 )
 
 // Bar is a figure that an experiment must hold.
-type Bar struct {
+type Criterion struct {
 	Name   string  `json:"name"`
 	Figure float64 `json:"figure"`
 	Unit   string  `json:"unit,omitempty"`
-	Least  float64 `json:"least"`
-	Most   float64 `json:"most"`
+	Min    float64 `json:"least"`
+	Max    float64 `json:"most"`
 	Holds  bool    `json:"holds"`
 	Note   string  `json:"note,omitempty"`
 }
 
 // NewBar holds a figure between two bounds, both included. One that is no number falls short.
-func NewBar(name string, figure float64, unit string, least, most float64, note string) Bar {
-	return Bar{Name: name, Figure: figure, Unit: unit, Least: least, Most: most, Holds: figure >= least && figure <= most, Note: note}
+func NewCriterion(name string, figure float64, unit string, lower, upper float64, note string) Criterion {
+	return Criterion{Name: name, Figure: figure, Unit: unit, Min: lower, Max: upper, Holds: figure >= lower && figure <= upper, Note: note}
 }
 
 // Row is a line of the table.
@@ -72,10 +72,10 @@
 	Commit string `json:"commit,omitempty"`
 	Cores  int    `json:"cores,omitempty"` // of the machine
 	// Simulated says that no clock was read, so that neither machine nor cores matter and are not told.
-	Simulated bool    `json:"simulated,omitempty"`
-	Rows      []Row   `json:"figures"`
-	Bars      []Bar   `json:"bars"`
-	Charts    []Chart `json:"-"`
+	Simulated bool        `json:"simulated,omitempty"`
+	Rows      []Row       `json:"figures"`
+	Criteria  []Criterion `json:"bars"`
+	Charts    []Chart     `json:"-"`
 }
 
 // Add adds a row.
@@ -111,7 +111,7 @@
 
 // Passed tells how many bars hold and how many do not.
 func (r *Result) Passed() (passed, failed int) {
-	for _, b := range r.Bars {
+	for _, b := range r.Criteria {
 		if b.Holds {
 			passed++
 		} else {
@@ -126,14 +126,14 @@
 	for _, row := range r.Rows {
 		fmt.Fprintf(w, "  %-44s %s\n", row.Name, row.text())
 	}
-	for _, b := range r.Bars {
+	for _, b := range r.Criteria {
 		fmt.Fprintf(w, "%-46s %s\n", b.Name, b.text())
 	}
 	passed, failed := r.Passed()
 	fmt.Fprintf(w, "%d passed, %d failed\n", passed, failed)
 }
 
-func figure(v float64) string {
+func formatValue(v float64) string {
 	switch a := math.Abs(v); {
 	case v == math.Trunc(v) && a < 1e9:
 		return fmt.Sprintf("%.0f", v)
@@ -144,30 +144,30 @@
 }
 
 func (r Row) text() string {
-	s := figure(r.Figure)
+	s := formatValue(r.Figure)
 	if r.Spread > 0 {
-		s += " ± " + figure(r.Spread)
+		s += " ± " + formatValue(r.Spread)
 	}
 	return strings.TrimSpace(s + " " + r.Unit)
 }
 
-func (b Bar) text() string {
-	var wanted string
+func (b Criterion) text() string {
+	var required string
 	switch {
-	case b.Least == b.Most:
-		wanted = figure(b.Least)
-	case math.IsInf(b.Most, 1) || b.Most == math.MaxFloat64:
-		wanted = figure(b.Least) + " or more"
-	case b.Least == -math.MaxFloat64:
-		wanted = figure(b.Most) + " or less"
+	case b.Min == b.Max:
+		required = formatValue(b.Min)
+	case math.IsInf(b.Max, 1) || b.Max == math.MaxFloat64:
+		required = formatValue(b.Min) + " or more"
+	case b.Min == -math.MaxFloat64:
+		required = formatValue(b.Max) + " or less"
 	default:
-		wanted = figure(b.Least) + " to " + figure(b.Most)
+		required = formatValue(b.Min) + " to " + formatValue(b.Max)
 	}
 	verdict := "falls short"
 	if b.Holds {
 		verdict = "holds"
 	}
-	return strings.TrimSpace(fmt.Sprintf("%s %s", figure(b.Figure), b.Unit)) + " of " + wanted + ": " + verdict
+	return strings.TrimSpace(fmt.Sprintf("%s %s", formatValue(b.Figure), b.Unit)) + " of " + required + ": " + verdict
 }
 
 // Write puts summary.json, table.md and the charts into a folder.
@@ -200,7 +200,7 @@
 			return fmt.Errorf("chart %s: %w", c.File, err)
 		}
 	}
-	return r.page(dir)
+	return r.writePage(dir)
 }
 
 // table is the whole of it as Markdown, without the charts.
@@ -214,12 +214,12 @@
 		b.WriteString(", short run")
 	}
 	b.WriteString(".\n\n| bar | figure, wanted, verdict |\n| --- | --- |\n")
-	for _, x := range r.Bars {
-		fmt.Fprintf(&b, "| %s | %s |\n", note(x.Name, x.Note), x.text())
+	for _, x := range r.Criteria {
+		fmt.Fprintf(&b, "| %s | %s |\n", withNote(x.Name, x.Note), x.text())
 	}
 	b.WriteString("\n| figure | |\n| --- | --- |\n")
 	for _, x := range r.Rows {
-		fmt.Fprintf(&b, "| %s | %s |\n", note(x.Name, x.Note), x.text())
+		fmt.Fprintf(&b, "| %s | %s |\n", withNote(x.Name, x.Note), x.text())
 	}
 	return b.String()
 }
@@ -230,12 +230,12 @@
 <style>body{font:15px/1.4 sans-serif;max-width:60em;margin:2em auto}table{border-collapse:collapse}td,th{border:1px solid #ccc;padding:.2em .6em;text-align:left}svg{max-width:100%;height:auto}</style>
 <h1>{{.Name}}</h1><p>{{.About}}</p><p>Seed {{.Seed}}{{if .Cores}}, {{.Cores}} cores{{end}}{{if .Short}}, short run{{end}}.</p>
 {{range .Pictures}}{{.}}{{end}}
-{{if .Bars}}<table><tr><th>bar<th>figure, wanted, verdict<th></tr>{{range .Bars}}<tr><td>{{.Name}}<td>{{text .}}<td>{{.Note}}</tr>{{end}}</table>{{end}}
+{{if .Criteria}}<table><tr><th>bar<th>figure, wanted, verdict<th></tr>{{range .Criteria}}<tr><td>{{.Name}}<td>{{text .}}<td>{{.Note}}</tr>{{end}}</table>{{end}}
 <table><tr><th>figure<th><th></tr>{{range .Rows}}<tr><td>{{.Name}}<td>{{text .}}<td>{{.Note}}</tr>{{end}}</table></html>
 `))
 
 // page writes report.html, with the charts that stand in the folder within it.
-func (r *Result) page(dir string) error {
+func (r *Result) writePage(dir string) error {
 	p := struct {
 		*Result
 		Pictures []template.HTML
@@ -256,7 +256,7 @@
 	return os.WriteFile(filepath.Join(dir, "report.html"), []byte(b.String()), 0o644)
 }
 
-func note(name, note string) string {
+func withNote(name, note string) string {
 	if note == "" {
 		return name
 	}
--- a/internal/lab/trial/file.go
+++ b/internal/lab/trial/file.go
@@ -21,8 +21,8 @@
 	Name     string    `toml:"name"`
 	About    string    `toml:"about"`
 	Seeds    Seeds     `toml:"seeds"`
-	Against  string    `toml:"against"` // the variant that the others are held against
-	Fleet    Setting   `toml:"fleet"`   // of all variants
+	Baseline string    `toml:"against"` // the variant that the others are held against
+	Fleet    Overrides `toml:"fleet"`   // of all variants
 	Variants []Variant `toml:"variant"`
 	Sweep    *Sweep    `toml:"sweep"`
 }
@@ -34,8 +34,8 @@
 }
 
 // Setting is what a run is told; what is not said stays as it is.
-type Setting struct {
-	Decides *string  `toml:"decides"` // one of sim.Variants
+type Overrides struct {
+	Policy  *string  `toml:"decides"` // one of sim.Variants
 	Routers *int     `toml:"routers"`
 	Engines *int     `toml:"engines"`
 	Zones   *int     `toml:"zones"`
@@ -50,7 +50,7 @@
 // Variant is a fleet with something changed.
 type Variant struct {
 	Name string `toml:"name"`
-	Setting
+	Overrides
 }
 
 // Sweep plays everything once with each value of a number of the fleet.
@@ -61,15 +61,15 @@
 
 // The bounds of a file: what a machine of a developer plays in minutes.
 const (
-	mostRouters = 1000
-	mostEngines = 20_000
-	mostSeconds = 600
-	mostRuns    = 10_000
+	maxRouters = 1000
+	maxEngines = 20_000
+	maxSeconds = 600
+	maxRuns    = 10_000
 )
 
 // apply sets what is said.
-func (s *Setting) apply(o *sim.Options) {
-	set(&o.Variant, s.Decides)
+func (s *Overrides) apply(o *sim.Options) {
+	set(&o.Variant, s.Policy)
 	set(&o.Routers, s.Routers)
 	set(&o.Engines, s.Engines)
 	set(&o.Zones, s.Zones)
@@ -94,9 +94,9 @@
 }
 
 // swept sets the field of a sweep.
-func swept(o *sim.Options, field string, v float64) bool {
+func applySweep(o *sim.Options, field string, v float64) bool {
 	n := int(v)
-	var s Setting
+	var s Overrides
 	switch field {
 	case "routers":
 		s.Routers = &n
@@ -141,7 +141,7 @@
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if faults := f.faults(); len(faults) > 0 {
+	if faults := f.validate(); len(faults) > 0 {
 		for i, err := range faults {
 			faults[i] = fmt.Errorf("%s: %w", path, err)
 		}
@@ -150,39 +150,39 @@
 	return f, nil
 }
 
-func (f *File) faults() (all []error) {
-	bad := func(format string, args ...any) { all = append(all, fmt.Errorf(format, args...)) }
+func (f *File) validate() (all []error) {
+	report := func(format string, args ...any) { all = append(all, fmt.Errorf(format, args...)) }
 	if f.Name == "" || f.About == "" {
-		bad("name and about are wanted")
+		report("name and about are wanted")
 	}
 	if f.Seeds.Count < 1 {
-		bad("seeds.count: one at least is wanted")
+		report("seeds.count: one at least is wanted")
 	}
 	var names []string
 	for _, v := range f.Variants {
 		if v.Name == "" || slices.Contains(names, v.Name) {
-			bad("variant: each has a name of its own; %q is none or stands twice", v.Name)
+			report("variant: each has a name of its own; %q is none or stands twice", v.Name)
 		}
 		names = append(names, v.Name)
 	}
-	if !slices.Contains(names, f.Against) {
-		bad("against: %q is none of the variants %q", f.Against, names)
+	if !slices.Contains(names, f.Baseline) {
+		report("against: %q is none of the variants %q", f.Baseline, names)
 	}
 	values := []float64{0}
 	if f.Sweep != nil {
-		if values = f.Sweep.Values; len(values) == 0 || !swept(&sim.Options{}, f.Sweep.Field, 1) {
-			bad("sweep: values are wanted, of routers, engines, load, skew, crash or news, not of %q", f.Sweep.Field)
+		if values = f.Sweep.Values; len(values) == 0 || !applySweep(&sim.Options{}, f.Sweep.Field, 1) {
+			report("sweep: values are wanted, of routers, engines, load, skew, crash or news, not of %q", f.Sweep.Field)
 			return all
 		}
 	}
-	if runs := len(values) * len(names) * f.Seeds.Count; runs > mostRuns {
-		bad("%d runs are more than %d", runs, mostRuns)
+	if runs := len(values) * len(names) * f.Seeds.Count; runs > maxRuns {
+		report("%d runs are more than %d", runs, maxRuns)
 	}
-	return append(all, f.optionFaults(values)...)
+	return append(all, f.optionErrors(values)...)
 }
 
 // optionFaults are those of the runs' options, by value and variant.
-func (f *File) optionFaults(values []float64) (all []error) {
+func (f *File) optionErrors(values []float64) (all []error) {
 	for _, value := range values {
 		for i := range f.Variants {
 			o := f.options(i, value, f.Seeds.First)
@@ -201,18 +201,18 @@
 // checkOptions returns the first fault of a run's options.
 func checkOptions(at string, o sim.Options) error {
 	within := func(x, least, most float64) bool { return least <= x && x <= most }
-	counts := within(float64(o.Routers), 1, mostRouters) && within(float64(o.Engines), 2, mostEngines) &&
+	counts := within(float64(o.Routers), 1, maxRouters) && within(float64(o.Engines), 2, maxEngines) &&
 		within(float64(o.Zones), 1, float64(o.Routers))
 	shares := o.Load > 0 && within(o.Load, 0, 10) && within(o.Skew, 0, 4) && within(o.Crash, 0, 1) && o.News >= 0
 	switch {
 	case !slices.Contains(sim.Variants, o.Variant):
 		return fmt.Errorf("%s: decides: %q is none of %q", at, o.Variant, sim.Variants)
 	case !counts:
-		return fmt.Errorf("%s: 1 to %d routers, 2 to %d engines and a zone for each router at the most are wanted", at, mostRouters, mostEngines)
+		return fmt.Errorf("%s: 1 to %d routers, 2 to %d engines and a zone for each router at the most are wanted", at, maxRouters, maxEngines)
 	case !shares:
 		return fmt.Errorf("%s: load above 0 to 10, skew 0 to 4, crash 0 to 1 and news from 0 are wanted", at)
-	case o.Length <= 0 || o.Length > mostSeconds*time.Second:
-		return fmt.Errorf("%s: seconds above 0 to %d are wanted", at, mostSeconds)
+	case o.Length <= 0 || o.Length > maxSeconds*time.Second:
+		return fmt.Errorf("%s: seconds above 0 to %d are wanted", at, maxSeconds)
 	}
 	return nil
 }
@@ -222,7 +222,7 @@
 	o := sim.Options{Variant: "design", Zones: 1, News: 1200 * time.Millisecond, Length: 20 * time.Second}
 	f.Fleet.apply(&o)
 	if f.Sweep != nil {
-		swept(&o, f.Sweep.Field, value)
+		applySweep(&o, f.Sweep.Field, value)
 	}
 	f.Variants[variant].apply(&o)
 	o.Seed = seed
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -16,7 +16,7 @@
 )
 
 // figures are what a run comes to, in the order in which they are told.
-var figures = []struct {
+var metrics = []struct {
 	name, unit string
 	of         func(*sim.Figures) float64
 }{
@@ -36,10 +36,10 @@
 
 // Cell is what a variant came to with a value of the sweep.
 type Cell struct {
-	Value   float64 // of the sweep; 0 where there is none
-	Variant string
-	Figures []Figure // as figures has them
-	Against []Figure // less those of the variant it is held against, seed by seed; nil of that one itself
+	Value       float64 // of the sweep; 0 where there is none
+	Variant     string
+	Figures     []Figure // as figures has them
+	Differences []Figure // less those of the variant it is held against, seed by seed; nil of that one itself
 }
 
 // Outcome is what an experiment came to: by value, then by variant.
@@ -56,7 +56,7 @@
 	}
 	n := f.Seeds.Count
 	total := len(values) * len(f.Variants) * n
-	got := make([]sim.Figures, total)
+	results := make([]sim.Figures, total)
 	errs := make([]error, total)
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -65,7 +65,7 @@
 	for range max(cores, 1) {
 		wait.Go(func() {
 			for i := range next {
-				got[i], errs[i] = sim.Run(f.options(i/n%len(f.Variants), values[i/n/len(f.Variants)], f.Seeds.First+uint64(i%n)))
+				results[i], errs[i] = sim.Run(f.options(i/n%len(f.Variants), values[i/n/len(f.Variants)], f.Seeds.First+uint64(i%n)))
 				mu.Lock()
 				done++
 				progress(done, total)
@@ -86,32 +86,32 @@
 			return nil, err
 		}
 	}
-	return f.compare(values, got), nil
+	return f.compare(values, results), nil
 }
 
 // compare puts together what the runs of each value, variant and seed came to, in this order.
-func (f *File) compare(values []float64, got []sim.Figures) *Outcome {
+func (f *File) compare(values []float64, results []sim.Figures) *Outcome {
 	n := f.Seeds.Count
 	out := &Outcome{File: f}
-	base := 0
+	baseline := 0
 	for i, v := range f.Variants {
-		if v.Name == f.Against {
-			base = i
+		if v.Name == f.Baseline {
+			baseline = i
 		}
 	}
 	for k, value := range values {
-		of := func(variant int) []sim.Figures { return got[(k*len(f.Variants)+variant)*n:][:n] }
+		of := func(variant int) []sim.Figures { return results[(k*len(f.Variants)+variant)*n:][:n] }
 		for i, v := range f.Variants {
 			c := Cell{Value: value, Variant: v.Name}
-			for _, x := range figures {
-				mine, less := make([]float64, n), make([]float64, n)
+			for _, x := range metrics {
+				values, differences := make([]float64, n), make([]float64, n)
 				for s := range n {
-					mine[s] = x.of(&of(i)[s])
-					less[s] = mine[s] - x.of(&of(base)[s])
+					values[s] = x.of(&of(i)[s])
+					differences[s] = values[s] - x.of(&of(baseline)[s])
 				}
-				c.Figures = append(c.Figures, mean(mine))
-				if i != base {
-					c.Against = append(c.Against, mean(less))
+				c.Figures = append(c.Figures, mean(values))
+				if i != baseline {
+					c.Differences = append(c.Differences, mean(differences))
 				}
 			}
 			out.Cells = append(out.Cells, c)
@@ -135,12 +135,12 @@
 // against. A difference that its interval does not tell from none is in brackets.
 func (o *Outcome) Print(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	head := func(says string) {
+	head := func(label string) {
 		if o.File.Sweep != nil {
 			fmt.Fprint(w, o.File.Sweep.Field, "\t")
 		}
-		fmt.Fprint(w, says)
-		for _, x := range figures {
+		fmt.Fprint(w, label)
+		for _, x := range metrics {
 			fmt.Fprint(w, "\t", x.name)
 			if x.unit != "" {
 				fmt.Fprint(w, ", ", x.unit)
@@ -167,10 +167,10 @@
 		row(&o.Cells[i], o.Cells[i].Figures, false)
 	}
 	fmt.Fprintln(w)
-	head("less " + o.File.Against)
+	head("less " + o.File.Baseline)
 	for i := range o.Cells {
-		if c := &o.Cells[i]; c.Against != nil {
-			row(c, c.Against, true)
+		if c := &o.Cells[i]; c.Differences != nil {
+			row(c, c.Differences, true)
 		}
 	}
 	return w.Flush()
@@ -195,10 +195,10 @@
 			}
 			chart.Series[k].Points = append(chart.Series[k].Points, report.Point{X: c.Value, Y: c.Figures[0].Mean})
 		}
-		for k, x := range figures {
+		for k, x := range metrics {
 			row := report.Row{Name: x.name + ": " + where, Figure: c.Figures[k].Mean, Spread: c.Figures[k].Spread, Unit: x.unit}
-			if c.Against != nil {
-				row.Note = "less " + o.File.Against + ": " + c.Against[k].String()
+			if c.Differences != nil {
+				row.Note = "less " + o.File.Baseline + ": " + c.Differences[k].String()
 			}
 			r.Rows = append(r.Rows, row)
 		}
--- a/internal/lab/trial/trial_test.go
+++ b/internal/lab/trial/trial_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-const small = `name = "small"
+const smallExperiment = `name = "small"
 about = "whether it works"
 against = "design"
 seeds = { first = 3, count = 3 }
@@ -35,7 +35,7 @@
 }
 
 // written returns an outcome's tables and its page, which has a chart.
-func written(t *testing.T, o *Outcome) (text, page string) {
+func render(t *testing.T, o *Outcome) (text, page string) {
 	t.Helper()
 	var b bytes.Buffer
 	if err := o.Print(&b); err != nil {
@@ -54,8 +54,8 @@
 
 // TestSameOutcomeOnAnyCores: whatever the number of cores, text and report are the same to the byte; a variant that is the
 // same differs by nothing, and one that is not by what the runs say.
-func TestSameOutcomeOnAnyCores(t *testing.T) {
-	f, err := load(t, small)
+func TestSameOutcomeOnAnyNumberOfCores(t *testing.T) {
+	f, err := load(t, smallExperiment)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,44 +66,44 @@
 		if err != nil || last != 0 {
 			t.Fatal(err, last)
 		}
-		text, page := written(t, o)
+		text, page := render(t, o)
 		texts, reports = append(texts, text), append(reports, page)
 		for _, c := range o.Cells {
-			for k, d := range c.Against {
+			for k, d := range c.Differences {
 				if c.Variant == "the same" && d != (Figure{}) {
-					t.Errorf("%s of the same: %v", figures[k].name, d)
+					t.Errorf("%s of the same: %v", metrics[k].name, d)
 				}
 			}
-			if c.Variant == "chance" && c.Against[6].Mean >= 0 {
-				t.Errorf("chance keeps no less: %v", c.Against[6])
+			if c.Variant == "chance" && c.Differences[6].Mean >= 0 {
+				t.Errorf("chance keeps no less: %v", c.Differences[6])
 			}
 		}
 	}
 	if texts[0] != texts[1] || reports[0] != reports[1] {
 		t.Error(cmp.Diff(texts[0], texts[1]))
 	}
-	over, cancel := context.WithCancel(t.Context())
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := Run(over, f, 2, func(int, int) {}); err == nil {
+	if _, err := Run(canceled, f, 2, func(int, int) {}); err == nil {
 		t.Error("it is over, and it runs")
 	}
 }
 
-func TestFaults(t *testing.T) {
-	for text, says := range map[string][]string{
-		strings.Replace(small, "about", "abuot", 1):                    {"abuot"},
-		strings.Replace(small, `"random"`, `"dice"`, 1):                {`"dice"`},
-		strings.Replace(small, `against = "design"`, "", 1):            {"against"},
-		strings.Replace(small, `field = "skew"`, `field = "sky"`, 1):   {"sky"},
-		strings.Replace(small, "count = 3", "count = 0", 1):            {"seeds.count"},
-		strings.Replace(small, `name = "the same"`, `name = ""`, 1):    {"a name of its own"},
-		strings.Replace(small, "load = 0.5", "load = 0", 1):            {"load above 0"},
-		strings.Replace(small, "engines = 8", "engines = 1", 1):        {"engines"},
-		strings.Replace(small, "values = [0.0, 1.0]", "values = 1", 1): {":6"},
+func TestLoadErrors(t *testing.T) {
+	for text, want := range map[string][]string{
+		strings.Replace(smallExperiment, "about", "abuot", 1):                    {"abuot"},
+		strings.Replace(smallExperiment, `"random"`, `"dice"`, 1):                {`"dice"`},
+		strings.Replace(smallExperiment, `against = "design"`, "", 1):            {"against"},
+		strings.Replace(smallExperiment, `field = "skew"`, `field = "sky"`, 1):   {"sky"},
+		strings.Replace(smallExperiment, "count = 3", "count = 0", 1):            {"seeds.count"},
+		strings.Replace(smallExperiment, `name = "the same"`, `name = ""`, 1):    {"a name of its own"},
+		strings.Replace(smallExperiment, "load = 0.5", "load = 0", 1):            {"load above 0"},
+		strings.Replace(smallExperiment, "engines = 8", "engines = 1", 1):        {"engines"},
+		strings.Replace(smallExperiment, "values = [0.0, 1.0]", "values = 1", 1): {":6"},
 		`name = "x"`: {"about", "seeds.count", "against"},
 	} {
 		_, err := load(t, text)
-		for _, s := range says {
+		for _, s := range want {
 			if err == nil || !strings.Contains(err.Error(), s) {
 				t.Errorf("%q is not said: %v", s, err)
 			}
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestFilesOfTheRepository(t *testing.T) {
+func TestSimulatedExperimentFilesLoad(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/simulated/*.toml")
 	if err != nil || len(files) < 2 {
 		t.Fatalf("%d files, %v", len(files), err)
