--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet starts what an experiment on sockets needs, on loopback: discovery, boxes, a collector, and routers as
-// processes of their own, which it tells of each other as the platform would. It owns their lives; what happens to
-// them in a run is the experiment's.
+// Package fleet starts a test fleet on loopback: a discovery server and stand-in engines inside this process, and routers as
+// child processes, each with the configuration that the platform would provide. It also injects scheduled faults into the
+// engines and stops everything at the end.
 package fleet
 
 import (
@@ -24,7 +24,8 @@
 	"notchhinge/internal/lab/standin"
 )
 
-// Binary finds the router's program: the given path, else the one beside this program, else one that is built into dir.
+// Binary returns the path of the router's executable: the given one, else the one next to this program, else one that it
+// builds into dir.
 func Binary(ctx context.Context, given, dir string) (string, error) {
 	if given != "" {
 		return filepath.Abs(given)
@@ -38,28 +39,28 @@
 	out := filepath.Join(dir, "notchhinge")
 	build := exec.CommandContext(ctx, "go", "build", "-o", out, "notchhinge/cmd/notchhinge")
 	if text, err := build.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("building the router (run this from the repository, or give --router): %w\n%s", err, text)
+		return "", fmt.Errorf("build the router (run this command inside the repository, or set --router): %w\n%s", err, text)
 	}
 	return out, nil
 }
 
-// Options say what a fleet is.
+// Options describe a fleet.
 type Options struct {
-	Binary     string // the router's program
-	Dir        string // for the routers' files and logs
+	Binary     string // path of the router's executable
+	Dir        string // holds the routers' configuration files and logs
 	Engines    int
 	Params     model.Params
 	Classes    []load.Class
-	Settings   map[string]string // of each kind of router: the text of its --config file; "" = without
-	Routers    []string          // kinds of the routers
+	Settings   map[string]string // by kind of router: the text of its --config file; "" = no file
+	Routers    []string          // the kind of each router
 	Cores      float64           // of each router
 	MemoryMB   int
 	Sockets    int
-	PinRouters bool // routers run on the machine's first core, all else on the others
-	OnSpan     func(standin.Span)
+	PinRouters bool               // sets CPU affinity: routers on the first core, this process on the others
+	OnSpan     func(standin.Span) // receives the engines' spans; may be nil
 }
 
-// Fleet is one that runs.
+// Fleet is a running fleet.
 type Fleet struct {
 	Discovery *standin.Discovery
 	Engines   []*standin.Engine
@@ -68,28 +69,28 @@
 	stopped   bool
 }
 
-// Router is a router's process.
+// Router is a router process.
 type Router struct {
 	Name       string
 	Kind       string
 	Addr       string
-	LogFile    string // file
-	ConfigFile string // of its --config; "" = none
+	LogFile    string // path
+	ConfigFile string // path of its --config file; "" = none
 	cmd        *exec.Cmd
 	done       chan error
 }
 
-// Start starts everything and waits until the routers are ready.
+// Start starts discovery, engines and routers, and waits until the routers are ready.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	return StartWith(ctx, o, func(*Fleet) error { return nil })
 }
 
-// StartWith is Start with something more that discovery is to know of before the routers start.
+// StartWith is Start with a callback that runs before the routers start, to register more engines with discovery.
 func StartWith(ctx context.Context, o Options, prepare func(*Fleet) error) (f *Fleet, err error) {
 	f = &Fleet{options: o}
 	defer func() {
 		if err != nil {
-			_ = f.Stop() // err is what is returned
+			_ = f.Stop() // err is already set
 		}
 	}()
 	if o.PinRouters {
@@ -125,7 +126,7 @@
 	return f, nil
 }
 
-// free takes a port that nothing listens on.
+// freeAddr returns a loopback address with an unused port.
 func freeAddr() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -135,7 +136,7 @@
 	return ln.Addr().String(), nil
 }
 
-// config is a router's configuration, in the form in which the platform gives it.
+// config returns the configuration of router i in the platform's format.
 func (f *Fleet) config(r *Router, i int) ([]byte, error) {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	type m = map[string]any
@@ -193,10 +194,10 @@
 		return nil, err
 	}
 	defer log.Close()
-	r.cmd = exec.Command(f.options.Binary, args...) //nolint:noctx // Stop drains it, which a context would cut short
+	r.cmd = exec.Command(f.options.Binary, args...) //nolint:noctx // Stop drains it; a canceled context would kill it
 	r.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+file)
 	r.cmd.Stdout, r.cmd.Stderr = log, log
-	r.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the lab
+	r.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no router outlives this process
 	start := r.cmd.Start
 	if f.options.PinRouters {
 		start = func() error { return startPinned(r.cmd) }
@@ -208,7 +209,7 @@
 	return r, nil
 }
 
-// ready waits until the router says that it is.
+// waitReady polls the readiness endpoint until it answers 200, the process ends or 20 s have passed.
 func (r *Router) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
@@ -226,15 +227,15 @@
 		select {
 		case err := <-r.done:
 			r.done <- err
-			return fmt.Errorf("router %s ended: %w\n%s", r.Name, err, r.Tail())
+			return fmt.Errorf("router %s exited before it was ready: %w\n%s", r.Name, err, r.Tail())
 		case <-ctx.Done():
-			return fmt.Errorf("router %s is not ready: %w\n%s", r.Name, ctx.Err(), r.Tail())
+			return fmt.Errorf("router %s did not become ready: %w\n%s", r.Name, ctx.Err(), r.Tail())
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// Tail is the end of the router's log.
+// Tail returns the last ten lines of the router's log.
 func (r *Router) Tail() string {
 	text, _ := os.ReadFile(r.LogFile)
 	lines := bytes.Split(bytes.TrimSpace(text), []byte("\n"))
@@ -244,12 +245,12 @@
 // Signal sends the router a signal.
 func (r *Router) Signal(s os.Signal) error { return r.cmd.Process.Signal(s) }
 
-// Stop drains the router and waits for its end, which must be in order.
+// Stop drains the router with SIGTERM and waits up to 20 s for it to exit with status 0.
 func (r *Router) Stop() error {
 	if r.cmd == nil || r.cmd.Process == nil {
 		return nil
 	}
-	_ = r.cmd.Process.Signal(syscall.SIGTERM) // it may have ended, which done tells
+	_ = r.cmd.Process.Signal(syscall.SIGTERM) // it may have exited already; done has its status
 	select {
 	case err := <-r.done:
 		r.done <- nil
@@ -258,35 +259,35 @@
 		}
 		return nil
 	case <-time.After(20 * time.Second):
-		_ = r.cmd.Process.Kill() // it may have ended meanwhile
-		return fmt.Errorf("router %s did not drain within 20 s", r.Name)
+		_ = r.cmd.Process.Kill() // it may have exited meanwhile
+		return fmt.Errorf("router %s did not exit within 20 s of SIGTERM", r.Name)
 	}
 }
 
-// CPU is the processor time that the router's process has used.
+// CPU returns the CPU time, user and system, that the router has used.
 func (r *Router) CPU() (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.cmd.Process.Pid))
 	if err != nil {
 		return 0, err
 	}
-	at := bytes.LastIndexByte(text, ')') // the name may hold spaces
+	at := bytes.LastIndexByte(text, ')') // the command name may contain spaces
 	fields := strings.Fields(string(text[at+1:]))
 	if at < 0 || len(fields) < 13 {
-		return 0, errors.New("/proc/PID/stat has another form")
+		return 0, errors.New("/proc/PID/stat has an unexpected format")
 	}
 	user, err1 := strconv.ParseInt(fields[11], 10, 64)
 	system, err2 := strconv.ParseInt(fields[12], 10, 64)
-	return time.Duration(user+system) * 10 * time.Millisecond, errors.Join(err1, err2) // ticks of 10 ms
+	return time.Duration(user+system) * 10 * time.Millisecond, errors.Join(err1, err2) // clock ticks of 10 ms
 }
 
-// Memory is what the process has resident now, and the most that it has had, in bytes.
-func (r *Router) Memory() (now, most int64, err error) {
+// Memory returns the resident memory of the router and its peak, in bytes.
+func (r *Router) Memory() (now, peak int64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
 	if err != nil {
 		return 0, 0, err
 	}
 	for line := range strings.Lines(string(text)) {
-		for name, to := range map[string]*int64{"VmRSS:": &now, "VmHWM:": &most} {
+		for name, to := range map[string]*int64{"VmRSS:": &now, "VmHWM:": &peak} {
 			if kb, ok := strings.CutPrefix(line, name); ok {
 				if *to, err = strconv.ParseInt(strings.Fields(kb)[0], 10, 64); err != nil {
 					return 0, 0, err
@@ -295,13 +296,13 @@
 			}
 		}
 	}
-	if now == 0 || most == 0 {
+	if now == 0 || peak == 0 {
 		return 0, 0, errors.New("/proc/PID/status has no VmRSS or VmHWM")
 	}
-	return now, most, nil
+	return now, peak, nil
 }
 
-// Addrs are where the routers listen.
+// Addrs returns the addresses on which the routers listen.
 func (f *Fleet) Addrs() []string {
 	var all []string
 	for _, r := range f.Routers {
@@ -310,7 +311,7 @@
 	return all
 }
 
-// Stop ends everything, the routers first and in order. A second call does nothing.
+// Stop stops the routers gracefully, then the engines and discovery. Later calls do nothing.
 func (f *Fleet) Stop() error {
 	if f.stopped {
 		return nil
@@ -328,7 +329,7 @@
 		b.Die()
 	}
 	if f.Discovery != nil {
-		_ = f.Discovery.Close() // a server of this program, which is done with
+		_ = f.Discovery.Close() // no client is left
 	}
 	return errors.Join(errs...)
 }
--- a/internal/lab/fleet/pin.go
+++ b/internal/lab/fleet/pin.go
@@ -10,24 +10,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// startPinned starts a process on the machine's first core only. A process takes over the cores of the thread that
+// startPinned starts a process that may run on the first core only. A child inherits the CPU affinity of the thread that
 // starts it.
 func startPinned(cmd *exec.Cmd) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	var before, first unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &before); err != nil {
-		return fmt.Errorf("pin: %w", err)
+		return fmt.Errorf("set CPU affinity: %w", err)
 	}
 	first.Set(0)
 	if err := unix.SchedSetaffinity(0, &first); err != nil {
-		return fmt.Errorf("pin: %w", err)
+		return fmt.Errorf("set CPU affinity: %w", err)
 	}
-	defer func() { _ = unix.SchedSetaffinity(0, &before) }() // it was so before
+	defer func() { _ = unix.SchedSetaffinity(0, &before) }() // restores the affinity that the thread had
 	return cmd.Start()
 }
 
-// leaveFirstCore keeps this program off the machine's first core, which is the routers'. On one core it does nothing.
+// leaveFirstCore excludes the first core, which is reserved for the routers, from the CPU affinity of this process. On a
+// machine with one core it does nothing.
 func leaveFirstCore() error {
 	var rest unix.CPUSet
 	for n := 1; n < runtime.NumCPU(); n++ {
@@ -38,15 +39,15 @@
 	}
 	threads, err := os.ReadDir("/proc/self/task")
 	if err != nil {
-		return fmt.Errorf("pin: %w", err)
+		return fmt.Errorf("set CPU affinity: %w", err)
 	}
-	for _, t := range threads { // those that start later take this over
+	for _, t := range threads { // later threads inherit this
 		id, err := strconv.Atoi(t.Name())
 		if err == nil {
 			err = unix.SchedSetaffinity(id, &rest)
 		}
 		if err != nil {
-			return fmt.Errorf("pin: %w", err)
+			return fmt.Errorf("set CPU affinity: %w", err)
 		}
 	}
 	return nil
--- a/internal/lab/fleet/trouble.go
+++ b/internal/lab/fleet/trouble.go
@@ -9,22 +9,20 @@
 	"notchhinge/internal/lab/standin"
 )
 
-// Trouble is something that happens to boxes in a run.
+// ScheduledFault is a fault that is injected into engines at a set time of a run.
 type ScheduledFault struct {
-	At       time.Duration // from the run's start
+	At       time.Duration // since the start of the run
 	Duration time.Duration
-	Engines  []int   // by their place
-	Fault    string  // a fault of standin, or die, replace, drain
-	Share    float64 // of requests that a fault strikes; 0 = all
+	Engines  []int   // indexes into Fleet.Engines
+	Fault    string  // a standin.Fault, or Crash, Replace or Drain
+	Share    float64 // of requests that a standin.Fault affects; 0 = all
 }
 
-// The troubles that are no faults of a running box. Die: it is gone at once, and after Lasts it is back, cold. Replace:
-// likewise, but another host comes in its place, at the same address. Drain: discovery tells that it terminates, and
-// after Lasts it is replaced.
+// Faults that end an engine's process. A new engine starts cold at the same address after the fault's duration.
 const (
-	Crash   = "die"
-	Replace = "replace"
-	Drain   = "drain"
+	Crash   = "die"     // ends at once; the same host returns
+	Replace = "replace" // ends at once; a new host returns
+	Drain   = "drain"   // is announced as terminating and ends after the duration; a new host returns
 )
 
 var engineFaults = []standin.Fault{
@@ -32,23 +30,24 @@
 	standin.SlowConnect, standin.Pause,
 }
 
-// Check says what is wrong with a trouble in a fleet of so many boxes.
+// Check returns an error if the fault is invalid in a fleet with that many engines.
 func (fault *ScheduledFault) Check(engines int) error {
 	if !slices.Contains([]string{Crash, Replace, Drain}, fault.Fault) && !slices.Contains(engineFaults, standin.Fault(fault.Fault)) {
-		return fmt.Errorf("what: %q is none of %q, die, replace and drain", fault.Fault, engineFaults)
+		return fmt.Errorf("what: %q is not one of %q, die, replace and drain", fault.Fault, engineFaults)
 	}
 	if fault.At < 0 || fault.Duration <= 0 || fault.Share < 0 || fault.Share > 1 {
-		return fmt.Errorf("at, lasts and share: 0 or more, above 0, and from 0 to 1 are wanted")
+		return fmt.Errorf("at must be 0 or more, lasts above 0, and share between 0 and 1")
 	}
 	for _, engine := range fault.Engines {
 		if engine < 0 || engine >= engines {
-			return fmt.Errorf("boxes: %d is none of the %d", engine, engines)
+			return fmt.Errorf("boxes: %d is not below the number of engines, %d", engine, engines)
 		}
 	}
 	return nil
 }
 
-// Play has the troubles happen, and returns once all are over or the context is.
+// InjectFaults injects the faults at their times, and returns once all have ended or the context is done. It returns the
+// first error.
 func (f *Fleet) InjectFaults(ctx context.Context, faults []ScheduledFault) error {
 	start := time.Now()
 	results := make(chan error, len(faults))
@@ -64,6 +63,7 @@
 	return first
 }
 
+// inject starts a fault at its time, waits for its duration and clears it.
 func (f *Fleet) inject(ctx context.Context, start time.Time, fault ScheduledFault) error {
 	wait := func(at time.Duration) {
 		select {
@@ -102,7 +102,7 @@
 			continue
 		}
 		if err := engine.Start(engine.Addr(), true); err != nil {
-			return fmt.Errorf("box %s comes back: %w", engine.Name, err)
+			return fmt.Errorf("restart engine %s: %w", engine.Name, err)
 		}
 	}
 	return nil
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes what an experiment came to: figures, the bars they are held to, a table and charts. It does not
-// know how anything was measured.
+// Package report writes the results of experiments: measured figures, acceptance criteria, a table, charts and a page. It
+// is independent of how the figures were measured.
 package report
 
 import (
@@ -22,7 +22,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Bar is a figure that an experiment must hold.
+// Criterion is an acceptance criterion: a figure and the bounds that it must lie within.
 type Criterion struct {
 	Name   string  `json:"name"`
 	Figure float64 `json:"figure"`
@@ -33,12 +33,12 @@
 	Note   string  `json:"note,omitempty"`
 }
 
-// NewBar holds a figure between two bounds, both included. One that is no number falls short.
+// NewCriterion checks a figure against two inclusive bounds. NaN never meets a criterion.
 func NewCriterion(name string, figure float64, unit string, lower, upper float64, note string) Criterion {
 	return Criterion{Name: name, Figure: figure, Unit: unit, Min: lower, Max: upper, Holds: figure >= lower && figure <= upper, Note: note}
 }
 
-// Row is a line of the table.
+// Row is one measured figure in the table of results.
 type Row struct {
 	Name   string  `json:"name"`
 	Figure float64 `json:"figure"`
@@ -53,25 +53,25 @@
 	Points []Point
 }
 
-// Point is one of a series.
+// Point is a data point of a series.
 type Point struct{ X, Y float64 }
 
-// Chart is a picture.
+// Chart is a line chart, drawn into a file.
 type Chart struct {
 	File, Title, X, Y string
-	Steps             bool // the lines go in steps
+	Steps             bool // draws step functions instead of connecting the points
 	Series            []Series
 }
 
-// Result is what an experiment came to.
+// Result holds the figures, criteria and charts of one experiment.
 type Result struct {
 	Name   string `json:"name"`
 	About  string `json:"about"`
 	Seed   uint64 `json:"seed"`
 	Short  bool   `json:"short"`
 	Commit string `json:"commit,omitempty"`
-	Cores  int    `json:"cores,omitempty"` // of the machine
-	// Simulated says that no clock was read, so that neither machine nor cores matter and are not told.
+	Cores  int    `json:"cores,omitempty"` // of the machine; 0 for simulated runs
+	// Simulated is set for runs in simulated time, whose results do not depend on the machine; Cores and Commit stay empty.
 	Simulated bool        `json:"simulated,omitempty"`
 	Rows      []Row       `json:"figures"`
 	Criteria  []Criterion `json:"bars"`
@@ -83,7 +83,7 @@
 	r.Rows = append(r.Rows, Row{Name: name, Figure: figure, Unit: unit, Note: note})
 }
 
-// Mean adds the mean of samples and its spread as a row, and returns it.
+// Mean adds a row with the mean of samples and half of its 95% confidence interval, and returns the mean.
 func (r *Result) Mean(name string, samples []float64, unit, note string) float64 {
 	mean := stat.Mean(samples, nil)
 	spread := 0.0
@@ -94,8 +94,8 @@
 	return mean
 }
 
-// Ratio adds the geometric mean of ratios and its spread as a row, and returns it. The plain mean of ratios that scatter
-// is too high, whichever way they are turned.
+// Ratio adds a row with the geometric mean of ratios and half of its 95% confidence interval, and returns the mean. The
+// arithmetic mean of scattered ratios is biased upwards, and so is that of their inverses.
 func (r *Result) Ratio(name string, samples []float64, note string) float64 {
 	logs := make([]float64, len(samples))
 	for i, s := range samples {
@@ -109,7 +109,7 @@
 	return math.Exp(mean)
 }
 
-// Passed tells how many bars hold and how many do not.
+// Passed returns how many criteria are met and how many are not.
 func (r *Result) Passed() (passed, failed int) {
 	for _, b := range r.Criteria {
 		if b.Holds {
@@ -121,7 +121,7 @@
 	return passed, failed
 }
 
-// Print writes the bars, and last of all how many hold.
+// Print writes the figures, then the criteria, then a line with the number of criteria that passed and failed.
 func (r *Result) Print(w io.Writer) {
 	for _, row := range r.Rows {
 		fmt.Fprintf(w, "  %-44s %s\n", row.Name, row.text())
@@ -163,14 +163,14 @@
 	default:
 		required = formatValue(b.Min) + " to " + formatValue(b.Max)
 	}
-	verdict := "falls short"
+	verdict := "not met"
 	if b.Holds {
 		verdict = "holds"
 	}
 	return strings.TrimSpace(fmt.Sprintf("%s %s", formatValue(b.Figure), b.Unit)) + " of " + required + ": " + verdict
 }
 
-// Write puts summary.json, table.md and the charts into a folder.
+// Write writes summary.json, table.md, the charts and report.html into a directory, which it creates.
 func (r *Result) Write(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -203,7 +203,7 @@
 	return r.writePage(dir)
 }
 
-// table is the whole of it as Markdown, without the charts.
+// table renders the result as Markdown, without the charts.
 func (r *Result) table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n\n%s\n\nSeed %d", r.Name, r.About, r.Seed)
@@ -213,7 +213,7 @@
 	if r.Short {
 		b.WriteString(", short run")
 	}
-	b.WriteString(".\n\n| bar | figure, wanted, verdict |\n| --- | --- |\n")
+	b.WriteString(".\n\n| criterion | figure, required, verdict |\n| --- | --- |\n")
 	for _, x := range r.Criteria {
 		fmt.Fprintf(&b, "| %s | %s |\n", withNote(x.Name, x.Note), x.text())
 	}
@@ -224,17 +224,17 @@
 	return b.String()
 }
 
-// page is the whole of it as one page that needs nothing beside it.
+// page is the template of report.html, which needs no other files.
 var page = template.Must(template.New("report").Funcs(template.FuncMap{"text": func(x interface{ text() string }) string { return x.text() }}).Parse(
 	`<!doctype html><html lang="en"><meta charset="utf-8"><title>{{.Name}}</title>
 <style>body{font:15px/1.4 sans-serif;max-width:60em;margin:2em auto}table{border-collapse:collapse}td,th{border:1px solid #ccc;padding:.2em .6em;text-align:left}svg{max-width:100%;height:auto}</style>
 <h1>{{.Name}}</h1><p>{{.About}}</p><p>Seed {{.Seed}}{{if .Cores}}, {{.Cores}} cores{{end}}{{if .Short}}, short run{{end}}.</p>
 {{range .Pictures}}{{.}}{{end}}
-{{if .Criteria}}<table><tr><th>bar<th>figure, wanted, verdict<th></tr>{{range .Criteria}}<tr><td>{{.Name}}<td>{{text .}}<td>{{.Note}}</tr>{{end}}</table>{{end}}
+{{if .Criteria}}<table><tr><th>criterion<th>figure, required, verdict<th></tr>{{range .Criteria}}<tr><td>{{.Name}}<td>{{text .}}<td>{{.Note}}</tr>{{end}}</table>{{end}}
 <table><tr><th>figure<th><th></tr>{{range .Rows}}<tr><td>{{.Name}}<td>{{text .}}<td>{{.Note}}</tr>{{end}}</table></html>
 `))
 
-// page writes report.html, with the charts that stand in the folder within it.
+// writePage writes report.html and embeds the charts that draw has written into the directory.
 func (r *Result) writePage(dir string) error {
 	p := struct {
 		*Result
@@ -246,7 +246,7 @@
 			return err
 		}
 		if i := strings.Index(string(text), "<svg"); i >= 0 && strings.HasSuffix(c.File, ".svg") {
-			p.Pictures = append(p.Pictures, template.HTML(text[i:])) // of our own plotter, which escapes what it is given
+			p.Pictures = append(p.Pictures, template.HTML(text[i:])) // written by the plot library, which escapes its labels
 		}
 	}
 	var b strings.Builder
@@ -292,7 +292,7 @@
 	return p.Save(18*vg.Centimeter, 10*vg.Centimeter, path)
 }
 
-// CDF makes a series of the shares of samples that are at most so large; at most 200 points.
+// CDF returns the empirical cumulative distribution of samples, thinned to about 200 points.
 func CDF(name string, samples []float64) Series {
 	sorted := slices.Sorted(slices.Values(samples))
 	s := Series{Name: name}
--- a/internal/lab/trial/file.go
+++ b/internal/lab/trial/file.go
@@ -1,6 +1,6 @@
-// Package trial plays experiments of the data plane in simulated time that are described by files: a fleet, what is varied,
-// and seeds. Every variant is played with the same seeds, on the very same requests, and is held against one of them by the
-// differences seed by seed. The same file has the same outcome on any machine and on any number of cores.
+// Package trial runs experiments of the data plane in simulated time. A TOML file describes the fleet, the variants and the
+// seeds. Every variant runs with the same seeds, hence on the same requests, and is compared with the baseline variant by
+// paired differences. The outcome depends on the file alone, not on the machine or the number of cores.
 package trial
 
 import (
@@ -16,50 +16,50 @@
 	"notchhinge/internal/lab/sim"
 )
 
-// File is an experiment as it stands in TOML.
+// File is an experiment file.
 type File struct {
 	Name     string    `toml:"name"`
 	About    string    `toml:"about"`
 	Seeds    Seeds     `toml:"seeds"`
-	Baseline string    `toml:"against"` // the variant that the others are held against
-	Fleet    Overrides `toml:"fleet"`   // of all variants
+	Baseline string    `toml:"against"` // name of the variant that the others are compared with
+	Fleet    Overrides `toml:"fleet"`   // shared by all variants
 	Variants []Variant `toml:"variant"`
 	Sweep    *Sweep    `toml:"sweep"`
 }
 
-// Seeds are those from the first on.
+// Seeds are Count consecutive seeds from First on.
 type Seeds struct {
 	First uint64 `toml:"first"`
 	Count int    `toml:"count"`
 }
 
-// Setting is what a run is told; what is not said stays as it is.
+// Overrides are options of a run that a file sets; nil leaves the option unchanged.
 type Overrides struct {
 	Policy  *string  `toml:"decides"` // one of sim.Variants
 	Routers *int     `toml:"routers"`
 	Engines *int     `toml:"engines"`
 	Zones   *int     `toml:"zones"`
-	Load    *float64 `toml:"load"`    // of what the engines can serve with beginnings kept
-	Skew    *float64 `toml:"skew"`    // of the beginnings' popularity
-	Seconds *float64 `toml:"seconds"` // of arrivals
-	Crash   *float64 `toml:"crash"`   // share of engines that end without a word in the middle
-	News    *float64 `toml:"news"`    // seconds until the last router has heard of that
-	Cold    *bool    `toml:"cold"`    // engines have read nothing at the start
+	Load    *float64 `toml:"load"`    // share of the engines' capacity with a warm prefix cache
+	Skew    *float64 `toml:"skew"`    // of the prefixes' popularity
+	Seconds *float64 `toml:"seconds"` // duration of arrivals
+	Crash   *float64 `toml:"crash"`   // share of engines that crash in the middle of the run
+	News    *float64 `toml:"news"`    // seconds until every router has detected the crashes
+	Cold    *bool    `toml:"cold"`    // engines start with empty prefix caches
 }
 
-// Variant is a fleet with something changed.
+// Variant is a named set of overrides of the fleet.
 type Variant struct {
 	Name string `toml:"name"`
 	Overrides
 }
 
-// Sweep plays everything once with each value of a number of the fleet.
+// Sweep repeats the experiment with each value of one field of the fleet.
 type Sweep struct {
 	Field  string    `toml:"field"`
 	Values []float64 `toml:"values"`
 }
 
-// The bounds of a file: what a machine of a developer plays in minutes.
+// Limits of a file, so that a developer's machine runs it within minutes.
 const (
 	maxRouters = 1000
 	maxEngines = 20_000
@@ -67,7 +67,7 @@
 	maxRuns    = 10_000
 )
 
-// apply sets what is said.
+// apply copies the overrides that are set into the options.
 func (s *Overrides) apply(o *sim.Options) {
 	set(&o.Variant, s.Policy)
 	set(&o.Routers, s.Routers)
@@ -93,7 +93,7 @@
 	}
 }
 
-// swept sets the field of a sweep.
+// applySweep sets the field of a sweep; it returns false if a field of that name cannot be swept.
 func applySweep(o *sim.Options, field string, v float64) bool {
 	n := int(v)
 	var s Overrides
@@ -117,7 +117,7 @@
 	return true
 }
 
-// Load reads a file. Its error says every fault.
+// Load reads and validates a file. Its error joins all faults.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -132,7 +132,7 @@
 			var all []error
 			for _, e := range unknown.Errors {
 				line, _ := e.Position()
-				all = append(all, fmt.Errorf("%s:%d: %v is no key of an experiment", path, line, e.Key()))
+				all = append(all, fmt.Errorf("%s:%d: unknown key %v", path, line, e.Key()))
 			}
 			return nil, errors.Join(all...)
 		case errors.As(err, &wrong):
@@ -150,38 +150,39 @@
 	return f, nil
 }
 
+// validate returns all faults of the file.
 func (f *File) validate() (all []error) {
 	report := func(format string, args ...any) { all = append(all, fmt.Errorf(format, args...)) }
 	if f.Name == "" || f.About == "" {
-		report("name and about are wanted")
+		report("name and about must be set")
 	}
 	if f.Seeds.Count < 1 {
-		report("seeds.count: one at least is wanted")
+		report("seeds.count must be at least 1")
 	}
 	var names []string
 	for _, v := range f.Variants {
 		if v.Name == "" || slices.Contains(names, v.Name) {
-			report("variant: each has a name of its own; %q is none or stands twice", v.Name)
+			report("variant: each needs a unique name; %q is empty or occurs twice", v.Name)
 		}
 		names = append(names, v.Name)
 	}
 	if !slices.Contains(names, f.Baseline) {
-		report("against: %q is none of the variants %q", f.Baseline, names)
+		report("against: %q is not one of the variants %q", f.Baseline, names)
 	}
 	values := []float64{0}
 	if f.Sweep != nil {
 		if values = f.Sweep.Values; len(values) == 0 || !applySweep(&sim.Options{}, f.Sweep.Field, 1) {
-			report("sweep: values are wanted, of routers, engines, load, skew, crash or news, not of %q", f.Sweep.Field)
+			report("sweep: values must not be empty, and field must be routers, engines, load, skew, crash or news, not %q", f.Sweep.Field)
 			return all
 		}
 	}
 	if runs := len(values) * len(names) * f.Seeds.Count; runs > maxRuns {
-		report("%d runs are more than %d", runs, maxRuns)
+		report("%d runs exceed the limit of %d", runs, maxRuns)
 	}
 	return append(all, f.optionErrors(values)...)
 }
 
-// optionFaults are those of the runs' options, by value and variant.
+// optionErrors returns the faults of the runs' options, by value and variant.
 func (f *File) optionErrors(values []float64) (all []error) {
 	for _, value := range values {
 		for i := range f.Variants {
@@ -206,18 +207,18 @@
 	shares := o.Load > 0 && within(o.Load, 0, 10) && within(o.Skew, 0, 4) && within(o.Crash, 0, 1) && o.News >= 0
 	switch {
 	case !slices.Contains(sim.Variants, o.Variant):
-		return fmt.Errorf("%s: decides: %q is none of %q", at, o.Variant, sim.Variants)
+		return fmt.Errorf("%s: decides: %q is not one of %q", at, o.Variant, sim.Variants)
 	case !counts:
-		return fmt.Errorf("%s: 1 to %d routers, 2 to %d engines and a zone for each router at the most are wanted", at, maxRouters, maxEngines)
+		return fmt.Errorf("%s: routers must be 1 to %d, engines 2 to %d, and zones at most one for each router", at, maxRouters, maxEngines)
 	case !shares:
-		return fmt.Errorf("%s: load above 0 to 10, skew 0 to 4, crash 0 to 1 and news from 0 are wanted", at)
+		return fmt.Errorf("%s: load must be above 0 and at most 10, skew 0 to 4, crash 0 to 1, and news 0 or more", at)
 	case o.Length <= 0 || o.Length > maxSeconds*time.Second:
-		return fmt.Errorf("%s: seconds above 0 to %d are wanted", at, maxSeconds)
+		return fmt.Errorf("%s: seconds must be above 0 and at most %d", at, maxSeconds)
 	}
 	return nil
 }
 
-// options are those of a variant with a value of the sweep and a seed.
+// options returns the options of the run of a variant with a value of the sweep and a seed.
 func (f *File) options(variant int, value float64, seed uint64) sim.Options {
 	o := sim.Options{Variant: "design", Zones: 1, News: 1200 * time.Millisecond, Length: 20 * time.Second}
 	f.Fleet.apply(&o)
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -15,7 +15,7 @@
 	"notchhinge/internal/lab/sim"
 )
 
-// figures are what a run comes to, in the order in which they are told.
+// metrics are the figures of a run, in the order of the tables.
 var metrics = []struct {
 	name, unit string
 	of         func(*sim.Figures) float64
@@ -31,24 +31,24 @@
 	{"legs", "", func(f *sim.Figures) float64 { return f.Legs }},
 }
 
-// Figure is a mean over seeds with half of its 95% interval.
+// Figure is a mean over seeds with half of its 95% confidence interval.
 type Figure struct{ Mean, Spread float64 }
 
-// Cell is what a variant came to with a value of the sweep.
+// Cell holds the figures of one variant with one value of the sweep.
 type Cell struct {
-	Value       float64 // of the sweep; 0 where there is none
+	Value       float64 // of the sweep; 0 without a sweep
 	Variant     string
-	Figures     []Figure // as figures has them
-	Differences []Figure // less those of the variant it is held against, seed by seed; nil of that one itself
+	Figures     []Figure // in the order of metrics
+	Differences []Figure // paired differences from the baseline; nil for the baseline itself
 }
 
-// Outcome is what an experiment came to: by value, then by variant.
+// Outcome holds the results of an experiment, by value of the sweep, then by variant.
 type Outcome struct {
 	File  *File
 	Cells []Cell
 }
 
-// Run plays an experiment on so many cores. progress is told how many runs are done.
+// Run runs an experiment on the given number of cores. It calls progress after each run.
 func Run(ctx context.Context, f *File, cores int, progress func(done, of int)) (*Outcome, error) {
 	values := []float64{0}
 	if f.Sweep != nil {
@@ -89,7 +89,8 @@
 	return f.compare(values, results), nil
 }
 
-// compare puts together what the runs of each value, variant and seed came to, in this order.
+// compare aggregates the figures of all runs, which are ordered by value, variant and seed, and computes the paired
+// differences from the baseline.
 func (f *File) compare(values []float64, results []sim.Figures) *Outcome {
 	n := f.Seeds.Count
 	out := &Outcome{File: f}
@@ -120,7 +121,7 @@
 	return out
 }
 
-// mean is that of samples, with half of its interval by Student's distribution. One sample has none.
+// mean returns the mean of samples with half of its 95% confidence interval by Student's t distribution, 0 for one sample.
 func mean(all []float64) Figure {
 	f := Figure{Mean: stat.Mean(all, nil)}
 	if n := float64(len(all)); n > 1 {
@@ -129,10 +130,11 @@
 	return f
 }
 
+// String formats the mean and half of its interval, for example "0.95 ± 0.01".
 func (f Figure) String() string { return fmt.Sprintf("%.4g ± %.2g", f.Mean, f.Spread) }
 
-// Print writes the outcome as tables: what each variant came to, and how the others differ from the one they are held
-// against. A difference that its interval does not tell from none is in brackets.
+// Print writes two tables: the figures of each variant, and the differences from the baseline. A difference whose interval
+// includes 0 is in parentheses.
 func (o *Outcome) Print(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	head := func(label string) {
@@ -148,14 +150,14 @@
 		}
 		fmt.Fprintln(w)
 	}
-	row := func(c *Cell, all []Figure, brackets bool) {
+	row := func(c *Cell, all []Figure, parentheses bool) {
 		if o.File.Sweep != nil {
 			fmt.Fprintf(w, "%g\t", c.Value)
 		}
 		fmt.Fprint(w, c.Variant)
 		for _, x := range all {
 			text := x.String()
-			if brackets && math.Abs(x.Mean) <= x.Spread {
+			if parentheses && math.Abs(x.Mean) <= x.Spread {
 				text = "(" + text + ")"
 			}
 			fmt.Fprint(w, "\t", text)
@@ -167,7 +169,7 @@
 		row(&o.Cells[i], o.Cells[i].Figures, false)
 	}
 	fmt.Fprintln(w)
-	head("less " + o.File.Baseline)
+	head("difference from " + o.File.Baseline)
 	for i := range o.Cells {
 		if c := &o.Cells[i]; c.Differences != nil {
 			row(c, c.Differences, true)
@@ -176,10 +178,10 @@
 	return w.Flush()
 }
 
-// Report is the outcome with a chart of what is in time.
+// Report returns the outcome as a result; with a sweep it has a chart of the requests within the latency target.
 func (o *Outcome) Report() *report.Result {
 	r := &report.Result{Name: o.File.Name, About: o.File.About, Seed: o.File.Seeds.First, Simulated: true}
-	chart := report.Chart{File: "in_aim.svg", Title: "first tokens within the aim", Y: "share"}
+	chart := report.Chart{File: "in_aim.svg", Title: "first tokens within the latency target", Y: "share"}
 	at := map[string]int{}
 	for i := range o.Cells {
 		c := &o.Cells[i]
@@ -198,7 +200,7 @@
 		for k, x := range metrics {
 			row := report.Row{Name: x.name + ": " + where, Figure: c.Figures[k].Mean, Spread: c.Figures[k].Spread, Unit: x.unit}
 			if c.Differences != nil {
-				row.Note = "less " + o.File.Baseline + ": " + c.Differences[k].String()
+				row.Note = "difference from " + o.File.Baseline + ": " + c.Differences[k].String()
 			}
 			r.Rows = append(r.Rows, row)
 		}
--- a/internal/lab/trial/trial_test.go
+++ b/internal/lab/trial/trial_test.go
@@ -34,7 +34,7 @@
 	return Load(path)
 }
 
-// written returns an outcome's tables and its page, which has a chart.
+// render returns an outcome's tables and its HTML page, which must contain a chart.
 func render(t *testing.T, o *Outcome) (text, page string) {
 	t.Helper()
 	var b bytes.Buffer
@@ -47,13 +47,13 @@
 	}
 	html, err := os.ReadFile(filepath.Join(dir, "report.html"))
 	if err != nil || !bytes.Contains(html, []byte("<svg")) {
-		t.Fatal("no chart within the page", err)
+		t.Fatal("the page contains no chart", err)
 	}
 	return b.String(), string(html)
 }
 
-// TestSameOutcomeOnAnyCores: whatever the number of cores, text and report are the same to the byte; a variant that is the
-// same differs by nothing, and one that is not by what the runs say.
+// TestSameOutcomeOnAnyNumberOfCores checks that tables and page are byte-identical on any number of cores, that a variant
+// equal to the baseline has zero differences, and that random choice reuses fewer cached prefixes than the baseline.
 func TestSameOutcomeOnAnyNumberOfCores(t *testing.T) {
 	f, err := load(t, smallExperiment)
 	if err != nil {
@@ -71,11 +71,11 @@
 		for _, c := range o.Cells {
 			for k, d := range c.Differences {
 				if c.Variant == "the same" && d != (Figure{}) {
-					t.Errorf("%s of the same: %v", metrics[k].name, d)
+					t.Errorf("%s: difference between equal variants: %v", metrics[k].name, d)
 				}
 			}
 			if c.Variant == "chance" && c.Differences[6].Mean >= 0 {
-				t.Errorf("chance keeps no less: %v", c.Differences[6])
+				t.Errorf("random choice reuses as much cache as the baseline: %v", c.Differences[6])
 			}
 		}
 	}
@@ -85,7 +85,7 @@
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := Run(canceled, f, 2, func(int, int) {}); err == nil {
-		t.Error("it is over, and it runs")
+		t.Error("Run succeeds with a canceled context")
 	}
 }
 
@@ -96,8 +96,8 @@
 		strings.Replace(smallExperiment, `against = "design"`, "", 1):            {"against"},
 		strings.Replace(smallExperiment, `field = "skew"`, `field = "sky"`, 1):   {"sky"},
 		strings.Replace(smallExperiment, "count = 3", "count = 0", 1):            {"seeds.count"},
-		strings.Replace(smallExperiment, `name = "the same"`, `name = ""`, 1):    {"a name of its own"},
-		strings.Replace(smallExperiment, "load = 0.5", "load = 0", 1):            {"load above 0"},
+		strings.Replace(smallExperiment, `name = "the same"`, `name = ""`, 1):    {"a unique name"},
+		strings.Replace(smallExperiment, "load = 0.5", "load = 0", 1):            {"load must be above 0"},
 		strings.Replace(smallExperiment, "engines = 8", "engines = 1", 1):        {"engines"},
 		strings.Replace(smallExperiment, "values = [0.0, 1.0]", "values = 1", 1): {":6"},
 		`name = "x"`: {"about", "seeds.count", "against"},
@@ -105,7 +105,7 @@
 		_, err := load(t, text)
 		for _, s := range want {
 			if err == nil || !strings.Contains(err.Error(), s) {
-				t.Errorf("%q is not said: %v", s, err)
+				t.Errorf("%q is not in the error: %v", s, err)
 			}
 		}
 	}
