--- a/internal/lab/experiment/collector.go
+++ b/internal/lab/experiment/collector.go
@@ -14,8 +14,8 @@
 	"notchhinge/internal/lab/standin"
 )
 
-// collector plays the same calls with a collector that takes, one that is not there, one that hangs and one that is
-// busy, and holds the answers and the routers' account of every record against each other.
+// runCollector sends the same requests with the trace collector available, unreachable, hanging, busy and failing. It checks
+// that responses do not suffer and that every trace record is accounted for.
 func runCollector(ctx context.Context, r *run) error {
 	type variant struct {
 		name      string
@@ -23,11 +23,11 @@
 		reachable bool
 	}
 	var servedShares []float64
-	chart := report.Chart{File: "first.svg", Title: "Until the first event, by the collector's state", X: "ms", Y: "share of answers"}
+	chart := report.Chart{File: "first.svg", Title: "Time to first event, by the collector's state", X: "ms", Y: "share of responses"}
 	unbalanced := 0
 	for _, v := range []variant{
 		{"takes", standin.Takes, true},
-		{"not there", standin.Takes, false},
+		{"unreachable", standin.Takes, false},
 		{"hangs", standin.Hangs, true},
 		{"busy (429)", standin.Busy, true},
 		{"503", standin.Down, true},
@@ -38,7 +38,7 @@
 		}
 		c.Be(v.mode)
 		if !v.reachable {
-			_ = c.Close() // a collector of this program, which is done with
+			_ = c.Close() // no longer needed
 		}
 		settings := r.collectorSettings(c.URL())
 		f, err := fleet.Start(ctx, r.fleetOptions(slices.Repeat([]string{"traced"}, r.Fleet.Routers), map[string]string{"traced": settings}))
@@ -50,7 +50,7 @@
 			err = stopped
 		}
 		if v.reachable {
-			_ = c.Close() // a collector of this program, which is done with
+			_ = c.Close() // no longer needed
 		}
 		if err != nil {
 			return err
@@ -86,29 +86,29 @@
 		if enqueued != sent+lost {
 			unbalanced++
 		}
-		r.result.Add("served, collector "+v.name, servedShares[len(servedShares)-1], "", fmt.Sprintf("%d tries", len(attempts)))
-		r.result.Add("records sent, collector "+v.name, float64(sent), "", fmt.Sprintf("%d kept, %d lost and counted", enqueued, lost))
-		r.result.Criteria = append(r.result.Criteria, report.NewCriterion("answers lost or invented, collector "+v.name, float64(invalid), "", 0, 0, ""))
+		r.result.Add("served, collector "+v.name, servedShares[len(servedShares)-1], "", fmt.Sprintf("%d attempts", len(attempts)))
+		r.result.Add("records sent, collector "+v.name, float64(sent), "", fmt.Sprintf("%d kept, %d counted as lost", enqueued, lost))
+		r.result.Criteria = append(r.result.Criteria, report.NewCriterion("lost or wrong responses, collector "+v.name, float64(invalid), "", 0, 0, ""))
 		if v.mode == standin.Takes && v.reachable != (sent > 0) {
 			unbalanced++
 		}
 	}
 	worst := slices.Min(servedShares) / servedShares[0]
 	r.result.Criteria = append(r.result.Criteria,
-		report.NewCriterion("share served, worst against a collector that takes", worst, "", r.Thresholds["answers"], math.MaxFloat64, ""),
-		report.NewCriterion("routers whose account of records does not close", float64(unbalanced), "", 0, 0, ""))
+		report.NewCriterion("share served, worst case relative to an available collector", worst, "", r.Thresholds["answers"], math.MaxFloat64, ""),
+		report.NewCriterion("routers whose trace record counters do not add up", float64(unbalanced), "", 0, 0, ""))
 	r.result.Charts = append(r.result.Charts, chart)
 	return nil
 }
 
 var counterPattern = regexp.MustCompile(`(\w+)=(\d+)`)
 
-// account reads the counters that a router prints at its end.
+// routerCounters parses the trace counters that a router logs when it exits.
 func routerCounters(log string) (map[string]int, error) {
 	n := map[string]int{}
 	line := regexp.MustCompile(`(?m)^.*msg=traces .*$`).FindString(log)
 	if line == "" {
-		return nil, fmt.Errorf("the log has no line of traces:\n%s", log)
+		return nil, fmt.Errorf("the log has no line with trace counters:\n%s", log)
 	}
 	for _, m := range counterPattern.FindAllStringSubmatch(line, -1) {
 		v, err := strconv.Atoi(m[2])
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -20,9 +20,9 @@
 	"notchhinge/internal/lab/standin"
 )
 
-// cost measures what tracing takes from a router whose one core is full: two routers, one with tracing and one without,
-// are asked in turns by clients that ask again as soon as they are answered, before boxes that answer at once. A pair
-// of turns is a sample; the order within a pair changes.
+// runCost measures the cost of tracing on a router with one saturated core. Closed-loop clients load two routers in turns, one
+// with tracing and one without, in front of engines that respond at once. Each pair of turns is a sample; the order within a
+// pair alternates.
 func runCost(ctx context.Context, r *run) error {
 	o := r.fleetOptions([]string{"off", "on"}, map[string]string{
 		"on": fmt.Sprintf("[trace]\nshare = %g\n[trace.file]\npath = %q\n", r.Trace.Share, filepath.Join(r.dir, "traces.zst")),
@@ -85,10 +85,10 @@
 		if round%10 != 9 && round != r.rounds-1 {
 			continue
 		}
-		r.printf("pair %d of %d: %.0f a second off, %.0f on, ratio %.3f; %.1f and %.1f µs of CPU a request", round+1, r.rounds,
+		r.printf("pair %d of %d: %.0f requests per second off, %.0f on, ratio %.3f; %.1f and %.1f µs of CPU per request", round+1, r.rounds,
 			rate[0], rate[1], rate[1]/rate[0], cpu[0], cpu[1])
 	}
-	var memory [2]float64 // most resident
+	var memory [2]float64 // peak resident memory in MB
 	for n, router := range f.Routers {
 		_, peak, err := router.Memory()
 		if err != nil {
@@ -97,19 +97,19 @@
 		memory[n] = float64(peak) / (1 << 20)
 	}
 	res := r.result
-	throughput := res.Ratio("throughput, on against off", ratios, "pairs, geometric mean")
-	res.Ratio("CPU a request, on against off", cpuRatios, "by the process's own account")
-	res.Mean("CPU a request, off", cpuSamples[0], "µs", "")
-	res.Mean("CPU a request, on", cpuSamples[1], "µs", "")
+	throughput := res.Ratio("throughput, on relative to off", ratios, "pairs, geometric mean")
+	res.Ratio("CPU per request, on relative to off", cpuRatios, "from /proc/PID/stat")
+	res.Mean("CPU per request, off", cpuSamples[0], "µs", "")
+	res.Mean("CPU per request, on", cpuSamples[1], "µs", "")
 	res.Mean("share of the core that the router used, off", coreShares, "", "")
-	steadyFrom := len(resident[0]) / 2 // once the tables are full
+	steadyFrom := len(resident[0]) / 2 // by then the tables are full
 	without := res.Mean("memory, off", resident[0][steadyFrom:], "MB", "resident after a turn, second half of the run")
 	with := res.Mean("memory, on", resident[1][steadyFrom:], "MB", "")
-	res.Add("most memory, off", memory[0], "MB", "")
-	res.Add("most memory, on", memory[1], "MB", "")
+	res.Add("peak memory, off", memory[0], "MB", "")
+	res.Add("peak memory, on", memory[1], "MB", "")
 	res.Criteria = append(res.Criteria,
-		report.NewCriterion("throughput with tracing against without", throughput, "", r.Thresholds["throughput"], math.MaxFloat64, ""),
-		report.NewCriterion("memory that tracing adds", with-without, "MB", -math.MaxFloat64, r.Thresholds["memory_mb"], ""))
+		report.NewCriterion("throughput with tracing relative to without", throughput, "", r.Thresholds["throughput"], math.MaxFloat64, ""),
+		report.NewCriterion("memory added by tracing", with-without, "MB", -math.MaxFloat64, r.Thresholds["memory_mb"], ""))
 	if err := f.Stop(); err != nil {
 		return err
 	}
@@ -117,15 +117,15 @@
 	if err != nil {
 		return err
 	}
-	res.Add("tries traced", float64(n["taken"]), "", fmt.Sprintf("%d kept, %d of them ordinary; %d decided early for want of memory", n["kept"], n["share"], n["early"]))
+	res.Add("attempts traced", float64(n["taken"]), "", fmt.Sprintf("%d kept, %d of them sampled; %d decided early because memory was short", n["kept"], n["share"], n["early"]))
 	res.Charts = append(res.Charts, report.Chart{
-		File: "throughput.svg", Title: "Requests a second with one full core", X: "pair",
-		Y: "requests a second", Series: rates[:],
+		File: "throughput.svg", Title: "Requests per second with one saturated core", X: "pair",
+		Y: "requests per second", Series: rates[:],
 	})
 	return nil
 }
 
-// saturate has connections ask one request after another, and returns how many were served.
+// saturate runs closed-loop clients for the given time, and returns the number of requests served.
 func (r *run) saturate(ctx context.Context, addr string, length time.Duration) (served int64, err error) {
 	until := time.Now().Add(length)
 	var mu sync.Mutex
@@ -147,7 +147,8 @@
 	return latency.TotalCount(), err
 }
 
-// ask is one connection that asks until a time, each time in a new conversation: ids count from first on.
+// requestLoop sends requests one after another over one connection until a deadline, and records their latencies. Each
+// request starts a new conversation; ids are derived from consecutive numbers from first on.
 func requestLoop(ctx context.Context, addr string, first uint64, class string, until time.Time, to *hdrhistogram.Histogram) error {
 	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -158,7 +159,7 @@
 	const body = `{"model":"lab","stream":true,"max_tokens":4,"messages":[{"role":"user","content":"which runs began today?"}]}`
 	var head []byte
 	for i := uint64(0); time.Now().Before(until) && ctx.Err() == nil; i++ {
-		id := (first + i) * 0x9e3779b97f4a7c15 // odd, so that no two meet
+		id := (first + i) * 0x9e3779b97f4a7c15 // multiplication by an odd number keeps ids distinct
 		head = append(head[:0], "POST /v1/chat/completions HTTP/1.1\r\nHost: lab\r\nContent-Type: application/json\r\nX-Call-Id: "...)
 		head = fmt.Appendf(head, "%016x\r\nX-Call-Class: %s\r\nX-Route-Hash: %016x\r\nX-Budget: 5000m\r\n"+
 			"X-Call-Info: prompt_len=100,prefix_len=0,max_out=4\r\nContent-Length: %d\r\n\r\n%s",
@@ -174,10 +175,10 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close()
 		if err != nil {
-			return fmt.Errorf("answer %d: %w", resp.StatusCode, err)
+			return fmt.Errorf("response %d: %w", resp.StatusCode, err)
 		}
 		if resp.StatusCode != http.StatusOK {
-			return fmt.Errorf("answer %d", resp.StatusCode)
+			return fmt.Errorf("response %d", resp.StatusCode)
 		}
 		if err := to.RecordValue(time.Since(began).Microseconds()); err != nil {
 			return err
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment reads experiment files and runs them: it has a fleet started, clients ask and troubles happen, and
-// judges what the ledger and the collector say by the bars of its kind.
+// Package experiment loads and runs experiments that TOML files describe. It starts a fleet, sends requests, injects faults,
+// and checks the clients' ledger and the collected traces against the acceptance criteria of the experiment's kind.
 package experiment
 
 import (
@@ -26,42 +26,42 @@
 type File struct {
 	Name  string `toml:"name"`
 	About string `toml:"about"`
-	Kind  string `toml:"kind"` // one of kinds
+	Kind  string `toml:"kind"` // a key of runners
 	Seed  uint64 `toml:"seed"`
 
 	Fleet struct {
 		Routers  int     `toml:"routers"`
 		Engines  int     `toml:"boxes"`
-		Speed    float64 `toml:"speed"` // times of the deployment's page are divided by this
-		Size     float64 `toml:"size"`  // and tokens multiplied by this
-		Cores    float64 `toml:"cores"` // of a router
+		Speed    float64 `toml:"speed"` // divides the durations of the deployment page
+		Size     float64 `toml:"size"`  // multiplies its token counts
+		Cores    float64 `toml:"cores"` // of each router
 		MemoryMB int     `toml:"memory_mb"`
 		Sockets  int     `toml:"sockets"`
 	} `toml:"fleet"`
 	Traffic struct {
-		Rate    float64           `toml:"rate"` // calls a second
+		Rate    float64           `toml:"rate"` // requests per second
 		Length  tomlfile.Duration `toml:"length"`
 		Carry   float64           `toml:"carry"` // share of sessions that send a trace context
 		Mark    float64           `toml:"mark"`  // share of sessions that mark retries
 		Retries int               `toml:"retries"`
-		Clients int               `toml:"clients"` // of kind cost: connections that ask one after another
+		Clients int               `toml:"clients"` // kind cost only: connections, each with one request at a time
 	} `toml:"traffic"`
 	Trace struct {
 		Share float64 `toml:"share"`
 	} `toml:"trace"`
 	Services struct {
-		Rate float64 `toml:"rate"` // calls a second that the second service's boxes can just carry
-	} `toml:"services"` // of kinds services, reloads and shared: the second service; fleet and traffic are the first's
-	Rounds int              `toml:"rounds"` // of kind cost and services: pairs; of kind reloads: reloads
+		Rate float64 `toml:"rate"` // requests per second that saturate the second service's engines
+	} `toml:"services"` // kinds services, reloads and shared only: the second service; Fleet and Traffic describe the first
+	Rounds int              `toml:"rounds"` // kinds cost and services: pairs; kind reloads: reloads
 	Faults []ScheduledFault `toml:"trouble"`
 	Short  struct {
 		Length tomlfile.Duration `toml:"length"`
 		Rounds int               `toml:"rounds"`
-	} `toml:"short"` // what --short makes of it; troubles are moved in proportion
+	} `toml:"short"` // replaces length and rounds under --short; times of faults are scaled to the length
 	Thresholds map[string]float64 `toml:"bars"`
 }
 
-// Trouble is a table of the file.
+// ScheduledFault is a [[trouble]] table of the file.
 type ScheduledFault struct {
 	At       tomlfile.Duration `toml:"at"`
 	Duration tomlfile.Duration `toml:"lasts"`
@@ -70,7 +70,7 @@
 	Share    float64           `toml:"share"`
 }
 
-// Load reads and checks a file.
+// Load reads and validates a file.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return f, nil
 }
 
-// Parse is Load on a text. Its errors begin with the line at fault, where there is one.
+// Parse parses and validates the text of a file. Its errors begin with ":LINE: ", or ": " if no line is known.
 func Parse(text []byte) (*File, error) {
 	f := &File{}
 	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
@@ -93,7 +93,7 @@
 		switch {
 		case errors.As(err, &unknown) && len(unknown.Errors) > 0:
 			line, _ := unknown.Errors[0].Position()
-			return nil, fmt.Errorf(":%d: %v is no key of an experiment", line, unknown.Errors[0].Key())
+			return nil, fmt.Errorf(":%d: unknown key %v", line, unknown.Errors[0].Key())
 		case errors.As(err, &wrong):
 			line, _ := wrong.Position()
 			return nil, fmt.Errorf(":%d: %w", line, err)
@@ -106,28 +106,29 @@
 	return f, nil
 }
 
+// check returns the first fault of the file.
 func (f *File) check() error {
 	switch {
 	case f.Name == "" || f.About == "":
-		return errors.New("name and about are wanted")
+		return errors.New("name and about must be set")
 	case runners[f.Kind] == nil:
-		return fmt.Errorf("kind: %q is none of %q", f.Kind, slices.Sorted(maps.Keys(thresholdNames)))
+		return fmt.Errorf("kind: %q is not one of %q", f.Kind, slices.Sorted(maps.Keys(thresholdNames)))
 	case f.Fleet.Routers < 1 || f.Fleet.Engines < 1 || !(f.Fleet.Speed > 0) || !(f.Fleet.Size > 0):
-		return errors.New("fleet: routers, boxes, speed and size above 0 are wanted")
+		return errors.New("fleet: routers, boxes, speed and size must be above 0")
 	case !(f.Fleet.Cores > 0) || f.Fleet.MemoryMB < 16 || f.Fleet.Sockets < 64:
-		return errors.New("fleet: cores above 0, memory_mb of 16 and sockets of 64 at least are wanted")
+		return errors.New("fleet: cores must be above 0, memory_mb at least 16 and sockets at least 64")
 	case f.Traffic.Length <= 0 || f.Short.Length <= 0:
-		return errors.New("traffic.length and short.length above 0 are wanted")
+		return errors.New("traffic.length and short.length must be above 0")
 	case f.Kind == "cost" && (f.Traffic.Clients < 1 || f.Rounds < 1 || f.Short.Rounds < 1):
-		return errors.New("cost: traffic.clients, rounds and short.rounds of 1 at least are wanted")
+		return errors.New("cost: traffic.clients, rounds and short.rounds must be at least 1")
 	case f.twoServices() && !(f.Services.Rate > 0):
-		return errors.New("services.rate above 0 is wanted")
+		return errors.New("services.rate must be above 0")
 	case (f.Kind == "services" || f.Kind == "reloads") && (f.Rounds < 1 || f.Short.Rounds < 1):
-		return fmt.Errorf("%s: rounds and short.rounds of 1 at least are wanted", f.Kind)
+		return fmt.Errorf("%s: rounds and short.rounds must be at least 1", f.Kind)
 	case !(f.Traffic.Rate > 0):
-		return errors.New("traffic.rate above 0 is wanted")
+		return errors.New("traffic.rate must be above 0")
 	case !f.twoServices() && !(f.Trace.Share > 0 && f.Trace.Share <= 1):
-		return errors.New("trace.share above 0 and up to 1 is wanted")
+		return errors.New("trace.share must be above 0 and at most 1")
 	}
 	for i, t := range f.Faults {
 		if err := t.scheduled(1).Check(f.Fleet.Engines); err != nil {
@@ -136,7 +137,7 @@
 	}
 	for name := range f.Thresholds {
 		if !thresholdNames[f.Kind][name] {
-			return fmt.Errorf("bars: %q is no bar of kind %s", name, f.Kind)
+			return fmt.Errorf("bars: %q is not a threshold of kind %s", name, f.Kind)
 		}
 	}
 	for name := range thresholdNames[f.Kind] {
@@ -147,16 +148,18 @@
 	return nil
 }
 
+// twoServices reports whether the experiment runs two services on one router.
 func (f *File) twoServices() bool {
 	return f.Kind == "services" || f.Kind == "reloads" || f.Kind == "shared"
 }
 
-// kinds run the kinds of experiments; known are their bars.
+// runners run each kind of experiment.
 var runners = map[string]func(context.Context, *run) error{
 	"tracing": runTracing, "cost": runCost, "collector": runCollector,
 	"services": runServices, "reloads": runReloads, "shared": runShared,
 }
 
+// thresholdNames are the thresholds that a file of each kind must set under bars.
 var thresholdNames = map[string]map[string]bool{
 	"tracing":   {"requests": true, "phase_error_ms": true, "share_error": true},
 	"cost":      {"throughput": true, "memory_mb": true},
@@ -166,6 +169,7 @@
 	"shared":    {"drain_ms": true},
 }
 
+// scheduled returns the fault with its times multiplied by scale.
 func (t *ScheduledFault) scheduled(scale float64) *fleet.ScheduledFault {
 	return &fleet.ScheduledFault{
 		At: time.Duration(float64(t.At) * scale), Duration: time.Duration(float64(t.Duration) * scale), Engines: t.Engines, Fault: t.Fault,
@@ -173,14 +177,14 @@
 	}
 }
 
-// Options are of the one who runs an experiment.
+// Options are the caller's options of a run.
 type Options struct {
 	Short  bool
-	Binary string // the router's program; "" = found or built
+	Binary string // path of the router's executable; "" = found or built, as by fleet.Binary
 	Out    io.Writer
 }
 
-// run is an experiment under way.
+// run is the state of a running experiment.
 type run struct {
 	*File
 	opts    Options
@@ -193,9 +197,10 @@
 	result  *report.Result
 }
 
+// printf prints a line of progress.
 func (r *run) printf(format string, args ...any) { fmt.Fprintf(r.opts.Out, format+"\n", args...) }
 
-// Run runs an experiment to its result. An error says that it could not be run.
+// Run runs an experiment. It returns an error only if the run could not be completed; unmet criteria stand in the result.
 func Run(ctx context.Context, f *File, opts Options) (*report.Result, error) {
 	dir, err := os.MkdirTemp("", "notchlab-")
 	if err != nil {
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -36,13 +36,13 @@
 	}
 	good := string(text)
 	for name, c := range map[string]struct{ old, new, want string }{
-		"unknown key":  {"seed = 7", "sed = 7", ":4: [sed] is no key"},
+		"unknown key":  {"seed = 7", "sed = 7", ":4: unknown key [sed]"},
 		"type":         {"seed = 7", "seed = \"x\"", ":4: "},
-		"kind":         {"kind = \"tracing\"", "kind = \"x\"", "kind: \"x\" is none"},
+		"kind":         {"kind = \"tracing\"", "kind = \"x\"", "kind: \"x\" is not one of"},
 		"trouble":      {"what = \"die\"", "what = \"dye\"", "trouble 4: what: \"dye\""},
-		"box":          {"boxes = [7]", "boxes = [8]", "boxes: 8 is none of the 8"},
+		"box":          {"boxes = [7]", "boxes = [8]", "boxes: 8 is not below the number of engines, 8"},
 		"missing bar":  {"share_error = 0.1", "", "\"share_error\" is missing"},
-		"an extra bar": {"share_error = 0.1", "share_error = 0.1\nx = 1", "\"x\" is no bar"},
+		"an extra bar": {"share_error = 0.1", "share_error = 0.1\nx = 1", "\"x\" is not a threshold"},
 		"share":        {"share = 0.2", "share = 0.0", "trace.share"},
 	} {
 		if _, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestJudge: the judge of traces finds each kind of fault that it is there for.
+// TestEvaluateTracesFindsEachDefect checks that each kind of defect fails its criterion, and that a correct run fails none.
 func TestEvaluateTracesFindsEachDefect(t *testing.T) {
 	start := time.Unix(1000, 0)
 	call := func(id string, o load.Outcome) load.Attempt {
@@ -91,7 +91,7 @@
 	}
 	good := record("a")
 	if failing := failed([]load.Attempt{call("a", load.Served)}, []*trace.Try{good}, engineSpan("a")); len(failing) != 0 {
-		t.Errorf("a good run falls short: %v", failing)
+		t.Errorf("a correct run fails %v", failing)
 	}
 	slow, noResult, wrongOutcome, wrongPhases := record("a"), record("a"), record("a"), record("a")
 	slow.End, slow.Phases[trace.Stream] = 3*time.Second, 3*time.Second
@@ -104,18 +104,18 @@
 		engines   []standin.Span
 		criterion string
 	}{
-		"missing":       {[]load.Attempt{call("a", load.Served)}, nil, nil, "owed traces that are missing"},
-		"invented":      {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good, record("b")}, []standin.Span{engineSpan("a"), engineSpan("b")}, "traces of no request, or twice"},
-		"twice":         {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good, good}, []standin.Span{engineSpan("a")}, "traces of no request, or twice"},
-		"no box span":   {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good}, nil, "traces that are not complete"},
-		"no result":     {[]load.Attempt{call("a", load.Served)}, []*trace.Try{noResult}, []standin.Span{engineSpan("a")}, "traces that are not complete"},
-		"outcome":       {[]load.Attempt{call("a", load.Served)}, []*trace.Try{wrongOutcome}, []standin.Span{engineSpan("a")}, "traces that are not complete"},
-		"sum of phases": {[]load.Attempt{call("a", load.Served)}, []*trace.Try{wrongPhases}, []standin.Span{engineSpan("a")}, "traces that are not complete"},
-		"time":          {[]load.Attempt{call("a", load.Served)}, []*trace.Try{slow}, []standin.Span{engineSpan("a")}, "phases against the client, 99%"},
-		"wrong answer":  {[]load.Attempt{call("a", load.Wrong)}, []*trace.Try{good}, []standin.Span{engineSpan("a")}, "answers lost or invented"},
+		"missing":       {[]load.Attempt{call("a", load.Served)}, nil, nil, "required traces that are missing"},
+		"invented":      {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good, record("b")}, []standin.Span{engineSpan("a"), engineSpan("b")}, "traces without a request, or duplicated"},
+		"twice":         {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good, good}, []standin.Span{engineSpan("a")}, "traces without a request, or duplicated"},
+		"no box span":   {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good}, nil, "incomplete traces"},
+		"no result":     {[]load.Attempt{call("a", load.Served)}, []*trace.Try{noResult}, []standin.Span{engineSpan("a")}, "incomplete traces"},
+		"outcome":       {[]load.Attempt{call("a", load.Served)}, []*trace.Try{wrongOutcome}, []standin.Span{engineSpan("a")}, "incomplete traces"},
+		"sum of phases": {[]load.Attempt{call("a", load.Served)}, []*trace.Try{wrongPhases}, []standin.Span{engineSpan("a")}, "incomplete traces"},
+		"time":          {[]load.Attempt{call("a", load.Served)}, []*trace.Try{slow}, []standin.Span{engineSpan("a")}, "router and client, difference at 99%"},
+		"wrong answer":  {[]load.Attempt{call("a", load.Wrong)}, []*trace.Try{good}, []standin.Span{engineSpan("a")}, "lost or wrong responses"},
 	} {
 		if failing := failed(c.attempts, c.records, c.engines...); !failing[c.criterion] {
-			t.Errorf("%s: only %v fall short", name, failing)
+			t.Errorf("%s: the criterion is met; failing: %v", name, failing)
 		}
 	}
 }
@@ -126,6 +126,6 @@
 		t.Errorf("%v, %v", n, err)
 	}
 	if _, err := routerCounters("nothing"); err == nil {
-		t.Error("a log without the line passes")
+		t.Error("routerCounters accepts a log without counters")
 	}
 }
--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -24,19 +24,19 @@
 	"notchhinge/internal/lab/standin"
 )
 
-// The two services, and where they are asked for.
+// Host names of the two services.
 const (
 	runsHost  = "runs.example.org"
 	calibHost = "calib.example.org"
 )
 
-// asked is a request as a box saw it.
+// engineRequest is a request as an engine received it.
 type engineRequest struct {
 	engine, host, id string
 	at               time.Time
 }
 
-// two is a fleet of one router with two services.
+// serviceFleet is a fleet with one router and two services, each with its own pool and discovery.
 type serviceFleet struct {
 	*fleet.Fleet
 	calib   *standin.Discovery
@@ -47,13 +47,14 @@
 	requests []engineRequest
 }
 
+// recordRequest stores a request that an engine received.
 func (t *serviceFleet) recordRequest(engine, host, id string, at time.Time) {
 	t.mu.Lock()
 	t.requests = append(t.requests, engineRequest{engine, host, id, at})
 	t.mu.Unlock()
 }
 
-// start starts two discoveries with boxes of their own, or with the same ones, and the router.
+// startServices starts the router and two discovery servers, with separate engines or with shared ones.
 func (r *run) startServices(ctx context.Context, sharedEngines bool, config func(*serviceFleet) string) (*serviceFleet, error) {
 	t := &serviceFleet{control: filepath.Join(r.dir, "control")}
 	o := r.fleetOptions([]string{"services"}, map[string]string{})
@@ -89,7 +90,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for n := range 100 { // the second list comes after the first
+	for n := range 100 { // the second pool's endpoints arrive after the first's
 		pools, err := t.fetchState(ctx)
 		if err != nil {
 			return nil, err
@@ -98,16 +99,17 @@
 			break
 		}
 		if n == 99 {
-			return nil, errors.New("a pool has no boxes")
+			return nil, errors.New("a pool has no ready engines")
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	return t, nil
 }
 
+// stop stops the fleet and the second discovery server.
 func (t *serviceFleet) stop() error {
 	err := t.Fleet.Stop()
-	_ = t.calib.Close() // a server of this program, which is done with
+	_ = t.calib.Close() // no client is left
 	return err
 }
 
@@ -121,7 +123,7 @@
 	Pools      []poolState `json:"pools"`
 }
 
-// state asks the router's control socket.
+// fetchState reads the state of the pools from the router's control socket.
 func (t *serviceFleet) fetchState(ctx context.Context) (s routerState, err error) {
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", t.control)
@@ -138,7 +140,7 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-// reload writes the router's file anew, has it read, and waits until it is carried out.
+// reload replaces the router's configuration file, sends SIGHUP and waits until the new configuration is active.
 func (t *serviceFleet) reload(ctx context.Context, text string, signals int) error {
 	before, err := t.fetchState(ctx)
 	if err != nil {
@@ -163,10 +165,10 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	return fmt.Errorf("the router did not read its file\n%s", router.Tail())
+	return fmt.Errorf("the router did not reload its configuration\n%s", router.Tail())
 }
 
-// file is the router's file: which service goes to which pool, and the pools.
+// config returns the text of the router's configuration file.
 func (t *serviceFleet) config(services, pools string) string {
 	return fmt.Sprintf("[control]\npath = %q\n%s%s", t.control, services, pools)
 }
@@ -180,11 +182,12 @@
 	return fmt.Sprintf("[[pool]]\nname = \"calib\"\ndiscovery = %q\n", t.calib.Addr())
 }
 
+// defaultConfig routes each service to its own pool.
 func (t *serviceFleet) defaultConfig() string {
 	return t.config(serviceConfig("runs", runsHost, `pool = "runs"`)+serviceConfig("calib", calibHost, `pool = "calib"`), t.runsPoolConfig()+t.calibPoolConfig())
 }
 
-// ask has a service's clients ask a plan's calls.
+// sendPlan sends a plan's requests to a service and returns all attempts.
 func (r *run) sendPlan(ctx context.Context, t *serviceFleet, host string, plan []load.Request, seed uint64) []load.Attempt {
 	c := &load.Client{Routers: t.Addrs(), Host: host, Retries: r.Traffic.Retries, Pause: 50 * time.Millisecond, Seed: seed}
 	defer c.Close()
@@ -193,7 +196,8 @@
 	return l.Attempts()
 }
 
-// calls draws a plan. Turns that ask the same do so in other conversations, so that none finds another's prompts kept.
+// drawPlan draws a plan of requests. Turns with the same seed get different sessions, so that no turn hits prefixes that
+// an earlier one has cached.
 func (r *run) drawPlan(seed uint64, rate float64, length time.Duration, turn int) []load.Request {
 	plan := load.Plan(seed, r.classes, rate, length, 1, load.Style{Mark: 1})
 	for i := range plan {
@@ -202,7 +206,7 @@
 	return plan
 }
 
-// bad counts what must not happen to any try.
+// violations counts attempts with a lost, wrong or conflicting response, and describes up to three of them.
 func violations(attempts []load.Attempt) (n int, examples []string) {
 	for i := range attempts {
 		if t := &attempts[i]; t.Outcome == load.Wrong || t.Outcome == load.Lost || t.Status == http.StatusConflict {
@@ -215,17 +219,17 @@
 	return n, examples
 }
 
-// services holds one service's worth in time, with the other in trouble, against its worth with the other idle: paired
-// turns that ask the same, interleaved.
+// runServices measures isolation: the timely worth of one service while the other is overloaded, hung or drained, relative to
+// its worth while the other is idle. Paired turns with the same requests are interleaved.
 func runServices(ctx context.Context, r *run) error {
 	t, err := r.startServices(ctx, false, func(t *serviceFleet) string { return t.defaultConfig() })
 	if err != nil {
 		return err
 	}
-	defer func() { _ = t.stop() }() // the first error counts
+	defer func() { _ = t.stop() }() // an earlier error is returned instead
 	conditions := []string{"overloaded", "hung", "drained"}
 	ratios, worths, outcomesOf := map[string][]float64{}, map[string][]float64{}, map[string]map[load.Outcome]int{}
-	firstEvent := map[string]*hdrhistogram.Histogram{} // of the first service: µs until the first event
+	firstEvent := map[string]*hdrhistogram.Histogram{} // of the first service, by condition of the second: time to first event in µs
 	for _, condition := range append(conditions, "") {
 		firstEvent[condition] = hdrhistogram.New(1, 600_000_000, 3)
 	}
@@ -254,7 +258,7 @@
 		var drained error
 		wait.Go(func() { own = r.sendPlan(ctx, t, runsHost, plan, seed) })
 		wait.Go(func() { other = r.sendPlan(ctx, t, calibHost, calib, seed+1) })
-		if condition == "drained" { // its service is taken away at its peak
+		if condition == "drained" { // its service is removed from the configuration under load
 			wait.Go(func() {
 				time.Sleep(r.length / 3)
 				drained = t.reload(ctx, t.config(serviceConfig("runs", runsHost, `pool = "runs"`), t.runsPoolConfig()), 1)
@@ -273,7 +277,7 @@
 			if err := t.reload(ctx, t.defaultConfig(), 1); err != nil {
 				return 0, err
 			}
-			time.Sleep(500 * time.Millisecond) // its list
+			time.Sleep(500 * time.Millisecond) // its endpoints are listed again
 		}
 		attempts = append(append(attempts, own...), other...)
 		if outcomesOf[condition] == nil {
@@ -285,17 +289,17 @@
 		w := load.Worth(plan, own)
 		for i := range own {
 			if y := &own[i]; y.Outcome == load.Served && firstEvent[condition] != nil {
-				// An answer over 600 s is not counted; there is none, by the deadline.
+				// Deadlines keep every value far below the histogram's limit of 600 s.
 				_ = firstEvent[condition].RecordValue(max(y.First.Sub(y.Sent).Microseconds(), 1))
 			}
 		}
 		if condition != "" {
 			worths[condition+", the other"] = append(worths[condition+", the other"], load.Worth(calib, other))
 		}
-		time.Sleep(time.Duration(float64(time.Second) / r.Fleet.Speed * 4)) // what is under way ends
+		time.Sleep(time.Duration(float64(time.Second) / r.Fleet.Speed * 4)) // requests in flight end
 		return w, ctx.Err()
 	}
-	for n, condition := range []string{"", "alone", "alone", "alone"} { // caches fill; the last one counts
+	for n, condition := range []string{"", "alone", "alone", "alone"} { // fills caches; only the last turn is kept
 		delete(worths, "alone, the other")
 		if _, err := play(r.Seed+uint64(n), condition); err != nil {
 			return err
@@ -321,7 +325,7 @@
 			ratios[condition] = append(ratios[condition], w[1]/w[0])
 			worths[condition] = append(worths[condition], w[1])
 			worths["idle"] = append(worths["idle"], w[0])
-			r.printf("pair %d of %d, the other %s: worth in time %.4f, %.4f with it idle", round+1, r.rounds, condition, w[1], w[0])
+			r.printf("pair %d of %d, other service %s: timely worth %.4f, %.4f with it idle", round+1, r.rounds, condition, w[1], w[0])
 		}
 	}
 	if err := t.stop(); err != nil {
@@ -336,22 +340,22 @@
 	}
 	res := r.result
 	res.Add("tries", float64(len(attempts)), "", fmt.Sprint(examples))
-	res.Mean("the other's worth in time alone, at the rate that is tripled", worths["alone, the other"], "", "")
-	res.Mean("worth in time, the other idle", worths["idle"], "", "share of all that was asked")
+	res.Mean("timely worth of the other service alone, at the rate that overload triples", worths["alone, the other"], "", "")
+	res.Mean("timely worth, other service idle", worths["idle"], "", "share of all requested worth")
 	for _, condition := range append([]string{""}, conditions...) {
 		h, name := firstEvent[condition], condition
 		if name == "" {
 			name = "idle"
 		}
-		res.Add("until the first event, the other "+name, float64(h.ValueAtQuantile(50))/1e3, "ms",
+		res.Add("time to first event, other service "+name, float64(h.ValueAtQuantile(50))/1e3, "ms",
 			fmt.Sprintf("median; 99 of 100 within %.0f ms", float64(h.ValueAtQuantile(99))/1e3))
 	}
-	chart := report.Chart{File: "worth.svg", Title: "Worth in time against that with the other service idle", X: "pair", Y: "ratio"}
+	chart := report.Chart{File: "worth.svg", Title: "Timely worth relative to that with the other service idle", X: "pair", Y: "ratio"}
 	for _, condition := range conditions {
-		res.Mean("worth in time, the other "+condition, worths[condition], "", "")
-		res.Mean("the other's own worth in time, "+condition, worths[condition+", the other"], "", outcomes(outcomesOf[condition]))
-		ratio := res.Ratio("ratio of pairs, the other "+condition, ratios[condition], "geometric mean")
-		res.Criteria = append(res.Criteria, report.NewCriterion("worth in time with the other "+condition, ratio, "", r.Thresholds["worth"], math.MaxFloat64, ""))
+		res.Mean("timely worth, other service "+condition, worths[condition], "", "")
+		res.Mean("timely worth of the other service, "+condition, worths[condition+", the other"], "", outcomes(outcomesOf[condition]))
+		ratio := res.Ratio("ratio of pairs, other service "+condition, ratios[condition], "geometric mean")
+		res.Criteria = append(res.Criteria, report.NewCriterion("timely worth relative to idle, other service "+condition, ratio, "", r.Thresholds["worth"], math.MaxFloat64, ""))
 		s := report.Series{Name: condition}
 		for i, v := range ratios[condition] {
 			s.Points = append(s.Points, report.Point{X: float64(i + 1), Y: v})
@@ -359,32 +363,34 @@
 		chart.Series = append(chart.Series, s)
 	}
 	res.Criteria = append(res.Criteria,
-		report.NewCriterion("lost, doubled or invented answers", float64(invalid), "", 0, 0, fmt.Sprintf("of %d tries", len(attempts))),
-		report.NewCriterion("requests at a box of the other service", float64(misrouted), "", 0, 0, fmt.Sprintf("of %d", len(t.requests))))
+		report.NewCriterion("lost, duplicated or wrong responses", float64(invalid), "", 0, 0, fmt.Sprintf("of %d attempts", len(attempts))),
+		report.NewCriterion("requests at an engine of the other service", float64(misrouted), "", 0, 0, fmt.Sprintf("of %d", len(t.requests))))
 	res.Charts = append(res.Charts, chart)
 	return nil
 }
 
+// outcomes formats the number of attempts by outcome.
 func outcomes(n map[load.Outcome]int) string {
-	s := "tries:"
+	s := "attempts:"
 	for _, o := range slices.Sorted(maps.Keys(n)) {
 		s += fmt.Sprintf(" %d %s", n[o], o)
 	}
 	return s
 }
 
-// reloads has the router read its file again and again under load, each time with other routes, weights or pools.
+// runReloads reloads the router's configuration repeatedly under load, with different routes, weights or pools each time. It
+// checks that every request follows the routes that were active when it arrived, and that memory does not grow.
 func runReloads(ctx context.Context, r *run) error {
 	t, err := r.startServices(ctx, false, func(t *serviceFleet) string { return t.defaultConfig() })
 	if err != nil {
 		return err
 	}
-	defer func() { _ = t.stop() }() // the first error counts
+	defer func() { _ = t.stop() }() // an earlier error is returned instead
 	pool := func(name, more string) string { return fmt.Sprintf("[[pool]]\nname = %q\n%s", name, more) }
 	some := `select = {names = ["runs-[0-3]"]}` + "\n"
 	files := []struct {
 		text    string
-		swapped bool // runs is served by calib's boxes, and the other way round
+		swapped bool // each service is served by the other's pool
 	}{
 		{t.defaultConfig(), false},
 		{t.config(serviceConfig("runs", runsHost, `pool = "calib"`)+serviceConfig("calib", calibHost, `pool = "runs"`), t.runsPoolConfig()+t.calibPoolConfig()), true},
@@ -419,7 +425,7 @@
 	for n := range r.rounds {
 		f := files[n%len(files)]
 		c := change{from: time.Now(), swapped: f.swapped}
-		if err := t.reload(ctx, f.text, 1+n%10/9); err != nil { // every tenth comes twice at once
+		if err := t.reload(ctx, f.text, 1+n%10/9); err != nil { // every tenth reload sends two signals at once
 			return err
 		}
 		c.to = time.Now()
@@ -448,7 +454,7 @@
 		attempts = append(attempts, ledger...)
 		for k := range ledger {
 			y := &ledger[k]
-			// Its route was looked up between its first byte and a little after its last.
+			// The router selected the route between these two times. Attempts that overlap a reload are skipped.
 			first, last := y.Due, y.Sent.Add(20*time.Millisecond)
 			swapped, certain := false, true
 			for _, c := range changes {
@@ -477,14 +483,14 @@
 	}
 	invalid, examples := violations(attempts)
 	res := r.result
-	res.Add("reloads", float64(r.rounds), "", "with another file each time; every tenth signal doubled")
+	res.Add("reloads", float64(r.rounds), "", "the file changes each time; every tenth reload sends two signals")
 	res.Add("tries", float64(len(attempts)), "", fmt.Sprint(examples))
-	res.Add("legs held against the routes of their arrival", float64(checked), "", fmt.Sprintf("%d tries came too near to a reload to tell", ambiguous))
+	res.Add("upstream attempts checked against the active routes", float64(checked), "", fmt.Sprintf("%d attempts overlapped a reload and were skipped", ambiguous))
 	var took []float64
 	for _, c := range changes {
 		took = append(took, float64(c.to.Sub(c.from))/1e6)
 	}
-	res.Mean("from the signal until the new plan is seen", took, "ms", "")
+	res.Mean("from the signal until the new configuration is active", took, "ms", "")
 	tenth := max(len(memory)/10, 1)
 	mean := func(p []report.Point) (m float64) {
 		for _, x := range p {
@@ -494,9 +500,9 @@
 	}
 	grown := mean(memory[len(memory)-tenth:]) - mean(memory[tenth:2*tenth])
 	res.Criteria = append(res.Criteria,
-		report.NewCriterion("lost, doubled or invented answers", float64(invalid), "", 0, 0, fmt.Sprintf("of %d tries", len(attempts))),
-		report.NewCriterion("legs to a pool that the route did not name", float64(misrouted), "", 0, 0, fmt.Sprintf("of %d", checked)),
-		report.NewCriterion("memory grown from the second tenth to the last", grown, "MB", -math.MaxFloat64, r.Thresholds["memory_mb"], ""))
+		report.NewCriterion("lost, duplicated or wrong responses", float64(invalid), "", 0, 0, fmt.Sprintf("of %d attempts", len(attempts))),
+		report.NewCriterion("upstream attempts to a pool that the route did not name", float64(misrouted), "", 0, 0, fmt.Sprintf("of %d", checked)),
+		report.NewCriterion("memory growth from the second tenth of the reloads to the last", grown, "MB", -math.MaxFloat64, r.Thresholds["memory_mb"], ""))
 	res.Charts = append(res.Charts, report.Chart{
 		File: "memory.svg", Title: "Resident memory over reloads", X: "reloads", Y: "MB",
 		Series: []report.Series{{Name: "router", Points: memory}},
@@ -504,15 +510,16 @@
 	return nil
 }
 
-// shared has boxes in two pools drained and restarted cold under load, one after the other; the second pool's discovery
-// learns of everything later. The boxes' own record is the judge.
+// runShared drains and restarts, one after the other and under load, engines that belong to two pools. The second pool's
+// discovery learns of each change later. The requests that the engines received show whether the router sends too many to cold
+// engines, or any to draining ones.
 func runShared(ctx context.Context, r *run) error {
 	const discoveryDelay = 2 * time.Second
 	t, err := r.startServices(ctx, true, func(t *serviceFleet) string { return t.defaultConfig() })
 	if err != nil {
 		return err
 	}
-	defer func() { _ = t.stop() }() // the first error counts
+	defer func() { _ = t.stop() }() // an earlier error is returned instead
 	t.calib.Delay = discoveryDelay
 	var wait sync.WaitGroup
 	plans := make([][]load.Request, 2)
@@ -527,7 +534,7 @@
 		died          time.Time
 	}
 	var incarnations []incarnation
-	const warmUpDelay = 6 * time.Second // the router's modules begin to watch within 5 s of their start
+	const warmUpDelay = 6 * time.Second // the router watches discovery at most 5 s after its start
 	interval := (r.length - warmUpDelay) / time.Duration(r.Fleet.Engines)
 	var failed error
 	wait.Go(func() {
@@ -598,8 +605,8 @@
 			for from := l.born; from.Before(l.born.Add(params.WarmUp)); from = from.Add(width / 5) {
 				to := from.Add(width)
 				share := params.ColdShare + (1-params.ColdShare)*min(float64(to.Sub(l.born))/float64(params.WarmUp), 1)
-				// The share of what came, over the boxes that share it, and the one request that may be saved up. A request
-				// is on its way for a while, so that one that came just before the window may fall into it.
+				// A cold engine may get its share of the arrivals, spread over the other engines, plus one request carried
+				// over. The window starts 50 ms early because requests need some time to reach the engine.
 				allowed := 1.0
 				for i := range arrivals {
 					allowed += share * float64(between(arrivals[i], from.Add(-50*time.Millisecond), to)) / float64(r.Fleet.Engines-1)
@@ -617,12 +624,12 @@
 	invalid, examples := violations(attempts)
 	res := r.result
 	res.Add("tries", float64(len(attempts)), "", fmt.Sprint(examples))
-	res.Add("boxes drained and restarted cold", float64(len(incarnations)/2), "", fmt.Sprintf("the second pool's discovery tells of it %v later", discoveryDelay))
-	res.Add("requests to boxes while cold", float64(coldRequests), "", fmt.Sprintf("in %d windows of 0.5, 1 and 2 s", windows))
-	res.Add("fullest window against what is allowed", maxShare, "", "")
-	res.Add("latest request to a draining box", latestMS, "ms", "after its drain was told")
+	res.Add("engines drained and restarted cold", float64(len(incarnations)/2), "", fmt.Sprintf("the second pool's discovery reports it %v later", discoveryDelay))
+	res.Add("requests to cold engines", float64(coldRequests), "", fmt.Sprintf("in %d windows of 0.5, 1 and 2 s", windows))
+	res.Add("highest ratio of requests to the allowed number in a window", maxShare, "", "")
+	res.Add("latest request to a draining engine", latestMS, "ms", "after its drain was announced")
 	for i, name := range []string{"first", "second"} {
-		res.Add("worth in time of the "+name+" pool", load.Worth(plans[i], ledgers[i]), "", "")
+		res.Add("timely worth of the "+name+" pool", load.Worth(plans[i], ledgers[i]), "", "")
 	}
 	fromBoth := 0
 	for _, n := range poolsOfEngine {
@@ -630,10 +637,10 @@
 			fromBoth++
 		}
 	}
-	res.Add("boxes asked by both pools", float64(fromBoth), "", fmt.Sprintf("of %d", len(poolsOfEngine)))
+	res.Add("engines that got requests from both pools", float64(fromBoth), "", fmt.Sprintf("of %d", len(poolsOfEngine)))
 	res.Criteria = append(res.Criteria,
-		report.NewCriterion("windows in which a cold box got more than is allowed", float64(exceeded), "", 0, 0, fmt.Sprintf("of %d", windows)),
-		report.NewCriterion("requests to a draining box after its grace", float64(lateRequests), "", 0, 0, fmt.Sprintf("later than %v ms", r.Thresholds["drain_ms"])),
-		report.NewCriterion("lost, doubled or invented answers", float64(invalid), "", 0, 0, fmt.Sprintf("of %d tries", len(attempts))))
+		report.NewCriterion("windows in which a cold engine got more requests than allowed", float64(exceeded), "", 0, 0, fmt.Sprintf("of %d", windows)),
+		report.NewCriterion("requests to a draining engine after its grace period", float64(lateRequests), "", 0, 0, fmt.Sprintf("later than %v ms", r.Thresholds["drain_ms"])),
+		report.NewCriterion("lost, duplicated or wrong responses", float64(invalid), "", 0, 0, fmt.Sprintf("of %d attempts", len(attempts))))
 	return nil
 }
--- a/internal/lab/experiment/tracing.go
+++ b/internal/lab/experiment/tracing.go
@@ -17,16 +17,16 @@
 	"notchhinge/internal/lab/standin"
 )
 
-// traced is what the collector has of one try.
+// attemptTrace holds the collected spans of one attempt: the router's root span and one span for each upstream attempt.
 type attemptTrace struct {
 	root      *tracepb.Span
 	upstreams []*tracepb.Span
 }
 
-// boxSpans keeps the boxes' own spans by the leg that they hang below.
+// engineSpans collects the engines' own spans by their parent, an upstream attempt.
 type engineSpans struct {
 	mu  sync.Mutex
-	all map[string][]standin.Span // by parent span
+	all map[string][]standin.Span // by id of the parent span
 	n   int
 }
 
@@ -37,6 +37,7 @@
 	b.mu.Unlock()
 }
 
+// fleetOptions returns the options of the experiment's fleet with the given kinds of routers and their settings.
 func (r *run) fleetOptions(kinds []string, settings map[string]string) fleet.Options {
 	return fleet.Options{
 		Binary: r.binary, Dir: r.dir, Engines: r.Fleet.Engines, Params: model.Default(r.Fleet.Speed), Classes: r.classes,
@@ -44,16 +45,16 @@
 	}
 }
 
-// settings is a router's file that sends to a collector.
+// collectorSettings returns a router's settings that export traces to the collector at url.
 func (r *run) collectorSettings(url string) string {
 	return fmt.Sprintf("[trace]\nshare = %g\nper_second = 0\nmargin = \"%v\"\ntell_hosts = \"all\"\n[trace.otlp]\nendpoint = %q\n"+
 		"queue_mb = 16\ntimeout = \"2s\"\ndrain = \"5s\"\n", r.Trace.Share, 5*time.Millisecond, url)
 }
 
-// play has clients ask and troubles happen, and returns the ledger.
+// play sends the planned requests, injects the faults meanwhile, and returns all attempts.
 func (r *run) play(ctx context.Context, f *fleet.Fleet) ([]load.Attempt, error) {
 	plan := load.Plan(r.Seed, r.classes, r.Traffic.Rate, r.length, r.Fleet.Routers, load.Style{Carry: r.Traffic.Carry, Mark: r.Traffic.Mark})
-	r.printf("%d calls in %v over %d routers and %d boxes", len(plan), r.length, len(f.Routers), len(f.Engines))
+	r.printf("%d requests in %v over %d routers and %d engines", len(plan), r.length, len(f.Routers), len(f.Engines))
 	client := &load.Client{Routers: f.Addrs(), Retries: r.Traffic.Retries, Pause: 50 * time.Millisecond, Seed: r.Seed}
 	ledger := &load.Ledger{}
 	faultsDone := make(chan error, 1)
@@ -65,7 +66,7 @@
 	return ledger.Attempts(), ctx.Err()
 }
 
-// tracing holds every late, failed or retried try of the ledger against the collector's traces.
+// runTracing checks that the collector has a complete trace of every late, failed or retried attempt in the clients' ledger.
 func runTracing(ctx context.Context, r *run) error {
 	collector, err := standin.StartCollector("127.0.0.1:0")
 	if err != nil {
@@ -94,10 +95,10 @@
 	return nil
 }
 
-// judge holds ledger and traces against each other.
+// evaluateTraces compares the attempts in the ledger with the collected traces, and adds figures, criteria and charts.
 func (r *run) evaluateTraces(attempts []load.Attempt, spans []*tracepb.Span, engines *engineSpans) {
 	byCall, duplicated := map[string]*attemptTrace{}, 0
-	roots := map[string]*attemptTrace{} // by span
+	roots := map[string]*attemptTrace{} // by span id
 	for _, s := range spans {
 		if s.Kind == tracepb.Span_SPAN_KIND_SERVER {
 			call := standin.Text(s, "notchhinge.call_id")
@@ -120,7 +121,7 @@
 		}
 	}
 	requests := map[int]int{}
-	first := map[[2]int]int{} // number of a call's first try at each router
+	first := map[[2]int]int{} // by request and router: number of the first attempt there
 	for i := range attempts {
 		t := &attempts[i]
 		requests[t.Call]++
@@ -151,7 +152,7 @@
 		}
 		isRequired := t.Late || t.Outcome != load.Served
 		if t.Number > 1 {
-			// Routers share nothing: a retry that is not marked, at a router that has not seen its call, is a first try there.
+			// Routers share no state: an unmarked retry at a router that has not seen the request counts as a first attempt there.
 			if seen := t.Marked || first[[2]int{t.Call, t.Router}] < t.Number; seen {
 				isRequired = true
 				recognizable++
@@ -167,7 +168,7 @@
 			required++
 			if got == nil {
 				missing++
-				examples = append(examples, fmt.Sprintf("missing: %s try %d %s late %v after %v", t.CallID, t.Number, t.Outcome, t.Late, t.End.Sub(t.Sent)))
+				examples = append(examples, fmt.Sprintf("missing: %s attempt %d %s late %v after %v", t.CallID, t.Number, t.Outcome, t.Late, t.End.Sub(t.Sent)))
 				continue
 			}
 		case got == nil:
@@ -210,55 +211,55 @@
 	for _, o := range []load.Outcome{load.Served, load.Broken, load.Refused, load.Failed, load.Canceled, load.Lost, load.Wrong} {
 		res.Add("tries "+string(o), float64(counts[o]), "", "")
 	}
-	res.Add("tries whose trace is owed", float64(required), "", "late, not served, or a retry")
-	res.Add("ordinary tries", float64(ordinary), "", "")
-	res.Add("retries that a router could tell", float64(recognizable), "", "marked, or at the router of an earlier try")
-	res.Add("of these, with a link or in the trace of an earlier try", float64(linked), "", "a marked one at another router has neither")
-	res.Add("tries given up before they were written", float64(unwritten), "", "no router took them")
-	res.Add("retries that no router could tell", float64(unrecognizable), "", "plain ones at another router: first tries there, owed only if late or not served")
-	res.Add("router against client, median", quantile(0.5), "ms", "difference of the whole time of a try")
-	res.Add("router against client, 99.9%", quantile(0.999), "ms", "")
-	res.Add("box spans", float64(engines.n), "", "")
+	res.Add("attempts that require a trace", float64(required), "", "late, not served, or a retry")
+	res.Add("ordinary attempts", float64(ordinary), "", "")
+	res.Add("retries that a router could recognize", float64(recognizable), "", "marked, or at the router of an earlier attempt")
+	res.Add("of these, linked to or in the trace of an earlier attempt", float64(linked), "", "a marked retry at another router has neither")
+	res.Add("attempts abandoned before they were written", float64(unwritten), "", "no router received them")
+	res.Add("retries that no router could recognize", float64(unrecognizable), "", "unmarked, at another router: first attempts there, traced only if late or not served")
+	res.Add("router and client, median difference", quantile(0.5), "ms", "of the duration of an attempt")
+	res.Add("router and client, difference at 99.9%", quantile(0.999), "ms", "")
+	res.Add("engine spans", float64(engines.n), "", "")
 	const unbounded = math.MaxFloat64
 	res.Criteria = append(res.Criteria,
 		report.NewCriterion("requests", float64(len(requests)), "", r.Thresholds["requests"]*r.fractionRun(), unbounded, ""),
-		report.NewCriterion("owed traces that are missing", float64(missing), "", 0, 0, ""),
-		report.NewCriterion("traces that are not complete", float64(incomplete), "", 0, 0, "each leg, each leg's result, the boxes' own spans below them, phases that add up"),
-		report.NewCriterion("traces of no request, or twice", float64(invented+duplicated+orphans), "", 0, 0, ""),
-		report.NewCriterion("answers lost or invented", float64(invalid), "", 0, 0, "by the ledger"),
-		report.NewCriterion("phases against the client, 99%", quantile(0.99), "ms", 0, r.Thresholds["phase_error_ms"], ""),
-		report.NewCriterion("share of ordinary tries against the set one", share/r.Trace.Share, "", 1-r.Thresholds["share_error"], 1+r.Thresholds["share_error"],
-			fmt.Sprintf("%d of %d, %g set", shared, ordinary, r.Trace.Share)),
+		report.NewCriterion("required traces that are missing", float64(missing), "", 0, 0, ""),
+		report.NewCriterion("incomplete traces", float64(incomplete), "", 0, 0, "a complete one has all upstream attempts with results, their engine spans, and phases that add up"),
+		report.NewCriterion("traces without a request, or duplicated", float64(invented+duplicated+orphans), "", 0, 0, ""),
+		report.NewCriterion("lost or wrong responses", float64(invalid), "", 0, 0, "by the clients' ledger"),
+		report.NewCriterion("router and client, difference at 99%", quantile(0.99), "ms", 0, r.Thresholds["phase_error_ms"], ""),
+		report.NewCriterion("sampled share of ordinary attempts, relative to the configured share", share/r.Trace.Share, "", 1-r.Thresholds["share_error"], 1+r.Thresholds["share_error"],
+			fmt.Sprintf("%d of %d, configured %g", shared, ordinary, r.Trace.Share)),
 	)
 	res.Charts = append(res.Charts,
 		report.Chart{
-			File: "first.svg", Title: "Until the first event, by the clients", X: "ms", Y: "share of answers",
+			File: "first.svg", Title: "Time to first event, measured by the clients", X: "ms", Y: "share of responses",
 			Series: []report.Series{report.CDF("all", firstEvents)},
 		},
 		report.Chart{
-			File: "phases.svg", Title: "Router's account against the client's", X: "ms of difference", Y: "share of traces",
-			Series: []report.Series{report.CDF("whole time", differences)},
+			File: "phases.svg", Title: "Duration of attempts: router and client", X: "difference in ms", Y: "share of traces",
+			Series: []report.Series{report.CDF("duration of attempts", differences)},
 		},
 		r.timeline(attempts))
 }
 
-// part is the share of the whole run that this one is.
+// fractionRun returns the length of this run as a fraction of the full run.
 func (r *run) fractionRun() float64 { return float64(r.length) / float64(r.Traffic.Length) }
 
-// whole says what a trace lacks.
+// traceDefect describes the first defect of an attempt's trace, or returns "" if the trace is complete and consistent.
 func (r *run) traceDefect(t *load.Attempt, got *attemptTrace, engines *engineSpans) string {
 	if n := int(standin.Number(got.root, "notchhinge.legs")); n != len(got.upstreams) {
-		return fmt.Sprintf("%d legs of %d", len(got.upstreams), n)
+		return fmt.Sprintf("%d upstream attempts of %d", len(got.upstreams), n)
 	}
 	if t.Trace != [16]byte{} && string(got.root.TraceId) != string(t.Trace[:]) {
-		return "it is of another trace than the client's"
+		return "its trace id is not the client's"
 	}
 	for _, l := range got.upstreams {
 		if res := standin.Text(l, "notchhinge.result"); res == "" || res == "none" {
-			return "a leg has no result"
+			return "an upstream attempt has no result"
 		}
 		if l.StartTimeUnixNano < got.root.StartTimeUnixNano || l.EndTimeUnixNano < l.StartTimeUnixNano {
-			return "a leg's time goes back"
+			return "an upstream attempt starts before its parent or ends before it starts"
 		}
 		answered := false
 		for _, e := range l.Events {
@@ -268,11 +269,11 @@
 		ownSpans := engines.all[standin.Hex(l.SpanId)]
 		engines.mu.Unlock()
 		if answered && len(ownSpans) != 1 {
-			return fmt.Sprintf("a leg that was answered has %d spans of its box", len(ownSpans))
+			return fmt.Sprintf("an answered upstream attempt has %d engine spans", len(ownSpans))
 		}
 		for _, s := range ownSpans {
 			if s.CallID != t.CallID || s.Host != standin.Text(l, "notchhinge.host") {
-				return "a box's span is of another call or host"
+				return "an engine span belongs to another request or host"
 			}
 		}
 	}
@@ -283,19 +284,19 @@
 		}
 	}
 	total := int64(got.root.EndTimeUnixNano-got.root.StartTimeUnixNano) / 1000
-	if d := sum - total; d > 20 || d < -20 { // each phase is cut to whole microseconds
+	if d := sum - total; d > 20 || d < -20 { // each phase is truncated to whole microseconds
 		return fmt.Sprintf("phases add up to %d µs of %d", sum, total)
 	}
 	served := standin.Text(got.root, "notchhinge.outcome") == "served"
 	if served != (t.Outcome == load.Served) && t.Outcome != load.Canceled && t.Outcome != load.Wrong {
-		return fmt.Sprintf("the client has it %s, the trace %s", t.Outcome, standin.Text(got.root, "notchhinge.outcome"))
+		return fmt.Sprintf("the client recorded %s, the trace %s", t.Outcome, standin.Text(got.root, "notchhinge.outcome"))
 	}
 	return ""
 }
 
-// timeline draws what clients got over the run.
+// timeline returns a chart of the attempts' outcomes over the run.
 func (r *run) timeline(attempts []load.Attempt) report.Chart {
-	c := report.Chart{File: "timeline.svg", Title: "Tries by outcome", X: "s", Y: "a second", Steps: true}
+	c := report.Chart{File: "timeline.svg", Title: "Attempts by outcome", X: "s", Y: "per second", Steps: true}
 	if len(attempts) == 0 {
 		return c
 	}
