--- a/cmd/notchlab/capacity.go
+++ b/cmd/notchlab/capacity.go
@@ -11,17 +11,18 @@
 )
 
 type capacityCmd struct {
-	Routers []int  `help:"Routers; several are played one after the other." default:"16,32,64,128,200"`
-	Engines []int  `help:"Engines, as many figures as routers." default:"64,128,256,512,1000"`
-	Keepers int    `help:"Keepers of a fleet." default:"5"`
-	Seed    uint64 `help:"Of all that is drawn." default:"1"`
-	Out     string `help:"Write a summary, a table and charts into this folder." type:"path" placeholder:"DIR"`
+	Routers []int  `help:"Numbers of routers; each is run in turn." default:"16,32,64,128,200"`
+	Engines []int  `help:"Numbers of engines, one for each number of routers." default:"64,128,256,512,1000"`
+	Keepers int    `help:"Number of keepers, the voters of the control plane." default:"5"`
+	Seed    uint64 `help:"Seed of all random draws." default:"1"`
+	Out     string `help:"Write a summary, a table and charts to this directory." type:"path" placeholder:"DIR"`
 }
 
-// Run plays quiet days of the control plane at each size, and tells what a router and a keeper send and take.
+// Run simulates an idle control plane of each size, and prints the bytes per second that a router and a keeper send and
+// receive.
 func (c capacityCmd) Run() error {
 	if len(c.Routers) != len(c.Engines) || c.Keepers < 1 {
-		return usageError{fmt.Errorf("--routers has %d figures and --engines %d; a keeper at least is wanted", len(c.Routers), len(c.Engines))}
+		return usageError{fmt.Errorf("--routers has %d values and --engines %d, which must be equal, and --keepers must be at least 1", len(c.Routers), len(c.Engines))}
 	}
 	const length, calm = 25 * time.Second, 15 * time.Second
 	all := make([]plane.Costs, len(c.Routers))
@@ -31,8 +32,8 @@
 	})
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ROUTERS\tENGINES\tPROCESS\tCAUSE\tBYTES/S")
-	r := report.Result{Name: "capacity", About: "What the control plane of a fleet sends in calm, by the model.", Seed: c.Seed, Simulated: true}
-	sent := report.Chart{File: "sent.svg", Title: "control bytes a second", X: "routers", Y: "bytes a second", Series: []report.Series{
+	r := report.Result{Name: "capacity", About: "Control-plane traffic of an idle fleet, by the simulation model.", Seed: c.Seed, Simulated: true}
+	sent := report.Chart{File: "sent.svg", Title: "control-plane bytes per second", X: "routers", Y: "bytes per second", Series: []report.Series{
 		{Name: "sent by a router"}, {Name: "sent by a keeper"}, {Name: "taken by a keeper"},
 	}}
 	for i, x := range all {
@@ -48,7 +49,7 @@
 		}
 		row("keeper", "all", x.Sent[1])
 		row("keeper", "taken", x.Taken)
-		row("keeper", "calls of engines (a second)", x.Calls)
+		row("keeper", "calls of engines (per second)", x.Calls)
 		for k, y := range []float64{x.Sent[0], x.Sent[1], x.Taken} {
 			sent.Series[k].Points = append(sent.Series[k].Points, report.Point{X: float64(c.Routers[i]), Y: y})
 			r.Add(fmt.Sprintf("%s, %d routers, %d engines", sent.Series[k].Name, c.Routers[i], c.Engines[i]), y, "B/s", "")
--- a/cmd/notchlab/check.go
+++ b/cmd/notchlab/check.go
@@ -8,13 +8,13 @@
 )
 
 type checkCmd struct {
-	Lives int `help:"Lives of each walk at random; each has its number for a seed." default:"20000"`
+	Lives int `help:"Random executions of each model; execution N has seed N." default:"20000"`
 }
 
-// Run walks; what is found fails it.
+// Run checks all models. It fails if a model breaks an invariant, or if a deliberately broken model does not.
 func (c checkCmd) Run() error {
 	if !check.All(c.Lives, os.Stdout) {
-		return errors.New("a walk has found what it must not, or not what it must")
+		return errors.New("a model broke an invariant, or a deliberately broken model was not detected")
 	}
 	return nil
 }
--- a/cmd/notchlab/compare.go
+++ b/cmd/notchlab/compare.go
@@ -11,13 +11,13 @@
 )
 
 type compareCmd struct {
-	File  string `arg:"" help:"The experiment (lab/simulated/draw.toml is one)."`
-	Cores int    `help:"Runs side by side; 0 = as many as there are cores. It changes no figure." default:"0"`
-	Seeds int    `help:"In place of the file's number of seeds; 0 = as the file says." default:"0"`
-	Out   string `help:"Write a summary, a table, a page and charts into this folder." type:"path" placeholder:"DIR"`
+	File  string `arg:"" help:"Experiment file, for example lab/simulated/draw.toml."`
+	Cores int    `help:"Number of parallel runs; 0 = one for each core. Results do not depend on it." default:"0"`
+	Seeds int    `help:"Number of seeds; 0 = as in the file." default:"0"`
+	Out   string `help:"Write a summary, a table, a page and charts to this directory." type:"path" placeholder:"DIR"`
 }
 
-// Run plays every variant with every seed, and tells by how much they differ.
+// Run runs every variant with every seed, and prints the figures and their paired differences from the baseline.
 func (c compareCmd) Run(ctx context.Context) error {
 	f, err := trial.Load(c.File)
 	if err != nil {
--- a/cmd/notchlab/demo.go
+++ b/cmd/notchlab/demo.go
@@ -17,36 +17,36 @@
 )
 
 type demo struct {
-	Seconds int     `help:"How long clients ask." default:"24"`
-	Rate    float64 `help:"Calls a second." default:"60"`
-	Boxes   int     `help:"Boxes of the fleet." default:"6"`
-	Seed    uint64  `help:"Of the clients' draws." default:"1"`
-	Router  string  `help:"The router's program; else the one beside this program, else it is built." placeholder:"PATH"`
+	Seconds int     `help:"Seconds during which clients send requests." default:"24"`
+	Rate    float64 `help:"Requests per second." default:"60"`
+	Boxes   int     `help:"Number of engines." default:"6"`
+	Seed    uint64  `help:"Seed of the clients' random draws." default:"1"`
+	Router  string  `help:"Path of the router's executable. Default: the one next to this program, else it is built." placeholder:"PATH"`
 }
 
-// story is what happens in the demo, by parts of its length.
+// faultSchedule lists the faults of the demo; times are fractions of its length.
 var faultSchedule = []struct {
 	at, lasts float64
 	label     string
 	fleet.ScheduledFault
 }{
-	{0.15, 0.15, "box 0 takes requests and answers none", fleet.ScheduledFault{Engines: []int{0}, Fault: string(standin.StallFirst)}},
-	{0.40, 0.10, "box 1 resets connections", fleet.ScheduledFault{Engines: []int{1}, Fault: string(standin.Reset)}},
-	{0.55, 0.15, "box 2 dies, and comes back cold", fleet.ScheduledFault{Engines: []int{2}, Fault: fleet.Crash}},
-	{0.75, 0.10, "box 3 drains, and another takes its address", fleet.ScheduledFault{Engines: []int{3}, Fault: fleet.Drain}},
+	{0.15, 0.15, "engine 0 accepts requests and answers none", fleet.ScheduledFault{Engines: []int{0}, Fault: string(standin.StallFirst)}},
+	{0.40, 0.10, "engine 1 resets connections", fleet.ScheduledFault{Engines: []int{1}, Fault: string(standin.Reset)}},
+	{0.55, 0.15, "engine 2 crashes and restarts cold", fleet.ScheduledFault{Engines: []int{2}, Fault: fleet.Crash}},
+	{0.75, 0.10, "engine 3 drains and is replaced at its address", fleet.ScheduledFault{Engines: []int{3}, Fault: fleet.Drain}},
 }
 
-// Run plays the demo; an answer that was lost or invented fails it.
+// Run runs the demo. It fails if a response was lost or wrong.
 func (d demo) Run(ctx context.Context) error {
 	if d.Seconds < 2 || d.Seconds > 45 || !(d.Rate > 0) || d.Boxes < 4 {
-		return usageError{fmt.Errorf("--seconds from 2 to 45, --rate above 0 and --boxes of 4 at least are wanted")}
+		return usageError{fmt.Errorf("--seconds must be from 2 to 45, --rate above 0 and --boxes at least 4")}
 	}
 	dir, err := os.MkdirTemp("", "notchlab-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	fmt.Println("building the router, if it is not there ...")
+	fmt.Println("building the router, unless it exists ...")
 	binary, err := fleet.Binary(ctx, d.Router, dir)
 	if err != nil {
 		return err
@@ -71,7 +71,7 @@
 	}
 	defer f.Stop()
 	plan := load.Plan(d.Seed, classes, d.Rate, length, 2, load.Style{Carry: 0.5, Mark: 0.5})
-	fmt.Printf("discovery %s, %d boxes, routers %v; %d calls in %v (times of a real deployment divided by %d)\n\n",
+	fmt.Printf("discovery %s, %d engines, routers %v; %d requests in %v (durations of a real deployment divided by %d)\n\n",
 		f.Discovery.Addr(), len(f.Engines), f.Addrs(), len(plan), length, speed)
 	var faults []fleet.ScheduledFault
 	for _, s := range faultSchedule {
@@ -99,7 +99,7 @@
 	return d.printSummary(ledger.Attempts(), traceFiles)
 }
 
-// tell prints what clients got, every two seconds, and what happens meanwhile.
+// printProgress prints every two seconds the outcomes since the last line and the faults that have started.
 func printProgress(ledger *load.Ledger, faults []fleet.ScheduledFault, stop <-chan struct{}) {
 	start, seen, next := time.Now(), 0, 0
 	fmt.Printf("%6s  %7s %6s %8s %7s %7s %6s\n", "time", "served", "late", "refused", "failed", "broken", "left")
@@ -138,7 +138,7 @@
 	}
 }
 
-// after shows what became of it all, and one step that took several legs or tries.
+// printSummary prints the totals, and the traced step with the most attempts.
 func (d demo) printSummary(attempts []load.Attempt, traceFiles []string) error {
 	requests, served, invalid := map[int]bool{}, map[int]bool{}, 0
 	for i := range attempts {
@@ -157,8 +157,8 @@
 			return err
 		}
 	}
-	fmt.Printf("\n%d calls in %d tries: %d served in the end, %d answers lost or invented\n", len(requests), len(attempts), len(served), invalid)
-	fmt.Printf("%d tries were traced; the step with most tries and legs:\n\n", len(traced))
+	fmt.Printf("\n%d requests in %d attempts: %d eventually served, %d responses lost or wrong\n", len(requests), len(attempts), len(served), invalid)
+	fmt.Printf("%d attempts were traced; the step with the most attempts at routers and engines:\n\n", len(traced))
 	var shown []*trace.Try
 	most := 0
 	for _, t := range traced {
@@ -177,7 +177,7 @@
 	show.Waterfall(os.Stdout, shown, 120)
 	fmt.Println("\nnext: ./test.sh; notchlab run lab/tracing.toml --short; docs/tracing.md")
 	if invalid > 0 {
-		return fmt.Errorf("%d answers were lost or invented", invalid)
+		return fmt.Errorf("%d responses were lost or wrong", invalid)
 	}
 	return nil
 }
--- a/cmd/notchlab/fleet.go
+++ b/cmd/notchlab/fleet.go
@@ -15,25 +15,26 @@
 )
 
 type fleetCmd struct {
-	Routers int     `help:"Routers; three replicas come to them." default:"3"`
-	Engines int     `help:"Engines." default:"6"`
-	Rate    float64 `help:"Requests a second." default:"40"`
-	Seconds int     `help:"How long clients ask." default:"20"`
-	Seed    uint64  `help:"Of the clients' draws." default:"1"`
-	Calm    bool    `help:"Without troubles."`
-	Keep    string  `help:"Keep settings, disks and logs in this folder." type:"path" placeholder:"DIR"`
-	Router  string  `help:"The program; else the one beside this program, else it is built." placeholder:"PATH"`
-	Mixed   string  `help:"Another build of the program, which every second process runs." type:"existingfile" placeholder:"PATH"`
+	Routers int     `help:"Number of routers, besides three replicas." default:"3"`
+	Engines int     `help:"Number of engines." default:"6"`
+	Rate    float64 `help:"Requests per second." default:"40"`
+	Seconds int     `help:"Seconds during which clients send requests." default:"20"`
+	Seed    uint64  `help:"Seed of the clients' random draws." default:"1"`
+	Calm    bool    `help:"Inject no faults."`
+	Keep    string  `help:"Keep settings, data directories and logs in this directory." type:"path" placeholder:"DIR"`
+	Router  string  `help:"Path of the notchhinge executable. Default: the one next to this program, else it is built." placeholder:"PATH"`
+	Mixed   string  `help:"Another build of the executable, which every second process runs." type:"existingfile" placeholder:"PATH"`
 
-	Exchange bool `help:"With --mixed: what starts again runs the build that it has not run before."`
+	Exchange bool `help:"With --mixed: a restarted process switches to the other build."`
 }
 
-var errRuleBroken = errors.New("a rule is broken")
+// errRuleBroken is returned if a run broke a rule; the program exits with code 1.
+var errRuleBroken = errors.New("a rule was broken")
 
-// Run plays a fleet; a rule that is broken fails it.
+// Run runs a fleet under faults. It fails if the fleet broke a rule.
 func (f fleetCmd) Run(ctx context.Context) error {
 	if f.Routers < 1 || f.Routers > 40 || f.Engines < 3 || f.Engines > 200 || !(f.Rate > 0) || f.Seconds < 5 || f.Seconds > 3600 {
-		return usageError{fmt.Errorf("--routers from 1 to 40, --engines from 3 to 200, --rate above 0 and --seconds from 5 to 3600 are wanted")}
+		return usageError{fmt.Errorf("--routers must be from 1 to 40, --engines from 3 to 200, --rate above 0 and --seconds from 5 to 3600")}
 	}
 	dir := f.Keep
 	if dir == "" {
@@ -43,9 +44,9 @@
 		}
 		defer os.RemoveAll(dir)
 	} else if left, err := filepath.Glob(filepath.Join(dir, "*")); err != nil || len(left) > 0 {
-		return usageError{fmt.Errorf("--keep: %s is not empty: a fleet's first start needs disks without a state", dir)}
+		return usageError{fmt.Errorf("--keep: %s is not empty: the first start of a fleet needs empty data directories", dir)}
 	}
-	fmt.Println("building the program, if it is not there ...")
+	fmt.Println("building the executable, unless it exists ...")
 	binary, err := fleet.Binary(ctx, f.Router, dir)
 	if err != nil {
 		return err
@@ -60,12 +61,12 @@
 	return printFleet(r)
 }
 
-// printFleet prints what a fleet's run came to, and returns errBroken if a rule was broken.
+// printFleet prints the results of a fleet's run, and returns errRuleBroken if a rule was broken.
 func printFleet(r *system.Report) error {
 	fmt.Printf("\nasked %d: served %d, late %d, refused %d, failed %d; p50 %v, p99 %v\n", r.Asked, r.Served, r.Late, r.Refused, r.Failed,
 		r.P50.Round(time.Millisecond), r.P99.Round(time.Millisecond))
-	fmt.Printf("usage: %d windows reported, %d with two figures\n", r.Windows, r.Changed)
-	fmt.Println("what it cost, by cause: kB sent and taken, and between zones (of the processes that are left)")
+	fmt.Printf("usage: %d windows reported, %d with conflicting values\n", r.Windows, r.Changed)
+	fmt.Println("traffic of the remaining processes, by cause: kB sent and received, and between zones")
 	for _, cause := range slices.Sorted(maps.Keys(r.Account)) {
 		fmt.Printf("  %-16s %8.1f %8.1f\n", cause, float64(r.Account[cause][0])/1e3, float64(r.Account[cause][1])/1e3)
 	}
@@ -75,6 +76,6 @@
 	if len(r.Broken()) > 0 {
 		return errRuleBroken
 	}
-	fmt.Println("no rule was broken: nothing ran twice that may not, nothing reached an engine past its drain")
+	fmt.Println("no rule was broken: no request ran twice that must not, none reached an engine after its drain")
 	return nil
 }
--- a/cmd/notchlab/main.go
+++ b/cmd/notchlab/main.go
@@ -1,4 +1,4 @@
-// Command notchlab is the lab: it tries the router against stand-ins of everything around it, on loopback.
+// Command notchlab runs experiments: routers against stand-ins of their environment on loopback, and simulations.
 package main
 
 import (
@@ -16,35 +16,35 @@
 )
 
 type cli struct {
-	Demo         demo        `cmd:"" help:"Start discovery, boxes, a collector, two routers and clients on loopback, show requests being served through troubles, and end within a minute."`
-	Fleet        fleetCmd    `cmd:"" help:"Start a whole fleet with engines, an operator, a platform and clients, show it through troubles, and end with a report."`
-	Check        checkCmd    `cmd:"" help:"Walk through lives of ballots, members, founding and disks, as far as it is told."`
-	Sim          simCmd      `cmd:"" help:"Play a fleet's decisions in simulated time, beside baselines, at any size."`
-	Compare      compareCmd  `cmd:"" help:"Play an experiment file in simulated time: variants with the same seeds, held against one of them."`
-	Capacity     capacityCmd `cmd:"" name:"capacity" help:"Play quiet days of the control plane at several sizes, and tell what its processes send."`
-	Scale        scaleCmd    `cmd:"" help:"Start a control plane of hundreds of routers and of engines in thousands on loopback, most of them hollow, and tell what each kind of process costs."`
-	CapacityPage pageCmd     `cmd:"" name:"capacity-page" help:"Make the tables of docs/CAPACITY.md anew from the results."`
-	Hunt         huntCmd     `cmd:"" help:"Play days of the control plane in simulated time, and shrink those that break a rule."`
-	Replay       replayCmd   `cmd:"" name:"replay" help:"Play a day again that hunt has written."`
-	Recover      recoverCmd  `cmd:"" name:"recover" help:"Have all machines lose their power at once, and tell how long each part takes to be back."`
-	Shrink       shrinkCmd   `cmd:"" help:"Take away from such a day what its broken rule does not need."`
-	Run          run         `cmd:"" help:"Run an experiment file (lab/NAME.toml) and hold it to its bars."`
+	Demo         demo        `cmd:"" help:"Start discovery, engines, two routers and clients on loopback, inject faults, show how requests are served, and end within a minute."`
+	Fleet        fleetCmd    `cmd:"" help:"Start a whole fleet with engines, an operator, a platform and clients, inject faults, and print a report."`
+	Check        checkCmd    `cmd:"" help:"Check models of consensus, membership, bootstrap and disks by random and exhaustive executions."`
+	Sim          simCmd      `cmd:"" help:"Simulate the routing decisions of a fleet of any size, and compare them with baselines."`
+	Compare      compareCmd  `cmd:"" help:"Run an experiment file in simulated time: variants with the same seeds, compared with a baseline."`
+	Capacity     capacityCmd `cmd:"" name:"capacity" help:"Simulate idle control planes of several sizes, and print the traffic of their processes."`
+	Scale        scaleCmd    `cmd:"" help:"Start a control plane of hundreds of routers and thousands of engines on loopback, most of them hollow (protocol only), and print the resource usage of each kind of process."`
+	CapacityPage pageCmd     `cmd:"" name:"capacity-page" help:"Regenerate the tables of docs/CAPACITY.md from the results."`
+	Hunt         huntCmd     `cmd:"" help:"Simulate the control plane with random faults (\"days\"), and shrink the days that break a rule."`
+	Replay       replayCmd   `cmd:"" name:"replay" help:"Replay a day that hunt has written."`
+	Recover      recoverCmd  `cmd:"" name:"recover" help:"Simulate a power failure of all machines, and print how long each part takes to recover."`
+	Shrink       shrinkCmd   `cmd:"" help:"Reduce a day to the events that are needed to break its rule."`
+	Run          run         `cmd:"" help:"Run an experiment file (lab/NAME.toml) and check its acceptance criteria."`
 }
 
-// badFile is an error of a file that was given; the program ends with exit code 2.
+// usageError is an error in a file or flag that was given; the program exits with code 2.
 type usageError struct{ error }
 
-// errShort says that a bar fell short; the program ends with exit code 1.
-var errCriterionFailed = errors.New("a bar falls short")
+// errCriterionFailed is returned if an acceptance criterion is not met; the program exits with code 1.
+var errCriterionFailed = errors.New("an acceptance criterion is not met")
 
 type run struct {
-	File   string `arg:"" help:"The experiment file."`
-	Short  bool   `help:"Within 45 s, to see that it works."`
-	Router string `help:"The router's program; else the one beside this program, else it is built." placeholder:"PATH"`
-	Out    string `help:"Folder of the results; else lab/results/NAME beside the file, and none for a short run." placeholder:"DIR"`
+	File   string `arg:"" help:"Experiment file."`
+	Short  bool   `help:"Run at most 45 s, as a smoke test."`
+	Router string `help:"Path of the router's executable. Default: the one next to this program, else it is built." placeholder:"PATH"`
+	Out    string `help:"Directory of the results. Default: results/NAME next to the file; none for a short run." placeholder:"DIR"`
 }
 
-// Run runs an experiment.
+// Run runs an experiment, and writes and prints its result.
 func (r run) Run(ctx context.Context) error {
 	f, err := experiment.Load(r.File)
 	if err != nil {
@@ -73,7 +73,7 @@
 
 func main() {
 	var c cli
-	k := kong.Parse(&c, kong.Name("notchlab"), kong.Description("Tries the router against stand-ins, on loopback."))
+	k := kong.Parse(&c, kong.Name("notchlab"), kong.Description("Runs experiments with routers and stand-ins on loopback, and simulations."))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	k.BindTo(ctx, (*context.Context)(nil))
 	err := k.Run()
--- a/cmd/notchlab/page.go
+++ b/cmd/notchlab/page.go
@@ -7,11 +7,11 @@
 )
 
 type pageCmd struct {
-	Page    string `arg:"" help:"The page." default:"docs/CAPACITY.md" type:"path"`
-	Results string `help:"Folder of results." default:"lab/results" type:"path"`
+	Page    string `arg:"" help:"Path of the page." default:"docs/CAPACITY.md" type:"path"`
+	Results string `help:"Directory of the results." default:"lab/results" type:"path"`
 }
 
-// Run makes the page's tables anew.
+// Run regenerates the page's tables.
 func (c pageCmd) Run() error {
 	text, err := os.ReadFile(c.Page)
 	if err != nil {
--- a/cmd/notchlab/plane.go
+++ b/cmd/notchlab/plane.go
@@ -12,20 +12,20 @@
 )
 
 type huntCmd struct {
-	Days     int    `help:"Days to play." default:"1000"`
-	First    uint64 `help:"Seed of the first; each further one has the next." default:"1"`
-	Keepers  int    `help:"Keepers of a fleet." default:"5"`
-	Tolerate int    `help:"Keepers that may be lost at once." default:"2"`
-	Routers  int    `help:"Routers." default:"15"`
-	Engines  int    `help:"Engines." default:"20"`
-	Out      string `help:"Folder for days that break a rule, shrunk; else they are printed." placeholder:"DIR"`
+	Days     int    `help:"Number of days (simulated runs)." default:"1000"`
+	First    uint64 `help:"Seed of the first day; later days have the following seeds." default:"1"`
+	Keepers  int    `help:"Number of keepers, the voters of the control plane." default:"5"`
+	Tolerate int    `help:"Number of keepers that may fail at once." default:"2"`
+	Routers  int    `help:"Number of routers." default:"15"`
+	Engines  int    `help:"Number of engines." default:"20"`
+	Out      string `help:"Write shrunk days that break a rule to this directory. Default: print them." placeholder:"DIR"`
 }
 
-// Run hunts; what is found is shrunk, and fails it.
+// Run simulates days, and shrinks those that break a rule. It fails if there are any.
 func (c huntCmd) Run(ctx context.Context) error {
 	s := plane.Size{Keepers: c.Keepers, Routers: c.Routers, Engines: c.Engines, Tolerate: c.Tolerate}
 	if c.Days < 1 || c.Routers < 1 || c.Engines < 1 || c.Tolerate < 1 || 2*c.Tolerate+1 > c.Keepers || c.Keepers+c.Routers > 4000 {
-		return usageError{errors.New("at least one day, router, engine and keeper that may be lost are wanted, and fewer than half of the keepers; 4000 machines at the most")}
+		return usageError{errors.New("--days, --routers, --engines and --tolerate must be at least 1, --tolerate below half of --keepers, and keepers and routers together at most 4000")}
 	}
 	began, last := time.Now(), time.Now()
 	days, met := plane.Plan(c.First, c.Days, s)
@@ -35,7 +35,7 @@
 			fmt.Fprintf(os.Stderr, "%d of %d days\n", done, c.Days)
 		}
 	})
-	fmt.Printf("%d days of %d machines and %d engines in %v, in which %d pairs of troubles have met: %d break a rule\n", played, c.Keepers+c.Routers,
+	fmt.Printf("%d days of %d machines and %d engines in %v, with %d pairs of overlapping faults: %d break a rule\n", played, c.Keepers+c.Routers,
 		c.Engines, time.Since(began).Round(time.Second), len(met), len(broken))
 	if c.Out != "" && len(broken) > 0 {
 		if err := os.MkdirAll(c.Out, 0o755); err != nil {
@@ -53,7 +53,7 @@
 	return ctx.Err()
 }
 
-// shrunk prints what is left of a day that breaks a rule, or writes it into a folder.
+// printShrunk shrinks a day that breaks a rule, and prints it or writes it to a directory.
 func printShrunk(d *plane.Day, out string) error {
 	r := d.Play("")
 	if len(r.Found) == 0 {
@@ -80,10 +80,10 @@
 }
 
 type shrinkCmd struct {
-	File string `arg:"" help:"A day that breaks a rule."`
+	File string `arg:"" help:"File of a day that breaks a rule."`
 }
 
-// Run takes away from a day what its broken rule does not need, and prints the rest. A day that breaks none is left as it is.
+// Run shrinks a day that breaks a rule, and prints it. It prints nothing for a day that breaks none.
 func (c shrinkCmd) Run() error {
 	d, err := plane.Load(c.File)
 	if err != nil {
@@ -93,17 +93,17 @@
 }
 
 type replayCmd struct {
-	File string `arg:"" help:"A day, as hunt writes it."`
+	File string `arg:"" help:"File of a day that hunt has written."`
 }
 
-// Run plays a day again.
+// Run replays a day, and fails if it breaks a rule.
 func (c replayCmd) Run() error {
 	d, err := plane.Load(c.File)
 	if err != nil {
 		return usageError{err}
 	}
 	r := d.Play("")
-	fmt.Printf("configurations %d, acknowledged %d, %d of them with all keepers lost that may be, the slowest in calm %v, read back %d; engines that drained %d; usage windows %d, not reported %d; orders %d; events %d\n", r.Changes, r.Acked, r.Dark,
+	fmt.Printf("configurations %d, acknowledged %d, %d of them with as many keepers down as may fail, slowest without faults %v, read back %d; engines drained %d; usage windows %d, not reported %d; orders %d; events %d\n", r.Changes, r.Acked, r.Dark,
 		r.Slowest.Round(time.Millisecond), r.Revision, r.Drained, r.Windows, r.Untold, r.Orders, r.Events)
 	for _, f := range r.Found {
 		fmt.Printf("%s at %v: %s\n", f.Rule, f.At.Round(time.Millisecond), f.Says)
--- a/cmd/notchlab/recover.go
+++ b/cmd/notchlab/recover.go
@@ -11,17 +11,17 @@
 )
 
 type recoverCmd struct {
-	Routers []int         `help:"Routers; several are played one after the other." default:"11,59,86,200"`
-	Engines []int         `help:"Engines, as many figures as routers." default:"22,212,249,1000"`
-	Keepers int           `help:"Keepers of a fleet." default:"5"`
-	Down    time.Duration `help:"For how long nobody has power." default:"1.1s"`
-	Seeds   int           `help:"Each size is played with seeds from 1 to this; the median and the worst are told." default:"5"`
+	Routers []int         `help:"Numbers of routers; each is run in turn." default:"11,59,86,200"`
+	Engines []int         `help:"Numbers of engines, one for each number of routers." default:"22,212,249,1000"`
+	Keepers int           `help:"Number of keepers, the voters of the control plane." default:"5"`
+	Down    time.Duration `help:"Duration of the power failure." default:"1.1s"`
+	Seeds   int           `help:"Number of seeds for each size, from 1 on; the median and the maximum are printed." default:"5"`
 }
 
-// Run has all machines lose their power at once, and tells how long it takes until each part is back.
+// Run simulates a power failure of all machines at each size, and prints the recovery time of each part.
 func (c recoverCmd) Run() error {
 	if len(c.Routers) != len(c.Engines) || c.Keepers < 1 || c.Seeds < 1 || c.Down <= 0 {
-		return usageError{fmt.Errorf("--routers has %d figures and --engines %d; a keeper, a seed and a time are wanted", len(c.Routers), len(c.Engines))}
+		return usageError{fmt.Errorf("--routers has %d values and --engines %d, which must be equal; --keepers and --seeds must be at least 1, --down above 0", len(c.Routers), len(c.Engines))}
 	}
 	all := make([]plane.Recovery, len(c.Routers)*c.Seeds)
 	runParallel(len(all), func(i int) {
@@ -32,7 +32,7 @@
 		all[i] = d.Recover(c.Down)
 	})
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "ROUTERS\tENGINES\tKEEPERS IN TOUCH\tHALF KNOWN\t95% KNOWN\tALL KNOWN\tCONFIGURATION AGREED\tDUTIES")
+	fmt.Fprintln(w, "ROUTERS\tENGINES\tKEEPERS CONNECTED\tHALF KNOWN\t95% KNOWN\tALL KNOWN\tCONFIGURATION AGREED\tDUTIES")
 	for i := range c.Routers {
 		some := all[i*c.Seeds : (i+1)*c.Seeds]
 		fmt.Fprintf(w, "%d\t%d", c.Routers[i], c.Engines[i])
--- a/cmd/notchlab/scale.go
+++ b/cmd/notchlab/scale.go
@@ -11,25 +11,25 @@
 )
 
 type scaleCmd struct {
-	Routers int           `help:"Routers, the real ones among them." default:"330"`
-	Real    int           `help:"Routers that are processes of the program." default:"3"`
-	Engines int           `help:"Engines, all hollow." default:"1500"`
-	Zones   int           `help:"Zones, which belong to seven regions in turn; keepers stand in the first." default:"22"`
-	Keepers int           `help:"Keepers, all processes of the program." default:"7"`
-	Tenants int           `help:"Tenants in the configuration." default:"14000"`
-	Routes  int           `help:"Routes in it." default:"100"`
-	Rate    float64       `help:"Requests a second that all routers count at the peak." default:"10000"`
-	Calm    time.Duration `help:"How long each part is measured." default:"15s"`
-	Changes int           `help:"Changes of the configuration." default:"5"`
-	Every   time.Duration `help:"Between two of them." default:"5s"`
-	Seed    uint64        `help:"Of all that is drawn." default:"1"`
-	Orders  bool          `help:"Play orders of the operator between regions, by the model, as well." default:"true" negatable:""`
-	Router  string        `help:"The program; else the one beside this program, else it is built." placeholder:"PATH"`
-	Keep    string        `help:"Keep settings, disks and logs in this folder." type:"path" placeholder:"DIR"`
-	Out     string        `help:"Write a summary and a table into this folder." type:"path" placeholder:"DIR"`
+	Routers int           `help:"Number of routers, including the real ones." default:"330"`
+	Real    int           `help:"Number of real routers, each a process of its own; the others are hollow." default:"3"`
+	Engines int           `help:"Number of engines, all hollow." default:"1500"`
+	Zones   int           `help:"Number of zones, assigned to seven regions in turn; keepers run in the first." default:"22"`
+	Keepers int           `help:"Number of keepers, each a process of its own." default:"7"`
+	Tenants int           `help:"Number of tenants in the configuration." default:"14000"`
+	Routes  int           `help:"Number of routes in the configuration." default:"100"`
+	Rate    float64       `help:"Requests per second at the peak, over all routers." default:"10000"`
+	Calm    time.Duration `help:"Duration of the measurement of each part." default:"15s"`
+	Changes int           `help:"Number of configuration changes." default:"5"`
+	Every   time.Duration `help:"Interval between configuration changes." default:"5s"`
+	Seed    uint64        `help:"Seed of all random draws." default:"1"`
+	Orders  bool          `help:"Also simulate the operator's orders between regions." default:"true" negatable:""`
+	Router  string        `help:"Path of the notchhinge executable. Default: the one next to this program, else it is built." placeholder:"PATH"`
+	Keep    string        `help:"Keep settings, data directories and logs in this directory." type:"path" placeholder:"DIR"`
+	Out     string        `help:"Write a summary and a table to this directory." type:"path" placeholder:"DIR"`
 }
 
-// Run plays a control plane of the size on loopback, and holds it against the model's figures for it.
+// Run measures a control plane of the given size on loopback, and compares it with the simulation model's figures.
 func (c scaleCmd) Run(ctx context.Context) error {
 	o := scale.Options{
 		Keepers: c.Keepers, Real: c.Real, Routers: c.Routers, Engines: c.Engines, Zones: c.Zones, Tenants: c.Tenants, Routes: c.Routes, Rate: c.Rate,
@@ -46,7 +46,7 @@
 		}
 		defer os.RemoveAll(dir)
 	}
-	fmt.Println("building the program, if it is not there ...")
+	fmt.Println("building the executable, unless it exists ...")
 	var err error
 	if o.Binary, err = fleet.Binary(ctx, c.Router, dir); err != nil {
 		return err
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println("playing the model for the same size ...")
+	fmt.Println("simulating the same size with the model ...")
 	result := r.Report(scale.Model(&r.Options))
 	if c.Orders {
 		scale.Orders(r.Text, result)
--- a/cmd/notchlab/sim.go
+++ b/cmd/notchlab/sim.go
@@ -15,30 +15,30 @@
 )
 
 type simCmd struct {
-	Routers  []int     `help:"Routers; several are played one after the other." default:"11"`
-	Engines  []int     `help:"Engines, as many figures as routers." default:"22"`
-	Load     []float64 `help:"Of what engines can serve with prompts' beginnings kept." default:"0.5"`
-	Skew     []float64 `help:"Of the beginnings' popularity: 0 = all alike, 1 = a few have most." default:"0.5"`
-	Seconds  float64   `help:"Of arrivals, in simulated time." default:"20"`
-	Zones    int       `help:"Zones." default:"3"`
-	Crash    float64   `help:"Share of the engines that crash without a word in the middle." default:"0"`
-	Cold     bool      `help:"Engines are cold at the start."`
-	Seeds    []uint64  `help:"Every variant is played with each." default:"1,2,3"`
-	Variants []string  `help:"What decides: the program's design, and baselines." default:"design,random,least,two,hash,oracle"`
-	Output   string    `help:"Form: ${enum}." enum:"table,json" default:"table"`
-	Out      string    `help:"Write a summary, a table and charts into this folder." type:"path" placeholder:"DIR"`
+	Routers  []int     `help:"Numbers of routers; each is run in turn." default:"11"`
+	Engines  []int     `help:"Numbers of engines, one for each number of routers." default:"22"`
+	Load     []float64 `help:"Load, as a fraction of the engines' capacity with a warm prefix cache." default:"0.5"`
+	Skew     []float64 `help:"Skew of the popularity of prefixes: 0 = uniform, 1 = a few get most requests." default:"0.5"`
+	Seconds  float64   `help:"Duration of arrivals, in simulated time." default:"20"`
+	Zones    int       `help:"Number of zones." default:"3"`
+	Crash    float64   `help:"Share of the engines that crash in the middle of the run." default:"0"`
+	Cold     bool      `help:"Start engines with empty prefix caches."`
+	Seeds    []uint64  `help:"Seeds; every variant runs with each." default:"1,2,3"`
+	Variants []string  `help:"Decision policies: the router's own (design) and baselines." default:"design,random,least,two,hash,oracle"`
+	Output   string    `help:"Output format: ${enum}." enum:"table,json" default:"table"`
+	Out      string    `help:"Write a summary, a table and charts to this directory." type:"path" placeholder:"DIR"`
 }
 
-// played is a run and what came of it.
+// simRun holds the options and the figures of one run.
 type simRun struct {
 	sim.Options
 	sim.Figures
 }
 
-// Run plays every combination; runs stand beside each other on as many cores as there are, which changes no figure.
+// Run runs every combination of the flags, in parallel on all cores. The figures do not depend on the number of cores.
 func (c simCmd) Run() error {
 	if len(c.Routers) != len(c.Engines) {
-		return usageError{fmt.Errorf("--routers has %d figures and --engines %d", len(c.Routers), len(c.Engines))}
+		return usageError{fmt.Errorf("--routers has %d values and --engines %d", len(c.Routers), len(c.Engines))}
 	}
 	all := c.combinations()
 	errs := make([]error, len(all))
@@ -56,7 +56,7 @@
 	return c.table(all)
 }
 
-// combinations are the runs that are asked for, those of a variant with all seeds beside each other.
+// combinations returns a run for each combination of the flags. The runs of a variant with different seeds are adjacent.
 func (c simCmd) combinations() (all []*simRun) {
 	for i := range c.Routers {
 		for _, load := range c.Load {
@@ -75,11 +75,11 @@
 	return all
 }
 
-// table prints the means over the seeds, and writes the report if a folder is named.
+// table prints the means over the seeds, and writes a report if --out is set.
 func (c simCmd) table(all []*simRun) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ROUTERS\tENGINES\tLOAD\tSKEW\tVARIANT\tASKED\tIN AIM\tLATE\tREFUSED\tFAILED\tP50 MS\tP99 MS\tKEPT\tBUSIEST\tLEGS")
-	r := report.Result{Name: "sim", About: "The data plane in simulated time, beside baselines on the same requests.", Seed: c.Seeds[0], Simulated: true}
+	r := report.Result{Name: "sim", About: "The data plane in simulated time, compared with baselines on the same requests.", Seed: c.Seeds[0], Simulated: true}
 	lines := map[string]*report.Series{}
 	for _, some := range slices.Collect(slices.Chunk(all, len(c.Seeds))) {
 		m := mean(some)
@@ -107,7 +107,7 @@
 	} else if len(c.Skew) > 1 {
 		x = "skew"
 	}
-	chart := report.Chart{File: "in_aim.svg", Title: "first tokens within the aim", X: x, Y: "share"}
+	chart := report.Chart{File: "in_aim.svg", Title: "first tokens within the latency target", X: x, Y: "share"}
 	for _, v := range c.Variants {
 		chart.Series = append(chart.Series, *lines[v])
 	}
@@ -115,7 +115,7 @@
 	return r.Write(c.Out)
 }
 
-// sideBySide does so many things on as many cores as there are.
+// runParallel calls do for each i below n, with one call at a time on each core.
 func runParallel(n int, do func(i int)) {
 	var wait sync.WaitGroup
 	turn := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -129,7 +129,7 @@
 	wait.Wait()
 }
 
-// mean of runs that differ in their seed.
+// mean returns the mean of runs that differ only in their seed.
 func mean(some []*simRun) simRun {
 	m := *some[0]
 	n := float64(len(some))
