--- a/cmd/notchlab/capacity.go
+++ b/cmd/notchlab/capacity.go
@@ -37,8 +37,8 @@
 		{Name: "sent by a router"}, {Name: "sent by a keeper"}, {Name: "taken by a keeper"},
 	}}
 	for i, x := range all {
-		row := func(who, cause string, bytes float64) {
-			fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%.0f\n", c.Routers[i], c.Engines[i], who, cause, bytes)
+		row := func(process, cause string, bytes float64) {
+			fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%.0f\n", c.Routers[i], c.Engines[i], process, cause, bytes)
 		}
 		for _, y := range x.Router {
 			row("router", y.Cause, y.Bytes)
--- a/cmd/notchlab/demo.go
+++ b/cmd/notchlab/demo.go
@@ -26,8 +26,8 @@
 
 // faultSchedule lists the faults of the demo; times are fractions of its length.
 var faultSchedule = []struct {
-	at, lasts float64
-	label     string
+	at, duration float64
+	label        string
 	fleet.ScheduledFault
 }{
 	{0.15, 0.15, "engine 0 accepts requests and answers none", fleet.ScheduledFault{Engines: []int{0}, Fault: string(standin.StallFirst)}},
@@ -76,7 +76,7 @@
 	var faults []fleet.ScheduledFault
 	for _, s := range faultSchedule {
 		t := s.ScheduledFault
-		t.At, t.Duration = time.Duration(s.at*float64(length)), time.Duration(s.lasts*float64(length))
+		t.At, t.Duration = time.Duration(s.at*float64(length)), time.Duration(s.duration*float64(length))
 		faults = append(faults, t)
 	}
 	ledger := &load.Ledger{}
--- a/cmd/notchlab/main.go
+++ b/cmd/notchlab/main.go
@@ -22,7 +22,7 @@
 	Sim          simCmd      `cmd:"" help:"Simulate the routing decisions of a fleet of any size, and compare them with baselines."`
 	Compare      compareCmd  `cmd:"" help:"Run an experiment file in simulated time: variants with the same seeds, compared with a baseline."`
 	Capacity     capacityCmd `cmd:"" name:"capacity" help:"Simulate idle control planes of several sizes, and print the traffic of their processes."`
-	Scale        scaleCmd    `cmd:"" help:"Start a control plane of hundreds of routers and thousands of engines on loopback, most of them hollow (protocol only), and print the resource usage of each kind of process."`
+	Scale        scaleCmd    `cmd:"" help:"Start a control plane of hundreds of routers and thousands of engines on loopback, most of them hollow (stubs that only exchange control-plane messages), and print the resource usage of each kind of process."`
 	CapacityPage pageCmd     `cmd:"" name:"capacity-page" help:"Regenerate the tables of docs/CAPACITY.md from the results."`
 	Hunt         huntCmd     `cmd:"" help:"Simulate the control plane with random faults (\"days\"), and shrink the days that break a rule."`
 	Replay       replayCmd   `cmd:"" name:"replay" help:"Replay a day that hunt has written."`
--- a/cmd/notchlab/sim.go
+++ b/cmd/notchlab/sim.go
@@ -118,12 +118,12 @@
 // runParallel calls do for each i below n, with one call at a time on each core.
 func runParallel(n int, do func(i int)) {
 	var wait sync.WaitGroup
-	turn := make(chan struct{}, runtime.GOMAXPROCS(0))
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
 	for i := range n {
-		turn <- struct{}{}
+		slots <- struct{}{}
 		wait.Go(func() {
 			do(i)
-			<-turn
+			<-slots
 		})
 	}
 	wait.Wait()
--- a/internal/lab/experiment/collector.go
+++ b/internal/lab/experiment/collector.go
@@ -45,7 +45,7 @@
 		if err != nil {
 			return err
 		}
-		attempts, err := r.play(ctx, f)
+		attempts, err := r.runTraffic(ctx, f)
 		if stopped := f.Stop(); err == nil {
 			err = stopped
 		}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -32,8 +32,8 @@
 	Fleet struct {
 		Routers  int     `toml:"routers"`
 		Engines  int     `toml:"boxes"`
-		Speed    float64 `toml:"speed"` // divides the durations of the deployment page
-		Size     float64 `toml:"size"`  // multiplies its token counts
+		Speed    float64 `toml:"speed"` // time scale: durations of a real deployment are divided by this
+		Size     float64 `toml:"size"`  // token counts of a real deployment are multiplied by this
 		Cores    float64 `toml:"cores"` // of each router
 		MemoryMB int     `toml:"memory_mb"`
 		Sockets  int     `toml:"sockets"`
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -36,14 +36,14 @@
 	}
 	good := string(text)
 	for name, c := range map[string]struct{ old, new, want string }{
-		"unknown key":  {"seed = 7", "sed = 7", ":4: unknown key [sed]"},
-		"type":         {"seed = 7", "seed = \"x\"", ":4: "},
-		"kind":         {"kind = \"tracing\"", "kind = \"x\"", "kind: \"x\" is not one of"},
-		"trouble":      {"what = \"die\"", "what = \"dye\"", "trouble 4: what: \"dye\""},
-		"box":          {"boxes = [7]", "boxes = [8]", "boxes: 8 is not below the number of engines, 8"},
-		"missing bar":  {"share_error = 0.1", "", "\"share_error\" is missing"},
-		"an extra bar": {"share_error = 0.1", "share_error = 0.1\nx = 1", "\"x\" is not a threshold"},
-		"share":        {"share = 0.2", "share = 0.0", "trace.share"},
+		"unknown key":       {"seed = 7", "sed = 7", ":4: unknown key [sed]"},
+		"type":              {"seed = 7", "seed = \"x\"", ":4: "},
+		"kind":              {"kind = \"tracing\"", "kind = \"x\"", "kind: \"x\" is not one of"},
+		"trouble":           {"what = \"die\"", "what = \"dye\"", "trouble 4: what: \"dye\""},
+		"engine index":      {"boxes = [7]", "boxes = [8]", "boxes: 8 is not below the number of engines, 8"},
+		"missing threshold": {"share_error = 0.1", "", "\"share_error\" is missing"},
+		"unknown threshold": {"share_error = 0.1", "share_error = 0.1\nx = 1", "\"x\" is not a threshold"},
+		"share":             {"share = 0.2", "share = 0.0", "trace.share"},
 	} {
 		if _, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", name, err)
@@ -54,7 +54,7 @@
 // TestEvaluateTracesFindsEachDefect checks that each kind of defect fails its criterion, and that a correct run fails none.
 func TestEvaluateTracesFindsEachDefect(t *testing.T) {
 	start := time.Unix(1000, 0)
-	call := func(id string, o load.Outcome) load.Attempt {
+	attempt := func(id string, o load.Outcome) load.Attempt {
 		return load.Attempt{CallID: id, Number: 1, Due: start, Sent: start, First: start.Add(time.Second), End: start.Add(2 * time.Second), Outcome: o, Late: true}
 	}
 	record := func(id string) *trace.Try {
@@ -90,7 +90,7 @@
 		return standin.Span{Parent: trace.SpanID{id[0], 1}, CallID: id, Host: "s"}
 	}
 	good := record("a")
-	if failing := failed([]load.Attempt{call("a", load.Served)}, []*trace.Try{good}, engineSpan("a")); len(failing) != 0 {
+	if failing := failed([]load.Attempt{attempt("a", load.Served)}, []*trace.Try{good}, engineSpan("a")); len(failing) != 0 {
 		t.Errorf("a correct run fails %v", failing)
 	}
 	slow, noResult, wrongOutcome, wrongPhases := record("a"), record("a"), record("a"), record("a")
@@ -104,15 +104,15 @@
 		engines   []standin.Span
 		criterion string
 	}{
-		"missing":       {[]load.Attempt{call("a", load.Served)}, nil, nil, "required traces that are missing"},
-		"invented":      {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good, record("b")}, []standin.Span{engineSpan("a"), engineSpan("b")}, "traces without a request, or duplicated"},
-		"twice":         {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good, good}, []standin.Span{engineSpan("a")}, "traces without a request, or duplicated"},
-		"no box span":   {[]load.Attempt{call("a", load.Served)}, []*trace.Try{good}, nil, "incomplete traces"},
-		"no result":     {[]load.Attempt{call("a", load.Served)}, []*trace.Try{noResult}, []standin.Span{engineSpan("a")}, "incomplete traces"},
-		"outcome":       {[]load.Attempt{call("a", load.Served)}, []*trace.Try{wrongOutcome}, []standin.Span{engineSpan("a")}, "incomplete traces"},
-		"sum of phases": {[]load.Attempt{call("a", load.Served)}, []*trace.Try{wrongPhases}, []standin.Span{engineSpan("a")}, "incomplete traces"},
-		"time":          {[]load.Attempt{call("a", load.Served)}, []*trace.Try{slow}, []standin.Span{engineSpan("a")}, "router and client, difference at 99%"},
-		"wrong answer":  {[]load.Attempt{call("a", load.Wrong)}, []*trace.Try{good}, []standin.Span{engineSpan("a")}, "lost or wrong responses"},
+		"missing":           {[]load.Attempt{attempt("a", load.Served)}, nil, nil, "required traces that are missing"},
+		"without a request": {[]load.Attempt{attempt("a", load.Served)}, []*trace.Try{good, record("b")}, []standin.Span{engineSpan("a"), engineSpan("b")}, "traces without a request, or duplicated"},
+		"twice":             {[]load.Attempt{attempt("a", load.Served)}, []*trace.Try{good, good}, []standin.Span{engineSpan("a")}, "traces without a request, or duplicated"},
+		"no engine span":    {[]load.Attempt{attempt("a", load.Served)}, []*trace.Try{good}, nil, "incomplete traces"},
+		"no result":         {[]load.Attempt{attempt("a", load.Served)}, []*trace.Try{noResult}, []standin.Span{engineSpan("a")}, "incomplete traces"},
+		"outcome":           {[]load.Attempt{attempt("a", load.Served)}, []*trace.Try{wrongOutcome}, []standin.Span{engineSpan("a")}, "incomplete traces"},
+		"sum of phases":     {[]load.Attempt{attempt("a", load.Served)}, []*trace.Try{wrongPhases}, []standin.Span{engineSpan("a")}, "incomplete traces"},
+		"time":              {[]load.Attempt{attempt("a", load.Served)}, []*trace.Try{slow}, []standin.Span{engineSpan("a")}, "router and client, difference at 99%"},
+		"wrong answer":      {[]load.Attempt{attempt("a", load.Wrong)}, []*trace.Try{good}, []standin.Span{engineSpan("a")}, "lost or wrong responses"},
 	} {
 		if failing := failed(c.attempts, c.records, c.engines...); !failing[c.criterion] {
 			t.Errorf("%s: the criterion is met; failing: %v", name, failing)
--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -66,22 +66,22 @@
 			return err
 		}
 		for n := range 2 * r.Fleet.Engines {
-			b := &standin.Engine{Params: o.Params, OnRequest: t.recordRequest}
+			engine := &standin.Engine{Params: o.Params, OnRequest: t.recordRequest}
 			switch {
 			case sharedEngines && n >= r.Fleet.Engines:
 				continue
 			case sharedEngines:
-				b.Name, b.Discovery, b.Also = fmt.Sprintf("s-%d", n), f.Discovery, t.calib
+				engine.Name, engine.Discovery, engine.Also = fmt.Sprintf("s-%d", n), f.Discovery, t.calib
 			case n < r.Fleet.Engines:
-				b.Name, b.Discovery = fmt.Sprintf("runs-%d", n), f.Discovery
+				engine.Name, engine.Discovery = fmt.Sprintf("runs-%d", n), f.Discovery
 			default:
-				b.Name, b.Discovery = fmt.Sprintf("calib-%d", n-r.Fleet.Engines), t.calib
+				engine.Name, engine.Discovery = fmt.Sprintf("calib-%d", n-r.Fleet.Engines), t.calib
 			}
-			if err := b.Start("127.0.0.1:0", false); err != nil {
+			if err := engine.Start("127.0.0.1:0", false); err != nil {
 				return err
 			}
-			if f.Engines = append(f.Engines, b); n >= r.Fleet.Engines {
-				t.engines = append(t.engines, b)
+			if f.Engines = append(f.Engines, engine); n >= r.Fleet.Engines {
+				t.engines = append(t.engines, engine)
 			}
 		}
 		o.Settings["services"] = config(t)
@@ -226,7 +226,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = t.stop() }() // an earlier error is returned instead
+	defer func() { _ = t.stop() }() // the first error is returned
 	conditions := []string{"overloaded", "hung", "drained"}
 	ratios, worths, outcomesOf := map[string][]float64{}, map[string][]float64{}, map[string]map[load.Outcome]int{}
 	firstEvent := map[string]*hdrhistogram.Histogram{} // of the first service, by condition of the second: time to first event in µs
@@ -235,7 +235,7 @@
 	}
 	var attempts []load.Attempt
 	turn := 0
-	play := func(seed uint64, condition string) (float64, error) {
+	runTurn := func(seed uint64, condition string) (float64, error) {
 		turn++
 		plan := r.drawPlan(seed, r.Traffic.Rate, r.length, turn)
 		var calib []load.Request
@@ -249,8 +249,8 @@
 			calib = r.drawPlan(seed+1, 0.6*r.Services.Rate, r.length, turn)
 		}
 		if condition == "hung" {
-			for _, b := range t.engines[:len(t.engines)/2] {
-				b.SetFault(standin.StallFirst, 0)
+			for _, engine := range t.engines[:len(t.engines)/2] {
+				engine.SetFault(standin.StallFirst, 0)
 			}
 		}
 		var wait sync.WaitGroup
@@ -270,8 +270,8 @@
 		}
 		switch condition {
 		case "hung":
-			for _, b := range t.engines {
-				b.SetFault(standin.NoFault, 0)
+			for _, engine := range t.engines {
+				engine.SetFault(standin.NoFault, 0)
 			}
 		case "drained":
 			if err := t.reload(ctx, t.defaultConfig(), 1); err != nil {
@@ -288,9 +288,9 @@
 		}
 		w := load.Worth(plan, own)
 		for i := range own {
-			if y := &own[i]; y.Outcome == load.Served && firstEvent[condition] != nil {
-				// Deadlines keep every value far below the histogram's limit of 600 s.
-				_ = firstEvent[condition].RecordValue(max(y.First.Sub(y.Sent).Microseconds(), 1))
+			if attempt := &own[i]; attempt.Outcome == load.Served && firstEvent[condition] != nil {
+				// Deadlines keep every value below the histogram's limit of 600 s.
+				_ = firstEvent[condition].RecordValue(max(attempt.First.Sub(attempt.Sent).Microseconds(), 1))
 			}
 		}
 		if condition != "" {
@@ -301,7 +301,7 @@
 	}
 	for n, condition := range []string{"", "alone", "alone", "alone"} { // fills caches; only the last turn is kept
 		delete(worths, "alone, the other")
-		if _, err := play(r.Seed+uint64(n), condition); err != nil {
+		if _, err := runTurn(r.Seed+uint64(n), condition); err != nil {
 			return err
 		}
 	}
@@ -314,11 +314,11 @@
 			var w [2]float64
 			for k := range 2 {
 				n := (round + k) % 2
-				played := condition
+				turnCondition := condition
 				if n == 0 {
-					played = ""
+					turnCondition = ""
 				}
-				if w[n], err = play(seed, played); err != nil {
+				if w[n], err = runTurn(seed, turnCondition); err != nil {
 					return err
 				}
 			}
@@ -371,7 +371,7 @@
 
 // outcomes formats the number of attempts by outcome.
 func outcomes(n map[load.Outcome]int) string {
-	s := "attempts:"
+	s := "tries:"
 	for _, o := range slices.Sorted(maps.Keys(n)) {
 		s += fmt.Sprintf(" %d %s", n[o], o)
 	}
@@ -385,7 +385,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = t.stop() }() // an earlier error is returned instead
+	defer func() { _ = t.stop() }() // the first error is returned
 	pool := func(name, more string) string { return fmt.Sprintf("[[pool]]\nname = %q\n%s", name, more) }
 	some := `select = {names = ["runs-[0-3]"]}` + "\n"
 	files := []struct {
@@ -453,9 +453,9 @@
 	for i, ledger := range ledgers {
 		attempts = append(attempts, ledger...)
 		for k := range ledger {
-			y := &ledger[k]
+			attempt := &ledger[k]
 			// The router selected the route between these two times. Attempts that overlap a reload are skipped.
-			first, last := y.Due, y.Sent.Add(20*time.Millisecond)
+			first, last := attempt.Due, attempt.Sent.Add(20*time.Millisecond)
 			swapped, certain := false, true
 			for _, c := range changes {
 				if !c.to.Before(first) && !c.from.After(last) {
@@ -473,7 +473,7 @@
 			if (i == 1) != swapped {
 				want = "calib-"
 			}
-			for _, a := range at[y.CallID] {
+			for _, a := range at[attempt.CallID] {
 				checked++
 				if a.engine[:len(want)] != want {
 					misrouted++
@@ -519,7 +519,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = t.stop() }() // an earlier error is returned instead
+	defer func() { _ = t.stop() }() // the first error is returned
 	t.calib.Delay = discoveryDelay
 	var wait sync.WaitGroup
 	plans := make([][]load.Request, 2)
@@ -534,22 +534,22 @@
 		died          time.Time
 	}
 	var incarnations []incarnation
-	const warmUpDelay = 6 * time.Second // the router watches discovery at most 5 s after its start
-	interval := (r.length - warmUpDelay) / time.Duration(r.Fleet.Engines)
+	const startDelay = 6 * time.Second // the router's decision modules start to observe engines within 5 s
+	interval := (r.length - startDelay) / time.Duration(r.Fleet.Engines)
 	var failed error
 	wait.Go(func() {
-		began := time.Now().Add(warmUpDelay)
-		for n, b := range t.Engines {
+		began := time.Now().Add(startDelay)
+		for n, engine := range t.Engines {
 			time.Sleep(time.Until(began.Add(time.Duration(n) * interval)))
-			l := incarnation{name: b.Name, drained: time.Now()}
-			b.Drain()
+			inc := incarnation{name: engine.Name, drained: time.Now()}
+			engine.Drain()
 			time.Sleep(min(1500*time.Millisecond, interval/3))
-			b.Die()
-			l.died = time.Now()
-			b.Gone()
-			b.Rename(b.Name + "-r")
-			incarnations = append(incarnations, l, incarnation{name: b.Name, born: time.Now()})
-			if err := b.Start(b.Addr(), true); err != nil {
+			engine.Die()
+			inc.died = time.Now()
+			engine.Gone()
+			engine.Rename(engine.Name + "-r")
+			incarnations = append(incarnations, inc, incarnation{name: engine.Name, born: time.Now()})
+			if err := engine.Start(engine.Addr(), true); err != nil {
 				failed = err
 				return
 			}
@@ -586,13 +586,13 @@
 	}
 	params := r.fleetOptions(nil, nil).Params
 	var lateRequests, coldRequests, exceeded, windows int
-	var latestMS, maxShare float64
-	for _, l := range incarnations {
-		at := byEngine[l.name]
+	var latestMS, maxRatio float64
+	for _, inc := range incarnations {
+		at := byEngine[inc.name]
 		slices.SortFunc(at, time.Time.Compare)
-		if !l.drained.IsZero() {
+		if !inc.drained.IsZero() {
 			for _, when := range at {
-				if d := when.Sub(l.drained); d > 0 && when.Before(l.died) {
+				if d := when.Sub(inc.drained); d > 0 && when.Before(inc.died) {
 					latestMS = max(latestMS, float64(d)/1e6)
 					if float64(d)/1e6 > r.Thresholds["drain_ms"] {
 						lateRequests++
@@ -602,9 +602,9 @@
 			continue
 		}
 		for _, width := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second} {
-			for from := l.born; from.Before(l.born.Add(params.WarmUp)); from = from.Add(width / 5) {
+			for from := inc.born; from.Before(inc.born.Add(params.WarmUp)); from = from.Add(width / 5) {
 				to := from.Add(width)
-				share := params.ColdShare + (1-params.ColdShare)*min(float64(to.Sub(l.born))/float64(params.WarmUp), 1)
+				share := params.ColdShare + (1-params.ColdShare)*min(float64(to.Sub(inc.born))/float64(params.WarmUp), 1)
 				// A cold engine may get its share of the arrivals, spread over the other engines, plus one request carried
 				// over. The window starts 50 ms early because requests need some time to reach the engine.
 				allowed := 1.0
@@ -613,20 +613,20 @@
 				}
 				got := between(at, from, to)
 				windows++
-				maxShare = max(maxShare, float64(got)/allowed)
+				maxRatio = max(maxRatio, float64(got)/allowed)
 				if float64(got) > math.Ceil(allowed) {
 					exceeded++
 				}
 			}
 		}
-		coldRequests += between(at, l.born, l.born.Add(params.WarmUp))
+		coldRequests += between(at, inc.born, inc.born.Add(params.WarmUp))
 	}
 	invalid, examples := violations(attempts)
 	res := r.result
 	res.Add("tries", float64(len(attempts)), "", fmt.Sprint(examples))
 	res.Add("engines drained and restarted cold", float64(len(incarnations)/2), "", fmt.Sprintf("the second pool's discovery reports it %v later", discoveryDelay))
 	res.Add("requests to cold engines", float64(coldRequests), "", fmt.Sprintf("in %d windows of 0.5, 1 and 2 s", windows))
-	res.Add("highest ratio of requests to the allowed number in a window", maxShare, "", "")
+	res.Add("highest ratio of requests to the allowed number in a window", maxRatio, "", "")
 	res.Add("latest request to a draining engine", latestMS, "ms", "after its drain was announced")
 	for i, name := range []string{"first", "second"} {
 		res.Add("timely worth of the "+name+" pool", load.Worth(plans[i], ledgers[i]), "", "")
--- a/internal/lab/experiment/tracing.go
+++ b/internal/lab/experiment/tracing.go
@@ -51,8 +51,8 @@
 		"queue_mb = 16\ntimeout = \"2s\"\ndrain = \"5s\"\n", r.Trace.Share, 5*time.Millisecond, url)
 }
 
-// play sends the planned requests, injects the faults meanwhile, and returns all attempts.
-func (r *run) play(ctx context.Context, f *fleet.Fleet) ([]load.Attempt, error) {
+// runTraffic sends the planned requests, injects the faults meanwhile, and returns all attempts.
+func (r *run) runTraffic(ctx context.Context, f *fleet.Fleet) ([]load.Attempt, error) {
 	plan := load.Plan(r.Seed, r.classes, r.Traffic.Rate, r.length, r.Fleet.Routers, load.Style{Carry: r.Traffic.Carry, Mark: r.Traffic.Mark})
 	r.printf("%d requests in %v over %d routers and %d engines", len(plan), r.length, len(f.Routers), len(f.Engines))
 	client := &load.Client{Routers: f.Addrs(), Retries: r.Traffic.Retries, Pause: 50 * time.Millisecond, Seed: r.Seed}
@@ -81,7 +81,7 @@
 	if err != nil {
 		return err
 	}
-	attempts, err := r.play(ctx, f)
+	attempts, err := r.runTraffic(ctx, f)
 	if stopped := f.Stop(); err == nil {
 		err = stopped
 	}
@@ -189,10 +189,10 @@
 		total := time.Duration(got.root.EndTimeUnixNano - got.root.StartTimeUnixNano)
 		differences = append(differences, math.Abs((seen-total).Seconds()*1000))
 	}
-	invented := 0
+	unknown := 0
 	for call := range byCall {
 		if !inLedger[call] {
-			invented++
+			unknown++
 		}
 	}
 	for _, e := range examples[:min(len(examples), 8)] {
@@ -222,10 +222,10 @@
 	res.Add("engine spans", float64(engines.n), "", "")
 	const unbounded = math.MaxFloat64
 	res.Criteria = append(res.Criteria,
-		report.NewCriterion("requests", float64(len(requests)), "", r.Thresholds["requests"]*r.fractionRun(), unbounded, ""),
+		report.NewCriterion("requests", float64(len(requests)), "", r.Thresholds["requests"]*r.lengthFraction(), unbounded, ""),
 		report.NewCriterion("required traces that are missing", float64(missing), "", 0, 0, ""),
 		report.NewCriterion("incomplete traces", float64(incomplete), "", 0, 0, "a complete one has all upstream attempts with results, their engine spans, and phases that add up"),
-		report.NewCriterion("traces without a request, or duplicated", float64(invented+duplicated+orphans), "", 0, 0, ""),
+		report.NewCriterion("traces without a request, or duplicated", float64(unknown+duplicated+orphans), "", 0, 0, ""),
 		report.NewCriterion("lost or wrong responses", float64(invalid), "", 0, 0, "by the clients' ledger"),
 		report.NewCriterion("router and client, difference at 99%", quantile(0.99), "ms", 0, r.Thresholds["phase_error_ms"], ""),
 		report.NewCriterion("sampled share of ordinary attempts, relative to the configured share", share/r.Trace.Share, "", 1-r.Thresholds["share_error"], 1+r.Thresholds["share_error"],
@@ -243,8 +243,8 @@
 		r.timeline(attempts))
 }
 
-// fractionRun returns the length of this run as a fraction of the full run.
-func (r *run) fractionRun() float64 { return float64(r.length) / float64(r.Traffic.Length) }
+// lengthFraction returns the length of this run as a fraction of the full run.
+func (r *run) lengthFraction() float64 { return float64(r.length) / float64(r.Traffic.Length) }
 
 // traceDefect describes the first defect of an attempt's trace, or returns "" if the trace is complete and consistent.
 func (r *run) traceDefect(t *load.Attempt, got *attemptTrace, engines *engineSpans) string {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -102,11 +102,11 @@
 		return nil, err
 	}
 	for i := range o.Engines {
-		b := &standin.Engine{Name: fmt.Sprintf("s-%08x", i*0x9e3779b1&0xffffffff), Params: o.Params, OnSpan: o.OnSpan, Discovery: f.Discovery}
-		if err := b.Start("127.0.0.1:0", false); err != nil {
+		engine := &standin.Engine{Name: fmt.Sprintf("s-%08x", i*0x9e3779b1&0xffffffff), Params: o.Params, OnSpan: o.OnSpan, Discovery: f.Discovery}
+		if err := engine.Start("127.0.0.1:0", false); err != nil {
 			return nil, err
 		}
-		f.Engines = append(f.Engines, b)
+		f.Engines = append(f.Engines, engine)
 	}
 	if err := prepare(f); err != nil {
 		return nil, err
@@ -325,8 +325,8 @@
 	for range f.Routers {
 		errs = append(errs, <-results)
 	}
-	for _, b := range f.Engines {
-		b.Die()
+	for _, engine := range f.Engines {
+		engine.Die()
 	}
 	if f.Discovery != nil {
 		_ = f.Discovery.Close() // no client is left
--- a/internal/lab/fleet/trouble.go
+++ b/internal/lab/fleet/trouble.go
@@ -31,14 +31,14 @@
 }
 
 // Check returns an error if the fault is invalid in a fleet with that many engines.
-func (fault *ScheduledFault) Check(engines int) error {
-	if !slices.Contains([]string{Crash, Replace, Drain}, fault.Fault) && !slices.Contains(engineFaults, standin.Fault(fault.Fault)) {
-		return fmt.Errorf("what: %q is not one of %q, die, replace and drain", fault.Fault, engineFaults)
+func (s *ScheduledFault) Check(engines int) error {
+	if !slices.Contains([]string{Crash, Replace, Drain}, s.Fault) && !slices.Contains(engineFaults, standin.Fault(s.Fault)) {
+		return fmt.Errorf("what: %q is not one of %q, die, replace and drain", s.Fault, engineFaults)
 	}
-	if fault.At < 0 || fault.Duration <= 0 || fault.Share < 0 || fault.Share > 1 {
+	if s.At < 0 || s.Duration <= 0 || s.Share < 0 || s.Share > 1 {
 		return fmt.Errorf("at must be 0 or more, lasts above 0, and share between 0 and 1")
 	}
-	for _, engine := range fault.Engines {
+	for _, engine := range s.Engines {
 		if engine < 0 || engine >= engines {
 			return fmt.Errorf("boxes: %d is not below the number of engines, %d", engine, engines)
 		}
