--- a/cmd/notchlab/check.go
+++ b/cmd/notchlab/check.go
@@ -13,7 +13,7 @@
 
 // Run walks; what is found fails it.
 func (c checkCmd) Run() error {
-	if !check.All(c.Lives, os.Stdout) {
+	if !check.RunAll(c.Lives, os.Stdout) {
 		return errors.New("a walk has found what it must not, or not what it must")
 	}
 	return nil
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -92,8 +92,8 @@
 	return faults[0].Error()
 }
 
-// All walks all walks so many lives far, says what comes of each, and tells whether all is as it must be.
-func All(lives int, out io.Writer) bool {
+// RunAll walks all walks so many lives far, says what comes of each, and tells whether all is as it must be.
+func RunAll(lives int, out io.Writer) bool {
 	good := true
 	say := func(w Walk, wanted bool) {
 		found, met := w.Far(lives)
