--- a/internal/lab/check/attempts_test.go
+++ b/internal/lab/check/attempts_test.go
@@ -13,7 +13,7 @@
 func TestBrokenLegsAreFound(t *testing.T) {
 	t.Parallel()
 	for _, w := range legsBroken() {
-		if found, met := w.Far(0); found == "" {
+		if found, met := w.Run(0); found == "" {
 			t.Errorf("%s: not found in %d lives", w.Name, met)
 		}
 	}
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -11,8 +11,8 @@
 // Walk is a walk through lives.
 type Walk struct {
 	Name string
-	// Far returns what was found wrong ("" = nothing) and how many lives, states or points it has met.
-	Far func(lives int) (found string, met int)
+	// Run returns what was found wrong ("" = nothing) and how many lives, states or points it has met.
+	Run func(lives int) (found string, met int)
 }
 
 // Walks are all walks, none of which may find anything.
@@ -35,22 +35,22 @@
 		}},
 		{"two operators for one base revision, with partitions", func(lives int) (string, int) { return randomRaces(lives, false) }},
 		{"operators under one revision, with answers lost", func(lives int) (string, int) { return operatorRaces(lives, "") }},
-		{"leases, while members are replaced in cuts", func(lives int) (string, int) { return leases(lives, "") }},
-		{"engines that drain, while processes crash", func(lives int) (string, int) { return draining(lives, false) }},
+		{"leases, while members are replaced in cuts", func(lives int) (string, int) { return randomLeases(lives, "") }},
+		{"engines that drain, while processes crash", func(lives int) (string, int) { return randomDrains(lives, false) }},
 		{"legs, every order of events of one request and one more", func(int) (string, int) { return legs(slips{}, legPairs(), legsFine()...) }},
 		{"legs, every order of events of two requests", everyTwo},
 		{"power lost at every step of a store's writes", func(int) (string, int) {
 			faults, points := losePowerAtEachStep(false, 1)
-			return first(faults), points
+			return firstFault(faults), points
 		}},
 		{"replicas away for a thousand changes", walkCatchUp},
 		{"power lost at every step of catching up, snapshots altered", walkCatchUpFaults},
-		{"writes refused at every second step", func(int) (string, int) { return first(refuseWritesAtEachStep(2)), 0 }},
+		{"writes refused at every second step", func(int) (string, int) { return firstFault(refuseWritesAtEachStep(2)), 0 }},
 	}
 }
 
-// Broken are the same with a rule broken: each must find it.
-func Broken() []Walk {
+// BrokenWalks are the same with a rule broken: each must find it.
+func BrokenWalks() []Walk {
 	members := func(breaks func(*memberCluster)) func(int) (string, int) {
 		return func(lives int) (string, int) { return randomMemberChanges(breaks, lives) }
 	}
@@ -76,16 +76,16 @@
 			return "", lives
 		}},
 		{"a chosen value is taken for one's own", func(lives int) (string, int) { return randomRaces(lives, true) }},
-		{"a drain is acknowledged before others know", func(lives int) (string, int) { return draining(lives, true) }},
+		{"a drain is acknowledged before others know", func(lives int) (string, int) { return randomDrains(lives, true) }},
 		broken(brokenBatch), broken(brokenOrder), broken(brokenReads), broken(brokenSnapshot), broken(brokenTimeout),
 		{"a journal's name is not synced", func(int) (string, int) {
 			faults, points := losePowerAtEachStep(true, 5)
-			return first(faults), points
+			return firstFault(faults), points
 		}},
-	}, slices.Concat(brokenSites(), legsBroken())...)
+	}, slices.Concat(brokenReplicaWalks(), legsBroken())...)
 }
 
-func first(faults []error) string {
+func firstFault(faults []error) string {
 	if len(faults) == 0 {
 		return ""
 	}
@@ -96,7 +96,7 @@
 func RunAll(lives int, out io.Writer) bool {
 	good := true
 	say := func(w Walk, wanted bool) {
-		found, met := w.Far(lives)
+		found, met := w.Run(lives)
 		verdict := "as it must be"
 		if (found != "") != wanted {
 			verdict, good = "WRONG", false
@@ -111,7 +111,7 @@
 		say(w, false)
 	}
 	fmt.Fprintln(out, "with a rule broken, which must be found:")
-	for _, w := range Broken() {
+	for _, w := range BrokenWalks() {
 		say(w, true)
 	}
 	return good
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -15,10 +15,10 @@
 // replicas, a zone, or all that knew, nobody sends the engine requests once its time is over. A drain that is acknowledged as
 // soon as it is received is found out.
 func TestAcknowledgedDrainsHold(t *testing.T) {
-	if found, seed := draining(150, false); found != "" {
+	if found, seed := randomDrains(150, false); found != "" {
 		t.Errorf("seed %d: %s", seed, found)
 	}
-	if found, lives := draining(150, true); found == "" {
+	if found, lives := randomDrains(150, true); found == "" {
 		t.Errorf("acknowledged before anybody else knows: not found in %d walks", lives)
 	}
 }
--- a/internal/lab/check/cuts_test.go
+++ b/internal/lab/check/cuts_test.go
@@ -11,11 +11,11 @@
 // that run are replaced and the holder is partitioned with some of them, which know nothing of it. Each rule that keeps it so
 // is found out where it is broken.
 func TestLeasesWhileMembersAreReplaced(t *testing.T) {
-	if found, seed := leases(40, ""); found != "" {
+	if found, seed := randomLeases(40, ""); found != "" {
 		t.Errorf("seed %d: %s", seed, found)
 	}
 	for _, broken := range brokenLeases {
-		found, lives := leases(2000, broken)
+		found, lives := randomLeases(2000, broken)
 		if found == "" {
 			t.Errorf("%s: not found in %d walks", broken, lives)
 		}
--- a/internal/lab/check/draining.go
+++ b/internal/lab/check/draining.go
@@ -227,8 +227,8 @@
 	return ""
 }
 
-// draining plays so many walks of engines that drain, and returns the first fault with its seed.
-func draining(walks int, ackedEarly bool) (found string, seed int) {
+// randomDrains plays so many walks of engines that drain, and returns the first fault with its seed.
+func randomDrains(walks int, ackedEarly bool) (found string, seed int) {
 	for seed := range walks {
 		w := drainWalk{gossipFleet: newGossipFleet(draws(seed)), ackedEarly: ackedEarly}
 		if found := w.play(); found != "" {
--- a/internal/lab/check/leases.go
+++ b/internal/lab/check/leases.go
@@ -21,15 +21,15 @@
 
 var brokenLeases = []string{brokenRenewal, brokenPendingMembers, brokenNewVoter}
 
-// platform accepts every call of a holder, and checks that no two act at once.
-type platform struct {
+// fencedPlatform accepts every call of a holder, and checks that no two act at once.
+type fencedPlatform struct {
 	calls   int
 	highest uint64         // fencing token
 	senders map[uint64]int // the host that has sent a fencing token
 }
 
 // accept takes in a call, and returns what is wrong with it.
-func (p *platform) accept(host int, token uint64) (fault string) {
+func (p *fencedPlatform) accept(host int, token uint64) (fault string) {
 	p.calls++
 	if p.senders == nil {
 		p.senders = map[uint64]int{}
@@ -46,11 +46,11 @@
 
 // replaceMember has a member that runs replaced by a machine that has caught up, in one change that one of the hosts proposes. It
 // returns the lease holder and the member that is removed, as a set of hosts.
-func (s *site) replaceMember() (side int) {
-	now := s.newest()
+func (s *replicaCluster) replaceMember() (side int) {
+	now := s.newestState()
 	var added *host
 	for _, h := range s.hosts {
-		if now.Member(h.id) == nil && h.known().NextIndex == now.NextIndex {
+		if now.Member(h.id) == nil && h.latestState().NextIndex == now.NextIndex {
 			added = h
 		}
 	}
@@ -72,13 +72,13 @@
 		members[at] = added.member()
 		return replog.Entry{Nonce: nonce, Payload: replog.MembersChange{Members: members}}.Encode()
 	}
-	s.hosts[s.draw(len(s.hosts))].take(replica.Propose{Deadline: s.now + within, Next: next})
+	s.hosts[s.draw(len(s.hosts))].handle(replica.Propose{Deadline: s.now + requestTimeout, Next: next})
 	return side
 }
 
 // leaseWalk plays a walk of replaced members and partitions, and returns the first fault.
 func leaseWalk(draw func(n int) int, broken string) string {
-	s := newSite(draw, 3+2*draw(2), 2, broken)
+	s := newReplicaCluster(draw, 3+2*draw(2), 2, broken)
 	s.run(12 * time.Second) // there is a holder
 	for range 10 {
 		side := s.replaceMember()
@@ -87,24 +87,24 @@
 			for range draw(3) {
 				side |= 1 << draw(len(s.hosts))
 			}
-			s.cut(side, max(draw(6)-3, 0), time.Duration(2+draw(19))*time.Second)
+			s.partition(side, max(draw(6)-3, 0), time.Duration(2+draw(19))*time.Second)
 		}
-		if h := s.hosts[draw(len(s.hosts))]; draw(6) == 0 && h.up {
+		if h := s.hosts[draw(len(s.hosts))]; draw(6) == 0 && h.isUp {
 			h.kill(time.Duration(50+draw(3000)) * time.Millisecond)
 		}
 		s.run(time.Duration(draw(9000)) * time.Millisecond)
 	}
-	if s.heal(); s.found == "" {
+	if s.heal(); s.violation == "" {
 		calls := s.platform.calls
 		if s.run(12 * time.Second); s.platform.calls == calls {
-			s.breaks("12 s after the last fault nobody calls the platform")
+			s.violate("12 s after the last fault nobody calls the platform")
 		}
 	}
-	return s.found
+	return s.violation
 }
 
-// leases plays so many walks, and returns the first fault with its seed.
-func leases(walks int, broken string) (found string, seed int) {
+// randomLeases plays so many walks, and returns the first fault with its seed.
+func randomLeases(walks int, broken string) (found string, seed int) {
 	for seed := range walks {
 		if found := leaseWalk(draws(seed), broken); found != "" {
 			return found, seed
@@ -113,8 +113,8 @@
 	return "", walks
 }
 
-// brokenSites are the walks of all that is broken on purpose at a site.
-func brokenSites() []Walk {
+// brokenReplicaWalks are the walks of all that is broken on purpose at a site.
+func brokenReplicaWalks() []Walk {
 	var walks []Walk
 	add := func(walk func(int, string) (string, int), rules []string) {
 		for _, rule := range rules {
@@ -122,6 +122,6 @@
 		}
 	}
 	add(operatorRaces, brokenOperators)
-	add(leases, brokenLeases)
+	add(randomLeases, brokenLeases)
 	return walks
 }
--- a/internal/lab/check/operatorfaults.go
+++ b/internal/lab/check/operatorfaults.go
@@ -7,10 +7,10 @@
 	h := o.hosts[o.draw(len(o.hosts))]
 	switch k := o.draw(10); {
 	case k < 3:
-		o.cut(1<<h.i, o.draw(3), maxCut)
+		o.partition(1<<h.i, o.draw(3), maxPartition)
 	case k < 5:
-		o.cut(1+o.draw(1<<len(o.hosts)-2), o.draw(3), time.Duration(1+o.draw(20))*time.Second)
-	case k < 8 && h.up:
+		o.partition(1+o.draw(1<<len(o.hosts)-2), o.draw(3), time.Duration(1+o.draw(20))*time.Second)
+	case k < 8 && h.isUp:
 		h.kill(time.Duration(50+o.draw(4000)) * time.Millisecond)
 	case k == 8:
 		o.wipe(h)
@@ -22,29 +22,29 @@
 // injectStaleReplica has a replica lag behind; of those that know more one loses its disk and the others are away, when the first
 // can be reached again.
 func (o *operators) injectStaleReplica(h *host) {
-	o.cut(1<<h.i, 0, 4*time.Second)
+	o.partition(1<<h.i, 0, 4*time.Second)
 	for at := range 2 {
-		o.in(time.Duration(at+1)*time.Second, o.race)
+		o.after(time.Duration(at+1)*time.Second, o.race)
 	}
-	o.in(4*time.Second-time.Duration(o.draw(200))*time.Millisecond, func() {
+	o.after(4*time.Second-time.Duration(o.draw(200))*time.Millisecond, func() {
 		for k := 1; k < len(o.hosts); k++ {
 			switch other := o.hosts[(h.i+k)%len(o.hosts)]; {
 			case o.draw(2) == 0:
 				o.wipe(other)
-			case other.up:
+			case other.isUp:
 				other.kill(time.Duration(500+o.draw(3000)) * time.Millisecond)
 			}
 		}
 		for at := range 10 {
-			o.in(time.Duration(at)*100*time.Millisecond, func() { o.read(h.i) })
+			o.after(time.Duration(at)*100*time.Millisecond, func() { o.read(h.i) })
 		}
 	})
 }
 
 // wipe has a host lose its disk, if one more may be lost.
 func (o *operators) wipe(h *host) {
-	if !o.calm && o.spare() {
-		h.die()
+	if !o.noFaults && o.canLoseDisk() {
+		h.stop()
 		h.format()
 		h.kill(time.Duration(50+o.draw(300)) * time.Millisecond)
 	}
--- a/internal/lab/check/operators.go
+++ b/internal/lab/check/operators.go
@@ -60,7 +60,7 @@
 
 // operators are those of a walk.
 type operators struct {
-	*site
+	*replicaCluster
 	changes      []*configChange
 	newest       uint64 // revision that is confirmed
 	lastRevision uint64
@@ -91,7 +91,7 @@
 			o.submit(x, at+1)
 		}
 	})
-	h.take(replica.Propose{Deadline: o.now + within, Next: next, Request: done})
+	h.handle(replica.Propose{Deadline: o.now + requestTimeout, Next: next, Request: done})
 }
 
 // submission is one attempt to have a replica accept a change.
@@ -107,12 +107,12 @@
 // submit sends a change to a replica, and to the next one until there is a definite answer.
 func (o *operators) submit(x *configChange, at int) {
 	h := o.hosts[at%len(o.hosts)]
-	a := &submission{operators: o, change: x, at: at, host: h, life: h.life}
-	o.in(operatorTimeout, a.timeOut)
-	o.in(time.Millisecond, a.arrive)
+	a := &submission{operators: o, change: x, at: at, host: h, life: h.generation}
+	o.after(clientTimeout, a.timeOut)
+	o.after(time.Millisecond, a.arrive)
 }
 
-func (a *submission) isRunning() bool { return a.host.up && a.host.life == a.life }
+func (a *submission) isRunning() bool { return a.host.isUp && a.host.generation == a.life }
 
 // timeOut has the operator try the next replica, if there is no answer yet.
 func (a *submission) timeOut() {
@@ -123,7 +123,7 @@
 }
 
 func (a *submission) retry() {
-	a.in(time.Duration(100+a.draw(300))*time.Millisecond, func() { a.submit(a.change, a.at+1) })
+	a.after(time.Duration(100+a.draw(300))*time.Millisecond, func() { a.submit(a.change, a.at+1) })
 }
 
 // receive is the operator's end of an answer.
@@ -141,7 +141,7 @@
 		a.answers++
 	}
 	if r.Status == http.StatusOK && a.draw(3) == 0 { // and again, long after
-		a.in(time.Duration(a.draw(20000))*time.Millisecond, func() { a.submit(a.change, a.at+1+a.draw(4)) })
+		a.after(time.Duration(a.draw(20000))*time.Millisecond, func() { a.submit(a.change, a.at+1+a.draw(4)) })
 	}
 }
 
@@ -153,7 +153,7 @@
 		a.change.lostAnswers--
 	}
 	if !isLost {
-		a.in(time.Millisecond, func() { a.receive(r) })
+		a.after(time.Millisecond, func() { a.receive(r) })
 	}
 }
 
@@ -162,26 +162,26 @@
 	if !a.isRunning() {
 		return
 	}
-	x, s := a.change, a.host.core.State()
+	x, s := a.change, a.host.replica.State()
 	status := s.CheckConfig(x.base, x.revision, x.digest)
 	answer := a.answer
 	switch {
-	case a.broken == brokenLocalRejection && (status == replog.ConfigStaleBase || status == replog.ConfigRevisionTooLow):
+	case a.brokenRule == brokenLocalRejection && (status == replog.ConfigStaleBase || status == replog.ConfigRevisionTooLow):
 		answer(api.Result{Status: http.StatusPreconditionFailed})
 		return
-	case a.broken == brokenFormatFirst && x.invalid:
+	case a.brokenRule == brokenFormatFirst && x.invalid:
 		answer(api.Result{Status: http.StatusBadRequest})
 		return
-	case a.broken == brokenShortHistory && status == replog.ConfigAlreadyAccepted && x.revision < s.History[max(len(s.History)-2, 0)].Revision:
+	case a.brokenRule == brokenShortHistory && status == replog.ConfigAlreadyAccepted && x.revision < s.History[max(len(s.History)-2, 0)].Revision:
 		answer(api.Result{Status: http.StatusPreconditionFailed})
 		return
-	case a.broken == brokenWonProposal && status == replog.ConfigAcceptable:
+	case a.brokenRule == brokenWonProposal && status == replog.ConfigAcceptable:
 		w := &wonProposal{submission: a, index: s.NextIndex}
 		answer = w.answer
-		a.in(time.Millisecond, w.watch)
+		a.after(time.Millisecond, w.watch)
 	}
-	a.host.take(replica.ReplaceConfig{
-		BaseRevision: x.base, Config: x.config, Deadline: a.now + within, Request: a.host.answers.Add(answer),
+	a.host.handle(replica.ReplaceConfig{
+		BaseRevision: x.base, Config: x.config, Deadline: a.now + requestTimeout, Request: a.host.answers.Add(answer),
 	})
 }
 
@@ -203,10 +203,10 @@
 	if !w.isRunning() || w.answered {
 		return
 	}
-	if now := w.host.core.State(); now.NextIndex > w.index {
+	if now := w.host.replica.State(); now.NextIndex > w.index {
 		w.answer(api.Result{Status: http.StatusOK})
 	}
-	w.in(time.Millisecond, w.watch)
+	w.after(time.Millisecond, w.watch)
 }
 
 // check notes a replica's answer to a change, whether the operator receives it or not.
@@ -217,29 +217,29 @@
 		o.newest = max(o.newest, x.revision)
 		for _, y := range o.changes {
 			if y != x && y.base == x.base && y.confirmed {
-				o.breaks("upon revision %d two are confirmed, %d and %d", x.base, y.revision, x.revision)
+				o.violate("upon revision %d two are confirmed, %d and %d", x.base, y.revision, x.revision)
 			}
 		}
 	case r.Status < http.StatusInternalServerError:
 		x.rejected = true
 	}
 	if x.confirmed && x.rejected {
-		o.breaks("revision %d upon %d is rejected by one and confirmed by one (replica %d answers %d: %s)", x.revision, x.base, h.i, r.Status, r.Message)
+		o.violate("revision %d upon %d is rejected by one and confirmed by one (replica %d answers %d: %s)", x.revision, x.base, h.i, r.Status, r.Message)
 	}
 }
 
 // read reads the configuration at a replica.
 func (o *operators) read(at int) {
 	h, floor := o.hosts[at%len(o.hosts)], o.newest
-	if !h.up {
+	if !h.isUp {
 		return
 	}
 	answer := func(r api.Result) { o.checkRead(h, floor, r) }
-	if s := h.core.State(); o.broken == brokenLocalReads && s.Config != nil {
+	if s := h.replica.State(); o.brokenRule == brokenLocalReads && s.Config != nil {
 		answer(api.Result{Status: http.StatusOK, Revision: s.Revision, Body: s.Config})
 		return
 	}
-	h.take(replica.ReadConfig{Deadline: o.now + within, Request: h.answers.Add(answer)})
+	h.handle(replica.ReadConfig{Deadline: o.now + requestTimeout, Request: h.answers.Add(answer)})
 }
 
 // checkRead checks what a replica has read against the newest revision that was confirmed before.
@@ -252,29 +252,29 @@
 		return
 	}
 	if r.Revision < floor {
-		o.breaks("replica %d reads revision %d, and %d was confirmed before", h.i, r.Revision, floor)
+		o.violate("replica %d reads revision %d, and %d was confirmed before", h.i, r.Revision, floor)
 	}
 	for _, x := range o.changes {
 		if x.revision == r.Revision && bytes.Equal(x.config, r.Body) {
 			if x.rejected {
-				o.breaks("revision %d is read, and was rejected", r.Revision)
+				o.violate("revision %d is read, and was rejected", r.Revision)
 			}
 			return
 		}
 	}
-	o.breaks("revision %d is read, and nobody has sent it", r.Revision)
+	o.violate("revision %d is read, and nobody has sent it", r.Revision)
 }
 
 // checkLog holds the answers against the log, as far as it is known anywhere. At the end all of it must be: a value that was chosen
 // may be known for a while only to those that have accepted it.
 func (o *operators) checkLog(atEnd bool) {
-	s := o.site.newest()
+	s := o.replicaCluster.newestState()
 	for _, x := range o.changes {
 		switch accepted := s.WasAccepted(x.revision, x.digest); {
 		case accepted && x.rejected:
-			o.breaks("revision %d upon %d was rejected, and is in the log", x.revision, x.base)
+			o.violate("revision %d upon %d was rejected, and is in the log", x.revision, x.base)
 		case atEnd && !accepted && x.confirmed:
-			o.breaks("revision %d upon %d was confirmed, and is not in the log", x.revision, x.base)
+			o.violate("revision %d upon %d was confirmed, and is not in the log", x.revision, x.base)
 		}
 	}
 }
@@ -317,7 +317,7 @@
 			o.injectFault()
 		}
 		o.run(time.Duration(20+o.draw(1500)) * time.Millisecond)
-		if o.checkLog(false); o.found != "" {
+		if o.checkLog(false); o.violation != "" {
 			return
 		}
 	}
@@ -325,10 +325,10 @@
 	o.run(8 * time.Second)
 	for _, x := range o.changes {
 		if !x.answered {
-			o.breaks("revision %d upon %d has no definite answer 8 s after the last fault", x.revision, x.base)
+			o.violate("revision %d upon %d has no definite answer 8 s after the last fault", x.revision, x.base)
 		}
 		for at := range o.hosts { // once more, at each
-			if o.site.newest().WasAccepted(x.revision, x.digest) {
+			if o.replicaCluster.newestState().WasAccepted(x.revision, x.digest) {
 				x.lostAnswers = 0
 				o.submit(x, at)
 			}
@@ -344,7 +344,7 @@
 // operatorWalk plays the walk of a seed, and returns it at its end.
 func operatorWalk(seed int, broken string) *operators {
 	draw := draws(seed)
-	o := &operators{site: newSite(draw, 3+2*draw(2), 0, broken)}
+	o := &operators{replicaCluster: newReplicaCluster(draw, 3+2*draw(2), 0, broken)}
 	o.play()
 	return o
 }
@@ -352,7 +352,7 @@
 // operatorRaces plays so many walks, and returns the first fault with its seed.
 func operatorRaces(walks int, broken string) (found string, seed int) {
 	for seed := range walks {
-		if found := operatorWalk(seed, broken).found; found != "" {
+		if found := operatorWalk(seed, broken).violation; found != "" {
 			return found, seed
 		}
 	}
--- a/internal/lab/check/operators_test.go
+++ b/internal/lab/check/operators_test.go
@@ -9,8 +9,8 @@
 	answers, reads := 0, 0
 	for seed := range 90 {
 		o := operatorWalk(seed, "")
-		if o.found != "" {
-			t.Errorf("seed %d: %s", seed, o.found)
+		if o.violation != "" {
+			t.Errorf("seed %d: %s", seed, o.violation)
 		}
 		answers, reads = answers+o.answers, reads+o.reads
 	}
--- a/internal/lab/check/singletonhost.go
+++ b/internal/lab/check/singletonhost.go
@@ -28,7 +28,7 @@
 func (h *host) startSingleton(peers []netip.AddrPort) {
 	s := h.s
 	c := &singletonHost{host: h, wasVoter: h.state.Member(h.id) != nil, config: singleton.Config{
-		Self: h.member(), Incarnation: s.ids, LeaseDuration: leaseDuration, CandidacyDelay: time.Duration(h.id) * 100 * time.Millisecond,
+		Self: h.member(), Incarnation: s.lastID, LeaseDuration: leaseDuration, CandidacyDelay: time.Duration(h.id) * 100 * time.Millisecond,
 		UsageWindow: 5 * time.Second, UsageDelay: 10 * time.Second, RouterWindow: limits.RouterReportRetention, ScalesEngines: true,
 		Peers: func() []netip.AddrPort { return peers },
 		Services: func() []autoscale.Service {
@@ -36,12 +36,12 @@
 			return []autoscale.Service{{Name: "s", Bounds: autoscale.Bounds{Min: n, Max: n}, Ready: map[string]int{"z": 1}, Slots: 4}}
 		},
 	}}
-	if s.broken != brokenPendingMembers {
-		c.config.MembershipPending = h.core.MembershipPending
+	if s.brokenRule != brokenPendingMembers {
+		c.config.MembershipPending = h.replica.MembershipPending
 	}
 	c.controller = singleton.New(s.now, c.config)
 	h.singleton = c
-	s.in(time.Duration(s.draw(500))*time.Millisecond, c.tick)
+	s.after(time.Duration(s.draw(500))*time.Millisecond, c.tick)
 }
 
 // tick reports a router's load and lets the Controller go on, again and again while the process runs.
@@ -53,7 +53,7 @@
 	report := usage.Report{Incarnation: 1, Loads: []usage.Load{{Service: "s", Running: 400, Arrived: uint64(s.now / time.Millisecond)}}}
 	c.reduce(singleton.CallReceived{Kind: rpc.KindUsageReport, Body: report.Encode()})
 	c.reduce(singleton.Tick{})
-	s.in(limits.SingletonTickInterval, c.tick)
+	s.after(limits.SingletonTickInterval, c.tick)
 }
 
 // reduce has the Controller take in an event, and carries out the effects. It returns the reply to a call.
@@ -62,9 +62,9 @@
 		return reply // its process has ended
 	}
 	s := c.s
-	state := c.core.State()
+	state := c.replica.State()
 	isVoter := state.Member(c.id) != nil
-	if isVoter && !c.wasVoter && s.broken == brokenNewVoter {
+	if isVoter && !c.wasVoter && s.brokenRule == brokenNewVoter {
 		c.config.NeverGranted = true
 		c.controller = singleton.New(s.now, c.config)
 	}
@@ -81,14 +81,14 @@
 			reply = f
 		case singleton.Propose:
 			id := c.proposals.Add(func(err error) { c.reduce(singleton.ProposalDone{Err: err}) })
-			c.take(replica.Propose{Next: f.Next, Deadline: s.now + f.Timeout, Request: id})
+			c.handle(replica.Propose{Next: f.Next, Deadline: s.now + f.Timeout, Request: id})
 		case singleton.ScaleEngines: // the platform can always be reached, and accepts every call
-			s.in(time.Millisecond, func() {
+			s.after(time.Millisecond, func() {
 				if fault := s.platform.accept(c.i, f.FencingToken); fault != "" {
-					s.breaks("%s", fault)
+					s.violate("%s", fault)
 				}
 			})
-			s.in(2*time.Millisecond, func() { c.reduce(singleton.PlatformAnswered{}) })
+			s.after(2*time.Millisecond, func() { c.reduce(singleton.PlatformAnswered{}) })
 		}
 	}
 	return reply
