--- a/internal/lab/contend/attempt.go
+++ b/internal/lab/contend/attempt.go
@@ -6,36 +6,36 @@
 	"notchhinge/internal/control/paxos"
 )
 
-// attempt is one attempt of a replica to have its proposal chosen.
+// attempt is one attempt of a replica to get its proposal chosen.
 type attempt struct {
 	paxos.Proposer
 	sim     *simulation
-	at      int // the replica
-	attempt int // number of the attempt at this proposal, from 0
+	at      int // index of the replica
+	attempt int // number of this attempt among those for its proposal, from 0
 	isEnded bool
 }
 
-// broadcast sends a request to all voters. A voter without a response in time has failed.
+// broadcast sends a request to all voters. A voter that does not respond within responseTimeout counts as failed.
 func (a *attempt) broadcast(req paxos.Request) {
 	s := a.sim
 	for i := range s.replicas {
-		isAnswered := false
+		hasResponded := false
 		s.send(a.at, i, messageBytes+len(req.Value), func() {
 			s.handle(i, req, func(resp paxos.Response) {
 				s.send(i, a.at, messageBytes+len(resp.Value), func() {
-					if !isAnswered && !a.isEnded {
+					if !hasResponded && !a.isEnded {
 						next, out := a.HandleResponse(uint64(i), req.Kind, resp)
 						a.advance(next, out)
 					}
-					isAnswered = true
+					hasResponded = true
 				})
 			})
 		})
 		s.after(responseTimeout, func() {
-			if !isAnswered && !a.isEnded {
+			if !hasResponded && !a.isEnded {
 				a.advance(nil, a.HandleFailure(uint64(i), req.Kind))
 			}
-			isAnswered = true
+			hasResponded = true
 		})
 	}
 }
@@ -53,7 +53,7 @@
 	a.sim.after(pause, func() { a.sim.attempt(a.at, a.attempt+1) })
 }
 
-// end does what follows from the outcome, and returns how long the replica waits before its next attempt.
+// end handles the outcome, and returns how long the replica waits before its next attempt.
 func (a *attempt) end(out paxos.Outcome) (pause time.Duration) {
 	s := a.sim
 	switch out {
@@ -75,7 +75,7 @@
 	return 0
 }
 
-// announce tells the other replicas that the value is chosen. Those that are known to have accepted it need its number alone.
+// announce sends the chosen value to the other replicas. Those that are known to have accepted it receive only its number.
 func (a *attempt) announce() {
 	s := a.sim
 	for i := range s.replicas {
--- a/internal/lab/contend/contend.go
+++ b/internal/lab/contend/contend.go
@@ -1,7 +1,7 @@
-// Package contend measures contention among proposers: replicas that want values of any size chosen at the same time, over
-// links and disks whose speed is given. It tells how many attempts each value takes, and how long. It runs the acceptors,
-// proposers and back-off of package paxos in simulated time, as a replica does. It is lab code and pure: equal arguments
-// have equal results.
+// Package contend measures contention among proposers: replicas propose values of any size at the same time, over links and
+// disks of a given speed. The result is the number of attempts and the time that each value takes to be chosen. The package
+// runs the acceptors, proposers and backoff of package paxos in simulated time, as a replica does. It is lab code and pure:
+// equal arguments give equal results.
 package contend
 
 import (
@@ -13,45 +13,45 @@
 	"notchhinge/internal/timerqueue"
 )
 
-// Cluster is the replicas of a fleet, all of them voters, and their hardware.
+// Cluster describes the replicas of a fleet, which are all voters, and their hardware.
 type Cluster struct {
 	Replicas int
-	Latency  time.Duration // of a message without a value, one way
-	Link     float64       // bytes per second that leave a replica
-	Sync     time.Duration // of a disk
-	Disk     float64       // bytes per second that a disk writes
-	// ResendValues has a proposer send the chosen value again to voters that have accepted it, and not its number alone.
+	Latency  time.Duration // one way, of a message without a value
+	Link     float64       // outgoing bytes per second of a replica
+	Sync     time.Duration // of a synced write without data
+	Disk     float64       // written bytes per second
+	// ResendValues makes a proposer send the chosen value again to voters that have accepted it, rather than only its number.
 	ResendValues bool
 }
 
-// Proposal is a value that a replica wants chosen.
+// Proposal is a value that a replica proposes.
 type Proposal struct {
 	Replica int
-	At      time.Duration // when it is submitted
+	At      time.Duration // time of its submission
 	Bytes   int
 }
 
-// Result is what came of a Proposal.
+// Result is the result of a Proposal.
 type Result struct {
 	Attempts int
-	Elapsed  time.Duration // until it was chosen; 0 = it was not
+	Elapsed  time.Duration // from its submission until it was chosen; 0 = not chosen
 }
 
 const (
-	messageBytes    = 64 // of a message without its value
+	messageBytes    = 64 // size of a message without its value
 	responseTimeout = 400 * time.Millisecond
-	catchUpTime     = 20 * time.Millisecond // of a replica that lags
-	retryPause      = 20 * time.Millisecond // after an attempt without a quorum, and up to retryJitter more
+	catchUpTime     = 20 * time.Millisecond // of a lagging replica
+	retryPause      = 20 * time.Millisecond // after an attempt without a quorum; up to retryJitter is added
 	retryJitter     = 40 * time.Millisecond
 )
 
 type replica struct {
 	acceptor paxos.Acceptor
 	log      [][]byte
-	linkFree time.Duration // when what was sent before has left
-	diskFree time.Duration // when what was written before is synced
-	term     uint64        // highest one seen
-	queue    []int         // submitted proposals; the first one is being proposed
+	linkFree time.Duration // time at which all earlier messages have been sent
+	diskFree time.Duration // time at which all earlier writes are synced
+	term     uint64        // highest term seen
+	queue    []int         // indexes of submitted proposals; the first one is being proposed
 	isBusy   bool
 }
 
@@ -63,10 +63,10 @@
 	replicas  []*replica
 	proposals []Proposal
 	results   []Result
-	chosen    int // proposals
+	chosen    int // number of chosen proposals
 }
 
-// Run returns the results of the proposals, once all are chosen or after an hour of simulated time.
+// Run simulates the proposals until all are chosen, for at most an hour of simulated time, and returns their results.
 func Run(c Cluster, proposals []Proposal, seed uint64) []Result {
 	s := &simulation{
 		Cluster: c, timers: timerqueue.New[func()](), rnd: rand.New(rand.NewPCG(seed, 5)),
@@ -106,7 +106,7 @@
 // after calls do once d has passed.
 func (s *simulation) after(d time.Duration, do func()) { s.timers.Add(s.now+d, do) }
 
-// send calls arrive when a message has come from one replica to another, behind what the sender's link still has to carry.
+// send calls arrive when a message from one replica has reached another; it waits behind earlier messages on the sender's link.
 func (s *simulation) send(from, to, bytes int, arrive func()) {
 	if from == to {
 		s.after(0, arrive)
@@ -126,14 +126,14 @@
 	return time.Duration(float64(bytes) / perSecond * float64(time.Second))
 }
 
-// value returns the value of a proposal: its number, and as many bytes as it has.
+// value returns the value of a proposal, which begins with the proposal's index.
 func (s *simulation) value(proposal int) []byte {
 	b := make([]byte, max(s.proposals[proposal].Bytes, 1))
 	b[0] = byte(proposal)
 	return b
 }
 
-// propose begins with the first proposal of a replica's queue, unless it is at one.
+// propose starts the first proposal of a replica's queue, unless one is in progress.
 func (s *simulation) propose(at int) {
 	r := s.replicas[at]
 	if r.isBusy || len(r.queue) == 0 {
@@ -143,7 +143,7 @@
 	s.attempt(at, 0)
 }
 
-// attempt makes the next attempt for a replica's proposal, or goes on to the next proposal if this one is chosen.
+// attempt starts the next attempt for a replica's proposal, or the next proposal if this one is chosen.
 func (s *simulation) attempt(at, number int) {
 	r := s.replicas[at]
 	proposal := r.queue[0]
@@ -167,8 +167,8 @@
 	a.broadcast(a.Prepare())
 }
 
-// handle has a voter answer a request; answer is called once the voter's disk has what the response promises.
-func (s *simulation) handle(voter int, req paxos.Request, answer func(paxos.Response)) {
+// handle passes a request to a voter. It calls respond once the state that the response reports is on the voter's disk.
+func (s *simulation) handle(voter int, req paxos.Request, respond func(paxos.Response)) {
 	r := s.replicas[voter]
 	r.term = max(r.term, req.Number.Term)
 	resp, persist := r.acceptor.Handle(req)
@@ -177,7 +177,7 @@
 		s.write(r, len(r.acceptor.State.Value))
 		wait = r.diskFree - s.now
 	}
-	s.after(wait, func() { answer(resp) })
+	s.after(wait, func() { respond(resp) })
 }
 
 // learn appends a chosen value to a replica's log, if it is for the next index there.
--- a/internal/lab/contend/contend_test.go
+++ b/internal/lab/contend/contend_test.go
@@ -8,14 +8,14 @@
 
 const ms = time.Millisecond
 
-// tidewater is the operators' larger deployment.
+// tidewater is the larger of the two production deployments.
 var tidewater = Cluster{Replicas: 5, Latency: ms / 2, Link: 15e6, Sync: 5 * ms, Disk: 120e6}
 
-// Bytes of a value; large is tidewater's largest configuration.
+// Sizes of values in bytes; large is tidewater's largest configuration.
 const large, small = 262_000, 100
 
-// TestContentionIsBounded: proposals of several replicas at once, small values beside large ones, are all chosen within a
-// bounded number of attempts, and well within the time that an operator waits.
+// TestContentionIsBounded: concurrent proposals of several replicas, with small and large values, are all chosen within a bounded
+// number of attempts and a bounded time.
 func TestContentionIsBounded(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -36,7 +36,7 @@
 			for seed := range uint64(200) {
 				for _, r := range Run(tidewater, c.proposals, seed) {
 					if r.Elapsed == 0 {
-						t.Fatalf("seed %d: not chosen", seed)
+						t.Fatalf("seed %d: a proposal was not chosen", seed)
 					}
 					attempts, elapsed = append(attempts, r.Attempts), append(elapsed, r.Elapsed)
 				}
@@ -53,14 +53,14 @@
 	}
 }
 
-// TestAcceptedValuesAreNotSentAgain: the second of two large values is chosen sooner where voters that have accepted the
-// first one get its number alone.
+// TestAcceptedValuesAreNotSentAgain: the second of two large values is chosen sooner if voters that have accepted the first one
+// receive only its number.
 func TestAcceptedValuesAreNotSentAgain(t *testing.T) {
 	resending := tidewater
 	resending.ResendValues = true
 	proposals := []Proposal{{0, 0, large}, {0, ms, large}}
 	byNumber, byValue := Run(tidewater, proposals, 1), Run(resending, proposals, 1)
 	if byNumber[1].Elapsed >= byValue[1].Elapsed {
-		t.Errorf("%v, and %v where the value is sent again", byNumber[1].Elapsed, byValue[1].Elapsed)
+		t.Errorf("chosen after %v, and after %v with values sent again; want sooner", byNumber[1].Elapsed, byValue[1].Elapsed)
 	}
 }
