--- a/internal/lab/check/attemptengine.go
+++ b/internal/lab/check/attemptengine.go
@@ -15,120 +15,120 @@
 	"notchhinge/internal/dispatch"
 )
 
-// visit is a connection to an engine.
-type visit struct {
+// engineConn is a connection to an engine.
+type engineConn struct {
 	net.Conn
-	r      *router
-	host   string
-	out    []byte // what waits to be read
-	rest   []byte // of an answer that has begun
-	owed   []byte // it comes where the next answer is due
-	err    error  // what a read ends with
-	asks   *asked
-	here   *arrival
-	again  bool   // the request has been at an engine before
-	mute   bool   // it says nothing more
-	dirty  string // why it must not be used again
-	after  string // dirty, once the rest has come
-	forgot bool
-	closed bool
+	r             *routerWalk
+	host          string
+	readable      []byte // bytes that the router can read
+	remainder     []byte // of a response that has begun
+	surplus       []byte // bytes sent before the next response
+	err           error  // returned by reads after readable
+	request       *clientRequest
+	delivery      *delivery
+	isRetry       bool   // the request has reached an engine before
+	isSilent      bool   // the engine sends nothing more
+	unusable      string // why the connection must not be reused; "" = it may be
+	unusableLater string // value of unusable once the remainder has been sent
+	isForgotten   bool   // the engine no longer has it open, and resets it at the next request
+	isClosed      bool
 }
 
 var errReset = &net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ECONNRESET)}
 
-func (r *router) dial(_ context.Context, _, addr string) (net.Conn, error) {
-	v := &visit{r: r, host: addr}
-	r.engines = append(r.engines, v)
-	return v, nil
+func (r *routerWalk) dial(_ context.Context, _, addr string) (net.Conn, error) {
+	c := &engineConn{r: r, host: addr}
+	r.engineConns = append(r.engineConns, c)
+	return c, nil
 }
 
-func (*visit) SetReadDeadline(time.Time) error  { return nil }
-func (*visit) SetWriteDeadline(time.Time) error { return nil }
-func (*visit) SetDeadline(time.Time) error      { return nil }
-func (v *visit) Close() error                   { v.closed = true; return nil }
+func (*engineConn) SetReadDeadline(time.Time) error  { return nil }
+func (*engineConn) SetWriteDeadline(time.Time) error { return nil }
+func (*engineConn) SetDeadline(time.Time) error      { return nil }
+func (c *engineConn) Close() error                   { c.isClosed = true; return nil }
 
 // IsIdle implements upstream.IdleChecker.
-func (v *visit) IsIdle() bool { return v.r.unseen || len(v.out) == 0 && v.err == nil }
+func (c *engineConn) IsIdle() bool { return c.r.skipsIdleCheck || len(c.readable) == 0 && c.err == nil }
 
-// Write is a request on its way.
-func (v *visit) Write(b []byte) (int, error) {
-	r := v.r
-	if v.closed || r.dead {
+// Write handles a request that the router sends: the walk picks how much of it arrives.
+func (c *engineConn) Write(b []byte) (int, error) {
+	r := c.r
+	if c.isClosed || r.hasCrashed {
 		return 0, net.ErrClosed
 	}
 	_, id, _ := bytes.Cut(b, []byte("X-Request-Id: "))
 	id, _, _ = bytes.Cut(id, []byte("\r\n"))
-	i := slices.IndexFunc(r.asked, func(q *asked) bool { return q.id == string(id) })
+	i := slices.IndexFunc(r.requests, func(q *clientRequest) bool { return q.id == string(id) })
 	if i < 0 {
-		r.fault("%q is sent, which nobody asked", b)
+		r.violate("%q is sent, but no client has sent this request", b)
 		return len(b), nil
 	}
-	q := r.asked[i]
-	if v.dirty != "" {
-		r.fault("%s is sent on a line that is not clean (%s)", q.id, v.dirty)
+	q := r.requests[i]
+	if c.unusable != "" {
+		r.violate("%s is sent on a connection that must not be reused (%s)", q.id, c.unusable)
 	}
-	v.asks, v.again, v.dirty = q, len(q.arrivals) > 0, "its answer has not come whole"
-	arrives := func() {
-		if q.once && slices.ContainsFunc(q.arrivals, func(a *arrival) bool { return !a.refused }) {
-			r.fault("%s may not be repeated, and is sent again", q.id)
+	c.request, c.isRetry, c.unusable = q, len(q.deliveries) > 0, "its response is incomplete"
+	recordDelivery := func() {
+		if q.isNonIdempotent && slices.ContainsFunc(q.deliveries, func(d *delivery) bool { return !d.isNotExecuted }) {
+			r.violate("%s must not be executed twice, and is sent again", q.id)
 		}
-		v.here = &arrival{lost: v.forgot, at: r.now}
-		q.arrivals = append(q.arrivals, v.here)
+		c.delivery = &delivery{isLost: c.isForgotten, at: r.now}
+		q.deliveries = append(q.deliveries, c.delivery)
 	}
-	if v.forgot {
-		arrives()
-		v.err = errReset
-		r.tell("%s goes to %s on a forgotten line", q.id, v.host)
+	if c.isForgotten {
+		recordDelivery()
+		c.err = errReset
+		r.logStep("%s to %s on a connection that the engine has forgotten", q.id, c.host)
 		return len(b), nil
 	}
-	how := 0
-	if !r.plain && !v.again {
-		how = r.pick(5)
+	failure := 0
+	if !r.respondsNormally && !c.isRetry {
+		failure = r.pick(5)
 	}
-	part := []int{len(b), 0, 40, len(b) - 3, len(b) - 3}[how]
-	r.tell("%s goes to %s: %s", q.id, v.host, []string{
-		"whole", "reset before it", "reset within its head", "answered before its end and reset", "turned away before its end and reset",
-	}[how])
-	if how == 0 {
-		arrives()
+	written := []int{len(b), 0, 40, len(b) - 3, len(b) - 3}[failure]
+	r.logStep("%s to %s: %s", q.id, c.host, []string{
+		"whole", "reset before it", "reset within its header", "response before its end, then reset", "rejected before its end, then reset",
+	}[failure])
+	if failure == 0 {
+		recordDelivery()
 		return len(b), nil
 	}
-	v.err = errReset
-	if how > 1 {
-		arrives()
+	c.err = errReset
+	if failure > 1 {
+		recordDelivery()
 	}
-	if how == 3 {
-		v.out = v.answer(q, "")
+	if failure == 3 {
+		c.readable = c.response(q, "")
 	}
-	if how == 4 {
-		v.out = v.turns(q, "503 Service Unavailable", true)
+	if failure == 4 {
+		c.readable = c.errorResponse(q, "503 Service Unavailable", true)
 	}
-	return part, &net.OpError{Op: "write", Err: os.NewSyscallError("write", syscall.ECONNRESET)}
+	return written, &net.OpError{Op: "write", Err: os.NewSyscallError("write", syscall.ECONNRESET)}
 }
 
-// Read gives what has come, or has the walk pick what comes next.
-func (v *visit) Read(p []byte) (int, error) {
+// Read returns the bytes that have arrived; if there are none, the walk picks the next event.
+func (c *engineConn) Read(p []byte) (int, error) {
 	for {
 		switch {
-		case v.closed, v.r.dead:
+		case c.isClosed, c.r.hasCrashed:
 			return 0, net.ErrClosed
-		case len(v.out) > 0:
-			n := copy(p, v.out)
-			v.out = v.out[n:]
+		case len(c.readable) > 0:
+			n := copy(p, c.readable)
+			c.readable = c.readable[n:]
 			return n, nil
-		case v.err != nil:
-			return 0, v.err
+		case c.err != nil:
+			return 0, c.err
 		}
-		v.moment()
+		c.nextEvent()
 	}
 }
 
-// answer is a whole answer to a request; head are headers beside the usual.
-func (v *visit) answer(q *asked, head string) []byte {
-	n := len(q.answers)
+// response returns a complete response to a request; head holds additional header lines.
+func (c *engineConn) response(q *clientRequest, head string) []byte {
+	n := len(q.responses)
 	seal := fmt.Sprintf("seal-%s-%d", q.id, n)
 	body := fmt.Sprintf("id: 0\ndata: %s %d\n\nid: 1\ndata: end of %s\n\n", q.id, n, q.id)
-	q.answers = append(q.answers, seal+" "+body)
+	q.responses = append(q.responses, seal+" "+body)
 	start := "HTTP/1.1 200 OK\r\nX-Response-Seal: " + seal + "\r\nX-Request-Id: " + q.id + "\r\nKeep-Alive: timeout=10\r\n" + head
 	if strings.Contains(q.path, routeStreaming) {
 		at := strings.Index(body, "\n\n") + 2
@@ -137,239 +137,242 @@
 	return fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", start, len(body), body)
 }
 
-// turns is an answer of another status.
-func (v *visit) turns(q *asked, status string, notRun bool) []byte {
+// errorResponse returns a response with an error status.
+func (c *engineConn) errorResponse(q *clientRequest, status string, notRun bool) []byte {
 	head := ""
 	if notRun {
 		head = "X-Not-Executed: 1\r\n"
 	}
-	if v.here != nil && (notRun || strings.HasPrefix(status, "421")) {
-		v.here.refused = true
+	if c.delivery != nil && (notRun || strings.HasPrefix(status, "421")) {
+		c.delivery.isNotExecuted = true
 	}
 	return fmt.Appendf(nil, "HTTP/1.1 %s\r\nX-Request-Id: %s\r\nKeep-Alive: timeout=10\r\n%sContent-Length: 6\r\n\r\n%s.", status, q.id, head, q.id)
 }
 
-// comes has an answer come whole, behind what is owed of an earlier one.
-func (v *visit) comes(b []byte) {
-	v.dirty = ""
-	if len(v.owed) > 0 {
-		v.dirty = "it stutters"
+// deliver makes a response readable, after the surplus bytes of an earlier one.
+func (c *engineConn) deliver(b []byte) {
+	c.unusable = ""
+	if len(c.surplus) > 0 {
+		c.unusable = "it has sent an unexpected response"
 	}
-	v.out, v.owed = slices.Concat(v.owed, b), nil
+	c.readable, c.surplus = slices.Concat(c.surplus, b), nil
 }
 
-// option is something that may come next.
-type option struct {
+// event is a possible next event on a connection.
+type event struct {
 	name string
 	do   func()
 }
 
-// moment picks what comes next on a connection that the router waits at.
-func (v *visit) moment() {
-	q, r := v.asks, v.r
-	if r.plain {
-		v.comes(v.answer(q, ""))
+// nextEvent picks and applies the next event on a connection on which the router waits.
+func (c *engineConn) nextEvent() {
+	q, r := c.request, c.r
+	if r.respondsNormally {
+		c.deliver(c.response(q, ""))
 		return
 	}
-	var all []option
-	may := func(name string, do func()) { all = append(all, option{name, do}) }
-	ends := func(err error) { v.err, v.dirty = err, "it has ended" }
+	var all []event
+	add := func(name string, do func()) { all = append(all, event{name, do}) }
+	end := func(err error) { c.err, c.unusable = err, "it is closed" }
 	switch {
-	case v.mute:
-	case v.rest != nil:
-		may("the rest", func() { v.out, v.rest, v.dirty = v.rest, nil, v.after })
-		may("a reset", func() { ends(errReset) })
-		may("its end", func() { ends(io.EOF) })
-	case v.again && r.short:
-		v.few(may, ends)
+	case c.isSilent:
+	case c.remainder != nil:
+		add("the remaining bytes", func() { c.readable, c.remainder, c.unusable = c.remainder, nil, c.unusableLater })
+		add("a reset", func() { end(errReset) })
+		add("a close", func() { end(io.EOF) })
+	case c.isRetry && r.limitsRetryEvents:
+		c.addCommonEvents(add, end)
 	default:
-		v.few(may, ends)
-		v.many(may, ends)
+		c.addCommonEvents(add, end)
+		c.addRareEvents(add, end)
 	}
-	if r.outside > 0 {
-		v.others(may)
+	if r.externalEvents > 0 {
+		c.addExternalEvents(add)
 	}
-	// Silence lasts until the deadline, or a client that has its answer's beginning has had enough.
-	may("the deadline", func() {
+	// If the engine stays silent, the attempt ends at the deadline, or when the client disconnects after a partial response.
+	add("the deadline", func() {
 		r.now += 6 * time.Second
 		r.post(dispatch.Tick{})
-		if !v.closed {
-			q.from.leave()
+		if !c.isClosed {
+			q.client.disconnect()
 		}
-		if !v.closed {
-			r.fault("a leg of %s goes on for nobody", q.id)
-			v.closed = true
+		if !c.isClosed {
+			r.violate("an attempt of %s continues after its client has disconnected", q.id)
+			c.isClosed = true
 		}
 	})
-	o := all[r.pick(len(all))]
-	r.tell("%s at %s: %s", q.id, v.host, o.name)
-	o.do()
+	picked := all[r.pick(len(all))]
+	r.logStep("%s at %s: %s", q.id, c.host, picked.name)
+	picked.do()
 }
 
-// few are what comes mostly.
-func (v *visit) few(may func(string, func()), ends func(error)) {
-	q := v.asks
-	may("an answer", func() { v.comes(v.answer(q, "")) })
-	may("503, not executed", func() { v.comes(v.turns(q, "503 Service Unavailable", true)) })
-	may("421", func() { v.comes(v.turns(q, "421 Misdirected Request", false)) })
-	may("500", func() { v.comes(v.turns(q, "500 Internal Server Error", false)) })
-	may("a reset", func() { ends(errReset) })
+// addCommonEvents adds the most frequent events.
+func (c *engineConn) addCommonEvents(add func(string, func()), end func(error)) {
+	q := c.request
+	add("a response", func() { c.deliver(c.response(q, "")) })
+	add("503, not executed", func() { c.deliver(c.errorResponse(q, "503 Service Unavailable", true)) })
+	add("421", func() { c.deliver(c.errorResponse(q, "421 Misdirected Request", false)) })
+	add("500", func() { c.deliver(c.errorResponse(q, "500 Internal Server Error", false)) })
+	add("a reset", func() { end(errReset) })
 }
 
-// many are what may come beside these.
-func (v *visit) many(may func(string, func()), ends func(error)) {
-	q, r := v.asks, v.r
-	begins := func(name string, upTo func(b []byte) int) {
-		may(name, func() {
-			b := v.answer(q, "")
+// addRareEvents adds the remaining events of an engine.
+func (c *engineConn) addRareEvents(add func(string, func()), end func(error)) {
+	q, r := c.request, c.r
+	addPartial := func(name string, upTo func(b []byte) int) {
+		add(name, func() {
+			b := c.response(q, "")
 			at := upTo(b)
-			v.comes(b[:at])
-			v.rest, v.after, v.dirty = b[at:], v.dirty, "its answer has not come whole"
+			c.deliver(b[:at])
+			c.remainder, c.unusableLater, c.unusable = b[at:], c.unusable, "its response is incomplete"
 		})
 	}
-	begins("an answer's first byte", func([]byte) int { return 1 })
-	begins("half a head", func([]byte) int { return 50 })
-	begins("a head", func(b []byte) int { return bytes.Index(b, []byte("\r\n\r\n")) + 4 })
-	begins("an answer but for its last bytes", func(b []byte) int { return len(b) - 3 })
-	begins("an answer's first event", func(b []byte) int { return bytes.Index(b, []byte("\n\n")) + 2 })
-	may("an answer, Connection: close", func() {
-		v.comes(v.answer(q, "Connection: close\r\n"))
-		ends(io.EOF)
+	addPartial("first byte of a response", func([]byte) int { return 1 })
+	addPartial("half a header", func([]byte) int { return 50 })
+	addPartial("a header", func(b []byte) int { return bytes.Index(b, []byte("\r\n\r\n")) + 4 })
+	addPartial("a response without its last bytes", func(b []byte) int { return len(b) - 3 })
+	addPartial("first event of a response", func(b []byte) int { return bytes.Index(b, []byte("\n\n")) + 2 })
+	add("a response, Connection: close", func() {
+		c.deliver(c.response(q, "Connection: close\r\n"))
+		end(io.EOF)
 	})
-	may("an answer without a length", func() {
-		b := v.answer(q, "")
+	add("a response without a length", func() {
+		b := c.response(q, "")
 		at := bytes.Index(b, []byte("Content-Length"))
 		if at < 0 {
 			at = bytes.Index(b, []byte("Transfer-Encoding"))
 		}
-		v.comes(append(b[:at:at], "X-No: length\r\n\r\nid: 0\ndata: x\n\n"...))
-		q.answers = q.answers[:len(q.answers)-1] // it was not whole
-		ends(io.EOF)
+		c.deliver(append(b[:at:at], "X-No: length\r\n\r\nid: 0\ndata: x\n\n"...))
+		q.responses = q.responses[:len(q.responses)-1] // it is incomplete
+		end(io.EOF)
 	})
-	surplus := func() []byte {
-		b := v.answer(q, "")
-		q.answers = q.answers[:len(q.answers)-1] // the same once more
+	secondResponse := func() []byte {
+		b := c.response(q, "")
+		q.responses = q.responses[:len(q.responses)-1] // the response after it has the same number
 		return b
 	}
-	may("an answer and a second", func() {
-		more := surplus()
-		v.comes(append(v.answer(q, ""), more...))
-		v.dirty = "it stutters"
+	add("a response and a second one", func() {
+		second := secondResponse()
+		c.deliver(append(c.response(q, ""), second...))
+		c.unusable = "it has sent an unexpected response"
 	})
-	may("an answer and half a second", func() {
-		more := surplus()
-		v.comes(append(v.answer(q, ""), more[:50]...))
-		v.dirty = "it stutters"
+	add("a response and half of a second one", func() {
+		second := secondResponse()
+		c.deliver(append(c.response(q, ""), second[:50]...))
+		c.unusable = "it has sent an unexpected response"
 	})
-	may("an answer, and a second as the line rests", func() {
-		more := surplus()
-		v.comes(v.answer(q, ""))
-		v.rests(more)
+	add("a response, and a second one while the connection is idle", func() {
+		second := secondResponse()
+		c.deliver(c.response(q, ""))
+		c.deliverWhenIdle(second)
 	})
-	may("an answer, and a second where the next is due", func() {
-		more := surplus()
-		v.comes(v.answer(q, ""))
-		v.owed = more
+	add("a response, and a second one before the next", func() {
+		second := secondResponse()
+		c.deliver(c.response(q, ""))
+		c.surplus = second
 	})
-	may("an answer, and some of a second where the next is due", func() {
-		more := surplus()
-		v.comes(v.answer(q, ""))
-		head := bytes.Index(more, []byte("\r\n\r\n")) + 4
-		if r.fine {
-			v.owed = more[:r.pick(len(more)-1)+1]
+	add("a response, and a part of a second one before the next", func() {
+		second := secondResponse()
+		c.deliver(c.response(q, ""))
+		head := bytes.Index(second, []byte("\r\n\r\n")) + 4
+		if r.cutsEveryByte {
+			c.surplus = second[:r.pick(len(second)-1)+1]
 			return
 		}
-		v.owed = more[:[]int{9, 17, 19, 40, head - 4, head, head + 5, len(more) - 3}[r.pick(8)]]
+		c.surplus = second[:[]int{9, 17, 19, 40, head - 4, head, head + 5, len(second) - 3}[r.pick(8)]]
 	})
-	may("an answer to another and this", func() {
-		v.comes(append(v.answer(&asked{id: "r9999", path: q.path}, ""), v.answer(q, "")...))
-		v.dirty = "it stutters"
+	add("a response to another request, then to this one", func() {
+		c.deliver(append(c.response(&clientRequest{id: "r9999", path: q.path}, ""), c.response(q, "")...))
+		c.unusable = "it has sent an unexpected response"
 	})
-	may("an answer to another", func() {
-		v.comes(v.answer(&asked{id: "r9999", path: q.path}, ""))
-		v.dirty, v.mute = "it stutters", true
+	add("a response to another request", func() {
+		c.deliver(c.response(&clientRequest{id: "r9999", path: q.path}, ""))
+		c.unusable, c.isSilent = "it has sent an unexpected response", true
 	})
-	may("an answer to nobody", func() {
-		v.comes(bytes.Replace(v.answer(q, ""), []byte("X-Request-Id"), []byte("X-Else"), 1))
-		q.answers, v.dirty = q.answers[:len(q.answers)-1], "it stutters"
+	add("a response without a request ID", func() {
+		c.deliver(bytes.Replace(c.response(q, ""), []byte("X-Request-Id"), []byte("X-Else"), 1))
+		q.responses, c.unusable = q.responses[:len(q.responses)-1], "it has sent an unexpected response"
+	})
+	add("103 and a response", func() { c.deliver(append([]byte("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"), c.response(q, "")...)) })
+	add("nonsense", func() {
+		c.deliver([]byte("\x00\xff nonsense\r\n\r\n"))
+		c.unusable = "it has sent an unexpected response"
 	})
-	may("103 and an answer", func() { v.comes(append([]byte("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"), v.answer(q, "")...)) })
-	may("nonsense", func() { v.comes([]byte("\x00\xff nonsense\r\n\r\n")); v.dirty = "it stutters" })
 	for _, status := range []string{"429 Too Many Requests", "408 Request Timeout"} {
-		may(status+", not executed", func() { v.comes(v.turns(q, status, true)) })
+		add(status+", not executed", func() { c.deliver(c.errorResponse(q, status, true)) })
 	}
 	for _, status := range []string{
 		"503 Service Unavailable", "429 Too Many Requests", "408 Request Timeout", "504 Gateway Timeout", "404 Not Found",
 	} {
-		may(status, func() { v.comes(v.turns(q, status, false)) })
+		add(status, func() { c.deliver(c.errorResponse(q, status, false)) })
 	}
-	may("400, not executed", func() { v.comes(v.turns(q, "400 Bad Request", true)) })
-	may("half of 503, not executed", func() { v.comes([]byte("HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\n")); ends(errReset) })
-	may("its end", func() { ends(io.EOF) })
+	add("400, not executed", func() { c.deliver(c.errorResponse(q, "400 Bad Request", true)) })
+	add("half of 503, not executed", func() { c.deliver([]byte("HTTP/1.1 503 Service Unavailable\r\nX-Not-Executed: 1\r\n")); end(errReset) })
+	add("a close", func() { end(io.EOF) })
 }
 
-// rests has bytes come that nobody asked for, once the answer has been read: a look at the line shows them.
-func (v *visit) rests(more []byte) {
-	r := v.r
-	r.resting = append(r.resting, func() { v.out, v.dirty = append(v.out, more...), "bytes wait that nobody asked for" })
+// deliverWhenIdle makes unrequested bytes arrive once the response has been read, where IsIdle detects them.
+func (c *engineConn) deliverWhenIdle(more []byte) {
+	r := c.r
+	r.whenIdle = append(r.whenIdle, func() { c.readable, c.unusable = append(c.readable, more...), "it has unrequested bytes" })
 }
 
-// others are events from outside, each at most once and two in a life.
-func (v *visit) others(may func(string, func())) {
-	q, r := v.asks, v.r
-	once := func(name string, do func()) {
-		may(name, func() { r.outside--; do() })
+// addExternalEvents adds events of clients and of the router's process. At most two occur in a run, or one with cutsEveryByte.
+func (c *engineConn) addExternalEvents(add func(string, func())) {
+	q, r := c.request, c.r
+	addOnce := func(name string, do func()) {
+		add(name, func() { r.externalEvents--; do() })
 	}
-	if q.from.err == nil {
-		once("its client goes", func() { q.from.leave() })
+	if q.client.err == nil {
+		addOnce("its client disconnects", func() { q.client.disconnect() })
 	}
-	if !r.drains {
-		once("a drain", func() { r.drains = true; r.front.Drain() })
+	if !r.isDraining {
+		addOnce("a drain", func() { r.isDraining = true; r.frontend.Drain() })
 	}
-	if len(r.asked) < 2 {
-		once("another client's request", func() {
-			r.plain = r.fine
-			r.ask(r.call(), r.second)
-			r.run()
-			r.plain = false
+	if len(r.requests) < 2 {
+		addOnce("another client's request", func() {
+			r.respondsNormally = r.cutsEveryByte
+			r.sendRequest(r.connect(), r.secondKind)
+			r.runAttempts()
+			r.respondsNormally = false
 		})
 	}
-	once("the router's end", func() { r.dead = true })
+	addOnce("the router crashes", func() { r.hasCrashed = true })
 }
 
-// between picks what becomes of lines at rest.
-func (r *router) between() {
-	for _, f := range r.resting {
+// idleConnEvents picks what happens to connections while they are idle.
+func (r *routerWalk) idleConnEvents() {
+	for _, f := range r.whenIdle {
 		f()
 	}
-	r.resting = nil
-	var rest []*visit
-	for _, v := range r.engines {
-		if !v.closed {
-			rest = append(rest, v)
+	r.whenIdle = nil
+	var idle []*engineConn
+	for _, c := range r.engineConns {
+		if !c.isClosed {
+			idle = append(idle, c)
 		}
 	}
-	if len(rest) == 0 || r.dead {
+	if len(idle) == 0 || r.hasCrashed {
 		return
 	}
 	switch r.pick(4) {
 	case 1:
-		r.tell("lines are closed")
-		for _, v := range rest {
-			v.err, v.dirty = io.EOF, "it has ended"
+		r.logStep("idle connections are closed")
+		for _, c := range idle {
+			c.err, c.unusable = io.EOF, "it is closed"
 		}
 	case 2:
-		r.tell("lines are forgotten")
-		for _, v := range rest {
-			v.forgot = true
+		r.logStep("idle connections are forgotten by the engine")
+		for _, c := range idle {
+			c.isForgotten = true
 		}
 	case 3:
-		r.tell("lines rest for long")
+		r.logStep("connections are idle for long")
 		r.now += 20 * time.Second
 		r.post(dispatch.Tick{})
-		for _, v := range rest {
-			if v.dirty = "it has rested for too long"; !v.closed {
-				r.fault("a line to %s rests on", v.host)
+		for _, c := range idle {
+			if c.unusable = "it was idle for too long"; !c.isClosed {
+				r.violate("an idle connection to %s is still open", c.host)
 			}
 		}
 	}
--- a/internal/lab/check/attemptjudge.go
+++ b/internal/lab/check/attemptjudge.go
@@ -9,105 +9,105 @@
 	"time"
 )
 
-// life plays a life: two requests and one that is answered plainly.
-func (r *router) life(first, second string) {
-	r.second = second
-	r.ask(r.call(), first)
-	r.run()
-	r.between()
-	if len(r.asked) < 2 && !r.dead {
-		c := r.callers[0]
-		if c.closed || c.err != nil {
-			c = r.call()
+// play runs two requests, and a third one with a normal response, and checks all responses.
+func (r *routerWalk) play(firstKind, secondKind string) {
+	r.secondKind = secondKind
+	r.sendRequest(r.connect(), firstKind)
+	r.runAttempts()
+	r.idleConnEvents()
+	if len(r.requests) < 2 && !r.hasCrashed {
+		c := r.clients[0]
+		if c.isClosed || c.err != nil {
+			c = r.connect()
 		}
-		r.plain = r.fine
-		r.ask(c, second)
-		r.run()
+		r.respondsNormally = r.cutsEveryByte
+		r.sendRequest(c, secondKind)
+		r.runAttempts()
 	}
-	for _, f := range r.resting {
+	for _, f := range r.whenIdle {
 		f()
 	}
-	r.resting, r.plain = nil, true
-	if !r.dead {
-		r.ask(r.call(), routeNonIdempotent)
-		r.run()
+	r.whenIdle, r.respondsNormally = nil, true
+	if !r.hasCrashed {
+		r.sendRequest(r.connect(), routeNonIdempotent)
+		r.runAttempts()
 	}
-	for _, c := range r.callers {
+	for _, c := range r.clients {
 		c.stop()
 	}
-	for _, q := range r.asked {
-		r.judge(q)
+	for _, q := range r.requests {
+		r.checkResponse(q)
 	}
-	r.count()
+	r.checkRetryBudget()
 }
 
-// count looks for a window with more repeats than there may be.
-func (r *router) count() {
+// checkRetryBudget checks that no window has more retries than the budget allows.
+func (r *routerWalk) checkRetryBudget() {
 	const window = 10 * time.Second
-	var repeats []time.Duration
-	for _, q := range r.asked {
+	var retries []time.Duration
+	for _, q := range r.requests {
 		first := true
-		for _, a := range q.arrivals {
-			if !first && !a.lost {
-				repeats = append(repeats, a.at)
+		for _, d := range q.deliveries {
+			if !first && !d.isLost {
+				retries = append(retries, d.at)
 			}
-			first = first && a.lost
+			first = first && d.isLost
 		}
 	}
-	for _, end := range repeats {
+	for _, end := range retries {
 		n := 0
-		for _, at := range repeats {
+		for _, at := range retries {
 			if at > end-window && at <= end {
 				n++
 			}
 		}
-		if n > r.repeats {
-			r.fault("%d repeats of %d allowed in a window", n, r.repeats)
+		if n > r.maxRetries {
+			r.violate("%d retries in a window that allows %d", n, r.maxRetries)
 		}
 	}
 }
 
-// judge says what is wrong with what a client was sent.
-func (r *router) judge(q *asked) {
-	for _, o := range append(slices.Clone(r.asked), &asked{id: "r9999"}) {
-		if o != q && bytes.Contains(q.got, []byte(o.id)) {
-			r.fault("%s was sent what belongs to %s: %q", q.id, o.id, q.got)
+// checkResponse checks what a client has received for a request.
+func (r *routerWalk) checkResponse(q *clientRequest) {
+	for _, o := range append(slices.Clone(r.requests), &clientRequest{id: "r9999"}) {
+		if o != q && bytes.Contains(q.received, []byte(o.id)) {
+			r.violate("the client of %s received data of %s: %q", q.id, o.id, q.received)
 		}
 	}
-	if len(q.got) == 0 {
-		if !q.gone && !q.ended && !r.dead {
-			r.fault("%s was never answered", q.id)
+	if len(q.received) == 0 {
+		if !q.clientLeft && !q.isConnClosed && !r.hasCrashed {
+			r.violate("%s got no response", q.id)
 		}
 		return
 	}
-	br := bufio.NewReader(bytes.NewReader(q.got))
+	br := bufio.NewReader(bytes.NewReader(q.received))
 	resp, err := http.ReadResponse(br, nil) //nolint:bodyclose // read from memory
 	if err != nil {
-		if !q.gone && !r.dead {
-			r.fault("%s was sent what is no answer: %q", q.id, q.got)
+		if !q.clientLeft && !r.hasCrashed {
+			r.violate("the client of %s received an invalid response: %q", q.id, q.received)
 		}
 		return
 	}
 	body, err := io.ReadAll(resp.Body)
-	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
+	isFramed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	if br.Buffered() > 0 {
-		r.fault("%s was sent more than an answer: %q", q.id, q.got)
+		r.violate("the client of %s received bytes after the response: %q", q.id, q.received)
 	}
-	if err != nil || !framed {
-		if framed && !q.gone && !q.ended && !r.dead {
-			r.fault("the answer to %s ends early on a connection that goes on", q.id)
+	if err != nil || !isFramed {
+		if isFramed && !q.clientLeft && !q.isConnClosed && !r.hasCrashed {
+			r.violate("the response to %s is truncated on a connection that stays open", q.id)
 		}
 		return
 	}
-	ran := slices.ContainsFunc(q.arrivals, func(a *arrival) bool { return !a.refused })
+	mayHaveRun := slices.ContainsFunc(q.deliveries, func(d *delivery) bool { return !d.isNotExecuted })
 	switch resp.StatusCode {
 	case http.StatusOK:
-		if !slices.Contains(q.answers, resp.Header.Get("X-Response-Seal")+" "+string(body)) {
-			r.fault("%s was sent a success that no engine gave it: %q", q.id, q.got)
+		if !slices.Contains(q.responses, resp.Header.Get("X-Response-Seal")+" "+string(body)) {
+			r.violate("the client of %s received a success that no engine sent: %q", q.id, q.received)
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		if ran {
-			r.fault("%s was told %d and may have run", q.id, resp.StatusCode)
+		if mayHaveRun {
+			r.violate("%s was rejected with status %d and may have been executed", q.id, resp.StatusCode)
 		}
 	}
 }
--- a/internal/lab/check/attempts.go
+++ b/internal/lab/check/attempts.go
@@ -19,254 +19,257 @@
 	"notchhinge/policy"
 )
 
-// A walk over every order of events on the legs of a router: the front, the broker, the module and the issuer's reading are the
-// program's own, over connections in memory on which nothing waits. Wherever the router waits for an engine, the walk picks
-// what comes next: part of an answer, one of another request, a reset, silence until the deadline, a client that goes, another
-// client's request, a drain, the router's end. Two requests, mostly on one connection to the engine and one from the client,
-// then a third that is answered as it should be, to see what the two have left behind.
+// The walk of request attempts runs the program's frontend, dispatcher, policy module and upstream transport over connections in
+// memory that never block. Wherever the router waits for an engine, the walk picks the next event: a part of a response, the
+// response to another request, a reset, silence until the deadline, a client that disconnects, another client's request, a
+// drain, or a crash of the router. Each walk has two requests, mostly on the same connections, and a third one with a normal
+// response, which shows whether the first two have left the router in a wrong state.
 
-// odometer goes through every sequence of choices; each life asks for as many as it needs.
-type odometer struct {
-	at, of []int
-	next   int
+// choiceEnumerator enumerates every sequence of choices, depth first. Each run makes as many choices as it needs.
+type choiceEnumerator struct {
+	chosen, optionCounts []int // of each choice of the current run
+	depth                int   // number of choices made in the current run
 }
 
-func (o *odometer) pick(n int) int {
-	if o.next == len(o.at) {
-		o.at, o.of = append(o.at, 0), append(o.of, n)
+// pick returns the choice of the current run among n options.
+func (e *choiceEnumerator) pick(n int) int {
+	if e.depth == len(e.chosen) {
+		e.chosen, e.optionCounts = append(e.chosen, 0), append(e.optionCounts, n)
 	}
-	o.next++
-	return o.at[o.next-1]
+	e.depth++
+	return e.chosen[e.depth-1]
 }
 
-// turn goes on to the next sequence, and tells whether there is one.
-func (o *odometer) turn() bool {
-	o.next = 0
-	for i := len(o.at) - 1; i >= 0; i-- {
-		if o.at[i]+1 < o.of[i] {
-			o.at[i]++
-			o.at, o.of = o.at[:i+1], o.of[:i+1]
+// advance starts the next sequence, and returns false if there is none.
+func (e *choiceEnumerator) advance() bool {
+	e.depth = 0
+	for i := len(e.chosen) - 1; i >= 0; i-- {
+		if e.chosen[i]+1 < e.optionCounts[i] {
+			e.chosen[i]++
+			e.chosen, e.optionCounts = e.chosen[:i+1], e.optionCounts[:i+1]
 			return true
 		}
 	}
 	return false
 }
 
-// slips are rules that are broken on purpose, each of which must be found.
-type slips struct {
-	blind    bool // an answer is taken for that of whoever waits
-	whole    bool // an answer that ended early is ended as a whole one
-	safe     bool // what may not be repeated counts as what may
-	promises bool // a refusal says that nothing has run, whatever has
-	unseen   bool // a line is used again without a look at it
-	lavish   bool // there is no budget for repeats
+// brokenRules selects rules of the router that a walk breaks on purpose; each must be detected.
+type brokenRules struct {
+	acceptsAnyResponse bool // any response is taken for that of the waiting request
+	hidesTruncation    bool // a truncated response is finished as a complete one
+	retriesEverything  bool // non-idempotent requests are treated as idempotent
+	claimsNotExecuted  bool // a rejection says that the request was not executed, even if it may have been
+	skipsIdleCheck     bool // a connection is reused without a check for unread bytes
+	ignoresRetryBudget bool // retries are not limited by the retry budget
 }
 
-// asked is a request and what came of it.
-type asked struct {
-	id, path string
-	once     bool // it may not be repeated
-	from     *caller
-	arrivals []*arrival
-	answers  []string // that engines have given it whole and with success: seal and body
-	got      []byte   // what its client was sent
-	gone     bool     // its client went away
-	ended    bool     // its connection ended with it
+// clientRequest is a request with its attempts and its response.
+type clientRequest struct {
+	id, path        string
+	isNonIdempotent bool // it must not be executed twice
+	client          *clientConn
+	deliveries      []*delivery
+	responses       []string // complete, successful responses of engines: seal and body
+	received        []byte   // by the client
+	clientLeft      bool     // the client has disconnected
+	isConnClosed    bool     // the router has closed the client's connection
 }
 
-// arrival is a request's visit at an engine: some of it has been sent.
-type arrival struct {
-	refused bool // the engine has said that it has not run it
-	lost    bool // it was sent on a connection that the engine had forgotten
-	at      time.Duration
+// delivery is the arrival of a request, or a part of it, at an engine.
+type delivery struct {
+	isNotExecuted bool // the engine has responded that it did not execute the request
+	isLost        bool // it was sent on a connection that the engine no longer had open
+	at            time.Duration
 }
 
-// router is one life of a router with two engines and a few clients.
-type router struct {
-	slips
-	pick     func(n int) int
-	short    bool // fewer kinds of second attempts
-	fine     bool // answers are cut at every byte, and the second request is answered plainly
-	now      time.Duration
-	broker   *dispatch.Dispatcher
-	upstream *upstream.Transport
-	front    *frontend.Server
-	events   []dispatch.Event
-	pumping  bool
-	closing  []dispatch.Reject
-	legs     []func()
-	asked    []*asked
-	callers  []*caller
-	engines  []*visit // connections to them
-	repeats  int      // the budget of a life
-	outside  int      // events from outside that may still come
-	drains   bool
-	dead     bool
-	second   string   // the kind of the second request
-	resting  []func() // what comes on lines at rest
-	plain    bool     // engines answer as they should from now on
-	story    []string
-	wrong    string
+// routerWalk is one run of a router with one or two engines and a few clients.
+type routerWalk struct {
+	brokenRules
+	pick              func(n int) int
+	limitsRetryEvents bool // retries meet common events only
+	cutsEveryByte     bool // see attemptBounds
+	now               time.Duration
+	dispatcher        *dispatch.Dispatcher
+	upstream          *upstream.Transport
+	frontend          *frontend.Server
+	events            []dispatch.Event
+	isReducing        bool
+	rejections        []dispatch.Reject
+	attempts          []func() // started, but not yet run
+	requests          []*clientRequest
+	clients           []*clientConn
+	engineConns       []*engineConn // connections to engines
+	maxRetries        int           // allowance of the retry budget
+	externalEvents    int           // number of external events that may still occur
+	isDraining        bool
+	hasCrashed        bool
+	secondKind        string   // kind of the second request
+	whenIdle          []func() // bytes that arrive on idle connections
+	respondsNormally  bool     // engines send complete, correct responses from now on
+	steps             []string // what has happened, for the report of a violation
+	firstViolation    string   // "" = none
 }
 
-func newRouter(pick func(int) int, breaks slips, engines, repeats int) *router {
-	r := &router{slips: breaks, pick: pick, now: time.Hour, outside: 2, repeats: repeats}
+func newRouterWalk(pick func(int) int, rules brokenRules, engines, maxRetries int) *routerWalk {
+	r := &routerWalk{brokenRules: rules, pick: pick, now: time.Hour, externalEvents: 2, maxRetries: maxRetries}
 	lim := limits.NewFleetRouter(limits.Machine{Cores: 1, MemoryMB: 184, Sockets: 1024})
-	lim.ResponseHeadBytes, lim.RequestHeadBytes, lim.ControlReadBytes = 2<<10, 1<<10, 1<<10 // as much as is sent here
+	lim.ResponseHeadBytes, lim.RequestHeadBytes, lim.ControlReadBytes = 2<<10, 1<<10, 1<<10 // enough for the messages of this walk
 	clock := func() time.Duration { return r.now }
 	c := &fleetconfig.Config{Revision: 1, Services: []fleetconfig.Service{{Name: "s"}}}
-	for _, kind := range legKinds {
+	for _, kind := range requestKinds {
 		c.Routes = append(c.Routes, fleetconfig.Route{
 			Name: kind, Hostname: "h", PathPrefix: "/" + kind + "/", Type: fleetconfig.RouteType(kind), TimeoutMS: 5000, TargetLatencyMS: 1000, TargetService: "s", MaxAttempts: 3, Public: true,
 		})
 	}
 	next := hoststate.PoolID(1)
-	at, err := dialect.Compile(c, dialect.CompileOptions{LogIndex: 1, NextPool: &next})
+	compiled, err := dialect.Compile(c, dialect.CompileOptions{LogIndex: 1, NextPool: &next})
 	if err != nil {
-		r.wrong = err.Error()
+		r.firstViolation = err.Error()
 		return r
 	}
-	s := at.Services()["s"]
-	classes := slices.Clone(s.Classes)
+	service := compiled.Services()["s"]
+	classes := slices.Clone(service.Classes)
 	for i := range classes {
-		if r.safe {
+		if r.retriesEverything {
 			classes[i].Effect = policy.EffectSafe
 		}
 	}
-	m, err := policy.New(dialect.PolicySettings(classes, time.Second, lim.MaxAttempts), 1)
+	module, err := policy.New(dialect.PolicySettings(classes, time.Second, lim.MaxAttempts), 1)
 	if err != nil {
-		r.wrong = err.Error()
+		r.firstViolation = err.Error()
 		return r
 	}
-	r.broker = dispatch.New(lim)
+	r.dispatcher = dispatch.New(lim)
 	r.upstream = upstream.New(upstream.Config{
-		Limits: lim, Post: r.post, Now: clock, Dial: r.dial, Dialect: legDialect{blind: r.blind}, Go: func(f func()) { r.legs = append(r.legs, f) },
+		Limits: lim, Post: r.post, Now: clock, Dial: r.dial, Dialect: upstreamDialect{acceptsAnyResponse: r.acceptsAnyResponse}, Go: func(f func()) { r.attempts = append(r.attempts, f) },
 	})
-	r.front = frontend.New(frontend.Options{
+	r.frontend = frontend.New(frontend.Options{
 		Limits: lim, Post: r.post, Now: clock, IsReady: func() bool { return true }, Directory: func() *directory.Directory { return nil },
-		Dialect: frontDialect{&dialect.Frontend{
-			Config: func() *dialect.CompiledConfig { return at }, SplitKey: func() uint64 { return 1 }, Clock: clock,
-		}, r.promises},
+		Dialect: frontendDialect{&dialect.Frontend{
+			Config: func() *dialect.CompiledConfig { return compiled }, SplitKey: func() uint64 { return 1 }, Clock: clock,
+		}, r.claimsNotExecuted},
 	})
-	set := dispatch.ConfigurePool{Pool: s.ID, Name: "s", Module: m, SlowStart: dialect.SlowStart, SlowStartInitial: dialect.SlowStartInitial, MaxAttempts: lim.MaxAttempts}
-	if !r.lavish {
-		set.RetryBudget = &retrybudget.Budget{Allowance: float64(r.repeats), Window: 10 * time.Second}
+	pool := dispatch.ConfigurePool{Pool: service.ID, Name: "s", Module: module, SlowStart: dialect.SlowStart, SlowStartInitial: dialect.SlowStartInitial, MaxAttempts: lim.MaxAttempts}
+	if !r.ignoresRetryBudget {
+		pool.RetryBudget = &retrybudget.Budget{Allowance: float64(r.maxRetries), Window: 10 * time.Second}
 	}
-	r.post(set)
-	l := dispatch.EndpointsListed{Pool: s.ID, Kind: policy.ListFull}
+	r.post(pool)
+	endpoints := dispatch.EndpointsListed{Pool: service.ID, Kind: policy.ListFull}
 	for i := range engines {
 		name := fmt.Sprint("i-", i)
-		l.Hosts = append(l.Hosts, dispatch.Host{Name: name, Addr: name, Weight: 1})
+		endpoints.Hosts = append(endpoints.Hosts, dispatch.Host{Name: name, Addr: name, Weight: 1})
 	}
-	r.post(l)
+	r.post(endpoints)
 	return r
 }
 
-// The route types as they stand in paths and in the names of walks.
+// The route types, as used in paths.
 const (
 	routeIdempotent    = string(fleetconfig.RouteIdempotent)
 	routeNonIdempotent = string(fleetconfig.RouteNonIdempotent)
 	routeStreaming     = string(fleetconfig.RouteStreaming)
 )
 
-var legKinds = []string{routeNonIdempotent, routeStreaming, routeIdempotent}
+var requestKinds = []string{routeNonIdempotent, routeStreaming, routeIdempotent}
 
-// legDialect is the legs' own, but for a rule that may be broken.
-type legDialect struct {
+// upstreamDialect is the program's dialect.Upstream, except where acceptsAnyResponse breaks a rule.
+type upstreamDialect struct {
 	dialect.Upstream
-	blind bool
+	acceptsAnyResponse bool
 }
 
-func (d legDialect) MatchResponse(o *upstream.Request, resp *http.Response) upstream.ResponseMatch {
-	if d.blind {
+func (d upstreamDialect) MatchResponse(o *upstream.Request, resp *http.Response) upstream.ResponseMatch {
+	if d.acceptsAnyResponse {
 		return upstream.MatchThisRequest
 	}
 	return d.Upstream.MatchResponse(o, resp)
 }
 
-// frontDialect is the front's own, but for a rule that may be broken.
-type frontDialect struct {
+// frontendDialect is the program's dialect.Frontend, except where claimsNotExecuted breaks a rule.
+type frontendDialect struct {
 	*dialect.Frontend
-	promises bool
+	claimsNotExecuted bool
 }
 
-func (d frontDialect) Reject(m *frontend.Request, why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *frontend.ErrorResponse) (
+func (d frontendDialect) Reject(m *frontend.Request, why dispatch.Verdict, retryAfter time.Duration, mayHaveRun bool, kept *frontend.ErrorResponse) (
 	*frontend.Rejection, *frontend.ErrorResponse,
 ) {
-	return d.Frontend.Reject(m, why, retryAfter, mayHaveRun && !d.promises, kept)
+	return d.Frontend.Reject(m, why, retryAfter, mayHaveRun && !d.claimsNotExecuted, kept)
 }
 
-// customer is all that an authorisation is to a leg.
-type customer interface {
+// downstream is the interface between a client's request and its attempts.
+type downstream interface {
 	upstream.Downstream
 	upstream.HeadObserver
 	upstream.ErrorResponseReader
 }
 
-// finisher ends every answer as a whole one.
-type finisher struct{ customer }
+// completeFinisher finishes every response as a complete one.
+type completeFinisher struct{ downstream }
 
-func (f finisher) Finish(bool) error { return f.customer.Finish(true) }
+func (f completeFinisher) Finish(bool) error { return f.downstream.Finish(true) }
 
-// post reduces an event, and has done what follows from it.
-func (r *router) post(e dispatch.Event) {
+// post passes an event to the dispatcher and carries out the effects. Events posted meanwhile are queued.
+func (r *routerWalk) post(e dispatch.Event) {
 	if d, ok := e.(dispatch.ClientLeft); ok {
-		if f, ok := d.Client.(finisher); ok {
-			d.Client = f.customer
+		if f, ok := d.Client.(completeFinisher); ok {
+			d.Client = f.downstream
 			e = d
 		}
 	}
 	r.events = append(r.events, e)
-	if r.pumping {
+	if r.isReducing {
 		return
 	}
-	r.pumping = true
+	r.isReducing = true
 	for len(r.events) > 0 {
 		e := r.events[0]
 		r.events = r.events[1:]
-		for _, f := range slices.Clone(r.broker.Reduce(r.now, e)) {
+		for _, f := range slices.Clone(r.dispatcher.Reduce(r.now, e)) {
 			r.perform(f)
 		}
 	}
-	r.pumping = false
-	for len(r.closing) > 0 {
-		d := r.closing[0]
-		r.closing = r.closing[1:]
+	r.isReducing = false
+	for len(r.rejections) > 0 {
+		d := r.rejections[0]
+		r.rejections = r.rejections[1:]
 		d.Client.(interface {
 			RejectAfterAttempts(dispatch.Verdict, time.Duration, bool)
 		}).RejectAfterAttempts(d.Verdict, d.RetryAfter, d.MayHaveRun)
 	}
 }
 
-func (r *router) perform(e dispatch.Effect) {
+func (r *routerWalk) perform(e dispatch.Effect) {
 	switch e := e.(type) {
 	case dispatch.StartAttempt:
-		if r.whole {
-			e.Client = finisher{e.Client.(customer)}
+		if r.hidesTruncation {
+			e.Client = completeFinisher{e.Client.(downstream)}
 		}
 		r.upstream.StartAttempt(e)
 	case dispatch.Reject:
-		r.closing = append(r.closing, e)
+		r.rejections = append(r.rejections, e)
 	default:
 		r.upstream.Perform(e)
 	}
 }
 
-// run runs all legs that are to begin.
-func (r *router) run() {
-	for len(r.legs) > 0 {
-		f := r.legs[0]
-		r.legs = r.legs[1:]
+// runAttempts runs all started attempts.
+func (r *routerWalk) runAttempts() {
+	for len(r.attempts) > 0 {
+		f := r.attempts[0]
+		r.attempts = r.attempts[1:]
 		f()
 	}
 }
 
-func (r *router) tell(format string, args ...any) {
-	r.story = append(r.story, fmt.Sprintf(format, args...))
+// logStep records a step for the report of a violation.
+func (r *routerWalk) logStep(format string, args ...any) {
+	r.steps = append(r.steps, fmt.Sprintf(format, args...))
 }
 
-func (r *router) fault(format string, args ...any) {
-	if r.wrong == "" {
-		r.wrong = fmt.Sprintf(format, args...) + ": " + strings.Join(r.story, "; ")
+// violate records a violation with the steps that led to it, if it is the first one.
+func (r *routerWalk) violate(format string, args ...any) {
+	if r.firstViolation == "" {
+		r.firstViolation = fmt.Sprintf(format, args...) + ": " + strings.Join(r.steps, "; ")
 	}
 }
--- a/internal/lab/check/attempts_test.go
+++ b/internal/lab/check/attempts_test.go
@@ -2,19 +2,20 @@
 
 import "testing"
 
-func TestEveryLeg(t *testing.T) {
+// TestAttemptsInEveryOrderOfEvents: no order of events on the first request leads to a violation, there or on the next request.
+func TestAttemptsInEveryOrderOfEvents(t *testing.T) {
 	t.Parallel()
-	// notchlab check goes further: here one request meets everything, and the next shows what it has left behind.
-	if found, met := legs(slips{}, legSome()[1:], legsFine()[0]); found != "" || met < 10000 {
-		t.Errorf("%q after %d lives", found, met)
+	// The walks of notchlab check cover more pairs of requests and more engines.
+	if violation, runs := exploreAttemptPairs(brokenRules{}, someKindPairs()[1:], byteCutBounds()[0]); violation != "" || runs < 10000 {
+		t.Errorf("violation %q after %d runs; want none after at least 10000", violation, runs)
 	}
 }
 
-func TestBrokenLegsAreFound(t *testing.T) {
+func TestBrokenAttemptRulesAreDetected(t *testing.T) {
 	t.Parallel()
-	for _, w := range legsBroken() {
-		if found, met := w.Run(0); found == "" {
-			t.Errorf("%s: not found in %d lives", w.Name, met)
+	for _, w := range brokenAttemptWalks() {
+		if violation, runs := w.Run(0); violation == "" {
+			t.Errorf("%s: not detected in %d runs", w.Name, runs)
 		}
 	}
 }
--- a/internal/lab/check/attemptwalk.go
+++ b/internal/lab/check/attemptwalk.go
@@ -1,97 +1,102 @@
 package check
 
-// depth says how far a walk goes.
-type depth struct {
-	engines, repeats int
-	short            bool // second attempts meet an answer, a refusal, 421, 500, a reset and what comes from outside only
-	fine             bool // a surplus answer is cut at every byte, and the second request is answered plainly; one event from outside
+// attemptBounds bounds a walk of request attempts.
+type attemptBounds struct {
+	engines, maxRetries int
+	limitsRetryEvents   bool // retries meet common and external events only
+	// cutsEveryByte truncates surplus responses at every byte. The second request then gets a normal response, and there is only
+	// one external event.
+	cutsEveryByte bool
 }
 
-// everyLeg plays every life of two requests of given kinds at one engine or two, and returns the first fault and how many there were.
-func everyLeg(breaks slips, d depth, first, second string) (found string, met int) {
-	o := &odometer{}
+// exploreAttempts runs every order of events of two requests of the given kinds. It returns the first violation and the number
+// of runs.
+func exploreAttempts(rules brokenRules, b attemptBounds, firstKind, secondKind string) (violation string, runs int) {
+	choices := &choiceEnumerator{}
 	for {
-		r := newRouter(o.pick, breaks, d.engines, d.repeats)
-		if r.short, r.fine = d.short, d.fine; r.fine {
-			r.outside = 1
+		r := newRouterWalk(choices.pick, rules, b.engines, b.maxRetries)
+		if r.limitsRetryEvents, r.cutsEveryByte = b.limitsRetryEvents, b.cutsEveryByte; r.cutsEveryByte {
+			r.externalEvents = 1
 		}
-		r.life(first, second)
-		met++
-		if r.wrong != "" {
-			return r.wrong, met
+		r.play(firstKind, secondKind)
+		runs++
+		if r.firstViolation != "" {
+			return r.firstViolation, runs
 		}
-		if !o.turn() {
-			return "", met
+		if !choices.advance() {
+			return "", runs
 		}
 	}
 }
 
-// legs walks pairs of kinds of requests, at one engine and at two, with room for one repeat and for all.
-func legs(breaks slips, pairs [][2]string, depths ...depth) (found string, met int) {
-	for _, d := range depths {
+// exploreAttemptPairs runs exploreAttempts for each pair of kinds and each bounds.
+func exploreAttemptPairs(rules brokenRules, pairs [][2]string, bounds ...attemptBounds) (violation string, runs int) {
+	for _, b := range bounds {
 		for _, p := range pairs {
-			found, n := everyLeg(breaks, d, p[0], p[1])
-			if met += n; found != "" {
-				return found, met
+			violation, n := exploreAttempts(rules, b, p[0], p[1])
+			if runs += n; violation != "" {
+				return violation, runs
 			}
 		}
 	}
-	return "", met
+	return "", runs
 }
 
-// legPairs are all pairs of kinds.
-func legPairs() (all [][2]string) {
-	for _, a := range legKinds {
-		for _, b := range legKinds {
+// allKindPairs returns all pairs of request kinds.
+func allKindPairs() (all [][2]string) {
+	for _, a := range requestKinds {
+		for _, b := range requestKinds {
 			all = append(all, [2]string{a, b})
 		}
 	}
 	return all
 }
 
-// legsFine has the first request meet everything and the second only an answer.
-func legsFine() []depth {
-	return []depth{{engines: 2, fine: true}, {engines: 1, repeats: 9, fine: true}}
+// byteCutBounds lets the first request meet every event, and the second one only a normal response.
+func byteCutBounds() []attemptBounds {
+	return []attemptBounds{{engines: 2, cutsEveryByte: true}, {engines: 1, maxRetries: 9, cutsEveryByte: true}}
 }
 
-// legsShort has both meet everything.
-func legsShort() []depth {
-	return []depth{{engines: 1, repeats: 9, short: true}, {engines: 2, repeats: 1, short: true}}
+// twoRequestBounds lets both requests meet every event.
+func twoRequestBounds() []attemptBounds {
+	return []attemptBounds{{engines: 1, maxRetries: 9, limitsRetryEvents: true}, {engines: 2, maxRetries: 1, limitsRetryEvents: true}}
 }
 
-// legSome are pairs in which each kind is once first and once second.
-func legSome() [][2]string {
-	all := legPairs()
+// someKindPairs returns pairs in which each kind is first once and second once.
+func someKindPairs() [][2]string {
+	all := allKindPairs()
 	return [][2]string{all[1], all[5], all[6]}
 }
 
-// legsBroken are walks with a rule of the legs broken.
-func legsBroken() (all []Walk) {
+// brokenAttemptWalks returns walks that each break a rule of the router.
+func brokenAttemptWalks() (all []Walk) {
 	for _, b := range []struct {
 		name, first string
-		slips
+		brokenRules
 	}{
-		{"an answer is taken for that of whoever waits", routeIdempotent, slips{blind: true}},
-		{"an answer that broke off is ended as whole", routeStreaming, slips{whole: true}},
-		{"what may not be repeated counts as what may", routeNonIdempotent, slips{safe: true}},
-		{"a refusal promises, whatever has run", routeNonIdempotent, slips{promises: true}},
-		{"a line is used again without a look at it", routeIdempotent, slips{unseen: true}},
-		{"there is no budget for repeats", routeIdempotent, slips{lavish: true}},
+		{"any response is taken for that of the request", routeIdempotent, brokenRules{acceptsAnyResponse: true}},
+		{"a truncated response is finished as complete", routeStreaming, brokenRules{hidesTruncation: true}},
+		{"a non-idempotent request counts as idempotent", routeNonIdempotent, brokenRules{retriesEverything: true}},
+		{"a rejection always claims not executed", routeNonIdempotent, brokenRules{claimsNotExecuted: true}},
+		{"a connection is reused without an idle check", routeIdempotent, brokenRules{skipsIdleCheck: true}},
+		{"retries are not limited by a budget", routeIdempotent, brokenRules{ignoresRetryBudget: true}},
 	} {
-		all = append(all, Walk{b.name, func(int) (string, int) { return legs(b.slips, [][2]string{{b.first, b.first}}, legsFine()...) }})
+		all = append(all, Walk{b.name, func(int) (string, int) {
+			return exploreAttemptPairs(b.brokenRules, [][2]string{{b.first, b.first}}, byteCutBounds()...)
+		}})
 	}
 	return all
 }
 
-// everyTwo walks two requests that both meet everything. It is long: the lives that it is told allow one pair of kinds, or all
-// pairs, or all with second attempts that meet everything as well.
-func everyTwo(lives int) (found string, met int) {
-	pairs, depths := legSome()[:1], legsShort()[:1]
-	if lives >= 100_000 {
-		pairs, depths = legPairs(), legsShort()
+// exploreTwoRequests walks two requests that both meet every event. The number of seeds selects the size of this long walk: one
+// pair of kinds, all pairs, or all pairs with retries that meet every event as well.
+func exploreTwoRequests(seeds int) (violation string, runs int) {
+	pairs, bounds := someKindPairs()[:1], twoRequestBounds()[:1]
+	if seeds >= 100_000 {
+		pairs, bounds = allKindPairs(), twoRequestBounds()
 	}
-	if lives >= 10_000_000 {
-		depths = []depth{{engines: 2, repeats: 9}}
+	if seeds >= 10_000_000 {
+		bounds = []attemptBounds{{engines: 2, maxRetries: 9}}
 	}
-	return legs(slips{}, pairs, depths...)
+	return exploreAttemptPairs(brokenRules{}, pairs, bounds...)
 }
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -8,83 +8,85 @@
 	"notchhinge/internal/control/paxos"
 )
 
-// Walk is a walk through lives.
+// Walk is one walk of the model checker.
 type Walk struct {
 	Name string
-	// Run returns what was found wrong ("" = nothing) and how many lives, states or points it has met.
-	Run func(lives int) (found string, met int)
+	// Run walks a number of seeds, if the walk is random. It returns the first violation ("" = none), and how many seeds, states
+	// or points of failure it has visited.
+	Run func(seeds int) (violation string, visited int)
 }
 
-// Walks are all walks, none of which may find anything.
+// Walks returns the walks of the unbroken code, which must find no violation.
 func Walks() []Walk {
 	return []Walk{
-		{"proposals, at random", func(lives int) (string, int) { return randomProposals(func(*paxosCluster) {}, lives) }},
+		{"proposals, at random", func(seeds int) (string, int) { return randomProposals(func(*paxosCluster) {}, seeds) }},
 		{"proposals, every order of messages and of a crash", func(int) (string, int) { return exploreOrders(1, 9) }},
-		{"members, at random", func(lives int) (string, int) { return randomMemberChanges(func(*memberCluster) {}, lives) }},
+		{"members, at random", func(seeds int) (string, int) { return randomMemberChanges(func(*memberCluster) {}, seeds) }},
 		{"members, every order of six steps", func(int) (string, int) {
 			return exploreMemberChanges(newMemberCluster(), memberBounds{proposals: 2, wipes: 1, entries: 2, depth: 6})
 		}},
-		{"a voter replaced, and another lost right after", func(lives int) (string, int) { return randomReplacements(lives, false) }},
-		{"founding, with partitions", func(lives int) (string, int) {
-			for seed := range lives {
+		{"a voter replaced, and another lost right after", func(seeds int) (string, int) { return randomReplacements(seeds, false) }},
+		{"founding, with partitions", func(seeds int) (string, int) {
+			for seed := range seeds {
 				if sets := randomFounding(draws(seed), 3+seed%3, func(set int) int { return set }); len(sets) > 1 {
 					return fmt.Sprintf("seed %d: founded twice: %v", seed, sets), seed
 				}
 			}
-			return "", lives
+			return "", seeds
 		}},
-		{"two operators for one base revision, with partitions", func(lives int) (string, int) { return randomRaces(lives, false) }},
-		{"operators under one revision, with answers lost", func(lives int) (string, int) { return operatorRaces(lives, "") }},
-		{"leases, while members are replaced in cuts", func(lives int) (string, int) { return randomLeases(lives, "") }},
-		{"engines that drain, while processes crash", func(lives int) (string, int) { return randomDrains(lives, false) }},
-		{"legs, every order of events of one request and one more", func(int) (string, int) { return legs(slips{}, legPairs(), legsFine()...) }},
-		{"legs, every order of events of two requests", everyTwo},
+		{"two operators for one base revision, with partitions", func(seeds int) (string, int) { return randomRaces(seeds, false) }},
+		{"operators under one revision, with responses lost", func(seeds int) (string, int) { return operatorRaces(seeds, "") }},
+		{"leases, while members are replaced in partitions", func(seeds int) (string, int) { return randomLeases(seeds, "") }},
+		{"engines that drain, while processes crash", func(seeds int) (string, int) { return randomDrains(seeds, false) }},
+		{"attempts, every order of events of one request", func(int) (string, int) { return exploreAttemptPairs(brokenRules{}, allKindPairs(), byteCutBounds()...) }},
+		{"attempts, every order of events of two requests", exploreTwoRequests},
 		{"power lost at every step of a store's writes", func(int) (string, int) {
-			faults, points := losePowerAtEachStep(false, 1)
-			return firstFault(faults), points
+			violations, losses := losePowerAtEachStep(false, 1)
+			return firstFault(violations), losses
 		}},
-		{"replicas away for a thousand changes", walkCatchUp},
-		{"power lost at every step of catching up, snapshots altered", walkCatchUpFaults},
+		{"replicas that missed a thousand changes", walkCatchUp},
+		{"power lost at every step of catch-up, snapshots altered", walkCatchUpFaults},
 		{"writes refused at every second step", func(int) (string, int) { return firstFault(refuseWritesAtEachStep(2)), 0 }},
 	}
 }
 
-// BrokenWalks are the same with a rule broken: each must find it.
+// BrokenWalks returns walks with a rule broken, each of which must find a violation.
 func BrokenWalks() []Walk {
-	members := func(breaks func(*memberCluster)) func(int) (string, int) {
-		return func(lives int) (string, int) { return randomMemberChanges(breaks, lives) }
+	members := func(breakRule func(*memberCluster)) func(int) (string, int) {
+		return func(seeds int) (string, int) { return randomMemberChanges(breakRule, seeds) }
 	}
-	proposals := func(breaks func(*paxosCluster)) func(int) (string, int) {
-		return func(lives int) (string, int) { return randomProposals(breaks, lives) }
+	proposals := func(breakRule func(*paxosCluster)) func(int) (string, int) {
+		return func(seeds int) (string, int) { return randomProposals(breakRule, seeds) }
 	}
-	broken := func(rule string) Walk {
-		return Walk{rule, func(lives int) (string, int) { return walkBrokenCatchUp(rule, lives) }}
+	catchUp := func(rule string) Walk {
+		return Walk{rule, func(seeds int) (string, int) { return walkBrokenCatchUp(rule, seeds) }}
 	}
 	return append([]Walk{
-		{"a voter loses its disk and votes on", proposals(func(w *paxosCluster) { w.losesDisk = true })},
-		{"a voter responds before the sync", proposals(func(w *paxosCluster) { w.skipsSync = true })},
-		{"a proposer uses numbers again", proposals(func(w *paxosCluster) { w.reusesNumbers = true })},
-		{"a machine without its disk keeps its id", members(func(c *memberCluster) { c.keepsIDAfterWipe = true })},
-		{"a change counts before it is chosen", members(func(c *memberCluster) { c.countsUnchosenChange = true })},
-		{"a change counts as finished once it is chosen", func(lives int) (string, int) { return randomReplacements(lives, true) }},
-		{"a majority of the founders is enough", func(lives int) (string, int) {
-			for seed := range lives {
+		{"a voter loses its disk and keeps voting", proposals(func(p *paxosCluster) { p.losesDisk = true })},
+		{"a voter responds before the sync", proposals(func(p *paxosCluster) { p.skipsSync = true })},
+		{"a proposer reuses proposal numbers", proposals(func(p *paxosCluster) { p.reusesNumbers = true })},
+		{"a machine that lost its disk keeps its ID", members(func(c *memberCluster) { c.keepsIDAfterWipe = true })},
+		{"a change takes effect before it is chosen", members(func(c *memberCluster) { c.countsUnchosenChange = true })},
+		{"a change counts as finished once it is chosen", func(seeds int) (string, int) { return randomReplacements(seeds, true) }},
+		{"a majority of the founders is enough", func(seeds int) (string, int) {
+			for seed := range seeds {
 				if sets := randomFounding(draws(seed), 5, paxos.Majority); len(sets) > 1 {
 					return fmt.Sprint(sets), seed
 				}
 			}
-			return "", lives
+			return "", seeds
 		}},
-		{"a chosen value is taken for one's own", func(lives int) (string, int) { return randomRaces(lives, true) }},
-		{"a drain is acknowledged before others know", func(lives int) (string, int) { return randomDrains(lives, true) }},
-		broken(brokenBatch), broken(brokenOrder), broken(brokenReads), broken(brokenSnapshot), broken(brokenTimeout),
-		{"a journal's name is not synced", func(int) (string, int) {
-			faults, points := losePowerAtEachStep(true, 5)
-			return firstFault(faults), points
+		{"a proposer takes any chosen value for its own", func(seeds int) (string, int) { return randomRaces(seeds, true) }},
+		{"a drain is acknowledged before it is broadcast", func(seeds int) (string, int) { return randomDrains(seeds, true) }},
+		catchUp(brokenBatch), catchUp(brokenOrder), catchUp(brokenReads), catchUp(brokenSnapshot), catchUp(brokenTimeout),
+		{"a journal's file name is not synced", func(int) (string, int) {
+			violations, losses := losePowerAtEachStep(true, 5)
+			return firstFault(violations), losses
 		}},
-	}, slices.Concat(brokenReplicaWalks(), legsBroken())...)
+	}, slices.Concat(brokenReplicaWalks(), brokenAttemptWalks())...)
 }
 
+// firstFault returns the text of the first error; "" = none.
 func firstFault(faults []error) string {
 	if len(faults) == 0 {
 		return ""
@@ -92,27 +94,28 @@
 	return faults[0].Error()
 }
 
-// RunAll walks all walks so many lives far, says what comes of each, and tells whether all is as it must be.
-func RunAll(lives int, out io.Writer) bool {
-	good := true
-	say := func(w Walk, wanted bool) {
-		found, met := w.Run(lives)
-		verdict := "as it must be"
-		if (found != "") != wanted {
-			verdict, good = "WRONG", false
+// RunAll runs all walks with a number of seeds, and prints a line for each. It returns false if a walk finds a violation, or if
+// one with a broken rule finds none.
+func RunAll(seeds int, out io.Writer) bool {
+	ok := true
+	run := func(w Walk, expectViolation bool) {
+		violation, visited := w.Run(seeds)
+		verdict := "as expected"
+		if (violation != "") != expectViolation {
+			verdict, ok = "WRONG", false
 		}
-		fmt.Fprintf(out, "%-50s %9d  %s", w.Name, met, verdict)
-		if found != "" {
-			fmt.Fprintf(out, ": found %.150s", found)
+		fmt.Fprintf(out, "%-50s %9d  %s", w.Name, visited, verdict)
+		if violation != "" {
+			fmt.Fprintf(out, ": found %.150s", violation)
 		}
 		fmt.Fprintln(out)
 	}
 	for _, w := range Walks() {
-		say(w, false)
+		run(w, false)
 	}
-	fmt.Fprintln(out, "with a rule broken, which must be found:")
+	fmt.Fprintln(out, "with a rule broken, which must be detected:")
 	for _, w := range BrokenWalks() {
-		say(w, true)
+		run(w, true)
 	}
-	return good
+	return ok
 }
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -6,19 +6,19 @@
 	"pgregory.net/rapid"
 )
 
-// drawn has rapid draw, so that it can shrink.
+// drawn returns a source of numbers that rapid draws, and can shrink.
 func drawn(t *rapid.T) func(n int) int {
 	return func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }
 }
 
-// TestAcknowledgedDrainsHold: whoever crashes between the announcement of a drain and the answer, or right after it with all
-// replicas, a zone, or all that knew, nobody sends the engine requests once its time is over. A drain that is acknowledged as
-// soon as it is received is found out.
+// TestAcknowledgedDrainsHold: no router sends requests to a drained engine after the deadline, whichever process crashes before the
+// acknowledgement, or right after it, alone or with all replicas, its zone, or every process that has a record of the drain. A
+// drain that is acknowledged on receipt is detected.
 func TestAcknowledgedDrainsHold(t *testing.T) {
-	if found, seed := randomDrains(150, false); found != "" {
-		t.Errorf("seed %d: %s", seed, found)
+	if violation, seed := randomDrains(150, false); violation != "" {
+		t.Errorf("seed %d: %s", seed, violation)
 	}
-	if found, lives := randomDrains(150, true); found == "" {
-		t.Errorf("acknowledged before anybody else knows: not found in %d walks", lives)
+	if violation, seeds := randomDrains(150, true); violation == "" {
+		t.Errorf("acknowledged on receipt: not detected with %d seeds", seeds)
 	}
 }
--- a/internal/lab/check/cuts.go
+++ b/internal/lab/check/cuts.go
@@ -18,57 +18,58 @@
 	"notchhinge/internal/timerqueue"
 )
 
-// replicaCluster is replicas as the program has them (replica.Replica, and singleton.Controller in walks of leases) in simulated time, with
-// links that delay and are cut one way or both for about 20 s, processes that are killed at any write and start anew with their
-// disks, and disks that are lost. Nothing reads a clock: a seed's walk is the same everywhere.
+// replicaCluster runs the program's replicas (replica.Replica, and singleton.Controller in walks of leases) in simulated time.
+// Messages are delayed and lost, partitions of one or both directions last up to maxPartition, processes are killed during
+// writes and restart from their disks, and disks are lost. Nothing reads a clock, so a seed's walk is reproducible.
 type replicaCluster struct {
 	draw       func(n int) int
 	now        time.Duration
 	timers     *timerqueue.Queue[func()]
 	hosts      []*host
-	blocked    map[[2]int]bool // who does not hear whom: from, to
-	brokenRule string          // a rule that is broken on purpose; "" = none
+	blocked    map[[2]int]bool // links that lose all messages: from, to
+	brokenRule string          // the rule that this walk breaks on purpose; "" = none
 	lastID     uint64
-	violation  string // the first broken rule
-	noFaults   bool   // nothing is killed or lost any more
+	violation  string // the first one; "" = none
+	noFaults   bool   // no process is killed and no disk lost from now on
 
-	rejectsJoins  bool // nobody becomes a member by its own request
-	hasSingletons bool // each host has a part in the singleton roles
+	rejectsJoins  bool // no replica can join by its own request
+	hasSingletons bool // each host runs a singleton.Controller
 	platform      fencedPlatform
 }
 
-// host is a machine with a keeper on it.
+// host is a machine that runs a replica.
 type host struct {
-	s          *replicaCluster
-	i          int
-	id         uint64 // of its disk
-	isUp       bool
-	generation int
-	replica    *replica.Replica
-	state      replog.State // as the disk has it
-	acceptor   paxos.AcceptorState
-	chosen     map[uint64][]byte
-	wakeAt     time.Duration
-	singleton  *singletonHost // nil where it has no part in the singleton roles, or does not run
+	s           *replicaCluster
+	i           int
+	id          uint64 // of the replica; a new disk gets a new one
+	isUp        bool
+	incarnation int // changes with every start and stop of the process
+	replica     *replica.Replica
+	state       replog.State        // on the disk
+	acceptor    paxos.AcceptorState // on the disk
+	chosen      map[uint64][]byte   // values by index, on the disk
+	wakeAt      time.Duration       // of the scheduled Tick; 0 = none
+	singleton   *singletonHost      // nil while the process is stopped, and in clusters without singletons
 
-	// What waits for the effects that answer events of this life.
+	// Callbacks of requests to this process that are still pending.
 	calls     replica.Pending[func(body []byte, err error)]
 	answers   replica.Pending[func(api.Result)]
 	proposals replica.Pending[func(error)]
 }
 
-var errNoResponse = errors.New("no answer")
+var errNoResponse = errors.New("no response in time")
 
 func hostAddr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, byte(i)}), 7000)
 }
 
-// newReplicaCluster starts so many keepers that have founded a core, and further ones that may be taken in.
-func newReplicaCluster(draw func(n int) int, n, further int, broken string) *replicaCluster {
-	s := &replicaCluster{draw: draw, timers: timerqueue.New[func()](), blocked: map[[2]int]bool{}, brokenRule: broken, lastID: 1, now: time.Hour}
-	s.rejectsJoins, s.hasSingletons = further > 0, further > 0
+// newReplicaCluster starts n replicas that are members of one cluster, and spare ones that can replace them. A cluster with
+// spares runs singletons, and its replicas join only by a members change.
+func newReplicaCluster(draw func(n int) int, n, spares int, brokenRule string) *replicaCluster {
+	s := &replicaCluster{draw: draw, timers: timerqueue.New[func()](), blocked: map[[2]int]bool{}, brokenRule: brokenRule, lastID: 1, now: time.Hour}
+	s.rejectsJoins, s.hasSingletons = spares > 0, spares > 0
 	var all []replog.Member
-	for i := range n + further {
+	for i := range n + spares {
 		h := &host{s: s, i: i}
 		h.format()
 		s.hosts = append(s.hosts, h)
@@ -81,9 +82,10 @@
 	return s
 }
 
+// after calls do once d has passed.
 func (s *replicaCluster) after(d time.Duration, do func()) { s.timers.Add(s.now+d, do) }
 
-// run plays for a time, or until a rule is broken.
+// run advances the simulated time by d, or until a violation is found.
 func (s *replicaCluster) run(d time.Duration) {
 	until := s.now + d
 	for at, ok := s.timers.NextDue(); ok && at <= until && s.violation == ""; at, ok = s.timers.NextDue() {
@@ -94,31 +96,33 @@
 	s.now = until
 }
 
-func (s *replicaCluster) violate(says string, args ...any) {
+// violate records a violation, if it is the first one.
+func (s *replicaCluster) violate(format string, args ...any) {
 	if s.violation == "" {
-		s.violation = fmt.Sprintf(says, args...)
+		s.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// partition has a side of the machines not be heard by the others, or not hear them, or neither, for a time.
-func (s *replicaCluster) partition(side int, how int, length time.Duration) {
-	var lines [][2]int
+// partition separates the hosts in the bit set side from the others for a time. direction is 0 = both directions, 1 = messages
+// from side are lost, 2 = messages to side are lost.
+func (s *replicaCluster) partition(side int, direction int, duration time.Duration) {
+	var links [][2]int
 	for a := range s.hosts {
 		for b := range s.hosts {
-			if from, to := side>>a&1, side>>b&1; from != to && (how == 0 || how == 1 && from == 1 || how == 2 && to == 1) {
-				lines = append(lines, [2]int{a, b})
+			if from, to := side>>a&1, side>>b&1; from != to && (direction == 0 || direction == 1 && from == 1 || direction == 2 && to == 1) {
+				links = append(links, [2]int{a, b})
 				s.blocked[[2]int{a, b}] = true
 			}
 		}
 	}
-	s.after(length, func() {
-		for _, l := range lines {
+	s.after(duration, func() {
+		for _, l := range links {
 			delete(s.blocked, l)
 		}
 	})
 }
 
-// heal ends every cut, starts whatever does not run, and has nothing happen any more.
+// heal ends every partition, starts every stopped process, and prevents further kills and disk losses.
 func (s *replicaCluster) heal() {
 	clear(s.blocked)
 	s.noFaults = true
@@ -129,7 +133,7 @@
 	}
 }
 
-// newestState is the state that has come furthest on any machine.
+// newestState returns the state with the highest log index on any host.
 func (s *replicaCluster) newestState() *replog.State {
 	best := s.hosts[0].latestState()
 	for _, h := range s.hosts {
@@ -140,24 +144,24 @@
 	return best
 }
 
-// canLoseDisk tells whether one more disk may be lost: as many as the core is to bear, until others have been taken in for them and
-// every machine knows that. Who is only behind or away is not lost.
+// canLoseDisk reports whether the cluster tolerates one more lost disk. A lost disk counts until every host has learned that the
+// member was replaced; a member that only lags or is stopped does not count.
 func (s *replicaCluster) canLoseDisk() bool {
-	for _, at := range s.hosts {
-		gone := 0
-		for _, m := range at.latestState().Members {
+	for _, observer := range s.hosts {
+		lost := 0
+		for _, m := range observer.latestState().Members {
 			if !slices.ContainsFunc(s.hosts, func(h *host) bool { return h.id == m.ID }) {
-				gone++
+				lost++
 			}
 		}
-		if gone >= (len(s.hosts)-1)/2 {
+		if lost >= (len(s.hosts)-1)/2 {
 			return false
 		}
 	}
 	return true
 }
 
-// latestState is the state that a machine has come to.
+// latestState returns the state of the running replica, or that on the disk of a stopped one.
 func (h *host) latestState() *replog.State {
 	if h.isUp {
 		x := h.replica.State()
@@ -166,7 +170,7 @@
 	return &h.state
 }
 
-// format gives a machine an empty disk.
+// format replaces the host's disk by an empty one with a new member ID.
 func (h *host) format() {
 	h.s.lastID++
 	h.id = h.s.lastID
@@ -177,13 +181,13 @@
 	return replog.Member{ID: h.id, Name: fmt.Sprint("k-", h.i), Addr: hostAddr(h.i).String()}
 }
 
-// start starts the process with what its disk has.
+// start starts the process from its disk.
 func (h *host) start() {
 	s := h.s
 	h.isUp, h.wakeAt = true, 0
 	h.calls, h.answers = replica.Pending[func([]byte, error)]{}, replica.Pending[func(api.Result)]{}
 	h.proposals = replica.Pending[func(error)]{}
-	h.generation++
+	h.incarnation++
 	s.lastID++
 	var others []netip.AddrPort
 	for _, o := range s.hosts {
@@ -194,7 +198,7 @@
 	h.replica = replica.New(replica.Config{
 		Self: h.member(), MinVoters: len(s.hosts), Incarnation: s.lastID, Seed: uint64(s.draw(1 << 30)), State: h.state, Acceptor: h.acceptor,
 		Peers:       func() []netip.AddrPort { return others },
-		ChosenValue: func(place uint64) ([]byte, bool) { v, ok := h.chosen[place]; return v, ok },
+		ChosenValue: func(index uint64) ([]byte, bool) { v, ok := h.chosen[index]; return v, ok },
 	})
 	if h.singleton = nil; s.hasSingletons {
 		h.startSingleton(others)
@@ -202,27 +206,27 @@
 	h.scheduleTick()
 }
 
-// stop ends the process.
+// stop ends the process; what was pending in it is lost.
 func (h *host) stop() {
 	h.isUp, h.replica, h.singleton = false, nil, nil
-	h.generation++
+	h.incarnation++
 }
 
-// kill ends the process for a time.
-func (h *host) kill(length time.Duration) {
+// kill stops the process, and starts it again after downtime.
+func (h *host) kill(downtime time.Duration) {
 	if h.s.noFaults {
 		return
 	}
 	h.stop()
-	life := h.generation
-	h.s.after(length, func() {
-		if h.generation == life {
+	incarnation := h.incarnation
+	h.s.after(downtime, func() {
+		if h.incarnation == incarnation {
 			h.start()
 		}
 	})
 }
 
-// handle has the process handle an event.
+// handle passes an event to the replica, or to the singleton.Controller that owns the call. A stopped process ignores it.
 func (h *host) handle(e replica.Event) {
 	if !h.isUp {
 		return
@@ -241,7 +245,7 @@
 	h.scheduleTick()
 }
 
-// scheduleTick has the process woken when it wants to be.
+// scheduleTick schedules a Tick for the replica's next timer, unless one is due no later.
 func (h *host) scheduleTick() {
 	if !h.isUp {
 		return
@@ -251,36 +255,36 @@
 		return
 	}
 	h.wakeAt = next
-	life := h.generation
+	incarnation := h.incarnation
 	h.s.after(next-h.s.now, func() {
-		if h.generation == life && h.wakeAt == next {
+		if h.incarnation == incarnation && h.wakeAt == next {
 			h.wakeAt = 0
 			h.handle(replica.Tick{})
 		}
 	})
 }
 
-// perform does what follows, in order, as a keeper does; the process may be killed as it writes.
+// perform carries out the effects in order, as a process does. The process may be killed during a write.
 func (h *host) perform(effects []replica.Effect) {
-	s, life := h.s, h.generation
+	s, incarnation := h.s, h.incarnation
 	for effects = append([]replica.Effect(nil), effects...); len(effects) > 0; effects = effects[1:] {
 		switch f := effects[0].(type) {
 		case replica.Write:
-			dies := s.draw(1500)
+			crash := s.draw(1500) // 0 = after the write is durable, 1 = before, otherwise none
 			if s.noFaults {
-				dies = 2
+				crash = 2
 			}
-			if dies != 1 {
+			if crash != 1 {
 				h.persist(&f)
 			}
-			if dies < 2 { // before it is durable, or right after
+			if crash < 2 {
 				h.kill(time.Duration(50+s.draw(3000)) * time.Millisecond)
 				return
 			}
 			effects = append(effects, h.replica.Reduce(s.now, replica.WriteDone{ID: f.ID, Durable: true})...)
 		case replica.SendCall:
 			s.call(h, f, func(body []byte, err error) {
-				if h.generation == life {
+				if h.incarnation == incarnation {
 					h.handle(replica.CallReturned{ID: f.ID, Body: body, Err: err})
 				}
 			})
@@ -297,7 +301,7 @@
 				s.after(0, func() { done(f.Err) })
 			}
 		}
-		if h.generation != life {
+		if h.incarnation != incarnation {
 			return
 		}
 	}
@@ -319,43 +323,43 @@
 	}
 }
 
-// call carries a call there, and its answer back.
+// call sends a call to a replica and its response back. then runs once, with errNoResponse after the call's timeout.
 func (s *replicaCluster) call(from *host, c replica.SendCall, then func(body []byte, err error)) {
 	if s.brokenRule == brokenRenewal && c.Kind == rpc.KindRenewLease {
-		c.Body = c.Body[:len(c.Body)-8] // as an earlier program asks
+		c.Body = c.Body[:len(c.Body)-8] // the encoding of an earlier release
 	}
-	over := false
-	back := func(body []byte, err error) {
-		if !over {
-			over = true
+	isDone := false
+	finish := func(body []byte, err error) {
+		if !isDone {
+			isDone = true
 			then(body, err)
 		}
 	}
-	s.after(c.Timeout, func() { back(nil, errNoResponse) })
+	s.after(c.Timeout, func() { finish(nil, errNoResponse) })
 	to := s.hosts[c.To.Addr().As4()[3]]
 	if s.rejectsJoins && c.Kind == rpc.KindJoin {
 		return
 	}
-	way := func(a, b *host, do func()) {
+	transmit := func(a, b *host, do func()) {
 		if !s.blocked[[2]int{a.i, b.i}] && s.draw(60) > 0 {
 			s.after(time.Duration(500+s.draw(3000))*time.Microsecond, do)
 		}
 	}
-	way(from, to, func() {
+	transmit(from, to, func() {
 		id := to.calls.Add(func(body []byte, err error) {
-			const noVote, known = byte(paxos.VerdictNotVoter), byte(paxos.VerdictReported)
-			if s.brokenRule == brokenVoterCount && c.Kind == rpc.KindPaxos && len(body) > 0 && body[0] == noVote && c.Body[0] == byte(paxos.KindQuery) {
-				body = append([]byte{known}, body[1:]...)
+			const notVoter, reported = byte(paxos.VerdictNotVoter), byte(paxos.VerdictReported)
+			if s.brokenRule == brokenVoterCount && c.Kind == rpc.KindPaxos && len(body) > 0 && body[0] == notVoter && c.Body[0] == byte(paxos.KindQuery) {
+				body = append([]byte{reported}, body[1:]...)
 			}
-			way(to, from, func() { back(body, err) })
+			transmit(to, from, func() { finish(body, err) })
 		})
 		to.handle(replica.CallReceived{Kind: c.Kind, Body: c.Body, From: hostAddr(from.i).Addr(), Request: id})
 	})
 }
 
-// Lengths of the cuts and the stops of a life.
+// Bounds of faults and timeouts in a walk.
 const (
 	maxPartition   = 20 * time.Second
-	clientTimeout  = time.Second // for an answer to an operator
-	requestTimeout = limits.OperatorCallTimeout
+	clientTimeout  = time.Second                // of an operator that waits for a response
+	requestTimeout = limits.OperatorCallTimeout // of a request inside a replica
 )
--- a/internal/lab/check/cuts_test.go
+++ b/internal/lab/check/cuts_test.go
@@ -7,28 +7,27 @@
 	"notchhinge/internal/lab/plane"
 )
 
-// TestLeasesWhileMembersAreReplaced: two never act as holders at once, nor one after another had followed it, while members
-// that run are replaced and the holder is partitioned with some of them, which know nothing of it. Each rule that keeps it so
-// is found out where it is broken.
+// TestLeasesWhileMembersAreReplaced: two lease holders never act at the same time, and none acts after its successor has, while
+// members are replaced and the holder and some of them are partitioned from the others. Each broken rule is detected.
 func TestLeasesWhileMembersAreReplaced(t *testing.T) {
-	if found, seed := randomLeases(40, ""); found != "" {
-		t.Errorf("seed %d: %s", seed, found)
+	if violation, seed := randomLeases(40, ""); violation != "" {
+		t.Errorf("seed %d: %s", seed, violation)
 	}
-	for _, broken := range brokenLeases {
-		found, lives := randomLeases(2000, broken)
-		if found == "" {
-			t.Errorf("%s: not found in %d walks", broken, lives)
+	for _, rule := range brokenLeases {
+		violation, seed := randomLeases(2000, rule)
+		if violation == "" {
+			t.Errorf("%s: not detected with %d seeds", rule, seed)
 		}
-		t.Logf("%s: walk %d: %s", broken, lives, found)
+		t.Logf("%s: seed %d: %s", rule, seed, violation)
 	}
 }
 
-// TestDaysWithCutsOf20Seconds plays whole fleets (news, ballots, chain, duties): a keeper with a router, or two of five keepers
-// with one, cannot be reached, cannot reach the others, or both, for 20 s, while processes on both sides start anew, routers
-// among them that know nobody else then, engines leave, and operators race. What is handed out without a majority is found out.
-func TestDaysWithCutsOf20Seconds(t *testing.T) {
+// TestFleetSurvivesPartitionsOf20Seconds runs whole fleets: one or two of five replicas and a router are partitioned from the others for 20 s,
+// in one direction or both, while processes on both sides restart, engines leave and operators race. Changes that are
+// acknowledged without a majority are detected.
+func TestFleetSurvivesPartitionsOf20Seconds(t *testing.T) {
 	const sec = time.Second
-	broken := 0
+	detected := 0
 	sides := [][]int{{0, 6}, {1, 2, 7}}
 	for k, kind := range []plane.Kind{plane.Cut, plane.Mute, plane.Deaf, plane.Split} {
 		on := sides[k%2]
@@ -45,14 +44,14 @@
 			{At: 28 * sec, Kind: plane.Race},
 		}}
 		r := d.Play("")
-		if len(r.Found) > 0 || r.Acked < 5 { // one before it, one of each race
-			t.Errorf("%v of %v: %d acknowledged, %+v", kind, on, r.Acked, r.Found)
+		if len(r.Found) > 0 || r.Acked < 5 { // one before the partition, and one of each race
+			t.Errorf("%v of %v: %d changes acknowledged, violations %+v", kind, on, r.Acked, r.Found)
 		}
 		if k < 2 && len(d.Play("acknowledges what it has only heard").Found) > 0 {
-			broken++
+			detected++
 		}
 	}
-	if broken < 2 {
-		t.Errorf("orders confirmed without a majority are found out in %d of 2 days", broken)
+	if detected < 2 {
+		t.Errorf("changes acknowledged without a majority are detected in %d of 2 runs", detected)
 	}
 }
--- a/internal/lab/check/disk.go
+++ b/internal/lab/check/disk.go
@@ -14,22 +14,22 @@
 	"notchhinge/internal/control/storage"
 )
 
-// disk is a simulated disk under the database of a store. What is written stays in a cache until it is synced: the bytes of a
-// file by a sync of the file, its name by a sync of the folder. Every operation that writes counts as a step. From a given
-// step on, the disk refuses writes, or the power is lost; afterPowerLoss returns the disk that is left then.
+// disk is a simulated disk under the database of a store. Written data stays in a cache until it is synced: the bytes of a file
+// by a sync of the file, its name by a sync of the directory. Every operation that writes counts as a step. Writes fail, or the
+// power is lost, from a given step on; afterPowerLoss returns the disk that remains.
 type disk struct {
 	mu            sync.Mutex
-	cached        map[leveldbstorage.FileDesc]*file // as the process sees them
-	durableNames  map[leveldbstorage.FileDesc]*file
-	meta          leveldbstorage.FileDesc // the current manifest
+	cached        map[leveldbstorage.FileDesc]*file // files as the process sees them
+	durableNames  map[leveldbstorage.FileDesc]*file // files whose names are synced
+	meta          leveldbstorage.FileDesc           // the current manifest
 	steps         int
 	failAt        int   // first step that fails; 0 = none does
-	failures      int   // number of steps that fail; 0 = all from failAt on
-	err           error // that they fail with
-	skipsNameSync bool  // breaks a rule: the folder is not synced after a journal was created
+	failures      int   // number of steps that fail; 0 = all from failAt
+	err           error // that the failing steps return
+	skipsNameSync bool  // breaks a rule: the directory is not synced after a journal is created
 	usedBytes     int
 	peakBytes     int
-	capacity      int // bytes; 0 = not bounded
+	capacity      int // bytes; 0 = unlimited
 }
 
 type file struct {
@@ -59,7 +59,7 @@
 	return next
 }
 
-// usage returns the bytes of all files, now and at most so far.
+// usage returns the current and the highest total size of all files in bytes.
 func (d *disk) usage() (used, peak int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,32 +73,32 @@
 	return d.failAt > 0 && d.steps >= d.failAt
 }
 
-// failFrom has a number of steps fail, beginning with the one that is ahead steps from now; 0 failures = all from there on.
-// The database takes steps of its own in the background.
+// failFrom makes a number of steps fail, beginning with the one that is ahead steps from now; 0 failures = all from that step.
+// Background work of the database also takes steps.
 func (d *disk) failFrom(ahead, failures int, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.failAt, d.failures, d.err = d.steps+ahead, failures, err
 }
 
-// isFailurePending reports whether the first step that is to fail lies ahead.
+// isFailurePending reports whether no step has failed yet and one will.
 func (d *disk) isFailurePending() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.steps < d.failAt
 }
 
-// fault returns the error of the steps that fail.
+// fault returns the error of the failing steps.
 func (d *disk) fault() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.err
 }
 
-// hasLostPower reports whether the power is lost.
+// hasLostPower reports whether the failing steps simulate a loss of power, and one has failed.
 func (d *disk) hasLostPower() bool { return errors.Is(d.fault(), errPowerLost) && d.hasFailed() }
 
-// open implements the openFiles of storage.OpenFiles.
+// open opens the disk's files; it is the argument openFiles of storage.OpenFiles.
 func (d *disk) open() (leveldbstorage.Storage, error) {
 	if d.skipsNameSync {
 		return storage.SyncNames(simulatedFiles{d}, func() error { return nil }), nil
@@ -127,7 +127,7 @@
 func (simulatedFiles) Log(string)                           {}
 func (simulatedFiles) Close() error                         { return nil }
 
-// SetMeta takes three steps: a file is written and synced, renamed, and the folder synced.
+// SetMeta takes three steps: it writes and syncs a file, renames it, and syncs the directory.
 func (x simulatedFiles) SetMeta(fd leveldbstorage.FileDesc) error {
 	x.d.mu.Lock()
 	defer x.d.mu.Unlock()
@@ -172,7 +172,7 @@
 	if f == nil {
 		return nil, os.ErrNotExist
 	}
-	return reader{bytes.NewReader(f.data)}, nil // later writes do not show
+	return reader{bytes.NewReader(f.data)}, nil // a copy of the slice header: later writes are not visible
 }
 
 func (x simulatedFiles) Create(fd leveldbstorage.FileDesc) (leveldbstorage.Writer, error) {
@@ -224,7 +224,7 @@
 		err = syscall.ENOSPC
 	}
 	if err != nil {
-		b = b[:len(b)/2] // a failed write may have written a part
+		b = b[:len(b)/2] // a failed write may be partial
 	}
 	w.f.data = append(w.f.data, b...)
 	w.d.usedBytes += len(b)
@@ -247,12 +247,12 @@
 
 func (w *writer) Close() error { return nil }
 
-// What is left, after a loss of power, of data and names that were not synced.
+// Kinds of power loss: what remains of data and names that were not synced.
 const (
 	keepNothing  = iota
-	keepAll      // the cache was written back
-	keepTornTail // a beginning of each file's data, and some names
-	keepWithHole // data with a block missing, since blocks are written back in any order, and some names
+	keepAll      // the whole cache was written back
+	keepTornTail // a prefix of each file's data, and some names
+	keepWithHole // data with a zeroed block, as blocks are written back in any order, and some names
 	lossKinds
 )
 
@@ -270,7 +270,7 @@
 		data := f.afterPowerLoss(kind, rnd)
 		next.cached[fd] = &file{data, len(data)}
 	}
-	for fd, f := range d.durableNames { // removed, but the folder is not synced since
+	for fd, f := range d.durableNames { // removed, but the directory has not been synced since
 		if next.cached[fd] == nil && d.cached[fd] == nil && kind != keepAll {
 			next.cached[fd] = &file{bytes.Clone(f.data[:f.synced]), f.synced}
 		}
@@ -283,7 +283,7 @@
 	return next
 }
 
-// afterPowerLoss returns the data of a file that is left.
+// afterPowerLoss returns the data of a file that remains.
 func (f *file) afterPowerLoss(kind int, rnd *rand.Rand) []byte {
 	data := bytes.Clone(f.data)
 	unsynced := data[min(f.synced, len(data)):]
--- a/internal/lab/check/doc.go
+++ b/internal/lab/check/doc.go
@@ -1,14 +1,14 @@
-// Package check is the model checker of the parts that must not be wrong. Each walk runs the real code in a simulated
-// environment: proposals and changes of members in every order of events within bounds, and at random; founding under
-// partitions; a store on a disk that loses, tears, reorders and refuses writes; operators, leases, drains and requests. CI
-// walks a little way, notchlab check as far as its flags say.
+// Package check is a model checker for the parts of the program whose correctness is critical. Each walk runs the real code
+// in a simulated environment: Paxos proposals and members changes, in every order of events within bounds and at random;
+// founding under partitions; a store on a disk that loses, truncates, reorders and refuses writes; operators' changes, leases,
+// drains and request attempts. CI runs short walks; the flags of notchlab check set longer ones.
 //
-// Each walk can be set to break a rule of the code or of its environment, and must then find a violation: a check that
-// cannot fail checks nothing. A walk by seed has the same result every time, except where the database of a store compacts
-// in the background. It is lab code, and pure.
+// Each walk can be run with a rule of the code or of its environment broken on purpose, and must then find a violation. This
+// shows that the walk can fail. A walk by seed is reproducible, except where the database of a store compacts in the
+// background. The package is lab code, and pure.
 package check
 
-// draws returns a source of random numbers below n for a seed.
+// draws returns a function that draws pseudo-random numbers below n, reproducible by seed.
 func draws(seed int) func(n int) int {
 	x := uint64(seed)*0x9e3779b97f4a7c15 + 1
 	return func(n int) int {
--- a/internal/lab/check/draining.go
+++ b/internal/lab/check/draining.go
@@ -11,30 +11,31 @@
 	"notchhinge/internal/control/gossip"
 )
 
-// An engine announces that it drains; whoever receives that may crash at any point before or after it has answered, and others
-// with it. What was acknowledged must hold at every router that runs, within the time that the engine goes on serving.
+// An engine announces that it drains. The process that receives the announcement may crash at any point before or after its
+// reply, and others with it. Every running router must learn of an acknowledged drain before the engine stops serving.
 
 // The fleet of these walks: replicas first, then routers, in zones.
 const (
 	drainReplicas  = 5
 	drainProcesses = 20
 	drainZones     = 4
-	// drainDeadline counts from the acknowledgement on: drain_timeout_ms is 3 s at least, of which known sessions have a quarter.
+	// drainDeadline counts from the acknowledgement: drain_timeout_ms is at least 3 s, and its last quarter is
+	// left for requests of sessions on the engine.
 	drainDeadline = 2250 * time.Millisecond
-	// drainHeartbeat is the engine's interval of heartbeats.
+	// drainHeartbeat is the engine's heartbeat interval.
 	drainHeartbeat = 1500 * time.Millisecond
-	// drainMaxAttempts is how many processes the engine asks before it ends without an acknowledgement.
+	// drainMaxAttempts bounds the announcements of an engine that gets no acknowledgement.
 	drainMaxAttempts = 40
 )
 
-// gossipFleet is a fleet of discovery nodes with a network that delays, reorders and loses.
+// gossipFleet is a fleet of discovery nodes with a network that delays, reorders and loses packets.
 type gossipFleet struct {
 	draw     func(n int) int
 	nodes    []*discovery.Node
 	now      time.Duration
 	packets  []packet // in flight
 	replies  map[discovery.RequestID]error
-	reliable bool // nothing is lost or late
+	reliable bool // packets are neither lost nor reordered
 }
 
 type packet struct {
@@ -58,7 +59,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 7000)
 }
 
-// start starts a process with nothing in its memory.
+// start starts a process with empty memory.
 func (f *gossipFleet) start(i int) {
 	id := func(i int) gossip.PeerID { return gossip.PeerIDOf(fmt.Sprint("n", i)) }
 	self := gossip.Peer{ID: id(i), Addr: gossipAddr(i), Zone: uint32(i % drainZones), Flags: gossip.FlagRouter}
@@ -76,7 +77,7 @@
 	f.reduce(i, discovery.Gossip{Event: gossip.SeedsChanged{Addrs: []netip.AddrPort{gossipAddr(0), gossipAddr(1), gossipAddr(drainReplicas)}}})
 }
 
-// reduce has a process take in an event.
+// reduce passes an event to a process, and collects the packets and replies that it sends.
 func (f *gossipFleet) reduce(i int, e discovery.Event) {
 	for _, effect := range f.nodes[i].Reduce(f.now, f.now.Milliseconds(), e) {
 		switch effect := effect.(type) {
@@ -89,7 +90,7 @@
 	}
 }
 
-// step delivers a packet, in any order, or lets 20 ms pass.
+// step delivers one packet, or advances the time by 20 ms. An unreliable network reorders packets and loses one in ten.
 func (f *gossipFleet) step() {
 	if len(f.packets) > 0 && (f.reliable || f.draw(30) > 0) {
 		at := 0
@@ -111,14 +112,14 @@
 	}
 }
 
-// run lets time pass.
+// run advances the time by d.
 func (f *gossipFleet) run(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.step()
 	}
 }
 
-// crash ends processes at one moment, with their packets in flight, and starts them again.
+// crash restarts processes at the same moment; their packets in flight are lost.
 func (f *gossipFleet) crash(which func(i int) bool) {
 	f.packets = slices.DeleteFunc(f.packets, func(p packet) bool { return which(p.from) })
 	for i := range f.nodes {
@@ -128,16 +129,16 @@
 	}
 }
 
-// drainWalk is the life of one engine that drains.
+// drainWalk is a walk of one engine that drains.
 type drainWalk struct {
 	*gossipFleet
-	calls       uint64 // the number of the engine's newest call
+	calls       uint64 // number of the engine's newest heartbeat call
 	lastRequest discovery.RequestID
-	// ackedEarly breaks a rule on purpose: a drain counts as acknowledged as soon as it was received.
+	// ackedEarly breaks a rule on purpose: a drain counts as acknowledged as soon as a process has received it.
 	ackedEarly bool
 }
 
-// announce has the engine call a process, and returns the id of the request.
+// announce sends the engine's state to a process, and returns the ID of the request.
 func (w *drainWalk) announce(to int, s endpoints.State) discovery.RequestID {
 	w.lastRequest++
 	w.reduce(to, discovery.Heartbeat{Request: w.lastRequest, Record: endpoints.Record{
@@ -146,16 +147,16 @@
 	return w.lastRequest
 }
 
-// drain has the engine announce its drain until a process has acknowledged it, and returns that process. A process that crashes
-// before it has answered starts again. ok is false where none has acknowledged.
+// drain announces the drain to random processes until one acknowledges it, and returns that process. A process that does not
+// reply in time is restarted. ok is false if none has acknowledged.
 func (w *drainWalk) drain() (ackedBy int, ok bool) {
 	for attempt := range drainMaxAttempts {
-		if attempt == 0 || w.draw(2) == 0 { // else it is the very same call
+		if attempt == 0 || w.draw(2) == 0 { // otherwise the same call is repeated
 			w.calls++
 		}
 		to := w.draw(drainProcesses)
 		call := w.announce(to, endpoints.StateDraining)
-		crashAfter := w.draw(60) // steps; a reply may come first
+		crashAfter := w.draw(60) // steps; the reply may arrive earlier
 		replied, err := w.ackedEarly, error(nil)
 		for n := 0; !replied && n < 1000 && n != crashAfter; n++ {
 			w.step()
@@ -171,12 +172,12 @@
 	return 0, false
 }
 
-// crashSome ends the process that has acknowledged, and others with it. It reports whether these may be all that know of the
-// drain, so that only the engine's next heartbeat tells the rest.
+// crashSome restarts the process that has acknowledged, and others with it. It reports whether these may be all processes with a
+// record of the drain, so that the others learn it from the engine's next heartbeat only.
 func (w *drainWalk) crashSome(ackedBy int) (needsHeartbeat bool) {
 	other := w.draw(drainProcesses)
 	switch w.draw(5) {
-	case 0: // as many as may be lost
+	case 0: // as many as the fleet tolerates
 		w.crash(func(i int) bool { return i == ackedBy || i == other })
 	case 1:
 		w.crash(func(i int) bool { return i == ackedBy || i < drainReplicas })
@@ -192,7 +193,7 @@
 	return false
 }
 
-// play plays the walk, and returns what is wrong with its end.
+// play runs the walk, and returns the violation at its end.
 func (w *drainWalk) play() string {
 	w.calls = 3
 	w.announce(w.draw(drainProcesses), endpoints.StateReady)
@@ -221,19 +222,19 @@
 	}
 	for i, n := range w.nodes[drainReplicas:] { // replicas send no requests
 		if e := n.Endpoints.Find("e"); e != nil && e.State == endpoints.StateReady {
-			return fmt.Sprintf("process %d still sends it requests %v after it was acknowledged by %d", i+drainReplicas, within, ackedBy)
+			return fmt.Sprintf("process %d still routes requests to the draining engine %v after process %d acknowledged the drain", i+drainReplicas, within, ackedBy)
 		}
 	}
 	return ""
 }
 
-// randomDrains plays so many walks of engines that drain, and returns the first fault with its seed.
-func randomDrains(walks int, ackedEarly bool) (found string, seed int) {
-	for seed := range walks {
+// randomDrains runs a walk of each seed, and returns the first violation with its seed.
+func randomDrains(seeds int, ackedEarly bool) (violation string, seed int) {
+	for seed := range seeds {
 		w := drainWalk{gossipFleet: newGossipFleet(draws(seed)), ackedEarly: ackedEarly}
-		if found := w.play(); found != "" {
-			return found, seed
+		if violation := w.play(); violation != "" {
+			return violation, seed
 		}
 	}
-	return "", walks
+	return "", seeds
 }
--- a/internal/lab/check/founding.go
+++ b/internal/lab/check/founding.go
@@ -8,16 +8,16 @@
 	"notchhinge/internal/control/paxos"
 )
 
-// minFounders is the least number of machines, itself included, that a machine must reach to propose them.
+// minFounders is the minimum number of machines, the proposer included, that must be reachable to propose them as founders.
 const minFounders = 3
 
-// founding is machines that found a fleet, at index 0 of the log, under partitions. Each proposes the set of those that it
-// reaches. The rule under test: all members of a set must accept it.
+// founding simulates machines that found a fleet, at index 0 of the log, under partitions. Each proposes the set of machines
+// that it reaches. The rule under test: all members of a set must accept it.
 type founding struct {
 	draw      func(n int) int
 	acceptors []paxos.Acceptor
 	disks     []paxos.AcceptorState
-	side      []int // of the partition, by machine
+	side      []int // side of the partition, by machine
 	number    uint64
 	founded   map[string]bool // sets that were chosen
 }
@@ -33,13 +33,13 @@
 	return f
 }
 
-// restart starts a machine with what is on its disk.
+// restart restarts a machine from its disk.
 func (f *founding) restart(i int) {
 	f.acceptors[i] = paxos.Acceptor{IsVoter: true, ChosenValue: func(uint64) ([]byte, bool) { return nil, false }, State: f.disks[i]}
 }
 
-// randomFounding returns the sets of machines that were founded, in order, after 12 random partitions. quorum is how many of a
-// set must accept it.
+// randomFounding returns the sets of machines that were chosen as founders during 12 random partitions, sorted. quorum returns
+// how many members of a set must accept it.
 func randomFounding(draw func(n int) int, machines int, quorum func(founders int) int) []string {
 	f := newFounding(draw, machines)
 	for range 12 {
@@ -72,8 +72,7 @@
 	return set
 }
 
-// propose proposes a set of founders. If it finds that another set was accepted before, it goes on with that one, as a
-// replica does.
+// propose proposes a set of founders. If another set was accepted before, it proposes that one instead, as a replica does.
 func (f *founding) propose(proposer int, set []int, quorum func(int) int) {
 	for range 3 {
 		f.number++
@@ -107,7 +106,7 @@
 	return set
 }
 
-// run runs a proposal to its outcome. Messages across the partition are lost, and one in six of the others.
+// run runs a proposal to its outcome. All messages across the partition and one in six of the others are lost.
 func (f *founding) run(p *paxos.Proposer, proposer int) paxos.Outcome {
 	req := p.Prepare()
 	for {
@@ -140,7 +139,7 @@
 	return next, out
 }
 
-// handle has a voter answer, with its state on the disk.
+// handle returns a voter's response, and persists its state before.
 func (f *founding) handle(voter uint64, req paxos.Request) paxos.Response {
 	resp, persist := f.acceptors[voter].Handle(req)
 	if persist {
--- a/internal/lab/check/leases.go
+++ b/internal/lab/check/leases.go
@@ -9,59 +9,59 @@
 	"notchhinge/internal/control/replog"
 )
 
-// Members are replaced while the lease holder is partitioned with some of them. Two holders must never act at once, nor one after
-// another has followed it.
+// Members are replaced while the lease holder and some of them are partitioned from the others. Two holders must never act at the
+// same time, and none may act after its successor has.
 
-// Rules of leases that are broken on purpose; each must be found out.
+// Rules of leases that a walk breaks on purpose; each must be detected.
 const (
-	brokenRenewal        = "a renewal does not say among which members"
-	brokenPendingMembers = "a lease is granted while members may be others by now"
+	brokenRenewal        = "a renewal does not name its members"
+	brokenPendingMembers = "a lease is granted while a members change is pending"
 	brokenNewVoter       = "a new member grants a lease at once"
 )
 
 var brokenLeases = []string{brokenRenewal, brokenPendingMembers, brokenNewVoter}
 
-// fencedPlatform accepts every call of a holder, and checks that no two act at once.
+// fencedPlatform accepts every call of a lease holder, and checks that no two hosts act as holders at the same time.
 type fencedPlatform struct {
 	calls   int
 	highest uint64         // fencing token
-	senders map[uint64]int // the host that has sent a fencing token
+	senders map[uint64]int // the host that has sent each fencing token
 }
 
-// accept takes in a call, and returns what is wrong with it.
-func (p *fencedPlatform) accept(host int, token uint64) (fault string) {
+// accept handles a call, and returns the violation that it shows; "" = none.
+func (p *fencedPlatform) accept(host int, token uint64) (violation string) {
 	p.calls++
 	if p.senders == nil {
 		p.senders = map[uint64]int{}
 	}
 	if other, known := p.senders[token]; known && other != host {
-		fault = fmt.Sprintf("replicas %d and %d have both sent fencing token %d", other, host, token)
+		violation = fmt.Sprintf("replicas %d and %d have both sent fencing token %d", other, host, token)
 	} else if token < p.highest {
-		fault = fmt.Sprintf("replica %d sends fencing token %d, and the platform has seen %d", host, token, p.highest)
+		violation = fmt.Sprintf("replica %d sent fencing token %d after the platform had seen %d", host, token, p.highest)
 	}
 	p.senders[token] = host
 	p.highest = max(p.highest, token)
-	return fault
+	return violation
 }
 
-// replaceMember has a member that runs replaced by a machine that has caught up, in one change that one of the hosts proposes. It
-// returns the lease holder and the member that is removed, as a set of hosts.
-func (s *replicaCluster) replaceMember() (side int) {
-	now := s.newestState()
+// replaceMember has a random host propose a change that replaces a random member by a host that has caught up. It returns the
+// bit set of the lease holder and the removed member.
+func (s *replicaCluster) replaceMember() (hostSet int) {
+	state := s.newestState()
 	var added *host
 	for _, h := range s.hosts {
-		if now.Member(h.id) == nil && h.latestState().NextIndex == now.NextIndex {
+		if state.Member(h.id) == nil && h.latestState().NextIndex == state.NextIndex {
 			added = h
 		}
 	}
-	removed := now.Members[s.draw(len(now.Members))]
+	removed := state.Members[s.draw(len(state.Members))]
 	for _, h := range s.hosts {
-		if h.id == now.LeaseHolder || h.id == removed.ID {
-			side |= 1 << h.i
+		if h.id == state.LeaseHolder || h.id == removed.ID {
+			hostSet |= 1 << h.i
 		}
 	}
 	if added == nil {
-		return side
+		return hostSet
 	}
 	next := func(x *replog.State) []byte {
 		nonce, members := uint64(s.draw(1<<30)), slices.Clone(x.Members)
@@ -73,13 +73,13 @@
 		return replog.Entry{Nonce: nonce, Payload: replog.MembersChange{Members: members}}.Encode()
 	}
 	s.hosts[s.draw(len(s.hosts))].handle(replica.Propose{Deadline: s.now + requestTimeout, Next: next})
-	return side
+	return hostSet
 }
 
-// leaseWalk plays a walk of replaced members and partitions, and returns the first fault.
-func leaseWalk(draw func(n int) int, broken string) string {
-	s := newReplicaCluster(draw, 3+2*draw(2), 2, broken)
-	s.run(12 * time.Second) // there is a holder
+// leaseWalk runs a walk of replaced members and partitions, and returns the first violation.
+func leaseWalk(draw func(n int) int, brokenRule string) string {
+	s := newReplicaCluster(draw, 3+2*draw(2), 2, brokenRule)
+	s.run(12 * time.Second) // until there is a lease holder
 	for range 10 {
 		side := s.replaceMember()
 		if draw(3) > 0 {
@@ -97,23 +97,23 @@
 	if s.heal(); s.violation == "" {
 		calls := s.platform.calls
 		if s.run(12 * time.Second); s.platform.calls == calls {
-			s.violate("12 s after the last fault nobody calls the platform")
+			s.violate("12 s after the last fault no lease holder calls the platform")
 		}
 	}
 	return s.violation
 }
 
-// randomLeases plays so many walks, and returns the first fault with its seed.
-func randomLeases(walks int, broken string) (found string, seed int) {
-	for seed := range walks {
-		if found := leaseWalk(draws(seed), broken); found != "" {
-			return found, seed
+// randomLeases runs a walk of each seed, and returns the first violation with its seed.
+func randomLeases(seeds int, brokenRule string) (violation string, seed int) {
+	for seed := range seeds {
+		if violation := leaseWalk(draws(seed), brokenRule); violation != "" {
+			return violation, seed
 		}
 	}
-	return "", walks
+	return "", seeds
 }
 
-// brokenReplicaWalks are the walks of all that is broken on purpose at a site.
+// brokenReplicaWalks returns the walks that break a rule of replicas or leases.
 func brokenReplicaWalks() []Walk {
 	var walks []Walk
 	add := func(walk func(int, string) (string, int), rules []string) {
--- a/internal/lab/check/operators.go
+++ b/internal/lab/check/operators.go
@@ -97,22 +97,22 @@
 // submission is one attempt to have a replica accept a change.
 type submission struct {
 	*operators
-	change *configChange
-	at     int // its replica's number
-	host   *host
-	life   int  // of the host, as it was sent
-	closed bool // the operator has an answer, or waits no more
+	change      *configChange
+	at          int // its replica's number
+	host        *host
+	incarnation int  // of the host, as it was sent
+	closed      bool // the operator has an answer, or waits no more
 }
 
 // submit sends a change to a replica, and to the next one until there is a definite answer.
 func (o *operators) submit(x *configChange, at int) {
 	h := o.hosts[at%len(o.hosts)]
-	a := &submission{operators: o, change: x, at: at, host: h, life: h.generation}
+	a := &submission{operators: o, change: x, at: at, host: h, incarnation: h.incarnation}
 	o.after(clientTimeout, a.timeOut)
 	o.after(time.Millisecond, a.arrive)
 }
 
-func (a *submission) isRunning() bool { return a.host.isUp && a.host.generation == a.life }
+func (a *submission) isRunning() bool { return a.host.isUp && a.host.incarnation == a.incarnation }
 
 // timeOut has the operator try the next replica, if there is no answer yet.
 func (a *submission) timeOut() {
@@ -350,10 +350,10 @@
 }
 
 // operatorRaces plays so many walks, and returns the first fault with its seed.
-func operatorRaces(walks int, broken string) (found string, seed int) {
+func operatorRaces(walks int, broken string) (violation string, seed int) {
 	for seed := range walks {
-		if found := operatorWalk(seed, broken).violation; found != "" {
-			return found, seed
+		if violation := operatorWalk(seed, broken).violation; violation != "" {
+			return violation, seed
 		}
 	}
 	return "", walks
--- a/internal/lab/check/paxos.go
+++ b/internal/lab/check/paxos.go
@@ -6,19 +6,19 @@
 	"notchhinge/internal/control/paxos"
 )
 
-// paxosCluster is a few voters and proposers, a network that delays, repeats and loses messages, and disks.
+// paxosCluster simulates voters and proposers, their disks, and a network that delays, duplicates and loses messages.
 type paxosCluster struct {
 	voters        []*paxosVoter
 	messages      []message // in flight
 	proposals     []*proposal
-	chosen        map[uint64]map[string]bool // by index: every value that any proposer has found chosen
+	chosen        map[uint64]map[string]bool // by index: all values that a proposer has found chosen
 	proposalCount uint64
 
-	// Rules that are broken.
+	// Rules that a walk breaks on purpose.
 
-	losesDisk     bool // a crash loses the disk, and the voter goes on with its vote
-	skipsSync     bool // responses leave before the acceptor's state is on the disk
-	reusesNumbers bool // a proposer that restarts uses its old proposal numbers again
+	losesDisk     bool // a crash loses the disk, and the voter keeps its vote
+	skipsSync     bool // responses are sent before the acceptor's state is on the disk
+	reusesNumbers bool // proposers reuse proposal numbers
 }
 
 type paxosVoter struct {
@@ -36,7 +36,7 @@
 	isResponse bool
 	response   paxos.Response
 	voter      uint64 // id of the voter that has responded
-	deliveries int    // before this one
+	deliveries int    // so far
 }
 
 type proposal struct {
@@ -68,7 +68,7 @@
 	}
 }
 
-// propose begins a proposal at an index, under a new number and with a value of its own.
+// propose starts a proposal at an index, with a new number and its own value.
 func (c *paxosCluster) propose(index uint64) {
 	c.proposalCount++
 	number := paxos.ProposalNumber{Term: 1 + c.proposalCount/2, Proposer: c.proposalCount}
@@ -95,7 +95,7 @@
 // drop loses a message.
 func (c *paxosCluster) drop(i int) { c.messages = append(c.messages[:i:i], c.messages[i+1:]...) }
 
-// deliver delivers a message. Where keep is true, it stays in flight and may be delivered again, three times at most.
+// deliver delivers a message. If keep is true, the message stays in flight and may be delivered again, at most three times.
 func (c *paxosCluster) deliver(i int, keep bool) {
 	m := c.messages[i]
 	if !keep || m.deliveries > 1 {
@@ -137,7 +137,7 @@
 	}
 }
 
-// restart has a voter crash and start again from its disk.
+// restart crashes a voter and restarts it from its disk.
 func (c *paxosCluster) restart(i int) {
 	v := c.voters[i]
 	if c.losesDisk {
@@ -146,17 +146,17 @@
 	v.acceptor = paxos.Acceptor{State: v.disk, IsVoter: true, NextIndex: uint64(len(v.log)), ChosenValue: v.chosenValue}
 }
 
-// violation names an index at which two values were chosen; "" = there is none.
+// violation describes an index at which two values were chosen; "" = none.
 func (c *paxosCluster) violation() string {
 	for index, values := range c.chosen {
 		if len(values) > 1 {
-			return fmt.Sprintf("index %d: %v", index, values)
+			return fmt.Sprintf("two values chosen at index %d: %v", index, values)
 		}
 	}
 	return ""
 }
 
-// run takes a number of random steps: proposals, crashes, lost and delivered messages.
+// run takes random steps: proposals, crashes, lost and delivered messages.
 func (c *paxosCluster) run(draw func(n int) int, steps int) {
 	for range steps {
 		switch draw(10) {
@@ -176,7 +176,7 @@
 	}
 }
 
-// key identifies the state of a cluster: what follows from equal ones is equal.
+// key identifies the state of a cluster: clusters with equal keys behave equally.
 func (c *paxosCluster) key() string {
 	s := ""
 	for _, v := range c.voters {
@@ -196,7 +196,7 @@
 	return s + fmt.Sprint(inFlight)
 }
 
-// randomProposals runs three voters with random steps, a seed after another, and returns the first violation with its seed.
+// randomProposals runs three voters with random steps for each seed, and returns the first violation with its seed.
 func randomProposals(breakRule func(*paxosCluster), seeds int) (violation string, seed int) {
 	for seed := range seeds {
 		c := newPaxosCluster(3)
@@ -220,7 +220,7 @@
 	return "", seeds
 }
 
-// orderWalk runs two proposals among three voters in every order of deliveries and crashes, without repeated messages.
+// orderWalk runs two proposals among three voters in every order of deliveries and crashes, without duplicated messages.
 type orderWalk struct {
 	maxCrashes int
 	maxSteps   int
@@ -237,14 +237,14 @@
 func restartVoter(c *paxosCluster, i int) { c.restart(i) }
 func proposeAgain(c *paxosCluster, _ int) { c.propose(0) }
 
-// exploreOrders returns the first violation, and the number of states.
+// exploreOrders walks every order within the bounds, and returns the first violation and the number of states.
 func exploreOrders(maxCrashes, maxSteps int) (violation string, states int) {
 	w := &orderWalk{maxCrashes: maxCrashes, maxSteps: maxSteps, seen: map[string]bool{}}
 	w.walk(nil, 0, false)
 	return w.violation, len(w.seen)
 }
 
-// walk visits the state that a path leads to, and all states after it. It returns true once a violation is found.
+// walk visits the state that a path leads to and all states reachable from it. It returns true once a violation is found.
 func (w *orderWalk) walk(path []orderStep, crashes int, isSecond bool) bool {
 	c := newPaxosCluster(3)
 	c.propose(0)
--- a/internal/lab/check/paxos_test.go
+++ b/internal/lab/check/paxos_test.go
@@ -19,8 +19,7 @@
 	})
 }
 
-// TestBrokenPaxosIsDetected: the walk that finds nothing otherwise finds a voter that votes on after its disk was wiped, one
-// that responds before its state is on the disk, and a proposer that uses numbers again.
+// TestBrokenPaxosIsDetected: the random walk finds a violation with each broken rule, and none without.
 func TestBrokenPaxosIsDetected(t *testing.T) {
 	for name, breakRule := range map[string]func(*paxosCluster){
 		"loses its disk":           func(c *paxosCluster) { c.losesDisk = true },
@@ -38,12 +37,12 @@
 
 func TestEveryOrderOfMessagesAndACrash(t *testing.T) {
 	if violation, states := exploreOrders(1, 9); violation != "" || states < 1000 {
-		t.Errorf("%q in %d states", violation, states)
+		t.Errorf("violation %q after %d states", violation, states)
 	}
 }
 
-// deliverOf delivers the first message of a proposal to or from a voter, by phase and direction. It returns false if there
-// is none in flight.
+// deliverOf delivers the first message of a proposal to or from a voter, by phase and direction. It returns false if none is in
+// flight.
 func (c *paxosCluster) deliverOf(p *proposal, phase paxos.RequestKind, isResponse bool, voter int) bool {
 	for i, m := range c.messages {
 		if m.of == p && m.request.Kind == phase && m.isResponse == isResponse && (!isResponse && m.to == voter || isResponse && m.voter == uint64(voter+1)) {
@@ -54,15 +53,15 @@
 	return false
 }
 
-// exchange delivers the request of a phase to a voter, and its response.
+// exchange delivers the request of a phase to a voter, and the voter's response.
 func (c *paxosCluster) exchange(p *proposal, phase paxos.RequestKind, voter int) {
 	c.deliverOf(p, phase, false, voter)
 	c.deliverOf(p, phase, true, voter)
 }
 
-// TestOldProposerResumes: a proposer stops after one of three voters has accepted its value. Another one has its own value
-// chosen, or the first one's if it has seen it; the operator tries again elsewhere. Then the first one resumes, with all
-// that it had sent, and all responses, still in flight. One value is chosen, whichever quorum the others had.
+// TestOldProposerResumes: a proposer pauses after one of three voters has accepted its value, and two later proposers have a
+// value chosen without one voter. Then the first proposer resumes, with its requests still in flight. Only one value is chosen,
+// whichever quorum the later proposers had.
 func TestOldProposerResumes(t *testing.T) {
 	for acceptedBy := range 3 {
 		for unreachable := range 3 {
@@ -73,7 +72,7 @@
 	}
 }
 
-// testOldProposerResumes has one voter accept the first proposal, and one unreachable to the later ones.
+// testOldProposerResumes lets one voter accept the first proposal, and makes one unreachable to the later ones.
 func testOldProposerResumes(t *testing.T, acceptedBy, unreachable int) {
 	t.Helper()
 	c := newPaxosCluster(3)
@@ -83,7 +82,7 @@
 		c.exchange(first, paxos.KindPrepare, v)
 	}
 	if !c.deliverOf(first, paxos.KindAccept, false, acceptedBy) {
-		t.Fatal("the first proposal has not reached its accept phase")
+		t.Fatal("the first proposal did not reach its accept phase")
 	}
 	want := "v2"
 	if acceptedBy != unreachable {
@@ -92,7 +91,7 @@
 	for range 2 {
 		c.proposeWithout(unreachable)
 		if !c.chosen[0][want] || len(c.chosen[0]) != 1 {
-			t.Fatalf("%v, not %s", c.chosen[0], want)
+			t.Fatalf("chosen: %v; want %s alone", c.chosen[0], want)
 		}
 	}
 	for v := range 3 { // the first one resumes
--- a/internal/lab/check/powerloss.go
+++ b/internal/lab/check/powerloss.go
@@ -10,14 +10,14 @@
 	"notchhinge/internal/control/storage"
 )
 
-// written is what a store must hold after a write of the script.
+// written is the content that a store must hold after a write of the script.
 type written struct {
 	state    replog.State
 	acceptor paxos.AcceptorState
-	value    []byte // appended by this write; nil = it saved the acceptor's state
+	value    []byte // appended by this write; nil = the write saved the acceptor's state
 }
 
-// matches reports whether a store has recovered just that.
+// matches reports whether a store has recovered exactly this content.
 func (w *written) matches(r *storage.Recovered) bool {
 	return bytes.Equal(w.state.Encode(), r.State.Encode()) && w.acceptor.Index == r.Acceptor.Index && w.acceptor.Promised == r.Acceptor.Promised &&
 		w.acceptor.Accepted == r.Acceptor.Accepted && bytes.Equal(w.acceptor.Value, r.Acceptor.Value)
@@ -48,14 +48,14 @@
 	case index%4 == 0:
 		return replog.UsageReport{Window: index, Counts: []replog.TenantCount{{Tenant: "k", Requests: index}}}
 	}
-	return replog.ConfigChange{BaseRevision: index, Config: bytes.Repeat([]byte{byte(index)}, 30_000)} // decoded by nobody
+	return replog.ConfigChange{BaseRevision: index, Config: bytes.Repeat([]byte{byte(index)}, 30_000)} // never decoded
 }
 
 // maxReopens bounds the attempts to reopen a store whose disk refuses writes.
 const maxReopens = 50
 
-// runScript writes the script to a store on a disk until a write fails, and returns how many writes were acknowledged. Where
-// reopens is true, a store that has failed is reopened and gets all that it must hold, as a replica does, and goes on.
+// runScript writes the script to a store on a disk until a write fails, and returns how many writes were acknowledged. If
+// reopens is true, a store with a failed write is reopened and rewritten, as a replica does, and the script continues.
 func runScript(d *disk, script []written, reopens bool) (acknowledged int, err error) {
 	identity := storage.Identity{ID: 7, IsFounder: true}
 	s, _, err := storage.OpenFiles(d.open, identity)
@@ -65,7 +65,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = s.Close() }() // what it has not synced may be lost
+	defer func() { _ = s.Close() }() // unsynced data may be lost
 	for i := range script {
 		err := write(s, &script[i])
 		for attempt := 0; reopens && err != nil && attempt < maxReopens; attempt++ {
@@ -85,7 +85,7 @@
 	return s.SaveAcceptor(w.acceptor)
 }
 
-// rewrite reopens a store after a failed write, and writes all that it must hold.
+// rewrite reopens a store after a failed write, and writes its whole content.
 func rewrite(s *storage.Store, w *written) error {
 	if err := s.Reopen(); err != nil {
 		return err
@@ -96,51 +96,50 @@
 	return s.SaveAcceptor(w.acceptor)
 }
 
-// checkRecovered opens a store and checks that it holds what was acknowledged, and at most the one write more that was under
-// way.
+// checkRecovered opens a store and checks that it holds all acknowledged writes, and at most the one that was in progress.
 func checkRecovered(d *disk, script []written, acknowledged int) error {
 	s, r, err := storage.OpenFiles(d.open, storage.Identity{ID: 99})
 	if err != nil {
-		return fmt.Errorf("it does not open: %w", err)
+		return fmt.Errorf("store does not open: %w", err)
 	}
-	defer func() { _ = s.Close() }() // it was read alone
+	defer func() { _ = s.Close() }() // it was only read
 	want := &written{}
 	if acknowledged > 0 {
 		want = &script[acknowledged-1]
 		if r.ID != 7 {
-			return fmt.Errorf("it belongs to %d", r.ID)
+			return fmt.Errorf("store has replica ID %d, not 7", r.ID)
 		}
 	}
 	if want.matches(r) || acknowledged < len(script) && script[acknowledged].matches(r) {
 		return nil
 	}
-	return fmt.Errorf("next index %d, acceptor at index %d, promised %d, accepted %v; acknowledged were %d and %+v", r.State.NextIndex,
+	return fmt.Errorf("recovered next index %d, acceptor at index %d, promised term %d, accepted %v; acknowledged next index %d, promised %+v", r.State.NextIndex,
 		r.Acceptor.Index, r.Acceptor.Promised.Term, r.Acceptor.Value != nil, want.state.NextIndex, want.acceptor.Promised)
 }
 
-// losePowerAtEachStep loses the power at every stride-th step of the script, with each kind of loss, and returns what was
-// found wrong, and the number of losses.
-func losePowerAtEachStep(skipsNameSync bool, stride int) (faults []error, losses int) {
+// losePowerAtEachStep simulates a loss of power at every stride-th step of the script, with each kind of loss. It returns the
+// violations and the number of losses.
+func losePowerAtEachStep(skipsNameSync bool, stride int) (violations []error, losses int) {
 	script := writeScript()
 	for at := 1; ; at += stride {
 		d := newDisk()
 		d.skipsNameSync, d.failAt, d.err = skipsNameSync, at, errPowerLost
 		n, err := runScript(d, script, false)
 		if err == nil && d.steps < at {
-			return faults, losses
+			return violations, losses
 		}
 		for kind := range lossKinds {
 			losses++
 			if err := checkRecovered(d.afterPowerLoss(kind, uint64(at)), script, n); err != nil {
-				faults = append(faults, fmt.Errorf("power lost at step %d, kind %d, after %d writes: %w", at, kind, n, err))
+				violations = append(violations, fmt.Errorf("power lost at step %d, kind %d, after %d writes: %w", at, kind, n, err))
 			}
 		}
 	}
 }
 
-// refuseWritesAtEachStep has the disk refuse one or four writes at every stride-th step of the script, for lack of space or
-// with an input/output error. The store must go on, and hold everything in the end, after a loss of power as well.
-func refuseWritesAtEachStep(stride int) (faults []error) {
+// refuseWritesAtEachStep makes one or four writes fail at every stride-th step of the script, with ENOSPC or EIO. The store must
+// recover, and hold all writes after a final loss of power.
+func refuseWritesAtEachStep(stride int) (violations []error) {
 	script := writeScript()
 	for at, isDone := 1, false; !isDone; at += stride {
 		for _, failures := range []int{1, 4} {
@@ -152,13 +151,13 @@
 			n, err := runScript(d, script, true)
 			isDone = d.steps < at
 			if n != len(script) || err != nil {
-				faults = append(faults, fmt.Errorf("%d writes refused from step %d: ended after %d writes: %w", failures, at, n, err))
+				violations = append(violations, fmt.Errorf("%d writes refused from step %d: ended after %d writes: %w", failures, at, n, err))
 				continue
 			}
 			if err := checkRecovered(d.afterPowerLoss(keepNothing, uint64(at)), script, n); err != nil {
-				faults = append(faults, fmt.Errorf("%d writes refused from step %d: %w", failures, at, err))
+				violations = append(violations, fmt.Errorf("%d writes refused from step %d: %w", failures, at, err))
 			}
 		}
 	}
-	return faults
+	return violations
 }
--- a/internal/lab/check/powerloss_test.go
+++ b/internal/lab/check/powerloss_test.go
@@ -4,26 +4,26 @@
 
 func TestPowerLossAtAnyStepLosesNothing(t *testing.T) {
 	t.Parallel()
-	faults, losses := losePowerAtEachStep(false, 2)
-	for _, err := range faults {
+	violations, losses := losePowerAtEachStep(false, 2)
+	for _, err := range violations {
 		t.Error(err)
 	}
 	if losses < 300 {
-		t.Errorf("only %d losses", losses)
+		t.Errorf("only %d losses of power were simulated", losses)
 	}
-	t.Logf("%d losses", losses)
+	t.Logf("%d losses of power", losses)
 }
 
-// TestMissingNameSyncIsDetected: without SyncNames a journal's name becomes durable with the next manifest only.
+// TestMissingNameSyncIsDetected: without SyncNames, a journal's name becomes durable only with the next manifest.
 func TestMissingNameSyncIsDetected(t *testing.T) {
 	t.Parallel()
-	if faults, losses := losePowerAtEachStep(true, 5); len(faults) == 0 {
-		t.Errorf("not detected with %d losses", losses)
+	if violations, losses := losePowerAtEachStep(true, 5); len(violations) == 0 {
+		t.Errorf("not detected with %d losses of power", losses)
 	}
 }
 
-// TestRefusedWritesLoseNothing: the disk is full, or fails, for a while from any step on. The store goes on as soon as the
-// disk takes writes again, and holds everything in the end, after a loss of power as well.
+// TestRefusedWritesLoseNothing: writes fail for a while, from any step, since the disk is full or broken. The store recovers
+// with the next successful write, and holds all writes after a final loss of power.
 func TestRefusedWritesLoseNothing(t *testing.T) {
 	t.Parallel()
 	for _, err := range refuseWritesAtEachStep(7) {
--- a/internal/lab/check/singletonhost.go
+++ b/internal/lab/check/singletonhost.go
@@ -12,11 +12,11 @@
 	"notchhinge/internal/limits"
 )
 
-// leaseDuration is that of the leases which hosts grant.
+// leaseDuration is the duration of the leases that hosts grant.
 const leaseDuration = 3 * time.Second
 
-// singletonHost is a host's part in the singleton roles: its Controller orders engines of one service once a second. It ends
-// with the process.
+// singletonHost runs the singleton.Controller of a host. As lease holder, the Controller scales one service, whose wanted
+// size changes every second. A singletonHost ends with its process.
 type singletonHost struct {
 	*host
 	controller *singleton.Controller
@@ -24,7 +24,7 @@
 	wasVoter   bool // at the last event
 }
 
-// startSingleton starts the host's part in the singleton roles.
+// startSingleton starts the host's singleton.Controller.
 func (h *host) startSingleton(peers []netip.AddrPort) {
 	s := h.s
 	c := &singletonHost{host: h, wasVoter: h.state.Member(h.id) != nil, config: singleton.Config{
@@ -44,7 +44,7 @@
 	s.after(time.Duration(s.draw(500))*time.Millisecond, c.tick)
 }
 
-// tick reports a router's load and lets the Controller go on, again and again while the process runs.
+// tick passes a router's usage report and a Tick to the Controller, and repeats this while the process runs.
 func (c *singletonHost) tick() {
 	if c.host.singleton != c {
 		return
@@ -56,7 +56,7 @@
 	s.after(limits.SingletonTickInterval, c.tick)
 }
 
-// reduce has the Controller take in an event, and carries out the effects. It returns the reply to a call.
+// reduce passes an event to the Controller, and carries out its effects. It returns the reply to a call.
 func (c *singletonHost) reduce(e singleton.Event) (reply singleton.SendReply) {
 	if c.host.singleton != c {
 		return reply // its process has ended
@@ -82,10 +82,10 @@
 		case singleton.Propose:
 			id := c.proposals.Add(func(err error) { c.reduce(singleton.ProposalDone{Err: err}) })
 			c.handle(replica.Propose{Next: f.Next, Deadline: s.now + f.Timeout, Request: id})
-		case singleton.ScaleEngines: // the platform can always be reached, and accepts every call
+		case singleton.ScaleEngines: // the platform is always reachable, and accepts every call
 			s.after(time.Millisecond, func() {
-				if fault := s.platform.accept(c.i, f.FencingToken); fault != "" {
-					s.violate("%s", fault)
+				if violation := s.platform.accept(c.i, f.FencingToken); violation != "" {
+					s.violate("%s", violation)
 				}
 			})
 			s.after(2*time.Millisecond, func() { c.reduce(singleton.PlatformAnswered{}) })
--- a/internal/lab/contend/contend_test.go
+++ b/internal/lab/contend/contend_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// tidewater is the larger of the two production deployments.
+// tidewater is the larger production deployment.
 var tidewater = Cluster{Replicas: 5, Latency: ms / 2, Link: 15e6, Sync: 5 * ms, Disk: 120e6}
 
 // Sizes of values in bytes; large is tidewater's largest configuration.
