--- a/internal/lab/check/attemptengine.go
+++ b/internal/lab/check/attemptengine.go
@@ -65,12 +65,12 @@
 	}
 	q := r.requests[i]
 	if c.unusable != "" {
-		r.violate("%s is sent on a connection that must not be reused (%s)", q.id, c.unusable)
+		r.violate("%s is sent on an unusable connection (%s)", q.id, c.unusable)
 	}
 	c.request, c.isRetry, c.unusable = q, len(q.deliveries) > 0, "its response is incomplete"
 	recordDelivery := func() {
 		if q.isNonIdempotent && slices.ContainsFunc(q.deliveries, func(d *delivery) bool { return !d.isNotExecuted }) {
-			r.violate("%s must not be executed twice, and is sent again", q.id)
+			r.violate("%s is not idempotent and is sent again", q.id)
 		}
 		c.delivery = &delivery{isLost: c.isForgotten, at: r.now}
 		q.deliveries = append(q.deliveries, c.delivery)
@@ -317,7 +317,7 @@
 	r.whenIdle = append(r.whenIdle, func() { c.readable, c.unusable = append(c.readable, more...), "it has unrequested bytes" })
 }
 
-// addExternalEvents adds events of clients and of the router's process. At most two occur in a run, or one with cutsEveryByte.
+// addExternalEvents adds events of clients and of the router's process. At most two occur in a run, or one if cutsEveryByte is set.
 func (c *engineConn) addExternalEvents(add func(string, func())) {
 	q, r := c.request, c.r
 	addOnce := func(name string, do func()) {
@@ -357,12 +357,12 @@
 	}
 	switch r.pick(4) {
 	case 1:
-		r.logStep("idle connections are closed")
+		r.logStep("connections are closed")
 		for _, c := range idle {
 			c.err, c.unusable = io.EOF, "it is closed"
 		}
 	case 2:
-		r.logStep("idle connections are forgotten by the engine")
+		r.logStep("connections are forgotten")
 		for _, c := range idle {
 			c.isForgotten = true
 		}
--- a/internal/lab/check/attemptjudge.go
+++ b/internal/lab/check/attemptjudge.go
@@ -62,7 +62,7 @@
 			}
 		}
 		if n > r.maxRetries {
-			r.violate("%d retries in a window that allows %d", n, r.maxRetries)
+			r.violate("%d retries where the budget allows %d in a window", n, r.maxRetries)
 		}
 	}
 }
@@ -71,7 +71,7 @@
 func (r *routerWalk) checkResponse(q *clientRequest) {
 	for _, o := range append(slices.Clone(r.requests), &clientRequest{id: "r9999"}) {
 		if o != q && bytes.Contains(q.received, []byte(o.id)) {
-			r.violate("the client of %s received data of %s: %q", q.id, o.id, q.received)
+			r.violate("%s received data addressed to %s: %q", q.id, o.id, q.received)
 		}
 	}
 	if len(q.received) == 0 {
@@ -84,14 +84,14 @@
 	resp, err := http.ReadResponse(br, nil) //nolint:bodyclose // read from memory
 	if err != nil {
 		if !q.clientLeft && !r.hasCrashed {
-			r.violate("the client of %s received an invalid response: %q", q.id, q.received)
+			r.violate("%s received an invalid response: %q", q.id, q.received)
 		}
 		return
 	}
 	body, err := io.ReadAll(resp.Body)
 	isFramed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	if br.Buffered() > 0 {
-		r.violate("the client of %s received bytes after the response: %q", q.id, q.received)
+		r.violate("%s received bytes after the response: %q", q.id, q.received)
 	}
 	if err != nil || !isFramed {
 		if isFramed && !q.clientLeft && !q.isConnClosed && !r.hasCrashed {
@@ -103,11 +103,11 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 		if !slices.Contains(q.responses, resp.Header.Get("X-Response-Seal")+" "+string(body)) {
-			r.violate("the client of %s received a success that no engine sent: %q", q.id, q.received)
+			r.violate("%s received a success that no engine sent: %q", q.id, q.received)
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		if mayHaveRun {
-			r.violate("%s was rejected with status %d and may have been executed", q.id, resp.StatusCode)
+			r.violate("%s was rejected with %d and may have run", q.id, resp.StatusCode)
 		}
 	}
 }
--- a/internal/lab/check/check_test.go
+++ b/internal/lab/check/check_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawn returns a source of numbers that rapid draws, and can shrink.
+// drawn returns a draw function backed by rapid, which can shrink a failing walk.
 func drawn(t *rapid.T) func(n int) int {
 	return func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") }
 }
--- a/internal/lab/check/draining.go
+++ b/internal/lab/check/draining.go
@@ -19,8 +19,8 @@
 	drainReplicas  = 5
 	drainProcesses = 20
 	drainZones     = 4
-	// drainDeadline counts from the acknowledgement: drain_timeout_ms is at least 3 s, and its last quarter is
-	// left for requests of sessions on the engine.
+	// drainDeadline counts from the acknowledgement: drain_timeout_ms is at least 3 s, and its last quarter is left for requests of
+	// sessions on the engine.
 	drainDeadline = 2250 * time.Millisecond
 	// drainHeartbeat is the engine's heartbeat interval.
 	drainHeartbeat = 1500 * time.Millisecond
@@ -147,8 +147,8 @@
 	return w.lastRequest
 }
 
-// drain announces the drain to random processes until one acknowledges it, and returns that process. A process that does not
-// reply in time is restarted. ok is false if none has acknowledged.
+// drain announces the drain to random processes until one acknowledges it, and returns that process. Any of
+// them may crash before its reply, and restarts. ok is false if none has acknowledged.
 func (w *drainWalk) drain() (ackedBy int, ok bool) {
 	for attempt := range drainMaxAttempts {
 		if attempt == 0 || w.draw(2) == 0 { // otherwise the same call is repeated
--- a/internal/lab/check/powerloss.go
+++ b/internal/lab/check/powerloss.go
@@ -113,7 +113,7 @@
 	if want.matches(r) || acknowledged < len(script) && script[acknowledged].matches(r) {
 		return nil
 	}
-	return fmt.Errorf("recovered next index %d, acceptor at index %d, promised term %d, accepted %v; acknowledged next index %d, promised %+v", r.State.NextIndex,
+	return fmt.Errorf("next index %d, acceptor at index %d, promised %d, accepted %v; want index %d, promised %+v", r.State.NextIndex,
 		r.Acceptor.Index, r.Acceptor.Promised.Term, r.Acceptor.Value != nil, want.state.NextIndex, want.acceptor.Promised)
 }
 
