--- a/internal/lab/check/catchup_test.go
+++ b/internal/lab/check/catchup_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestReplicaCatchesUpAfterManyChanges: a member that was away for a thousand changes, with its disk, without it, or another
-// machine in its place, is back while changes go on, and no disk has more than 32 MiB on it at any time.
+// TestReplicaCatchesUpAfterManyChanges: a member that misses a thousand changes catches up while changes continue, with its
+// disk, with an empty disk, or on a replacement machine. No disk ever holds more than 32 MiB.
 func TestReplicaCatchesUpAfterManyChanges(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -17,38 +17,38 @@
 		"a thousand small": {smallConfigs(), 1000, 500 * time.Millisecond},
 		"full size":        {largeConfigs(), 12, time.Second},
 	} {
-		w := catchUpAfterAbsence(c.config, c.changes, 1)
-		if w.violation != "" || w.longestCatchUp > c.maxCatchUp {
-			t.Errorf("%s: back in %v, want at most %v; %s", name, w.longestCatchUp, c.maxCatchUp, w.violation)
+		sim := catchUpAfterAbsence(c.config, c.changes, 1)
+		if sim.violation != "" || sim.longestCatchUp > c.maxCatchUp {
+			t.Errorf("%s: caught up in %v, want at most %v; %s", name, sim.longestCatchUp, c.maxCatchUp, sim.violation)
 		}
-		for i, m := range w.replicas {
+		for i, m := range sim.replicas {
 			used, peak := m.disk.usage()
 			if t.Logf("%s: member %d: at most %d bytes on its disk, %d now", name, i, peak, used); peak > 32<<20 {
-				t.Errorf("%s: the disk of member %d had %d bytes on it", name, i, peak)
+				t.Errorf("%s: the disk of member %d held %d bytes", name, i, peak)
 			}
 		}
-		t.Logf("%s: back in %v, %d calls for a snapshot, a change in %v at most", name, w.longestCatchUp, w.snapshotCalls, w.slowestChange)
+		t.Logf("%s: caught up in %v, %d snapshot calls, slowest change %v", name, sim.longestCatchUp, sim.snapshotCalls, sim.slowestChange)
 	}
 }
 
-// TestCatchUpIsFastWithEverySeed: how long it takes while changes go on does not depend on chance.
+// TestCatchUpIsFastWithEverySeed: the time to catch up while changes continue stays bounded with every seed.
 func TestCatchUpIsFastWithEverySeed(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(8) {
 		config := scaledConfigs()
 		config.members = 3 + int(seed%2)*2
-		if w := catchUpAfterAbsence(config, 3, seed); w.violation != "" || w.longestCatchUp > time.Second {
-			t.Errorf("seed %d: back in %v; %s", seed, w.longestCatchUp, w.violation)
+		if sim := catchUpAfterAbsence(config, 3, seed); sim.violation != "" || sim.longestCatchUp > time.Second {
+			t.Errorf("seed %d: caught up in %v; %s", seed, sim.longestCatchUp, sim.violation)
 		}
 	}
 }
 
-// TestSlowReplicaKeepsUp: a call that has waited beyond its time-out is not handled, and a snapshot is asked for once at a time.
+// TestSlowReplicaKeepsUp: a replica drops calls that have waited beyond their timeout, and requests one snapshot at a time.
 func TestSlowReplicaKeepsUp(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(4) {
-		if w := slowDownReplica(scaledConfigs(), seed); w.violation != "" {
-			t.Errorf("seed %d: %s", seed, w.violation)
+		if sim := slowDownReplica(scaledConfigs(), seed); sim.violation != "" {
+			t.Errorf("seed %d: %s", seed, sim.violation)
 		}
 	}
 }
@@ -57,31 +57,31 @@
 	t.Parallel()
 	all := 0
 	for seed := range uint64(4) {
-		w, losses := losePowerDuringCatchUp(smallConfigs(), 1, seed)
-		if w.violation != "" {
-			t.Errorf("seed %d, loss %d: %s", seed, losses, w.violation)
+		sim, losses := losePowerDuringCatchUp(smallConfigs(), 1, seed)
+		if sim.violation != "" {
+			t.Errorf("seed %d, loss %d: %s", seed, losses, sim.violation)
 		}
 		all += losses
 	}
 	if all < 40 {
-		t.Errorf("only %d losses", all)
+		t.Errorf("only %d power losses", all)
 	}
 	t.Logf("power lost at %d steps", all)
 }
 
 func TestFullDiskDuringCatchUpIsSurvived(t *testing.T) {
 	t.Parallel()
-	w, starts := fillDiskDuringCatchUp(smallConfigs(), 1, 1)
-	if w.violation != "" || starts < 10 {
-		t.Errorf("%d starts: %s", starts, w.violation)
+	sim, starts := fillDiskDuringCatchUp(smallConfigs(), 1, 1)
+	if sim.violation != "" || starts < 10 {
+		t.Errorf("%d starts: %s", starts, sim.violation)
 	}
 	t.Logf("a full disk from %d steps on", starts)
 }
 
 func TestOldAndTruncatedSnapshotsAreRejected(t *testing.T) {
 	t.Parallel()
-	if w := alterSnapshots(smallConfigs(), 20, 1); w.violation != "" {
-		t.Error(w.violation)
+	if sim := alterSnapshots(smallConfigs(), 20, 1); sim.violation != "" {
+		t.Error(sim.violation)
 	}
 }
 
--- a/internal/lab/check/catchupoperator.go
+++ b/internal/lab/check/catchupoperator.go
@@ -11,95 +11,96 @@
 	"notchhinge/internal/control/replica"
 )
 
-// firstRevision is encoded in as many bytes as all revisions after it.
+// firstRevision is large enough that CBOR encodes every later revision in the same number of bytes.
 const firstRevision = 70_000
 
-// encodedConfig returns a configuration of a revision.
-func (w *catchUpSim) encodedConfig(revision uint64) []byte {
-	c := map[string]any{"revision": revision, "services": []fleetconfig.Service{{Name: "s"}}, "later": w.padding}
-	routes := make([]fleetconfig.Route, w.routes)
+// encodedConfig returns an encoded configuration with the given revision and the routes and padding of the load.
+func (sim *catchUpSim) encodedConfig(revision uint64) []byte {
+	config := map[string]any{"revision": revision, "services": []fleetconfig.Service{{Name: "s"}}, "later": sim.padding}
+	routes := make([]fleetconfig.Route, sim.routes)
 	for i := range routes {
 		routes[i] = fleetconfig.Route{
 			Name: fmt.Sprintf("route-%05d", i), Hostname: "a.example", PathPrefix: fmt.Sprintf("/p%05d/", i), Type: fleetconfig.RouteStreaming,
 			TimeoutMS: 12000, TargetService: "s", MaxAttempts: 2,
 		}
 	}
-	c["routes"] = routes
-	b, err := cbor.Marshal(c)
+	config["routes"] = routes
+	encoded, err := cbor.Marshal(config)
 	if err != nil {
-		w.violate("%v", err)
+		sim.violate("encode configuration: %v", err)
 	}
-	return b
+	return encoded
 }
 
-// startChange has the operator make changes, one after another, until goalRevision is reached. It tries one member after
-// another until one confirms the change.
-func (w *catchUpSim) startChange() {
-	if w.ackedRevision >= w.goalRevision {
-		w.after(w.changeInterval, w.startChange)
+// startChange submits the next configuration change, and schedules the one after it once this one is acknowledged. At
+// goalRevision it only polls for a new goal. The operator retries at the next member until one acknowledges the change.
+func (sim *catchUpSim) startChange() {
+	if sim.ackedRevision >= sim.goalRevision {
+		sim.after(sim.changeInterval, sim.startChange)
 		return
 	}
-	revision, base, began := max(w.ackedRevision+1, firstRevision), w.ackedRevision, w.now
-	config := w.encodedConfig(revision)
-	isOver := false
-	var send func(at int)
-	send = func(at int) {
-		m := w.replicas[at%w.members]
-		isAnswered := false
-		next := func(d time.Duration) {
-			if !isAnswered && !isOver {
-				isAnswered = true
-				w.after(d, func() { send(at + 1) })
+	revision, base, startedAt := max(sim.ackedRevision+1, firstRevision), sim.ackedRevision, sim.now
+	config := sim.encodedConfig(revision)
+	isAcked := false
+	var send func(target int)
+	send = func(target int) {
+		m := sim.replicas[target%sim.members]
+		isResolved := false
+		retryAfter := func(delay time.Duration) {
+			if !isResolved && !isAcked {
+				isResolved = true
+				sim.after(delay, func() { send(target + 1) })
 			}
 		}
 		if !m.isUp {
-			next(5 * time.Millisecond)
+			retryAfter(5 * time.Millisecond)
 			return
 		}
-		w.after(time.Second, func() { next(0) })
-		m.enqueue(replica.ReplaceConfig{BaseRevision: base, Config: config, Deadline: w.now + 900*time.Millisecond, Request: m.answers.Add(func(r api.Result) {
+		sim.after(time.Second, func() { retryAfter(0) })
+		m.enqueue(replica.ReplaceConfig{BaseRevision: base, Config: config, Deadline: sim.now + 900*time.Millisecond, Request: m.answers.Add(func(r api.Result) {
 			switch {
-			case isOver:
+			case isAcked:
 			case r.Status == 200:
-				isOver, w.ackedRevision, w.lastMember = true, revision, at
-				w.slowestChange = max(w.slowestChange, w.now-began)
-				w.after(max(began+w.changeInterval-w.now, time.Millisecond), w.startChange)
+				isAcked, sim.ackedRevision, sim.lastReplica = true, revision, target
+				sim.slowestChange = max(sim.slowestChange, sim.now-startedAt)
+				sim.after(max(startedAt+sim.changeInterval-sim.now, time.Millisecond), sim.startChange)
 			case r.Status == 503:
-				next(20 * time.Millisecond)
+				retryAfter(20 * time.Millisecond)
 			default:
-				w.violate("change to %d from %d is answered %d: %s", revision, base, r.Status, r.Message)
+				sim.violate("change to %d from %d gets response %d: %s", revision, base, r.Status, r.Message)
 			}
 		})})
 	}
-	if w.rotatesMembers {
-		w.lastMember++
+	if sim.rotatesMembers {
+		sim.lastReplica++
 	}
-	send(w.lastMember)
+	send(sim.lastReplica)
 }
 
-// makeChanges waits until n more changes are made; 0 = changes go on without end, and nothing is waited for.
-func (w *catchUpSim) makeChanges(n uint64) {
-	if w.goalRevision = max(w.ackedRevision, firstRevision-1) + n; n == 0 {
-		w.goalRevision = 1 << 30
+// makeChanges runs until n more changes are acknowledged. With n = 0 it lets changes continue without end and returns at once.
+func (sim *catchUpSim) makeChanges(n uint64) {
+	if sim.goalRevision = max(sim.ackedRevision, firstRevision-1) + n; n == 0 {
+		sim.goalRevision = 1 << 30
 		return
 	}
 	timeout := time.Duration(n) * time.Second
-	if _, ok := w.runUntil(timeout, func() bool { return w.ackedRevision >= w.goalRevision }); !ok {
-		w.violate("%d changes are not made in %v: revision %d is acknowledged", n, timeout, w.ackedRevision)
+	if _, ok := sim.runUntil(timeout, func() bool { return sim.ackedRevision >= sim.goalRevision }); !ok {
+		sim.violate("%d changes did not complete in %v: revision %d is acknowledged", n, timeout, sim.ackedRevision)
 	}
 }
 
-// readConfig has the operator read the configuration at a member, again until it is answered; then done is called.
-func (w *catchUpSim) readConfig(m *simReplica, done func()) {
-	minRevision, incarnation := w.ackedRevision, m.incarnation
-	m.enqueue(replica.ReadConfig{Deadline: w.now + 900*time.Millisecond, Request: m.answers.Add(func(r api.Result) {
+// readConfig reads the configuration at a member and retries until the read succeeds; it then calls onRead. It gives up when
+// the process restarts.
+func (sim *catchUpSim) readConfig(m *simReplica, onRead func()) {
+	minRevision, incarnation := sim.ackedRevision, m.incarnation
+	m.enqueue(replica.ReadConfig{Deadline: sim.now + 900*time.Millisecond, Request: m.answers.Add(func(r api.Result) {
 		switch {
 		case r.Status == 200 && r.Revision < minRevision:
-			w.violate("member %d reads revision %d, and %d was acknowledged before", m.position, r.Revision, minRevision)
+			sim.violate("member %d reads revision %d, but %d was already acknowledged", m.position, r.Revision, minRevision)
 		case r.Status == 200:
-			done()
+			onRead()
 		case m.incarnation == incarnation:
-			w.after(50*time.Millisecond, func() { w.readConfig(m, done) })
+			sim.after(50*time.Millisecond, func() { sim.readConfig(m, onRead) })
 		}
 	})})
 }
--- a/internal/lab/check/catchupreplica.go
+++ b/internal/lab/check/catchupreplica.go
@@ -21,51 +21,51 @@
 	"notchhinge/internal/control/storage"
 )
 
-// simReplica is a machine and its process.
+// simReplica is a simulated machine and the replica process on it.
 type simReplica struct {
-	sim                     *catchUpSim
-	position                int
-	disk                    *disk
-	store                   *storage.Store
-	node                    *replica.Replica
-	isUp                    bool
-	incarnation             int
-	isBusy                  bool
-	needsReopen             bool // a write has failed
-	queue                   []queuedEvent
-	wakeAt                  time.Duration // of the next Tick; 0 = none is scheduled
-	linkOutFree, linkInFree time.Duration // when what is under way has passed the link
-	id                      uint64
-	ackedIndex              uint64              // NextIndex of what the disk has acknowledged
-	ackedAcceptor           paxos.AcceptorState // the newest that the disk has acknowledged
-	maxQueue                int
-	slowdown                float64 // writes take 1 + slowdown times as long
+	sim                           *catchUpSim
+	position                      int
+	disk                          *disk
+	store                         *storage.Store
+	node                          *replica.Replica
+	isUp                          bool
+	incarnation                   int
+	isBusy                        bool
+	needsReopen                   bool // a write has failed since the store was opened
+	queue                         []queuedEvent
+	tickAt                        time.Duration // time of the next Tick; 0 = none is scheduled
+	outboundFreeAt, inboundFreeAt time.Duration // when the link finishes the transfers in flight
+	id                            uint64
+	ackedIndex                    uint64              // NextIndex of the newest state that the disk has acknowledged
+	ackedAcceptor                 paxos.AcceptorState // newest that the disk has acknowledged
+	maxQueue                      int
+	slowdown                      float64 // writes take 1 + slowdown times their usual time
 
-	// What waits for the effects that answer events of this incarnation.
+	// Callers that wait for a response from this incarnation.
 	calls   replica.Pending[*pendingCall]
 	answers replica.Pending[func(api.Result)]
 }
 
-// queuedEvent is an event that waits until the process is free.
+// queuedEvent is an event that waits while the process is busy.
 type queuedEvent struct {
 	replica.Event
 	since time.Duration
 }
 
-// start starts a process with what its disk holds. That must be no less than what the disk has acknowledged.
+// start starts the process from its disk, and checks that everything the disk acknowledged is still there.
 func (m *simReplica) start() {
-	w := m.sim
-	id := w.rnd.Uint64() | 1
-	s, recovered, err := storage.OpenFiles(m.disk.open, storage.Identity{ID: id, IsFounder: w.maxIndex == 0})
+	sim := m.sim
+	id := sim.rnd.Uint64() | 1
+	s, recovered, err := storage.OpenFiles(m.disk.open, storage.Identity{ID: id, IsFounder: sim.maxIndex == 0})
 	if err != nil {
-		if m.disk.hasFailed() && errors.Is(m.disk.fault(), syscall.ENOSPC) { // the platform restarts it
-			w.after(100*time.Millisecond, func() {
+		if m.disk.hasFailed() && errors.Is(m.disk.fault(), syscall.ENOSPC) { // the platform restarts the process
+			sim.after(100*time.Millisecond, func() {
 				if !m.isUp {
 					m.start()
 				}
 			})
 		} else if !m.disk.hasLostPower() {
-			w.violate("member %d cannot open its store: %v", m.position, err)
+			sim.violate("member %d cannot open its store: %v", m.position, err)
 		}
 		m.stop(true)
 		return
@@ -75,17 +75,17 @@
 	}
 	if v := &recovered.Acceptor; recovered.State.NextIndex < m.ackedIndex || cmp.Or(cmp.Compare(v.Index, m.ackedAcceptor.Index), v.Promised.Compare(m.ackedAcceptor.Promised),
 		v.Accepted.Compare(m.ackedAcceptor.Accepted)) < 0 {
-		w.violate("member %d has NextIndex %d and acceptor %+v on its disk, which had acknowledged %d and %+v", m.position, recovered.State.NextIndex, v, m.ackedIndex, m.ackedAcceptor)
+		sim.violate("member %d has NextIndex %d and acceptor %+v on its disk, which had acknowledged %d and %+v", m.position, recovered.State.NextIndex, v, m.ackedIndex, m.ackedAcceptor)
 	}
-	w.checkState(m, &recovered.State)
-	m.store, m.isUp, m.isBusy, m.needsReopen, m.queue, m.wakeAt = s, true, false, false, nil, 0
+	sim.checkState(m, &recovered.State)
+	m.store, m.isUp, m.isBusy, m.needsReopen, m.queue, m.tickAt = s, true, false, false, nil, 0
 	m.calls, m.answers = replica.Pending[*pendingCall]{}, replica.Pending[func(api.Result)]{}
 	m.incarnation++
 	m.node = replica.New(replica.Config{
-		Self: replog.Member{ID: recovered.ID, Name: fmt.Sprintf("k%d", m.position), Addr: simAddr(m.position).String()}, IsFounder: recovered.IsFounder, MinVoters: w.members,
-		Incarnation: w.rnd.Uint64(), Seed: w.rnd.Uint64(), State: recovered.State, Acceptor: recovered.Acceptor, ChosenValue: s.ChosenValue,
+		Self: replog.Member{ID: recovered.ID, Name: fmt.Sprintf("k%d", m.position), Addr: simAddr(m.position).String()}, IsFounder: recovered.IsFounder, MinVoters: sim.members,
+		Incarnation: sim.rnd.Uint64(), Seed: sim.rnd.Uint64(), State: recovered.State, Acceptor: recovered.Acceptor, ChosenValue: s.ChosenValue,
 		Peers: func() (all []netip.AddrPort) {
-			for i := range w.replicas {
+			for i := range sim.replicas {
 				if i != m.position {
 					all = append(all, simAddr(i))
 				}
@@ -96,7 +96,7 @@
 	m.enqueue(replica.Tick{})
 }
 
-// stop ends a process; with a loss of power, unsynced data may be lost.
+// stop ends the process. A power loss may drop data that was not synced.
 func (m *simReplica) stop(losesPower bool) {
 	loss := keepAll
 	if losesPower {
@@ -104,23 +104,23 @@
 	}
 	next := m.disk.afterPowerLoss(loss, m.sim.rnd.Uint64())
 	if m.store != nil {
-		_ = m.store.Close() // the disk decides what is left
+		_ = m.store.Close() // the next disk is already determined
 	}
 	m.store, m.disk, m.isUp, m.isBusy, m.queue = nil, next, false, false, nil
 	m.incarnation++
 }
 
-// enqueue has a process handle an event once it is free.
+// enqueue queues an event, and handles it as soon as the process is free.
 func (m *simReplica) enqueue(e replica.Event) {
 	if m.isUp {
 		m.queue = append(m.queue, queuedEvent{e, m.sim.now})
 		m.maxQueue = max(m.maxQueue, len(m.queue))
-		m.processQueue()
+		m.handleQueued()
 	}
 }
 
-// processQueue handles waiting events one at a time, except calls whose callers have timed out.
-func (m *simReplica) processQueue() {
+// handleQueued handles queued events one at a time. Calls whose callers have timed out are dropped.
+func (m *simReplica) handleQueued() {
 	for m.isUp && !m.isBusy && len(m.queue) > 0 {
 		e, since := m.queue[0].Event, m.queue[0].since
 		m.queue = m.queue[1:]
@@ -151,7 +151,7 @@
 	m.scheduleTick()
 }
 
-// occupy keeps a process busy for a time, and then calls done, if it still runs.
+// occupy keeps the process busy for d, then calls done unless the process has stopped meanwhile.
 func (m *simReplica) occupy(d time.Duration, done func()) {
 	incarnation := m.incarnation
 	m.isBusy = true
@@ -159,7 +159,7 @@
 		if m.incarnation == incarnation {
 			m.isBusy = false
 			done()
-			m.processQueue()
+			m.handleQueued()
 		}
 	})
 }
@@ -168,43 +168,43 @@
 	m.perform(append([]replica.Effect(nil), m.node.Reduce(m.sim.now, e)...))
 }
 
-// scheduleTick schedules a Tick for the replica's next timer.
+// scheduleTick schedules a Tick for the replica's next timer, at least a millisecond from now.
 func (m *simReplica) scheduleTick() {
 	if !m.isUp || m.isBusy {
 		return
 	}
 	at, ok := m.node.NextTimer()
-	if at = max(at, m.sim.now+time.Millisecond); !ok || m.wakeAt > m.sim.now && m.wakeAt <= at {
+	if at = max(at, m.sim.now+time.Millisecond); !ok || m.tickAt > m.sim.now && m.tickAt <= at {
 		return
 	}
-	m.wakeAt = at
+	m.tickAt = at
 	incarnation := m.incarnation
 	m.sim.after(at-m.sim.now, func() {
-		if m.incarnation == incarnation && m.wakeAt == at {
-			m.wakeAt = 0
+		if m.incarnation == incarnation && m.tickAt == at {
+			m.tickAt = 0
 			m.enqueue(replica.Tick{})
 		}
 	})
 }
 
-// perform performs effects in order. A write keeps the process busy; the rest follows after it.
+// perform carries out effects in order. A write keeps the process busy, and the remaining effects follow when it is done.
 func (m *simReplica) perform(effects []replica.Effect) {
-	w := m.sim
+	sim := m.sim
 	for len(effects) > 0 {
 		f := effects[0]
 		effects = effects[1:]
 		switch f := f.(type) {
 		case replica.Write:
 			rest := effects
-			m.occupy(w.writeTime(&f, m.slowdown), func() {
+			m.occupy(sim.writeTime(&f, m.slowdown), func() {
 				ok := m.write(&f)
 				if m.isUp {
-					m.perform(append(rest, m.node.Reduce(w.now, replica.WriteDone{ID: f.ID, Durable: ok})...))
+					m.perform(append(rest, m.node.Reduce(sim.now, replica.WriteDone{ID: f.ID, Durable: ok})...))
 				}
 			})
 			return
 		case replica.SendCall:
-			w.call(m, f)
+			sim.call(m, f)
 		case replica.SendReply:
 			c, ok := m.calls.Take(f.Request)
 			if !ok {
@@ -212,22 +212,23 @@
 			}
 			body := f.Body
 			if c.kind == rpc.KindSnapshot && len(body) > 0 {
-				if body = w.alterSnapshot(body); w.brokenRule == brokenSnapshot {
-					body = w.encodedStates[c.index+1]
+				if body = sim.alterSnapshot(body); sim.brokenRule == brokenSnapshot {
+					body = sim.encodedStates[c.index+1]
 				}
 			}
-			w.transfer(m, c.from, len(body), func() { c.respond(body, f.Err) })
+			sim.transfer(m, c.from, len(body), func() { c.respond(body, f.Err) })
 		case replica.OperatorAnswer:
 			if answer, ok := m.answers.Take(f.Request); ok {
 				answer(f.Result)
 			}
 		case replica.StateChanged:
-			w.checkState(m, &f.State)
+			sim.checkState(m, &f.State)
 		}
 	}
 }
 
-// write performs a write. After a failed one the store is reopened first, and gets all that it must hold, as the program does.
+// write performs a write and reports whether it is durable. After a failed write it first reopens the store and rewrites the
+// whole state, as the program does.
 func (m *simReplica) write(f *replica.Write) (isDurable bool) {
 	err := error(nil)
 	if m.needsReopen {
@@ -276,9 +277,9 @@
 	return m.store.SaveAcceptor(f.Acceptor)
 }
 
-// saveSnapshotInTwoWrites breaks a rule: it removes the entries, and then writes the snapshot.
+// saveSnapshotInTwoWrites is the fault of brokenBatch: it removes the log entries in one write and saves the snapshot in another.
 func (m *simReplica) saveSnapshotInTwoWrites(s *replog.State) error {
-	_ = m.store.Close() // the disk decides what is left
+	_ = m.store.Close() // the files are reopened from the disk
 	files, err := m.disk.open()
 	if err != nil {
 		return err
@@ -297,6 +298,6 @@
 	if err == nil {
 		err = db.Put([]byte("state"), s.Encode(), &opt.WriteOptions{Sync: true})
 	}
-	_ = db.Close() // the disk decides what is left
+	_ = db.Close() // the store is reopened from the disk
 	return errors.Join(err, m.store.Reopen())
 }
--- a/internal/lab/check/catchupsim.go
+++ b/internal/lab/check/catchupsim.go
@@ -14,10 +14,11 @@
 	"notchhinge/internal/timerqueue"
 )
 
-// catchUpSim is replicas, each the program's own replica.Replica with its own store on a simulated disk, while one operator
-// changes the configuration many times a second. Links, disks and decoding take time in proportion to bytes, and a process
-// does one thing at a time. Members are away for a number of changes, come back with or without their disks, and are killed
-// as they catch up. It is in simulated time; equal seeds have equal results, but for what a database does in the background.
+// catchUpSim simulates a cluster while one operator changes the configuration many times a second. Each member is the
+// program's own replica.Replica with its store on a simulated disk. Members stop for a number of changes, restart with or
+// without their disks, and crash during catch-up. Links, disks and decoding take time in proportion to bytes, and a process
+// handles one event at a time. The simulation uses simulated time; equal seeds give equal results, except where the store's
+// database compacts in the background.
 type catchUpSim struct {
 	catchUpConfig
 	rnd            *rand.Rand
@@ -28,185 +29,187 @@
 	encodedStates  map[uint64][]byte            // by NextIndex, for brokenSnapshot
 	maxIndex       uint64                       // highest NextIndex of any replica
 	ackedRevision  uint64
-	goalRevision   uint64 // changes are made up to it
-	lastMember     int    // that the operator had its answer from
-	violation      string // the first one; "" = none
+	goalRevision   uint64 // the operator stops at this revision
+	lastReplica    int    // index of the replica that acknowledged the newest change
+	violation      string // the first; "" = none
 	snapshotCalls  int
 	slowestChange  time.Duration
 	longestCatchUp time.Duration
 	padding        []byte
-	alterSnapshot  func(state []byte) []byte // what becomes of a snapshot on its way
+	alterSnapshot  func(state []byte) []byte // applied to each snapshot in transit
 }
 
-// catchUpConfig is the load and the hardware of a catchUpSim.
+// catchUpConfig sets the load and the simulated hardware of a catchUpSim.
 type catchUpConfig struct {
 	members        int
-	spares         int           // machines that are no founders, and are not started
-	paddingBytes   int           // of a configuration, beside its routes
+	spares         int           // machines that are not founders and are not started
+	paddingBytes   int           // of a configuration, in addition to its routes
 	routes         int           // of a configuration
-	changeInterval time.Duration // between the beginnings of two changes, at least
-	linkRate       float64       // bytes per second into and out of a machine
-	syncTime       time.Duration // of a disk
-	diskRate       float64       // bytes per second that a disk writes
-	decodeRate     float64       // bytes of a configuration that a replica decodes per second
-	rotatesMembers bool          // the operator turns to the next member each time, and not to the one that answered last
+	changeInterval time.Duration // minimum time between the starts of two changes
+	linkRate       float64       // bytes per second, for each direction of a machine
+	syncTime       time.Duration // of a disk write, besides its bytes
+	diskRate       float64       // bytes per second
+	decodeRate     float64       // bytes of a configuration per second
+	rotatesMembers bool          // each change goes to the next member rather than to the one that acknowledged the last
 	brokenRule     string        // "" = none
 }
 
-// Rules that are broken on purpose.
+// Rules of catch-up that fault injection breaks.
 const (
 	brokenBatch    = "a snapshot and the removal of its entries are two writes"
-	brokenOrder    = "it votes with a state that is not on its disk"
-	brokenSnapshot = "a snapshot has one entry more, not all"
-	brokenTimeout  = "calls are handled after their time-out"
+	brokenOrder    = "a replica votes with state that is not on its disk"
+	brokenSnapshot = "a snapshot carries one more entry, not all"
+	brokenTimeout  = "calls are handled after their timeout"
 	brokenReads    = "reads are answered from local state"
 )
 
-// smallConfigs and largeConfigs have 14 changes a second, three members with links of 120 Mbit/s, and disks as the control sites
-// have them; a configuration has a few bytes, or 262 kB.
+// smallConfigs is a load of 14 changes a second, each a few bytes, on three members with links of 120 Mbit/s and the disks of
+// the control sites.
 func smallConfigs() catchUpConfig {
 	return catchUpConfig{members: 3, changeInterval: time.Second / 14, linkRate: 15e6, syncTime: 2 * time.Millisecond, diskRate: 250e6, decodeRate: 20e6}
 }
 
+// largeConfigs is smallConfigs with configurations of 262 kB.
 func largeConfigs() catchUpConfig {
 	s := smallConfigs()
 	s.paddingBytes = 262_000
 	return s
 }
 
-// scaledConfigs is largeConfigs with all sizes and rates a thirteenth: it takes as long, and less memory.
+// scaledConfigs is largeConfigs with all sizes and rates divided alike: the same simulated times in less memory.
 func scaledConfigs() catchUpConfig {
 	s := largeConfigs()
-	const by = 13
-	s.paddingBytes /= by
-	s.linkRate, s.diskRate, s.decodeRate = s.linkRate/by, s.diskRate/by, s.decodeRate/by
+	const divisor = 13
+	s.paddingBytes /= divisor
+	s.linkRate, s.diskRate, s.decodeRate = s.linkRate/divisor, s.diskRate/divisor, s.decodeRate/divisor
 	return s
 }
 
-func newCatchUpSim(of catchUpConfig, seed uint64) *catchUpSim {
-	w := &catchUpSim{
-		catchUpConfig: of, rnd: rand.New(rand.NewPCG(seed, 33)), timers: timerqueue.New[func()](), stateDigests: map[uint64][sha256.Size]byte{},
+// newCatchUpSim starts the members and runs until they have founded the cluster.
+func newCatchUpSim(config catchUpConfig, seed uint64) *catchUpSim {
+	sim := &catchUpSim{
+		catchUpConfig: config, rnd: rand.New(rand.NewPCG(seed, 33)), timers: timerqueue.New[func()](), stateDigests: map[uint64][sha256.Size]byte{},
 		encodedStates: map[uint64][]byte{}, alterSnapshot: func(b []byte) []byte { return b },
 	}
-	for i := range of.members + of.spares {
-		w.replicas = append(w.replicas, &simReplica{sim: w, position: i, disk: newDisk()})
+	for i := range config.members + config.spares {
+		sim.replicas = append(sim.replicas, &simReplica{sim: sim, position: i, disk: newDisk()})
 	}
-	w.padding = make([]byte, of.paddingBytes) // the database cannot compress it
-	for i := range w.padding {
-		w.padding[i] = byte(w.rnd.Uint32())
+	sim.padding = make([]byte, config.paddingBytes) // random, so that the database cannot compress it
+	for i := range sim.padding {
+		sim.padding[i] = byte(sim.rnd.Uint32())
 	}
-	for _, m := range w.replicas[:of.members] {
+	for _, m := range sim.replicas[:config.members] {
 		m.start()
 	}
-	w.runUntil(10*time.Second, func() bool { return w.maxIndex > 0 })
-	return w
+	sim.runUntil(10*time.Second, func() bool { return sim.maxIndex > 0 })
+	return sim
 }
 
-// after calls do once d has passed.
-func (w *catchUpSim) after(d time.Duration, do func()) { w.timers.Add(w.now+d, do) }
+// after schedules callback in d from now.
+func (sim *catchUpSim) after(d time.Duration, callback func()) { sim.timers.Add(sim.now+d, callback) }
 
-// violate notes a violation, if it is the first.
-func (w *catchUpSim) violate(says string, args ...any) {
-	if w.violation == "" {
-		w.violation = fmt.Sprintf("%v: ", w.now) + fmt.Sprintf(says, args...)
+// violate records a violation, unless an earlier one is recorded.
+func (sim *catchUpSim) violate(format string, args ...any) {
+	if sim.violation == "" {
+		sim.violation = fmt.Sprintf("%v: ", sim.now) + fmt.Sprintf(format, args...)
 	}
 }
 
-// runUntil runs the simulation until a condition holds, for a time at most, and returns how long it took; false = it never held.
-func (w *catchUpSim) runUntil(timeout time.Duration, holds func() bool) (time.Duration, bool) {
-	began := w.now
-	for !holds() {
-		at, ok := w.timers.NextDue()
-		if !ok || at > began+timeout || w.violation != "" {
-			w.now = max(w.now, min(began+timeout, at))
-			return w.now - began, false
+// runUntil runs the simulation until condition holds or the timeout passes. It returns the time taken and whether condition held.
+func (sim *catchUpSim) runUntil(timeout time.Duration, condition func() bool) (time.Duration, bool) {
+	startedAt := sim.now
+	for !condition() {
+		at, ok := sim.timers.NextDue()
+		if !ok || at > startedAt+timeout || sim.violation != "" {
+			sim.now = max(sim.now, min(startedAt+timeout, at))
+			return sim.now - startedAt, false
 		}
-		w.now = at
-		do, _ := w.timers.PopDue(at)
-		do()
+		sim.now = at
+		callback, _ := sim.timers.PopDue(at)
+		callback()
 	}
-	return w.now - began, true
+	return sim.now - startedAt, true
 }
 
-func (w *catchUpSim) runFor(d time.Duration) { w.runUntil(d, func() bool { return false }) }
+func (sim *catchUpSim) runFor(d time.Duration) { sim.runUntil(d, func() bool { return false }) }
 
 func simAddr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, byte(i + 1)}), 7000)
 }
 
-// checkState checks that a replica has the same state as the others had at its index.
-func (w *catchUpSim) checkState(m *simReplica, s *replog.State) {
+// checkState checks that a replica's state is the same as that of every other replica at its index.
+func (sim *catchUpSim) checkState(m *simReplica, s *replog.State) {
 	if s.NextIndex == 0 {
 		return
 	}
 	encoded := s.Encode()
 	digest := sha256.Sum256(encoded)
-	if w.brokenRule == brokenSnapshot {
-		w.encodedStates[s.NextIndex] = encoded
+	if sim.brokenRule == brokenSnapshot {
+		sim.encodedStates[s.NextIndex] = encoded
 	}
-	if was, known := w.stateDigests[s.NextIndex]; known && was != digest {
-		w.violate("member %d has another state at index %d than others", m.position, s.NextIndex)
+	if other, known := sim.stateDigests[s.NextIndex]; known && other != digest {
+		sim.violate("the state of member %d differs from others at index %d", m.position, s.NextIndex)
 	}
-	w.stateDigests[s.NextIndex], w.maxIndex = digest, max(w.maxIndex, s.NextIndex)
+	sim.stateDigests[s.NextIndex], sim.maxIndex = digest, max(sim.maxIndex, s.NextIndex)
 }
 
-// pendingCall is a call that waits for its response.
+// pendingCall is a call without a response yet.
 type pendingCall struct {
 	from    *simReplica
 	kind    rpc.Kind
-	index   uint64 // with CallSnapshot: the caller's NextIndex
+	index   uint64 // of a snapshot call: the caller's NextIndex
 	respond func(body []byte, err error)
 }
 
-// call sends a call. Its response comes back, or the call times out.
-func (w *catchUpSim) call(m *simReplica, c replica.SendCall) {
+// call sends a call over the network. Its response arrives, or the call times out.
+func (sim *catchUpSim) call(m *simReplica, c replica.SendCall) {
 	b := c.To.Addr().As4()
-	to, incarnation, isOver := w.replicas[b[3]-1], m.incarnation, false
+	to, incarnation, isDone := sim.replicas[b[3]-1], m.incarnation, false
 	p := &pendingCall{from: m, kind: c.Kind}
 	if c.Kind == rpc.KindSnapshot {
-		w.snapshotCalls++
-		p.index, _, _ = replica.DecodeIndexed(c.Body) // encoded by the replica
+		sim.snapshotCalls++
+		p.index, _, _ = replica.DecodeIndexed(c.Body) // the replica encoded it, so it decodes
 	}
 	p.respond = func(body []byte, err error) {
-		if !isOver && m.incarnation == incarnation {
-			isOver = true
+		if !isDone && m.incarnation == incarnation {
+			isDone = true
 			m.enqueue(replica.CallReturned{ID: c.ID, Body: body, Err: err})
 		}
 	}
-	w.after(c.Timeout, func() { p.respond(nil, errCallTimeout) })
+	sim.after(c.Timeout, func() { p.respond(nil, errCallTimeout) })
 	if !to.isUp {
-		w.after(time.Millisecond, func() { p.respond(nil, errCallTimeout) })
+		sim.after(time.Millisecond, func() { p.respond(nil, errCallTimeout) })
 		return
 	}
-	w.transfer(m, to, len(c.Body), func() {
+	sim.transfer(m, to, len(c.Body), func() {
 		to.enqueue(replica.CallReceived{Kind: c.Kind, Body: c.Body, From: simAddr(m.position).Addr(), Request: to.calls.Add(p)})
 	})
 }
 
 var errCallTimeout = errors.New("call timed out")
 
-// transfer calls done when bytes have come from one machine to another, behind what their links carry already.
-func (w *catchUpSim) transfer(from, to *simReplica, size int, done func()) {
-	duration := time.Duration(float64(size+64) / w.linkRate * float64(time.Second))
-	from.linkOutFree = max(from.linkOutFree, w.now) + duration
-	to.linkInFree = max(to.linkInFree, from.linkOutFree-duration) + duration
-	w.after(max(from.linkOutFree, to.linkInFree)-w.now+500*time.Microsecond+time.Duration(w.rnd.Int64N(int64(300*time.Microsecond))), done)
+// transfer calls done when size bytes have arrived at the other machine. They queue behind the transfers in flight on both links.
+func (sim *catchUpSim) transfer(from, to *simReplica, size int, done func()) {
+	duration := time.Duration(float64(size+64) / sim.linkRate * float64(time.Second))
+	from.outboundFreeAt = max(from.outboundFreeAt, sim.now) + duration
+	to.inboundFreeAt = max(to.inboundFreeAt, from.outboundFreeAt-duration) + duration
+	sim.after(max(from.outboundFreeAt, to.inboundFreeAt)-sim.now+500*time.Microsecond+time.Duration(sim.rnd.Int64N(int64(300*time.Microsecond))), done)
 }
 
-// decodeTime returns how long a replica decodes a configuration.
-func (w *catchUpSim) decodeTime(bytes int) time.Duration {
-	return time.Duration(float64(bytes) / w.decodeRate * float64(time.Second))
+// decodeTime returns the time that a replica takes to decode a configuration.
+func (sim *catchUpSim) decodeTime(bytes int) time.Duration {
+	return time.Duration(float64(bytes) / sim.decodeRate * float64(time.Second))
 }
 
-// writeTime returns how long a write keeps a process busy: the disk's time, and the decoding of what is chosen.
-func (w *catchUpSim) writeTime(f *replica.Write, slowdown float64) time.Duration {
+// writeTime returns how long a write keeps a process busy: the disk's time, and the decoding of a chosen value.
+func (sim *catchUpSim) writeTime(f *replica.Write, slowdown float64) time.Duration {
 	size := len(f.Acceptor.Value)
 	decode := time.Duration(0)
 	switch {
 	case f.Snapshot:
 		size = len(f.State.Config)
 	case f.Value != nil:
-		size, decode = len(f.Value), w.decodeTime(len(f.Value))
+		size, decode = len(f.Value), sim.decodeTime(len(f.Value))
 	}
-	return time.Duration((1+slowdown)*(float64(w.syncTime)+float64(size)/w.diskRate*float64(time.Second))) + decode
+	return time.Duration((1+slowdown)*(float64(sim.syncTime)+float64(size)/sim.diskRate*float64(time.Second))) + decode
 }
--- a/internal/lab/check/catchupwalk.go
+++ b/internal/lab/check/catchupwalk.go
@@ -8,216 +8,217 @@
 	"notchhinge/internal/limits"
 )
 
-// maxCatchUp is the time that the platform gives a member that is back (catch_up_s of the control sites).
+// maxCatchUp is how long a restarted member may take to catch up (catch_up_s of the control sites).
 const maxCatchUp = 4 * time.Second
 
-// newBusySim returns a simulation in which a few changes were made.
-func newBusySim(of catchUpConfig, seed uint64) *catchUpSim {
-	w := newCatchUpSim(of, seed)
-	w.startChange()
-	w.makeChanges(3)
-	return w
+// newSimWithChanges returns a simulation in which a few changes are acknowledged.
+func newSimWithChanges(config catchUpConfig, seed uint64) *catchUpSim {
+	sim := newCatchUpSim(config, seed)
+	sim.startChange()
+	sim.makeChanges(3)
+	return sim
 }
 
-// bringBack starts a member that was away, while changes go on, and has it asked for the configuration at once. Within
-// maxCatchUp it must have all that was chosen before, be a member, and have answered.
-func (w *catchUpSim) bringBack(m *simReplica) {
-	before, hasRead := w.maxIndex, false
-	w.makeChanges(0)
+// restartAndCatchUp starts a stopped member while changes continue, and reads the configuration from it at once. Within
+// maxCatchUp it must have every entry chosen before its start, be a member, and have served the read.
+func (sim *catchUpSim) restartAndCatchUp(m *simReplica) {
+	target, hasRead := sim.maxIndex, false
+	sim.makeChanges(0)
 	if m.start(); !m.isUp {
 		return
 	}
-	w.readConfig(m, func() { hasRead = true })
-	took, ok := w.runUntil(maxCatchUp, func() bool {
+	sim.readConfig(m, func() { hasRead = true })
+	elapsed, ok := sim.runUntil(maxCatchUp, func() bool {
 		s := m.node.State()
-		return !m.isUp || hasRead && s.NextIndex >= before && s.Member(m.id) != nil
+		return !m.isUp || hasRead && s.NextIndex >= target && s.Member(m.id) != nil
 	})
-	if w.longestCatchUp = max(w.longestCatchUp, took); !ok {
+	if sim.longestCatchUp = max(sim.longestCatchUp, elapsed); !ok {
 		s := m.node.State()
-		w.violate("member %d has not caught up in %v: index %d of %d, read %v, member %v", m.position, took, s.NextIndex, w.maxIndex, hasRead, s.Member(m.id) != nil)
+		sim.violate("member %d has not caught up in %v: index %d of %d, read %v, member %v", m.position, elapsed, s.NextIndex, sim.maxIndex, hasRead, s.Member(m.id) != nil)
 	}
 }
 
-// catchUpAfterAbsence has a member away for n changes, three times: it comes back with its disk, without it, and then another
-// machine with another name and address comes in its place.
-func catchUpAfterAbsence(of catchUpConfig, n uint64, seed uint64) *catchUpSim {
-	of.spares = 1
-	w := newBusySim(of, seed)
-	m := w.replicas[of.members-1]
-	for _, how := range []string{"back", "wiped", "replaced"} {
+// catchUpAfterAbsence stops a member for n changes, three times. It restarts with its disk, then with an empty disk; then a
+// spare with another name and address replaces it.
+func catchUpAfterAbsence(config catchUpConfig, n uint64, seed uint64) *catchUpSim {
+	config.spares = 1
+	sim := newSimWithChanges(config, seed)
+	m := sim.replicas[config.members-1]
+	for _, scenario := range []string{"back", "wiped", "replaced"} {
 		m.stop(true)
-		if w.makeChanges(n); how == "wiped" {
+		if sim.makeChanges(n); scenario == "wiped" {
 			m.disk = m.disk.emptied()
 		}
-		if how == "replaced" { // a voter is replaced only after it has not answered for a while
-			m = w.replicas[of.members]
-			w.makeChanges(0)
-			w.runFor(limits.VoterReplaceDelay + limits.VoterCheckInterval)
+		if scenario == "replaced" { // a voter is replaced only after it has been unresponsive for VoterReplaceDelay
+			m = sim.replicas[config.members]
+			sim.makeChanges(0)
+			sim.runFor(limits.VoterReplaceDelay + limits.VoterCheckInterval)
 		}
-		w.runFor(time.Duration(w.rnd.Int64N(int64(of.changeInterval))))
-		w.bringBack(m)
+		sim.runFor(time.Duration(sim.rnd.Int64N(int64(config.changeInterval))))
+		sim.restartAndCatchUp(m)
 	}
-	w.makeChanges(3)
-	return w
+	sim.makeChanges(3)
+	return sim
 }
 
-// losePowerDuringCatchUp has a member lose power at every stride-th step of its disk from its start on, each time after more
-// changes than a log keeps entries. Every third time its disk is gone afterwards. It returns the number of losses.
-func losePowerDuringCatchUp(of catchUpConfig, stride int, seed uint64) (w *catchUpSim, losses int) {
-	w = newBusySim(of, seed)
-	m := w.replicas[of.members-1]
-	for at := 1; w.violation == ""; at += stride {
+// losePowerDuringCatchUp cuts a member's power at every stride-th disk step after its start, each time after more changes than
+// the log retains, so that the member needs a snapshot. After every third loss its disk is empty. It returns the number of
+// power losses.
+func losePowerDuringCatchUp(config catchUpConfig, stride int, seed uint64) (sim *catchUpSim, losses int) {
+	sim = newSimWithChanges(config, seed)
+	m := sim.replicas[config.members-1]
+	for failAt := 1; sim.violation == ""; failAt += stride {
 		m.stop(true)
-		w.makeChanges(40)
-		m.disk.failFrom(at, 0, errPowerLost)
-		w.bringBack(m)
-		if m.isUp && !m.disk.hasLostPower() { // it had caught up before
-			return w, losses
+		sim.makeChanges(40)
+		m.disk.failFrom(failAt, 0, errPowerLost)
+		sim.restartAndCatchUp(m)
+		if m.isUp && !m.disk.hasLostPower() { // it caught up before the step was reached
+			return sim, losses
 		}
 		if losses++; m.isUp {
 			m.stop(true)
 		}
-		if at%3 == 0 {
+		if failAt%3 == 0 {
 			m.disk = m.disk.emptied()
 		}
-		w.bringBack(m)
+		sim.restartAndCatchUp(m)
 	}
-	return w, losses
+	return sim, losses
 }
 
-// fillDiskDuringCatchUp has the disk of a member full for some steps, from every stride-th one after its start on. It returns the
-// number of starts.
-func fillDiskDuringCatchUp(of catchUpConfig, stride int, seed uint64) (w *catchUpSim, starts int) {
-	w = newBusySim(of, seed)
-	m := w.replicas[of.members-1]
-	for at := 1; w.violation == ""; at += stride {
+// fillDiskDuringCatchUp makes a member's disk full for a few steps, beginning at every stride-th step after its start. It
+// returns the number of starts that met a full disk.
+func fillDiskDuringCatchUp(config catchUpConfig, stride int, seed uint64) (sim *catchUpSim, starts int) {
+	sim = newSimWithChanges(config, seed)
+	m := sim.replicas[config.members-1]
+	for failAt := 1; sim.violation == ""; failAt += stride {
 		m.stop(true)
-		w.makeChanges(40)
-		m.disk.failFrom(at, 1+at%5, syscall.ENOSPC)
-		w.bringBack(m)
-		if !m.isUp { // it could not be started at once
-			if _, ok := w.runUntil(maxCatchUp, func() bool { return m.isUp && m.node.State().NextIndex+limits.MaxJoinLag > w.maxIndex }); !ok {
-				w.violate("member %d is not back after its disk was full", m.position)
+		sim.makeChanges(40)
+		m.disk.failFrom(failAt, 1+failAt%5, syscall.ENOSPC)
+		sim.restartAndCatchUp(m)
+		if !m.isUp { // the first start failed
+			if _, ok := sim.runUntil(maxCatchUp, func() bool { return m.isUp && m.node.State().NextIndex+limits.MaxJoinLag > sim.maxIndex }); !ok {
+				sim.violate("member %d has not recovered after its disk was full", m.position)
 			}
 		}
 		if m.disk.isFailurePending() {
-			return w, starts
+			return sim, starts
 		}
 		starts++
 	}
-	return w, starts
+	return sim, starts
 }
 
-// alterSnapshots gives a member that comes back old and truncated snapshots, and then good ones.
-func alterSnapshots(of catchUpConfig, times int, seed uint64) *catchUpSim {
-	w := newBusySim(of, seed)
-	m := w.replicas[of.members-1]
-	var old [][]byte
+// alterSnapshots serves outdated and truncated snapshots to a restarted member, and then correct ones.
+func alterSnapshots(config catchUpConfig, times int, seed uint64) *catchUpSim {
+	sim := newSimWithChanges(config, seed)
+	m := sim.replicas[config.members-1]
+	var earlier [][]byte
 	for range times {
 		m.stop(true)
-		w.makeChanges(40)
-		w.makeChanges(0)
-		w.alterSnapshot = func(b []byte) []byte {
-			old = append(old, b)
-			if w.rnd.IntN(2) == 0 {
-				return old[w.rnd.IntN(len(old))]
+		sim.makeChanges(40)
+		sim.makeChanges(0)
+		sim.alterSnapshot = func(b []byte) []byte {
+			earlier = append(earlier, b)
+			if sim.rnd.IntN(2) == 0 {
+				return earlier[sim.rnd.IntN(len(earlier))]
 			}
-			return b[:w.rnd.IntN(len(b))]
+			return b[:sim.rnd.IntN(len(b))]
 		}
 		if m.start(); !m.isUp {
-			return w
+			return sim
 		}
-		w.runFor(500 * time.Millisecond)
-		w.alterSnapshot = func(b []byte) []byte { return b }
+		sim.runFor(500 * time.Millisecond)
+		sim.alterSnapshot = func(b []byte) []byte { return b }
 		m.stop(false)
-		w.bringBack(m)
+		sim.restartAndCatchUp(m)
 	}
-	return w
+	return sim
 }
 
-// slowDownReplica has a member come back whose writes take 25 times as long, for some seconds, and which is then needed for a
-// quorum. Its queue must stay short, and changes must be made in the time that the platform gives them.
-func slowDownReplica(of catchUpConfig, seed uint64) *catchUpSim {
+// slowDownReplica restarts a member whose writes take 25 times as long for some seconds, and then makes the quorum depend on
+// it. Its queue must stay short, and changes must be acknowledged in the time that the control sites allow.
+func slowDownReplica(config catchUpConfig, seed uint64) *catchUpSim {
 	const (
 		maxQueue  = 64
 		maxChange = 5 * time.Second // ack_ms of the control sites
 		maxBehind = 500 * time.Millisecond
 	)
-	w := newBusySim(of, seed)
-	m := w.replicas[of.members-1]
+	sim := newSimWithChanges(config, seed)
+	m := sim.replicas[config.members-1]
 	m.stop(true)
-	w.makeChanges(3)
+	sim.makeChanges(3)
 	m.slowdown = 24
-	w.bringBack(m)
+	sim.restartAndCatchUp(m)
 	for range 12 {
-		w.runFor(500 * time.Millisecond)
-		if s := m.node.State(); s.NextIndex+limits.MaxJoinLag < w.maxIndex || len(m.queue) > maxQueue {
-			w.violate("slow member %d lacks %d entries, and %d events wait there", m.position, w.maxIndex-s.NextIndex, len(m.queue))
+		sim.runFor(500 * time.Millisecond)
+		if s := m.node.State(); s.NextIndex+limits.MaxJoinLag < sim.maxIndex || len(m.queue) > maxQueue {
+			sim.violate("slow member %d lacks %d entries, with %d events queued", m.position, sim.maxIndex-s.NextIndex, len(m.queue))
 		}
 	}
 	m.slowdown = 0
-	head := w.maxIndex
-	if took, ok := w.runUntil(maxBehind, func() bool { return m.node.State().NextIndex >= head }); !ok {
-		w.violate("member %d is not back %v after its disk was slow", m.position, took)
+	head := sim.maxIndex
+	if elapsed, ok := sim.runUntil(maxBehind, func() bool { return m.node.State().NextIndex >= head }); !ok {
+		sim.violate("member %d has not caught up %v after its disk was slow", m.position, elapsed)
 	}
 	m.slowdown = 24
-	w.runFor(time.Second)
-	w.replicas[0].stop(true)
-	acked := w.ackedRevision
-	if took, ok := w.runUntil(maxChange, func() bool { return w.ackedRevision > acked }); !ok {
-		w.violate("no change in %v after member 0 is lost", took)
+	sim.runFor(time.Second)
+	sim.replicas[0].stop(true)
+	acked := sim.ackedRevision
+	if elapsed, ok := sim.runUntil(maxChange, func() bool { return sim.ackedRevision > acked }); !ok {
+		sim.violate("no change in %v after member 0 lost power", elapsed)
 	}
-	return w
+	return sim
 }
 
-// walkCatchUp walks through members that come back and slow ones, at full size from 20000 seeds on.
-func walkCatchUp(seeds int) (violation string, met int) {
-	of, n := largeConfigs(), uint64(40)
-	if of.paddingBytes = 262_000; seeds >= 20_000 {
-		of.paddingBytes, of.routes, n = 0, 1280, 1000 // 261 kB that are read route by route
+// walkCatchUp checks members that restart and slow members, with the largest configurations from 20000 seeds on.
+func walkCatchUp(seeds int) (violation string, changes int) {
+	config, n := largeConfigs(), uint64(40)
+	if config.paddingBytes = 262_000; seeds >= 20_000 {
+		config.paddingBytes, config.routes, n = 0, 1280, 1000 // 261 kB that consist of routes only
 	}
-	w := catchUpAfterAbsence(of, n, 1)
-	for seed := uint64(1); w.violation == "" && seed <= max(n/100, 1); seed++ {
-		w = slowDownReplica(scaledConfigs(), seed)
+	sim := catchUpAfterAbsence(config, n, 1)
+	for seed := uint64(1); sim.violation == "" && seed <= max(n/100, 1); seed++ {
+		sim = slowDownReplica(scaledConfigs(), seed)
 	}
-	return w.violation, int(n)
+	return sim.violation, int(n)
 }
 
-// walkCatchUpFaults walks through losses of power, altered snapshots and full disks during catch-up.
-func walkCatchUpFaults(seeds int) (violation string, met int) {
+// walkCatchUpFaults checks power losses, altered snapshots and full disks during catch-up.
+func walkCatchUpFaults(seeds int) (violation string, faults int) {
 	for seed := range uint64(max(seeds/1000, 1)) {
-		of := smallConfigs()
+		config := smallConfigs()
 		if seed%8 == 7 {
-			of = largeConfigs()
+			config = largeConfigs()
 		}
-		w, steps := losePowerDuringCatchUp(of, 1, seed)
-		if met += steps; w.violation == "" {
-			w = alterSnapshots(smallConfigs(), 5, seed)
+		sim, steps := losePowerDuringCatchUp(config, 1, seed)
+		if faults += steps; sim.violation == "" {
+			sim = alterSnapshots(smallConfigs(), 5, seed)
 		}
-		if w.violation == "" {
-			w, steps = fillDiskDuringCatchUp(smallConfigs(), 1, seed)
-			met += steps
+		if sim.violation == "" {
+			sim, steps = fillDiskDuringCatchUp(smallConfigs(), 1, seed)
+			faults += steps
 		}
-		if w.violation != "" {
-			return fmt.Sprintf("seed %d: %s", seed, w.violation), met
+		if sim.violation != "" {
+			return fmt.Sprintf("seed %d: %s", seed, sim.violation), faults
 		}
 	}
-	return "", met
+	return "", faults
 }
 
-// walkBrokenCatchUp walks with a rule broken. It must find a violation.
-func walkBrokenCatchUp(rule string, seeds int) (violation string, met int) {
-	of := smallConfigs()
-	if of.brokenRule = rule; rule == brokenTimeout {
-		of = scaledConfigs()
-		of.brokenRule = rule
-		return slowDownReplica(of, 1).violation, 1
+// walkBrokenCatchUp runs the walk that detects a broken rule, and must return a violation.
+func walkBrokenCatchUp(rule string, seeds int) (violation string, faults int) {
+	config := smallConfigs()
+	if config.brokenRule = rule; rule == brokenTimeout {
+		config = scaledConfigs()
+		config.brokenRule = rule
+		return slowDownReplica(config, 1).violation, 1
 	}
 	for seed := range uint64(seeds) {
-		w, losses := losePowerDuringCatchUp(of, 1, seed)
-		if met += losses; w.violation != "" {
-			return w.violation, met
+		sim, losses := losePowerDuringCatchUp(config, 1, seed)
+		if faults += losses; sim.violation != "" {
+			return sim.violation, faults
 		}
 	}
-	return "", met
+	return "", faults
 }
