--- a/internal/lab/check/members.go
+++ b/internal/lab/check/members.go
@@ -8,51 +8,52 @@
 	"notchhinge/internal/control/paxos"
 )
 
-// memberCluster is machines with a log whose entries change who votes, as replicas are. A machine that has lost its disk comes
-// back under another id, without a vote until the log gives it one; a member whose machine is gone is removed; proposers die
-// between the phases of a proposal. A step is one phase of a proposal that reaches some machines, a state that is taken from
-// another machine, or a loss.
+// memberCluster is a model of replicas whose log entries change the set of voters. A replica that has lost its disk restarts
+// under a new id, and has no vote until the log makes it a member. Members whose replica is gone are removed. Proposers crash
+// between the phases of a proposal. A step is one phase of a proposal, which reaches some of the replicas; a catch-up from
+// another replica; or the loss of a process or a disk.
 type memberCluster struct {
-	machines      []*logMachine
-	open          []*openProposal // of each machine's proposer; nil = none
-	chosen        map[int]map[string]bool
+	replicas      []*logReplica
+	openProposals []*openProposal         // by proposing replica; nil = none
+	chosen        map[int]map[string]bool // by index: every value that a proposer has found chosen
 	nextID        int
 	proposalCount uint64
-	founders      []int // ids
+	founders      []int // ids of the replicas that are members before the first change
 
-	// Rules that are broken.
+	// Faults that break a rule of membership changes.
 
-	keepsIDAfterWipe     bool // a machine that has lost its disk votes on under its id
-	countsUnchosenChange bool // a change of members counts for the proposal that decides it, and a machine without a vote votes
+	keepsIDAfterWipe     bool // a replica that has lost its disk keeps its id and its vote
+	countsUnchosenChange bool // a membership change applies to its own proposal, and replicas vote without being members
 }
 
-// logMachine is a machine. An entry of its log is a value, or the ids of the members (encodeMembers).
-type logMachine struct {
+// logReplica is a replica of a memberCluster. An entry of its log is a value or a set of members (encodeMembers).
+type logReplica struct {
 	id       int
 	acceptor paxos.Acceptor
 	log      []string
 }
 
-// openProposal is a proposal that has a quorum of promises; request is its accept request.
+// openProposal is a proposal with a quorum of promises; request is its accept request.
 type openProposal struct {
 	paxos.Proposer
 	request paxos.Request
 }
 
+// newMemberCluster returns a cluster of three founders.
 func newMemberCluster() *memberCluster { return newMemberClusterOf(3) }
 
-// newMemberClusterOf returns a cluster of n machines, all of them founders.
+// newMemberClusterOf returns a cluster of n replicas, all of them founders.
 func newMemberClusterOf(n int) *memberCluster {
-	c := &memberCluster{chosen: map[int]map[string]bool{}, nextID: n + 1, open: make([]*openProposal, n)}
+	c := &memberCluster{chosen: map[int]map[string]bool{}, nextID: n + 1, openProposals: make([]*openProposal, n)}
 	for i := range n {
-		m := &logMachine{id: i + 1}
+		m := &logReplica{id: i + 1}
 		m.acceptor = paxos.Acceptor{IsVoter: true, ChosenValue: m.chosenValue}
-		c.machines, c.founders = append(c.machines, m), append(c.founders, m.id)
+		c.replicas, c.founders = append(c.replicas, m), append(c.founders, m.id)
 	}
 	return c
 }
 
-func (m *logMachine) chosenValue(index uint64) ([]byte, bool) {
+func (m *logReplica) chosenValue(index uint64) ([]byte, bool) {
 	if index < uint64(len(m.log)) {
 		return []byte(m.log[index]), true
 	}
@@ -61,7 +62,7 @@
 
 const membersPrefix = "m "
 
-// encodeMembers returns the entry that makes machines the members.
+// encodeMembers returns the log entry that sets the members to the given ids.
 func encodeMembers(ids []int) string { return membersPrefix + strings.Trim(fmt.Sprint(ids), "[]") }
 
 // isMembersEntry reports whether an entry changes the members.
@@ -77,19 +78,19 @@
 	return c.founders
 }
 
-// applyLog sets what a machine's acceptor takes from its log.
-func (c *memberCluster) applyLog(m *logMachine) {
+// applyLog updates a replica's acceptor from its log: the next index, and whether it has a vote.
+func (c *memberCluster) applyLog(m *logReplica) {
 	m.acceptor.NextIndex = uint64(len(m.log))
 	m.acceptor.IsVoter = slices.Contains(c.membersOf(m.log), m.id) || c.countsUnchosenChange
 }
 
-// possibleValues returns what a machine may propose: a value; adding a machine that has lost its disk and caught up, in the
-// place of its former id; removing another member.
+// possibleValues returns the entries that replica p may propose: a plain value; a change that adds a replica which is not a
+// member and has caught up; a change that removes another member.
 func (c *memberCluster) possibleValues(p int) (values []string) {
-	own := c.machines[p]
+	own := c.replicas[p]
 	members := c.membersOf(own.log)
 	values = append(values, fmt.Sprintf("d%d", c.proposalCount))
-	for i, m := range c.machines {
+	for i, m := range c.replicas {
 		isMember := slices.Contains(members, m.id)
 		if !isMember && len(m.log) >= len(own.log) {
 			values = append(values, encodeMembers(c.withMember(members, m.id)))
@@ -101,123 +102,123 @@
 	return values
 }
 
-// withMember returns members and one more, in the place of the first that is no machine's id any more, if there is one.
+// withMember returns members with id added. It replaces the first member whose replica no longer exists, if there is one.
 func (c *memberCluster) withMember(members []int, id int) []int {
 	members = slices.Clone(members)
-	former := slices.IndexFunc(members, func(id int) bool {
-		return !slices.ContainsFunc(c.machines, func(m *logMachine) bool { return m.id == id })
+	replaced := slices.IndexFunc(members, func(id int) bool {
+		return !slices.ContainsFunc(c.replicas, func(m *logReplica) bool { return m.id == id })
 	})
-	if former < 0 {
+	if replaced < 0 {
 		return append(members, id)
 	}
-	members[former] = id
+	members[replaced] = id
 	return members
 }
 
-// newProposal returns machine p's proposal at the end of its log, to the members of a log.
+// newProposal returns a proposal of replica p for the next index of its log. Its voters are the members at the end of log.
 func (c *memberCluster) newProposal(p int, value string, log []string) *openProposal {
 	c.proposalCount++
-	o := &openProposal{Proposer: paxos.Proposer{
-		Index: uint64(len(c.machines[p].log)), OwnValue: []byte(value),
+	proposal := &openProposal{Proposer: paxos.Proposer{
+		Index: uint64(len(c.replicas[p].log)), OwnValue: []byte(value),
 		Number: paxos.ProposalNumber{Term: c.proposalCount, Proposer: c.proposalCount},
 	}}
 	for _, id := range c.membersOf(log) {
-		o.Voters = append(o.Voters, uint64(id))
+		proposal.Voters = append(proposal.Voters, uint64(id))
 	}
-	o.Quorum = paxos.Majority(len(o.Voters))
-	return o
+	proposal.Quorum = paxos.Majority(len(proposal.Voters))
+	return proposal
 }
 
-// prepare begins a proposal of machine p. It reaches the machines of a bit mask.
-func (c *memberCluster) prepare(p int, value string, mask int) {
-	log := c.machines[p].log
+// prepare begins a proposal of replica p. The prepare request reaches the replicas in requestMask.
+func (c *memberCluster) prepare(p int, value string, requestMask int) {
+	log := c.replicas[p].log
 	if c.countsUnchosenChange {
 		log = append(slices.Clone(log), value)
 	}
-	c.beginProposal(p, c.newProposal(p, value, log), mask, allMachines)
+	c.beginProposal(p, c.newProposal(p, value, log), requestMask, allReplicas)
 }
 
-// beginProposal runs the first phase; the proposal stays open if a quorum has promised.
-func (c *memberCluster) beginProposal(p int, o *openProposal, mask, answers int) {
-	c.open[p] = nil
-	if next, _ := c.runPhase(o, o.Prepare(), mask, answers); next != nil {
-		o.request = *next
-		c.open[p] = o
+// beginProposal runs the prepare phase. The proposal stays open if a quorum promises.
+func (c *memberCluster) beginProposal(p int, proposal *openProposal, requestMask, responseMask int) {
+	c.openProposals[p] = nil
+	if next, _ := c.runPhase(proposal, proposal.Prepare(), requestMask, responseMask); next != nil {
+		proposal.request = *next
+		c.openProposals[p] = proposal
 	}
 }
 
-// accept runs the second phase of machine p's proposal. It reaches the machines of a bit mask.
-func (c *memberCluster) accept(p, mask int) { c.finishProposal(p, mask, allMachines) }
+// accept runs the accept phase of replica p's proposal. The accept request reaches the replicas in requestMask.
+func (c *memberCluster) accept(p, requestMask int) { c.finishProposal(p, requestMask, allReplicas) }
 
-// finishProposal runs the second phase, and has machine p learn the value if it is chosen. It returns the outcome; while that
-// is pending, the proposal stays open.
-func (c *memberCluster) finishProposal(p, mask, answers int) paxos.Outcome {
-	o := c.open[p]
-	_, out := c.runPhase(o, o.request, mask, answers)
-	if out == paxos.OutcomePending {
-		return out
+// finishProposal runs the accept phase of replica p's proposal, and p learns the value if it is chosen. The proposal stays open
+// while its outcome is pending.
+func (c *memberCluster) finishProposal(p, requestMask, responseMask int) paxos.Outcome {
+	proposal := c.openProposals[p]
+	_, outcome := c.runPhase(proposal, proposal.request, requestMask, responseMask)
+	if outcome == paxos.OutcomePending {
+		return outcome
 	}
-	c.open[p] = nil
-	if out != paxos.OutcomeChosen {
-		return out
+	c.openProposals[p] = nil
+	if outcome != paxos.OutcomeChosen {
+		return outcome
 	}
-	index, value := int(o.Index), string(o.Value)
+	index, value := int(proposal.Index), string(proposal.Value)
 	if c.chosen[index] == nil {
 		c.chosen[index] = map[string]bool{}
 	}
 	c.chosen[index][value] = true
-	if m := c.machines[p]; len(m.log) == index {
+	if m := c.replicas[p]; len(m.log) == index {
 		m.log = append(m.log[:index:index], value)
 		c.applyLog(m)
 	}
-	return out
+	return outcome
 }
 
-const allMachines = -1 // bit mask
+const allReplicas = -1 // bit mask
 
-// runPhase sends a request to the voters of a bit mask; the responses of those in another one arrive.
-func (c *memberCluster) runPhase(o *openProposal, req paxos.Request, mask, answers int) (next *paxos.Request, out paxos.Outcome) {
-	for i, m := range c.machines {
-		if mask&(1<<i) == 0 || !slices.Contains(o.Voters, uint64(m.id)) || next != nil || out != paxos.OutcomePending {
+// runPhase sends a request to the voters in requestMask. The responses of those in responseMask arrive.
+func (c *memberCluster) runPhase(proposal *openProposal, req paxos.Request, requestMask, responseMask int) (next *paxos.Request, outcome paxos.Outcome) {
+	for i, m := range c.replicas {
+		if requestMask&(1<<i) == 0 || !slices.Contains(proposal.Voters, uint64(m.id)) || next != nil || outcome != paxos.OutcomePending {
 			continue
 		}
 		resp, _ := m.acceptor.Handle(req)
-		if answers&(1<<i) != 0 {
-			next, out = o.HandleResponse(uint64(m.id), req.Kind, resp)
+		if responseMask&(1<<i) != 0 {
+			next, outcome = proposal.HandleResponse(uint64(m.id), req.Kind, resp)
 		}
 	}
-	return next, out
+	return next, outcome
 }
 
-// catchUp has a machine take another's state, if that has more entries.
+// catchUp copies the log of replica from to replica to, if it is longer.
 func (c *memberCluster) catchUp(to, from int) {
-	if a, b := c.machines[to], c.machines[from]; len(b.log) > len(a.log) {
+	if a, b := c.replicas[to], c.replicas[from]; len(b.log) > len(a.log) {
 		a.log = slices.Clone(b.log)
 		c.applyLog(a)
 	}
 }
 
-// wipe has a machine come back without its disk.
+// wipe restarts replica i with an empty disk.
 func (c *memberCluster) wipe(i int) {
-	m := &logMachine{id: c.nextID}
+	m := &logReplica{id: c.nextID}
 	if c.keepsIDAfterWipe {
-		m.id = c.machines[i].id
+		m.id = c.replicas[i].id
 	} else {
 		c.nextID++
 	}
 	m.acceptor = paxos.Acceptor{IsVoter: c.keepsIDAfterWipe || c.countsUnchosenChange, ChosenValue: m.chosenValue}
-	c.machines[i], c.open[i] = m, nil
+	c.replicas[i], c.openProposals[i] = m, nil
 }
 
-// violation names an index with two chosen values, or a machine whose log has another value than was chosen; "" = none.
+// violation describes an index with two chosen values, or a replica whose log differs from the chosen value; "" = none.
 func (c *memberCluster) violation() string {
 	for index, values := range c.chosen {
 		if len(values) > 1 {
 			return fmt.Sprintf("index %d: %v", index, values)
 		}
-		for i, m := range c.machines {
+		for i, m := range c.replicas {
 			if index < len(m.log) && !values[m.log[index]] {
-				return fmt.Sprintf("index %d: %v is chosen, and machine %d has %q", index, values, i, m.log[index])
+				return fmt.Sprintf("index %d: %v is chosen, but replica %d has %q", index, values, i, m.log[index])
 			}
 		}
 	}
--- a/internal/lab/check/operatorrace_test.go
+++ b/internal/lab/check/operatorrace_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// TestOneConfigurationPerBaseIsAcknowledged: whatever is partitioned, killed, lost or added meanwhile, one of several
-// configurations for one base revision is acknowledged, and it is in the log. A proposer that takes any chosen value for its
-// own is detected.
+// TestOneConfigurationPerBaseIsAcknowledged: under partitions, crashes, lost disks and membership changes, at most one of
+// several configurations for a base revision is acknowledged, and it is in the log. A proposer that acknowledges its request
+// when another value is chosen is detected.
 func TestOneConfigurationPerBaseIsAcknowledged(t *testing.T) {
-	if fault, seed := randomRaces(3000, false); fault != "" {
-		t.Errorf("seed %d: %s", seed, fault)
+	if violation, seed := randomRaces(3000, false); violation != "" {
+		t.Errorf("seed %d: %s", seed, violation)
 	}
-	if fault, seeds := randomRaces(3000, true); fault == "" {
-		t.Errorf("a chosen value is taken for one's own: not detected with %d seeds", seeds)
+	if violation, seeds := randomRaces(3000, true); violation == "" {
+		t.Errorf("any chosen value acknowledges a request: not detected with %d seeds", seeds)
 	}
 }
--- a/internal/lab/check/replacement.go
+++ b/internal/lab/check/replacement.go
@@ -7,164 +7,165 @@
 	"notchhinge/internal/control/paxos"
 )
 
-// replacement is three voters and a standby. One of the voters leaves for good: planned, where it hands over its vote and ends
-// once the change of members is finished; or not, where it is lost and its vote goes to the standby afterwards. Meanwhile
-// values are chosen, proposers die between their phases, and messages are lost. Once the change is finished, any one machine
-// may be lost: those that are left must have all that was chosen, and be a quorum of the voters.
+// replacement is a model of three voters and a standby that replaces one of them. In a planned replacement the departing voter
+// stops once the membership change has finished; in an unplanned one it is lost first. Meanwhile values are chosen, proposers
+// crash between the phases of a proposal, and messages are lost. Once the change has finished, the loss of any one replica
+// must leave a quorum of the voters, with every chosen entry.
 type replacement struct {
 	*memberCluster
 	draw      func(n int) int
-	leaver    int
+	departing int // index of the replica
 	isPlanned bool
-	isBegun   bool // the leaver is lost, unplanned
-	isDone    bool // the change is finished, and the leaver gone
-	isLost    []bool
-	// finishesWhenChosen breaks a rule: the change counts as finished once it is chosen, and not after one more entry.
+	hasFailed bool   // the departing voter is lost, unplanned
+	hasLeft   bool   // the change has finished, and the departing voter is gone
+	isLost    []bool // by replica
+	// finishesWhenChosen is a fault: the change counts as finished once it is chosen, without waiting for one more entry.
 	finishesWhenChosen bool
 }
 
-const standby = 3 // index of the machine
+const standby = 3 // index of the replica
 
 func newReplacement(draw func(n int) int) *replacement {
 	r := &replacement{memberCluster: newMemberClusterOf(4), draw: draw, isLost: make([]bool, 4)}
-	r.leaver = draw(standby)
+	r.departing = draw(standby)
 	r.isPlanned = draw(2) == 0
 	r.founders = r.founders[:standby]
-	r.applyLog(r.machines[standby])
+	r.applyLog(r.replicas[standby])
 	return r
 }
 
-// changeValue returns the entry that puts the standby in the leaver's place; "" = machine p has learned it already.
+// changeValue returns the entry that replaces the departing voter by the standby; "" = replica p has already learned it.
 func (r *replacement) changeValue(p int) string {
-	members := slices.Clone(r.membersOf(r.machines[p].log))
-	i := slices.Index(members, r.machines[r.leaver].id)
+	members := slices.Clone(r.membersOf(r.replicas[p].log))
+	i := slices.Index(members, r.replicas[r.departing].id)
 	if i < 0 {
 		return ""
 	}
-	members[i] = r.machines[standby].id
+	members[i] = r.replicas[standby].id
 	return encodeMembers(members)
 }
 
-// knowsFinished reports whether machine p knows that the change is finished: its log has an entry after it.
-func (r *replacement) knowsFinished(p int) bool {
-	log := r.machines[p].log
+// hasLearnedFinish reports whether replica p has learned that the change has finished: its log has an entry after the change.
+func (r *replacement) hasLearnedFinish(p int) bool {
+	log := r.replicas[p].log
 	i := slices.IndexFunc(log, isMembersEntry)
 	return i >= 0 && (r.finishesWhenChosen || i+1 < len(log))
 }
 
-// isFinishKnown reports whether a machine that is left knows that the change is finished.
-func (r *replacement) isFinishKnown() bool {
-	for i := range r.machines {
-		if !r.isLost[i] && r.knowsFinished(i) {
+// isFinishLearned reports whether any remaining replica has learned that the change has finished.
+func (r *replacement) isFinishLearned() bool {
+	for i := range r.replicas {
+		if !r.isLost[i] && r.hasLearnedFinish(i) {
 			return true
 		}
 	}
 	return false
 }
 
-// isQuiet reports whether all voters have all entries, which is when one is lost unplanned.
-func (r *replacement) isQuiet() bool {
-	for _, m := range r.machines[:standby] {
-		if len(m.log) != len(r.machines[0].log) {
+// votersAreUpToDate reports whether all voters have all chosen entries. Unplanned losses occur only then.
+func (r *replacement) votersAreUpToDate() bool {
+	for _, m := range r.replicas[:standby] {
+		if len(m.log) != len(r.replicas[0].log) {
 			return false
 		}
 	}
-	return len(r.chosen) == len(r.machines[0].log)
+	return len(r.chosen) == len(r.replicas[0].log)
 }
 
-// reachable draws the machines that a message of machine p reaches: itself, and two of three of those that are left.
+// reachable draws the bit mask of the replicas that a message of replica p reaches: p itself, and each remaining one with a
+// probability of two thirds.
 func (r *replacement) reachable(p int) int {
-	mask := 1 << p
-	for i := range r.machines {
+	requestMask := 1 << p
+	for i := range r.replicas {
 		if r.draw(3) > 0 {
-			mask |= 1 << i
+			requestMask |= 1 << i
 		}
 	}
 	for i, isLost := range r.isLost {
 		if isLost {
-			mask &^= 1 << i
+			requestMask &^= 1 << i
 		}
 	}
-	return mask
+	return requestMask
 }
 
-// nextValue returns what machine p proposes: now and then the change, and else a value.
+// nextValue returns the entry that replica p proposes: sometimes the change, otherwise a value.
 func (r *replacement) nextValue(p int) string {
 	change := r.changeValue(p)
-	if change != "" && (r.isBegun || r.isPlanned) && r.draw(3) == 0 && len(r.machines[standby].log) > 0 {
+	if change != "" && (r.hasFailed || r.isPlanned) && r.draw(3) == 0 && len(r.replicas[standby].log) > 0 {
 		return change
 	}
 	return fmt.Sprintf("d%d", r.proposalCount)
 }
 
-// step takes a random step of a random machine.
+// step takes a random step of a random replica.
 func (r *replacement) step() {
-	p := r.draw(len(r.machines))
+	p := r.draw(len(r.replicas))
 	if r.isLost[p] {
 		return
 	}
-	mask := r.reachable(p)
+	requestMask := r.reachable(p)
 	switch k := r.draw(16); {
-	case r.open[p] != nil && k < 12:
-		r.accept(p, mask)
+	case r.openProposals[p] != nil && k < 12:
+		r.accept(p, requestMask)
 	case k < 6:
-		r.prepare(p, r.nextValue(p), mask)
+		r.prepare(p, r.nextValue(p), requestMask)
 	case k < 12:
-		if from := r.draw(len(r.machines)); !r.isLost[from] {
+		if from := r.draw(len(r.replicas)); !r.isLost[from] {
 			r.catchUp(p, from)
 		}
 	case k == 12:
-		r.open[p] = nil // its process is killed
-	case !r.isPlanned && !r.isBegun && len(r.machines[p].log) > 1 && r.isQuiet():
-		r.isBegun, r.isLost[r.leaver] = true, true
+		r.openProposals[p] = nil // the process crashes
+	case !r.isPlanned && !r.hasFailed && len(r.replicas[p].log) > 1 && r.votersAreUpToDate():
+		r.hasFailed, r.isLost[r.departing] = true, true
 	}
 }
 
-// finish has the leaver go once the change is finished, and returns whether it has gone now.
-func (r *replacement) finish() bool {
-	if r.isDone || r.isPlanned && !r.knowsFinished(r.leaver) || !r.isPlanned && !r.isFinishKnown() {
+// removeDeparting removes the departing voter once the change has finished, and reports whether it did so now.
+func (r *replacement) removeDeparting() bool {
+	if r.hasLeft || r.isPlanned && !r.hasLearnedFinish(r.departing) || !r.isPlanned && !r.isFinishLearned() {
 		return false
 	}
-	r.isDone, r.isLost[r.leaver] = true, true
+	r.hasLeft, r.isLost[r.departing] = true, true
 	return true
 }
 
-// longestLog returns the longest log of the machines that are left but one.
-func (r *replacement) longestLog(without int) (log []string) {
-	for i, m := range r.machines {
-		if i != without && !r.isLost[i] && len(m.log) > len(log) {
+// longestLog returns the longest log of the remaining replicas other than excluded.
+func (r *replacement) longestLog(excluded int) (log []string) {
+	for i, m := range r.replicas {
+		if i != excluded && !r.isLost[i] && len(m.log) > len(log) {
 			log = m.log
 		}
 	}
 	return log
 }
 
-// violationAfterLoss names what is wrong if one more machine is lost: an entry that was chosen and that nobody left has, or
-// too few voters for a quorum; "" = nothing.
+// violationAfterLoss describes the violation if one more replica is lost: a chosen entry that no remaining replica has, or too
+// few voters for a quorum; "" = none.
 func (r *replacement) violationAfterLoss(lost int) string {
 	log := r.longestLog(lost)
 	voters := r.membersOf(log)
-	left, isAccepted := 0, false
-	for i, m := range r.machines {
+	remaining, isAccepted := 0, false
+	for i, m := range r.replicas {
 		if i == lost || r.isLost[i] || !slices.Contains(voters, m.id) {
 			continue
 		}
-		left++
+		remaining++
 		isAccepted = isAccepted || m.acceptor.State.Index == uint64(len(log)) && m.acceptor.State.Accepted != (paxos.ProposalNumber{})
 	}
-	if left < paxos.Majority(len(voters)) {
-		return fmt.Sprintf("machine %d is lost as well: of voters %v there are %d left", lost, voters, left)
+	if remaining < paxos.Majority(len(voters)) {
+		return fmt.Sprintf("after the loss of replica %d: of voters %v only %d remain", lost, voters, remaining)
 	}
 	for index := range r.chosen {
 		if index > len(log) || index == len(log) && !isAccepted {
-			return fmt.Sprintf("machine %d is lost as well: index %d was chosen, and those left have %d entries", lost, index, len(log))
+			return fmt.Sprintf("after the loss of replica %d: index %d was chosen, but the remaining replicas have %d entries", lost, index, len(log))
 		}
 	}
 	return ""
 }
 
-// randomReplacements runs replacements of 150 steps, a seed after another, and returns the first violation, and in how many
-// the change was finished.
+// randomReplacements runs a replacement of 150 random steps for each seed. It returns the first violation, and the number of
+// replacements that finished.
 func randomReplacements(seeds int, finishesWhenChosen bool) (violation string, finished int) {
 	for seed := range seeds {
 		r := newReplacement(draws(seed))
@@ -174,11 +175,11 @@
 			if v := r.violation(); v != "" {
 				return v, finished
 			}
-			if !r.finish() {
+			if !r.removeDeparting() {
 				continue
 			}
 			finished++
-			for lost := range r.machines {
+			for lost := range r.replicas {
 				if v := r.violationAfterLoss(lost); !r.isLost[lost] && v != "" {
 					return v, finished
 				}
