--- a/internal/lab/check/operatorfaults.go
+++ b/internal/lab/check/operatorfaults.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// injectFault has something happen to a host or between them.
-func (o *operators) injectFault() {
+// injectFault partitions the hosts, crashes one, makes one lose its disk, or makes one stale.
+func (o *operatorWalk) injectFault() {
 	h := o.hosts[o.draw(len(o.hosts))]
 	switch k := o.draw(10); {
 	case k < 3:
@@ -19,12 +19,12 @@
 	}
 }
 
-// injectStaleReplica has a replica lag behind; of those that know more one loses its disk and the others are away, when the first
-// can be reached again.
-func (o *operators) injectStaleReplica(h *host) {
+// injectStaleReplica partitions a replica while races continue. Shortly before it is reachable again, each of the others may
+// lose its disk or crash, and operators then read from the stale replica.
+func (o *operatorWalk) injectStaleReplica(h *host) {
 	o.cut(1<<h.i, 0, 4*time.Second)
-	for at := range 2 {
-		o.in(time.Duration(at+1)*time.Second, o.race)
+	for i := range 2 {
+		o.in(time.Duration(i+1)*time.Second, o.startRace)
 	}
 	o.in(4*time.Second-time.Duration(o.draw(200))*time.Millisecond, func() {
 		for k := 1; k < len(o.hosts); k++ {
@@ -35,14 +35,14 @@
 				other.kill(time.Duration(500+o.draw(3000)) * time.Millisecond)
 			}
 		}
-		for at := range 10 {
-			o.in(time.Duration(at)*100*time.Millisecond, func() { o.read(h.i) })
+		for i := range 10 {
+			o.in(time.Duration(i)*100*time.Millisecond, func() { o.read(h.i) })
 		}
 	})
 }
 
-// wipe has a host lose its disk, if one more may be lost.
-func (o *operators) wipe(h *host) {
+// wipe makes a host lose its disk and restart, if one more disk may be lost.
+func (o *operatorWalk) wipe(h *host) {
 	if !o.calm && o.spare() {
 		h.die()
 		h.format()
--- a/internal/lab/check/operators.go
+++ b/internal/lab/check/operators.go
@@ -13,36 +13,30 @@
 	"notchhinge/internal/control/replog"
 )
 
-// Operators race under one revision: each sends another configuration upon the same base, at all replicas at once, while these are
-// cut off for 20 s one way or both, killed at any write, or lose their disks. Answers are lost, once and twice, and the change goes
-// to the next replica until there is a definite answer, and some again long after that. Others read meanwhile. The answers are
-// held against the log: of two changes upon one base one is confirmed, by every replica for ever; what any replica has rejected is
-// never accepted; what is read is no older than what had been confirmed.
-
-// Rules of operators' calls that are broken on purpose; each must be found out.
+// Rules of operators' calls that fault injection breaks. The walk must detect each of them.
 const (
-	brokenLocalRejection = "rejects by what the replica knows itself"
-	brokenShortHistory   = "keeps two of the history"
-	brokenWonProposal    = "a proposal that was won is taken for one's own"
-	brokenLocalReads     = "reads without a majority"
-	brokenVoterCount     = "who is no voter counts"
-	brokenFormatFirst    = "validates the format before it looks into the log"
+	brokenLocalRejection = "changes are rejected from local state"
+	brokenShortHistory   = "the history keeps only two revisions"
+	brokenWonProposal    = "any chosen value confirms a change"
+	brokenLocalReads     = "reads are answered without a quorum"
+	brokenVoterCount     = "replicas without a vote count towards a quorum"
+	brokenFormatFirst    = "the format is validated before the log is checked"
 )
 
 var brokenOperators = []string{
 	brokenLocalRejection, brokenShortHistory, brokenWonProposal, brokenLocalReads, brokenVoterCount, brokenFormatFirst,
 }
 
-// configChange is an operator's configuration, and what was answered.
+// configChange is an operator's change of the configuration, with the answers that replicas have given to it.
 type configChange struct {
 	base, revision uint64
 	config         []byte
 	digest         fleetconfig.Digest
-	invalid        bool // only replicas of an earlier release propose it
-	lostAnswers    int  // how many are still to be lost
-	answered       bool // the operator has a definite answer
-	confirmed      bool // a replica has said so, whether the operator received it or not
-	rejected       bool // likewise
+	isInvalid      bool // only replicas of an earlier release propose it
+	lostAnswers    int  // number of answers that are still to be lost
+	isAnswered     bool // the operator has received a definite answer
+	isConfirmed    bool // by any replica, whether or not the operator received the answer
+	isRejected     bool // like isConfirmed
 }
 
 // newConfigChange returns a change whose configuration differs from others by its body limit.
@@ -58,183 +52,189 @@
 	return &configChange{base: base, revision: revision, config: config, digest: digest}, err
 }
 
-// operators are those of a walk.
-type operators struct {
+// operatorWalk simulates operators that race under one revision: several submit different configurations for the same base
+// revision, each to another replica. Meanwhile replicas are partitioned for up to 20 s in one direction or both, crash at any
+// write, or lose their disks, and other operators read. An operator whose answers are lost submits its change to the next
+// replica until it has a definite answer, and sometimes again long after that.
+//
+// The walk compares the answers with the log. Of the changes for one base revision at most one is confirmed, and every replica
+// confirms it from then on. A rejected change is never accepted. A read is never older than what was confirmed before it.
+type operatorWalk struct {
 	*site
-	changes      []*configChange
-	newest       uint64 // revision that is confirmed
-	lastRevision uint64
-	answers      int // definite ones
-	reads        int // that were answered
+	changes           []*configChange
+	confirmedRevision uint64 // highest revision that is confirmed
+	lastRevision      uint64
+	answers           int // number of changes with a definite answer
+	reads             int // number of reads that succeeded
 }
 
-// submitInvalid has a replica of an earlier release propose what this release rejects, and its answer is lost: the operator sends
-// it again, to a replica of this release.
-func (o *operators) submitInvalid(base, revision uint64, at int) {
-	x, err := newConfigChange(base, revision, -1)
+// proposeInvalid makes a replica of an earlier release propose a change that this release rejects. Its answer is lost, and the
+// operator submits the change again to a replica of this release.
+func (o *operatorWalk) proposeInvalid(base, revision uint64, hostIndex int) {
+	change, err := newConfigChange(base, revision, -1)
 	if err != nil {
 		return
 	}
-	x.invalid, x.answered = true, true
-	o.changes = append(o.changes, x)
-	entry := replog.Entry{Payload: replog.ConfigChange{BaseRevision: base, Config: x.config}}.Encode()
-	h := o.hosts[at%len(o.hosts)]
+	change.isInvalid, change.isAnswered = true, true
+	o.changes = append(o.changes, change)
+	entry := replog.Entry{Payload: replog.ConfigChange{BaseRevision: base, Config: change.config}}.Encode()
+	h := o.hosts[hostIndex%len(o.hosts)]
 	next := func(s *replog.State) []byte {
-		if s.CheckConfig(base, revision, x.digest) == replog.ConfigAcceptable {
+		if s.CheckConfig(base, revision, change.digest) == replog.ConfigAcceptable {
 			return entry
 		}
 		return nil
 	}
 	done := h.proposals.Add(func(err error) {
-		if err == nil { // else it may still be accepted, which only its proposer can tell
-			x.answered = false
-			o.submit(x, at+1)
+		if err == nil { // after an error the entry may still be chosen; only its proposer can find out
+			change.isAnswered = false
+			o.submit(change, hostIndex+1)
 		}
 	})
 	h.take(replica.Propose{Deadline: o.now + within, Next: next, Request: done})
 }
 
-// submission is one attempt to have a replica accept a change.
+// submission is one attempt to submit a change to a replica.
 type submission struct {
-	*operators
-	change *configChange
-	at     int // its replica's number
-	host   *host
-	life   int  // of the host, as it was sent
-	closed bool // the operator has an answer, or waits no more
+	*operatorWalk
+	change      *configChange
+	hostIndex   int // modulo the number of hosts
+	host        *host
+	incarnation int  // of the host when the change was sent
+	isDone      bool // the operator has an answer or has timed out
 }
 
-// submit sends a change to a replica, and to the next one until there is a definite answer.
-func (o *operators) submit(x *configChange, at int) {
-	h := o.hosts[at%len(o.hosts)]
-	a := &submission{operators: o, change: x, at: at, host: h, life: h.life}
-	o.in(operatorTimeout, a.timeOut)
-	o.in(time.Millisecond, a.arrive)
+// submit sends a change to a replica. Without a definite answer the operator goes on to the next replica.
+func (o *operatorWalk) submit(change *configChange, hostIndex int) {
+	h := o.hosts[hostIndex%len(o.hosts)]
+	sub := &submission{operatorWalk: o, change: change, hostIndex: hostIndex, host: h, incarnation: h.life}
+	o.in(operatorTimeout, sub.expire)
+	o.in(time.Millisecond, sub.deliver)
 }
 
-func (a *submission) isRunning() bool { return a.host.up && a.host.life == a.life }
+func (sub *submission) isRunning() bool { return sub.host.up && sub.host.life == sub.incarnation }
 
-// timeOut has the operator try the next replica, if there is no answer yet.
-func (a *submission) timeOut() {
-	if !a.closed {
-		a.closed = true
-		a.retry()
+// expire ends the attempt if there is no answer yet, and retries at the next replica.
+func (sub *submission) expire() {
+	if !sub.isDone {
+		sub.isDone = true
+		sub.retry()
 	}
 }
 
-func (a *submission) retry() {
-	a.in(time.Duration(100+a.draw(300))*time.Millisecond, func() { a.submit(a.change, a.at+1) })
+func (sub *submission) retry() {
+	sub.in(time.Duration(100+sub.draw(300))*time.Millisecond, func() { sub.submit(sub.change, sub.hostIndex+1) })
 }
 
-// receive is the operator's end of an answer.
-func (a *submission) receive(r api.Result) {
-	if a.closed {
+// receive handles an answer at the operator.
+func (sub *submission) receive(r api.Result) {
+	if sub.isDone {
 		return
 	}
-	a.closed = true
+	sub.isDone = true
 	if r.Status >= http.StatusInternalServerError {
-		a.retry()
+		sub.retry()
 		return
 	}
-	if !a.change.answered {
-		a.change.answered = true
-		a.answers++
+	if !sub.change.isAnswered {
+		sub.change.isAnswered = true
+		sub.answers++
 	}
-	if r.Status == http.StatusOK && a.draw(3) == 0 { // and again, long after
-		a.in(time.Duration(a.draw(20000))*time.Millisecond, func() { a.submit(a.change, a.at+1+a.draw(4)) })
+	if r.Status == http.StatusOK && sub.draw(3) == 0 { // submit it again, long after
+		sub.in(time.Duration(sub.draw(20000))*time.Millisecond, func() { sub.submit(sub.change, sub.hostIndex+1+sub.draw(4)) })
 	}
 }
 
-// answer is the replica's end of an answer, which may be lost.
-func (a *submission) answer(r api.Result) {
-	a.check(a.change, a.host, r)
-	isLost := a.change.lostAnswers > 0
+// answer records a replica's answer and sends it to the operator, unless it is to be lost.
+func (sub *submission) answer(r api.Result) {
+	sub.checkAnswer(sub.change, sub.host, r)
+	isLost := sub.change.lostAnswers > 0
 	if r.Status < http.StatusInternalServerError && isLost {
-		a.change.lostAnswers--
+		sub.change.lostAnswers--
 	}
 	if !isLost {
-		a.in(time.Millisecond, func() { a.receive(r) })
+		sub.in(time.Millisecond, func() { sub.receive(r) })
 	}
 }
 
-// arrive has the replica take in the change.
-func (a *submission) arrive() {
-	if !a.isRunning() {
+// deliver hands the change to the replica.
+func (sub *submission) deliver() {
+	if !sub.isRunning() {
 		return
 	}
-	x, s := a.change, a.host.core.State()
-	status := s.CheckConfig(x.base, x.revision, x.digest)
-	answer := a.answer
+	change, s := sub.change, sub.host.core.State()
+	status := s.CheckConfig(change.base, change.revision, change.digest)
+	answer := sub.answer
 	switch {
-	case a.broken == brokenLocalRejection && (status == replog.ConfigStaleBase || status == replog.ConfigRevisionTooLow):
+	case sub.broken == brokenLocalRejection && (status == replog.ConfigStaleBase || status == replog.ConfigRevisionTooLow):
 		answer(api.Result{Status: http.StatusPreconditionFailed})
 		return
-	case a.broken == brokenFormatFirst && x.invalid:
+	case sub.broken == brokenFormatFirst && change.isInvalid:
 		answer(api.Result{Status: http.StatusBadRequest})
 		return
-	case a.broken == brokenShortHistory && status == replog.ConfigAlreadyAccepted && x.revision < s.History[max(len(s.History)-2, 0)].Revision:
+	case sub.broken == brokenShortHistory && status == replog.ConfigAlreadyAccepted && change.revision < s.History[max(len(s.History)-2, 0)].Revision:
 		answer(api.Result{Status: http.StatusPreconditionFailed})
 		return
-	case a.broken == brokenWonProposal && status == replog.ConfigAcceptable:
-		w := &wonProposal{submission: a, index: s.NextIndex}
+	case sub.broken == brokenWonProposal && status == replog.ConfigAcceptable:
+		w := &wonProposal{submission: sub, index: s.NextIndex}
 		answer = w.answer
-		a.in(time.Millisecond, w.watch)
+		sub.in(time.Millisecond, w.watch)
 	}
-	a.host.take(replica.ReplaceConfig{
-		BaseRevision: x.base, Config: x.config, Deadline: a.now + within, Request: a.host.answers.Add(answer),
+	sub.host.take(replica.ReplaceConfig{
+		BaseRevision: change.base, Config: change.config, Deadline: sub.now + within, Request: sub.host.answers.Add(answer),
 	})
 }
 
-// wonProposal is brokenWonProposal: whatever is chosen at the next index counts as the change.
+// wonProposal injects brokenWonProposal: any value that is chosen at the next index confirms the change.
 type wonProposal struct {
 	*submission
-	index    uint64
-	answered bool
+	index      uint64
+	isAnswered bool
 }
 
 func (w *wonProposal) answer(r api.Result) {
-	if !w.answered {
-		w.answered = true
+	if !w.isAnswered {
+		w.isAnswered = true
 		w.submission.answer(r)
 	}
 }
 
 func (w *wonProposal) watch() {
-	if !w.isRunning() || w.answered {
+	if !w.isRunning() || w.isAnswered {
 		return
 	}
-	if now := w.host.core.State(); now.NextIndex > w.index {
+	if s := w.host.core.State(); s.NextIndex > w.index {
 		w.answer(api.Result{Status: http.StatusOK})
 	}
 	w.in(time.Millisecond, w.watch)
 }
 
-// check notes a replica's answer to a change, whether the operator receives it or not.
-func (o *operators) check(x *configChange, h *host, r api.Result) {
+// checkAnswer records a replica's answer to a change and checks it against earlier ones, whether or not the operator receives it.
+func (o *operatorWalk) checkAnswer(change *configChange, h *host, r api.Result) {
 	switch {
 	case r.Status == http.StatusOK:
-		x.confirmed = true
-		o.newest = max(o.newest, x.revision)
-		for _, y := range o.changes {
-			if y != x && y.base == x.base && y.confirmed {
-				o.breaks("upon revision %d two are confirmed, %d and %d", x.base, y.revision, x.revision)
+		change.isConfirmed = true
+		o.confirmedRevision = max(o.confirmedRevision, change.revision)
+		for _, other := range o.changes {
+			if other != change && other.base == change.base && other.isConfirmed {
+				o.breaks("base revision %d: changes to %d and %d are both confirmed", change.base, other.revision, change.revision)
 			}
 		}
 	case r.Status < http.StatusInternalServerError:
-		x.rejected = true
+		change.isRejected = true
 	}
-	if x.confirmed && x.rejected {
-		o.breaks("revision %d upon %d is rejected by one and confirmed by one (replica %d answers %d: %s)", x.revision, x.base, h.i, r.Status, r.Message)
+	if change.isConfirmed && change.isRejected {
+		o.breaks("revision %d for base %d is both rejected and confirmed (replica %d answers %d: %s)", change.revision, change.base, h.i, r.Status, r.Message)
 	}
 }
 
-// read reads the configuration at a replica.
-func (o *operators) read(at int) {
-	h, floor := o.hosts[at%len(o.hosts)], o.newest
+// read reads the configuration from a replica, and checks the answer.
+func (o *operatorWalk) read(hostIndex int) {
+	h, minRevision := o.hosts[hostIndex%len(o.hosts)], o.confirmedRevision
 	if !h.up {
 		return
 	}
-	answer := func(r api.Result) { o.checkRead(h, floor, r) }
+	answer := func(r api.Result) { o.checkRead(h, minRevision, r) }
 	if s := h.core.State(); o.broken == brokenLocalReads && s.Config != nil {
 		answer(api.Result{Status: http.StatusOK, Revision: s.Revision, Body: s.Config})
 		return
@@ -242,75 +242,75 @@
 	h.take(replica.ReadConfig{Deadline: o.now + within, Request: h.answers.Add(answer)})
 }
 
-// checkRead checks what a replica has read against the newest revision that was confirmed before.
-func (o *operators) checkRead(h *host, floor uint64, r api.Result) {
+// checkRead checks that a read is no older than minRevision, and that its configuration was submitted and not rejected.
+func (o *operatorWalk) checkRead(h *host, minRevision uint64, r api.Result) {
 	if r.Status >= http.StatusInternalServerError {
 		return
 	}
 	o.reads++
-	if r.Status == http.StatusNotFound && floor == 0 {
+	if r.Status == http.StatusNotFound && minRevision == 0 {
 		return
 	}
-	if r.Revision < floor {
-		o.breaks("replica %d reads revision %d, and %d was confirmed before", h.i, r.Revision, floor)
+	if r.Revision < minRevision {
+		o.breaks("replica %d reads revision %d, but %d was already confirmed", h.i, r.Revision, minRevision)
 	}
-	for _, x := range o.changes {
-		if x.revision == r.Revision && bytes.Equal(x.config, r.Body) {
-			if x.rejected {
-				o.breaks("revision %d is read, and was rejected", r.Revision)
+	for _, change := range o.changes {
+		if change.revision == r.Revision && bytes.Equal(change.config, r.Body) {
+			if change.isRejected {
+				o.breaks("revision %d is read, but was rejected", r.Revision)
 			}
 			return
 		}
 	}
-	o.breaks("revision %d is read, and nobody has sent it", r.Revision)
+	o.breaks("revision %d is read, but was never submitted", r.Revision)
 }
 
-// checkLog holds the answers against the log, as far as it is known anywhere. At the end all of it must be: a value that was chosen
-// may be known for a while only to those that have accepted it.
-func (o *operators) checkLog(atEnd bool) {
+// checkLog checks the answers against the longest log of any replica. Only at the end must it contain every confirmed change:
+// until then a chosen value may be missing from all logs, and be held only by the acceptors that accepted it.
+func (o *operatorWalk) checkLog(atEnd bool) {
 	s := o.site.newest()
-	for _, x := range o.changes {
-		switch accepted := s.WasAccepted(x.revision, x.digest); {
-		case accepted && x.rejected:
-			o.breaks("revision %d upon %d was rejected, and is in the log", x.revision, x.base)
-		case atEnd && !accepted && x.confirmed:
-			o.breaks("revision %d upon %d was confirmed, and is not in the log", x.revision, x.base)
+	for _, change := range o.changes {
+		switch accepted := s.WasAccepted(change.revision, change.digest); {
+		case accepted && change.isRejected:
+			o.breaks("revision %d for base %d was rejected, but is in the log", change.revision, change.base)
+		case atEnd && !accepted && change.isConfirmed:
+			o.breaks("revision %d for base %d was confirmed, but is not in the log", change.revision, change.base)
 		}
 	}
 }
 
-// race has two to four operators send a change each upon one base under one revision, each to another replica.
-func (o *operators) race() {
-	base := o.newest
-	if o.draw(3) == 0 { // as an operator knows it that has asked a replica long ago
+// startRace makes two to four operators submit a change each, for one base and under one revision, each to another replica.
+func (o *operatorWalk) startRace() {
+	base := o.confirmedRevision
+	if o.draw(3) == 0 { // a base that the operator read from a replica, possibly long ago
 		h := o.hosts[o.draw(len(o.hosts))]
 		base = h.state.Revision
 	}
 	o.lastRevision = max(o.lastRevision, base) + 1 + uint64(o.draw(3))
 	first := o.draw(len(o.hosts))
 	if o.draw(12) == 0 {
-		o.submitInvalid(base, o.lastRevision, first)
+		o.proposeInvalid(base, o.lastRevision, first)
 		return
 	}
 	for k := range 2 + o.draw(min(len(o.hosts), 4)-1) {
 		lostAnswers := o.draw(3)
-		x, err := newConfigChange(base, o.lastRevision, k)
+		change, err := newConfigChange(base, o.lastRevision, k)
 		if err != nil {
 			continue
 		}
-		x.lostAnswers = lostAnswers
-		o.changes = append(o.changes, x)
-		o.submit(x, first+k)
+		change.lostAnswers = lostAnswers
+		o.changes = append(o.changes, change)
+		o.submit(change, first+k)
 	}
 }
 
-// play plays the walk. What is wrong is in found.
-func (o *operators) play() {
+// walk runs the races, reads and faults of the walk, then heals the site and checks the final state.
+func (o *operatorWalk) walk() {
 	o.run(time.Second)
 	for range 45 {
 		switch k := o.draw(8); {
 		case k < 3:
-			o.race()
+			o.startRace()
 		case k < 5:
 			o.read(o.draw(len(o.hosts)))
 		case k == 5:
@@ -323,38 +323,38 @@
 	}
 	o.heal()
 	o.run(8 * time.Second)
-	for _, x := range o.changes {
-		if !x.answered {
-			o.breaks("revision %d upon %d has no definite answer 8 s after the last fault", x.revision, x.base)
+	for _, change := range o.changes {
+		if !change.isAnswered {
+			o.breaks("revision %d for base %d has no definite answer 8 s after the last fault", change.revision, change.base)
 		}
-		for at := range o.hosts { // once more, at each
-			if o.site.newest().WasAccepted(x.revision, x.digest) {
-				x.lostAnswers = 0
-				o.submit(x, at)
+		for hostIndex := range o.hosts { // submit it once more to each replica
+			if o.site.newest().WasAccepted(change.revision, change.digest) {
+				change.lostAnswers = 0
+				o.submit(change, hostIndex)
 			}
 		}
 	}
-	for at := range o.hosts {
-		o.read(at)
+	for hostIndex := range o.hosts {
+		o.read(hostIndex)
 	}
 	o.run(3 * time.Second)
 	o.checkLog(true)
 }
 
-// operatorWalk plays the walk of a seed, and returns it at its end.
-func operatorWalk(seed int, broken string) *operators {
+// runOperatorWalk runs the walk of a seed with a rule broken, and returns it at its end. broken = "" breaks none.
+func runOperatorWalk(seed int, broken string) *operatorWalk {
 	draw := draws(seed)
-	o := &operators{site: newSite(draw, 3+2*draw(2), 0, broken)}
-	o.play()
+	o := &operatorWalk{site: newSite(draw, 3+2*draw(2), 0, broken)}
+	o.walk()
 	return o
 }
 
-// operatorRaces plays so many walks, and returns the first fault with its seed.
-func operatorRaces(walks int, broken string) (found string, seed int) {
-	for seed := range walks {
-		if found := operatorWalk(seed, broken).found; found != "" {
-			return found, seed
+// operatorRaces runs a walk for each seed, and returns the first violation with its seed.
+func operatorRaces(seeds int, broken string) (violation string, seed int) {
+	for seed := range seeds {
+		if violation := runOperatorWalk(seed, broken).found; violation != "" {
+			return violation, seed
 		}
 	}
-	return "", walks
+	return "", seeds
 }
--- a/internal/lab/check/operators_test.go
+++ b/internal/lab/check/operators_test.go
@@ -2,27 +2,27 @@
 
 import "testing"
 
-// TestChangesUnderOneRevision: whatever is cut, killed or lost while operators race under one revision, their answers lost once and
-// twice, each change is confirmed by every replica or rejected by every one, one upon a base, and what is read is no older than
-// what was confirmed. Each rule that is broken on purpose is found out.
+// TestChangesUnderOneRevision: while operators race under one revision through partitions, crashes, lost disks and lost answers,
+// each change is confirmed by every replica or rejected by every replica, one change per base is confirmed, and reads are never
+// older than what was confirmed. Each broken rule is detected.
 func TestChangesUnderOneRevision(t *testing.T) {
 	answers, reads := 0, 0
 	for seed := range 90 {
-		o := operatorWalk(seed, "")
-		if o.found != "" {
-			t.Errorf("seed %d: %s", seed, o.found)
+		walk := runOperatorWalk(seed, "")
+		if walk.found != "" {
+			t.Errorf("seed %d: %s", seed, walk.found)
 		}
-		answers, reads = answers+o.answers, reads+o.reads
+		answers, reads = answers+walk.answers, reads+walk.reads
 	}
 	if answers < 3000 || reads < 900 {
 		t.Errorf("only %d definite answers and %d reads", answers, reads)
 	}
 	t.Logf("%d definite answers, %d reads", answers, reads)
 	for _, broken := range brokenOperators {
-		found, walks := operatorRaces(3000, broken)
-		if found == "" {
-			t.Errorf("%s: not found in %d walks", broken, walks)
+		violation, seeds := operatorRaces(3000, broken)
+		if violation == "" {
+			t.Errorf("%s: not detected with %d seeds", broken, seeds)
 		}
-		t.Logf("%s: walk %d: %s", broken, walks, found)
+		t.Logf("%s: seed %d: %s", broken, seeds, violation)
 	}
 }
