--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -34,7 +34,7 @@
 			return "", lives
 		}},
 		{"two operators for one base revision, with partitions", func(lives int) (string, int) { return randomRaces(lives, false) }},
-		{"operators under one revision, with answers lost", func(lives int) (string, int) { return operatorRaces(lives, "") }},
+		{"operators under one revision, with answers lost", func(lives int) (string, int) { return randomOperatorWalks(lives, "") }},
 		{"leases, while members are replaced in cuts", func(lives int) (string, int) { return leases(lives, "") }},
 		{"engines that drain, while processes crash", func(lives int) (string, int) { return draining(lives, false) }},
 		{"legs, every order of events of one request and one more", func(int) (string, int) { return legs(slips{}, legPairs(), legsFine()...) }},
--- a/internal/lab/check/leases.go
+++ b/internal/lab/check/leases.go
@@ -121,7 +121,7 @@
 			walks = append(walks, Walk{rule, func(n int) (string, int) { return walk(n, rule) }})
 		}
 	}
-	add(operatorRaces, brokenOperators)
+	add(randomOperatorWalks, brokenOperators)
 	add(leases, brokenLeases)
 	return walks
 }
--- a/internal/lab/check/operators.go
+++ b/internal/lab/check/operators.go
@@ -349,8 +349,8 @@
 	return o
 }
 
-// operatorRaces runs a walk for each seed, and returns the first violation with its seed.
-func operatorRaces(seeds int, broken string) (violation string, seed int) {
+// randomOperatorWalks runs a walk for each seed, and returns the first violation with its seed.
+func randomOperatorWalks(seeds int, broken string) (violation string, seed int) {
 	for seed := range seeds {
 		if violation := runOperatorWalk(seed, broken).found; violation != "" {
 			return violation, seed
--- a/internal/lab/check/operators_test.go
+++ b/internal/lab/check/operators_test.go
@@ -19,7 +19,7 @@
 	}
 	t.Logf("%d definite answers, %d reads", answers, reads)
 	for _, broken := range brokenOperators {
-		violation, seeds := operatorRaces(3000, broken)
+		violation, seeds := randomOperatorWalks(3000, broken)
 		if violation == "" {
 			t.Errorf("%s: not detected with %d seeds", broken, seeds)
 		}
