--- a/internal/lab/check/catchupoperator.go
+++ b/internal/lab/check/catchupoperator.go
@@ -27,7 +27,7 @@
 	config["routes"] = routes
 	encoded, err := cbor.Marshal(config)
 	if err != nil {
-		sim.violate("encode configuration: %v", err)
+		sim.violate("%v", err)
 	}
 	return encoded
 }
--- a/internal/lab/check/operatorrace.go
+++ b/internal/lab/check/operatorrace.go
@@ -231,7 +231,7 @@
 }
 
 // randomRaces runs a race of 120 random steps for each seed, and returns the first violation with its seed.
-func randomRaces(seeds int, acksAnyChosenValue bool) (violation string, seed int) {
+func randomRaces(seeds int, acksAnyChosenValue bool) (firstViolation string, seed int) {
 	for seed := range seeds {
 		r := newOperatorRace(draws(seed))
 		r.acksAnyChosenValue = acksAnyChosenValue
