--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -35,7 +35,7 @@
 			return "", seeds
 		}},
 		{"two operators for one base revision, with partitions", func(seeds int) (string, int) { return randomRaces(seeds, false) }},
-		{"operators under one revision, with responses lost", func(seeds int) (string, int) { return operatorRaces(seeds, "") }},
+		{"operators under one revision, with responses lost", func(seeds int) (string, int) { return randomOperatorWalks(seeds, "") }},
 		{"leases, while members are replaced in partitions", func(seeds int) (string, int) { return randomLeases(seeds, "") }},
 		{"engines that drain, while processes crash", func(seeds int) (string, int) { return randomDrains(seeds, false) }},
 		{"attempts, every order of events of one request", func(int) (string, int) { return exploreAttemptPairs(brokenRules{}, allKindPairs(), byteCutBounds()...) }},
--- a/internal/lab/check/leases.go
+++ b/internal/lab/check/leases.go
@@ -121,7 +121,7 @@
 			walks = append(walks, Walk{rule, func(n int) (string, int) { return walk(n, rule) }})
 		}
 	}
-	add(operatorRaces, brokenOperators)
+	add(randomOperatorWalks, brokenOperators)
 	add(randomLeases, brokenLeases)
 	return walks
 }
