--- a/cmd/notchlab/check.go
+++ b/cmd/notchlab/check.go
@@ -8,13 +8,13 @@
 )
 
 type checkCmd struct {
-	Lives int `help:"Random executions of each model; execution N has seed N." default:"20000"`
+	Lives int `help:"Random executions of each walk; execution N has seed N." default:"20000"`
 }
 
-// Run checks all models. It fails if a model breaks an invariant, or if a deliberately broken model does not.
+// Run runs all walks. It fails if a walk finds a violation, or if a walk with a deliberately broken rule finds none.
 func (c checkCmd) Run() error {
-	if !check.All(c.Lives, os.Stdout) {
-		return errors.New("a model broke an invariant, or a deliberately broken model was not detected")
+	if !check.RunAll(c.Lives, os.Stdout) {
+		return errors.New("a walk found a violation, or a walk with a broken rule found none")
 	}
 	return nil
 }
--- a/cmd/notchlab/main.go
+++ b/cmd/notchlab/main.go
@@ -18,7 +18,7 @@
 type cli struct {
 	Demo         demo        `cmd:"" help:"Start discovery, engines, two routers and clients on loopback, inject faults, show how requests are served, and end within a minute."`
 	Fleet        fleetCmd    `cmd:"" help:"Start a whole fleet with engines, an operator, a platform and clients, inject faults, and print a report."`
-	Check        checkCmd    `cmd:"" help:"Check models of consensus, membership, bootstrap and disks by random and exhaustive executions."`
+	Check        checkCmd    `cmd:"" help:"Model-check consensus, membership, bootstrap, disks and requests with exhaustive and random executions of the real code."`
 	Sim          simCmd      `cmd:"" help:"Simulate the routing decisions of a fleet of any size, and compare them with baselines."`
 	Compare      compareCmd  `cmd:"" help:"Run an experiment file in simulated time: variants with the same seeds, compared with a baseline."`
 	Capacity     capacityCmd `cmd:"" name:"capacity" help:"Simulate idle control planes of several sizes, and print the traffic of their processes."`
