--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -163,7 +163,7 @@
 	default:
 		required = formatValue(b.Min) + " to " + formatValue(b.Max)
 	}
-	verdict := "not met"
+	verdict := "does not hold"
 	if b.Holds {
 		verdict = "holds"
 	}
