--- a/cmd/notchlab/check.go
+++ b/cmd/notchlab/check.go
@@ -8,13 +8,13 @@
 )
 
 type checkCmd struct {
-	Lives int `help:"Lives of each walk at random; each has its number for a seed." default:"20000"`
+	Lives int `help:"Random executions of each walk; execution N has seed N." default:"20000"`
 }
 
-// Run walks; what is found fails it.
+// Run runs all walks. It fails if a walk finds a violation, or if a walk with a deliberately broken rule finds none.
 func (c checkCmd) Run() error {
 	if !check.RunAll(c.Lives, os.Stdout) {
-		return errors.New("a walk has found what it must not, or not what it must")
+		return errors.New("a walk found a violation, or a walk with a broken rule found none")
 	}
 	return nil
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -58,7 +58,7 @@
 		"without its end":    {event("x", "w0 w1 w2 ", ""), Wrong},
 		"more after its end": {event("x", "w0 w1 w2 ", end+event("x", "w3 ", "")), Wrong},
 	} {
-		try := &Try{CallID: "x"}
+		try := &Attempt{CallID: "x"}
 		(&Client{}).read(strings.NewReader(c.stream), try, time.NewTimer(time.Hour), 0, 3)
 		if try.Outcome != c.want {
 			t.Errorf("%s: %s %s", name, try.Outcome, try.Detail)
@@ -68,7 +68,7 @@
 
 // TestClientAgainstBox asks a box without a router between: every call is served whole, or turned away and tried again.
 func TestClientAgainstBox(t *testing.T) {
-	b := &standin.Box{Name: "s-1", Params: model.Default(50)}
+	b := &standin.Engine{Name: "s-1", Params: model.Default(50)}
 	if err := b.Start("127.0.0.1:0", false); err != nil {
 		t.Fatal(err)
 	}
@@ -80,7 +80,7 @@
 	plan := Plan(1, classes, 200, 300*time.Millisecond, 1, Style{Carry: 1})
 	var l Ledger
 	(&Client{Routers: []string{b.Addr()}, Retries: 2}).Run(context.Background(), plan, &l)
-	tries := l.Tries()
+	tries := l.Attempts()
 	if len(plan) < 20 || len(tries) < len(plan) {
 		t.Fatalf("%d tries of %d calls", len(tries), len(plan))
 	}
