--- a/cmd/notchhinge/trace.go
+++ b/cmd/notchhinge/trace.go
@@ -50,9 +50,9 @@
 	if f.Limit < 1 {
 		return configError{errors.New("--limit: must be at least 1")}
 	}
-	var found []*trace.Try
+	var found []*trace.Record
 	total := 0
-	err = show.Scan(f.File, os.Stderr, func(t *trace.Try) error {
+	err = show.Scan(f.File, os.Stderr, func(t *trace.Record) error {
 		if filter.Match(t) {
 			total++
 			found = append(found, t)
@@ -102,9 +102,9 @@
 
 // Run draws a trace and the traces that are linked to it.
 func (s traceShow) Run() error {
-	var records []*trace.Try
+	var records []*trace.Record
 	ids := map[trace.TraceID]bool{}
-	err := show.Scan(s.File, os.Stderr, func(t *trace.Try) error {
+	err := show.Scan(s.File, os.Stderr, func(t *trace.Record) error {
 		records = append(records, t)
 		if strings.HasPrefix(t.Trace.String(), strings.ToLower(s.ID)) {
 			ids[t.Trace] = true
--- a/cmd/notchlab/demo.go
+++ b/cmd/notchlab/demo.go
@@ -151,15 +151,15 @@
 			fmt.Println("wrong:", attempts[i].CallID, attempts[i].Outcome, attempts[i].Detail)
 		}
 	}
-	var traced []*trace.Try
+	var traced []*trace.Record
 	for _, s := range traceFiles {
-		if err := show.Scan(s, os.Stderr, func(t *trace.Try) error { traced = append(traced, t); return nil }); err != nil {
+		if err := show.Scan(s, os.Stderr, func(t *trace.Record) error { traced = append(traced, t); return nil }); err != nil {
 			return err
 		}
 	}
 	fmt.Printf("\n%d requests in %d attempts: %d eventually served, %d responses lost or wrong\n", len(requests), len(attempts), len(served), invalid)
 	fmt.Printf("%d attempts were traced; the step with the most attempts at routers and engines:\n\n", len(traced))
-	var shown []*trace.Try
+	var shown []*trace.Record
 	most := 0
 	for _, t := range traced {
 		if len(t.Legs) < 2 && t.Number < 2 {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -63,7 +63,7 @@
 func (o traceOwner) Wake(at time.Duration) {
 	o.d.timers.Add(max(at, o.d.now+1), timer{reminder: o.d.traces})
 }
-func (o traceOwner) Keep(t *trace.Try) { o.d.emit(ExportTrace{t}) }
+func (o traceOwner) Keep(t *trace.Record) { o.d.emit(ExportTrace{t}) }
 
 // NextDue returns the time at which the next timer is due; ok is false if there is none. The caller then reduces a Tick.
 func (d *Dispatcher) NextDue() (at time.Duration, ok bool) { return d.timers.NextDue() }
--- a/internal/dispatch/effect.go
+++ b/internal/dispatch/effect.go
@@ -71,7 +71,7 @@
 		Pools   map[string]*policy.Snapshot
 	}
 	// ExportTrace exports a finished trace.
-	ExportTrace struct{ Trace *trace.Try }
+	ExportTrace struct{ Trace *trace.Record }
 	// CountersReport answers GetCounters.
 	CountersReport struct {
 		ReplyTo  any
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -18,7 +18,7 @@
 }
 
 // reduceTraced reduces an event and returns the traces that it exports and the spans of the attempts that it starts.
-func (f *fixture) reduceTraced(at time.Duration, e Event) (records []*trace.Try, spans []trace.Context) {
+func (f *fixture) reduceTraced(at time.Duration, e Event) (records []*trace.Record, spans []trace.Context) {
 	for _, effect := range f.Reduce(f.now+at, e) {
 		switch effect := effect.(type) {
 		case ExportTrace:
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -57,8 +57,8 @@
 	attempt := func(id string, o load.Outcome) load.Attempt {
 		return load.Attempt{CallID: id, Number: 1, Due: start, Sent: start, First: start.Add(time.Second), End: start.Add(2 * time.Second), Outcome: o, Late: true}
 	}
-	record := func(id string) *trace.Try {
-		y := &trace.Try{
+	record := func(id string) *trace.Record {
+		y := &trace.Record{
 			Trace: trace.TraceID{1}, Span: trace.SpanID{id[0]}, CallID: id, Number: 1, At: time.Duration(start.UnixNano()),
 			End: 2 * time.Second, First: time.Second, Outcome: trace.Served, Reasons: trace.ForLate,
 			Legs: []trace.Leg{{Span: trace.SpanID{id[0], 1}, Host: "s", First: 1, Told: 2 * time.Second, Result: trace.Result(policy.ResultOK)}},
@@ -66,7 +66,7 @@
 		y.Phases[trace.Stream] = y.End
 		return y
 	}
-	failed := func(attempts []load.Attempt, records []*trace.Try, engines ...standin.Span) map[string]bool {
+	failed := func(attempts []load.Attempt, records []*trace.Record, engines ...standin.Span) map[string]bool {
 		b := &engineSpans{all: map[string][]standin.Span{}}
 		for _, s := range engines {
 			b.add(s)
@@ -90,7 +90,7 @@
 		return standin.Span{Parent: trace.SpanID{id[0], 1}, CallID: id, Host: "s"}
 	}
 	good := record("a")
-	if failing := failed([]load.Attempt{attempt("a", load.Served)}, []*trace.Try{good}, engineSpan("a")); len(failing) != 0 {
+	if failing := failed([]load.Attempt{attempt("a", load.Served)}, []*trace.Record{good}, engineSpan("a")); len(failing) != 0 {
 		t.Errorf("a correct run fails %v", failing)
 	}
 	slow, noResult, wrongOutcome, wrongPhases := record("a"), record("a"), record("a"), record("a")
@@ -100,19 +100,19 @@
 	wrongPhases.Phases[trace.Hold] = time.Second
 	for name, c := range map[string]struct {
 		attempts  []load.Attempt
-		records   []*trace.Try
+		records   []*trace.Record
 		engines   []standin.Span
 		criterion string
 	}{
 		"missing":           {[]load.Attempt{attempt("a", load.Served)}, nil, nil, "required traces that are missing"},
-		"without a request": {[]load.Attempt{attempt("a", load.Served)}, []*trace.Try{good, record("b")}, []standin.Span{engineSpan("a"), engineSpan("b")}, "traces without a request, or duplicated"},
-		"twice":             {[]load.Attempt{attempt("a", load.Served)}, []*trace.Try{good, good}, []standin.Span{engineSpan("a")}, "traces without a request, or duplicated"},
-		"no engine span":    {[]load.Attempt{attempt("a", load.Served)}, []*trace.Try{good}, nil, "incomplete traces"},
-		"no result":         {[]load.Attempt{attempt("a", load.Served)}, []*trace.Try{noResult}, []standin.Span{engineSpan("a")}, "incomplete traces"},
-		"outcome":           {[]load.Attempt{attempt("a", load.Served)}, []*trace.Try{wrongOutcome}, []standin.Span{engineSpan("a")}, "incomplete traces"},
-		"sum of phases":     {[]load.Attempt{attempt("a", load.Served)}, []*trace.Try{wrongPhases}, []standin.Span{engineSpan("a")}, "incomplete traces"},
-		"time":              {[]load.Attempt{attempt("a", load.Served)}, []*trace.Try{slow}, []standin.Span{engineSpan("a")}, "router and client, difference at 99%"},
-		"wrong answer":      {[]load.Attempt{attempt("a", load.Wrong)}, []*trace.Try{good}, []standin.Span{engineSpan("a")}, "lost or wrong responses"},
+		"without a request": {[]load.Attempt{attempt("a", load.Served)}, []*trace.Record{good, record("b")}, []standin.Span{engineSpan("a"), engineSpan("b")}, "traces without a request, or duplicated"},
+		"twice":             {[]load.Attempt{attempt("a", load.Served)}, []*trace.Record{good, good}, []standin.Span{engineSpan("a")}, "traces without a request, or duplicated"},
+		"no engine span":    {[]load.Attempt{attempt("a", load.Served)}, []*trace.Record{good}, nil, "incomplete traces"},
+		"no result":         {[]load.Attempt{attempt("a", load.Served)}, []*trace.Record{noResult}, []standin.Span{engineSpan("a")}, "incomplete traces"},
+		"outcome":           {[]load.Attempt{attempt("a", load.Served)}, []*trace.Record{wrongOutcome}, []standin.Span{engineSpan("a")}, "incomplete traces"},
+		"sum of phases":     {[]load.Attempt{attempt("a", load.Served)}, []*trace.Record{wrongPhases}, []standin.Span{engineSpan("a")}, "incomplete traces"},
+		"time":              {[]load.Attempt{attempt("a", load.Served)}, []*trace.Record{slow}, []standin.Span{engineSpan("a")}, "router and client, difference at 99%"},
+		"wrong answer":      {[]load.Attempt{attempt("a", load.Wrong)}, []*trace.Record{good}, []standin.Span{engineSpan("a")}, "lost or wrong responses"},
 	} {
 		if failing := failed(c.attempts, c.records, c.engines...); !failing[c.criterion] {
 			t.Errorf("%s: the criterion is met; failing: %v", name, failing)
--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -15,7 +15,7 @@
 
 // sink exports the trace records of requests. Put does not block.
 type sink interface {
-	Put(*trace.Try)
+	Put(*trace.Record)
 	Counters() export.Counters
 	Close(context.Context)
 }
@@ -88,7 +88,7 @@
 }
 
 // put performs dispatch.ExportTrace: it queues a record at every sink.
-func (t *traces) put(record *trace.Try) {
+func (t *traces) put(record *trace.Record) {
 	for _, s := range t.sinks {
 		s.Put(record)
 	}
--- a/internal/router/trace_test.go
+++ b/internal/router/trace_test.go
@@ -54,8 +54,8 @@
 			t.Error(err)
 		}
 	})
-	var got []*trace.Try
-	if err := show.Scan(path, os.Stderr, func(record *trace.Try) error { got = append(got, record); return nil }); err != nil {
+	var got []*trace.Record
+	if err := show.Scan(path, os.Stderr, func(record *trace.Record) error { got = append(got, record); return nil }); err != nil {
 		t.Fatal(err)
 	}
 	if len(got) != 1 {
--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -17,8 +17,8 @@
 	"notchhinge/internal/trace"
 )
 
-func try(n int, why trace.Reason) *trace.Try {
-	return &trace.Try{
+func try(n int, why trace.Reason) *trace.Record {
+	return &trace.Record{
 		Trace: trace.TraceID{1, byte(n), byte(n >> 8)}, Span: trace.SpanID{2, byte(n), byte(n >> 8)}, Router: "n1", Front: "calls",
 		CallID: strings.Repeat("c", 16), Class: "chat", At: time.Duration(n) * time.Second, End: time.Second, First: time.Second / 2,
 		Outcome: trace.Served, Reasons: why, Number: 1,
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var want []*trace.Try
+	var want []*trace.Record
 	for n := range 600 {
 		want = append(want, try(n, trace.ForFailed))
 		f.Put(want[n])
@@ -86,8 +86,8 @@
 		}
 		all = append(all, text...)
 	}
-	read := func(text []byte) (got []*trace.Try, d Damage) {
-		d, err := Read(bytes.NewReader(text), func(t *trace.Try) error { got = append(got, t); return nil })
+	read := func(text []byte) (got []*trace.Record, d Damage) {
+		d, err := Read(bytes.NewReader(text), func(t *trace.Record) error { got = append(got, t); return nil })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -109,7 +109,7 @@
 		t.Errorf("noise in front: %d records, %v", len(got), damage)
 	}
 	stop := errors.New("enough")
-	if _, err := Read(bytes.NewReader(all), func(*trace.Try) error { return stop }); !errors.Is(err, stop) {
+	if _, err := Read(bytes.NewReader(all), func(*trace.Record) error { return stop }); !errors.Is(err, stop) {
 		t.Errorf("stopped by %v", err)
 	}
 }
@@ -124,7 +124,7 @@
 	f.Add(good)
 	f.Add(append(good[:len(good)-2], good...))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if _, err := Read(bytes.NewReader(text), func(*trace.Try) error { return nil }); err != nil {
+		if _, err := Read(bytes.NewReader(text), func(*trace.Record) error { return nil }); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/trace/export/file.go
+++ b/internal/trace/export/file.go
@@ -81,7 +81,7 @@
 }
 
 // Put hands a record over. It does not wait.
-func (s *File) Put(t *trace.Try) { s.put(t) }
+func (s *File) Put(t *trace.Record) { s.put(t) }
 
 // Close writes what is queued and ends.
 func (s *File) Close(context.Context) {
@@ -123,7 +123,7 @@
 	}
 }
 
-func (s *File) write(some []*trace.Try) error {
+func (s *File) write(some []*trace.Record) error {
 	var text bytes.Buffer
 	lines := json.NewEncoder(&text)
 	for _, t := range some {
@@ -208,7 +208,7 @@
 
 // Read calls each with every record of a sink's file, in their order, and tells what could not be read. A damaged frame
 // costs its own records only. each ends the reading by returning an error.
-func Read(r io.Reader, each func(*trace.Try) error) (Damage, error) {
+func Read(r io.Reader, each func(*trace.Record) error) (Damage, error) {
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxFrame))
 	if err != nil {
 		return Damage{}, err
@@ -221,7 +221,7 @@
 			return false, nil
 		}
 		for line := range bytes.Lines(text) {
-			t := &trace.Try{}
+			t := &trace.Record{}
 			if err := json.Unmarshal(line, t); err != nil {
 				damage.Lines++
 				continue
--- a/internal/trace/export/golden_test.go
+++ b/internal/trace/export/golden_test.go
@@ -16,7 +16,7 @@
 )
 
 // goldenTries are an ordinary record and one in which each field is set.
-func goldenTries() []*trace.Try {
+func goldenTries() []*trace.Record {
 	full := try(2, trace.ForFailed|trace.ForRetry)
 	full.Parent, full.State, full.Flags, full.Number = trace.SpanID{5}, "ot=th:8", trace.Sampled, 2
 	full.Before = trace.Link{Trace: trace.TraceID{7}, Span: trace.SpanID{8}}
@@ -27,7 +27,7 @@
 		Span: trace.SpanID{9}, Host: "s-2", Dial: "10.0.0.6:8000", Why: 2, Sent: 1000, Begun: 2000, Lined: 3000, Fresh: true, Written: 4000,
 		First: 500_000, Event: 600_000, Bound: 700_000, Told: 800_000, Ended: 900_000, Relay: 100, Bytes: 900, Result: 1, Said: 5, Stale: true,
 	})
-	return []*trace.Try{try(1, trace.ForShare), full}
+	return []*trace.Record{try(1, trace.ForShare), full}
 }
 
 // TestGoldenFile: a trace file has the bytes that it had, and is read to the same records. A newer compressor may write others;
@@ -48,8 +48,8 @@
 		t.Fatal(err)
 	}
 	golden.Check(t, "file.zst.hex", b)
-	var got []*trace.Try
-	damage, err := Read(bytes.NewReader(golden.Read(t, "file.zst.hex")), func(y *trace.Try) error { got = append(got, y); return nil })
+	var got []*trace.Record
+	damage, err := Read(bytes.NewReader(golden.Read(t, "file.zst.hex")), func(y *trace.Record) error { got = append(got, y); return nil })
 	if err != nil || damage != (Damage{}) {
 		t.Errorf("%v %v", damage, err)
 	}
--- a/internal/trace/export/otlp.go
+++ b/internal/trace/export/otlp.go
@@ -69,7 +69,7 @@
 }
 
 // Put hands a record over. It does not wait.
-func (e *OTLP) Put(t *trace.Try) { e.put(t) }
+func (e *OTLP) Put(t *trace.Record) { e.put(t) }
 
 // Close sends what is queued within the context and ends. What is left is lost, and counted.
 func (e *OTLP) Close(ctx context.Context) {
@@ -119,7 +119,7 @@
 }
 
 // send makes a call until it succeeds, is rejected, or the context is over.
-func (e *OTLP) send(ctx context.Context, some []*trace.Try) {
+func (e *OTLP) send(ctx context.Context, some []*trace.Record) {
 	batch := e.resource(some)
 	wait := firstWait
 	for {
@@ -156,7 +156,7 @@
 }
 
 // resource puts records into the form of OTLP.
-func (e *OTLP) resource(some []*trace.Try) []*tracepb.ResourceSpans {
+func (e *OTLP) resource(some []*trace.Record) []*tracepb.ResourceSpans {
 	all := make([]*tracepb.Span, 0, spans(some))
 	for _, t := range some {
 		all = append(all, Spans(t)...)
@@ -173,7 +173,7 @@
 
 // Spans are a try and its legs as OTLP has them: a server span, and a client span for each leg beneath it. Names
 // follow OpenTelemetry's conventions for HTTP and GenAI; what they do not have is under "notchhinge.".
-func Spans(t *trace.Try) []*tracepb.Span {
+func Spans(t *trace.Record) []*tracepb.Span {
 	at := func(d time.Duration) uint64 { return uint64(max(t.At+d, 0)) }
 	root := &tracepb.Span{
 		TraceId: t.Trace[:], SpanId: t.Span[:], TraceState: t.State, Flags: uint32(t.Flags),
@@ -240,7 +240,7 @@
 	return spans
 }
 
-func legSpan(t *trace.Try, n int) *tracepb.Span {
+func legSpan(t *trace.Record, n int) *tracepb.Span {
 	l := &t.Legs[n]
 	at := func(d time.Duration) uint64 { return uint64(max(t.At+d, 0)) }
 	end := max(l.Ended, l.Told, l.Sent)
--- a/internal/trace/export/queue.go
+++ b/internal/trace/export/queue.go
@@ -40,13 +40,13 @@
 
 // fifo is a queue of records whose memory is given back.
 type fifo struct {
-	items []*trace.Try
+	items []*trace.Record
 	first int
 }
 
-func (f *fifo) push(t *trace.Try) { f.items = append(f.items, t) }
+func (f *fifo) push(t *trace.Record) { f.items = append(f.items, t) }
 
-func (f *fifo) pop() *trace.Try {
+func (f *fifo) pop() *trace.Record {
 	if f.first == len(f.items) {
 		return nil
 	}
@@ -62,7 +62,7 @@
 }
 
 // put hands a record in.
-func (q *queue) put(t *trace.Try) {
+func (q *queue) put(t *trace.Record) {
 	q.mu.Lock()
 	q.counts.Put++
 	q.add(t)
@@ -73,7 +73,7 @@
 	}
 }
 
-func (q *queue) add(t *trace.Try) {
+func (q *queue) add(t *trace.Record) {
 	to := &q.kept
 	if t.Reasons == trace.ForShare {
 		to = &q.ordinary
@@ -94,10 +94,10 @@
 }
 
 // take takes up to n records out, those kept for a reason first.
-func (q *queue) take(n int) []*trace.Try {
+func (q *queue) take(n int) []*trace.Record {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var some []*trace.Try
+	var some []*trace.Record
 	for len(some) < n {
 		t := q.kept.pop()
 		if t == nil {
@@ -128,11 +128,11 @@
 	return c
 }
 
-func size(t *trace.Try) int {
-	return int(unsafe.Sizeof(trace.Try{})) + cap(t.Legs)*int(unsafe.Sizeof(trace.Leg{})) + 64
+func size(t *trace.Record) int {
+	return int(unsafe.Sizeof(trace.Record{})) + cap(t.Legs)*int(unsafe.Sizeof(trace.Leg{})) + 64
 }
 
-func spans(some []*trace.Try) int {
+func spans(some []*trace.Record) int {
 	n := len(some)
 	for _, t := range some {
 		n += len(t.Legs)
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -9,8 +9,8 @@
 )
 
 // goldenTry is a record in which each field is set.
-func goldenTry() *Try {
-	return &Try{
+func goldenTry() *Record {
+	return &Record{
 		Trace: TraceID{1, 2, 15: 16}, Span: SpanID{3, 7: 4}, Parent: SpanID{5}, State: "ot=th:8", Flags: Sampled | Random, Number: 1,
 		Front: "calls", Team: "lab", Pool: "scribe", CallID: "call-1", Class: "chat", Session: 0x0102030405060708,
 		Prompt: 5000.5, Tokens: 70, Kept: 64.25,
@@ -31,7 +31,7 @@
 	const taken = 500
 	want := goldenTry()
 	want.reckon(taken)
-	golden.RoundTrip(t, "packed.hex", want, func(y *Try) []byte { return y.pack(nil, taken) }, unpack)
+	golden.RoundTrip(t, "packed.hex", want, func(y *Record) []byte { return y.pack(nil, taken) }, unpack)
 }
 
 // TestGoldenJSON: a record in a trace file has the text that it had, with the names of outcomes, results, reasons and phases.
@@ -40,14 +40,14 @@
 	y.reckon(500)
 	y.Before, y.Number, y.Router, y.Late = Link{Trace: TraceID{7}, Span: SpanID{8}}, 2, "n1", true
 	y.Reasons = ForFailed | ForShare
-	golden.RoundTrip(t, "record.json", y, func(y *Try) []byte {
+	golden.RoundTrip(t, "record.json", y, func(y *Record) []byte {
 		b, err := json.Marshal(y)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return b
-	}, func(b []byte) (*Try, error) {
-		y := &Try{}
+	}, func(b []byte) (*Record, error) {
+		y := &Record{}
 		return y, json.Unmarshal(b, y)
 	})
 	names := map[string][]string{"reasons": Reason(1<<len(reasonNames) - 1).Names()}
--- a/internal/trace/pack.go
+++ b/internal/trace/pack.go
@@ -9,7 +9,7 @@
 
 // pack appends the record of an ordinary try to b, in the order of its fields and at their full width, which is faster
 // than fewer bytes. The phases are not in it: unpack reckons them again, from when the try was taken.
-func (t *Try) pack(b []byte, taken time.Duration) []byte {
+func (t *Record) pack(b []byte, taken time.Duration) []byte {
 	b = append(b, t.Trace[:]...)
 	b = append(b, t.Span[:]...)
 	b = append(b, t.Parent[:]...)
@@ -78,8 +78,8 @@
 func (u *unpacker) word() uint64 { return binary.LittleEndian.Uint64(u.take(8)) }
 
 // unpack reads a record that pack wrote.
-func unpack(b []byte) (*Try, error) {
-	u, t := &unpacker{b: b}, &Try{Number: 1}
+func unpack(b []byte) (*Record, error) {
+	u, t := &unpacker{b: b}, &Record{Number: 1}
 	copy(t.Trace[:], u.take(16))
 	copy(t.Span[:], u.take(8))
 	copy(t.Parent[:], u.take(8))
--- a/internal/trace/pack_test.go
+++ b/internal/trace/pack_test.go
@@ -12,7 +12,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		d := func(name string) time.Duration { return time.Duration(rapid.Int64().Draw(t, name)) }
 		s := func(name string) string { return rapid.String().Draw(t, name) }
-		want := &Try{
+		want := &Record{
 			Number: 1, Trace: TraceID{1, 2}, Span: SpanID{3}, Parent: SpanID{4}, State: s("state"), Flags: 3, Front: s("front"), Team: s("team"),
 			CallID: s("call"), Class: s("class"), Session: rapid.Uint64().Draw(t, "session"), Prompt: 5000, Kept: 64, Tokens: 7,
 			At: d("at"), Reading: d("reading"), First: d("first"), End: d("end"), Aim: d("aim"), Outcome: Served, Why: RouterFull,
@@ -37,7 +37,7 @@
 }
 
 func FuzzUnpack(f *testing.F) {
-	f.Add((&Try{CallID: "x", Legs: []Leg{{Host: "h"}}}).pack(nil, 0))
+	f.Add((&Record{CallID: "x", Legs: []Leg{{Host: "h"}}}).pack(nil, 0))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if y, err := unpack(b); err == nil && y == nil {
 			t.Error("nothing, and no error")
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -210,8 +210,8 @@
 	Span  SpanID  `json:"span_id"`
 }
 
-// Try is the whole record of one authorisation. Times without a word of their own are counted from At.
-type Try struct {
+// Record is the whole record of one authorisation. Times without a word of their own are counted from At.
+type Record struct {
 	Trace  TraceID `json:"trace_id"`
 	Span   SpanID  `json:"span_id"`
 	Parent SpanID  `json:"parent_id,omitzero"`
@@ -270,11 +270,11 @@
 }
 
 // Total is the time of a try from its last byte to its answer's end; it equals the sum of its phases.
-func (t *Try) Total() time.Duration { return t.End }
+func (t *Record) Total() time.Duration { return t.End }
 
 // reckon fills the phases in: each moment is the bound leg's while that is out, else that of the leg which was sent
 // last among those out, else Hold. taken is when the reducer took the try.
-func (t *Try) reckon(taken time.Duration) {
+func (t *Record) reckon(taken time.Duration) {
 	t.Phases = [Phases]time.Duration{}
 	at := min(max(taken, 0), t.End)
 	t.Phases[Queue] = at
@@ -295,7 +295,7 @@
 }
 
 // owner tells whose the moment at is, and until when it stays so.
-func (t *Try) owner(at, until time.Duration) (owner *Leg, next time.Duration) {
+func (t *Record) owner(at, until time.Duration) (owner *Leg, next time.Duration) {
 	next = until
 	for i := range t.Legs {
 		l := &t.Legs[i]
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -43,7 +43,7 @@
 	// Wake asks for Recorder.Due at a time.
 	Wake(at time.Duration)
 	// Keep hands over the record of a try that is to leave. It is the taker's from then on.
-	Keep(*Try)
+	Keep(*Record)
 }
 
 // Counters tell what became of tries. Taken = Kept + Dropped + Early + Limited + Held + those under way.
@@ -79,7 +79,7 @@
 // Journey is a try that is under way. Its owner keeps it beside the authorisation's id; it is used again for others, so
 // that it does nothing for an id that it is no longer of.
 type Journey struct {
-	try   Try
+	try   Record
 	legs  [4]Leg     // room for try.Legs; the deployment's most attempts
 	carry [4]Carried // likewise, of what they carry
 	step  uint32     // slot
@@ -226,7 +226,7 @@
 	}
 	clear(j.carry[:min(len(j.try.Legs), len(j.carry))])
 	clear(j.try.Legs) // a part of j.legs; the rest is clear
-	j.try = Try{}
+	j.try = Record{}
 	j.id, j.from, j.why, j.out, j.over, j.tells, j.place, j.class = 0, nil, 0, 0, false, false, nil, nil
 	r.spare = append(r.spare, j)
 }
@@ -451,7 +451,7 @@
 		r.keep(t)
 	} else if !r.table.hold(j.step, t, j.taken) {
 		t.reckon(j.taken)
-		r.decide(now, s.in, true, func() *Try { return t })
+		r.decide(now, s.in, true, func() *Record { return t })
 	}
 	slot := j.step
 	r.done(j)
@@ -474,7 +474,7 @@
 }
 
 // reasons tells what has a try kept whatever the share.
-func reasons(t *Try) Reason {
+func reasons(t *Record) Reason {
 	var why Reason
 	switch t.Outcome {
 	case Failed:
@@ -495,7 +495,7 @@
 }
 
 // slow tells whether an answer came later than its class wants: its first event, or the pace of the rest.
-func (r *Recorder) slow(t *Try, c *Class) bool {
+func (r *Recorder) slow(t *Record, c *Class) bool {
 	if t.First == 0 || t.Aim == 0 {
 		return false
 	}
@@ -518,7 +518,7 @@
 }
 
 // waiting takes a step's try out of the table; nil = there is none.
-func (r *Recorder) waiting(slot uint32) *Try {
+func (r *Recorder) waiting(slot uint32) *Record {
 	t := r.table.take(slot)
 	if t != nil {
 		t.Router = r.o.Router
@@ -527,7 +527,7 @@
 }
 
 // keep hands a copy of a record over.
-func (r *Recorder) keep(t *Try) {
+func (r *Recorder) keep(t *Record) {
 	if t.Reasons == 0 {
 		t.Reasons = ForLinked
 	}
@@ -544,13 +544,13 @@
 func (r *Recorder) settle(now time.Duration, slot uint32, early bool) {
 	s := &r.table.slots[slot]
 	if s.size != 0 {
-		r.decide(now, s.in, early, func() *Try { return r.waiting(slot) })
+		r.decide(now, s.in, early, func() *Record { return r.waiting(slot) })
 	}
 	r.table.remove(slot)
 }
 
 // decide keeps an ordinary try, or counts why not. take returns it, if it is kept.
-func (r *Recorder) decide(now time.Duration, in, early bool, take func() *Try) {
+func (r *Recorder) decide(now time.Duration, in, early bool, take func() *Record) {
 	switch {
 	case in && r.sampler.Allow(now):
 		if t := take(); t != nil {
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -17,12 +17,12 @@
 	*Recorder
 	now   time.Duration
 	wakes []time.Duration
-	kept  []*Try
+	kept  []*Record
 	of    map[policy.RequestID]*Journey
 }
 
 func (r *rig) Wake(at time.Duration) { r.wakes = append(r.wakes, at) }
-func (r *rig) Keep(t *Try)           { r.kept = append(r.kept, t) }
+func (r *rig) Keep(t *Record)        { r.kept = append(r.kept, t) }
 
 var classes = &Set{Classes: []Class{{Name: "chat", Aim: time.Second, AimPerKTokens: 100 * ms, TokenAim: 50 * ms}}}
 
@@ -80,7 +80,7 @@
 	r.Closed(r.now, id, r.of[id], Served, 0)
 }
 
-func (r *rig) sum(t *Try) (sum time.Duration) {
+func (r *rig) sum(t *Record) (sum time.Duration) {
 	for _, d := range t.Phases {
 		sum += d
 	}
--- a/internal/trace/show/show.go
+++ b/internal/trace/show/show.go
@@ -30,7 +30,7 @@
 }
 
 // Match tells whether a record is wanted.
-func (f *Filter) Match(t *trace.Try) bool {
+func (f *Filter) Match(t *trace.Record) bool {
 	slow := t.First
 	if slow == 0 {
 		slow = t.End
@@ -43,7 +43,7 @@
 }
 
 // Scan calls each for every record in a sink's files, the oldest first. What is damaged is told to warn.
-func Scan(path string, warn io.Writer, each func(*trace.Try) error) error {
+func Scan(path string, warn io.Writer, each func(*trace.Record) error) error {
 	files, err := export.Rotated(path)
 	if err != nil {
 		return err
@@ -66,7 +66,7 @@
 }
 
 // Table writes what was found, a line each.
-func Table(w io.Writer, tries []*trace.Try) error {
+func Table(w io.Writer, tries []*trace.Record) error {
 	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(t, "TIME\tTRACE\tTRY\tCLASS\tOUTCOME\tFIRST\tTOTAL\tLEGS\tMOST TIME IN\tKEPT FOR")
 	for _, y := range tries {
@@ -80,7 +80,7 @@
 	return t.Flush()
 }
 
-func outcome(y *trace.Try) string {
+func outcome(y *trace.Record) string {
 	s := y.Outcome.String()
 	if y.Late {
 		s += ",late"
@@ -88,7 +88,7 @@
 	return s
 }
 
-func legs(y *trace.Try) string {
+func legs(y *trace.Record) string {
 	results := make([]string, len(y.Legs))
 	for i := range y.Legs {
 		results[i] = y.Legs[i].Result.String()
@@ -97,7 +97,7 @@
 }
 
 // most names the phase that took most of a try's time before its first event, or of all where there was none.
-func most(y *trace.Try) string {
+func most(y *trace.Record) string {
 	best := trace.Queue
 	for p, d := range y.Phases {
 		if y.First > 0 && (trace.Phase(p) == trace.Stream || trace.Phase(p) == trace.Relay) {
@@ -112,7 +112,7 @@
 
 // Step picks the tries of one step out of all records: those of the trace, and those linked to them. They are ordered
 // by their beginning.
-func Step(all []*trace.Try, id trace.TraceID) []*trace.Try {
+func Step(all []*trace.Record, id trace.TraceID) []*trace.Record {
 	ids := map[trace.TraceID]bool{id: true}
 	for more := true; more; {
 		more = false
@@ -124,18 +124,18 @@
 			ids[t.Trace], ids[before], more = true, true, true
 		}
 	}
-	var step []*trace.Try
+	var step []*trace.Record
 	for _, t := range all {
 		if ids[t.Trace] {
 			step = append(step, t)
 		}
 	}
-	slices.SortStableFunc(step, func(x, y *trace.Try) int { return int(max(min(x.At-y.At, 1), -1)) })
+	slices.SortStableFunc(step, func(x, y *trace.Record) int { return int(max(min(x.At-y.At, 1), -1)) })
 	return step
 }
 
 // JSON writes records for scripts: a line each, with the names that the sink's file has and the phases by name.
-func JSON(w io.Writer, tries []*trace.Try) error {
+func JSON(w io.Writer, tries []*trace.Record) error {
 	enc := json.NewEncoder(w)
 	for _, t := range tries {
 		phases := map[string]float64{}
@@ -145,7 +145,7 @@
 			}
 		}
 		if err := enc.Encode(struct {
-			*trace.Try
+			*trace.Record
 			Time     time.Time          `json:"time"`
 			Reasons  []string           `json:"reasons"`
 			PhasesMS map[string]float64 `json:"phases"` // milliseconds
@@ -164,7 +164,7 @@
 
 // Waterfall draws a step: its tries one below another on one scale, and below each its legs. width is that of the
 // whole drawing in characters, 60 at least.
-func Waterfall(w io.Writer, step []*trace.Try, width int) {
+func Waterfall(w io.Writer, step []*trace.Record, width int) {
 	if len(step) == 0 {
 		return
 	}
@@ -223,7 +223,7 @@
 	fmt.Fprintln(w, "marks: l line, c connect, w write, . silent host, h head, b bind, = stream, x called off; q queue, _ held, a answer")
 }
 
-func phases(t *trace.Try) string {
+func phases(t *trace.Record) string {
 	var parts []string
 	for p, d := range t.Phases {
 		if d >= 50*time.Microsecond {
@@ -259,7 +259,7 @@
 	return line
 }
 
-func (s scale) leg(t *trace.Try, l *trace.Leg) []byte {
+func (s scale) leg(t *trace.Record, l *trace.Leg) []byte {
 	line := s.blank()
 	connect := trace.Line
 	if l.Fresh {
--- a/internal/trace/show/show_test.go
+++ b/internal/trace/show/show_test.go
@@ -17,8 +17,8 @@
 const ms = time.Millisecond
 
 // step is a first try whose leg was reset and whose second leg timed out, and a retry that was served.
-func step() []*trace.Try {
-	first := &trace.Try{
+func step() []*trace.Record {
+	first := &trace.Record{
 		Trace: trace.TraceID{0xab}, Span: trace.SpanID{1}, Number: 1, Router: "n1", CallID: "c1", Class: "shift-agent", Prompt: 5000,
 		At: 1000 * time.Second, End: 1000 * ms, Outcome: trace.Failed, Why: trace.Why(policy.ReasonDeadline), Aim: 2700 * ms,
 		Reasons: trace.ForFailed | trace.ForLegs,
@@ -34,7 +34,7 @@
 		},
 	}
 	first.Phases[trace.Wait], first.Phases[trace.Connect], first.Phases[trace.Line] = 896*ms, 99*ms, 5*ms
-	second := &trace.Try{
+	second := &trace.Record{
 		Trace: trace.TraceID{0xcd}, Span: trace.SpanID{2}, Number: 2, Before: trace.Link{Trace: first.Trace, Span: first.Span}, Router: "n2",
 		CallID: "c2", Class: "shift-agent", Prompt: 5000, Tokens: 80, At: 1001*time.Second + 200*ms, First: 200 * ms, End: 800 * ms,
 		Outcome: trace.Served, Aim: 2700 * ms, Reasons: trace.ForRetry,
@@ -44,7 +44,7 @@
 		}},
 	}
 	second.Phases[trace.Wait], second.Phases[trace.Stream] = 198*ms, 602*ms
-	return []*trace.Try{first, second}
+	return []*trace.Record{first, second}
 }
 
 func TestWaterfall(t *testing.T) {
@@ -69,7 +69,7 @@
 }
 
 func TestStepFollowsLinks(t *testing.T) {
-	all := append(step(), &trace.Try{Trace: trace.TraceID{0xef}, At: time.Second})
+	all := append(step(), &trace.Record{Trace: trace.TraceID{0xef}, At: time.Second})
 	for _, id := range []trace.TraceID{{0xab}, {0xcd}} {
 		if got := Step(all, id); len(got) != 2 || got[0].CallID != "c1" || got[1].CallID != "c2" {
 			t.Errorf("%v: %d tries", id, len(got))
@@ -100,7 +100,7 @@
 
 func TestScanOfNothing(t *testing.T) {
 	var warn strings.Builder
-	if err := Scan(filepath.Join(t.TempDir(), "none"), &warn, func(*trace.Try) error { return nil }); !os.IsNotExist(err) {
+	if err := Scan(filepath.Join(t.TempDir(), "none"), &warn, func(*trace.Record) error { return nil }); !os.IsNotExist(err) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/trace/table.go
+++ b/internal/trace/table.go
@@ -107,7 +107,7 @@
 }
 
 // hold puts a try into its step's cell. ok is false where it is too large for one.
-func (t *table) hold(slot uint32, y *Try, taken time.Duration) (ok bool) {
+func (t *table) hold(slot uint32, y *Record, taken time.Duration) (ok bool) {
 	packed := y.pack(t.cell(slot)[:0], taken)
 	if len(packed) > cellBytes {
 		return false
@@ -118,7 +118,7 @@
 }
 
 // take reads a step's try and drops it; nil = there is none.
-func (t *table) take(slot uint32) *Try {
+func (t *table) take(slot uint32) *Record {
 	s := &t.slots[slot]
 	if s.size == 0 {
 		return nil
