--- a/internal/trace/export/queue.go
+++ b/internal/trace/export/queue.go
@@ -129,7 +129,7 @@
 }
 
 func size(t *trace.Record) int {
-	return int(unsafe.Sizeof(trace.Record{})) + cap(t.Legs)*int(unsafe.Sizeof(trace.Leg{})) + 64
+	return int(unsafe.Sizeof(trace.Record{})) + cap(t.Legs)*int(unsafe.Sizeof(trace.Attempt{})) + 64
 }
 
 func spans(some []*trace.Record) int {
--- a/internal/trace/pack.go
+++ b/internal/trace/pack.go
@@ -94,7 +94,7 @@
 		*s = u.text()
 	}
 	for range legs {
-		var l Leg
+		var l Attempt
 		copy(l.Span[:], u.take(8))
 		p := u.take(4)
 		l.Why, l.Result, l.Said, l.Fresh, l.Stale = Why(p[0]), Result(p[1]), Result(p[2]), p[3]&1 != 0, p[3]&2 != 0
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -243,11 +243,11 @@
 	Late       bool                  `json:"late,omitzero"`
 	Reasons    Reason                `json:"reasons"`
 	Phases     [Phases]time.Duration `json:"phases"` // they add up to End
-	Legs       []Leg                 `json:"legs"`
+	Legs       []Attempt             `json:"legs"`
 }
 
-// Leg is the record of one attempt. Its times are counted from its try's At; 0 = never came to it.
-type Leg struct {
+// Attempt is the record of one attempt. Its times are counted from its try's At; 0 = never came to it.
+type Attempt struct {
 	Span    SpanID        `json:"span_id"`
 	Host    string        `json:"host"`
 	Dial    string        `json:"dial"`
@@ -295,7 +295,7 @@
 }
 
 // owner tells whose the moment at is, and until when it stays so.
-func (t *Record) owner(at, until time.Duration) (owner *Leg, next time.Duration) {
+func (t *Record) owner(at, until time.Duration) (owner *Attempt, next time.Duration) {
 	next = until
 	for i := range t.Legs {
 		l := &t.Legs[i]
@@ -316,7 +316,7 @@
 
 // over is when the router stopped waiting for a leg. A result that was told before the leg itself ended counts,
 // unless the leg is the one whose answer the client got.
-func (l *Leg) over() time.Duration {
+func (l *Attempt) over() time.Duration {
 	switch {
 	case l.Told == 0 && l.Ended == 0:
 		return 1<<63 - 1
@@ -327,7 +327,7 @@
 }
 
 // split books the time from at to next to the stages of l.
-func (l *Leg) split(at, next time.Duration, to *[Phases]time.Duration) {
+func (l *Attempt) split(at, next time.Duration, to *[Phases]time.Duration) {
 	connect := Line
 	if l.Fresh {
 		connect = Connect
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -80,7 +80,7 @@
 // that it does nothing for an id that it is no longer of.
 type Journey struct {
 	try   Record
-	legs  [4]Leg     // room for try.Legs; the deployment's most attempts
+	legs  [4]Attempt // room for try.Legs; the deployment's most attempts
 	carry [4]Carried // likewise, of what they carry
 	step  uint32     // slot
 	id    policy.RequestID
@@ -296,7 +296,7 @@
 	}
 	t := &j.try
 	for len(t.Legs) <= n {
-		t.Legs = append(t.Legs, Leg{Span: r.newSpan(), Result: None, Said: None})
+		t.Legs = append(t.Legs, Attempt{Span: r.newSpan(), Result: None, Said: None})
 	}
 	l := &t.Legs[n]
 	l.Host, l.Dial, l.Why, l.Sent = host, dial, Why(j.why), now-t.At
@@ -311,7 +311,7 @@
 
 func (j *Journey) is(id policy.RequestID) bool { return j != nil && j.id == id }
 
-func (j *Journey) leg(id policy.RequestID, n int) *Leg {
+func (j *Journey) leg(id policy.RequestID, n int) *Attempt {
 	if !j.is(id) || n < 0 || n >= len(j.try.Legs) {
 		return nil
 	}
@@ -536,7 +536,7 @@
 		r.counts.Share++
 	}
 	kept := *t
-	kept.Legs = append([]Leg(nil), t.Legs...)
+	kept.Legs = append([]Attempt(nil), t.Legs...)
 	r.host.Keep(&kept)
 }
 
--- a/internal/trace/show/show.go
+++ b/internal/trace/show/show.go
@@ -39,7 +39,7 @@
 		(f.Outcome == trace.Unknown || f.Outcome == t.Outcome) && slow >= f.SlowerThan &&
 		(!f.Late || t.Late) && (!f.Retried || t.Number > 1 || t.Reasons&trace.ForRetry != 0) &&
 		t.At >= f.Since && (f.Until == 0 || t.At < f.Until) &&
-		(f.Host == "" || slices.ContainsFunc(t.Legs, func(l trace.Leg) bool { return l.Host == f.Host }))
+		(f.Host == "" || slices.ContainsFunc(t.Legs, func(l trace.Attempt) bool { return l.Host == f.Host }))
 }
 
 // Scan calls each for every record in a sink's files, the oldest first. What is damaged is told to warn.
@@ -259,7 +259,7 @@
 	return line
 }
 
-func (s scale) leg(t *trace.Record, l *trace.Leg) []byte {
+func (s scale) leg(t *trace.Record, l *trace.Attempt) []byte {
 	line := s.blank()
 	connect := trace.Line
 	if l.Fresh {
