--- a/cmd/notchlab/demo.go
+++ b/cmd/notchlab/demo.go
@@ -162,13 +162,13 @@
 	var shown []*trace.Record
 	most := 0
 	for _, t := range traced {
-		if len(t.Legs) < 2 && t.Number < 2 {
+		if len(t.Attempts) < 2 && t.Number < 2 {
 			continue
 		}
 		step := show.Step(traced, t.Trace)
 		n := 0
 		for _, s := range step {
-			n += 1 + len(s.Legs)
+			n += 1 + len(s.Attempts)
 		}
 		if n > most && len(step) <= 4 {
 			shown, most = step, n
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -55,12 +55,12 @@
 		t.Fatalf("%d records were exported, want 1", len(records))
 	}
 	record := records[0]
-	got := fmt.Sprintf("%v %v %v %v %v %v %v %v", record.Outcome == trace.Failed, record.Why, len(record.Legs), record.CallID,
+	got := fmt.Sprintf("%v %v %v %v %v %v %v %v", record.Outcome == trace.Failed, record.Why, len(record.Attempts), record.CallID,
 		record.Parent == parent.Span, record.End, record.Phases[trace.Queue], record.Phases[trace.Answer])
 	if want := "true out_of_time 2 call true 5s 10ms 0s"; got != want {
 		t.Fatalf("got %s, want %s: %+v", got, want, record)
 	}
-	earlier, second := record.Legs[0], record.Legs[1]
+	earlier, second := record.Attempts[0], record.Attempts[1]
 	got = fmt.Sprintf("%v %v %v %v", earlier.Why, earlier.Result, second.Result, second.Said)
 	if want := "drawn reset timed_out cancelled"; got != want {
 		t.Errorf("got %s, want %s: %+v", got, want, record)
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -61,7 +61,7 @@
 		y := &trace.Record{
 			Trace: trace.TraceID{1}, Span: trace.SpanID{id[0]}, CallID: id, Number: 1, At: time.Duration(start.UnixNano()),
 			End: 2 * time.Second, First: time.Second, Outcome: trace.Served, Reasons: trace.ForLate,
-			Legs: []trace.Attempt{{Span: trace.SpanID{id[0], 1}, Host: "s", First: 1, Told: 2 * time.Second, Result: trace.Result(policy.ResultOK)}},
+			Attempts: []trace.Attempt{{Span: trace.SpanID{id[0], 1}, Host: "s", First: 1, Told: 2 * time.Second, Result: trace.Result(policy.ResultOK)}},
 		}
 		y.Phases[trace.Stream] = y.End
 		return y
@@ -95,7 +95,7 @@
 	}
 	slow, noResult, wrongOutcome, wrongPhases := record("a"), record("a"), record("a"), record("a")
 	slow.End, slow.Phases[trace.Stream] = 3*time.Second, 3*time.Second
-	noResult.Legs[0].Result = trace.None
+	noResult.Attempts[0].Result = trace.None
 	wrongOutcome.Outcome = trace.Failed
 	wrongPhases.Phases[trace.Hold] = time.Second
 	for name, c := range map[string]struct {
--- a/internal/router/trace_test.go
+++ b/internal/router/trace_test.go
@@ -66,7 +66,7 @@
 	for _, d := range record.Phases {
 		sum += d
 	}
-	if record.Outcome != trace.Served || record.End != 2*time.Second || sum != record.End || len(record.Legs) != 1 || record.Legs[0].Result.String() != "ok" ||
+	if record.Outcome != trace.Served || record.End != 2*time.Second || sum != record.End || len(record.Attempts) != 1 || record.Attempts[0].Result.String() != "ok" ||
 		record.Phases[trace.Wait] < 2*time.Second-time.Microsecond || record.Front != "calls" {
 		t.Errorf("%+v", record)
 	}
--- a/internal/trace/export/otlp.go
+++ b/internal/trace/export/otlp.go
@@ -184,7 +184,7 @@
 			number("gen_ai.usage.input_tokens", int64(t.Prompt)),
 			text("notchhinge.call_id", t.CallID), text("notchhinge.class", t.Class), text("notchhinge.front", t.Front),
 			text("notchhinge.outcome", t.Outcome.String()), number("notchhinge.try", int64(t.Number)),
-			flag("notchhinge.late", t.Late), number("notchhinge.legs", int64(len(t.Legs))),
+			flag("notchhinge.late", t.Late), number("notchhinge.legs", int64(len(t.Attempts))),
 			number("notchhinge.aim_us", t.Aim.Microseconds()),
 			list("notchhinge.kept_for", t.Reasons.Names()),
 		},
@@ -234,14 +234,14 @@
 		}}
 	}
 	spans := []*tracepb.Span{root}
-	for n := range t.Legs {
+	for n := range t.Attempts {
 		spans = append(spans, legSpan(t, n))
 	}
 	return spans
 }
 
 func legSpan(t *trace.Record, n int) *tracepb.Span {
-	l := &t.Legs[n]
+	l := &t.Attempts[n]
 	at := func(d time.Duration) uint64 { return uint64(max(t.At+d, 0)) }
 	end := max(l.Ended, l.Told, l.Sent)
 	if l.Ended == 0 && l.Told == 0 {
--- a/internal/trace/export/queue.go
+++ b/internal/trace/export/queue.go
@@ -129,13 +129,13 @@
 }
 
 func size(t *trace.Record) int {
-	return int(unsafe.Sizeof(trace.Record{})) + cap(t.Legs)*int(unsafe.Sizeof(trace.Attempt{})) + 64
+	return int(unsafe.Sizeof(trace.Record{})) + cap(t.Attempts)*int(unsafe.Sizeof(trace.Attempt{})) + 64
 }
 
 func spans(some []*trace.Record) int {
 	n := len(some)
 	for _, t := range some {
-		n += len(t.Legs)
+		n += len(t.Attempts)
 	}
 	return n
 }
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -16,7 +16,7 @@
 		Prompt: 5000.5, Tokens: 70, Kept: 64.25,
 		At: 1_764_000_000_123_456_789, Reading: 1000, First: 900_000, Decided: 950_000, End: time.Millisecond, Aim: 800 * time.Millisecond,
 		Outcome: Refused, Why: RouterFull, RetryAfter: 2 * time.Second,
-		Legs: []Attempt{
+		Attempts: []Attempt{
 			{
 				Span: SpanID{9}, Host: "s-1", Dial: "10.0.0.5:8000", Why: 2, Sent: 1000, Begun: 2000, Lined: 3000, Fresh: true, Written: 4000,
 				First: 500_000, Event: 600_000, Bound: 700_000, Told: 800_000, Ended: 900_000, Relay: 100, Bytes: 900, Result: 1, Said: 5, Stale: true,
--- a/internal/trace/pack.go
+++ b/internal/trace/pack.go
@@ -13,14 +13,14 @@
 	b = append(b, t.Trace[:]...)
 	b = append(b, t.Span[:]...)
 	b = append(b, t.Parent[:]...)
-	b = append(b, t.Flags, byte(t.Outcome), byte(t.Why), byte(len(t.Legs)))
+	b = append(b, t.Flags, byte(t.Outcome), byte(t.Why), byte(len(t.Attempts)))
 	b = words(b, t.Session, math.Float64bits(t.Prompt), math.Float64bits(t.Kept), uint64(t.At), uint64(t.Reading), uint64(t.First),
 		uint64(t.Decided), uint64(t.End), uint64(t.Aim), uint64(t.RetryAfter), uint64(t.Tokens), uint64(taken))
 	for _, s := range [...]string{t.State, t.Pool, t.Front, t.Team, t.CallID, t.Class} {
 		b = append(binary.LittleEndian.AppendUint16(b, uint16(len(s))), s...)
 	}
-	for i := range t.Legs {
-		l := &t.Legs[i]
+	for i := range t.Attempts {
+		l := &t.Attempts[i]
 		b = append(b, l.Span[:]...)
 		b = append(b, byte(l.Why), byte(l.Result), byte(l.Said), bit(l.Fresh)|bit(l.Stale)<<1)
 		b = words(b, uint64(l.Sent), uint64(l.Begun), uint64(l.Lined), uint64(l.Written), uint64(l.First), uint64(l.Event),
@@ -104,7 +104,7 @@
 		if u.err != nil {
 			return nil, u.err
 		}
-		t.Legs = append(t.Legs, l)
+		t.Attempts = append(t.Attempts, l)
 	}
 	if u.err != nil {
 		return nil, u.err
--- a/internal/trace/pack_test.go
+++ b/internal/trace/pack_test.go
@@ -18,7 +18,7 @@
 			At: d("at"), Reading: d("reading"), First: d("first"), End: d("end"), Aim: d("aim"), Outcome: Served, Why: RouterFull,
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "legs") {
-			want.Legs = append(want.Legs, Attempt{
+			want.Attempts = append(want.Attempts, Attempt{
 				Span: SpanID{9}, Host: s("host"), Dial: s("dial"), Sent: d("sent"), Told: d("told"),
 				Relay: d("relay"), Bytes: 900, Result: None, Said: 2, Fresh: true,
 			})
@@ -37,7 +37,7 @@
 }
 
 func FuzzUnpack(f *testing.F) {
-	f.Add((&Record{CallID: "x", Legs: []Attempt{{Host: "h"}}}).pack(nil, 0))
+	f.Add((&Record{CallID: "x", Attempts: []Attempt{{Host: "h"}}}).pack(nil, 0))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if y, err := unpack(b); err == nil && y == nil {
 			t.Error("nothing, and no error")
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -243,7 +243,7 @@
 	Late       bool                  `json:"late,omitzero"`
 	Reasons    Reason                `json:"reasons"`
 	Phases     [Phases]time.Duration `json:"phases"` // they add up to End
-	Legs       []Attempt             `json:"legs"`
+	Attempts   []Attempt             `json:"legs"`
 }
 
 // Attempt is the record of one attempt. Its times are counted from its try's At; 0 = never came to it.
@@ -297,8 +297,8 @@
 // owner tells whose the moment at is, and until when it stays so.
 func (t *Record) owner(at, until time.Duration) (owner *Attempt, next time.Duration) {
 	next = until
-	for i := range t.Legs {
-		l := &t.Legs[i]
+	for i := range t.Attempts {
+		l := &t.Attempts[i]
 		over := l.over()
 		switch {
 		case l.Sent > at:
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -122,7 +122,7 @@
 	j := r.journey()
 	t := &j.try
 	t.Router, t.CallID, t.Session, t.Prompt, t.At = r.o.Router, callID, q.Session, q.PromptTokens, min(at, now)
-	t.Legs = j.legs[:0]
+	t.Attempts = j.legs[:0]
 	j.id, j.from, j.taken = id, from, now-t.At
 	if set != nil {
 		t.Pool = set.Pool
@@ -224,8 +224,8 @@
 		j.id = 0
 		return
 	}
-	clear(j.carry[:min(len(j.try.Legs), len(j.carry))])
-	clear(j.try.Legs) // a part of j.legs; the rest is clear
+	clear(j.carry[:min(len(j.try.Attempts), len(j.carry))])
+	clear(j.try.Attempts) // a part of j.legs; the rest is clear
 	j.try = Record{}
 	j.id, j.from, j.why, j.out, j.over, j.tells, j.place, j.class = 0, nil, 0, 0, false, false, nil, nil
 	r.spare = append(r.spare, j)
@@ -295,10 +295,10 @@
 		return &Carried{}
 	}
 	t := &j.try
-	for len(t.Legs) <= n {
-		t.Legs = append(t.Legs, Attempt{Span: r.newSpan(), Result: None, Said: None})
+	for len(t.Attempts) <= n {
+		t.Attempts = append(t.Attempts, Attempt{Span: r.newSpan(), Result: None, Said: None})
 	}
-	l := &t.Legs[n]
+	l := &t.Attempts[n]
 	l.Host, l.Dial, l.Why, l.Sent = host, dial, Why(j.why), now-t.At
 	j.out++
 	c := &Carried{}
@@ -312,10 +312,10 @@
 func (j *Journey) is(id policy.RequestID) bool { return j != nil && j.id == id }
 
 func (j *Journey) leg(id policy.RequestID, n int) *Attempt {
-	if !j.is(id) || n < 0 || n >= len(j.try.Legs) {
+	if !j.is(id) || n < 0 || n >= len(j.try.Attempts) {
 		return nil
 	}
-	return &j.try.Legs[n]
+	return &j.try.Attempts[n]
 }
 
 // Bound tells that a leg's answer is the client's.
@@ -395,8 +395,8 @@
 		j.tells = false
 	default:
 		j.tells = false
-		for i := range t.Legs {
-			if l := &t.Legs[i]; l.Bound != 0 && l.Ended != 0 {
+		for i := range t.Attempts {
+			if l := &t.Attempts[i]; l.Bound != 0 && l.Ended != 0 {
 				t.End = l.Ended
 			}
 		}
@@ -488,7 +488,7 @@
 	case Open, Unknown:
 		why = ForOpen
 	}
-	if len(t.Legs) > 1 {
+	if len(t.Attempts) > 1 {
 		why |= ForLegs
 	}
 	return why
@@ -536,7 +536,7 @@
 		r.counts.Share++
 	}
 	kept := *t
-	kept.Legs = append([]Attempt(nil), t.Legs...)
+	kept.Attempts = append([]Attempt(nil), t.Attempts...)
 	r.host.Keep(&kept)
 }
 
--- a/internal/trace/show/show.go
+++ b/internal/trace/show/show.go
@@ -39,7 +39,7 @@
 		(f.Outcome == trace.Unknown || f.Outcome == t.Outcome) && slow >= f.SlowerThan &&
 		(!f.Late || t.Late) && (!f.Retried || t.Number > 1 || t.Reasons&trace.ForRetry != 0) &&
 		t.At >= f.Since && (f.Until == 0 || t.At < f.Until) &&
-		(f.Host == "" || slices.ContainsFunc(t.Legs, func(l trace.Attempt) bool { return l.Host == f.Host }))
+		(f.Host == "" || slices.ContainsFunc(t.Attempts, func(l trace.Attempt) bool { return l.Host == f.Host }))
 }
 
 // Scan calls each for every record in a sink's files, the oldest first. What is damaged is told to warn.
@@ -89,9 +89,9 @@
 }
 
 func legs(y *trace.Record) string {
-	results := make([]string, len(y.Legs))
-	for i := range y.Legs {
-		results[i] = y.Legs[i].Result.String()
+	results := make([]string, len(y.Attempts))
+	for i := range y.Attempts {
+		results[i] = y.Attempts[i].Result.String()
 	}
 	return strings.Join(results, ">")
 }
@@ -171,8 +171,8 @@
 	begin, end := step[0].At, step[0].At
 	for _, t := range step {
 		end = max(end, t.At+t.End)
-		for i := range t.Legs {
-			end = max(end, t.At+t.Legs[i].Ended)
+		for i := range t.Attempts {
+			end = max(end, t.At+t.Attempts[i].Ended)
 		}
 	}
 	const label = 9
@@ -207,8 +207,8 @@
 			fmt.Fprintf(w, ", trace %v", t.Trace)
 		}
 		fmt.Fprintln(w)
-		for n := range t.Legs {
-			l := &t.Legs[n]
+		for n := range t.Attempts {
+			l := &t.Attempts[n]
 			fmt.Fprintf(w, "  leg %-3d|%s| %s %v -> %v", n, s.leg(t, l), l.Host, l.Why, l.Result)
 			if l.Said != l.Result && l.Said != trace.None {
 				fmt.Fprintf(w, " (its line: %v after %s)", l.Said, millis(l.Ended-l.Sent))
--- a/internal/trace/show/show_test.go
+++ b/internal/trace/show/show_test.go
@@ -22,7 +22,7 @@
 		Trace: trace.TraceID{0xab}, Span: trace.SpanID{1}, Number: 1, Router: "n1", CallID: "c1", Class: "shift-agent", Prompt: 5000,
 		At: 1000 * time.Second, End: 1000 * ms, Outcome: trace.Failed, Why: trace.Why(policy.ReasonDeadline), Aim: 2700 * ms,
 		Reasons: trace.ForFailed | trace.ForLegs,
-		Legs: []trace.Attempt{
+		Attempts: []trace.Attempt{
 			{
 				Host: "s-1", Why: trace.Why(policy.ReasonAffinity), Sent: 0, Begun: ms, Lined: 2 * ms, Written: 3 * ms, Told: 400 * ms, Ended: 400 * ms,
 				Result: trace.Result(policy.ResultReset), Said: trace.Result(policy.ResultReset), Stale: true,
@@ -38,7 +38,7 @@
 		Trace: trace.TraceID{0xcd}, Span: trace.SpanID{2}, Number: 2, Before: trace.Link{Trace: first.Trace, Span: first.Span}, Router: "n2",
 		CallID: "c2", Class: "shift-agent", Prompt: 5000, Tokens: 80, At: 1001*time.Second + 200*ms, First: 200 * ms, End: 800 * ms,
 		Outcome: trace.Served, Aim: 2700 * ms, Reasons: trace.ForRetry,
-		Legs: []trace.Attempt{{
+		Attempts: []trace.Attempt{{
 			Host: "s-2", Why: trace.Why(policy.ReasonAffinity), Begun: ms, Lined: ms, Written: ms, First: 199 * ms, Event: 199 * ms,
 			Bound: 200 * ms, Told: 800 * ms, Ended: 800 * ms, Said: trace.Result(policy.ResultOK),
 		}},
