--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -25,7 +25,7 @@
 	reachedHost     bool  // at least one attempt has reached a host
 	mayHaveRun      bool  // at least one ended attempt may have run
 	running         int32 // attempts whose outcome was not reported to the module yet
-	trace           *trace.Journey
+	trace           *trace.RequestSpan
 }
 
 // clientRequestKey identifies an open request by the ID that its client gave it. IDs are unique within a pool only.
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -65,20 +65,20 @@
 	host    Host
 	rnd     *rand.Rand
 	sampler Sampler
-	state   string                        // a new trace of the share goes on with this tracestate
-	late    map[policy.RequestID]*Journey // over, but lacking the last word of a leg
-	telling map[any]*Journey              // a declining answer is being written to them
+	state   string                            // a new trace of the share goes on with this tracestate
+	late    map[policy.RequestID]*RequestSpan // over, but lacking the last word of a leg
+	telling map[any]*RequestSpan              // a declining answer is being written to them
 	table   *table
-	lingers list.List     // of *Journey that are over and lack a last word, by the time they are closed
-	woken   time.Duration // a Wake is out for then; 0 = none
-	all     []*Journey    // every one made
-	spare   []*Journey    // of these, not in use
+	lingers list.List      // of *Journey that are over and lack a last word, by the time they are closed
+	woken   time.Duration  // a Wake is out for then; 0 = none
+	all     []*RequestSpan // every one made
+	spare   []*RequestSpan // of these, not in use
 	counts  Counters
 }
 
-// Journey is a try that is under way. Its owner keeps it beside the authorisation's id; it is used again for others, so
+// RequestSpan is a try that is under way. Its owner keeps it beside the authorisation's id; it is used again for others, so
 // that it does nothing for an id that it is no longer of.
-type Journey struct {
+type RequestSpan struct {
 	try   Record
 	legs  [4]Attempt // room for try.Legs; the deployment's most attempts
 	carry [4]Carried // likewise, of what they carry
@@ -99,7 +99,7 @@
 func New(o Options, host Host) *Recorder {
 	r := &Recorder{
 		o: o, host: host, rnd: rand.New(rand.NewPCG(o.Seed, 0x6a09e667f3bcc909)), sampler: NewSampler(o.Share, o.PerSecond),
-		late: map[policy.RequestID]*Journey{}, telling: map[any]*Journey{},
+		late: map[policy.RequestID]*RequestSpan{}, telling: map[any]*RequestSpan{},
 		table: newTable(max(o.Steps, 1)),
 	}
 	r.state = r.sampler.state("", true)
@@ -117,7 +117,7 @@
 // beginning. So may set: then its class is one of the options'.
 func (r *Recorder) Taken(now time.Duration, id policy.RequestID, from any, callID string, at time.Duration,
 	q *policy.Request, o *Origin, set *Set,
-) *Journey {
+) *RequestSpan {
 	r.counts.Taken++
 	j := r.journey()
 	t := &j.try
@@ -204,10 +204,10 @@
 }
 
 // journey returns an empty one.
-func (r *Recorder) journey() *Journey {
+func (r *Recorder) journey() *RequestSpan {
 	n := len(r.spare)
 	if n == 0 {
-		j := &Journey{}
+		j := &RequestSpan{}
 		r.all = append(r.all, j)
 		return j
 	}
@@ -217,10 +217,10 @@
 }
 
 // done puts a journey that has ended back. There are as many as there were ever authorisations open at once.
-func (r *Recorder) done(j *Journey) {
+func (r *Recorder) done(j *RequestSpan) {
 	if j.out > 0 {
 		// A leg may yet write into what it carries: this one is not used again, and is nobody's from now on.
-		r.all = slices.DeleteFunc(r.all, func(other *Journey) bool { return other == j })
+		r.all = slices.DeleteFunc(r.all, func(other *RequestSpan) bool { return other == j })
 		j.id = 0
 		return
 	}
@@ -283,14 +283,14 @@
 }
 
 // Because notes why the module acts next.
-func (r *Recorder) Because(id policy.RequestID, j *Journey, why policy.Reason) {
+func (r *Recorder) Because(id policy.RequestID, j *RequestSpan, why policy.Reason) {
 	if j.is(id) {
 		j.why = why
 	}
 }
 
 // Sent begins a leg and returns what it carries.
-func (r *Recorder) Sent(now time.Duration, id policy.RequestID, j *Journey, n int, host, dial string) *Carried {
+func (r *Recorder) Sent(now time.Duration, id policy.RequestID, j *RequestSpan, n int, host, dial string) *Carried {
 	if !j.is(id) {
 		return &Carried{}
 	}
@@ -309,9 +309,9 @@
 	return c
 }
 
-func (j *Journey) is(id policy.RequestID) bool { return j != nil && j.id == id }
+func (j *RequestSpan) is(id policy.RequestID) bool { return j != nil && j.id == id }
 
-func (j *Journey) leg(id policy.RequestID, n int) *Attempt {
+func (j *RequestSpan) leg(id policy.RequestID, n int) *Attempt {
 	if !j.is(id) || n < 0 || n >= len(j.try.Attempts) {
 		return nil
 	}
@@ -319,7 +319,7 @@
 }
 
 // Bound tells that a leg's answer is the client's.
-func (r *Recorder) Bound(now time.Duration, id policy.RequestID, j *Journey, n int) {
+func (r *Recorder) Bound(now time.Duration, id policy.RequestID, j *RequestSpan, n int) {
 	if l := j.leg(id, n); l != nil {
 		l.Bound = now - j.try.At
 		j.try.First = l.Bound
@@ -327,7 +327,7 @@
 }
 
 // Told tells the result of a leg as the module hears it.
-func (r *Recorder) Told(now time.Duration, id policy.RequestID, j *Journey, n int, result policy.Result, kept float64) {
+func (r *Recorder) Told(now time.Duration, id policy.RequestID, j *RequestSpan, n int, result policy.Result, kept float64) {
 	if l := j.leg(id, n); l != nil {
 		l.Told, l.Result = max(now-j.try.At, 1), Result(result)
 		if kept > 0 && l.Bound != 0 {
@@ -337,7 +337,7 @@
 }
 
 // Ended tells what the line of a leg came to, be it long after the module has heard of its result. m may be nil.
-func (r *Recorder) Ended(now time.Duration, id policy.RequestID, j *Journey, n int, said policy.Result, stale bool, m *Times) {
+func (r *Recorder) Ended(now time.Duration, id policy.RequestID, j *RequestSpan, n int, said policy.Result, stale bool, m *Times) {
 	l := j.leg(id, n)
 	if l == nil || l.Ended != 0 {
 		return
@@ -378,7 +378,7 @@
 }
 
 // Closed ends a try towards its client. For a bound leg, Ended follows or has come.
-func (r *Recorder) Closed(now time.Duration, id policy.RequestID, j *Journey, o Outcome, retryAfter time.Duration) {
+func (r *Recorder) Closed(now time.Duration, id policy.RequestID, j *RequestSpan, o Outcome, retryAfter time.Duration) {
 	if !j.is(id) || j.over {
 		return
 	}
@@ -418,7 +418,7 @@
 }
 
 // finish closes the record of a try once nothing is missing, or if it must.
-func (r *Recorder) finish(now time.Duration, j *Journey, must bool) {
+func (r *Recorder) finish(now time.Duration, j *RequestSpan, must bool) {
 	if !j.over {
 		return
 	}
@@ -582,7 +582,7 @@
 	r.woken = 0
 	var next time.Duration
 	for first := r.lingers.Front(); first != nil; first = r.lingers.Front() {
-		j := first.Value.(*Journey)
+		j := first.Value.(*RequestSpan)
 		if now < j.until {
 			next = j.until
 			break
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -18,7 +18,7 @@
 	now   time.Duration
 	wakes []time.Duration
 	kept  []*Record
-	of    map[policy.RequestID]*Journey
+	of    map[policy.RequestID]*RequestSpan
 }
 
 func (r *rig) Wake(at time.Duration) { r.wakes = append(r.wakes, at) }
@@ -33,7 +33,7 @@
 	if change != nil {
 		change(&o)
 	}
-	r := &rig{now: 1000 * time.Second, of: map[policy.RequestID]*Journey{}}
+	r := &rig{now: 1000 * time.Second, of: map[policy.RequestID]*RequestSpan{}}
 	r.Recorder = New(o, r)
 	return r
 }
