--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -62,7 +62,7 @@
 }
 
 // traceSent records an attempt in the trace and returns the span that it carries, or nil if tracing is off.
-func (p *pool) traceSent(req *request, att *attempt, h *Host) *trace.Carried {
+func (p *pool) traceSent(req *request, att *attempt, h *Host) *trace.AttemptSpan {
 	d := p.dispatcher
 	if d.traces == nil {
 		return nil
--- a/internal/dispatch/effect.go
+++ b/internal/dispatch/effect.go
@@ -35,7 +35,7 @@
 	// StartTracedAttempt replaces StartAttempt when tracing is on. The attempt carries Span to the host.
 	StartTracedAttempt struct {
 		StartAttempt
-		Span *trace.Carried
+		Span *trace.AttemptSpan
 	}
 	// BindAttempt makes an attempt the one whose response is passed on to the client.
 	BindAttempt struct{ Attempt AttemptID }
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -187,8 +187,8 @@
 	Tokens  int           // of the answer, by its usage; 0 = not told
 }
 
-// Carried is what a traced leg has with it: the context for its host, and the times that are measured on its way.
-type Carried struct {
+// AttemptSpan is what a traced leg has with it: the context for its host, and the times that are measured on its way.
+type AttemptSpan struct {
 	Context
 	Times Times
 }
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -80,9 +80,9 @@
 // that it does nothing for an id that it is no longer of.
 type RequestSpan struct {
 	try   Record
-	legs  [4]Attempt // room for try.Legs; the deployment's most attempts
-	carry [4]Carried // likewise, of what they carry
-	step  uint32     // slot
+	legs  [4]Attempt     // room for try.Legs; the deployment's most attempts
+	carry [4]AttemptSpan // likewise, of what they carry
+	step  uint32         // slot
 	id    policy.RequestID
 	from  any
 	why   policy.Reason
@@ -290,9 +290,9 @@
 }
 
 // Sent begins a leg and returns what it carries.
-func (r *Recorder) Sent(now time.Duration, id policy.RequestID, j *RequestSpan, n int, host, dial string) *Carried {
+func (r *Recorder) Sent(now time.Duration, id policy.RequestID, j *RequestSpan, n int, host, dial string) *AttemptSpan {
 	if !j.is(id) {
-		return &Carried{}
+		return &AttemptSpan{}
 	}
 	t := &j.try
 	for len(t.Attempts) <= n {
@@ -301,7 +301,7 @@
 	l := &t.Attempts[n]
 	l.Host, l.Dial, l.Why, l.Sent = host, dial, Why(j.why), now-t.At
 	j.out++
-	c := &Carried{}
+	c := &AttemptSpan{}
 	if n < len(j.carry) {
 		c = &j.carry[n]
 	}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -40,7 +40,7 @@
 	t.startAttempt(e.StartAttempt, e.Span)
 }
 
-func (t *Transport) startAttempt(e dispatch.StartAttempt, span *trace.Carried) {
+func (t *Transport) startAttempt(e dispatch.StartAttempt, span *trace.AttemptSpan) {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{
 		transport: t, start: e, cancel: cancel, bound: make(chan struct{}, 1), outcome: dispatch.AttemptEnded{Attempt: e.Attempt},
--- a/internal/upstream/trace_test.go
+++ b/internal/upstream/trace_test.go
@@ -22,7 +22,7 @@
 			t.Fatal("ParseParent rejected the trace context")
 		}
 		client := &downstream{body: []byte(`{"model":"chat"}`)}
-		h.startTracedAttempt(dispatch.StartTracedAttempt{StartAttempt: startEffect(0, client), Span: &trace.Carried{Context: span}})
+		h.startTracedAttempt(dispatch.StartTracedAttempt{StartAttempt: startEffect(0, client), Span: &trace.AttemptSpan{Context: span}})
 		conn := <-accepted
 		play(t, conn, "traced")
 		synctest.Wait()
