--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -107,7 +107,7 @@
 	req.mayHaveRun = req.mayHaveRun || result != policy.ResultFull && !neverReached
 	p.counters.Outcomes[result]++
 	if d.traces != nil {
-		d.traces.Told(d.now, req.id, req.trace, att.id.Index, result, o.cachedTokens)
+		d.traces.RecordResult(d.now, req.id, req.trace, att.id.Index, result, o.cachedTokens)
 	}
 	if req.bound == att && !req.answered {
 		d.closeBound(req, result)
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -76,7 +76,7 @@
 	r.Ended(r.now, id, r.of[id], 0, policy.ResultOK, false, &Times{
 		Begun: sent, Lined: sent + ms, Written: sent + 2*ms, First: bound - ms, Event: bound, Bound: bound, Ended: r.now, Tokens: 10,
 	})
-	r.Told(r.now, id, r.of[id], 0, policy.ResultOK, 64)
+	r.RecordResult(r.now, id, r.of[id], 0, policy.ResultOK, 64)
 	r.Closed(r.now, id, r.of[id], Served, 0)
 }
 
@@ -122,7 +122,7 @@
 				r.Sent(r.now, 1, r.of[1], n, "s", "d")
 				r.after(ms)
 				r.Ended(r.now, 1, r.of[1], n, policy.ResultReset, false, nil)
-				r.Told(r.now, 1, r.of[1], n, policy.ResultReset, 0)
+				r.RecordResult(r.now, 1, r.of[1], n, policy.ResultReset, 0)
 			}
 			r.Because(1, r.of[1], policy.ReasonRetryBudget)
 			r.Closed(r.now, 1, r.of[1], Failed, 0)
@@ -132,7 +132,7 @@
 			r.Sent(r.now, 1, r.of[1], 0, "s", "d")
 			r.Bound(r.now, 1, r.of[1], 0)
 			r.Ended(r.now, 1, r.of[1], 0, policy.ResultReset, false, nil)
-			r.Told(r.now, 1, r.of[1], 0, policy.ResultReset, 0)
+			r.RecordResult(r.now, 1, r.of[1], 0, policy.ResultReset, 0)
 			r.Closed(r.now, 1, r.of[1], Broken, 0)
 			return ForBroken
 		},
@@ -220,7 +220,7 @@
 	}
 	r.Bound(r.now, 1, r.of[1], 0)
 	r.Ended(r.now, 1, r.of[1], 0, policy.ResultOK, false, nil)
-	r.Told(r.now, 1, r.of[1], 0, policy.ResultOK, 0)
+	r.RecordResult(r.now, 1, r.of[1], 0, policy.ResultOK, 0)
 	r.Closed(r.now, 1, r.of[1], Served, 0)
 	if len(r.kept) != 2 || r.kept[1].CallID != "call1" || r.kept[1].Reasons&ForLinked == 0 && r.kept[1].Reasons&ForLate == 0 {
 		t.Errorf("kept %+v", r.kept[1])
@@ -237,10 +237,10 @@
 	r.Sent(r.now, 1, r.of[1], 1, "s-2", "d2")
 	r.after(50 * ms)
 	r.Bound(r.now, 1, r.of[1], 1)
-	r.Told(r.now, 1, r.of[1], 0, policy.ResultCancelled, 0)
+	r.RecordResult(r.now, 1, r.of[1], 0, policy.ResultCancelled, 0)
 	r.after(50 * ms)
 	r.Ended(r.now, 1, r.of[1], 1, policy.ResultOK, false, nil)
-	r.Told(r.now, 1, r.of[1], 1, policy.ResultOK, 0)
+	r.RecordResult(r.now, 1, r.of[1], 1, policy.ResultOK, 0)
 	r.Closed(r.now, 1, r.of[1], Served, 0)
 	if len(r.kept) != 0 {
 		t.Fatal("closed before the first leg's last word")
@@ -257,7 +257,7 @@
 	// One whose last word never comes is closed all the same.
 	r.take(2, 8, 100, nil)
 	r.Sent(r.now, 2, r.of[2], 0, "s-1", "d1")
-	r.Told(r.now, 2, r.of[2], 0, policy.ResultTimedOut, 0)
+	r.RecordResult(r.now, 2, r.of[2], 0, policy.ResultTimedOut, 0)
 	r.Because(2, r.of[2], policy.ReasonDeadline)
 	r.Closed(r.now, 2, r.of[2], Failed, 0)
 	r.after(2 * time.Second)
@@ -342,7 +342,7 @@
 			case 2:
 				r.Bound(r.now, id, r.of[id], n)
 			case 3:
-				r.Told(r.now, id, r.of[id], n, policy.Result(n), 1)
+				r.RecordResult(r.now, id, r.of[id], n, policy.Result(n), 1)
 			case 4:
 				r.Ended(r.now, id, r.of[id], n, policy.Result(n), false, &Times{Begun: at, Lined: at + ms, Written: at + 2*ms, Relay: time.Second})
 			case 5:
