--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -113,9 +113,9 @@
 	return c
 }
 
-// Taken begins the journey of an authorisation. o may be nil: then it has no context and nothing is known of its
+// StartRequest begins the journey of an authorisation. o may be nil: then it has no context and nothing is known of its
 // beginning. So may set: then its class is one of the options'.
-func (r *Recorder) Taken(now time.Duration, id policy.RequestID, from any, callID string, at time.Duration,
+func (r *Recorder) StartRequest(now time.Duration, id policy.RequestID, from any, callID string, at time.Duration,
 	q *policy.Request, o *Origin, set *Set,
 ) *RequestSpan {
 	r.counts.Taken++
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -61,7 +61,7 @@
 
 func (r *rig) take(id policy.RequestID, session uint64, prompt float64, o *Origin) {
 	q := policy.Request{ID: id, Session: session, PromptTokens: prompt}
-	r.of[id] = r.Taken(r.now, id, id, fmt.Sprint("call", id), r.now, &q, o, classes)
+	r.of[id] = r.StartRequest(r.now, id, id, fmt.Sprint("call", id), r.now, &q, o, classes)
 }
 
 // serve plays a leg to its end: first its first event, then the stream.
