--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -71,7 +71,7 @@
 	if h != nil {
 		host = *h
 	}
-	return d.traces.Sent(d.now, req.id, req.trace, att.id.Index, host.Name, host.Addr)
+	return d.traces.StartAttempt(d.now, req.id, req.trace, att.id.Index, host.Name, host.Addr)
 }
 
 // Explain implements policy.Actions.
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -289,8 +289,8 @@
 	}
 }
 
-// Sent begins a leg and returns what it carries.
-func (r *Recorder) Sent(now time.Duration, id policy.RequestID, j *RequestSpan, n int, host, dial string) *AttemptSpan {
+// StartAttempt begins a leg and returns what it carries.
+func (r *Recorder) StartAttempt(now time.Duration, id policy.RequestID, j *RequestSpan, n int, host, dial string) *AttemptSpan {
 	if !j.is(id) {
 		return &AttemptSpan{}
 	}
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -67,7 +67,7 @@
 // serve plays a leg to its end: first its first event, then the stream.
 func (r *rig) serve(id policy.RequestID, first, stream time.Duration) {
 	r.Because(id, r.of[id], policy.ReasonAffinity)
-	r.Sent(r.now, id, r.of[id], 0, "s-1", "127.0.0.2:5000")
+	r.StartAttempt(r.now, id, r.of[id], 0, "s-1", "127.0.0.2:5000")
 	sent := r.now
 	r.after(first)
 	r.Bound(r.now, id, r.of[id], 0)
@@ -119,7 +119,7 @@
 		"gone": func(r *rig) Reason { r.Closed(r.now, 1, r.of[1], Gone, 0); return ForGone },
 		"failed after two legs": func(r *rig) Reason {
 			for n := range 2 {
-				r.Sent(r.now, 1, r.of[1], n, "s", "d")
+				r.StartAttempt(r.now, 1, r.of[1], n, "s", "d")
 				r.after(ms)
 				r.Ended(r.now, 1, r.of[1], n, policy.ResultReset, false, nil)
 				r.RecordResult(r.now, 1, r.of[1], n, policy.ResultReset, 0)
@@ -129,7 +129,7 @@
 			return ForFailed | ForLegs
 		},
 		"broken": func(r *rig) Reason {
-			r.Sent(r.now, 1, r.of[1], 0, "s", "d")
+			r.StartAttempt(r.now, 1, r.of[1], 0, "s", "d")
 			r.Bound(r.now, 1, r.of[1], 0)
 			r.Ended(r.now, 1, r.of[1], 0, policy.ResultReset, false, nil)
 			r.RecordResult(r.now, 1, r.of[1], 0, policy.ResultReset, 0)
@@ -211,7 +211,7 @@
 	r := newRig(nil)
 	c, _ := ParseParent(goodParent)
 	r.take(1, 9, 100, nil)
-	r.Sent(r.now, 1, r.of[1], 0, "s-1", "d")
+	r.StartAttempt(r.now, 1, r.of[1], 0, "s-1", "d")
 	r.after(time.Second)
 	r.take(2, 9, 100, &Origin{Context: c})
 	r.serve(2, 100*ms, 100*ms)
@@ -232,9 +232,9 @@
 	// module heard.
 	r := newRig(nil)
 	r.take(1, 9, 100, nil)
-	r.Sent(r.now, 1, r.of[1], 0, "s-1", "d1")
+	r.StartAttempt(r.now, 1, r.of[1], 0, "s-1", "d1")
 	r.after(50 * ms)
-	r.Sent(r.now, 1, r.of[1], 1, "s-2", "d2")
+	r.StartAttempt(r.now, 1, r.of[1], 1, "s-2", "d2")
 	r.after(50 * ms)
 	r.Bound(r.now, 1, r.of[1], 1)
 	r.RecordResult(r.now, 1, r.of[1], 0, policy.ResultCancelled, 0)
@@ -256,7 +256,7 @@
 	}
 	// One whose last word never comes is closed all the same.
 	r.take(2, 8, 100, nil)
-	r.Sent(r.now, 2, r.of[2], 0, "s-1", "d1")
+	r.StartAttempt(r.now, 2, r.of[2], 0, "s-1", "d1")
 	r.RecordResult(r.now, 2, r.of[2], 0, policy.ResultTimedOut, 0)
 	r.Because(2, r.of[2], policy.ReasonDeadline)
 	r.Closed(r.now, 2, r.of[2], Failed, 0)
@@ -310,7 +310,7 @@
 func TestFlushClosesWhatIsOpen(t *testing.T) {
 	r := newRig(nil)
 	r.take(1, 9, 100, nil)
-	r.Sent(r.now, 1, r.of[1], 0, "s-1", "d")
+	r.StartAttempt(r.now, 1, r.of[1], 0, "s-1", "d")
 	r.after(time.Second)
 	r.Flush(r.now)
 	if len(r.kept) != 1 || r.kept[0].Outcome != Open || r.sum(r.kept[0]) != time.Second || r.of[1].is(1) {
@@ -337,7 +337,7 @@
 				}
 			case 1:
 				if j := r.of[id]; j.is(id) && !j.over && n == len(j.try.Attempts) {
-					r.Sent(r.now, id, r.of[id], n, "s", "d")
+					r.StartAttempt(r.now, id, r.of[id], n, "s", "d")
 				}
 			case 2:
 				r.Bound(r.now, id, r.of[id], n)
