--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -80,7 +80,7 @@
 		return
 	}
 	if req := p.findRequest(id); req != nil {
-		p.dispatcher.traces.Because(id, req.trace, reason)
+		p.dispatcher.traces.SetReason(id, req.trace, reason)
 	}
 }
 
--- a/internal/dispatch/tracing.go
+++ b/internal/dispatch/tracing.go
@@ -55,6 +55,6 @@
 	}
 	d.lastRequestID++
 	t := d.traces.StartRequest(d.now, d.lastRequestID, e.Client, e.ClientRequestID, e.ReceivedAt, &e.Request, e.Origin, p.traceSet)
-	d.traces.Because(d.lastRequestID, t, policy.Reason(reason))
+	d.traces.SetReason(d.lastRequestID, t, policy.Reason(reason))
 	d.traces.Closed(d.now, d.lastRequestID, t, trace.Refused, retryAfter)
 }
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -282,8 +282,8 @@
 	return s
 }
 
-// Because notes why the module acts next.
-func (r *Recorder) Because(id policy.RequestID, j *RequestSpan, why policy.Reason) {
+// SetReason notes why the module acts next.
+func (r *Recorder) SetReason(id policy.RequestID, j *RequestSpan, why policy.Reason) {
 	if j.is(id) {
 		j.why = why
 	}
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -66,7 +66,7 @@
 
 // serve plays a leg to its end: first its first event, then the stream.
 func (r *rig) serve(id policy.RequestID, first, stream time.Duration) {
-	r.Because(id, r.of[id], policy.ReasonAffinity)
+	r.SetReason(id, r.of[id], policy.ReasonAffinity)
 	r.StartAttempt(r.now, id, r.of[id], 0, "s-1", "127.0.0.2:5000")
 	sent := r.now
 	r.after(first)
@@ -112,7 +112,7 @@
 		"late":      func(r *rig) Reason { r.serve(1, 1200*ms, ms); return ForLate },
 		"slow pace": func(r *rig) Reason { r.serve(1, 100*ms, 600*ms); return ForLate },
 		"refused": func(r *rig) Reason {
-			r.Because(1, r.of[1], policy.ReasonLoadShed)
+			r.SetReason(1, r.of[1], policy.ReasonLoadShed)
 			r.Closed(r.now, 1, r.of[1], Refused, ms)
 			return ForRefused
 		},
@@ -124,7 +124,7 @@
 				r.Ended(r.now, 1, r.of[1], n, policy.ResultReset, false, nil)
 				r.RecordResult(r.now, 1, r.of[1], n, policy.ResultReset, 0)
 			}
-			r.Because(1, r.of[1], policy.ReasonRetryBudget)
+			r.SetReason(1, r.of[1], policy.ReasonRetryBudget)
 			r.Closed(r.now, 1, r.of[1], Failed, 0)
 			return ForFailed | ForLegs
 		},
@@ -258,7 +258,7 @@
 	r.take(2, 8, 100, nil)
 	r.StartAttempt(r.now, 2, r.of[2], 0, "s-1", "d1")
 	r.RecordResult(r.now, 2, r.of[2], 0, policy.ResultTimedOut, 0)
-	r.Because(2, r.of[2], policy.ReasonDeadline)
+	r.SetReason(2, r.of[2], policy.ReasonDeadline)
 	r.Closed(r.now, 2, r.of[2], Failed, 0)
 	r.after(2 * time.Second)
 	if len(r.kept) != 2 || r.kept[1].Attempts[0].Said != None || r.kept[1].Why.String() != "out_of_time" {
