--- a/internal/dispatch/tracing.go
+++ b/internal/dispatch/tracing.go
@@ -27,7 +27,7 @@
 	switch {
 	case d.traces == nil:
 	case req != nil:
-		d.traces.Ended(d.now, req.id, req.trace, e.Attempt.Index, e.Result, e.StaleConnection, e.Times)
+		d.traces.EndAttempt(d.now, req.id, req.trace, e.Attempt.Index, e.Result, e.StaleConnection, e.Times)
 	default:
 		d.traces.Late(d.now, e.Attempt.Request, e.Attempt.Index, e.Result, e.StaleConnection, e.Times)
 	}
@@ -36,7 +36,7 @@
 // traceNotSent records the end of an attempt that was never sent. No AttemptEnded follows for it.
 func (d *Dispatcher) traceNotSent(req *request, att *attempt, result policy.Result) {
 	if d.traces != nil {
-		d.traces.Ended(d.now, req.id, req.trace, att.id.Index, result, false, nil)
+		d.traces.EndAttempt(d.now, req.id, req.trace, att.id.Index, result, false, nil)
 	}
 }
 
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -336,8 +336,8 @@
 	}
 }
 
-// Ended tells what the line of a leg came to, be it long after the module has heard of its result. m may be nil.
-func (r *Recorder) Ended(now time.Duration, id policy.RequestID, j *RequestSpan, n int, said policy.Result, stale bool, m *Times) {
+// EndAttempt tells what the line of a leg came to, be it long after the module has heard of its result. m may be nil.
+func (r *Recorder) EndAttempt(now time.Duration, id policy.RequestID, j *RequestSpan, n int, said policy.Result, stale bool, m *Times) {
 	l := j.leg(id, n)
 	if l == nil || l.Ended != 0 {
 		return
@@ -373,7 +373,7 @@
 // Late is Ended for a leg whose authorisation its owner has forgotten.
 func (r *Recorder) Late(now time.Duration, id policy.RequestID, n int, said policy.Result, stale bool, m *Times) {
 	if j := r.late[id]; j != nil {
-		r.Ended(now, id, j, n, said, stale, m)
+		r.EndAttempt(now, id, j, n, said, stale, m)
 	}
 }
 
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -73,7 +73,7 @@
 	r.Bound(r.now, id, r.of[id], 0)
 	bound := r.now
 	r.after(stream)
-	r.Ended(r.now, id, r.of[id], 0, policy.ResultOK, false, &Times{
+	r.EndAttempt(r.now, id, r.of[id], 0, policy.ResultOK, false, &Times{
 		Begun: sent, Lined: sent + ms, Written: sent + 2*ms, First: bound - ms, Event: bound, Bound: bound, Ended: r.now, Tokens: 10,
 	})
 	r.RecordResult(r.now, id, r.of[id], 0, policy.ResultOK, 64)
@@ -121,7 +121,7 @@
 			for n := range 2 {
 				r.StartAttempt(r.now, 1, r.of[1], n, "s", "d")
 				r.after(ms)
-				r.Ended(r.now, 1, r.of[1], n, policy.ResultReset, false, nil)
+				r.EndAttempt(r.now, 1, r.of[1], n, policy.ResultReset, false, nil)
 				r.RecordResult(r.now, 1, r.of[1], n, policy.ResultReset, 0)
 			}
 			r.SetReason(1, r.of[1], policy.ReasonRetryBudget)
@@ -131,7 +131,7 @@
 		"broken": func(r *rig) Reason {
 			r.StartAttempt(r.now, 1, r.of[1], 0, "s", "d")
 			r.Bound(r.now, 1, r.of[1], 0)
-			r.Ended(r.now, 1, r.of[1], 0, policy.ResultReset, false, nil)
+			r.EndAttempt(r.now, 1, r.of[1], 0, policy.ResultReset, false, nil)
 			r.RecordResult(r.now, 1, r.of[1], 0, policy.ResultReset, 0)
 			r.Closed(r.now, 1, r.of[1], Broken, 0)
 			return ForBroken
@@ -219,7 +219,7 @@
 		t.Fatalf("kept %+v", r.kept)
 	}
 	r.Bound(r.now, 1, r.of[1], 0)
-	r.Ended(r.now, 1, r.of[1], 0, policy.ResultOK, false, nil)
+	r.EndAttempt(r.now, 1, r.of[1], 0, policy.ResultOK, false, nil)
 	r.RecordResult(r.now, 1, r.of[1], 0, policy.ResultOK, 0)
 	r.Closed(r.now, 1, r.of[1], Served, 0)
 	if len(r.kept) != 2 || r.kept[1].CallID != "call1" || r.kept[1].Reasons&ForLinked == 0 && r.kept[1].Reasons&ForLate == 0 {
@@ -239,14 +239,14 @@
 	r.Bound(r.now, 1, r.of[1], 1)
 	r.RecordResult(r.now, 1, r.of[1], 0, policy.ResultCancelled, 0)
 	r.after(50 * ms)
-	r.Ended(r.now, 1, r.of[1], 1, policy.ResultOK, false, nil)
+	r.EndAttempt(r.now, 1, r.of[1], 1, policy.ResultOK, false, nil)
 	r.RecordResult(r.now, 1, r.of[1], 1, policy.ResultOK, 0)
 	r.Closed(r.now, 1, r.of[1], Served, 0)
 	if len(r.kept) != 0 {
 		t.Fatal("closed before the first leg's last word")
 	}
 	r.after(100 * ms)
-	r.Ended(r.now, 1, r.of[1], 0, policy.ResultReset, false, nil)
+	r.EndAttempt(r.now, 1, r.of[1], 0, policy.ResultReset, false, nil)
 	if len(r.kept) != 1 {
 		t.Fatal("not closed with the last word")
 	}
@@ -344,7 +344,7 @@
 			case 3:
 				r.RecordResult(r.now, id, r.of[id], n, policy.Result(n), 1)
 			case 4:
-				r.Ended(r.now, id, r.of[id], n, policy.Result(n), false, &Times{Begun: at, Lined: at + ms, Written: at + 2*ms, Relay: time.Second})
+				r.EndAttempt(r.now, id, r.of[id], n, policy.Result(n), false, &Times{Begun: at, Lined: at + ms, Written: at + 2*ms, Relay: time.Second})
 			case 5:
 				r.Closed(r.now, id, r.of[id], Outcome(rapid.IntRange(1, 5).Draw(t, "outcome")), ms)
 			case 6:
