--- a/internal/dispatch/tracing.go
+++ b/internal/dispatch/tracing.go
@@ -43,7 +43,7 @@
 // traceEnd records how a request ended for its client.
 func (d *Dispatcher) traceEnd(req *request, o trace.Outcome, retryAfter time.Duration) {
 	if d.traces != nil {
-		d.traces.Closed(d.now, req.id, req.trace, o, retryAfter)
+		d.traces.EndRequest(d.now, req.id, req.trace, o, retryAfter)
 	}
 }
 
@@ -56,5 +56,5 @@
 	d.lastRequestID++
 	t := d.traces.StartRequest(d.now, d.lastRequestID, e.Client, e.ClientRequestID, e.ReceivedAt, &e.Request, e.Origin, p.traceSet)
 	d.traces.SetReason(d.lastRequestID, t, policy.Reason(reason))
-	d.traces.Closed(d.now, d.lastRequestID, t, trace.Refused, retryAfter)
+	d.traces.EndRequest(d.now, d.lastRequestID, t, trace.Refused, retryAfter)
 }
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -377,8 +377,8 @@
 	}
 }
 
-// Closed ends a try towards its client. For a bound leg, Ended follows or has come.
-func (r *Recorder) Closed(now time.Duration, id policy.RequestID, j *RequestSpan, o Outcome, retryAfter time.Duration) {
+// EndRequest ends a try towards its client. For a bound leg, Ended follows or has come.
+func (r *Recorder) EndRequest(now time.Duration, id policy.RequestID, j *RequestSpan, o Outcome, retryAfter time.Duration) {
 	if !j.is(id) || j.over {
 		return
 	}
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -77,7 +77,7 @@
 		Begun: sent, Lined: sent + ms, Written: sent + 2*ms, First: bound - ms, Event: bound, Bound: bound, Ended: r.now, Tokens: 10,
 	})
 	r.RecordResult(r.now, id, r.of[id], 0, policy.ResultOK, 64)
-	r.Closed(r.now, id, r.of[id], Served, 0)
+	r.EndRequest(r.now, id, r.of[id], Served, 0)
 }
 
 func (r *rig) sum(t *Record) (sum time.Duration) {
@@ -113,10 +113,10 @@
 		"slow pace": func(r *rig) Reason { r.serve(1, 100*ms, 600*ms); return ForLate },
 		"refused": func(r *rig) Reason {
 			r.SetReason(1, r.of[1], policy.ReasonLoadShed)
-			r.Closed(r.now, 1, r.of[1], Refused, ms)
+			r.EndRequest(r.now, 1, r.of[1], Refused, ms)
 			return ForRefused
 		},
-		"gone": func(r *rig) Reason { r.Closed(r.now, 1, r.of[1], Gone, 0); return ForGone },
+		"gone": func(r *rig) Reason { r.EndRequest(r.now, 1, r.of[1], Gone, 0); return ForGone },
 		"failed after two legs": func(r *rig) Reason {
 			for n := range 2 {
 				r.StartAttempt(r.now, 1, r.of[1], n, "s", "d")
@@ -125,7 +125,7 @@
 				r.RecordResult(r.now, 1, r.of[1], n, policy.ResultReset, 0)
 			}
 			r.SetReason(1, r.of[1], policy.ReasonRetryBudget)
-			r.Closed(r.now, 1, r.of[1], Failed, 0)
+			r.EndRequest(r.now, 1, r.of[1], Failed, 0)
 			return ForFailed | ForLegs
 		},
 		"broken": func(r *rig) Reason {
@@ -133,7 +133,7 @@
 			r.Bound(r.now, 1, r.of[1], 0)
 			r.EndAttempt(r.now, 1, r.of[1], 0, policy.ResultReset, false, nil)
 			r.RecordResult(r.now, 1, r.of[1], 0, policy.ResultReset, 0)
-			r.Closed(r.now, 1, r.of[1], Broken, 0)
+			r.EndRequest(r.now, 1, r.of[1], Broken, 0)
 			return ForBroken
 		},
 	} {
@@ -221,7 +221,7 @@
 	r.Bound(r.now, 1, r.of[1], 0)
 	r.EndAttempt(r.now, 1, r.of[1], 0, policy.ResultOK, false, nil)
 	r.RecordResult(r.now, 1, r.of[1], 0, policy.ResultOK, 0)
-	r.Closed(r.now, 1, r.of[1], Served, 0)
+	r.EndRequest(r.now, 1, r.of[1], Served, 0)
 	if len(r.kept) != 2 || r.kept[1].CallID != "call1" || r.kept[1].Reasons&ForLinked == 0 && r.kept[1].Reasons&ForLate == 0 {
 		t.Errorf("kept %+v", r.kept[1])
 	}
@@ -241,7 +241,7 @@
 	r.after(50 * ms)
 	r.EndAttempt(r.now, 1, r.of[1], 1, policy.ResultOK, false, nil)
 	r.RecordResult(r.now, 1, r.of[1], 1, policy.ResultOK, 0)
-	r.Closed(r.now, 1, r.of[1], Served, 0)
+	r.EndRequest(r.now, 1, r.of[1], Served, 0)
 	if len(r.kept) != 0 {
 		t.Fatal("closed before the first leg's last word")
 	}
@@ -259,7 +259,7 @@
 	r.StartAttempt(r.now, 2, r.of[2], 0, "s-1", "d1")
 	r.RecordResult(r.now, 2, r.of[2], 0, policy.ResultTimedOut, 0)
 	r.SetReason(2, r.of[2], policy.ReasonDeadline)
-	r.Closed(r.now, 2, r.of[2], Failed, 0)
+	r.EndRequest(r.now, 2, r.of[2], Failed, 0)
 	r.after(2 * time.Second)
 	if len(r.kept) != 2 || r.kept[1].Attempts[0].Said != None || r.kept[1].Why.String() != "out_of_time" {
 		t.Errorf("kept %+v", r.kept)
@@ -274,7 +274,7 @@
 	for id := policy.RequestID(1); id <= 10000; id++ {
 		r.take(id, uint64(id), 100, nil)
 		if id%100 == 0 {
-			r.Closed(r.now, id, r.of[id], Failed, 0)
+			r.EndRequest(r.now, id, r.of[id], Failed, 0)
 			failed++
 		} else {
 			r.serve(id, 20*time.Microsecond, 20*time.Microsecond)
@@ -346,7 +346,7 @@
 			case 4:
 				r.EndAttempt(r.now, id, r.of[id], n, policy.Result(n), false, &Times{Begun: at, Lined: at + ms, Written: at + 2*ms, Relay: time.Second})
 			case 5:
-				r.Closed(r.now, id, r.of[id], Outcome(rapid.IntRange(1, 5).Draw(t, "outcome")), ms)
+				r.EndRequest(r.now, id, r.of[id], Outcome(rapid.IntRange(1, 5).Draw(t, "outcome")), ms)
 			case 6:
 				r.Answered(r.now, id, at)
 			case 7:
