--- a/internal/dispatch/tracing.go
+++ b/internal/dispatch/tracing.go
@@ -14,7 +14,7 @@
 	}
 	switch e := e.(type) {
 	case RejectionWritten:
-		d.traces.Answered(d.now, e.Client, e.At)
+		d.traces.RejectionWritten(d.now, e.Client, e.At)
 	case StartDrain:
 		d.traces.Drain(d.now)
 	case FlushTraces:
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -405,8 +405,8 @@
 	r.finish(now, j, false)
 }
 
-// Answered tells that the declining answer to a client was written, or that this failed.
-func (r *Recorder) Answered(now time.Duration, from any, at time.Duration) {
+// RejectionWritten tells that the declining answer to a client was written, or that this failed.
+func (r *Recorder) RejectionWritten(now time.Duration, from any, at time.Duration) {
 	j := r.telling[from]
 	if j == nil {
 		return
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -348,7 +348,7 @@
 			case 5:
 				r.EndRequest(r.now, id, r.of[id], Outcome(rapid.IntRange(1, 5).Draw(t, "outcome")), ms)
 			case 6:
-				r.Answered(r.now, id, at)
+				r.RejectionWritten(r.now, id, at)
 			case 7:
 				r.Due(r.now)
 			}
