--- a/internal/dispatch/tracing.go
+++ b/internal/dispatch/tracing.go
@@ -29,7 +29,7 @@
 	case req != nil:
 		d.traces.EndAttempt(d.now, req.id, req.trace, e.Attempt.Index, e.Result, e.StaleConnection, e.Times)
 	default:
-		d.traces.Late(d.now, e.Attempt.Request, e.Attempt.Index, e.Result, e.StaleConnection, e.Times)
+		d.traces.EndLateAttempt(d.now, e.Attempt.Request, e.Attempt.Index, e.Result, e.StaleConnection, e.Times)
 	}
 }
 
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -370,8 +370,8 @@
 	r.finish(now, j, false)
 }
 
-// Late is Ended for a leg whose authorisation its owner has forgotten.
-func (r *Recorder) Late(now time.Duration, id policy.RequestID, n int, said policy.Result, stale bool, m *Times) {
+// EndLateAttempt is Ended for a leg whose authorisation its owner has forgotten.
+func (r *Recorder) EndLateAttempt(now time.Duration, id policy.RequestID, n int, said policy.Result, stale bool, m *Times) {
 	if j := r.late[id]; j != nil {
 		r.EndAttempt(now, id, j, n, said, stale, m)
 	}
