--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -29,9 +29,9 @@
 	readyHosts int
 
 	counters   Counters
-	unfinished int        // requests that are open or have a running attempt
-	traceSet   *trace.Set // classes for traces
-	ending     bool       // EndPool was received; the pool ends with its last request
+	unfinished int         // requests that are open or have a running attempt
+	traceSet   *trace.Pool // classes for traces
+	ending     bool        // EndPool was received; the pool ends with its last request
 	ended      bool
 }
 
@@ -59,7 +59,7 @@
 	if p.retryAfter == 0 {
 		p.retryAfter = d.limits.OverloadRetryAfter
 	}
-	p.traceSet = &trace.Set{Pool: e.Name, Classes: e.Classes}
+	p.traceSet = &trace.Pool{Pool: e.Name, Classes: e.Classes}
 	if e.RetryBudget != nil && (p.retryBudget == nil || *e.RetryBudget != *p.retryBudget) {
 		p.retryBudget = e.RetryBudget
 	}
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -18,8 +18,8 @@
 	TokenAim      time.Duration // for each token of the rest, on average; 0 = no such aim
 }
 
-// Set is what a recorder must know of a pool.
-type Set struct {
+// Pool is what a recorder must know of a pool.
+type Pool struct {
 	Pool    string
 	Classes []Class // by their numbers in the pool's requests
 }
@@ -116,7 +116,7 @@
 // StartRequest begins the journey of an authorisation. o may be nil: then it has no context and nothing is known of its
 // beginning. So may set: then its class is one of the options'.
 func (r *Recorder) StartRequest(now time.Duration, id policy.RequestID, from any, callID string, at time.Duration,
-	q *policy.Request, o *Origin, set *Set,
+	q *policy.Request, o *Origin, set *Pool,
 ) *RequestSpan {
 	r.counts.Taken++
 	j := r.journey()
