--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -195,13 +195,13 @@
 
 // Origin is what a front knows of where an authorisation came from.
 type Origin struct {
-	Context        // of the client; a zero Trace begins a new trace, a zero Span has no parent
-	Front   string // "calls" or "batch"
-	Team    string
-	CallID  string        // where the authorisation has no name
-	Retry   bool          // the front knows that it is a further try
-	Begun   time.Duration // the message's first byte was there, on the loop's clock; 0 = not known
-	Tells   bool          // the front reports with Answered when a declining answer is written
+	Context                 // of the client; a zero Trace begins a new trace, a zero Span has no parent
+	Front            string // "calls" or "batch"
+	Team             string
+	CallID           string        // where the authorisation has no name
+	Retry            bool          // the front knows that it is a further try
+	Begun            time.Duration // the message's first byte was there, on the loop's clock; 0 = not known
+	ReportsRejection bool          // the front reports with Answered when a declining answer is written
 }
 
 // Link points at a span of another trace.
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -332,7 +332,7 @@
 			switch rapid.IntRange(0, 7).Draw(t, "event") {
 			case 0:
 				if !r.of[id].is(id) {
-					r.take(id, uint64(id%3), float64(id%2), &Origin{Tells: id%2 == 0})
+					r.take(id, uint64(id%3), float64(id%2), &Origin{ReportsRejection: id%2 == 0})
 					taken++
 				}
 			case 1:
