--- a/internal/batch/schedule.go
+++ b/internal/batch/schedule.go
@@ -128,7 +128,7 @@
 	if !s.isTracing {
 		return nil
 	}
-	o := &trace.Origin{Front: "batch", Team: it.job.team.Team, CallID: it.attempt.request.CallID, Retry: it.attempts > 1}
+	o := &trace.Origin{Frontend: "batch", Team: it.job.team.Team, CallID: it.attempt.request.CallID, Retry: it.attempts > 1}
 	sum := sha256.Sum256(fmt.Appendf(nil, "%s %d", it.job.record.ID, it.index))
 	copy(o.Trace[:], sum[:])
 	return o
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -37,7 +37,7 @@
 	enableTracing(f, trace.Options{})
 	parent, _ := trace.ParseParent("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01")
 	e := requestFrom("a", f.now, 4*sec)
-	e.ClientRequestID, e.Origin = "call", &trace.Origin{Context: parent, Front: "calls", ReportsRejection: true}
+	e.ClientRequestID, e.Origin = "call", &trace.Origin{Context: parent, Frontend: "calls", ReportsRejection: true}
 	_, spans := f.reduceTraced(10*time.Millisecond, e)
 	if len(spans) != 1 || spans[0].Trace != parent.Trace || spans[0].Span == parent.Span {
 		t.Fatalf("the first attempt was sent with spans %v", spans)
--- a/internal/frontend/readrequest.go
+++ b/internal/frontend/readrequest.go
@@ -179,7 +179,7 @@
 		origin trace.Origin
 	}{}
 	o := &allocation.origin
-	o.Front, o.ReportsRejection = "calls", true
+	o.Frontend, o.ReportsRejection = "calls", true
 	if parents := h["Traceparent"]; len(parents) == 1 {
 		if c, ok := trace.ParseParent(parents[0]); ok {
 			o.Context = c
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -196,7 +196,7 @@
 // Origin is what a front knows of where an authorisation came from.
 type Origin struct {
 	Context                 // of the client; a zero Trace begins a new trace, a zero Span has no parent
-	Front            string // "calls" or "batch"
+	Frontend         string // "calls" or "batch"
 	Team             string
 	CallID           string        // where the authorisation has no name
 	Retry            bool          // the front knows that it is a further try
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -139,7 +139,7 @@
 		if t.CallID == "" {
 			t.CallID = o.CallID
 		}
-		parent, t.Front, t.Team, j.tells = o.Context, o.Front, o.Team, o.ReportsRejection
+		parent, t.Front, t.Team, j.tells = o.Context, o.Frontend, o.Team, o.ReportsRejection
 		if o.Begun != 0 {
 			t.Reading = max(t.At-o.Begun, 0)
 		}
