--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -149,7 +149,7 @@
 	connectedAt := time.Now()
 	if a.times != nil {
 		a.times.Fresh = cn.idleID == 0
-		a.stamp(&a.times.Lined, connectedAt)
+		a.stamp(&a.times.Connected, connectedAt)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
