--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -174,17 +174,17 @@
 
 // Times is what the one who runs a leg measured, as readings of the loop's clock; 0 = never came to it.
 type Times struct {
-	Begun     time.Duration // its goroutine ran
-	Connected time.Duration // it had a line
-	Fresh     bool          // and that was opened for it
-	Written   time.Duration // the request's last byte was written
-	First     time.Duration // the answer's first byte was there
-	Event     time.Duration // and its first whole event
-	Bound     time.Duration // the loop had said that the leg is the client's
-	Ended     time.Duration
-	Relay     time.Duration // total time of writes to the client
-	Bytes     int           // passed on
-	Tokens    int           // of the answer, by its usage; 0 = not told
+	Begun         time.Duration // its goroutine ran
+	Connected     time.Duration // it had a line
+	NewConnection bool          // and that was opened for it
+	Written       time.Duration // the request's last byte was written
+	First         time.Duration // the answer's first byte was there
+	Event         time.Duration // and its first whole event
+	Bound         time.Duration // the loop had said that the leg is the client's
+	Ended         time.Duration
+	Relay         time.Duration // total time of writes to the client
+	Bytes         int           // passed on
+	Tokens        int           // of the answer, by its usage; 0 = not told
 }
 
 // AttemptSpan is what a traced leg has with it: the context for its host, and the times that are measured on its way.
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -148,7 +148,7 @@
 	}
 	connectedAt := time.Now()
 	if a.times != nil {
-		a.times.Fresh = cn.idleID == 0
+		a.times.NewConnection = cn.idleID == 0
 		a.stamp(&a.times.Connected, connectedAt)
 	}
 	t.mu.Lock()
