--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -26,16 +26,16 @@
 
 // Options are fixed for the life of a Recorder.
 type Options struct {
-	Router    string        // its name, in every record
-	Classes   []Class       // of what is of no set
-	Window    time.Duration // a retry is looked for so long after the try before it
-	Linger    time.Duration // a try that is over waits so long for the last word of its legs and of its client
-	Margin    time.Duration // an answer that was so near to its aim counts as late: the client sees it later still
-	Share     float64       // of ordinary steps, from 0 to 1
-	PerSecond float64       // ordinary steps a second at the most; 0 = no bound
-	TellAll   bool          // issuer hosts are told that every trace is sampled, not just those of the share
-	Steps     int           // steps in the table, StepBytes each; the oldest leaves first
-	Seed      uint64
+	Router          string        // its name, in every record
+	Classes         []Class       // of what is of no set
+	Window          time.Duration // a retry is looked for so long after the try before it
+	CompletionGrace time.Duration // a try that is over waits so long for the last word of its legs and of its client
+	Margin          time.Duration // an answer that was so near to its aim counts as late: the client sees it later still
+	Share           float64       // of ordinary steps, from 0 to 1
+	PerSecond       float64       // ordinary steps a second at the most; 0 = no bound
+	TellAll         bool          // issuer hosts are told that every trace is sampled, not just those of the share
+	Steps           int           // steps in the table, StepBytes each; the oldest leaves first
+	Seed            uint64
 }
 
 // Host is the one whose state the recorder is part of.
@@ -401,7 +401,7 @@
 			}
 		}
 	}
-	j.until = now + r.o.Linger
+	j.until = now + r.o.CompletionGrace
 	r.finish(now, j, false)
 }
 
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -28,7 +28,7 @@
 
 func newRig(change func(*Options)) *rig {
 	o := Options{
-		Router: "n1", Seed: 3, Window: 10 * time.Second, Linger: time.Second, Steps: 1000,
+		Router: "n1", Seed: 3, Window: 10 * time.Second, CompletionGrace: time.Second, Steps: 1000,
 	}
 	if change != nil {
 		change(&o)
