--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -33,7 +33,7 @@
 	Margin          time.Duration // an answer that was so near to its aim counts as late: the client sees it later still
 	Share           float64       // of ordinary steps, from 0 to 1
 	PerSecond       float64       // ordinary steps a second at the most; 0 = no bound
-	TellAll         bool          // issuer hosts are told that every trace is sampled, not just those of the share
+	MarkAllSampled  bool          // issuer hosts are told that every trace is sampled, not just those of the share
 	Steps           int           // steps in the table, StepBytes each; the oldest leaves first
 	Seed            uint64
 }
@@ -180,7 +180,7 @@
 	default:
 		t.Flags = Random
 	}
-	if r.o.TellAll {
+	if r.o.MarkAllSampled {
 		t.Flags |= Sampled
 	}
 	if t.State == "" {
