--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -44,7 +44,7 @@
 // traceClasses returns the classes of a module with their latency targets, as the trace recorder needs them.
 func traceClasses(m *platformconfig.Module) (classes []trace.Class) {
 	for i, c := range m.Settings.Classes {
-		class := trace.Class{Name: c.Name, TargetLatency: c.TargetLatency, AimPerKTokens: c.TargetLatencyPerKTokens}
+		class := trace.Class{Name: c.Name, TargetLatency: c.TargetLatency, TargetLatencyPerKTokens: c.TargetLatencyPerKTokens}
 		if i < len(m.TokenLatencyTargets) {
 			class.TokenAim = m.TokenLatencyTargets[i]
 		}
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -12,10 +12,10 @@
 
 // Class is what the recorder must know of a class to tell whether an answer was late.
 type Class struct {
-	Name          string
-	TargetLatency time.Duration // for the first event
-	AimPerKTokens time.Duration // added for each 1,000 prompt tokens
-	TokenAim      time.Duration // for each token of the rest, on average; 0 = no such aim
+	Name                    string
+	TargetLatency           time.Duration // for the first event
+	TargetLatencyPerKTokens time.Duration // added for each 1,000 prompt tokens
+	TokenAim                time.Duration // for each token of the rest, on average; 0 = no such aim
 }
 
 // Pool is what a recorder must know of a pool.
@@ -130,7 +130,7 @@
 	if set != nil && q.Class >= 0 && q.Class < len(set.Classes) {
 		c := &set.Classes[q.Class]
 		j.class = c
-		t.Class, t.Aim = c.Name, c.TargetLatency+time.Duration(float64(c.AimPerKTokens)*q.PromptTokens/1000)
+		t.Class, t.Aim = c.Name, c.TargetLatency+time.Duration(float64(c.TargetLatencyPerKTokens)*q.PromptTokens/1000)
 	}
 	var parent Context
 	retry := q.IsClientRetry || q.IsResumed
