--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -46,7 +46,7 @@
 	for i, c := range m.Settings.Classes {
 		class := trace.Class{Name: c.Name, TargetLatency: c.TargetLatency, TargetLatencyPerKTokens: c.TargetLatencyPerKTokens}
 		if i < len(m.TokenLatencyTargets) {
-			class.TokenAim = m.TokenLatencyTargets[i]
+			class.TokenLatencyTarget = m.TokenLatencyTargets[i]
 		}
 		classes = append(classes, class)
 	}
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -15,7 +15,7 @@
 	Name                    string
 	TargetLatency           time.Duration // for the first event
 	TargetLatencyPerKTokens time.Duration // added for each 1,000 prompt tokens
-	TokenAim                time.Duration // for each token of the rest, on average; 0 = no such aim
+	TokenLatencyTarget      time.Duration // for each token of the rest, on average; 0 = no such aim
 }
 
 // Pool is what a recorder must know of a pool.
@@ -502,8 +502,8 @@
 	if t.First > t.Aim-r.o.Margin {
 		return true
 	}
-	if c != nil && c.TokenAim > 0 && t.Tokens > 0 {
-		return t.End-t.First > time.Duration(t.Tokens)*c.TokenAim-r.o.Margin
+	if c != nil && c.TokenLatencyTarget > 0 && t.Tokens > 0 {
+		return t.End-t.First > time.Duration(t.Tokens)*c.TokenLatencyTarget-r.o.Margin
 	}
 	return false
 }
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -24,7 +24,7 @@
 func (r *rig) Wake(at time.Duration) { r.wakes = append(r.wakes, at) }
 func (r *rig) Keep(t *Record)        { r.kept = append(r.kept, t) }
 
-var classes = &Pool{Classes: []Class{{Name: "chat", TargetLatency: time.Second, TargetLatencyPerKTokens: 100 * ms, TokenAim: 50 * ms}}}
+var classes = &Pool{Classes: []Class{{Name: "chat", TargetLatency: time.Second, TargetLatencyPerKTokens: 100 * ms, TokenLatencyTarget: 50 * ms}}}
 
 func newRig(change func(*Options)) *rig {
 	o := Options{
