--- a/internal/trace/export/otlp.go
+++ b/internal/trace/export/otlp.go
@@ -243,8 +243,8 @@
 func legSpan(t *trace.Record, n int) *tracepb.Span {
 	l := &t.Attempts[n]
 	at := func(d time.Duration) uint64 { return uint64(max(t.At+d, 0)) }
-	end := max(l.Ended, l.Told, l.Sent)
-	if l.Ended == 0 && l.Told == 0 {
+	end := max(l.Ended, l.Reported, l.Sent)
+	if l.Ended == 0 && l.Reported == 0 {
 		end = max(t.End, l.Sent)
 	}
 	s := &tracepb.Span{
@@ -268,7 +268,7 @@
 		{"first_byte", l.First},
 		{"first_event", l.Event},
 		{"bound", l.Bound},
-		{"told", l.Told},
+		{"told", l.Reported},
 	} {
 		if e.at != 0 {
 			s.Events = append(s.Events, &tracepb.Span_Event{TimeUnixNano: at(e.at), Name: "notchhinge." + e.name})
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -329,7 +329,7 @@
 // RecordResult tells the result of a leg as the module hears it.
 func (r *Recorder) RecordResult(now time.Duration, id policy.RequestID, j *RequestSpan, n int, result policy.Result, kept float64) {
 	if l := j.leg(id, n); l != nil {
-		l.Told, l.Result = max(now-j.try.At, 1), Result(result)
+		l.Reported, l.Result = max(now-j.try.At, 1), Result(result)
 		if kept > 0 && l.Bound != 0 {
 			j.try.Kept = kept
 		}
--- a/internal/trace/show/show.go
+++ b/internal/trace/show/show.go
@@ -266,8 +266,8 @@
 		connect = trace.Connect
 	}
 	over := l.Ended
-	if l.Told != 0 && (l.Bound == 0 || over == 0) {
-		over = l.Told
+	if l.Reported != 0 && (l.Bound == 0 || over == 0) {
+		over = l.Reported
 	}
 	if over == 0 {
 		over = t.End
