--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -61,7 +61,7 @@
 		t.Fatalf("got %s, want %s: %+v", got, want, record)
 	}
 	earlier, second := record.Attempts[0], record.Attempts[1]
-	got = fmt.Sprintf("%v %v %v %v", earlier.Why, earlier.Result, second.Result, second.Said)
+	got = fmt.Sprintf("%v %v %v %v", earlier.Why, earlier.Result, second.Result, second.TransportResult)
 	if want := "drawn reset timed_out cancelled"; got != want {
 		t.Errorf("got %s, want %s: %+v", got, want, record)
 	}
--- a/internal/trace/export/otlp.go
+++ b/internal/trace/export/otlp.go
@@ -253,7 +253,7 @@
 		Attributes: []*commonpb.KeyValue{
 			text("gen_ai.operation.name", "chat"), text("server.address", l.Dial), text("notchhinge.host", l.Host),
 			number("notchhinge.leg", int64(n)), text("notchhinge.decision", l.Why.String()),
-			text("notchhinge.result", l.Result.String()), text("notchhinge.line_result", l.Said.String()),
+			text("notchhinge.result", l.Result.String()), text("notchhinge.line_result", l.TransportResult.String()),
 			flag("notchhinge.fresh_line", l.Fresh), flag("notchhinge.stale_line", l.Stale), flag("notchhinge.bound", l.Bound != 0),
 			number("http.request.resend_count", int64(n)),
 		},
--- a/internal/trace/pack.go
+++ b/internal/trace/pack.go
@@ -22,7 +22,7 @@
 	for i := range t.Attempts {
 		l := &t.Attempts[i]
 		b = append(b, l.Span[:]...)
-		b = append(b, byte(l.Why), byte(l.Result), byte(l.Said), bit(l.Fresh)|bit(l.Stale)<<1)
+		b = append(b, byte(l.Why), byte(l.Result), byte(l.TransportResult), bit(l.Fresh)|bit(l.Stale)<<1)
 		b = words(b, uint64(l.Sent), uint64(l.Begun), uint64(l.Lined), uint64(l.Written), uint64(l.First), uint64(l.Event),
 			uint64(l.Bound), uint64(l.Reported), uint64(l.Ended), uint64(l.Relay), uint64(l.Bytes))
 		for _, s := range [...]string{l.Host, l.Dial} {
@@ -97,7 +97,7 @@
 		var l Attempt
 		copy(l.Span[:], u.take(8))
 		p := u.take(4)
-		l.Why, l.Result, l.Said, l.Fresh, l.Stale = Why(p[0]), Result(p[1]), Result(p[2]), p[3]&1 != 0, p[3]&2 != 0
+		l.Why, l.Result, l.TransportResult, l.Fresh, l.Stale = Why(p[0]), Result(p[1]), Result(p[2]), p[3]&1 != 0, p[3]&2 != 0
 		u.times(&l.Sent, &l.Begun, &l.Lined, &l.Written, &l.First, &l.Event, &l.Bound, &l.Reported, &l.Ended, &l.Relay, &bytes)
 		l.Bytes = int(bytes)
 		l.Host, l.Dial = u.text(), u.text()
--- a/internal/trace/pack_test.go
+++ b/internal/trace/pack_test.go
@@ -20,7 +20,7 @@
 		for range rapid.IntRange(0, 3).Draw(t, "legs") {
 			want.Attempts = append(want.Attempts, Attempt{
 				Span: SpanID{9}, Host: s("host"), Dial: s("dial"), Sent: d("sent"), Reported: d("told"),
-				Relay: d("relay"), Bytes: 900, Result: None, Said: 2, Fresh: true,
+				Relay: d("relay"), Bytes: 900, Result: None, TransportResult: 2, Fresh: true,
 			})
 		}
 		taken := d("taken")
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -248,25 +248,25 @@
 
 // Attempt is the record of one attempt. Its times are counted from its try's At; 0 = never came to it.
 type Attempt struct {
-	Span     SpanID        `json:"span_id"`
-	Host     string        `json:"host"`
-	Dial     string        `json:"dial"`
-	Why      Why           `json:"why"`
-	Sent     time.Duration `json:"sent"`
-	Begun    time.Duration `json:"begun,omitzero"`
-	Lined    time.Duration `json:"lined,omitzero"`
-	Fresh    bool          `json:"fresh,omitzero"`
-	Written  time.Duration `json:"written,omitzero"`
-	First    time.Duration `json:"first,omitzero"`
-	Event    time.Duration `json:"event,omitzero"`
-	Bound    time.Duration `json:"bound,omitzero"`
-	Reported time.Duration `json:"told,omitzero"`  // the module heard its result
-	Ended    time.Duration `json:"ended,omitzero"` // and so much later it was over, if it was called off
-	Relay    time.Duration `json:"relay,omitzero"`
-	Bytes    int           `json:"bytes,omitzero"`
-	Result   Result        `json:"result"` // what the module heard
-	Said     Result        `json:"said"`   // what the line itself came to, which may be later and another
-	Stale    bool          `json:"stale,omitzero"`
+	Span            SpanID        `json:"span_id"`
+	Host            string        `json:"host"`
+	Dial            string        `json:"dial"`
+	Why             Why           `json:"why"`
+	Sent            time.Duration `json:"sent"`
+	Begun           time.Duration `json:"begun,omitzero"`
+	Lined           time.Duration `json:"lined,omitzero"`
+	Fresh           bool          `json:"fresh,omitzero"`
+	Written         time.Duration `json:"written,omitzero"`
+	First           time.Duration `json:"first,omitzero"`
+	Event           time.Duration `json:"event,omitzero"`
+	Bound           time.Duration `json:"bound,omitzero"`
+	Reported        time.Duration `json:"told,omitzero"`  // the module heard its result
+	Ended           time.Duration `json:"ended,omitzero"` // and so much later it was over, if it was called off
+	Relay           time.Duration `json:"relay,omitzero"`
+	Bytes           int           `json:"bytes,omitzero"`
+	Result          Result        `json:"result"` // what the module heard
+	TransportResult Result        `json:"said"`   // what the line itself came to, which may be later and another
+	Stale           bool          `json:"stale,omitzero"`
 }
 
 // Total is the time of a try from its last byte to its answer's end; it equals the sum of its phases.
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -296,7 +296,7 @@
 	}
 	t := &j.try
 	for len(t.Attempts) <= n {
-		t.Attempts = append(t.Attempts, Attempt{Span: r.newSpan(), Result: None, Said: None})
+		t.Attempts = append(t.Attempts, Attempt{Span: r.newSpan(), Result: None, TransportResult: None})
 	}
 	l := &t.Attempts[n]
 	l.Host, l.Dial, l.Why, l.Sent = host, dial, Why(j.why), now-t.At
@@ -343,7 +343,7 @@
 		return
 	}
 	at := j.try.At
-	l.Said, l.Stale, l.Ended = Result(said), stale, max(now-at, 1)
+	l.TransportResult, l.Stale, l.Ended = Result(said), stale, max(now-at, 1)
 	if m != nil {
 		since := func(t time.Duration) time.Duration {
 			if t == 0 {
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -251,7 +251,7 @@
 		t.Fatal("not closed with the last word")
 	}
 	y := r.kept[0]
-	if y.Attempts[0].Result != Result(policy.ResultCancelled) || y.Attempts[0].Said != Result(policy.ResultReset) || y.End != 150*ms || r.sum(y) != y.End {
+	if y.Attempts[0].Result != Result(policy.ResultCancelled) || y.Attempts[0].TransportResult != Result(policy.ResultReset) || y.End != 150*ms || r.sum(y) != y.End {
 		t.Errorf("%+v, phases add up to %v", y, r.sum(y))
 	}
 	// One whose last word never comes is closed all the same.
@@ -261,7 +261,7 @@
 	r.SetReason(2, r.of[2], policy.ReasonDeadline)
 	r.EndRequest(r.now, 2, r.of[2], Failed, 0)
 	r.after(2 * time.Second)
-	if len(r.kept) != 2 || r.kept[1].Attempts[0].Said != None || r.kept[1].Why.String() != "out_of_time" {
+	if len(r.kept) != 2 || r.kept[1].Attempts[0].TransportResult != None || r.kept[1].Why.String() != "out_of_time" {
 		t.Errorf("kept %+v", r.kept)
 	}
 }
--- a/internal/trace/show/show.go
+++ b/internal/trace/show/show.go
@@ -210,8 +210,8 @@
 		for n := range t.Attempts {
 			l := &t.Attempts[n]
 			fmt.Fprintf(w, "  leg %-3d|%s| %s %v -> %v", n, s.leg(t, l), l.Host, l.Why, l.Result)
-			if l.Said != l.Result && l.Said != trace.None {
-				fmt.Fprintf(w, " (its line: %v after %s)", l.Said, millis(l.Ended-l.Sent))
+			if l.TransportResult != l.Result && l.TransportResult != trace.None {
+				fmt.Fprintf(w, " (its line: %v after %s)", l.TransportResult, millis(l.Ended-l.Sent))
 			}
 			if l.Stale {
 				fmt.Fprint(w, " on a stale line")
--- a/internal/trace/show/show_test.go
+++ b/internal/trace/show/show_test.go
@@ -25,11 +25,11 @@
 		Attempts: []trace.Attempt{
 			{
 				Host: "s-1", Why: trace.Why(policy.ReasonAffinity), Sent: 0, Begun: ms, Lined: 2 * ms, Written: 3 * ms, Reported: 400 * ms, Ended: 400 * ms,
-				Result: trace.Result(policy.ResultReset), Said: trace.Result(policy.ResultReset), Stale: true,
+				Result: trace.Result(policy.ResultReset), TransportResult: trace.Result(policy.ResultReset), Stale: true,
 			},
 			{
 				Host: "s-2", Why: trace.Why(policy.ReasonAffinityLost), Sent: 400 * ms, Begun: 401 * ms, Lined: 500 * ms, Fresh: true, Written: 501 * ms,
-				Reported: 1000 * ms, Ended: 1200 * ms, Result: trace.Result(policy.ResultTimedOut), Said: trace.Result(policy.ResultCancelled),
+				Reported: 1000 * ms, Ended: 1200 * ms, Result: trace.Result(policy.ResultTimedOut), TransportResult: trace.Result(policy.ResultCancelled),
 			},
 		},
 	}
@@ -40,7 +40,7 @@
 		Outcome: trace.Served, Aim: 2700 * ms, Reasons: trace.ForRetry,
 		Attempts: []trace.Attempt{{
 			Host: "s-2", Why: trace.Why(policy.ReasonAffinity), Begun: ms, Lined: ms, Written: ms, First: 199 * ms, Event: 199 * ms,
-			Bound: 200 * ms, Reported: 800 * ms, Ended: 800 * ms, Said: trace.Result(policy.ResultOK),
+			Bound: 200 * ms, Reported: 800 * ms, Ended: 800 * ms, TransportResult: trace.Result(policy.ResultOK),
 		}},
 	}
 	second.Phases[trace.Wait], second.Phases[trace.Stream] = 198*ms, 602*ms
