--- a/internal/dispatch/tracing.go
+++ b/internal/dispatch/tracing.go
@@ -48,7 +48,7 @@
 }
 
 // traceRejection records a request that was rejected before it reached the module.
-func (p *pool) traceRejection(e *RequestReceived, reason trace.Why, retryAfter time.Duration) {
+func (p *pool) traceRejection(e *RequestReceived, reason trace.DecisionReason, retryAfter time.Duration) {
 	d := p.dispatcher
 	if d.traces == nil {
 		return
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -59,7 +59,7 @@
 	}
 	names["results"] = append(names["results"], None.String())
 	for w := range whyNames {
-		names["whys"] = append(names["whys"], Why(w).String())
+		names["whys"] = append(names["whys"], DecisionReason(w).String())
 	}
 	for p := range Phases {
 		names["phases"] = append(names["phases"], p.String())
--- a/internal/trace/pack.go
+++ b/internal/trace/pack.go
@@ -84,7 +84,7 @@
 	copy(t.Span[:], u.take(8))
 	copy(t.Parent[:], u.take(8))
 	small := u.take(4)
-	t.Flags, t.Outcome, t.Why = small[0], Outcome(small[1]), Why(small[2])
+	t.Flags, t.Outcome, t.Why = small[0], Outcome(small[1]), DecisionReason(small[2])
 	legs := int(small[3])
 	t.Session, t.Prompt, t.Kept = u.word(), math.Float64frombits(u.word()), math.Float64frombits(u.word())
 	var tokens, taken, bytes time.Duration
@@ -97,7 +97,7 @@
 		var l Attempt
 		copy(l.Span[:], u.take(8))
 		p := u.take(4)
-		l.Why, l.Result, l.TransportResult, l.Fresh, l.Stale = Why(p[0]), Result(p[1]), Result(p[2]), p[3]&1 != 0, p[3]&2 != 0
+		l.Why, l.Result, l.TransportResult, l.Fresh, l.Stale = DecisionReason(p[0]), Result(p[1]), Result(p[2]), p[3]&1 != 0, p[3]&2 != 0
 		u.times(&l.Sent, &l.Begun, &l.Lined, &l.Written, &l.First, &l.Event, &l.Bound, &l.Reported, &l.Ended, &l.Relay, &bytes)
 		l.Bytes = int(bytes)
 		l.Host, l.Dial = u.text(), u.text()
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -68,14 +68,14 @@
 	return unname(r, resultNames[:], b)
 }
 
-// Why is a policy.Why with a name, or a reason of the broker's own.
-type Why policy.Reason
+// DecisionReason is a policy.DecisionReason with a name, or a reason of the broker's own.
+type DecisionReason policy.Reason
 
 // Reasons of the broker's own, beyond those of the decision module.
 const (
-	RouterFull Why = iota + 64 // no room for another authorisation
-	IDTaken                    // its id is that of another open one
-	Unanswered                 // the module held it past its deadline
+	RouterFull DecisionReason = iota + 64 // no room for another authorisation
+	IDTaken                               // its id is that of another open one
+	Unanswered                            // the module held it past its deadline
 )
 
 var whyNames = [...]string{
@@ -86,13 +86,13 @@
 	RouterFull: "router_full", IDTaken: "id_taken", Unanswered: "unanswered",
 }
 
-func (w Why) String() string { return name(whyNames[:], int(w)) }
+func (w DecisionReason) String() string { return name(whyNames[:], int(w)) }
 
 // MarshalText implements encoding.TextMarshaler.
-func (w Why) MarshalText() ([]byte, error) { return []byte(w.String()), nil }
+func (w DecisionReason) MarshalText() ([]byte, error) { return []byte(w.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (w *Why) UnmarshalText(b []byte) error { return unname(w, whyNames[:], b) }
+func (w *DecisionReason) UnmarshalText(b []byte) error { return unname(w, whyNames[:], b) }
 
 func name(names []string, i int) string {
 	if i < len(names) && names[i] != "" {
@@ -238,7 +238,7 @@
 	End        time.Duration         `json:"end"`
 	Aim        time.Duration         `json:"aim"` // for First
 	Outcome    Outcome               `json:"outcome"`
-	Why        Why                   `json:"why,omitzero"` // of a refusal or failure
+	Why        DecisionReason        `json:"why,omitzero"` // of a refusal or failure
 	RetryAfter time.Duration         `json:"retry_after,omitzero"`
 	Late       bool                  `json:"late,omitzero"`
 	Reasons    Reason                `json:"reasons"`
@@ -248,25 +248,25 @@
 
 // Attempt is the record of one attempt. Its times are counted from its try's At; 0 = never came to it.
 type Attempt struct {
-	Span            SpanID        `json:"span_id"`
-	Host            string        `json:"host"`
-	Dial            string        `json:"dial"`
-	Why             Why           `json:"why"`
-	Sent            time.Duration `json:"sent"`
-	Begun           time.Duration `json:"begun,omitzero"`
-	Lined           time.Duration `json:"lined,omitzero"`
-	Fresh           bool          `json:"fresh,omitzero"`
-	Written         time.Duration `json:"written,omitzero"`
-	First           time.Duration `json:"first,omitzero"`
-	Event           time.Duration `json:"event,omitzero"`
-	Bound           time.Duration `json:"bound,omitzero"`
-	Reported        time.Duration `json:"told,omitzero"`  // the module heard its result
-	Ended           time.Duration `json:"ended,omitzero"` // and so much later it was over, if it was called off
-	Relay           time.Duration `json:"relay,omitzero"`
-	Bytes           int           `json:"bytes,omitzero"`
-	Result          Result        `json:"result"` // what the module heard
-	TransportResult Result        `json:"said"`   // what the line itself came to, which may be later and another
-	Stale           bool          `json:"stale,omitzero"`
+	Span            SpanID         `json:"span_id"`
+	Host            string         `json:"host"`
+	Dial            string         `json:"dial"`
+	Why             DecisionReason `json:"why"`
+	Sent            time.Duration  `json:"sent"`
+	Begun           time.Duration  `json:"begun,omitzero"`
+	Lined           time.Duration  `json:"lined,omitzero"`
+	Fresh           bool           `json:"fresh,omitzero"`
+	Written         time.Duration  `json:"written,omitzero"`
+	First           time.Duration  `json:"first,omitzero"`
+	Event           time.Duration  `json:"event,omitzero"`
+	Bound           time.Duration  `json:"bound,omitzero"`
+	Reported        time.Duration  `json:"told,omitzero"`  // the module heard its result
+	Ended           time.Duration  `json:"ended,omitzero"` // and so much later it was over, if it was called off
+	Relay           time.Duration  `json:"relay,omitzero"`
+	Bytes           int            `json:"bytes,omitzero"`
+	Result          Result         `json:"result"` // what the module heard
+	TransportResult Result         `json:"said"`   // what the line itself came to, which may be later and another
+	Stale           bool           `json:"stale,omitzero"`
 }
 
 // Total is the time of a try from its last byte to its answer's end; it equals the sum of its phases.
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -299,7 +299,7 @@
 		t.Attempts = append(t.Attempts, Attempt{Span: r.newSpan(), Result: None, TransportResult: None})
 	}
 	l := &t.Attempts[n]
-	l.Host, l.Dial, l.Why, l.Sent = host, dial, Why(j.why), now-t.At
+	l.Host, l.Dial, l.Why, l.Sent = host, dial, DecisionReason(j.why), now-t.At
 	j.out++
 	c := &AttemptSpan{}
 	if n < len(j.carry) {
@@ -387,7 +387,7 @@
 	t.End = now - t.At
 	switch o {
 	case Refused, Failed:
-		t.Decided, t.Why = max(t.End, 1), Why(j.why)
+		t.Decided, t.Why = max(t.End, 1), DecisionReason(j.why)
 		if j.tells {
 			r.telling[j.from] = j
 		}
--- a/internal/trace/show/show_test.go
+++ b/internal/trace/show/show_test.go
@@ -20,15 +20,15 @@
 func step() []*trace.Record {
 	first := &trace.Record{
 		Trace: trace.TraceID{0xab}, Span: trace.SpanID{1}, Number: 1, Router: "n1", CallID: "c1", Class: "shift-agent", Prompt: 5000,
-		At: 1000 * time.Second, End: 1000 * ms, Outcome: trace.Failed, Why: trace.Why(policy.ReasonDeadline), Aim: 2700 * ms,
+		At: 1000 * time.Second, End: 1000 * ms, Outcome: trace.Failed, Why: trace.DecisionReason(policy.ReasonDeadline), Aim: 2700 * ms,
 		Reasons: trace.ForFailed | trace.ForLegs,
 		Attempts: []trace.Attempt{
 			{
-				Host: "s-1", Why: trace.Why(policy.ReasonAffinity), Sent: 0, Begun: ms, Lined: 2 * ms, Written: 3 * ms, Reported: 400 * ms, Ended: 400 * ms,
+				Host: "s-1", Why: trace.DecisionReason(policy.ReasonAffinity), Sent: 0, Begun: ms, Lined: 2 * ms, Written: 3 * ms, Reported: 400 * ms, Ended: 400 * ms,
 				Result: trace.Result(policy.ResultReset), TransportResult: trace.Result(policy.ResultReset), Stale: true,
 			},
 			{
-				Host: "s-2", Why: trace.Why(policy.ReasonAffinityLost), Sent: 400 * ms, Begun: 401 * ms, Lined: 500 * ms, Fresh: true, Written: 501 * ms,
+				Host: "s-2", Why: trace.DecisionReason(policy.ReasonAffinityLost), Sent: 400 * ms, Begun: 401 * ms, Lined: 500 * ms, Fresh: true, Written: 501 * ms,
 				Reported: 1000 * ms, Ended: 1200 * ms, Result: trace.Result(policy.ResultTimedOut), TransportResult: trace.Result(policy.ResultCancelled),
 			},
 		},
@@ -39,7 +39,7 @@
 		CallID: "c2", Class: "shift-agent", Prompt: 5000, Tokens: 80, At: 1001*time.Second + 200*ms, First: 200 * ms, End: 800 * ms,
 		Outcome: trace.Served, Aim: 2700 * ms, Reasons: trace.ForRetry,
 		Attempts: []trace.Attempt{{
-			Host: "s-2", Why: trace.Why(policy.ReasonAffinity), Begun: ms, Lined: ms, Written: ms, First: 199 * ms, Event: 199 * ms,
+			Host: "s-2", Why: trace.DecisionReason(policy.ReasonAffinity), Begun: ms, Lined: ms, Written: ms, First: 199 * ms, Event: 199 * ms,
 			Bound: 200 * ms, Reported: 800 * ms, Ended: 800 * ms, TransportResult: trace.Result(policy.ResultOK),
 		}},
 	}
