--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -107,7 +107,7 @@
 func (t *traces) counterArgs(c *trace.Counters) []any {
 	args := []any{
 		"taken", c.Taken, "kept", c.Kept, "share", c.Share, "dropped", c.Dropped, "early", c.Early,
-		"limited", c.Limited, "linked", c.Linked, "held", c.Held,
+		"limited", c.Limited, "linked", c.Linked, "held", c.Pending,
 	}
 	for i, s := range t.sinks {
 		e := s.Counters()
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -55,7 +55,7 @@
 	Early   int // ordinary ones that left before their window's end, for want of memory
 	Limited int // of the share, but beyond the rate
 	Linked  int // tries found to be retries
-	Held    int // tries that wait now
+	Pending int // tries that wait now
 	Steps   int // in the table now
 }
 
@@ -109,7 +109,7 @@
 // Counters returns what became of tries so far.
 func (r *Recorder) Counters() Counters {
 	c := r.counts
-	c.Steps, c.Held = r.table.waiting(), r.table.held
+	c.Steps, c.Pending = r.table.waiting(), r.table.held
 	return c
 }
 
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -91,11 +91,11 @@
 	r := newRig(nil)
 	r.take(1, 9, 100, nil)
 	r.serve(1, 300*ms, 200*ms)
-	if len(r.kept) != 0 || r.Counters().Held == 0 {
-		t.Fatalf("kept %d, held %d", len(r.kept), r.Counters().Held)
+	if len(r.kept) != 0 || r.Counters().Pending == 0 {
+		t.Fatalf("kept %d, held %d", len(r.kept), r.Counters().Pending)
 	}
 	r.after(11 * time.Second)
-	if c := r.Counters(); c.Dropped != 1 || c.Held != 0 || c.Steps != 0 || len(r.table.talks) != 0 {
+	if c := r.Counters(); c.Dropped != 1 || c.Pending != 0 || c.Steps != 0 || len(r.table.talks) != 0 {
 		t.Errorf("%+v", c)
 	}
 	r.Recorder.sampler = NewSampler(1, 0)
@@ -279,14 +279,14 @@
 		} else {
 			r.serve(id, 20*time.Microsecond, 20*time.Microsecond)
 		}
-		if c := r.Counters(); c.Held > 500 || c.Steps > 501 {
+		if c := r.Counters(); c.Pending > 500 || c.Steps > 501 {
 			t.Fatalf("after %d: %+v", id, c)
 		}
 		r.after(60 * time.Microsecond)
 	}
 	r.Flush(r.now)
 	c := r.Counters()
-	if got := c.Kept - c.Share; got != failed || c.Early == 0 || c.Taken != c.Kept+c.Dropped+c.Early+c.Limited || c.Held != 0 {
+	if got := c.Kept - c.Share; got != failed || c.Early == 0 || c.Taken != c.Kept+c.Dropped+c.Early+c.Limited || c.Pending != 0 {
 		t.Errorf("%d failed, %+v", failed, c)
 	}
 }
@@ -302,7 +302,7 @@
 		t.Fatalf("%d records left", len(r.kept))
 	}
 	r.serve(2, 10*ms, 10*ms)
-	if c := r.Counters(); len(r.kept) != 2 || c.Held != 0 || c.Steps != 0 {
+	if c := r.Counters(); len(r.kept) != 2 || c.Pending != 0 || c.Steps != 0 {
 		t.Errorf("%d records left, %+v", len(r.kept), c)
 	}
 }
@@ -355,7 +355,7 @@
 		}
 		r.Flush(r.now)
 		c := r.Counters()
-		if c.Taken != taken || c.Taken != c.Kept+c.Dropped+c.Early+c.Limited || c.Held != 0 || len(r.kept) != c.Kept {
+		if c.Taken != taken || c.Taken != c.Kept+c.Dropped+c.Early+c.Limited || c.Pending != 0 || len(r.kept) != c.Kept {
 			t.Fatalf("%d taken, %d handed over, %+v", taken, len(r.kept), c)
 		}
 		for _, y := range r.kept {
