--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -52,7 +52,7 @@
 	Kept    int // handed over
 	Share   int // of these, ordinary ones
 	Dropped int // ordinary ones that were not of the share
-	Early   int // ordinary ones that left before their window's end, for want of memory
+	Evicted int // ordinary ones that left before their window's end, for want of memory
 	Limited int // of the share, but beyond the rate
 	Linked  int // tries found to be retries
 	Pending int // tries that wait now
@@ -560,7 +560,7 @@
 	case in:
 		r.counts.Limited++
 	case early:
-		r.counts.Early++
+		r.counts.Evicted++
 	default:
 		r.counts.Dropped++
 	}
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -286,7 +286,7 @@
 	}
 	r.Flush(r.now)
 	c := r.Counters()
-	if got := c.Kept - c.Share; got != failed || c.Early == 0 || c.Taken != c.Kept+c.Dropped+c.Early+c.Limited || c.Pending != 0 {
+	if got := c.Kept - c.Share; got != failed || c.Evicted == 0 || c.Taken != c.Kept+c.Dropped+c.Evicted+c.Limited || c.Pending != 0 {
 		t.Errorf("%d failed, %+v", failed, c)
 	}
 }
@@ -355,7 +355,7 @@
 		}
 		r.Flush(r.now)
 		c := r.Counters()
-		if c.Taken != taken || c.Taken != c.Kept+c.Dropped+c.Early+c.Limited || c.Pending != 0 || len(r.kept) != c.Kept {
+		if c.Taken != taken || c.Taken != c.Kept+c.Dropped+c.Evicted+c.Limited || c.Pending != 0 || len(r.kept) != c.Kept {
 			t.Fatalf("%d taken, %d handed over, %+v", taken, len(r.kept), c)
 		}
 		for _, y := range r.kept {
