--- a/internal/trace/table.go
+++ b/internal/trace/table.go
@@ -47,8 +47,8 @@
 	cellBytes = 384 // room for a record with ids and names of the usual length; a longer one does not wait
 	chunk     = 64  // cells
 
-	// StepBytes is what a step takes in all, its cell and its places in the indices included.
-	StepBytes = cellBytes + 128 + 64
+	// OperationBytes is what a step takes in all, its cell and its places in the indices included.
+	OperationBytes = cellBytes + 128 + 64
 )
 
 func newTable(steps int) *table {
