--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -31,7 +31,7 @@
 func TraceOptions(cfg *platformconfig.Config, p *reconcile.Plan, s *operatorconfig.Trace) trace.Options {
 	o := trace.Options{
 		Router: cfg.RouterName, Seed: cfg.Seed, Share: *s.SampleRatio, PerSecond: *s.MaxSamplesPerS, Margin: time.Duration(*s.LatencyMargin),
-		MarkAllSampled: s.PropagateSampled == "all", Steps: s.PendingMB << 20 / trace.OperationBytes, CompletionGrace: cfg.Limits.TraceCompletionGrace,
+		MarkAllSampled: s.PropagateSampled == "all", Operations: s.PendingMB << 20 / trace.OperationBytes, CompletionGrace: cfg.Limits.TraceCompletionGrace,
 	}
 	for _, pool := range p.Pools {
 		for _, c := range pool.Module.Settings.Classes {
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -34,7 +34,7 @@
 	Share           float64       // of ordinary steps, from 0 to 1
 	PerSecond       float64       // ordinary steps a second at the most; 0 = no bound
 	MarkAllSampled  bool          // issuer hosts are told that every trace is sampled, not just those of the share
-	Steps           int           // steps in the table, StepBytes each; the oldest leaves first
+	Operations      int           // steps in the table, StepBytes each; the oldest leaves first
 	Seed            uint64
 }
 
@@ -100,7 +100,7 @@
 	r := &Recorder{
 		o: o, host: host, rnd: rand.New(rand.NewPCG(o.Seed, 0x6a09e667f3bcc909)), sampler: NewSampler(o.Share, o.PerSecond),
 		late: map[policy.RequestID]*RequestSpan{}, telling: map[any]*RequestSpan{},
-		table: newTable(max(o.Steps, 1)),
+		table: newTable(max(o.Operations, 1)),
 	}
 	r.state = r.sampler.state("", true)
 	return r
@@ -458,7 +458,7 @@
 	if s = &r.table.slots[slot]; s.open > 0 {
 		return
 	}
-	for r.table.waiting() > r.o.Steps || !r.table.queue(slot) {
+	for r.table.waiting() > r.o.Operations || !r.table.queue(slot) {
 		first := r.table.next()
 		if first == 0 {
 			r.table.queue(slot) // all others have a try under way
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -28,7 +28,7 @@
 
 func newRig(change func(*Options)) *rig {
 	o := Options{
-		Router: "n1", Seed: 3, Window: 10 * time.Second, CompletionGrace: time.Second, Steps: 1000,
+		Router: "n1", Seed: 3, Window: 10 * time.Second, CompletionGrace: time.Second, Operations: 1000,
 	}
 	if change != nil {
 		change(&o)
@@ -269,7 +269,7 @@
 func TestMemoryIsBounded(t *testing.T) {
 	// Ten thousand ordinary requests in a second, and a failed one in each hundred: these are all kept, and what is held
 	// of the others stays in its bound, with every one counted.
-	r := newRig(func(o *Options) { o.Steps, o.Share = 500, 0.01 })
+	r := newRig(func(o *Options) { o.Operations, o.Share = 500, 0.01 })
 	failed := 0
 	for id := policy.RequestID(1); id <= 10000; id++ {
 		r.take(id, uint64(id), 100, nil)
