--- a/cmd/notchhinge/trace.go
+++ b/cmd/notchhinge/trace.go
@@ -118,7 +118,7 @@
 		return fmt.Errorf("%d trace ids begin with %q in %s; exactly one must", len(ids), s.ID, s.File)
 	}
 	for id := range ids {
-		step := show.Step(records, id)
+		step := show.Operation(records, id)
 		if s.JSON {
 			return show.JSON(os.Stdout, step)
 		}
--- a/cmd/notchlab/demo.go
+++ b/cmd/notchlab/demo.go
@@ -165,7 +165,7 @@
 		if len(t.Attempts) < 2 && t.Number < 2 {
 			continue
 		}
-		step := show.Step(traced, t.Trace)
+		step := show.Operation(traced, t.Trace)
 		n := 0
 		for _, s := range step {
 			n += 1 + len(s.Attempts)
--- a/internal/trace/show/show.go
+++ b/internal/trace/show/show.go
@@ -110,9 +110,9 @@
 	return fmt.Sprintf("%v %s", best, millis(y.Phases[best]))
 }
 
-// Step picks the tries of one step out of all records: those of the trace, and those linked to them. They are ordered
+// Operation picks the tries of one step out of all records: those of the trace, and those linked to them. They are ordered
 // by their beginning.
-func Step(all []*trace.Record, id trace.TraceID) []*trace.Record {
+func Operation(all []*trace.Record, id trace.TraceID) []*trace.Record {
 	ids := map[trace.TraceID]bool{id: true}
 	for more := true; more; {
 		more = false
--- a/internal/trace/show/show_test.go
+++ b/internal/trace/show/show_test.go
@@ -71,7 +71,7 @@
 func TestStepFollowsLinks(t *testing.T) {
 	all := append(step(), &trace.Record{Trace: trace.TraceID{0xef}, At: time.Second})
 	for _, id := range []trace.TraceID{{0xab}, {0xcd}} {
-		if got := Step(all, id); len(got) != 2 || got[0].CallID != "c1" || got[1].CallID != "c2" {
+		if got := Operation(all, id); len(got) != 2 || got[0].CallID != "c1" || got[1].CallID != "c2" {
 			t.Errorf("%v: %d tries", id, len(got))
 		}
 	}
