--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -97,7 +97,7 @@
 	slow.End, slow.Phases[trace.Stream] = 3*time.Second, 3*time.Second
 	noResult.Attempts[0].Result = trace.None
 	wrongOutcome.Outcome = trace.Failed
-	wrongPhases.Phases[trace.Hold] = time.Second
+	wrongPhases.Phases[trace.Pending] = time.Second
 	for name, c := range map[string]struct {
 		attempts  []load.Attempt
 		records   []*trace.Record
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -147,7 +147,7 @@
 // The phases, in the order in which they usually come.
 const (
 	Queue   Phase = iota // until the loop took it
-	Hold                 // no leg was out: the module, or the loop between two legs
+	Pending              // no leg was out: the module, or the loop between two legs
 	Line                 // a leg waited for an idle line
 	Connect              // a leg opened a connection
 	Write                // a leg wrote the request
@@ -169,7 +169,7 @@
 
 // Inside tells whether the time of a phase is the router's own, and not a host's, a network's or the client's.
 func (p Phase) Inside() bool {
-	return p == Queue || p == Hold || p == Line || p == Bind || p == Close
+	return p == Queue || p == Pending || p == Line || p == Bind || p == Close
 }
 
 // Times is what the one who runs a leg measured, as readings of the loop's clock; 0 = never came to it.
@@ -286,7 +286,7 @@
 	for at < until {
 		owner, next := t.owner(at, until)
 		if owner == nil {
-			t.Phases[Hold] += next - at
+			t.Phases[Pending] += next - at
 		} else {
 			owner.split(at, next, &t.Phases)
 		}
--- a/internal/trace/show/show.go
+++ b/internal/trace/show/show.go
@@ -158,7 +158,7 @@
 
 // marks draw the phases of a leg.
 var marks = [trace.Phases]byte{
-	trace.Queue: 'q', trace.Hold: '_', trace.Line: 'l', trace.Connect: 'c', trace.Write: 'w', trace.Wait: '.',
+	trace.Queue: 'q', trace.Pending: '_', trace.Line: 'l', trace.Connect: 'c', trace.Write: 'w', trace.Wait: '.',
 	trace.Head: 'h', trace.Bind: 'b', trace.Stream: '=', trace.Relay: '=', trace.Close: '-', trace.Answer: 'a',
 }
 
