--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -174,7 +174,7 @@
 
 // Times is what the one who runs a leg measured, as readings of the loop's clock; 0 = never came to it.
 type Times struct {
-	Begun         time.Duration // its goroutine ran
+	Started       time.Duration // its goroutine ran
 	Connected     time.Duration // it had a line
 	NewConnection bool          // and that was opened for it
 	Written       time.Duration // the request's last byte was written
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -74,7 +74,7 @@
 	bound := r.now
 	r.after(stream)
 	r.EndAttempt(r.now, id, r.of[id], 0, policy.ResultOK, false, &Times{
-		Begun: sent, Connected: sent + ms, Written: sent + 2*ms, First: bound - ms, Event: bound, Bound: bound, Ended: r.now, Tokens: 10,
+		Started: sent, Connected: sent + ms, Written: sent + 2*ms, First: bound - ms, Event: bound, Bound: bound, Ended: r.now, Tokens: 10,
 	})
 	r.RecordResult(r.now, id, r.of[id], 0, policy.ResultOK, 64)
 	r.EndRequest(r.now, id, r.of[id], Served, 0)
@@ -344,7 +344,7 @@
 			case 3:
 				r.RecordResult(r.now, id, r.of[id], n, policy.Result(n), 1)
 			case 4:
-				r.EndAttempt(r.now, id, r.of[id], n, policy.Result(n), false, &Times{Begun: at, Connected: at + ms, Written: at + 2*ms, Relay: time.Second})
+				r.EndAttempt(r.now, id, r.of[id], n, policy.Result(n), false, &Times{Started: at, Connected: at + ms, Written: at + 2*ms, Relay: time.Second})
 			case 5:
 				r.EndRequest(r.now, id, r.of[id], Outcome(rapid.IntRange(1, 5).Draw(t, "outcome")), ms)
 			case 6:
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -85,7 +85,7 @@
 	a.startedAt = time.Now()
 	if a.times != nil {
 		a.startedAtClock = a.transport.cfg.Now()
-		a.times.Begun = a.startedAtClock
+		a.times.Started = a.startedAtClock
 	}
 	a.downstream = a.start.Client.(Downstream)
 	a.outcome.Result = a.roundTrip(ctx)
