--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -178,7 +178,7 @@
 	Connected     time.Duration // it had a line
 	NewConnection bool          // and that was opened for it
 	Written       time.Duration // the request's last byte was written
-	First         time.Duration // the answer's first byte was there
+	FirstByte     time.Duration // the answer's first byte was there
 	Event         time.Duration // and its first whole event
 	Bound         time.Duration // the loop had said that the leg is the client's
 	Ended         time.Duration
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -125,7 +125,7 @@
 	}
 	resp, firstByteAt, err := t.readResponse(a.conn, req, deadline) //nolint:bodyclose // the body is read from a connection that end closes or reuses
 	if a.times != nil && !firstByteAt.IsZero() {
-		a.stamp(&a.times.First, firstByteAt)
+		a.stamp(&a.times.FirstByte, firstByteAt)
 	}
 	if err != nil {
 		result := failureResult(err)
