--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -179,7 +179,7 @@
 	NewConnection bool          // and that was opened for it
 	Written       time.Duration // the request's last byte was written
 	FirstByte     time.Duration // the answer's first byte was there
-	Event         time.Duration // and its first whole event
+	FirstEvent    time.Duration // and its first whole event
 	Bound         time.Duration // the loop had said that the leg is the client's
 	Ended         time.Duration
 	Relay         time.Duration // total time of writes to the client
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -74,7 +74,7 @@
 	bound := r.now
 	r.after(stream)
 	r.EndAttempt(r.now, id, r.of[id], 0, policy.ResultOK, false, &Times{
-		Started: sent, Connected: sent + ms, Written: sent + 2*ms, FirstByte: bound - ms, Event: bound, Bound: bound, Ended: r.now, Tokens: 10,
+		Started: sent, Connected: sent + ms, Written: sent + 2*ms, FirstByte: bound - ms, FirstEvent: bound, Bound: bound, Ended: r.now, Tokens: 10,
 	})
 	r.RecordResult(r.now, id, r.of[id], 0, policy.ResultOK, 64)
 	r.EndRequest(r.now, id, r.of[id], Served, 0)
--- a/internal/upstream/forward.go
+++ b/internal/upstream/forward.go
@@ -24,7 +24,7 @@
 		return failureResult(err)
 	}
 	if a.times != nil {
-		a.stamp(&a.times.Event, time.Now())
+		a.stamp(&a.times.FirstEvent, time.Now())
 	}
 	if !a.waitForBind(ctx) {
 		return policy.ResultCancelled
--- a/internal/upstream/trace_test.go
+++ b/internal/upstream/trace_test.go
@@ -33,7 +33,7 @@
 		}
 		hour, ms := time.Hour, time.Millisecond
 		want := trace.Times{
-			Started: hour, Connected: hour, NewConnection: true, Written: hour, FirstByte: hour + 300*ms, Event: hour + 500*ms, Bound: hour + 500*ms,
+			Started: hour, Connected: hour, NewConnection: true, Written: hour, FirstByte: hour + 300*ms, FirstEvent: hour + 500*ms, Bound: hour + 500*ms,
 			Ended: hour + 500*ms, Bytes: h.ended[0].Times.Bytes, Tokens: 7,
 		}
 		if diff := cmp.Diff(want, *h.ended[0].Times); diff != "" {
