--- a/internal/trace/export/golden_test.go
+++ b/internal/trace/export/golden_test.go
@@ -25,7 +25,7 @@
 	full.Phases[trace.Pending], full.Phases[trace.Stream] = time.Millisecond, time.Second-time.Millisecond
 	full.Attempts = append(full.Attempts, trace.Attempt{
 		Span: trace.SpanID{9}, Host: "s-2", Dial: "10.0.0.6:8000", Why: 2, Sent: 1000, Begun: 2000, Lined: 3000, Fresh: true, Written: 4000,
-		First: 500_000, Event: 600_000, Bound: 700_000, Reported: 800_000, Ended: 900_000, Relay: 100, Bytes: 900, Result: 1, TransportResult: 5, Stale: true,
+		FirstByte: 500_000, Event: 600_000, Bound: 700_000, Reported: 800_000, Ended: 900_000, Relay: 100, Bytes: 900, Result: 1, TransportResult: 5, Stale: true,
 	})
 	return []*trace.Record{try(1, trace.ForShare), full}
 }
--- a/internal/trace/export/otlp.go
+++ b/internal/trace/export/otlp.go
@@ -265,7 +265,7 @@
 		{"begun", l.Begun},
 		{"line", l.Lined},
 		{"written", l.Written},
-		{"first_byte", l.First},
+		{"first_byte", l.FirstByte},
 		{"first_event", l.Event},
 		{"bound", l.Bound},
 		{"told", l.Reported},
--- a/internal/trace/pack.go
+++ b/internal/trace/pack.go
@@ -23,7 +23,7 @@
 		l := &t.Attempts[i]
 		b = append(b, l.Span[:]...)
 		b = append(b, byte(l.Why), byte(l.Result), byte(l.TransportResult), bit(l.Fresh)|bit(l.Stale)<<1)
-		b = words(b, uint64(l.Sent), uint64(l.Begun), uint64(l.Lined), uint64(l.Written), uint64(l.First), uint64(l.Event),
+		b = words(b, uint64(l.Sent), uint64(l.Begun), uint64(l.Lined), uint64(l.Written), uint64(l.FirstByte), uint64(l.Event),
 			uint64(l.Bound), uint64(l.Reported), uint64(l.Ended), uint64(l.Relay), uint64(l.Bytes))
 		for _, s := range [...]string{l.Host, l.Dial} {
 			b = append(binary.LittleEndian.AppendUint16(b, uint16(len(s))), s...)
@@ -98,7 +98,7 @@
 		copy(l.Span[:], u.take(8))
 		p := u.take(4)
 		l.Why, l.Result, l.TransportResult, l.Fresh, l.Stale = DecisionReason(p[0]), Result(p[1]), Result(p[2]), p[3]&1 != 0, p[3]&2 != 0
-		u.times(&l.Sent, &l.Begun, &l.Lined, &l.Written, &l.First, &l.Event, &l.Bound, &l.Reported, &l.Ended, &l.Relay, &bytes)
+		u.times(&l.Sent, &l.Begun, &l.Lined, &l.Written, &l.FirstByte, &l.Event, &l.Bound, &l.Reported, &l.Ended, &l.Relay, &bytes)
 		l.Bytes = int(bytes)
 		l.Host, l.Dial = u.text(), u.text()
 		if u.err != nil {
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -257,7 +257,7 @@
 	Lined           time.Duration  `json:"lined,omitzero"`
 	Fresh           bool           `json:"fresh,omitzero"`
 	Written         time.Duration  `json:"written,omitzero"`
-	First           time.Duration  `json:"first,omitzero"`
+	FirstByte       time.Duration  `json:"first,omitzero"`
 	Event           time.Duration  `json:"event,omitzero"`
 	Bound           time.Duration  `json:"bound,omitzero"`
 	Reported        time.Duration  `json:"told,omitzero"`  // the module heard its result
@@ -337,7 +337,7 @@
 	for _, stage := range [...]struct {
 		end time.Duration
 		is  Phase
-	}{{l.Begun, Line}, {l.Lined, connect}, {l.Written, Write}, {l.First, Wait}, {l.Event, Head}, {l.Bound, Bind}} {
+	}{{l.Begun, Line}, {l.Lined, connect}, {l.Written, Write}, {l.FirstByte, Wait}, {l.Event, Head}, {l.Bound, Bind}} {
 		end := max(stage.end, from)
 		if stage.end == 0 { // it ended in this stage
 			end = l.over()
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -352,7 +352,7 @@
 			return max(t-at, l.Sent, 1)
 		}
 		l.Begun, l.Lined, l.Fresh, l.Written = since(m.Started), since(m.Connected), m.NewConnection, since(m.Written)
-		l.First, l.Event, l.Relay, l.Bytes = since(m.FirstByte), since(m.FirstEvent), m.Relay, m.Bytes
+		l.FirstByte, l.Event, l.Relay, l.Bytes = since(m.FirstByte), since(m.FirstEvent), m.Relay, m.Bytes
 		if b := since(m.Bound); b != 0 && l.Bound != 0 {
 			l.Bound, j.try.First = b, b // when the leg could go on with it
 		}
--- a/internal/trace/show/show.go
+++ b/internal/trace/show/show.go
@@ -283,7 +283,7 @@
 		{l.Begun, trace.Line},
 		{l.Lined, connect},
 		{l.Written, trace.Write},
-		{l.First, trace.Wait},
+		{l.FirstByte, trace.Wait},
 		{l.Event, trace.Head},
 		{l.Bound, trace.Bind},
 		{over, trace.Stream},
--- a/internal/trace/show/show_test.go
+++ b/internal/trace/show/show_test.go
@@ -39,7 +39,7 @@
 		CallID: "c2", Class: "shift-agent", Prompt: 5000, Tokens: 80, At: 1001*time.Second + 200*ms, First: 200 * ms, End: 800 * ms,
 		Outcome: trace.Served, Aim: 2700 * ms, Reasons: trace.ForRetry,
 		Attempts: []trace.Attempt{{
-			Host: "s-2", Why: trace.DecisionReason(policy.ReasonAffinity), Begun: ms, Lined: ms, Written: ms, First: 199 * ms, Event: 199 * ms,
+			Host: "s-2", Why: trace.DecisionReason(policy.ReasonAffinity), Begun: ms, Lined: ms, Written: ms, FirstByte: 199 * ms, Event: 199 * ms,
 			Bound: 200 * ms, Reported: 800 * ms, Ended: 800 * ms, TransportResult: trace.Result(policy.ResultOK),
 		}},
 	}
