--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -60,7 +60,7 @@
 	record := func(id string) *trace.Record {
 		y := &trace.Record{
 			Trace: trace.TraceID{1}, Span: trace.SpanID{id[0]}, CallID: id, Number: 1, At: time.Duration(start.UnixNano()),
-			End: 2 * time.Second, First: time.Second, Outcome: trace.Served, Reasons: trace.ForLate,
+			End: 2 * time.Second, FirstEvent: time.Second, Outcome: trace.Served, Reasons: trace.ForLate,
 			Attempts: []trace.Attempt{{Span: trace.SpanID{id[0], 1}, Host: "s", FirstByte: 1, Reported: 2 * time.Second, Result: trace.Result(policy.ResultOK)}},
 		}
 		y.Phases[trace.Stream] = y.End
--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -20,7 +20,7 @@
 func try(n int, why trace.Reason) *trace.Record {
 	return &trace.Record{
 		Trace: trace.TraceID{1, byte(n), byte(n >> 8)}, Span: trace.SpanID{2, byte(n), byte(n >> 8)}, Router: "n1", Front: "calls",
-		CallID: strings.Repeat("c", 16), Class: "chat", At: time.Duration(n) * time.Second, End: time.Second, First: time.Second / 2,
+		CallID: strings.Repeat("c", 16), Class: "chat", At: time.Duration(n) * time.Second, End: time.Second, FirstEvent: time.Second / 2,
 		Outcome: trace.Served, Reasons: why, Number: 1,
 		Attempts: []trace.Attempt{{Span: trace.SpanID{3}, Host: "s-1", TransportResult: trace.None}},
 	}
--- a/internal/trace/export/otlp.go
+++ b/internal/trace/export/otlp.go
@@ -205,12 +205,12 @@
 	if t.Tokens > 0 {
 		add(number("gen_ai.usage.output_tokens", int64(t.Tokens)), number("gen_ai.usage.cache_read.input_tokens", int64(t.Kept)))
 	}
-	if t.First > 0 {
-		add(number("notchhinge.first_event_us", t.First.Microseconds()))
+	if t.FirstEvent > 0 {
+		add(number("notchhinge.first_event_us", t.FirstEvent.Microseconds()))
 	}
 	switch t.Outcome {
 	case trace.Served, trace.Broken, trace.Gone:
-		if t.First > 0 {
+		if t.FirstEvent > 0 {
 			add(number("http.response.status_code", 200))
 		}
 	case trace.Refused:
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -14,7 +14,7 @@
 		Trace: TraceID{1, 2, 15: 16}, Span: SpanID{3, 7: 4}, Parent: SpanID{5}, State: "ot=th:8", Flags: Sampled | Random, Number: 1,
 		Front: "calls", Team: "lab", Pool: "scribe", CallID: "call-1", Class: "chat", Session: 0x0102030405060708,
 		Prompt: 5000.5, Tokens: 70, Kept: 64.25,
-		At: 1_764_000_000_123_456_789, Reading: 1000, First: 900_000, Decided: 950_000, End: time.Millisecond, Aim: 800 * time.Millisecond,
+		At: 1_764_000_000_123_456_789, Reading: 1000, FirstEvent: 900_000, Decided: 950_000, End: time.Millisecond, Aim: 800 * time.Millisecond,
 		Outcome: Refused, Why: RouterFull, RetryAfter: 2 * time.Second,
 		Attempts: []Attempt{
 			{
--- a/internal/trace/pack.go
+++ b/internal/trace/pack.go
@@ -14,7 +14,7 @@
 	b = append(b, t.Span[:]...)
 	b = append(b, t.Parent[:]...)
 	b = append(b, t.Flags, byte(t.Outcome), byte(t.Why), byte(len(t.Attempts)))
-	b = words(b, t.Session, math.Float64bits(t.Prompt), math.Float64bits(t.Kept), uint64(t.At), uint64(t.Reading), uint64(t.First),
+	b = words(b, t.Session, math.Float64bits(t.Prompt), math.Float64bits(t.Kept), uint64(t.At), uint64(t.Reading), uint64(t.FirstEvent),
 		uint64(t.Decided), uint64(t.End), uint64(t.Aim), uint64(t.RetryAfter), uint64(t.Tokens), uint64(taken))
 	for _, s := range [...]string{t.State, t.Pool, t.Front, t.Team, t.CallID, t.Class} {
 		b = append(binary.LittleEndian.AppendUint16(b, uint16(len(s))), s...)
@@ -88,7 +88,7 @@
 	legs := int(small[3])
 	t.Session, t.Prompt, t.Kept = u.word(), math.Float64frombits(u.word()), math.Float64frombits(u.word())
 	var tokens, taken, bytes time.Duration
-	u.times(&t.At, &t.Reading, &t.First, &t.Decided, &t.End, &t.Aim, &t.RetryAfter, &tokens, &taken)
+	u.times(&t.At, &t.Reading, &t.FirstEvent, &t.Decided, &t.End, &t.Aim, &t.RetryAfter, &tokens, &taken)
 	t.Tokens = int(tokens)
 	for _, s := range [...]*string{&t.State, &t.Pool, &t.Front, &t.Team, &t.CallID, &t.Class} {
 		*s = u.text()
--- a/internal/trace/pack_test.go
+++ b/internal/trace/pack_test.go
@@ -15,7 +15,7 @@
 		want := &Record{
 			Number: 1, Trace: TraceID{1, 2}, Span: SpanID{3}, Parent: SpanID{4}, State: s("state"), Flags: 3, Front: s("front"), Team: s("team"),
 			CallID: s("call"), Class: s("class"), Session: rapid.Uint64().Draw(t, "session"), Prompt: 5000, Kept: 64, Tokens: 7,
-			At: d("at"), Reading: d("reading"), First: d("first"), End: d("end"), Aim: d("aim"), Outcome: Served, Why: RouterFull,
+			At: d("at"), Reading: d("reading"), FirstEvent: d("first"), End: d("end"), Aim: d("aim"), Outcome: Served, Why: RouterFull,
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "legs") {
 			want.Attempts = append(want.Attempts, Attempt{
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -233,7 +233,7 @@
 
 	At         time.Duration         `json:"at"`               // its last byte, Unix time in ns
 	Reading    time.Duration         `json:"reading"`          // from its first byte to its last
-	First      time.Duration         `json:"first,omitzero"`   // the first event was bound to it
+	FirstEvent time.Duration         `json:"first,omitzero"`   // the first event was bound to it
 	Decided    time.Duration         `json:"decided,omitzero"` // the final answer that serves nothing was decided
 	End        time.Duration         `json:"end"`
 	Aim        time.Duration         `json:"aim"` // for First
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -322,7 +322,7 @@
 func (r *Recorder) Bound(now time.Duration, id policy.RequestID, j *RequestSpan, n int) {
 	if l := j.leg(id, n); l != nil {
 		l.Bound = now - j.try.At
-		j.try.First = l.Bound
+		j.try.FirstEvent = l.Bound
 	}
 }
 
@@ -354,7 +354,7 @@
 		l.Begun, l.Lined, l.Fresh, l.Written = since(m.Started), since(m.Connected), m.NewConnection, since(m.Written)
 		l.FirstByte, l.Event, l.Relay, l.Bytes = since(m.FirstByte), since(m.FirstEvent), m.Relay, m.Bytes
 		if b := since(m.Bound); b != 0 && l.Bound != 0 {
-			l.Bound, j.try.First = b, b // when the leg could go on with it
+			l.Bound, j.try.FirstEvent = b, b // when the leg could go on with it
 		}
 		if e := since(m.Ended); e != 0 {
 			l.Ended = e
@@ -496,14 +496,14 @@
 
 // slow tells whether an answer came later than its class wants: its first event, or the pace of the rest.
 func (r *Recorder) slow(t *Record, c *Class) bool {
-	if t.First == 0 || t.Aim == 0 {
+	if t.FirstEvent == 0 || t.Aim == 0 {
 		return false
 	}
-	if t.First > t.Aim-r.o.Margin {
+	if t.FirstEvent > t.Aim-r.o.Margin {
 		return true
 	}
 	if c != nil && c.TokenLatencyTarget > 0 && t.Tokens > 0 {
-		return t.End-t.First > time.Duration(t.Tokens)*c.TokenLatencyTarget-r.o.Margin
+		return t.End-t.FirstEvent > time.Duration(t.Tokens)*c.TokenLatencyTarget-r.o.Margin
 	}
 	return false
 }
--- a/internal/trace/show/show.go
+++ b/internal/trace/show/show.go
@@ -31,7 +31,7 @@
 
 // Match tells whether a record is wanted.
 func (f *Filter) Match(t *trace.Record) bool {
-	slow := t.First
+	slow := t.FirstEvent
 	if slow == 0 {
 		slow = t.End
 	}
@@ -71,8 +71,8 @@
 	fmt.Fprintln(t, "TIME\tTRACE\tTRY\tCLASS\tOUTCOME\tFIRST\tTOTAL\tLEGS\tMOST TIME IN\tKEPT FOR")
 	for _, y := range tries {
 		first := "-"
-		if y.First > 0 {
-			first = millis(y.First)
+		if y.FirstEvent > 0 {
+			first = millis(y.FirstEvent)
 		}
 		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", clock(y.At), y.Trace, y.Number, y.Class, outcome(y), first,
 			millis(y.End), legs(y), most(y), strings.Join(y.Reasons.Names(), ","))
@@ -100,7 +100,7 @@
 func most(y *trace.Record) string {
 	best := trace.Queue
 	for p, d := range y.Phases {
-		if y.First > 0 && (trace.Phase(p) == trace.Stream || trace.Phase(p) == trace.Relay) {
+		if y.FirstEvent > 0 && (trace.Phase(p) == trace.Stream || trace.Phase(p) == trace.Relay) {
 			continue
 		}
 		if d > y.Phases[best] {
@@ -196,8 +196,8 @@
 			fmt.Fprintf(w, " (%v)", t.Why)
 		}
 		fmt.Fprintf(w, " after %s", millis(t.End))
-		if t.First > 0 {
-			fmt.Fprintf(w, ", first event %s of %s", millis(t.First), millis(t.Aim))
+		if t.FirstEvent > 0 {
+			fmt.Fprintf(w, ", first event %s of %s", millis(t.FirstEvent), millis(t.Aim))
 		}
 		if t.RetryAfter > 0 {
 			fmt.Fprintf(w, ", come back after %s", millis(t.RetryAfter))
--- a/internal/trace/show/show_test.go
+++ b/internal/trace/show/show_test.go
@@ -36,7 +36,7 @@
 	first.Phases[trace.Wait], first.Phases[trace.Connect], first.Phases[trace.Line] = 896*ms, 99*ms, 5*ms
 	second := &trace.Record{
 		Trace: trace.TraceID{0xcd}, Span: trace.SpanID{2}, Number: 2, Before: trace.Link{Trace: first.Trace, Span: first.Span}, Router: "n2",
-		CallID: "c2", Class: "shift-agent", Prompt: 5000, Tokens: 80, At: 1001*time.Second + 200*ms, First: 200 * ms, End: 800 * ms,
+		CallID: "c2", Class: "shift-agent", Prompt: 5000, Tokens: 80, At: 1001*time.Second + 200*ms, FirstEvent: 200 * ms, End: 800 * ms,
 		Outcome: trace.Served, Aim: 2700 * ms, Reasons: trace.ForRetry,
 		Attempts: []trace.Attempt{{
 			Host: "s-2", Why: trace.DecisionReason(policy.ReasonAffinity), Begun: ms, Lined: ms, Written: ms, FirstByte: 199 * ms, Event: 199 * ms,
