--- a/internal/frontend/conn.go
+++ b/internal/frontend/conn.go
@@ -85,7 +85,7 @@
 	}
 	open, rejection := c.readRequest(start)
 	if open != nil && open.origin != nil {
-		open.origin.Begun = firstByteAt
+		open.origin.FirstByte = firstByteAt
 	}
 	return open, rejection
 }
--- a/internal/frontend/trace_test.go
+++ b/internal/frontend/trace_test.go
@@ -30,7 +30,7 @@
 				e := (<-events).(dispatch.RequestReceived)
 				open = e.Client.(*openRequest)
 				got := fmt.Sprintf("%v %v %d %s", e.Origin.Trace, e.Origin.Span, e.Origin.Flags, cmp.Or(e.Origin.State, "-"))
-				if got != want || e.Origin.Begun != time.Hour || !e.Origin.ReportsRejection {
+				if got != want || e.Origin.FirstByte != time.Hour || !e.Origin.ReportsRejection {
 					t.Errorf("origin %s, want %s: %+v", got, want, e.Origin)
 				}
 			},
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -200,7 +200,7 @@
 	Team             string
 	CallID           string        // where the authorisation has no name
 	Retry            bool          // the front knows that it is a further try
-	Begun            time.Duration // the message's first byte was there, on the loop's clock; 0 = not known
+	FirstByte        time.Duration // the message's first byte was there, on the loop's clock; 0 = not known
 	ReportsRejection bool          // the front reports with Answered when a declining answer is written
 }
 
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -140,8 +140,8 @@
 			t.CallID = o.CallID
 		}
 		parent, t.Front, t.Team, j.tells = o.Context, o.Frontend, o.Team, o.ReportsRejection
-		if o.Begun != 0 {
-			t.Reading = max(t.At-o.Begun, 0)
+		if o.FirstByte != 0 {
+			t.Reading = max(t.At-o.FirstByte, 0)
 		}
 	}
 	slot := r.find(now, parent, q, retry)
