--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -40,7 +40,7 @@
 	d.timers.Remove(att.timer)
 	d.emit(BindAttempt{id})
 	if d.traces != nil {
-		d.traces.Bound(d.now, req.id, req.trace, id.Index)
+		d.traces.BindAttempt(d.now, req.id, req.trace, id.Index)
 	}
 	req.pool.module.ResponseStarted(d.now, req.pool, policy.ResponseStarted{
 		ID: req.id, Attempt: id.Index, Replica: att.host, Elapsed: d.now - att.sentAt,
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -318,8 +318,8 @@
 	return &j.try.Attempts[n]
 }
 
-// Bound tells that a leg's answer is the client's.
-func (r *Recorder) Bound(now time.Duration, id policy.RequestID, j *RequestSpan, n int) {
+// BindAttempt tells that a leg's answer is the client's.
+func (r *Recorder) BindAttempt(now time.Duration, id policy.RequestID, j *RequestSpan, n int) {
 	if l := j.leg(id, n); l != nil {
 		l.Bound = now - j.try.At
 		j.try.FirstEvent = l.Bound
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -70,7 +70,7 @@
 	r.StartAttempt(r.now, id, r.of[id], 0, "s-1", "127.0.0.2:5000")
 	sent := r.now
 	r.after(first)
-	r.Bound(r.now, id, r.of[id], 0)
+	r.BindAttempt(r.now, id, r.of[id], 0)
 	bound := r.now
 	r.after(stream)
 	r.EndAttempt(r.now, id, r.of[id], 0, policy.ResultOK, false, &Times{
@@ -130,7 +130,7 @@
 		},
 		"broken": func(r *rig) Reason {
 			r.StartAttempt(r.now, 1, r.of[1], 0, "s", "d")
-			r.Bound(r.now, 1, r.of[1], 0)
+			r.BindAttempt(r.now, 1, r.of[1], 0)
 			r.EndAttempt(r.now, 1, r.of[1], 0, policy.ResultReset, false, nil)
 			r.RecordResult(r.now, 1, r.of[1], 0, policy.ResultReset, 0)
 			r.EndRequest(r.now, 1, r.of[1], Broken, 0)
@@ -218,7 +218,7 @@
 	if len(r.kept) != 1 || r.kept[0].Trace != c.Trace || r.kept[0].Parent != c.Span || r.kept[0].Before == (Link{}) {
 		t.Fatalf("kept %+v", r.kept)
 	}
-	r.Bound(r.now, 1, r.of[1], 0)
+	r.BindAttempt(r.now, 1, r.of[1], 0)
 	r.EndAttempt(r.now, 1, r.of[1], 0, policy.ResultOK, false, nil)
 	r.RecordResult(r.now, 1, r.of[1], 0, policy.ResultOK, 0)
 	r.EndRequest(r.now, 1, r.of[1], Served, 0)
@@ -236,7 +236,7 @@
 	r.after(50 * ms)
 	r.StartAttempt(r.now, 1, r.of[1], 1, "s-2", "d2")
 	r.after(50 * ms)
-	r.Bound(r.now, 1, r.of[1], 1)
+	r.BindAttempt(r.now, 1, r.of[1], 1)
 	r.RecordResult(r.now, 1, r.of[1], 0, policy.ResultCancelled, 0)
 	r.after(50 * ms)
 	r.EndAttempt(r.now, 1, r.of[1], 1, policy.ResultOK, false, nil)
@@ -340,7 +340,7 @@
 					r.StartAttempt(r.now, id, r.of[id], n, "s", "d")
 				}
 			case 2:
-				r.Bound(r.now, id, r.of[id], n)
+				r.BindAttempt(r.now, id, r.of[id], n)
 			case 3:
 				r.RecordResult(r.now, id, r.of[id], n, policy.Result(n), 1)
 			case 4:
