--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -30,7 +30,7 @@
 // TraceOptions returns the options of the trace recorder for a configuration, a plan and the trace settings.
 func TraceOptions(cfg *platformconfig.Config, p *reconcile.Plan, s *operatorconfig.Trace) trace.Options {
 	o := trace.Options{
-		Router: cfg.RouterName, Seed: cfg.Seed, Share: *s.SampleRatio, PerSecond: *s.MaxSamplesPerS, Margin: time.Duration(*s.LatencyMargin),
+		Router: cfg.RouterName, Seed: cfg.Seed, Share: *s.SampleRatio, PerSecond: *s.MaxSamplesPerS, LatencyMargin: time.Duration(*s.LatencyMargin),
 		MarkAllSampled: s.PropagateSampled == "all", Operations: s.PendingMB << 20 / trace.OperationBytes, CompletionGrace: cfg.Limits.TraceCompletionGrace,
 	}
 	for _, pool := range p.Pools {
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -30,7 +30,7 @@
 	Classes         []Class       // of what is of no set
 	Window          time.Duration // a retry is looked for so long after the try before it
 	CompletionGrace time.Duration // a try that is over waits so long for the last word of its legs and of its client
-	Margin          time.Duration // an answer that was so near to its aim counts as late: the client sees it later still
+	LatencyMargin   time.Duration // an answer that was so near to its aim counts as late: the client sees it later still
 	Share           float64       // of ordinary steps, from 0 to 1
 	PerSecond       float64       // ordinary steps a second at the most; 0 = no bound
 	MarkAllSampled  bool          // issuer hosts are told that every trace is sampled, not just those of the share
@@ -499,11 +499,11 @@
 	if t.FirstEvent == 0 || t.Aim == 0 {
 		return false
 	}
-	if t.FirstEvent > t.Aim-r.o.Margin {
+	if t.FirstEvent > t.Aim-r.o.LatencyMargin {
 		return true
 	}
 	if c != nil && c.TokenLatencyTarget > 0 && t.Tokens > 0 {
-		return t.End-t.FirstEvent > time.Duration(t.Tokens)*c.TokenLatencyTarget-r.o.Margin
+		return t.End-t.FirstEvent > time.Duration(t.Tokens)*c.TokenLatencyTarget-r.o.LatencyMargin
 	}
 	return false
 }
