--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -12,7 +12,7 @@
 
 // enableTracing turns tracing on, with the options that all tests share.
 func enableTracing(f *fixture, o trace.Options) {
-	o.Router, o.Window, o.CompletionGrace, o.Operations, o.Seed = "n1", 10*sec, 2*sec, 1000, 5
+	o.Router, o.RetryWindow, o.CompletionGrace, o.Operations, o.Seed = "n1", 10*sec, 2*sec, 1000, 5
 	f.Reduce(f.now, ConfigurePool{Classes: []trace.Class{{Name: "chat", TargetLatency: sec}}})
 	f.Trace(o)
 }
--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -35,7 +35,7 @@
 	}
 	for _, pool := range p.Pools {
 		for _, c := range pool.Module.Settings.Classes {
-			o.Window = max(o.Window, c.Deadline)
+			o.RetryWindow = max(o.RetryWindow, c.Deadline)
 		}
 	}
 	return o
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -28,7 +28,7 @@
 type Options struct {
 	Router          string        // its name, in every record
 	Classes         []Class       // of what is of no set
-	Window          time.Duration // a retry is looked for so long after the try before it
+	RetryWindow     time.Duration // a retry is looked for so long after the try before it
 	CompletionGrace time.Duration // a try that is over waits so long for the last word of its legs and of its client
 	LatencyMargin   time.Duration // an answer that was so near to its aim counts as late: the client sees it later still
 	Share           float64       // of ordinary steps, from 0 to 1
@@ -444,7 +444,7 @@
 	}
 	s := &r.table.slots[j.step]
 	s.open--
-	s.until = now + r.o.Window
+	s.until = now + r.o.RetryWindow
 	if t.Reasons != 0 || s.kept {
 		r.keepAll(j.step)
 		t.reckon(j.taken)
@@ -466,7 +466,7 @@
 		}
 		r.settle(now, first, true)
 	}
-	if r.o.Window == 0 {
+	if r.o.RetryWindow == 0 {
 		r.settle(now, slot, false)
 		return
 	}
@@ -606,7 +606,7 @@
 // Drain has finished tries leave from now on without waiting for a retry: the router takes nothing new, and may be
 // killed before the last stream has ended.
 func (r *Recorder) Drain(now time.Duration) {
-	r.o.Window = 0
+	r.o.RetryWindow = 0
 	r.settleAll(now)
 }
 
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -28,7 +28,7 @@
 
 func newRig(change func(*Options)) *rig {
 	o := Options{
-		Router: "n1", Seed: 3, Window: 10 * time.Second, CompletionGrace: time.Second, Operations: 1000,
+		Router: "n1", Seed: 3, RetryWindow: 10 * time.Second, CompletionGrace: time.Second, Operations: 1000,
 	}
 	if change != nil {
 		change(&o)
