--- a/internal/router/trace_test.go
+++ b/internal/router/trace_test.go
@@ -67,7 +67,7 @@
 		sum += d
 	}
 	if record.Outcome != trace.Served || record.End != 2*time.Second || sum != record.End || len(record.Attempts) != 1 || record.Attempts[0].Result.String() != "ok" ||
-		record.Phases[trace.Wait] < 2*time.Second-time.Microsecond || record.Front != "calls" {
+		record.Phases[trace.Wait] < 2*time.Second-time.Microsecond || record.Frontend != "calls" {
 		t.Errorf("%+v", record)
 	}
 	if want := "taken=1 kept=1 share=1 dropped=0 early=0 limited=0 linked=0 held=0 file_put=1 file_sent=1 file_spans=2"; !strings.Contains(log.String(), want) {
--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -19,7 +19,7 @@
 
 func try(n int, why trace.Reason) *trace.Record {
 	return &trace.Record{
-		Trace: trace.TraceID{1, byte(n), byte(n >> 8)}, Span: trace.SpanID{2, byte(n), byte(n >> 8)}, Router: "n1", Front: "calls",
+		Trace: trace.TraceID{1, byte(n), byte(n >> 8)}, Span: trace.SpanID{2, byte(n), byte(n >> 8)}, Router: "n1", Frontend: "calls",
 		CallID: strings.Repeat("c", 16), Class: "chat", At: time.Duration(n) * time.Second, End: time.Second, FirstEvent: time.Second / 2,
 		Outcome: trace.Served, Reasons: why, Number: 1,
 		Attempts: []trace.Attempt{{Span: trace.SpanID{3}, Host: "s-1", TransportResult: trace.None}},
@@ -170,7 +170,7 @@
 
 func TestSpans(t *testing.T) {
 	y := try(1, trace.ForFailed|trace.ForLegs)
-	y.Outcome, y.Phases[trace.Wait], y.Before = trace.Failed, time.Second, trace.Link{Span: trace.SpanID{9}}
+	y.Outcome, y.Phases[trace.Wait], y.Previous = trace.Failed, time.Second, trace.Link{Span: trace.SpanID{9}}
 	s := Spans(y)
 	if len(s) != 2 || standin.Hex(s[1].ParentSpanId) != y.Span.String() || standin.Text(s[0], "notchhinge.outcome") != "failed" ||
 		standin.Number(s[0], "notchhinge.phase.wait_us") != 1e6 || len(s[0].Links) != 1 ||
--- a/internal/trace/export/otlp.go
+++ b/internal/trace/export/otlp.go
@@ -181,11 +181,11 @@
 		StartTimeUnixNano: at(0), EndTimeUnixNano: at(t.End),
 		Attributes: []*commonpb.KeyValue{
 			text("http.request.method", "POST"), text("http.route", "/v1/chat/completions"), text("gen_ai.operation.name", "chat"),
-			number("gen_ai.usage.input_tokens", int64(t.Prompt)),
-			text("notchhinge.call_id", t.CallID), text("notchhinge.class", t.Class), text("notchhinge.front", t.Front),
+			number("gen_ai.usage.input_tokens", int64(t.PromptTokens)),
+			text("notchhinge.call_id", t.CallID), text("notchhinge.class", t.Class), text("notchhinge.front", t.Frontend),
 			text("notchhinge.outcome", t.Outcome.String()), number("notchhinge.try", int64(t.Number)),
 			flag("notchhinge.late", t.Late), number("notchhinge.legs", int64(len(t.Attempts))),
-			number("notchhinge.aim_us", t.Aim.Microseconds()),
+			number("notchhinge.aim_us", t.TargetLatency.Microseconds()),
 			list("notchhinge.kept_for", t.Reasons.Names()),
 		},
 	}
@@ -202,8 +202,8 @@
 	if t.Team != "" {
 		add(text("notchhinge.team", t.Team))
 	}
-	if t.Tokens > 0 {
-		add(number("gen_ai.usage.output_tokens", int64(t.Tokens)), number("gen_ai.usage.cache_read.input_tokens", int64(t.Kept)))
+	if t.OutputTokens > 0 {
+		add(number("gen_ai.usage.output_tokens", int64(t.OutputTokens)), number("gen_ai.usage.cache_read.input_tokens", int64(t.CachedTokens)))
 	}
 	if t.FirstEvent > 0 {
 		add(number("notchhinge.first_event_us", t.FirstEvent.Microseconds()))
@@ -227,9 +227,9 @@
 			add(number("notchhinge.phase."+trace.Phase(p).String()+"_us", d.Microseconds()))
 		}
 	}
-	if t.Before != (trace.Link{}) {
+	if t.Previous != (trace.Link{}) {
 		root.Links = []*tracepb.Span_Link{{
-			TraceId: t.Before.Trace[:], SpanId: t.Before.Span[:],
+			TraceId: t.Previous.Trace[:], SpanId: t.Previous.Span[:],
 			Attributes: []*commonpb.KeyValue{text("notchhinge.link", "try_before")},
 		}}
 	}
@@ -251,10 +251,10 @@
 		TraceId: t.Trace[:], SpanId: l.Span[:], ParentSpanId: t.Span[:], TraceState: t.State, Flags: uint32(t.Flags),
 		Name: "chat " + l.Host, Kind: tracepb.Span_SPAN_KIND_CLIENT, StartTimeUnixNano: at(l.Sent), EndTimeUnixNano: at(end),
 		Attributes: []*commonpb.KeyValue{
-			text("gen_ai.operation.name", "chat"), text("server.address", l.Dial), text("notchhinge.host", l.Host),
+			text("gen_ai.operation.name", "chat"), text("server.address", l.Addr), text("notchhinge.host", l.Host),
 			number("notchhinge.leg", int64(n)), text("notchhinge.decision", l.Why.String()),
 			text("notchhinge.result", l.Result.String()), text("notchhinge.line_result", l.TransportResult.String()),
-			flag("notchhinge.fresh_line", l.Fresh), flag("notchhinge.stale_line", l.Stale), flag("notchhinge.bound", l.Bound != 0),
+			flag("notchhinge.fresh_line", l.NewConnection), flag("notchhinge.stale_line", l.StaleConnection), flag("notchhinge.bound", l.Bound != 0),
 			number("http.request.resend_count", int64(n)),
 		},
 	}
@@ -262,11 +262,11 @@
 		name string
 		at   time.Duration
 	}{
-		{"begun", l.Begun},
-		{"line", l.Lined},
+		{"begun", l.Started},
+		{"line", l.Connected},
 		{"written", l.Written},
 		{"first_byte", l.FirstByte},
-		{"first_event", l.Event},
+		{"first_event", l.FirstEvent},
 		{"bound", l.Bound},
 		{"told", l.Reported},
 	} {
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -12,16 +12,16 @@
 func goldenTry() *Record {
 	return &Record{
 		Trace: TraceID{1, 2, 15: 16}, Span: SpanID{3, 7: 4}, Parent: SpanID{5}, State: "ot=th:8", Flags: Sampled | Random, Number: 1,
-		Front: "calls", Team: "lab", Pool: "scribe", CallID: "call-1", Class: "chat", Session: 0x0102030405060708,
-		Prompt: 5000.5, Tokens: 70, Kept: 64.25,
-		At: 1_764_000_000_123_456_789, Reading: 1000, FirstEvent: 900_000, Decided: 950_000, End: time.Millisecond, Aim: 800 * time.Millisecond,
+		Frontend: "calls", Team: "lab", Pool: "scribe", CallID: "call-1", Class: "chat", Session: 0x0102030405060708,
+		PromptTokens: 5000.5, OutputTokens: 70, CachedTokens: 64.25,
+		At: 1_764_000_000_123_456_789, Reading: 1000, FirstEvent: 900_000, RejectedAt: 950_000, End: time.Millisecond, TargetLatency: 800 * time.Millisecond,
 		Outcome: Refused, Why: RouterFull, RetryAfter: 2 * time.Second,
 		Attempts: []Attempt{
 			{
-				Span: SpanID{9}, Host: "s-1", Dial: "10.0.0.5:8000", Why: 2, Sent: 1000, Begun: 2000, Lined: 3000, Fresh: true, Written: 4000,
-				FirstByte: 500_000, Event: 600_000, Bound: 700_000, Reported: 800_000, Ended: 900_000, Relay: 100, Bytes: 900, Result: 1, TransportResult: 5, Stale: true,
+				Span: SpanID{9}, Host: "s-1", Addr: "10.0.0.5:8000", Why: 2, Sent: 1000, Started: 2000, Connected: 3000, NewConnection: true, Written: 4000,
+				FirstByte: 500_000, FirstEvent: 600_000, Bound: 700_000, Reported: 800_000, Ended: 900_000, Relay: 100, Bytes: 900, Result: 1, TransportResult: 5, StaleConnection: true,
 			},
-			{Span: SpanID{10}, Host: "s-2", Dial: "10.0.0.6:8000", Sent: 5000, Result: None, TransportResult: None},
+			{Span: SpanID{10}, Host: "s-2", Addr: "10.0.0.6:8000", Sent: 5000, Result: None, TransportResult: None},
 		},
 	}
 }
@@ -38,7 +38,7 @@
 func TestGoldenJSON(t *testing.T) {
 	y := goldenTry()
 	y.reckon(500)
-	y.Before, y.Number, y.Router, y.Late = Link{Trace: TraceID{7}, Span: SpanID{8}}, 2, "n1", true
+	y.Previous, y.Number, y.Router, y.Late = Link{Trace: TraceID{7}, Span: SpanID{8}}, 2, "n1", true
 	y.Reasons = ForFailed | ForShare
 	golden.RoundTrip(t, "record.json", y, func(y *Record) []byte {
 		b, err := json.Marshal(y)
--- a/internal/trace/pack.go
+++ b/internal/trace/pack.go
@@ -14,18 +14,18 @@
 	b = append(b, t.Span[:]...)
 	b = append(b, t.Parent[:]...)
 	b = append(b, t.Flags, byte(t.Outcome), byte(t.Why), byte(len(t.Attempts)))
-	b = words(b, t.Session, math.Float64bits(t.Prompt), math.Float64bits(t.Kept), uint64(t.At), uint64(t.Reading), uint64(t.FirstEvent),
-		uint64(t.Decided), uint64(t.End), uint64(t.Aim), uint64(t.RetryAfter), uint64(t.Tokens), uint64(taken))
-	for _, s := range [...]string{t.State, t.Pool, t.Front, t.Team, t.CallID, t.Class} {
+	b = words(b, t.Session, math.Float64bits(t.PromptTokens), math.Float64bits(t.CachedTokens), uint64(t.At), uint64(t.Reading), uint64(t.FirstEvent),
+		uint64(t.RejectedAt), uint64(t.End), uint64(t.TargetLatency), uint64(t.RetryAfter), uint64(t.OutputTokens), uint64(taken))
+	for _, s := range [...]string{t.State, t.Pool, t.Frontend, t.Team, t.CallID, t.Class} {
 		b = append(binary.LittleEndian.AppendUint16(b, uint16(len(s))), s...)
 	}
 	for i := range t.Attempts {
 		l := &t.Attempts[i]
 		b = append(b, l.Span[:]...)
-		b = append(b, byte(l.Why), byte(l.Result), byte(l.TransportResult), bit(l.Fresh)|bit(l.Stale)<<1)
-		b = words(b, uint64(l.Sent), uint64(l.Begun), uint64(l.Lined), uint64(l.Written), uint64(l.FirstByte), uint64(l.Event),
+		b = append(b, byte(l.Why), byte(l.Result), byte(l.TransportResult), bit(l.NewConnection)|bit(l.StaleConnection)<<1)
+		b = words(b, uint64(l.Sent), uint64(l.Started), uint64(l.Connected), uint64(l.Written), uint64(l.FirstByte), uint64(l.FirstEvent),
 			uint64(l.Bound), uint64(l.Reported), uint64(l.Ended), uint64(l.Relay), uint64(l.Bytes))
-		for _, s := range [...]string{l.Host, l.Dial} {
+		for _, s := range [...]string{l.Host, l.Addr} {
 			b = append(binary.LittleEndian.AppendUint16(b, uint16(len(s))), s...)
 		}
 	}
@@ -86,21 +86,21 @@
 	small := u.take(4)
 	t.Flags, t.Outcome, t.Why = small[0], Outcome(small[1]), DecisionReason(small[2])
 	legs := int(small[3])
-	t.Session, t.Prompt, t.Kept = u.word(), math.Float64frombits(u.word()), math.Float64frombits(u.word())
+	t.Session, t.PromptTokens, t.CachedTokens = u.word(), math.Float64frombits(u.word()), math.Float64frombits(u.word())
 	var tokens, taken, bytes time.Duration
-	u.times(&t.At, &t.Reading, &t.FirstEvent, &t.Decided, &t.End, &t.Aim, &t.RetryAfter, &tokens, &taken)
-	t.Tokens = int(tokens)
-	for _, s := range [...]*string{&t.State, &t.Pool, &t.Front, &t.Team, &t.CallID, &t.Class} {
+	u.times(&t.At, &t.Reading, &t.FirstEvent, &t.RejectedAt, &t.End, &t.TargetLatency, &t.RetryAfter, &tokens, &taken)
+	t.OutputTokens = int(tokens)
+	for _, s := range [...]*string{&t.State, &t.Pool, &t.Frontend, &t.Team, &t.CallID, &t.Class} {
 		*s = u.text()
 	}
 	for range legs {
 		var l Attempt
 		copy(l.Span[:], u.take(8))
 		p := u.take(4)
-		l.Why, l.Result, l.TransportResult, l.Fresh, l.Stale = DecisionReason(p[0]), Result(p[1]), Result(p[2]), p[3]&1 != 0, p[3]&2 != 0
-		u.times(&l.Sent, &l.Begun, &l.Lined, &l.Written, &l.FirstByte, &l.Event, &l.Bound, &l.Reported, &l.Ended, &l.Relay, &bytes)
+		l.Why, l.Result, l.TransportResult, l.NewConnection, l.StaleConnection = DecisionReason(p[0]), Result(p[1]), Result(p[2]), p[3]&1 != 0, p[3]&2 != 0
+		u.times(&l.Sent, &l.Started, &l.Connected, &l.Written, &l.FirstByte, &l.FirstEvent, &l.Bound, &l.Reported, &l.Ended, &l.Relay, &bytes)
 		l.Bytes = int(bytes)
-		l.Host, l.Dial = u.text(), u.text()
+		l.Host, l.Addr = u.text(), u.text()
 		if u.err != nil {
 			return nil, u.err
 		}
--- a/internal/trace/pack_test.go
+++ b/internal/trace/pack_test.go
@@ -13,14 +13,14 @@
 		d := func(name string) time.Duration { return time.Duration(rapid.Int64().Draw(t, name)) }
 		s := func(name string) string { return rapid.String().Draw(t, name) }
 		want := &Record{
-			Number: 1, Trace: TraceID{1, 2}, Span: SpanID{3}, Parent: SpanID{4}, State: s("state"), Flags: 3, Front: s("front"), Team: s("team"),
-			CallID: s("call"), Class: s("class"), Session: rapid.Uint64().Draw(t, "session"), Prompt: 5000, Kept: 64, Tokens: 7,
-			At: d("at"), Reading: d("reading"), FirstEvent: d("first"), End: d("end"), Aim: d("aim"), Outcome: Served, Why: RouterFull,
+			Number: 1, Trace: TraceID{1, 2}, Span: SpanID{3}, Parent: SpanID{4}, State: s("state"), Flags: 3, Frontend: s("front"), Team: s("team"),
+			CallID: s("call"), Class: s("class"), Session: rapid.Uint64().Draw(t, "session"), PromptTokens: 5000, CachedTokens: 64, OutputTokens: 7,
+			At: d("at"), Reading: d("reading"), FirstEvent: d("first"), End: d("end"), TargetLatency: d("aim"), Outcome: Served, Why: RouterFull,
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "legs") {
 			want.Attempts = append(want.Attempts, Attempt{
-				Span: SpanID{9}, Host: s("host"), Dial: s("dial"), Sent: d("sent"), Reported: d("told"),
-				Relay: d("relay"), Bytes: 900, Result: None, TransportResult: 2, Fresh: true,
+				Span: SpanID{9}, Host: s("host"), Addr: s("dial"), Sent: d("sent"), Reported: d("told"),
+				Relay: d("relay"), Bytes: 900, Result: None, TransportResult: 2, NewConnection: true,
 			})
 		}
 		taken := d("taken")
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -217,26 +217,26 @@
 	Parent SpanID  `json:"parent_id,omitzero"`
 	State  string  `json:"trace_state,omitempty"`
 	Flags  byte    `json:"flags"`
-	Before Link    `json:"before,omitzero"` // the client's try before this one, where that is known
+	Previous Link    `json:"before,omitzero"` // the client's try before this one, where that is known
 	Number int     `json:"try"`             // 1 for a first try
 
 	Router  string  `json:"router"`
-	Front   string  `json:"front"`
+	Frontend   string  `json:"front"`
 	Team    string  `json:"team,omitempty"`
 	Pool    string  `json:"pool,omitempty"` // "" where there is only one
 	CallID  string  `json:"call_id"`
 	Class   string  `json:"class"`
 	Session uint64  `json:"session,omitzero"`
-	Prompt  float64 `json:"prompt_tokens"`
-	Tokens  int     `json:"answer_tokens,omitzero"`
-	Kept    float64 `json:"cached_tokens,omitzero"`
+	PromptTokens  float64 `json:"prompt_tokens"`
+	OutputTokens  int     `json:"answer_tokens,omitzero"`
+	CachedTokens    float64 `json:"cached_tokens,omitzero"`
 
 	At         time.Duration         `json:"at"`               // its last byte, Unix time in ns
 	Reading    time.Duration         `json:"reading"`          // from its first byte to its last
 	FirstEvent time.Duration         `json:"first,omitzero"`   // the first event was bound to it
-	Decided    time.Duration         `json:"decided,omitzero"` // the final answer that serves nothing was decided
+	RejectedAt    time.Duration         `json:"decided,omitzero"` // the final answer that serves nothing was decided
 	End        time.Duration         `json:"end"`
-	Aim        time.Duration         `json:"aim"` // for First
+	TargetLatency        time.Duration         `json:"aim"` // for First
 	Outcome    Outcome               `json:"outcome"`
 	Why        DecisionReason        `json:"why,omitzero"` // of a refusal or failure
 	RetryAfter time.Duration         `json:"retry_after,omitzero"`
@@ -250,15 +250,15 @@
 type Attempt struct {
 	Span            SpanID         `json:"span_id"`
 	Host            string         `json:"host"`
-	Dial            string         `json:"dial"`
+	Addr            string         `json:"dial"`
 	Why             DecisionReason `json:"why"`
 	Sent            time.Duration  `json:"sent"`
-	Begun           time.Duration  `json:"begun,omitzero"`
-	Lined           time.Duration  `json:"lined,omitzero"`
-	Fresh           bool           `json:"fresh,omitzero"`
+	Started           time.Duration  `json:"begun,omitzero"`
+	Connected           time.Duration  `json:"lined,omitzero"`
+	NewConnection           bool           `json:"fresh,omitzero"`
 	Written         time.Duration  `json:"written,omitzero"`
 	FirstByte       time.Duration  `json:"first,omitzero"`
-	Event           time.Duration  `json:"event,omitzero"`
+	FirstEvent           time.Duration  `json:"event,omitzero"`
 	Bound           time.Duration  `json:"bound,omitzero"`
 	Reported        time.Duration  `json:"told,omitzero"`  // the module heard its result
 	Ended           time.Duration  `json:"ended,omitzero"` // and so much later it was over, if it was called off
@@ -266,7 +266,7 @@
 	Bytes           int            `json:"bytes,omitzero"`
 	Result          Result         `json:"result"` // what the module heard
 	TransportResult Result         `json:"said"`   // what the line itself came to, which may be later and another
-	Stale           bool           `json:"stale,omitzero"`
+	StaleConnection           bool           `json:"stale,omitzero"`
 }
 
 // Total is the time of a try from its last byte to its answer's end; it equals the sum of its phases.
@@ -279,8 +279,8 @@
 	at := min(max(taken, 0), t.End)
 	t.Phases[Queue] = at
 	until := t.End
-	if t.Decided != 0 {
-		until = min(max(t.Decided, at), t.End)
+	if t.RejectedAt != 0 {
+		until = min(max(t.RejectedAt, at), t.End)
 		t.Phases[Answer] = t.End - until
 	}
 	for at < until {
@@ -329,7 +329,7 @@
 // split books the time from at to next to the stages of l.
 func (l *Attempt) split(at, next time.Duration, to *[Phases]time.Duration) {
 	connect := Line
-	if l.Fresh {
+	if l.NewConnection {
 		connect = Connect
 	}
 	from := l.Sent
@@ -337,7 +337,7 @@
 	for _, stage := range [...]struct {
 		end time.Duration
 		is  Phase
-	}{{l.Begun, Line}, {l.Lined, connect}, {l.Written, Write}, {l.FirstByte, Wait}, {l.Event, Head}, {l.Bound, Bind}} {
+	}{{l.Started, Line}, {l.Connected, connect}, {l.Written, Write}, {l.FirstByte, Wait}, {l.FirstEvent, Head}, {l.Bound, Bind}} {
 		end := max(stage.end, from)
 		if stage.end == 0 { // it ended in this stage
 			end = l.over()
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -121,7 +121,7 @@
 	r.counts.Taken++
 	j := r.journey()
 	t := &j.try
-	t.Router, t.CallID, t.Session, t.Prompt, t.At = r.o.Router, callID, q.Session, q.PromptTokens, min(at, now)
+	t.Router, t.CallID, t.Session, t.PromptTokens, t.At = r.o.Router, callID, q.Session, q.PromptTokens, min(at, now)
 	t.Attempts = j.legs[:0]
 	j.id, j.from, j.taken = id, from, now-t.At
 	if set != nil {
@@ -130,7 +130,7 @@
 	if set != nil && q.Class >= 0 && q.Class < len(set.Classes) {
 		c := &set.Classes[q.Class]
 		j.class = c
-		t.Class, t.Aim = c.Name, c.TargetLatency+time.Duration(float64(c.TargetLatencyPerKTokens)*q.PromptTokens/1000)
+		t.Class, t.TargetLatency = c.Name, c.TargetLatency+time.Duration(float64(c.TargetLatencyPerKTokens)*q.PromptTokens/1000)
 	}
 	var parent Context
 	retry := q.IsClientRetry || q.IsResumed
@@ -139,7 +139,7 @@
 		if t.CallID == "" {
 			t.CallID = o.CallID
 		}
-		parent, t.Front, t.Team, j.tells = o.Context, o.Frontend, o.Team, o.ReportsRejection
+		parent, t.Frontend, t.Team, j.tells = o.Context, o.Frontend, o.Team, o.ReportsRejection
 		if o.FirstByte != 0 {
 			t.Reading = max(t.At-o.FirstByte, 0)
 		}
@@ -159,7 +159,7 @@
 		retry = true
 		r.counts.Linked++
 		s := &r.table.slots[slot]
-		t.Before = s.last
+		t.Previous = s.last
 		if t.Trace == (TraceID{}) {
 			t.Trace = s.last.Trace // it joins the trace of the try before
 		}
@@ -299,7 +299,7 @@
 		t.Attempts = append(t.Attempts, Attempt{Span: r.newSpan(), Result: None, TransportResult: None})
 	}
 	l := &t.Attempts[n]
-	l.Host, l.Dial, l.Why, l.Sent = host, dial, DecisionReason(j.why), now-t.At
+	l.Host, l.Addr, l.Why, l.Sent = host, dial, DecisionReason(j.why), now-t.At
 	j.out++
 	c := &AttemptSpan{}
 	if n < len(j.carry) {
@@ -331,7 +331,7 @@
 	if l := j.leg(id, n); l != nil {
 		l.Reported, l.Result = max(now-j.try.At, 1), Result(result)
 		if kept > 0 && l.Bound != 0 {
-			j.try.Kept = kept
+			j.try.CachedTokens = kept
 		}
 	}
 }
@@ -343,7 +343,7 @@
 		return
 	}
 	at := j.try.At
-	l.TransportResult, l.Stale, l.Ended = Result(said), stale, max(now-at, 1)
+	l.TransportResult, l.StaleConnection, l.Ended = Result(said), stale, max(now-at, 1)
 	if m != nil {
 		since := func(t time.Duration) time.Duration {
 			if t == 0 {
@@ -351,8 +351,8 @@
 			}
 			return max(t-at, l.Sent, 1)
 		}
-		l.Begun, l.Lined, l.Fresh, l.Written = since(m.Started), since(m.Connected), m.NewConnection, since(m.Written)
-		l.FirstByte, l.Event, l.Relay, l.Bytes = since(m.FirstByte), since(m.FirstEvent), m.Relay, m.Bytes
+		l.Started, l.Connected, l.NewConnection, l.Written = since(m.Started), since(m.Connected), m.NewConnection, since(m.Written)
+		l.FirstByte, l.FirstEvent, l.Relay, l.Bytes = since(m.FirstByte), since(m.FirstEvent), m.Relay, m.Bytes
 		if b := since(m.Bound); b != 0 && l.Bound != 0 {
 			l.Bound, j.try.FirstEvent = b, b // when the leg could go on with it
 		}
@@ -360,7 +360,7 @@
 			l.Ended = e
 		}
 		if l.Bound != 0 && m.Tokens > 0 {
-			j.try.Tokens = m.Tokens
+			j.try.OutputTokens = m.Tokens
 		}
 	}
 	j.out--
@@ -387,7 +387,7 @@
 	t.End = now - t.At
 	switch o {
 	case Refused, Failed:
-		t.Decided, t.Why = max(t.End, 1), DecisionReason(j.why)
+		t.RejectedAt, t.Why = max(t.End, 1), DecisionReason(j.why)
 		if j.tells {
 			r.telling[j.from] = j
 		}
@@ -413,7 +413,7 @@
 	}
 	delete(r.telling, from)
 	j.tells = false
-	j.try.End = max(min(at, now)-j.try.At, j.try.Decided)
+	j.try.End = max(min(at, now)-j.try.At, j.try.RejectedAt)
 	r.finish(now, j, false)
 }
 
@@ -496,14 +496,14 @@
 
 // slow tells whether an answer came later than its class wants: its first event, or the pace of the rest.
 func (r *Recorder) slow(t *Record, c *Class) bool {
-	if t.FirstEvent == 0 || t.Aim == 0 {
+	if t.FirstEvent == 0 || t.TargetLatency == 0 {
 		return false
 	}
-	if t.FirstEvent > t.Aim-r.o.LatencyMargin {
+	if t.FirstEvent > t.TargetLatency-r.o.LatencyMargin {
 		return true
 	}
-	if c != nil && c.TokenLatencyTarget > 0 && t.Tokens > 0 {
-		return t.End-t.FirstEvent > time.Duration(t.Tokens)*c.TokenLatencyTarget-r.o.LatencyMargin
+	if c != nil && c.TokenLatencyTarget > 0 && t.OutputTokens > 0 {
+		return t.End-t.FirstEvent > time.Duration(t.OutputTokens)*c.TokenLatencyTarget-r.o.LatencyMargin
 	}
 	return false
 }
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -102,7 +102,7 @@
 	r.take(2, 9, 100, nil)
 	r.serve(2, 300*ms, 200*ms)
 	r.after(11 * time.Second)
-	if len(r.kept) != 1 || r.kept[0].Reasons != ForShare || r.kept[0].Before != (Link{}) {
+	if len(r.kept) != 1 || r.kept[0].Reasons != ForShare || r.kept[0].Previous != (Link{}) {
 		t.Errorf("kept %+v", r.kept)
 	}
 }
@@ -166,7 +166,7 @@
 		t.Fatalf("kept %+v", r.kept)
 	}
 	r.serve(3, 300*ms, 200*ms)
-	if len(r.kept) != 2 || r.kept[1].Trace != r.kept[0].Trace || r.kept[1].Before.Span != r.kept[0].Span || r.kept[1].Number != 2 {
+	if len(r.kept) != 2 || r.kept[1].Trace != r.kept[0].Trace || r.kept[1].Previous.Span != r.kept[0].Span || r.kept[1].Number != 2 {
 		t.Errorf("kept %+v", r.kept)
 	}
 }
@@ -196,7 +196,7 @@
 	r.serve(1, 300*ms, 200*ms)
 	r.take(2, 9, 150, &Origin{Context: c, Retry: true})
 	r.serve(2, 300*ms, 200*ms)
-	if len(r.kept) != 1 || r.kept[0].CallID != "call2" || r.kept[0].Before != (Link{}) || r.kept[0].Trace != c.Trace {
+	if len(r.kept) != 1 || r.kept[0].CallID != "call2" || r.kept[0].Previous != (Link{}) || r.kept[0].Trace != c.Trace {
 		t.Errorf("kept %+v", r.kept)
 	}
 	r.take(3, 0, 150, &Origin{Context: c, Retry: true}) // without a conversation: of another step of the trace, too
@@ -215,7 +215,7 @@
 	r.after(time.Second)
 	r.take(2, 9, 100, &Origin{Context: c})
 	r.serve(2, 100*ms, 100*ms)
-	if len(r.kept) != 1 || r.kept[0].Trace != c.Trace || r.kept[0].Parent != c.Span || r.kept[0].Before == (Link{}) {
+	if len(r.kept) != 1 || r.kept[0].Trace != c.Trace || r.kept[0].Parent != c.Span || r.kept[0].Previous == (Link{}) {
 		t.Fatalf("kept %+v", r.kept)
 	}
 	r.BindAttempt(r.now, 1, r.of[1], 0)
--- a/internal/trace/show/show.go
+++ b/internal/trace/show/show.go
@@ -117,7 +117,7 @@
 	for more := true; more; {
 		more = false
 		for _, t := range all {
-			before := t.Before.Trace
+			before := t.Previous.Trace
 			if before == (trace.TraceID{}) || ids[t.Trace] == ids[before] {
 				continue
 			}
@@ -197,12 +197,12 @@
 		}
 		fmt.Fprintf(w, " after %s", millis(t.End))
 		if t.FirstEvent > 0 {
-			fmt.Fprintf(w, ", first event %s of %s", millis(t.FirstEvent), millis(t.Aim))
+			fmt.Fprintf(w, ", first event %s of %s", millis(t.FirstEvent), millis(t.TargetLatency))
 		}
 		if t.RetryAfter > 0 {
 			fmt.Fprintf(w, ", come back after %s", millis(t.RetryAfter))
 		}
-		fmt.Fprintf(w, "; %.0f tokens in, %d out, call %s", t.Prompt, t.Tokens, t.CallID)
+		fmt.Fprintf(w, "; %.0f tokens in, %d out, call %s", t.PromptTokens, t.OutputTokens, t.CallID)
 		if i > 0 && t.Trace != first.Trace {
 			fmt.Fprintf(w, ", trace %v", t.Trace)
 		}
@@ -213,7 +213,7 @@
 			if l.TransportResult != l.Result && l.TransportResult != trace.None {
 				fmt.Fprintf(w, " (its line: %v after %s)", l.TransportResult, millis(l.Ended-l.Sent))
 			}
-			if l.Stale {
+			if l.StaleConnection {
 				fmt.Fprint(w, " on a stale line")
 			}
 			fmt.Fprintln(w)
@@ -262,7 +262,7 @@
 func (s scale) leg(t *trace.Record, l *trace.Attempt) []byte {
 	line := s.blank()
 	connect := trace.Line
-	if l.Fresh {
+	if l.NewConnection {
 		connect = trace.Connect
 	}
 	over := l.Ended
@@ -280,11 +280,11 @@
 		end time.Duration
 		is  trace.Phase
 	}{
-		{l.Begun, trace.Line},
-		{l.Lined, connect},
+		{l.Started, trace.Line},
+		{l.Connected, connect},
 		{l.Written, trace.Write},
 		{l.FirstByte, trace.Wait},
-		{l.Event, trace.Head},
+		{l.FirstEvent, trace.Head},
 		{l.Bound, trace.Bind},
 		{over, trace.Stream},
 	} {
