--- a/internal/trace/context.go
+++ b/internal/trace/context.go
@@ -8,9 +8,9 @@
 )
 
 type (
-	// TraceID names a trace. The zero value names none.
-	TraceID [16]byte //nolint:revive // beside SpanID, ID would not say of what
-	// SpanID names a span of a trace. The zero value names none.
+	// TraceID is the ID of a trace. The zero value is invalid and stands for none.
+	TraceID [16]byte //nolint:revive // ID would be ambiguous beside SpanID
+	// SpanID is the ID of a span. The zero value is invalid and stands for none.
 	SpanID [8]byte
 )
 
@@ -24,41 +24,41 @@
 func (s SpanID) MarshalText() ([]byte, error) { return hex.AppendEncode(nil, s[:]), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (t *TraceID) UnmarshalText(b []byte) error { return unhex(t[:], b) }
+func (t *TraceID) UnmarshalText(b []byte) error { return decodeHex(t[:], b) }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (s *SpanID) UnmarshalText(b []byte) error { return unhex(s[:], b) }
+func (s *SpanID) UnmarshalText(b []byte) error { return decodeHex(s[:], b) }
 
-func unhex(to, from []byte) error {
-	if len(from) != 2*len(to) {
-		return fmt.Errorf("an id of %d hexadecimal digits, not %d", len(from), 2*len(to))
+func decodeHex(dst, src []byte) error {
+	if len(src) != 2*len(dst) {
+		return fmt.Errorf("ID has %d hexadecimal digits, want %d", len(src), 2*len(dst))
 	}
-	_, err := hex.Decode(to, from)
+	_, err := hex.Decode(dst, src)
 	return err
 }
 
-// Flags of a Context, as traceparent has them.
+// Trace flags of a Context, as defined for traceparent.
 const (
-	Sampled byte = 1 << iota // the caller may have recorded it
-	Random                   // the last 7 bytes of the trace id are random
+	Sampled byte = 1 << iota // the caller may have recorded the trace
+	Random                   // the last 7 bytes of the trace ID are random
 )
 
-// Context is what W3C Trace Context carries from one party to the next.
+// Context is a trace context as W3C Trace Context propagates it.
 type Context struct {
 	Trace TraceID
 	Span  SpanID
 	Flags byte
-	State string // tracestate, checked; "" = none
+	State string // valid tracestate; "" = none
 }
 
-// bounds of tracestate, from the W3C recommendation.
+// Limits of tracestate, from the W3C recommendation.
 const (
-	maxState   = 512 // characters that are passed on
+	maxState   = 512 // characters that are propagated
 	maxMembers = 32
-	maxMember  = 128 // longer members go first where the whole is too long
+	maxMember  = 128 // characters; longer members are removed first
 )
 
-// ParseParent reads a traceparent header. A later version is read as far as this one goes.
+// ParseParent parses a traceparent header. Of a later version it parses the fields that version 00 has.
 func ParseParent(s string) (c Context, ok bool) {
 	const size = 55 // 2 + 1 + 32 + 1 + 16 + 1 + 2
 	if len(s) < size || s[2] != '-' || s[35] != '-' || s[52] != '-' || s[:2] == "ff" {
@@ -72,7 +72,7 @@
 		to   []byte
 		from string
 	}{{version[:], s[:2]}, {c.Trace[:], s[3:35]}, {c.Span[:], s[36:52]}, {flags[:], s[53:55]}} {
-		if !lowerHex(f.to, f.from) {
+		if !decodeLowerHex(f.to, f.from) {
 			return Context{}, false
 		}
 	}
@@ -83,13 +83,13 @@
 	return c, true
 }
 
-func lowerHex(to []byte, from string) bool {
-	for i := range to {
-		hi, lo := digit(from[2*i]), digit(from[2*i+1])
+func decodeLowerHex(dst []byte, src string) bool {
+	for i := range dst {
+		hi, lo := digit(src[2*i]), digit(src[2*i+1])
 		if hi > 15 || lo > 15 {
 			return false
 		}
-		to[i] = hi<<4 | lo
+		dst[i] = hi<<4 | lo
 	}
 	return true
 }
@@ -104,7 +104,7 @@
 	return 0xff
 }
 
-// AppendParent writes the traceparent of c.
+// AppendParent appends the traceparent header of c to b.
 func (c Context) AppendParent(b []byte) []byte {
 	b = append(b, "00-"...)
 	b = hex.AppendEncode(b, c.Trace[:])
@@ -113,8 +113,8 @@
 	return append(b, '-', '0', '0'+c.Flags&(Sampled|Random))
 }
 
-// ParseState joins the values of the tracestate headers. One that breaks the rules is dropped whole, which W3C asks
-// for; one that is too long loses its longest members, then its last.
+// ParseState joins the values of tracestate headers. As W3C requires, an invalid tracestate is discarded as a whole. One
+// that is too long loses its members longer than maxMember, then its last ones.
 func ParseState(values ...string) (state string, ok bool) {
 	if len(values) == 0 {
 		return "", true
@@ -179,9 +179,9 @@
 	return len(v) > 0 && len(v) <= 256
 }
 
-// otel reads what OpenTelemetry's own member of a tracestate says: the threshold under which the trace was sampled
-// and its randomness, both of 56 bits.
-func otel(state string) (threshold, random uint64, hasThreshold, hasRandom bool) {
+// otelSampling parses the ot member of a tracestate, which OpenTelemetry defines: the rejection threshold (th) and the
+// explicit randomness (rv), both of 56 bits.
+func otelSampling(state string) (threshold, random uint64, hasThreshold, hasRandom bool) {
 	for m := range strings.SplitSeq(state, ",") {
 		fields, ok := strings.CutPrefix(m, "ot=")
 		if !ok {
@@ -203,8 +203,8 @@
 	return threshold, random, hasThreshold, hasRandom
 }
 
-// withThreshold puts a threshold into a tracestate, first as the member that changed last. ok is false where there
-// is to be none.
+// withThreshold sets the rejection threshold in a tracestate, or removes it if ok is false. The ot member moves to the
+// front, as W3C requires of a modified member.
 func withThreshold(state string, threshold uint64, ok bool) string {
 	var fields, others []string
 	if ok {
@@ -215,8 +215,8 @@
 		fields = append(fields, "th:"+th)
 	}
 	for m := range strings.SplitSeq(state, ",") {
-		if own, is := strings.CutPrefix(m, "ot="); is {
-			for f := range strings.SplitSeq(own, ";") {
+		if otel, found := strings.CutPrefix(m, "ot="); found {
+			for f := range strings.SplitSeq(otel, ";") {
 				if !strings.HasPrefix(f, "th:") {
 					fields = append(fields, f)
 				}
--- a/internal/trace/context_test.go
+++ b/internal/trace/context_test.go
@@ -12,10 +12,10 @@
 func TestParseParent(t *testing.T) {
 	for in, ok := range map[string]bool{
 		goodParent:                      true,
-		"cc" + goodParent[2:]:           true, // a later version is read as far as this one goes
+		"cc" + goodParent[2:]:           true, // a later version: the fields of version 00 are parsed
 		"cc" + goodParent[2:] + "-what": true,
 		"cc" + goodParent[2:] + "what":  false,
-		goodParent + "-what":            false, // this version has nothing more
+		goodParent + "-what":            false, // version 00 has no further fields
 		"ff" + goodParent[2:]:           false,
 		strings.ToUpper(goodParent):     false,
 		"00-00000000000000000000000000000000-00f067aa0ba902b7-01": false,
@@ -43,7 +43,7 @@
 		{[]string{"b"}, "", false},
 		{[]string{"t1@sys=1,1t@sys=x"}, "t1@sys=1,1t@sys=x", true},
 		{[]string{"b=a=b"}, "", false},
-		{[]string{long, "b" + long, "c" + long, "d=1"}, "b" + long + ",c" + long + ",d=1", true}, // a long one goes first
+		{[]string{long, "b" + long, "c" + long, "d=1"}, "b" + long + ",c" + long + ",d=1", true}, // the first long member is removed
 		{[]string{strings.Repeat("a=1,", 33)}, "", false},
 	} {
 		if got, ok := ParseState(c.in...); got != c.want || ok != c.ok {
@@ -62,7 +62,7 @@
 		}
 		again, ok := ParseParent(string(c.AppendParent(nil)))
 		if !ok || again != c {
-			t.Errorf("%q is read as %v and written so that it reads as %v", s, c, again)
+			t.Errorf("%q is parsed as %v, which does not round-trip: %v", s, c, again)
 		}
 	})
 }
@@ -76,21 +76,20 @@
 			t.Fatalf("%q, %q: %q, %v", a, b, s, ok)
 		}
 		if again, ok := ParseState(s); !ok || again != s {
-			t.Errorf("%q is passed on as %q, which reads as %q", a, s, again)
+			t.Errorf("%q is propagated as %q, which is parsed as %q", a, s, again)
 		}
 		for _, in := range []bool{true, false} {
 			sampler := NewSampler(0.01, 0)
 			next := sampler.state(s, in)
 			if again, ok := ParseState(next); !ok || again != next {
-				t.Errorf("%q goes on as %q, which reads as %q", s, next, again)
+				t.Errorf("%q is propagated as %q, which is parsed as %q", s, next, again)
 			}
 		}
 	})
 }
 
 func TestShareIsConsistent(t *testing.T) {
-	// A trace of a smaller share is of every larger one, at every router, and the tracestate says the threshold by
-	// which it was chosen.
+	// A trace in a share is in every larger share, at every router, and its tracestate has the threshold of the sampler.
 	rapid.Check(t, func(t *rapid.T) {
 		var id TraceID
 		copy(id[:], rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(t, "id"))
@@ -98,28 +97,28 @@
 		large := rapid.Float64Range(small, 1).Draw(t, "large")
 		a, b := NewSampler(small, 0), NewSampler(large, 0)
 		if a.InShare(id, "") && !b.InShare(id, "") {
-			t.Fatalf("of the share %v, not of %v", small, large)
+			t.Fatalf("in the share %v, but not in %v", small, large)
 		}
 		if a.InShare(id, "") {
-			if th, _, ok, _ := otel(a.state("x=1", true)); !ok || th != a.threshold {
-				t.Fatalf("threshold %x is told as %x", a.threshold, th)
+			if threshold, _, ok, _ := otelSampling(a.state("x=1", true)); !ok || threshold != a.threshold {
+				t.Fatalf("threshold %x is propagated as %x", a.threshold, threshold)
 			}
 		}
 	})
 }
 
-func TestShareOfMany(t *testing.T) {
+func TestShareIsAccurate(t *testing.T) {
 	s, r := NewSampler(0.1, 0), New(Options{Seed: 1}, nil)
 	n := 0
 	for range 20000 {
-		if s.InShare(r.newTrace(), "") {
+		if s.InShare(r.newTraceID(), "") {
 			n++
 		}
 	}
 	if n < 1850 || n > 2150 {
-		t.Errorf("%d of 20,000 are in a share of 0.1", n)
+		t.Errorf("%d of 20,000 traces are in a share of 0.1", n)
 	}
 	if in := s.InShare(TraceID{}, "ot=rv:ffffffffffffff"); !in {
-		t.Error("the randomness in the tracestate is not what counts")
+		t.Error("the randomness in the tracestate does not override the trace ID")
 	}
 }
--- a/internal/trace/export/collector.go
+++ b/internal/trace/export/collector.go
@@ -17,36 +17,35 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// collector makes calls of OTLP over HTTP: protobuf, gzip, one request a batch. What the message is called there
-// (ExportTraceServiceRequest) has the same form as TracesData, so that the service's stubs, which bring all of gRPC, are not
-// needed.
+// collector is a client of OTLP over HTTP, with protobuf and gzip. It encodes a batch as TracesData, which has the same
+// encoding as ExportTraceServiceRequest, because the stubs of the service depend on gRPC.
 type collector struct {
 	url     string
 	headers map[string]string
 	client  http.Client
 }
 
-// errBusy is an answer after which the same call may be made again; after says when the collector wants it.
+// errBusy is a response after which the call may be repeated; after is the collector's Retry-After, or 0.
 type errBusy struct {
 	status int
 	after  time.Duration
 }
 
-func (e errBusy) Error() string { return fmt.Sprintf("the collector answers %d", e.status) }
+func (e errBusy) Error() string { return fmt.Sprintf("collector responded with status %d", e.status) }
 
-// errRejected is an answer that says that the records are not wanted.
+// errRejected says that the collector rejected the records, so that the call must not be repeated.
 var errRejected = errors.New("rejected")
 
-// upload makes one call. Errors other than errRejected leave room for another try.
+// upload makes one call. After an error other than errRejected it may be called again.
 func (c *collector) upload(ctx context.Context, spans []*tracepb.ResourceSpans) error {
-	plain, err := proto.Marshal(&tracepb.TracesData{ResourceSpans: spans})
+	encoded, err := proto.Marshal(&tracepb.TracesData{ResourceSpans: spans})
 	if err != nil {
 		return fmt.Errorf("%w: %w", errRejected, err)
 	}
 	var body bytes.Buffer
 	z := gzip.NewWriter(&body)
-	_, _ = z.Write(plain) // to memory, which does not fail
-	_ = z.Close()         // likewise
+	_, _ = z.Write(encoded) // writes to memory do not fail
+	_ = z.Close()           // likewise
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.url, &body)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errRejected, err)
@@ -62,26 +61,26 @@
 		return err
 	}
 	defer resp.Body.Close()
-	const most = 64 << 10
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, most))
+	const maxResponse = 64 << 10
+	respBody, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse))
 	if err != nil {
 		return err
 	}
 	switch {
 	case resp.StatusCode >= 200 && resp.StatusCode < 300:
-		if n, says := partial(answer); n > 0 {
-			return fmt.Errorf("%w: %d spans: %s", errRejected, n, says)
+		if n, message := partialSuccess(respBody); n > 0 {
+			return fmt.Errorf("%w: %d spans: %s", errRejected, n, message)
 		}
 		return nil
 	case resp.StatusCode == http.StatusTooManyRequests, resp.StatusCode == http.StatusBadGateway,
 		resp.StatusCode == http.StatusServiceUnavailable, resp.StatusCode == http.StatusGatewayTimeout:
 		return errBusy{resp.StatusCode, retryAfter(resp.Header.Get("Retry-After"), time.Now())}
 	}
-	return fmt.Errorf("%w: %s: %.200s", errRejected, resp.Status, answer)
+	return fmt.Errorf("%w: %s: %.200s", errRejected, resp.Status, respBody)
 }
 
-// partial reads what a collector says it has not taken: ExportTraceServiceResponse.partial_success.
-func partial(b []byte) (rejected int64, says string) {
+// partialSuccess decodes ExportTraceServiceResponse.partial_success: the number of rejected spans and the message.
+func partialSuccess(b []byte) (rejected int64, message string) {
 	each := func(b []byte, f func(n protowire.Number, t protowire.Type, v []byte, u uint64)) {
 		for len(b) > 0 {
 			n, t, k := protowire.ConsumeTag(b)
@@ -115,14 +114,14 @@
 			case n == 1 && t == protowire.VarintType:
 				rejected = int64(u)
 			case n == 2 && t == protowire.BytesType:
-				says = strings.ToValidUTF8(string(v), "?")
+				message = strings.ToValidUTF8(string(v), "?")
 			}
 		})
 	})
-	return rejected, says
+	return rejected, message
 }
 
-// retryAfter reads a Retry-After: seconds or a date; 0 = none.
+// retryAfter parses a Retry-After header, in seconds or as a date; 0 = none.
 func retryAfter(s string, now time.Time) time.Duration {
 	if n, err := strconv.Atoi(s); err == nil && n > 0 {
 		return time.Duration(min(n, 3600)) * time.Second
--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -17,54 +17,54 @@
 	"notchhinge/internal/trace"
 )
 
-func try(n int, why trace.Reason) *trace.Record {
+func record(n int, reasons trace.KeepReason) *trace.Record {
 	return &trace.Record{
 		Trace: trace.TraceID{1, byte(n), byte(n >> 8)}, Span: trace.SpanID{2, byte(n), byte(n >> 8)}, Router: "n1", Frontend: "calls",
 		CallID: strings.Repeat("c", 16), Class: "chat", At: time.Duration(n) * time.Second, End: time.Second, FirstEvent: time.Second / 2,
-		Outcome: trace.Served, Reasons: why, Number: 1,
+		Outcome: trace.Served, Reasons: reasons, Number: 1,
 		Attempts: []trace.Attempt{{Span: trace.SpanID{3}, Host: "s-1", TransportResult: trace.None}},
 	}
 }
 
-func TestQueueLosesOrdinaryOnesFirst(t *testing.T) {
-	q := newQueue(100 * size(try(0, 0)))
+func TestFullQueueDropsOrdinaryRecordsFirst(t *testing.T) {
+	q := newQueue(100 * recordSize(record(0, 0)))
 	for n := range 1000 {
-		why := trace.ForShare
+		reasons := trace.ForShare
 		if n%20 == 0 {
-			why = trace.ForFailed
+			reasons = trace.ForFailed
 		}
-		q.put(try(n, why))
+		q.put(record(n, reasons))
 	}
 	if c := q.Counters(); c.LostKept != 0 || c.Lost != 900 || c.Waiting != 100 {
 		t.Errorf("%+v", c)
 	}
-	some := q.take(50)
-	for n, y := range some {
-		if y.Reasons != trace.ForFailed || y.At != time.Duration(20*n)*time.Second {
-			t.Fatalf("taken %d: %+v", n, y)
+	taken := q.take(50)
+	for n, got := range taken {
+		if got.Reasons != trace.ForFailed || got.At != time.Duration(20*n)*time.Second {
+			t.Fatalf("record %d: %+v", n, got)
 		}
 	}
 	for n := range 200 {
-		q.put(try(n, trace.ForFailed))
+		q.put(record(n, trace.ForFailed))
 	}
-	if c := q.Counters(); c.Lost != 950 || c.LostKept != 100 || q.bytes > q.most {
-		t.Errorf("%+v, %d bytes of %d", c, q.bytes, q.most)
+	if c := q.Counters(); c.Lost != 950 || c.LostKept != 100 || q.bytes > q.maxBytes {
+		t.Errorf("%+v, %d bytes of %d", c, q.bytes, q.maxBytes)
 	}
 }
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 func TestFileIsReadBack(t *testing.T) {
-	// What is written is read back whole and in order, over rotated files; a torn write and a flipped bit cost their own
-	// frames only.
+	// Records are read back in order across rotated files. A torn write and a flipped bit lose only the records of their
+	// frame.
 	path := filepath.Join(t.TempDir(), "sub", "traces.zst")
-	f, err := NewFile(FileOptions{Path: path, Max: 2000, Files: 30, Flush: time.Hour, Queue: 1 << 20, Log: quiet()})
+	f, err := NewFile(FileOptions{Path: path, Max: 2000, Files: 30, Flush: time.Hour, Queue: 1 << 20, Log: discardLog()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	var want []*trace.Record
 	for n := range 600 {
-		want = append(want, try(n, trace.ForFailed))
+		want = append(want, record(n, trace.ForFailed))
 		f.Put(want[n])
 		if n%60 == 59 {
 			f.flush()
@@ -100,22 +100,22 @@
 	if got, damage := read(all[:len(all)-10]); len(got) != 540 || damage.Frames != 1 {
 		t.Errorf("torn: %d records, %v", len(got), damage)
 	}
-	spoilt := bytes.Clone(all)
-	spoilt[40] ^= 8
-	if got, damage := read(spoilt); len(got) != 540 || damage.Frames != 1 {
+	damaged := bytes.Clone(all)
+	damaged[40] ^= 8
+	if got, damage := read(damaged); len(got) != 540 || damage.Frames != 1 {
 		t.Errorf("a flipped bit: %d records, %v", len(got), damage)
 	}
 	if got, damage := read(append([]byte("noise"), all...)); len(got) != 600 || damage.Bytes != 5 {
-		t.Errorf("noise in front: %d records, %v", len(got), damage)
+		t.Errorf("noise before the first frame: %d records, %v", len(got), damage)
 	}
 	stop := errors.New("enough")
 	if _, err := Read(bytes.NewReader(all), func(*trace.Record) error { return stop }); !errors.Is(err, stop) {
-		t.Errorf("stopped by %v", err)
+		t.Errorf("Read returned %v, want the error of the callback", err)
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	sink, err := NewFile(FileOptions{Path: filepath.Join(f.TempDir(), "t"), Max: 1 << 20, Files: 1, Flush: time.Hour, Queue: 1 << 20, Log: quiet()})
+	sink, err := NewFile(FileOptions{Path: filepath.Join(f.TempDir(), "t"), Max: 1 << 20, Files: 1, Flush: time.Hour, Queue: 1 << 20, Log: discardLog()})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -131,7 +131,7 @@
 }
 
 func TestCollectors(t *testing.T) {
-	// Whatever a collector does, Put does not wait, the end comes within its bound, and each record is accounted for.
+	// Whatever a collector does, Put does not block, Close returns in time, and each record is counted.
 	for name, c := range map[string]struct {
 		mode standin.Mode
 		sent bool
@@ -144,16 +144,16 @@
 			}
 			defer collector.Close()
 			collector.Be(c.mode)
-			e, err := NewOTLP(OTLPOptions{Endpoint: collector.URL(), Queue: 1 << 20, Timeout: time.Minute, Router: "n1", Log: quiet()})
+			e, err := NewOTLP(OTLPOptions{Endpoint: collector.URL(), Queue: 1 << 20, Timeout: time.Minute, Router: "n1", Log: discardLog()})
 			if err != nil {
 				t.Fatal(err)
 			}
 			for n := range 300 {
-				e.Put(try(n, trace.ForFailed))
+				e.Put(record(n, trace.ForFailed))
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			if !c.sent && c.mode != standin.Denies {
-				cancel() // nothing is to be waited for
+				cancel() // this collector accepts nothing, so Close must not wait
 			}
 			e.Close(ctx)
 			cancel()
@@ -162,20 +162,20 @@
 				t.Errorf("%+v", got)
 			}
 			if spans, _ := collector.Spans(); len(spans) != got.Spans {
-				t.Errorf("%d spans came of %d", len(spans), got.Spans)
+				t.Errorf("collector received %d spans, want %d", len(spans), got.Spans)
 			}
 		})
 	}
 }
 
 func TestSpans(t *testing.T) {
-	y := try(1, trace.ForFailed|trace.ForLegs)
-	y.Outcome, y.Phases[trace.Wait], y.Previous = trace.Failed, time.Second, trace.Link{Span: trace.SpanID{9}}
-	s := Spans(y)
-	if len(s) != 2 || standin.Hex(s[1].ParentSpanId) != y.Span.String() || standin.Text(s[0], "notchhinge.outcome") != "failed" ||
-		standin.Number(s[0], "notchhinge.phase.wait_us") != 1e6 || len(s[0].Links) != 1 ||
-		!cmp.Equal(standin.Texts(s[0], "notchhinge.kept_for"), []string{"failed", "legs"}) {
-		t.Errorf("%v", s)
+	rec := record(1, trace.ForFailed|trace.ForAttempts)
+	rec.Outcome, rec.Phases[trace.Wait], rec.Previous = trace.Failed, time.Second, trace.Link{Span: trace.SpanID{9}}
+	spans := Spans(rec)
+	if len(spans) != 2 || standin.Hex(spans[1].ParentSpanId) != rec.Span.String() || standin.Text(spans[0], "notchhinge.outcome") != "failed" ||
+		standin.Number(spans[0], "notchhinge.phase.wait_us") != 1e6 || len(spans[0].Links) != 1 ||
+		!cmp.Equal(standin.Texts(spans[0], "notchhinge.kept_for"), []string{"failed", "legs"}) {
+		t.Errorf("%v", spans)
 	}
 }
 
--- a/internal/trace/export/file.go
+++ b/internal/trace/export/file.go
@@ -21,41 +21,41 @@
 	"notchhinge/internal/trace"
 )
 
-// FileOptions say where records are written.
+// FileOptions configure a File.
 type FileOptions struct {
 	Path  string
 	Max   int64 // bytes at which the file is rotated
-	Files int   // in all; the oldest is removed
+	Files int   // number of files, with the current one; the oldest is removed
 	Flush time.Duration
-	Queue int // bytes of records that wait for the disk
+	Queue int // bytes of queued records
 	Log   *slog.Logger
 }
 
-// File writes records as lines of JSON, in zstd frames of their own: one write a frame, each with its checksum, so that
-// a torn write costs that frame only.
+// File is an exporter that writes records as lines of JSON in zstd frames. Each frame has a checksum and is written by one
+// call, so that a torn write damages only that frame.
 type File struct {
 	*queue
-	o    FileOptions
-	f    *os.File
-	size int64
-	enc  *zstd.Encoder
-	halt chan struct{}
-	done chan struct{}
+	options  FileOptions
+	file     *os.File
+	size     int64
+	enc      *zstd.Encoder
+	stopping chan struct{}
+	done     chan struct{}
 }
 
 const (
-	frameTries = 128
-	maxFrame   = 64 << 20 // of a frame's content; no writer makes one so large
+	recordsPerFrame = 128
+	maxFrameSize    = 64 << 20 // bytes that Read accepts for a frame, far more than a File writes
 )
 
-// NewFile opens the file and begins to write.
-func NewFile(o FileOptions) (*File, error) {
+// NewFile opens the file and starts the writer.
+func NewFile(options FileOptions) (*File, error) {
 	enc, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1),
 		zstd.WithWindowSize(128<<10), zstd.WithLowerEncoderMem(true))
 	if err != nil {
 		return nil, err
 	}
-	s := &File{queue: newQueue(o.Queue), o: o, enc: enc, halt: make(chan struct{}), done: make(chan struct{})}
+	s := &File{queue: newQueue(options.Queue), options: options, enc: enc, stopping: make(chan struct{}), done: make(chan struct{})}
 	if err := s.open(); err != nil {
 		return nil, err
 	}
@@ -64,44 +64,44 @@
 }
 
 func (s *File) open() error {
-	if err := os.MkdirAll(filepath.Dir(s.o.Path), 0o755); err != nil {
+	if err := os.MkdirAll(filepath.Dir(s.options.Path), 0o755); err != nil {
 		return err
 	}
-	f, err := os.OpenFile(s.o.Path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
+	f, err := os.OpenFile(s.options.Path, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
 	if err != nil {
 		return err
 	}
 	info, err := f.Stat()
 	if err != nil {
-		_ = f.Close() // nothing was written
+		_ = f.Close() // no data was written
 		return err
 	}
-	s.f, s.size = f, info.Size()
+	s.file, s.size = f, info.Size()
 	return nil
 }
 
-// Put hands a record over. It does not wait.
-func (s *File) Put(t *trace.Record) { s.put(t) }
+// Put queues a record. It does not block.
+func (s *File) Put(record *trace.Record) { s.put(record) }
 
-// Close writes what is queued and ends.
+// Close writes the queued records and closes the file.
 func (s *File) Close(context.Context) {
-	close(s.halt)
+	close(s.stopping)
 	<-s.done
-	_ = s.enc.Close() // frames are made whole by EncodeAll
-	if s.f != nil {
-		_ = s.f.Close() // Write has reported whether the records were written
+	_ = s.enc.Close() // EncodeAll leaves nothing to flush
+	if s.file != nil {
+		_ = s.file.Close() // Write has reported whether the records were written
 	}
 }
 
 func (s *File) run() {
 	defer close(s.done)
-	tick := time.NewTicker(s.o.Flush)
+	tick := time.NewTicker(s.options.Flush)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
 			s.flush()
-		case <-s.halt:
+		case <-s.stopping:
 			s.flush()
 			return
 		}
@@ -110,55 +110,55 @@
 
 func (s *File) flush() {
 	for {
-		some := s.take(frameTries)
-		if len(some) == 0 {
+		records := s.take(recordsPerFrame)
+		if len(records) == 0 {
 			return
 		}
-		if err := s.write(some); err != nil {
-			s.o.Log.Warn("traces cannot be written", "err", err, "records", len(some))
-			s.count(func(c *Counters) { c.Rejected += len(some) })
+		if err := s.write(records); err != nil {
+			s.options.Log.Warn("cannot write trace records", "err", err, "records", len(records))
+			s.count(func(c *Counters) { c.Rejected += len(records) })
 			continue
 		}
-		s.count(func(c *Counters) { c.Sent += len(some); c.Spans += spans(some) })
+		s.count(func(c *Counters) { c.Sent += len(records); c.Spans += countSpans(records) })
 	}
 }
 
-func (s *File) write(some []*trace.Record) error {
+func (s *File) write(records []*trace.Record) error {
 	var text bytes.Buffer
 	lines := json.NewEncoder(&text)
-	for _, t := range some {
-		if err := lines.Encode(t); err != nil {
+	for _, record := range records {
+		if err := lines.Encode(record); err != nil {
 			return err
 		}
 	}
 	frame := s.enc.EncodeAll(text.Bytes(), nil)
-	if s.f == nil || s.size > 0 && s.size+int64(len(frame)) > s.o.Max {
+	if s.file == nil || s.size > 0 && s.size+int64(len(frame)) > s.options.Max {
 		if err := s.rotate(); err != nil {
 			return err
 		}
 	}
-	n, err := s.f.Write(frame)
+	n, err := s.file.Write(frame)
 	s.size += int64(n)
 	return err
 }
 
-// rotate gives each file the next number and begins a new one.
+// rotate renames each file to the next number and opens a new one.
 func (s *File) rotate() error {
-	if s.f != nil {
-		_ = s.f.Close() // Write has reported whether the records were written
-		s.f = nil
+	if s.file != nil {
+		_ = s.file.Close() // Write has reported whether the records were written
+		s.file = nil
 		numbered := func(n int) string {
 			if n == 0 {
-				return s.o.Path
+				return s.options.Path
 			}
-			return s.o.Path + "." + strconv.Itoa(n)
+			return s.options.Path + "." + strconv.Itoa(n)
 		}
-		if s.o.Files == 1 {
-			if err := os.Remove(s.o.Path); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if s.options.Files == 1 {
+			if err := os.Remove(s.options.Path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return err
 			}
 		}
-		for n := s.o.Files - 1; n > 0; n-- {
+		for n := s.options.Files - 1; n > 0; n-- {
 			if err := os.Rename(numbered(n-1), numbered(n)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return err
 			}
@@ -167,7 +167,7 @@
 	return s.open()
 }
 
-// Rotated lists a sink's files, the oldest first.
+// Rotated returns the files that a File with this path has written, the oldest first.
 func Rotated(path string) ([]string, error) {
 	found, err := filepath.Glob(path + ".*")
 	if err != nil {
@@ -193,11 +193,11 @@
 	return older, nil
 }
 
-// Damage is what a reader had to pass over.
+// Damage counts the data that Read skipped.
 type Damage struct {
-	Bytes  int64 // that belong to no good frame
-	Frames int   // with a wrong checksum or content
-	Lines  int   // that are no record
+	Bytes  int64 // outside a frame
+	Frames int   // that cannot be decoded, for example because of a wrong checksum
+	Lines  int   // that are not a record
 }
 
 func (d Damage) String() string {
@@ -206,10 +206,10 @@
 
 var magic = []byte{0x28, 0xb5, 0x2f, 0xfd} // of a zstd frame
 
-// Read calls each with every record of a sink's file, in their order, and tells what could not be read. A damaged frame
-// costs its own records only. each ends the reading by returning an error.
+// Read calls each with every record of a trace file, in order, and returns what it had to skip. A damaged frame loses
+// only its own records. Read stops at the first error of each and returns it.
 func Read(r io.Reader, each func(*trace.Record) error) (Damage, error) {
-	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxFrame))
+	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxFrameSize))
 	if err != nil {
 		return Damage{}, err
 	}
@@ -221,23 +221,23 @@
 			return false, nil
 		}
 		for line := range bytes.Lines(text) {
-			t := &trace.Record{}
-			if err := json.Unmarshal(line, t); err != nil {
+			record := &trace.Record{}
+			if err := json.Unmarshal(line, record); err != nil {
 				damage.Lines++
 				continue
 			}
-			if err := each(t); err != nil {
+			if err := each(record); err != nil {
 				return true, err
 			}
 		}
 		return true, nil
 	}
-	var bad []byte // a piece that is no frame by itself: it may hold the magic number by chance, and go on in the next
+	var undecoded []byte // a piece that cannot be decoded alone: it may be a frame that contains the magic number by chance
 	pieces := splitter{in: bufio.NewReaderSize(r, 1<<20)}
 	for {
-		piece, end := pieces.next()
-		if end != nil && !errors.Is(end, io.EOF) {
-			return damage, end
+		piece, readErr := pieces.next()
+		if readErr != nil && !errors.Is(readErr, io.EOF) {
+			return damage, readErr
 		}
 		switch {
 		case len(piece) == 0:
@@ -245,27 +245,27 @@
 			damage.Bytes += int64(len(piece))
 		default:
 			ok, err := deliver(piece)
-			if !ok && bad != nil {
-				bad = append(bad, piece...)
-				if ok, err = deliver(bad); ok {
+			if !ok && undecoded != nil {
+				undecoded = append(undecoded, piece...)
+				if ok, err = deliver(undecoded); ok {
 					damage.Frames--
 				}
 			}
 			if err != nil {
 				return damage, err
 			}
-			if bad = nil; !ok {
+			if undecoded = nil; !ok {
 				damage.Frames++
-				bad = piece
+				undecoded = piece
 			}
 		}
-		if end != nil {
+		if readErr != nil {
 			return damage, nil
 		}
 	}
 }
 
-// splitter cuts a file before each magic number.
+// splitter splits a file before each magic number.
 type splitter struct {
 	in   *bufio.Reader
 	rest []byte
@@ -274,7 +274,7 @@
 func (s *splitter) next() ([]byte, error) {
 	piece := s.rest
 	s.rest = nil
-	for len(piece) < maxFrame {
+	for len(piece) < maxFrameSize {
 		chunk, err := s.in.ReadSlice(magic[3])
 		piece = append(piece, chunk...)
 		if n := len(piece) - len(magic); n > 0 && bytes.HasSuffix(piece, magic) {
--- a/internal/trace/export/golden_test.go
+++ b/internal/trace/export/golden_test.go
@@ -15,9 +15,9 @@
 	"notchhinge/internal/trace"
 )
 
-// goldenTries are an ordinary record and one in which each field is set.
-func goldenTries() []*trace.Record {
-	full := try(2, trace.ForFailed|trace.ForRetry)
+// goldenRecords returns an ordinary record and one in which each field is set.
+func goldenRecords() []*trace.Record {
+	full := record(2, trace.ForFailed|trace.ForRetry)
 	full.Parent, full.State, full.Flags, full.Number = trace.SpanID{5}, "ot=th:8", trace.Sampled, 2
 	full.Previous = trace.Link{Trace: trace.TraceID{7}, Span: trace.SpanID{8}}
 	full.Team, full.Pool, full.Session, full.PromptTokens, full.OutputTokens, full.CachedTokens = "lab", "scribe", 300, 5000, 70, 64
@@ -27,20 +27,20 @@
 		Span: trace.SpanID{9}, Host: "s-2", Addr: "10.0.0.6:8000", Why: 2, Sent: 1000, Started: 2000, Connected: 3000, NewConnection: true, Written: 4000,
 		FirstByte: 500_000, FirstEvent: 600_000, Bound: 700_000, Reported: 800_000, Ended: 900_000, Relay: 100, Bytes: 900, Result: 1, TransportResult: 5, StaleConnection: true,
 	})
-	return []*trace.Record{try(1, trace.ForShare), full}
+	return []*trace.Record{record(1, trace.ForShare), full}
 }
 
-// TestGoldenFile: a trace file has the bytes that it had, and is read to the same records. A newer compressor may write others;
-// what is in the file must be read all the same.
+// TestGoldenFile checks the encoding of a trace file, and that it is decoded to the same records. A newer compressor may
+// write other bytes, but must still read those of the golden file.
 func TestGoldenFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "traces.zst")
-	f, err := NewFile(FileOptions{Path: path, Max: 1 << 20, Files: 3, Flush: time.Hour, Queue: 1 << 20, Log: quiet()})
+	f, err := NewFile(FileOptions{Path: path, Max: 1 << 20, Files: 3, Flush: time.Hour, Queue: 1 << 20, Log: discardLog()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, y := range goldenTries() {
-		f.Put(y)
-		f.flush() // a frame each
+	for _, rec := range goldenRecords() {
+		f.Put(rec)
+		f.flush() // one frame per record
 	}
 	f.Close(context.Background())
 	b, err := os.ReadFile(path)
@@ -49,17 +49,17 @@
 	}
 	golden.Check(t, "file.zst.hex", b)
 	var got []*trace.Record
-	damage, err := Read(bytes.NewReader(golden.Read(t, "file.zst.hex")), func(y *trace.Record) error { got = append(got, y); return nil })
+	damage, err := Read(bytes.NewReader(golden.Read(t, "file.zst.hex")), func(rec *trace.Record) error { got = append(got, rec); return nil })
 	if err != nil || damage != (Damage{}) {
 		t.Errorf("%v %v", damage, err)
 	}
-	golden.Equal(t, "the records", goldenTries(), got)
+	golden.Equal(t, "the records", goldenRecords(), got)
 }
 
-// TestGoldenOTLP: a collector is sent the message that it was sent.
+// TestGoldenOTLP checks the encoding of the message that is sent to a collector.
 func TestGoldenOTLP(t *testing.T) {
-	e := &OTLP{o: OTLPOptions{Router: "n1", Version: "1"}}
-	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&tracepb.TracesData{ResourceSpans: e.resource(goldenTries())})
+	e := &OTLP{options: OTLPOptions{Router: "n1", Version: "1"}}
+	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(&tracepb.TracesData{ResourceSpans: e.resource(goldenRecords())})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/trace/export/otlp.go
+++ b/internal/trace/export/otlp.go
@@ -17,74 +17,75 @@
 	"notchhinge/internal/trace"
 )
 
-// OTLPOptions say where a collector is and how it is treated.
+// OTLPOptions configure an OTLP exporter.
 type OTLPOptions struct {
-	Endpoint string            // URL
-	Headers  map[string]string // further ones
-	Queue    int               // bytes of records that wait
+	Endpoint string            // URL of the collector
+	Headers  map[string]string // additional request headers
+	Queue    int               // bytes of queued records
 	Timeout  time.Duration     // of one call
 	Router   string            // service.instance.id
 	Version  string            // service.version
 	Log      *slog.Logger
 }
 
-// OTLP sends records to a collector, over HTTP with protobuf and gzip, as OpenTelemetry's
-// protocol has it. What the collector answers with 429, 502, 503 or 504 is tried again, after its Retry-After where there is
-// one; what it rejects otherwise is given up; and a collector that is not reached is tried again with growing waits.
+// OTLP is an exporter that sends records to a collector by the OpenTelemetry Protocol, over HTTP with protobuf and gzip.
+// It repeats a call after a response of 429, 502, 503 or 504, at the time of its Retry-After header if there is one, and
+// after a failed connection, with exponential backoff. Records that the collector rejects otherwise are dropped.
 type OTLP struct {
 	*queue
-	o      OTLPOptions
-	client collector
-	stop   context.CancelFunc
-	halt   chan struct{}
-	done   chan struct{}
+	options  OTLPOptions
+	client   collector
+	cancel   context.CancelFunc
+	stopping chan struct{}
+	done     chan struct{}
 }
 
 const (
-	batchTries = 256 // records in one call
-	batchWait  = 200 * time.Millisecond
-	firstWait  = 500 * time.Millisecond // before a call is made again; doubles
-	mostWait   = 30 * time.Second
+	batchSize      = 256                    // records in one call
+	batchWait      = 200 * time.Millisecond // for more records
+	initialBackoff = 500 * time.Millisecond // doubles after each failure
+	maxBackoff     = 30 * time.Second
 )
 
-// NewOTLP begins to send.
-func NewOTLP(o OTLPOptions) (*OTLP, error) {
-	u, err := url.Parse(o.Endpoint)
+// NewOTLP starts an exporter.
+func NewOTLP(options OTLPOptions) (*OTLP, error) {
+	u, err := url.Parse(options.Endpoint)
 	if err != nil {
 		return nil, fmt.Errorf("collector: %w", err)
 	}
 	if u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-		return nil, fmt.Errorf("collector: %q is no http or https URL", o.Endpoint)
+		return nil, fmt.Errorf("collector: %q is not an http or https URL", options.Endpoint)
 	}
 	if u.Path == "" || u.Path == "/" {
 		u.Path = "/v1/traces"
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	e := &OTLP{
-		queue: newQueue(o.Queue), o: o, stop: cancel, halt: make(chan struct{}), done: make(chan struct{}),
-		client: collector{url: u.String(), headers: o.Headers, client: http.Client{Timeout: o.Timeout}},
+		queue: newQueue(options.Queue), options: options, cancel: cancel, stopping: make(chan struct{}), done: make(chan struct{}),
+		client: collector{url: u.String(), headers: options.Headers, client: http.Client{Timeout: options.Timeout}},
 	}
 	go e.run(ctx)
 	return e, nil
 }
 
-// Put hands a record over. It does not wait.
-func (e *OTLP) Put(t *trace.Record) { e.put(t) }
+// Put queues a record. It does not block.
+func (e *OTLP) Put(record *trace.Record) { e.put(record) }
 
-// Close sends what is queued within the context and ends. What is left is lost, and counted.
+// Close sends the queued records until the context is done and stops the exporter. Records that remain are dropped and
+// counted.
 func (e *OTLP) Close(ctx context.Context) {
-	close(e.halt)
+	close(e.stopping)
 	select {
 	case <-e.done:
 	case <-ctx.Done():
 	}
-	e.stop()
+	e.cancel()
 	<-e.done
 	e.client.client.CloseIdleConnections()
-	left := e.take(1 << 30)
+	remaining := e.take(1 << 30)
 	e.count(func(c *Counters) {
-		for _, t := range left {
-			if t.Reasons == trace.ForShare {
+		for _, record := range remaining {
+			if record.Reasons == trace.ForShare {
 				c.Lost++
 			} else {
 				c.LostKept++
@@ -95,75 +96,75 @@
 
 func (e *OTLP) run(ctx context.Context) {
 	defer close(e.done)
-	ending := false
+	draining := false
 	for ctx.Err() == nil {
-		some := e.take(batchTries)
-		if len(some) == 0 {
-			if ending {
+		records := e.take(batchSize)
+		if len(records) == 0 {
+			if draining {
 				return
 			}
 			select {
-			case <-e.more:
-				select { // more will come at once
+			case <-e.available:
+				select { // wait for a larger batch
 				case <-time.After(batchWait):
-				case <-e.halt:
-					ending = true
+				case <-e.stopping:
+					draining = true
 				}
-			case <-e.halt:
-				ending = true
+			case <-e.stopping:
+				draining = true
 			}
 			continue
 		}
-		e.send(ctx, some)
+		e.send(ctx, records)
 	}
 }
 
-// send makes a call until it succeeds, is rejected, or the context is over.
-func (e *OTLP) send(ctx context.Context, some []*trace.Record) {
-	batch := e.resource(some)
-	wait := firstWait
+// send repeats a call until it succeeds, is rejected, or the context is done.
+func (e *OTLP) send(ctx context.Context, records []*trace.Record) {
+	batch := e.resource(records)
+	backoff := initialBackoff
 	for {
 		err := e.client.upload(ctx, batch)
 		var busy errBusy
 		switch {
 		case err == nil:
-			e.count(func(c *Counters) { c.Sent += len(some); c.Spans += spans(some) })
+			e.count(func(c *Counters) { c.Sent += len(records); c.Spans += countSpans(records) })
 			return
 		case ctx.Err() != nil:
 			e.mu.Lock()
-			for _, t := range some { // they are counted with what is left
-				e.add(t)
+			for _, record := range records { // Close counts them with the remaining records
+				e.add(record)
 			}
 			e.mu.Unlock()
 			return
 		case errors.Is(err, errRejected):
-			e.o.Log.Warn("the collector rejects traces", "err", err, "records", len(some))
-			e.count(func(c *Counters) { c.Rejected += len(some) })
+			e.options.Log.Warn("collector rejected trace records", "err", err, "records", len(records))
+			e.count(func(c *Counters) { c.Rejected += len(records) })
 			return
 		}
-		pause := wait
+		delay := backoff
 		if errors.As(err, &busy) && busy.after > 0 {
-			pause = busy.after
+			delay = busy.after
 		}
-		e.o.Log.Warn("the collector is not reached", "err", err, "again_in", pause)
+		e.options.Log.Warn("trace export failed; will retry", "err", err, "again_in", delay)
 		e.count(func(c *Counters) { c.Retries++ })
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-ctx.Done():
 		}
-		wait = min(2*wait, mostWait)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// resource puts records into the form of OTLP.
-func (e *OTLP) resource(some []*trace.Record) []*tracepb.ResourceSpans {
-	all := make([]*tracepb.Span, 0, spans(some))
-	for _, t := range some {
-		all = append(all, Spans(t)...)
+// resource encodes records as spans of this router's OTLP resource.
+func (e *OTLP) resource(records []*trace.Record) []*tracepb.ResourceSpans {
+	all := make([]*tracepb.Span, 0, countSpans(records))
+	for _, record := range records {
+		all = append(all, Spans(record)...)
 	}
 	return []*tracepb.ResourceSpans{{
 		Resource: &resourcepb.Resource{Attributes: []*commonpb.KeyValue{
-			text("service.name", "notchhinge"), text("service.instance.id", e.o.Router), text("service.version", e.o.Version),
+			text("service.name", "notchhinge"), text("service.instance.id", e.options.Router), text("service.version", e.options.Version),
 		}},
 		ScopeSpans: []*tracepb.ScopeSpans{{
 			Scope: &commonpb.InstrumentationScope{Name: "notchhinge/internal/trace"}, Spans: all,
@@ -171,90 +172,90 @@
 	}}
 }
 
-// Spans are a try and its legs as OTLP has them: a server span, and a client span for each leg beneath it. Names
-// follow OpenTelemetry's conventions for HTTP and GenAI; what they do not have is under "notchhinge.".
-func Spans(t *trace.Record) []*tracepb.Span {
-	at := func(d time.Duration) uint64 { return uint64(max(t.At+d, 0)) }
+// Spans converts a record to OTLP spans: a server span for the request, with a client span below it for each attempt.
+// Attributes follow OpenTelemetry's semantic conventions for HTTP and GenAI; others have the prefix "notchhinge.".
+func Spans(record *trace.Record) []*tracepb.Span {
+	at := func(d time.Duration) uint64 { return uint64(max(record.At+d, 0)) }
 	root := &tracepb.Span{
-		TraceId: t.Trace[:], SpanId: t.Span[:], TraceState: t.State, Flags: uint32(t.Flags),
+		TraceId: record.Trace[:], SpanId: record.Span[:], TraceState: record.State, Flags: uint32(record.Flags),
 		Name: "POST /v1/chat/completions", Kind: tracepb.Span_SPAN_KIND_SERVER,
-		StartTimeUnixNano: at(0), EndTimeUnixNano: at(t.End),
+		StartTimeUnixNano: at(0), EndTimeUnixNano: at(record.End),
 		Attributes: []*commonpb.KeyValue{
 			text("http.request.method", "POST"), text("http.route", "/v1/chat/completions"), text("gen_ai.operation.name", "chat"),
-			number("gen_ai.usage.input_tokens", int64(t.PromptTokens)),
-			text("notchhinge.call_id", t.CallID), text("notchhinge.class", t.Class), text("notchhinge.front", t.Frontend),
-			text("notchhinge.outcome", t.Outcome.String()), number("notchhinge.try", int64(t.Number)),
-			flag("notchhinge.late", t.Late), number("notchhinge.legs", int64(len(t.Attempts))),
-			number("notchhinge.aim_us", t.TargetLatency.Microseconds()),
-			list("notchhinge.kept_for", t.Reasons.Names()),
+			number("gen_ai.usage.input_tokens", int64(record.PromptTokens)),
+			text("notchhinge.call_id", record.CallID), text("notchhinge.class", record.Class), text("notchhinge.front", record.Frontend),
+			text("notchhinge.outcome", record.Outcome.String()), number("notchhinge.try", int64(record.Number)),
+			boolean("notchhinge.late", record.Late), number("notchhinge.legs", int64(len(record.Attempts))),
+			number("notchhinge.aim_us", record.TargetLatency.Microseconds()),
+			textList("notchhinge.kept_for", record.Reasons.Names()),
 		},
 	}
 	add := func(kv ...*commonpb.KeyValue) { root.Attributes = append(root.Attributes, kv...) }
-	if t.Parent != (trace.SpanID{}) {
-		root.ParentSpanId = t.Parent[:]
+	if record.Parent != (trace.SpanID{}) {
+		root.ParentSpanId = record.Parent[:]
 	}
-	if t.Session != 0 {
-		add(text("gen_ai.conversation.id", fmt.Sprintf("%016x", t.Session)))
+	if record.Session != 0 {
+		add(text("gen_ai.conversation.id", fmt.Sprintf("%016x", record.Session)))
 	}
-	if t.Pool != "" {
-		add(text("notchhinge.pool", t.Pool))
+	if record.Pool != "" {
+		add(text("notchhinge.pool", record.Pool))
 	}
-	if t.Team != "" {
-		add(text("notchhinge.team", t.Team))
+	if record.Team != "" {
+		add(text("notchhinge.team", record.Team))
 	}
-	if t.OutputTokens > 0 {
-		add(number("gen_ai.usage.output_tokens", int64(t.OutputTokens)), number("gen_ai.usage.cache_read.input_tokens", int64(t.CachedTokens)))
+	if record.OutputTokens > 0 {
+		add(number("gen_ai.usage.output_tokens", int64(record.OutputTokens)), number("gen_ai.usage.cache_read.input_tokens", int64(record.CachedTokens)))
 	}
-	if t.FirstEvent > 0 {
-		add(number("notchhinge.first_event_us", t.FirstEvent.Microseconds()))
+	if record.FirstEvent > 0 {
+		add(number("notchhinge.first_event_us", record.FirstEvent.Microseconds()))
 	}
-	switch t.Outcome {
+	switch record.Outcome {
 	case trace.Served, trace.Broken, trace.Gone:
-		if t.FirstEvent > 0 {
+		if record.FirstEvent > 0 {
 			add(number("http.response.status_code", 200))
 		}
 	case trace.Refused:
-		add(number("http.response.status_code", 503), number("notchhinge.retry_after_us", t.RetryAfter.Microseconds()))
+		add(number("http.response.status_code", 503), number("notchhinge.retry_after_us", record.RetryAfter.Microseconds()))
 	case trace.Failed:
 		add(number("http.response.status_code", 504))
 	}
-	if t.Outcome != trace.Served {
-		root.Status = &tracepb.Status{Code: tracepb.Status_STATUS_CODE_ERROR, Message: t.Outcome.String()}
-		add(text("error.type", t.Outcome.String()), text("notchhinge.why", t.Why.String()))
+	if record.Outcome != trace.Served {
+		root.Status = &tracepb.Status{Code: tracepb.Status_STATUS_CODE_ERROR, Message: record.Outcome.String()}
+		add(text("error.type", record.Outcome.String()), text("notchhinge.why", record.Why.String()))
 	}
-	for p, d := range t.Phases {
+	for p, d := range record.Phases {
 		if d > 0 {
 			add(number("notchhinge.phase."+trace.Phase(p).String()+"_us", d.Microseconds()))
 		}
 	}
-	if t.Previous != (trace.Link{}) {
+	if record.Previous != (trace.Link{}) {
 		root.Links = []*tracepb.Span_Link{{
-			TraceId: t.Previous.Trace[:], SpanId: t.Previous.Span[:],
+			TraceId: record.Previous.Trace[:], SpanId: record.Previous.Span[:],
 			Attributes: []*commonpb.KeyValue{text("notchhinge.link", "try_before")},
 		}}
 	}
 	spans := []*tracepb.Span{root}
-	for n := range t.Attempts {
-		spans = append(spans, legSpan(t, n))
+	for n := range record.Attempts {
+		spans = append(spans, attemptSpan(record, n))
 	}
 	return spans
 }
 
-func legSpan(t *trace.Record, n int) *tracepb.Span {
-	l := &t.Attempts[n]
-	at := func(d time.Duration) uint64 { return uint64(max(t.At+d, 0)) }
-	end := max(l.Ended, l.Reported, l.Sent)
-	if l.Ended == 0 && l.Reported == 0 {
-		end = max(t.End, l.Sent)
+func attemptSpan(record *trace.Record, n int) *tracepb.Span {
+	a := &record.Attempts[n]
+	at := func(d time.Duration) uint64 { return uint64(max(record.At+d, 0)) }
+	end := max(a.Ended, a.Reported, a.Sent)
+	if a.Ended == 0 && a.Reported == 0 {
+		end = max(record.End, a.Sent)
 	}
 	s := &tracepb.Span{
-		TraceId: t.Trace[:], SpanId: l.Span[:], ParentSpanId: t.Span[:], TraceState: t.State, Flags: uint32(t.Flags),
-		Name: "chat " + l.Host, Kind: tracepb.Span_SPAN_KIND_CLIENT, StartTimeUnixNano: at(l.Sent), EndTimeUnixNano: at(end),
+		TraceId: record.Trace[:], SpanId: a.Span[:], ParentSpanId: record.Span[:], TraceState: record.State, Flags: uint32(record.Flags),
+		Name: "chat " + a.Host, Kind: tracepb.Span_SPAN_KIND_CLIENT, StartTimeUnixNano: at(a.Sent), EndTimeUnixNano: at(end),
 		Attributes: []*commonpb.KeyValue{
-			text("gen_ai.operation.name", "chat"), text("server.address", l.Addr), text("notchhinge.host", l.Host),
-			number("notchhinge.leg", int64(n)), text("notchhinge.decision", l.Why.String()),
-			text("notchhinge.result", l.Result.String()), text("notchhinge.line_result", l.TransportResult.String()),
-			flag("notchhinge.fresh_line", l.NewConnection), flag("notchhinge.stale_line", l.StaleConnection), flag("notchhinge.bound", l.Bound != 0),
+			text("gen_ai.operation.name", "chat"), text("server.address", a.Addr), text("notchhinge.host", a.Host),
+			number("notchhinge.leg", int64(n)), text("notchhinge.decision", a.Why.String()),
+			text("notchhinge.result", a.Result.String()), text("notchhinge.line_result", a.TransportResult.String()),
+			boolean("notchhinge.fresh_line", a.NewConnection), boolean("notchhinge.stale_line", a.StaleConnection), boolean("notchhinge.bound", a.Bound != 0),
 			number("http.request.resend_count", int64(n)),
 		},
 	}
@@ -262,19 +263,19 @@
 		name string
 		at   time.Duration
 	}{
-		{"begun", l.Started},
-		{"line", l.Connected},
-		{"written", l.Written},
-		{"first_byte", l.FirstByte},
-		{"first_event", l.FirstEvent},
-		{"bound", l.Bound},
-		{"told", l.Reported},
+		{"begun", a.Started},
+		{"line", a.Connected},
+		{"written", a.Written},
+		{"first_byte", a.FirstByte},
+		{"first_event", a.FirstEvent},
+		{"bound", a.Bound},
+		{"told", a.Reported},
 	} {
 		if e.at != 0 {
 			s.Events = append(s.Events, &tracepb.Span_Event{TimeUnixNano: at(e.at), Name: "notchhinge." + e.name})
 		}
 	}
-	if r := l.Result.String(); r != "ok" {
+	if r := a.Result.String(); r != "ok" {
 		s.Status = &tracepb.Status{Code: tracepb.Status_STATUS_CODE_ERROR, Message: r}
 		s.Attributes = append(s.Attributes, text("error.type", r))
 	}
@@ -289,11 +290,11 @@
 	return &commonpb.KeyValue{Key: k, Value: &commonpb.AnyValue{Value: &commonpb.AnyValue_IntValue{IntValue: v}}}
 }
 
-func flag(k string, v bool) *commonpb.KeyValue {
+func boolean(k string, v bool) *commonpb.KeyValue {
 	return &commonpb.KeyValue{Key: k, Value: &commonpb.AnyValue{Value: &commonpb.AnyValue_BoolValue{BoolValue: v}}}
 }
 
-func list(k string, vs []string) *commonpb.KeyValue {
+func textList(k string, vs []string) *commonpb.KeyValue {
 	all := &commonpb.ArrayValue{}
 	for _, v := range vs {
 		all.Values = append(all.Values, &commonpb.AnyValue{Value: &commonpb.AnyValue_StringValue{StringValue: v}})
@@ -301,7 +302,7 @@
 	return &commonpb.KeyValue{Key: k, Value: &commonpb.AnyValue{Value: &commonpb.AnyValue_ArrayValue{ArrayValue: all}}}
 }
 
-// ParseHeaders reads name=value pairs with commas between, as OpenTelemetry's variables have them.
+// ParseHeaders parses comma-separated name=value pairs, the format of OpenTelemetry's environment variables for headers.
 func ParseHeaders(s string) (map[string]string, error) {
 	headers := map[string]string{}
 	for pair := range strings.SplitSeq(s, ",") {
@@ -312,7 +313,7 @@
 		name = strings.TrimSpace(name)
 		value, err := url.PathUnescape(strings.TrimSpace(value))
 		if !ok || name == "" || err != nil {
-			return nil, errors.New("headers: name=value pairs with commas between are wanted") // values are secrets
+			return nil, errors.New("headers: expected comma-separated name=value pairs") // without the values, which are secrets
 		}
 		headers[name] = value
 	}
--- a/internal/trace/export/queue.go
+++ b/internal/trace/export/queue.go
@@ -1,6 +1,6 @@
-// Package export sends records of tries on: to a collector by OTLP, or to a rotated file. It owns the bounded queues
-// between the loop and these sinks, and the account of what became of each record. Nothing here holds up a request:
-// where a sink is slow or down, records are lost, ordinary ones first.
+// Package export exports trace records: to a collector by OTLP, or to a rotated file. A bounded queue separates the
+// dispatcher from each exporter, and counters account for each record. Exporting never delays a request: if an exporter
+// is slow or unavailable, records are dropped, ordinary ones first.
 package export
 
 import (
@@ -10,47 +10,49 @@
 	"notchhinge/internal/trace"
 )
 
-// Counters tell what became of the records handed to one sink. Put = Sent + Lost + LostKept + Rejected + those that
-// wait. Spans counts those of the records sent.
+// Counters count the records put into one exporter by what became of them.
+// Put = Sent + Lost + LostKept + Rejected + Waiting.
 type Counters struct {
 	Put      int
 	Sent     int
-	Spans    int
-	Lost     int // ordinary records that left the queue for want of room
-	LostKept int // records that were kept for a reason, likewise
-	Rejected int // the sink will not have them
-	Retries  int // calls made again
+	Spans    int // of the records sent
+	Lost     int // ordinary records dropped because the queue was full
+	LostKept int // other records dropped because the queue was full
+	Rejected int // by the collector, or not written to the file
+	Retries  int // calls repeated
 	Waiting  int
 }
 
-// queue is a bounded buffer of records: when it is full the oldest ordinary one leaves first, then the oldest kept.
-// It is safe for concurrent use, and Put never waits for a sink.
+// queue is a bounded buffer of records. When it is full, it drops the oldest ordinary record, or else the oldest other
+// one. It is safe for concurrent use, and put does not block.
 type queue struct {
-	most int // bytes
-
-	mu       sync.Mutex
-	ordinary fifo
-	kept     fifo
-	bytes    int
-	counts   Counters
-	more     chan struct{} // there may be something to take
+	maxBytes int
+
+	mu        sync.Mutex
+	ordinary  fifo
+	kept      fifo
+	bytes     int
+	counters  Counters
+	available chan struct{} // signals that records may be available
 }
 
-func newQueue(most int) *queue { return &queue{most: most, more: make(chan struct{}, 1)} }
+func newQueue(maxBytes int) *queue {
+	return &queue{maxBytes: maxBytes, available: make(chan struct{}, 1)}
+}
 
-// fifo is a queue of records whose memory is given back.
+// fifo is a first-in-first-out queue of records that releases its memory.
 type fifo struct {
 	items []*trace.Record
 	first int
 }
 
-func (f *fifo) push(t *trace.Record) { f.items = append(f.items, t) }
+func (f *fifo) push(record *trace.Record) { f.items = append(f.items, record) }
 
 func (f *fifo) pop() *trace.Record {
 	if f.first == len(f.items) {
 		return nil
 	}
-	t := f.items[f.first]
+	record := f.items[f.first]
 	f.items[f.first] = nil
 	f.first++
 	if f.first > len(f.items)/2 && f.first > 64 || f.first == len(f.items) {
@@ -58,84 +60,84 @@
 		clear(f.items[n:])
 		f.items, f.first = f.items[:n], 0
 	}
-	return t
+	return record
 }
 
-// put hands a record in.
-func (q *queue) put(t *trace.Record) {
+// put adds a record and signals the exporter.
+func (q *queue) put(record *trace.Record) {
 	q.mu.Lock()
-	q.counts.Put++
-	q.add(t)
+	q.counters.Put++
+	q.add(record)
 	q.mu.Unlock()
 	select {
-	case q.more <- struct{}{}:
+	case q.available <- struct{}{}:
 	default:
 	}
 }
 
-func (q *queue) add(t *trace.Record) {
-	to := &q.kept
-	if t.Reasons == trace.ForShare {
-		to = &q.ordinary
+func (q *queue) add(record *trace.Record) {
+	target := &q.kept
+	if record.Reasons == trace.ForShare {
+		target = &q.ordinary
 	}
-	to.push(t)
-	q.bytes += size(t)
-	for q.bytes > q.most {
-		out := q.ordinary.pop()
-		if out != nil {
-			q.counts.Lost++
-		} else if out = q.kept.pop(); out != nil {
-			q.counts.LostKept++
+	target.push(record)
+	q.bytes += recordSize(record)
+	for q.bytes > q.maxBytes {
+		dropped := q.ordinary.pop()
+		if dropped != nil {
+			q.counters.Lost++
+		} else if dropped = q.kept.pop(); dropped != nil {
+			q.counters.LostKept++
 		} else {
 			return
 		}
-		q.bytes -= size(out)
+		q.bytes -= recordSize(dropped)
 	}
 }
 
-// take takes up to n records out, those kept for a reason first.
+// take removes and returns up to n records, the ordinary ones last.
 func (q *queue) take(n int) []*trace.Record {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var some []*trace.Record
-	for len(some) < n {
-		t := q.kept.pop()
-		if t == nil {
-			t = q.ordinary.pop()
+	var records []*trace.Record
+	for len(records) < n {
+		record := q.kept.pop()
+		if record == nil {
+			record = q.ordinary.pop()
 		}
-		if t == nil {
+		if record == nil {
 			break
 		}
-		q.bytes -= size(t)
-		some = append(some, t)
+		q.bytes -= recordSize(record)
+		records = append(records, record)
 	}
-	return some
+	return records
 }
 
-// count changes the account.
+// count updates the counters.
 func (q *queue) count(change func(*Counters)) {
 	q.mu.Lock()
-	change(&q.counts)
+	change(&q.counters)
 	q.mu.Unlock()
 }
 
-// Counters returns the account so far.
+// Counters returns the counters since the start.
 func (q *queue) Counters() Counters {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	c := q.counts
+	c := q.counters
 	c.Waiting = c.Put - c.Sent - c.Lost - c.LostKept - c.Rejected
 	return c
 }
 
-func size(t *trace.Record) int {
-	return int(unsafe.Sizeof(trace.Record{})) + cap(t.Attempts)*int(unsafe.Sizeof(trace.Attempt{})) + 64
+func recordSize(record *trace.Record) int {
+	return int(unsafe.Sizeof(trace.Record{})) + cap(record.Attempts)*int(unsafe.Sizeof(trace.Attempt{})) + 64
 }
 
-func spans(some []*trace.Record) int {
-	n := len(some)
-	for _, t := range some {
-		n += len(t.Attempts)
+func countSpans(records []*trace.Record) int {
+	n := len(records)
+	for _, record := range records {
+		n += len(record.Attempts)
 	}
 	return n
 }
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -8,8 +8,8 @@
 	"notchhinge/internal/testutil/golden"
 )
 
-// goldenTry is a record in which each field is set.
-func goldenTry() *Record {
+// goldenRecord returns a record in which each field is set.
+func goldenRecord() *Record {
 	return &Record{
 		Trace: TraceID{1, 2, 15: 16}, Span: SpanID{3, 7: 4}, Parent: SpanID{5}, State: "ot=th:8", Flags: Sampled | Random, Number: 1,
 		Frontend: "calls", Team: "lab", Pool: "scribe", CallID: "call-1", Class: "chat", Session: 0x0102030405060708,
@@ -26,31 +26,31 @@
 	}
 }
 
-// TestGoldenPacked: a record that waits in memory has the bytes that it had.
+// TestGoldenPacked checks the encoding of a pending record in memory.
 func TestGoldenPacked(t *testing.T) {
-	const taken = 500
-	want := goldenTry()
-	want.reckon(taken)
-	golden.RoundTrip(t, "packed.hex", want, func(y *Record) []byte { return y.pack(nil, taken) }, unpack)
+	const queueTime = 500
+	want := goldenRecord()
+	want.computePhases(queueTime)
+	golden.RoundTrip(t, "packed.hex", want, func(record *Record) []byte { return record.pack(nil, queueTime) }, unpack)
 }
 
-// TestGoldenJSON: a record in a trace file has the text that it had, with the names of outcomes, results, reasons and phases.
+// TestGoldenJSON checks the encoding of a record in a trace file, with the names of outcomes, results, reasons and phases.
 func TestGoldenJSON(t *testing.T) {
-	y := goldenTry()
-	y.reckon(500)
-	y.Previous, y.Number, y.Router, y.Late = Link{Trace: TraceID{7}, Span: SpanID{8}}, 2, "n1", true
-	y.Reasons = ForFailed | ForShare
-	golden.RoundTrip(t, "record.json", y, func(y *Record) []byte {
-		b, err := json.Marshal(y)
+	record := goldenRecord()
+	record.computePhases(500)
+	record.Previous, record.Number, record.Router, record.Late = Link{Trace: TraceID{7}, Span: SpanID{8}}, 2, "n1", true
+	record.Reasons = ForFailed | ForShare
+	golden.RoundTrip(t, "record.json", record, func(record *Record) []byte {
+		b, err := json.Marshal(record)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return b
 	}, func(b []byte) (*Record, error) {
-		y := &Record{}
-		return y, json.Unmarshal(b, y)
+		record := &Record{}
+		return record, json.Unmarshal(b, record)
 	})
-	names := map[string][]string{"reasons": Reason(1<<len(reasonNames) - 1).Names()}
+	names := map[string][]string{"reasons": KeepReason(1<<len(keepReasonNames) - 1).Names()}
 	for o := range outcomeNames {
 		names["outcomes"] = append(names["outcomes"], Outcome(o).String())
 	}
@@ -58,10 +58,10 @@
 		names["results"] = append(names["results"], Result(r).String())
 	}
 	names["results"] = append(names["results"], None.String())
-	for w := range whyNames {
+	for w := range decisionReasonNames {
 		names["whys"] = append(names["whys"], DecisionReason(w).String())
 	}
-	for p := range Phases {
+	for p := range NumPhases {
 		names["phases"] = append(names["phases"], p.String())
 	}
 	b, err := json.MarshalIndent(names, "", " ")
--- a/internal/trace/pack.go
+++ b/internal/trace/pack.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// pack appends the record of an ordinary try to b, in the order of its fields and at their full width, which is faster
-// than fewer bytes. The phases are not in it: unpack reckons them again, from when the try was taken.
-func (t *Record) pack(b []byte, taken time.Duration) []byte {
-	b = append(b, t.Trace[:]...)
-	b = append(b, t.Span[:]...)
-	b = append(b, t.Parent[:]...)
-	b = append(b, t.Flags, byte(t.Outcome), byte(t.Why), byte(len(t.Attempts)))
-	b = words(b, t.Session, math.Float64bits(t.PromptTokens), math.Float64bits(t.CachedTokens), uint64(t.At), uint64(t.Reading), uint64(t.FirstEvent),
-		uint64(t.RejectedAt), uint64(t.End), uint64(t.TargetLatency), uint64(t.RetryAfter), uint64(t.OutputTokens), uint64(taken))
-	for _, s := range [...]string{t.State, t.Pool, t.Frontend, t.Team, t.CallID, t.Class} {
+// pack appends an ordinary record to b. Numbers have a fixed width, which is faster than a varint. The phases are left
+// out: unpack computes them again, for which it needs queueTime.
+func (r *Record) pack(b []byte, queueTime time.Duration) []byte {
+	b = append(b, r.Trace[:]...)
+	b = append(b, r.Span[:]...)
+	b = append(b, r.Parent[:]...)
+	b = append(b, r.Flags, byte(r.Outcome), byte(r.Why), byte(len(r.Attempts)))
+	b = appendWords(b, r.Session, math.Float64bits(r.PromptTokens), math.Float64bits(r.CachedTokens), uint64(r.At), uint64(r.Reading), uint64(r.FirstEvent),
+		uint64(r.RejectedAt), uint64(r.End), uint64(r.TargetLatency), uint64(r.RetryAfter), uint64(r.OutputTokens), uint64(queueTime))
+	for _, s := range [...]string{r.State, r.Pool, r.Frontend, r.Team, r.CallID, r.Class} {
 		b = append(binary.LittleEndian.AppendUint16(b, uint16(len(s))), s...)
 	}
-	for i := range t.Attempts {
-		l := &t.Attempts[i]
-		b = append(b, l.Span[:]...)
-		b = append(b, byte(l.Why), byte(l.Result), byte(l.TransportResult), bit(l.NewConnection)|bit(l.StaleConnection)<<1)
-		b = words(b, uint64(l.Sent), uint64(l.Started), uint64(l.Connected), uint64(l.Written), uint64(l.FirstByte), uint64(l.FirstEvent),
-			uint64(l.Bound), uint64(l.Reported), uint64(l.Ended), uint64(l.Relay), uint64(l.Bytes))
-		for _, s := range [...]string{l.Host, l.Addr} {
+	for i := range r.Attempts {
+		a := &r.Attempts[i]
+		b = append(b, a.Span[:]...)
+		b = append(b, byte(a.Why), byte(a.Result), byte(a.TransportResult), boolBit(a.NewConnection)|boolBit(a.StaleConnection)<<1)
+		b = appendWords(b, uint64(a.Sent), uint64(a.Started), uint64(a.Connected), uint64(a.Written), uint64(a.FirstByte), uint64(a.FirstEvent),
+			uint64(a.Bound), uint64(a.Reported), uint64(a.Ended), uint64(a.Relay), uint64(a.Bytes))
+		for _, s := range [...]string{a.Host, a.Addr} {
 			b = append(binary.LittleEndian.AppendUint16(b, uint16(len(s))), s...)
 		}
 	}
 	return b
 }
 
-func words(b []byte, all ...uint64) []byte {
+func appendWords(b []byte, all ...uint64) []byte {
 	for _, w := range all {
 		b = binary.LittleEndian.AppendUint64(b, w)
 	}
 	return b
 }
 
-func bit(v bool) byte {
+func boolBit(v bool) byte {
 	if v {
 		return 1
 	}
 	return 0
 }
 
-var errPacked = errors.New("trace: a packed record is cut off")
+var errPacked = errors.New("trace: packed record is truncated")
 
-// unpacker reads what pack wrote; its first failure sticks.
+// unpacker decodes what pack wrote. After an error, reads return zero values.
 type unpacker struct {
 	b   []byte
 	err error
@@ -77,38 +77,38 @@
 
 func (u *unpacker) word() uint64 { return binary.LittleEndian.Uint64(u.take(8)) }
 
-// unpack reads a record that pack wrote.
+// unpack decodes a record that pack wrote.
 func unpack(b []byte) (*Record, error) {
-	u, t := &unpacker{b: b}, &Record{Number: 1}
-	copy(t.Trace[:], u.take(16))
-	copy(t.Span[:], u.take(8))
-	copy(t.Parent[:], u.take(8))
-	small := u.take(4)
-	t.Flags, t.Outcome, t.Why = small[0], Outcome(small[1]), DecisionReason(small[2])
-	legs := int(small[3])
-	t.Session, t.PromptTokens, t.CachedTokens = u.word(), math.Float64frombits(u.word()), math.Float64frombits(u.word())
-	var tokens, taken, bytes time.Duration
-	u.times(&t.At, &t.Reading, &t.FirstEvent, &t.RejectedAt, &t.End, &t.TargetLatency, &t.RetryAfter, &tokens, &taken)
-	t.OutputTokens = int(tokens)
-	for _, s := range [...]*string{&t.State, &t.Pool, &t.Frontend, &t.Team, &t.CallID, &t.Class} {
+	u, r := &unpacker{b: b}, &Record{Number: 1}
+	copy(r.Trace[:], u.take(16))
+	copy(r.Span[:], u.take(8))
+	copy(r.Parent[:], u.take(8))
+	bytes4 := u.take(4)
+	r.Flags, r.Outcome, r.Why = bytes4[0], Outcome(bytes4[1]), DecisionReason(bytes4[2])
+	attempts := int(bytes4[3])
+	r.Session, r.PromptTokens, r.CachedTokens = u.word(), math.Float64frombits(u.word()), math.Float64frombits(u.word())
+	var tokens, queueTime, bytes time.Duration
+	u.times(&r.At, &r.Reading, &r.FirstEvent, &r.RejectedAt, &r.End, &r.TargetLatency, &r.RetryAfter, &tokens, &queueTime)
+	r.OutputTokens = int(tokens)
+	for _, s := range [...]*string{&r.State, &r.Pool, &r.Frontend, &r.Team, &r.CallID, &r.Class} {
 		*s = u.text()
 	}
-	for range legs {
-		var l Attempt
-		copy(l.Span[:], u.take(8))
+	for range attempts {
+		var a Attempt
+		copy(a.Span[:], u.take(8))
 		p := u.take(4)
-		l.Why, l.Result, l.TransportResult, l.NewConnection, l.StaleConnection = DecisionReason(p[0]), Result(p[1]), Result(p[2]), p[3]&1 != 0, p[3]&2 != 0
-		u.times(&l.Sent, &l.Started, &l.Connected, &l.Written, &l.FirstByte, &l.FirstEvent, &l.Bound, &l.Reported, &l.Ended, &l.Relay, &bytes)
-		l.Bytes = int(bytes)
-		l.Host, l.Addr = u.text(), u.text()
+		a.Why, a.Result, a.TransportResult, a.NewConnection, a.StaleConnection = DecisionReason(p[0]), Result(p[1]), Result(p[2]), p[3]&1 != 0, p[3]&2 != 0
+		u.times(&a.Sent, &a.Started, &a.Connected, &a.Written, &a.FirstByte, &a.FirstEvent, &a.Bound, &a.Reported, &a.Ended, &a.Relay, &bytes)
+		a.Bytes = int(bytes)
+		a.Host, a.Addr = u.text(), u.text()
 		if u.err != nil {
 			return nil, u.err
 		}
-		t.Attempts = append(t.Attempts, l)
+		r.Attempts = append(r.Attempts, a)
 	}
 	if u.err != nil {
 		return nil, u.err
 	}
-	t.reckon(taken)
-	return t, nil
+	r.computePhases(queueTime)
+	return r, nil
 }
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -1,7 +1,7 @@
-// Package trace follows authorisations: where the time of each went, what the decision module decided and why, and
-// how each leg ended. It owns the open journeys, the table by which a client's retry finds the tries before it, and
-// the choice of what is kept. It does no I/O, reads no clock and knows no wire: the broker tells it what the reducer
-// takes in, and gets whole records back, which others send on (internal/trace/export) or show (internal/trace/show).
+// Package trace records a trace of each request: where its time went, what the decision module decided and why, and how
+// each attempt ended. It holds the open spans, links a client's retry to the requests before it, and samples the
+// finished records. It does no I/O and reads no clock: the dispatcher calls it for each event, and receives finished
+// records, which internal/trace/export exports and internal/trace/show displays.
 package trace
 
 import (
@@ -11,37 +11,37 @@
 	"notchhinge/policy"
 )
 
-// Outcome is how a try ended towards its client.
+// Outcome is how a request ended from its client's point of view.
 type Outcome uint8
 
-// The outcomes. Gone: the client left before the end of its answer. Broken: the stream ended before its end.
+// The outcomes of a request.
 const (
 	Unknown Outcome = iota
 	Served
-	Broken
-	Refused
-	Failed
-	Gone
-	Open // the router stopped before it was known
+	Broken  // the response was cut off
+	Refused // rejected; a retry is safe
+	Failed  // an attempt may have run
+	Gone    // the client disconnected before the end of the response
+	Open    // the router stopped before the request ended
 )
 
 var outcomeNames = [...]string{"unknown", "served", "broken", "refused", "failed", "gone", "open"}
 
-func (o Outcome) String() string { return name(outcomeNames[:], int(o)) }
+func (o Outcome) String() string { return nameOf(outcomeNames[:], int(o)) }
 
 // MarshalText implements encoding.TextMarshaler.
 func (o Outcome) MarshalText() ([]byte, error) { return []byte(o.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (o *Outcome) UnmarshalText(b []byte) error { return unname(o, outcomeNames[:], b) }
+func (o *Outcome) UnmarshalText(b []byte) error { return parseName(o, outcomeNames[:], b) }
 
-// ParseOutcome reads the name of an outcome.
+// ParseOutcome parses the name of an outcome.
 func ParseOutcome(s string) (o Outcome, err error) { return o, o.UnmarshalText([]byte(s)) }
 
-// Result is a policy.Result with a name; None stands for a leg whose end is not known.
+// Result is a policy.Result that is encoded by its name, or None.
 type Result uint8
 
-// None is the result of a leg that had not ended when its record was closed.
+// None is the result of an attempt that had not ended when the record of its request was closed.
 const None Result = 0xff
 
 var resultNames = [...]string{
@@ -53,7 +53,7 @@
 	if r == None {
 		return "none"
 	}
-	return name(resultNames[:], int(r))
+	return nameOf(resultNames[:], int(r))
 }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -65,20 +65,20 @@
 		*r = None
 		return nil
 	}
-	return unname(r, resultNames[:], b)
+	return parseName(r, resultNames[:], b)
 }
 
-// DecisionReason is a policy.DecisionReason with a name, or a reason of the broker's own.
+// DecisionReason is a policy.Reason that is encoded by its name, or a reason of the dispatcher.
 type DecisionReason policy.Reason
 
-// Reasons of the broker's own, beyond those of the decision module.
+// Reasons of the dispatcher, for requests that the decision module did not decide.
 const (
-	RouterFull DecisionReason = iota + 64 // no room for another authorisation
-	IDTaken                               // its id is that of another open one
-	Unanswered                            // the module held it past its deadline
+	RouterFull DecisionReason = iota + 64 // the router's limit of concurrent requests is reached
+	IDTaken                               // another open request has the same ID
+	Unanswered                            // the decision module did not answer before the deadline
 )
 
-var whyNames = [...]string{
+var decisionReasonNames = [...]string{
 	policy.ReasonNone: "none", policy.ReasonAffinity: "pinned", policy.ReasonSelected: "drawn", policy.ReasonAffinityLost: "orphaned",
 	policy.ReasonOtherZone: "spilled", policy.ReasonOverBound: "over_bound", policy.ReasonLastResort: "last_resort",
 	policy.ReasonLoadShed: "shedding", policy.ReasonNoReplica: "no_replica", policy.ReasonRetryBudget: "no_retries",
@@ -86,54 +86,56 @@
 	RouterFull: "router_full", IDTaken: "id_taken", Unanswered: "unanswered",
 }
 
-func (w DecisionReason) String() string { return name(whyNames[:], int(w)) }
+func (r DecisionReason) String() string { return nameOf(decisionReasonNames[:], int(r)) }
 
 // MarshalText implements encoding.TextMarshaler.
-func (w DecisionReason) MarshalText() ([]byte, error) { return []byte(w.String()), nil }
+func (r DecisionReason) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (w *DecisionReason) UnmarshalText(b []byte) error { return unname(w, whyNames[:], b) }
+func (r *DecisionReason) UnmarshalText(b []byte) error {
+	return parseName(r, decisionReasonNames[:], b)
+}
 
-func name(names []string, i int) string {
+func nameOf(names []string, i int) string {
 	if i < len(names) && names[i] != "" {
 		return names[i]
 	}
 	return fmt.Sprint(i)
 }
 
-func unname[T ~uint8](to *T, names []string, b []byte) error {
+func parseName[T ~uint8](value *T, names []string, text []byte) error {
 	for i, n := range names {
-		if n != "" && n == string(b) {
-			*to = T(i)
+		if n != "" && n == string(text) {
+			*value = T(i)
 			return nil
 		}
 	}
-	return fmt.Errorf("%q is none of %q", b, names)
+	return fmt.Errorf("%q is not one of %q", text, names)
 }
 
-// Reason is a set of what had a try kept.
-type Reason uint16
+// KeepReason is a set of the reasons for which a record is exported.
+type KeepReason uint16
 
-// The reasons. Linked: another try of the same step was kept. Share: it is of the share of ordinary ones.
+// The reasons for which a record is exported.
 const (
-	ForFailed Reason = 1 << iota
+	ForFailed KeepReason = 1 << iota
 	ForRefused
 	ForBroken
 	ForGone
 	ForLate
-	ForLegs
-	ForRetry
-	ForLinked
-	ForShare
+	ForAttempts // more than one attempt was made
+	ForRetry    // the request is a client's retry
+	ForLinked   // another request of the same operation is exported
+	ForShare    // an ordinary request that was sampled
 	ForOpen
 )
 
-var reasonNames = [...]string{"failed", "refused", "broken", "gone", "late", "legs", "retry", "linked", "share", "open"}
+var keepReasonNames = [...]string{"failed", "refused", "broken", "gone", "late", "legs", "retry", "linked", "share", "open"}
 
-// Names lists the reasons in a set.
-func (r Reason) Names() []string {
+// Names returns the names of the reasons in the set.
+func (r KeepReason) Names() []string {
 	var names []string
-	for i, n := range reasonNames {
+	for i, n := range keepReasonNames {
 		if r&(1<<i) != 0 {
 			names = append(names, n)
 		}
@@ -141,218 +143,218 @@
 	return names
 }
 
-// Phase is a part of a try's time. Every moment from the request's last byte to the answer's end is of exactly one.
+// Phase is a phase of a request. The phases divide the time from the request's last byte to the end of the response.
 type Phase uint8
 
 // The phases, in the order in which they usually come.
 const (
-	Queue   Phase = iota // until the loop took it
-	Pending              // no leg was out: the module, or the loop between two legs
-	Line                 // a leg waited for an idle line
-	Connect              // a leg opened a connection
-	Write                // a leg wrote the request
-	Wait                 // the host was silent
-	Head                 // from the answer's first byte to its first event
-	Bind                 // the loop bound the leg to the client
-	Stream               // the answer's events came
-	Relay                // they were being written to the client
-	Close                // the rest of a leg after its last stage
-	Answer               // a final answer that serves nothing was being written
-	Phases
+	Queue   Phase = iota // until the dispatcher received the request
+	Pending              // no attempt was open: the module or the dispatcher had yet to act
+	Acquire              // an attempt waited for an idle connection
+	Connect              // an attempt opened a connection
+	Write                // an attempt wrote the request
+	Wait                 // an attempt waited for the first byte of the response
+	Head                 // from the first byte of the response to its first event
+	Bind                 // the dispatcher bound the attempt to the client
+	Stream               // the response was streamed
+	Relay                // the response was being written to the client
+	Close                // the rest of an attempt after its last stage
+	Answer               // a rejection was being written to the client
+	NumPhases
 )
 
-var phaseNames = [Phases]string{
+var phaseNames = [NumPhases]string{
 	"queue", "hold", "line", "connect", "write", "wait", "head", "bind", "stream", "relay", "close", "answer",
 }
 
-func (p Phase) String() string { return name(phaseNames[:], int(p)) }
+func (p Phase) String() string { return nameOf(phaseNames[:], int(p)) }
 
-// Inside tells whether the time of a phase is the router's own, and not a host's, a network's or the client's.
-func (p Phase) Inside() bool {
-	return p == Queue || p == Pending || p == Line || p == Bind || p == Close
+// InRouter reports whether a phase is spent in the router itself, not at an upstream, on the network or at the client.
+func (p Phase) InRouter() bool {
+	return p == Queue || p == Pending || p == Acquire || p == Bind || p == Close
 }
 
-// Times is what the one who runs a leg measured, as readings of the loop's clock; 0 = never came to it.
+// Times are the times that the transport measured for an attempt, on the dispatcher's clock; 0 = not reached.
 type Times struct {
-	Started       time.Duration // its goroutine ran
-	Connected     time.Duration // it had a line
-	NewConnection bool          // and that was opened for it
-	Written       time.Duration // the request's last byte was written
-	FirstByte     time.Duration // the answer's first byte was there
-	FirstEvent    time.Duration // and its first whole event
-	Bound         time.Duration // the loop had said that the leg is the client's
+	Started       time.Duration // the goroutine of the attempt ran
+	Connected     time.Duration // it had a connection
+	NewConnection bool          // the connection was opened for this attempt
+	Written       time.Duration // the last byte of the request was written
+	FirstByte     time.Duration // the first byte of the response was received
+	FirstEvent    time.Duration // the first event of the response was received
+	Bound         time.Duration // the transport learned that the attempt is bound to the client
 	Ended         time.Duration
 	Relay         time.Duration // total time of writes to the client
-	Bytes         int           // passed on
-	Tokens        int           // of the answer, by its usage; 0 = not told
+	Bytes         int           // forwarded to the client
+	Tokens        int           // of the response, by its usage field; 0 = not reported
 }
 
-// AttemptSpan is what a traced leg has with it: the context for its host, and the times that are measured on its way.
+// AttemptSpan is the open span of an attempt: the trace context to propagate, and the times that the transport measures.
 type AttemptSpan struct {
 	Context
 	Times Times
 }
 
-// Origin is what a front knows of where an authorisation came from.
+// Origin is what a frontend knows about the source of a request.
 type Origin struct {
-	Context                 // of the client; a zero Trace begins a new trace, a zero Span has no parent
+	Context                 // of the client; a zero Trace starts a new trace, a zero Span has no parent
 	Frontend         string // "calls" or "batch"
 	Team             string
-	CallID           string        // where the authorisation has no name
-	Retry            bool          // the front knows that it is a further try
-	FirstByte        time.Duration // the message's first byte was there, on the loop's clock; 0 = not known
-	ReportsRejection bool          // the front reports with Answered when a declining answer is written
+	CallID           string        // used if the request has no client request ID
+	Retry            bool          // the frontend knows that the request is a retry
+	FirstByte        time.Duration // the first byte of the message was received, on the dispatcher's clock; 0 = unknown
+	ReportsRejection bool          // the frontend reports when a rejection is written
 }
 
-// Link points at a span of another trace.
+// Link identifies a span of this or another trace.
 type Link struct {
 	Trace TraceID `json:"trace_id"`
 	Span  SpanID  `json:"span_id"`
 }
 
-// Record is the whole record of one authorisation. Times without a word of their own are counted from At.
+// Record is the trace record of one request. Its times are relative to At, unless noted otherwise.
 type Record struct {
-	Trace  TraceID `json:"trace_id"`
-	Span   SpanID  `json:"span_id"`
-	Parent SpanID  `json:"parent_id,omitzero"`
-	State  string  `json:"trace_state,omitempty"`
-	Flags  byte    `json:"flags"`
-	Previous Link    `json:"before,omitzero"` // the client's try before this one, where that is known
-	Number int     `json:"try"`             // 1 for a first try
-
-	Router  string  `json:"router"`
-	Frontend   string  `json:"front"`
-	Team    string  `json:"team,omitempty"`
-	Pool    string  `json:"pool,omitempty"` // "" where there is only one
-	CallID  string  `json:"call_id"`
-	Class   string  `json:"class"`
-	Session uint64  `json:"session,omitzero"`
-	PromptTokens  float64 `json:"prompt_tokens"`
-	OutputTokens  int     `json:"answer_tokens,omitzero"`
-	CachedTokens    float64 `json:"cached_tokens,omitzero"`
-
-	At         time.Duration         `json:"at"`               // its last byte, Unix time in ns
-	Reading    time.Duration         `json:"reading"`          // from its first byte to its last
-	FirstEvent time.Duration         `json:"first,omitzero"`   // the first event was bound to it
-	RejectedAt    time.Duration         `json:"decided,omitzero"` // the final answer that serves nothing was decided
-	End        time.Duration         `json:"end"`
-	TargetLatency        time.Duration         `json:"aim"` // for First
-	Outcome    Outcome               `json:"outcome"`
-	Why        DecisionReason        `json:"why,omitzero"` // of a refusal or failure
-	RetryAfter time.Duration         `json:"retry_after,omitzero"`
-	Late       bool                  `json:"late,omitzero"`
-	Reasons    Reason                `json:"reasons"`
-	Phases     [Phases]time.Duration `json:"phases"` // they add up to End
-	Attempts   []Attempt             `json:"legs"`
+	Trace    TraceID `json:"trace_id"`
+	Span     SpanID  `json:"span_id"`
+	Parent   SpanID  `json:"parent_id,omitzero"`
+	State    string  `json:"trace_state,omitempty"`
+	Flags    byte    `json:"flags"`
+	Previous Link    `json:"before,omitzero"` // the client's request that this one retries, if known
+	Number   int     `json:"try"`             // 1 for the first request of an operation
+
+	Router       string  `json:"router"`
+	Frontend     string  `json:"front"`
+	Team         string  `json:"team,omitempty"`
+	Pool         string  `json:"pool,omitempty"` // "" if there is only one
+	CallID       string  `json:"call_id"`
+	Class        string  `json:"class"`
+	Session      uint64  `json:"session,omitzero"`
+	PromptTokens float64 `json:"prompt_tokens"`
+	OutputTokens int     `json:"answer_tokens,omitzero"`
+	CachedTokens float64 `json:"cached_tokens,omitzero"`
+
+	At            time.Duration            `json:"at"`               // when its last byte was received, Unix time
+	Reading       time.Duration            `json:"reading"`          // between its first byte and its last
+	FirstEvent    time.Duration            `json:"first,omitzero"`   // when the first event of the response was bound to it
+	RejectedAt    time.Duration            `json:"decided,omitzero"` // when its rejection was decided
+	End           time.Duration            `json:"end"`
+	TargetLatency time.Duration            `json:"aim"` // latency target of FirstEvent
+	Outcome       Outcome                  `json:"outcome"`
+	Why           DecisionReason           `json:"why,omitzero"` // of a rejection or failure
+	RetryAfter    time.Duration            `json:"retry_after,omitzero"`
+	Late          bool                     `json:"late,omitzero"`
+	Reasons       KeepReason               `json:"reasons"`
+	Phases        [NumPhases]time.Duration `json:"phases"` // their sum is End
+	Attempts      []Attempt                `json:"legs"`
 }
 
-// Attempt is the record of one attempt. Its times are counted from its try's At; 0 = never came to it.
+// Attempt is the trace record of one attempt. Its times are relative to the At of its request; 0 = not reached.
 type Attempt struct {
 	Span            SpanID         `json:"span_id"`
 	Host            string         `json:"host"`
 	Addr            string         `json:"dial"`
 	Why             DecisionReason `json:"why"`
 	Sent            time.Duration  `json:"sent"`
-	Started           time.Duration  `json:"begun,omitzero"`
-	Connected           time.Duration  `json:"lined,omitzero"`
-	NewConnection           bool           `json:"fresh,omitzero"`
+	Started         time.Duration  `json:"begun,omitzero"`
+	Connected       time.Duration  `json:"lined,omitzero"`
+	NewConnection   bool           `json:"fresh,omitzero"`
 	Written         time.Duration  `json:"written,omitzero"`
 	FirstByte       time.Duration  `json:"first,omitzero"`
-	FirstEvent           time.Duration  `json:"event,omitzero"`
+	FirstEvent      time.Duration  `json:"event,omitzero"`
 	Bound           time.Duration  `json:"bound,omitzero"`
-	Reported        time.Duration  `json:"told,omitzero"`  // the module heard its result
-	Ended           time.Duration  `json:"ended,omitzero"` // and so much later it was over, if it was called off
+	Reported        time.Duration  `json:"told,omitzero"`  // the module received its result
+	Ended           time.Duration  `json:"ended,omitzero"` // the transport was done, which is later if it was cancelled
 	Relay           time.Duration  `json:"relay,omitzero"`
 	Bytes           int            `json:"bytes,omitzero"`
-	Result          Result         `json:"result"` // what the module heard
-	TransportResult Result         `json:"said"`   // what the line itself came to, which may be later and another
-	StaleConnection           bool           `json:"stale,omitzero"`
+	Result          Result         `json:"result"` // as reported to the module
+	TransportResult Result         `json:"said"`   // as the transport ended, which may differ after a cancellation
+	StaleConnection bool           `json:"stale,omitzero"`
 }
 
-// Total is the time of a try from its last byte to its answer's end; it equals the sum of its phases.
-func (t *Record) Total() time.Duration { return t.End }
-
-// reckon fills the phases in: each moment is the bound leg's while that is out, else that of the leg which was sent
-// last among those out, else Hold. taken is when the reducer took the try.
-func (t *Record) reckon(taken time.Duration) {
-	t.Phases = [Phases]time.Duration{}
-	at := min(max(taken, 0), t.End)
-	t.Phases[Queue] = at
-	until := t.End
-	if t.RejectedAt != 0 {
-		until = min(max(t.RejectedAt, at), t.End)
-		t.Phases[Answer] = t.End - until
+// Total returns the time from the last byte of the request to the end of the response. It is the sum of the phases.
+func (r *Record) Total() time.Duration { return r.End }
+
+// computePhases sets Phases. While attempts are open, time is charged to the bound one, or else to the latest; otherwise
+// it is Pending. queueTime is the time until the dispatcher received the request.
+func (r *Record) computePhases(queueTime time.Duration) {
+	r.Phases = [NumPhases]time.Duration{}
+	at := min(max(queueTime, 0), r.End)
+	r.Phases[Queue] = at
+	until := r.End
+	if r.RejectedAt != 0 {
+		until = min(max(r.RejectedAt, at), r.End)
+		r.Phases[Answer] = r.End - until
 	}
 	for at < until {
-		owner, next := t.owner(at, until)
+		owner, next := r.owner(at, until)
 		if owner == nil {
-			t.Phases[Pending] += next - at
+			r.Phases[Pending] += next - at
 		} else {
-			owner.split(at, next, &t.Phases)
+			owner.addPhases(at, next, &r.Phases)
 		}
 		at = next
 	}
 }
 
-// owner tells whose the moment at is, and until when it stays so.
-func (t *Record) owner(at, until time.Duration) (owner *Attempt, next time.Duration) {
+// owner returns the attempt to which the time at is charged, nil if none, and the time until which this holds.
+func (r *Record) owner(at, until time.Duration) (owner *Attempt, next time.Duration) {
 	next = until
-	for i := range t.Attempts {
-		l := &t.Attempts[i]
-		over := l.over()
+	for i := range r.Attempts {
+		a := &r.Attempts[i]
+		endedAt := a.endedAt()
 		switch {
-		case l.Sent > at:
-			next = min(next, l.Sent)
-		case over <= at:
+		case a.Sent > at:
+			next = min(next, a.Sent)
+		case endedAt <= at:
 		default:
-			next = min(next, over)
-			if owner == nil || owner.Bound == 0 && (l.Bound != 0 || l.Sent >= owner.Sent) {
-				owner = l
+			next = min(next, endedAt)
+			if owner == nil || owner.Bound == 0 && (a.Bound != 0 || a.Sent >= owner.Sent) {
+				owner = a
 			}
 		}
 	}
 	return owner, next
 }
 
-// over is when the router stopped waiting for a leg. A result that was told before the leg itself ended counts,
-// unless the leg is the one whose answer the client got.
-func (l *Attempt) over() time.Duration {
+// endedAt returns when the router stopped waiting for the attempt: when its result was reported to the module, or, if it
+// was bound to the client, when the transport was done.
+func (a *Attempt) endedAt() time.Duration {
 	switch {
-	case l.Reported == 0 && l.Ended == 0:
+	case a.Reported == 0 && a.Ended == 0:
 		return 1<<63 - 1
-	case l.Reported == 0 || l.Bound != 0 && l.Ended != 0:
-		return l.Ended
+	case a.Reported == 0 || a.Bound != 0 && a.Ended != 0:
+		return a.Ended
 	}
-	return l.Reported
+	return a.Reported
 }
 
-// split books the time from at to next to the stages of l.
-func (l *Attempt) split(at, next time.Duration, to *[Phases]time.Duration) {
-	connect := Line
-	if l.NewConnection {
+// addPhases adds the time from at to next to the phases of the stages that the attempt was in.
+func (a *Attempt) addPhases(at, next time.Duration, phases *[NumPhases]time.Duration) {
+	connect := Acquire
+	if a.NewConnection {
 		connect = Connect
 	}
-	from := l.Sent
-	// Until the goroutine runs the loop's effects are on their way: that is the router's own time, as a line's is.
+	from := a.Sent
+	// The time until the goroutine runs is spent in the router, as is waiting for a connection.
 	for _, stage := range [...]struct {
-		end time.Duration
-		is  Phase
-	}{{l.Started, Line}, {l.Connected, connect}, {l.Written, Write}, {l.FirstByte, Wait}, {l.FirstEvent, Head}, {l.Bound, Bind}} {
+		end   time.Duration
+		phase Phase
+	}{{a.Started, Acquire}, {a.Connected, connect}, {a.Written, Write}, {a.FirstByte, Wait}, {a.FirstEvent, Head}, {a.Bound, Bind}} {
 		end := max(stage.end, from)
-		if stage.end == 0 { // it ended in this stage
-			end = l.over()
+		if stage.end == 0 { // the attempt ended in this stage
+			end = a.endedAt()
 		}
 		if part := min(end, next) - max(from, at); part > 0 {
-			to[stage.is] += part
+			phases[stage.phase] += part
 		}
 		if stage.end == 0 {
 			return
 		}
 		from = end
 	}
-	if part := next - max(from, at); part > 0 { // the stream
-		relay := min(l.Relay, part)
-		to[Relay] += relay
-		to[Stream] += part - relay
+	if part := next - max(from, at); part > 0 { // the rest is the stream
+		relay := min(a.Relay, part)
+		phases[Relay] += relay
+		phases[Stream] += part - relay
 	}
 }
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -10,264 +10,265 @@
 	"notchhinge/policy"
 )
 
-// Class is what the recorder must know of a class to tell whether an answer was late.
+// Class is a request class with its latency targets, by which the recorder decides whether a response was late.
 type Class struct {
 	Name                    string
-	TargetLatency           time.Duration // for the first event
-	TargetLatencyPerKTokens time.Duration // added for each 1,000 prompt tokens
-	TokenLatencyTarget      time.Duration // for each token of the rest, on average; 0 = no such aim
+	TargetLatency           time.Duration // of the first event
+	TargetLatencyPerKTokens time.Duration // added per 1,000 prompt tokens
+	TokenLatencyTarget      time.Duration // average of each further token; 0 = no target
 }
 
-// Pool is what a recorder must know of a pool.
+// Pool is a pool with its request classes.
 type Pool struct {
 	Pool    string
-	Classes []Class // by their numbers in the pool's requests
+	Classes []Class // indexed by policy.Request.Class
 }
 
-// Options are fixed for the life of a Recorder.
+// Options configure a Recorder.
 type Options struct {
-	Router          string        // its name, in every record
-	Classes         []Class       // of what is of no set
-	RetryWindow     time.Duration // a retry is looked for so long after the try before it
-	CompletionGrace time.Duration // a try that is over waits so long for the last word of its legs and of its client
-	LatencyMargin   time.Duration // an answer that was so near to its aim counts as late: the client sees it later still
-	Share           float64       // of ordinary steps, from 0 to 1
-	PerSecond       float64       // ordinary steps a second at the most; 0 = no bound
-	MarkAllSampled  bool          // issuer hosts are told that every trace is sampled, not just those of the share
-	Operations      int           // steps in the table, StepBytes each; the oldest leaves first
+	Router          string        // name of the router, set in each record
+	Classes         []Class       // unused
+	RetryWindow     time.Duration // a later request counts as a retry within this time
+	CompletionGrace time.Duration // an ended request waits at most this long for the end of its attempts and of its rejection
+	LatencyMargin   time.Duration // a response within this of its target counts as late, since the client receives it later still
+	Share           float64       // of ordinary operations that are sampled, from 0 to 1
+	PerSecond       float64       // limit of sampled ordinary operations per second; 0 = unlimited
+	MarkAllSampled  bool          // engines get the sampled flag for every trace, not just for those in the share
+	Operations      int           // limit of operations in the table, of OperationBytes each; the oldest is evicted first
 	Seed            uint64
 }
 
-// Host is the one whose state the recorder is part of.
-type Host interface {
-	// Wake asks for Recorder.Due at a time.
+// Owner is the state machine that a Recorder is part of.
+type Owner interface {
+	// Wake schedules a call of Recorder.Due.
 	Wake(at time.Duration)
-	// Keep hands over the record of a try that is to leave. It is the taker's from then on.
+	// Keep exports a record, which the recorder does not use afterwards.
 	Keep(*Record)
 }
 
-// Counters tell what became of tries. Taken = Kept + Dropped + Early + Limited + Held + those under way.
+// Counters count requests by what became of their records.
+// Taken = Kept + Dropped + Evicted + Limited + Pending + open requests.
 type Counters struct {
-	Taken   int // tries that began
-	Kept    int // handed over
-	Share   int // of these, ordinary ones
-	Dropped int // ordinary ones that were not of the share
-	Evicted int // ordinary ones that left before their window's end, for want of memory
-	Limited int // of the share, but beyond the rate
-	Linked  int // tries found to be retries
-	Pending int // tries that wait now
-	Steps   int // in the table now
-}
-
-// Recorder owns the open journeys and the table of steps. It is not safe for concurrent use.
+	Taken   int // requests started
+	Kept    int // exported
+	Share   int // of Kept, ordinary ones
+	Dropped int // ordinary ones outside the share
+	Evicted int // ordinary ones dropped before the end of their retry window, for lack of memory
+	Limited int // in the share, but above the rate limit
+	Linked  int // requests recognized as retries
+	Pending int // records that are pending now
+	Steps   int // operations in the table now
+}
+
+// Recorder holds the open spans and the table of operations. It is not safe for concurrent use.
 type Recorder struct {
-	o       Options
-	host    Host
-	rnd     *rand.Rand
-	sampler Sampler
-	state   string                            // a new trace of the share goes on with this tracestate
-	late    map[policy.RequestID]*RequestSpan // over, but lacking the last word of a leg
-	telling map[any]*RequestSpan              // a declining answer is being written to them
-	table   *table
-	lingers list.List      // of *Journey that are over and lack a last word, by the time they are closed
-	woken   time.Duration  // a Wake is out for then; 0 = none
-	all     []*RequestSpan // every one made
-	spare   []*RequestSpan // of these, not in use
-	counts  Counters
-}
-
-// RequestSpan is a try that is under way. Its owner keeps it beside the authorisation's id; it is used again for others, so
-// that it does nothing for an id that it is no longer of.
+	options         Options
+	owner           Owner
+	rnd             *rand.Rand
+	sampler         Sampler
+	sampledState    string                            // tracestate of a new trace in the share
+	incomplete      map[policy.RequestID]*RequestSpan // ended, but with open attempts or an unwritten rejection
+	rejections      map[any]*RequestSpan              // by client: its rejection is being written
+	table           *table
+	incompleteOrder list.List      // the *RequestSpan of incomplete, by their closeAt
+	wakeAt          time.Duration  // time of the scheduled call of Due; 0 = none
+	spans           []*RequestSpan // allocated spans
+	unused          []*RequestSpan // of these, the unused ones
+	counters        Counters
+}
+
+// RequestSpan is the open span of a request. The dispatcher keeps it with the request. Spans are reused, so each method of
+// Recorder checks the request ID and ignores a span that is used for another request by now.
 type RequestSpan struct {
-	try   Record
-	legs  [4]Attempt     // room for try.Legs; the deployment's most attempts
-	carry [4]AttemptSpan // likewise, of what they carry
-	step  uint32         // slot
-	id    policy.RequestID
-	from  any
-	why   policy.Reason
-	taken time.Duration // the reducer took it, from At
-	out   int           // legs whose own end has not come
-	over  bool          // towards its client
-	class *Class        // nil where it is unknown
-	tells bool          // and it will be said when the answer is written
-	until time.Duration // it is closed then, whatever is missing; 0 = not over
-	place *list.Element // among those that linger
-}
-
-// New returns a recorder that holds nothing.
-func New(o Options, host Host) *Recorder {
+	record          Record
+	attempts        [4]Attempt     // backing array of record.Attempts, for the deployment's maximum of attempts
+	attemptSpans    [4]AttemptSpan // likewise, their spans
+	operation       uint32         // slot in the table
+	id              policy.RequestID
+	client          any
+	reason          policy.Reason
+	queueTime       time.Duration // from record.At until the dispatcher received it
+	openAttempts    int           // attempts that the transport has not ended
+	ended           bool          // from the client's point of view
+	class           *Class        // nil if unknown
+	awaitsRejection bool          // the frontend will report the end of the rejection
+	closeAt         time.Duration // the record is closed then, complete or not
+	element         *list.Element // in incompleteOrder
+}
+
+// New returns an empty recorder.
+func New(options Options, owner Owner) *Recorder {
 	r := &Recorder{
-		o: o, host: host, rnd: rand.New(rand.NewPCG(o.Seed, 0x6a09e667f3bcc909)), sampler: NewSampler(o.Share, o.PerSecond),
-		late: map[policy.RequestID]*RequestSpan{}, telling: map[any]*RequestSpan{},
-		table: newTable(max(o.Operations, 1)),
+		options: options, owner: owner, rnd: rand.New(rand.NewPCG(options.Seed, 0x6a09e667f3bcc909)), sampler: NewSampler(options.Share, options.PerSecond),
+		incomplete: map[policy.RequestID]*RequestSpan{}, rejections: map[any]*RequestSpan{},
+		table: newTable(max(options.Operations, 1)),
 	}
-	r.state = r.sampler.state("", true)
+	r.sampledState = r.sampler.state("", true)
 	return r
 }
 
-// Counters returns what became of tries so far.
+// Counters returns the counters since the start.
 func (r *Recorder) Counters() Counters {
-	c := r.counts
-	c.Steps, c.Pending = r.table.waiting(), r.table.held
+	c := r.counters
+	c.Steps, c.Pending = r.table.size(), r.table.pending
 	return c
 }
 
-// StartRequest begins the journey of an authorisation. o may be nil: then it has no context and nothing is known of its
-// beginning. So may set: then its class is one of the options'.
-func (r *Recorder) StartRequest(now time.Duration, id policy.RequestID, from any, callID string, at time.Duration,
-	q *policy.Request, o *Origin, set *Pool,
+// StartRequest starts the span of a request. origin may be nil: the request then has no trace context. pool may be nil:
+// the class is then unknown.
+func (r *Recorder) StartRequest(now time.Duration, id policy.RequestID, client any, callID string, receivedAt time.Duration,
+	request *policy.Request, origin *Origin, pool *Pool,
 ) *RequestSpan {
-	r.counts.Taken++
-	j := r.journey()
-	t := &j.try
-	t.Router, t.CallID, t.Session, t.PromptTokens, t.At = r.o.Router, callID, q.Session, q.PromptTokens, min(at, now)
-	t.Attempts = j.legs[:0]
-	j.id, j.from, j.taken = id, from, now-t.At
-	if set != nil {
-		t.Pool = set.Pool
-	}
-	if set != nil && q.Class >= 0 && q.Class < len(set.Classes) {
-		c := &set.Classes[q.Class]
-		j.class = c
-		t.Class, t.TargetLatency = c.Name, c.TargetLatency+time.Duration(float64(c.TargetLatencyPerKTokens)*q.PromptTokens/1000)
+	r.counters.Taken++
+	span := r.acquireSpan()
+	record := &span.record
+	record.Router, record.CallID, record.Session, record.PromptTokens, record.At = r.options.Router, callID, request.Session, request.PromptTokens, min(receivedAt, now)
+	record.Attempts = span.attempts[:0]
+	span.id, span.client, span.queueTime = id, client, now-record.At
+	if pool != nil {
+		record.Pool = pool.Pool
+	}
+	if pool != nil && request.Class >= 0 && request.Class < len(pool.Classes) {
+		c := &pool.Classes[request.Class]
+		span.class = c
+		record.Class, record.TargetLatency = c.Name, c.TargetLatency+time.Duration(float64(c.TargetLatencyPerKTokens)*request.PromptTokens/1000)
 	}
 	var parent Context
-	retry := q.IsClientRetry || q.IsResumed
-	if o != nil {
-		retry = retry || o.Retry
-		if t.CallID == "" {
-			t.CallID = o.CallID
+	retry := request.IsClientRetry || request.IsResumed
+	if origin != nil {
+		retry = retry || origin.Retry
+		if record.CallID == "" {
+			record.CallID = origin.CallID
 		}
-		parent, t.Frontend, t.Team, j.tells = o.Context, o.Frontend, o.Team, o.ReportsRejection
-		if o.FirstByte != 0 {
-			t.Reading = max(t.At-o.FirstByte, 0)
+		parent, record.Frontend, record.Team, span.awaitsRejection = origin.Context, origin.Frontend, origin.Team, origin.ReportsRejection
+		if origin.FirstByte != 0 {
+			record.Reading = max(record.At-origin.FirstByte, 0)
 		}
 	}
-	slot := r.find(now, parent, q, retry)
-	t.Trace, t.Parent, t.State = parent.Trace, parent.Span, parent.State
+	slot := r.findOperation(now, parent, request, retry)
+	record.Trace, record.Parent, record.State = parent.Trace, parent.Span, parent.State
 	linked := slot != 0
 	if !linked {
-		if t.Trace == (TraceID{}) {
-			t.Trace = r.newTrace()
+		if record.Trace == (TraceID{}) {
+			record.Trace = r.newTraceID()
 		}
-		slot = r.table.add(step{
-			trace: t.Trace, session: q.Session, prompt: q.PromptTokens, indexed: parent.Trace != (TraceID{}),
-			before: r.table.talks[q.Session],
+		slot = r.table.add(operation{
+			trace: record.Trace, session: request.Session, prompt: request.PromptTokens, indexed: parent.Trace != (TraceID{}),
+			previous: r.table.bySession[request.Session],
 		})
 	} else {
 		retry = true
-		r.counts.Linked++
-		s := &r.table.slots[slot]
-		t.Previous = s.last
-		if t.Trace == (TraceID{}) {
-			t.Trace = s.last.Trace // it joins the trace of the try before
+		r.counters.Linked++
+		op := &r.table.slots[slot]
+		record.Previous = op.last
+		if record.Trace == (TraceID{}) {
+			record.Trace = op.last.Trace // a retry without a context joins the trace of the previous request
 		}
-		if s.open == 0 {
-			r.table.unqueue(slot)
+		if op.open == 0 {
+			r.table.dequeue(slot)
 		}
 	}
-	if q.Session != 0 && !linked { // a retry must not hide the newer questions, which may be tried again too
-		r.table.talks[q.Session] = slot
+	if request.Session != 0 && !linked { // a retry must not replace a later operation of the session, which may be retried as well
+		r.table.bySession[request.Session] = slot
 	}
-	t.Span = r.newSpan()
-	in := r.sampler.InShare(t.Trace, t.State)
+	record.Span = r.newSpanID()
+	sampled := r.sampler.InShare(record.Trace, record.State)
 	switch {
 	case parent.Span != (SpanID{}):
-		t.Flags = parent.Flags
-	case in:
-		t.Flags = Sampled | Random
+		record.Flags = parent.Flags
+	case sampled:
+		record.Flags = Sampled | Random
 	default:
-		t.Flags = Random
+		record.Flags = Random
 	}
-	if r.o.MarkAllSampled {
-		t.Flags |= Sampled
+	if r.options.MarkAllSampled {
+		record.Flags |= Sampled
 	}
-	if t.State == "" {
-		if in {
-			t.State = r.state
+	if record.State == "" {
+		if sampled {
+			record.State = r.sampledState
 		}
 	} else {
-		t.State = r.sampler.state(t.State, in)
-	}
-	s := &r.table.slots[slot]
-	s.in = in
-	s.number++
-	s.open++
-	t.Number, j.step = int(s.number), slot
-	s.last = Link{t.Trace, t.Span}
+		record.State = r.sampler.state(record.State, sampled)
+	}
+	op := &r.table.slots[slot]
+	op.sampled = sampled
+	op.requests++
+	op.open++
+	record.Number, span.operation = int(op.requests), slot
+	op.last = Link{record.Trace, record.Span}
 	if retry {
-		t.Reasons |= ForRetry
+		record.Reasons |= ForRetry
 		r.keepAll(slot)
 	}
-	return j
+	return span
 }
 
-// journey returns an empty one.
-func (r *Recorder) journey() *RequestSpan {
-	n := len(r.spare)
+// acquireSpan returns an empty span.
+func (r *Recorder) acquireSpan() *RequestSpan {
+	n := len(r.unused)
 	if n == 0 {
-		j := &RequestSpan{}
-		r.all = append(r.all, j)
-		return j
+		span := &RequestSpan{}
+		r.spans = append(r.spans, span)
+		return span
 	}
-	j := r.spare[n-1]
-	r.spare = r.spare[:n-1]
-	return j
+	span := r.unused[n-1]
+	r.unused = r.unused[:n-1]
+	return span
 }
 
-// done puts a journey that has ended back. There are as many as there were ever authorisations open at once.
-func (r *Recorder) done(j *RequestSpan) {
-	if j.out > 0 {
-		// A leg may yet write into what it carries: this one is not used again, and is nobody's from now on.
-		r.all = slices.DeleteFunc(r.all, func(other *RequestSpan) bool { return other == j })
-		j.id = 0
+// release makes a closed span available for reuse.
+func (r *Recorder) release(span *RequestSpan) {
+	if span.openAttempts > 0 {
+		// The transport may still write to the span of an open attempt, so this span is not reused.
+		r.spans = slices.DeleteFunc(r.spans, func(other *RequestSpan) bool { return other == span })
+		span.id = 0
 		return
 	}
-	clear(j.carry[:min(len(j.try.Attempts), len(j.carry))])
-	clear(j.try.Attempts) // a part of j.legs; the rest is clear
-	j.try = Record{}
-	j.id, j.from, j.why, j.out, j.over, j.tells, j.place, j.class = 0, nil, 0, 0, false, false, nil, nil
-	r.spare = append(r.spare, j)
+	clear(span.attemptSpans[:min(len(span.record.Attempts), len(span.attemptSpans))])
+	clear(span.record.Attempts) // a prefix of span.attempts; the rest is clear
+	span.record = Record{}
+	span.id, span.client, span.reason, span.openAttempts, span.ended, span.awaitsRejection, span.element, span.class = 0, nil, 0, 0, false, false, nil, nil
+	r.unused = append(r.unused, span)
 }
 
-// find looks for the step that a try goes on with: by the trace that it carries, else by its conversation. The
-// prompt's length tells a retry from the next question; a client that asks for the rest of a stream says so.
-func (r *Recorder) find(now time.Duration, parent Context, q *policy.Request, retry bool) uint32 {
+// findOperation returns the slot of the operation that a request retries, or 0. It looks by the trace ID, then by the
+// session. A retry has the same prompt length; a request that resumes a stream is marked as such.
+func (r *Recorder) findOperation(now time.Duration, parent Context, request *policy.Request, retry bool) uint32 {
 	if parent.Trace != (TraceID{}) {
-		if slot := r.table.traces[parent.Trace]; slot != 0 {
-			// One trace may hold many steps, as that of an agent's whole run does: being marked as a retry makes a try
-			// no retry of just any of them. Only where there is no conversation does the mark have to do.
-			s := &r.table.slots[slot]
-			same := s.session == q.Session && s.prompt == q.PromptTokens
-			if s.fresh(now) && same && (retry || q.Session != 0) {
+		if slot := r.table.byTrace[parent.Trace]; slot != 0 {
+			// A trace may contain many operations, for example those of an agent's run, so a retry mark does not identify the
+			// operation. It is required only if the request has no session.
+			op := &r.table.slots[slot]
+			same := op.session == request.Session && op.prompt == request.PromptTokens
+			if op.isActive(now) && same && (retry || request.Session != 0) {
 				return slot
 			}
 		}
 	}
-	if q.Session != 0 {
-		// A client may ask its next question before it tries the last one again.
-		slot := r.table.talks[q.Session]
-		for n := 0; n < overlaps && slot != 0; n++ {
-			s := &r.table.slots[slot]
-			if s.session != q.Session || !s.fresh(now) {
+	if request.Session != 0 {
+		// A client may send its next request before it retries the last one.
+		slot := r.table.bySession[request.Session]
+		for n := 0; n < maxOverlapping && slot != 0; n++ {
+			op := &r.table.slots[slot]
+			if op.session != request.Session || !op.isActive(now) {
 				break
 			}
-			if s.prompt == q.PromptTokens || q.IsResumed {
+			if op.prompt == request.PromptTokens || request.IsResumed {
 				return slot
 			}
-			slot = s.before
+			slot = op.previous
 		}
 	}
 	return 0
 }
 
-// overlaps is how many steps of a conversation are looked through for the one that a try goes on with.
-const overlaps = 4
+// maxOverlapping is the number of latest operations of a session that findOperation examines.
+const maxOverlapping = 4
 
-func (s *step) fresh(now time.Duration) bool { return s.open > 0 || now < s.until }
+func (op *operation) isActive(now time.Duration) bool { return op.open > 0 || now < op.windowEnd }
 
-func (r *Recorder) newTrace() (t TraceID) {
+func (r *Recorder) newTraceID() (t TraceID) {
 	for t == (TraceID{}) {
 		binary.BigEndian.PutUint64(t[:8], r.rnd.Uint64())
 		binary.BigEndian.PutUint64(t[8:], r.rnd.Uint64())
@@ -275,357 +276,358 @@
 	return t
 }
 
-func (r *Recorder) newSpan() (s SpanID) {
+func (r *Recorder) newSpanID() (s SpanID) {
 	for s == (SpanID{}) {
 		binary.BigEndian.PutUint64(s[:], r.rnd.Uint64())
 	}
 	return s
 }
 
-// SetReason notes why the module acts next.
-func (r *Recorder) SetReason(id policy.RequestID, j *RequestSpan, why policy.Reason) {
-	if j.is(id) {
-		j.why = why
+// SetReason sets the reason of the decision that the module makes next.
+func (r *Recorder) SetReason(id policy.RequestID, span *RequestSpan, reason policy.Reason) {
+	if span.isFor(id) {
+		span.reason = reason
 	}
 }
 
-// StartAttempt begins a leg and returns what it carries.
-func (r *Recorder) StartAttempt(now time.Duration, id policy.RequestID, j *RequestSpan, n int, host, dial string) *AttemptSpan {
-	if !j.is(id) {
+// StartAttempt starts the span of attempt n and returns it.
+func (r *Recorder) StartAttempt(now time.Duration, id policy.RequestID, span *RequestSpan, n int, host, addr string) *AttemptSpan {
+	if !span.isFor(id) {
 		return &AttemptSpan{}
 	}
-	t := &j.try
-	for len(t.Attempts) <= n {
-		t.Attempts = append(t.Attempts, Attempt{Span: r.newSpan(), Result: None, TransportResult: None})
+	record := &span.record
+	for len(record.Attempts) <= n {
+		record.Attempts = append(record.Attempts, Attempt{Span: r.newSpanID(), Result: None, TransportResult: None})
 	}
-	l := &t.Attempts[n]
-	l.Host, l.Addr, l.Why, l.Sent = host, dial, DecisionReason(j.why), now-t.At
-	j.out++
-	c := &AttemptSpan{}
-	if n < len(j.carry) {
-		c = &j.carry[n]
+	a := &record.Attempts[n]
+	a.Host, a.Addr, a.Why, a.Sent = host, addr, DecisionReason(span.reason), now-record.At
+	span.openAttempts++
+	attemptSpan := &AttemptSpan{}
+	if n < len(span.attemptSpans) {
+		attemptSpan = &span.attemptSpans[n]
 	}
-	c.Context = Context{Trace: t.Trace, Span: l.Span, Flags: t.Flags, State: t.State}
-	return c
+	attemptSpan.Context = Context{Trace: record.Trace, Span: a.Span, Flags: record.Flags, State: record.State}
+	return attemptSpan
 }
 
-func (j *RequestSpan) is(id policy.RequestID) bool { return j != nil && j.id == id }
+func (span *RequestSpan) isFor(id policy.RequestID) bool { return span != nil && span.id == id }
 
-func (j *RequestSpan) leg(id policy.RequestID, n int) *Attempt {
-	if !j.is(id) || n < 0 || n >= len(j.try.Attempts) {
+func (span *RequestSpan) attempt(id policy.RequestID, n int) *Attempt {
+	if !span.isFor(id) || n < 0 || n >= len(span.record.Attempts) {
 		return nil
 	}
-	return &j.try.Attempts[n]
+	return &span.record.Attempts[n]
 }
 
-// BindAttempt tells that a leg's answer is the client's.
-func (r *Recorder) BindAttempt(now time.Duration, id policy.RequestID, j *RequestSpan, n int) {
-	if l := j.leg(id, n); l != nil {
-		l.Bound = now - j.try.At
-		j.try.FirstEvent = l.Bound
+// BindAttempt records that attempt n is bound to the client.
+func (r *Recorder) BindAttempt(now time.Duration, id policy.RequestID, span *RequestSpan, n int) {
+	if a := span.attempt(id, n); a != nil {
+		a.Bound = now - span.record.At
+		span.record.FirstEvent = a.Bound
 	}
 }
 
-// RecordResult tells the result of a leg as the module hears it.
-func (r *Recorder) RecordResult(now time.Duration, id policy.RequestID, j *RequestSpan, n int, result policy.Result, kept float64) {
-	if l := j.leg(id, n); l != nil {
-		l.Reported, l.Result = max(now-j.try.At, 1), Result(result)
-		if kept > 0 && l.Bound != 0 {
-			j.try.CachedTokens = kept
+// RecordResult records the result of attempt n as it is reported to the module.
+func (r *Recorder) RecordResult(now time.Duration, id policy.RequestID, span *RequestSpan, n int, result policy.Result, cachedTokens float64) {
+	if a := span.attempt(id, n); a != nil {
+		a.Reported, a.Result = max(now-span.record.At, 1), Result(result)
+		if cachedTokens > 0 && a.Bound != 0 {
+			span.record.CachedTokens = cachedTokens
 		}
 	}
 }
 
-// EndAttempt tells what the line of a leg came to, be it long after the module has heard of its result. m may be nil.
-func (r *Recorder) EndAttempt(now time.Duration, id policy.RequestID, j *RequestSpan, n int, said policy.Result, stale bool, m *Times) {
-	l := j.leg(id, n)
-	if l == nil || l.Ended != 0 {
+// EndAttempt ends the span of attempt n with the result of the transport, which may come long after RecordResult. times
+// may be nil.
+func (r *Recorder) EndAttempt(now time.Duration, id policy.RequestID, span *RequestSpan, n int, result policy.Result, stale bool, times *Times) {
+	a := span.attempt(id, n)
+	if a == nil || a.Ended != 0 {
 		return
 	}
-	at := j.try.At
-	l.TransportResult, l.StaleConnection, l.Ended = Result(said), stale, max(now-at, 1)
-	if m != nil {
+	at := span.record.At
+	a.TransportResult, a.StaleConnection, a.Ended = Result(result), stale, max(now-at, 1)
+	if times != nil {
 		since := func(t time.Duration) time.Duration {
 			if t == 0 {
 				return 0
 			}
-			return max(t-at, l.Sent, 1)
+			return max(t-at, a.Sent, 1)
 		}
-		l.Started, l.Connected, l.NewConnection, l.Written = since(m.Started), since(m.Connected), m.NewConnection, since(m.Written)
-		l.FirstByte, l.FirstEvent, l.Relay, l.Bytes = since(m.FirstByte), since(m.FirstEvent), m.Relay, m.Bytes
-		if b := since(m.Bound); b != 0 && l.Bound != 0 {
-			l.Bound, j.try.FirstEvent = b, b // when the leg could go on with it
+		a.Started, a.Connected, a.NewConnection, a.Written = since(times.Started), since(times.Connected), times.NewConnection, since(times.Written)
+		a.FirstByte, a.FirstEvent, a.Relay, a.Bytes = since(times.FirstByte), since(times.FirstEvent), times.Relay, times.Bytes
+		if b := since(times.Bound); b != 0 && a.Bound != 0 {
+			a.Bound, span.record.FirstEvent = b, b // when the transport learned it
 		}
-		if e := since(m.Ended); e != 0 {
-			l.Ended = e
+		if e := since(times.Ended); e != 0 {
+			a.Ended = e
 		}
-		if l.Bound != 0 && m.Tokens > 0 {
-			j.try.OutputTokens = m.Tokens
+		if a.Bound != 0 && times.Tokens > 0 {
+			span.record.OutputTokens = times.Tokens
 		}
 	}
-	j.out--
-	if j.over && l.Bound != 0 && j.try.Outcome != Gone {
-		j.try.End = max(j.try.End, l.Ended)
+	span.openAttempts--
+	if span.ended && a.Bound != 0 && span.record.Outcome != Gone {
+		span.record.End = max(span.record.End, a.Ended)
 	}
-	r.finish(now, j, false)
+	r.finish(now, span, false)
 }
 
-// EndLateAttempt is Ended for a leg whose authorisation its owner has forgotten.
-func (r *Recorder) EndLateAttempt(now time.Duration, id policy.RequestID, n int, said policy.Result, stale bool, m *Times) {
-	if j := r.late[id]; j != nil {
-		r.EndAttempt(now, id, j, n, said, stale, m)
+// EndLateAttempt is EndAttempt for a request that the dispatcher has removed.
+func (r *Recorder) EndLateAttempt(now time.Duration, id policy.RequestID, n int, result policy.Result, stale bool, times *Times) {
+	if span := r.incomplete[id]; span != nil {
+		r.EndAttempt(now, id, span, n, result, stale, times)
 	}
 }
 
-// EndRequest ends a try towards its client. For a bound leg, Ended follows or has come.
-func (r *Recorder) EndRequest(now time.Duration, id policy.RequestID, j *RequestSpan, o Outcome, retryAfter time.Duration) {
-	if !j.is(id) || j.over {
+// EndRequest ends a request from its client's point of view. EndAttempt of open attempts may follow.
+func (r *Recorder) EndRequest(now time.Duration, id policy.RequestID, span *RequestSpan, outcome Outcome, retryAfter time.Duration) {
+	if !span.isFor(id) || span.ended {
 		return
 	}
-	t := &j.try
-	j.over, t.Outcome, t.RetryAfter = true, o, retryAfter
-	t.End = now - t.At
-	switch o {
+	record := &span.record
+	span.ended, record.Outcome, record.RetryAfter = true, outcome, retryAfter
+	record.End = now - record.At
+	switch outcome {
 	case Refused, Failed:
-		t.RejectedAt, t.Why = max(t.End, 1), DecisionReason(j.why)
-		if j.tells {
-			r.telling[j.from] = j
+		record.RejectedAt, record.Why = max(record.End, 1), DecisionReason(span.reason)
+		if span.awaitsRejection {
+			r.rejections[span.client] = span
 		}
 	case Gone:
-		j.tells = false
+		span.awaitsRejection = false
 	default:
-		j.tells = false
-		for i := range t.Attempts {
-			if l := &t.Attempts[i]; l.Bound != 0 && l.Ended != 0 {
-				t.End = l.Ended
+		span.awaitsRejection = false
+		for i := range record.Attempts {
+			if a := &record.Attempts[i]; a.Bound != 0 && a.Ended != 0 {
+				record.End = a.Ended
 			}
 		}
 	}
-	j.until = now + r.o.CompletionGrace
-	r.finish(now, j, false)
+	span.closeAt = now + r.options.CompletionGrace
+	r.finish(now, span, false)
 }
 
-// RejectionWritten tells that the declining answer to a client was written, or that this failed.
-func (r *Recorder) RejectionWritten(now time.Duration, from any, at time.Duration) {
-	j := r.telling[from]
-	if j == nil {
+// RejectionWritten records that the rejection was written to the client, or could not be.
+func (r *Recorder) RejectionWritten(now time.Duration, client any, at time.Duration) {
+	span := r.rejections[client]
+	if span == nil {
 		return
 	}
-	delete(r.telling, from)
-	j.tells = false
-	j.try.End = max(min(at, now)-j.try.At, j.try.RejectedAt)
-	r.finish(now, j, false)
+	delete(r.rejections, client)
+	span.awaitsRejection = false
+	span.record.End = max(min(at, now)-span.record.At, span.record.RejectedAt)
+	r.finish(now, span, false)
 }
 
-// finish closes the record of a try once nothing is missing, or if it must.
-func (r *Recorder) finish(now time.Duration, j *RequestSpan, must bool) {
-	if !j.over {
+// finish closes the record of an ended request once it is complete, or in any case if force is set.
+func (r *Recorder) finish(now time.Duration, span *RequestSpan, force bool) {
+	if !span.ended {
 		return
 	}
-	if !must && (j.out > 0 || j.tells) {
-		if j.place == nil {
-			j.place = r.lingers.PushBack(j)
-			r.late[j.id] = j
-			r.wake(j.until)
+	if !force && (span.openAttempts > 0 || span.awaitsRejection) {
+		if span.element == nil {
+			span.element = r.incompleteOrder.PushBack(span)
+			r.incomplete[span.id] = span
+			r.wake(span.closeAt)
 		}
 		return
 	}
-	if j.place != nil {
-		r.lingers.Remove(j.place)
-		delete(r.late, j.id)
-	}
-	if j.tells {
-		delete(r.telling, j.from)
-	}
-	t := &j.try
-	t.Late, t.Reasons = r.slow(t, j.class), t.Reasons|reasons(t)
-	if t.Late {
-		t.Reasons |= ForLate
-	}
-	s := &r.table.slots[j.step]
-	s.open--
-	s.until = now + r.o.RetryWindow
-	if t.Reasons != 0 || s.kept {
-		r.keepAll(j.step)
-		t.reckon(j.taken)
-		r.keep(t)
-	} else if !r.table.hold(j.step, t, j.taken) {
-		t.reckon(j.taken)
-		r.decide(now, s.in, true, func() *Record { return t })
-	}
-	slot := j.step
-	r.done(j)
-	if s = &r.table.slots[slot]; s.open > 0 {
+	if span.element != nil {
+		r.incompleteOrder.Remove(span.element)
+		delete(r.incomplete, span.id)
+	}
+	if span.awaitsRejection {
+		delete(r.rejections, span.client)
+	}
+	record := &span.record
+	record.Late, record.Reasons = r.isLate(record, span.class), record.Reasons|keepReasons(record)
+	if record.Late {
+		record.Reasons |= ForLate
+	}
+	op := &r.table.slots[span.operation]
+	op.open--
+	op.windowEnd = now + r.options.RetryWindow
+	if record.Reasons != 0 || op.kept {
+		r.keepAll(span.operation)
+		record.computePhases(span.queueTime)
+		r.keep(record)
+	} else if !r.table.store(span.operation, record, span.queueTime) {
+		record.computePhases(span.queueTime)
+		r.sample(now, op.sampled, true, func() *Record { return record })
+	}
+	slot := span.operation
+	r.release(span)
+	if op = &r.table.slots[slot]; op.open > 0 {
 		return
 	}
-	for r.table.waiting() > r.o.Operations || !r.table.queue(slot) {
+	for r.table.size() > r.options.Operations || !r.table.enqueue(slot) {
 		first := r.table.next()
 		if first == 0 {
-			r.table.queue(slot) // all others have a try under way
+			r.table.enqueue(slot) // all other operations have an open request
 			break
 		}
-		r.settle(now, first, true)
+		r.expire(now, first, true)
 	}
-	if r.o.RetryWindow == 0 {
-		r.settle(now, slot, false)
+	if r.options.RetryWindow == 0 {
+		r.expire(now, slot, false)
 		return
 	}
-	r.wake(s.until)
+	r.wake(op.windowEnd)
 }
 
-// reasons tells what has a try kept whatever the share.
-func reasons(t *Record) Reason {
-	var why Reason
-	switch t.Outcome {
+// keepReasons returns the reasons for which a record is exported regardless of sampling.
+func keepReasons(record *Record) KeepReason {
+	var reasons KeepReason
+	switch record.Outcome {
 	case Failed:
-		why = ForFailed
+		reasons = ForFailed
 	case Refused:
-		why = ForRefused
+		reasons = ForRefused
 	case Broken:
-		why = ForBroken
+		reasons = ForBroken
 	case Gone:
-		why = ForGone
+		reasons = ForGone
 	case Open, Unknown:
-		why = ForOpen
+		reasons = ForOpen
 	}
-	if len(t.Attempts) > 1 {
-		why |= ForLegs
+	if len(record.Attempts) > 1 {
+		reasons |= ForAttempts
 	}
-	return why
+	return reasons
 }
 
-// slow tells whether an answer came later than its class wants: its first event, or the pace of the rest.
-func (r *Recorder) slow(t *Record, c *Class) bool {
-	if t.FirstEvent == 0 || t.TargetLatency == 0 {
+// isLate reports whether a response missed a latency target of its class: for the first event, or for the further tokens.
+func (r *Recorder) isLate(record *Record, c *Class) bool {
+	if record.FirstEvent == 0 || record.TargetLatency == 0 {
 		return false
 	}
-	if t.FirstEvent > t.TargetLatency-r.o.LatencyMargin {
+	if record.FirstEvent > record.TargetLatency-r.options.LatencyMargin {
 		return true
 	}
-	if c != nil && c.TokenLatencyTarget > 0 && t.OutputTokens > 0 {
-		return t.End-t.FirstEvent > time.Duration(t.OutputTokens)*c.TokenLatencyTarget-r.o.LatencyMargin
+	if c != nil && c.TokenLatencyTarget > 0 && record.OutputTokens > 0 {
+		return record.End-record.FirstEvent > time.Duration(record.OutputTokens)*c.TokenLatencyTarget-r.options.LatencyMargin
 	}
 	return false
 }
 
-// keepAll has a step kept: the try that has ended leaves now, those under way at their end.
+// keepAll has all records of an operation exported: the pending one now, those of open requests when they end.
 func (r *Recorder) keepAll(slot uint32) {
 	r.table.slots[slot].kept = true
-	if t := r.waiting(slot); t != nil {
-		t.Reasons = ForLinked
-		r.keep(t)
+	if record := r.takePending(slot); record != nil {
+		record.Reasons = ForLinked
+		r.keep(record)
 	}
 }
 
-// waiting takes a step's try out of the table; nil = there is none.
-func (r *Recorder) waiting(slot uint32) *Record {
-	t := r.table.take(slot)
-	if t != nil {
-		t.Router = r.o.Router
+// takePending removes and returns the pending record of an operation, or nil.
+func (r *Recorder) takePending(slot uint32) *Record {
+	record := r.table.take(slot)
+	if record != nil {
+		record.Router = r.options.Router
 	}
-	return t
+	return record
 }
 
-// keep hands a copy of a record over.
-func (r *Recorder) keep(t *Record) {
-	if t.Reasons == 0 {
-		t.Reasons = ForLinked
+// keep exports a copy of a record.
+func (r *Recorder) keep(record *Record) {
+	if record.Reasons == 0 {
+		record.Reasons = ForLinked
 	}
-	r.counts.Kept++
-	if t.Reasons == ForShare {
-		r.counts.Share++
+	r.counters.Kept++
+	if record.Reasons == ForShare {
+		r.counters.Share++
 	}
-	kept := *t
-	kept.Attempts = append([]Attempt(nil), t.Attempts...)
-	r.host.Keep(&kept)
+	kept := *record
+	kept.Attempts = append([]Attempt(nil), record.Attempts...)
+	r.owner.Keep(&kept)
 }
 
-// settle decides about what is left of a step and forgets it.
-func (r *Recorder) settle(now time.Duration, slot uint32, early bool) {
-	s := &r.table.slots[slot]
-	if s.size != 0 {
-		r.decide(now, s.in, early, func() *Record { return r.waiting(slot) })
+// expire samples the pending record of an operation and removes the operation.
+func (r *Recorder) expire(now time.Duration, slot uint32, evicted bool) {
+	op := &r.table.slots[slot]
+	if op.size != 0 {
+		r.sample(now, op.sampled, evicted, func() *Record { return r.takePending(slot) })
 	}
 	r.table.remove(slot)
 }
 
-// decide keeps an ordinary try, or counts why not. take returns it, if it is kept.
-func (r *Recorder) decide(now time.Duration, in, early bool, take func() *Record) {
+// sample exports an ordinary record, or counts why not. take returns the record.
+func (r *Recorder) sample(now time.Duration, sampled, evicted bool, take func() *Record) {
 	switch {
-	case in && r.sampler.Allow(now):
-		if t := take(); t != nil {
-			t.Reasons = ForShare
-			r.keep(t)
+	case sampled && r.sampler.Allow(now):
+		if record := take(); record != nil {
+			record.Reasons = ForShare
+			r.keep(record)
 		}
-	case in:
-		r.counts.Limited++
-	case early:
-		r.counts.Evicted++
+	case sampled:
+		r.counters.Limited++
+	case evicted:
+		r.counters.Evicted++
 	default:
-		r.counts.Dropped++
+		r.counters.Dropped++
 	}
 }
 
-// wake has Due called at a time, unless it is called sooner anyway.
+// wake schedules a call of Due, unless an earlier one is scheduled.
 func (r *Recorder) wake(at time.Duration) {
-	if r.woken == 0 || at < r.woken {
-		r.woken = at
-		r.host.Wake(at)
+	if r.wakeAt == 0 || at < r.wakeAt {
+		r.wakeAt = at
+		r.owner.Wake(at)
 	}
 }
 
-// Due closes what has waited long enough.
+// Due closes the spans and operations whose time is up.
 func (r *Recorder) Due(now time.Duration) {
-	if r.woken == 0 || now < r.woken {
-		return // a later one is out
+	if r.wakeAt == 0 || now < r.wakeAt {
+		return // another call is scheduled for later
 	}
-	r.woken = 0
+	r.wakeAt = 0
 	var next time.Duration
-	for first := r.lingers.Front(); first != nil; first = r.lingers.Front() {
-		j := first.Value.(*RequestSpan)
-		if now < j.until {
-			next = j.until
+	for first := r.incompleteOrder.Front(); first != nil; first = r.incompleteOrder.Front() {
+		span := first.Value.(*RequestSpan)
+		if now < span.closeAt {
+			next = span.closeAt
 			break
 		}
-		r.finish(now, j, true)
+		r.finish(now, span, true)
 	}
 	for slot := r.table.next(); slot != 0; slot = r.table.next() {
-		if until := r.table.slots[slot].until; now < until {
-			if next == 0 || until < next {
-				next = until
+		if windowEnd := r.table.slots[slot].windowEnd; now < windowEnd {
+			if next == 0 || windowEnd < next {
+				next = windowEnd
 			}
 			break
 		}
-		r.settle(now, slot, false)
+		r.expire(now, slot, false)
 	}
 	if next != 0 {
 		r.wake(next)
 	}
 }
 
-// Drain has finished tries leave from now on without waiting for a retry: the router takes nothing new, and may be
-// killed before the last stream has ended.
+// Drain decides on finished records at once from now on, without waiting for a retry: the router accepts no more requests
+// and may be killed before its last stream ends.
 func (r *Recorder) Drain(now time.Duration) {
-	r.o.RetryWindow = 0
-	r.settleAll(now)
+	r.options.RetryWindow = 0
+	r.expireAll(now)
 }
 
-func (r *Recorder) settleAll(now time.Duration) {
+func (r *Recorder) expireAll(now time.Duration) {
 	for slot := r.table.next(); slot != 0; slot = r.table.next() {
-		r.settle(now, slot, false)
+		r.expire(now, slot, false)
 	}
 }
 
-// Flush closes everything, at the router's end: tries that are under way are kept as Open.
+// Flush closes all spans at the end of the router. Open requests are exported with the outcome Open.
 func (r *Recorder) Flush(now time.Duration) {
-	for _, j := range slices.Clone(r.all) {
-		if j.id == 0 {
+	for _, span := range slices.Clone(r.spans) {
+		if span.id == 0 {
 			continue
 		}
-		if !j.over {
-			j.over, j.try.Outcome, j.try.End = true, Open, now-j.try.At
+		if !span.ended {
+			span.ended, span.record.Outcome, span.record.End = true, Open, now-span.record.At
 		}
-		r.finish(now, j, true)
+		r.finish(now, span, true)
 	}
-	r.settleAll(now)
+	r.expireAll(now)
 }
--- a/internal/trace/sample.go
+++ b/internal/trace/sample.go
@@ -6,68 +6,69 @@
 	"time"
 )
 
-// Sampler chooses among ordinary steps: a share by the trace id, and at most so many a second. It is a pure function
-// of what it is asked and when.
+// Sampler samples ordinary operations: a share of them by the trace ID, and at most a number per second. It reads no
+// clock and is deterministic.
 type Sampler struct {
-	threshold uint64 // of 56 bits; a trace is of the share where its randomness is not below
-	none      bool
-	rate      float64 // a second
-	burst     float64
-	saved     float64
-	at        time.Duration
+	threshold  uint64 // 56 bits; a trace is in the share if its randomness is not below
+	none       bool
+	rate       float64 // operations per second; 0 = unlimited
+	burst      float64
+	tokens     float64
+	refilledAt time.Duration
 }
 
-const randomBits = 56
+const randomnessBits = 56
 
-// NewSampler returns a sampler of a share from 0 to 1 and at most perSecond steps a second; 0 = no such bound.
+// NewSampler returns a sampler of a share from 0 to 1 and at most perSecond operations per second; 0 = unlimited.
 func NewSampler(share, perSecond float64) Sampler {
 	s := Sampler{none: !(share > 0), rate: perSecond, burst: max(perSecond, 1)}
-	s.saved = s.burst
+	s.tokens = s.burst
 	if share < 1 {
-		s.threshold = uint64(math.Round((1 - max(share, 0)) * (1 << randomBits)))
+		s.threshold = uint64(math.Round((1 - max(share, 0)) * (1 << randomnessBits)))
 	}
 	return s
 }
 
-// InShare tells whether a trace is of the share. All routers agree on it, and so do those who sample by
-// OpenTelemetry's rules: the randomness is the trace id's last 56 bits, or rv in the tracestate.
+// InShare reports whether a trace is in the share. All routers agree on it, as do other samplers that follow
+// OpenTelemetry's rules: the randomness is the last 56 bits of the trace ID, or rv in the tracestate.
 func (s *Sampler) InShare(id TraceID, state string) bool {
 	if s.none {
 		return false
 	}
-	r := binary.BigEndian.Uint64(id[8:]) & (1<<randomBits - 1)
+	r := binary.BigEndian.Uint64(id[8:]) & (1<<randomnessBits - 1)
 	if state != "" {
-		if _, rv, _, ok := otel(state); ok {
-			r = rv
+		if _, random, _, ok := otelSampling(state); ok {
+			r = random
 		}
 	}
 	return r >= s.threshold
 }
 
-// Allow spends from the rate, or says that nothing is left.
+// Allow takes a token of the rate limit and reports whether there was one.
 func (s *Sampler) Allow(now time.Duration) bool {
 	if s.rate <= 0 {
 		return true
 	}
-	s.saved = min(s.saved+max(now-s.at, 0).Seconds()*s.rate, s.burst)
-	s.at = max(s.at, now)
-	if s.saved < 1 {
+	s.tokens = min(s.tokens+max(now-s.refilledAt, 0).Seconds()*s.rate, s.burst)
+	s.refilledAt = max(s.refilledAt, now)
+	if s.tokens < 1 {
 		return false
 	}
-	s.saved--
+	s.tokens--
 	return true
 }
 
-// state is the tracestate that a trace of the share goes on with: its threshold, or the higher one it came with.
-func (s *Sampler) state(state string, in bool) string {
-	t, _, had, _ := otel(state)
-	if !in {
-		if !had {
+// state returns the tracestate to propagate. In the share, it has the sampler's threshold or the higher one of the
+// incoming tracestate; outside the share, it has none.
+func (s *Sampler) state(state string, inShare bool) string {
+	t, _, hasThreshold, _ := otelSampling(state)
+	if !inShare {
+		if !hasThreshold {
 			return state
 		}
-		return withThreshold(state, 0, false) // it will not be kept by a share, if at all
+		return withThreshold(state, 0, false) // the trace is not sampled by its threshold here
 	}
-	if had {
+	if hasThreshold {
 		t = max(t, s.threshold)
 	} else {
 		t = s.threshold
--- a/internal/trace/show/show.go
+++ b/internal/trace/show/show.go
@@ -1,5 +1,5 @@
-// Package show finds records of tries in a sink's files and draws them for a reader: a table of what was found, and a
-// waterfall of one step with its tries and legs.
+// Package show searches trace files and displays records: as a table, as JSON, or as a waterfall of one operation with its
+// requests and attempts.
 package show
 
 import (
@@ -16,33 +16,34 @@
 	"notchhinge/internal/trace/export"
 )
 
-// Filter says which records are wanted; a zero field asks for nothing.
+// Filter selects records. A zero field matches all.
 type Filter struct {
 	Class      string
 	Team       string
-	Host       string // one of the legs went there
+	Host       string // an attempt was sent to this host
 	Outcome    trace.Outcome
-	SlowerThan time.Duration // until the first event, or the end where there was none
+	SlowerThan time.Duration // until the first event, or the end if there was none
 	Late       bool
 	Retried    bool
 	Since      time.Duration // Unix time
 	Until      time.Duration
 }
 
-// Match tells whether a record is wanted.
-func (f *Filter) Match(t *trace.Record) bool {
-	slow := t.FirstEvent
-	if slow == 0 {
-		slow = t.End
+// Match reports whether the filter selects a record.
+func (f *Filter) Match(record *trace.Record) bool {
+	latency := record.FirstEvent
+	if latency == 0 {
+		latency = record.End
 	}
-	return (f.Class == "" || f.Class == t.Class) && (f.Team == "" || f.Team == t.Team) &&
-		(f.Outcome == trace.Unknown || f.Outcome == t.Outcome) && slow >= f.SlowerThan &&
-		(!f.Late || t.Late) && (!f.Retried || t.Number > 1 || t.Reasons&trace.ForRetry != 0) &&
-		t.At >= f.Since && (f.Until == 0 || t.At < f.Until) &&
-		(f.Host == "" || slices.ContainsFunc(t.Attempts, func(l trace.Attempt) bool { return l.Host == f.Host }))
+	return (f.Class == "" || f.Class == record.Class) && (f.Team == "" || f.Team == record.Team) &&
+		(f.Outcome == trace.Unknown || f.Outcome == record.Outcome) && latency >= f.SlowerThan &&
+		(!f.Late || record.Late) && (!f.Retried || record.Number > 1 || record.Reasons&trace.ForRetry != 0) &&
+		record.At >= f.Since && (f.Until == 0 || record.At < f.Until) &&
+		(f.Host == "" || slices.ContainsFunc(record.Attempts, func(a trace.Attempt) bool { return a.Host == f.Host }))
 }
 
-// Scan calls each for every record in a sink's files, the oldest first. What is damaged is told to warn.
+// Scan calls each for every record in the trace files of a path, the oldest first. It writes a line to warn for each
+// damaged file.
 func Scan(path string, warn io.Writer, each func(*trace.Record) error) error {
 	files, err := export.Rotated(path)
 	if err != nil {
@@ -54,7 +55,7 @@
 			return err
 		}
 		damage, err := export.Read(f, each)
-		_ = f.Close() // it was only read
+		_ = f.Close() // read only
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
@@ -65,81 +66,80 @@
 	return nil
 }
 
-// Table writes what was found, a line each.
-func Table(w io.Writer, tries []*trace.Record) error {
-	t := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(t, "TIME\tTRACE\tTRY\tCLASS\tOUTCOME\tFIRST\tTOTAL\tLEGS\tMOST TIME IN\tKEPT FOR")
-	for _, y := range tries {
+// Table writes a table with a line for each record.
+func Table(w io.Writer, records []*trace.Record) error {
+	table := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
+	fmt.Fprintln(table, "TIME\tTRACE\tTRY\tCLASS\tOUTCOME\tFIRST\tTOTAL\tLEGS\tMOST TIME IN\tKEPT FOR")
+	for _, record := range records {
 		first := "-"
-		if y.FirstEvent > 0 {
-			first = millis(y.FirstEvent)
+		if record.FirstEvent > 0 {
+			first = millis(record.FirstEvent)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", clock(y.At), y.Trace, y.Number, y.Class, outcome(y), first,
-			millis(y.End), legs(y), most(y), strings.Join(y.Reasons.Names(), ","))
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", timestamp(record.At), record.Trace, record.Number, record.Class, outcomeText(record), first,
+			millis(record.End), attemptResults(record), longestPhase(record), strings.Join(record.Reasons.Names(), ","))
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-func outcome(y *trace.Record) string {
-	s := y.Outcome.String()
-	if y.Late {
+func outcomeText(record *trace.Record) string {
+	s := record.Outcome.String()
+	if record.Late {
 		s += ",late"
 	}
 	return s
 }
 
-func legs(y *trace.Record) string {
-	results := make([]string, len(y.Attempts))
-	for i := range y.Attempts {
-		results[i] = y.Attempts[i].Result.String()
+func attemptResults(record *trace.Record) string {
+	results := make([]string, len(record.Attempts))
+	for i := range record.Attempts {
+		results[i] = record.Attempts[i].Result.String()
 	}
 	return strings.Join(results, ">")
 }
 
-// most names the phase that took most of a try's time before its first event, or of all where there was none.
-func most(y *trace.Record) string {
-	best := trace.Queue
-	for p, d := range y.Phases {
-		if y.FirstEvent > 0 && (trace.Phase(p) == trace.Stream || trace.Phase(p) == trace.Relay) {
+// longestPhase names the phase that took most of the time until the first event, or of the total time if there was none.
+func longestPhase(record *trace.Record) string {
+	longest := trace.Queue
+	for p, d := range record.Phases {
+		if record.FirstEvent > 0 && (trace.Phase(p) == trace.Stream || trace.Phase(p) == trace.Relay) {
 			continue
 		}
-		if d > y.Phases[best] {
-			best = trace.Phase(p)
+		if d > record.Phases[longest] {
+			longest = trace.Phase(p)
 		}
 	}
-	return fmt.Sprintf("%v %s", best, millis(y.Phases[best]))
+	return fmt.Sprintf("%v %s", longest, millis(record.Phases[longest]))
 }
 
-// Operation picks the tries of one step out of all records: those of the trace, and those linked to them. They are ordered
-// by their beginning.
+// Operation returns the records of one operation: those of the trace, and those linked to it, ordered by time.
 func Operation(all []*trace.Record, id trace.TraceID) []*trace.Record {
 	ids := map[trace.TraceID]bool{id: true}
 	for more := true; more; {
 		more = false
-		for _, t := range all {
-			before := t.Previous.Trace
-			if before == (trace.TraceID{}) || ids[t.Trace] == ids[before] {
+		for _, record := range all {
+			previous := record.Previous.Trace
+			if previous == (trace.TraceID{}) || ids[record.Trace] == ids[previous] {
 				continue
 			}
-			ids[t.Trace], ids[before], more = true, true, true
+			ids[record.Trace], ids[previous], more = true, true, true
 		}
 	}
-	var step []*trace.Record
-	for _, t := range all {
-		if ids[t.Trace] {
-			step = append(step, t)
+	var records []*trace.Record
+	for _, record := range all {
+		if ids[record.Trace] {
+			records = append(records, record)
 		}
 	}
-	slices.SortStableFunc(step, func(x, y *trace.Record) int { return int(max(min(x.At-y.At, 1), -1)) })
-	return step
+	slices.SortStableFunc(records, func(a, b *trace.Record) int { return int(max(min(a.At-b.At, 1), -1)) })
+	return records
 }
 
-// JSON writes records for scripts: a line each, with the names that the sink's file has and the phases by name.
-func JSON(w io.Writer, tries []*trace.Record) error {
+// JSON writes a line of JSON for each record, with the field names of the trace file and with the phases by name.
+func JSON(w io.Writer, records []*trace.Record) error {
 	enc := json.NewEncoder(w)
-	for _, t := range tries {
+	for _, record := range records {
 		phases := map[string]float64{}
-		for p, d := range t.Phases {
+		for p, d := range record.Phases {
 			if d > 0 {
 				phases[trace.Phase(p).String()] = float64(d) / 1e6
 			}
@@ -149,36 +149,36 @@
 			Time     time.Time          `json:"time"`
 			Reasons  []string           `json:"reasons"`
 			PhasesMS map[string]float64 `json:"phases"` // milliseconds
-		}{t, time.Unix(0, int64(t.At)).UTC(), t.Reasons.Names(), phases}); err != nil {
+		}{record, time.Unix(0, int64(record.At)).UTC(), record.Reasons.Names(), phases}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// marks draw the phases of a leg.
-var marks = [trace.Phases]byte{
-	trace.Queue: 'q', trace.Pending: '_', trace.Line: 'l', trace.Connect: 'c', trace.Write: 'w', trace.Wait: '.',
+// marks are the characters that represent the phases of an attempt.
+var marks = [trace.NumPhases]byte{
+	trace.Queue: 'q', trace.Pending: '_', trace.Acquire: 'l', trace.Connect: 'c', trace.Write: 'w', trace.Wait: '.',
 	trace.Head: 'h', trace.Bind: 'b', trace.Stream: '=', trace.Relay: '=', trace.Close: '-', trace.Answer: 'a',
 }
 
-// Waterfall draws a step: its tries one below another on one scale, and below each its legs. width is that of the
-// whole drawing in characters, 60 at least.
-func Waterfall(w io.Writer, step []*trace.Record, width int) {
-	if len(step) == 0 {
+// Waterfall draws the requests of an operation on one time scale, each followed by its attempts. width is the width of
+// the whole drawing in characters, at least 60.
+func Waterfall(w io.Writer, records []*trace.Record, width int) {
+	if len(records) == 0 {
 		return
 	}
-	begin, end := step[0].At, step[0].At
-	for _, t := range step {
-		end = max(end, t.At+t.End)
-		for i := range t.Attempts {
-			end = max(end, t.At+t.Attempts[i].Ended)
+	begin, end := records[0].At, records[0].At
+	for _, record := range records {
+		end = max(end, record.At+record.End)
+		for i := range record.Attempts {
+			end = max(end, record.At+record.Attempts[i].Ended)
 		}
 	}
 	const label = 9
 	s := scale{begin: begin, span: max(end-begin, 1), width: max(width, 60) - label - 2}
-	first := step[0]
-	fmt.Fprintf(w, "trace %v  %s  class %s", first.Trace, plural(len(step), "try", "tries"), first.Class)
+	first := records[0]
+	fmt.Fprintf(w, "trace %v  %s  class %s", first.Trace, plural(len(records), "try", "tries"), first.Class)
 	if first.Pool != "" {
 		fmt.Fprintf(w, "  pool %s", first.Pool)
 	}
@@ -190,42 +190,42 @@
 	}
 	fmt.Fprintf(w, "  over %s\n", millis(end-begin))
 	fmt.Fprintf(w, "%*s|%s|\n", label, "", s.ruler())
-	for i, t := range step {
-		fmt.Fprintf(w, "try %-5d|%s| %s %s", t.Number, s.bar(t.At, 0, t.End, '#'), t.Router, outcome(t))
-		if t.Why != 0 {
-			fmt.Fprintf(w, " (%v)", t.Why)
+	for i, record := range records {
+		fmt.Fprintf(w, "try %-5d|%s| %s %s", record.Number, s.bar(record.At, 0, record.End, '#'), record.Router, outcomeText(record))
+		if record.Why != 0 {
+			fmt.Fprintf(w, " (%v)", record.Why)
 		}
-		fmt.Fprintf(w, " after %s", millis(t.End))
-		if t.FirstEvent > 0 {
-			fmt.Fprintf(w, ", first event %s of %s", millis(t.FirstEvent), millis(t.TargetLatency))
+		fmt.Fprintf(w, " after %s", millis(record.End))
+		if record.FirstEvent > 0 {
+			fmt.Fprintf(w, ", first event %s of %s", millis(record.FirstEvent), millis(record.TargetLatency))
 		}
-		if t.RetryAfter > 0 {
-			fmt.Fprintf(w, ", come back after %s", millis(t.RetryAfter))
+		if record.RetryAfter > 0 {
+			fmt.Fprintf(w, ", come back after %s", millis(record.RetryAfter))
 		}
-		fmt.Fprintf(w, "; %.0f tokens in, %d out, call %s", t.PromptTokens, t.OutputTokens, t.CallID)
-		if i > 0 && t.Trace != first.Trace {
-			fmt.Fprintf(w, ", trace %v", t.Trace)
+		fmt.Fprintf(w, "; %.0f tokens in, %d out, call %s", record.PromptTokens, record.OutputTokens, record.CallID)
+		if i > 0 && record.Trace != first.Trace {
+			fmt.Fprintf(w, ", trace %v", record.Trace)
 		}
 		fmt.Fprintln(w)
-		for n := range t.Attempts {
-			l := &t.Attempts[n]
-			fmt.Fprintf(w, "  leg %-3d|%s| %s %v -> %v", n, s.leg(t, l), l.Host, l.Why, l.Result)
-			if l.TransportResult != l.Result && l.TransportResult != trace.None {
-				fmt.Fprintf(w, " (its line: %v after %s)", l.TransportResult, millis(l.Ended-l.Sent))
+		for n := range record.Attempts {
+			a := &record.Attempts[n]
+			fmt.Fprintf(w, "  leg %-3d|%s| %s %v -> %v", n, s.attempt(record, a), a.Host, a.Why, a.Result)
+			if a.TransportResult != a.Result && a.TransportResult != trace.None {
+				fmt.Fprintf(w, " (its line: %v after %s)", a.TransportResult, millis(a.Ended-a.Sent))
 			}
-			if l.StaleConnection {
+			if a.StaleConnection {
 				fmt.Fprint(w, " on a stale line")
 			}
 			fmt.Fprintln(w)
 		}
-		fmt.Fprintf(w, "  %-7s %s\n", "phases", phases(t))
+		fmt.Fprintf(w, "  %-7s %s\n", "phases", phases(record))
 	}
 	fmt.Fprintln(w, "marks: l line, c connect, w write, . silent host, h head, b bind, = stream, x called off; q queue, _ held, a answer")
 }
 
-func phases(t *trace.Record) string {
+func phases(record *trace.Record) string {
 	var parts []string
-	for p, d := range t.Phases {
+	for p, d := range record.Phases {
 		if d >= 50*time.Microsecond {
 			parts = append(parts, trace.Phase(p).String()+" "+millis(d))
 		}
@@ -233,7 +233,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// scale maps times to columns.
+// scale maps times to columns of the drawing.
 type scale struct {
 	begin, span time.Duration
 	width       int
@@ -243,7 +243,7 @@
 	return min(max(int(float64(at-s.begin)/float64(s.span)*float64(s.width)), 0), s.width)
 }
 
-// paint fills from one time to another, a column at least.
+// paint fills the columns between two times, at least one.
 func (s scale) paint(line []byte, from, to time.Duration, mark byte) {
 	first := min(s.column(from), s.width-1)
 	for i := first; i < max(s.column(to), first+1); i++ {
@@ -259,51 +259,51 @@
 	return line
 }
 
-func (s scale) leg(t *trace.Record, l *trace.Attempt) []byte {
+func (s scale) attempt(record *trace.Record, a *trace.Attempt) []byte {
 	line := s.blank()
-	connect := trace.Line
-	if l.NewConnection {
+	connect := trace.Acquire
+	if a.NewConnection {
 		connect = trace.Connect
 	}
-	over := l.Ended
-	if l.Reported != 0 && (l.Bound == 0 || over == 0) {
-		over = l.Reported
+	ended := a.Ended
+	if a.Reported != 0 && (a.Bound == 0 || ended == 0) {
+		ended = a.Reported
 	}
-	if over == 0 {
-		over = t.End
+	if ended == 0 {
+		ended = record.End
 	}
-	if l.Ended > over {
-		s.paint(line, t.At+over, t.At+l.Ended, 'x')
+	if a.Ended > ended {
+		s.paint(line, record.At+ended, record.At+a.Ended, 'x')
 	}
-	from := l.Sent
+	from := a.Sent
 	for _, stage := range []struct {
-		end time.Duration
-		is  trace.Phase
+		end   time.Duration
+		phase trace.Phase
 	}{
-		{l.Started, trace.Line},
-		{l.Connected, connect},
-		{l.Written, trace.Write},
-		{l.FirstByte, trace.Wait},
-		{l.FirstEvent, trace.Head},
-		{l.Bound, trace.Bind},
-		{over, trace.Stream},
+		{a.Started, trace.Acquire},
+		{a.Connected, connect},
+		{a.Written, trace.Write},
+		{a.FirstByte, trace.Wait},
+		{a.FirstEvent, trace.Head},
+		{a.Bound, trace.Bind},
+		{ended, trace.Stream},
 	} {
-		end := min(stage.end, over)
+		end := min(stage.end, ended)
 		if stage.end == 0 {
-			end = over
+			end = ended
 		}
-		// A stage too short for a column of its own shows only where nothing else does.
-		if s.column(t.At+end) > s.column(t.At+from) || line[min(s.column(t.At+from), s.width-1)] == ' ' {
-			s.paint(line, t.At+from, t.At+end, marks[stage.is])
+		// A stage that is shorter than a column is drawn only in an empty column.
+		if s.column(record.At+end) > s.column(record.At+from) || line[min(s.column(record.At+from), s.width-1)] == ' ' {
+			s.paint(line, record.At+from, record.At+end, marks[stage.phase])
 		}
-		if from = max(end, from); stage.end == 0 || from >= over {
+		if from = max(end, from); stage.end == 0 || from >= ended {
 			break
 		}
 	}
 	return line
 }
 
-// ruler marks the scale's quarters.
+// ruler returns a line that marks the quarters of the scale.
 func (s scale) ruler() []byte {
 	line := []byte(strings.Repeat("-", s.width))
 	for q := range 4 {
@@ -322,7 +322,7 @@
 	return fmt.Sprintf("%.2fs", d.Seconds())
 }
 
-func clock(at time.Duration) string {
+func timestamp(at time.Duration) string {
 	return time.Unix(0, int64(at)).UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
--- a/internal/trace/show/show_test.go
+++ b/internal/trace/show/show_test.go
@@ -16,12 +16,12 @@
 
 const ms = time.Millisecond
 
-// step is a first try whose leg was reset and whose second leg timed out, and a retry that was served.
-func step() []*trace.Record {
+// operation returns a request whose first attempt was reset and whose second one timed out, and a retry that was served.
+func operation() []*trace.Record {
 	first := &trace.Record{
 		Trace: trace.TraceID{0xab}, Span: trace.SpanID{1}, Number: 1, Router: "n1", CallID: "c1", Class: "shift-agent", PromptTokens: 5000,
 		At: 1000 * time.Second, End: 1000 * ms, Outcome: trace.Failed, Why: trace.DecisionReason(policy.ReasonDeadline), TargetLatency: 2700 * ms,
-		Reasons: trace.ForFailed | trace.ForLegs,
+		Reasons: trace.ForFailed | trace.ForAttempts,
 		Attempts: []trace.Attempt{
 			{
 				Host: "s-1", Why: trace.DecisionReason(policy.ReasonAffinity), Sent: 0, Started: ms, Connected: 2 * ms, Written: 3 * ms, Reported: 400 * ms, Ended: 400 * ms,
@@ -33,7 +33,7 @@
 			},
 		},
 	}
-	first.Phases[trace.Wait], first.Phases[trace.Connect], first.Phases[trace.Line] = 896*ms, 99*ms, 5*ms
+	first.Phases[trace.Wait], first.Phases[trace.Connect], first.Phases[trace.Acquire] = 896*ms, 99*ms, 5*ms
 	second := &trace.Record{
 		Trace: trace.TraceID{0xcd}, Span: trace.SpanID{2}, Number: 2, Previous: trace.Link{Trace: first.Trace, Span: first.Span}, Router: "n2",
 		CallID: "c2", Class: "shift-agent", PromptTokens: 5000, OutputTokens: 80, At: 1001*time.Second + 200*ms, FirstEvent: 200 * ms, End: 800 * ms,
@@ -49,8 +49,8 @@
 
 func TestWaterfall(t *testing.T) {
 	var b bytes.Buffer
-	Waterfall(&b, step(), 71)
-	if err := Table(&b, step()); err != nil {
+	Waterfall(&b, operation(), 71)
+	if err := Table(&b, operation()); err != nil {
 		t.Fatal(err)
 	}
 	path := "testdata/waterfall.txt"
@@ -64,28 +64,28 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(string(want), b.String()); diff != "" {
-		t.Errorf("(-want +got; UPDATE=1 writes it anew):\n%s", diff)
+		t.Errorf("(-want +got; UPDATE=1 updates the file):\n%s", diff)
 	}
 }
 
-func TestStepFollowsLinks(t *testing.T) {
-	all := append(step(), &trace.Record{Trace: trace.TraceID{0xef}, At: time.Second})
+func TestOperationFollowsLinks(t *testing.T) {
+	all := append(operation(), &trace.Record{Trace: trace.TraceID{0xef}, At: time.Second})
 	for _, id := range []trace.TraceID{{0xab}, {0xcd}} {
 		if got := Operation(all, id); len(got) != 2 || got[0].CallID != "c1" || got[1].CallID != "c2" {
-			t.Errorf("%v: %d tries", id, len(got))
+			t.Errorf("%v: %d records", id, len(got))
 		}
 	}
 }
 
 func TestFilter(t *testing.T) {
-	first, second := step()[0], step()[1]
+	first, second := operation()[0], operation()[1]
 	for _, c := range []struct {
 		f             Filter
 		first, second bool
 	}{
 		{Filter{}, true, true},
 		{Filter{Outcome: trace.Failed}, true, false},
-		{Filter{SlowerThan: 300 * ms}, true, false}, // the second's first event was there after 200 ms
+		{Filter{SlowerThan: 300 * ms}, true, false}, // the second request had its first event after 200 ms
 		{Filter{Host: "s-1"}, true, false},
 		{Filter{Retried: true}, false, true},
 		{Filter{Class: "chat"}, false, false},
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestScanOfNothing(t *testing.T) {
+func TestScanOfMissingFile(t *testing.T) {
 	var warn strings.Builder
 	if err := Scan(filepath.Join(t.TempDir(), "none"), &warn, func(*trace.Record) error { return nil }); !os.IsNotExist(err) {
 		t.Errorf("%v", err)
--- a/internal/trace/table.go
+++ b/internal/trace/table.go
@@ -4,165 +4,165 @@
 	"time"
 )
 
-// table holds the steps, and the ordinary try of each that waits for its window's end. Nearly all that a busy router
-// records ends here and is dropped, so it is made to cost the garbage collector nothing: steps are slots of one slice
-// without pointers, and each has a cell of bytes for its try.
+// table holds the operations, and for each the ordinary record that awaits the end of its retry window. Most records of
+// a busy router end here and are dropped. To keep the load on the garbage collector low, operations are slots of one
+// slice without pointers, and each slot has a cell of bytes for its packed record.
 type table struct {
-	slots  []step
-	free   []uint32
-	traces map[TraceID]uint32 // slots, by the trace that the client sent
-	talks  map[uint64]uint32  // slots, by session: the latest
-	order  []turn             // a ring: the steps with no try under way, by the end of their windows
-	first  int                // of order
-	count  int                // of order, those that were taken back included
-	cells  [][]byte           // chunks of cells, one for each slot
-	held   int                // tries in cells
+	slots     []operation
+	free      []uint32
+	byTrace   map[TraceID]uint32 // slots by the trace ID that the client sent
+	bySession map[uint64]uint32  // the latest slot of each session
+	order     []orderEntry       // a ring of the operations without an open request, by the end of their retry windows
+	first     int                // of order
+	count     int                // of order, invalid entries included
+	cells     [][]byte           // in chunks; one cell for each slot
+	pending   int                // records in cells
 }
 
-// turn is a step's place in the order; it counts if the step has not been taken up again since.
-type turn struct {
+// orderEntry is the place of an operation in the order. It is valid while seq equals that of the operation.
+type orderEntry struct {
 	slot uint32
 	seq  uint32
 }
 
-// step is a client's first try and the retries that followed it. It holds no pointer. Slot 0 is never used, so that 0
-// means none.
-type step struct {
-	trace   TraceID
-	last    Link // the latest try
-	session uint64
-	prompt  float64
-	until   time.Duration // it is forgotten then, unless a try is under way
-	before  uint32        // slot of the session's step before it, which may be another's by now; 0 = none
-	seq     uint32        // of its turn
-	number  int32         // of tries so far
-	open    int32         // tries under way
-	kept    bool          // one was kept, so that all are
-	indexed bool          // in traces
-	in      bool          // of the share
-	size    uint16        // bytes in its cell: the ordinary try that waits; 0 = none
+// operation is a client's request and the retries of it. It holds no pointer. Slot 0 is never used, so that 0 means
+// none.
+type operation struct {
+	trace     TraceID
+	last      Link // the latest request
+	session   uint64
+	prompt    float64
+	windowEnd time.Duration // end of the retry window, if no request is open
+	previous  uint32        // slot of the session's previous operation, which may have been reused since; 0 = none
+	seq       uint32        // of its valid orderEntry
+	requests  int32         // number of requests so far
+	open      int32         // open requests
+	kept      bool          // one record was exported, so all are
+	indexed   bool          // in byTrace
+	sampled   bool          // its trace is in the sampled share
+	size      uint16        // bytes of the pending record in its cell; 0 = none
 }
 
 const (
-	cellBytes = 384 // room for a record with ids and names of the usual length; a longer one does not wait
-	chunk     = 64  // cells
+	cellBytes     = 384 // fits a record with IDs and names of the usual length; a longer one is not stored
+	cellsPerChunk = 64
 
-	// OperationBytes is what a step takes in all, its cell and its places in the indices included.
+	// OperationBytes is the memory that one operation takes, with its cell and its index entries.
 	OperationBytes = cellBytes + 128 + 64
 )
 
-func newTable(steps int) *table {
+func newTable(operations int) *table {
 	return &table{
-		slots: make([]step, 1, 64), traces: map[TraceID]uint32{}, talks: map[uint64]uint32{}, order: make([]turn, 2*steps+2),
+		slots: make([]operation, 1, 64), byTrace: map[TraceID]uint32{}, bySession: map[uint64]uint32{}, order: make([]orderEntry, 2*operations+2),
 	}
 }
 
-// add makes a step.
-func (t *table) add(s step) uint32 {
+// add stores an operation and returns its slot.
+func (t *table) add(op operation) uint32 {
 	var slot uint32
 	if n := len(t.free); n > 0 {
 		slot = t.free[n-1]
 		t.free = t.free[:n-1]
-		s.seq = t.slots[slot].seq
-		t.slots[slot] = s
+		op.seq = t.slots[slot].seq
+		t.slots[slot] = op
 	} else {
 		slot = uint32(len(t.slots))
-		t.slots = append(t.slots, s)
+		t.slots = append(t.slots, op)
 	}
-	if s.indexed {
-		t.traces[s.trace] = slot
+	if op.indexed {
+		t.byTrace[op.trace] = slot
 	}
 	return slot
 }
 
-// remove forgets a step that has no try under way.
+// remove deletes an operation without an open request.
 func (t *table) remove(slot uint32) {
-	s := &t.slots[slot]
-	if s.indexed && t.traces[s.trace] == slot {
-		delete(t.traces, s.trace)
+	op := &t.slots[slot]
+	if op.indexed && t.byTrace[op.trace] == slot {
+		delete(t.byTrace, op.trace)
 	}
-	if s.session != 0 && t.talks[s.session] == slot {
-		delete(t.talks, s.session)
+	if op.session != 0 && t.bySession[op.session] == slot {
+		delete(t.bySession, op.session)
 	}
-	t.drop(s)
-	s.seq++ // its turn, if it has one, is void
+	t.drop(op)
+	op.seq++ // invalidates its entry in the order
 	t.free = append(t.free, slot)
 }
 
-// drop gives up a step's try.
-func (t *table) drop(s *step) {
-	if s.size != 0 {
-		s.size = 0
-		t.held--
+// drop discards the pending record of an operation.
+func (t *table) drop(op *operation) {
+	if op.size != 0 {
+		op.size = 0
+		t.pending--
 	}
 }
 
-// cell is where a slot's try is kept.
+// cell returns the memory for the packed record of a slot.
 func (t *table) cell(slot uint32) []byte {
-	for int(slot)/chunk >= len(t.cells) {
-		t.cells = append(t.cells, make([]byte, chunk*cellBytes))
+	for int(slot)/cellsPerChunk >= len(t.cells) {
+		t.cells = append(t.cells, make([]byte, cellsPerChunk*cellBytes))
 	}
-	at := int(slot) % chunk * cellBytes
-	return t.cells[int(slot)/chunk][at : at+cellBytes : at+cellBytes]
+	at := int(slot) % cellsPerChunk * cellBytes
+	return t.cells[int(slot)/cellsPerChunk][at : at+cellBytes : at+cellBytes]
 }
 
-// hold puts a try into its step's cell. ok is false where it is too large for one.
-func (t *table) hold(slot uint32, y *Record, taken time.Duration) (ok bool) {
-	packed := y.pack(t.cell(slot)[:0], taken)
+// store packs a record into the cell of its operation. ok is false if it does not fit.
+func (t *table) store(slot uint32, record *Record, queueTime time.Duration) (ok bool) {
+	packed := record.pack(t.cell(slot)[:0], queueTime)
 	if len(packed) > cellBytes {
 		return false
 	}
 	t.slots[slot].size = uint16(len(packed))
-	t.held++
+	t.pending++
 	return true
 }
 
-// take reads a step's try and drops it; nil = there is none.
+// take removes and returns the pending record of an operation, or nil.
 func (t *table) take(slot uint32) *Record {
-	s := &t.slots[slot]
-	if s.size == 0 {
+	op := &t.slots[slot]
+	if op.size == 0 {
 		return nil
 	}
-	y, err := unpack(t.cell(slot)[:s.size])
-	t.drop(s)
+	record, err := unpack(t.cell(slot)[:op.size])
+	t.drop(op)
 	if err != nil {
-		return nil // it cannot be: what pack writes unpack reads
+		return nil // unreachable: unpack accepts all that pack writes
 	}
-	return y
+	return record
 }
 
-// queue puts a step at the end of the order. ok is false where there is no room: the first must leave.
-func (t *table) queue(slot uint32) (ok bool) {
+// enqueue appends an operation to the order. ok is false if the order is full.
+func (t *table) enqueue(slot uint32) (ok bool) {
 	if t.count == len(t.order) {
 		return false
 	}
-	s := &t.slots[slot]
-	s.seq++
-	t.order[(t.first+t.count)%len(t.order)] = turn{slot, s.seq}
+	op := &t.slots[slot]
+	op.seq++
+	t.order[(t.first+t.count)%len(t.order)] = orderEntry{slot, op.seq}
 	t.count++
 	return true
 }
 
-// unqueue takes a step out of the order: a retry has come.
-func (t *table) unqueue(slot uint32) { t.slots[slot].seq++ }
+// dequeue removes an operation from the order, by invalidating its entry.
+func (t *table) dequeue(slot uint32) { t.slots[slot].seq++ }
 
-// next returns the first step of the order, or 0.
+// next returns the first slot of the order, or 0.
 func (t *table) next() uint32 {
 	for t.count > 0 {
-		at := t.order[t.first]
-		if t.slots[at.slot].seq == at.seq {
-			return at.slot
+		entry := t.order[t.first]
+		if t.slots[entry.slot].seq == entry.seq {
+			return entry.slot
 		}
 		t.shift()
 	}
 	return 0
 }
 
-// shift takes the first turn out.
+// shift removes the first entry of the order.
 func (t *table) shift() {
 	t.first = (t.first + 1) % len(t.order)
 	t.count--
 }
 
-// waiting tells how many steps there are, those with a try under way included.
-func (t *table) waiting() int { return len(t.slots) - 1 - len(t.free) }
+// size returns the number of operations, including those with an open request.
+func (t *table) size() int { return len(t.slots) - 1 - len(t.free) }
