--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -59,7 +59,7 @@
 	if p.retryAfter == 0 {
 		p.retryAfter = d.limits.OverloadRetryAfter
 	}
-	p.traceSet = &trace.Pool{Pool: e.Name, Classes: e.Classes}
+	p.traceSet = &trace.Pool{Name: e.Name, Classes: e.Classes}
 	if e.RetryBudget != nil && (p.retryBudget == nil || *e.RetryBudget != *p.retryBudget) {
 		p.retryBudget = e.RetryBudget
 	}
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -20,7 +20,7 @@
 
 // Pool is a pool with its request classes.
 type Pool struct {
-	Pool    string
+	Name    string
 	Classes []Class // indexed by policy.Request.Class
 }
 
@@ -126,7 +126,7 @@
 	record.Attempts = span.attempts[:0]
 	span.id, span.client, span.queueTime = id, client, now-record.At
 	if pool != nil {
-		record.Pool = pool.Pool
+		record.Pool = pool.Name
 	}
 	if pool != nil && request.Class >= 0 && request.Class < len(pool.Classes) {
 		c := &pool.Classes[request.Class]
