--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -49,7 +49,7 @@
 // Counters count requests by what became of their records.
 // Taken = Kept + Dropped + Evicted + Limited + Pending + open requests.
 type Counters struct {
-	Taken   int // requests started
+	Started int // requests started
 	Kept    int // exported
 	Share   int // of Kept, ordinary ones
 	Dropped int // ordinary ones outside the share
@@ -119,7 +119,7 @@
 func (r *Recorder) StartRequest(now time.Duration, id policy.RequestID, client any, callID string, receivedAt time.Duration,
 	request *policy.Request, origin *Origin, pool *Pool,
 ) *RequestSpan {
-	r.counters.Taken++
+	r.counters.Started++
 	span := r.acquireSpan()
 	record := &span.record
 	record.Router, record.CallID, record.Session, record.PromptTokens, record.At = r.options.Router, callID, request.Session, request.PromptTokens, min(receivedAt, now)
