--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -55,7 +55,7 @@
 	Dropped int // ordinary ones outside the share
 	Evicted int // ordinary ones dropped before the end of their retry window, for lack of memory
 	Limited int // in the share, but above the rate limit
-	Linked  int // requests recognized as retries
+	Retries int // requests recognized as retries
 	Pending int // records that are pending now
 	Steps   int // operations in the table now
 }
@@ -158,7 +158,7 @@
 		})
 	} else {
 		retry = true
-		r.counters.Linked++
+		r.counters.Retries++
 		op := &r.table.slots[slot]
 		record.Previous = op.last
 		if record.Trace == (TraceID{}) {
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -178,11 +178,11 @@
 	r.serve(1, 300*ms, 200*ms)
 	r.start(2, 9, 150, nil)
 	r.start(3, 9, 100, nil)
-	if len(r.exported) != 1 || r.exported[0].CallID != "call1" || r.Counters().Linked != 1 {
+	if len(r.exported) != 1 || r.exported[0].CallID != "call1" || r.Counters().Retries != 1 {
 		t.Errorf("exported %+v, %+v", r.exported, r.Counters())
 	}
 	r.start(4, 9, 150, nil) // as is a later retry of the other request
-	if r.Counters().Linked != 2 {
+	if r.Counters().Retries != 2 {
 		t.Errorf("second retry not recognized: %+v", r.Counters())
 	}
 }
@@ -200,7 +200,7 @@
 		t.Errorf("exported %+v", r.exported)
 	}
 	r.start(3, 0, 150, &Origin{Context: c, Retry: true}) // without a session, the prompt length tells operations apart
-	if r.Counters().Linked != 0 {
+	if r.Counters().Retries != 0 {
 		t.Errorf("%+v", r.Counters())
 	}
 }
