--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -107,7 +107,7 @@
 func (t *traces) counterArgs(c *trace.Counters) []any {
 	args := []any{
 		"taken", c.Started, "kept", c.Kept, "share", c.Share, "dropped", c.Dropped, "early", c.Evicted,
-		"limited", c.Limited, "linked", c.Retries, "held", c.Pending,
+		"limited", c.RateLimited, "linked", c.Retries, "held", c.Pending,
 	}
 	for i, s := range t.sinks {
 		e := s.Counters()
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -49,15 +49,15 @@
 // Counters count requests by what became of their records.
 // Taken = Kept + Dropped + Evicted + Limited + Pending + open requests.
 type Counters struct {
-	Started int // requests started
-	Kept    int // exported
-	Share   int // of Kept, ordinary ones
-	Dropped int // ordinary ones outside the share
-	Evicted int // ordinary ones dropped before the end of their retry window, for lack of memory
-	Limited int // in the share, but above the rate limit
-	Retries int // requests recognized as retries
-	Pending int // records that are pending now
-	Steps   int // operations in the table now
+	Started     int // requests started
+	Kept        int // exported
+	Share       int // of Kept, ordinary ones
+	Dropped     int // ordinary ones outside the share
+	Evicted     int // ordinary ones dropped before the end of their retry window, for lack of memory
+	RateLimited int // in the share, but above the rate limit
+	Retries     int // requests recognized as retries
+	Pending     int // records that are pending now
+	Steps       int // operations in the table now
 }
 
 // Recorder holds the open spans and the table of operations. It is not safe for concurrent use.
@@ -560,7 +560,7 @@
 			r.keep(record)
 		}
 	case sampled:
-		r.counters.Limited++
+		r.counters.RateLimited++
 	case evicted:
 		r.counters.Evicted++
 	default:
