--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -50,7 +50,7 @@
 // Taken = Kept + Dropped + Evicted + Limited + Pending + open requests.
 type Counters struct {
 	Started     int // requests started
-	Kept        int // exported
+	Exported    int // exported
 	Share       int // of Kept, ordinary ones
 	Dropped     int // ordinary ones outside the share
 	Evicted     int // ordinary ones dropped before the end of their retry window, for lack of memory
@@ -533,7 +533,7 @@
 	if record.Reasons == 0 {
 		record.Reasons = ForLinked
 	}
-	r.counters.Kept++
+	r.counters.Exported++
 	if record.Reasons == ForShare {
 		r.counters.Share++
 	}
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -285,7 +285,7 @@
 	}
 	r.Flush(r.now)
 	c := r.Counters()
-	if got := c.Kept - c.Share; got != failed || c.Evicted == 0 || c.Started != c.Kept+c.Dropped+c.Evicted+c.RateLimited || c.Pending != 0 {
+	if got := c.Exported - c.Share; got != failed || c.Evicted == 0 || c.Started != c.Exported+c.Dropped+c.Evicted+c.RateLimited || c.Pending != 0 {
 		t.Errorf("%d failed, %+v", failed, c)
 	}
 }
@@ -353,7 +353,7 @@
 		}
 		r.Flush(r.now)
 		c := r.Counters()
-		if c.Started != started || c.Started != c.Kept+c.Dropped+c.Evicted+c.RateLimited || c.Pending != 0 || len(r.exported) != c.Kept {
+		if c.Started != started || c.Started != c.Exported+c.Dropped+c.Evicted+c.RateLimited || c.Pending != 0 || len(r.exported) != c.Exported {
 			t.Fatalf("%d started, %d exported, %+v", started, len(r.exported), c)
 		}
 		for _, record := range r.exported {
