--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -106,7 +106,7 @@
 // counterArgs returns the counters of the recorder and of each sink as arguments of a log call.
 func (t *traces) counterArgs(c *trace.Counters) []any {
 	args := []any{
-		"taken", c.Started, "kept", c.Exported, "share", c.Share, "dropped", c.Dropped, "early", c.Evicted,
+		"taken", c.Started, "kept", c.Exported, "share", c.Sampled, "dropped", c.Dropped, "early", c.Evicted,
 		"limited", c.RateLimited, "linked", c.Retries, "held", c.Pending,
 	}
 	for i, s := range t.sinks {
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -51,7 +51,7 @@
 type Counters struct {
 	Started     int // requests started
 	Exported    int // exported
-	Share       int // of Kept, ordinary ones
+	Sampled     int // of Kept, ordinary ones
 	Dropped     int // ordinary ones outside the share
 	Evicted     int // ordinary ones dropped before the end of their retry window, for lack of memory
 	RateLimited int // in the share, but above the rate limit
@@ -535,7 +535,7 @@
 	}
 	r.counters.Exported++
 	if record.Reasons == ForShare {
-		r.counters.Share++
+		r.counters.Sampled++
 	}
 	kept := *record
 	kept.Attempts = append([]Attempt(nil), record.Attempts...)
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -285,7 +285,7 @@
 	}
 	r.Flush(r.now)
 	c := r.Counters()
-	if got := c.Exported - c.Share; got != failed || c.Evicted == 0 || c.Started != c.Exported+c.Dropped+c.Evicted+c.RateLimited || c.Pending != 0 {
+	if got := c.Exported - c.Sampled; got != failed || c.Evicted == 0 || c.Started != c.Exported+c.Dropped+c.Evicted+c.RateLimited || c.Pending != 0 {
 		t.Errorf("%d failed, %+v", failed, c)
 	}
 }
