--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -47,17 +47,17 @@
 }
 
 // Counters count requests by what became of their records.
-// Taken = Kept + Dropped + Evicted + Limited + Pending + open requests.
+// Started = Exported + Dropped + Evicted + RateLimited + Pending + open requests.
 type Counters struct {
 	Started     int // requests started
 	Exported    int // exported
-	Sampled     int // of Kept, ordinary ones
+	Sampled     int // of Exported, the ordinary ones
 	Dropped     int // ordinary ones outside the share
 	Evicted     int // ordinary ones dropped before the end of their retry window, for lack of memory
 	RateLimited int // in the share, but above the rate limit
 	Retries     int // requests recognized as retries
 	Pending     int // records that are pending now
-	Steps       int // operations in the table now
+	Operations  int // operations in the table now
 }
 
 // Recorder holds the open spans and the table of operations. It is not safe for concurrent use.
@@ -110,7 +110,7 @@
 // Counters returns the counters since the start.
 func (r *Recorder) Counters() Counters {
 	c := r.counters
-	c.Steps, c.Pending = r.table.size(), r.table.pending
+	c.Operations, c.Pending = r.table.size(), r.table.pending
 	return c
 }
 
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -95,7 +95,7 @@
 		t.Fatalf("%d records exported, %d pending", len(r.exported), r.Counters().Pending)
 	}
 	r.advance(11 * time.Second)
-	if c := r.Counters(); c.Dropped != 1 || c.Pending != 0 || c.Steps != 0 || len(r.table.bySession) != 0 {
+	if c := r.Counters(); c.Dropped != 1 || c.Pending != 0 || c.Operations != 0 || len(r.table.bySession) != 0 {
 		t.Errorf("%+v", c)
 	}
 	r.Recorder.sampler = NewSampler(1, 0)
@@ -278,7 +278,7 @@
 		} else {
 			r.serve(id, 20*time.Microsecond, 20*time.Microsecond)
 		}
-		if c := r.Counters(); c.Pending > 500 || c.Steps > 501 {
+		if c := r.Counters(); c.Pending > 500 || c.Operations > 501 {
 			t.Fatalf("after %d: %+v", id, c)
 		}
 		r.advance(60 * time.Microsecond)
@@ -301,7 +301,7 @@
 		t.Fatalf("%d records exported", len(r.exported))
 	}
 	r.serve(2, 10*ms, 10*ms)
-	if c := r.Counters(); len(r.exported) != 2 || c.Pending != 0 || c.Steps != 0 {
+	if c := r.Counters(); len(r.exported) != 2 || c.Pending != 0 || c.Operations != 0 {
 		t.Errorf("%d records exported, %+v", len(r.exported), c)
 	}
 }
