--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -19,9 +19,9 @@
 
 func record(n int, reasons trace.KeepReason) *trace.Record {
 	return &trace.Record{
-		Trace: trace.TraceID{1, byte(n), byte(n >> 8)}, Span: trace.SpanID{2, byte(n), byte(n >> 8)}, Router: "n1", Frontend: "calls",
-		CallID: strings.Repeat("c", 16), Class: "chat", At: time.Duration(n) * time.Second, End: time.Second, FirstEvent: time.Second / 2,
-		Outcome: trace.Served, Reasons: reasons, Number: 1,
+		Trace: trace.TraceID{1, byte(n), byte(n >> 8)}, Span: trace.SpanID{2, byte(n), byte(n >> 8)}, Router: "n1",
+		Frontend: "calls", CallID: strings.Repeat("c", 16), Class: "chat", At: time.Duration(n) * time.Second,
+		End: time.Second, FirstEvent: time.Second / 2, Outcome: trace.Served, Reasons: reasons, Number: 1,
 		Attempts: []trace.Attempt{{Span: trace.SpanID{3}, Host: "s-1", TransportResult: trace.None}},
 	}
 }
@@ -115,7 +115,8 @@
 }
 
 func FuzzRead(f *testing.F) {
-	sink, err := NewFile(FileOptions{Path: filepath.Join(f.TempDir(), "t"), Max: 1 << 20, Files: 1, Flush: time.Hour, Queue: 1 << 20, Log: discardLog()})
+	sink, err := NewFile(FileOptions{Path: filepath.Join(f.TempDir(), "t"), Max: 1 << 20, Files: 1, Flush: time.Hour,
+		Queue: 1 << 20, Log: discardLog()})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -135,7 +136,10 @@
 	for name, c := range map[string]struct {
 		mode standin.Mode
 		sent bool
-	}{"takes": {standin.Takes, true}, "hangs": {standin.Hangs, false}, "busy": {standin.Busy, false}, "denies": {standin.Denies, false}} {
+	}{
+		"takes": {standin.Takes, true}, "hangs": {standin.Hangs, false}, "busy": {standin.Busy, false},
+		"denies": {standin.Denies, false},
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			collector, err := standin.StartCollector("127.0.0.1:0")
@@ -144,7 +148,8 @@
 			}
 			defer collector.Close()
 			collector.Be(c.mode)
-			e, err := NewOTLP(OTLPOptions{Endpoint: collector.URL(), Queue: 1 << 20, Timeout: time.Minute, Router: "n1", Log: discardLog()})
+			e, err := NewOTLP(OTLPOptions{Endpoint: collector.URL(), Queue: 1 << 20, Timeout: time.Minute, Router: "n1",
+				Log: discardLog()})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -172,7 +177,8 @@
 	rec := record(1, trace.ForFailed|trace.ForAttempts)
 	rec.Outcome, rec.Phases[trace.Wait], rec.Previous = trace.Failed, time.Second, trace.Link{Span: trace.SpanID{9}}
 	spans := Spans(rec)
-	if len(spans) != 2 || standin.Hex(spans[1].ParentSpanId) != rec.Span.String() || standin.Text(spans[0], "notchhinge.outcome") != "failed" ||
+	if len(spans) != 2 || standin.Hex(spans[1].ParentSpanId) != rec.Span.String() ||
+		standin.Text(spans[0], "notchhinge.outcome") != "failed" ||
 		standin.Number(spans[0], "notchhinge.phase.wait_us") != 1e6 || len(spans[0].Links) != 1 ||
 		!cmp.Equal(standin.Texts(spans[0], "notchhinge.kept_for"), []string{"failed", "legs"}) {
 		t.Errorf("%v", spans)
--- a/internal/trace/export/golden_test.go
+++ b/internal/trace/export/golden_test.go
@@ -21,11 +21,14 @@
 	full.Parent, full.State, full.Flags, full.Number = trace.SpanID{5}, "ot=th:8", trace.Sampled, 2
 	full.Previous = trace.Link{Trace: trace.TraceID{7}, Span: trace.SpanID{8}}
 	full.Team, full.Pool, full.Session, full.PromptTokens, full.OutputTokens, full.CachedTokens = "lab", "scribe", 300, 5000, 70, 64
-	full.Reading, full.TargetLatency, full.Late, full.Outcome, full.Why, full.RetryAfter = 1000, time.Second, true, trace.Refused, trace.RouterFull, time.Second
+	full.Reading, full.TargetLatency, full.Late, full.Outcome, full.Why, full.RetryAfter =
+		1000, time.Second, true, trace.Refused, trace.RouterFull, time.Second
 	full.Phases[trace.Pending], full.Phases[trace.Stream] = time.Millisecond, time.Second-time.Millisecond
 	full.Attempts = append(full.Attempts, trace.Attempt{
-		Span: trace.SpanID{9}, Host: "s-2", Addr: "10.0.0.6:8000", Why: 2, Sent: 1000, Started: 2000, Connected: 3000, NewConnection: true, Written: 4000,
-		FirstByte: 500_000, FirstEvent: 600_000, Bound: 700_000, Reported: 800_000, Ended: 900_000, Relay: 100, Bytes: 900, Result: 1, TransportResult: 5, StaleConnection: true,
+		Span: trace.SpanID{9}, Host: "s-2", Addr: "10.0.0.6:8000", Why: 2, Sent: 1000, Started: 2000, Connected: 3000,
+		NewConnection: true, Written: 4000,
+		FirstByte: 500_000, FirstEvent: 600_000, Bound: 700_000, Reported: 800_000, Ended: 900_000, Relay: 100, Bytes: 900,
+		Result: 1, TransportResult: 5, StaleConnection: true,
 	})
 	return []*trace.Record{record(1, trace.ForShare), full}
 }
@@ -49,7 +52,8 @@
 	}
 	golden.Check(t, "file.zst.hex", b)
 	var got []*trace.Record
-	damage, err := Read(bytes.NewReader(golden.Read(t, "file.zst.hex")), func(rec *trace.Record) error { got = append(got, rec); return nil })
+	damage, err := Read(bytes.NewReader(golden.Read(t, "file.zst.hex")),
+		func(rec *trace.Record) error { got = append(got, rec); return nil })
 	if err != nil || damage != (Damage{}) {
 		t.Errorf("%v %v", damage, err)
 	}
--- a/internal/trace/export/otlp.go
+++ b/internal/trace/export/otlp.go
@@ -183,7 +183,8 @@
 		Attributes: []*commonpb.KeyValue{
 			text("http.request.method", "POST"), text("http.route", "/v1/chat/completions"), text("gen_ai.operation.name", "chat"),
 			number("gen_ai.usage.input_tokens", int64(record.PromptTokens)),
-			text("notchhinge.call_id", record.CallID), text("notchhinge.class", record.Class), text("notchhinge.front", record.Frontend),
+			text("notchhinge.call_id", record.CallID), text("notchhinge.class", record.Class),
+			text("notchhinge.front", record.Frontend),
 			text("notchhinge.outcome", record.Outcome.String()), number("notchhinge.try", int64(record.Number)),
 			boolean("notchhinge.late", record.Late), number("notchhinge.legs", int64(len(record.Attempts))),
 			number("notchhinge.aim_us", record.TargetLatency.Microseconds()),
@@ -204,7 +205,8 @@
 		add(text("notchhinge.team", record.Team))
 	}
 	if record.OutputTokens > 0 {
-		add(number("gen_ai.usage.output_tokens", int64(record.OutputTokens)), number("gen_ai.usage.cache_read.input_tokens", int64(record.CachedTokens)))
+		add(number("gen_ai.usage.output_tokens", int64(record.OutputTokens)),
+			number("gen_ai.usage.cache_read.input_tokens", int64(record.CachedTokens)))
 	}
 	if record.FirstEvent > 0 {
 		add(number("notchhinge.first_event_us", record.FirstEvent.Microseconds()))
@@ -249,13 +251,15 @@
 		end = max(record.End, a.Sent)
 	}
 	s := &tracepb.Span{
-		TraceId: record.Trace[:], SpanId: a.Span[:], ParentSpanId: record.Span[:], TraceState: record.State, Flags: uint32(record.Flags),
-		Name: "chat " + a.Host, Kind: tracepb.Span_SPAN_KIND_CLIENT, StartTimeUnixNano: at(a.Sent), EndTimeUnixNano: at(end),
+		TraceId: record.Trace[:], SpanId: a.Span[:], ParentSpanId: record.Span[:],
+		TraceState: record.State, Flags: uint32(record.Flags), Name: "chat " + a.Host, Kind: tracepb.Span_SPAN_KIND_CLIENT,
+		StartTimeUnixNano: at(a.Sent), EndTimeUnixNano: at(end),
 		Attributes: []*commonpb.KeyValue{
 			text("gen_ai.operation.name", "chat"), text("server.address", a.Addr), text("notchhinge.host", a.Host),
 			number("notchhinge.leg", int64(n)), text("notchhinge.decision", a.Why.String()),
 			text("notchhinge.result", a.Result.String()), text("notchhinge.line_result", a.TransportResult.String()),
-			boolean("notchhinge.fresh_line", a.NewConnection), boolean("notchhinge.stale_line", a.StaleConnection), boolean("notchhinge.bound", a.Bound != 0),
+			boolean("notchhinge.fresh_line", a.NewConnection), boolean("notchhinge.stale_line", a.StaleConnection),
+			boolean("notchhinge.bound", a.Bound != 0),
 			number("http.request.resend_count", int64(n)),
 		},
 	}
--- a/internal/trace/golden_test.go
+++ b/internal/trace/golden_test.go
@@ -11,15 +11,17 @@
 // goldenRecord returns a record in which each field is set.
 func goldenRecord() *Record {
 	return &Record{
-		Trace: TraceID{1, 2, 15: 16}, Span: SpanID{3, 7: 4}, Parent: SpanID{5}, State: "ot=th:8", Flags: Sampled | Random, Number: 1,
-		Frontend: "calls", Team: "lab", Pool: "scribe", CallID: "call-1", Class: "chat", Session: 0x0102030405060708,
+		Trace: TraceID{1, 2, 15: 16}, Span: SpanID{3, 7: 4}, Parent: SpanID{5}, State: "ot=th:8", Flags: Sampled | Random,
+		Number: 1, Frontend: "calls", Team: "lab", Pool: "scribe", CallID: "call-1", Class: "chat", Session: 0x0102030405060708,
 		PromptTokens: 5000.5, OutputTokens: 70, CachedTokens: 64.25,
-		At: 1_764_000_000_123_456_789, Reading: 1000, FirstEvent: 900_000, RejectedAt: 950_000, End: time.Millisecond, TargetLatency: 800 * time.Millisecond,
-		Outcome: Refused, Why: RouterFull, RetryAfter: 2 * time.Second,
+		At: 1_764_000_000_123_456_789, Reading: 1000, FirstEvent: 900_000, RejectedAt: 950_000, End: time.Millisecond,
+		TargetLatency: 800 * time.Millisecond, Outcome: Refused, Why: RouterFull, RetryAfter: 2 * time.Second,
 		Attempts: []Attempt{
 			{
-				Span: SpanID{9}, Host: "s-1", Addr: "10.0.0.5:8000", Why: 2, Sent: 1000, Started: 2000, Connected: 3000, NewConnection: true, Written: 4000,
-				FirstByte: 500_000, FirstEvent: 600_000, Bound: 700_000, Reported: 800_000, Ended: 900_000, Relay: 100, Bytes: 900, Result: 1, TransportResult: 5, StaleConnection: true,
+				Span: SpanID{9}, Host: "s-1", Addr: "10.0.0.5:8000", Why: 2, Sent: 1000, Started: 2000, Connected: 3000,
+				NewConnection: true, Written: 4000,
+				FirstByte: 500_000, FirstEvent: 600_000, Bound: 700_000, Reported: 800_000, Ended: 900_000, Relay: 100, Bytes: 900,
+				Result: 1, TransportResult: 5, StaleConnection: true,
 			},
 			{Span: SpanID{10}, Host: "s-2", Addr: "10.0.0.6:8000", Sent: 5000, Result: None, TransportResult: None},
 		},
--- a/internal/trace/pack.go
+++ b/internal/trace/pack.go
@@ -14,7 +14,8 @@
 	b = append(b, r.Span[:]...)
 	b = append(b, r.Parent[:]...)
 	b = append(b, r.Flags, byte(r.Outcome), byte(r.Why), byte(len(r.Attempts)))
-	b = appendWords(b, r.Session, math.Float64bits(r.PromptTokens), math.Float64bits(r.CachedTokens), uint64(r.At), uint64(r.Reading), uint64(r.FirstEvent),
+	b = appendWords(b, r.Session, math.Float64bits(r.PromptTokens), math.Float64bits(r.CachedTokens),
+		uint64(r.At), uint64(r.Reading), uint64(r.FirstEvent),
 		uint64(r.RejectedAt), uint64(r.End), uint64(r.TargetLatency), uint64(r.RetryAfter), uint64(r.OutputTokens), uint64(queueTime))
 	for _, s := range [...]string{r.State, r.Pool, r.Frontend, r.Team, r.CallID, r.Class} {
 		b = append(binary.LittleEndian.AppendUint16(b, uint16(len(s))), s...)
@@ -97,8 +98,10 @@
 		var a Attempt
 		copy(a.Span[:], u.take(8))
 		p := u.take(4)
-		a.Why, a.Result, a.TransportResult, a.NewConnection, a.StaleConnection = DecisionReason(p[0]), Result(p[1]), Result(p[2]), p[3]&1 != 0, p[3]&2 != 0
-		u.times(&a.Sent, &a.Started, &a.Connected, &a.Written, &a.FirstByte, &a.FirstEvent, &a.Bound, &a.Reported, &a.Ended, &a.Relay, &bytes)
+		a.Why, a.Result, a.TransportResult, a.NewConnection, a.StaleConnection =
+			DecisionReason(p[0]), Result(p[1]), Result(p[2]), p[3]&1 != 0, p[3]&2 != 0
+		u.times(&a.Sent, &a.Started, &a.Connected, &a.Written, &a.FirstByte, &a.FirstEvent, &a.Bound, &a.Reported,
+			&a.Ended, &a.Relay, &bytes)
 		a.Bytes = int(bytes)
 		a.Host, a.Addr = u.text(), u.text()
 		if u.err != nil {
--- a/internal/trace/pack_test.go
+++ b/internal/trace/pack_test.go
@@ -13,9 +13,12 @@
 		duration := func(name string) time.Duration { return time.Duration(rapid.Int64().Draw(t, name)) }
 		text := func(name string) string { return rapid.String().Draw(t, name) }
 		want := &Record{
-			Number: 1, Trace: TraceID{1, 2}, Span: SpanID{3}, Parent: SpanID{4}, State: text("state"), Flags: 3, Frontend: text("front"), Team: text("team"),
-			CallID: text("call"), Class: text("class"), Session: rapid.Uint64().Draw(t, "session"), PromptTokens: 5000, CachedTokens: 64, OutputTokens: 7,
-			At: duration("at"), Reading: duration("reading"), FirstEvent: duration("first"), End: duration("end"), TargetLatency: duration("aim"), Outcome: Served, Why: RouterFull,
+			Number: 1, Trace: TraceID{1, 2}, Span: SpanID{3}, Parent: SpanID{4}, State: text("state"), Flags: 3,
+			Frontend: text("front"), Team: text("team"),
+			CallID: text("call"), Class: text("class"), Session: rapid.Uint64().Draw(t, "session"), PromptTokens: 5000,
+			CachedTokens: 64, OutputTokens: 7,
+			At: duration("at"), Reading: duration("reading"), FirstEvent: duration("first"), End: duration("end"),
+			TargetLatency: duration("aim"), Outcome: Served, Why: RouterFull,
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "legs") {
 			want.Attempts = append(want.Attempts, Attempt{
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -46,7 +46,8 @@
 
 var resultNames = [...]string{
 	policy.ResultOK: "ok", policy.ResultError: "error", policy.ResultFull: "full", policy.ResultTimedOut: "timed_out",
-	policy.ResultConnectFailed: "connect_failed", policy.ResultReset: "reset", policy.ResultCancelled: "cancelled", policy.ResultNotSent: "moot",
+	policy.ResultConnectFailed: "connect_failed", policy.ResultReset: "reset", policy.ResultCancelled: "cancelled",
+	policy.ResultNotSent: "moot",
 }
 
 func (r Result) String() string {
@@ -339,7 +340,9 @@
 	for _, stage := range [...]struct {
 		end   time.Duration
 		phase Phase
-	}{{a.Started, Acquire}, {a.Connected, connect}, {a.Written, Write}, {a.FirstByte, Wait}, {a.FirstEvent, Head}, {a.Bound, Bind}} {
+	}{
+		{a.Started, Acquire}, {a.Connected, connect}, {a.Written, Write}, {a.FirstByte, Wait}, {a.FirstEvent, Head}, {a.Bound, Bind},
+	} {
 		end := max(stage.end, from)
 		if stage.end == 0 { // the attempt ended in this stage
 			end = a.endedAt()
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -99,7 +99,8 @@
 // New returns an empty recorder.
 func New(options Options, owner Owner) *Recorder {
 	r := &Recorder{
-		options: options, owner: owner, rnd: rand.New(rand.NewPCG(options.Seed, 0x6a09e667f3bcc909)), sampler: NewSampler(options.Share, options.PerSecond),
+		options: options, owner: owner, rnd: rand.New(rand.NewPCG(options.Seed, 0x6a09e667f3bcc909)),
+		sampler:    NewSampler(options.Share, options.PerSecond),
 		incomplete: map[policy.RequestID]*RequestSpan{}, rejections: map[any]*RequestSpan{},
 		table: newTable(max(options.Operations, 1)),
 	}
@@ -122,7 +123,8 @@
 	r.counters.Started++
 	span := r.acquireSpan()
 	record := &span.record
-	record.Router, record.CallID, record.Session, record.PromptTokens, record.At = r.options.Router, callID, request.Session, request.PromptTokens, min(receivedAt, now)
+	record.Router, record.CallID, record.Session, record.PromptTokens, record.At =
+		r.options.Router, callID, request.Session, request.PromptTokens, min(receivedAt, now)
 	record.Attempts = span.attempts[:0]
 	span.id, span.client, span.queueTime = id, client, now-record.At
 	if pool != nil {
@@ -131,7 +133,8 @@
 	if pool != nil && request.Class >= 0 && request.Class < len(pool.Classes) {
 		c := &pool.Classes[request.Class]
 		span.class = c
-		record.Class, record.TargetLatency = c.Name, c.TargetLatency+time.Duration(float64(c.TargetLatencyPerKTokens)*request.PromptTokens/1000)
+		record.Class, record.TargetLatency =
+			c.Name, c.TargetLatency+time.Duration(float64(c.TargetLatencyPerKTokens)*request.PromptTokens/1000)
 	}
 	var parent Context
 	retry := request.IsClientRetry || request.IsResumed
@@ -140,7 +143,8 @@
 		if record.CallID == "" {
 			record.CallID = origin.CallID
 		}
-		parent, record.Frontend, record.Team, span.awaitsRejection = origin.Context, origin.Frontend, origin.Team, origin.ReportsRejection
+		parent, record.Frontend, record.Team, span.awaitsRejection =
+			origin.Context, origin.Frontend, origin.Team, origin.ReportsRejection
 		if origin.FirstByte != 0 {
 			record.Reading = max(record.At-origin.FirstByte, 0)
 		}
@@ -168,7 +172,7 @@
 			r.table.dequeue(slot)
 		}
 	}
-	if request.Session != 0 && !linked { // a retry must not replace a later operation of the session, which may be retried as well
+	if request.Session != 0 && !linked { // a retry must not replace a later operation, which may be retried as well
 		r.table.bySession[request.Session] = slot
 	}
 	record.Span = r.newSpanID()
@@ -228,7 +232,8 @@
 	clear(span.attemptSpans[:min(len(span.record.Attempts), len(span.attemptSpans))])
 	clear(span.record.Attempts) // a prefix of span.attempts; the rest is clear
 	span.record = Record{}
-	span.id, span.client, span.reason, span.openAttempts, span.ended, span.awaitsRejection, span.element, span.class = 0, nil, 0, 0, false, false, nil, nil
+	span.id, span.client, span.reason, span.openAttempts, span.ended, span.awaitsRejection, span.element, span.class =
+		0, nil, 0, 0, false, false, nil, nil
 	r.unused = append(r.unused, span)
 }
 
@@ -291,7 +296,9 @@
 }
 
 // StartAttempt starts the span of attempt n and returns it.
-func (r *Recorder) StartAttempt(now time.Duration, id policy.RequestID, span *RequestSpan, n int, host, addr string) *AttemptSpan {
+func (r *Recorder) StartAttempt(now time.Duration, id policy.RequestID, span *RequestSpan, n int,
+	host, addr string,
+) *AttemptSpan {
 	if !span.isFor(id) {
 		return &AttemptSpan{}
 	}
@@ -328,7 +335,9 @@
 }
 
 // RecordResult records the result of attempt n as it is reported to the module.
-func (r *Recorder) RecordResult(now time.Duration, id policy.RequestID, span *RequestSpan, n int, result policy.Result, cachedTokens float64) {
+func (r *Recorder) RecordResult(now time.Duration, id policy.RequestID, span *RequestSpan, n int,
+	result policy.Result, cachedTokens float64,
+) {
 	if a := span.attempt(id, n); a != nil {
 		a.Reported, a.Result = max(now-span.record.At, 1), Result(result)
 		if cachedTokens > 0 && a.Bound != 0 {
@@ -339,7 +348,9 @@
 
 // EndAttempt ends the span of attempt n with the result of the transport, which may come long after RecordResult. times
 // may be nil.
-func (r *Recorder) EndAttempt(now time.Duration, id policy.RequestID, span *RequestSpan, n int, result policy.Result, stale bool, times *Times) {
+func (r *Recorder) EndAttempt(now time.Duration, id policy.RequestID, span *RequestSpan, n int,
+	result policy.Result, stale bool, times *Times,
+) {
 	a := span.attempt(id, n)
 	if a == nil || a.Ended != 0 {
 		return
@@ -353,7 +364,8 @@
 			}
 			return max(t-at, a.Sent, 1)
 		}
-		a.Started, a.Connected, a.NewConnection, a.Written = since(times.Started), since(times.Connected), times.NewConnection, since(times.Written)
+		a.Started, a.Connected, a.NewConnection, a.Written =
+			since(times.Started), since(times.Connected), times.NewConnection, since(times.Written)
 		a.FirstByte, a.FirstEvent, a.Relay, a.Bytes = since(times.FirstByte), since(times.FirstEvent), times.Relay, times.Bytes
 		if b := since(times.Bound); b != 0 && a.Bound != 0 {
 			a.Bound, span.record.FirstEvent = b, b // when the transport learned it
@@ -380,7 +392,9 @@
 }
 
 // EndRequest ends a request from its client's point of view. EndAttempt of open attempts may follow.
-func (r *Recorder) EndRequest(now time.Duration, id policy.RequestID, span *RequestSpan, outcome Outcome, retryAfter time.Duration) {
+func (r *Recorder) EndRequest(now time.Duration, id policy.RequestID, span *RequestSpan,
+	outcome Outcome, retryAfter time.Duration,
+) {
 	if !span.isFor(id) || span.ended {
 		return
 	}
--- a/internal/trace/recorder_test.go
+++ b/internal/trace/recorder_test.go
@@ -74,7 +74,8 @@
 	bound := r.now
 	r.advance(stream)
 	r.EndAttempt(r.now, id, r.spans[id], 0, policy.ResultOK, false, &Times{
-		Started: sent, Connected: sent + ms, Written: sent + 2*ms, FirstByte: bound - ms, FirstEvent: bound, Bound: bound, Ended: r.now, Tokens: 10,
+		Started: sent, Connected: sent + ms, Written: sent + 2*ms, FirstByte: bound - ms, FirstEvent: bound, Bound: bound,
+		Ended: r.now, Tokens: 10,
 	})
 	r.RecordResult(r.now, id, r.spans[id], 0, policy.ResultOK, 64)
 	r.EndRequest(r.now, id, r.spans[id], Served, 0)
@@ -166,7 +167,8 @@
 		t.Fatalf("exported %+v", r.exported)
 	}
 	r.serve(3, 300*ms, 200*ms)
-	if len(r.exported) != 2 || r.exported[1].Trace != r.exported[0].Trace || r.exported[1].Previous.Span != r.exported[0].Span || r.exported[1].Number != 2 {
+	if len(r.exported) != 2 || r.exported[1].Trace != r.exported[0].Trace ||
+		r.exported[1].Previous.Span != r.exported[0].Span || r.exported[1].Number != 2 {
 		t.Errorf("exported %+v", r.exported)
 	}
 }
@@ -196,7 +198,8 @@
 	r.serve(1, 300*ms, 200*ms)
 	r.start(2, 9, 150, &Origin{Context: c, Retry: true})
 	r.serve(2, 300*ms, 200*ms)
-	if len(r.exported) != 1 || r.exported[0].CallID != "call2" || r.exported[0].Previous != (Link{}) || r.exported[0].Trace != c.Trace {
+	if len(r.exported) != 1 || r.exported[0].CallID != "call2" || r.exported[0].Previous != (Link{}) ||
+		r.exported[0].Trace != c.Trace {
 		t.Errorf("exported %+v", r.exported)
 	}
 	r.start(3, 0, 150, &Origin{Context: c, Retry: true}) // without a session, the prompt length tells operations apart
@@ -214,14 +217,16 @@
 	r.advance(time.Second)
 	r.start(2, 9, 100, &Origin{Context: c})
 	r.serve(2, 100*ms, 100*ms)
-	if len(r.exported) != 1 || r.exported[0].Trace != c.Trace || r.exported[0].Parent != c.Span || r.exported[0].Previous == (Link{}) {
+	if len(r.exported) != 1 || r.exported[0].Trace != c.Trace || r.exported[0].Parent != c.Span ||
+		r.exported[0].Previous == (Link{}) {
 		t.Fatalf("exported %+v", r.exported)
 	}
 	r.BindAttempt(r.now, 1, r.spans[1], 0)
 	r.EndAttempt(r.now, 1, r.spans[1], 0, policy.ResultOK, false, nil)
 	r.RecordResult(r.now, 1, r.spans[1], 0, policy.ResultOK, 0)
 	r.EndRequest(r.now, 1, r.spans[1], Served, 0)
-	if len(r.exported) != 2 || r.exported[1].CallID != "call1" || r.exported[1].Reasons&ForLinked == 0 && r.exported[1].Reasons&ForLate == 0 {
+	if len(r.exported) != 2 || r.exported[1].CallID != "call1" || r.exported[1].Reasons&ForLinked == 0 &&
+		r.exported[1].Reasons&ForLate == 0 {
 		t.Errorf("exported %+v", r.exported[1])
 	}
 }
@@ -250,7 +255,8 @@
 		t.Fatal("record not closed when the cancelled attempt ended")
 	}
 	record := r.exported[0]
-	if record.Attempts[0].Result != Result(policy.ResultCancelled) || record.Attempts[0].TransportResult != Result(policy.ResultReset) || record.End != 150*ms || r.phaseSum(record) != record.End {
+	if record.Attempts[0].Result != Result(policy.ResultCancelled) ||
+		record.Attempts[0].TransportResult != Result(policy.ResultReset) || record.End != 150*ms || r.phaseSum(record) != record.End {
 		t.Errorf("%+v, sum of phases %v", record, r.phaseSum(record))
 	}
 	// A record whose attempt never ends is closed after the grace period.
@@ -260,7 +266,8 @@
 	r.SetReason(2, r.spans[2], policy.ReasonDeadline)
 	r.EndRequest(r.now, 2, r.spans[2], Failed, 0)
 	r.advance(2 * time.Second)
-	if len(r.exported) != 2 || r.exported[1].Attempts[0].TransportResult != None || r.exported[1].Why.String() != "out_of_time" {
+	if len(r.exported) != 2 || r.exported[1].Attempts[0].TransportResult != None ||
+		r.exported[1].Why.String() != "out_of_time" {
 		t.Errorf("exported %+v", r.exported)
 	}
 }
@@ -285,7 +292,8 @@
 	}
 	r.Flush(r.now)
 	c := r.Counters()
-	if got := c.Exported - c.Sampled; got != failed || c.Evicted == 0 || c.Started != c.Exported+c.Dropped+c.Evicted+c.RateLimited || c.Pending != 0 {
+	if got := c.Exported - c.Sampled; got != failed || c.Evicted == 0 ||
+		c.Started != c.Exported+c.Dropped+c.Evicted+c.RateLimited || c.Pending != 0 {
 		t.Errorf("%d failed, %+v", failed, c)
 	}
 }
@@ -312,7 +320,8 @@
 	r.StartAttempt(r.now, 1, r.spans[1], 0, "s-1", "d")
 	r.advance(time.Second)
 	r.Flush(r.now)
-	if len(r.exported) != 1 || r.exported[0].Outcome != Open || r.phaseSum(r.exported[0]) != time.Second || r.spans[1].isFor(1) {
+	if len(r.exported) != 1 || r.exported[0].Outcome != Open || r.phaseSum(r.exported[0]) != time.Second ||
+		r.spans[1].isFor(1) {
 		t.Errorf("exported %+v", r.exported)
 	}
 }
@@ -342,7 +351,8 @@
 			case 3:
 				r.RecordResult(r.now, id, r.spans[id], n, policy.Result(n), 1)
 			case 4:
-				r.EndAttempt(r.now, id, r.spans[id], n, policy.Result(n), false, &Times{Started: at, Connected: at + ms, Written: at + 2*ms, Relay: time.Second})
+				r.EndAttempt(r.now, id, r.spans[id], n, policy.Result(n), false,
+					&Times{Started: at, Connected: at + ms, Written: at + 2*ms, Relay: time.Second})
 			case 5:
 				r.EndRequest(r.now, id, r.spans[id], Outcome(rapid.IntRange(1, 5).Draw(t, "outcome")), ms)
 			case 6:
@@ -353,7 +363,8 @@
 		}
 		r.Flush(r.now)
 		c := r.Counters()
-		if c.Started != started || c.Started != c.Exported+c.Dropped+c.Evicted+c.RateLimited || c.Pending != 0 || len(r.exported) != c.Exported {
+		if c.Started != started || c.Started != c.Exported+c.Dropped+c.Evicted+c.RateLimited || c.Pending != 0 ||
+			len(r.exported) != c.Exported {
 			t.Fatalf("%d started, %d exported, %+v", started, len(r.exported), c)
 		}
 		for _, record := range r.exported {
--- a/internal/trace/show/show.go
+++ b/internal/trace/show/show.go
@@ -75,7 +75,8 @@
 		if record.FirstEvent > 0 {
 			first = millis(record.FirstEvent)
 		}
-		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", timestamp(record.At), record.Trace, record.Number, record.Class, outcomeText(record), first,
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", timestamp(record.At), record.Trace, record.Number,
+			record.Class, outcomeText(record), first,
 			millis(record.End), attemptResults(record), longestPhase(record), strings.Join(record.Reasons.Names(), ","))
 	}
 	return table.Flush()
@@ -191,7 +192,8 @@
 	fmt.Fprintf(w, "  over %s\n", millis(end-begin))
 	fmt.Fprintf(w, "%*s|%s|\n", label, "", s.ruler())
 	for i, record := range records {
-		fmt.Fprintf(w, "try %-5d|%s| %s %s", record.Number, s.bar(record.At, 0, record.End, '#'), record.Router, outcomeText(record))
+		fmt.Fprintf(w, "try %-5d|%s| %s %s", record.Number, s.bar(record.At, 0, record.End, '#'), record.Router,
+			outcomeText(record))
 		if record.Why != 0 {
 			fmt.Fprintf(w, " (%v)", record.Why)
 		}
--- a/internal/trace/show/show_test.go
+++ b/internal/trace/show/show_test.go
@@ -19,27 +19,33 @@
 // operation returns a request whose first attempt was reset and whose second one timed out, and a retry that was served.
 func operation() []*trace.Record {
 	first := &trace.Record{
-		Trace: trace.TraceID{0xab}, Span: trace.SpanID{1}, Number: 1, Router: "n1", CallID: "c1", Class: "shift-agent", PromptTokens: 5000,
-		At: 1000 * time.Second, End: 1000 * ms, Outcome: trace.Failed, Why: trace.DecisionReason(policy.ReasonDeadline), TargetLatency: 2700 * ms,
-		Reasons: trace.ForFailed | trace.ForAttempts,
+		Trace: trace.TraceID{0xab}, Span: trace.SpanID{1}, Number: 1, Router: "n1", CallID: "c1", Class: "shift-agent",
+		PromptTokens: 5000, At: 1000 * time.Second, End: 1000 * ms, Outcome: trace.Failed, Why: trace.DecisionReason(policy.ReasonDeadline),
+		TargetLatency: 2700 * ms, Reasons: trace.ForFailed | trace.ForAttempts,
 		Attempts: []trace.Attempt{
 			{
-				Host: "s-1", Why: trace.DecisionReason(policy.ReasonAffinity), Sent: 0, Started: ms, Connected: 2 * ms, Written: 3 * ms, Reported: 400 * ms, Ended: 400 * ms,
+				Host: "s-1", Why: trace.DecisionReason(policy.ReasonAffinity), Sent: 0, Started: ms, Connected: 2 * ms,
+				Written: 3 * ms, Reported: 400 * ms, Ended: 400 * ms,
 				Result: trace.Result(policy.ResultReset), TransportResult: trace.Result(policy.ResultReset), StaleConnection: true,
 			},
 			{
-				Host: "s-2", Why: trace.DecisionReason(policy.ReasonAffinityLost), Sent: 400 * ms, Started: 401 * ms, Connected: 500 * ms, NewConnection: true, Written: 501 * ms,
-				Reported: 1000 * ms, Ended: 1200 * ms, Result: trace.Result(policy.ResultTimedOut), TransportResult: trace.Result(policy.ResultCancelled),
+				Host: "s-2", Why: trace.DecisionReason(policy.ReasonAffinityLost), Sent: 400 * ms, Started: 401 * ms,
+				Connected: 500 * ms, NewConnection: true, Written: 501 * ms,
+				Reported: 1000 * ms, Ended: 1200 * ms, Result: trace.Result(policy.ResultTimedOut),
+				TransportResult: trace.Result(policy.ResultCancelled),
 			},
 		},
 	}
 	first.Phases[trace.Wait], first.Phases[trace.Connect], first.Phases[trace.Acquire] = 896*ms, 99*ms, 5*ms
 	second := &trace.Record{
-		Trace: trace.TraceID{0xcd}, Span: trace.SpanID{2}, Number: 2, Previous: trace.Link{Trace: first.Trace, Span: first.Span}, Router: "n2",
-		CallID: "c2", Class: "shift-agent", PromptTokens: 5000, OutputTokens: 80, At: 1001*time.Second + 200*ms, FirstEvent: 200 * ms, End: 800 * ms,
+		Trace: trace.TraceID{0xcd}, Span: trace.SpanID{2}, Number: 2,
+		Previous: trace.Link{Trace: first.Trace, Span: first.Span}, Router: "n2",
+		CallID: "c2", Class: "shift-agent", PromptTokens: 5000, OutputTokens: 80, At: 1001*time.Second + 200*ms,
+		FirstEvent: 200 * ms, End: 800 * ms,
 		Outcome: trace.Served, TargetLatency: 2700 * ms, Reasons: trace.ForRetry,
 		Attempts: []trace.Attempt{{
-			Host: "s-2", Why: trace.DecisionReason(policy.ReasonAffinity), Started: ms, Connected: ms, Written: ms, FirstByte: 199 * ms, FirstEvent: 199 * ms,
+			Host: "s-2", Why: trace.DecisionReason(policy.ReasonAffinity), Started: ms, Connected: ms, Written: ms,
+			FirstByte: 199 * ms, FirstEvent: 199 * ms,
 			Bound: 200 * ms, Reported: 800 * ms, Ended: 800 * ms, TransportResult: trace.Result(policy.ResultOK),
 		}},
 	}
--- a/internal/trace/table.go
+++ b/internal/trace/table.go
@@ -53,7 +53,8 @@
 
 func newTable(operations int) *table {
 	return &table{
-		slots: make([]operation, 1, 64), byTrace: map[TraceID]uint32{}, bySession: map[uint64]uint32{}, order: make([]orderEntry, 2*operations+2),
+		slots: make([]operation, 1, 64), byTrace: map[TraceID]uint32{}, bySession: map[uint64]uint32{},
+		order: make([]orderEntry, 2*operations+2),
 	}
 }
 
