--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -115,8 +115,10 @@
 }
 
 func FuzzRead(f *testing.F) {
-	sink, err := NewFile(FileOptions{Path: filepath.Join(f.TempDir(), "t"), Max: 1 << 20, Files: 1, Flush: time.Hour,
-		Queue: 1 << 20, Log: discardLog()})
+	sink, err := NewFile(FileOptions{
+		Path: filepath.Join(f.TempDir(), "t"), Max: 1 << 20, Files: 1, Flush: time.Hour,
+		Queue: 1 << 20, Log: discardLog(),
+	})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -148,8 +150,10 @@
 			}
 			defer collector.Close()
 			collector.Be(c.mode)
-			e, err := NewOTLP(OTLPOptions{Endpoint: collector.URL(), Queue: 1 << 20, Timeout: time.Minute, Router: "n1",
-				Log: discardLog()})
+			e, err := NewOTLP(OTLPOptions{
+				Endpoint: collector.URL(), Queue: 1 << 20, Timeout: time.Minute, Router: "n1",
+				Log: discardLog(),
+			})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/trace/export/file.go
+++ b/internal/trace/export/file.go
@@ -55,8 +55,10 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &File{queue: newQueue(options.Queue), options: options, enc: enc, stopping: make(chan struct{}),
-		done: make(chan struct{})}
+	s := &File{
+		queue: newQueue(options.Queue), options: options, enc: enc, stopping: make(chan struct{}),
+		done: make(chan struct{}),
+	}
 	if err := s.open(); err != nil {
 		return nil, err
 	}
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -114,7 +114,8 @@
 	return fmt.Errorf("%q is not one of %q", text, names)
 }
 
-// KeepReason is a set of the reasons for which a record is exported.
+// KeepReason is a set of the reasons for which a record is exported. An ordinary record has none of the reasons other than
+// ForShare: it is exported only if it is sampled.
 type KeepReason uint16
 
 // The reasons for which a record is exported.
@@ -238,25 +239,25 @@
 	Reading       time.Duration            `json:"reading"`          // between its first byte and its last
 	FirstEvent    time.Duration            `json:"first,omitzero"`   // when the first event of the response was bound to it
 	RejectedAt    time.Duration            `json:"decided,omitzero"` // when its rejection was decided
-	End           time.Duration            `json:"end"`
-	TargetLatency time.Duration            `json:"aim"` // latency target of FirstEvent
+	End           time.Duration            `json:"end"`              // end of the response or of the rejection
+	TargetLatency time.Duration            `json:"aim"`              // latency target of FirstEvent
 	Outcome       Outcome                  `json:"outcome"`
 	Why           DecisionReason           `json:"why,omitzero"` // of a rejection or failure
 	RetryAfter    time.Duration            `json:"retry_after,omitzero"`
-	Late          bool                     `json:"late,omitzero"`
-	Reasons       KeepReason               `json:"reasons"`
-	Phases        [NumPhases]time.Duration `json:"phases"` // their sum is End
+	Late          bool                     `json:"late,omitzero"` // a latency target of the class was missed
+	Reasons       KeepReason               `json:"reasons"`       // why the record is exported
+	Phases        [NumPhases]time.Duration `json:"phases"`        // their sum is End
 	Attempts      []Attempt                `json:"legs"`
 }
 
 // Attempt is the trace record of one attempt. Its times are relative to the At of its request; 0 = not reached.
 type Attempt struct {
 	Span            SpanID         `json:"span_id"`
-	Host            string         `json:"host"`
+	Host            string         `json:"host"` // name of the host it was sent to
 	Addr            string         `json:"dial"`
-	Why             DecisionReason `json:"why"`
+	Why             DecisionReason `json:"why"` // reason of the decision to send it
 	Sent            time.Duration  `json:"sent"`
-	Started         time.Duration  `json:"begun,omitzero"`
+	Started         time.Duration  `json:"begun,omitzero"` // its goroutine ran; see Times for the others
 	Connected       time.Duration  `json:"lined,omitzero"`
 	NewConnection   bool           `json:"fresh,omitzero"`
 	Written         time.Duration  `json:"written,omitzero"`
@@ -265,11 +266,11 @@
 	Bound           time.Duration  `json:"bound,omitzero"`
 	Reported        time.Duration  `json:"told,omitzero"`  // the module received its result
 	Ended           time.Duration  `json:"ended,omitzero"` // the transport was done, which is later if it was cancelled
-	Relay           time.Duration  `json:"relay,omitzero"`
-	Bytes           int            `json:"bytes,omitzero"`
-	Result          Result         `json:"result"` // as reported to the module
-	TransportResult Result         `json:"said"`   // as the transport ended, which may differ after a cancellation
-	StaleConnection bool           `json:"stale,omitzero"`
+	Relay           time.Duration  `json:"relay,omitzero"` // total time of writes to the client
+	Bytes           int            `json:"bytes,omitzero"` // forwarded to the client
+	Result          Result         `json:"result"`         // as reported to the module
+	TransportResult Result         `json:"said"`           // as the transport ended, which may differ after a cancellation
+	StaleConnection bool           `json:"stale,omitzero"` // a reused connection was closed before the first byte of a response
 }
 
 // Total returns the time from the last byte of the request to the end of the response. It is the sum of the phases.
