--- a/internal/upstream/trace_test.go
+++ b/internal/upstream/trace_test.go
@@ -22,7 +22,7 @@
 			t.Fatal("ParseParent rejected the trace context")
 		}
 		client := &downstream{body: []byte(`{"model":"chat"}`)}
-		h.startTracedAttempt(dispatch.StartTracedAttempt{StartAttempt: startEffect(0, client), Span: &trace.Carried{Context: span}})
+		h.startTracedAttempt(dispatch.StartTracedAttempt{StartAttempt: startEffect(0, client), Span: &trace.AttemptSpan{Context: span}})
 		conn := <-accepted
 		play(t, conn, "traced")
 		synctest.Wait()
@@ -33,7 +33,7 @@
 		}
 		hour, ms := time.Hour, time.Millisecond
 		want := trace.Times{
-			Begun: hour, Lined: hour, Fresh: true, Written: hour, First: hour + 300*ms, Event: hour + 500*ms, Bound: hour + 500*ms,
+			Started: hour, Connected: hour, NewConnection: true, Written: hour, FirstByte: hour + 300*ms, FirstEvent: hour + 500*ms, Bound: hour + 500*ms,
 			Ended: hour + 500*ms, Bytes: h.ended[0].Times.Bytes, Tokens: 7,
 		}
 		if diff := cmp.Diff(want, *h.ended[0].Times); diff != "" {
