--- a/cmd/notchhinge/configs.go
+++ b/cmd/notchhinge/configs.go
@@ -245,8 +245,8 @@
 	return a.submit(fc.Control, f, base, text)
 }
 
-// submit sends an encoded configuration that is based on revision base, until its outcome is known. Every attempt sends the same
-// bytes, so that a configuration that was accepted without a response is not accepted twice.
+// submit sends an encoded configuration, which is based on revision base, and retries for up to a.Wait while the outcome is unknown.
+// Every attempt sends the same bytes, so that a configuration whose response was lost is not accepted twice.
 func (a applyFlags) submit(addr string, f *configfile.File, base uint64, text []byte) error {
 	client := http.Client{Timeout: 5 * time.Second}
 	for deadline := time.Now().Add(a.Wait); ; {
--- a/cmd/notchhinge/fleet.go
+++ b/cmd/notchhinge/fleet.go
@@ -216,7 +216,7 @@
 	ID string `arg:"" help:"The engine's instance id."`
 }
 
-// Run prints the state of an engine and what it means for requests.
+// Run prints the state of an engine and explains whether the engine gets requests.
 func (c enginesExplain) Run() error {
 	engines, err := c.engines()
 	if err != nil {
--- a/cmd/notchhinge/trace.go
+++ b/cmd/notchhinge/trace.go
@@ -52,10 +52,10 @@
 	}
 	var found []*trace.Record
 	total := 0
-	err = show.Scan(f.File, os.Stderr, func(t *trace.Record) error {
-		if filter.Match(t) {
+	err = show.Scan(f.File, os.Stderr, func(record *trace.Record) error {
+		if filter.Match(record) {
 			total++
-			found = append(found, t)
+			found = append(found, record)
 			if len(found) >= 2*f.Limit { // only the latest are needed; this bounds the memory
 				found = append(found[:0], found[len(found)-f.Limit:]...)
 			}
@@ -104,10 +104,10 @@
 func (s traceShow) Run() error {
 	var records []*trace.Record
 	ids := map[trace.TraceID]bool{}
-	err := show.Scan(s.File, os.Stderr, func(t *trace.Record) error {
-		records = append(records, t)
-		if strings.HasPrefix(t.Trace.String(), strings.ToLower(s.ID)) {
-			ids[t.Trace] = true
+	err := show.Scan(s.File, os.Stderr, func(record *trace.Record) error {
+		records = append(records, record)
+		if strings.HasPrefix(record.Trace.String(), strings.ToLower(s.ID)) {
+			ids[record.Trace] = true
 		}
 		return nil
 	})
@@ -118,16 +118,16 @@
 		return fmt.Errorf("%d trace ids begin with %q in %s; exactly one must", len(ids), s.ID, s.File)
 	}
 	for id := range ids {
-		step := show.Operation(records, id)
+		operation := show.Operation(records, id)
 		if s.JSON {
-			return show.JSON(os.Stdout, step)
+			return show.JSON(os.Stdout, operation)
 		}
 		if s.Width == 0 {
 			if s.Width, _ = strconv.Atoi(os.Getenv("COLUMNS")); s.Width == 0 {
 				s.Width = 120
 			}
 		}
-		show.Waterfall(os.Stdout, step, s.Width)
+		show.Waterfall(os.Stdout, operation, s.Width)
 	}
 	return nil
 }
--- a/internal/batch/proof_test.go
+++ b/internal/batch/proof_test.go
@@ -28,8 +28,8 @@
 )
 
 const (
-	proofLines = 5000
-	proofBad   = 7 // hundreds of items from one invalid item to the next
+	proofItems           = 5000
+	proofInvalidHundreds = 7 // one item in this many hundreds is invalid
 )
 
 // fleet is a set of fake engines.
@@ -67,9 +67,9 @@
 				failed.Store(true)
 				s.Listener.Close() // new connections are refused
 			}
-			if n := f.served.Add(1); n == proofLines/2 {
+			if n := f.served.Add(1); n == proofItems/2 {
 				close(f.half)
-			} else if n > proofLines/2 {
+			} else if n > proofItems/2 {
 				<-f.resume
 			}
 			w.Header().Set("Content-Type", "text/event-stream")
@@ -191,13 +191,13 @@
 }
 
 // isValid reports whether item i of the file is valid.
-func isValid(i int) bool { return i%(100*proofBad) != 0 }
+func isValid(i int) bool { return i%(100*proofInvalidHundreds) != 0 }
 
 // TestEveryItemHasOneOutcomeThroughFaultsAndRestart: each of 5,000 items must have exactly one outcome, although engines fail, the file
 // is uploaded again and the router drains and restarts in the middle of the file.
 func TestEveryItemHasOneOutcomeThroughFaultsAndRestart(t *testing.T) {
 	var file bytes.Buffer
-	for i := range proofLines {
+	for i := range proofItems {
 		if !isValid(i) {
 			fmt.Fprintf(&file, `{"custom_id":"line-%d","method":"PUT"}`+"\n", i)
 			continue
@@ -238,7 +238,7 @@
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	if afterDrain > proofLines/2+100 || f.served.Load() < proofLines-proofLines/100 {
+	if afterDrain > proofItems/2+100 || f.served.Load() < proofItems-proofItems/100 {
 		t.Errorf("%d requests before the drain, %d in total: the drain was not in the middle of the file", afterDrain, f.served.Load())
 	}
 }
@@ -272,7 +272,7 @@
 			t.Errorf("%s has %d outcomes", id, n)
 		}
 	}
-	if len(seen) != proofLines {
+	if len(seen) != proofItems {
 		t.Errorf("%d items have an outcome, want all", len(seen))
 	}
 }
--- a/internal/config/tomlfile/schema.go
+++ b/internal/config/tomlfile/schema.go
@@ -65,7 +65,7 @@
 	return all
 }
 
-// violationErrors returns one error for a violation, or for unknown keys of a table one error each.
+// violationErrors returns one error for a violation, or one for each key if the violation is unknown keys.
 func (s *Source) violationErrors(e *jsonschema.ValidationError, document any) (errs Errors) {
 	if unknown, ok := e.ErrorKind.(*kind.AdditionalProperties); ok {
 		for _, name := range unknown.Properties {
--- a/internal/configfile/file.go
+++ b/internal/configfile/file.go
@@ -14,7 +14,7 @@
 	"notchhinge/internal/control/fleetconfig"
 )
 
-// File is a configuration that was read from a file, with what the file states about it.
+// File is a configuration that was read from a file, with its path and details that the configuration itself does not hold.
 type File struct {
 	*fleetconfig.Config
 	Path           string
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -58,9 +58,9 @@
 	return New(table, false, p)
 }
 
-// PoolFor returns the pool of a target for a conversation.
-func (d *Directory) PoolFor(target *route.Target, conversation uint64) *Pool {
-	return d.pools[target.PoolFor(conversation)]
+// PoolFor returns the pool of a target for the requests of a session.
+func (d *Directory) PoolFor(target *route.Target, session uint64) *Pool {
+	return d.pools[target.PoolFor(session)]
 }
 
 // Pools returns every pool that PoolFor can return for a target.
--- a/internal/hotrestart/claim.go
+++ b/internal/hotrestart/claim.go
@@ -186,7 +186,7 @@
 	}
 	c.role = RoleOwner
 	_ = c.successorLock.Truncate(0)                                                          // the content is valid only while the file is locked
-	_ = unix.FcntlFlock(c.successorLock.Fd(), unix.F_OFD_SETLK, wholeFileLock(unix.F_UNLCK)) // releasing a lock that this process holds
+	_ = unix.FcntlFlock(c.successorLock.Fd(), unix.F_OFD_SETLK, wholeFileLock(unix.F_UNLCK)) // cannot fail: this process holds the lock
 	return true
 }
 
--- a/internal/listwatch/client.go
+++ b/internal/listwatch/client.go
@@ -40,8 +40,8 @@
 // SetInitial sets the list that the first call continues from.
 func (c *Client) SetInitial(l List) { c.sequence, c.hasList = l.Seq, len(l.Hosts) > 0 }
 
-// Run waits for a request and then watches until a call fails, again and again. It reports each failure and drops requests that
-// come during a watch. It returns when the context is done.
+// Run starts a watch when a value is received from requested, and repeats this after the watch has ended with a failed call. It
+// reports each failure, and discards requests for a watch that arrive during one. It returns when the context is done.
 func (c *Client) Run(ctx context.Context, requested <-chan struct{}) {
 	defer c.closeConn()
 	for {
@@ -56,7 +56,7 @@
 			return // stopped, not failed
 		}
 		select {
-		case <-requested: // during the watch
+		case <-requested: // arrived during the watch
 		default:
 		}
 		_ = c.Deliver(policy.ListFailed, List{}) // no error, since there is no entry
--- a/internal/listwatch/feed.go
+++ b/internal/listwatch/feed.go
@@ -22,8 +22,9 @@
 	watchRequested chan struct{}
 	stop           context.CancelFunc
 
-	// RequestWatch is called by the event loop, which must not wait for mu: events are posted to the loop while mu is held.
-	lastCallFailed atomic.Bool  // and firstPool was notified
+	// These fields are atomic because the event loop calls RequestWatch and must not wait for mu: events are posted to the loop while
+	// mu is held.
+	lastCallFailed atomic.Bool  // the last call failed, and firstPool was notified
 	firstPool      atomic.Int64 // lowest pool id; its module decides when to retry after a failure
 
 	mu      sync.Mutex
@@ -124,7 +125,7 @@
 	_ = f.deliverTo(id, p, kind, l) // the entries were validated when they were received
 }
 
-// RemovePool removes a pool and reports whether another one is left.
+// RemovePool removes a pool and reports whether another pool remains.
 func (f *Feed) RemovePool(id hoststate.PoolID) (anyLeft bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/reconcile/doc.go
+++ b/internal/reconcile/doc.go
@@ -3,7 +3,7 @@
 // [Plan.ChangesFrom] lists the pools that a new plan adds, keeps and removes.
 //
 // A plan is immutable. Computing it has no side effects, but reads the settings files of pools; package router applies it.
-// A pool keeps its [hoststate.PoolID], and with it its conversations and statistics, from one plan to the next if the settings
+// A pool keeps its [hoststate.PoolID], and with it its sessions and statistics, from one plan to the next if the settings
 // of its module are the same and its name, or its former name, is that of the running pool.
 //
 // All errors of a configuration are returned together, as tomlfile.Errors with the lines of the operator's file. Quotas are
--- a/internal/reconcile/pool.go
+++ b/internal/reconcile/pool.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// frontendPool returns the part of the pool that frontends use. The time budget of a request is at most four times the longest
-// deadline of a class, but may always be a minute.
+// frontendPool returns the part of the pool that frontends use. The upper bound of a request's time budget is four times the longest
+// deadline of a class, or a minute if that is longer.
 func (pool *Pool) frontendPool() *directory.Pool {
 	var longest time.Duration
 	for i := range pool.Module.Settings.Classes {
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -21,14 +21,14 @@
 )
 
 // ListenControl listens on a Unix socket with permissions for its owner only. It replaces the socket of a process that was killed,
-// and returns an error if another process accepts connections on it.
+// and returns an error if another process accepts connections on the path.
 func ListenControl(path string) (net.Listener, error) {
 	if c, err := (&net.Dialer{}).DialContext(context.Background(), "unix", path); err == nil {
 		c.Close()
 		return nil, fmt.Errorf("control: %s is in use by another process", path)
 	}
-	if i, err := os.Lstat(path); err == nil {
-		if i.Mode()&os.ModeSocket == 0 {
+	if info, err := os.Lstat(path); err == nil {
+		if info.Mode()&os.ModeSocket == 0 {
 			return nil, fmt.Errorf("control: %s exists and is not a socket", path)
 		}
 		if err := os.Remove(path); err != nil {
@@ -41,14 +41,14 @@
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	made := filepath.Join(dir, "s")
-	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: made, Net: "unix"})
+	tempPath := filepath.Join(dir, "s")
+	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: tempPath, Net: "unix"})
 	if err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	ln.SetUnlinkOnClose(false)
-	if err := errors.Join(os.Chmod(made, 0o600), os.Rename(made, path)); err != nil {
-		_ = ln.Close() // the error returned is err
+	if err := errors.Join(os.Chmod(tempPath, 0o600), os.Rename(tempPath, path)); err != nil {
+		_ = ln.Close() // err is returned
 		return nil, fmt.Errorf("control: %w", err)
 	}
 	return controlListener{ln, path}, nil
@@ -125,7 +125,7 @@
 	Rejected           int    `json:"refused"`
 	Failed             int    `json:"failed"`
 	Broken             int    `json:"broken"`   // response streams that failed after their first event
-	ClientsLeft        int    `json:"gone"`     // requests whose client left before the response
+	ClientsLeft        int    `json:"gone"`     // requests whose client disconnected before the end of the response
 	RejectedByFrontend int    `json:"declined"` // for lack of capacity, or because a request with the same id is in flight
 	Attempts           int    `json:"legs"`     // sent upstream
 }
@@ -175,8 +175,8 @@
 	Matches bool   `json:"matches"`
 }
 
-// Explain describes how a table routes a request. Its parameters are those of the control API: host, path, method, class, and any
-// number of header, each as name:value.
+// Explain describes how a table routes a request. The keys of params are those of the control API: host, path, method and class with
+// one value each, and header with any number of values of the form name:value.
 func Explain(t *route.Table, params map[string][]string) (*Explanation, error) {
 	get := func(name, fallback string) string {
 		if v := params[name]; len(v) > 0 && v[0] != "" {
--- a/internal/router/legacy.go
+++ b/internal/router/legacy.go
@@ -24,8 +24,8 @@
 
 var errHandoverState = errors.New("invalid handover state")
 
-func (l *handoverState) encode() ([]byte, error) {
-	body, err := cbor.Marshal(l)
+func (s *handoverState) encode() ([]byte, error) {
+	body, err := cbor.Marshal(s)
 	if err != nil {
 		return nil, err
 	}
@@ -44,9 +44,9 @@
 	case binary.BigEndian.Uint64(b[len(handoverMagic):]) != xxhash.Sum64(b[headerBytes:]):
 		return nil, fmt.Errorf("%w: checksum mismatch", errHandoverState)
 	}
-	l := &handoverState{}
-	if err := cbor.Unmarshal(b[headerBytes:], l); err != nil {
+	state := &handoverState{}
+	if err := cbor.Unmarshal(b[headerBytes:], state); err != nil {
 		return nil, fmt.Errorf("%w: %w", errHandoverState, err)
 	}
-	return l, nil
+	return state, nil
 }
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -29,7 +29,7 @@
 	claimedAt     time.Time
 
 	mu        sync.Mutex
-	stopSweep chan struct{} // closed to end the drain of an operator; nil if there is none
+	stopSweep chan struct{} // closed to end the drain that an operator has started; nil if there is none
 	listener  net.Listener  // of clients; closed after a handover
 }
 
@@ -73,7 +73,7 @@
 	return func() { ln.Close() }
 }
 
-// Serving implements admin.State. It reports whether the router is ready, and why not otherwise.
+// Serving implements admin.State. It reports whether the router is ready and, if it is not, the reason.
 func (r *Router) Serving() (bool, string) {
 	switch {
 	case !r.ops.listening.Load():
@@ -143,7 +143,7 @@
 	return true
 }
 
-// markStopping records that the shutdown has begun, which replaces a drain of an operator.
+// markStopping records that the shutdown has begun, which replaces a drain that an operator has started.
 func (r *Router) markStopping() {
 	r.ops.mu.Lock()
 	defer r.ops.mu.Unlock()
@@ -303,7 +303,7 @@
 }
 
 // handOverAddress leaves the address to the successor: it accepts what is in the accept queue, closes the listener, and closes
-// connections after their next response. When no connection is left the process shuts down, unless the returned stop was called.
+// connections after their next response. When no connection is left the process shuts down, unless stop was called.
 func (r *Router) handOverAddress(ctx context.Context) (stop func()) {
 	ctx, stop = context.WithCancel(ctx)
 	r.frontend.StartHandover()
--- a/internal/router/plan.go
+++ b/internal/router/plan.go
@@ -68,7 +68,7 @@
 }
 
 // attachToFeed subscribes a pool to its selection of the endpoint list of its discovery address, and unsubscribes it from the
-// feed that it had before. isNew says that the pool was added by this plan.
+// feed that it had before. isNew states that the pool is new in the plan that is being applied.
 func (r *Router) attachToFeed(ctx context.Context, pool *reconcile.Pool, isNew bool) {
 	r.mu.Lock()
 	f, old := r.feeds[pool.DiscoveryAddr], r.poolFeeds[pool.ID]
@@ -116,7 +116,7 @@
 	return r.poolFeeds[id]
 }
 
-// allFeeds returns the feeds of all pools, each once, in no order.
+// allFeeds returns the feeds of all pools, each once, in no particular order.
 func (r *Router) allFeeds() []*listwatch.Feed {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -53,7 +53,7 @@
 
 	generation  atomic.Int64    // number of plans applied
 	initialPlan *reconcile.Plan // applied at the start
-	mu          sync.Mutex      // guards the feeds; not held while an event is posted, since the loop acquires it
+	mu          sync.Mutex      // guards feeds and poolFeeds; not held while an event is posted, since the loop acquires it
 	feeds       map[string]*listwatch.Feed
 	poolFeeds   map[hoststate.PoolID]*listwatch.Feed
 }
@@ -215,12 +215,13 @@
 	return r.serve(r.listen, sig)
 }
 
-// ServeOn is Serve on an open listener.
+// ServeOn is like Serve, on an open listener. It sets no limits of the process, opens no admin listener and claims no address.
 func (r *Router) ServeOn(ln net.Listener, sig Signals) error {
 	return r.serve(func(context.Context, Signals) (net.Listener, error) { return ln, nil }, sig)
 }
 
-// serve runs the router. It calls open for the listener of clients when everything else runs.
+// serve runs the router. It calls open for the listener of clients once the event loop and the admin API run and the initial plan is
+// applied.
 func (r *Router) serve(open func(context.Context, Signals) (net.Listener, error), sig Signals) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -13,18 +13,18 @@
 	"notchhinge/internal/trace/export"
 )
 
-// sink exports the trace records of requests. Put does not block.
-type sink interface {
+// exporter exports the trace records of requests. Put does not block.
+type exporter interface {
 	Put(*trace.Record)
 	Counters() export.Counters
 	Close(context.Context)
 }
 
-// traces exports the trace records of requests to the configured sinks.
+// traces passes the trace records of requests to the configured exporters.
 type traces struct {
-	names        []string
-	sinks        []sink
-	drainTimeout time.Duration
+	names        []string // of the exporters, for log keys
+	exporters    []exporter
+	drainTimeout time.Duration // bounds close
 }
 
 // TraceOptions returns the options of the trace recorder for a configuration, a plan and the trace settings.
@@ -53,7 +53,7 @@
 	return classes
 }
 
-// EnableTracing records traces of requests and exports them to the sinks of the settings. It must be called before Serve and
+// EnableTracing records traces of requests and passes them to the exporters of the settings. It must be called before Serve and
 // EnableBatch.
 func (r *Router) EnableTracing(s *operatorconfig.Trace, version string) error {
 	t := &traces{}
@@ -69,7 +69,7 @@
 		if err != nil {
 			return err
 		}
-		t.names, t.sinks, t.drainTimeout = append(t.names, "otlp"), append(t.sinks, e), time.Duration(*o.DrainTimeout)
+		t.names, t.exporters, t.drainTimeout = append(t.names, "otlp"), append(t.exporters, e), time.Duration(*o.DrainTimeout)
 	}
 	if f := s.File; f != nil {
 		e, err := export.NewFile(export.FileOptions{
@@ -79,7 +79,7 @@
 		if err != nil {
 			return fmt.Errorf("trace.file: %w", err)
 		}
-		t.names, t.sinks = append(t.names, "file"), append(t.sinks, e)
+		t.names, t.exporters = append(t.names, "file"), append(t.exporters, e)
 	}
 	r.traces = t
 	r.frontend.TraceRequests = true
@@ -87,30 +87,30 @@
 	return nil
 }
 
-// put performs dispatch.ExportTrace: it queues a record at every sink.
+// put performs dispatch.ExportTrace: it queues a record at every exporter.
 func (t *traces) put(record *trace.Record) {
-	for _, s := range t.sinks {
-		s.Put(record)
+	for _, e := range t.exporters {
+		e.Put(record)
 	}
 }
 
-// close sends the queued records, for at most drainTimeout, and closes the sinks.
+// close sends the queued records, for at most drainTimeout, and closes the exporters.
 func (t *traces) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), t.drainTimeout)
 	defer cancel()
-	for _, s := range t.sinks {
-		s.Close(ctx)
+	for _, e := range t.exporters {
+		e.Close(ctx)
 	}
 }
 
-// counterArgs returns the counters of the recorder and of each sink as arguments of a log call.
+// counterArgs returns the counters of the recorder and of each exporter as arguments of a log call.
 func (t *traces) counterArgs(c *trace.Counters) []any {
 	args := []any{
 		"taken", c.Started, "kept", c.Exported, "share", c.Sampled, "dropped", c.Dropped, "early", c.Evicted,
 		"limited", c.RateLimited, "linked", c.Retries, "held", c.Pending,
 	}
-	for i, s := range t.sinks {
-		e := s.Counters()
+	for i, exporter := range t.exporters {
+		e := exporter.Counters()
 		args = append(args, t.names[i]+"_put", e.Put, t.names[i]+"_sent", e.Sent, t.names[i]+"_spans", e.Spans,
 			t.names[i]+"_lost", e.Lost, t.names[i]+"_lost_kept", e.LostKept, t.names[i]+"_rejected", e.Rejected,
 			t.names[i]+"_waiting", e.Waiting)
--- a/internal/trace/context.go
+++ b/internal/trace/context.go
@@ -113,8 +113,8 @@
 	return append(b, '-', '0', '0'+c.Flags&(Sampled|Random))
 }
 
-// ParseState joins the values of tracestate headers. As W3C requires, an invalid tracestate is discarded as a whole. One
-// that is too long loses its members longer than maxMember, then its last ones.
+// ParseState joins the values of tracestate headers. As W3C requires, an invalid tracestate is discarded as a whole.
+// From a tracestate that is too long, the members longer than maxMember are removed first, then the last ones.
 func ParseState(values ...string) (state string, ok bool) {
 	if len(values) == 0 {
 		return "", true
--- a/internal/trace/export/file.go
+++ b/internal/trace/export/file.go
@@ -24,10 +24,10 @@
 // FileOptions configure a File.
 type FileOptions struct {
 	Path  string
-	Max   int64 // bytes at which the file is rotated
-	Files int   // number of files, with the current one; the oldest is removed
-	Flush time.Duration
-	Queue int // bytes of queued records
+	Max   int64         // bytes at which the file is rotated
+	Files int           // number of files, with the current one; the oldest is removed
+	Flush time.Duration // interval of writes
+	Queue int           // bytes of queued records
 	Log   *slog.Logger
 }
 
--- a/internal/trace/export/otlp.go
+++ b/internal/trace/export/otlp.go
@@ -29,8 +29,8 @@
 }
 
 // OTLP is an exporter that sends records to a collector by the OpenTelemetry Protocol, over HTTP with protobuf and gzip.
-// It repeats a call after a response of 429, 502, 503 or 504, at the time of its Retry-After header if there is one, and
-// after a failed connection, with exponential backoff. Records that the collector rejects otherwise are dropped.
+// It repeats a call after a failed connection or a response of 429, 502, 503 or 504. The delay is that of the Retry-After
+// header, or else grows exponentially. Records that the collector rejects with another status are dropped.
 type OTLP struct {
 	*queue
 	options  OTLPOptions
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -298,7 +298,7 @@
 	}
 }
 
-// owner returns the attempt to which the time at is charged, nil if none, and the time until which this holds.
+// owner returns the attempt to which time is charged from at until next, or nil if no attempt is open. next is at most until.
 func (r *Record) owner(at, until time.Duration) (owner *Attempt, next time.Duration) {
 	next = until
 	for i := range r.Attempts {
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -73,7 +73,7 @@
 	incompleteOrder list.List      // the *RequestSpan of incomplete, by their closeAt
 	wakeAt          time.Duration  // time of the scheduled call of Due; 0 = none
 	spans           []*RequestSpan // allocated spans
-	unused          []*RequestSpan // of these, the unused ones
+	unused          []*RequestSpan // those of spans that are free for reuse
 	counters        Counters
 }
 
@@ -81,8 +81,8 @@
 // Recorder checks the request ID and ignores a span that is used for another request by now.
 type RequestSpan struct {
 	record          Record
-	attempts        [4]Attempt     // backing array of record.Attempts, for the deployment's maximum of attempts
-	attemptSpans    [4]AttemptSpan // likewise, their spans
+	attempts        [4]Attempt     // backing array of record.Attempts; further attempts are allocated
+	attemptSpans    [4]AttemptSpan // spans of these attempts
 	operation       uint32         // slot in the table
 	id              policy.RequestID
 	client          any
@@ -157,7 +157,7 @@
 			record.Trace = r.newTraceID()
 		}
 		slot = r.table.add(operation{
-			trace: record.Trace, session: request.Session, prompt: request.PromptTokens, indexed: parent.Trace != (TraceID{}),
+			trace: record.Trace, session: request.Session, promptTokens: request.PromptTokens, indexed: parent.Trace != (TraceID{}),
 			previous: r.table.bySession[request.Session],
 		})
 	} else {
@@ -245,7 +245,7 @@
 			// A trace may contain many operations, for example those of an agent's run, so a retry mark does not identify the
 			// operation. It is required only if the request has no session.
 			op := &r.table.slots[slot]
-			same := op.session == request.Session && op.prompt == request.PromptTokens
+			same := op.session == request.Session && op.promptTokens == request.PromptTokens
 			if op.isActive(now) && same && (retry || request.Session != 0) {
 				return slot
 			}
@@ -259,7 +259,7 @@
 			if op.session != request.Session || !op.isActive(now) {
 				break
 			}
-			if op.prompt == request.PromptTokens || request.IsResumed {
+			if op.promptTokens == request.PromptTokens || request.IsResumed {
 				return slot
 			}
 			slot = op.previous
@@ -368,7 +368,7 @@
 			since(times.Started), since(times.Connected), times.NewConnection, since(times.Written)
 		a.FirstByte, a.FirstEvent, a.Relay, a.Bytes = since(times.FirstByte), since(times.FirstEvent), times.Relay, times.Bytes
 		if b := since(times.Bound); b != 0 && a.Bound != 0 {
-			a.Bound, span.record.FirstEvent = b, b // when the transport learned it
+			a.Bound, span.record.FirstEvent = b, b // when the transport learned that the attempt is bound
 		}
 		if e := since(times.Ended); e != 0 {
 			a.Ended = e
@@ -524,7 +524,7 @@
 	return false
 }
 
-// keepAll has all records of an operation exported: the pending one now, those of open requests when they end.
+// keepAll ensures that all records of an operation are exported: the pending one now, those of open requests when they end.
 func (r *Recorder) keepAll(slot uint32) {
 	r.table.slots[slot].kept = true
 	if record := r.takePending(slot); record != nil {
@@ -590,7 +590,7 @@
 	}
 }
 
-// Due closes the spans and operations whose time is up.
+// Due closes incomplete spans whose closeAt has come, and operations whose retry window has ended.
 func (r *Recorder) Due(now time.Duration) {
 	if r.wakeAt == 0 || now < r.wakeAt {
 		return // another call is scheduled for later
--- a/internal/trace/sample.go
+++ b/internal/trace/sample.go
@@ -9,8 +9,8 @@
 // Sampler samples ordinary operations: a share of them by the trace ID, and at most a number per second. It reads no
 // clock and is deterministic.
 type Sampler struct {
-	threshold  uint64 // 56 bits; a trace is in the share if its randomness is not below
-	none       bool
+	threshold  uint64  // 56 bits; a trace is in the share if its randomness is at least this
+	none       bool    // the share is 0
 	rate       float64 // operations per second; 0 = unlimited
 	burst      float64
 	tokens     float64
--- a/internal/trace/table.go
+++ b/internal/trace/table.go
@@ -13,8 +13,8 @@
 	byTrace   map[TraceID]uint32 // slots by the trace ID that the client sent
 	bySession map[uint64]uint32  // the latest slot of each session
 	order     []orderEntry       // a ring of the operations without an open request, by the end of their retry windows
-	first     int                // of order
-	count     int                // of order, invalid entries included
+	first     int                // index of the first entry in order
+	count     int                // number of entries in order, including invalid ones
 	cells     [][]byte           // in chunks; one cell for each slot
 	pending   int                // records in cells
 }
@@ -28,19 +28,19 @@
 // operation is a client's request and the retries of it. It holds no pointer. Slot 0 is never used, so that 0 means
 // none.
 type operation struct {
-	trace     TraceID
-	last      Link // the latest request
-	session   uint64
-	prompt    float64
-	windowEnd time.Duration // end of the retry window, if no request is open
-	previous  uint32        // slot of the session's previous operation, which may have been reused since; 0 = none
-	seq       uint32        // of its valid orderEntry
-	requests  int32         // number of requests so far
-	open      int32         // open requests
-	kept      bool          // one record was exported, so all are
-	indexed   bool          // in byTrace
-	sampled   bool          // its trace is in the sampled share
-	size      uint16        // bytes of the pending record in its cell; 0 = none
+	trace        TraceID
+	last         Link // the latest request
+	session      uint64
+	promptTokens float64
+	windowEnd    time.Duration // end of the retry window, if no request is open
+	previous     uint32        // slot of the session's previous operation, which may have been reused since; 0 = none
+	seq          uint32        // of its valid orderEntry
+	requests     int32         // number of requests so far
+	open         int32         // open requests
+	kept         bool          // one record was exported, so all are
+	indexed      bool          // in byTrace
+	sampled      bool          // its trace is in the sampled share
+	size         uint16        // bytes of the pending record in its cell; 0 = none
 }
 
 const (
