--- a/cmd/notchhinge/configs.go
+++ b/cmd/notchhinge/configs.go
@@ -12,11 +12,10 @@
 	"text/tabwriter"
 	"time"
 
-	"notchhinge/internal/config/tomlfile"
-
 	"github.com/pelletier/go-toml/v2"
 
 	"notchhinge/deploy"
+	"notchhinge/internal/config/tomlfile"
 	"notchhinge/internal/configfile"
 	"notchhinge/internal/control/fleetconfig"
 )
--- a/internal/config/operatorconfig/schema_test.go
+++ b/internal/config/operatorconfig/schema_test.go
@@ -9,11 +9,10 @@
 	"reflect"
 	"testing"
 
-	"notchhinge/internal/config/tomlfile"
-
 	"github.com/invopop/jsonschema"
 
 	"notchhinge/deploy"
+	"notchhinge/internal/config/tomlfile"
 )
 
 var update = flag.Bool("update", false, "rewrite deploy/notchhinge.schema.json")
--- a/internal/configfile/configfile_test.go
+++ b/internal/configfile/configfile_test.go
@@ -12,12 +12,11 @@
 	"strings"
 	"testing"
 
-	"notchhinge/internal/config/tomlfile"
-
 	"github.com/google/go-cmp/cmp"
 	"github.com/invopop/jsonschema"
 
 	"notchhinge/deploy"
+	"notchhinge/internal/config/tomlfile"
 	"notchhinge/internal/control/fleetconfig"
 )
 
--- a/internal/configfile/file.go
+++ b/internal/configfile/file.go
@@ -6,11 +6,10 @@
 	"path/filepath"
 	"strings"
 
-	"notchhinge/internal/config/tomlfile"
-
 	"github.com/pelletier/go-toml/v2"
 
 	"notchhinge/deploy"
+	"notchhinge/internal/config/tomlfile"
 	"notchhinge/internal/control/fleetconfig"
 )
 
--- a/internal/configfile/keys.go
+++ b/internal/configfile/keys.go
@@ -10,7 +10,6 @@
 	"strings"
 
 	"notchhinge/internal/config/tomlfile"
-
 	"notchhinge/internal/control/fleetconfig"
 )
 
--- a/internal/reconcile/plan.go
+++ b/internal/reconcile/plan.go
@@ -5,10 +5,9 @@
 	"slices"
 	"strconv"
 
-	"notchhinge/internal/config/tomlfile"
-
 	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/config/platformconfig"
+	"notchhinge/internal/config/tomlfile"
 	"notchhinge/internal/directory"
 	"notchhinge/internal/hoststate"
 )
--- a/internal/reconcile/pool.go
+++ b/internal/reconcile/pool.go
@@ -6,10 +6,9 @@
 	"strconv"
 	"time"
 
-	"notchhinge/internal/config/tomlfile"
-
 	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/config/platformconfig"
+	"notchhinge/internal/config/tomlfile"
 	"notchhinge/internal/directory"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/listwatch"
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -9,12 +9,11 @@
 	"testing"
 	"time"
 
-	"notchhinge/internal/config/tomlfile"
-
 	"github.com/google/go-cmp/cmp"
 
 	"notchhinge/internal/config/operatorconfig"
 	"notchhinge/internal/config/platformconfig"
+	"notchhinge/internal/config/tomlfile"
 	"notchhinge/internal/quota"
 	"notchhinge/internal/route"
 )
--- a/internal/router/plan.go
+++ b/internal/router/plan.go
@@ -7,9 +7,8 @@
 	"maps"
 	"slices"
 
-	"notchhinge/internal/config/tomlfile"
-
 	"notchhinge/internal/config/platformconfig"
+	"notchhinge/internal/config/tomlfile"
 	"notchhinge/internal/dispatch"
 	"notchhinge/internal/hoststate"
 	"notchhinge/internal/listwatch"
--- a/internal/trace/export/otlp.go
+++ b/internal/trace/export/otlp.go
@@ -30,7 +30,7 @@
 
 // OTLP is an exporter that sends records to a collector by the OpenTelemetry Protocol, over HTTP with protobuf and gzip.
 // It repeats a call after a failed connection or a response of 429, 502, 503 or 504. The delay is that of the Retry-After
-// header, or else grows exponentially. Records that the collector rejects with another status are dropped.
+// header, or else grows exponentially. Records that the collector rejects in any other way are dropped.
 type OTLP struct {
 	*queue
 	options  OTLPOptions
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -160,7 +160,7 @@
 	Bind                 // the dispatcher bound the attempt to the client
 	Stream               // the response was streamed
 	Relay                // the response was being written to the client
-	Close                // the rest of an attempt after its last stage
+	Close                // not charged; records store the phases by index, so that it cannot be removed
 	Answer               // a rejection was being written to the client
 	NumPhases
 )
--- a/internal/trace/recorder.go
+++ b/internal/trace/recorder.go
@@ -230,7 +230,7 @@
 		return
 	}
 	clear(span.attemptSpans[:min(len(span.record.Attempts), len(span.attemptSpans))])
-	clear(span.record.Attempts) // a prefix of span.attempts; the rest is clear
+	clear(span.record.Attempts) // a prefix of span.attempts, whose rest is clear, unless there were more attempts
 	span.record = Record{}
 	span.id, span.client, span.reason, span.openAttempts, span.ended, span.awaitsRejection, span.element, span.class =
 		0, nil, 0, 0, false, false, nil, nil
