--- a/internal/config/operatorconfig/operatorconfig_test.go
+++ b/internal/config/operatorconfig/operatorconfig_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"notchhinge/internal/config/tomlfile"
-
 	"github.com/google/go-cmp/cmp"
+
+	"notchhinge/internal/config/tomlfile"
 )
 
 func TestParseSetsDefaultsAndResolvesPaths(t *testing.T) {
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -16,8 +16,8 @@
 	"notchhinge/policy"
 )
 
-// operations is the state of readiness, drains and hot restarts.
-type operations struct {
+// lifecycle is the state of readiness, drains and hot restarts.
+type lifecycle struct {
 	adminListener net.Listener      // nil if disabled
 	claim         *hotrestart.Claim // nil if hot restarts are disabled
 	listReceived  chan struct{}     // closed when the first endpoint list was received from a discovery service
@@ -34,17 +34,17 @@
 }
 
 // clientListener returns the listener of clients.
-func (o *operations) clientListener() net.Listener {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.listener
+func (l *lifecycle) clientListener() net.Listener {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.listener
 }
 
 // accept starts serving clients on a listener.
 func (r *Router) accept(ln net.Listener, serverErrors chan<- error) {
-	r.ops.mu.Lock()
-	r.ops.listener = ln
-	r.ops.mu.Unlock()
+	r.lifecycle.mu.Lock()
+	r.lifecycle.listener = ln
+	r.lifecycle.mu.Unlock()
 	go func() {
 		if err := r.frontend.Serve(ln); err != nil {
 			serverErrors <- err
@@ -53,14 +53,14 @@
 }
 
 // markListReceived records that an endpoint list was received from a discovery service.
-func (o *operations) markListReceived() { o.listOnce.Do(func() { close(o.listReceived) }) }
+func (l *lifecycle) markListReceived() { l.listOnce.Do(func() { close(l.listReceived) }) }
 
 // EnableAdmin enables the admin API on a listener. It must be called before Serve.
-func (r *Router) EnableAdmin(ln net.Listener) { r.ops.adminListener = ln }
+func (r *Router) EnableAdmin(ln net.Listener) { r.lifecycle.adminListener = ln }
 
 // serveAdmin serves the admin API, if it is enabled, and returns a function that stops it.
 func (r *Router) serveAdmin(serverErrors chan<- error) (stop func()) {
-	ln := r.ops.adminListener
+	ln := r.lifecycle.adminListener
 	if ln == nil {
 		return func() {}
 	}
@@ -76,15 +76,15 @@
 // Serving implements admin.State. It reports whether the router is ready and, if it is not, the reason.
 func (r *Router) Serving() (bool, string) {
 	switch {
-	case !r.ops.listening.Load():
+	case !r.lifecycle.listening.Load():
 		return false, "starting: not listening yet"
-	case r.ops.stopping.Load():
+	case r.lifecycle.stopping.Load():
 		return false, "stopping"
 	case r.frontend.IsDraining():
 		return false, "draining"
 	case !r.ready.Load():
 		return false, "starting: no issuer host is known yet"
-	case r.ops.claim != nil && r.ops.claim.Role() == hotrestart.RoleSuccessor && time.Since(r.ops.claimedAt) < limits.TakeoverReadyTimeout:
+	case r.lifecycle.claim != nil && r.lifecycle.claim.Role() == hotrestart.RoleSuccessor && time.Since(r.lifecycle.claimedAt) < limits.TakeoverReadyTimeout:
 		return false, "taking over: the process before this one has work left"
 	}
 	return true, "ok"
@@ -93,15 +93,15 @@
 // StartDrain implements admin.State. It starts a drain: readiness fails, connections are closed after their next response, and after
 // DrainIdleDelay idle connections are closed. Requests in flight and batch jobs go on.
 func (r *Router) StartDrain() {
-	r.ops.mu.Lock()
-	defer r.ops.mu.Unlock()
+	r.lifecycle.mu.Lock()
+	defer r.lifecycle.mu.Unlock()
 	r.frontend.Drain()
-	if r.ops.stopSweep != nil || r.ops.stopping.Load() {
+	if r.lifecycle.stopSweep != nil || r.lifecycle.stopping.Load() {
 		return
 	}
 	r.log.Info("draining on request of an operator")
 	done := make(chan struct{})
-	r.ops.stopSweep = done
+	r.lifecycle.stopSweep = done
 	go func() {
 		wait := time.NewTimer(r.cfg.Limits.DrainIdleDelay)
 		defer wait.Stop()
@@ -121,9 +121,9 @@
 
 // StopDrain implements admin.State. It ends the drain that StartDrain started.
 func (r *Router) StopDrain() error {
-	r.ops.mu.Lock()
-	defer r.ops.mu.Unlock()
-	if r.ops.stopping.Load() {
+	r.lifecycle.mu.Lock()
+	defer r.lifecycle.mu.Unlock()
+	if r.lifecycle.stopping.Load() {
 		return errStopping
 	}
 	if r.endSweep() {
@@ -135,19 +135,19 @@
 
 // endSweep stops the goroutine that closes idle connections, and reports whether there was one. The caller holds the lock.
 func (r *Router) endSweep() bool {
-	if r.ops.stopSweep == nil {
+	if r.lifecycle.stopSweep == nil {
 		return false
 	}
-	close(r.ops.stopSweep)
-	r.ops.stopSweep = nil
+	close(r.lifecycle.stopSweep)
+	r.lifecycle.stopSweep = nil
 	return true
 }
 
 // markStopping records that the shutdown has begun, which replaces a drain that an operator has started.
 func (r *Router) markStopping() {
-	r.ops.mu.Lock()
-	defer r.ops.mu.Unlock()
-	r.ops.stopping.Store(true)
+	r.lifecycle.mu.Lock()
+	defer r.lifecycle.mu.Unlock()
+	r.lifecycle.stopping.Store(true)
 	r.endSweep()
 }
 
@@ -156,7 +156,7 @@
 	if r.cfg.SharedDir == "" {
 		return nil
 	}
-	r.ops.claimedAt = time.Now()
+	r.lifecycle.claimedAt = time.Now()
 	c, err := hotrestart.Acquire(r.cfg.SharedDir, r.cfg.ListenAddr)
 	if errors.Is(err, hotrestart.ErrAddressTaken) {
 		return err
@@ -165,7 +165,7 @@
 		r.log.Warn("hot restart is not available", "err", err)
 		return nil
 	}
-	if r.ops.claim = c; c.Role() == hotrestart.RoleSuccessor {
+	if r.lifecycle.claim = c; c.Role() == hotrestart.RoleSuccessor {
 		r.setCapacity(r.cfg.Limits.TakeoverCapacity())
 	}
 	return nil
@@ -174,7 +174,7 @@
 // listen opens the listener of clients. A successor first waits for the endpoint list, since it receives all new connections as
 // soon as it listens. It returns a nil listener if the router was stopped meanwhile.
 func (r *Router) listen(ctx context.Context, sig Signals) (net.Listener, error) {
-	c := r.ops.claim
+	c := r.lifecycle.claim
 	if c == nil {
 		return net.Listen("tcp", r.cfg.ListenAddr)
 	}
@@ -192,7 +192,7 @@
 wait:
 	for {
 		select {
-		case <-r.ops.listReceived:
+		case <-r.lifecycle.listReceived:
 			break wait
 		case <-timeout.C:
 			r.log.Warn("no endpoint list was received; taking over with the initial list")
@@ -258,7 +258,7 @@
 	case snapshots := <-reply:
 		b, err := (&handoverState{snapshots}).encode()
 		if err == nil {
-			err = r.ops.claim.WriteState(b)
+			err = r.lifecycle.claim.WriteState(b)
 		}
 		if err != nil {
 			r.log.Warn("failed to hand over state to the successor", "err", err)
@@ -270,14 +270,14 @@
 // watchClaim reacts to the start and exit of the other process at the address, if hot restarts are enabled. It returns a function
 // that ends the watch.
 func (r *Router) watchClaim(ctx context.Context, serverErrors chan<- error) (stop func()) {
-	c := r.ops.claim
+	c := r.lifecycle.claim
 	if c == nil {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	stopHandover := func() {}
 	go c.Watch(ctx, limits.TakeoverPollInterval, func(s hotrestart.SuccessorState) {
-		if r.ops.stopping.Load() {
+		if r.lifecycle.stopping.Load() {
 			return
 		}
 		switch s {
@@ -308,8 +308,8 @@
 	ctx, stop = context.WithCancel(ctx)
 	r.frontend.StartHandover()
 	time.Sleep(limits.AcceptQueueDrainTime)
-	r.ops.clientListener().Close()
-	r.ops.handedOver.Store(true)
+	r.lifecycle.clientListener().Close()
+	r.lifecycle.handedOver.Store(true)
 	go func() {
 		for r.frontend.Connections() > 0 {
 			select {
@@ -319,7 +319,7 @@
 			}
 		}
 		if ctx.Err() == nil && r.batch == nil { // a process with the batch API runs until SIGTERM
-			close(r.ops.handoverDone)
+			close(r.lifecycle.handoverDone)
 		}
 	}()
 	return stop
@@ -328,7 +328,7 @@
 // resumeListening undoes handOverAddress.
 func (r *Router) resumeListening(serverErrors chan<- error) {
 	r.frontend.CancelHandover()
-	if !r.ops.handedOver.Swap(false) {
+	if !r.lifecycle.handedOver.Swap(false) {
 		return
 	}
 	ln, err := hotrestart.Listen(context.Background(), r.cfg.ListenAddr, false)
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -190,7 +190,7 @@
 				if ended = true; err != nil {
 					t.Error(err)
 				}
-				old.ops.claim.Close() // as the exit of its process would
+				old.lifecycle.claim.Close() // as the exit of its process would
 				served = 0
 			default:
 			}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -46,7 +46,7 @@
 	batchListener   net.Listener
 	controlListener net.Listener // nil if disabled
 	traces          *traces      // nil if tracing is disabled
-	ops             operations
+	lifecycle       lifecycle
 
 	applying sync.Mutex      // serializes changes of the plan and removals of pools
 	plan     *reconcile.Plan // the running plan; nil before Serve
@@ -66,7 +66,7 @@
 	r := &Router{
 		cfg: cfg, log: log, dial: dial, dispatcher: dispatch.New(cfg.Limits), initialPlan: p,
 		feeds: map[string]*listwatch.Feed{}, poolFeeds: map[hoststate.PoolID]*listwatch.Feed{},
-		ops: operations{listReceived: make(chan struct{}), handoverDone: make(chan struct{})},
+		lifecycle: lifecycle{listReceived: make(chan struct{}), handoverDone: make(chan struct{})},
 	}
 	r.directory.Store(p.Directory)
 	r.loop = dispatch.NewLoop(r.dispatcher, clock, r.perform)
@@ -120,7 +120,7 @@
 		r.ready.Store(true)
 	}
 	if l, ok := e.(dispatch.EndpointsListed); ok && l.Kind != policy.ListCached && l.Kind != policy.ListFailed {
-		r.ops.markListReceived()
+		r.lifecycle.markListReceived()
 	}
 	r.loop.Post(e)
 }
@@ -236,9 +236,9 @@
 	if err != nil || ln == nil {
 		return err
 	}
-	defer func() { r.ops.clientListener().Close() }()
+	defer func() { r.lifecycle.clientListener().Close() }()
 	r.log.Info("serving", "listen", ln.Addr().String(), "known_hosts", len(r.cfg.InitialEndpoints.Hosts))
-	r.ops.listening.Store(true)
+	r.lifecycle.listening.Store(true)
 	stopBatch := r.serveBatch(serverErrors)
 	defer r.serveControl(serverErrors)()
 	r.accept(ln, serverErrors)
@@ -252,7 +252,7 @@
 			r.loop.Post(dispatch.GetCounters{})
 		case <-sig.Reload:
 			r.reload(ctx, sig.LoadPlan)
-		case <-r.ops.handoverDone:
+		case <-r.lifecycle.handoverDone:
 			r.log.Info("all connections are closed; the successor serves")
 			r.shutDown(ctx, stopBatch)
 			cancel()
@@ -292,12 +292,12 @@
 	r.log.Info("draining")
 	start := time.Now()
 	r.frontend.Drain()
-	if !r.ops.handedOver.Load() { // after a handover the successor listens, and idle connections have had time to close
+	if !r.lifecycle.handedOver.Load() { // after a handover the successor listens, and idle connections have had time to close
 		time.Sleep(r.cfg.Limits.DrainIdleDelay)
 		r.frontend.CloseIdle()
 		time.Sleep(r.cfg.Limits.DrainListenerDelay - time.Since(start))
 	}
-	r.ops.clientListener().Close()
+	r.lifecycle.clientListener().Close()
 	r.frontend.CloseIdle()
 	r.loop.WaitIdle(ctx)
 	r.frontend.CloseIdle()
