--- a/cmd/notchlab/demo.go
+++ b/cmd/notchlab/demo.go
@@ -142,10 +142,10 @@
 func (d demo) after(tries []load.Attempt, sinks []string) error {
 	calls, served, wrong := map[int]bool{}, map[int]bool{}, 0
 	for i := range tries {
-		calls[tries[i].Call] = true
+		calls[tries[i].Request] = true
 		switch tries[i].Outcome {
 		case load.Served:
-			served[tries[i].Call] = true
+			served[tries[i].Request] = true
 		case load.Wrong, load.Lost:
 			wrong++
 			fmt.Println("wrong:", tries[i].CallID, tries[i].Outcome, tries[i].Detail)
--- a/internal/lab/experiment/tracing.go
+++ b/internal/lab/experiment/tracing.go
@@ -123,8 +123,8 @@
 	first := map[[2]int]int{} // number of a call's first try at each router
 	for i := range tries {
 		t := &tries[i]
-		steps[t.Call]++
-		if at := [2]int{t.Call, t.Router}; first[at] == 0 || t.Number < first[at] {
+		steps[t.Request]++
+		if at := [2]int{t.Request, t.Router}; first[at] == 0 || t.Number < first[at] {
 			first[at] = t.Number
 		}
 	}
@@ -152,7 +152,7 @@
 		must := t.Late || t.Outcome != load.Served
 		if t.Number > 1 {
 			// Routers share nothing: a retry that is not marked, at a router that has not seen its call, is a first try there.
-			if seen := t.Marked || first[[2]int{t.Call, t.Router}] < t.Number; seen {
+			if seen := t.Marked || first[[2]int{t.Request, t.Router}] < t.Number; seen {
 				must = true
 				linkable++
 				if got != nil && (len(got.root.Links) > 0 || t.Trace != [16]byte{} && string(got.root.TraceId) == string(t.Trace[:])) {
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -35,7 +35,7 @@
 
 // Attempt is a line of the ledger. Times are of the client.
 type Attempt struct {
-	Call    int // number of its call
+	Request int // number of its call
 	Number  int // 1 for the first try
 	CallID  string
 	Trace   trace.TraceID // of the client, where it sends one
@@ -135,7 +135,7 @@
 	var again string
 	for number := 1; number <= 1+c.Retries; number++ {
 		t := Attempt{
-			Call: call.Number, Number: number, CallID: fmt.Sprintf("%016x", rnd.Uint64()), Trace: own, Class: call.Class.Name,
+			Request: call.Number, Number: number, CallID: fmt.Sprintf("%016x", rnd.Uint64()), Trace: own, Class: call.Class.Name,
 			Router: router, Due: due,
 		}
 		if call.Carries {
@@ -361,7 +361,7 @@
 	got := map[int]bool{}
 	for i := range tries {
 		if t := &tries[i]; t.Outcome == Served && !t.Late {
-			got[t.Call] = true
+			got[t.Request] = true
 		}
 	}
 	var had, all float64
