--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -68,8 +68,8 @@
 	Router  int  // which the front gives it first
 }
 
-// Style is how clients are.
-type Style struct {
+// ClientMix is how clients are.
+type ClientMix struct {
 	Carry float64 // share of sessions whose client sends traceparent
 	Mark  float64 // share of sessions whose client marks retries
 }
@@ -77,7 +77,7 @@
 // Plan draws the calls of a run: sessions begin evenly at random, at rate calls a second in all, until the end; turns
 // follow one another by the time that a good answer takes and a think time. The calls are in the order in which they
 // are due.
-func Plan(seed uint64, classes []Class, rate float64, length time.Duration, routers int, style Style) []Request {
+func Plan(seed uint64, classes []Class, rate float64, length time.Duration, routers int, style ClientMix) []Request {
 	rnd := rand.New(rand.NewPCG(seed, 0xa0761d6478bd642f))
 	between := func(r [2]float64) float64 { return r[0] + rnd.Float64()*(r[1]-r[0]) }
 	var calls []Request
