--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -17,8 +17,8 @@
 	// The same seed gives the same calls; their rate is the one that is asked for, they are in order, and a session's
 	// prompts grow from turn to turn.
 	classes := Classes(1, 1)
-	plan := Plan(3, classes, 50, time.Minute, 2, ClientMix{Carry: 0.5, Mark: 0.5})
-	if diff := cmp.Diff(plan, Plan(3, classes, 50, time.Minute, 2, ClientMix{Carry: 0.5, Mark: 0.5})); diff != "" {
+	plan := Plan(3, classes, 50, time.Minute, 2, ClientMix{TraceShare: 0.5, Mark: 0.5})
+	if diff := cmp.Diff(plan, Plan(3, classes, 50, time.Minute, 2, ClientMix{TraceShare: 0.5, Mark: 0.5})); diff != "" {
 		t.Errorf("two draws differ: %s", diff)
 	}
 	if rate := float64(len(plan)) / 60; math.Abs(rate-50) > 10 {
@@ -77,7 +77,7 @@
 	for i := range classes {
 		classes[i].Deadline = 20 * time.Second // the verdict must not hang on this machine's pace
 	}
-	plan := Plan(1, classes, 200, 300*time.Millisecond, 1, ClientMix{Carry: 1})
+	plan := Plan(1, classes, 200, 300*time.Millisecond, 1, ClientMix{TraceShare: 1})
 	var l Ledger
 	(&Client{Routers: []string{b.Addr()}, Retries: 2}).Run(context.Background(), plan, &l)
 	tries := l.Attempts()
