--- a/cmd/notchlab/demo.go
+++ b/cmd/notchlab/demo.go
@@ -70,7 +70,7 @@
 		return err
 	}
 	defer f.Stop()
-	plan := load.Plan(d.Seed, classes, d.Rate, length, 2, load.ClientMix{TraceShare: 0.5, Mark: 0.5})
+	plan := load.Plan(d.Seed, classes, d.Rate, length, 2, load.ClientMix{TraceShare: 0.5, RetryMarkShare: 0.5})
 	fmt.Printf("discovery %s, %d boxes, routers %v; %d calls in %v (times of a real deployment divided by %d)\n\n",
 		f.Discovery.Addr(), len(f.Boxes), f.Addrs(), len(plan), length, speed)
 	var troubles []fleet.Trouble
--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -195,7 +195,7 @@
 
 // calls draws a plan. Turns that ask the same do so in other conversations, so that none finds another's prompts kept.
 func (r *run) calls(seed uint64, rate float64, length time.Duration, turn int) []load.Request {
-	plan := load.Plan(seed, r.classes, rate, length, 1, load.ClientMix{Mark: 1})
+	plan := load.Plan(seed, r.classes, rate, length, 1, load.ClientMix{RetryMarkShare: 1})
 	for i := range plan {
 		plan[i].Session ^= uint64(turn+1) << 32
 	}
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -17,8 +17,8 @@
 	// The same seed gives the same calls; their rate is the one that is asked for, they are in order, and a session's
 	// prompts grow from turn to turn.
 	classes := Classes(1, 1)
-	plan := Plan(3, classes, 50, time.Minute, 2, ClientMix{TraceShare: 0.5, Mark: 0.5})
-	if diff := cmp.Diff(plan, Plan(3, classes, 50, time.Minute, 2, ClientMix{TraceShare: 0.5, Mark: 0.5})); diff != "" {
+	plan := Plan(3, classes, 50, time.Minute, 2, ClientMix{TraceShare: 0.5, RetryMarkShare: 0.5})
+	if diff := cmp.Diff(plan, Plan(3, classes, 50, time.Minute, 2, ClientMix{TraceShare: 0.5, RetryMarkShare: 0.5})); diff != "" {
 		t.Errorf("two draws differ: %s", diff)
 	}
 	if rate := float64(len(plan)) / 60; math.Abs(rate-50) > 10 {
--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -70,8 +70,8 @@
 
 // ClientMix is how clients are.
 type ClientMix struct {
-	TraceShare float64 // share of sessions whose client sends traceparent
-	Mark       float64 // share of sessions whose client marks retries
+	TraceShare     float64 // share of sessions whose client sends traceparent
+	RetryMarkShare float64 // share of sessions whose client marks retries
 }
 
 // Plan draws the calls of a run: sessions begin evenly at random, at rate calls a second in all, until the end; turns
@@ -101,7 +101,7 @@
 			}
 			opening := int(math.Floor(math.Pow(rnd.Float64(), 2) * float64(len(openings)))) // the first ones are popular
 			session, prompt := rnd.Uint64()|1, openings[opening]
-			carries, marks := rnd.Float64() < style.TraceShare, rnd.Float64() < style.Mark
+			carries, marks := rnd.Float64() < style.TraceShare, rnd.Float64() < style.RetryMarkShare
 			due := time.Duration(at * float64(time.Second))
 			for turn := range max(int(between(k.Turns)+rnd.Float64()), 1) {
 				prompt += int(between(k.New))
