--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -282,7 +282,7 @@
 		for i := range other {
 			of[trouble][other[i].Outcome]++
 		}
-		w := load.Worth(plan, own)
+		w := load.ValueShare(plan, own)
 		for i := range own {
 			if y := &own[i]; y.Outcome == load.Served && first[trouble] != nil {
 				// An answer over 600 s is not counted; there is none, by the deadline.
@@ -290,7 +290,7 @@
 			}
 		}
 		if trouble != "" {
-			worths[trouble+", the other"] = append(worths[trouble+", the other"], load.Worth(calib, other))
+			worths[trouble+", the other"] = append(worths[trouble+", the other"], load.ValueShare(calib, other))
 		}
 		time.Sleep(time.Duration(float64(time.Second) / r.Fleet.Speed * 4)) // what is under way ends
 		return w, ctx.Err()
@@ -622,7 +622,7 @@
 	res.Add("fullest window against what is allowed", fullest, "", "")
 	res.Add("latest request to a draining box", latest, "ms", "after its drain was told")
 	for i, name := range []string{"first", "second"} {
-		res.Add("worth in time of the "+name+" pool", load.Worth(plans[i], ledgers[i]), "", "")
+		res.Add("worth in time of the "+name+" pool", load.ValueShare(plans[i], ledgers[i]), "", "")
 	}
 	fromBoth := 0
 	for _, n := range byPool {
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -356,8 +356,8 @@
 	t.Late = t.First.Sub(t.Sent) > aim || t.End.Sub(t.First) > time.Duration(t.Tokens)*k.TokenAim
 }
 
-// Worth is what a ledger's calls were worth in time, as a share of what they all would be.
-func Worth(plan []Request, tries []Attempt) float64 {
+// ValueShare is what a ledger's calls were worth in time, as a share of what they all would be.
+func ValueShare(plan []Request, tries []Attempt) float64 {
 	got := map[int]bool{}
 	for i := range tries {
 		if t := &tries[i]; t.Outcome == Served && !t.Late {
