--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -366,9 +366,9 @@
 	}
 	var had, all float64
 	for i := range plan {
-		all += plan[i].Class.Worth
+		all += plan[i].Class.Value
 		if got[plan[i].Number] {
-			had += plan[i].Class.Worth
+			had += plan[i].Class.Value
 		}
 	}
 	return had / max(all, 1e-9)
