--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -70,7 +70,7 @@
 			case same && n >= r.Fleet.Boxes:
 				continue
 			case same:
-				b.Name, b.Discovery, b.Also = fmt.Sprintf("s-%d", n), f.Discovery, t.calib
+				b.Name, b.Discovery, b.SecondDiscovery = fmt.Sprintf("s-%d", n), f.Discovery, t.calib
 			case n < r.Fleet.Boxes:
 				b.Name, b.Discovery = fmt.Sprintf("runs-%d", n), f.Discovery
 			default:
--- a/internal/lab/standin/box.go
+++ b/internal/lab/standin/box.go
@@ -53,12 +53,12 @@
 
 // Engine is an engine behind sockets.
 type Engine struct {
-	Name      string
-	Params    model.Params
-	OnSpan    func(Span) // gets the box's own spans; may be nil
-	Discovery *Discovery
-	Also      *Discovery                               // lists it, too; may be nil
-	OnRequest func(box, host, id string, at time.Time) // hears of each request, its Host and its id; may be nil
+	Name            string
+	Params          model.Params
+	OnSpan          func(Span) // gets the box's own spans; may be nil
+	Discovery       *Discovery
+	SecondDiscovery *Discovery                               // lists it, too; may be nil
+	OnRequest       func(box, host, id string, at time.Time) // hears of each request, its Host and its id; may be nil
 
 	mu      sync.Mutex
 	addr    string
@@ -121,7 +121,7 @@
 }
 
 func (b *Engine) set(e Entry) {
-	for _, d := range []*Discovery{b.Discovery, b.Also} {
+	for _, d := range []*Discovery{b.Discovery, b.SecondDiscovery} {
 		if d != nil {
 			d.Set(e)
 		}
