--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -537,7 +537,7 @@
 			l := life{name: b.Name, drained: time.Now()}
 			b.Drain()
 			time.Sleep(min(1500*time.Millisecond, pace/3))
-			b.Die()
+			b.Kill()
 			l.died = time.Now()
 			b.Gone()
 			b.Rename(b.Name + "-r")
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -325,7 +325,7 @@
 		errs = append(errs, <-ends)
 	}
 	for _, b := range f.Boxes {
-		b.Die()
+		b.Kill()
 	}
 	if f.Discovery != nil {
 		_ = f.Discovery.Close() // a server of this program, which is done with
--- a/internal/lab/fleet/trouble.go
+++ b/internal/lab/fleet/trouble.go
@@ -76,9 +76,9 @@
 		b := f.Boxes[n]
 		switch t.What {
 		case Die:
-			b.Die()
+			b.Kill()
 		case Replace:
-			b.Die()
+			b.Kill()
 			b.Gone()
 		case Drain:
 			b.Drain()
@@ -92,7 +92,7 @@
 		switch t.What {
 		case Die:
 		case Drain:
-			b.Die()
+			b.Kill()
 			b.Gone()
 			b.Rename(b.Name + "-r")
 		case Replace:
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -72,7 +72,7 @@
 	if err := b.Start("127.0.0.1:0", false); err != nil {
 		t.Fatal(err)
 	}
-	defer b.Die()
+	defer b.Kill()
 	classes := Classes(50, 0.05)
 	for i := range classes {
 		classes[i].Deadline = 20 * time.Second // the verdict must not hang on this machine's pace
--- a/internal/lab/standin/box.go
+++ b/internal/lab/standin/box.go
@@ -148,8 +148,8 @@
 	b.set(e)
 }
 
-// Die ends the process at once: its connections are closed and new ones refused.
-func (b *Engine) Die() {
+// Kill ends the process at once: its connections are closed and new ones refused.
+func (b *Engine) Kill() {
 	b.mu.Lock()
 	if !b.alive {
 		b.mu.Unlock()
