--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -539,7 +539,7 @@
 			time.Sleep(min(1500*time.Millisecond, pace/3))
 			b.Kill()
 			l.died = time.Now()
-			b.Gone()
+			b.Deregister()
 			b.Rename(b.Name + "-r")
 			lives = append(lives, l, life{name: b.Name, born: time.Now()})
 			if err := b.Start(b.Addr(), true); err != nil {
--- a/internal/lab/fleet/trouble.go
+++ b/internal/lab/fleet/trouble.go
@@ -79,7 +79,7 @@
 			b.Kill()
 		case Replace:
 			b.Kill()
-			b.Gone()
+			b.Deregister()
 		case Drain:
 			b.Drain()
 		default:
@@ -93,7 +93,7 @@
 		case Die:
 		case Drain:
 			b.Kill()
-			b.Gone()
+			b.Deregister()
 			b.Rename(b.Name + "-r")
 		case Replace:
 			b.Rename(b.Name + "-r")
--- a/internal/lab/standin/box.go
+++ b/internal/lab/standin/box.go
@@ -138,8 +138,8 @@
 // Drain has discovery tell that the box is terminating. It goes on with what it has.
 func (b *Engine) Drain() { b.tell("Terminating") }
 
-// Gone has discovery tell that the box is no more.
-func (b *Engine) Gone() { b.tell("Gone") }
+// Deregister has discovery tell that the box is no more.
+func (b *Engine) Deregister() { b.tell("Gone") }
 
 func (b *Engine) tell(health string) {
 	b.mu.Lock()
