--- a/internal/lab/experiment/collector.go
+++ b/internal/lab/experiment/collector.go
@@ -36,7 +36,7 @@
 		if err != nil {
 			return err
 		}
-		c.Be(v.mode)
+		c.SetMode(v.mode)
 		if !v.there {
 			_ = c.Close() // a collector of this program, which is done with
 		}
--- a/internal/lab/standin/collector.go
+++ b/internal/lab/standin/collector.go
@@ -60,8 +60,8 @@
 // Close ends it.
 func (c *Collector) Close() error { close(c.done); return c.srv.Close() }
 
-// Be changes what it does with calls from now on.
-func (c *Collector) Be(m Mode) { c.mode.Store(int32(m)) }
+// SetMode changes what it does with calls from now on.
+func (c *Collector) SetMode(m Mode) { c.mode.Store(int32(m)) }
 
 // Calls tells how many calls have come.
 func (c *Collector) Calls() int { return int(c.calls.Load()) }
--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -143,7 +143,7 @@
 				t.Fatal(err)
 			}
 			defer collector.Close()
-			collector.Be(c.mode)
+			collector.SetMode(c.mode)
 			e, err := NewOTLP(OTLPOptions{Endpoint: collector.URL(), Queue: 1 << 20, Timeout: time.Minute, Router: "n1", Log: quiet()})
 			if err != nil {
 				t.Fatal(err)
