--- a/internal/lab/experiment/collector.go
+++ b/internal/lab/experiment/collector.go
@@ -26,8 +26,8 @@
 	chart := report.Chart{File: "first.svg", Title: "Until the first event, by the collector's state", X: "ms", Y: "share of answers"}
 	unaccounted := 0
 	for _, v := range []variant{
-		{"takes", standin.Takes, true},
-		{"not there", standin.Takes, false},
+		{"takes", standin.Accepting, true},
+		{"not there", standin.Accepting, false},
 		{"hangs", standin.Hangs, true},
 		{"busy (429)", standin.Busy, true},
 		{"503", standin.Down, true},
@@ -89,7 +89,7 @@
 		r.result.Add("served, collector "+v.name, served[len(served)-1], "", fmt.Sprintf("%d tries", len(tries)))
 		r.result.Add("records sent, collector "+v.name, float64(sent), "", fmt.Sprintf("%d kept, %d lost and counted", put, lost))
 		r.result.Bars = append(r.result.Bars, report.NewBar("answers lost or invented, collector "+v.name, float64(wrong), "", 0, 0, ""))
-		if v.mode == standin.Takes && v.there != (sent > 0) {
+		if v.mode == standin.Accepting && v.there != (sent > 0) {
 			unaccounted++
 		}
 	}
--- a/internal/lab/standin/collector.go
+++ b/internal/lab/standin/collector.go
@@ -20,11 +20,11 @@
 
 // The modes.
 const (
-	Takes  Mode = iota
-	Hangs       // takes a call and never answers it
-	Busy        // 429 with Retry-After: 1
-	Down        // 503 without
-	Denies      // 400
+	Accepting Mode = iota
+	Hangs          // takes a call and never answers it
+	Busy           // 429 with Retry-After: 1
+	Down           // 503 without
+	Denies         // 400
 )
 
 // Collector takes spans by OTLP over HTTP.
