--- a/internal/lab/experiment/collector.go
+++ b/internal/lab/experiment/collector.go
@@ -28,7 +28,7 @@
 	for _, v := range []variant{
 		{"takes", standin.Accepting, true},
 		{"not there", standin.Accepting, false},
-		{"hangs", standin.Hangs, true},
+		{"hangs", standin.Hanging, true},
 		{"busy (429)", standin.Busy, true},
 		{"503", standin.Down, true},
 	} {
--- a/internal/lab/standin/collector.go
+++ b/internal/lab/standin/collector.go
@@ -21,7 +21,7 @@
 // The modes.
 const (
 	Accepting Mode = iota
-	Hangs          // takes a call and never answers it
+	Hanging        // takes a call and never answers it
 	Busy           // 429 with Retry-After: 1
 	Down           // 503 without
 	Denies         // 400
@@ -76,7 +76,7 @@
 func (c *Collector) take(w http.ResponseWriter, r *http.Request) {
 	c.calls.Add(1)
 	switch Mode(c.mode.Load()) {
-	case Hangs:
+	case Hanging:
 		_, _ = io.Copy(io.Discard, r.Body)
 		select {
 		case <-r.Context().Done():
