--- a/internal/lab/experiment/collector.go
+++ b/internal/lab/experiment/collector.go
@@ -29,7 +29,7 @@
 		{"takes", standin.Accepting, true},
 		{"not there", standin.Accepting, false},
 		{"hangs", standin.Hanging, true},
-		{"busy (429)", standin.Busy, true},
+		{"busy (429)", standin.Throttling, true},
 		{"503", standin.Down, true},
 	} {
 		c, err := standin.StartCollector("127.0.0.1:0")
--- a/internal/lab/standin/collector.go
+++ b/internal/lab/standin/collector.go
@@ -20,11 +20,11 @@
 
 // The modes.
 const (
-	Accepting Mode = iota
-	Hanging        // takes a call and never answers it
-	Busy           // 429 with Retry-After: 1
-	Down           // 503 without
-	Denies         // 400
+	Accepting  Mode = iota
+	Hanging         // takes a call and never answers it
+	Throttling      // 429 with Retry-After: 1
+	Down            // 503 without
+	Denies          // 400
 )
 
 // Collector takes spans by OTLP over HTTP.
@@ -83,7 +83,7 @@
 		case <-c.done:
 		}
 		return
-	case Busy:
+	case Throttling:
 		w.Header().Set("Retry-After", "1")
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -135,7 +135,7 @@
 	for name, c := range map[string]struct {
 		mode standin.Mode
 		sent bool
-	}{"takes": {standin.Accepting, true}, "hangs": {standin.Hanging, false}, "busy": {standin.Busy, false}, "denies": {standin.Denies, false}} {
+	}{"takes": {standin.Accepting, true}, "hangs": {standin.Hanging, false}, "busy": {standin.Throttling, false}, "denies": {standin.Denies, false}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			collector, err := standin.StartCollector("127.0.0.1:0")
