--- a/internal/lab/experiment/collector.go
+++ b/internal/lab/experiment/collector.go
@@ -30,7 +30,7 @@
 		{"not there", standin.Accepting, false},
 		{"hangs", standin.Hanging, true},
 		{"busy (429)", standin.Throttling, true},
-		{"503", standin.Down, true},
+		{"503", standin.Unavailable, true},
 	} {
 		c, err := standin.StartCollector("127.0.0.1:0")
 		if err != nil {
--- a/internal/lab/standin/collector.go
+++ b/internal/lab/standin/collector.go
@@ -20,11 +20,11 @@
 
 // The modes.
 const (
-	Accepting  Mode = iota
-	Hanging         // takes a call and never answers it
-	Throttling      // 429 with Retry-After: 1
-	Down            // 503 without
-	Denies          // 400
+	Accepting   Mode = iota
+	Hanging          // takes a call and never answers it
+	Throttling       // 429 with Retry-After: 1
+	Unavailable      // 503 without
+	Denies           // 400
 )
 
 // Collector takes spans by OTLP over HTTP.
@@ -87,7 +87,7 @@
 		w.Header().Set("Retry-After", "1")
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
-	case Down:
+	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case Denies:
