--- a/internal/lab/standin/collector.go
+++ b/internal/lab/standin/collector.go
@@ -24,7 +24,7 @@
 	Hanging          // takes a call and never answers it
 	Throttling       // 429 with Retry-After: 1
 	Unavailable      // 503 without
-	Denies           // 400
+	Rejecting        // 400
 )
 
 // Collector takes spans by OTLP over HTTP.
@@ -90,7 +90,7 @@
 	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case Denies:
+	case Rejecting:
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -135,7 +135,7 @@
 	for name, c := range map[string]struct {
 		mode standin.Mode
 		sent bool
-	}{"takes": {standin.Accepting, true}, "hangs": {standin.Hanging, false}, "busy": {standin.Throttling, false}, "denies": {standin.Denies, false}} {
+	}{"takes": {standin.Accepting, true}, "hangs": {standin.Hanging, false}, "busy": {standin.Throttling, false}, "denies": {standin.Rejecting, false}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			collector, err := standin.StartCollector("127.0.0.1:0")
@@ -152,13 +152,13 @@
 				e.Put(try(n, trace.ForFailed))
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-			if !c.sent && c.mode != standin.Denies {
+			if !c.sent && c.mode != standin.Rejecting {
 				cancel() // nothing is to be waited for
 			}
 			e.Close(ctx)
 			cancel()
 			got := e.Counters()
-			if got.Waiting != 0 || (got.Sent == 300) != c.sent || (got.Rejected == 300) != (c.mode == standin.Denies) {
+			if got.Waiting != 0 || (got.Sent == 300) != c.sent || (got.Rejected == 300) != (c.mode == standin.Rejecting) {
 				t.Errorf("%+v", got)
 			}
 			if spans, _ := collector.Spans(); len(spans) != got.Spans {
