--- a/internal/lab/experiment/tracing.go
+++ b/internal/lab/experiment/tracing.go
@@ -100,7 +100,7 @@
 	roots := map[string]*traced{} // by span
 	for _, s := range spans {
 		if s.Kind == tracepb.Span_SPAN_KIND_SERVER {
-			call := standin.Text(s, "notchhinge.call_id")
+			call := standin.StringAttribute(s, "notchhinge.call_id")
 			if byCall[call] != nil {
 				doubled++
 			}
@@ -254,7 +254,7 @@
 		return "it is of another trace than the client's"
 	}
 	for _, l := range got.legs {
-		if res := standin.Text(l, "notchhinge.result"); res == "" || res == "none" {
+		if res := standin.StringAttribute(l, "notchhinge.result"); res == "" || res == "none" {
 			return "a leg has no result"
 		}
 		if l.StartTimeUnixNano < got.root.StartTimeUnixNano || l.EndTimeUnixNano < l.StartTimeUnixNano {
@@ -271,7 +271,7 @@
 			return fmt.Sprintf("a leg that was answered has %d spans of its box", len(own))
 		}
 		for _, s := range own {
-			if s.CallID != t.CallID || s.Host != standin.Text(l, "notchhinge.host") {
+			if s.CallID != t.CallID || s.Host != standin.StringAttribute(l, "notchhinge.host") {
 				return "a box's span is of another call or host"
 			}
 		}
@@ -286,9 +286,9 @@
 	if d := sum - total; d > 20 || d < -20 { // each phase is cut to whole microseconds
 		return fmt.Sprintf("phases add up to %d µs of %d", sum, total)
 	}
-	served := standin.Text(got.root, "notchhinge.outcome") == "served"
+	served := standin.StringAttribute(got.root, "notchhinge.outcome") == "served"
 	if served != (t.Outcome == load.Served) && t.Outcome != load.Canceled && t.Outcome != load.Wrong {
-		return fmt.Sprintf("the client has it %s, the trace %s", t.Outcome, standin.Text(got.root, "notchhinge.outcome"))
+		return fmt.Sprintf("the client has it %s, the trace %s", t.Outcome, standin.StringAttribute(got.root, "notchhinge.outcome"))
 	}
 	return ""
 }
--- a/internal/lab/standin/collector.go
+++ b/internal/lab/standin/collector.go
@@ -130,8 +130,8 @@
 	_, _ = w.Write(answer)
 }
 
-// Text returns a span's attribute as a text; numbers and flags are not texts.
-func Text(s *tracepb.Span, key string) string { return value(s, key).GetStringValue() }
+// StringAttribute returns a span's attribute as a text; numbers and flags are not texts.
+func StringAttribute(s *tracepb.Span, key string) string { return value(s, key).GetStringValue() }
 
 // Number returns a span's attribute as a number.
 func Number(s *tracepb.Span, key string) int64 { return value(s, key).GetIntValue() }
