--- a/internal/lab/experiment/tracing.go
+++ b/internal/lab/experiment/tracing.go
@@ -173,7 +173,7 @@
 		case got == nil:
 			ordinary++
 			continue
-		case slices.Equal(standin.Texts(got.root, "notchhinge.kept_for"), []string{"share"}):
+		case slices.Equal(standin.StringsAttribute(got.root, "notchhinge.kept_for"), []string{"share"}):
 			ordinary++
 			shared++
 		}
--- a/internal/lab/standin/collector.go
+++ b/internal/lab/standin/collector.go
@@ -136,8 +136,8 @@
 // Number returns a span's attribute as a number.
 func Number(s *tracepb.Span, key string) int64 { return value(s, key).GetIntValue() }
 
-// Texts returns a span's attribute as a list of texts.
-func Texts(s *tracepb.Span, key string) []string {
+// StringsAttribute returns a span's attribute as a list of texts.
+func StringsAttribute(s *tracepb.Span, key string) []string {
 	var all []string
 	for _, v := range value(s, key).GetArrayValue().GetValues() {
 		all = append(all, v.GetStringValue())
--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -174,7 +174,7 @@
 	s := Spans(y)
 	if len(s) != 2 || standin.Hex(s[1].ParentSpanId) != y.Span.String() || standin.StringAttribute(s[0], "notchhinge.outcome") != "failed" ||
 		standin.Number(s[0], "notchhinge.phase.wait_us") != 1e6 || len(s[0].Links) != 1 ||
-		!cmp.Equal(standin.Texts(s[0], "notchhinge.kept_for"), []string{"failed", "legs"}) {
+		!cmp.Equal(standin.StringsAttribute(s[0], "notchhinge.kept_for"), []string{"failed", "legs"}) {
 		t.Errorf("%v", s)
 	}
 }
