--- a/internal/lab/experiment/tracing.go
+++ b/internal/lab/experiment/tracing.go
@@ -247,7 +247,7 @@
 
 // whole says what a trace lacks.
 func (r *run) whole(t *load.Attempt, got *traced, boxes *boxSpans) string {
-	if n := int(standin.Number(got.root, "notchhinge.legs")); n != len(got.legs) {
+	if n := int(standin.IntAttribute(got.root, "notchhinge.legs")); n != len(got.legs) {
 		return fmt.Sprintf("%d legs of %d", len(got.legs), n)
 	}
 	if t.Trace != [16]byte{} && string(got.root.TraceId) != string(t.Trace[:]) {
--- a/internal/lab/standin/collector.go
+++ b/internal/lab/standin/collector.go
@@ -133,8 +133,8 @@
 // StringAttribute returns a span's attribute as a text; numbers and flags are not texts.
 func StringAttribute(s *tracepb.Span, key string) string { return value(s, key).GetStringValue() }
 
-// Number returns a span's attribute as a number.
-func Number(s *tracepb.Span, key string) int64 { return value(s, key).GetIntValue() }
+// IntAttribute returns a span's attribute as a number.
+func IntAttribute(s *tracepb.Span, key string) int64 { return value(s, key).GetIntValue() }
 
 // StringsAttribute returns a span's attribute as a list of texts.
 func StringsAttribute(s *tracepb.Span, key string) []string {
--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -173,7 +173,7 @@
 	y.Outcome, y.Phases[trace.Wait], y.Before = trace.Failed, time.Second, trace.Link{Span: trace.SpanID{9}}
 	s := Spans(y)
 	if len(s) != 2 || standin.Hex(s[1].ParentSpanId) != y.Span.String() || standin.StringAttribute(s[0], "notchhinge.outcome") != "failed" ||
-		standin.Number(s[0], "notchhinge.phase.wait_us") != 1e6 || len(s[0].Links) != 1 ||
+		standin.IntAttribute(s[0], "notchhinge.phase.wait_us") != 1e6 || len(s[0].Links) != 1 ||
 		!cmp.Equal(standin.StringsAttribute(s[0], "notchhinge.kept_for"), []string{"failed", "legs"}) {
 		t.Errorf("%v", s)
 	}
