--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -150,7 +150,7 @@
 	}
 	return json.MarshalIndent(m{
 		"name": r.Name, "listen": r.Addr, "discovery": f.Discovery.Addr(), "seed": fmt.Sprintf("%016x", 77+i),
-		"limits": m{"cores": f.o.Cores, "memory_mb": f.o.MemoryMB, "sockets": f.o.Sockets}, "known": f.Discovery.Known(),
+		"limits": m{"cores": f.o.Cores, "memory_mb": f.o.MemoryMB, "sockets": f.o.Sockets}, "known": f.Discovery.Snapshot(),
 		"settings": m{
 			"azs": []string{"room"}, "discovery": "subscribe", "weights": "silent", "zone": 0, "me": i, "replicasOfMe": len(f.o.Routers),
 			"grades": grades, "familyInfo": m{"aimUsPer1000PromptTokens": perK, "tokenAim": tokens, "resume": true},
--- a/internal/lab/standin/discovery.go
+++ b/internal/lab/standin/discovery.go
@@ -84,8 +84,8 @@
 	set()
 }
 
-// Known is the whole list, as a router is told it at its start.
-func (d *Discovery) Known() List {
+// Snapshot is the whole list, as a router is told it at its start.
+func (d *Discovery) Snapshot() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.since(-1)
