--- a/internal/lab/scale/process.go
+++ b/internal/lab/scale/process.go
@@ -146,7 +146,7 @@
 }
 
 func (p *process) status() (st status, err error) {
-	code, b, err := system.Call("GET", "http://"+p.control+"/fleet/status", nil, nil)
+	code, b, err := system.CallControlPlane("GET", "http://"+p.control+"/fleet/status", nil, nil)
 	if err == nil && code != http.StatusOK {
 		err = fmt.Errorf("/fleet/status answers %d", code)
 	}
@@ -201,7 +201,7 @@
 	for end.Err() == nil && c.Acked == 0 {
 		c.Tries++
 		k := f.real[rand.IntN(f.Keepers)]
-		code, says, err := system.Call("POST", "http://"+k.control+"/Configuration.Replace", map[string]string{"X-Revision-Match": strconv.Itoa(revision - 1)}, cbor.RawMessage(text))
+		code, says, err := system.CallControlPlane("POST", "http://"+k.control+"/Configuration.Replace", map[string]string{"X-Revision-Match": strconv.Itoa(revision - 1)}, cbor.RawMessage(text))
 		switch {
 		case err == nil && code == http.StatusOK:
 			c.Acked = time.Since(began)
--- a/internal/lab/system/parts.go
+++ b/internal/lab/system/parts.go
@@ -71,7 +71,7 @@
 	}
 	e.mu.Unlock()
 	m := s.machines[rand.IntN(len(s.machines))]
-	code, _, err := Call("POST", "http://"+m.control+"/Instances.Heartbeat/"+e.id, nil, v)
+	code, _, err := CallControlPlane("POST", "http://"+m.control+"/Instances.Heartbeat/"+e.id, nil, v)
 	return err == nil && code == 200
 }
 
@@ -89,7 +89,7 @@
 	pause(ctx, drain+timeout)
 	e.stopBeat()
 	// An engine whose message is lost is found missing by its heartbeats.
-	_, _, _ = Call("POST", "http://"+s.machines[0].control+"/Instances.Deregister/"+e.id, nil, map[string]any{})
+	_, _, _ = CallControlPlane("POST", "http://"+s.machines[0].control+"/Instances.Deregister/"+e.id, nil, map[string]any{})
 }
 
 // crash ends the engine without a word.
--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -251,8 +251,8 @@
 	fmt.Fprintf(s.Out, "%5.1f s  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// Call makes a call of the control plane.
-func Call(method, url string, header map[string]string, v any) (int, []byte, error) {
+// CallControlPlane makes a call of the control plane.
+func CallControlPlane(method, url string, header map[string]string, v any) (int, []byte, error) {
 	b, err := cbor.Marshal(v)
 	if err != nil {
 		return 0, nil, err
@@ -292,7 +292,7 @@
 	}
 	for ctx.Err() == nil {
 		m := s.machines[rand.IntN(len(s.machines))]
-		code, says, err := Call("POST", "http://"+m.control+"/Configuration.Replace", map[string]string{"X-Revision-Match": strconv.Itoa(on)}, v)
+		code, says, err := CallControlPlane("POST", "http://"+m.control+"/Configuration.Replace", map[string]string{"X-Revision-Match": strconv.Itoa(on)}, v)
 		if err == nil && code == 200 {
 			return nil
 		}
@@ -475,7 +475,7 @@
 // collect adds up what processes and the platform know at the end.
 func (s *system) collect() {
 	for _, m := range s.machines {
-		code, b, err := Call("GET", "http://"+m.control+"/fleet/status", nil, nil)
+		code, b, err := CallControlPlane("GET", "http://"+m.control+"/fleet/status", nil, nil)
 		var st struct {
 			Account []struct {
 				Cause          string
