--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -123,8 +123,8 @@
 	return 0, errors.New("no free port was found on loopback")
 }
 
-// Play starts everything, plays it, and stops it.
-func Play(ctx context.Context, o Options) (*Report, error) {
+// Run starts everything, plays it, and stops it.
+func Run(ctx context.Context, o Options) (*Report, error) {
 	s := &system{Options: o, report: Report{Account: map[string][2]uint64{}}}
 	var ips []string
 	for i := range 3 + o.Routers {
--- a/internal/lab/system/system_test.go
+++ b/internal/lab/system/system_test.go
@@ -15,7 +15,7 @@
 	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "notchhinge/cmd/notchhinge").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	r, err := Play(t.Context(), Options{
+	r, err := Run(t.Context(), Options{
 		Binary: binary, Dir: dir, Routers: 2, Engines: 4, Rate: 20, Length: 6 * time.Second, Seed: 1, Troubles: true, Out: io.Discard,
 	})
 	if err != nil {
