--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -30,17 +30,17 @@
 
 // Options say what is played.
 type Options struct {
-	Binary   string // notchhinge
-	Mixed    string // another build of it, which every second process runs; "" = all run Binary
-	Exchange bool   // with Mixed: a process that starts again runs the build that it has not run before
-	Dir      string // for settings, disks and logs
-	Routers  int
-	Engines  int
-	Rate     float64 // requests a second
-	Length   time.Duration
-	Seed     uint64
-	Troubles bool
-	Out      io.Writer
+	Binary       string // notchhinge
+	Mixed        string // another build of it, which every second process runs; "" = all run Binary
+	Exchange     bool   // with Mixed: a process that starts again runs the build that it has not run before
+	Dir          string // for settings, disks and logs
+	Routers      int
+	Engines      int
+	Rate         float64 // requests a second
+	Length       time.Duration
+	Seed         uint64
+	InjectFaults bool
+	Out          io.Writer
 }
 
 // Report is what came of it.
@@ -374,7 +374,7 @@
 	defer over()
 	wait.Go(func() { s.clients(playing) })
 	wait.Go(func() { s.each(playing, began) })
-	if s.Troubles {
+	if s.InjectFaults {
 		wait.Go(func() { s.troubles(playing, began) })
 	}
 	wait.Wait()
--- a/internal/lab/system/system_test.go
+++ b/internal/lab/system/system_test.go
@@ -16,7 +16,7 @@
 		t.Fatalf("%v\n%s", err, out)
 	}
 	r, err := Run(t.Context(), Options{
-		Binary: binary, Dir: dir, Routers: 2, Engines: 4, Rate: 20, Length: 6 * time.Second, Seed: 1, Troubles: true, Out: io.Discard,
+		Binary: binary, Dir: dir, Routers: 2, Engines: 4, Rate: 20, Length: 6 * time.Second, Seed: 1, InjectFaults: true, Out: io.Discard,
 	})
 	if err != nil {
 		t.Fatal(err)
