--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -47,7 +47,7 @@
 type Report struct {
 	Asked, Served, Late, Refused, Failed int
 	P50, P99                             time.Duration
-	Twice                                int                  // requests that ran twice and may not
+	RanTwice                             int                  // requests that ran twice and may not
 	Past                                 int                  // requests that reached an engine past its drain
 	Windows, Changed                     int                  // of usage: reported, and with two figures
 	Account                              map[string][2]uint64 // by cause: bytes, and those between zones
@@ -56,7 +56,7 @@
 // Broken tells what must not happen and has.
 func (r *Report) Broken() (all []string) {
 	for what, n := range map[string]int{
-		"requests ran twice that may not": r.Twice, "requests reached an engine past its drain": r.Past, "windows were reported with two figures": r.Changed,
+		"requests ran twice that may not": r.RanTwice, "requests reached an engine past its drain": r.Past, "windows were reported with two figures": r.Changed,
 	} {
 		if n > 0 {
 			all = append(all, fmt.Sprintf("%d %s", n, what))
@@ -500,7 +500,7 @@
 		e.mu.Lock()
 		for id, n := range e.ran {
 			if n > 1 && !strings.HasPrefix(id, "read") {
-				s.report.Twice++
+				s.report.RanTwice++
 			}
 		}
 		s.report.Past += e.past
@@ -510,7 +510,7 @@
 	for _, e := range s.engines {
 		for id := range e.ran {
 			if ran[id]++; ran[id] == 2 && !strings.HasPrefix(id, "read") {
-				s.report.Twice++
+				s.report.RanTwice++
 			}
 		}
 	}
