--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -48,7 +48,7 @@
 	Asked, Served, Late, Refused, Failed int
 	P50, P99                             time.Duration
 	RanTwice                             int                  // requests that ran twice and may not
-	Past                                 int                  // requests that reached an engine past its drain
+	AfterDrain                           int                  // requests that reached an engine past its drain
 	Windows, Changed                     int                  // of usage: reported, and with two figures
 	Account                              map[string][2]uint64 // by cause: bytes, and those between zones
 }
@@ -56,7 +56,7 @@
 // Broken tells what must not happen and has.
 func (r *Report) Broken() (all []string) {
 	for what, n := range map[string]int{
-		"requests ran twice that may not": r.RanTwice, "requests reached an engine past its drain": r.Past, "windows were reported with two figures": r.Changed,
+		"requests ran twice that may not": r.RanTwice, "requests reached an engine past its drain": r.AfterDrain, "windows were reported with two figures": r.Changed,
 	} {
 		if n > 0 {
 			all = append(all, fmt.Sprintf("%d %s", n, what))
@@ -503,7 +503,7 @@
 				s.report.RanTwice++
 			}
 		}
-		s.report.Past += e.past
+		s.report.AfterDrain += e.past
 		e.mu.Unlock()
 	}
 	ran := map[string]int{}
