--- a/cmd/notchlab/fleet.go
+++ b/cmd/notchlab/fleet.go
@@ -66,8 +66,8 @@
 		r.P50.Round(time.Millisecond), r.P99.Round(time.Millisecond))
 	fmt.Printf("usage: %d windows reported, %d with two figures\n", r.Windows, r.Changed)
 	fmt.Println("what it cost, by cause: kB sent and taken, and between zones (of the processes that are left)")
-	for _, cause := range slices.Sorted(maps.Keys(r.Account)) {
-		fmt.Printf("  %-16s %8.1f %8.1f\n", cause, float64(r.Account[cause][0])/1e3, float64(r.Account[cause][1])/1e3)
+	for _, cause := range slices.Sorted(maps.Keys(r.Traffic)) {
+		fmt.Printf("  %-16s %8.1f %8.1f\n", cause, float64(r.Traffic[cause][0])/1e3, float64(r.Traffic[cause][1])/1e3)
 	}
 	for _, b := range r.Broken() {
 		fmt.Println("BROKEN:", b)
--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -50,7 +50,7 @@
 	RanTwice                             int                  // requests that ran twice and may not
 	AfterDrain                           int                  // requests that reached an engine past its drain
 	Windows, Changed                     int                  // of usage: reported, and with two figures
-	Account                              map[string][2]uint64 // by cause: bytes, and those between zones
+	Traffic                              map[string][2]uint64 // by cause: bytes, and those between zones
 }
 
 // Broken tells what must not happen and has.
@@ -125,7 +125,7 @@
 
 // Run starts everything, plays it, and stops it.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	s := &system{Options: o, report: Report{Account: map[string][2]uint64{}}}
+	s := &system{Options: o, report: Report{Traffic: map[string][2]uint64{}}}
 	var ips []string
 	for i := range 3 + o.Routers {
 		m := &machine{name: fmt.Sprintf("router-%d", i-2), ip: fmt.Sprintf("127.%d.%d.1", firstNet, i+1), zone: string(rune('a' + i%3))}
@@ -486,8 +486,8 @@
 			continue
 		}
 		for _, r := range st.Account {
-			x := s.report.Account[r.Cause]
-			s.report.Account[r.Cause] = [2]uint64{x[0] + r.Bytes, x[1] + r.Between}
+			x := s.report.Traffic[r.Cause]
+			s.report.Traffic[r.Cause] = [2]uint64{x[0] + r.Bytes, x[1] + r.Between}
 		}
 	}
 	s.mu.Lock()
--- a/internal/lab/system/system_test.go
+++ b/internal/lab/system/system_test.go
@@ -24,7 +24,7 @@
 	if b := r.Broken(); len(b) > 0 {
 		t.Error(b)
 	}
-	if r.Asked < 40 || r.Served+r.Late < r.Asked/2 || r.Windows == 0 || len(r.Account) < 5 {
+	if r.Asked < 40 || r.Served+r.Late < r.Asked/2 || r.Windows == 0 || len(r.Traffic) < 5 {
 		t.Errorf("%+v", r)
 	}
 }
