--- a/cmd/notchlab/fleet.go
+++ b/cmd/notchlab/fleet.go
@@ -69,10 +69,10 @@
 	for _, cause := range slices.Sorted(maps.Keys(r.Traffic)) {
 		fmt.Printf("  %-16s %8.1f %8.1f\n", cause, float64(r.Traffic[cause][0])/1e3, float64(r.Traffic[cause][1])/1e3)
 	}
-	for _, b := range r.Broken() {
+	for _, b := range r.Violations() {
 		fmt.Println("BROKEN:", b)
 	}
-	if len(r.Broken()) > 0 {
+	if len(r.Violations()) > 0 {
 		return errBroken
 	}
 	fmt.Println("no rule was broken: nothing ran twice that may not, nothing reached an engine past its drain")
--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -53,8 +53,8 @@
 	Traffic                              map[string][2]uint64 // by cause: bytes, and those between zones
 }
 
-// Broken tells what must not happen and has.
-func (r *Report) Broken() (all []string) {
+// Violations tells what must not happen and has.
+func (r *Report) Violations() (all []string) {
 	for what, n := range map[string]int{
 		"requests ran twice that may not": r.RanTwice, "requests reached an engine past its drain": r.AfterDrain, "windows were reported with two figures": r.Changed,
 	} {
--- a/internal/lab/system/system_test.go
+++ b/internal/lab/system/system_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b := r.Broken(); len(b) > 0 {
+	if b := r.Violations(); len(b) > 0 {
 		t.Error(b)
 	}
 	if r.Asked < 40 || r.Served+r.Late < r.Asked/2 || r.Windows == 0 || len(r.Traffic) < 5 {
