--- a/cmd/notchlab/demo.go
+++ b/cmd/notchlab/demo.go
@@ -84,7 +84,7 @@
 	go func() { trouble <- f.Play(ctx, troubles) }()
 	stop := make(chan struct{})
 	go func() { defer close(told); tell(ledger, troubles, stop) }()
-	(&load.Client{Routers: f.Addrs(), Retries: 3, Pause: 50 * time.Millisecond, Seed: d.Seed}).Run(ctx, plan, ledger)
+	(&load.Client{Routers: f.Addrs(), Retries: 3, MaxRetryDelay: 50 * time.Millisecond, Seed: d.Seed}).Run(ctx, plan, ledger)
 	close(stop)
 	<-told
 	if err := <-trouble; err != nil {
--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -186,7 +186,7 @@
 
 // ask has a service's clients ask a plan's calls.
 func (r *run) ask(ctx context.Context, t *two, host string, plan []load.Request, seed uint64) []load.Attempt {
-	c := &load.Client{Routers: t.Addrs(), Host: host, Retries: r.Traffic.Retries, Pause: 50 * time.Millisecond, Seed: seed}
+	c := &load.Client{Routers: t.Addrs(), Host: host, Retries: r.Traffic.Retries, MaxRetryDelay: 50 * time.Millisecond, Seed: seed}
 	defer c.Close()
 	l := &load.Ledger{}
 	c.Run(ctx, plan, l)
--- a/internal/lab/experiment/tracing.go
+++ b/internal/lab/experiment/tracing.go
@@ -54,7 +54,7 @@
 func (r *run) play(ctx context.Context, f *fleet.Fleet) ([]load.Attempt, error) {
 	plan := load.Plan(r.Seed, r.classes, r.Traffic.Rate, r.length, r.Fleet.Routers, load.ClientMix{TraceShare: r.Traffic.Carry, RetryMarkShare: r.Traffic.Mark})
 	r.say("%d calls in %v over %d routers and %d boxes", len(plan), r.length, len(f.Routers), len(f.Boxes))
-	client := &load.Client{Routers: f.Addrs(), Retries: r.Traffic.Retries, Pause: 50 * time.Millisecond, Seed: r.Seed}
+	client := &load.Client{Routers: f.Addrs(), Retries: r.Traffic.Retries, MaxRetryDelay: 50 * time.Millisecond, Seed: r.Seed}
 	ledger := &load.Ledger{}
 	trouble := make(chan error, 1)
 	go func() { trouble <- f.Play(ctx, r.troubles) }()
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -76,11 +76,11 @@
 
 // Client asks what a plan holds.
 type Client struct {
-	Routers []string // addresses
-	Host    string   // of the service that is asked for; "" = the router's address
-	Retries int      // further tries of a call at the most
-	Pause   time.Duration
-	Seed    uint64
+	Routers       []string // addresses
+	Host          string   // of the service that is asked for; "" = the router's address
+	Retries       int      // further tries of a call at the most
+	MaxRetryDelay time.Duration
+	Seed          uint64
 
 	once sync.Once
 	http *http.Client
@@ -153,7 +153,7 @@
 		if t.Outcome == Broken {
 			from, again = from+t.Tokens, "again"
 		}
-		wait = max(wait, time.Duration(rnd.Float64()*float64(c.Pause)))
+		wait = max(wait, time.Duration(rnd.Float64()*float64(c.MaxRetryDelay)))
 		if time.Now().Add(wait).After(until) || !pause(ctx, wait) {
 			return
 		}
