--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -30,7 +30,7 @@
 	o.Boxes, o.Pin = 0, true
 	f, err := fleet.StartWith(ctx, o, func(f *fleet.Fleet) error {
 		for i := range r.Fleet.Boxes {
-			if _, err := standin.StartQuick(fmt.Sprintf("q%d", i), f.Discovery); err != nil {
+			if _, err := standin.StartInstantEngine(fmt.Sprintf("q%d", i), f.Discovery); err != nil {
 				return err
 			}
 		}
--- a/internal/lab/standin/quick.go
+++ b/internal/lab/standin/quick.go
@@ -14,8 +14,8 @@
 	srv *http.Server
 }
 
-// StartQuick listens and has discovery tell of it.
-func StartQuick(name string, d *Discovery) (*Quick, error) {
+// StartInstantEngine listens and has discovery tell of it.
+func StartInstantEngine(name string, d *Discovery) (*Quick, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
