--- a/internal/lab/standin/quick.go
+++ b/internal/lab/standin/quick.go
@@ -7,20 +7,20 @@
 	"net/http"
 )
 
-// Quick is a box without an engine: it answers every request at once with a short stream. It is for measuring what a
+// InstantEngine is a box without an engine: it answers every request at once with a short stream. It is for measuring what a
 // router itself costs.
-type Quick struct {
+type InstantEngine struct {
 	Entry
 	srv *http.Server
 }
 
 // StartInstantEngine listens and has discovery tell of it.
-func StartInstantEngine(name string, d *Discovery) (*Quick, error) {
+func StartInstantEngine(name string, d *Discovery) (*InstantEngine, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	q := &Quick{Entry: Entry{Host: name, Dial: ln.Addr().String(), Site: "room", Class: "gpu", Health: "Ready", Share: 1}}
+	q := &InstantEngine{Entry: Entry{Host: name, Dial: ln.Addr().String(), Site: "room", Class: "gpu", Health: "Ready", Share: 1}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -40,4 +40,4 @@
 }
 
 // Close ends it.
-func (q *Quick) Close() error { return q.srv.Close() }
+func (q *InstantEngine) Close() error { return q.srv.Close() }
