--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -31,7 +31,7 @@
 // Options say what is played.
 type Options struct {
 	Binary       string // notchhinge
-	Mixed        string // another build of it, which every second process runs; "" = all run Binary
+	OtherBinary  string // another build of it, which every second process runs; "" = all run Binary
 	Exchange     bool   // with Mixed: a process that starts again runs the build that it has not run before
 	Dir          string // for settings, disks and logs
 	Routers      int
@@ -132,7 +132,7 @@
 		if i < 3 {
 			m.name, m.isReplica = fmt.Sprintf("replica-%d", i+1), true
 		}
-		m.mixed = o.Mixed != "" && i%2 == 1
+		m.mixed = o.OtherBinary != "" && i%2 == 1
 		s.machines = append(s.machines, m)
 		ips = append(ips, m.ip)
 	}
@@ -205,7 +205,7 @@
 	}
 	program := s.Binary
 	if m.mixed {
-		program = s.Mixed
+		program = s.OtherBinary
 	}
 	m.cmd = exec.Command(program, "node") //nolint:noctx // stop drains it, which a context would cut short
 	m.cmd.Env = append(os.Environ(), "NOTCHHINGE_BOOT="+path)
@@ -441,7 +441,7 @@
 		s.says(began, "%s drains, and ends", s.engines[0].id)
 		go s.engines[0].leave(ctx, s)
 	}
-	if s.Mixed != "" && at(0.65) {
+	if s.OtherBinary != "" && at(0.65) {
 		s.restartOnDisk(s.machines[2], began)
 	}
 	if at(0.72) {
@@ -455,7 +455,7 @@
 		s.says(began, "%s crashes without a word", s.engines[1].id)
 		s.engines[1].crash()
 	}
-	if s.Mixed != "" && at(0.9) {
+	if s.OtherBinary != "" && at(0.9) {
 		if err := s.configure(ctx, 2, 3, 1400); err == nil {
 			s.says(began, "revision 3 is acknowledged")
 		}
