--- a/cmd/notchlab/fleet.go
+++ b/cmd/notchlab/fleet.go
@@ -51,7 +51,7 @@
 		return err
 	}
 	r, err := system.Run(ctx, system.Options{
-		Binary: binary, OtherBinary: f.Mixed, Exchange: f.Exchange && f.Mixed != "", Dir: dir, Routers: f.Routers, Engines: f.Engines,
+		Binary: binary, OtherBinary: f.Mixed, SwapBinaries: f.Exchange && f.Mixed != "", Dir: dir, Routers: f.Routers, Engines: f.Engines,
 		Rate: f.Rate, Length: time.Duration(f.Seconds) * time.Second, Seed: f.Seed, InjectFaults: !f.Calm, Out: os.Stdout,
 	})
 	if err != nil {
--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -32,7 +32,7 @@
 type Options struct {
 	Binary       string // notchhinge
 	OtherBinary  string // another build of it, which every second process runs; "" = all run Binary
-	Exchange     bool   // with Mixed: a process that starts again runs the build that it has not run before
+	SwapBinaries bool   // with Mixed: a process that starts again runs the build that it has not run before
 	Dir          string // for settings, disks and logs
 	Routers      int
 	Engines      int
@@ -200,7 +200,7 @@
 			return err
 		}
 	}
-	if s.Exchange && !first {
+	if s.SwapBinaries && !first {
 		m.mixed = !m.mixed
 	}
 	program := s.Binary
