--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -143,7 +143,7 @@
 	var perK, tokens []int64
 	for _, c := range f.o.Classes {
 		grades = append(grades, m{
-			"name": c.Name, "objective": us(c.Aim), "deadline": us(c.Deadline), "dedupWindow": 5000000,
+			"name": c.Name, "objective": us(c.FirstTokenTarget), "deadline": us(c.Deadline), "dedupWindow": 5000000,
 			"effect": "pure", "group": "all", "lateWorth": 0, "worth": c.Value, "streaming": true,
 		})
 		perK, tokens = append(perK, us(c.AimPerKTokens)), append(tokens, us(c.TokenAim))
