--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -352,7 +352,7 @@
 		return
 	}
 	k := call.Class
-	aim := k.FirstTokenTarget + time.Duration(float64(k.AimPerKTokens)*float64(call.Prompt)/1000)
+	aim := k.FirstTokenTarget + time.Duration(float64(k.FirstTokenTargetPer1K)*float64(call.Prompt)/1000)
 	t.Late = t.First.Sub(t.Sent) > aim || t.End.Sub(t.First) > time.Duration(t.Tokens)*k.TokenAim
 }
 
--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -12,19 +12,19 @@
 
 // Class is one class of requests, with the figures that the deployment's page gives of it.
 type Class struct {
-	Name             string
-	Share            float64    // of requests, against the others'
-	Value            float64    // of an answer in time
-	Turns            [2]float64 // of a session, from and to
-	New              [2]float64 // tokens that a turn adds
-	Answer           [2]float64 // tokens of an answer
-	Opening          [2]float64
-	Openings         int           // shared beginnings that there are
-	Think            time.Duration // between an answer and the next turn
-	FirstTokenTarget time.Duration
-	AimPerKTokens    time.Duration
-	TokenAim         time.Duration
-	Deadline         time.Duration
+	Name                  string
+	Share                 float64    // of requests, against the others'
+	Value                 float64    // of an answer in time
+	Turns                 [2]float64 // of a session, from and to
+	New                   [2]float64 // tokens that a turn adds
+	Answer                [2]float64 // tokens of an answer
+	Opening               [2]float64
+	Openings              int           // shared beginnings that there are
+	Think                 time.Duration // between an answer and the next turn
+	FirstTokenTarget      time.Duration
+	FirstTokenTargetPer1K time.Duration
+	TokenAim              time.Duration
+	Deadline              time.Duration
 }
 
 // Classes are those of the deployment's page, with times divided by speed and answers and openings cut to size (1 = as
@@ -36,17 +36,17 @@
 	return []Class{
 		{
 			Name: "shift-agent", Share: 0.49, Value: 5, Turns: [2]float64{4.1, 7.4}, New: n(220, 710), Answer: n(56, 120),
-			Opening: n(4500, 7900), Openings: 12, Think: t(3 * time.Second), FirstTokenTarget: t(2500 * ms), AimPerKTokens: t(40 * ms),
+			Opening: n(4500, 7900), Openings: 12, Think: t(3 * time.Second), FirstTokenTarget: t(2500 * ms), FirstTokenTargetPer1K: t(40 * ms),
 			TokenAim: t(60 * ms), Deadline: t(12 * time.Second),
 		},
 		{
 			Name: "doc-lookup", Share: 0.30, Value: 3, Turns: [2]float64{1.2, 2.9}, New: n(100, 280), Answer: n(62, 200),
-			Opening: n(3300, 5800), Openings: 8, Think: t(4 * time.Second), FirstTokenTarget: t(1500 * ms), AimPerKTokens: t(40 * ms),
+			Opening: n(3300, 5800), Openings: 8, Think: t(4 * time.Second), FirstTokenTarget: t(1500 * ms), FirstTokenTargetPer1K: t(40 * ms),
 			TokenAim: t(80 * ms), Deadline: t(6 * time.Second),
 		},
 		{
 			Name: "batch-summary", Share: 0.21, Value: 3, Turns: [2]float64{1.1, 1.3}, New: n(560, 2000), Answer: n(35, 110),
-			Opening: n(240, 970), Openings: 30, Think: t(2 * time.Second), FirstTokenTarget: t(2500 * ms), AimPerKTokens: t(60 * ms),
+			Opening: n(240, 970), Openings: 30, Think: t(2 * time.Second), FirstTokenTarget: t(2500 * ms), FirstTokenTargetPer1K: t(60 * ms),
 			TokenAim: t(50 * ms), Deadline: t(12 * time.Second),
 		},
 	}
