--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -146,7 +146,7 @@
 			"name": c.Name, "objective": us(c.FirstTokenTarget), "deadline": us(c.Deadline), "dedupWindow": 5000000,
 			"effect": "pure", "group": "all", "lateWorth": 0, "worth": c.Value, "streaming": true,
 		})
-		perK, tokens = append(perK, us(c.FirstTokenTargetPer1K)), append(tokens, us(c.TokenAim))
+		perK, tokens = append(perK, us(c.FirstTokenTargetPer1K)), append(tokens, us(c.TokenTarget))
 	}
 	return json.MarshalIndent(m{
 		"name": r.Name, "listen": r.Addr, "discovery": f.Discovery.Addr(), "seed": fmt.Sprintf("%016x", 77+i),
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -353,7 +353,7 @@
 	}
 	k := call.Class
 	aim := k.FirstTokenTarget + time.Duration(float64(k.FirstTokenTargetPer1K)*float64(call.Prompt)/1000)
-	t.Late = t.First.Sub(t.Sent) > aim || t.End.Sub(t.First) > time.Duration(t.Tokens)*k.TokenAim
+	t.Late = t.First.Sub(t.Sent) > aim || t.End.Sub(t.First) > time.Duration(t.Tokens)*k.TokenTarget
 }
 
 // ValueShare is what a ledger's calls were worth in time, as a share of what they all would be.
--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -23,7 +23,7 @@
 	Think                 time.Duration // between an answer and the next turn
 	FirstTokenTarget      time.Duration
 	FirstTokenTargetPer1K time.Duration
-	TokenAim              time.Duration
+	TokenTarget           time.Duration
 	Deadline              time.Duration
 }
 
@@ -37,17 +37,17 @@
 		{
 			Name: "shift-agent", Share: 0.49, Value: 5, Turns: [2]float64{4.1, 7.4}, New: n(220, 710), Answer: n(56, 120),
 			Opening: n(4500, 7900), Openings: 12, Think: t(3 * time.Second), FirstTokenTarget: t(2500 * ms), FirstTokenTargetPer1K: t(40 * ms),
-			TokenAim: t(60 * ms), Deadline: t(12 * time.Second),
+			TokenTarget: t(60 * ms), Deadline: t(12 * time.Second),
 		},
 		{
 			Name: "doc-lookup", Share: 0.30, Value: 3, Turns: [2]float64{1.2, 2.9}, New: n(100, 280), Answer: n(62, 200),
 			Opening: n(3300, 5800), Openings: 8, Think: t(4 * time.Second), FirstTokenTarget: t(1500 * ms), FirstTokenTargetPer1K: t(40 * ms),
-			TokenAim: t(80 * ms), Deadline: t(6 * time.Second),
+			TokenTarget: t(80 * ms), Deadline: t(6 * time.Second),
 		},
 		{
 			Name: "batch-summary", Share: 0.21, Value: 3, Turns: [2]float64{1.1, 1.3}, New: n(560, 2000), Answer: n(35, 110),
 			Opening: n(240, 970), Openings: 30, Think: t(2 * time.Second), FirstTokenTarget: t(2500 * ms), FirstTokenTargetPer1K: t(60 * ms),
-			TokenAim: t(50 * ms), Deadline: t(12 * time.Second),
+			TokenTarget: t(50 * ms), Deadline: t(12 * time.Second),
 		},
 	}
 }
@@ -94,7 +94,7 @@
 			openings[i] = int(between(k.Opening))
 		}
 		// Sessions that began earlier are under way at the start.
-		reach := time.Duration(turns * float64(k.Think+k.TokenAim*time.Duration(between(k.Answer))/2))
+		reach := time.Duration(turns * float64(k.Think+k.TokenTarget*time.Duration(between(k.Answer))/2))
 		for at := -reach.Seconds(); ; {
 			if at += rnd.ExpFloat64() / sessions; at >= length.Seconds() {
 				break
@@ -114,7 +114,7 @@
 					})
 				}
 				prompt += answer
-				due += k.TokenAim*time.Duration(answer)/2 + time.Duration(rnd.ExpFloat64()*float64(k.Think))
+				due += k.TokenTarget*time.Duration(answer)/2 + time.Duration(rnd.ExpFloat64()*float64(k.Think))
 			}
 		}
 	}
