--- a/cmd/notchlab/fleet.go
+++ b/cmd/notchlab/fleet.go
@@ -64,7 +64,7 @@
 func printFleet(r *system.Report) error {
 	fmt.Printf("\nasked %d: served %d, late %d, refused %d, failed %d; p50 %v, p99 %v\n", r.Asked, r.Served, r.Late, r.Refused, r.Failed,
 		r.P50.Round(time.Millisecond), r.P99.Round(time.Millisecond))
-	fmt.Printf("usage: %d windows reported, %d with two figures\n", r.Windows, r.Changed)
+	fmt.Printf("usage: %d windows reported, %d with two figures\n", r.Windows, r.ConflictingReports)
 	fmt.Println("what it cost, by cause: kB sent and taken, and between zones (of the processes that are left)")
 	for _, cause := range slices.Sorted(maps.Keys(r.Traffic)) {
 		fmt.Printf("  %-16s %8.1f %8.1f\n", cause, float64(r.Traffic[cause][0])/1e3, float64(r.Traffic[cause][1])/1e3)
--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -49,14 +49,14 @@
 	P50, P99                             time.Duration
 	RanTwice                             int                  // requests that ran twice and may not
 	AfterDrain                           int                  // requests that reached an engine past its drain
-	Windows, Changed                     int                  // of usage: reported, and with two figures
+	Windows, ConflictingReports          int                  // of usage: reported, and with two figures
 	Traffic                              map[string][2]uint64 // by cause: bytes, and those between zones
 }
 
 // Violations tells what must not happen and has.
 func (r *Report) Violations() (all []string) {
 	for what, n := range map[string]int{
-		"requests ran twice that may not": r.RanTwice, "requests reached an engine past its drain": r.AfterDrain, "windows were reported with two figures": r.Changed,
+		"requests ran twice that may not": r.RanTwice, "requests reached an engine past its drain": r.AfterDrain, "windows were reported with two figures": r.ConflictingReports,
 	} {
 		if n > 0 {
 			all = append(all, fmt.Sprintf("%d %s", n, what))
@@ -514,5 +514,5 @@
 			}
 		}
 	}
-	s.report.Windows, s.report.Changed = s.platform.counts()
+	s.report.Windows, s.report.ConflictingReports = s.platform.counts()
 }
