--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -19,66 +19,66 @@
 	"notchhinge/internal/trace"
 )
 
-// Outcome is what a client got of a try.
+// Outcome is the result of an attempt as seen by the client.
 type Outcome string
 
-// The outcomes. Canceled: the client gave the try up. Wrong: the answer is none that a box made for this request.
+// The outcomes of an attempt.
 const (
-	Served   Outcome = "served"
-	Broken   Outcome = "broken"
-	Refused  Outcome = "refused"
-	Failed   Outcome = "failed"
-	Canceled Outcome = "left"
-	Wrong    Outcome = "wrong"
-	Lost     Outcome = "lost" // the connection ended without an answer
+	Served   Outcome = "served"  // a complete and correct response
+	Broken   Outcome = "broken"  // the stream failed before its end
+	Refused  Outcome = "refused" // status 429 or 503
+	Failed   Outcome = "failed"  // another status than 200
+	Canceled Outcome = "left"    // canceled by the client
+	Wrong    Outcome = "wrong"   // the response belongs to another request, or its tokens are incorrect
+	Lost     Outcome = "lost"    // the connection failed before a response
 )
 
-// Attempt is a line of the ledger. Times are of the client.
+// Attempt is the record of one attempt. All times are the client's.
 type Attempt struct {
-	Request int // number of its call
-	Number  int // 1 for the first try
-	CallID  string
-	Trace   trace.TraceID // of the client, where it sends one
+	Request int           // number of the request
+	Number  int           // 1 for the first attempt
+	CallID  string        // the attempt's X-Call-Id
+	Trace   trace.TraceID // of the client; zero if it sends no trace context
 	Span    trace.SpanID
 	Class   string
-	Router  int
-	Due     time.Time // the call was due; for a retry, when the client chose to make it
-	Sent    time.Time // its last byte was written
-	First   time.Time // the first event was there
+	Router  int       // index in Client.Routers
+	Due     time.Time // planned start of the attempt; of a retry, the end of its delay
+	Sent    time.Time // when the last byte of the request was written
+	First   time.Time // when the first line of the response body arrived
 	End     time.Time
 	Outcome Outcome
 	Status  int
 	Tokens  int
-	Late    bool // later than the class wants, by the client's own clock from Sent
+	Late    bool // missed a latency target of the class, measured from Sent
 	Marked  bool
-	Unsent  bool // the client gave it up before its last byte was written: no router can have taken it
+	Unsent  bool // ended before its last byte was written, so that no router can have accepted it
 	Detail  string
 }
 
-// Ledger is what became of every call. It is safe for concurrent use.
+// Ledger records the attempts of a run. It is safe for concurrent use.
 type Ledger struct {
-	mu    sync.Mutex
-	tries []Attempt
+	mu       sync.Mutex
+	attempts []Attempt
 }
 
-func (l *Ledger) add(t Attempt) {
+func (l *Ledger) add(a Attempt) {
 	l.mu.Lock()
-	l.tries = append(l.tries, t)
+	l.attempts = append(l.attempts, a)
 	l.mu.Unlock()
 }
 
-// Attempts returns the lines so far.
+// Attempts returns the attempts recorded so far.
 func (l *Ledger) Attempts() []Attempt {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tries[:len(l.tries):len(l.tries)]
+	return l.attempts[:len(l.attempts):len(l.attempts)]
 }
 
-// Client asks what a plan holds.
+// Client sends the requests of a plan to the routers.
 type Client struct {
 	Routers       []string // addresses
-	Host          string   // of the service that is asked for; "" = the router's address
-	Retries       int      // further tries of a call at the most
+	Host          string   // Host header, which selects the service; "" = the router's address
+	Retries       int      // maximum number of retries of a request
 	MaxRetryDelay time.Duration
 	Seed          uint64
 
@@ -95,17 +95,18 @@
 	return c.http
 }
 
-// Close closes idle connections.
+// Close closes the client's idle connections.
 func (c *Client) Close() { c.client().CloseIdleConnections() }
 
-// Run asks each call when it is due, from the start on, and returns once all have their end or the context is over.
-func (c *Client) Run(ctx context.Context, plan []Request, to *Ledger) {
-	var all sync.WaitGroup
-	defer all.Wait()
+// Run sends each request when it is due, however many are in flight, and records the attempts in ledger. It returns when all
+// requests are finished or the context is done.
+func (c *Client) Run(ctx context.Context, plan []Request, ledger *Ledger) {
+	var requests sync.WaitGroup
+	defer requests.Wait()
 	start := time.Now()
 	for i := range plan {
-		call := &plan[i]
-		due := start.Add(call.Due)
+		request := &plan[i]
+		due := start.Add(request.Due)
 		if wait := time.Until(due); wait > 0 {
 			select {
 			case <-time.After(wait):
@@ -113,59 +114,59 @@
 				return
 			}
 		}
-		all.Add(1)
+		requests.Add(1)
 		go func() {
-			defer all.Done()
-			c.step(ctx, call, due, to)
+			defer requests.Done()
+			c.send(ctx, request, due, ledger)
 		}()
 	}
 }
 
-// step makes the tries of a call, as the deployment's clients do: a try without a first token is given up after a part
-// of the call's deadline, and tried again at once or after a short wait.
-func (c *Client) step(ctx context.Context, call *Request, due time.Time, to *Ledger) {
-	rnd := rand.New(rand.NewPCG(c.Seed, uint64(call.Number)))
-	until := due.Add(call.Class.Deadline)
-	patience := time.Duration((0.3 + 0.25*rnd.Float64()) * float64(call.Class.Deadline))
-	var own trace.TraceID
-	if call.Carries {
-		fill(own[:], rnd)
+// send sends a request with retries, as the deployment's clients do. An attempt without a first token is canceled after a
+// part of the request's deadline and retried at once or after a short delay.
+func (c *Client) send(ctx context.Context, request *Request, due time.Time, ledger *Ledger) {
+	rnd := rand.New(rand.NewPCG(c.Seed, uint64(request.Number)))
+	deadline := due.Add(request.Class.Deadline)
+	firstTokenTimeout := time.Duration((0.3 + 0.25*rnd.Float64()) * float64(request.Class.Deadline))
+	var traceID trace.TraceID
+	if request.SendsTrace {
+		fillRandom(traceID[:], rnd)
 	}
-	router, from := call.Router, 0
-	var again string
+	router, firstToken := request.Router, 0
+	var retryMark string
 	for number := 1; number <= 1+c.Retries; number++ {
-		t := Attempt{
-			Request: call.Number, Number: number, CallID: fmt.Sprintf("%016x", rnd.Uint64()), Trace: own, Class: call.Class.Name,
+		a := Attempt{
+			Request: request.Number, Number: number, CallID: fmt.Sprintf("%016x", rnd.Uint64()), Trace: traceID, Class: request.Class.Name,
 			Router: router, Due: due,
 		}
-		if call.Carries {
-			fill(t.Span[:], rnd)
+		if request.SendsTrace {
+			fillRandom(a.Span[:], rnd)
 		}
-		if t.Marked = number > 1 && (call.Marks || again == "again"); !t.Marked {
-			again = ""
+		if a.Marked = number > 1 && (request.MarksRetries || retryMark == "again"); !a.Marked {
+			retryMark = ""
 		}
-		wait := c.ask(ctx, call, &t, min(patience, time.Until(until)), from, again)
-		to.add(t)
-		if t.Outcome == Served || t.Outcome == Wrong || ctx.Err() != nil {
+		wait := c.attempt(ctx, request, &a, min(firstTokenTimeout, time.Until(deadline)), firstToken, retryMark)
+		ledger.add(a)
+		if a.Outcome == Served || a.Outcome == Wrong || ctx.Err() != nil {
 			return
 		}
-		again = "1"
-		if t.Outcome == Broken {
-			from, again = from+t.Tokens, "again"
+		retryMark = "1"
+		if a.Outcome == Broken {
+			firstToken, retryMark = firstToken+a.Tokens, "again"
 		}
 		wait = max(wait, time.Duration(rnd.Float64()*float64(c.MaxRetryDelay)))
-		if time.Now().Add(wait).After(until) || !pause(ctx, wait) {
+		if time.Now().Add(wait).After(deadline) || !sleep(ctx, wait) {
 			return
 		}
 		due = time.Now()
 		if len(c.Routers) > 1 && rnd.IntN(2) == 0 {
-			router = (router + 1) % len(c.Routers) // the front may give it to another
+			router = (router + 1) % len(c.Routers) // the load balancer may pick another router
 		}
 	}
 }
 
-// pause waits, and tells whether the context has not ended meanwhile.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d and reports whether the context is still active.
+func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -174,202 +175,204 @@
 	}
 }
 
-func fill(b []byte, rnd *rand.Rand) {
+// fillRandom fills b with random bytes, not all of them zero.
+func fillRandom(b []byte, rnd *rand.Rand) {
 	for i := range b {
 		b[i] = byte(rnd.Uint32())
 	}
-	b[0] |= 1 // never all zero
+	b[0] |= 1
 }
 
-var filler = strings.Repeat("detector run log ", 4096)
+var promptText = strings.Repeat("detector run log ", 4096)
 
-// timed is a body that tells when the last of it has been taken to be written.
-type timed struct {
+// notifyingBody is a request body that calls onSent when the transport has read its last byte.
+type notifyingBody struct {
 	*bytes.Reader
-	wrote func()
+	onSent func()
 }
 
-func (t *timed) Read(b []byte) (int, error) {
-	n, err := t.Reader.Read(b)
-	if t.Len() == 0 {
-		t.wrote()
+func (r *notifyingBody) Read(b []byte) (int, error) {
+	n, err := r.Reader.Read(b)
+	if r.Len() == 0 {
+		r.onSent()
 	}
 	return n, err
 }
 
-// WriteTo keeps the reader's own from being used, which Read would not see.
-func (t *timed) WriteTo(w io.Writer) (int64, error) {
-	n, err := t.Reader.WriteTo(w)
-	t.wrote()
+// WriteTo overrides the method of bytes.Reader, which would bypass Read and its notification.
+func (r *notifyingBody) WriteTo(w io.Writer) (int64, error) {
+	n, err := r.Reader.WriteTo(w)
+	r.onSent()
 	return n, err
 }
 
 // Close implements io.Closer.
-func (t *timed) Close() error { return nil }
+func (r *notifyingBody) Close() error { return nil }
 
-// request is an attempt as it is sent. wrote is called when the last of it has been taken to be written.
-func (c *Client) request(ctx context.Context, call *Request, t *Attempt, patience time.Duration, from int, again string, wrote func()) (*http.Request, error) {
+// newHTTPRequest builds the HTTP request of an attempt. The transport calls onSent when it has read the last byte of the body.
+func (c *Client) newHTTPRequest(ctx context.Context, request *Request, a *Attempt, timeout time.Duration, firstToken int, retryMark string, onSent func()) (*http.Request, error) {
 	work, _ := json.Marshal(standin.Work{
-		Session: call.Session, Prefix: call.Prefix, Prompt: call.Prompt, Opening: call.Opening, Answer: call.Answer, From: from,
+		Session: request.Session, Prefix: request.Prefix, Prompt: request.Prompt, PrefixTokens: request.PrefixTokens, Answer: request.Answer, From: firstToken,
 	})
 	body := fmt.Appendf(nil, `{"model":"lab","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}],"lab":%s}`,
-		call.Answer, filler[:min(call.Prompt*4, 2048)], work)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Routers[t.Router]+"/v1/chat/completions", bytes.NewReader(body))
+		request.Answer, promptText[:min(request.Prompt*4, 2048)], work)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Routers[a.Router]+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
-	req.Body = &timed{bytes.NewReader(body), wrote}
-	req.GetBody = func() (io.ReadCloser, error) { return &timed{bytes.NewReader(body), wrote}, nil }
+	req.Body = &notifyingBody{bytes.NewReader(body), onSent}
+	req.GetBody = func() (io.ReadCloser, error) { return &notifyingBody{bytes.NewReader(body), onSent}, nil }
 	if c.Host != "" {
 		req.Host = c.Host
 	}
 	h := req.Header
 	h.Set("Content-Type", "application/json")
-	h.Set("X-Call-Id", t.CallID)
-	h.Set("X-Call-Class", call.Class.Name)
-	h.Set("X-Route-Hash", fmt.Sprintf("%016x", call.Session))
-	h.Set("X-Budget", strconv.FormatInt(max(patience.Milliseconds(), 1), 10)+"m")
-	h.Set("X-Call-Info", fmt.Sprintf("prefix=%016x,prompt_len=%d,prefix_len=%d,max_out=%d", call.Prefix, call.Prompt, call.Opening, call.Answer))
-	if t.Marked {
-		h.Set("X-Again", again)
+	h.Set("X-Call-Id", a.CallID)
+	h.Set("X-Call-Class", request.Class.Name)
+	h.Set("X-Route-Hash", fmt.Sprintf("%016x", request.Session))
+	h.Set("X-Budget", strconv.FormatInt(max(timeout.Milliseconds(), 1), 10)+"m")
+	h.Set("X-Call-Info", fmt.Sprintf("prefix=%016x,prompt_len=%d,prefix_len=%d,max_out=%d", request.Prefix, request.Prompt, request.PrefixTokens, request.Answer))
+	if a.Marked {
+		h.Set("X-Again", retryMark)
 	}
-	if t.Trace != (trace.TraceID{}) {
-		h.Set("Traceparent", string(trace.Context{Trace: t.Trace, Span: t.Span, Flags: trace.Random}.AppendParent(nil)))
+	if a.Trace != (trace.TraceID{}) {
+		h.Set("Traceparent", string(trace.Context{Trace: a.Trace, Span: a.Span, Flags: trace.Random}.AppendParent(nil)))
 	}
 	return req, nil
 }
 
-// ask makes one try, and returns how long the router wants the client to stay away.
-func (c *Client) ask(ctx context.Context, call *Request, t *Attempt, patience time.Duration, from int, again string) (wait time.Duration) {
+// attempt makes one attempt, completes its record, and returns the delay requested by Retry-After.
+func (c *Client) attempt(ctx context.Context, request *Request, a *Attempt, timeout time.Duration, firstToken int, retryMark string) (wait time.Duration) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var sent time.Time
-	var stamp sync.Mutex
-	wrote := func() {
-		stamp.Lock()
+	var sentMu sync.Mutex
+	onSent := func() {
+		sentMu.Lock()
 		sent = time.Now()
-		stamp.Unlock()
+		sentMu.Unlock()
 	}
 	defer func() {
-		t.End = time.Now()
-		stamp.Lock()
-		if t.Sent = sent; sent.IsZero() {
-			t.Sent, t.Unsent = t.End, true
+		a.End = time.Now()
+		sentMu.Lock()
+		if a.Sent = sent; sent.IsZero() {
+			a.Sent, a.Unsent = a.End, true
 		}
-		stamp.Unlock()
-		c.judge(call, t)
+		sentMu.Unlock()
+		c.checkLatency(request, a)
 	}()
-	req, err := c.request(ctx, call, t, patience, from, again, wrote)
+	req, err := c.newHTTPRequest(ctx, request, a, timeout, firstToken, retryMark, onSent)
 	if err != nil {
-		t.Outcome, t.Detail = Failed, err.Error()
+		a.Outcome, a.Detail = Failed, err.Error()
 		return 0
 	}
-	giveUp := time.AfterFunc(patience, cancel)
-	defer giveUp.Stop()
+	timer := time.AfterFunc(timeout, cancel)
+	defer timer.Stop()
 	resp, err := c.client().Do(req)
 	if err != nil {
-		t.Outcome, t.Detail = Lost, err.Error()
+		a.Outcome, a.Detail = Lost, err.Error()
 		if errors.Is(err, context.Canceled) {
-			t.Outcome = Canceled
+			a.Outcome = Canceled
 		}
 		return 0
 	}
 	defer resp.Body.Close()
-	t.Status = resp.StatusCode
+	a.Status = resp.StatusCode
 	if resp.StatusCode != http.StatusOK {
-		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, 4096)) // for the connection's next use; the answer is known
-		t.Outcome = Failed
+		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, 4096)) // so that the connection is reused
+		a.Outcome = Failed
 		if resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests {
-			t.Outcome = Refused
+			a.Outcome = Refused
 			s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 			wait = time.Duration(min(max(s, 0), 10) * float64(time.Second))
 		}
 		return wait
 	}
-	c.read(resp.Body, t, giveUp, from, call.Answer)
-	if t.Outcome == Broken && ctx.Err() != nil {
-		t.Outcome = Canceled
+	c.readStream(resp.Body, a, timer, firstToken, request.Answer)
+	if a.Outcome == Broken && ctx.Err() != nil {
+		a.Outcome = Canceled
 	}
 	return 0
 }
 
-var done = []byte("data: [DONE]")
+var doneEvent = []byte("data: [DONE]")
 
-// read takes a stream to its end and checks that its tokens are those that were asked for, each once and in order.
-func (c *Client) read(body io.Reader, t *Attempt, giveUp *time.Timer, from, answer int) {
+// readStream reads a stream to its end and checks that it has each requested token once and in order. It stops timer at the
+// first line.
+func (c *Client) readStream(body io.Reader, a *Attempt, timer *time.Timer, firstToken, answer int) {
 	lines := bufio.NewReader(body)
 	ended := false
 	for {
 		line, err := lines.ReadSlice('\n')
-		if len(line) > 0 && t.First.IsZero() {
-			t.First = time.Now()
-			giveUp.Stop()
+		if len(line) > 0 && a.First.IsZero() {
+			a.First = time.Now()
+			timer.Stop()
 		}
 		switch {
-		case bytes.HasPrefix(line, done):
+		case bytes.HasPrefix(line, doneEvent):
 			ended = true
 		case bytes.Contains(line, []byte(`"delta"`)):
-			if !bytes.Contains(line, []byte(t.CallID)) || ended {
-				t.Outcome, t.Detail = Wrong, "an event of another call"
+			if !bytes.Contains(line, []byte(a.CallID)) || ended {
+				a.Outcome, a.Detail = Wrong, "event of another request or after the end"
 				return
 			}
 			_, content, _ := bytes.Cut(line, []byte(`"content":"`))
 			content, _, _ = bytes.Cut(content, []byte(`"`))
 			for word := range bytes.FieldsSeq(content) {
-				if string(word) != "w"+strconv.Itoa(from+t.Tokens) {
-					t.Outcome, t.Detail = Wrong, fmt.Sprintf("token %d is %q", from+t.Tokens, word)
+				if string(word) != "w"+strconv.Itoa(firstToken+a.Tokens) {
+					a.Outcome, a.Detail = Wrong, fmt.Sprintf("token %d is %q", firstToken+a.Tokens, word)
 					return
 				}
-				t.Tokens++
+				a.Tokens++
 			}
 		}
 		if err == nil {
 			continue
 		}
-		t.close(err, ended, from+t.Tokens, answer)
+		a.finish(err, ended, firstToken+a.Tokens, answer)
 		return
 	}
 }
 
-// close says how a stream came out whose reader met err, after tokens of so many.
-func (t *Attempt) close(err error, ended bool, tokens, answer int) {
+// finish sets the outcome of a stream that ended with err after the given number of tokens.
+func (a *Attempt) finish(err error, ended bool, tokens, answer int) {
 	switch {
 	case !errors.Is(err, io.EOF) || !ended:
-		t.Outcome, t.Detail = Broken, fmt.Sprint(err)
+		a.Outcome, a.Detail = Broken, fmt.Sprint(err)
 		if errors.Is(err, io.EOF) {
-			t.Outcome, t.Detail = Wrong, "a whole answer without its end"
+			a.Outcome, a.Detail = Wrong, "stream ended without [DONE]"
 		}
 	case tokens != answer:
-		t.Outcome, t.Detail = Wrong, fmt.Sprintf("%d tokens of %d", tokens, answer)
+		a.Outcome, a.Detail = Wrong, fmt.Sprintf("%d tokens, want %d", tokens, answer)
 	default:
-		t.Outcome = Served
+		a.Outcome = Served
 	}
 }
 
-// judge says whether an answer was late for its class.
-func (c *Client) judge(call *Request, t *Attempt) {
-	if t.First.IsZero() {
+// checkLatency sets Late if the response missed a latency target of its class.
+func (c *Client) checkLatency(request *Request, a *Attempt) {
+	if a.First.IsZero() {
 		return
 	}
-	k := call.Class
-	aim := k.FirstTokenTarget + time.Duration(float64(k.FirstTokenTargetPer1K)*float64(call.Prompt)/1000)
-	t.Late = t.First.Sub(t.Sent) > aim || t.End.Sub(t.First) > time.Duration(t.Tokens)*k.TokenTarget
+	class := request.Class
+	target := class.FirstTokenTarget + time.Duration(float64(class.FirstTokenTargetPer1K)*float64(request.Prompt)/1000)
+	a.Late = a.First.Sub(a.Sent) > target || a.End.Sub(a.First) > time.Duration(a.Tokens)*class.TokenTarget
 }
 
-// ValueShare is what a ledger's calls were worth in time, as a share of what they all would be.
-func ValueShare(plan []Request, tries []Attempt) float64 {
-	got := map[int]bool{}
-	for i := range tries {
-		if t := &tries[i]; t.Outcome == Served && !t.Late {
-			got[t.Request] = true
+// ValueShare returns the value of the requests that were served in time as a share of the value of all requests of the plan.
+func ValueShare(plan []Request, attempts []Attempt) float64 {
+	inTime := map[int]bool{}
+	for i := range attempts {
+		if a := &attempts[i]; a.Outcome == Served && !a.Late {
+			inTime[a.Request] = true
 		}
 	}
-	var had, all float64
+	var achieved, total float64
 	for i := range plan {
-		all += plan[i].Class.Value
-		if got[plan[i].Number] {
-			had += plan[i].Class.Value
+		total += plan[i].Class.Value
+		if inTime[plan[i].Number] {
+			achieved += plan[i].Class.Value
 		}
 	}
-	return had / max(all, 1e-9)
+	return achieved / max(total, 1e-9)
 }
--- a/internal/lab/load/load_test.go
+++ b/internal/lab/load/load_test.go
@@ -14,79 +14,78 @@
 )
 
 func TestPlan(t *testing.T) {
-	// The same seed gives the same calls; their rate is the one that is asked for, they are in order, and a session's
-	// prompts grow from turn to turn.
+	// A seed always gives the same requests, at the requested rate and in order, and the prompts of a session grow.
 	classes := Classes(1, 1)
 	plan := Plan(3, classes, 50, time.Minute, 2, ClientMix{TraceShare: 0.5, RetryMarkShare: 0.5})
 	if diff := cmp.Diff(plan, Plan(3, classes, 50, time.Minute, 2, ClientMix{TraceShare: 0.5, RetryMarkShare: 0.5})); diff != "" {
-		t.Errorf("two draws differ: %s", diff)
+		t.Errorf("two plans of one seed differ: %s", diff)
 	}
 	if rate := float64(len(plan)) / 60; math.Abs(rate-50) > 10 {
-		t.Errorf("%.1f calls a second of 50", rate)
+		t.Errorf("got %.1f requests a second, want about 50", rate)
 	}
-	last := map[uint64]int{}
-	var before time.Duration
-	carry := 0
-	for i, c := range plan {
-		if c.Number != i || c.Due < before || c.Prompt <= last[c.Session] || c.Opening > c.Prompt {
-			t.Fatalf("call %d: %+v after %v and a prompt of %d", i, c, before, last[c.Session])
+	lastPrompt := map[uint64]int{}
+	var lastDue time.Duration
+	traced := 0
+	for i, r := range plan {
+		if r.Number != i || r.Due < lastDue || r.Prompt <= lastPrompt[r.Session] || r.PrefixTokens > r.Prompt {
+			t.Fatalf("request %d: %+v after %v and a prompt of %d", i, r, lastDue, lastPrompt[r.Session])
 		}
-		before, last[c.Session] = c.Due, c.Prompt
-		if c.Carries {
-			carry++
+		lastDue, lastPrompt[r.Session] = r.Due, r.Prompt
+		if r.SendsTrace {
+			traced++
 		}
 	}
-	if share := float64(carry) / float64(len(plan)); share < 0.4 || share > 0.6 {
-		t.Errorf("%.2f carry a context", share)
+	if share := float64(traced) / float64(len(plan)); share < 0.4 || share > 0.6 {
+		t.Errorf("share of requests with a trace context is %.2f, want about 0.5", share)
 	}
 }
 
-func TestReaderFindsWhatIsWrong(t *testing.T) {
-	event := func(id, words, rest string) string {
-		return `data: {"id":"` + id + `","choices":[{"delta":{"content":"` + words + `"}}]}` + "\n\n" + rest
+func TestReadStreamDetectsIncorrectStreams(t *testing.T) {
+	event := func(id, tokens, rest string) string {
+		return `data: {"id":"` + id + `","choices":[{"delta":{"content":"` + tokens + `"}}]}` + "\n\n" + rest
 	}
 	const end = "data: [DONE]\n\n"
 	for name, c := range map[string]struct {
 		stream string
 		want   Outcome
 	}{
-		"whole":              {event("x", "w0 w1 ", event("x", "w2 ", end)), Served},
-		"a token lost":       {event("x", "w0 ", event("x", "w2 ", end)), Wrong},
-		"a token doubled":    {event("x", "w0 w1 ", event("x", "w1 w2 ", end)), Wrong},
-		"another call's":     {event("y", "w0 w1 w2 ", end), Wrong},
-		"one too few":        {event("x", "w0 w1 ", end), Wrong},
-		"without its end":    {event("x", "w0 w1 w2 ", ""), Wrong},
-		"more after its end": {event("x", "w0 w1 w2 ", end+event("x", "w3 ", "")), Wrong},
+		"whole":             {event("x", "w0 w1 ", event("x", "w2 ", end)), Served},
+		"token missing":     {event("x", "w0 ", event("x", "w2 ", end)), Wrong},
+		"token repeated":    {event("x", "w0 w1 ", event("x", "w1 w2 ", end)), Wrong},
+		"another request":   {event("y", "w0 w1 w2 ", end), Wrong},
+		"one token too few": {event("x", "w0 w1 ", end), Wrong},
+		"no end marker":     {event("x", "w0 w1 w2 ", ""), Wrong},
+		"event after end":   {event("x", "w0 w1 w2 ", end+event("x", "w3 ", "")), Wrong},
 	} {
-		try := &Attempt{CallID: "x"}
-		(&Client{}).read(strings.NewReader(c.stream), try, time.NewTimer(time.Hour), 0, 3)
-		if try.Outcome != c.want {
-			t.Errorf("%s: %s %s", name, try.Outcome, try.Detail)
+		attempt := &Attempt{CallID: "x"}
+		(&Client{}).readStream(strings.NewReader(c.stream), attempt, time.NewTimer(time.Hour), 0, 3)
+		if attempt.Outcome != c.want {
+			t.Errorf("%s: got %s (%s), want %s", name, attempt.Outcome, attempt.Detail, c.want)
 		}
 	}
 }
 
-// TestClientAgainstBox asks a box without a router between: every call is served whole, or turned away and tried again.
-func TestClientAgainstBox(t *testing.T) {
-	b := &standin.Engine{Name: "s-1", Params: model.Default(50)}
-	if err := b.Start("127.0.0.1:0", false); err != nil {
+// TestClientAgainstEngine sends requests to an engine without a router: each attempt is either served or refused.
+func TestClientAgainstEngine(t *testing.T) {
+	engine := &standin.Engine{Name: "s-1", Params: model.Default(50)}
+	if err := engine.Start("127.0.0.1:0", false); err != nil {
 		t.Fatal(err)
 	}
-	defer b.Kill()
+	defer engine.Kill()
 	classes := Classes(50, 0.05)
 	for i := range classes {
-		classes[i].Deadline = 20 * time.Second // the verdict must not hang on this machine's pace
+		classes[i].Deadline = 20 * time.Second // far above the response times of a slow machine
 	}
 	plan := Plan(1, classes, 200, 300*time.Millisecond, 1, ClientMix{TraceShare: 1})
-	var l Ledger
-	(&Client{Routers: []string{b.Addr()}, Retries: 2}).Run(context.Background(), plan, &l)
-	tries := l.Attempts()
-	if len(plan) < 20 || len(tries) < len(plan) {
-		t.Fatalf("%d tries of %d calls", len(tries), len(plan))
+	var ledger Ledger
+	(&Client{Routers: []string{engine.Addr()}, Retries: 2}).Run(context.Background(), plan, &ledger)
+	attempts := ledger.Attempts()
+	if len(plan) < 20 || len(attempts) < len(plan) {
+		t.Fatalf("got %d attempts for %d requests", len(attempts), len(plan))
 	}
-	for _, y := range tries {
-		if y.Outcome != Served && y.Outcome != Refused {
-			t.Errorf("%+v", y)
+	for _, a := range attempts {
+		if a.Outcome != Served && a.Outcome != Refused {
+			t.Errorf("got %+v, want it served or refused", a)
 		}
 	}
 }
--- a/internal/lab/standin/box.go
+++ b/internal/lab/standin/box.go
@@ -16,32 +16,32 @@
 	"notchhinge/internal/trace"
 )
 
-// Work is what a lab request says of itself, in its body's field "lab". A real engine would find it by reading.
+// Work describes the work of a lab request, in the field "lab" of its body. A real engine would derive it from the prompt.
 type Work struct {
-	Session uint64 `json:"session,string"`
-	Prefix  uint64 `json:"prefix,string"`
-	Prompt  int    `json:"prompt"`
-	Opening int    `json:"opening"` // tokens of the shared beginning
-	Answer  int    `json:"answer"`
-	From    int    `json:"from"` // first token that is wanted: the rest of a stream that broke
+	Session      uint64 `json:"session,string"`
+	Prefix       uint64 `json:"prefix,string"`
+	Prompt       int    `json:"prompt"`
+	PrefixTokens int    `json:"opening"` // of the shared prompt prefix
+	Answer       int    `json:"answer"`
+	From         int    `json:"from"` // first token to generate, to resume a broken stream
 }
 
-// Fault is something that goes wrong with a box, until it is cleared.
+// Fault is a fault that is injected into an engine until it is cleared.
 type Fault string
 
-// The faults.
+// The faults of an engine.
 const (
 	NoFault     Fault = ""
-	StallFirst  Fault = "stall-first"  // takes requests and never begins their answers
-	StallStream Fault = "stall-stream" // streams freeze after a few events
-	Reset       Fault = "reset"        // connections are reset after the request, or in mid-stream
-	Refuse      Fault = "refuse"       // turns requests away
+	StallFirst  Fault = "stall-first"  // accepts requests and never starts their responses
+	StallStream Fault = "stall-stream" // stalls streams after a few events
+	Reset       Fault = "reset"        // resets connections after the request or in mid-stream
+	Refuse      Fault = "refuse"       // answers 503 with X-Rejected
 	ServerError Fault = "error"        // answers 500
-	SlowConnect Fault = "slow-connect" // a new connection's first request waits
-	Pause       Fault = "pause"        // the whole engine stands still
+	SlowConnect Fault = "slow-connect" // delays the first request of each connection
+	Pause       Fault = "pause"        // stops the simulated engine's clock
 )
 
-// Span is a box's own span of a request, in the trace that came with it.
+// Span is an engine's span of a request, in the trace context of the request.
 type Span struct {
 	Trace  trace.TraceID
 	Parent trace.SpanID
@@ -51,204 +51,208 @@
 	End    time.Time
 }
 
-// Engine is an engine behind sockets.
+// Engine is a fake inference engine: a simulated engine of internal/lab/model behind HTTP.
 type Engine struct {
 	Name            string
 	Params          model.Params
-	OnSpan          func(Span) // gets the box's own spans; may be nil
+	OnSpan          func(Span) // called with each finished span; may be nil
 	Discovery       *Discovery
-	SecondDiscovery *Discovery                               // lists it, too; may be nil
-	OnRequest       func(box, host, id string, at time.Time) // hears of each request, its Host and its id; may be nil
+	SecondDiscovery *Discovery                                  // a second discovery service that lists the engine; may be nil
+	OnRequest       func(engine, host, id string, at time.Time) // called with each request's Host and X-Call-Id; may be nil
 
-	mu      sync.Mutex
-	addr    string
-	engine  *model.Engine
-	began   time.Time // the engine's clock starts here
-	paused  time.Time
-	still   time.Duration // the time that it stood still
-	fault   Fault
-	share   float64 // of requests that the fault strikes; 0 = all
-	strikes *rand.Rand
-	calls   map[uint64]chan model.Output
-	next    uint64
-	wake    chan struct{}
-	srv     *http.Server
-	stop    context.CancelFunc
-	ended   chan struct{}
-	life    context.Context
-	alive   bool
-	fresh   sync.Map // connections that have served nothing yet
+	mu          sync.Mutex
+	addr        string
+	simulated   *model.Engine
+	started     time.Time // zero of the simulated engine's clock
+	pausedAt    time.Time
+	pausedTotal time.Duration // duration of all finished pauses
+	fault       Fault
+	faultShare  float64 // share of the requests that the fault affects; 0 = all
+	faultRand   *rand.Rand
+	outputs     map[uint64]chan model.Output // by request
+	lastID      uint64
+	wake        chan struct{}
+	srv         *http.Server
+	stop        context.CancelFunc
+	stopped     chan struct{}
+	ctx         context.Context // done when the engine is killed
+	running     bool
+	newConns    sync.Map // remote addresses of connections without a request so far
 }
 
-// Start begins a box at a loopback address; one that is cold has just been started, another is long warm.
-func (b *Engine) Start(addr string, cold bool) error {
+// Start starts the engine at a loopback address. A cold engine has yet to warm up; any other is warm.
+func (e *Engine) Start(addr string, cold bool) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.addr = ln.Addr().String()
-	b.began, b.still, b.fault, b.paused = time.Now(), 0, NoFault, time.Time{}
-	born := -b.Params.WarmUp
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.addr = ln.Addr().String()
+	e.started, e.pausedTotal, e.fault, e.pausedAt = time.Now(), 0, NoFault, time.Time{}
+	startTime := -e.Params.WarmUp
 	var bornMS int64
 	if cold {
-		born, bornMS = 0, b.began.UnixMilli()
+		startTime, bornMS = 0, e.started.UnixMilli()
 	}
-	b.engine = model.New(b.Params, born)
-	if b.strikes == nil {
-		b.strikes = rand.New(rand.NewPCG(uint64(len(b.Name)), 11))
+	e.simulated = model.New(e.Params, startTime)
+	if e.faultRand == nil {
+		e.faultRand = rand.New(rand.NewPCG(uint64(len(e.Name)), 11))
 	}
-	b.calls, b.wake, b.ended = map[uint64]chan model.Output{}, make(chan struct{}, 1), make(chan struct{})
-	b.life, b.stop = context.WithCancel(context.Background())
-	b.alive = true
+	e.outputs, e.wake, e.stopped = map[uint64]chan model.Output{}, make(chan struct{}, 1), make(chan struct{})
+	e.ctx, e.stop = context.WithCancel(context.Background())
+	e.running = true
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", b.serve)
+	mux.HandleFunc("POST /v1/chat/completions", e.serve)
 	mux.HandleFunc("GET /health/live", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok\n") })
-	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, b.report()) })
-	b.srv = &http.Server{Handler: mux, ConnState: func(c net.Conn, s http.ConnState) {
+	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, e.stats()) })
+	e.srv = &http.Server{Handler: mux, ConnState: func(c net.Conn, s http.ConnState) {
 		switch s {
 		case http.StateNew:
-			b.fresh.Store(c.RemoteAddr().String(), true)
+			e.newConns.Store(c.RemoteAddr().String(), true)
 		case http.StateClosed, http.StateHijacked:
-			b.fresh.Delete(c.RemoteAddr().String())
+			e.newConns.Delete(c.RemoteAddr().String())
 		}
 	}}
-	go b.srv.Serve(ln)
-	go b.run(b.life, b.engine, b.ended)
-	b.set(Entry{Host: b.Name, Dial: b.addr, Site: "room", Class: "gpu", Health: "Ready", Share: 1, BornMS: bornMS})
+	go e.srv.Serve(ln)
+	go e.run(e.ctx, e.simulated, e.stopped)
+	e.announce(Entry{Host: e.Name, Dial: e.addr, Site: "room", Class: "gpu", Health: "Ready", Share: 1, BornMS: bornMS})
 	return nil
 }
 
-func (b *Engine) set(e Entry) {
-	for _, d := range []*Discovery{b.Discovery, b.SecondDiscovery} {
+// announce sends an entry to the discovery services.
+func (e *Engine) announce(entry Entry) {
+	for _, d := range []*Discovery{e.Discovery, e.SecondDiscovery} {
 		if d != nil {
-			d.Set(e)
+			d.Set(entry)
 		}
 	}
 }
 
-// Addr is where it listens, or listened.
-func (b *Engine) Addr() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.addr
+// Addr returns the address at which the engine listens, or last listened.
+func (e *Engine) Addr() string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.addr
 }
 
-// Drain has discovery tell that the box is terminating. It goes on with what it has.
-func (b *Engine) Drain() { b.tell("Terminating") }
+// Drain marks the engine as terminating in discovery. It continues to serve requests.
+func (e *Engine) Drain() { e.setHealth("Terminating") }
 
-// Deregister has discovery tell that the box is no more.
-func (b *Engine) Deregister() { b.tell("Gone") }
+// Deregister marks the engine as gone in discovery.
+func (e *Engine) Deregister() { e.setHealth("Gone") }
 
-func (b *Engine) tell(health string) {
-	b.mu.Lock()
-	e := Entry{Host: b.Name, Dial: b.addr, Site: "room", Class: "gpu", Health: health, Share: 1}
-	b.mu.Unlock()
-	b.set(e)
+func (e *Engine) setHealth(health string) {
+	e.mu.Lock()
+	entry := Entry{Host: e.Name, Dial: e.addr, Site: "room", Class: "gpu", Health: health, Share: 1}
+	e.mu.Unlock()
+	e.announce(entry)
 }
 
-// Kill ends the process at once: its connections are closed and new ones refused.
-func (b *Engine) Kill() {
-	b.mu.Lock()
-	if !b.alive {
-		b.mu.Unlock()
+// Kill stops the engine at once. Its connections are closed and new ones are refused.
+func (e *Engine) Kill() {
+	e.mu.Lock()
+	if !e.running {
+		e.mu.Unlock()
 		return
 	}
-	b.alive = false
-	srv, stop, ended := b.srv, b.stop, b.ended
-	b.mu.Unlock()
+	e.running = false
+	srv, stop, stopped := e.srv, e.stop, e.stopped
+	e.mu.Unlock()
 	stop()
 	srv.Close()
-	<-ended
+	<-stopped
 }
 
-// Rename gives the box's next life another host's name.
-func (b *Engine) Rename(name string) {
-	b.mu.Lock()
-	b.Name = name
-	b.mu.Unlock()
+// Rename sets the host name that the engine uses from its next start.
+func (e *Engine) Rename(name string) {
+	e.mu.Lock()
+	e.Name = name
+	e.mu.Unlock()
 }
 
-// SetFault puts a fault on, or takes it off. It strikes a share of requests; 0 = all.
-func (b *Engine) SetFault(f Fault, share float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.share = share
-	if b.fault == Pause && f != Pause {
-		b.still += time.Since(b.paused)
+// SetFault injects a fault, or clears it with NoFault. The fault affects the given share of requests; 0 means all.
+func (e *Engine) SetFault(f Fault, share float64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.faultShare = share
+	if e.fault == Pause && f != Pause {
+		e.pausedTotal += time.Since(e.pausedAt)
 	}
-	if f == Pause && b.fault != Pause {
-		b.paused = time.Now()
+	if f == Pause && e.fault != Pause {
+		e.pausedAt = time.Now()
 	}
-	b.fault = f
-	b.nudge()
+	e.fault = f
+	e.notify()
 }
 
-// now is the engine's time; the lock is held.
-func (b *Engine) now() time.Duration {
-	if b.fault == Pause {
-		return b.paused.Sub(b.began) - b.still
+// now returns the time of the simulated engine's clock. The caller holds mu.
+func (e *Engine) now() time.Duration {
+	if e.fault == Pause {
+		return e.pausedAt.Sub(e.started) - e.pausedTotal
 	}
-	return time.Since(b.began) - b.still
+	return time.Since(e.started) - e.pausedTotal
 }
 
-func (b *Engine) nudge() {
+// notify wakes the goroutine that runs the simulated engine.
+func (e *Engine) notify() {
 	select {
-	case b.wake <- struct{}{}:
+	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run turns the engine: one goroutine a life.
-func (b *Engine) run(ctx context.Context, e *model.Engine, ended chan<- struct{}) {
-	defer close(ended)
+// run advances the simulated engine and delivers its output. One goroutine runs it from each start until the engine is killed.
+func (e *Engine) run(ctx context.Context, simulated *model.Engine, stopped chan<- struct{}) {
+	defer close(stopped)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	var out []model.Output
 	for {
-		b.mu.Lock()
-		out = e.Advance(b.now(), out[:0])
+		e.mu.Lock()
+		out = simulated.Advance(e.now(), out[:0])
 		for _, o := range out {
-			if c := b.calls[o.ID]; c != nil {
-				c <- o // there is room for every event of an answer
+			if c := e.outputs[o.ID]; c != nil {
+				c <- o // the buffer holds every event of a response
 			}
 		}
 		wait := time.Hour
-		if at, ok := e.Next(); ok && b.fault != Pause {
-			wait = at - b.now()
+		if at, ok := simulated.Next(); ok && e.fault != Pause {
+			wait = at - e.now()
 		}
-		b.mu.Unlock()
+		e.mu.Unlock()
 		timer.Reset(max(wait, 0))
 		select {
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-b.wake:
+		case <-e.wake:
 		}
 	}
 }
 
-func (b *Engine) report() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	run, wait, unread := b.engine.Load()
-	return fmt.Sprintf("x1=%.3f,concurrent=%d", float64(unread)/1000, run+wait)
+// stats returns the load report that the router polls.
+func (e *Engine) stats() string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	running, waiting, unreadTokens := e.simulated.Load()
+	return fmt.Sprintf("x1=%.3f,concurrent=%d", float64(unreadTokens)/1000, running+waiting)
 }
 
-// strike tells whether the present fault strikes a request, and which.
-func (b *Engine) strike() Fault {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.fault == NoFault || b.share > 0 && b.strikes.Float64() >= b.share {
+// drawFault returns the fault that affects the next request, NoFault if none.
+func (e *Engine) drawFault() Fault {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.fault == NoFault || e.faultShare > 0 && e.faultRand.Float64() >= e.faultShare {
 		return NoFault
 	}
-	return b.fault
+	return e.fault
 }
 
-const maxBody = 1 << 20
+const maxBodyBytes = 1 << 20
 
-func (b *Engine) serve(w http.ResponseWriter, r *http.Request) {
+// serve handles a completion request.
+func (e *Engine) serve(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	id := r.Header.Get("X-Call-Id")
 	if id == "" {
@@ -258,36 +262,36 @@
 	var body struct {
 		Lab Work `json:"lab"`
 	}
-	text, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	text, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil || json.Unmarshal(text, &body) != nil {
 		http.Error(w, "no request of the lab", http.StatusBadRequest)
 		return
 	}
-	if b.OnRequest != nil {
-		b.mu.Lock()
-		name := b.Name
-		b.mu.Unlock()
-		b.OnRequest(name, r.Host, id, began)
+	if e.OnRequest != nil {
+		e.mu.Lock()
+		name := e.Name
+		e.mu.Unlock()
+		e.OnRequest(name, r.Host, id, began)
 	}
-	if c, ok := trace.ParseParent(r.Header.Get("Traceparent")); ok && b.OnSpan != nil {
-		b.mu.Lock()
-		name := b.Name
-		b.mu.Unlock()
+	if c, ok := trace.ParseParent(r.Header.Get("Traceparent")); ok && e.OnSpan != nil {
+		e.mu.Lock()
+		name := e.Name
+		e.mu.Unlock()
 		defer func() {
-			b.OnSpan(Span{Trace: c.Trace, Parent: c.Span, CallID: id, Host: name, Start: began, End: time.Now()})
+			e.OnSpan(Span{Trace: c.Trace, Parent: c.Span, CallID: id, Host: name, Start: began, End: time.Now()})
 		}()
 	}
-	f := b.strike()
-	if b.struck(w, r, f) {
+	fault := e.drawFault()
+	if e.injectFault(w, r, fault) {
 		return
 	}
-	b.stream(w, r, id, body.Lab, f)
+	e.stream(w, r, id, body.Lab, fault)
 }
 
-// struck has a fault befall a request before its stream, and tells whether that was its end.
-func (b *Engine) struck(w http.ResponseWriter, r *http.Request, f Fault) bool {
-	_, fresh := b.fresh.LoadAndDelete(r.RemoteAddr)
-	switch f {
+// injectFault applies a fault to a request before its stream and reports whether the request is finished.
+func (e *Engine) injectFault(w http.ResponseWriter, r *http.Request, fault Fault) bool {
+	_, newConn := e.newConns.LoadAndDelete(r.RemoteAddr)
+	switch fault {
 	case Refuse:
 		w.Header().Set("X-Rejected", "1")
 		http.Error(w, "turned away", http.StatusServiceUnavailable)
@@ -296,18 +300,18 @@
 		http.Error(w, "broken", http.StatusInternalServerError)
 		return true
 	case Reset:
-		if b.coin() {
+		if e.coin() {
 			reset(w)
 			return true
 		}
 	case StallFirst:
 		select {
 		case <-r.Context().Done():
-		case <-b.life.Done():
+		case <-e.ctx.Done():
 		}
 		return true
 	case SlowConnect:
-		if fresh {
+		if newConn {
 			select {
 			case <-time.After(300 * time.Millisecond):
 			case <-r.Context().Done():
@@ -318,63 +322,64 @@
 	return false
 }
 
-func (b *Engine) coin() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.strikes.IntN(2) == 0
+// coin draws true with probability 1/2.
+func (e *Engine) coin() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.faultRand.IntN(2) == 0
 }
 
-// reset ends a connection as a process that dies does.
+// reset closes a connection with a TCP reset, as when the process is killed.
 func reset(w http.ResponseWriter) {
-	c, _, err := http.NewResponseController(w).Hijack()
+	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
-	if tcp, ok := c.(*net.TCPConn); ok {
+	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
-	c.Close()
+	conn.Close()
 }
 
-// cutShort ends a stream by a reset, or leaves it without another event until somebody else ends it.
-func (b *Engine) cutShort(w http.ResponseWriter, r *http.Request, f Fault) {
-	if f == Reset {
+// interrupt resets the connection of a stream, or stalls the stream until the client or the engine closes it.
+func (e *Engine) interrupt(w http.ResponseWriter, r *http.Request, fault Fault) {
+	if fault == Reset {
 		reset(w)
 		return
 	}
 	select {
 	case <-r.Context().Done():
-	case <-b.life.Done():
+	case <-e.ctx.Done():
 	}
 }
 
-// stream has the engine make the answer, and writes its events. Every token says its number, so that a reader can tell
-// whether one was lost, doubled or invented.
-func (b *Engine) stream(w http.ResponseWriter, r *http.Request, id string, work Work, f Fault) {
+// stream runs the request on the simulated engine and writes the events of the response. Each token contains its number, so
+// that a client detects missing, repeated and unexpected tokens.
+func (e *Engine) stream(w http.ResponseWriter, r *http.Request, id string, work Work, fault Fault) {
 	answer := max(work.Answer-work.From, 1)
 	out := make(chan model.Output, answer+1)
-	b.mu.Lock()
-	b.next++
-	number := b.next
-	ok := b.engine.Arrive(b.now(), model.Request{
+	e.mu.Lock()
+	e.lastID++
+	number := e.lastID
+	ok := e.simulated.Arrive(e.now(), model.Request{
 		ID: number, Session: work.Session, Prefix: work.Prefix, Prompt: work.Prompt + work.From,
-		PrefixTokens: work.Opening, Answer: answer,
+		PrefixTokens: work.PrefixTokens, Answer: answer,
 	})
 	if ok {
-		b.calls[number] = out
-		b.nudge()
+		e.outputs[number] = out
+		e.notify()
 	}
-	b.mu.Unlock()
+	e.mu.Unlock()
 	if !ok {
 		w.Header().Set("X-Rejected", "1")
 		http.Error(w, "full", http.StatusServiceUnavailable)
 		return
 	}
 	defer func() {
-		b.mu.Lock()
-		delete(b.calls, number)
-		b.engine.Cancel(number)
-		b.mu.Unlock()
+		e.mu.Lock()
+		delete(e.outputs, number)
+		e.simulated.Cancel(number)
+		e.mu.Unlock()
 	}()
 	flush := http.NewResponseController(w).Flush
 	var event []byte
@@ -384,11 +389,11 @@
 		case o = <-out:
 		case <-r.Context().Done():
 			return
-		case <-b.life.Done():
+		case <-e.ctx.Done():
 			panic(http.ErrAbortHandler)
 		}
-		if events == 2 && (f == StallStream || f == Reset) {
-			b.cutShort(w, r, f)
+		if events == 2 && (fault == StallStream || fault == Reset) {
+			e.interrupt(w, r, fault)
 			return
 		}
 		if events == 0 {
@@ -411,6 +416,7 @@
 	}
 }
 
+// appendEvent appends an SSE event with count tokens, numbered from first.
 func appendEvent(b []byte, id string, first, count int, done bool) []byte {
 	b = append(b, `data: {"id":"`...)
 	b = append(b, id...)
--- a/internal/lab/standin/collector.go
+++ b/internal/lab/standin/collector.go
@@ -15,19 +15,19 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Mode is what a collector does with calls.
+// Mode determines how a collector responds to requests.
 type Mode int32
 
-// The modes.
+// The modes of a collector.
 const (
 	Accepting   Mode = iota
-	Hanging          // takes a call and never answers it
-	Throttling       // 429 with Retry-After: 1
-	Unavailable      // 503 without
-	Rejecting        // 400
+	Hanging          // reads requests and never answers
+	Throttling       // answers 429 with Retry-After: 1
+	Unavailable      // answers 503 without Retry-After
+	Rejecting        // answers 400
 )
 
-// Collector takes spans by OTLP over HTTP.
+// Collector is a fake trace collector that receives spans by OTLP over HTTP.
 type Collector struct {
 	mode  atomic.Int32
 	calls atomic.Int64
@@ -40,7 +40,7 @@
 	bytes int64
 }
 
-// StartCollector listens at a loopback address.
+// StartCollector starts a collector at a loopback address.
 func StartCollector(addr string) (*Collector, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -48,32 +48,32 @@
 	}
 	c := &Collector{addr: ln.Addr().String(), done: make(chan struct{})}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/traces", c.take)
+	mux.HandleFunc("POST /v1/traces", c.export)
 	c.srv = &http.Server{Handler: mux}
 	go c.srv.Serve(ln)
 	return c, nil
 }
 
-// URL is where spans are sent.
+// URL returns the address to which spans are sent.
 func (c *Collector) URL() string { return "http://" + c.addr + "/v1/traces" }
 
-// Close ends it.
+// Close stops the collector.
 func (c *Collector) Close() error { close(c.done); return c.srv.Close() }
 
-// SetMode changes what it does with calls from now on.
+// SetMode sets how the collector responds to further requests.
 func (c *Collector) SetMode(m Mode) { c.mode.Store(int32(m)) }
 
-// Calls tells how many calls have come.
+// Calls returns the number of requests received so far.
 func (c *Collector) Calls() int { return int(c.calls.Load()) }
 
-// Spans returns all spans so far, and how many bytes they took on the wire, uncompressed.
+// Spans returns the spans received so far and their size in bytes, uncompressed.
 func (c *Collector) Spans() ([]*tracepb.Span, int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.spans[:len(c.spans):len(c.spans)], c.bytes
 }
 
-func (c *Collector) take(w http.ResponseWriter, r *http.Request) {
+func (c *Collector) export(w http.ResponseWriter, r *http.Request) {
 	c.calls.Add(1)
 	switch Mode(c.mode.Load()) {
 	case Hanging:
@@ -103,8 +103,8 @@
 		}
 		body = z
 	}
-	const most = 64 << 20
-	text, err := io.ReadAll(io.LimitReader(body, most))
+	const maxBodyBytes = 64 << 20
+	text, err := io.ReadAll(io.LimitReader(body, maxBodyBytes))
 	var req collectorpb.ExportTraceServiceRequest
 	if err == nil {
 		err = proto.Unmarshal(text, &req)
@@ -121,31 +121,31 @@
 		}
 	}
 	c.mu.Unlock()
-	answer, err := proto.Marshal(&collectorpb.ExportTraceServiceResponse{})
+	response, err := proto.Marshal(&collectorpb.ExportTraceServiceResponse{})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/x-protobuf")
-	_, _ = w.Write(answer)
+	_, _ = w.Write(response)
 }
 
-// StringAttribute returns a span's attribute as a text; numbers and flags are not texts.
-func StringAttribute(s *tracepb.Span, key string) string { return value(s, key).GetStringValue() }
+// StringAttribute returns the string attribute of a span, "" if it is missing or of another type.
+func StringAttribute(s *tracepb.Span, key string) string { return attribute(s, key).GetStringValue() }
 
-// IntAttribute returns a span's attribute as a number.
-func IntAttribute(s *tracepb.Span, key string) int64 { return value(s, key).GetIntValue() }
+// IntAttribute returns the integer attribute of a span, 0 if it is missing or of another type.
+func IntAttribute(s *tracepb.Span, key string) int64 { return attribute(s, key).GetIntValue() }
 
-// StringsAttribute returns a span's attribute as a list of texts.
+// StringsAttribute returns the string array attribute of a span, nil if it is missing or of another type.
 func StringsAttribute(s *tracepb.Span, key string) []string {
 	var all []string
-	for _, v := range value(s, key).GetArrayValue().GetValues() {
+	for _, v := range attribute(s, key).GetArrayValue().GetValues() {
 		all = append(all, v.GetStringValue())
 	}
 	return all
 }
 
-func value(s *tracepb.Span, key string) *commonpb.AnyValue {
+func attribute(s *tracepb.Span, key string) *commonpb.AnyValue {
 	for _, a := range s.Attributes {
 		if a.Key == key {
 			return a.Value
@@ -154,5 +154,5 @@
 	return nil
 }
 
-// Hex writes an id of a span as a reader knows it.
+// Hex returns a trace or span ID as hexadecimal digits.
 func Hex(id []byte) string { return hex.EncodeToString(id) }
--- a/internal/lab/standin/discovery.go
+++ b/internal/lab/standin/discovery.go
@@ -1,5 +1,5 @@
-// Package standin holds the lab's stand-ins for the parties around a router, on loopback sockets: discovery, boxes (the
-// engines of internal/lab/model behind HTTP) and a collector. They know nothing of what a router decides.
+// Package standin provides fakes of the services around a router on loopback sockets: the discovery service, inference engines
+// (the simulated engines of internal/lab/model behind HTTP) and a trace collector.
 package standin
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Entry is a box as discovery tells it.
+// Entry describes an engine in the list of the discovery service.
 type Entry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -25,34 +25,34 @@
 	BornMS int64   `json:"born_ms"`
 }
 
-// List is an answer of discovery.
+// List is a response of the discovery service: the whole list, or the entries that changed.
 type List struct {
 	Seq   int     `json:"seq"`
 	Whole bool    `json:"whole"`
 	Hosts []Entry `json:"hosts"`
 }
 
-// Discovery is the list of boxes and its watches.
+// Discovery is a fake discovery service. Clients read its list of engines and watch it by long polling.
 type Discovery struct {
-	Delay time.Duration // a change is told so much later
+	Delay time.Duration // delay before a change becomes visible
 
 	mu      sync.Mutex
 	seq     int
 	entries map[string]Entry
-	changed map[string]int // at which version an entry changed last
-	news    chan struct{}
+	changed map[string]int // sequence number of an entry's last change
+	updated chan struct{}  // closed at the next change
 	srv     *http.Server
 	addr    string
 }
 
-// StartDiscovery listens at a loopback address ("127.0.0.1:0" takes any port).
+// StartDiscovery starts a discovery service at a loopback address; "127.0.0.1:0" selects a free port.
 func StartDiscovery(addr string, delay time.Duration) (*Discovery, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	d := &Discovery{
-		Delay: delay, entries: map[string]Entry{}, changed: map[string]int{}, news: make(chan struct{}), addr: ln.Addr().String(),
+		Delay: delay, entries: map[string]Entry{}, changed: map[string]int{}, updated: make(chan struct{}), addr: ln.Addr().String(),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", d.serve)
@@ -61,21 +61,21 @@
 	return d, nil
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the service listens.
 func (d *Discovery) Addr() string { return d.addr }
 
-// Close ends it and all watches.
+// Close stops the service and ends all watches.
 func (d *Discovery) Close() error { return d.srv.Close() }
 
-// Set changes an entry; it is told after the delay.
+// Set adds or replaces an entry. The change becomes visible after Delay.
 func (d *Discovery) Set(e Entry) {
 	set := func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.seq++
 		d.entries[e.Host], d.changed[e.Host] = e, d.seq
-		close(d.news)
-		d.news = make(chan struct{})
+		close(d.updated)
+		d.updated = make(chan struct{})
 	}
 	if d.Delay > 0 {
 		time.AfterFunc(d.Delay, set)
@@ -84,13 +84,14 @@
 	set()
 }
 
-// Snapshot is the whole list, as a router is told it at its start.
+// Snapshot returns the whole list.
 func (d *Discovery) Snapshot() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.since(-1)
 }
 
+// since returns the entries that changed after a sequence number; a negative one selects the whole list. The caller holds mu.
 func (d *Discovery) since(after int) List {
 	l := List{Seq: d.seq, Whole: after < 0, Hosts: []Entry{}}
 	for name, e := range d.entries {
@@ -118,7 +119,7 @@
 	defer timeout.Stop()
 	for waiting := true; ; {
 		d.mu.Lock()
-		l, news := d.since(after), d.news
+		l, updated := d.since(after), d.updated
 		d.mu.Unlock()
 		if l.Whole || len(l.Hosts) > 0 || !waiting {
 			w.Header().Set("Content-Type", "application/json")
@@ -126,7 +127,7 @@
 			return
 		}
 		select {
-		case <-news:
+		case <-updated:
 		case <-timeout.C:
 			waiting = false
 		case <-r.Context().Done():
