--- a/internal/lab/bootfile/bootfile.go
+++ b/internal/lab/bootfile/bootfile.go
@@ -1,6 +1,6 @@
-// Package bootfile writes the settings file of a fleet's process on loopback, for labs and tests. It has the keys as the
-// platform writes them, apart from the package that reads them (internal/config/nodeconfig), so that either shows a mistake
-// in the other.
+// Package bootfile writes the boot file of a fleet process on loopback, for the lab and for tests. It spells out the keys of
+// the platform's format instead of sharing them with the reader (internal/config/nodeconfig), so that a mistake in either
+// package makes a test fail.
 package bootfile
 
 import (
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// Process is what the platform tells a process. A zero field that is not noted here stands in the file as it is.
+// Process holds the settings of one process. Zero values are written to the file unless the field's comment says otherwise.
 type Process struct {
 	Name, Zone        string
 	IP                string
 	InternalPort      int
-	SeedNodes         []string // control addresses
-	ControlPlane      string   // addresses; Frontend and Readiness are a router's
-	Frontend          string   // "" = none
-	Readiness         string
-	DataDir           string // of a replica; "" = it is a router
-	Bootstrap         bool   // it is the fleet's first start
+	SeedNodes         []string // control-plane addresses
+	ControlPlane      string   // listen address
+	Frontend          string   // listen address of a router; "" = Frontend and Readiness are omitted
+	Readiness         string   // listen address of a router
+	DataDir           string   // of a replica; "" = the process is a router
+	Bootstrap         bool     // first start of the fleet
 	HeartbeatInterval time.Duration
 
 	Cores, MemoryMB, MaxOpenFiles int
-	MachineFaults                 int // machines that may be lost at once
+	MachineFaults                 int // number of simultaneous machine failures to tolerate
 	Bounds                        map[string]any
-	CloudAPI                      string   // the platform's address
-	Duties                        []string // what the fleet does for the platform
-	Region                        string   // "" = it does not stand in the file
-	Regions                       map[string]string
-	Extra                         map[string]any // further keys
+	CloudAPI                      string            // the platform's address
+	Duties                        []string          // roles that the fleet performs for the platform
+	Region                        string            // "" = Region and Regions are omitted
+	Regions                       map[string]string // region by zone
+	Extra                         map[string]any    // additional top-level keys
 }
 
-// Settings are the keys and values of the file.
+// Settings returns the keys and values of the boot file.
 func (p *Process) Settings() map[string]any {
 	listeners := map[string]any{"control_plane": p.ControlPlane}
 	s := map[string]any{
@@ -60,16 +60,16 @@
 	return s
 }
 
-// Write writes the file at path, for its owner only, and makes a replica's data directory if it is not there.
+// Write writes the boot file to path, readable by its owner only, and creates the data directory of a replica.
 func (p *Process) Write(path string) error {
 	if p.DataDir != "" {
 		if err := os.MkdirAll(p.DataDir, 0o700); err != nil {
-			return fmt.Errorf("data directory of %s: %w", p.Name, err)
+			return fmt.Errorf("create data directory of %s: %w", p.Name, err)
 		}
 	}
 	b, err := json.Marshal(p.Settings())
 	if err != nil {
-		return fmt.Errorf("settings of %s: %w", p.Name, err)
+		return fmt.Errorf("encode settings of %s: %w", p.Name, err)
 	}
 	return os.WriteFile(path, b, 0o600)
 }
--- a/internal/lab/bootfile/bootfile_test.go
+++ b/internal/lab/bootfile/bootfile_test.go
@@ -9,8 +9,8 @@
 	"notchhinge/internal/config/nodeconfig"
 )
 
-// TestProcessIsReadAsItWasMeant: a replica's and a router's file are accepted, with the roles that were meant.
-func TestProcessIsReadAsItWasMeant(t *testing.T) {
+// TestNodeconfigReadsBootFile checks that nodeconfig reads the files of a replica and a router with the intended values.
+func TestNodeconfigReadsBootFile(t *testing.T) {
 	dir := t.TempDir()
 	for name, c := range map[string]struct {
 		change    func(*Process)
@@ -34,26 +34,26 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			type read struct {
+			type settings struct {
 				name, zone, region, cloudAPI string
 				isReplica, isRouter, scales  bool
 				heartbeat                    time.Duration
 				leaseMS, machineFaults       int
-				gracePeriodS                 float64 // not in the file: the reader's default
+				gracePeriodS                 float64 // missing from the file; nodeconfig's default
 			}
-			want := read{
+			want := settings{
 				name: name, zone: "a", region: "r", cloudAPI: "127.0.0.1:5", isReplica: c.isReplica, isRouter: !c.isReplica, scales: true,
 				heartbeat: 300 * time.Millisecond, leaseMS: 1500, machineFaults: 1, gracePeriodS: 6,
 			}
-			if got := (read{
+			if got := (settings{
 				name: got.NodeName, zone: got.Zone, region: got.Region, cloudAPI: got.CloudAPI.Address, isReplica: got.IsReplica(),
 				isRouter: got.Listeners.Frontend != "", scales: got.CloudAPI.HasRole("autoscaler"), heartbeat: got.HeartbeatInterval(),
 				leaseMS: got.Bounds.LeaseMS, machineFaults: got.FaultTolerance.Machines, gracePeriodS: got.Bounds.GracePeriodS,
 			}); got != want {
-				t.Errorf("%+v, want %+v", got, want)
+				t.Errorf("got %+v, want %+v", got, want)
 			}
 			if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
-				t.Errorf("%v %v: it may hold what others must not read", info, err)
+				t.Errorf("got %v, %v; want a file with mode 0600, as it may hold secrets", info, err)
 			}
 		})
 	}
--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -1,6 +1,6 @@
-// Package system puts a whole fleet on one machine's loopback, for newcomers and for trying things out: processes of the
-// program itself, and engines, an operator, a platform and clients of our own, which follow the platform's public protocol.
-// It plays troubles on a timeline and counts what clients got and what must not happen. It is lab code: no part of the router.
+// Package system runs a whole fleet on loopback for the lab: processes of the program itself, fake engines, a fake platform,
+// an operator and clients. The fakes follow the platform's public protocol. It injects faults on a timeline and counts the
+// results of the clients and violations of the fleet's guarantees.
 package system
 
 import (
@@ -28,35 +28,35 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Options say what is played.
+// Options configure a run.
 type Options struct {
-	Binary       string // notchhinge
-	OtherBinary  string // another build of it, which every second process runs; "" = all run Binary
-	SwapBinaries bool   // with Mixed: a process that starts again runs the build that it has not run before
-	Dir          string // for settings, disks and logs
+	Binary       string // path of notchhinge
+	OtherBinary  string // path of another build, which every second process runs; "" = all run Binary
+	SwapBinaries bool   // with OtherBinary: a restarted process switches to the other build
+	Dir          string // for settings, data and logs
 	Routers      int
 	Engines      int
-	Rate         float64 // requests a second
+	Rate         float64 // requests per second
 	Length       time.Duration
 	Seed         uint64
 	InjectFaults bool
 	Out          io.Writer
 }
 
-// Report is what came of it.
+// Report holds the results of a run.
 type Report struct {
 	Asked, Served, Late, Refused, Failed int
 	P50, P99                             time.Duration
-	RanTwice                             int                  // requests that ran twice and may not
-	AfterDrain                           int                  // requests that reached an engine past its drain
-	Windows, ConflictingReports          int                  // of usage: reported, and with two figures
-	Traffic                              map[string][2]uint64 // by cause: bytes, and those between zones
+	RanTwice                             int                  // non-idempotent requests that were executed twice
+	AfterDrain                           int                  // requests that reached an engine after its drain
+	Windows, ConflictingReports          int                  // reported usage windows, and contradictory reports of a window
+	Traffic                              map[string][2]uint64 // by cause: bytes in total and between zones
 }
 
-// Violations tells what must not happen and has.
+// Violations returns a line for each guarantee that the run violated.
 func (r *Report) Violations() (all []string) {
 	for what, n := range map[string]int{
-		"requests ran twice that may not": r.RanTwice, "requests reached an engine past its drain": r.AfterDrain, "windows were reported with two figures": r.ConflictingReports,
+		"non-idempotent requests were executed twice": r.RanTwice, "requests reached an engine after its drain": r.AfterDrain, "usage reports contradicted an earlier report": r.ConflictingReports,
 	} {
 		if n > 0 {
 			all = append(all, fmt.Sprintf("%d %s", n, what))
@@ -67,72 +67,72 @@
 }
 
 const (
-	beat     = 300 * time.Millisecond
-	drain    = 1200 * time.Millisecond
-	aim      = 400 * time.Millisecond
-	timeout  = 3 * time.Second
-	host     = "lab.example"
-	key      = "a-key-of-the-lab"
-	firstNet = 60 // 127.60.x.1
+	heartbeatInterval = 300 * time.Millisecond
+	drainTimeout      = 1200 * time.Millisecond
+	targetLatency     = 400 * time.Millisecond
+	requestTimeout    = 3 * time.Second
+	hostname          = "lab.example"
+	apiKey            = "a-key-of-the-lab"
+	secondOctet       = 60 // machines have the addresses 127.60.x.1
 )
 
-// machine is where a process runs.
+// machine is a loopback address with a process of the fleet.
 type machine struct {
-	name, ip, zone        string
-	front, ready, control string
-	dir                   string
-	isReplica             bool
-	mixed                 bool // it runs Options.Mixed
-	cmd                   *exec.Cmd
-	log                   *os.File
+	name, ip, zone               string
+	frontend, readiness, control string
+	dir                          string
+	isReplica                    bool
+	runsOther                    bool // runs Options.OtherBinary
+	cmd                          *exec.Cmd
+	log                          *os.File
 }
 
-// system is all of it.
+// system is a running fleet.
 type system struct {
 	Options
-	machines []*machine
-	inner    int
-	ctl      int
-	seeds    []string
-	platform *platform
-	engines  []*engine
-	mu       sync.Mutex
-	ups      []*machine // routers that are ready
-	latency  []time.Duration
-	report   Report
-	now      Report // of this second
+	machines      []*machine
+	internalPort  int
+	controlPort   int
+	seedNodes     []string
+	platform      *platform
+	engines       []*engine
+	mu            sync.Mutex
+	readyRouters  []*machine
+	latency       []time.Duration // of served requests
+	report        Report
+	currentSecond Report // counts since the last printed line
 }
 
-// FreePort finds a port that nobody has at any of the addresses.
+// FreePort returns a port that is free on all the given addresses.
 func FreePort(ips []string) (int, error) {
 	for range 50 {
 		port := 20000 + rand.IntN(20000)
-		all := true
+		free := true
 		for _, ip := range ips {
 			ln, err := net.Listen("tcp4", net.JoinHostPort(ip, strconv.Itoa(port)))
 			if err != nil {
-				all = false
+				free = false
 				break
 			}
 			ln.Close()
 		}
-		if all {
+		if free {
 			return port, nil
 		}
 	}
-	return 0, errors.New("no free port was found on loopback")
+	return 0, errors.New("no free port found on loopback")
 }
 
-// Run starts everything, plays it, and stops it.
+// Run starts a fleet, runs the load and the faults of the options, and stops the fleet.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	s := &system{Options: o, report: Report{Traffic: map[string][2]uint64{}}}
 	var ips []string
 	for i := range 3 + o.Routers {
-		m := &machine{name: fmt.Sprintf("router-%d", i-2), ip: fmt.Sprintf("127.%d.%d.1", firstNet, i+1), zone: string(rune('a' + i%3))}
+		m := &machine{name: fmt.Sprintf("router-%d", i-2), ip: fmt.Sprintf("127.%d.%d.1", secondOctet, i+1), zone: string(rune('a' + i%3))}
 		if i < 3 {
 			m.name, m.isReplica = fmt.Sprintf("replica-%d", i+1), true
 		}
-		m.mixed = o.OtherBinary != "" && i%2 == 1
+		m.runsOther = o.OtherBinary != "" && i%2 == 1
 		s.machines = append(s.machines, m)
 		ips = append(ips, m.ip)
 	}
@@ -149,12 +149,12 @@
 			}
 		}
 	}
-	s.inner, s.ctl = ports[0], ports[1]
+	s.internalPort, s.controlPort = ports[0], ports[1]
 	for _, m := range s.machines {
-		m.control = fmt.Sprintf("%s:%d", m.ip, s.ctl)
-		m.front, m.ready = fmt.Sprintf("%s:%d", m.ip, ports[2]), fmt.Sprintf("%s:%d", m.ip, ports[3])
+		m.control = fmt.Sprintf("%s:%d", m.ip, s.controlPort)
+		m.frontend, m.readiness = fmt.Sprintf("%s:%d", m.ip, ports[2]), fmt.Sprintf("%s:%d", m.ip, ports[3])
 		if m.isReplica {
-			s.seeds = append(s.seeds, m.control)
+			s.seedNodes = append(s.seedNodes, m.control)
 		}
 	}
 	var err error
@@ -168,30 +168,30 @@
 			return nil, err
 		}
 	}
-	return s.play(ctx)
+	return s.runTimeline(ctx)
 }
 
-// start starts a machine's process; first says that it is the system's first start.
+// start starts the process of a machine. first marks the first start of the fleet.
 func (s *system) start(m *machine, first bool) error {
 	m.dir = filepath.Join(s.Dir, m.name)
 	if err := os.MkdirAll(m.dir, 0o700); err != nil {
 		return err
 	}
-	b := bootfile.Process{
-		Name: m.name, Zone: m.zone, IP: m.ip, InternalPort: s.inner, SeedNodes: s.seeds, ControlPlane: m.control, Bootstrap: first, HeartbeatInterval: beat,
+	process := bootfile.Process{
+		Name: m.name, Zone: m.zone, IP: m.ip, InternalPort: s.internalPort, SeedNodes: s.seedNodes, ControlPlane: m.control, Bootstrap: first, HeartbeatInterval: heartbeatInterval,
 		Cores: 1, MemoryMB: 256, MaxOpenFiles: 2048, MachineFaults: 1, CloudAPI: s.platform.addr, Duties: []string{"usage_reporting", "autoscaler"},
 		Bounds: map[string]any{
-			"drain_timeout_ms": drain.Milliseconds(), "grace_period_s": 6, "lease_ms": 1500, "usage_window_s": 2,
+			"drain_timeout_ms": drainTimeout.Milliseconds(), "grace_period_s": 6, "lease_ms": 1500, "usage_window_s": 2,
 			"usage_delay_s": 2, "retry_budget_ratio": 0.2, "retry_window_s": 10, "retry_extra": 20,
 		},
 	}
 	if m.isReplica {
-		b.DataDir = filepath.Join(m.dir, "data")
+		process.DataDir = filepath.Join(m.dir, "data")
 	} else {
-		b.Frontend, b.Readiness = m.front, m.ready
+		process.Frontend, process.Readiness = m.frontend, m.readiness
 	}
 	path := filepath.Join(m.dir, "boot.json")
-	if err := b.Write(path); err != nil {
+	if err := process.Write(path); err != nil {
 		return err
 	}
 	if m.log == nil {
@@ -201,293 +201,294 @@
 		}
 	}
 	if s.SwapBinaries && !first {
-		m.mixed = !m.mixed
+		m.runsOther = !m.runsOther
 	}
-	program := s.Binary
-	if m.mixed {
-		program = s.OtherBinary
+	binary := s.Binary
+	if m.runsOther {
+		binary = s.OtherBinary
 	}
-	m.cmd = exec.Command(program, "node") //nolint:noctx // stop drains it, which a context would cut short
+	m.cmd = exec.Command(binary, "node") //nolint:noctx // stop shuts it down gracefully; a context would kill it
 	m.cmd.Env = append(os.Environ(), "NOTCHHINGE_BOOT="+path)
 	m.cmd.Stdout, m.cmd.Stderr = m.log, m.log
 	return m.cmd.Start()
 }
 
-// kill ends a process at once, and waits until it is gone.
+// kill kills the machine's process and waits for its exit.
 func (m *machine) kill() {
 	if m.cmd != nil {
-		_ = m.cmd.Process.Kill() // it may have ended
-		_ = m.cmd.Wait()         // with "killed"
+		_ = m.cmd.Process.Kill() // fails if the process has exited
+		_ = m.cmd.Wait()         // reports the kill as an error
 		m.cmd = nil
 	}
 }
 
-// stop shuts everything down gracefully, replicas last.
+// stop shuts the fleet down gracefully, with the replicas last, and closes the engines.
 func (s *system) stop() {
-	all := slices.Clone(s.machines) // engines may still be reading the list
+	all := slices.Clone(s.machines) // engines may still read s.machines
 	slices.Reverse(all)
 	for _, m := range all {
 		if m.cmd != nil {
-			_ = m.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
+			_ = m.cmd.Process.Signal(syscall.SIGTERM) // fails if the process has exited
 		}
 	}
 	for _, m := range all {
 		if m.cmd != nil {
-			end := time.AfterFunc(8*time.Second, func() { _ = m.cmd.Process.Kill() })
-			_ = m.cmd.Wait() // how it ends is in its log
-			end.Stop()
+			killTimer := time.AfterFunc(8*time.Second, func() { _ = m.cmd.Process.Kill() })
+			_ = m.cmd.Wait() // the exit status is of no interest; its log has the reason
+			killTimer.Stop()
 		}
 		if m.log != nil {
-			_ = m.log.Close() // the process wrote it
+			_ = m.log.Close() // only the process writes to it
 		}
 	}
 	for _, e := range s.engines {
-		e.web.Close()
+		e.server.Close()
 	}
 }
 
-// says prints a line of what happens.
-func (s *system) says(began time.Time, format string, args ...any) {
-	fmt.Fprintf(s.Out, "%5.1f s  %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
+// logf prints an event with the time since started.
+func (s *system) logf(started time.Time, format string, args ...any) {
+	fmt.Fprintf(s.Out, "%5.1f s  %s\n", time.Since(started).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// CallControlPlane makes a call of the control plane.
+// CallControlPlane sends v as CBOR to a control-plane URL and returns the status and body of the response.
 func CallControlPlane(method, url string, header map[string]string, v any) (int, []byte, error) {
-	b, err := cbor.Marshal(v)
+	body, err := cbor.Marshal(v)
 	if err != nil {
 		return 0, nil, err
 	}
-	req, err := http.NewRequestWithContext(context.Background(), method, url, bytes.NewReader(b)) // bounded by the client's time-out
+	req, err := http.NewRequestWithContext(context.Background(), method, url, bytes.NewReader(body)) // bounded by the client's timeout
 	if err != nil {
 		return 0, nil, err
 	}
-	for k, x := range header {
-		req.Header.Set(k, x)
+	for name, value := range header {
+		req.Header.Set(name, value)
 	}
 	resp, err := (&http.Client{Timeout: 3 * time.Second}).Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	out, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
-	return resp.StatusCode, out, err
+	response, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
+	return resp.StatusCode, response, err
 }
 
-// configure is the operator: it sends a version until there is a clear answer.
-func (s *system) configure(ctx context.Context, on, revision int, reads float64) error {
-	route := func(name, prefix, kind string, attempts int, timeout float64) map[string]any {
+// configure replaces the fleet's configuration as an operator does. It retries until a process accepts or rejects the revision.
+func (s *system) configure(ctx context.Context, base, revision int, readTimeoutMS float64) error {
+	route := func(name, prefix, kind string, attempts int, timeoutMS float64) map[string]any {
 		return map[string]any{
-			"name": name, "hostname": host, "path_prefix": prefix, "route_type": kind, "timeout_ms": timeout,
-			"target_latency_ms": aim.Milliseconds(), "target_service": "lab", "max_attempts": attempts, "session_affinity": kind == "streaming",
+			"name": name, "hostname": hostname, "path_prefix": prefix, "route_type": kind, "timeout_ms": timeoutMS,
+			"target_latency_ms": targetLatency.Milliseconds(), "target_service": "lab", "max_attempts": attempts, "session_affinity": kind == "streaming",
 		}
 	}
-	v := map[string]any{
+	configuration := map[string]any{
 		"revision": revision,
 		"routes": []any{
-			route("chat", "/chat/", "streaming", 2, float64(timeout.Milliseconds())), route("read", "/read/", "idempotent", 3, reads),
-			route("write", "/write/", "non_idempotent", 2, float64(timeout.Milliseconds())),
+			route("chat", "/chat/", "streaming", 2, float64(requestTimeout.Milliseconds())), route("read", "/read/", "idempotent", 3, readTimeoutMS),
+			route("write", "/write/", "non_idempotent", 2, float64(requestTimeout.Milliseconds())),
 		},
 		"services": []any{map[string]any{"name": "lab", "health_path": "/health", "max_connections": 100, "protocol": "h1"}},
-		"tenants":  []any{map[string]any{"name": "newcomer", "api_keys": []string{key}}},
+		"tenants":  []any{map[string]any{"name": "newcomer", "api_keys": []string{apiKey}}},
 	}
 	for ctx.Err() == nil {
 		m := s.machines[rand.IntN(len(s.machines))]
-		code, says, err := CallControlPlane("POST", "http://"+m.control+"/Configuration.Replace", map[string]string{"X-Revision-Match": strconv.Itoa(on)}, v)
+		code, response, err := CallControlPlane("POST", "http://"+m.control+"/Configuration.Replace", map[string]string{"X-Revision-Match": strconv.Itoa(base)}, configuration)
 		if err == nil && code == 200 {
 			return nil
 		}
 		if err == nil && code < 500 {
-			return fmt.Errorf("the configuration got %d: %s", code, says)
+			return fmt.Errorf("configuration rejected with status %d: %s", code, response)
 		}
-		pause(ctx, 100*time.Millisecond)
+		sleep(ctx, 100*time.Millisecond)
 	}
 	return ctx.Err()
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until the context is done.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
 	}
 }
 
-// look keeps the list of routers that are ready, as the platform's entry does.
-func (s *system) look(ctx context.Context) {
+// pollReadiness keeps the list of ready routers up to date, as the platform's load balancer does.
+func (s *system) pollReadiness(ctx context.Context) {
 	client := http.Client{Timeout: time.Second}
 	for ctx.Err() == nil {
-		var ups []*machine
+		var ready []*machine
 		for _, m := range s.machines {
 			if m.isReplica {
 				continue
 			}
-			req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.ready+"/", nil)
+			req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.readiness+"/", nil)
 			if err != nil {
 				continue
 			}
 			if resp, err := client.Do(req); err == nil {
 				resp.Body.Close()
 				if resp.StatusCode == 200 {
-					ups = append(ups, m)
+					ready = append(ready, m)
 				}
 			}
 		}
 		s.mu.Lock()
-		s.ups = ups
+		s.readyRouters = ready
 		s.mu.Unlock()
-		pause(ctx, 300*time.Millisecond)
+		sleep(ctx, 300*time.Millisecond)
 	}
 }
 
-func (s *system) ready() int {
+func (s *system) readyCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.ups)
+	return len(s.readyRouters)
 }
 
-// play plays the timeline.
-func (s *system) play(ctx context.Context) (*Report, error) {
-	began := time.Now()
+// runTimeline starts the engines, waits until the fleet is ready, runs the load and the faults, and collects the results.
+func (s *system) runTimeline(ctx context.Context) (*Report, error) {
+	started := time.Now()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	setUp, done := context.WithTimeout(ctx, 30*time.Second)
-	defer done()
+	setUp, cancelSetUp := context.WithTimeout(ctx, 30*time.Second)
+	defer cancelSetUp()
 	for i := range s.Engines {
 		if err := s.addEngine(ctx, i); err != nil {
 			return nil, err
 		}
 	}
 	if err := s.configure(setUp, 0, 1, 2000); err != nil {
-		return nil, fmt.Errorf("no configuration was taken: %w", err)
+		return nil, fmt.Errorf("configure the fleet: %w", err)
 	}
-	s.says(began, "revision 1 is acknowledged by the replicas")
-	go s.look(ctx)
-	for s.ready() < s.Routers && setUp.Err() == nil {
-		pause(setUp, 50*time.Millisecond)
+	s.logf(started, "revision 1 is acknowledged by the replicas")
+	go s.pollReadiness(ctx)
+	for s.readyCount() < s.Routers && setUp.Err() == nil {
+		sleep(setUp, 50*time.Millisecond)
 	}
 	if setUp.Err() != nil {
-		return nil, fmt.Errorf("only %d of %d routers are ready; logs are in %s", s.ready(), s.Routers, s.Dir)
-	}
-	s.says(began, "%d routers and %d replicas serve before %d engines", s.Routers, 3, s.Engines)
-	began = time.Now()
-	var wait sync.WaitGroup
-	playing, over := context.WithTimeout(ctx, s.Length)
-	defer over()
-	wait.Go(func() { s.clients(playing) })
-	wait.Go(func() { s.each(playing, began) })
+		return nil, fmt.Errorf("only %d of %d routers are ready; logs are in %s", s.readyCount(), s.Routers, s.Dir)
+	}
+	s.logf(started, "%d routers and %d replicas serve, with %d engines", s.Routers, 3, s.Engines)
+	started = time.Now()
+	var tasks sync.WaitGroup
+	running, cancelRunning := context.WithTimeout(ctx, s.Length)
+	defer cancelRunning()
+	tasks.Go(func() { s.generateLoad(running) })
+	tasks.Go(func() { s.printProgress(running, started) })
 	if s.InjectFaults {
-		wait.Go(func() { s.troubles(playing, began) })
+		tasks.Go(func() { s.injectFaults(running, started) })
 	}
-	wait.Wait()
-	pause(ctx, 4*time.Second) // for the last window of usage
+	tasks.Wait()
+	sleep(ctx, 4*time.Second) // for the last usage window
 	s.collect()
 	return &s.report, nil
 }
 
-// each prints a line a second.
-func (s *system) each(ctx context.Context, began time.Time) {
-	tick := time.NewTicker(time.Second)
-	defer tick.Stop()
+// printProgress prints the counts of each second.
+func (s *system) printProgress(ctx context.Context, started time.Time) {
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		s.mu.Lock()
-		n := s.now
-		s.now = Report{}
-		ups := len(s.ups)
+		n := s.currentSecond
+		s.currentSecond = Report{}
+		ready := len(s.readyRouters)
 		s.mu.Unlock()
-		s.says(began, "asked %3d  served %3d  late %2d  refused %2d  failed %2d   routers ready %d", n.Asked, n.Served, n.Late, n.Refused, n.Failed, ups)
+		s.logf(started, "asked %3d  served %3d  late %2d  refused %2d  failed %2d   routers ready %d", n.Asked, n.Served, n.Late, n.Refused, n.Failed, ready)
 	}
 }
 
-// troubles plays what happens.
-func (s *system) troubles(ctx context.Context, began time.Time) {
+// injectFaults injects the faults and makes the operator's changes at fixed shares of the run.
+func (s *system) injectFaults(ctx context.Context, started time.Time) {
 	at := func(share float64) bool {
-		pause(ctx, time.Until(began.Add(time.Duration(share*float64(s.Length)))))
+		sleep(ctx, time.Until(started.Add(time.Duration(share*float64(s.Length)))))
 		return ctx.Err() == nil
 	}
 	router, replica := s.machines[3], s.machines[1]
 	if at(0.15) {
-		s.says(began, "%s is killed", router.name)
+		s.logf(started, "%s is killed", router.name)
 		router.kill()
 	}
 	if at(0.25) {
-		s.says(began, "%s starts again", router.name)
+		s.logf(started, "%s restarts", router.name)
 		if err := s.start(router, false); err != nil {
-			s.says(began, "it does not: %v", err)
+			s.logf(started, "restart failed: %v", err)
 		}
 	}
 	if at(0.35) {
-		s.says(began, "%s is killed, and its disk is lost", replica.name)
+		s.logf(started, "%s is killed and its data directory is deleted", replica.name)
 		replica.kill()
 		if err := os.RemoveAll(filepath.Join(replica.dir, "data")); err != nil {
-			s.says(began, "it is not: %v", err)
+			s.logf(started, "cannot delete the data directory: %v", err)
 		}
 	}
 	if at(0.42) {
 		if err := s.configure(ctx, 1, 2, 1500); err == nil {
-			s.says(began, "revision 2 is acknowledged by the two that are left")
+			s.logf(started, "revision 2 is acknowledged by the two remaining replicas")
 		}
 	}
 	if at(0.5) {
-		s.says(began, "%s starts with an empty folder, to become a voter again", replica.name)
+		s.logf(started, "%s restarts with an empty data directory, to rejoin as a voter", replica.name)
 		if err := s.start(replica, false); err != nil {
-			s.says(began, "it does not: %v", err)
+			s.logf(started, "restart failed: %v", err)
 		}
 	}
 	if at(0.6) {
-		s.says(began, "%s drains, and ends", s.engines[0].id)
-		go s.engines[0].leave(ctx, s)
+		s.logf(started, "%s drains and stops", s.engines[0].id)
+		go s.engines[0].shutDown(ctx, s)
 	}
 	if s.OtherBinary != "" && at(0.65) {
-		s.restartOnDisk(s.machines[2], began)
+		s.restartWithData(s.machines[2], started)
 	}
 	if at(0.72) {
 		last := s.machines[len(s.machines)-1]
-		s.says(began, "%s is frozen for 1.5 s", last.name)
-		_ = last.cmd.Process.Signal(syscall.SIGSTOP) // if it has ended, the report has its loss
-		pause(ctx, 1500*time.Millisecond)
+		s.logf(started, "%s is frozen for 1.5 s", last.name)
+		_ = last.cmd.Process.Signal(syscall.SIGSTOP) // an exited process shows in the report
+		sleep(ctx, 1500*time.Millisecond)
 		_ = last.cmd.Process.Signal(syscall.SIGCONT) // likewise
 	}
 	if at(0.85) {
-		s.says(began, "%s crashes without a word", s.engines[1].id)
+		s.logf(started, "%s crashes without deregistering", s.engines[1].id)
 		s.engines[1].crash()
 	}
 	if s.OtherBinary != "" && at(0.9) {
 		if err := s.configure(ctx, 2, 3, 1400); err == nil {
-			s.says(began, "revision 3 is acknowledged")
+			s.logf(started, "revision 3 is acknowledged")
 		}
 	}
 }
 
-// restartOnDisk has a machine start again with the disk that its last process left, which may be of the other build.
-func (s *system) restartOnDisk(m *machine, began time.Time) {
+// restartWithData kills the process of a machine and starts it with the existing data, which another build may have written.
+func (s *system) restartWithData(m *machine, started time.Time) {
 	m.kill()
 	if err := s.start(m, false); err != nil {
-		s.says(began, "%s does not start again: %v", m.name, err)
+		s.logf(started, "%s failed to restart: %v", m.name, err)
 		return
 	}
-	s.says(began, "%s is killed and starts again upon its disk", m.name)
+	s.logf(started, "%s is killed and restarts with its data", m.name)
 }
 
-// collect adds up what processes and the platform know at the end.
+// collect completes the report with data from the processes, the engines and the platform.
 func (s *system) collect() {
 	for _, m := range s.machines {
-		code, b, err := CallControlPlane("GET", "http://"+m.control+"/fleet/status", nil, nil)
-		var st struct {
+		code, body, err := CallControlPlane("GET", "http://"+m.control+"/fleet/status", nil, nil)
+		var status struct {
 			Account []struct {
 				Cause          string
 				Bytes, Between uint64
 			}
 		}
-		if err != nil || code != 200 || json.Unmarshal(b, &st) != nil {
+		if err != nil || code != 200 || json.Unmarshal(body, &status) != nil {
 			continue
 		}
-		for _, r := range st.Account {
-			x := s.report.Traffic[r.Cause]
-			s.report.Traffic[r.Cause] = [2]uint64{x[0] + r.Bytes, x[1] + r.Between}
+		for _, account := range status.Account {
+			sum := s.report.Traffic[account.Cause]
+			s.report.Traffic[account.Cause] = [2]uint64{sum[0] + account.Bytes, sum[1] + account.Between}
 		}
 	}
 	s.mu.Lock()
@@ -498,21 +499,21 @@
 	}
 	for _, e := range s.engines {
 		e.mu.Lock()
-		for id, n := range e.ran {
+		for id, n := range e.executions {
 			if n > 1 && !strings.HasPrefix(id, "read") {
 				s.report.RanTwice++
 			}
 		}
-		s.report.AfterDrain += e.past
+		s.report.AfterDrain += e.afterDrain
 		e.mu.Unlock()
 	}
-	ran := map[string]int{}
+	executedBy := map[string]int{} // number of engines by request ID
 	for _, e := range s.engines {
-		for id := range e.ran {
-			if ran[id]++; ran[id] == 2 && !strings.HasPrefix(id, "read") {
+		for id := range e.executions {
+			if executedBy[id]++; executedBy[id] == 2 && !strings.HasPrefix(id, "read") {
 				s.report.RanTwice++
 			}
 		}
 	}
-	s.report.Windows, s.report.ConflictingReports = s.platform.counts()
+	s.report.Windows, s.report.ConflictingReports = s.platform.totals()
 }
