--- a/internal/testutil/golden/golden.go
+++ b/internal/testutil/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden compares encodings with files under a package's testdata/golden. The files hold what the program wrote at
-// 38814e2, so that a process, a disk or a client of that version and later ones read each other. A file is changed only
-// together with the version of its format: go test ./internal/x -update-golden writes those of a package anew.
+// Package golden compares encodings with the files in a package's testdata/golden directory. The files hold the output of
+// commit 38814e2 and guard compatibility with that version on the wire and on disk. A file changes only together with the
+// version of its format; go test ./internal/x -update-golden rewrites the files of a package.
 package golden
 
 import (
@@ -17,20 +17,20 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update-golden", false, "write the files under testdata/golden anew")
+var update = flag.Bool("update-golden", false, "rewrite the files in testdata/golden")
 
 const (
 	dir       = "testdata/golden"
-	lineBytes = 32 // of a .hex file, so that a difference is seen in a review
+	lineBytes = 32 // per line of a .hex file, to keep diffs readable
 )
 
-// Updating tells whether the files are written anew instead of compared.
+// Updating reports whether the test run rewrites the files instead of comparing them.
 func Updating() bool { return *update }
 
-// Path returns the path of a golden file or folder.
+// Path returns the path of the named golden file or directory, relative to the package.
 func Path(name string) string { return filepath.Join(dir, name) }
 
-// Read returns a file's bytes. One whose name ends in .hex holds them as hexadecimal digits.
+// Read returns the contents of a golden file. Files with the extension .hex are decoded from hexadecimal digits.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
 	b, err := os.ReadFile(Path(name))
@@ -47,14 +47,14 @@
 	return b
 }
 
-// Check fails the test unless got is what the file holds.
+// Check fails the test unless got equals the contents of the file.
 func Check(t testing.TB, name string, got []byte) {
 	t.Helper()
 	if *update {
 		write(t, name, got)
 	}
 	if want := Read(t, name); !bytes.Equal(want, got) {
-		t.Errorf("%s: the bytes have changed\nwant %x\ngot  %x", name, want, got)
+		t.Errorf("%s: encoding differs from the golden file\nwant %x\ngot  %x", name, want, got)
 	}
 }
 
@@ -77,8 +77,8 @@
 	}
 }
 
-// RoundTrip fails the test unless value is encoded to the file's bytes, these are decoded to value, and what was decoded is
-// encoded to the same bytes again. Unexported fields are compared, too.
+// RoundTrip fails the test unless value encodes to the contents of the file, the file decodes to value, and the decoded value
+// encodes to the same bytes. The comparison includes unexported fields.
 func RoundTrip[T any](t testing.TB, name string, value T, encode func(T) []byte, decode func([]byte) (T, error)) {
 	t.Helper()
 	Check(t, name, encode(value))
@@ -90,11 +90,11 @@
 	}
 	Equal(t, name, value, got)
 	if again := encode(got); !bytes.Equal(b, again) {
-		t.Errorf("%s: what was decoded is encoded to other bytes\nwant %x\ngot  %x", name, b, again)
+		t.Errorf("%s: the decoded value encodes to different bytes\nwant %x\ngot  %x", name, b, again)
 	}
 }
 
-// Equal fails the test unless two values are the same, unexported fields among them.
+// Equal fails the test unless want and got are equal, including their unexported fields.
 func Equal(t testing.TB, name string, want, got any) {
 	t.Helper()
 	exported := cmp.Exporter(func(reflect.Type) bool { return true })
@@ -104,7 +104,7 @@
 	}
 }
 
-// CopyFolder copies a golden folder to a temporary one, which the test may change.
+// CopyFolder copies a golden directory to a temporary directory that the test may modify, and returns its path.
 func CopyFolder(t testing.TB, name string) string {
 	t.Helper()
 	to := filepath.Join(t.TempDir(), filepath.Base(name))
@@ -114,7 +114,7 @@
 	return to
 }
 
-// SaveFolder replaces a golden folder by another one, but for the files named.
+// SaveFolder replaces a golden directory with a copy of from, leaving out the files named in without.
 func SaveFolder(t testing.TB, name, from string, without ...string) {
 	t.Helper()
 	if err := os.RemoveAll(Path(name)); err != nil {
--- a/internal/testutil/replay/replay.go
+++ b/internal/testutil/replay/replay.go
@@ -1,12 +1,12 @@
-// Package replay plays recorded byte exchanges against the program's network code, for tests. A recording is a text file:
+// Package replay replays recorded byte exchanges against network code under test. A recording is a text file:
 //
 //	# a comment
 //	> bytes that the peer sends, escaped as in a Go string
 //	< bytes that the program must send; consecutive lines are one write
-//	! word ...   a step of the test, or one of: close, closed, wait 5s
+//	! word ...   a step defined by the test, or one of: close, closed, wait 5s
 //
-// close closes the connection from the peer's side, closed expects that the program has closed it, and wait lets that much time
-// pass.
+// The step close closes the peer's end of the connection, closed expects that the program has closed its end, and wait sleeps
+// for the given duration.
 package replay
 
 import (
@@ -22,23 +22,23 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// readTimeout bounds a read. It is of the synctest bubble's time, and costs nothing.
+// readTimeout bounds a read. It elapses on the fake clock of the synctest bubble.
 const readTimeout = time.Hour
 
-// Steps are a test's own steps, by their first word; they get the rest of the line.
+// Steps maps the first word of a step to the test's function, which receives the rest of the line.
 type Steps map[string]func(rest string)
 
-// player plays one recording.
+// player replays one recording.
 type player struct {
 	t     *testing.T
 	conn  net.Conn
 	path  string
 	lines []string
-	at    int // index of the present line
+	at    int // index of the current line
 	steps Steps
 }
 
-// Play plays the file against the program at the other end of conn. It must run in a synctest bubble.
+// Play replays the recording at path, acting as the peer on conn. It must run in a synctest bubble.
 func Play(t *testing.T, conn net.Conn, path string, steps Steps) {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -60,7 +60,7 @@
 			p.step(word, rest)
 		case "", "#":
 		default:
-			p.fatalf("%q is no step", kind)
+			p.fatalf("unknown line prefix %q", kind)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	p.t.Fatalf("%s:%d: "+format, append([]any{p.path, p.at + 1}, args...)...)
 }
 
-// expect reads what the program must send by this line and those that continue it.
+// expect reads one write of the program and compares it with the current line and its continuation lines.
 func (p *player) expect(rest string) {
 	p.t.Helper()
 	first, want := p.at, p.unquote(rest)
@@ -100,11 +100,11 @@
 		if err != nil {
 			p.fatalf("%v", err)
 		}
-		time.Sleep(d) // of the bubble's own time
+		time.Sleep(d) // on the bubble's fake clock
 	default:
 		step := p.steps[word]
 		if step == nil {
-			p.fatalf("%q is no step", word)
+			p.fatalf("unknown step %q", word)
 		}
 		step(rest)
 	}
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -1,13 +1,13 @@
-// Package main is knownred, the part of CI that passes over the tests in KNOWN-RED.txt.
+// Command knownred excludes the known failing tests in KNOWN-RED.txt from the main test run and verifies that they still fail.
 //
-// The file has one line for each test that fails for a real fault which is not mended yet: the test, its cause and its
-// issue, parted by commas, where the test is its package's folder, a dot and its name.
+// The file has one line for each test that fails because of an unfixed defect: the test, the cause and the issue, separated
+// by commas. The test is written as its package's directory, a dot and its name.
 //
 //	internal/node.TestFleet/frozen, the lease is not taken over while a replica is frozen, issue 39
 //
-// It has three lines at most, and need not exist. "knownred skip PACKAGE" prints the pattern for go test's -skip that leaves
-// out PACKAGE's listed tests, "knownred packages" the folders that have any, and "knownred run" runs each listed test alone: it
-// must exist and fail.
+// The file has at most three lines and may be missing. "knownred skip PACKAGE" prints the pattern for go test's -skip flag that
+// excludes the listed tests of PACKAGE. "knownred packages" prints the directories with listed tests. "knownred run" runs each
+// listed test alone and fails unless the test exists and fails.
 package main
 
 import (
@@ -20,9 +20,9 @@
 )
 
 const (
-	path    = "KNOWN-RED.txt"
-	maxRed  = 3
-	skipped = "^$" // matches no test: tests have names
+	path      = "KNOWN-RED.txt"
+	maxKnown  = 3
+	matchNone = "^$" // matches no test name
 )
 
 func main() {
@@ -37,7 +37,7 @@
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("read: %w", err)
 	}
-	list, err := parse(string(text))
+	list, err := parseList(string(text))
 	if err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 	return errors.New("usage: knownred packages | skip PACKAGE | run")
 }
 
-// goTest runs one test of a package alone and returns go test's events. That the test fails is no error.
+// goTest runs one test of a package and returns the events of go test -json. A failing test is not an error.
 func goTest(folder, pattern string) ([]byte, error) {
 	cmd := exec.CommandContext(context.Background(), "go", "test", "-race", "-count=1", "-json", "-run", pattern, "./"+folder)
 	cmd.Stderr = os.Stderr
--- a/tools/knownred/red.go
+++ b/tools/knownred/red.go
@@ -12,42 +12,42 @@
 	"strings"
 )
 
-// red is one test of the file.
-type red struct {
-	folder string // of its package, from the module's root
-	test   string // as go test prints it: TestFleet/frozen
+// knownFailure is one line of KNOWN-RED.txt.
+type knownFailure struct {
+	folder string // package directory, relative to the module root
+	test   string // as go test prints it, for example TestFleet/frozen
 	cause  string
 	issue  string
 }
 
-var line = regexp.MustCompile(`^([\w./-]+)\.(Test[^,\s]+), (.*\S), (issue \d+)$`)
+var linePattern = regexp.MustCompile(`^([\w./-]+)\.(Test[^,\s]+), (.*\S), (issue \d+)$`)
 
-// parse reads the file's text. Empty lines do not count.
-func parse(text string) ([]red, error) {
-	var list []red
+// parseList parses the contents of KNOWN-RED.txt. Blank lines are ignored.
+func parseList(text string) ([]knownFailure, error) {
+	var list []knownFailure
 	for l := range strings.Lines(text) {
 		l = strings.TrimSpace(l)
 		if l == "" {
 			continue
 		}
-		m := line.FindStringSubmatch(l)
+		m := linePattern.FindStringSubmatch(l)
 		if m == nil {
-			return nil, fmt.Errorf("%q is not FOLDER.TEST, CAUSE, issue NUMBER", l)
+			return nil, fmt.Errorf("%q does not have the form FOLDER.TEST, CAUSE, issue NUMBER", l)
 		}
-		r := red{folder: m[1], test: m[2], cause: m[3], issue: m[4]}
-		if slices.ContainsFunc(list, func(o red) bool { return o.folder == r.folder && o.test == r.test }) {
+		r := knownFailure{folder: m[1], test: m[2], cause: m[3], issue: m[4]}
+		if slices.ContainsFunc(list, func(o knownFailure) bool { return o.folder == r.folder && o.test == r.test }) {
 			return nil, fmt.Errorf("%s.%s is listed twice", r.folder, r.test)
 		}
 		list = append(list, r)
 	}
-	if len(list) > maxRed {
-		return nil, fmt.Errorf("%d tests are listed, %d at most", len(list), maxRed)
+	if len(list) > maxKnown {
+		return nil, fmt.Errorf("%d tests are listed; the maximum is %d", len(list), maxKnown)
 	}
 	return list, nil
 }
 
-// pattern matches r's test and no other, for go test's -run and -skip.
-func (r red) pattern() string {
+// pattern returns a pattern for go test's -run and -skip flags that matches only r's test.
+func (r knownFailure) pattern() string {
 	parts := strings.Split(r.test, "/")
 	for i, p := range parts {
 		parts[i] = "^" + regexp.QuoteMeta(p) + "$"
@@ -55,7 +55,8 @@
 	return strings.Join(parts, "/")
 }
 
-func skipPattern(list []red, folder string) string {
+// skipPattern returns the -skip pattern for the listed tests of a package directory.
+func skipPattern(list []knownFailure, folder string) string {
 	var all []string
 	for _, r := range list {
 		if r.folder == folder {
@@ -63,12 +64,12 @@
 		}
 	}
 	if all == nil {
-		return skipped
+		return matchNone
 	}
 	return strings.Join(all, "|")
 }
 
-func printPackages(out io.Writer, list []red) error {
+func printPackages(out io.Writer, list []knownFailure) error {
 	var folders []string
 	for _, r := range list {
 		folders = append(folders, r.folder)
@@ -82,27 +83,27 @@
 	return nil
 }
 
-// runAll runs each listed test with test, prints it, and returns an error for each that does not fail.
-func runAll(out io.Writer, list []red, test func(folder, pattern string) ([]byte, error)) error {
-	var faults []error
+// runAll runs each listed test with runTest, prints those that fail, and returns an error for each that does not fail.
+func runAll(out io.Writer, list []knownFailure, runTest func(folder, pattern string) ([]byte, error)) error {
+	var errs []error
 	for _, r := range list {
-		events, err := test(r.folder, r.pattern())
+		events, err := runTest(r.folder, r.pattern())
 		if err == nil {
-			err = r.judge(events)
+			err = r.checkFailed(events)
 		}
 		if err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 			continue
 		}
 		if _, err := fmt.Fprintf(out, "known red: %s.%s: %s (%s)\n", r.folder, r.test, r.cause, r.issue); err != nil {
 			return err
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// judge returns nil if by the events of go test -json r's test has failed.
-func (r red) judge(events []byte) error {
+// checkFailed returns nil if events, the output of go test -json, report that r's test failed.
+func (r knownFailure) checkFailed(events []byte) error {
 	outcome := ""
 	for s := bufio.NewScanner(bytes.NewReader(events)); s.Scan(); {
 		var e struct{ Action, Test string }
@@ -118,9 +119,9 @@
 	case "fail":
 		return nil
 	case "pass":
-		return fmt.Errorf("%s.%s passes: take its line out", r.folder, r.test)
+		return fmt.Errorf("%s.%s passes: remove its line", r.folder, r.test)
 	case "skip":
-		return fmt.Errorf("%s.%s skips itself: a listed test has to run and fail", r.folder, r.test)
+		return fmt.Errorf("%s.%s skips itself: a listed test must run and fail", r.folder, r.test)
 	}
-	return fmt.Errorf("%s.%s did not run: there is no such test, or its package does not build", r.folder, r.test)
+	return fmt.Errorf("%s.%s did not run: the test does not exist or its package does not build", r.folder, r.test)
 }
--- a/tools/knownred/red_test.go
+++ b/tools/knownred/red_test.go
@@ -11,11 +11,11 @@
 const frozen = "internal/node.TestFleet/frozen, the lease, once lost, is not taken over, issue 39\n"
 
 func TestParse(t *testing.T) {
-	list, err := parse("\n" + frozen)
+	list, err := parseList("\n" + frozen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := red{folder: "internal/node", test: "TestFleet/frozen", cause: "the lease, once lost, is not taken over", issue: "issue 39"}
+	want := knownFailure{folder: "internal/node", test: "TestFleet/frozen", cause: "the lease, once lost, is not taken over", issue: "issue 39"}
 	if len(list) != 1 || list[0] != want {
 		t.Errorf("got %+v, want %+v", list, want)
 	}
@@ -29,14 +29,14 @@
 		"more than 3":  "a.TestA, c, issue 1\na.TestB, c, issue 1\na.TestC, c, issue 1\na.TestD, c, issue 1\n",
 		"a whole file": "a, b\n" + frozen,
 	} {
-		if list, err := parse(text); err == nil {
-			t.Errorf("%s: read as %+v", name, list)
+		if list, err := parseList(text); err == nil {
+			t.Errorf("%s: parsed as %+v, want an error", name, list)
 		}
 	}
 }
 
 func TestSkipPattern(t *testing.T) {
-	list, err := parse(frozen + "internal/node.TestA.b, cause, issue 1\ninternal/other.TestC, cause, issue 1\n")
+	list, err := parseList(frozen + "internal/node.TestA.b, cause, issue 1\ninternal/other.TestC, cause, issue 1\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,16 +44,16 @@
 		t.Errorf("got %s, want %s", got, want)
 	}
 	if regexp.MustCompile(skipPattern(list, "internal/third")).MatchString("TestC") {
-		t.Error("a package that is not listed leaves a test out")
+		t.Error("the pattern for an unlisted package skips a test")
 	}
 	var out bytes.Buffer
 	if err := printPackages(&out, list); err != nil || out.String() != "internal/node\ninternal/other\n" {
-		t.Errorf("packages: %q, %v", out.String(), err)
+		t.Errorf("packages: got %q, %v", out.String(), err)
 	}
 }
 
 func TestRunAll(t *testing.T) {
-	list, err := parse(frozen)
+	list, err := parseList(frozen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,29 +61,29 @@
 	for name, c := range map[string]struct {
 		events string
 		err    error
-		says   string
+		want   string // part of the error; "" = no error
 	}{
 		"fails":         {events: parent + `{"Action":"fail","Test":"TestFleet/frozen"}`},
-		"passes":        {events: `{"Action":"pass","Test":"TestFleet/frozen"}`, says: "passes"},
-		"skips":         {events: `{"Action":"skip","Test":"TestFleet/frozen"}`, says: "skips itself"},
-		"only a parent": {events: parent, says: "did not run"},
-		"does not run":  {events: `{"Action":"pass","Package":"p"}`, says: "did not run"},
-		"no go test":    {err: errors.New("no go"), says: "no go"},
+		"passes":        {events: `{"Action":"pass","Test":"TestFleet/frozen"}`, want: "passes"},
+		"skips":         {events: `{"Action":"skip","Test":"TestFleet/frozen"}`, want: "skips itself"},
+		"only a parent": {events: parent, want: "did not run"},
+		"does not run":  {events: `{"Action":"pass","Package":"p"}`, want: "did not run"},
+		"no go test":    {err: errors.New("no go"), want: "no go"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
 			err := runAll(&out, list, func(folder, pattern string) ([]byte, error) {
 				if folder != "internal/node" || pattern != "^TestFleet$/^frozen$" {
-					t.Errorf("runs %s in %s", pattern, folder)
+					t.Errorf("ran %s in %s", pattern, folder)
 				}
 				return []byte(c.events), c.err
 			})
-			if c.says == "" {
+			if c.want == "" {
 				if err != nil || !strings.HasPrefix(out.String(), "known red: internal/node.TestFleet/frozen: the lease") {
-					t.Errorf("%v; printed %q", err, out.String())
+					t.Errorf("got error %v and output %q", err, out.String())
 				}
-			} else if err == nil || !strings.Contains(err.Error(), c.says) {
-				t.Errorf("got %v, want %q", err, c.says)
+			} else if err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("got error %v, want one that contains %q", err, c.want)
 			}
 		})
 	}
--- a/tools/testcount/main.go
+++ b/tools/testcount/main.go
@@ -1,7 +1,7 @@
-// Package main is testcount, which reads what go test -json prints, passes a line on for each package and all that a failed
-// test has said, and counts the tests and subtests that have run to their end: a skipped one has not. It fails if a test has
-// failed, or if fewer have run than a file says, so that no test is lost without a word. With -without, so many fewer may
-// have run: those of KNOWN-RED.txt.
+// Command testcount reads the output of go test -json, prints the result of each package and the output of failed tests, and
+// counts the tests and subtests that passed or failed; skipped ones do not count. It fails if a test failed or if fewer tests
+// ran than a file requires, so that no test disappears unnoticed. The flag -without lowers the required numbers by the number
+// of tests in KNOWN-RED.txt.
 //
 //	go test -json ./... | testcount [-least FILE [-without N]]
 package main
@@ -20,17 +20,17 @@
 // event is a line of go test -json.
 type event struct {
 	Action, Package, Test, Output string
-	ImportPath                    string // of a package that does not build
+	ImportPath                    string // set in build-output and build-fail events
 }
 
-// counts are numbers of tests that have run.
+// counts holds the numbers of tests and subtests that ran.
 type counts struct{ tests, subtests int }
 
-var errFailed = errors.New("a test has failed")
+var errFailed = errors.New("a test failed")
 
 func main() {
-	file := flag.String("least", "", "a file with the least numbers, as lab/net/test-count has them")
-	without := flag.Int("without", 0, "so many fewer tests and subtests may have run")
+	file := flag.String("least", "", "file with the minimum numbers, in the format of lab/net/test-count")
+	without := flag.Int("without", 0, "number by which the tests and subtests may fall below the minimum")
 	flag.Parse()
 	if err := run(os.Stdin, os.Stdout, *file, *without); err != nil {
 		fmt.Fprintln(os.Stderr, "testcount:", err)
@@ -53,24 +53,24 @@
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	if n.tests < least.tests-without || n.subtests < least.subtests-without {
-		return fmt.Errorf("%d tests and %d subtests have run; %s wants %d and %d", n.tests, n.subtests, file, least.tests, least.subtests)
+		return fmt.Errorf("%d tests and %d subtests ran; %s requires %d and %d", n.tests, n.subtests, file, least.tests, least.subtests)
 	}
 	return nil
 }
 
-// count counts, and passes on what is worth reading.
+// count counts the tests and prints package results and the output of failed tests.
 func count(in io.Reader, out io.Writer) (n counts, err error) {
-	said := map[string][]string{} // by package and test, until its end
+	output := map[string][]string{} // of running tests, by package and test
 	lines := bufio.NewReader(in)
 	for {
 		line, end := lines.ReadBytes('\n')
 		if len(line) > 0 {
 			var e event
-			if json.Unmarshal(line, &e) != nil { // of the go command itself
+			if json.Unmarshal(line, &e) != nil { // printed by the go command itself
 				fmt.Fprintf(out, "%s", line)
 				e = event{}
 			}
-			if take(&e, said, out, &n) {
+			if handleEvent(&e, output, out, &n) {
 				err = errFailed
 			}
 		}
@@ -83,18 +83,18 @@
 	}
 }
 
-// take takes an event in, and tells whether something has failed.
-func take(e *event, said map[string][]string, out io.Writer, n *counts) (failed bool) {
+// handleEvent processes one event and reports whether it is a failure.
+func handleEvent(e *event, output map[string][]string, out io.Writer, n *counts) (failed bool) {
 	id := e.Package + " " + e.Test
 	switch e.Action {
 	case "output":
-		if e.Test == "" { // a package's own lines: its result, a panic, what TestMain says
+		if e.Test == "" { // package output: the result, a panic, output of TestMain
 			if !strings.HasPrefix(e.Output, "PASS") && !strings.Contains(e.Output, "[no test files]") {
 				fmt.Fprint(out, e.Output)
 			}
 			return false
 		}
-		said[id] = append(said[id], e.Output)
+		output[id] = append(output[id], e.Output)
 	case "build-output":
 		fmt.Fprint(out, e.Output)
 	case "pass", "fail":
@@ -106,16 +106,16 @@
 			n.tests++
 		}
 		if e.Action == "fail" {
-			for _, line := range said[id] {
+			for _, line := range output[id] {
 				fmt.Fprint(out, line)
 			}
 		}
-		delete(said, id)
+		delete(output, id)
 		return e.Action == "fail"
 	case "build-fail":
 		return true
 	case "skip":
-		delete(said, id)
+		delete(output, id)
 	}
 	return false
 }
