--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -62,7 +62,7 @@
 }
 
 // traceSent records an attempt in the trace and returns the span that it carries, or nil if tracing is off.
-func (p *pool) traceSent(req *request, att *attempt, h *Host) *trace.Carried {
+func (p *pool) traceSent(req *request, att *attempt, h *Host) *trace.AttemptSpan {
 	d := p.dispatcher
 	if d.traces == nil {
 		return nil
@@ -71,7 +71,7 @@
 	if h != nil {
 		host = *h
 	}
-	return d.traces.Sent(d.now, req.id, req.trace, att.id.Index, host.Name, host.Addr)
+	return d.traces.StartAttempt(d.now, req.id, req.trace, att.id.Index, host.Name, host.Addr)
 }
 
 // Explain implements policy.Actions.
@@ -80,7 +80,7 @@
 		return
 	}
 	if req := p.findRequest(id); req != nil {
-		p.dispatcher.traces.Because(id, req.trace, reason)
+		p.dispatcher.traces.SetReason(id, req.trace, reason)
 	}
 }
 
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment reads experiment files and runs them: it has a fleet started, clients ask and troubles happen, and
-// judges what the ledger and the collector say by the bars of its kind.
+// Package experiment loads and runs experiments that TOML files describe. It starts a fleet, sends requests, injects faults,
+// and checks the clients' ledger and the collected traces against the acceptance criteria of the experiment's kind.
 package experiment
 
 import (
@@ -26,51 +26,51 @@
 type File struct {
 	Name  string `toml:"name"`
 	About string `toml:"about"`
-	Kind  string `toml:"kind"` // one of kinds
+	Kind  string `toml:"kind"` // a key of runners
 	Seed  uint64 `toml:"seed"`
 
 	Fleet struct {
 		Routers  int     `toml:"routers"`
-		Boxes    int     `toml:"boxes"`
-		Speed    float64 `toml:"speed"` // times of the deployment's page are divided by this
-		Size     float64 `toml:"size"`  // and tokens multiplied by this
-		Cores    float64 `toml:"cores"` // of a router
+		Engines  int     `toml:"boxes"`
+		Speed    float64 `toml:"speed"` // time scale: durations of a real deployment are divided by this
+		Size     float64 `toml:"size"`  // token counts of a real deployment are multiplied by this
+		Cores    float64 `toml:"cores"` // of each router
 		MemoryMB int     `toml:"memory_mb"`
 		Sockets  int     `toml:"sockets"`
 	} `toml:"fleet"`
 	Traffic struct {
-		Rate    float64           `toml:"rate"` // calls a second
+		Rate    float64           `toml:"rate"` // requests per second
 		Length  tomlfile.Duration `toml:"length"`
 		Carry   float64           `toml:"carry"` // share of sessions that send a trace context
 		Mark    float64           `toml:"mark"`  // share of sessions that mark retries
 		Retries int               `toml:"retries"`
-		Clients int               `toml:"clients"` // of kind cost: connections that ask one after another
+		Clients int               `toml:"clients"` // kind cost only: connections, each with one request at a time
 	} `toml:"traffic"`
 	Trace struct {
 		Share float64 `toml:"share"`
 	} `toml:"trace"`
 	Services struct {
-		Rate float64 `toml:"rate"` // calls a second that the second service's boxes can just carry
-	} `toml:"services"` // of kinds services, reloads and shared: the second service; fleet and traffic are the first's
-	Rounds  int       `toml:"rounds"` // of kind cost and services: pairs; of kind reloads: reloads
-	Trouble []Trouble `toml:"trouble"`
-	Short   struct {
+		Rate float64 `toml:"rate"` // requests per second that saturate the second service's engines
+	} `toml:"services"` // kinds services, reloads and shared only: the second service; Fleet and Traffic describe the first
+	Rounds int              `toml:"rounds"` // kinds cost and services: pairs; kind reloads: reloads
+	Faults []ScheduledFault `toml:"trouble"`
+	Short  struct {
 		Length tomlfile.Duration `toml:"length"`
 		Rounds int               `toml:"rounds"`
-	} `toml:"short"` // what --short makes of it; troubles are moved in proportion
-	Bars map[string]float64 `toml:"bars"`
+	} `toml:"short"` // replaces length and rounds under --short; times of faults are scaled to the length
+	Thresholds map[string]float64 `toml:"bars"`
 }
 
-// Trouble is a table of the file.
-type Trouble struct {
-	At    tomlfile.Duration `toml:"at"`
-	Lasts tomlfile.Duration `toml:"lasts"`
-	Boxes []int             `toml:"boxes"`
-	What  string            `toml:"what"`
-	Share float64           `toml:"share"`
+// ScheduledFault is a [[trouble]] table of the file.
+type ScheduledFault struct {
+	At       tomlfile.Duration `toml:"at"`
+	Duration tomlfile.Duration `toml:"lasts"`
+	Engines  []int             `toml:"boxes"`
+	Fault    string            `toml:"what"`
+	Share    float64           `toml:"share"`
 }
 
-// Load reads and checks a file.
+// Load reads and validates a file.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return f, nil
 }
 
-// Parse is Load on a text. Its errors begin with the line at fault, where there is one.
+// Parse parses and validates the text of a file. Its errors begin with ":LINE: ", or ": " if no line is known.
 func Parse(text []byte) (*File, error) {
 	f := &File{}
 	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
@@ -93,7 +93,7 @@
 		switch {
 		case errors.As(err, &unknown) && len(unknown.Errors) > 0:
 			line, _ := unknown.Errors[0].Position()
-			return nil, fmt.Errorf(":%d: %v is no key of an experiment", line, unknown.Errors[0].Key())
+			return nil, fmt.Errorf(":%d: unknown key %v", line, unknown.Errors[0].Key())
 		case errors.As(err, &wrong):
 			line, _ := wrong.Position()
 			return nil, fmt.Errorf(":%d: %w", line, err)
@@ -106,58 +106,61 @@
 	return f, nil
 }
 
+// check returns the first fault of the file.
 func (f *File) check() error {
 	switch {
 	case f.Name == "" || f.About == "":
-		return errors.New("name and about are wanted")
-	case kinds[f.Kind] == nil:
-		return fmt.Errorf("kind: %q is none of %q", f.Kind, slices.Sorted(maps.Keys(known)))
-	case f.Fleet.Routers < 1 || f.Fleet.Boxes < 1 || !(f.Fleet.Speed > 0) || !(f.Fleet.Size > 0):
-		return errors.New("fleet: routers, boxes, speed and size above 0 are wanted")
+		return errors.New("name and about must be set")
+	case runners[f.Kind] == nil:
+		return fmt.Errorf("kind: %q is not one of %q", f.Kind, slices.Sorted(maps.Keys(thresholdNames)))
+	case f.Fleet.Routers < 1 || f.Fleet.Engines < 1 || !(f.Fleet.Speed > 0) || !(f.Fleet.Size > 0):
+		return errors.New("fleet: routers, boxes, speed and size must be above 0")
 	case !(f.Fleet.Cores > 0) || f.Fleet.MemoryMB < 16 || f.Fleet.Sockets < 64:
-		return errors.New("fleet: cores above 0, memory_mb of 16 and sockets of 64 at least are wanted")
+		return errors.New("fleet: cores must be above 0, memory_mb at least 16 and sockets at least 64")
 	case f.Traffic.Length <= 0 || f.Short.Length <= 0:
-		return errors.New("traffic.length and short.length above 0 are wanted")
+		return errors.New("traffic.length and short.length must be above 0")
 	case f.Kind == "cost" && (f.Traffic.Clients < 1 || f.Rounds < 1 || f.Short.Rounds < 1):
-		return errors.New("cost: traffic.clients, rounds and short.rounds of 1 at least are wanted")
+		return errors.New("cost: traffic.clients, rounds and short.rounds must be at least 1")
 	case f.twoServices() && !(f.Services.Rate > 0):
-		return errors.New("services.rate above 0 is wanted")
+		return errors.New("services.rate must be above 0")
 	case (f.Kind == "services" || f.Kind == "reloads") && (f.Rounds < 1 || f.Short.Rounds < 1):
-		return fmt.Errorf("%s: rounds and short.rounds of 1 at least are wanted", f.Kind)
+		return fmt.Errorf("%s: rounds and short.rounds must be at least 1", f.Kind)
 	case !(f.Traffic.Rate > 0):
-		return errors.New("traffic.rate above 0 is wanted")
+		return errors.New("traffic.rate must be above 0")
 	case !f.twoServices() && !(f.Trace.Share > 0 && f.Trace.Share <= 1):
-		return errors.New("trace.share above 0 and up to 1 is wanted")
+		return errors.New("trace.share must be above 0 and at most 1")
 	}
-	for i, t := range f.Trouble {
-		if err := t.fleet(1).Check(f.Fleet.Boxes); err != nil {
+	for i, t := range f.Faults {
+		if err := t.scheduled(1).Check(f.Fleet.Engines); err != nil {
 			return fmt.Errorf("trouble %d: %w", i+1, err)
 		}
 	}
-	for name := range f.Bars {
-		if !known[f.Kind][name] {
-			return fmt.Errorf("bars: %q is no bar of kind %s", name, f.Kind)
+	for name := range f.Thresholds {
+		if !thresholdNames[f.Kind][name] {
+			return fmt.Errorf("bars: %q is not a threshold of kind %s", name, f.Kind)
 		}
 	}
-	for name := range known[f.Kind] {
-		if _, ok := f.Bars[name]; !ok {
+	for name := range thresholdNames[f.Kind] {
+		if _, ok := f.Thresholds[name]; !ok {
 			return fmt.Errorf("bars: %q is missing", name)
 		}
 	}
 	return nil
 }
 
+// twoServices reports whether the experiment runs two services on one router.
 func (f *File) twoServices() bool {
 	return f.Kind == "services" || f.Kind == "reloads" || f.Kind == "shared"
 }
 
-// kinds run the kinds of experiments; known are their bars.
-var kinds = map[string]func(context.Context, *run) error{
-	"tracing": tracing, "cost": cost, "collector": collector,
-	"services": services, "reloads": reloads, "shared": shared,
+// runners run each kind of experiment.
+var runners = map[string]func(context.Context, *run) error{
+	"tracing": runTracing, "cost": runCost, "collector": runCollector,
+	"services": runServices, "reloads": runReloads, "shared": runShared,
 }
 
-var known = map[string]map[string]bool{
+// thresholdNames are the thresholds that a file of each kind must set under bars.
+var thresholdNames = map[string]map[string]bool{
 	"tracing":   {"requests": true, "phase_error_ms": true, "share_error": true},
 	"cost":      {"throughput": true, "memory_mb": true},
 	"collector": {"answers": true},
@@ -166,59 +169,61 @@
 	"shared":    {"drain_ms": true},
 }
 
-func (t *Trouble) fleet(scale float64) *fleet.Trouble {
-	return &fleet.Trouble{
-		At: time.Duration(float64(t.At) * scale), Lasts: time.Duration(float64(t.Lasts) * scale), Boxes: t.Boxes, What: t.What,
+// scheduled returns the fault with its times multiplied by scale.
+func (t *ScheduledFault) scheduled(scale float64) *fleet.ScheduledFault {
+	return &fleet.ScheduledFault{
+		At: time.Duration(float64(t.At) * scale), Duration: time.Duration(float64(t.Duration) * scale), Engines: t.Engines, Fault: t.Fault,
 		Share: t.Share,
 	}
 }
 
-// Options are of the one who runs an experiment.
+// Options are the caller's options of a run.
 type Options struct {
 	Short  bool
-	Binary string // the router's program; "" = found or built
+	Binary string // path of the router's executable; "" = found or built, as by fleet.Binary
 	Out    io.Writer
 }
 
-// run is an experiment under way.
+// run is the state of a running experiment.
 type run struct {
 	*File
-	o        Options
-	binary   string
-	dir      string
-	length   time.Duration
-	rounds   int
-	troubles []fleet.Trouble
-	classes  []load.Class
-	result   *report.Result
+	opts    Options
+	binary  string
+	dir     string
+	length  time.Duration
+	rounds  int
+	faults  []fleet.ScheduledFault
+	classes []load.Class
+	result  *report.Result
 }
 
-func (r *run) say(format string, args ...any) { fmt.Fprintf(r.o.Out, format+"\n", args...) }
+// printf prints a line of progress.
+func (r *run) printf(format string, args ...any) { fmt.Fprintf(r.opts.Out, format+"\n", args...) }
 
-// Run runs an experiment to its result. An error says that it could not be run.
-func Run(ctx context.Context, f *File, o Options) (*report.Result, error) {
+// Run runs an experiment. It returns an error only if the run could not be completed; unmet criteria stand in the result.
+func Run(ctx context.Context, f *File, opts Options) (*report.Result, error) {
 	dir, err := os.MkdirTemp("", "notchlab-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
 	r := &run{
-		File: f, o: o, dir: dir, length: time.Duration(f.Traffic.Length), rounds: f.Rounds,
+		File: f, opts: opts, dir: dir, length: time.Duration(f.Traffic.Length), rounds: f.Rounds,
 		classes: load.Classes(f.Fleet.Speed, f.Fleet.Size),
-		result:  &report.Result{Name: f.Name, About: f.About, Seed: f.Seed, Short: o.Short},
+		result:  &report.Result{Name: f.Name, About: f.About, Seed: f.Seed, Short: opts.Short},
 	}
 	scale := 1.0
-	if o.Short {
+	if opts.Short {
 		scale = float64(f.Short.Length) / float64(f.Traffic.Length)
 		r.length, r.rounds = time.Duration(f.Short.Length), f.Short.Rounds
 	}
-	for _, t := range f.Trouble {
-		r.troubles = append(r.troubles, *t.fleet(scale))
+	for _, t := range f.Faults {
+		r.faults = append(r.faults, *t.scheduled(scale))
 	}
-	if r.binary, err = fleet.Binary(ctx, o.Binary, dir); err != nil {
+	if r.binary, err = fleet.Binary(ctx, opts.Binary, dir); err != nil {
 		return nil, err
 	}
-	if err := kinds[f.Kind](ctx, r); err != nil {
+	if err := runners[f.Kind](ctx, r); err != nil {
 		return nil, err
 	}
 	return r.result, nil
--- a/internal/router/trace.go
+++ b/internal/router/trace.go
@@ -15,7 +15,7 @@
 
 // sink exports the trace records of requests. Put does not block.
 type sink interface {
-	Put(*trace.Try)
+	Put(*trace.Record)
 	Counters() export.Counters
 	Close(context.Context)
 }
@@ -30,12 +30,12 @@
 // TraceOptions returns the options of the trace recorder for a configuration, a plan and the trace settings.
 func TraceOptions(cfg *platformconfig.Config, p *reconcile.Plan, s *operatorconfig.Trace) trace.Options {
 	o := trace.Options{
-		Router: cfg.RouterName, Seed: cfg.Seed, Share: *s.SampleRatio, PerSecond: *s.MaxSamplesPerS, Margin: time.Duration(*s.LatencyMargin),
-		TellAll: s.PropagateSampled == "all", Steps: s.PendingMB << 20 / trace.StepBytes, Linger: cfg.Limits.TraceCompletionGrace,
+		Router: cfg.RouterName, Seed: cfg.Seed, Share: *s.SampleRatio, PerSecond: *s.MaxSamplesPerS, LatencyMargin: time.Duration(*s.LatencyMargin),
+		MarkAllSampled: s.PropagateSampled == "all", Operations: s.PendingMB << 20 / trace.OperationBytes, CompletionGrace: cfg.Limits.TraceCompletionGrace,
 	}
 	for _, pool := range p.Pools {
 		for _, c := range pool.Module.Settings.Classes {
-			o.Window = max(o.Window, c.Deadline)
+			o.RetryWindow = max(o.RetryWindow, c.Deadline)
 		}
 	}
 	return o
@@ -44,9 +44,9 @@
 // traceClasses returns the classes of a module with their latency targets, as the trace recorder needs them.
 func traceClasses(m *platformconfig.Module) (classes []trace.Class) {
 	for i, c := range m.Settings.Classes {
-		class := trace.Class{Name: c.Name, Aim: c.TargetLatency, AimPerKTokens: c.TargetLatencyPerKTokens}
+		class := trace.Class{Name: c.Name, TargetLatency: c.TargetLatency, TargetLatencyPerKTokens: c.TargetLatencyPerKTokens}
 		if i < len(m.TokenLatencyTargets) {
-			class.TokenAim = m.TokenLatencyTargets[i]
+			class.TokenLatencyTarget = m.TokenLatencyTargets[i]
 		}
 		classes = append(classes, class)
 	}
@@ -88,7 +88,7 @@
 }
 
 // put performs dispatch.ExportTrace: it queues a record at every sink.
-func (t *traces) put(record *trace.Try) {
+func (t *traces) put(record *trace.Record) {
 	for _, s := range t.sinks {
 		s.Put(record)
 	}
@@ -106,8 +106,8 @@
 // counterArgs returns the counters of the recorder and of each sink as arguments of a log call.
 func (t *traces) counterArgs(c *trace.Counters) []any {
 	args := []any{
-		"taken", c.Taken, "kept", c.Kept, "share", c.Share, "dropped", c.Dropped, "early", c.Early,
-		"limited", c.Limited, "linked", c.Linked, "held", c.Held,
+		"taken", c.Started, "kept", c.Exported, "share", c.Sampled, "dropped", c.Dropped, "early", c.Evicted,
+		"limited", c.RateLimited, "linked", c.Retries, "held", c.Pending,
 	}
 	for i, s := range t.sinks {
 		e := s.Counters()
--- a/internal/trace/show/show_test.go
+++ b/internal/trace/show/show_test.go
@@ -16,41 +16,47 @@
 
 const ms = time.Millisecond
 
-// step is a first try whose leg was reset and whose second leg timed out, and a retry that was served.
-func step() []*trace.Try {
-	first := &trace.Try{
-		Trace: trace.TraceID{0xab}, Span: trace.SpanID{1}, Number: 1, Router: "n1", CallID: "c1", Class: "shift-agent", Prompt: 5000,
-		At: 1000 * time.Second, End: 1000 * ms, Outcome: trace.Failed, Why: trace.Why(policy.ReasonDeadline), Aim: 2700 * ms,
-		Reasons: trace.ForFailed | trace.ForLegs,
-		Legs: []trace.Leg{
+// operation returns a request whose first attempt was reset and whose second one timed out, and a retry that was served.
+func operation() []*trace.Record {
+	first := &trace.Record{
+		Trace: trace.TraceID{0xab}, Span: trace.SpanID{1}, Number: 1, Router: "n1", CallID: "c1", Class: "shift-agent",
+		PromptTokens: 5000, At: 1000 * time.Second, End: 1000 * ms, Outcome: trace.Failed, Why: trace.DecisionReason(policy.ReasonDeadline),
+		TargetLatency: 2700 * ms, Reasons: trace.ForFailed | trace.ForAttempts,
+		Attempts: []trace.Attempt{
 			{
-				Host: "s-1", Why: trace.Why(policy.ReasonAffinity), Sent: 0, Begun: ms, Lined: 2 * ms, Written: 3 * ms, Told: 400 * ms, Ended: 400 * ms,
-				Result: trace.Result(policy.ResultReset), Said: trace.Result(policy.ResultReset), Stale: true,
+				Host: "s-1", Why: trace.DecisionReason(policy.ReasonAffinity), Sent: 0, Started: ms, Connected: 2 * ms,
+				Written: 3 * ms, Reported: 400 * ms, Ended: 400 * ms,
+				Result: trace.Result(policy.ResultReset), TransportResult: trace.Result(policy.ResultReset), StaleConnection: true,
 			},
 			{
-				Host: "s-2", Why: trace.Why(policy.ReasonAffinityLost), Sent: 400 * ms, Begun: 401 * ms, Lined: 500 * ms, Fresh: true, Written: 501 * ms,
-				Told: 1000 * ms, Ended: 1200 * ms, Result: trace.Result(policy.ResultTimedOut), Said: trace.Result(policy.ResultCancelled),
+				Host: "s-2", Why: trace.DecisionReason(policy.ReasonAffinityLost), Sent: 400 * ms, Started: 401 * ms,
+				Connected: 500 * ms, NewConnection: true, Written: 501 * ms,
+				Reported: 1000 * ms, Ended: 1200 * ms, Result: trace.Result(policy.ResultTimedOut),
+				TransportResult: trace.Result(policy.ResultCancelled),
 			},
 		},
 	}
-	first.Phases[trace.Wait], first.Phases[trace.Connect], first.Phases[trace.Line] = 896*ms, 99*ms, 5*ms
-	second := &trace.Try{
-		Trace: trace.TraceID{0xcd}, Span: trace.SpanID{2}, Number: 2, Before: trace.Link{Trace: first.Trace, Span: first.Span}, Router: "n2",
-		CallID: "c2", Class: "shift-agent", Prompt: 5000, Tokens: 80, At: 1001*time.Second + 200*ms, First: 200 * ms, End: 800 * ms,
-		Outcome: trace.Served, Aim: 2700 * ms, Reasons: trace.ForRetry,
-		Legs: []trace.Leg{{
-			Host: "s-2", Why: trace.Why(policy.ReasonAffinity), Begun: ms, Lined: ms, Written: ms, First: 199 * ms, Event: 199 * ms,
-			Bound: 200 * ms, Told: 800 * ms, Ended: 800 * ms, Said: trace.Result(policy.ResultOK),
+	first.Phases[trace.Wait], first.Phases[trace.Connect], first.Phases[trace.Acquire] = 896*ms, 99*ms, 5*ms
+	second := &trace.Record{
+		Trace: trace.TraceID{0xcd}, Span: trace.SpanID{2}, Number: 2,
+		Previous: trace.Link{Trace: first.Trace, Span: first.Span}, Router: "n2",
+		CallID: "c2", Class: "shift-agent", PromptTokens: 5000, OutputTokens: 80, At: 1001*time.Second + 200*ms,
+		FirstEvent: 200 * ms, End: 800 * ms,
+		Outcome: trace.Served, TargetLatency: 2700 * ms, Reasons: trace.ForRetry,
+		Attempts: []trace.Attempt{{
+			Host: "s-2", Why: trace.DecisionReason(policy.ReasonAffinity), Started: ms, Connected: ms, Written: ms,
+			FirstByte: 199 * ms, FirstEvent: 199 * ms,
+			Bound: 200 * ms, Reported: 800 * ms, Ended: 800 * ms, TransportResult: trace.Result(policy.ResultOK),
 		}},
 	}
 	second.Phases[trace.Wait], second.Phases[trace.Stream] = 198*ms, 602*ms
-	return []*trace.Try{first, second}
+	return []*trace.Record{first, second}
 }
 
 func TestWaterfall(t *testing.T) {
 	var b bytes.Buffer
-	Waterfall(&b, step(), 71)
-	if err := Table(&b, step()); err != nil {
+	Waterfall(&b, operation(), 71)
+	if err := Table(&b, operation()); err != nil {
 		t.Fatal(err)
 	}
 	path := "testdata/waterfall.txt"
@@ -64,28 +70,28 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(string(want), b.String()); diff != "" {
-		t.Errorf("(-want +got; UPDATE=1 writes it anew):\n%s", diff)
+		t.Errorf("(-want +got; UPDATE=1 updates the file):\n%s", diff)
 	}
 }
 
-func TestStepFollowsLinks(t *testing.T) {
-	all := append(step(), &trace.Try{Trace: trace.TraceID{0xef}, At: time.Second})
+func TestOperationFollowsLinks(t *testing.T) {
+	all := append(operation(), &trace.Record{Trace: trace.TraceID{0xef}, At: time.Second})
 	for _, id := range []trace.TraceID{{0xab}, {0xcd}} {
-		if got := Step(all, id); len(got) != 2 || got[0].CallID != "c1" || got[1].CallID != "c2" {
-			t.Errorf("%v: %d tries", id, len(got))
+		if got := Operation(all, id); len(got) != 2 || got[0].CallID != "c1" || got[1].CallID != "c2" {
+			t.Errorf("%v: %d records", id, len(got))
 		}
 	}
 }
 
 func TestFilter(t *testing.T) {
-	first, second := step()[0], step()[1]
+	first, second := operation()[0], operation()[1]
 	for _, c := range []struct {
 		f             Filter
 		first, second bool
 	}{
 		{Filter{}, true, true},
 		{Filter{Outcome: trace.Failed}, true, false},
-		{Filter{SlowerThan: 300 * ms}, true, false}, // the second's first event was there after 200 ms
+		{Filter{SlowerThan: 300 * ms}, true, false}, // the second request had its first event after 200 ms
 		{Filter{Host: "s-1"}, true, false},
 		{Filter{Retried: true}, false, true},
 		{Filter{Class: "chat"}, false, false},
@@ -98,9 +104,9 @@
 	}
 }
 
-func TestScanOfNothing(t *testing.T) {
+func TestScanOfMissingFile(t *testing.T) {
 	var warn strings.Builder
-	if err := Scan(filepath.Join(t.TempDir(), "none"), &warn, func(*trace.Try) error { return nil }); !os.IsNotExist(err) {
+	if err := Scan(filepath.Join(t.TempDir(), "none"), &warn, func(*trace.Record) error { return nil }); !os.IsNotExist(err) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -40,7 +40,7 @@
 	t.startAttempt(e.StartAttempt, e.Span)
 }
 
-func (t *Transport) startAttempt(e dispatch.StartAttempt, span *trace.Carried) {
+func (t *Transport) startAttempt(e dispatch.StartAttempt, span *trace.AttemptSpan) {
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{
 		transport: t, start: e, cancel: cancel, bound: make(chan struct{}, 1), outcome: dispatch.AttemptEnded{Attempt: e.Attempt},
@@ -85,7 +85,7 @@
 	a.startedAt = time.Now()
 	if a.times != nil {
 		a.startedAtClock = a.transport.cfg.Now()
-		a.times.Begun = a.startedAtClock
+		a.times.Started = a.startedAtClock
 	}
 	a.downstream = a.start.Client.(Downstream)
 	a.outcome.Result = a.roundTrip(ctx)
@@ -125,7 +125,7 @@
 	}
 	resp, firstByteAt, err := t.readResponse(a.conn, req, deadline) //nolint:bodyclose // the body is read from a connection that end closes or reuses
 	if a.times != nil && !firstByteAt.IsZero() {
-		a.stamp(&a.times.First, firstByteAt)
+		a.stamp(&a.times.FirstByte, firstByteAt)
 	}
 	if err != nil {
 		result := failureResult(err)
@@ -148,8 +148,8 @@
 	}
 	connectedAt := time.Now()
 	if a.times != nil {
-		a.times.Fresh = cn.idleID == 0
-		a.stamp(&a.times.Lined, connectedAt)
+		a.times.NewConnection = cn.idleID == 0
+		a.stamp(&a.times.Connected, connectedAt)
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
