--- a/cmd/notchlab/demo.go
+++ b/cmd/notchlab/demo.go
@@ -70,7 +70,7 @@
 		return err
 	}
 	defer f.Stop()
-	plan := load.Plan(d.Seed, classes, d.Rate, length, 2, load.Style{Carry: 0.5, Mark: 0.5})
+	plan := load.Plan(d.Seed, classes, d.Rate, length, 2, load.ClientMix{TraceShare: 0.5, RetryMarkShare: 0.5})
 	fmt.Printf("discovery %s, %d engines, routers %v; %d requests in %v (durations of a real deployment divided by %d)\n\n",
 		f.Discovery.Addr(), len(f.Engines), f.Addrs(), len(plan), length, speed)
 	var faults []fleet.ScheduledFault
@@ -84,7 +84,7 @@
 	go func() { faultsDone <- f.InjectFaults(ctx, faults) }()
 	stop := make(chan struct{})
 	go func() { defer close(progressDone); printProgress(ledger, faults, stop) }()
-	(&load.Client{Routers: f.Addrs(), Retries: 3, Pause: 50 * time.Millisecond, Seed: d.Seed}).Run(ctx, plan, ledger)
+	(&load.Client{Routers: f.Addrs(), Retries: 3, MaxRetryDelay: 50 * time.Millisecond, Seed: d.Seed}).Run(ctx, plan, ledger)
 	close(stop)
 	<-progressDone
 	if err := <-faultsDone; err != nil {
@@ -142,10 +142,10 @@
 func (d demo) printSummary(attempts []load.Attempt, traceFiles []string) error {
 	requests, served, invalid := map[int]bool{}, map[int]bool{}, 0
 	for i := range attempts {
-		requests[attempts[i].Call] = true
+		requests[attempts[i].Request] = true
 		switch attempts[i].Outcome {
 		case load.Served:
-			served[attempts[i].Call] = true
+			served[attempts[i].Request] = true
 		case load.Wrong, load.Lost:
 			invalid++
 			fmt.Println("wrong:", attempts[i].CallID, attempts[i].Outcome, attempts[i].Detail)
--- a/internal/lab/experiment/collector.go
+++ b/internal/lab/experiment/collector.go
@@ -26,17 +26,17 @@
 	chart := report.Chart{File: "first.svg", Title: "Time to first event, by the collector's state", X: "ms", Y: "share of responses"}
 	unbalanced := 0
 	for _, v := range []variant{
-		{"takes", standin.Takes, true},
-		{"unreachable", standin.Takes, false},
-		{"hangs", standin.Hangs, true},
-		{"busy (429)", standin.Busy, true},
-		{"503", standin.Down, true},
+		{"takes", standin.Accepting, true},
+		{"unreachable", standin.Accepting, false},
+		{"hangs", standin.Hanging, true},
+		{"busy (429)", standin.Throttling, true},
+		{"503", standin.Unavailable, true},
 	} {
 		c, err := standin.StartCollector("127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		c.Be(v.mode)
+		c.SetMode(v.mode)
 		if !v.reachable {
 			_ = c.Close() // no longer needed
 		}
@@ -89,7 +89,7 @@
 		r.result.Add("served, collector "+v.name, servedShares[len(servedShares)-1], "", fmt.Sprintf("%d attempts", len(attempts)))
 		r.result.Add("records sent, collector "+v.name, float64(sent), "", fmt.Sprintf("%d kept, %d counted as lost", enqueued, lost))
 		r.result.Criteria = append(r.result.Criteria, report.NewCriterion("lost or wrong responses, collector "+v.name, float64(invalid), "", 0, 0, ""))
-		if v.mode == standin.Takes && v.reachable != (sent > 0) {
+		if v.mode == standin.Accepting && v.reachable != (sent > 0) {
 			unbalanced++
 		}
 	}
--- a/internal/lab/experiment/cost.go
+++ b/internal/lab/experiment/cost.go
@@ -30,7 +30,7 @@
 	o.Engines, o.PinRouters = 0, true
 	f, err := fleet.StartWith(ctx, o, func(f *fleet.Fleet) error {
 		for i := range r.Fleet.Engines {
-			if _, err := standin.StartQuick(fmt.Sprintf("q%d", i), f.Discovery); err != nil {
+			if _, err := standin.StartInstantEngine(fmt.Sprintf("q%d", i), f.Discovery); err != nil {
 				return err
 			}
 		}
--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -71,7 +71,7 @@
 			case sharedEngines && n >= r.Fleet.Engines:
 				continue
 			case sharedEngines:
-				engine.Name, engine.Discovery, engine.Also = fmt.Sprintf("s-%d", n), f.Discovery, t.calib
+				engine.Name, engine.Discovery, engine.SecondDiscovery = fmt.Sprintf("s-%d", n), f.Discovery, t.calib
 			case n < r.Fleet.Engines:
 				engine.Name, engine.Discovery = fmt.Sprintf("runs-%d", n), f.Discovery
 			default:
@@ -189,7 +189,7 @@
 
 // sendPlan sends a plan's requests to a service and returns all attempts.
 func (r *run) sendPlan(ctx context.Context, t *serviceFleet, host string, plan []load.Request, seed uint64) []load.Attempt {
-	c := &load.Client{Routers: t.Addrs(), Host: host, Retries: r.Traffic.Retries, Pause: 50 * time.Millisecond, Seed: seed}
+	c := &load.Client{Routers: t.Addrs(), Host: host, Retries: r.Traffic.Retries, MaxRetryDelay: 50 * time.Millisecond, Seed: seed}
 	defer c.Close()
 	l := &load.Ledger{}
 	c.Run(ctx, plan, l)
@@ -199,7 +199,7 @@
 // drawPlan draws a plan of requests. Turns with the same seed get different sessions, so that no turn hits prefixes that
 // an earlier one has cached.
 func (r *run) drawPlan(seed uint64, rate float64, length time.Duration, turn int) []load.Request {
-	plan := load.Plan(seed, r.classes, rate, length, 1, load.Style{Mark: 1})
+	plan := load.Plan(seed, r.classes, rate, length, 1, load.ClientMix{RetryMarkShare: 1})
 	for i := range plan {
 		plan[i].Session ^= uint64(turn+1) << 32
 	}
@@ -286,7 +286,7 @@
 		for i := range other {
 			outcomesOf[condition][other[i].Outcome]++
 		}
-		w := load.Worth(plan, own)
+		w := load.ValueShare(plan, own)
 		for i := range own {
 			if attempt := &own[i]; attempt.Outcome == load.Served && firstEvent[condition] != nil {
 				// Deadlines keep every value below the histogram's limit of 600 s.
@@ -294,7 +294,7 @@
 			}
 		}
 		if condition != "" {
-			worths[condition+", the other"] = append(worths[condition+", the other"], load.Worth(calib, other))
+			worths[condition+", the other"] = append(worths[condition+", the other"], load.ValueShare(calib, other))
 		}
 		time.Sleep(time.Duration(float64(time.Second) / r.Fleet.Speed * 4)) // requests in flight end
 		return w, ctx.Err()
@@ -544,9 +544,9 @@
 			inc := incarnation{name: engine.Name, drained: time.Now()}
 			engine.Drain()
 			time.Sleep(min(1500*time.Millisecond, interval/3))
-			engine.Die()
+			engine.Kill()
 			inc.died = time.Now()
-			engine.Gone()
+			engine.Deregister()
 			engine.Rename(engine.Name + "-r")
 			incarnations = append(incarnations, inc, incarnation{name: engine.Name, born: time.Now()})
 			if err := engine.Start(engine.Addr(), true); err != nil {
@@ -629,7 +629,7 @@
 	res.Add("highest ratio of requests to the allowed number in a window", maxRatio, "", "")
 	res.Add("latest request to a draining engine", latestMS, "ms", "after its drain was announced")
 	for i, name := range []string{"first", "second"} {
-		res.Add("timely worth of the "+name+" pool", load.Worth(plans[i], ledgers[i]), "", "")
+		res.Add("timely worth of the "+name+" pool", load.ValueShare(plans[i], ledgers[i]), "", "")
 	}
 	fromBoth := 0
 	for _, n := range poolsOfEngine {
