--- a/internal/lab/plane/draw.go
+++ b/internal/lab/plane/draw.go
@@ -12,7 +12,7 @@
 	Size
 	bounds
 	day    *Day
-	wait   []Trouble       // by their times
+	wait   []Fault         // by their times
 	away   []time.Duration // until when each seat is lost, with the time to catch up
 	anyone []time.Duration // and until when one is that is not known yet
 	halves time.Duration   // until when the core is cut into halves
@@ -45,10 +45,10 @@
 		w.later(w.some(drawn[rnd.IntN(len(drawn))]))
 	}
 	for range int(w.day.Length / (4 * time.Second)) { // whatever happens there are orders
-		w.later(Trouble{At: w.time(), Kind: Change})
+		w.later(Fault{At: w.time(), Kind: Change})
 	}
 	if rnd.IntN(4) == 0 {
-		t := Trouble{At: w.time(), For: w.between(4*time.Second, longest), Kind: Storm}
+		t := Fault{At: w.time(), For: w.between(4*time.Second, longest), Kind: Storm}
 		w.later(t)
 	}
 	replaced := 0
@@ -63,7 +63,7 @@
 		}
 		w.place(t)
 	}
-	slices.SortStableFunc(w.day.Troubles, func(x, y Trouble) int { return int(x.At - y.At) })
+	slices.SortStableFunc(w.day.Troubles, func(x, y Fault) int { return int(x.At - y.At) })
 	return w.day
 }
 
@@ -82,14 +82,14 @@
 }
 
 // later puts a trouble among those that wait for their time.
-func (w *drawing) later(t Trouble) {
-	i, _ := slices.BinarySearchFunc(w.wait, t, func(x, y Trouble) int { return int(x.At - y.At) })
+func (w *drawing) later(t Fault) {
+	i, _ := slices.BinarySearchFunc(w.wait, t, func(x, y Fault) int { return int(x.At - y.At) })
 	w.wait = slices.Insert(w.wait, i, t)
 }
 
 // some draws a trouble of a kind.
-func (w *drawing) some(kind Kind) Trouble {
-	t := Trouble{At: w.time(), For: w.between(200*time.Millisecond, 9*time.Second), Kind: kind}
+func (w *drawing) some(kind Kind) Fault {
+	t := Fault{At: w.time(), For: w.between(200*time.Millisecond, 9*time.Second), Kind: kind}
 	if kind != Replace && w.IntN(4) == 0 {
 		t.For = w.between(9*time.Second, longest)
 	}
@@ -109,7 +109,7 @@
 }
 
 // strikes draws whom it strikes.
-func (w *drawing) strikes(t *Trouble) {
+func (w *drawing) strikes(t *Fault) {
 	switch t.Kind {
 	case Halves:
 		t.On, t.For = w.pick(w.Keepers/2, 0, w.Keepers), w.between(shortestHalves, longestHalves)
@@ -154,14 +154,14 @@
 }
 
 // counts tells whether keepers that a trouble strikes count as lost. Where losses overlap only those without their disks do.
-func (w *drawing) counts(t *Trouble) bool {
+func (w *drawing) counts(t *Fault) bool {
 	return t.losesDisk() || !w.day.Overlaps && !t.Kind.strikesEngines() && t.Kind != Dismiss && t.Kind != Halves
 }
 
-func (t *Trouble) losesDisk() bool { return t.Kind == Wipe || t.Kind == Replace }
+func (t *Fault) losesDisk() bool { return t.Kind == Wipe || t.Kind == Replace }
 
 // place has a trouble happen at its time, or when its turn comes.
-func (w *drawing) place(t Trouble) {
+func (w *drawing) place(t Fault) {
 	var keepers []int
 	for _, k := range t.On {
 		if w.counts(&t) && k < w.Keepers {
@@ -212,18 +212,18 @@
 		}
 	case t.Kind == Replace:
 		if w.IntN(2) == 0 {
-			w.later(Trouble{At: t.At + t.For + w.between(0, 2*w.catchUp), Kind: Dismiss, On: t.On})
+			w.later(Fault{At: t.At + t.For + w.between(0, 2*w.catchUp), Kind: Dismiss, On: t.On})
 		}
 		w.after(t)
 	case t.Kind == Lost:
-		w.later(Trouble{At: t.At, Kind: Change})
+		w.later(Fault{At: t.At, Kind: Change})
 	case (t.Kind == Change || t.Kind == Race) && w.IntN(6) == 0:
 		w.closing(t)
 	}
 }
 
 // after has another keeper lost as soon as the successor of one has had its time, and changes while it is.
-func (w *drawing) after(t Trouble) {
+func (w *drawing) after(t Fault) {
 	if w.IntN(3) == 0 {
 		return
 	}
@@ -240,11 +240,11 @@
 		}
 	}
 	w.later(x)
-	w.later(Trouble{At: x.At + w.between(0, w.contact+time.Second), Kind: Change})
+	w.later(Fault{At: x.At + w.between(0, w.contact+time.Second), Kind: Change})
 }
 
 // closing has a fault strike as those at a day's end do, right after a change.
-func (w *drawing) closing(t Trouble) {
+func (w *drawing) closing(t Fault) {
 	for _, until := range append(slices.Clone(w.away), w.anyone...) {
 		if until > t.At {
 			return
@@ -254,7 +254,7 @@
 		return
 	}
 	w.disks = w.Tolerate
-	x := Trouble{Kind: []Kind{Dark, Aimed}[w.IntN(2)], At: t.At + w.between(0, 60*time.Millisecond), For: w.between(50*time.Millisecond, 1250*time.Millisecond)}
+	x := Fault{Kind: []Kind{Dark, Aimed}[w.IntN(2)], At: t.At + w.between(0, 60*time.Millisecond), For: w.between(50*time.Millisecond, 1250*time.Millisecond)}
 	if x.Kind == Dark && w.IntN(2) == 0 { // and as many disks as may be
 		x.How, x.On = Disks, w.pick(w.Tolerate, 0, w.Keepers)
 	}
--- a/internal/lab/plane/faults.go
+++ b/internal/lab/plane/faults.go
@@ -13,7 +13,7 @@
 )
 
 // strike has a trouble happen, and end.
-func (w *world) strike(t *Trouble) {
+func (w *world) strike(t *Fault) {
 	if w.over { // it was to come after the day's end
 		return
 	}
@@ -29,7 +29,7 @@
 		w.kill(t, on)
 	case Aimed:
 		w.aimed = append(w.aimed, t)
-		w.in(aimedLasts, func() { w.aimed = slices.DeleteFunc(w.aimed, func(x *Trouble) bool { return x == t }) })
+		w.in(aimedLasts, func() { w.aimed = slices.DeleteFunc(w.aimed, func(x *Fault) bool { return x == t }) })
 	case Cut, Mute, Deaf, Split, Part, Halves:
 		w.sever(t, on)
 	case Step:
@@ -42,7 +42,7 @@
 }
 
 // machineFaults are the faults that strike each machine by itself.
-var machineFaults = map[Kind]func(w *world, m *machine, t *Trouble){
+var machineFaults = map[Kind]func(w *world, m *machine, t *Fault){
 	Term:    (*world).restart,
 	Replace: (*world).replace,
 	Freeze:  (*world).freeze,
@@ -52,14 +52,14 @@
 }
 
 // restart stops a process by SIGTERM and starts it again later.
-func (w *world) restart(m *machine, t *Trouble) {
+func (w *world) restart(m *machine, t *Fault) {
 	w.term(m, func() {
 		w.in(t.For, func() { w.revive(m) })
 	})
 }
 
 // freeze has a process stand still.
-func (w *world) freeze(m *machine, t *Trouble) {
+func (w *world) freeze(m *machine, t *Fault) {
 	if !m.up || m.frozen {
 		return
 	}
@@ -74,7 +74,7 @@
 }
 
 // fillDisk has a keeper's disk refuse what is written.
-func (w *world) fillDisk(m *machine, t *Trouble) {
+func (w *world) fillDisk(m *machine, t *Fault) {
 	if !m.keeper {
 		return
 	}
@@ -87,17 +87,17 @@
 }
 
 // slowDisk has a keeper's disk take longer.
-func (w *world) slowDisk(m *machine, t *Trouble) { w.delayDisk(m, t, slowdown*w.sync) }
+func (w *world) slowDisk(m *machine, t *Fault) { w.delayDisk(m, t, slowdown*w.sync) }
 
 // stallDisk has a keeper's disk answer nothing.
-func (w *world) stallDisk(m *machine, t *Trouble) {
+func (w *world) stallDisk(m *machine, t *Fault) {
 	if m.keeper {
 		m.stalled = max(m.stalled, w.now+t.For)
 	}
 	w.delayDisk(m, t, t.For)
 }
 
-func (w *world) delayDisk(m *machine, t *Trouble, by time.Duration) {
+func (w *world) delayDisk(m *machine, t *Fault, by time.Duration) {
 	if !m.keeper {
 		return
 	}
@@ -112,7 +112,7 @@
 }
 
 // step has the time of day of machines step, and back.
-func (w *world) step(t *Trouble, on []*machine) {
+func (w *world) step(t *Fault, on []*machine) {
 	by := time.Duration(w.rnd.IntN(2*maxStep)-maxStep) * time.Second
 	for _, m := range on {
 		m.step += by
@@ -122,7 +122,7 @@
 }
 
 // strikeEngines has engines leave or crash.
-func (w *world) strikeEngines(t *Trouble) {
+func (w *world) strikeEngines(t *Fault) {
 	for _, k := range t.On {
 		e := w.engines[k%len(w.engines)]
 		switch t.Kind {
@@ -137,7 +137,7 @@
 }
 
 // strikeOperators has operators send orders, or lose answers to them.
-func (w *world) strikeOperators(t *Trouble, on []*machine) {
+func (w *world) strikeOperators(t *Fault, on []*machine) {
 	switch t.Kind {
 	case Change:
 		w.change(w.newest, w.anyone())
@@ -162,7 +162,7 @@
 
 // kill ends processes, all of them if the fault is Dark, and starts them again later. Keepers among those that are named may
 // lose their disks with it.
-func (w *world) kill(t *Trouble, named []*machine) {
+func (w *world) kill(t *Fault, named []*machine) {
 	losesDisk := func(m *machine) bool {
 		return m.keeper && (t.Kind == Wipe || t.How == Disks) && slices.Contains(named, m)
 	}
@@ -220,7 +220,7 @@
 }
 
 // on resolves whom a trouble strikes.
-func (w *world) on(t *Trouble) (on []*machine) {
+func (w *world) on(t *Fault) (on []*machine) {
 	if t.How == Leader {
 		if m := w.core.acted; m != nil && !m.gone {
 			on = append(on, m)
--- a/internal/lab/plane/file.go
+++ b/internal/lab/plane/file.go
@@ -87,7 +87,7 @@
 	}
 	for i, t := range f.Troubles {
 		at := fmt.Sprintf("trouble[%d]", i)
-		x := Trouble{At: span(at+".at", t.At, mostLength), Kind: t.Kind, How: t.How, On: t.On}
+		x := Fault{At: span(at+".at", t.At, mostLength), Kind: t.Kind, How: t.How, On: t.On}
 		if t.For != "" {
 			x.For = span(at+".for", t.For, mostLength)
 		}
--- a/internal/lab/plane/hunt.go
+++ b/internal/lab/plane/hunt.go
@@ -17,7 +17,7 @@
 
 // add counts what meets in a day, and tells how much of it is new.
 func (m Met) add(d *Day, count bool) (fresh int) {
-	name := func(t *Trouble) string {
+	name := func(t *Fault) string {
 		kind := string(t.Kind)
 		if t.How != "" {
 			kind += " " + string(t.How)
--- a/internal/lab/plane/operators.go
+++ b/internal/lab/plane/operators.go
@@ -150,9 +150,9 @@
 			w.answered(c)
 			for _, t := range w.aimed {
 				if !m.gone {
-					w.strike(&Trouble{Kind: Wipe, For: t.For, On: []int{w.seatOf(m)}})
+					w.strike(&Fault{Kind: Wipe, For: t.For, On: []int{w.seatOf(m)}})
 				}
-				w.strike(&Trouble{Kind: Dark, For: t.For})
+				w.strike(&Fault{Kind: Dark, For: t.For})
 			}
 			w.aimed = nil
 		case r.Status < 500:
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -23,7 +23,7 @@
 	Engines  int
 	Tolerate int // keepers that may be lost at once
 	Length   time.Duration
-	Troubles []Trouble
+	Troubles []Fault
 	// Overlaps says that more keepers than Tolerate may be lost at once, as long as no more disks are.
 	Overlaps bool
 	// Tenants is how many tenants have requests in each usage window, at every router; 0 = up to three, at random.
@@ -32,8 +32,8 @@
 	LinkBytesPerSecond int
 }
 
-// Trouble is something that happens at a time.
-type Trouble struct {
+// Fault is something that happens at a time.
+type Fault struct {
 	At, For time.Duration
 	Kind    Kind
 	How     How
@@ -143,7 +143,7 @@
 	loss     float64
 	least    int
 	shaken   time.Duration // the last trouble of the core, or of a link to it
-	aimed    []*Trouble
+	aimed    []*Fault
 	seats    []*machine // the keepers; who has come in another's place has its seat
 	severed  []*severance
 	seeds    []*machine // of whom alone those are told that start, while it is so
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestQuietDay(t *testing.T) {
-	d := &Day{Seed: 3, Keepers: 5, Routers: 9, Engines: 8, Tolerate: 2, Length: 20 * time.Second, Troubles: []Trouble{
+	d := &Day{Seed: 3, Keepers: 5, Routers: 9, Engines: 8, Tolerate: 2, Length: 20 * time.Second, Troubles: []Fault{
 		{At: 2 * time.Second, Kind: Change}, {At: 6 * time.Second, Kind: Race}, {At: 8 * time.Second, Kind: Leave, On: []int{1, 2}},
 	}}
 	r := d.Play("")
@@ -136,7 +136,7 @@
 }
 
 // aimed are troubles beside those that are drawn, where these alone take hundreds of days.
-var aimed = map[string][]Trouble{
+var aimed = map[string][]Fault{
 	"LOST": {
 		{At: 4 * time.Second, Kind: Change},
 		{At: 4 * time.Second, For: time.Second, Kind: Aimed},
@@ -319,7 +319,7 @@
 func largeUsageDay(tenants int, length time.Duration) *Day {
 	d := &Day{Seed: 5, Keepers: 3, Routers: 1, Engines: 2, Tolerate: 1, Length: length, Tenants: tenants, LinkBytesPerSecond: 15_000_000}
 	for at := time.Second; at < d.Length; at += 700 * time.Millisecond {
-		d.Troubles = append(d.Troubles, Trouble{At: at, Kind: Change})
+		d.Troubles = append(d.Troubles, Fault{At: at, Kind: Change})
 	}
 	return d
 }
--- a/internal/lab/plane/recover.go
+++ b/internal/lab/plane/recover.go
@@ -23,7 +23,7 @@
 	w := newWorld(d, "")
 	w.begin()
 	w.run(lead + d.Length)
-	w.strike(&Trouble{Kind: Dark, For: down})
+	w.strike(&Fault{Kind: Dark, For: down})
 	acts := func() (n int) {
 		for _, a := range w.platform.accepted {
 			n += len(a)
--- a/internal/lab/plane/succession.go
+++ b/internal/lab/plane/succession.go
@@ -38,7 +38,7 @@
 
 // replace has a keeper gone for good, and an empty one come in its place, at another address and under another name. If it is
 // planned the new one comes first.
-func (w *world) replace(m *machine, t *Trouble) {
+func (w *world) replace(m *machine, t *Fault) {
 	if m.gone || m.leaving {
 		return
 	}
@@ -145,7 +145,7 @@
 }
 
 // sever cuts machines off for the time of a trouble.
-func (w *world) sever(t *Trouble, on []*machine) {
+func (w *world) sever(t *Fault, on []*machine) {
 	s := &severance{kind: t.Kind, on: on}
 	for _, a := range w.machines {
 		for _, b := range w.machines {
@@ -201,7 +201,7 @@
 
 // restarts has processes restarted behind a cut: routers that are told of nobody but those that are cut off; or those that are
 // cut off, and then all other keepers at one moment.
-func (w *world) restarts(t *Trouble, cut []*machine) {
+func (w *world) restarts(t *Fault, cut []*machine) {
 	kill := func(all []*machine, after, down time.Duration) {
 		w.in(after, func() {
 			for _, m := range all {
