--- a/internal/lab/plane/draw.go
+++ b/internal/lab/plane/draw.go
@@ -63,7 +63,7 @@
 		}
 		w.place(t)
 	}
-	slices.SortStableFunc(w.day.Troubles, func(x, y Fault) int { return int(x.At - y.At) })
+	slices.SortStableFunc(w.day.Faults, func(x, y Fault) int { return int(x.At - y.At) })
 	return w.day
 }
 
@@ -201,7 +201,7 @@
 			w.anyone = append(w.anyone, until)
 		}
 	}
-	w.day.Troubles = append(w.day.Troubles, t)
+	w.day.Faults = append(w.day.Faults, t)
 	switch {
 	case t.Kind == Halves:
 		w.halves = max(w.halves, t.At+t.For)
@@ -258,7 +258,7 @@
 	if x.Kind == Dark && w.IntN(2) == 0 { // and as many disks as may be
 		x.How, x.On = Disks, w.pick(w.Tolerate, 0, w.Keepers)
 	}
-	w.day.Troubles = append(w.day.Troubles, x)
+	w.day.Faults = append(w.day.Faults, x)
 	for k := range w.away { // all are lost until they have had their time, and any may be the one whose disk is
 		w.away[k] = max(w.away[k], max(x.At+time.Second+x.For, w.halves)+w.catchUp)
 	}
--- a/internal/lab/plane/file.go
+++ b/internal/lab/plane/file.go
@@ -37,7 +37,7 @@
 // Encode writes a day as TOML.
 func (d *Day) Encode() ([]byte, error) {
 	f := file{Seed: d.Seed, Keepers: d.Keepers, Routers: d.Routers, Engines: d.Engines, Tolerate: d.Tolerate, Length: d.Length.String(), Overlaps: d.Overlaps, Tenants: d.Tenants, LinkBytesPerSecond: d.LinkBytesPerSecond}
-	for _, t := range d.Troubles {
+	for _, t := range d.Faults {
 		f.Troubles = append(f.Troubles, trouble{t.At.String(), t.For.String(), t.Kind, t.How, t.On})
 	}
 	return toml.Marshal(f)
@@ -106,7 +106,7 @@
 				bad("%s.on: numbers below %d are wanted, not %d", at, most, k)
 			}
 		}
-		d.Troubles = append(d.Troubles, x)
+		d.Faults = append(d.Faults, x)
 	}
 	return d, errors.Join(faults...)
 }
--- a/internal/lab/plane/hunt.go
+++ b/internal/lab/plane/hunt.go
@@ -31,9 +31,9 @@
 		return kind + " of routers"
 	}
 	seen := Met{}
-	for i := range d.Troubles {
-		for k := range d.Troubles[:i] {
-			x, y := &d.Troubles[k], &d.Troubles[i] // in the order of their times
+	for i := range d.Faults {
+		for k := range d.Faults[:i] {
+			x, y := &d.Faults[k], &d.Faults[i] // in the order of their times
 			if y.At > x.At+x.For+time.Second {
 				continue
 			}
@@ -109,10 +109,10 @@
 		return slices.ContainsFunc(x.Play(broken).Found, func(f Found) bool { return f.Rule == rule })
 	}
 	best := *d
-	for some := len(d.Troubles) / 2; some > 1; some /= 2 { // many at a time, as long as that does
-		for i := 0; i < len(best.Troubles); {
+	for some := len(d.Faults) / 2; some > 1; some /= 2 { // many at a time, as long as that does
+		for i := 0; i < len(best.Faults); {
 			x := best
-			if x.Troubles = slices.Delete(slices.Clone(best.Troubles), i, min(i+some, len(best.Troubles))); breaks(&x) {
+			if x.Faults = slices.Delete(slices.Clone(best.Faults), i, min(i+some, len(best.Faults))); breaks(&x) {
 				best = x
 			} else {
 				i += some
@@ -121,16 +121,16 @@
 	}
 	for again := true; again; {
 		again = false
-		for i := range best.Troubles {
+		for i := range best.Faults {
 			x := best
-			x.Troubles = slices.Delete(slices.Clone(best.Troubles), i, i+1)
+			x.Faults = slices.Delete(slices.Clone(best.Faults), i, i+1)
 			if breaks(&x) {
 				best, again = x, true
 				break
 			}
-			if t := best.Troubles[i]; len(t.On) > 1 {
-				x.Troubles = slices.Clone(best.Troubles)
-				x.Troubles[i].On = slices.Clone(t.On[:len(t.On)-1])
+			if t := best.Faults[i]; len(t.On) > 1 {
+				x.Faults = slices.Clone(best.Faults)
+				x.Faults[i].On = slices.Clone(t.On[:len(t.On)-1])
 				if breaks(&x) {
 					best, again = x, true
 					break
@@ -138,9 +138,9 @@
 			}
 		}
 	}
-	if n := len(best.Troubles); n > 0 {
+	if n := len(best.Faults); n > 0 {
 		x := best
-		if x.Length = best.Troubles[n-1].At + best.Troubles[n-1].For + 2*time.Second; x.Length < best.Length && breaks(&x) {
+		if x.Length = best.Faults[n-1].At + best.Faults[n-1].For + 2*time.Second; x.Length < best.Length && breaks(&x) {
 			best = x
 		}
 	}
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -23,7 +23,7 @@
 	Engines  int
 	Tolerate int // keepers that may be lost at once
 	Length   time.Duration
-	Troubles []Fault
+	Faults   []Fault
 	// Overlaps says that more keepers than Tolerate may be lost at once, as long as no more disks are.
 	Overlaps bool
 	// Tenants is how many tenants have requests in each usage window, at every router; 0 = up to three, at random.
@@ -230,8 +230,8 @@
 		w.engine(k)
 	}
 	w.in(lead/2, func() { w.change(0, 0) })
-	for i := range w.day.Troubles {
-		t := &w.day.Troubles[i]
+	for i := range w.day.Faults {
+		t := &w.day.Faults[i]
 		w.in(lead+t.At, func() { w.strike(t) })
 	}
 }
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestQuietDay(t *testing.T) {
-	d := &Day{Seed: 3, Keepers: 5, Routers: 9, Engines: 8, Tolerate: 2, Length: 20 * time.Second, Troubles: []Fault{
+	d := &Day{Seed: 3, Keepers: 5, Routers: 9, Engines: 8, Tolerate: 2, Length: 20 * time.Second, Faults: []Fault{
 		{At: 2 * time.Second, Kind: Change}, {At: 6 * time.Second, Kind: Race}, {At: 8 * time.Second, Kind: Leave, On: []int{1, 2}},
 	}}
 	r := d.Play("")
@@ -127,8 +127,8 @@
 		if !slices.ContainsFunc(d.Play(broken).Found, func(f Found) bool { return f.Rule == rule }) {
 			continue
 		}
-		if s := d.Shrink(broken, rule); len(s.Troubles) != 1 || s.Troubles[0].Kind != Leave || len(s.Troubles[0].On) != 1 {
-			t.Errorf("%d troubles of %d are left: %+v", len(s.Troubles), len(d.Troubles), s.Troubles)
+		if s := d.Shrink(broken, rule); len(s.Faults) != 1 || s.Faults[0].Kind != Leave || len(s.Faults[0].On) != 1 {
+			t.Errorf("%d troubles of %d are left: %+v", len(s.Faults), len(d.Faults), s.Faults)
 		}
 		return
 	}
@@ -173,7 +173,7 @@
 		s := Size{Keepers: 3 + 2*int(seed%2), Routers: 4, Engines: 6, Tolerate: 1 + int(seed%2)}
 		d := Draw(seed, s)
 		replaced := 0
-		for _, x := range d.Troubles {
+		for _, x := range d.Faults {
 			seen[what{x.Kind, x.How}] = true
 			if x.Kind == Replace {
 				replaced++
@@ -184,7 +184,7 @@
 			overlapping++
 		}
 		if most := mostLost(d); most > s.Tolerate {
-			t.Fatalf("seed %d, overlaps %v: %d keepers are lost at once: %+v", seed, d.Overlaps, most, d.Troubles)
+			t.Fatalf("seed %d, overlaps %v: %d keepers are lost at once: %+v", seed, d.Overlaps, most, d.Faults)
 		}
 	}
 	if mostReplacements != mostReplaced || overlapping < 200 || overlapping > 400 {
@@ -204,7 +204,7 @@
 	catchUp := boundsOf(d.Tolerate).catchUp
 	until, anyone := make([]time.Duration, d.Keepers), time.Duration(0)
 	disks := 0
-	for _, x := range d.Troubles {
+	for _, x := range d.Faults {
 		losesDisk := x.Kind == Wipe || x.Kind == Replace || x.How == Disks
 		if x.Kind == Part || x.Kind == Halves || x.Kind.strikesEngines() || x.Kind == Dismiss || d.Overlaps && !losesDisk {
 			continue // of a pair either may be the one
@@ -273,7 +273,7 @@
 			t.Parallel()
 			for seed := range uint64(300) {
 				d := Draw(seed, small)
-				d.Troubles = append(d.Troubles, aimed[rule]...)
+				d.Faults = append(d.Faults, aimed[rule]...)
 				for _, f := range d.Play(broken).Found {
 					if is := func(x Found) bool { return x.Rule == rule }; is(f) && !slices.ContainsFunc(d.Play("").Found, is) {
 						t.Logf("seed %d: %s: %s", seed, f.Rule, f.Says)
@@ -319,7 +319,7 @@
 func largeUsageDay(tenants int, length time.Duration) *Day {
 	d := &Day{Seed: 5, Keepers: 3, Routers: 1, Engines: 2, Tolerate: 1, Length: length, Tenants: tenants, LinkBytesPerSecond: 15_000_000}
 	for at := time.Second; at < d.Length; at += 700 * time.Millisecond {
-		d.Troubles = append(d.Troubles, Fault{At: at, Kind: Change})
+		d.Faults = append(d.Faults, Fault{At: at, Kind: Change})
 	}
 	return d
 }
