--- a/cmd/notchlab/plane.go
+++ b/cmd/notchlab/plane.go
@@ -54,7 +54,7 @@
 }
 
 // shrunk prints what is left of a day that breaks a rule, or writes it into a folder.
-func shrunk(d *plane.Day, out string) error {
+func shrunk(d *plane.Scenario, out string) error {
 	r := d.Play("")
 	if len(r.Found) == 0 {
 		return nil
--- a/internal/lab/plane/cost.go
+++ b/internal/lab/plane/cost.go
@@ -68,7 +68,7 @@
 }
 
 // Measure plays a day and tells what its processes send in its last part, of so long, which ought to be calm.
-func (d *Day) Measure(last time.Duration) Costs {
+func (d *Scenario) Measure(last time.Duration) Costs {
 	w := newWorld(d, "")
 	w.begin()
 	w.run(lead + d.Length - last)
--- a/internal/lab/plane/draw.go
+++ b/internal/lab/plane/draw.go
@@ -11,7 +11,7 @@
 	*rand.Rand
 	Size
 	bounds
-	day    *Day
+	day    *Scenario
 	wait   []Fault         // by their times
 	away   []time.Duration // until when each seat is lost, with the time to catch up
 	anyone []time.Duration // and until when one is that is not known yet
@@ -36,10 +36,10 @@
 
 // Draw draws a day: troubles that overlap as they like, but no more keepers lost at once, as the platform counts it, than are to
 // be borne: what would lose more waits its turn, or is cut down.
-func Draw(seed uint64, s Size) *Day {
+func Draw(seed uint64, s Size) *Scenario {
 	rnd := rand.New(rand.NewPCG(seed, 13))
 	w := &drawing{Rand: rnd, Size: s, bounds: boundsOf(s.Tolerate), away: make([]time.Duration, s.Keepers)}
-	w.day = &Day{Seed: seed, Keepers: s.Keepers, Routers: s.Routers, Engines: s.Engines, Tolerate: s.Tolerate, Length: time.Duration(30+15*rnd.IntN(3)) * time.Second}
+	w.day = &Scenario{Seed: seed, Keepers: s.Keepers, Routers: s.Routers, Engines: s.Engines, Tolerate: s.Tolerate, Length: time.Duration(30+15*rnd.IntN(3)) * time.Second}
 	w.day.Overlaps = rnd.IntN(oneOverlaps) == 0
 	for range int(w.day.Length/(5*time.Second)) + rnd.IntN(8) {
 		w.later(w.some(drawn[rnd.IntN(len(drawn))]))
--- a/internal/lab/plane/file.go
+++ b/internal/lab/plane/file.go
@@ -35,7 +35,7 @@
 }
 
 // Encode writes a day as TOML.
-func (d *Day) Encode() ([]byte, error) {
+func (d *Scenario) Encode() ([]byte, error) {
 	f := file{Seed: d.Seed, Keepers: d.Keepers, Routers: d.Routers, Engines: d.Engines, Tolerate: d.Tolerate, Length: d.Length.String(), Overlaps: d.Overlaps, Tenants: d.Tenants, LinkBytesPerSecond: d.LinkBytesPerSecond}
 	for _, t := range d.Faults {
 		f.Troubles = append(f.Troubles, trouble{t.At.String(), t.For.String(), t.Kind, t.How, t.On})
@@ -52,7 +52,7 @@
 )
 
 // Load reads a day. Its error says every fault.
-func Load(path string) (*Day, error) {
+func Load(path string) (*Scenario, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -74,7 +74,7 @@
 		}
 		return d
 	}
-	d := &Day{Seed: f.Seed, Keepers: f.Keepers, Routers: f.Routers, Engines: f.Engines, Tolerate: f.Tolerate, Overlaps: f.Overlaps, Tenants: f.Tenants, LinkBytesPerSecond: f.LinkBytesPerSecond}
+	d := &Scenario{Seed: f.Seed, Keepers: f.Keepers, Routers: f.Routers, Engines: f.Engines, Tolerate: f.Tolerate, Overlaps: f.Overlaps, Tenants: f.Tenants, LinkBytesPerSecond: f.LinkBytesPerSecond}
 	d.Length = span("length", f.Length, mostLength)
 	if d.Keepers < 1 || d.Routers < 1 || d.Keepers+d.Routers > mostMachines {
 		bad("keepers, routers: at least one of each and %d in all are wanted", mostMachines)
--- a/internal/lab/plane/hunt.go
+++ b/internal/lab/plane/hunt.go
@@ -16,7 +16,7 @@
 type Met map[[2]string]int
 
 // add counts what meets in a day, and tells how much of it is new.
-func (m Met) add(d *Day, count bool) (fresh int) {
+func (m Met) add(d *Scenario, count bool) (fresh int) {
 	name := func(t *Fault) string {
 		kind := string(t.Kind)
 		if t.How != "" {
@@ -53,10 +53,10 @@
 const candidates = 3
 
 // Plan draws the days of a hunt, from a seed on.
-func Plan(first uint64, days int, s Size) (all []*Day, met Met) {
+func Plan(first uint64, days int, s Size) (all []*Scenario, met Met) {
 	met = Met{}
 	for i := range uint64(days) {
-		var best *Day
+		var best *Scenario
 		most := -1
 		for k := range uint64(candidates) {
 			d := Draw(first+i+k<<32, s)
@@ -72,10 +72,10 @@
 
 // Hunt plays days on all cores, until a context is over at the latest, and returns how many it has played and those that break a
 // rule, in the order of their seeds. progress is told how many are done.
-func Hunt(ctx context.Context, days []*Day, progress func(done int)) (played int, broken []*Day) {
+func Hunt(ctx context.Context, days []*Scenario, progress func(done int)) (played int, broken []*Scenario) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	next := make(chan *Day)
+	next := make(chan *Scenario)
 	for range runtime.GOMAXPROCS(0) {
 		wait.Go(func() {
 			for d := range next {
@@ -99,13 +99,13 @@
 	}
 	close(next)
 	wait.Wait()
-	slices.SortFunc(broken, func(x, y *Day) int { return cmp.Compare(x.Seed, y.Seed) })
+	slices.SortFunc(broken, func(x, y *Scenario) int { return cmp.Compare(x.Seed, y.Seed) })
 	return played, broken
 }
 
 // Shrink takes troubles, machines under them and time away from a day for as long as it breaks the same rule.
-func (d *Day) Shrink(broken, rule string) *Day {
-	breaks := func(x *Day) bool {
+func (d *Scenario) Shrink(broken, rule string) *Scenario {
+	breaks := func(x *Scenario) bool {
 		return slices.ContainsFunc(x.Play(broken).Found, func(f Found) bool { return f.Rule == rule })
 	}
 	best := *d
--- a/internal/lab/plane/machine.go
+++ b/internal/lab/plane/machine.go
@@ -303,7 +303,7 @@
 }
 
 // newWorld makes the machines of a day.
-func newWorld(d *Day, broken string) *world {
+func newWorld(d *Scenario, broken string) *world {
 	w := &world{
 		day: d, broken: broken, due: timerqueue.New[func()](), rnd: rand.New(rand.NewPCG(d.Seed, 77)), cuts: map[[2]int]int{}, silence: 5250 * time.Millisecond, sync: 5 * time.Millisecond,
 		loss: 0.01, least: 2*d.Tolerate + 1, sent: map[fleetconfig.Digest]*change{}, upon: map[uint64]*change{}, found: map[string]Found{}, bounds: boundsOf(d.Tolerate),
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -15,8 +15,8 @@
 	"notchhinge/internal/timerqueue"
 )
 
-// Day is what is played.
-type Day struct {
+// Scenario is what is played.
+type Scenario struct {
 	Seed     uint64
 	Keepers  int
 	Routers  int
@@ -131,7 +131,7 @@
 }
 
 type world struct {
-	day      *Day
+	day      *Scenario
 	broken   string // a rule that is broken on purpose; "" = none
 	rnd      *rand.Rand
 	now      time.Duration
@@ -198,7 +198,7 @@
 )
 
 // Play plays a day. broken names a rule that is broken on purpose, which must be found out; "" = none.
-func (d *Day) Play(broken string) Report { return newWorld(d, broken).play() }
+func (d *Scenario) Play(broken string) Report { return newWorld(d, broken).play() }
 
 // play plays the world's day.
 func (w *world) play() Report {
--- a/internal/lab/plane/recover.go
+++ b/internal/lab/plane/recover.go
@@ -19,7 +19,7 @@
 
 // Recover plays a quiet day on which all machines lose their power at one moment, for so long, with the engines at work
 // throughout, and tells how long it takes until all is as before.
-func (d *Day) Recover(down time.Duration) Recovery {
+func (d *Scenario) Recover(down time.Duration) Recovery {
 	w := newWorld(d, "")
 	w.begin()
 	w.run(lead + d.Length)
