--- a/cmd/notchlab/plane.go
+++ b/cmd/notchlab/plane.go
@@ -55,13 +55,13 @@
 
 // shrunk prints what is left of a day that breaks a rule, or writes it into a folder.
 func shrunk(d *plane.Scenario, out string) error {
-	r := d.Play("")
+	r := d.Run("")
 	if len(r.Found) == 0 {
 		return nil
 	}
 	rule := r.Found[0].Rule
 	small := d.Shrink("", rule)
-	f := small.Play("").Found[0]
+	f := small.Run("").Found[0]
 	text, err := small.Encode()
 	if err != nil {
 		return err
@@ -102,7 +102,7 @@
 	if err != nil {
 		return badFile{err}
 	}
-	r := d.Play("")
+	r := d.Run("")
 	fmt.Printf("configurations %d, acknowledged %d, %d of them with all keepers lost that may be, the slowest in calm %v, read back %d; engines that drained %d; usage windows %d, not reported %d; orders %d; events %d\n", r.Changes, r.Acked, r.Dark,
 		r.Slowest.Round(time.Millisecond), r.Revision, r.Drained, r.Windows, r.Untold, r.Orders, r.Events)
 	for _, f := range r.Found {
--- a/internal/lab/check/cuts_test.go
+++ b/internal/lab/check/cuts_test.go
@@ -44,11 +44,11 @@
 			{At: 22 * sec, Kind: plane.Race},
 			{At: 28 * sec, Kind: plane.Race},
 		}}
-		r := d.Play("")
+		r := d.Run("")
 		if len(r.Found) > 0 || r.Acked < 5 { // one before it, one of each race
 			t.Errorf("%v of %v: %d acknowledged, %+v", kind, on, r.Acked, r.Found)
 		}
-		if k < 2 && len(d.Play("acknowledges what it has only heard").Found) > 0 {
+		if k < 2 && len(d.Run("acknowledges what it has only heard").Found) > 0 {
 			broken++
 		}
 	}
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -197,8 +197,8 @@
 	rest = 20 * time.Second
 )
 
-// Play plays a day. broken names a rule that is broken on purpose, which must be found out; "" = none.
-func (d *Scenario) Play(broken string) Report { return newWorld(d, broken).play() }
+// Run plays a day. broken names a rule that is broken on purpose, which must be found out; "" = none.
+func (d *Scenario) Run(broken string) Report { return newWorld(d, broken).play() }
 
 // play plays the world's day.
 func (w *world) play() Report {
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -21,11 +21,11 @@
 	d := &Scenario{Seed: 3, Keepers: 5, Routers: 9, Engines: 8, Tolerate: 2, Length: 20 * time.Second, Faults: []Fault{
 		{At: 2 * time.Second, Kind: Change}, {At: 6 * time.Second, Kind: Race}, {At: 8 * time.Second, Kind: Leave, On: []int{1, 2}},
 	}}
-	r := d.Play("")
+	r := d.Run("")
 	if len(r.Found) > 0 || r.Changes != 4 || r.Acked != 3 || r.Drained != 2 || r.Slowest > 200*time.Millisecond || r.Slowest == 0 || r.Windows < 3 || r.Untold > 0 || r.Orders == 0 {
 		t.Errorf("%+v", r)
 	}
-	if diff := cmp.Diff(r, d.Play("")); diff != "" {
+	if diff := cmp.Diff(r, d.Run("")); diff != "" {
 		t.Errorf("played again it is another day:\n%s", diff)
 	}
 }
@@ -39,8 +39,8 @@
 			s = least
 		}
 		d := Draw(seed, s)
-		r := d.Play("")
-		if again := d.Play(""); seed < 2 && !cmp.Equal(r, again) {
+		r := d.Run("")
+		if again := d.Run(""); seed < 2 && !cmp.Equal(r, again) {
 			t.Errorf("seed %d is another day when it is played again: %d events and %d", seed, r.Events, again.Events)
 		}
 		acked, dark = acked+r.Acked, dark+r.Dark
@@ -83,7 +83,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r := d.Play(""); len(r.Found) > 0 {
+		if r := d.Run(""); len(r.Found) > 0 {
 			t.Errorf("%s: %+v", f, r.Found)
 		}
 	}
@@ -124,7 +124,7 @@
 	const broken, rule = "acknowledges a drain alone", "DRAIN"
 	for seed := range uint64(50) {
 		d := Draw(seed, least)
-		if !slices.ContainsFunc(d.Play(broken).Found, func(f Found) bool { return f.Rule == rule }) {
+		if !slices.ContainsFunc(d.Run(broken).Found, func(f Found) bool { return f.Rule == rule }) {
 			continue
 		}
 		if s := d.Shrink(broken, rule); len(s.Faults) != 1 || s.Faults[0].Kind != Leave || len(s.Faults[0].On) != 1 {
@@ -274,8 +274,8 @@
 			for seed := range uint64(300) {
 				d := Draw(seed, small)
 				d.Faults = append(d.Faults, aimed[rule]...)
-				for _, f := range d.Play(broken).Found {
-					if is := func(x Found) bool { return x.Rule == rule }; is(f) && !slices.ContainsFunc(d.Play("").Found, is) {
+				for _, f := range d.Run(broken).Found {
+					if is := func(x Found) bool { return x.Rule == rule }; is(f) && !slices.ContainsFunc(d.Run("").Found, is) {
 						t.Logf("seed %d: %s: %s", seed, f.Rule, f.Says)
 						return
 					}
