--- a/internal/lab/plane/draw.go
+++ b/internal/lab/plane/draw.go
@@ -20,7 +20,7 @@
 }
 
 // drawn are the kinds of a draw, those that are drawn more often several times.
-var drawn = []Kind{
+var drawn = []FaultKind{
 	Kill, Kill, Term, Wipe, Wipe, Cut, Cut, Mute, Deaf, Split, Split, Leave, Crash, Race, Race, Freeze, Step, Part, Full, Slow, Stall,
 	Replace, Replace, Replace, Replace, Lost, Lost, Halves, Halves, SignOff,
 }
@@ -88,7 +88,7 @@
 }
 
 // some draws a trouble of a kind.
-func (w *drawing) some(kind Kind) Fault {
+func (w *drawing) some(kind FaultKind) Fault {
 	t := Fault{At: w.time(), For: w.between(200*time.Millisecond, 9*time.Second), Kind: kind}
 	if kind != Replace && w.IntN(4) == 0 {
 		t.For = w.between(9*time.Second, longest)
@@ -228,7 +228,7 @@
 		return
 	}
 	at := w.away[t.On[0]]
-	x := w.some([]Kind{Kill, Wipe, Cut, Split, Freeze, Replace, Term}[w.IntN(7)])
+	x := w.some([]FaultKind{Kill, Wipe, Cut, Split, Freeze, Replace, Term}[w.IntN(7)])
 	x.At, x.For, x.How = at+w.between(0, 500*time.Millisecond), w.between(6*time.Second, longest), ""
 	if x.Kind == Replace && w.IntN(2) == 0 {
 		x.How = Planned
@@ -254,7 +254,7 @@
 		return
 	}
 	w.disks = w.Tolerate
-	x := Fault{Kind: []Kind{Dark, Aimed}[w.IntN(2)], At: t.At + w.between(0, 60*time.Millisecond), For: w.between(50*time.Millisecond, 1250*time.Millisecond)}
+	x := Fault{Kind: []FaultKind{Dark, Aimed}[w.IntN(2)], At: t.At + w.between(0, 60*time.Millisecond), For: w.between(50*time.Millisecond, 1250*time.Millisecond)}
 	if x.Kind == Dark && w.IntN(2) == 0 { // and as many disks as may be
 		x.How, x.On = Disks, w.pick(w.Tolerate, 0, w.Keepers)
 	}
--- a/internal/lab/plane/faults.go
+++ b/internal/lab/plane/faults.go
@@ -42,7 +42,7 @@
 }
 
 // machineFaults are the faults that strike each machine by itself.
-var machineFaults = map[Kind]func(w *world, m *machine, t *Fault){
+var machineFaults = map[FaultKind]func(w *world, m *machine, t *Fault){
 	Term:    (*world).restart,
 	Replace: (*world).replace,
 	Freeze:  (*world).freeze,
--- a/internal/lab/plane/file.go
+++ b/internal/lab/plane/file.go
@@ -27,11 +27,11 @@
 }
 
 type trouble struct {
-	At   string `toml:"at" comment:"from the start of the day"`
-	For  string `toml:"for,omitempty"`
-	Kind Kind   `toml:"kind"`
-	How  How    `toml:"how,omitempty"`
-	On   []int  `toml:"on,omitempty" comment:"machines, keepers' seats first; or engines"`
+	At   string    `toml:"at" comment:"from the start of the day"`
+	For  string    `toml:"for,omitempty"`
+	Kind FaultKind `toml:"kind"`
+	How  How       `toml:"how,omitempty"`
+	On   []int     `toml:"on,omitempty" comment:"machines, keepers' seats first; or engines"`
 }
 
 // Encode writes a day as TOML.
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -35,13 +35,13 @@
 // Fault is something that happens at a time.
 type Fault struct {
 	At, For time.Duration
-	Kind    Kind
+	Kind    FaultKind
 	How     How
 	On      []int // machines, or engines; a number of a keeper is its seat, which its successors take
 }
 
-// Kind is what happens.
-type Kind string
+// FaultKind is what happens.
+type FaultKind string
 
 // The kinds: processes are killed and come back after a time; all are, at one moment, their disks remain; machines lose their disk with it; machines are cut off from all
 // others, or are not heard, or do not hear; the core is cut in two; engines say that they leave, or crash; an operator
@@ -51,33 +51,33 @@
 // answers to the operator's next order are lost; orders come at fourteen a second; an operator takes out who had a seat before;
 // the core is cut into two halves, whatever may be lost; engines deregister without having said that they drain, and serve on.
 const (
-	Kill   Kind = "kill"
-	Dark   Kind = "dark"
-	Aimed  Kind = "aimed" // at the next acknowledgement: who has acknowledged loses its disk, and all are killed
-	Wipe   Kind = "wipe"
-	Cut    Kind = "cut"
-	Mute   Kind = "mute"
-	Deaf   Kind = "deaf"
-	Split  Kind = "split"
-	Leave  Kind = "leave"
-	Crash  Kind = "crash"
-	Change Kind = "change"
-	Race   Kind = "race"
-	Freeze Kind = "freeze"
-	Step   Kind = "step"
-	Part   Kind = "part"
-	Full   Kind = "full"
-	Slow   Kind = "slow"
-	Stall  Kind = "stall"
+	Kill   FaultKind = "kill"
+	Dark   FaultKind = "dark"
+	Aimed  FaultKind = "aimed" // at the next acknowledgement: who has acknowledged loses its disk, and all are killed
+	Wipe   FaultKind = "wipe"
+	Cut    FaultKind = "cut"
+	Mute   FaultKind = "mute"
+	Deaf   FaultKind = "deaf"
+	Split  FaultKind = "split"
+	Leave  FaultKind = "leave"
+	Crash  FaultKind = "crash"
+	Change FaultKind = "change"
+	Race   FaultKind = "race"
+	Freeze FaultKind = "freeze"
+	Step   FaultKind = "step"
+	Part   FaultKind = "part"
+	Full   FaultKind = "full"
+	Slow   FaultKind = "slow"
+	Stall  FaultKind = "stall"
 
-	Term    Kind = "term"
-	Replace Kind = "replace"
-	Lost    Kind = "lost"
-	Storm   Kind = "storm"
-	Dismiss Kind = "dismiss"
+	Term    FaultKind = "term"
+	Replace FaultKind = "replace"
+	Lost    FaultKind = "lost"
+	Storm   FaultKind = "storm"
+	Dismiss FaultKind = "dismiss"
 
-	Halves  Kind = "halves"
-	SignOff Kind = "sign_off"
+	Halves  FaultKind = "halves"
+	SignOff FaultKind = "sign_off"
 )
 
 // How is a variant of a kind; "" is the plain one.
@@ -97,15 +97,15 @@
 )
 
 // hows are the variants that a kind has.
-var hows = map[Kind][]How{
+var hows = map[FaultKind][]How{
 	Kill: {Leader}, Freeze: {Leader}, Cut: {Leader, Seeds, Both}, Split: {Seeds, Both}, Replace: {Planned}, Lost: {Twice}, Race: {Same}, Dark: {Disks},
 }
 
 // Kinds lists them.
-var Kinds = []Kind{Kill, Dark, Aimed, Wipe, Cut, Mute, Deaf, Split, Leave, Crash, Change, Race, Freeze, Step, Part, Full, Slow, Stall, Term, Replace, Lost, Storm, Dismiss, Halves, SignOff}
+var Kinds = []FaultKind{Kill, Dark, Aimed, Wipe, Cut, Mute, Deaf, Split, Leave, Crash, Change, Race, Freeze, Step, Part, Full, Slow, Stall, Term, Replace, Lost, Storm, Dismiss, Halves, SignOff}
 
 // strikesEngines tells whether the numbers of a trouble are those of engines.
-func (k Kind) strikesEngines() bool { return k == Leave || k == Crash || k == SignOff }
+func (k FaultKind) strikesEngines() bool { return k == Leave || k == Crash || k == SignOff }
 
 // Found is a broken rule.
 type Found struct {
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -165,7 +165,7 @@
 // kind and variant is drawn; and more than one keeper a day is replaced, up to five.
 func TestDrawsLoseNoMoreThanIsToBeBorne(t *testing.T) {
 	type what struct {
-		Kind
+		FaultKind
 		How
 	}
 	seen, mostReplacements, overlapping := map[what]bool{}, 0, 0
--- a/internal/lab/plane/succession.go
+++ b/internal/lab/plane/succession.go
@@ -114,7 +114,7 @@
 
 // severance is a cut that lasts.
 type severance struct {
-	kind  Kind
+	kind  FaultKind
 	on    []*machine
 	lines [][2]int // from, to
 }
