--- a/cmd/notchlab/plane.go
+++ b/cmd/notchlab/plane.go
@@ -56,12 +56,12 @@
 // shrunk prints what is left of a day that breaks a rule, or writes it into a folder.
 func shrunk(d *plane.Scenario, out string) error {
 	r := d.Run("")
-	if len(r.Found) == 0 {
+	if len(r.Violations) == 0 {
 		return nil
 	}
-	rule := r.Found[0].Rule
+	rule := r.Violations[0].Rule
 	small := d.Shrink("", rule)
-	f := small.Run("").Found[0]
+	f := small.Run("").Violations[0]
 	text, err := small.Encode()
 	if err != nil {
 		return err
@@ -105,10 +105,10 @@
 	r := d.Run("")
 	fmt.Printf("configurations %d, acknowledged %d, %d of them with all keepers lost that may be, the slowest in calm %v, read back %d; engines that drained %d; usage windows %d, not reported %d; orders %d; events %d\n", r.Changes, r.Acked, r.Dark,
 		r.Slowest.Round(time.Millisecond), r.Revision, r.Drained, r.Windows, r.Untold, r.Orders, r.Events)
-	for _, f := range r.Found {
+	for _, f := range r.Violations {
 		fmt.Printf("%s at %v: %s\n", f.Rule, f.At.Round(time.Millisecond), f.Says)
 	}
-	if len(r.Found) > 0 {
+	if len(r.Violations) > 0 {
 		return errBroken
 	}
 	return nil
--- a/internal/lab/check/cuts_test.go
+++ b/internal/lab/check/cuts_test.go
@@ -45,10 +45,10 @@
 			{At: 28 * sec, Kind: plane.Race},
 		}}
 		r := d.Run("")
-		if len(r.Found) > 0 || r.Acked < 5 { // one before it, one of each race
-			t.Errorf("%v of %v: %d acknowledged, %+v", kind, on, r.Acked, r.Found)
+		if len(r.Violations) > 0 || r.Acked < 5 { // one before it, one of each race
+			t.Errorf("%v of %v: %d acknowledged, %+v", kind, on, r.Acked, r.Violations)
 		}
-		if k < 2 && len(d.Run("acknowledges what it has only heard").Found) > 0 {
+		if k < 2 && len(d.Run("acknowledges what it has only heard").Violations) > 0 {
 			broken++
 		}
 	}
--- a/internal/lab/plane/hunt.go
+++ b/internal/lab/plane/hunt.go
@@ -81,7 +81,7 @@
 			for d := range next {
 				r := d.Run("")
 				mu.Lock()
-				if len(r.Found) > 0 {
+				if len(r.Violations) > 0 {
 					broken = append(broken, d)
 				}
 				if played++; progress != nil {
@@ -106,7 +106,7 @@
 // Shrink takes troubles, machines under them and time away from a day for as long as it breaks the same rule.
 func (d *Scenario) Shrink(broken, rule string) *Scenario {
 	breaks := func(x *Scenario) bool {
-		return slices.ContainsFunc(x.Run(broken).Found, func(f Found) bool { return f.Rule == rule })
+		return slices.ContainsFunc(x.Run(broken).Violations, func(f Found) bool { return f.Rule == rule })
 	}
 	best := *d
 	for some := len(d.Faults) / 2; some > 1; some /= 2 { // many at a time, as long as that does
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -116,18 +116,18 @@
 
 // Report is what came of a day.
 type Report struct {
-	Found    []Found // at most one of each rule, in the order of their names
-	Changes  int     // configurations that were sent
-	Acked    int     // of these, acknowledged
-	Dark     int     // of these, while the core was settled and as many keepers as are to be borne were lost
-	Drained  int     // engines that were acknowledged as leaving
-	Windows  int     // of usage that were due
-	Untold   int     // of these, not reported
-	Late     int     // of these, reported later than the platform's delay
-	Orders   int     // of engines
-	Events   int
-	Slowest  time.Duration // from a configuration's first sending to its acknowledgement, in calm
-	Revision uint64        // read back at the end
+	Violations []Found // at most one of each rule, in the order of their names
+	Changes    int     // configurations that were sent
+	Acked      int     // of these, acknowledged
+	Dark       int     // of these, while the core was settled and as many keepers as are to be borne were lost
+	Drained    int     // engines that were acknowledged as leaving
+	Windows    int     // of usage that were due
+	Untold     int     // of these, not reported
+	Late       int     // of these, reported later than the platform's delay
+	Orders     int     // of engines
+	Events     int
+	Slowest    time.Duration // from a configuration's first sending to its acknowledgement, in calm
+	Revision   uint64        // read back at the end
 }
 
 type world struct {
@@ -209,7 +209,7 @@
 	w.checkUsage()
 	w.readBack()
 	for _, rule := range slices.Sorted(keys(w.found)) {
-		w.report.Found = append(w.report.Found, w.found[rule])
+		w.report.Violations = append(w.report.Violations, w.found[rule])
 	}
 	return w.report
 }
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -22,7 +22,7 @@
 		{At: 2 * time.Second, Kind: Change}, {At: 6 * time.Second, Kind: Race}, {At: 8 * time.Second, Kind: Leave, On: []int{1, 2}},
 	}}
 	r := d.Run("")
-	if len(r.Found) > 0 || r.Changes != 4 || r.Acked != 3 || r.Drained != 2 || r.Slowest > 200*time.Millisecond || r.Slowest == 0 || r.Windows < 3 || r.Untold > 0 || r.Orders == 0 {
+	if len(r.Violations) > 0 || r.Changes != 4 || r.Acked != 3 || r.Drained != 2 || r.Slowest > 200*time.Millisecond || r.Slowest == 0 || r.Windows < 3 || r.Untold > 0 || r.Orders == 0 {
 		t.Errorf("%+v", r)
 	}
 	if diff := cmp.Diff(r, d.Run("")); diff != "" {
@@ -44,8 +44,8 @@
 			t.Errorf("seed %d is another day when it is played again: %d events and %d", seed, r.Events, again.Events)
 		}
 		acked, dark = acked+r.Acked, dark+r.Dark
-		if len(r.Found) > 0 {
-			t.Errorf("seed %d: %+v", seed, r.Found)
+		if len(r.Violations) > 0 {
+			t.Errorf("seed %d: %+v", seed, r.Violations)
 		}
 	}
 	if t.Logf("%d configurations were acknowledged, %d of them with all lost that may be", acked, dark); acked < 200 || dark < 20 {
@@ -83,8 +83,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r := d.Run(""); len(r.Found) > 0 {
-			t.Errorf("%s: %+v", f, r.Found)
+		if r := d.Run(""); len(r.Violations) > 0 {
+			t.Errorf("%s: %+v", f, r.Violations)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 	const broken, rule = "acknowledges a drain alone", "DRAIN"
 	for seed := range uint64(50) {
 		d := Draw(seed, least)
-		if !slices.ContainsFunc(d.Run(broken).Found, func(f Found) bool { return f.Rule == rule }) {
+		if !slices.ContainsFunc(d.Run(broken).Violations, func(f Found) bool { return f.Rule == rule }) {
 			continue
 		}
 		if s := d.Shrink(broken, rule); len(s.Faults) != 1 || s.Faults[0].Kind != Leave || len(s.Faults[0].On) != 1 {
@@ -274,8 +274,8 @@
 			for seed := range uint64(300) {
 				d := Draw(seed, small)
 				d.Faults = append(d.Faults, aimed[rule]...)
-				for _, f := range d.Run(broken).Found {
-					if is := func(x Found) bool { return x.Rule == rule }; is(f) && !slices.ContainsFunc(d.Run("").Found, is) {
+				for _, f := range d.Run(broken).Violations {
+					if is := func(x Found) bool { return x.Rule == rule }; is(f) && !slices.ContainsFunc(d.Run("").Violations, is) {
 						t.Logf("seed %d: %s: %s", seed, f.Rule, f.Says)
 						return
 					}
@@ -328,7 +328,7 @@
 func checkLargeUsageDay(t *testing.T, w *world) {
 	t.Helper()
 	r := w.play()
-	if len(r.Found) > 0 || r.Untold > 0 || r.Late > 0 || r.Windows < 8 || r.Acked < 40 || r.Slowest > time.Second {
+	if len(r.Violations) > 0 || r.Untold > 0 || r.Late > 0 || r.Windows < 8 || r.Acked < 40 || r.Slowest > time.Second {
 		t.Errorf("%+v", r)
 	}
 	complete := 0
