--- a/cmd/notchlab/plane.go
+++ b/cmd/notchlab/plane.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("\n# seed %d: %s at %v: %s\n", d.Seed, f.Rule, f.At.Round(time.Millisecond), f.Says)
+	fmt.Printf("\n# seed %d: %s at %v: %s\n", d.Seed, f.Rule, f.At.Round(time.Millisecond), f.Message)
 	if out == "" {
 		fmt.Printf("%s", text)
 		return nil
@@ -106,7 +106,7 @@
 	fmt.Printf("configurations %d, acknowledged %d, %d of them with all keepers lost that may be, the slowest in calm %v, read back %d; engines that drained %d; usage windows %d, not reported %d; orders %d; events %d\n", r.Changes, r.Acked, r.Dark,
 		r.Slowest.Round(time.Millisecond), r.Revision, r.Drained, r.Windows, r.Untold, r.Orders, r.Events)
 	for _, f := range r.Violations {
-		fmt.Printf("%s at %v: %s\n", f.Rule, f.At.Round(time.Millisecond), f.Says)
+		fmt.Printf("%s at %v: %s\n", f.Rule, f.At.Round(time.Millisecond), f.Message)
 	}
 	if len(r.Violations) > 0 {
 		return errBroken
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -109,9 +109,9 @@
 
 // Found is a broken rule.
 type Found struct {
-	Rule string
-	At   time.Duration
-	Says string
+	Rule    string
+	At      time.Duration
+	Message string
 }
 
 // Report is what came of a day.
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -276,7 +276,7 @@
 				d.Faults = append(d.Faults, aimed[rule]...)
 				for _, f := range d.Run(broken).Violations {
 					if is := func(x Found) bool { return x.Rule == rule }; is(f) && !slices.ContainsFunc(d.Run("").Violations, is) {
-						t.Logf("seed %d: %s: %s", seed, f.Rule, f.Says)
+						t.Logf("seed %d: %s: %s", seed, f.Rule, f.Message)
 						return
 					}
 				}
