--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -122,7 +122,7 @@
 	Dark       int     // of these, while the core was settled and as many keepers as are to be borne were lost
 	Drained    int     // engines that were acknowledged as leaving
 	Windows    int     // of usage that were due
-	Untold     int     // of these, not reported
+	Unreported int     // of these, not reported
 	Late       int     // of these, reported later than the platform's delay
 	Orders     int     // of engines
 	Events     int
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -22,7 +22,7 @@
 		{At: 2 * time.Second, Kind: Change}, {At: 6 * time.Second, Kind: Race}, {At: 8 * time.Second, Kind: Leave, On: []int{1, 2}},
 	}}
 	r := d.Run("")
-	if len(r.Violations) > 0 || r.Changes != 4 || r.Acked != 3 || r.Drained != 2 || r.Slowest > 200*time.Millisecond || r.Slowest == 0 || r.Windows < 3 || r.Untold > 0 || r.Orders == 0 {
+	if len(r.Violations) > 0 || r.Changes != 4 || r.Acked != 3 || r.Drained != 2 || r.Slowest > 200*time.Millisecond || r.Slowest == 0 || r.Windows < 3 || r.Unreported > 0 || r.Orders == 0 {
 		t.Errorf("%+v", r)
 	}
 	if diff := cmp.Diff(r, d.Run("")); diff != "" {
@@ -328,7 +328,7 @@
 func checkLargeUsageDay(t *testing.T, w *world) {
 	t.Helper()
 	r := w.play()
-	if len(r.Violations) > 0 || r.Untold > 0 || r.Late > 0 || r.Windows < 8 || r.Acked < 40 || r.Slowest > time.Second {
+	if len(r.Violations) > 0 || r.Unreported > 0 || r.Late > 0 || r.Windows < 8 || r.Acked < 40 || r.Slowest > time.Second {
 		t.Errorf("%+v", r)
 	}
 	complete := 0
--- a/internal/lab/plane/platform.go
+++ b/internal/lab/plane/platform.go
@@ -126,7 +126,7 @@
 		}
 		w.report.Windows++
 		if _, reported := w.platform.usage[number]; !reported {
-			w.report.Untold++
+			w.report.Unreported++
 			if number == last {
 				w.breaks("DUTY", "window %d is over for %v, in calm, and not reported", number, w.now-usage.WindowEnd(number, usageWindow).Sub(epoch))
 			}
