--- a/cmd/notchlab/plane.go
+++ b/cmd/notchlab/plane.go
@@ -103,7 +103,7 @@
 		return badFile{err}
 	}
 	r := d.Run("")
-	fmt.Printf("configurations %d, acknowledged %d, %d of them with all keepers lost that may be, the slowest in calm %v, read back %d; engines that drained %d; usage windows %d, not reported %d; orders %d; events %d\n", r.Changes, r.Acked, r.Dark,
+	fmt.Printf("configurations %d, acknowledged %d, %d of them with all keepers lost that may be, the slowest in calm %v, read back %d; engines that drained %d; usage windows %d, not reported %d; orders %d; events %d\n", r.Changes, r.Acked, r.AckedAtMaxLoss,
 		r.Slowest.Round(time.Millisecond), r.Revision, r.Drained, r.Windows, r.Unreported, r.Orders, r.Events)
 	for _, f := range r.Violations {
 		fmt.Printf("%s at %v: %s\n", f.Rule, f.At.Round(time.Millisecond), f.Message)
--- a/internal/lab/plane/operators.go
+++ b/internal/lab/plane/operators.go
@@ -237,7 +237,7 @@
 	c.acked = true
 	w.report.Acked++
 	if w.settledSince() <= w.now && w.lost() == w.day.Tolerate {
-		w.report.Dark++
+		w.report.AckedAtMaxLoss++
 	}
 	w.newest = max(w.newest, c.revision)
 	if other, known := w.upon[c.on]; known && other != c {
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -116,18 +116,18 @@
 
 // Report is what came of a day.
 type Report struct {
-	Violations []Found // at most one of each rule, in the order of their names
-	Changes    int     // configurations that were sent
-	Acked      int     // of these, acknowledged
-	Dark       int     // of these, while the core was settled and as many keepers as are to be borne were lost
-	Drained    int     // engines that were acknowledged as leaving
-	Windows    int     // of usage that were due
-	Unreported int     // of these, not reported
-	Late       int     // of these, reported later than the platform's delay
-	Orders     int     // of engines
-	Events     int
-	Slowest    time.Duration // from a configuration's first sending to its acknowledgement, in calm
-	Revision   uint64        // read back at the end
+	Violations     []Found // at most one of each rule, in the order of their names
+	Changes        int     // configurations that were sent
+	Acked          int     // of these, acknowledged
+	AckedAtMaxLoss int     // of these, while the core was settled and as many keepers as are to be borne were lost
+	Drained        int     // engines that were acknowledged as leaving
+	Windows        int     // of usage that were due
+	Unreported     int     // of these, not reported
+	Late           int     // of these, reported later than the platform's delay
+	Orders         int     // of engines
+	Events         int
+	Slowest        time.Duration // from a configuration's first sending to its acknowledgement, in calm
+	Revision       uint64        // read back at the end
 }
 
 type world struct {
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -43,7 +43,7 @@
 		if again := d.Run(""); seed < 2 && !cmp.Equal(r, again) {
 			t.Errorf("seed %d is another day when it is played again: %d events and %d", seed, r.Events, again.Events)
 		}
-		acked, dark = acked+r.Acked, dark+r.Dark
+		acked, dark = acked+r.Acked, dark+r.AckedAtMaxLoss
 		if len(r.Violations) > 0 {
 			t.Errorf("seed %d: %+v", seed, r.Violations)
 		}
