--- a/cmd/notchlab/capacity.go
+++ b/cmd/notchlab/capacity.go
@@ -26,7 +26,7 @@
 	const length, calm = 25 * time.Second, 15 * time.Second
 	all := make([]plane.Costs, len(c.Routers))
 	sideBySide(len(all), func(i int) {
-		d := &plane.Scenario{Seed: c.Seed, Keepers: c.Keepers, Routers: c.Routers[i], Engines: c.Engines[i], Tolerate: (c.Keepers - 1) / 2, Length: length}
+		d := &plane.Scenario{Seed: c.Seed, Replicas: c.Keepers, Routers: c.Routers[i], Engines: c.Engines[i], Tolerate: (c.Keepers - 1) / 2, Length: length}
 		all[i] = d.Measure(calm)
 	})
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
--- a/cmd/notchlab/recover.go
+++ b/cmd/notchlab/recover.go
@@ -26,7 +26,7 @@
 	all := make([]plane.Recovery, len(c.Routers)*c.Seeds)
 	sideBySide(len(all), func(i int) {
 		d := &plane.Scenario{
-			Seed: uint64(i%c.Seeds) + 1, Keepers: c.Keepers, Routers: c.Routers[i/c.Seeds], Engines: c.Engines[i/c.Seeds],
+			Seed: uint64(i%c.Seeds) + 1, Replicas: c.Keepers, Routers: c.Routers[i/c.Seeds], Engines: c.Engines[i/c.Seeds],
 			Tolerate: (c.Keepers - 1) / 2, Length: 10 * time.Second,
 		}
 		all[i] = d.Recover(c.Down)
--- a/internal/lab/check/cuts_test.go
+++ b/internal/lab/check/cuts_test.go
@@ -32,7 +32,7 @@
 	sides := [][]int{{0, 6}, {1, 2, 7}}
 	for k, kind := range []plane.FaultKind{plane.Cut, plane.Mute, plane.Deaf, plane.Split} {
 		on := sides[k%2]
-		d := plane.Scenario{Seed: uint64(k), Keepers: 5, Routers: 5, Engines: 8, Tolerate: 2, Length: 32 * sec, Faults: []plane.Fault{
+		d := plane.Scenario{Seed: uint64(k), Replicas: 5, Routers: 5, Engines: 8, Tolerate: 2, Length: 32 * sec, Faults: []plane.Fault{
 			{At: 2 * sec, Kind: plane.Change},
 			{At: 3 * sec, For: 20 * sec, Kind: kind, On: on},
 			{At: 5 * sec, Kind: plane.Race},
--- a/internal/lab/plane/cost.go
+++ b/internal/lab/plane/cost.go
@@ -76,7 +76,7 @@
 	w.run(lead + d.Length)
 	c := Costs{}
 	seconds := last.Seconds()
-	for i, n := range []int{d.Routers, d.Keepers} {
+	for i, n := range []int{d.Routers, d.Replicas} {
 		var all []Cost
 		for _, r := range w.meter.books[i].Rows() {
 			x := Cost{r.Cause, float64(r.Bytes) / seconds / float64(n)}
@@ -89,7 +89,7 @@
 			c.Keeper = all
 		}
 	}
-	c.Calls = float64(w.meter.calls) / seconds / float64(d.Keepers)
-	c.Taken = float64(w.meter.taken) / seconds / float64(d.Keepers)
+	c.Calls = float64(w.meter.calls) / seconds / float64(d.Replicas)
+	c.Taken = float64(w.meter.taken) / seconds / float64(d.Replicas)
 	return c
 }
--- a/internal/lab/plane/draw.go
+++ b/internal/lab/plane/draw.go
@@ -39,7 +39,7 @@
 func Draw(seed uint64, s Size) *Scenario {
 	rnd := rand.New(rand.NewPCG(seed, 13))
 	w := &drawing{Rand: rnd, Size: s, bounds: boundsOf(s.Tolerate), away: make([]time.Duration, s.Keepers)}
-	w.day = &Scenario{Seed: seed, Keepers: s.Keepers, Routers: s.Routers, Engines: s.Engines, Tolerate: s.Tolerate, Length: time.Duration(30+15*rnd.IntN(3)) * time.Second}
+	w.day = &Scenario{Seed: seed, Replicas: s.Keepers, Routers: s.Routers, Engines: s.Engines, Tolerate: s.Tolerate, Length: time.Duration(30+15*rnd.IntN(3)) * time.Second}
 	w.day.Overlaps = rnd.IntN(oneOverlaps) == 0
 	for range int(w.day.Length/(5*time.Second)) + rnd.IntN(8) {
 		w.later(w.some(drawn[rnd.IntN(len(drawn))]))
--- a/internal/lab/plane/faults.go
+++ b/internal/lab/plane/faults.go
@@ -229,11 +229,11 @@
 	}
 	for _, i := range t.On {
 		switch {
-		case i < w.day.Keepers:
+		case i < w.day.Replicas:
 			if m := w.seats[i]; !m.gone {
 				on = append(on, m)
 			}
-		case i < w.day.Keepers+w.day.Routers:
+		case i < w.day.Replicas+w.day.Routers:
 			on = append(on, w.machines[i])
 		}
 	}
--- a/internal/lab/plane/file.go
+++ b/internal/lab/plane/file.go
@@ -36,7 +36,7 @@
 
 // Encode writes a day as TOML.
 func (d *Scenario) Encode() ([]byte, error) {
-	f := file{Seed: d.Seed, Keepers: d.Keepers, Routers: d.Routers, Engines: d.Engines, Tolerate: d.Tolerate, Length: d.Length.String(), Overlaps: d.Overlaps, Tenants: d.Tenants, LinkBytesPerSecond: d.LinkBytesPerSecond}
+	f := file{Seed: d.Seed, Keepers: d.Replicas, Routers: d.Routers, Engines: d.Engines, Tolerate: d.Tolerate, Length: d.Length.String(), Overlaps: d.Overlaps, Tenants: d.Tenants, LinkBytesPerSecond: d.LinkBytesPerSecond}
 	for _, t := range d.Faults {
 		f.Troubles = append(f.Troubles, trouble{t.At.String(), t.For.String(), t.Kind, t.How, t.On})
 	}
@@ -74,12 +74,12 @@
 		}
 		return d
 	}
-	d := &Scenario{Seed: f.Seed, Keepers: f.Keepers, Routers: f.Routers, Engines: f.Engines, Tolerate: f.Tolerate, Overlaps: f.Overlaps, Tenants: f.Tenants, LinkBytesPerSecond: f.LinkBytesPerSecond}
+	d := &Scenario{Seed: f.Seed, Replicas: f.Keepers, Routers: f.Routers, Engines: f.Engines, Tolerate: f.Tolerate, Overlaps: f.Overlaps, Tenants: f.Tenants, LinkBytesPerSecond: f.LinkBytesPerSecond}
 	d.Length = span("length", f.Length, mostLength)
-	if d.Keepers < 1 || d.Routers < 1 || d.Keepers+d.Routers > mostMachines {
+	if d.Replicas < 1 || d.Routers < 1 || d.Replicas+d.Routers > mostMachines {
 		bad("keepers, routers: at least one of each and %d in all are wanted", mostMachines)
 	}
-	if d.Engines < 0 || d.Engines > mostEngines || d.Tolerate < 0 || 2*d.Tolerate+1 > d.Keepers {
+	if d.Engines < 0 || d.Engines > mostEngines || d.Tolerate < 0 || 2*d.Tolerate+1 > d.Replicas {
 		bad("engines, tolerate: up to %d, and fewer than half of the keepers, are wanted", mostEngines)
 	}
 	if d.Tenants < 0 || d.Tenants > mostTenants || d.LinkBytesPerSecond < 0 {
@@ -97,7 +97,7 @@
 		if t.How != "" && !slices.Contains(hows[t.Kind], t.How) {
 			bad("%s.how: one of %v is wanted for %s, not %q", at, hows[t.Kind], t.Kind, t.How)
 		}
-		most := d.Keepers + d.Routers
+		most := d.Replicas + d.Routers
 		if t.Kind.strikesEngines() {
 			most = d.Engines
 		}
--- a/internal/lab/plane/hunt.go
+++ b/internal/lab/plane/hunt.go
@@ -25,7 +25,7 @@
 		switch {
 		case t.Kind.strikesEngines() || len(t.On) == 0:
 			return kind
-		case t.On[0] < d.Keepers:
+		case t.On[0] < d.Replicas:
 			return kind + " of keepers"
 		}
 		return kind + " of routers"
--- a/internal/lab/plane/machine.go
+++ b/internal/lab/plane/machine.go
@@ -310,14 +310,14 @@
 		began:    map[uint64]int{},
 		platform: newPlatform(),
 	}
-	for i := range d.Keepers + d.Routers {
-		m := &machine{w: w, i: i, keeper: i < d.Keepers, zone: uint32(i % 4)}
+	for i := range d.Replicas + d.Routers {
+		m := &machine{w: w, i: i, keeper: i < d.Replicas, zone: uint32(i % 4)}
 		m.name = fmt.Sprintf("router-%d", i)
 		if m.keeper {
 			m.name, m.disk = fmt.Sprintf("keeper-%d", i), &disk{}
 		}
 		w.machines = append(w.machines, m)
 	}
-	w.seats = slices.Clone(w.machines[:d.Keepers])
+	w.seats = slices.Clone(w.machines[:d.Replicas])
 	return w
 }
--- a/internal/lab/plane/people.go
+++ b/internal/lab/plane/people.go
@@ -194,7 +194,7 @@
 func (e *engine) watch() {
 	w := e.w
 	contact := w.bounds.contact
-	for _, m := range w.machines[w.day.Keepers : w.day.Keepers+w.day.Routers] {
+	for _, m := range w.machines[w.day.Replicas : w.day.Replicas+w.day.Routers] {
 		if !m.up || m.frozen || w.now-m.calm < contact || !w.calmFor(contact) || w.apart(m) || !w.informed(m) {
 			continue
 		}
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -18,7 +18,7 @@
 // Scenario is what is played.
 type Scenario struct {
 	Seed     uint64
-	Keepers  int
+	Replicas int
 	Routers  int
 	Engines  int
 	Tolerate int // keepers that may be lost at once
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestQuietDay(t *testing.T) {
-	d := &Scenario{Seed: 3, Keepers: 5, Routers: 9, Engines: 8, Tolerate: 2, Length: 20 * time.Second, Faults: []Fault{
+	d := &Scenario{Seed: 3, Replicas: 5, Routers: 9, Engines: 8, Tolerate: 2, Length: 20 * time.Second, Faults: []Fault{
 		{At: 2 * time.Second, Kind: Change}, {At: 6 * time.Second, Kind: Race}, {At: 8 * time.Second, Kind: Leave, On: []int{1, 2}},
 	}}
 	r := d.Run("")
@@ -202,7 +202,7 @@
 // mostLost counts the keepers that are lost at once at the most, and those without their disks alone where losses overlap.
 func mostLost(d *Scenario) (most int) {
 	catchUp := boundsOf(d.Tolerate).catchUp
-	until, anyone := make([]time.Duration, d.Keepers), time.Duration(0)
+	until, anyone := make([]time.Duration, d.Replicas), time.Duration(0)
 	disks := 0
 	for _, x := range d.Faults {
 		losesDisk := x.Kind == Wipe || x.Kind == Replace || x.How == Disks
@@ -215,7 +215,7 @@
 			continue
 		}
 		for _, k := range x.On {
-			if k < d.Keepers {
+			if k < d.Replicas {
 				until[k] = max(until[k], x.At+x.For+catchUp)
 				if x.How == Planned {
 					until[k] = max(x.At+x.For, x.At+catchUp)
@@ -289,7 +289,7 @@
 // TestCostsDoNotGrowWithTheFleet: what a router sends hardly depends on how many routers and engines there are.
 func TestCostsDoNotGrowWithTheFleet(t *testing.T) {
 	cost := func(routers, engines int) Costs {
-		d := &Scenario{Seed: 1, Keepers: 5, Routers: routers, Engines: engines, Tolerate: 2, Length: 20 * time.Second}
+		d := &Scenario{Seed: 1, Replicas: 5, Routers: routers, Engines: engines, Tolerate: 2, Length: 20 * time.Second}
 		return d.Measure(8 * time.Second)
 	}
 	few, many := cost(8, 16), cost(48, 96)
@@ -303,7 +303,7 @@
 
 // TestRecovery: after all machines were without power every part is back within seconds, and all routers know all engines.
 func TestRecovery(t *testing.T) {
-	d := &Scenario{Seed: 2, Keepers: 5, Routers: 20, Engines: 40, Tolerate: 2, Length: 8 * time.Second}
+	d := &Scenario{Seed: 2, Replicas: 5, Routers: 20, Engines: 40, Tolerate: 2, Length: 8 * time.Second}
 	r := d.Recover(time.Second)
 	for name, took := range map[string]time.Duration{"keepers in touch": r.Touch, "half of the engines": r.Half, "all engines": r.All, "agreement": r.Agreed, "duties": r.Duties} {
 		if took < 0 || took > 10*time.Second {
@@ -317,7 +317,7 @@
 
 // largeUsageDay is a day with usage windows that earlier releases could not agree, and a change of configuration beside each.
 func largeUsageDay(tenants int, length time.Duration) *Scenario {
-	d := &Scenario{Seed: 5, Keepers: 3, Routers: 1, Engines: 2, Tolerate: 1, Length: length, Tenants: tenants, LinkBytesPerSecond: 15_000_000}
+	d := &Scenario{Seed: 5, Replicas: 3, Routers: 1, Engines: 2, Tolerate: 1, Length: length, Tenants: tenants, LinkBytesPerSecond: 15_000_000}
 	for at := time.Second; at < d.Length; at += 700 * time.Millisecond {
 		d.Faults = append(d.Faults, Fault{At: at, Kind: Change})
 	}
--- a/internal/lab/plane/recover.go
+++ b/internal/lab/plane/recover.go
@@ -32,7 +32,7 @@
 	}
 	w.run(w.now + down)
 	back, before := w.now, acts()
-	sent := w.change(w.newest, d.Keepers)
+	sent := w.change(w.newest, d.Replicas)
 	r := Recovery{-1, -1, -1, -1, -1, -1}
 	note := func(at *time.Duration, is bool) {
 		if is && *at < 0 {
--- a/internal/lab/plane/succession.go
+++ b/internal/lab/plane/succession.go
@@ -99,7 +99,7 @@
 		return all
 	}
 	m.told = nil
-	for _, i := range []int{0, 1, w.day.Keepers} {
+	for _, i := range []int{0, 1, w.day.Replicas} {
 		for try := 0; w.machines[i].gone || w.machines[i] == m && try > 0; try++ {
 			if x := w.inTouch(); try == 0 && x != nil { // were all three cut off or down, nobody could be found
 				i = x.i
@@ -222,7 +222,7 @@
 				w.seeds = nil
 			}
 		})
-		routers := w.machines[w.day.Keepers : w.day.Keepers+w.day.Routers]
+		routers := w.machines[w.day.Replicas : w.day.Replicas+w.day.Routers]
 		kill(routers[:(len(routers)+1)/2], time.Second, 300*time.Millisecond)
 		return
 	}
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -15,7 +15,7 @@
 // Model is what the model of the control plane says for the same size: bytes a second by cause, of a router and of a keeper.
 func Model(o *Options) (router, keeper Rows) {
 	const length, calm = 25 * time.Second, 15 * time.Second
-	d := &plane.Scenario{Seed: o.Seed, Keepers: o.Keepers, Routers: o.Routers, Engines: o.Engines, Tolerate: (o.Keepers - 1) / 2, Length: length}
+	d := &plane.Scenario{Seed: o.Seed, Replicas: o.Keepers, Routers: o.Routers, Engines: o.Engines, Tolerate: (o.Keepers - 1) / 2, Length: length}
 	c := d.Measure(calm)
 	router, keeper = Rows{}, Rows{}
 	for _, x := range c.Router {
