--- a/cmd/notchlab/plane.go
+++ b/cmd/notchlab/plane.go
@@ -23,7 +23,7 @@
 
 // Run hunts; what is found is shrunk, and fails it.
 func (c huntCmd) Run(ctx context.Context) error {
-	s := plane.Size{Keepers: c.Keepers, Routers: c.Routers, Engines: c.Engines, Tolerate: c.Tolerate}
+	s := plane.Size{Replicas: c.Keepers, Routers: c.Routers, Engines: c.Engines, Tolerate: c.Tolerate}
 	if c.Days < 1 || c.Routers < 1 || c.Engines < 1 || c.Tolerate < 1 || 2*c.Tolerate+1 > c.Keepers || c.Keepers+c.Routers > 4000 {
 		return badFile{errors.New("at least one day, router, engine and keeper that may be lost are wanted, and fewer than half of the keepers; 4000 machines at the most")}
 	}
--- a/internal/lab/plane/draw.go
+++ b/internal/lab/plane/draw.go
@@ -38,8 +38,8 @@
 // be borne: what would lose more waits its turn, or is cut down.
 func Draw(seed uint64, s Size) *Scenario {
 	rnd := rand.New(rand.NewPCG(seed, 13))
-	w := &drawing{Rand: rnd, Size: s, bounds: boundsOf(s.Tolerate), away: make([]time.Duration, s.Keepers)}
-	w.day = &Scenario{Seed: seed, Replicas: s.Keepers, Routers: s.Routers, Engines: s.Engines, Tolerate: s.Tolerate, Length: time.Duration(30+15*rnd.IntN(3)) * time.Second}
+	w := &drawing{Rand: rnd, Size: s, bounds: boundsOf(s.Tolerate), away: make([]time.Duration, s.Replicas)}
+	w.day = &Scenario{Seed: seed, Replicas: s.Replicas, Routers: s.Routers, Engines: s.Engines, Tolerate: s.Tolerate, Length: time.Duration(30+15*rnd.IntN(3)) * time.Second}
 	w.day.Overlaps = rnd.IntN(oneOverlaps) == 0
 	for range int(w.day.Length/(5*time.Second)) + rnd.IntN(8) {
 		w.later(w.some(drawn[rnd.IntN(len(drawn))]))
@@ -99,10 +99,10 @@
 	if w.strikes(&t); t.How == Leader {
 		t.On = nil
 	}
-	if t.How == Seeds && len(t.On) > 0 && t.On[0] >= w.Keepers { // they are keepers who are cut off
-		t.On = w.pick(1+w.IntN(w.Tolerate), 0, w.Keepers)
+	if t.How == Seeds && len(t.On) > 0 && t.On[0] >= w.Replicas { // they are keepers who are cut off
+		t.On = w.pick(1+w.IntN(w.Tolerate), 0, w.Replicas)
 	}
-	if t.How == Both && len(t.On) > 0 && t.On[0] >= w.Keepers {
+	if t.How == Both && len(t.On) > 0 && t.On[0] >= w.Replicas {
 		t.How = ""
 	}
 	return t
@@ -112,20 +112,20 @@
 func (w *drawing) strikes(t *Fault) {
 	switch t.Kind {
 	case Halves:
-		t.On, t.For = w.pick(w.Keepers/2, 0, w.Keepers), w.between(shortestHalves, longestHalves)
+		t.On, t.For = w.pick(w.Replicas/2, 0, w.Replicas), w.between(shortestHalves, longestHalves)
 	case Leave, Crash, SignOff:
 		t.On = w.pick(1+w.IntN(3), 0, w.Engines)
 	case Race, Lost:
 		t.For = 0
 	case Split, Full, Slow, Stall:
-		t.On = w.pick(1+w.IntN(w.Tolerate), 0, w.Keepers)
+		t.On = w.pick(1+w.IntN(w.Tolerate), 0, w.Replicas)
 	case Wipe, Replace:
-		t.On = w.pick(1, 0, w.Keepers)
+		t.On = w.pick(1, 0, w.Replicas)
 	case Part:
-		t.On = w.pick(2, 0, w.Keepers)
+		t.On = w.pick(2, 0, w.Replicas)
 	default:
-		if t.On = w.pick(1+w.IntN(max(w.Routers/2, 1)), w.Keepers, w.Keepers+w.Routers); w.IntN(3) > 0 {
-			t.On = w.pick(1+w.IntN(w.Tolerate), 0, w.Keepers)
+		if t.On = w.pick(1+w.IntN(max(w.Routers/2, 1)), w.Replicas, w.Replicas+w.Routers); w.IntN(3) > 0 {
+			t.On = w.pick(1+w.IntN(w.Tolerate), 0, w.Replicas)
 		}
 	}
 }
@@ -164,7 +164,7 @@
 func (w *drawing) place(t Fault) {
 	var keepers []int
 	for _, k := range t.On {
-		if w.counts(&t) && k < w.Keepers {
+		if w.counts(&t) && k < w.Replicas {
 			keepers = append(keepers, k)
 		}
 	}
@@ -234,7 +234,7 @@
 		x.How = Planned
 	}
 	x.On = nil
-	for _, k := range w.pick(w.Keepers, 0, w.Keepers) {
+	for _, k := range w.pick(w.Replicas, 0, w.Replicas) {
 		if k != t.On[0] && len(x.On) < w.Tolerate && (x.Kind != Wipe && x.Kind != Replace || len(x.On) == 0) {
 			x.On = append(x.On, k)
 		}
@@ -256,7 +256,7 @@
 	w.disks = w.Tolerate
 	x := Fault{Kind: []FaultKind{Dark, Aimed}[w.IntN(2)], At: t.At + w.between(0, 60*time.Millisecond), For: w.between(50*time.Millisecond, 1250*time.Millisecond)}
 	if x.Kind == Dark && w.IntN(2) == 0 { // and as many disks as may be
-		x.How, x.On = Disks, w.pick(w.Tolerate, 0, w.Keepers)
+		x.How, x.On = Disks, w.pick(w.Tolerate, 0, w.Replicas)
 	}
 	w.day.Faults = append(w.day.Faults, x)
 	for k := range w.away { // all are lost until they have had their time, and any may be the one whose disk is
--- a/internal/lab/plane/hunt.go
+++ b/internal/lab/plane/hunt.go
@@ -10,7 +10,7 @@
 )
 
 // Size is how large the fleets of a hunt are.
-type Size struct{ Keepers, Routers, Engines, Tolerate int }
+type Size struct{ Replicas, Routers, Engines, Tolerate int }
 
 // Met is which troubles have met: of one that is still there when another begins, the kinds, and whom they strike.
 type Met map[[2]string]int
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -13,8 +13,8 @@
 )
 
 var (
-	small = Size{Keepers: 5, Routers: 9, Engines: 8, Tolerate: 2}
-	least = Size{Keepers: 3, Routers: 4, Engines: 6, Tolerate: 1}
+	small = Size{Replicas: 5, Routers: 9, Engines: 8, Tolerate: 2}
+	least = Size{Replicas: 3, Routers: 4, Engines: 6, Tolerate: 1}
 )
 
 func TestQuietDay(t *testing.T) {
@@ -170,7 +170,7 @@
 	}
 	seen, mostReplacements, overlapping := map[what]bool{}, 0, 0
 	for seed := range uint64(1500) {
-		s := Size{Keepers: 3 + 2*int(seed%2), Routers: 4, Engines: 6, Tolerate: 1 + int(seed%2)}
+		s := Size{Replicas: 3 + 2*int(seed%2), Routers: 4, Engines: 6, Tolerate: 1 + int(seed%2)}
 		d := Draw(seed, s)
 		replaced := 0
 		for _, x := range d.Faults {
