--- a/cmd/notchlab/capacity.go
+++ b/cmd/notchlab/capacity.go
@@ -43,7 +43,7 @@
 			row("router", y.Cause, y.Bytes)
 		}
 		row("router", "all", x.Sent[0])
-		for _, y := range x.Keeper {
+		for _, y := range x.Replica {
 			row("keeper", y.Cause, y.Bytes)
 		}
 		row("keeper", "all", x.Sent[1])
--- a/internal/lab/plane/cost.go
+++ b/internal/lab/plane/cost.go
@@ -23,10 +23,10 @@
 
 // Costs are those of a mean router and of a mean keeper, by cause, and what keepers take in.
 type Costs struct {
-	Router, Keeper []Cost
-	Sent           [2]float64 // bytes a second, of a router and of a keeper
-	Calls          float64    // of engines, a second at a mean keeper
-	Taken          float64    // bytes a second that come to a mean keeper
+	Router, Replica []Cost
+	Sent            [2]float64 // bytes a second, of a router and of a keeper
+	Calls           float64    // of engines, a second at a mean keeper
+	Taken           float64    // bytes a second that come to a mean keeper
 }
 
 // meter counts while it is on.
@@ -86,7 +86,7 @@
 		if i == 0 {
 			c.Router = all
 		} else {
-			c.Keeper = all
+			c.Replica = all
 		}
 	}
 	c.Calls = float64(w.meter.calls) / seconds / float64(d.Replicas)
--- a/internal/lab/scale/report.go
+++ b/internal/lab/scale/report.go
@@ -21,7 +21,7 @@
 	for _, x := range c.Router {
 		router[x.Cause] = x.Bytes
 	}
-	for _, x := range c.Keeper {
+	for _, x := range c.Replica {
 		keeper[x.Cause] = x.Bytes
 	}
 	return router, keeper
