--- a/cmd/notchlab/capacity.go
+++ b/cmd/notchlab/capacity.go
@@ -47,9 +47,9 @@
 			row("keeper", y.Cause, y.Bytes)
 		}
 		row("keeper", "all", x.Sent[1])
-		row("keeper", "taken", x.Taken)
+		row("keeper", "taken", x.Received)
 		row("keeper", "calls of engines (a second)", x.Calls)
-		for k, y := range []float64{x.Sent[0], x.Sent[1], x.Taken} {
+		for k, y := range []float64{x.Sent[0], x.Sent[1], x.Received} {
 			sent.Series[k].Points = append(sent.Series[k].Points, report.Point{X: float64(c.Routers[i]), Y: y})
 			r.Add(fmt.Sprintf("%s, %d routers, %d engines", sent.Series[k].Name, c.Routers[i], c.Engines[i]), y, "B/s", "")
 		}
--- a/internal/lab/plane/cost.go
+++ b/internal/lab/plane/cost.go
@@ -26,7 +26,7 @@
 	Router, Replica []Cost
 	Sent            [2]float64 // bytes a second, of a router and of a keeper
 	Calls           float64    // of engines, a second at a mean keeper
-	Taken           float64    // bytes a second that come to a mean keeper
+	Received        float64    // bytes a second that come to a mean keeper
 }
 
 // meter counts while it is on.
@@ -90,6 +90,6 @@
 		}
 	}
 	c.Calls = float64(w.meter.calls) / seconds / float64(d.Replicas)
-	c.Taken = float64(w.meter.taken) / seconds / float64(d.Replicas)
+	c.Received = float64(w.meter.taken) / seconds / float64(d.Replicas)
 	return c
 }
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -296,7 +296,7 @@
 	if few.Sent[0] < 100 || many.Sent[0] > 1.3*few.Sent[0] {
 		t.Errorf("a router sends %.0f bytes a second among 8 and %.0f among 48: %+v", few.Sent[0], many.Sent[0], many.Router)
 	}
-	if many.Calls < 3*few.Calls || many.Taken < 3*few.Taken {
+	if many.Calls < 3*few.Calls || many.Received < 3*few.Received {
 		t.Errorf("a keeper hears of every engine and router: %+v, %+v", few, many)
 	}
 }
