--- a/internal/lab/plane/recover.go
+++ b/internal/lab/plane/recover.go
@@ -9,12 +9,12 @@
 // Recovery is how long after all machines have their power again each part is back. What was not back within a minute is
 // minus one.
 type Recovery struct {
-	Touch  time.Duration // every keeper is in touch with a majority
-	Half   time.Duration // half of the engines are known as ready, at a mean router
-	Most   time.Duration // 95% of them
-	All    time.Duration // all, at all routers
-	Agreed time.Duration // a configuration is acknowledged that was sent as power came back
-	Duties time.Duration // the platform has heard of a holder
+	QuorumContact time.Duration // every keeper is in touch with a majority
+	Half          time.Duration // half of the engines are known as ready, at a mean router
+	Most          time.Duration // 95% of them
+	All           time.Duration // all, at all routers
+	Agreed        time.Duration // a configuration is acknowledged that was sent as power came back
+	Duties        time.Duration // the platform has heard of a holder
 }
 
 // Recover plays a quiet day on which all machines lose their power at one moment, for so long, with the engines at work
@@ -39,7 +39,7 @@
 			*at = w.now - back
 		}
 	}
-	for w.now-back < time.Minute && (r.Touch < 0 || r.All < 0 || r.Agreed < 0 || r.Duties < 0) {
+	for w.now-back < time.Minute && (r.QuorumContact < 0 || r.All < 0 || r.Agreed < 0 || r.Duties < 0) {
 		w.run(w.now + 20*time.Millisecond)
 		touch, known := true, 0
 		for _, m := range w.machines {
@@ -55,7 +55,7 @@
 			}
 		}
 		all := d.Routers * d.Engines
-		note(&r.Touch, touch)
+		note(&r.QuorumContact, touch)
 		note(&r.Half, 2*known >= all)
 		note(&r.Most, 100*known >= 95*all)
 		note(&r.All, known >= all)
