--- a/cmd/notchlab/recover.go
+++ b/cmd/notchlab/recover.go
@@ -37,7 +37,7 @@
 		some := all[i*c.Seeds : (i+1)*c.Seeds]
 		fmt.Fprintf(w, "%d\t%d", c.Routers[i], c.Engines[i])
 		for _, of := range []func(r plane.Recovery) time.Duration{
-			func(r plane.Recovery) time.Duration { return r.QuorumContact }, func(r plane.Recovery) time.Duration { return r.Half },
+			func(r plane.Recovery) time.Duration { return r.QuorumContact }, func(r plane.Recovery) time.Duration { return r.HalfKnown },
 			func(r plane.Recovery) time.Duration { return r.Most }, func(r plane.Recovery) time.Duration { return r.All },
 			func(r plane.Recovery) time.Duration { return r.Agreed }, func(r plane.Recovery) time.Duration { return r.Duties },
 		} {
