--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -310,7 +310,7 @@
 			t.Errorf("%s: %v", name, took)
 		}
 	}
-	if r.HalfKnown > r.Most || r.Most > r.All || r.HalfKnown > 3*time.Second {
+	if r.HalfKnown > r.MostKnown || r.MostKnown > r.All || r.HalfKnown > 3*time.Second {
 		t.Errorf("%+v", r)
 	}
 }
--- a/internal/lab/plane/recover.go
+++ b/internal/lab/plane/recover.go
@@ -11,7 +11,7 @@
 type Recovery struct {
 	QuorumContact time.Duration // every keeper is in touch with a majority
 	HalfKnown     time.Duration // half of the engines are known as ready, at a mean router
-	Most          time.Duration // 95% of them
+	MostKnown     time.Duration // 95% of them
 	All           time.Duration // all, at all routers
 	Agreed        time.Duration // a configuration is acknowledged that was sent as power came back
 	Duties        time.Duration // the platform has heard of a holder
@@ -57,7 +57,7 @@
 		all := d.Routers * d.Engines
 		note(&r.QuorumContact, touch)
 		note(&r.HalfKnown, 2*known >= all)
-		note(&r.Most, 100*known >= 95*all)
+		note(&r.MostKnown, 100*known >= 95*all)
 		note(&r.All, known >= all)
 		note(&r.Agreed, sent != nil && sent.acked)
 		note(&r.Duties, acts() > before)
