--- a/cmd/notchlab/recover.go
+++ b/cmd/notchlab/recover.go
@@ -38,7 +38,7 @@
 		fmt.Fprintf(w, "%d\t%d", c.Routers[i], c.Engines[i])
 		for _, of := range []func(r plane.Recovery) time.Duration{
 			func(r plane.Recovery) time.Duration { return r.QuorumContact }, func(r plane.Recovery) time.Duration { return r.HalfKnown },
-			func(r plane.Recovery) time.Duration { return r.MostKnown }, func(r plane.Recovery) time.Duration { return r.All },
+			func(r plane.Recovery) time.Duration { return r.MostKnown }, func(r plane.Recovery) time.Duration { return r.AllKnown },
 			func(r plane.Recovery) time.Duration { return r.Agreed }, func(r plane.Recovery) time.Duration { return r.Duties },
 		} {
 			var times []time.Duration
