--- a/internal/lab/plane/recover.go
+++ b/internal/lab/plane/recover.go
@@ -13,7 +13,7 @@
 	HalfKnown     time.Duration // half of the engines are known as ready, at a mean router
 	MostKnown     time.Duration // 95% of them
 	AllKnown      time.Duration // all, at all routers
-	Agreed        time.Duration // a configuration is acknowledged that was sent as power came back
+	ConfigAcked   time.Duration // a configuration is acknowledged that was sent as power came back
 	Duties        time.Duration // the platform has heard of a holder
 }
 
@@ -39,7 +39,7 @@
 			*at = w.now - back
 		}
 	}
-	for w.now-back < time.Minute && (r.QuorumContact < 0 || r.AllKnown < 0 || r.Agreed < 0 || r.Duties < 0) {
+	for w.now-back < time.Minute && (r.QuorumContact < 0 || r.AllKnown < 0 || r.ConfigAcked < 0 || r.Duties < 0) {
 		w.run(w.now + 20*time.Millisecond)
 		touch, known := true, 0
 		for _, m := range w.machines {
@@ -59,7 +59,7 @@
 		note(&r.HalfKnown, 2*known >= all)
 		note(&r.MostKnown, 100*known >= 95*all)
 		note(&r.AllKnown, known >= all)
-		note(&r.Agreed, sent != nil && sent.acked)
+		note(&r.ConfigAcked, sent != nil && sent.acked)
 		note(&r.Duties, acts() > before)
 	}
 	return r
