--- a/cmd/notchlab/recover.go
+++ b/cmd/notchlab/recover.go
@@ -39,7 +39,7 @@
 		for _, of := range []func(r plane.Recovery) time.Duration{
 			func(r plane.Recovery) time.Duration { return r.QuorumContact }, func(r plane.Recovery) time.Duration { return r.HalfKnown },
 			func(r plane.Recovery) time.Duration { return r.MostKnown }, func(r plane.Recovery) time.Duration { return r.AllKnown },
-			func(r plane.Recovery) time.Duration { return r.ConfigAcked }, func(r plane.Recovery) time.Duration { return r.Duties },
+			func(r plane.Recovery) time.Duration { return r.ConfigAcked }, func(r plane.Recovery) time.Duration { return r.HolderActive },
 		} {
 			var times []time.Duration
 			for _, r := range some {
--- a/internal/lab/plane/recover.go
+++ b/internal/lab/plane/recover.go
@@ -14,7 +14,7 @@
 	MostKnown     time.Duration // 95% of them
 	AllKnown      time.Duration // all, at all routers
 	ConfigAcked   time.Duration // a configuration is acknowledged that was sent as power came back
-	Duties        time.Duration // the platform has heard of a holder
+	HolderActive  time.Duration // the platform has heard of a holder
 }
 
 // Recover plays a quiet day on which all machines lose their power at one moment, for so long, with the engines at work
@@ -39,7 +39,7 @@
 			*at = w.now - back
 		}
 	}
-	for w.now-back < time.Minute && (r.QuorumContact < 0 || r.AllKnown < 0 || r.ConfigAcked < 0 || r.Duties < 0) {
+	for w.now-back < time.Minute && (r.QuorumContact < 0 || r.AllKnown < 0 || r.ConfigAcked < 0 || r.HolderActive < 0) {
 		w.run(w.now + 20*time.Millisecond)
 		touch, known := true, 0
 		for _, m := range w.machines {
@@ -60,7 +60,7 @@
 		note(&r.MostKnown, 100*known >= 95*all)
 		note(&r.AllKnown, known >= all)
 		note(&r.ConfigAcked, sent != nil && sent.acked)
-		note(&r.Duties, acts() > before)
+		note(&r.HolderActive, acts() > before)
 	}
 	return r
 }
