--- a/cmd/notchlab/recover.go
+++ b/cmd/notchlab/recover.go
@@ -29,7 +29,7 @@
 			Seed: uint64(i%c.Seeds) + 1, Replicas: c.Keepers, Routers: c.Routers[i/c.Seeds], Engines: c.Engines[i/c.Seeds],
 			Tolerate: (c.Keepers - 1) / 2, Length: 10 * time.Second,
 		}
-		all[i] = d.Recover(c.Down)
+		all[i] = d.MeasureRecovery(c.Down)
 	})
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ROUTERS\tENGINES\tKEEPERS IN TOUCH\tHALF KNOWN\t95% KNOWN\tALL KNOWN\tCONFIGURATION AGREED\tDUTIES")
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -304,7 +304,7 @@
 // TestRecovery: after all machines were without power every part is back within seconds, and all routers know all engines.
 func TestRecovery(t *testing.T) {
 	d := &Scenario{Seed: 2, Replicas: 5, Routers: 20, Engines: 40, Tolerate: 2, Length: 8 * time.Second}
-	r := d.Recover(time.Second)
+	r := d.MeasureRecovery(time.Second)
 	for name, took := range map[string]time.Duration{"keepers in touch": r.QuorumContact, "half of the engines": r.HalfKnown, "all engines": r.AllKnown, "agreement": r.ConfigAcked, "duties": r.HolderActive} {
 		if took < 0 || took > 10*time.Second {
 			t.Errorf("%s: %v", name, took)
--- a/internal/lab/plane/recover.go
+++ b/internal/lab/plane/recover.go
@@ -17,9 +17,9 @@
 	HolderActive  time.Duration // the platform has heard of a holder
 }
 
-// Recover plays a quiet day on which all machines lose their power at one moment, for so long, with the engines at work
+// MeasureRecovery plays a quiet day on which all machines lose their power at one moment, for so long, with the engines at work
 // throughout, and tells how long it takes until all is as before.
-func (d *Scenario) Recover(down time.Duration) Recovery {
+func (d *Scenario) MeasureRecovery(down time.Duration) Recovery {
 	w := newWorld(d, "")
 	w.begin()
 	w.run(lead + d.Length)
