--- a/internal/lab/plane/draw.go
+++ b/internal/lab/plane/draw.go
@@ -21,7 +21,7 @@
 
 // drawn are the kinds of a draw, those that are drawn more often several times.
 var drawn = []FaultKind{
-	Kill, Kill, Term, Wipe, Wipe, Cut, Cut, Mute, Deaf, Split, Split, Leave, Crash, Race, Race, Freeze, Step, Part, Full, Slow, Stall,
+	Kill, Kill, Term, Wipe, Wipe, Isolate, Isolate, Mute, Deaf, Split, Split, Leave, Crash, Race, Race, Freeze, Step, Part, Full, Slow, Stall,
 	Replace, Replace, Replace, Replace, Lost, Lost, Halves, Halves, SignOff,
 }
 
@@ -228,7 +228,7 @@
 		return
 	}
 	at := w.away[t.On[0]]
-	x := w.some([]FaultKind{Kill, Wipe, Cut, Split, Freeze, Replace, Term}[w.IntN(7)])
+	x := w.some([]FaultKind{Kill, Wipe, Isolate, Split, Freeze, Replace, Term}[w.IntN(7)])
 	x.At, x.For, x.How = at+w.between(0, 500*time.Millisecond), w.between(6*time.Second, longest), ""
 	if x.Kind == Replace && w.IntN(2) == 0 {
 		x.How = Planned
--- a/internal/lab/plane/succession.go
+++ b/internal/lab/plane/succession.go
@@ -123,7 +123,7 @@
 func (s *severance) severs(from, to *machine) bool {
 	a, b := slices.Contains(s.on, from), slices.Contains(s.on, to)
 	switch s.kind {
-	case Cut:
+	case Isolate:
 		return a != b
 	case Split, Halves:
 		return a != b && from.keeper && to.keeper
@@ -153,11 +153,11 @@
 		}
 	}
 	for _, m := range on { // and the platform
-		if t.Kind == Cut || t.Kind == Mute {
+		if t.Kind == Isolate || t.Kind == Mute {
 			s.lines = append(s.lines, [2]int{m.i, outside})
 			w.cuts[[2]int{m.i, outside}]++
 		}
-		if t.Kind == Cut || t.Kind == Deaf {
+		if t.Kind == Isolate || t.Kind == Deaf {
 			s.lines = append(s.lines, [2]int{outside, m.i})
 			w.cuts[[2]int{outside, m.i}]++
 		}
