--- a/internal/lab/plane/succession.go
+++ b/internal/lab/plane/succession.go
@@ -127,7 +127,7 @@
 		return a != b
 	case Split, Halves:
 		return a != b && from.keeper && to.keeper
-	case Mute:
+	case DropOutbound:
 		return a && !b
 	case Deaf:
 		return b && !a
@@ -153,7 +153,7 @@
 		}
 	}
 	for _, m := range on { // and the platform
-		if t.Kind == Isolate || t.Kind == Mute {
+		if t.Kind == Isolate || t.Kind == DropOutbound {
 			s.lines = append(s.lines, [2]int{m.i, outside})
 			w.cuts[[2]int{m.i, outside}]++
 		}
