--- a/internal/lab/plane/draw.go
+++ b/internal/lab/plane/draw.go
@@ -21,7 +21,7 @@
 
 // drawn are the kinds of a draw, those that are drawn more often several times.
 var drawn = []FaultKind{
-	Kill, Kill, Term, Wipe, Wipe, Isolate, Isolate, DropOutbound, Deaf, Split, Split, Leave, Crash, Race, Race, Freeze, Step, Part, Full, Slow, Stall,
+	Kill, Kill, Term, Wipe, Wipe, Isolate, Isolate, DropOutbound, DropInbound, Split, Split, Leave, Crash, Race, Race, Freeze, Step, Part, Full, Slow, Stall,
 	Replace, Replace, Replace, Replace, Lost, Lost, Halves, Halves, SignOff,
 }
 
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -57,7 +57,7 @@
 	Wipe         FaultKind = "wipe"
 	Isolate      FaultKind = "cut"
 	DropOutbound FaultKind = "mute"
-	Deaf         FaultKind = "deaf"
+	DropInbound  FaultKind = "deaf"
 	Split        FaultKind = "split"
 	Leave        FaultKind = "leave"
 	Crash        FaultKind = "crash"
@@ -102,7 +102,7 @@
 }
 
 // Kinds lists them.
-var Kinds = []FaultKind{Kill, Dark, Aimed, Wipe, Isolate, DropOutbound, Deaf, Split, Leave, Crash, Change, Race, Freeze, Step, Part, Full, Slow, Stall, Term, Replace, Lost, Storm, Dismiss, Halves, SignOff}
+var Kinds = []FaultKind{Kill, Dark, Aimed, Wipe, Isolate, DropOutbound, DropInbound, Split, Leave, Crash, Change, Race, Freeze, Step, Part, Full, Slow, Stall, Term, Replace, Lost, Storm, Dismiss, Halves, SignOff}
 
 // strikesEngines tells whether the numbers of a trouble are those of engines.
 func (k FaultKind) strikesEngines() bool { return k == Leave || k == Crash || k == SignOff }
--- a/internal/lab/plane/succession.go
+++ b/internal/lab/plane/succession.go
@@ -129,7 +129,7 @@
 		return a != b && from.keeper && to.keeper
 	case DropOutbound:
 		return a && !b
-	case Deaf:
+	case DropInbound:
 		return b && !a
 	default:
 		return a && b
@@ -157,7 +157,7 @@
 			s.lines = append(s.lines, [2]int{m.i, outside})
 			w.cuts[[2]int{m.i, outside}]++
 		}
-		if t.Kind == Isolate || t.Kind == Deaf {
+		if t.Kind == Isolate || t.Kind == DropInbound {
 			s.lines = append(s.lines, [2]int{outside, m.i})
 			w.cuts[[2]int{outside, m.i}]++
 		}
