--- a/internal/lab/check/cuts_test.go
+++ b/internal/lab/check/cuts_test.go
@@ -30,7 +30,7 @@
 	const sec = time.Second
 	broken := 0
 	sides := [][]int{{0, 6}, {1, 2, 7}}
-	for k, kind := range []plane.FaultKind{plane.Isolate, plane.DropOutbound, plane.DropInbound, plane.Split} {
+	for k, kind := range []plane.FaultKind{plane.Isolate, plane.DropOutbound, plane.DropInbound, plane.PartitionReplicas} {
 		on := sides[k%2]
 		d := plane.Scenario{Seed: uint64(k), Replicas: 5, Routers: 5, Engines: 8, Tolerate: 2, Length: 32 * sec, Faults: []plane.Fault{
 			{At: 2 * sec, Kind: plane.Change},
--- a/internal/lab/plane/draw.go
+++ b/internal/lab/plane/draw.go
@@ -21,7 +21,7 @@
 
 // drawn are the kinds of a draw, those that are drawn more often several times.
 var drawn = []FaultKind{
-	Kill, Kill, Term, Wipe, Wipe, Isolate, Isolate, DropOutbound, DropInbound, Split, Split, Leave, Crash, Race, Race, Freeze, Step, Part, Full, Slow, Stall,
+	Kill, Kill, Term, Wipe, Wipe, Isolate, Isolate, DropOutbound, DropInbound, PartitionReplicas, PartitionReplicas, Leave, Crash, Race, Race, Freeze, Step, Part, Full, Slow, Stall,
 	Replace, Replace, Replace, Replace, Lost, Lost, Halves, Halves, SignOff,
 }
 
@@ -117,7 +117,7 @@
 		t.On = w.pick(1+w.IntN(3), 0, w.Engines)
 	case Race, Lost:
 		t.For = 0
-	case Split, Full, Slow, Stall:
+	case PartitionReplicas, Full, Slow, Stall:
 		t.On = w.pick(1+w.IntN(w.Tolerate), 0, w.Replicas)
 	case Wipe, Replace:
 		t.On = w.pick(1, 0, w.Replicas)
@@ -228,7 +228,7 @@
 		return
 	}
 	at := w.away[t.On[0]]
-	x := w.some([]FaultKind{Kill, Wipe, Isolate, Split, Freeze, Replace, Term}[w.IntN(7)])
+	x := w.some([]FaultKind{Kill, Wipe, Isolate, PartitionReplicas, Freeze, Replace, Term}[w.IntN(7)])
 	x.At, x.For, x.How = at+w.between(0, 500*time.Millisecond), w.between(6*time.Second, longest), ""
 	if x.Kind == Replace && w.IntN(2) == 0 {
 		x.How = Planned
--- a/internal/lab/plane/faults.go
+++ b/internal/lab/plane/faults.go
@@ -30,7 +30,7 @@
 	case Aimed:
 		w.aimed = append(w.aimed, t)
 		w.in(aimedLasts, func() { w.aimed = slices.DeleteFunc(w.aimed, func(x *Fault) bool { return x == t }) })
-	case Isolate, DropOutbound, DropInbound, Split, Part, Halves:
+	case Isolate, DropOutbound, DropInbound, PartitionReplicas, Part, Halves:
 		w.sever(t, on)
 	case Step:
 		w.step(t, on)
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -51,24 +51,24 @@
 // answers to the operator's next order are lost; orders come at fourteen a second; an operator takes out who had a seat before;
 // the core is cut into two halves, whatever may be lost; engines deregister without having said that they drain, and serve on.
 const (
-	Kill         FaultKind = "kill"
-	Dark         FaultKind = "dark"
-	Aimed        FaultKind = "aimed" // at the next acknowledgement: who has acknowledged loses its disk, and all are killed
-	Wipe         FaultKind = "wipe"
-	Isolate      FaultKind = "cut"
-	DropOutbound FaultKind = "mute"
-	DropInbound  FaultKind = "deaf"
-	Split        FaultKind = "split"
-	Leave        FaultKind = "leave"
-	Crash        FaultKind = "crash"
-	Change       FaultKind = "change"
-	Race         FaultKind = "race"
-	Freeze       FaultKind = "freeze"
-	Step         FaultKind = "step"
-	Part         FaultKind = "part"
-	Full         FaultKind = "full"
-	Slow         FaultKind = "slow"
-	Stall        FaultKind = "stall"
+	Kill              FaultKind = "kill"
+	Dark              FaultKind = "dark"
+	Aimed             FaultKind = "aimed" // at the next acknowledgement: who has acknowledged loses its disk, and all are killed
+	Wipe              FaultKind = "wipe"
+	Isolate           FaultKind = "cut"
+	DropOutbound      FaultKind = "mute"
+	DropInbound       FaultKind = "deaf"
+	PartitionReplicas FaultKind = "split"
+	Leave             FaultKind = "leave"
+	Crash             FaultKind = "crash"
+	Change            FaultKind = "change"
+	Race              FaultKind = "race"
+	Freeze            FaultKind = "freeze"
+	Step              FaultKind = "step"
+	Part              FaultKind = "part"
+	Full              FaultKind = "full"
+	Slow              FaultKind = "slow"
+	Stall             FaultKind = "stall"
 
 	Term    FaultKind = "term"
 	Replace FaultKind = "replace"
@@ -98,11 +98,11 @@
 
 // hows are the variants that a kind has.
 var hows = map[FaultKind][]How{
-	Kill: {Leader}, Freeze: {Leader}, Isolate: {Leader, Seeds, Both}, Split: {Seeds, Both}, Replace: {Planned}, Lost: {Twice}, Race: {Same}, Dark: {Disks},
+	Kill: {Leader}, Freeze: {Leader}, Isolate: {Leader, Seeds, Both}, PartitionReplicas: {Seeds, Both}, Replace: {Planned}, Lost: {Twice}, Race: {Same}, Dark: {Disks},
 }
 
 // Kinds lists them.
-var Kinds = []FaultKind{Kill, Dark, Aimed, Wipe, Isolate, DropOutbound, DropInbound, Split, Leave, Crash, Change, Race, Freeze, Step, Part, Full, Slow, Stall, Term, Replace, Lost, Storm, Dismiss, Halves, SignOff}
+var Kinds = []FaultKind{Kill, Dark, Aimed, Wipe, Isolate, DropOutbound, DropInbound, PartitionReplicas, Leave, Crash, Change, Race, Freeze, Step, Part, Full, Slow, Stall, Term, Replace, Lost, Storm, Dismiss, Halves, SignOff}
 
 // strikesEngines tells whether the numbers of a trouble are those of engines.
 func (k FaultKind) strikesEngines() bool { return k == Leave || k == Crash || k == SignOff }
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -157,8 +157,8 @@
 	},
 	"DRAIN":   {{At: 12 * time.Second, Kind: Leave, On: []int{1, 2, 3}}},
 	"CURRENT": {{At: 3 * time.Second, For: 12 * time.Second, Kind: Isolate, On: []int{0, 1}}, {At: 9 * time.Second, Kind: Change}},
-	"SILENT":  {{At: 4 * time.Second, For: 9 * time.Second, Kind: Split, On: []int{0}}, {At: 15 * time.Second, For: 9 * time.Second, Kind: Split, On: []int{1}}},
-	"ONE":     {{At: 3 * time.Second, For: 9 * time.Second, Kind: Split, On: []int{0, 1}}, {At: 16 * time.Second, For: 9 * time.Second, Kind: Split, On: []int{2, 3}}},
+	"SILENT":  {{At: 4 * time.Second, For: 9 * time.Second, Kind: PartitionReplicas, On: []int{0}}, {At: 15 * time.Second, For: 9 * time.Second, Kind: PartitionReplicas, On: []int{1}}},
+	"ONE":     {{At: 3 * time.Second, For: 9 * time.Second, Kind: PartitionReplicas, On: []int{0, 1}}, {At: 16 * time.Second, For: 9 * time.Second, Kind: PartitionReplicas, On: []int{2, 3}}},
 }
 
 // TestDrawsLoseNoMoreThanIsToBeBorne: whatever is drawn, no more keepers are lost at once, or no more disks where losses overlap; every
--- a/internal/lab/plane/succession.go
+++ b/internal/lab/plane/succession.go
@@ -125,7 +125,7 @@
 	switch s.kind {
 	case Isolate:
 		return a != b
-	case Split, Halves:
+	case PartitionReplicas, Halves:
 		return a != b && from.keeper && to.keeper
 	case DropOutbound:
 		return a && !b
