--- a/internal/lab/check/cuts_test.go
+++ b/internal/lab/check/cuts_test.go
@@ -37,7 +37,7 @@
 			{At: 3 * sec, For: 20 * sec, Kind: kind, On: on},
 			{At: 5 * sec, Kind: plane.Race},
 			{At: 7 * sec, For: 2 * sec, Kind: plane.Kill, On: on},
-			{At: 9 * sec, Kind: plane.Leave, On: []int{k}},
+			{At: 9 * sec, Kind: plane.DrainEngine, On: []int{k}},
 			{At: 12 * sec, Kind: plane.Race},
 			{At: 13 * sec, For: 3 * sec, Kind: plane.Kill, On: []int{8, 9}},
 			{At: 18 * sec, For: sec, Kind: plane.Kill, On: on},
--- a/internal/lab/plane/draw.go
+++ b/internal/lab/plane/draw.go
@@ -21,7 +21,7 @@
 
 // drawn are the kinds of a draw, those that are drawn more often several times.
 var drawn = []FaultKind{
-	Kill, Kill, Term, Wipe, Wipe, Isolate, Isolate, DropOutbound, DropInbound, PartitionReplicas, PartitionReplicas, Leave, Crash, Race, Race, Freeze, Step, Part, Full, Slow, Stall,
+	Kill, Kill, Term, Wipe, Wipe, Isolate, Isolate, DropOutbound, DropInbound, PartitionReplicas, PartitionReplicas, DrainEngine, Crash, Race, Race, Freeze, Step, Part, Full, Slow, Stall,
 	Replace, Replace, Replace, Replace, Lost, Lost, Halves, Halves, SignOff,
 }
 
@@ -113,7 +113,7 @@
 	switch t.Kind {
 	case Halves:
 		t.On, t.For = w.pick(w.Replicas/2, 0, w.Replicas), w.between(shortestHalves, longestHalves)
-	case Leave, Crash, SignOff:
+	case DrainEngine, Crash, SignOff:
 		t.On = w.pick(1+w.IntN(3), 0, w.Engines)
 	case Race, Lost:
 		t.For = 0
--- a/internal/lab/plane/faults.go
+++ b/internal/lab/plane/faults.go
@@ -34,7 +34,7 @@
 		w.sever(t, on)
 	case Step:
 		w.step(t, on)
-	case Leave, SignOff, Crash:
+	case DrainEngine, SignOff, Crash:
 		w.strikeEngines(t)
 	default:
 		w.strikeOperators(t, on)
@@ -126,7 +126,7 @@
 	for _, k := range t.On {
 		e := w.engines[k%len(w.engines)]
 		switch t.Kind {
-		case Leave:
+		case DrainEngine:
 			e.leave()
 		case SignOff:
 			e.signOff()
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -59,7 +59,7 @@
 	DropOutbound      FaultKind = "mute"
 	DropInbound       FaultKind = "deaf"
 	PartitionReplicas FaultKind = "split"
-	Leave             FaultKind = "leave"
+	DrainEngine       FaultKind = "leave"
 	Crash             FaultKind = "crash"
 	Change            FaultKind = "change"
 	Race              FaultKind = "race"
@@ -102,10 +102,10 @@
 }
 
 // Kinds lists them.
-var Kinds = []FaultKind{Kill, Dark, Aimed, Wipe, Isolate, DropOutbound, DropInbound, PartitionReplicas, Leave, Crash, Change, Race, Freeze, Step, Part, Full, Slow, Stall, Term, Replace, Lost, Storm, Dismiss, Halves, SignOff}
+var Kinds = []FaultKind{Kill, Dark, Aimed, Wipe, Isolate, DropOutbound, DropInbound, PartitionReplicas, DrainEngine, Crash, Change, Race, Freeze, Step, Part, Full, Slow, Stall, Term, Replace, Lost, Storm, Dismiss, Halves, SignOff}
 
 // strikesEngines tells whether the numbers of a trouble are those of engines.
-func (k FaultKind) strikesEngines() bool { return k == Leave || k == Crash || k == SignOff }
+func (k FaultKind) strikesEngines() bool { return k == DrainEngine || k == Crash || k == SignOff }
 
 // Found is a broken rule.
 type Found struct {
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -19,7 +19,7 @@
 
 func TestQuietDay(t *testing.T) {
 	d := &Scenario{Seed: 3, Replicas: 5, Routers: 9, Engines: 8, Tolerate: 2, Length: 20 * time.Second, Faults: []Fault{
-		{At: 2 * time.Second, Kind: Change}, {At: 6 * time.Second, Kind: Race}, {At: 8 * time.Second, Kind: Leave, On: []int{1, 2}},
+		{At: 2 * time.Second, Kind: Change}, {At: 6 * time.Second, Kind: Race}, {At: 8 * time.Second, Kind: DrainEngine, On: []int{1, 2}},
 	}}
 	r := d.Run("")
 	if len(r.Violations) > 0 || r.Changes != 4 || r.Acked != 3 || r.Drained != 2 || r.Slowest > 200*time.Millisecond || r.Slowest == 0 || r.Windows < 3 || r.Unreported > 0 || r.Orders == 0 {
@@ -127,7 +127,7 @@
 		if !slices.ContainsFunc(d.Run(broken).Violations, func(f Found) bool { return f.Rule == rule }) {
 			continue
 		}
-		if s := d.Shrink(broken, rule); len(s.Faults) != 1 || s.Faults[0].Kind != Leave || len(s.Faults[0].On) != 1 {
+		if s := d.Shrink(broken, rule); len(s.Faults) != 1 || s.Faults[0].Kind != DrainEngine || len(s.Faults[0].On) != 1 {
 			t.Errorf("%d troubles of %d are left: %+v", len(s.Faults), len(d.Faults), s.Faults)
 		}
 		return
@@ -155,7 +155,7 @@
 		{At: 5 * time.Second, For: time.Second, Kind: Replace, On: []int{0}},
 		{At: 14 * time.Second, Kind: Dismiss, On: []int{0}},
 	},
-	"DRAIN":   {{At: 12 * time.Second, Kind: Leave, On: []int{1, 2, 3}}},
+	"DRAIN":   {{At: 12 * time.Second, Kind: DrainEngine, On: []int{1, 2, 3}}},
 	"CURRENT": {{At: 3 * time.Second, For: 12 * time.Second, Kind: Isolate, On: []int{0, 1}}, {At: 9 * time.Second, Kind: Change}},
 	"SILENT":  {{At: 4 * time.Second, For: 9 * time.Second, Kind: PartitionReplicas, On: []int{0}}, {At: 15 * time.Second, For: 9 * time.Second, Kind: PartitionReplicas, On: []int{1}}},
 	"ONE":     {{At: 3 * time.Second, For: 9 * time.Second, Kind: PartitionReplicas, On: []int{0, 1}}, {At: 16 * time.Second, For: 9 * time.Second, Kind: PartitionReplicas, On: []int{2, 3}}},
