--- a/internal/lab/check/cuts_test.go
+++ b/internal/lab/check/cuts_test.go
@@ -33,7 +33,7 @@
 	for k, kind := range []plane.FaultKind{plane.Isolate, plane.DropOutbound, plane.DropInbound, plane.PartitionReplicas} {
 		on := sides[k%2]
 		d := plane.Scenario{Seed: uint64(k), Replicas: 5, Routers: 5, Engines: 8, Tolerate: 2, Length: 32 * sec, Faults: []plane.Fault{
-			{At: 2 * sec, Kind: plane.Change},
+			{At: 2 * sec, Kind: plane.ChangeConfig},
 			{At: 3 * sec, For: 20 * sec, Kind: kind, On: on},
 			{At: 5 * sec, Kind: plane.Race},
 			{At: 7 * sec, For: 2 * sec, Kind: plane.Kill, On: on},
--- a/internal/lab/plane/draw.go
+++ b/internal/lab/plane/draw.go
@@ -45,7 +45,7 @@
 		w.later(w.some(drawn[rnd.IntN(len(drawn))]))
 	}
 	for range int(w.day.Length / (4 * time.Second)) { // whatever happens there are orders
-		w.later(Fault{At: w.time(), Kind: Change})
+		w.later(Fault{At: w.time(), Kind: ChangeConfig})
 	}
 	if rnd.IntN(4) == 0 {
 		t := Fault{At: w.time(), For: w.between(4*time.Second, longest), Kind: Storm}
@@ -216,8 +216,8 @@
 		}
 		w.after(t)
 	case t.Kind == Lost:
-		w.later(Fault{At: t.At, Kind: Change})
-	case (t.Kind == Change || t.Kind == Race) && w.IntN(6) == 0:
+		w.later(Fault{At: t.At, Kind: ChangeConfig})
+	case (t.Kind == ChangeConfig || t.Kind == Race) && w.IntN(6) == 0:
 		w.closing(t)
 	}
 }
@@ -240,7 +240,7 @@
 		}
 	}
 	w.later(x)
-	w.later(Fault{At: x.At + w.between(0, w.contact+time.Second), Kind: Change})
+	w.later(Fault{At: x.At + w.between(0, w.contact+time.Second), Kind: ChangeConfig})
 }
 
 // closing has a fault strike as those at a day's end do, right after a change.
--- a/internal/lab/plane/faults.go
+++ b/internal/lab/plane/faults.go
@@ -139,7 +139,7 @@
 // strikeOperators has operators send orders, or lose answers to them.
 func (w *world) strikeOperators(t *Fault, on []*machine) {
 	switch t.Kind {
-	case Change:
+	case ChangeConfig:
 		w.change(w.newest, w.anyone())
 	case Race:
 		w.race(t.How == Same)
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -61,7 +61,7 @@
 	PartitionReplicas FaultKind = "split"
 	DrainEngine       FaultKind = "leave"
 	Crash             FaultKind = "crash"
-	Change            FaultKind = "change"
+	ChangeConfig      FaultKind = "change"
 	Race              FaultKind = "race"
 	Freeze            FaultKind = "freeze"
 	Step              FaultKind = "step"
@@ -102,7 +102,7 @@
 }
 
 // Kinds lists them.
-var Kinds = []FaultKind{Kill, Dark, Aimed, Wipe, Isolate, DropOutbound, DropInbound, PartitionReplicas, DrainEngine, Crash, Change, Race, Freeze, Step, Part, Full, Slow, Stall, Term, Replace, Lost, Storm, Dismiss, Halves, SignOff}
+var Kinds = []FaultKind{Kill, Dark, Aimed, Wipe, Isolate, DropOutbound, DropInbound, PartitionReplicas, DrainEngine, Crash, ChangeConfig, Race, Freeze, Step, Part, Full, Slow, Stall, Term, Replace, Lost, Storm, Dismiss, Halves, SignOff}
 
 // strikesEngines tells whether the numbers of a trouble are those of engines.
 func (k FaultKind) strikesEngines() bool { return k == DrainEngine || k == Crash || k == SignOff }
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -19,7 +19,7 @@
 
 func TestQuietDay(t *testing.T) {
 	d := &Scenario{Seed: 3, Replicas: 5, Routers: 9, Engines: 8, Tolerate: 2, Length: 20 * time.Second, Faults: []Fault{
-		{At: 2 * time.Second, Kind: Change}, {At: 6 * time.Second, Kind: Race}, {At: 8 * time.Second, Kind: DrainEngine, On: []int{1, 2}},
+		{At: 2 * time.Second, Kind: ChangeConfig}, {At: 6 * time.Second, Kind: Race}, {At: 8 * time.Second, Kind: DrainEngine, On: []int{1, 2}},
 	}}
 	r := d.Run("")
 	if len(r.Violations) > 0 || r.Changes != 4 || r.Acked != 3 || r.Drained != 2 || r.Slowest > 200*time.Millisecond || r.Slowest == 0 || r.Windows < 3 || r.Unreported > 0 || r.Orders == 0 {
@@ -138,25 +138,25 @@
 // aimed are troubles beside those that are drawn, where these alone take hundreds of days.
 var aimed = map[string][]Fault{
 	"LOST": {
-		{At: 4 * time.Second, Kind: Change},
+		{At: 4 * time.Second, Kind: ChangeConfig},
 		{At: 4 * time.Second, For: time.Second, Kind: Aimed},
-		{At: 20 * time.Second, Kind: Change},
+		{At: 20 * time.Second, Kind: ChangeConfig},
 		{At: 20 * time.Second, For: time.Second, Kind: Aimed},
 	},
 	"AVAILABLE": {
 		{At: time.Second, For: time.Second, Kind: Replace, On: []int{0}},
 		{At: 10 * time.Second, For: time.Second, Kind: Replace, On: []int{1}},
 		{At: 18 * time.Second, For: 16 * time.Second, Kind: Kill, On: []int{2, 3}},
-		{At: 20 * time.Second, Kind: Change},
+		{At: 20 * time.Second, Kind: ChangeConfig},
 	},
 	"CONFIG": {
 		{At: 3 * time.Second, Kind: Lost},
-		{At: 3 * time.Second, Kind: Change},
+		{At: 3 * time.Second, Kind: ChangeConfig},
 		{At: 5 * time.Second, For: time.Second, Kind: Replace, On: []int{0}},
 		{At: 14 * time.Second, Kind: Dismiss, On: []int{0}},
 	},
 	"DRAIN":   {{At: 12 * time.Second, Kind: DrainEngine, On: []int{1, 2, 3}}},
-	"CURRENT": {{At: 3 * time.Second, For: 12 * time.Second, Kind: Isolate, On: []int{0, 1}}, {At: 9 * time.Second, Kind: Change}},
+	"CURRENT": {{At: 3 * time.Second, For: 12 * time.Second, Kind: Isolate, On: []int{0, 1}}, {At: 9 * time.Second, Kind: ChangeConfig}},
 	"SILENT":  {{At: 4 * time.Second, For: 9 * time.Second, Kind: PartitionReplicas, On: []int{0}}, {At: 15 * time.Second, For: 9 * time.Second, Kind: PartitionReplicas, On: []int{1}}},
 	"ONE":     {{At: 3 * time.Second, For: 9 * time.Second, Kind: PartitionReplicas, On: []int{0, 1}}, {At: 16 * time.Second, For: 9 * time.Second, Kind: PartitionReplicas, On: []int{2, 3}}},
 }
@@ -319,7 +319,7 @@
 func largeUsageDay(tenants int, length time.Duration) *Scenario {
 	d := &Scenario{Seed: 5, Replicas: 3, Routers: 1, Engines: 2, Tolerate: 1, Length: length, Tenants: tenants, LinkBytesPerSecond: 15_000_000}
 	for at := time.Second; at < d.Length; at += 700 * time.Millisecond {
-		d.Faults = append(d.Faults, Fault{At: at, Kind: Change})
+		d.Faults = append(d.Faults, Fault{At: at, Kind: ChangeConfig})
 	}
 	return d
 }
