--- a/internal/lab/check/cuts_test.go
+++ b/internal/lab/check/cuts_test.go
@@ -35,14 +35,14 @@
 		d := plane.Scenario{Seed: uint64(k), Replicas: 5, Routers: 5, Engines: 8, Tolerate: 2, Length: 32 * sec, Faults: []plane.Fault{
 			{At: 2 * sec, Kind: plane.ChangeConfig},
 			{At: 3 * sec, For: 20 * sec, Kind: kind, On: on},
-			{At: 5 * sec, Kind: plane.Race},
+			{At: 5 * sec, Kind: plane.RaceChanges},
 			{At: 7 * sec, For: 2 * sec, Kind: plane.Kill, On: on},
 			{At: 9 * sec, Kind: plane.DrainEngine, On: []int{k}},
-			{At: 12 * sec, Kind: plane.Race},
+			{At: 12 * sec, Kind: plane.RaceChanges},
 			{At: 13 * sec, For: 3 * sec, Kind: plane.Kill, On: []int{8, 9}},
 			{At: 18 * sec, For: sec, Kind: plane.Kill, On: on},
-			{At: 22 * sec, Kind: plane.Race},
-			{At: 28 * sec, Kind: plane.Race},
+			{At: 22 * sec, Kind: plane.RaceChanges},
+			{At: 28 * sec, Kind: plane.RaceChanges},
 		}}
 		r := d.Run("")
 		if len(r.Violations) > 0 || r.Acked < 5 { // one before it, one of each race
--- a/internal/lab/plane/draw.go
+++ b/internal/lab/plane/draw.go
@@ -21,7 +21,7 @@
 
 // drawn are the kinds of a draw, those that are drawn more often several times.
 var drawn = []FaultKind{
-	Kill, Kill, Term, Wipe, Wipe, Isolate, Isolate, DropOutbound, DropInbound, PartitionReplicas, PartitionReplicas, DrainEngine, Crash, Race, Race, Freeze, Step, Part, Full, Slow, Stall,
+	Kill, Kill, Term, Wipe, Wipe, Isolate, Isolate, DropOutbound, DropInbound, PartitionReplicas, PartitionReplicas, DrainEngine, Crash, RaceChanges, RaceChanges, Freeze, Step, Part, Full, Slow, Stall,
 	Replace, Replace, Replace, Replace, Lost, Lost, Halves, Halves, SignOff,
 }
 
@@ -115,7 +115,7 @@
 		t.On, t.For = w.pick(w.Replicas/2, 0, w.Replicas), w.between(shortestHalves, longestHalves)
 	case DrainEngine, Crash, SignOff:
 		t.On = w.pick(1+w.IntN(3), 0, w.Engines)
-	case Race, Lost:
+	case RaceChanges, Lost:
 		t.For = 0
 	case PartitionReplicas, Full, Slow, Stall:
 		t.On = w.pick(1+w.IntN(w.Tolerate), 0, w.Replicas)
@@ -217,7 +217,7 @@
 		w.after(t)
 	case t.Kind == Lost:
 		w.later(Fault{At: t.At, Kind: ChangeConfig})
-	case (t.Kind == ChangeConfig || t.Kind == Race) && w.IntN(6) == 0:
+	case (t.Kind == ChangeConfig || t.Kind == RaceChanges) && w.IntN(6) == 0:
 		w.closing(t)
 	}
 }
--- a/internal/lab/plane/faults.go
+++ b/internal/lab/plane/faults.go
@@ -141,7 +141,7 @@
 	switch t.Kind {
 	case ChangeConfig:
 		w.change(w.newest, w.anyone())
-	case Race:
+	case RaceChanges:
 		w.race(t.How == Same)
 	case Lost:
 		n := 1
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -62,7 +62,7 @@
 	DrainEngine       FaultKind = "leave"
 	Crash             FaultKind = "crash"
 	ChangeConfig      FaultKind = "change"
-	Race              FaultKind = "race"
+	RaceChanges       FaultKind = "race"
 	Freeze            FaultKind = "freeze"
 	Step              FaultKind = "step"
 	Part              FaultKind = "part"
@@ -98,11 +98,11 @@
 
 // hows are the variants that a kind has.
 var hows = map[FaultKind][]How{
-	Kill: {Leader}, Freeze: {Leader}, Isolate: {Leader, Seeds, Both}, PartitionReplicas: {Seeds, Both}, Replace: {Planned}, Lost: {Twice}, Race: {Same}, Dark: {Disks},
+	Kill: {Leader}, Freeze: {Leader}, Isolate: {Leader, Seeds, Both}, PartitionReplicas: {Seeds, Both}, Replace: {Planned}, Lost: {Twice}, RaceChanges: {Same}, Dark: {Disks},
 }
 
 // Kinds lists them.
-var Kinds = []FaultKind{Kill, Dark, Aimed, Wipe, Isolate, DropOutbound, DropInbound, PartitionReplicas, DrainEngine, Crash, ChangeConfig, Race, Freeze, Step, Part, Full, Slow, Stall, Term, Replace, Lost, Storm, Dismiss, Halves, SignOff}
+var Kinds = []FaultKind{Kill, Dark, Aimed, Wipe, Isolate, DropOutbound, DropInbound, PartitionReplicas, DrainEngine, Crash, ChangeConfig, RaceChanges, Freeze, Step, Part, Full, Slow, Stall, Term, Replace, Lost, Storm, Dismiss, Halves, SignOff}
 
 // strikesEngines tells whether the numbers of a trouble are those of engines.
 func (k FaultKind) strikesEngines() bool { return k == DrainEngine || k == Crash || k == SignOff }
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -19,7 +19,7 @@
 
 func TestQuietDay(t *testing.T) {
 	d := &Scenario{Seed: 3, Replicas: 5, Routers: 9, Engines: 8, Tolerate: 2, Length: 20 * time.Second, Faults: []Fault{
-		{At: 2 * time.Second, Kind: ChangeConfig}, {At: 6 * time.Second, Kind: Race}, {At: 8 * time.Second, Kind: DrainEngine, On: []int{1, 2}},
+		{At: 2 * time.Second, Kind: ChangeConfig}, {At: 6 * time.Second, Kind: RaceChanges}, {At: 8 * time.Second, Kind: DrainEngine, On: []int{1, 2}},
 	}}
 	r := d.Run("")
 	if len(r.Violations) > 0 || r.Changes != 4 || r.Acked != 3 || r.Drained != 2 || r.Slowest > 200*time.Millisecond || r.Slowest == 0 || r.Windows < 3 || r.Unreported > 0 || r.Orders == 0 {
