--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -46,7 +46,7 @@
 		}
 		got[v] = f
 		t.Logf("%-7s %+v", v, f)
-		if sum := f.InAim + f.Late + f.Refused + f.Failed; sum < 0.999 || sum > 1.001 || f.Asked != got["design"].Asked {
+		if sum := f.InAim + f.Late + f.Refused + f.Failed; sum < 0.999 || sum > 1.001 || f.Requests != got["design"].Requests {
 			t.Errorf("%s: %+v does not add up", v, f)
 		}
 	}
