--- a/cmd/notchlab/sim.go
+++ b/cmd/notchlab/sim.go
@@ -84,8 +84,8 @@
 	for _, some := range slices.Collect(slices.Chunk(all, len(c.Seeds))) {
 		m := mean(some)
 		fmt.Fprintf(w, "%d\t%d\t%.2f\t%.2f\t%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%.3f\t%.2f\t%.2f\n", m.Routers, m.Engines, m.Load, m.Skew,
-			m.Variant, m.Requests, m.InAim, m.Late, m.Refused, m.Failed, m.P50, m.P99, m.Kept, m.Busiest, m.Legs)
-		r.Add(fmt.Sprintf("in aim: %s, %d routers, %d engines, load %.2f, skew %.2f", m.Variant, m.Routers, m.Engines, m.Load, m.Skew), m.InAim, "", "")
+			m.Variant, m.Requests, m.WithinTarget, m.Late, m.Refused, m.Failed, m.P50, m.P99, m.Kept, m.Busiest, m.Legs)
+		r.Add(fmt.Sprintf("in aim: %s, %d routers, %d engines, load %.2f, skew %.2f", m.Variant, m.Routers, m.Engines, m.Load, m.Skew), m.WithinTarget, "", "")
 		x := m.Load
 		switch {
 		case len(c.Routers) > 1:
@@ -96,7 +96,7 @@
 		if lines[m.Variant] == nil {
 			lines[m.Variant] = &report.Series{Name: m.Variant}
 		}
-		lines[m.Variant].Points = append(lines[m.Variant].Points, report.Point{X: x, Y: m.InAim})
+		lines[m.Variant].Points = append(lines[m.Variant].Points, report.Point{X: x, Y: m.WithinTarget})
 	}
 	if err := w.Flush(); err != nil || c.Out == "" {
 		return err
@@ -140,7 +140,7 @@
 			to *float64
 			of float64
 		}{
-			{&m.InAim, p.InAim},
+			{&m.WithinTarget, p.WithinTarget},
 			{&m.Late, p.Late},
 			{&m.Refused, p.Refused},
 			{&m.Failed, p.Failed},
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -39,17 +39,17 @@
 
 // Figures are what came of a run.
 type Figures struct {
-	Requests int     `json:"asked"`
-	InAim    float64 `json:"in_aim"`  // share with their first token within the aim
-	Late     float64 `json:"late"`    // share with a first token after that
-	Refused  float64 `json:"refused"` // share
-	Failed   float64 `json:"failed"`  // share
-	P50      float64 `json:"p50_ms"`  // of first tokens
-	P99      float64 `json:"p99_ms"`
-	Kept     float64 `json:"kept"`    // share of the prompts' tokens that engines had read before
-	Busiest  float64 `json:"busiest"` // requests at the busiest engine over the mean
-	Legs     float64 `json:"legs"`    // a request
-	Steps    int     `json:"steps"`   // of engines
+	Requests     int     `json:"asked"`
+	WithinTarget float64 `json:"in_aim"`  // share with their first token within the aim
+	Late         float64 `json:"late"`    // share with a first token after that
+	Refused      float64 `json:"refused"` // share
+	Failed       float64 `json:"failed"`  // share
+	P50          float64 `json:"p50_ms"`  // of first tokens
+	P99          float64 `json:"p99_ms"`
+	Kept         float64 `json:"kept"`    // share of the prompts' tokens that engines had read before
+	Busiest      float64 `json:"busiest"` // requests at the busiest engine over the mean
+	Legs         float64 `json:"legs"`    // a request
+	Steps        int     `json:"steps"`   // of engines
 }
 
 // The platform that is played.
@@ -593,7 +593,7 @@
 			took := c.first - c.at
 			firsts = append(firsts, took.Seconds()*1000)
 			if took <= aim {
-				f.InAim += 1 / n
+				f.WithinTarget += 1 / n
 			} else {
 				f.Late += 1 / n
 			}
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -46,18 +46,18 @@
 		}
 		got[v] = f
 		t.Logf("%-7s %+v", v, f)
-		if sum := f.InAim + f.Late + f.Refused + f.Failed; sum < 0.999 || sum > 1.001 || f.Requests != got["design"].Requests {
+		if sum := f.WithinTarget + f.Late + f.Refused + f.Failed; sum < 0.999 || sum > 1.001 || f.Requests != got["design"].Requests {
 			t.Errorf("%s: %+v does not add up", v, f)
 		}
 	}
 	// Half of what can be served: most is in time, and who keeps beginnings together reads less. (That the design is later than
 	// its baselines here is a finding: ROADMAP.)
 	for _, v := range []string{"design", "hash", "oracle"} {
-		if f := got[v]; f.InAim < 0.8 || f.Kept <= got["random"].Kept {
+		if f := got[v]; f.WithinTarget < 0.8 || f.Kept <= got["random"].Kept {
 			t.Errorf("%s: %+v; at random %+v", v, f, got["random"])
 		}
 	}
-	if got["oracle"].InAim+0.02 < got["random"].InAim {
+	if got["oracle"].WithinTarget+0.02 < got["random"].WithinTarget {
 		t.Errorf("who knows all is worse than chance: %+v", got)
 	}
 }
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -20,7 +20,7 @@
 	name, unit string
 	of         func(*sim.Figures) float64
 }{
-	{"in aim", "", func(f *sim.Figures) float64 { return f.InAim }},
+	{"in aim", "", func(f *sim.Figures) float64 { return f.WithinTarget }},
 	{"late", "", func(f *sim.Figures) float64 { return f.Late }},
 	{"refused", "", func(f *sim.Figures) float64 { return f.Refused }},
 	{"failed", "", func(f *sim.Figures) float64 { return f.Failed }},
