--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -42,7 +42,7 @@
 	Requests     int     `json:"asked"`
 	WithinTarget float64 `json:"in_aim"`  // share with their first token within the aim
 	Late         float64 `json:"late"`    // share with a first token after that
-	Refused      float64 `json:"refused"` // share
+	Rejected     float64 `json:"refused"` // share
 	Failed       float64 `json:"failed"`  // share
 	P50          float64 `json:"p50_ms"`  // of first tokens
 	P99          float64 `json:"p99_ms"`
@@ -586,7 +586,7 @@
 		legs += c.legs
 		switch {
 		case c.state == refused:
-			f.Refused += 1 / n
+			f.Rejected += 1 / n
 		case c.state != served:
 			f.Failed += 1 / n
 		default:
--- a/internal/lab/sim/sim_test.go
+++ b/internal/lab/sim/sim_test.go
@@ -46,7 +46,7 @@
 		}
 		got[v] = f
 		t.Logf("%-7s %+v", v, f)
-		if sum := f.WithinTarget + f.Late + f.Refused + f.Failed; sum < 0.999 || sum > 1.001 || f.Requests != got["design"].Requests {
+		if sum := f.WithinTarget + f.Late + f.Rejected + f.Failed; sum < 0.999 || sum > 1.001 || f.Requests != got["design"].Requests {
 			t.Errorf("%s: %+v does not add up", v, f)
 		}
 	}
@@ -67,7 +67,7 @@
 		o := small(v)
 		o.Load = 4
 		f, err := Run(o)
-		if err != nil || f.Refused+f.Failed+f.Late < 0.2 {
+		if err != nil || f.Rejected+f.Failed+f.Late < 0.2 {
 			t.Errorf("%s at four times what can be served: %+v, %v", v, f, err)
 		}
 	}
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -22,7 +22,7 @@
 }{
 	{"in aim", "", func(f *sim.Figures) float64 { return f.WithinTarget }},
 	{"late", "", func(f *sim.Figures) float64 { return f.Late }},
-	{"refused", "", func(f *sim.Figures) float64 { return f.Refused }},
+	{"refused", "", func(f *sim.Figures) float64 { return f.Rejected }},
 	{"failed", "", func(f *sim.Figures) float64 { return f.Failed }},
 	{"p50", "ms", func(f *sim.Figures) float64 { return f.P50 }},
 	{"p99", "ms", func(f *sim.Figures) float64 { return f.P99 }},
