--- a/cmd/notchlab/sim.go
+++ b/cmd/notchlab/sim.go
@@ -84,7 +84,7 @@
 	for _, some := range slices.Collect(slices.Chunk(all, len(c.Seeds))) {
 		m := mean(some)
 		fmt.Fprintf(w, "%d\t%d\t%.2f\t%.2f\t%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%.3f\t%.2f\t%.2f\n", m.Routers, m.Engines, m.Load, m.Skew,
-			m.Variant, m.Requests, m.WithinTarget, m.Late, m.Rejected, m.Failed, m.P50, m.P99, m.CachedShare, m.Busiest, m.Legs)
+			m.Variant, m.Requests, m.WithinTarget, m.Late, m.Rejected, m.Failed, m.P50, m.P99, m.CachedShare, m.Busiest, m.Attempts)
 		r.Add(fmt.Sprintf("in aim: %s, %d routers, %d engines, load %.2f, skew %.2f", m.Variant, m.Routers, m.Engines, m.Load, m.Skew), m.WithinTarget, "", "")
 		x := m.Load
 		switch {
@@ -148,7 +148,7 @@
 			{&m.P99, p.P99},
 			{&m.CachedShare, p.CachedShare},
 			{&m.Busiest, p.Busiest},
-			{&m.Legs, p.Legs},
+			{&m.Attempts, p.Attempts},
 		} {
 			*x.to += x.of / n
 		}
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -48,7 +48,7 @@
 	P99          float64 `json:"p99_ms"`
 	CachedShare  float64 `json:"kept"`    // share of the prompts' tokens that engines had read before
 	Busiest      float64 `json:"busiest"` // requests at the busiest engine over the mean
-	Legs         float64 `json:"legs"`    // a request
+	Attempts     float64 `json:"legs"`    // a request
 	Steps        int     `json:"steps"`   // of engines
 }
 
@@ -604,7 +604,7 @@
 		f.P50, f.P99 = firsts[k/2], firsts[min(k*99/100, k-1)]
 	}
 	f.CachedShare = float64(w.kept) / max(float64(w.prompt), 1)
-	f.Legs = float64(legs) / n
+	f.Attempts = float64(legs) / n
 	most, sum := 0, 0
 	for _, e := range w.engines {
 		most, sum = max(most, e.came), sum+e.came
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -28,7 +28,7 @@
 	{"p99", "ms", func(f *sim.Figures) float64 { return f.P99 }},
 	{"kept", "", func(f *sim.Figures) float64 { return f.CachedShare }},
 	{"busiest", "", func(f *sim.Figures) float64 { return f.Busiest }},
-	{"legs", "", func(f *sim.Figures) float64 { return f.Legs }},
+	{"legs", "", func(f *sim.Figures) float64 { return f.Attempts }},
 }
 
 // Figure is a mean over seeds with half of its 95% interval.
