--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -51,11 +51,11 @@
 
 // Output is what a step gave a request.
 type Output struct {
-	ID    uint64
-	First int  // number of its first new token, counted from 0
-	Count int  // of tokens
-	Done  bool // the answer is whole
-	Kept  int  // prompt tokens that were found kept
+	ID           uint64
+	First        int  // number of its first new token, counted from 0
+	Count        int  // of tokens
+	Done         bool // the answer is whole
+	CachedTokens int  // prompt tokens that were found kept
 }
 
 type running struct {
@@ -189,7 +189,7 @@
 			done := r.made >= r.Answer
 			// The first token is told at once, further ones some at a time.
 			if done || r.made == 1 || r.made-r.told >= e.p.EventTokens {
-				out = append(out, Output{ID: r.ID, First: r.told, Count: r.made - r.told, Done: done, Kept: r.kept})
+				out = append(out, Output{ID: r.ID, First: r.told, Count: r.made - r.told, Done: done, CachedTokens: r.kept})
 				r.told = r.made
 			}
 			if done {
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -29,7 +29,7 @@
 			t.Fatal("no room")
 		}
 		out, end := run(t, e)
-		return end - now, out[len(out)-1].Kept
+		return end - now, out[len(out)-1].CachedTokens
 	}
 	first, kept := ask(0, 11, 8000)
 	if kept != 0 {
@@ -59,7 +59,7 @@
 // noteTokens counts the tokens of each request, which come in order and not past its end.
 func noteTokens(t *rapid.T, out []Output, got map[uint64]int, done map[uint64]bool) {
 	for _, o := range out {
-		if o.First != got[o.ID] || o.Count < 1 || done[o.ID] || o.Kept >= 2000 {
+		if o.First != got[o.ID] || o.Count < 1 || done[o.ID] || o.CachedTokens >= 2000 {
 			t.Fatalf("%+v after %d tokens, done %v", o, got[o.ID], done[o.ID])
 		}
 		got[o.ID] += o.Count
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -486,13 +486,13 @@
 		}
 		at := w.now + w.delay(l.c.router, i)
 		if o.First == 0 {
-			w.kept += o.Kept
+			w.kept += o.CachedTokens
 			w.prompt += shared + own
 			w.plan(event{at: at, kind: answers, leg: l})
 		}
 		if o.Done {
 			delete(g.legs, o.ID)
-			w.plan(event{at: at, kind: answers, leg: l, done: true, kept: o.Kept})
+			w.plan(event{at: at, kind: answers, leg: l, done: true, kept: o.CachedTokens})
 		}
 	}
 	if at, ok := g.Next(); ok && at != g.planned {
--- a/internal/lab/standin/box.go
+++ b/internal/lab/standin/box.go
@@ -397,7 +397,7 @@
 		event = appendEvent(event[:0], id, work.From+o.First, o.Count, o.Done)
 		if o.Done {
 			event = fmt.Appendf(event, `data: {"choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d,`+
-				`"prompt_tokens_details":{"cached_tokens":%d}}}`+"\n\ndata: [DONE]\n\n", work.Prompt, answer, o.Kept)
+				`"prompt_tokens_details":{"cached_tokens":%d}}}`+"\n\ndata: [DONE]\n\n", work.Prompt, answer, o.CachedTokens)
 		}
 		if _, err := w.Write(event); err != nil {
 			return
