--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -17,7 +17,7 @@
 type Params struct {
 	Slots       int           // requests in a batch
 	Queue       int           // requests that wait for a slot
-	Memory      int           // tokens, of running requests and kept prompts together
+	KVTokens    int           // tokens, of running requests and kept prompts together
 	Chunk       int           // prompt tokens read in one step at the most
 	Step        time.Duration // of a step by itself
 	PerSeq      time.Duration // added for each running request
@@ -33,7 +33,7 @@
 func Default(speed float64) Params {
 	scaled := func(d time.Duration) time.Duration { return time.Duration(float64(d) / speed) }
 	return Params{
-		Slots: 48, Queue: 64, Memory: 240000, Chunk: 4096, Step: scaled(14 * time.Millisecond),
+		Slots: 48, Queue: 64, KVTokens: 240000, Chunk: 4096, Step: scaled(14 * time.Millisecond),
 		PerSeq: scaled(150 * time.Microsecond), ReadPerS: 20000 * speed, ContextPerK: scaled(40 * time.Microsecond),
 		ColdShare: 0.4, WarmUp: scaled(8 * time.Second), EventTokens: 4,
 	}
@@ -210,10 +210,10 @@
 	for _, b := range e.batch {
 		need += b.Prompt + b.Answer
 	}
-	for need+e.held > e.p.Memory && e.recent.Len() > 0 {
+	for need+e.held > e.p.KVTokens && e.recent.Len() > 0 {
 		e.forget(e.recent.Back())
 	}
-	return need+e.held <= e.p.Memory || len(e.batch) == 0 // one that is larger than all memory runs alone
+	return need+e.held <= e.p.KVTokens || len(e.batch) == 0 // one that is larger than all memory runs alone
 }
 
 func (e *Engine) forget(at *list.Element) {
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -72,7 +72,7 @@
 func TestEveryTokenOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Default(1)
-		p.Slots, p.Queue, p.Memory = rapid.IntRange(1, 5).Draw(t, "slots"), rapid.IntRange(1, 5).Draw(t, "queue"), 3000
+		p.Slots, p.Queue, p.KVTokens = rapid.IntRange(1, 5).Draw(t, "slots"), rapid.IntRange(1, 5).Draw(t, "queue"), 3000
 		e := New(p, 0)
 		var now time.Duration
 		want, got, done := map[uint64]int{}, map[uint64]int{}, map[uint64]bool{}
