--- a/internal/lab/check/cuts_test.go
+++ b/internal/lab/check/cuts_test.go
@@ -48,7 +48,7 @@
 		if len(r.Violations) > 0 || r.Acked < 5 { // one before it, one of each race
 			t.Errorf("%v of %v: %d acknowledged, %+v", kind, on, r.Acked, r.Violations)
 		}
-		if k < 2 && len(d.Run("acknowledges what it has only heard").Violations) > 0 {
+		if k < 2 && len(d.Run("acknowledges before commit").Violations) > 0 {
 			broken++
 		}
 	}
--- a/internal/lab/plane/available.go
+++ b/internal/lab/plane/available.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// bounds are those of the platform that depend on how many keepers may be lost at once.
+// bounds are the time limits that depend on how many replicas may be lost at once.
 type bounds struct {
-	contact time.Duration // a machine is in touch that nothing has happened to for so long
-	ack     time.Duration // an order is acknowledged within so long of a settled core
-	catchUp time.Duration // who is back, or new, counts as lost for so long
+	contact time.Duration // a machine without faults for so long has contact with the others
+	ack     time.Duration // a settled core acknowledges a change within so long
+	catchUp time.Duration // a replica that restarted or joined counts as lost for so long
 }
 
 func boundsOf(tolerate int) bounds {
@@ -16,65 +16,66 @@
 	return bounds{5 * time.Second, 6 * time.Second, 6 * time.Second}
 }
 
-// availability is what the oracle AVAILABLE knows of the core.
+// availability is the state of the check of rule AVAILABLE.
 type availability struct {
-	struck    time.Duration // when a keeper was last killed, stopped, started, frozen, thawed, removed, stepped, cut or joined
-	unsettled time.Duration // when it was last seen without a majority that runs and is connected, or with more lost than are to be borne
-	acted     *machine      // who acted or acknowledged last
+	lastFault     time.Duration // when a fault of a replica last began or ended
+	lastUnsettled time.Duration // when the core last had no connected majority, or more replicas lost than tolerated
+	lastActor     *machine      // replica that acted or acknowledged last
 
-	beyond  bool          // more were lost at once than are to be borne, and not all have been back for long enough since
-	allBack time.Duration // since when none is lost; notBack = one is
+	overTolerance bool          // more replicas than tolerated were lost, and recoveryTime since their return is not over
+	allBackSince  time.Duration // since when no replica is lost; notAllBack = one is
 }
 
 const (
-	notBack  = time.Duration(-1)
-	recovery = 15 * time.Second // service may rest for so long after all are back that were lost beyond what is to be borne
+	notAllBack   = time.Duration(-1)
+	recoveryTime = 15 * time.Second // allowed outage after all replicas lost beyond the tolerance are back
 )
 
-const coreEvery = 100 * time.Millisecond
+const coreCheckInterval = 100 * time.Millisecond
 
-// watchCore holds orders that are open against for how long the core has been settled. It asks for no calm: as many keepers as
-// are to be borne may be dark, cut off or gone throughout.
-func (w *world) watchCore() {
-	w.in(coreEvery, w.watchCore)
-	lost := w.lost()
-	w.watchRecovery(lost)
-	if len(w.majority()) == 0 || lost > w.day.Tolerate || w.core.beyond {
-		w.core.unsettled = w.now
+// checkCore checks how long pending changes have waited since the core settled. Faults of as many replicas as tolerated are
+// allowed throughout.
+func (w *world) checkCore() {
+	w.schedule(coreCheckInterval, w.checkCore)
+	lost := w.countLost()
+	w.checkRecovery(lost)
+	if len(w.majority()) == 0 || lost > w.scenario.Tolerate || w.core.overTolerance {
+		w.core.lastUnsettled = w.now
 	}
 	since := w.settledSince()
-	for _, c := range w.open {
-		if settled := w.now - max(since, c.first, c.lost); settled > w.bounds.ack && w.now-c.first < givenUp {
-			w.breaks("AVAILABLE", "version %d was sent %v ago, the core is settled for %v since, and it has no answer", c.revision, w.now-c.first, settled)
+	for _, c := range w.pending {
+		if settled := w.now - max(since, c.firstSent, c.lastReplyLost); settled > w.bounds.ack && w.now-c.firstSent < changeTimeout {
+			w.violate("AVAILABLE", "version %d was sent %v ago, the core has been settled for %v since, and there is no answer", c.revision, w.now-c.firstSent, settled)
 		}
 	}
 }
 
-// watchRecovery notes whether the core recovers from losses beyond those that are to be borne, on a day that has such.
-func (w *world) watchRecovery(lost int) {
+// checkRecovery tracks losses beyond the tolerance and the recovery from them, in scenarios that allow them.
+func (w *world) checkRecovery(lost int) {
 	core := &w.core
 	switch {
 	case lost > 0:
-		core.allBack = notBack
-	case core.allBack == notBack:
-		core.allBack = w.now
+		core.allBackSince = notAllBack
+	case core.allBackSince == notAllBack:
+		core.allBackSince = w.now
 	}
-	if w.day.Overlaps && lost > w.day.Tolerate {
-		core.beyond = true
+	if w.scenario.Overlaps && lost > w.scenario.Tolerate {
+		core.overTolerance = true
 	}
-	if core.beyond && core.allBack != notBack && w.now-core.allBack >= recovery {
-		core.beyond = false
+	if core.overTolerance && core.allBackSince != notAllBack && w.now-core.allBackSince >= recoveryTime {
+		core.overTolerance = false
 	}
 }
 
-// settledSince tells since when the core is settled, or when it will be.
+// settledSince returns since when the core is settled, or when it will be.
 func (w *world) settledSince() time.Duration {
-	return max(w.core.unsettled, w.core.struck+w.bounds.contact)
+	return max(w.core.lastUnsettled, w.core.lastFault+w.bounds.contact)
 }
 
-// majority returns the most keepers that run and reach each other both ways, if they are more than half of the core.
+// majority returns the largest group of healthy replicas that reach each other in both directions, or nil if it is not a
+// majority.
 func (w *world) majority() []*machine {
-	core := w.keepers()
+	core := w.replicas()
 	var best []*machine
 	var grow func(from int, group []*machine)
 	grow = func(from int, group []*machine) {
@@ -82,7 +83,7 @@
 			best = append([]*machine(nil), group...)
 		}
 		for i := from; i < len(core); i++ {
-			if core[i].works() && w.connected(core[i], group) {
+			if core[i].isHealthy() && w.connected(core[i], group) {
 				grow(i+1, append(group, core[i]))
 			}
 		}
@@ -93,46 +94,46 @@
 	return best
 }
 
-// works tells whether a keeper runs, and its disk too.
-func (m *machine) works() bool {
-	return m.up && !m.frozen && !m.full && m.drag == 0
+// isHealthy reports whether a replica runs and its disk works at normal speed.
+func (m *machine) isHealthy() bool {
+	return m.up && !m.frozen && !m.diskFull && m.diskDelay == 0
 }
 
+// connected reports whether a machine has links in both directions to every member of a group.
 func (w *world) connected(m *machine, group []*machine) bool {
 	for _, x := range group {
-		if w.cuts[[2]int{m.i, x.i}] > 0 || w.cuts[[2]int{x.i, m.i}] > 0 {
+		if w.blockedLinks[[2]int{m.index, x.index}] > 0 || w.blockedLinks[[2]int{x.index, m.index}] > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// lost counts the seats of the core that are lost: those whose keeper does not work, or is cut off, and those whose keeper is
-// new.
-func (w *world) lost() (n int) {
+// countLost counts the slots whose replica is not in the majority, or restarted or joined recently.
+func (w *world) countLost() (n int) {
 	core := w.majority()
-	for _, m := range w.seats {
+	for _, m := range w.slots {
 		in := false
 		for _, x := range core {
 			in = in || x == m
 		}
-		if !in || m.since > w.bounds.catchUp && w.now-m.since < w.bounds.catchUp {
+		if !in || m.startedAt > w.bounds.catchUp && w.now-m.startedAt < w.bounds.catchUp {
 			n++
 		}
 	}
 	return n
 }
 
-// inTouch returns a keeper of the majority that has run for a while and was not told to leave, or nil.
-func (w *world) inTouch() *machine {
+// connectedReplica returns a random replica of the majority that has run for a while and does not leave, or nil.
+func (w *world) connectedReplica() *machine {
 	var all []*machine
 	for _, m := range w.majority() {
-		if !m.leaving && (w.now-m.since >= w.bounds.catchUp || m.since < lead) {
+		if !m.leaving && (w.now-m.startedAt >= w.bounds.catchUp || m.startedAt < warmUpTime) {
 			all = append(all, m)
 		}
 	}
 	if len(all) == 0 {
 		return nil
 	}
-	return all[w.rnd.IntN(len(all))]
+	return all[w.rand.IntN(len(all))]
 }
--- a/internal/lab/plane/cost.go
+++ b/internal/lab/plane/cost.go
@@ -8,55 +8,55 @@
 	"notchhinge/internal/control/rpc"
 )
 
-// What goes over the wire beside what is said: the headers of a datagram, and of a call's frame and its answer's.
+// Header sizes of a datagram, and of the frame of a call or its answer.
 const (
-	datagramBytes = 28
-	frameBytes    = 16
+	datagramHeaderBytes = 28
+	frameHeaderBytes    = 16
 )
 
-// Cost is what one process of a kind sends for a cause in calm, in bytes a second: calls are counted at who makes them, both
-// ways.
+// Cost is what one process sends for a cause without faults, in bytes per second. Calls are counted at the caller, with
+// their answers.
 type Cost struct {
 	Cause string
 	Bytes float64
 }
 
-// Costs are those of a mean router and of a mean keeper, by cause, and what keepers take in.
+// Costs are the traffic of a mean router and of a mean replica, by cause.
 type Costs struct {
 	Router, Replica []Cost
-	Sent            [2]float64 // bytes a second, of a router and of a keeper
-	Calls           float64    // of engines, a second at a mean keeper
-	Received        float64    // bytes a second that come to a mean keeper
+	Sent            [2]float64 // bytes per second of a router and of a replica
+	Calls           float64    // engine calls per second at a mean replica
+	Received        float64    // bytes per second that a mean replica receives
 }
 
-// meter counts while it is on.
+// meter counts traffic while it is on.
 type meter struct {
-	on    bool
-	books [2]metrics.Traffic // of routers, of keepers
-	calls int                // of engines, at keepers
-	taken int                // bytes, at keepers
+	on            bool
+	traffic       [2]metrics.Traffic // of routers, of replicas
+	engineCalls   int                // at replicas
+	receivedBytes int                // at replicas
 }
 
-func (w *world) spend(from, to *machine, cause metrics.Cause, bytes int) {
+func (w *world) recordTraffic(from, to *machine, cause metrics.Cause, bytes int) {
 	if !w.meter.on {
 		return
 	}
-	book := &w.meter.books[0]
-	if from.keeper {
-		book = &w.meter.books[1]
+	traffic := &w.meter.traffic[0]
+	if from.isReplica {
+		traffic = &w.meter.traffic[1]
 	}
-	book.Add(cause, bytes, false)
-	if to != nil && to.keeper {
-		w.meter.taken += bytes
+	traffic.Add(cause, bytes, false)
+	if to != nil && to.isReplica {
+		w.meter.receivedBytes += bytes
 	}
 }
 
-func (w *world) spendDatagram(from, to *machine, b []byte) {
+func (w *world) recordDatagram(from, to *machine, b []byte) {
 	cause := map[gossip.Purpose]metrics.Cause{gossip.PurposeAntiEntropy: metrics.CauseDigests, gossip.PurposeShuffle: metrics.CauseShuffles, gossip.PurposeDissemination: metrics.CauseGossip}
-	w.spend(from, to, cause[gossip.PurposeOf(b)], len(b)+datagramBytes)
+	w.recordTraffic(from, to, cause[gossip.PurposeOf(b)], len(b)+datagramHeaderBytes)
 }
 
-func (w *world) spendCall(from, to *machine, kind rpc.Kind, bytes int) {
+func (w *world) recordCall(from, to *machine, kind rpc.Kind, bytes int) {
 	cause := metrics.CausePaxos
 	switch kind {
 	case rpc.KindUsageReport, rpc.KindUsageTable:
@@ -64,21 +64,21 @@
 	case rpc.KindRenewLease, rpc.KindCheckCandidacy:
 		cause = metrics.CauseLeases
 	}
-	w.spend(from, to, cause, bytes+frameBytes)
+	w.recordTraffic(from, to, cause, bytes+frameHeaderBytes)
 }
 
-// Measure plays a day and tells what its processes send in its last part, of so long, which ought to be calm.
-func (d *Scenario) Measure(last time.Duration) Costs {
-	w := newWorld(d, "")
-	w.begin()
-	w.run(lead + d.Length - last)
+// Measure simulates the scenario and returns the mean traffic of its last part, which must be free of faults.
+func (s *Scenario) Measure(last time.Duration) Costs {
+	w := newWorld(s, "")
+	w.start()
+	w.advance(warmUpTime + s.Length - last)
 	w.meter.on = true
-	w.run(lead + d.Length)
+	w.advance(warmUpTime + s.Length)
 	c := Costs{}
 	seconds := last.Seconds()
-	for i, n := range []int{d.Routers, d.Replicas} {
+	for i, n := range []int{s.Routers, s.Replicas} {
 		var all []Cost
-		for _, r := range w.meter.books[i].Rows() {
+		for _, r := range w.meter.traffic[i].Rows() {
 			x := Cost{r.Cause, float64(r.Bytes) / seconds / float64(n)}
 			c.Sent[i] += x.Bytes
 			all = append(all, x)
@@ -89,7 +89,7 @@
 			c.Replica = all
 		}
 	}
-	c.Calls = float64(w.meter.calls) / seconds / float64(d.Replicas)
-	c.Received = float64(w.meter.taken) / seconds / float64(d.Replicas)
+	c.Calls = float64(w.meter.engineCalls) / seconds / float64(s.Replicas)
+	c.Received = float64(w.meter.receivedBytes) / seconds / float64(s.Replicas)
 	return c
 }
--- a/internal/lab/plane/disk.go
+++ b/internal/lab/plane/disk.go
@@ -6,52 +6,52 @@
 	"notchhinge/internal/control/replog"
 )
 
-// disk is what a keeper's disk holds for good.
+// disk is the durable state of a replica.
 type disk struct {
-	id      uint64 // 0 = it is empty
-	founder bool
-	vote    paxos.AcceptorState
-	state   replog.State
-	places  map[uint64][]byte
+	id       uint64 // 0 = empty disk
+	founder  bool
+	acceptor paxos.AcceptorState
+	state    replog.State
+	values   map[uint64][]byte
 }
 
-// write writes to the disk, if it takes anything. After it has refused something it is told all that stands here first, as a
-// keeper of the program does.
+// write applies a write and reports whether the disk accepted it. After a refused write the whole state is written first, as
+// the program does.
 func (m *machine) write(f *replica.Write) bool {
-	if m.full {
-		m.shut = true
+	if m.diskFull {
+		m.diskStale = true
 		return false
 	}
-	if m.shut {
-		m.shut = false
-		state := m.core.State()
-		m.disk.keep(&replica.Write{Snapshot: true, State: &state}, m.w)
-		m.disk.keep(&replica.Write{Acceptor: m.core.AcceptorState()}, m.w)
+	if m.diskStale {
+		m.diskStale = false
+		state := m.replica.State()
+		m.disk.persist(&replica.Write{Snapshot: true, State: &state}, m.world)
+		m.disk.persist(&replica.Write{Acceptor: m.replica.AcceptorState()}, m.world)
 	}
-	m.disk.keep(f, m.w)
+	m.disk.persist(f, m.world)
 	return true
 }
 
-// keep makes a write durable.
-func (d *disk) keep(f *replica.Write, w *world) {
+// persist makes a write durable.
+func (d *disk) persist(f *replica.Write, w *world) {
 	switch {
 	case f.Snapshot:
 		d.state = *f.State
-		clear(d.places)
+		clear(d.values)
 	case f.Value != nil:
 		d.state = *f.State
-		d.places[f.State.NextIndex-1] = f.Value
-		delete(d.places, f.State.NextIndex-33)
-	case w.broken != "forgets its votes":
-		d.vote = f.Acceptor
+		d.values[f.State.NextIndex-1] = f.Value
+		delete(d.values, f.State.NextIndex-33)
+	case w.injectedBug != "acceptor state is not persisted":
+		d.acceptor = f.Acceptor
 	}
 }
 
-// later has something done once a write that nobody waits for reaches the disk, if its process lives for so long.
-func (w *world) later(m *machine, do func()) {
-	life := m.life
-	w.in(w.sync, func() {
-		if m.life == life {
+// afterSync calls do after the latency of the disk, if the process still runs then.
+func (w *world) afterSync(m *machine, do func()) {
+	incarnation := m.incarnation
+	w.schedule(w.diskLatency, func() {
+		if m.incarnation == incarnation {
 			do()
 		}
 	})
--- a/internal/lab/plane/draw.go
+++ b/internal/lab/plane/draw.go
@@ -6,74 +6,75 @@
 	"time"
 )
 
-// drawing is a day that is being drawn.
+// drawing is the state of the generation of a scenario.
 type drawing struct {
 	*rand.Rand
 	Size
 	bounds
-	day    *Scenario
-	wait   []Fault         // by their times
-	away   []time.Duration // until when each seat is lost, with the time to catch up
-	anyone []time.Duration // and until when one is that is not known yet
-	halves time.Duration   // until when the core is cut into halves
-	disks  int             // how many are lost, where losses overlap
+	scenario        *Scenario
+	pending         []Fault         // sorted by time
+	lostUntil       []time.Duration // end of the loss of each slot, including the time to catch up
+	leaderLostUntil []time.Duration // ends of losses of a replica that is chosen at run time
+	halvesUntil     time.Duration   // end of the last PartitionHalves
+	lostDisks       int             // disks lost, if losses overlap
 }
 
-// drawn are the kinds of a draw, those that are drawn more often several times.
-var drawn = []FaultKind{
-	Kill, Kill, Term, Wipe, Wipe, Isolate, Isolate, DropOutbound, DropInbound, PartitionReplicas, PartitionReplicas, DrainEngine, Crash, RaceChanges, RaceChanges, Freeze, Step, Part, Full, Slow, Stall,
-	Replace, Replace, Replace, Replace, Lost, Lost, Halves, Halves, SignOff,
+// kindWeights lists the kinds to draw from; repeated kinds are drawn more often.
+var kindWeights = []FaultKind{
+	Kill, Kill, Terminate, WipeDisk, WipeDisk, Isolate, Isolate, DropOutbound, DropInbound, PartitionReplicas, PartitionReplicas, DrainEngine, CrashEngine, RaceChanges, RaceChanges, FreezeProcess, StepClock, PartitionPair, FullDisk, SlowDisk, StallDisk,
+	ReplaceReplica, ReplaceReplica, ReplaceReplica, ReplaceReplica, LoseReply, LoseReply, PartitionHalves, PartitionHalves, DeregisterEngine,
 }
 
 const (
-	mostReplaced = 5 // of a day
-	longest      = 20 * time.Second
+	maxReplacements = 5 // per scenario
+	maxFaultLength  = 20 * time.Second
 
-	shortestHalves, longestHalves = time.Second, 8 * time.Second
+	minHalves, maxHalves = time.Second, 8 * time.Second
 
-	oneOverlaps = 5 // one of so many days has more keepers lost at once than are to be borne
+	overlapOneIn = 5 // one in so many scenarios loses more replicas at once than tolerated
 )
 
-// Draw draws a day: troubles that overlap as they like, but no more keepers lost at once, as the platform counts it, than are to
-// be borne: what would lose more waits its turn, or is cut down.
+// Draw generates a scenario whose faults overlap freely, with at most as many replicas lost at once as tolerated. A fault that
+// would exceed that is postponed or dropped.
 func Draw(seed uint64, s Size) *Scenario {
 	rnd := rand.New(rand.NewPCG(seed, 13))
-	w := &drawing{Rand: rnd, Size: s, bounds: boundsOf(s.Tolerate), away: make([]time.Duration, s.Replicas)}
-	w.day = &Scenario{Seed: seed, Replicas: s.Replicas, Routers: s.Routers, Engines: s.Engines, Tolerate: s.Tolerate, Length: time.Duration(30+15*rnd.IntN(3)) * time.Second}
-	w.day.Overlaps = rnd.IntN(oneOverlaps) == 0
-	for range int(w.day.Length/(5*time.Second)) + rnd.IntN(8) {
-		w.later(w.some(drawn[rnd.IntN(len(drawn))]))
+	w := &drawing{Rand: rnd, Size: s, bounds: boundsOf(s.Tolerate), lostUntil: make([]time.Duration, s.Replicas)}
+	w.scenario = &Scenario{Seed: seed, Replicas: s.Replicas, Routers: s.Routers, Engines: s.Engines, Tolerate: s.Tolerate, Length: time.Duration(30+15*rnd.IntN(3)) * time.Second}
+	w.scenario.Overlaps = rnd.IntN(overlapOneIn) == 0
+	for range int(w.scenario.Length/(5*time.Second)) + rnd.IntN(8) {
+		w.enqueue(w.drawFault(kindWeights[rnd.IntN(len(kindWeights))]))
 	}
-	for range int(w.day.Length / (4 * time.Second)) { // whatever happens there are orders
-		w.later(Fault{At: w.time(), Kind: ChangeConfig})
+	for range int(w.scenario.Length / (4 * time.Second)) { // every scenario has configuration changes
+		w.enqueue(Fault{At: w.randomTime(), Kind: ChangeConfig})
 	}
 	if rnd.IntN(4) == 0 {
-		t := Fault{At: w.time(), For: w.between(4*time.Second, longest), Kind: Storm}
-		w.later(t)
+		f := Fault{At: w.randomTime(), For: w.between(4*time.Second, maxFaultLength), Kind: ChangeBurst}
+		w.enqueue(f)
 	}
 	replaced := 0
-	for len(w.wait) > 0 {
-		t := w.wait[0]
-		w.wait = w.wait[1:]
-		if t.Kind == Replace {
-			if replaced == mostReplaced {
+	for len(w.pending) > 0 {
+		f := w.pending[0]
+		w.pending = w.pending[1:]
+		if f.Kind == ReplaceReplica {
+			if replaced == maxReplacements {
 				continue
 			}
 			replaced++
 		}
-		w.place(t)
+		w.place(f)
 	}
-	slices.SortStableFunc(w.day.Faults, func(x, y Fault) int { return int(x.At - y.At) })
-	return w.day
+	slices.SortStableFunc(w.scenario.Faults, func(x, y Fault) int { return int(x.At - y.At) })
+	return w.scenario
 }
 
+// between draws a duration in [from, to).
 func (w *drawing) between(from, to time.Duration) time.Duration {
 	return (from + time.Duration(w.Int64N(int64(to-from)))).Truncate(time.Millisecond)
 }
 
-func (w *drawing) time() time.Duration { return w.between(0, w.day.Length-2*time.Second) }
+func (w *drawing) randomTime() time.Duration { return w.between(0, w.scenario.Length-2*time.Second) }
 
-// pick picks numbers.
+// pick draws up to n distinct numbers in [from, to).
 func (w *drawing) pick(n, from, to int) (all []int) {
 	for _, i := range w.Perm(to - from)[:min(n, to-from)] {
 		all = append(all, from+i)
@@ -81,185 +82,186 @@
 	return all
 }
 
-// later puts a trouble among those that wait for their time.
-func (w *drawing) later(t Fault) {
-	i, _ := slices.BinarySearchFunc(w.wait, t, func(x, y Fault) int { return int(x.At - y.At) })
-	w.wait = slices.Insert(w.wait, i, t)
+// enqueue inserts a fault into the pending ones by its time.
+func (w *drawing) enqueue(f Fault) {
+	i, _ := slices.BinarySearchFunc(w.pending, f, func(x, y Fault) int { return int(x.At - y.At) })
+	w.pending = slices.Insert(w.pending, i, f)
 }
 
-// some draws a trouble of a kind.
-func (w *drawing) some(kind FaultKind) Fault {
-	t := Fault{At: w.time(), For: w.between(200*time.Millisecond, 9*time.Second), Kind: kind}
-	if kind != Replace && w.IntN(4) == 0 {
-		t.For = w.between(9*time.Second, longest)
+// drawFault draws a fault of a kind.
+func (w *drawing) drawFault(kind FaultKind) Fault {
+	f := Fault{At: w.randomTime(), For: w.between(200*time.Millisecond, 9*time.Second), Kind: kind}
+	if kind != ReplaceReplica && w.IntN(4) == 0 {
+		f.For = w.between(9*time.Second, maxFaultLength)
 	}
-	if all := hows[kind]; len(all) > 0 && w.IntN(2) == 0 {
-		t.How = all[w.IntN(len(all))]
+	if all := variants[kind]; len(all) > 0 && w.IntN(2) == 0 {
+		f.Variant = all[w.IntN(len(all))]
 	}
-	if w.strikes(&t); t.How == Leader {
-		t.On = nil
+	if w.drawTargets(&f); f.Variant == Leader {
+		f.On = nil
 	}
-	if t.How == Seeds && len(t.On) > 0 && t.On[0] >= w.Replicas { // they are keepers who are cut off
-		t.On = w.pick(1+w.IntN(w.Tolerate), 0, w.Replicas)
+	if f.Variant == RestartRouters && len(f.On) > 0 && f.On[0] >= w.Replicas { // this variant isolates replicas
+		f.On = w.pick(1+w.IntN(w.Tolerate), 0, w.Replicas)
 	}
-	if t.How == Both && len(t.On) > 0 && t.On[0] >= w.Replicas {
-		t.How = ""
+	if f.Variant == RestartAll && len(f.On) > 0 && f.On[0] >= w.Replicas {
+		f.Variant = ""
 	}
-	return t
+	return f
 }
 
-// strikes draws whom it strikes.
-func (w *drawing) strikes(t *Fault) {
-	switch t.Kind {
-	case Halves:
-		t.On, t.For = w.pick(w.Replicas/2, 0, w.Replicas), w.between(shortestHalves, longestHalves)
-	case DrainEngine, Crash, SignOff:
-		t.On = w.pick(1+w.IntN(3), 0, w.Engines)
-	case RaceChanges, Lost:
-		t.For = 0
-	case PartitionReplicas, Full, Slow, Stall:
-		t.On = w.pick(1+w.IntN(w.Tolerate), 0, w.Replicas)
-	case Wipe, Replace:
-		t.On = w.pick(1, 0, w.Replicas)
-	case Part:
-		t.On = w.pick(2, 0, w.Replicas)
+// drawTargets draws the targets of a fault, and for some kinds its duration.
+func (w *drawing) drawTargets(f *Fault) {
+	switch f.Kind {
+	case PartitionHalves:
+		f.On, f.For = w.pick(w.Replicas/2, 0, w.Replicas), w.between(minHalves, maxHalves)
+	case DrainEngine, CrashEngine, DeregisterEngine:
+		f.On = w.pick(1+w.IntN(3), 0, w.Engines)
+	case RaceChanges, LoseReply:
+		f.For = 0
+	case PartitionReplicas, FullDisk, SlowDisk, StallDisk:
+		f.On = w.pick(1+w.IntN(w.Tolerate), 0, w.Replicas)
+	case WipeDisk, ReplaceReplica:
+		f.On = w.pick(1, 0, w.Replicas)
+	case PartitionPair:
+		f.On = w.pick(2, 0, w.Replicas)
 	default:
-		if t.On = w.pick(1+w.IntN(max(w.Routers/2, 1)), w.Replicas, w.Replicas+w.Routers); w.IntN(3) > 0 {
-			t.On = w.pick(1+w.IntN(w.Tolerate), 0, w.Replicas)
+		if f.On = w.pick(1+w.IntN(max(w.Routers/2, 1)), w.Replicas, w.Replicas+w.Routers); w.IntN(3) > 0 {
+			f.On = w.pick(1+w.IntN(w.Tolerate), 0, w.Replicas)
 		}
 	}
 }
 
-// free tells from when on a trouble loses no more keepers than are to be borne.
-func (w *drawing) free(keepers []int, cost int, from time.Duration) time.Duration {
+// earliestStart returns the earliest time from which a fault loses no more replicas than tolerated.
+func (w *drawing) earliestStart(replicas []int, losses int, from time.Duration) time.Duration {
 	for {
 		lost, next := 0, time.Duration(1<<62)
-		for k, until := range w.away {
+		for k, until := range w.lostUntil {
 			if until > from {
-				if next = min(next, until); !slices.Contains(keepers, k) {
+				if next = min(next, until); !slices.Contains(replicas, k) {
 					lost++
 				}
 			}
 		}
-		for _, until := range w.anyone {
+		for _, until := range w.leaderLostUntil {
 			if until > from {
 				lost, next = lost+1, min(next, until)
 			}
 		}
-		if lost+cost <= w.Tolerate {
+		if lost+losses <= w.Tolerate {
 			return from
 		}
 		from = next
 	}
 }
 
-// counts tells whether keepers that a trouble strikes count as lost. Where losses overlap only those without their disks do.
-func (w *drawing) counts(t *Fault) bool {
-	return t.losesDisk() || !w.day.Overlaps && !t.Kind.strikesEngines() && t.Kind != Dismiss && t.Kind != Halves
+// countsAsLost reports whether replicas that a fault targets count as lost. If losses overlap, only lost disks count.
+func (w *drawing) countsAsLost(f *Fault) bool {
+	return f.losesDisk() || !w.scenario.Overlaps && !f.Kind.targetsEngines() && f.Kind != RemoveMember && f.Kind != PartitionHalves
 }
 
-func (t *Fault) losesDisk() bool { return t.Kind == Wipe || t.Kind == Replace }
+func (f *Fault) losesDisk() bool { return f.Kind == WipeDisk || f.Kind == ReplaceReplica }
 
-// place has a trouble happen at its time, or when its turn comes.
-func (w *drawing) place(t Fault) {
-	var keepers []int
-	for _, k := range t.On {
-		if w.counts(&t) && k < w.Replicas {
-			keepers = append(keepers, k)
+// place adds a fault to the scenario, or postpones it until enough replicas are back.
+func (w *drawing) place(f Fault) {
+	var replicas []int
+	for _, k := range f.On {
+		if w.countsAsLost(&f) && k < w.Replicas {
+			replicas = append(replicas, k)
 		}
 	}
-	cost := len(keepers)
-	if !w.day.Overlaps && (t.Kind == Part || t.How == Leader) {
-		cost = 1 // of the two any other can be spared no more; and it may be anyone
+	losses := len(replicas)
+	if !w.scenario.Overlaps && (f.Kind == PartitionPair || f.Variant == Leader) {
+		losses = 1 // either one of the pair counts, or the leader, which may be any replica
 	}
-	if t.At > w.day.Length-2*time.Second {
+	if f.At > w.scenario.Length-2*time.Second {
 		return
 	}
-	if w.day.Overlaps && cost > 0 { // nobody may be there for so long from whom a successor learns
-		if w.disks+cost > w.Tolerate {
+	if w.scenario.Overlaps && losses > 0 { // no majority may remain for a successor to learn from
+		if w.lostDisks+losses > w.Tolerate {
 			return
 		}
-		w.disks += cost
+		w.lostDisks += losses
 	}
-	if cost > 0 {
-		asked := t.At
-		if t.At = w.free(keepers, cost, t.At); t.At > asked { // others may come first now
-			w.later(t)
+	if losses > 0 {
+		requested := f.At
+		if f.At = w.earliestStart(replicas, losses, f.At); f.At > requested { // other faults may come first now
+			w.enqueue(f)
 			return
 		}
-		until := t.At + t.For + w.catchUp
-		if t.How == Planned {
-			until = t.At + max(t.For, w.catchUp)
+		until := f.At + f.For + w.catchUp
+		if f.Variant == Planned {
+			until = f.At + max(f.For, w.catchUp)
 		}
-		if w.counts(&t) && t.losesDisk() { // a successor needs a majority, from whom it learns
-			until = max(until, w.halves+w.catchUp)
+		if w.countsAsLost(&f) && f.losesDisk() { // a successor needs a majority to learn from
+			until = max(until, w.halvesUntil+w.catchUp)
 		}
-		for _, k := range keepers {
-			w.away[k] = max(w.away[k], until)
+		for _, k := range replicas {
+			w.lostUntil[k] = max(w.lostUntil[k], until)
 		}
-		if t.How == Leader && !w.day.Overlaps {
-			w.anyone = append(w.anyone, until)
+		if f.Variant == Leader && !w.scenario.Overlaps {
+			w.leaderLostUntil = append(w.leaderLostUntil, until)
 		}
 	}
-	w.day.Faults = append(w.day.Faults, t)
+	w.scenario.Faults = append(w.scenario.Faults, f)
 	switch {
-	case t.Kind == Halves:
-		w.halves = max(w.halves, t.At+t.For)
-		for k, until := range w.away {
-			if until > t.At {
-				w.away[k] = max(until, w.halves+w.catchUp)
+	case f.Kind == PartitionHalves:
+		w.halvesUntil = max(w.halvesUntil, f.At+f.For)
+		for k, until := range w.lostUntil {
+			if until > f.At {
+				w.lostUntil[k] = max(until, w.halvesUntil+w.catchUp)
 			}
 		}
-	case t.Kind == Replace:
+	case f.Kind == ReplaceReplica:
 		if w.IntN(2) == 0 {
-			w.later(Fault{At: t.At + t.For + w.between(0, 2*w.catchUp), Kind: Dismiss, On: t.On})
+			w.enqueue(Fault{At: f.At + f.For + w.between(0, 2*w.catchUp), Kind: RemoveMember, On: f.On})
 		}
-		w.after(t)
-	case t.Kind == Lost:
-		w.later(Fault{At: t.At, Kind: ChangeConfig})
-	case (t.Kind == ChangeConfig || t.Kind == RaceChanges) && w.IntN(6) == 0:
-		w.closing(t)
+		w.addFollowUp(f)
+	case f.Kind == LoseReply:
+		w.enqueue(Fault{At: f.At, Kind: ChangeConfig})
+	case (f.Kind == ChangeConfig || f.Kind == RaceChanges) && w.IntN(6) == 0:
+		w.addClosingFault(f)
 	}
 }
 
-// after has another keeper lost as soon as the successor of one has had its time, and changes while it is.
-func (w *drawing) after(t Fault) {
+// addFollowUp adds the loss of other replicas as soon as the successor of a replaced one has caught up, and a change during
+// that loss.
+func (w *drawing) addFollowUp(f Fault) {
 	if w.IntN(3) == 0 {
 		return
 	}
-	at := w.away[t.On[0]]
-	x := w.some([]FaultKind{Kill, Wipe, Isolate, PartitionReplicas, Freeze, Replace, Term}[w.IntN(7)])
-	x.At, x.For, x.How = at+w.between(0, 500*time.Millisecond), w.between(6*time.Second, longest), ""
-	if x.Kind == Replace && w.IntN(2) == 0 {
-		x.How = Planned
+	at := w.lostUntil[f.On[0]]
+	x := w.drawFault([]FaultKind{Kill, WipeDisk, Isolate, PartitionReplicas, FreezeProcess, ReplaceReplica, Terminate}[w.IntN(7)])
+	x.At, x.For, x.Variant = at+w.between(0, 500*time.Millisecond), w.between(6*time.Second, maxFaultLength), ""
+	if x.Kind == ReplaceReplica && w.IntN(2) == 0 {
+		x.Variant = Planned
 	}
 	x.On = nil
 	for _, k := range w.pick(w.Replicas, 0, w.Replicas) {
-		if k != t.On[0] && len(x.On) < w.Tolerate && (x.Kind != Wipe && x.Kind != Replace || len(x.On) == 0) {
+		if k != f.On[0] && len(x.On) < w.Tolerate && (x.Kind != WipeDisk && x.Kind != ReplaceReplica || len(x.On) == 0) {
 			x.On = append(x.On, k)
 		}
 	}
-	w.later(x)
-	w.later(Fault{At: x.At + w.between(0, w.contact+time.Second), Kind: ChangeConfig})
+	w.enqueue(x)
+	w.enqueue(Fault{At: x.At + w.between(0, w.contact+time.Second), Kind: ChangeConfig})
 }
 
-// closing has a fault strike as those at a day's end do, right after a change.
-func (w *drawing) closing(t Fault) {
-	for _, until := range append(slices.Clone(w.away), w.anyone...) {
-		if until > t.At {
+// addClosingFault adds a crash of all processes right after a change, if no replica is lost.
+func (w *drawing) addClosingFault(f Fault) {
+	for _, until := range append(slices.Clone(w.lostUntil), w.leaderLostUntil...) {
+		if until > f.At {
 			return
 		}
 	}
-	if w.day.Overlaps && w.disks > 0 {
+	if w.scenario.Overlaps && w.lostDisks > 0 {
 		return
 	}
-	w.disks = w.Tolerate
-	x := Fault{Kind: []FaultKind{Dark, Aimed}[w.IntN(2)], At: t.At + w.between(0, 60*time.Millisecond), For: w.between(50*time.Millisecond, 1250*time.Millisecond)}
-	if x.Kind == Dark && w.IntN(2) == 0 { // and as many disks as may be
-		x.How, x.On = Disks, w.pick(w.Tolerate, 0, w.Replicas)
+	w.lostDisks = w.Tolerate
+	x := Fault{Kind: []FaultKind{PowerLoss, CrashAfterAck}[w.IntN(2)], At: f.At + w.between(0, 60*time.Millisecond), For: w.between(50*time.Millisecond, 1250*time.Millisecond)}
+	if x.Kind == PowerLoss && w.IntN(2) == 0 { // also lose as many disks as tolerated
+		x.Variant, x.On = LoseDisks, w.pick(w.Tolerate, 0, w.Replicas)
 	}
-	w.day.Faults = append(w.day.Faults, x)
-	for k := range w.away { // all are lost until they have had their time, and any may be the one whose disk is
-		w.away[k] = max(w.away[k], max(x.At+time.Second+x.For, w.halves)+w.catchUp)
+	w.scenario.Faults = append(w.scenario.Faults, x)
+	for k := range w.lostUntil { // all replicas are lost until they have caught up, and any may lose its disk
+		w.lostUntil[k] = max(w.lostUntil[k], max(x.At+time.Second+x.For, w.halvesUntil)+w.catchUp)
 	}
 }
--- a/internal/lab/plane/faults.go
+++ b/internal/lab/plane/faults.go
@@ -5,235 +5,235 @@
 	"time"
 )
 
-// How the faults of disks and clocks are measured.
+// Parameters of disk and clock faults.
 const (
-	slowdown   = 29 // a slow disk takes so many times as long in addition
-	aimedLasts = time.Second
-	maxStep    = 6 // seconds by which the time of day steps, ahead or back
+	slowDiskFactor      = 29 // additional time of a slow write, in multiples of the normal time
+	ackFaultTimeout     = time.Second
+	maxClockStepSeconds = 6 // largest step of a wall clock, forward or back
 )
 
-// strike has a trouble happen, and end.
-func (w *world) strike(t *Fault) {
-	if w.over { // it was to come after the day's end
+// inject starts a fault and schedules its end.
+func (w *world) inject(f *Fault) {
+	if w.faultsEnded { // its time is after the end of the scenario
 		return
 	}
-	on := w.on(t)
-	if fault := machineFaults[t.Kind]; fault != nil {
+	on := w.targets(f)
+	if fault := machineFaults[f.Kind]; fault != nil {
 		for _, m := range on {
-			fault(w, m, t)
+			fault(w, m, f)
 		}
 		return
 	}
-	switch t.Kind {
-	case Kill, Wipe, Dark:
-		w.kill(t, on)
-	case Aimed:
-		w.aimed = append(w.aimed, t)
-		w.in(aimedLasts, func() { w.aimed = slices.DeleteFunc(w.aimed, func(x *Fault) bool { return x == t }) })
-	case Isolate, DropOutbound, DropInbound, PartitionReplicas, Part, Halves:
-		w.sever(t, on)
-	case Step:
-		w.step(t, on)
-	case DrainEngine, SignOff, Crash:
-		w.strikeEngines(t)
+	switch f.Kind {
+	case Kill, WipeDisk, PowerLoss:
+		w.kill(f, on)
+	case CrashAfterAck:
+		w.ackFaults = append(w.ackFaults, f)
+		w.schedule(ackFaultTimeout, func() { w.ackFaults = slices.DeleteFunc(w.ackFaults, func(x *Fault) bool { return x == f }) })
+	case Isolate, DropOutbound, DropInbound, PartitionReplicas, PartitionPair, PartitionHalves:
+		w.startPartition(f, on)
+	case StepClock:
+		w.stepClock(f, on)
+	case DrainEngine, DeregisterEngine, CrashEngine:
+		w.injectEngineFault(f)
 	default:
-		w.strikeOperators(t, on)
+		w.injectOperatorFault(f, on)
 	}
 }
 
-// machineFaults are the faults that strike each machine by itself.
+// machineFaults are the faults that apply to each target on its own.
 var machineFaults = map[FaultKind]func(w *world, m *machine, t *Fault){
-	Term:    (*world).restart,
-	Replace: (*world).replace,
-	Freeze:  (*world).freeze,
-	Full:    (*world).fillDisk,
-	Slow:    (*world).slowDisk,
-	Stall:   (*world).stallDisk,
+	Terminate:      (*world).restart,
+	ReplaceReplica: (*world).replaceReplica,
+	FreezeProcess:  (*world).freeze,
+	FullDisk:       (*world).fillDisk,
+	SlowDisk:       (*world).slowDisk,
+	StallDisk:      (*world).stallDisk,
 }
 
-// restart stops a process by SIGTERM and starts it again later.
-func (w *world) restart(m *machine, t *Fault) {
-	w.term(m, func() {
-		w.in(t.For, func() { w.revive(m) })
+// restart sends SIGTERM to a process and starts it again later.
+func (w *world) restart(m *machine, f *Fault) {
+	w.terminate(m, func() {
+		w.schedule(f.For, func() { w.startAgain(m) })
 	})
 }
 
-// freeze has a process stand still.
-func (w *world) freeze(m *machine, t *Fault) {
+// freeze pauses a process.
+func (w *world) freeze(m *machine, f *Fault) {
 	if !m.up || m.frozen {
 		return
 	}
 	m.frozen = true
-	w.shake(m)
-	life := m.life
-	w.in(t.For, func() {
-		if m.life == life {
+	w.noteFault(m)
+	incarnation := m.incarnation
+	w.schedule(f.For, func() {
+		if m.incarnation == incarnation {
 			m.thaw()
 		}
 	})
 }
 
-// fillDisk has a keeper's disk refuse what is written.
-func (w *world) fillDisk(m *machine, t *Fault) {
-	if !m.keeper {
+// fillDisk makes the disk of a replica refuse writes.
+func (w *world) fillDisk(m *machine, f *Fault) {
+	if !m.isReplica {
 		return
 	}
-	m.full = true
-	w.shake(m)
-	w.in(t.For, func() {
-		m.full = false
-		w.shake(m)
+	m.diskFull = true
+	w.noteFault(m)
+	w.schedule(f.For, func() {
+		m.diskFull = false
+		w.noteFault(m)
 	})
 }
 
-// slowDisk has a keeper's disk take longer.
-func (w *world) slowDisk(m *machine, t *Fault) { w.delayDisk(m, t, slowdown*w.sync) }
+// slowDisk makes the disk of a replica slow.
+func (w *world) slowDisk(m *machine, f *Fault) { w.delayDisk(m, f, slowDiskFactor*w.diskLatency) }
 
-// stallDisk has a keeper's disk answer nothing.
-func (w *world) stallDisk(m *machine, t *Fault) {
-	if m.keeper {
-		m.stalled = max(m.stalled, w.now+t.For)
+// stallDisk makes the disk of a replica complete no write.
+func (w *world) stallDisk(m *machine, f *Fault) {
+	if m.isReplica {
+		m.diskStalledUntil = max(m.diskStalledUntil, w.now+f.For)
 	}
-	w.delayDisk(m, t, t.For)
+	w.delayDisk(m, f, f.For)
 }
 
-func (w *world) delayDisk(m *machine, t *Fault, by time.Duration) {
-	if !m.keeper {
+func (w *world) delayDisk(m *machine, f *Fault, by time.Duration) {
+	if !m.isReplica {
 		return
 	}
-	m.drag += by
-	w.shake(m)
-	w.in(t.For, func() {
-		if !w.over {
-			m.drag -= by
-			w.shake(m)
+	m.diskDelay += by
+	w.noteFault(m)
+	w.schedule(f.For, func() {
+		if !w.faultsEnded {
+			m.diskDelay -= by
+			w.noteFault(m)
 		}
 	})
 }
 
-// step has the time of day of machines step, and back.
-func (w *world) step(t *Fault, on []*machine) {
-	by := time.Duration(w.rnd.IntN(2*maxStep)-maxStep) * time.Second
+// stepClock steps the wall clocks of machines and returns them later.
+func (w *world) stepClock(f *Fault, on []*machine) {
+	by := time.Duration(w.rand.IntN(2*maxClockStepSeconds)-maxClockStepSeconds) * time.Second
 	for _, m := range on {
-		m.step += by
-		w.shake(m)
-		w.in(t.For, func() { m.step -= by; w.shake(m) })
+		m.clockOffset += by
+		w.noteFault(m)
+		w.schedule(f.For, func() { m.clockOffset -= by; w.noteFault(m) })
 	}
 }
 
-// strikeEngines has engines leave or crash.
-func (w *world) strikeEngines(t *Fault) {
-	for _, k := range t.On {
+// injectEngineFault drains, deregisters or crashes engines.
+func (w *world) injectEngineFault(f *Fault) {
+	for _, k := range f.On {
 		e := w.engines[k%len(w.engines)]
-		switch t.Kind {
+		switch f.Kind {
 		case DrainEngine:
-			e.leave()
-		case SignOff:
-			e.signOff()
-		case Crash:
+			e.drain()
+		case DeregisterEngine:
+			e.startDeregister()
+		case CrashEngine:
 			e.crash()
 		}
 	}
 }
 
-// strikeOperators has operators send orders, or lose answers to them.
-func (w *world) strikeOperators(t *Fault, on []*machine) {
-	switch t.Kind {
+// injectOperatorFault has operators change the configuration or the membership, or lose replies.
+func (w *world) injectOperatorFault(f *Fault, on []*machine) {
+	switch f.Kind {
 	case ChangeConfig:
-		w.change(w.newest, w.anyone())
+		w.submitNext(w.newestAcked, w.randomMachine())
 	case RaceChanges:
-		w.race(t.How == Same)
-	case Lost:
+		w.raceChanges(f.Variant == SameRevision)
+	case LoseReply:
 		n := 1
-		if t.How == Twice {
+		if f.Variant == Twice {
 			n = 2
 		}
-		w.lose = append(w.lose, n)
-	case Dismiss:
+		w.replyLosses = append(w.replyLosses, n)
+	case RemoveMember:
 		for _, m := range on {
-			if m.former != nil && m.former.gone {
-				w.dismiss(&dismissal{name: m.former.name, first: w.now}, w.anyone())
+			if m.predecessor != nil && m.predecessor.gone {
+				w.removeMember(&memberRemoval{name: m.predecessor.name, firstSent: w.now}, w.randomMachine())
 			}
 		}
-	case Storm:
-		w.storm(w.now + t.For)
+	case ChangeBurst:
+		w.changeBurst(w.now + f.For)
 	}
 }
 
-// kill ends processes, all of them if the fault is Dark, and starts them again later. Keepers among those that are named may
-// lose their disks with it.
-func (w *world) kill(t *Fault, named []*machine) {
+// kill crashes the named processes, or all of them on PowerLoss, and starts them again later. Named replicas may lose their
+// disks.
+func (w *world) kill(f *Fault, named []*machine) {
 	losesDisk := func(m *machine) bool {
-		return m.keeper && (t.Kind == Wipe || t.How == Disks) && slices.Contains(named, m)
+		return m.isReplica && (f.Kind == WipeDisk || f.Variant == LoseDisks) && slices.Contains(named, m)
 	}
 	victims := named
-	if t.Kind == Dark {
+	if f.Kind == PowerLoss {
 		victims = slices.Clone(w.machines)
 	}
 	for _, m := range victims {
 		if !m.up {
 			continue
 		}
-		if m.die(); losesDisk(m) {
+		if m.kill(); losesDisk(m) {
 			m.disk = &disk{}
 		}
-		w.shake(m)
-		w.in(t.For, func() { w.revive(m) })
+		w.noteFault(m)
+		w.schedule(f.For, func() { w.startAgain(m) })
 	}
 }
 
-// heal ends every trouble.
+// heal ends every fault.
 func (w *world) heal() {
-	w.over = true
-	clear(w.cuts)
-	w.severed, w.seeds = nil, nil
-	for _, m := range w.seats {
+	w.faultsEnded = true
+	clear(w.blockedLinks)
+	w.partitions, w.isolatedSeeds = nil, nil
+	for _, m := range w.slots {
 		if m.gone {
-			w.succeed(m)
+			w.addSuccessor(m)
 		}
 	}
 	for _, m := range w.machines {
-		m.full, m.drag, m.stalled = false, 0, w.now
-		w.revive(m)
+		m.diskFull, m.diskDelay, m.diskStalledUntil = false, 0, w.now
+		w.startAgain(m)
 		m.thaw()
-		w.shake(m)
+		w.noteFault(m)
 	}
 }
 
-// revive starts a process again, unless it runs or its machine is gone.
-func (w *world) revive(m *machine) {
+// startAgain starts a process, unless it runs or its machine is gone for good.
+func (w *world) startAgain(m *machine) {
 	m.gone = m.gone || m.retired && !m.up
 	if !m.up && !m.gone {
 		m.start()
-		w.shake(m)
+		w.noteFault(m)
 	}
 }
 
-// keepers are the machines of the core: those that are not gone for good.
-func (w *world) keepers() (all []*machine) {
+// replicas returns the replicas that are not gone for good.
+func (w *world) replicas() (all []*machine) {
 	for _, m := range w.machines {
-		if m.keeper && !m.gone {
+		if m.isReplica && !m.gone {
 			all = append(all, m)
 		}
 	}
 	return all
 }
 
-// on resolves whom a trouble strikes.
-func (w *world) on(t *Fault) (on []*machine) {
-	if t.How == Leader {
-		if m := w.core.acted; m != nil && !m.gone {
+// targets returns the machines that a fault applies to.
+func (w *world) targets(f *Fault) (on []*machine) {
+	if f.Variant == Leader {
+		if m := w.core.lastActor; m != nil && !m.gone {
 			on = append(on, m)
 		}
 		return on
 	}
-	for _, i := range t.On {
+	for _, i := range f.On {
 		switch {
-		case i < w.day.Replicas:
-			if m := w.seats[i]; !m.gone {
+		case i < w.scenario.Replicas:
+			if m := w.slots[i]; !m.gone {
 				on = append(on, m)
 			}
-		case i < w.day.Replicas+w.day.Routers:
+		case i < w.scenario.Replicas+w.scenario.Routers:
 			on = append(on, w.machines[i])
 		}
 	}
--- a/internal/lab/plane/file.go
+++ b/internal/lab/plane/file.go
@@ -11,102 +11,103 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// file is a day as it stands in TOML.
-type file struct {
-	Seed     uint64    `toml:"seed" comment:"of everything that is drawn while it is played"`
-	Keepers  int       `toml:"keepers"`
-	Routers  int       `toml:"routers"`
-	Engines  int       `toml:"engines"`
-	Tolerate int       `toml:"tolerate" comment:"keepers that may be lost at once"`
-	Length   string    `toml:"length"`
-	Troubles []trouble `toml:"trouble"`
+// scenarioFile is the TOML encoding of a scenario.
+type scenarioFile struct {
+	Seed     uint64       `toml:"seed" comment:"seed of all random draws of the simulation"`
+	Replicas int          `toml:"keepers"`
+	Routers  int          `toml:"routers"`
+	Engines  int          `toml:"engines"`
+	Tolerate int          `toml:"tolerate" comment:"replicas that may be lost at once"`
+	Length   string       `toml:"length"`
+	Faults   []faultEntry `toml:"trouble"`
 
-	Overlaps           bool `toml:"overlaps,omitempty" comment:"more keepers may be lost at once than are tolerated, but no more disks"`
-	Tenants            int  `toml:"tenants,omitempty" comment:"with requests in each usage window, at every router; 0 = up to three"`
-	LinkBytesPerSecond int  `toml:"link_bytes_per_second,omitempty" comment:"what a link carries; 0 = any call at once"`
+	Overlaps           bool `toml:"overlaps,omitempty" comment:"faults may hit more replicas at once than are tolerated, but no more disks are lost"`
+	Tenants            int  `toml:"tenants,omitempty" comment:"tenants with requests in each usage window, at every router; 0 = up to three"`
+	LinkBytesPerSecond int  `toml:"link_bytes_per_second,omitempty" comment:"bandwidth of a link; 0 = unlimited"`
 }
 
-type trouble struct {
-	At   string    `toml:"at" comment:"from the start of the day"`
-	For  string    `toml:"for,omitempty"`
-	Kind FaultKind `toml:"kind"`
-	How  How       `toml:"how,omitempty"`
-	On   []int     `toml:"on,omitempty" comment:"machines, keepers' seats first; or engines"`
+// faultEntry is the TOML encoding of a fault.
+type faultEntry struct {
+	At      string    `toml:"at" comment:"time from the end of the warm-up"`
+	For     string    `toml:"for,omitempty"`
+	Kind    FaultKind `toml:"kind"`
+	Variant Variant   `toml:"how,omitempty"`
+	On      []int     `toml:"on,omitempty" comment:"indexes of machines, replicas first; or of engines"`
 }
 
-// Encode writes a day as TOML.
-func (d *Scenario) Encode() ([]byte, error) {
-	f := file{Seed: d.Seed, Keepers: d.Replicas, Routers: d.Routers, Engines: d.Engines, Tolerate: d.Tolerate, Length: d.Length.String(), Overlaps: d.Overlaps, Tenants: d.Tenants, LinkBytesPerSecond: d.LinkBytesPerSecond}
-	for _, t := range d.Faults {
-		f.Troubles = append(f.Troubles, trouble{t.At.String(), t.For.String(), t.Kind, t.How, t.On})
+// Encode returns the scenario as TOML.
+func (s *Scenario) Encode() ([]byte, error) {
+	f := scenarioFile{Seed: s.Seed, Replicas: s.Replicas, Routers: s.Routers, Engines: s.Engines, Tolerate: s.Tolerate, Length: s.Length.String(), Overlaps: s.Overlaps, Tenants: s.Tenants, LinkBytesPerSecond: s.LinkBytesPerSecond}
+	for _, t := range s.Faults {
+		f.Faults = append(f.Faults, faultEntry{t.At.String(), t.For.String(), t.Kind, t.Variant, t.On})
 	}
 	return toml.Marshal(f)
 }
 
-// The bounds of a day that is read.
+// Limits of a scenario that is loaded.
 const (
-	mostMachines = 4096
-	mostEngines  = 20_000
-	mostLength   = time.Hour
-	mostTenants  = 1 << 17
+	maxMachines = 4096
+	maxEngines  = 20_000
+	maxLength   = time.Hour
+	maxTenants  = 1 << 17
 )
 
-// Load reads a day. Its error says every fault.
+// Load reads a scenario from a TOML file. Its error lists every invalid field.
 func Load(path string) (*Scenario, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	var f file
+	var f scenarioFile
 	if err := toml.NewDecoder(bytes.NewReader(b)).DisallowUnknownFields().Decode(&f); err != nil {
 		var strict *toml.StrictMissingError
 		if errors.As(err, &strict) {
-			return nil, fmt.Errorf("%s: unknown:\n%s", path, strict.String())
+			return nil, fmt.Errorf("%s: unknown fields:\n%s", path, strict.String())
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	var faults []error
-	bad := func(format string, args ...any) { faults = append(faults, fmt.Errorf(path+": "+format, args...)) }
-	span := func(field, text string, most time.Duration) time.Duration {
-		d, err := time.ParseDuration(text)
-		if err != nil || d < 0 || d > most {
-			bad("%s: a time from 0 to %v is wanted, not %q", field, most, text)
+	var errs []error
+	addError := func(format string, args ...any) { errs = append(errs, fmt.Errorf(path+": "+format, args...)) }
+	duration := func(field, text string, limit time.Duration) time.Duration {
+		s, err := time.ParseDuration(text)
+		if err != nil || s < 0 || s > limit {
+			addError("%s: must be a duration from 0 to %v, not %q", field, limit, text)
 		}
-		return d
+		return s
 	}
-	d := &Scenario{Seed: f.Seed, Replicas: f.Keepers, Routers: f.Routers, Engines: f.Engines, Tolerate: f.Tolerate, Overlaps: f.Overlaps, Tenants: f.Tenants, LinkBytesPerSecond: f.LinkBytesPerSecond}
-	d.Length = span("length", f.Length, mostLength)
-	if d.Replicas < 1 || d.Routers < 1 || d.Replicas+d.Routers > mostMachines {
-		bad("keepers, routers: at least one of each and %d in all are wanted", mostMachines)
+	s := &Scenario{Seed: f.Seed, Replicas: f.Replicas, Routers: f.Routers, Engines: f.Engines, Tolerate: f.Tolerate, Overlaps: f.Overlaps, Tenants: f.Tenants, LinkBytesPerSecond: f.LinkBytesPerSecond}
+	s.Length = duration("length", f.Length, maxLength)
+	if s.Replicas < 1 || s.Routers < 1 || s.Replicas+s.Routers > maxMachines {
+		addError("keepers, routers: must be at least one each and at most %d together", maxMachines)
 	}
-	if d.Engines < 0 || d.Engines > mostEngines || d.Tolerate < 0 || 2*d.Tolerate+1 > d.Replicas {
-		bad("engines, tolerate: up to %d, and fewer than half of the keepers, are wanted", mostEngines)
+	if s.Engines < 0 || s.Engines > maxEngines || s.Tolerate < 0 || 2*s.Tolerate+1 > s.Replicas {
+		addError("engines, tolerate: engines must be from 0 to %d, and tolerate less than half of keepers", maxEngines)
 	}
-	if d.Tenants < 0 || d.Tenants > mostTenants || d.LinkBytesPerSecond < 0 {
-		bad("tenants, link_bytes_per_second: up to %d, and none below 0, are wanted", mostTenants)
+	if s.Tenants < 0 || s.Tenants > maxTenants || s.LinkBytesPerSecond < 0 {
+		addError("tenants, link_bytes_per_second: tenants must be from 0 to %d, and link_bytes_per_second must not be negative", maxTenants)
 	}
-	for i, t := range f.Troubles {
+	for i, t := range f.Faults {
 		at := fmt.Sprintf("trouble[%d]", i)
-		x := Fault{At: span(at+".at", t.At, mostLength), Kind: t.Kind, How: t.How, On: t.On}
+		x := Fault{At: duration(at+".at", t.At, maxLength), Kind: t.Kind, Variant: t.Variant, On: t.On}
 		if t.For != "" {
-			x.For = span(at+".for", t.For, mostLength)
+			x.For = duration(at+".for", t.For, maxLength)
 		}
-		if !slices.Contains(Kinds, t.Kind) {
-			bad("%s.kind: one of %v is wanted, not %q", at, Kinds, t.Kind)
+		if !slices.Contains(FaultKinds, t.Kind) {
+			addError("%s.kind: must be one of %v, not %q", at, FaultKinds, t.Kind)
 		}
-		if t.How != "" && !slices.Contains(hows[t.Kind], t.How) {
-			bad("%s.how: one of %v is wanted for %s, not %q", at, hows[t.Kind], t.Kind, t.How)
+		if t.Variant != "" && !slices.Contains(variants[t.Kind], t.Variant) {
+			addError("%s.how: must be one of %v for kind %s, not %q", at, variants[t.Kind], t.Kind, t.Variant)
 		}
-		most := d.Replicas + d.Routers
-		if t.Kind.strikesEngines() {
-			most = d.Engines
+		limit := s.Replicas + s.Routers
+		if t.Kind.targetsEngines() {
+			limit = s.Engines
 		}
 		for _, k := range t.On {
-			if k < 0 || k >= most {
-				bad("%s.on: numbers below %d are wanted, not %d", at, most, k)
+			if k < 0 || k >= limit {
+				addError("%s.on: indexes must be from 0 to below %d, not %d", at, limit, k)
 			}
 		}
-		d.Faults = append(d.Faults, x)
+		s.Faults = append(s.Faults, x)
 	}
-	return d, errors.Join(faults...)
+	return s, errors.Join(errs...)
 }
--- a/internal/lab/plane/hunt.go
+++ b/internal/lab/plane/hunt.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// Size is how large the fleets of a hunt are.
+// Size is the size of the fleets of generated scenarios.
 type Size struct{ Replicas, Routers, Engines, Tolerate int }
 
-// Met is which troubles have met: of one that is still there when another begins, the kinds, and whom they strike.
-type Met map[[2]string]int
+// PairCounts counts pairs of faults that overlap, by the names of both: kind, variant and sort of target.
+type PairCounts map[[2]string]int
 
-// add counts what meets in a day, and tells how much of it is new.
-func (m Met) add(d *Scenario, count bool) (fresh int) {
-	name := func(t *Fault) string {
-		kind := string(t.Kind)
-		if t.How != "" {
-			kind += " " + string(t.How)
+// add returns how many pairs of a scenario are new, and counts its pairs if count is set.
+func (m PairCounts) add(s *Scenario, count bool) (fresh int) {
+	name := func(f *Fault) string {
+		kind := string(f.Kind)
+		if f.Variant != "" {
+			kind += " " + string(f.Variant)
 		}
 		switch {
-		case t.Kind.strikesEngines() || len(t.On) == 0:
+		case f.Kind.targetsEngines() || len(f.On) == 0:
 			return kind
-		case t.On[0] < d.Replicas:
-			return kind + " of keepers"
+		case f.On[0] < s.Replicas:
+			return kind + " of replicas"
 		}
 		return kind + " of routers"
 	}
-	seen := Met{}
-	for i := range d.Faults {
-		for k := range d.Faults[:i] {
-			x, y := &d.Faults[k], &d.Faults[i] // in the order of their times
+	seen := PairCounts{}
+	for i := range s.Faults {
+		for k := range s.Faults[:i] {
+			x, y := &s.Faults[k], &s.Faults[i] // sorted by time
 			if y.At > x.At+x.For+time.Second {
 				continue
 			}
@@ -49,73 +49,73 @@
 	return fresh
 }
 
-// candidates are drawn for each day of a hunt; the one in which most meets that has not met yet is played.
-const candidates = 3
+// candidatesPerScenario is how many scenarios are drawn for each one that is run: the one with the most new pairs.
+const candidatesPerScenario = 3
 
-// Plan draws the days of a hunt, from a seed on.
-func Plan(first uint64, days int, s Size) (all []*Scenario, met Met) {
-	met = Met{}
-	for i := range uint64(days) {
+// Plan draws scenarios with consecutive seeds that cover many pairs of faults.
+func Plan(first uint64, count int, s Size) (all []*Scenario, pairs PairCounts) {
+	pairs = PairCounts{}
+	for i := range uint64(count) {
 		var best *Scenario
-		most := -1
-		for k := range uint64(candidates) {
-			d := Draw(first+i+k<<32, s)
-			if n := met.add(d, false); n > most {
-				best, most = d, n
+		mostNew := -1
+		for k := range uint64(candidatesPerScenario) {
+			scenario := Draw(first+i+k<<32, s)
+			if n := pairs.add(scenario, false); n > mostNew {
+				best, mostNew = scenario, n
 			}
 		}
-		met.add(best, true)
+		pairs.add(best, true)
 		all = append(all, best)
 	}
-	return all, met
+	return all, pairs
 }
 
-// Hunt plays days on all cores, until a context is over at the latest, and returns how many it has played and those that break a
-// rule, in the order of their seeds. progress is told how many are done.
-func Hunt(ctx context.Context, days []*Scenario, progress func(done int)) (played int, broken []*Scenario) {
+// Hunt runs scenarios on all cores until the context ends. It returns how many were run, and those that violate an
+// invariant, sorted by seed. progress is called with the number of completed scenarios.
+func Hunt(ctx context.Context, scenarios []*Scenario, progress func(done int)) (completed int, violating []*Scenario) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	next := make(chan *Scenario)
 	for range runtime.GOMAXPROCS(0) {
 		wait.Go(func() {
-			for d := range next {
-				r := d.Run("")
+			for scenario := range next {
+				r := scenario.Run("")
 				mu.Lock()
 				if len(r.Violations) > 0 {
-					broken = append(broken, d)
+					violating = append(violating, scenario)
 				}
-				if played++; progress != nil {
-					progress(played)
+				if completed++; progress != nil {
+					progress(completed)
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	for _, d := range days {
+	for _, scenario := range scenarios {
 		select {
-		case next <- d:
+		case next <- scenario:
 		case <-ctx.Done():
 		}
 	}
 	close(next)
 	wait.Wait()
-	slices.SortFunc(broken, func(x, y *Scenario) int { return cmp.Compare(x.Seed, y.Seed) })
-	return played, broken
+	slices.SortFunc(violating, func(x, y *Scenario) int { return cmp.Compare(x.Seed, y.Seed) })
+	return completed, violating
 }
 
-// Shrink takes troubles, machines under them and time away from a day for as long as it breaks the same rule.
-func (d *Scenario) Shrink(broken, rule string) *Scenario {
-	breaks := func(x *Scenario) bool {
-		return slices.ContainsFunc(x.Run(broken).Violations, func(f Found) bool { return f.Rule == rule })
+// Shrink removes faults, targets and time from a scenario while it still violates the same rule.
+func (s *Scenario) Shrink(injectedBug, rule string) *Scenario {
+	violates := func(x *Scenario) bool {
+		return slices.ContainsFunc(x.Run(injectedBug).Violations, func(f Violation) bool { return f.Rule == rule })
 	}
-	best := *d
-	for some := len(d.Faults) / 2; some > 1; some /= 2 { // many at a time, as long as that does
+	best := *s
+	for chunk := len(s.Faults) / 2; chunk > 1; chunk /= 2 { // remove several at once first
 		for i := 0; i < len(best.Faults); {
 			x := best
-			if x.Faults = slices.Delete(slices.Clone(best.Faults), i, min(i+some, len(best.Faults))); breaks(&x) {
+			if x.Faults = slices.Delete(slices.Clone(best.Faults), i, min(i+chunk, len(best.Faults))); violates(&x) {
 				best = x
 			} else {
-				i += some
+				i += chunk
 			}
 		}
 	}
@@ -124,14 +124,14 @@
 		for i := range best.Faults {
 			x := best
 			x.Faults = slices.Delete(slices.Clone(best.Faults), i, i+1)
-			if breaks(&x) {
+			if violates(&x) {
 				best, again = x, true
 				break
 			}
-			if t := best.Faults[i]; len(t.On) > 1 {
+			if f := best.Faults[i]; len(f.On) > 1 {
 				x.Faults = slices.Clone(best.Faults)
-				x.Faults[i].On = slices.Clone(t.On[:len(t.On)-1])
-				if breaks(&x) {
+				x.Faults[i].On = slices.Clone(f.On[:len(f.On)-1])
+				if violates(&x) {
 					best, again = x, true
 					break
 				}
@@ -140,7 +140,7 @@
 	}
 	if n := len(best.Faults); n > 0 {
 		x := best
-		if x.Length = best.Faults[n-1].At + best.Faults[n-1].For + 2*time.Second; x.Length < best.Length && breaks(&x) {
+		if x.Length = best.Faults[n-1].At + best.Faults[n-1].For + 2*time.Second; x.Length < best.Length && violates(&x) {
 			best = x
 		}
 	}
--- a/internal/lab/plane/machine.go
+++ b/internal/lab/plane/machine.go
@@ -19,65 +19,66 @@
 	"notchhinge/internal/timerqueue"
 )
 
-// machine is a machine of the fleet and the process on it.
+// machine is a machine of the fleet and the process that runs on it.
 type machine struct {
-	w      *world
-	i      int
-	name   string
-	keeper bool
-	zone   uint32
-	up     bool
-	life   int
-	news   *discovery.Node
+	world       *world
+	index       int
+	name        string
+	isReplica   bool
+	zone        uint32
+	up          bool
+	incarnation int // changes at each start and end of the process
+	discovery   *discovery.Node
 
 	lastRequest discovery.RequestID
-	replies     map[discovery.RequestID]func(discovery.Reply) // of requests in flight at its process
+	replies     map[discovery.RequestID]func(discovery.Reply) // callbacks of requests in flight to the process
 
-	core      *replica.Replica
-	disk      *disk
-	busy      bool
-	queue     []any                 // events that wait until the process has done with the one before
-	singleton *singleton.Controller // a replica's part in the singleton roles
-	meter     *usage.Meter
-	frozen    bool
-	writes    *replica.Write // what is on its way to the disk
-	full      bool           // the disk refuses what is written
-	shut      bool           // it has refused something that it has not been told since
-	step      time.Duration  // its time of day is ahead by this
-	wakeAt    time.Duration
-	calm      time.Duration // since when nothing has happened to it or to its links
-	healed    time.Duration // when a cut or a stop of it last ended
+	replica      *replica.Replica
+	disk         *disk
+	busy         bool
+	queue        []any                 // events that wait until the process is idle
+	singleton    *singleton.Controller // controller of the singleton roles; nil on routers
+	meter        *usage.Meter
+	frozen       bool
+	pendingWrite *replica.Write // write in progress
+	diskFull     bool           // the disk refuses writes
+	diskStale    bool           // the disk refused a write and has not been rewritten since
+	clockOffset  time.Duration  // offset of the wall clock
+	wakeAt       time.Duration  // time of the scheduled timer; 0 = none
+	lastFault    time.Duration  // when the last fault of the machine or of its links began or ended
+	healedAt     time.Duration  // when a partition or freeze of it last ended
 
-	told    []*machine    // while a cut lasts: of whom alone; else nil
-	former  *machine      // whose seat it has taken; nil = nobody's
-	gone    bool          // for good
-	retired bool          // it has been told to leave for good: it is not started again
-	leaving bool          // it has got its SIGTERM
-	since   time.Duration // when its process has started
-	drag    time.Duration // a write to its disk takes so much longer
-	stalled time.Duration // until then its disk answers nothing
+	soleSeeds        []*machine    // the only seeds of the process, while a partition restricts them; else nil
+	predecessor      *machine      // the machine whose slot it has taken; nil = none
+	gone             bool          // removed for good
+	retired          bool          // it leaves for good and is not started again
+	leaving          bool          // it has received SIGTERM
+	startedAt        time.Duration // start of the process
+	diskDelay        time.Duration // additional time of a write
+	diskStalledUntil time.Duration // no write completes before
 
-	nextTenant int // that a router counts a request of
+	nextTenant int // tenant of the next request that a router counts
 
-	// What waits for the effects that answer events of this life.
-	calls     replica.Pending[from]
+	// Callbacks for the effects that complete requests of this incarnation.
+	calls     replica.Pending[caller]
 	answers   replica.Pending[func(api.Result)]
 	proposals replica.Pending[func(error)]
 	leaves    replica.Pending[func()]
 }
 
-// from is who has called, and what its answer does there.
-type from struct {
-	m    *machine
-	kind rpc.Kind
-	back func(body []byte, err error)
+// caller is the sender of a call, and reply delivers the answer to it.
+type caller struct {
+	machine *machine
+	kind    rpc.Kind
+	reply   func(body []byte, err error)
 }
 
 func addrOf(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000)
 }
 
-func (w *world) at(a netip.AddrPort) *machine {
+// machineAt returns the machine with an address, or nil.
+func (w *world) machineAt(a netip.AddrPort) *machine {
 	b := a.Addr().As4()
 	if i := int(b[2])<<8 | int(b[3]); i < len(w.machines) {
 		return w.machines[i]
@@ -85,72 +86,72 @@
 	return nil
 }
 
-// start starts the process anew, with what its disk holds.
+// start starts the process with the state on its disk.
 func (m *machine) start() {
-	w := m.w
-	m.up, m.busy, m.queue, m.wakeAt, m.frozen, m.shut, m.leaving, m.since = true, false, nil, 0, false, false, false, w.now
-	m.calls, m.answers = replica.Pending[from]{}, replica.Pending[func(api.Result)]{}
+	w := m.world
+	m.up, m.busy, m.queue, m.wakeAt, m.frozen, m.diskStale, m.leaving, m.startedAt = true, false, nil, 0, false, false, false, w.now
+	m.calls, m.answers = replica.Pending[caller]{}, replica.Pending[func(api.Result)]{}
 	m.proposals, m.leaves = replica.Pending[func(error)]{}, replica.Pending[func()]{}
-	m.life++
-	self := gossip.Peer{ID: gossip.PeerIDOf(m.name), Addr: addrOf(m.i), Zone: m.zone, Flags: gossip.FlagRouter}
-	if m.keeper {
+	m.incarnation++
+	self := gossip.Peer{ID: gossip.PeerIDOf(m.name), Addr: addrOf(m.index), Zone: m.zone, Flags: gossip.FlagRouter}
+	if m.isReplica {
 		self.Flags = gossip.FlagReplica
 	}
-	m.news = discovery.New(self, w.rnd.Uint64(), w.silence, func(string) uint32 { return 0 })
-	m.core = nil
-	if m.keeper {
+	m.discovery = discovery.New(self, w.rand.Uint64(), w.silenceTimeout, func(string) uint32 { return 0 })
+	m.replica = nil
+	if m.isReplica {
 		d := m.disk
 		if d.id == 0 {
-			d.id, d.founder, d.places = w.rnd.Uint64()|1, w.now < time.Second, map[uint64][]byte{}
+			d.id, d.founder, d.values = w.rand.Uint64()|1, w.now < time.Second, map[uint64][]byte{}
 		}
-		m.core = replica.New(replica.Config{
-			Self: replog.Member{ID: d.id, Name: m.name, Addr: addrOf(m.i).String()}, IsFounder: d.founder, MinVoters: w.least, Incarnation: w.rnd.Uint64(),
-			Seed: w.rnd.Uint64(), State: d.state, Acceptor: d.vote,
-			Peers:       m.others,
-			ChosenValue: func(place uint64) ([]byte, bool) { v, ok := d.places[place]; return v, ok },
+		m.replica = replica.New(replica.Config{
+			Self: replog.Member{ID: d.id, Name: m.name, Addr: addrOf(m.index).String()}, IsFounder: d.founder, MinVoters: w.minVoters, Incarnation: w.rand.Uint64(),
+			Seed: w.rand.Uint64(), State: d.state, Acceptor: d.acceptor,
+			Peers:       m.replicaAddrs,
+			ChosenValue: func(place uint64) ([]byte, bool) { v, ok := d.values[place]; return v, ok },
 		})
-		s := m.core.State()
-		m.changed(&s)
-		m.startSingleton(replog.Member{ID: d.id, Name: m.name, Addr: addrOf(m.i).String()}, d.founder && s.NextIndex == 0)
+		s := m.replica.State()
+		m.setVoters(&s)
+		m.startSingleton(replog.Member{ID: d.id, Name: m.name, Addr: addrOf(m.index).String()}, d.founder && s.NextIndex == 0)
 	} else {
-		m.meter = &usage.Meter{WindowLength: usageWindow, Incarnation: w.rnd.Uint64()}
+		m.meter = &usage.Meter{WindowLength: usageWindow, Incarnation: w.rand.Uint64()}
 	}
 	m.replies = map[discovery.RequestID]func(discovery.Reply){}
-	m.take(discovery.Gossip{Event: gossip.SeedsChanged{Addrs: w.seedsFor(m)}})
+	m.deliver(discovery.Gossip{Event: gossip.SeedsChanged{Addrs: w.seedsFor(m)}})
 }
 
-// die ends the process. What was on its way to the disk is there afterwards or is not.
-func (m *machine) die() {
-	if m.writes != nil && !m.full && !m.shut && m.w.rnd.IntN(2) == 0 {
-		m.disk.keep(m.writes, m.w)
+// kill ends the process. A write in progress is completed or lost at random.
+func (m *machine) kill() {
+	if m.pendingWrite != nil && !m.diskFull && !m.diskStale && m.world.rand.IntN(2) == 0 {
+		m.disk.persist(m.pendingWrite, m.world)
 	}
-	m.writes = nil
+	m.pendingWrite = nil
 	m.up, m.busy, m.queue, m.frozen, m.leaving = false, false, nil, false, false
-	m.life++
+	m.incarnation++
 }
 
-// thaw has a process go on that stands still.
+// thaw resumes a frozen process.
 func (m *machine) thaw() {
 	if !m.frozen {
 		return
 	}
-	m.frozen, m.healed, m.wakeAt = false, m.w.now, 0
-	m.w.shake(m)
-	m.take(tick{})
+	m.frozen, m.healedAt, m.wakeAt = false, m.world.now, 0
+	m.world.noteFault(m)
+	m.deliver(tick{})
 }
 
-// tick is the timer of a process.
+// tick is the timer event of a process.
 type tick struct{}
 
-// nextRequest numbers a request to this machine's process.
+// nextRequest returns a new request ID for the process.
 func (m *machine) nextRequest() discovery.RequestID {
 	m.lastRequest++
 	return m.lastRequest
 }
 
-// changed tells the news who votes, as a node does.
-func (m *machine) changed(s *replog.State) {
-	if m.w.broken == "judges out of touch" {
+// setVoters passes the voters of a state to the gossip layer.
+func (m *machine) setVoters(s *replog.State) {
+	if m.world.injectedBug == "suspects without a quorum" {
 		m.queue = append(m.queue, discovery.Gossip{Event: gossip.VotersChanged{IDs: []gossip.PeerID{gossip.PeerIDOf(m.name)}}})
 		return
 	}
@@ -161,21 +162,21 @@
 	m.queue = append(m.queue, discovery.Gossip{Event: gossip.VotersChanged{IDs: ids}})
 }
 
-// take has the process take an event, or keeps it until it is free.
-func (m *machine) take(e any) {
+// deliver queues an event for the process and handles it when the process is idle.
+func (m *machine) deliver(e any) {
 	if !m.up {
 		return
 	}
 	m.queue = append(m.queue, e)
-	m.work()
+	m.processQueue()
 }
 
-// work takes the events that wait, one at a time.
-func (m *machine) work() {
+// processQueue handles the queued events in order while the process is idle.
+func (m *machine) processQueue() {
 	for !m.busy && m.up && !m.frozen && len(m.queue) > 0 {
 		e := m.queue[0]
 		m.queue = m.queue[1:]
-		now, wall := m.w.now, m.wall().UnixMilli()
+		now, wall := m.world.now, m.wallClock().UnixMilli()
 		if c, ok := e.(replica.CallReceived); ok && rpc.Lookup(c.Kind).Owner == rpc.OwnerSingleton {
 			e = singletonEvent{event: singleton.CallReceived{Kind: c.Kind, Body: c.Body}, request: c.Request}
 		}
@@ -187,52 +188,52 @@
 		case func():
 			e()
 		case replica.Event:
-			if m.core != nil {
-				m.perform(append([]replica.Effect(nil), m.core.Reduce(now, e)...))
+			if m.replica != nil {
+				m.runReplicaEffects(append([]replica.Effect(nil), m.replica.Reduce(now, e)...))
 			}
 		case tick:
-			m.hear(m.news.Reduce(now, wall, discovery.Gossip{Event: gossip.Tick{}}))
-			if m.core != nil {
-				m.perform(append([]replica.Effect(nil), m.core.Reduce(now, replica.Tick{})...))
+			m.runDiscoveryEffects(m.discovery.Reduce(now, wall, discovery.Gossip{Event: gossip.Tick{}}))
+			if m.replica != nil {
+				m.runReplicaEffects(append([]replica.Effect(nil), m.replica.Reduce(now, replica.Tick{})...))
 			}
 		case discovery.Event:
-			m.hear(m.news.Reduce(now, wall, e))
+			m.runDiscoveryEffects(m.discovery.Reduce(now, wall, e))
 		}
 	}
-	m.plan()
+	m.scheduleTimer()
 }
 
-// plan has the process woken when it wants to be.
-func (m *machine) plan() {
+// scheduleTimer schedules the next timer event of the process.
+func (m *machine) scheduleTimer() {
 	if !m.up || m.frozen {
 		return
 	}
-	next := m.news.NextTimer()
-	if m.core != nil {
-		if at, ok := m.core.NextTimer(); ok {
+	next := m.discovery.NextTimer()
+	if m.replica != nil {
+		if at, ok := m.replica.NextTimer(); ok {
 			next = min(next, at)
 		}
 	}
-	next = max(next, m.w.now+time.Millisecond)
-	if m.wakeAt > m.w.now && m.wakeAt <= next {
+	next = max(next, m.world.now+time.Millisecond)
+	if m.wakeAt > m.world.now && m.wakeAt <= next {
 		return
 	}
 	m.wakeAt = next
-	life := m.life
-	m.w.in(next-m.w.now, func() {
-		if m.life == life && m.wakeAt == next {
+	incarnation := m.incarnation
+	m.world.schedule(next-m.world.now, func() {
+		if m.incarnation == incarnation && m.wakeAt == next {
 			m.wakeAt = 0
-			m.take(tick{})
+			m.deliver(tick{})
 		}
 	})
 }
 
-// hear does what news asks for.
-func (m *machine) hear(effects []discovery.Effect) {
+// runDiscoveryEffects performs the effects of the discovery node.
+func (m *machine) runDiscoveryEffects(effects []discovery.Effect) {
 	for _, f := range effects {
 		switch f := f.(type) {
 		case discovery.SendPacket:
-			m.w.datagram(m, m.w.at(f.To), append([]byte(nil), f.Payload...))
+			m.world.sendDatagram(m, m.world.machineAt(f.To), append([]byte(nil), f.Payload...))
 		case discovery.Reply:
 			if onReply := m.replies[f.Request]; onReply != nil {
 				delete(m.replies, f.Request)
@@ -242,82 +243,83 @@
 	}
 }
 
-// perform does what the state's part asks for, in order; a write takes its time, and the process does nothing else meanwhile.
-func (m *machine) perform(effects []replica.Effect) {
+// runReplicaEffects performs the effects of the replica in order. A write takes time, and the process handles no other event
+// meanwhile.
+func (m *machine) runReplicaEffects(effects []replica.Effect) {
 	for len(effects) > 0 {
 		f := effects[0]
 		effects = effects[1:]
 		switch f := f.(type) {
 		case replica.Write:
-			if m.w.broken == "answers before the disk has it" {
-				m.w.later(m, func() { m.disk.keep(&f, m.w) })
-				effects = append(effects, m.core.Reduce(m.w.now, replica.WriteDone{ID: f.ID, Durable: true})...)
+			if m.world.injectedBug == "replies before the write completes" {
+				m.world.afterSync(m, func() { m.disk.persist(&f, m.world) })
+				effects = append(effects, m.replica.Reduce(m.world.now, replica.WriteDone{ID: f.ID, Durable: true})...)
 				continue
 			}
-			m.busy, m.writes = true, &f
-			rest, life := effects, m.life
+			m.busy, m.pendingWrite = true, &f
+			rest, incarnation := effects, m.incarnation
 			var written func()
 			written = func() {
-				if m.life != life {
+				if m.incarnation != incarnation {
 					return
 				}
-				if m.stalled > m.w.now { // and a stall may end before its time, with the day
-					m.w.in(min(m.stalled-m.w.now, 100*time.Millisecond), written)
+				if m.diskStalledUntil > m.world.now { // polls, because the end of the scenario may end a stall early
+					m.world.schedule(min(m.diskStalledUntil-m.world.now, 100*time.Millisecond), written)
 					return
 				}
 				ok := m.write(&f)
-				m.busy, m.writes = false, nil
+				m.busy, m.pendingWrite = false, nil
 				m.queue = append([]any{func() {
-					m.perform(append(rest, m.core.Reduce(m.w.now, replica.WriteDone{ID: f.ID, Durable: ok})...))
+					m.runReplicaEffects(append(rest, m.replica.Reduce(m.world.now, replica.WriteDone{ID: f.ID, Durable: ok})...))
 				}}, m.queue...)
-				m.work()
+				m.processQueue()
 			}
-			m.w.in(m.w.sync+min(m.drag, 29*m.w.sync), written)
+			m.world.schedule(m.world.diskLatency+min(m.diskDelay, 29*m.world.diskLatency), written)
 			return
 		case replica.SendCall:
-			life := m.life
-			m.w.call(m, f, func(body []byte, err error) {
-				if m.life == life {
-					m.take(replica.CallReturned{ID: f.ID, Body: body, Err: err})
+			incarnation := m.incarnation
+			m.world.sendCall(m, f, func(body []byte, err error) {
+				if m.incarnation == incarnation {
+					m.deliver(replica.CallReturned{ID: f.ID, Body: body, Err: err})
 				}
 			})
 		case replica.SendReply:
-			m.w.back(m, f)
+			m.world.sendReply(m, f)
 		case replica.OperatorAnswer:
 			if answer, ok := m.answers.Take(f.Request); ok {
 				answer(f.Result)
 			}
 		case replica.ProposeDone:
 			if done, ok := m.proposals.Take(f.Request); ok {
-				m.w.in(0, func() { done(f.Err) }) // not before what else follows is done
+				m.world.schedule(0, func() { done(f.Err) }) // after the remaining effects
 			}
 		case replica.LeaveDone:
 			if done, ok := m.leaves.Take(f.Request); ok {
-				m.w.in(0, done) // not before what else follows is done
+				m.world.schedule(0, done) // after the remaining effects
 			}
 		case replica.StateChanged:
-			m.changed(&f.State)
-			m.w.chosen(&f.State)
+			m.setVoters(&f.State)
+			m.world.checkChosen(&f.State)
 		}
 	}
 }
 
-// newWorld makes the machines of a day.
-func newWorld(d *Scenario, broken string) *world {
+// newWorld creates the machines of a scenario.
+func newWorld(s *Scenario, injectedBug string) *world {
 	w := &world{
-		day: d, broken: broken, due: timerqueue.New[func()](), rnd: rand.New(rand.NewPCG(d.Seed, 77)), cuts: map[[2]int]int{}, silence: 5250 * time.Millisecond, sync: 5 * time.Millisecond,
-		loss: 0.01, least: 2*d.Tolerate + 1, sent: map[fleetconfig.Digest]*change{}, upon: map[uint64]*change{}, found: map[string]Found{}, bounds: boundsOf(d.Tolerate),
-		began:    map[uint64]int{},
-		platform: newPlatform(),
+		scenario: s, injectedBug: injectedBug, events: timerqueue.New[func()](), rand: rand.New(rand.NewPCG(s.Seed, 77)), blockedLinks: map[[2]int]int{}, silenceTimeout: 5250 * time.Millisecond, diskLatency: 5 * time.Millisecond,
+		lossRate: 0.01, minVoters: 2*s.Tolerate + 1, sent: map[fleetconfig.Digest]*configChange{}, ackedOnBase: map[uint64]*configChange{}, violations: map[string]Violation{}, bounds: boundsOf(s.Tolerate),
+		requestsByWindow: map[uint64]int{},
+		platform:         newPlatform(),
 	}
-	for i := range d.Replicas + d.Routers {
-		m := &machine{w: w, i: i, keeper: i < d.Replicas, zone: uint32(i % 4)}
+	for i := range s.Replicas + s.Routers {
+		m := &machine{world: w, index: i, isReplica: i < s.Replicas, zone: uint32(i % 4)}
 		m.name = fmt.Sprintf("router-%d", i)
-		if m.keeper {
+		if m.isReplica {
 			m.name, m.disk = fmt.Sprintf("keeper-%d", i), &disk{}
 		}
 		w.machines = append(w.machines, m)
 	}
-	w.seats = slices.Clone(w.machines[:d.Replicas])
+	w.slots = slices.Clone(w.machines[:s.Replicas])
 	return w
 }
--- a/internal/lab/plane/network.go
+++ b/internal/lab/plane/network.go
@@ -10,83 +10,83 @@
 	"notchhinge/internal/control/rpc"
 )
 
-// errGone is the outcome of a call without an answer.
-var errGone = errors.New("no answer")
+// errNoAnswer is the outcome of a call without an answer.
+var errNoAnswer = errors.New("no answer")
 
-// link tells whether words from one machine reach another, and how long they take.
-func (w *world) link(from, to *machine) (time.Duration, bool) {
-	if w.cuts[[2]int{from.i, to.i}] > 0 {
+// linkDelay returns the delay of a message between two machines, or false if the link is blocked.
+func (w *world) linkDelay(from, to *machine) (time.Duration, bool) {
+	if w.blockedLinks[[2]int{from.index, to.index}] > 0 {
 		return 0, false
 	}
 	d := 500 * time.Microsecond
 	if from.zone != to.zone {
 		d = time.Millisecond
 	}
-	return d + time.Duration(w.rnd.Int64N(int64(300*time.Microsecond))), true
+	return d + time.Duration(w.rand.Int64N(int64(300*time.Microsecond))), true
 }
 
-// transfer is how long the bytes of a call occupy a link.
-func (w *world) transfer(bytes int) time.Duration {
-	if w.day.LinkBytesPerSecond == 0 {
+// transferTime returns how long the bytes of a call occupy a link.
+func (w *world) transferTime(bytes int) time.Duration {
+	if w.scenario.LinkBytesPerSecond == 0 {
 		return 0
 	}
-	return time.Duration(bytes) * time.Second / time.Duration(w.day.LinkBytesPerSecond)
+	return time.Duration(bytes) * time.Second / time.Duration(w.scenario.LinkBytesPerSecond)
 }
 
-// datagram sends one, which may get lost.
-func (w *world) datagram(from, to *machine, b []byte) {
-	w.spendDatagram(from, to, b)
-	if to == nil || w.rnd.Float64() < w.loss {
+// sendDatagram sends a datagram, which may be lost.
+func (w *world) sendDatagram(from, to *machine, b []byte) {
+	w.recordDatagram(from, to, b)
+	if to == nil || w.rand.Float64() < w.lossRate {
 		return
 	}
-	if d, ok := w.link(from, to); ok {
-		life := to.life
-		w.in(d, func() {
-			if to.life == life {
-				to.take(discovery.Gossip{Event: gossip.PacketReceived{Payload: b}})
+	if d, ok := w.linkDelay(from, to); ok {
+		incarnation := to.incarnation
+		w.schedule(d, func() {
+			if to.incarnation == incarnation {
+				to.deliver(discovery.Gossip{Event: gossip.PacketReceived{Payload: b}})
 			}
 		})
 	}
 }
 
-// call carries a call, whose answer comes back or does not in its time.
-func (w *world) call(m *machine, c replica.SendCall, then func(body []byte, err error)) {
-	to, over := w.at(c.To), false
-	back := func(body []byte, err error) {
-		if !over {
-			over = true
+// sendCall sends a call. It fails if there is no answer within its timeout.
+func (w *world) sendCall(m *machine, c replica.SendCall, then func(body []byte, err error)) {
+	to, done := w.machineAt(c.To), false
+	reply := func(body []byte, err error) {
+		if !done {
+			done = true
 			then(body, err)
 		}
 	}
-	w.in(c.Timeout, func() { back(nil, errGone) })
-	w.spendCall(m, to, c.Kind, len(c.Body))
-	if to == nil || w.broken == "takes nobody in" && c.Kind == rpc.KindJoin {
+	w.schedule(c.Timeout, func() { reply(nil, errNoAnswer) })
+	w.recordCall(m, to, c.Kind, len(c.Body))
+	if to == nil || w.injectedBug == "rejects joins" && c.Kind == rpc.KindJoin {
 		return
 	}
-	d, ok := w.link(m, to)
+	d, ok := w.linkDelay(m, to)
 	if !ok {
 		return
 	}
-	d += w.transfer(len(c.Body))
-	there := to.life
-	w.in(d, func() {
-		if to.life != there || !to.up {
-			w.in(d, func() { back(nil, errGone) })
+	d += w.transferTime(len(c.Body))
+	incarnation := to.incarnation
+	w.schedule(d, func() {
+		if to.incarnation != incarnation || !to.up {
+			w.schedule(d, func() { reply(nil, errNoAnswer) })
 			return
 		}
-		id := to.calls.Add(from{m, c.Kind, back})
-		to.take(replica.CallReceived{Kind: c.Kind, Body: c.Body, From: addrOf(m.i).Addr(), Request: id})
+		id := to.calls.Add(caller{m, c.Kind, reply})
+		to.deliver(replica.CallReceived{Kind: c.Kind, Body: c.Body, From: addrOf(m.index).Addr(), Request: id})
 	})
 }
 
-// back carries an answer.
-func (w *world) back(m *machine, r replica.SendReply) {
+// sendReply sends the answer of a call.
+func (w *world) sendReply(m *machine, r replica.SendReply) {
 	f, ok := m.calls.Take(r.Request)
 	if !ok {
 		return
 	}
-	w.spendCall(f.m, nil, f.kind, len(r.Body)-frameBytes) // it is its caller's
-	if d, ok := w.link(m, f.m); ok {
-		w.in(d+w.transfer(len(r.Body)), func() { f.back(r.Body, r.Err) })
+	w.recordCall(f.machine, nil, f.kind, len(r.Body)-frameHeaderBytes) // counted as traffic of the caller, whose call already counts a frame header
+	if d, ok := w.linkDelay(m, f.machine); ok {
+		w.schedule(d+w.transferTime(len(r.Body)), func() { f.reply(r.Body, r.Err) })
 	}
 }
--- a/internal/lab/plane/operators.go
+++ b/internal/lab/plane/operators.go
@@ -14,79 +14,80 @@
 	"notchhinge/internal/control/replog"
 )
 
-// What operators do at the most.
+// Parameters of operators.
 const (
-	underWay    = 8                      // orders at once
-	stormEvery  = time.Second / 14       // between two orders of a storm
-	listLag     = 3 * time.Second        // the operators' list of machines is so old
-	readsEvery  = 700 * time.Millisecond // between two reads of the configuration, anywhere
-	givenUp     = time.Minute            // an order without an answer is sent for so long
-	withinCalls = 900 * time.Millisecond // a process has for an operator's call
+	maxPendingChanges = 8                      // changes without a final answer
+	burstInterval     = time.Second / 14       // interval between two changes of a burst
+	inventoryLag      = 3 * time.Second        // age of the operators' list of machines
+	readInterval      = 700 * time.Millisecond // interval between two reads of the configuration
+	changeTimeout     = time.Minute            // a change without an answer is retried for so long
+	callTimeout       = 900 * time.Millisecond // time that a process has for a call of an operator
 )
 
-// change is an operator's configuration.
-type change struct {
-	revision, on uint64
-	text         []byte
-	first        time.Duration
-	answered     bool // its operator has an answer
-	acked        bool // a 200 was sent, which may have been lost
-	refused      bool
-	chosen       bool
-	lose         int           // answers that are lost on their way
-	lost         time.Duration // when the last of them was
-	tries        int
+// configChange is a configuration that an operator sends.
+type configChange struct {
+	revision, base uint64
+	encoded        []byte
+	firstSent      time.Duration
+	answered       bool // its operator has a final answer
+	acked          bool // status 200 was sent, possibly in a reply that was lost
+	rejected       bool
+	chosen         bool
+	repliesToLose  int           // replies still to be lost
+	lastReplyLost  time.Duration // when the last reply was lost
+	tries          int
 }
 
-// change has an operator send a configuration upon a version until there is a clear answer.
-func (w *world) change(on uint64, at int) *change {
-	w.last += 1 + w.rnd.Uint64N(3)
-	return w.order(w.last, on, at, 0)
+// submitNext submits a configuration with the next revision, based on another revision.
+func (w *world) submitNext(base uint64, target int) *configChange {
+	w.lastRevision += 1 + w.rand.Uint64N(3)
+	return w.submit(w.lastRevision, base, target, 0)
 }
 
-// race has two operators change the same version, under two numbers or one.
-func (w *world) race(same bool) {
-	on := w.newest
-	w.change(on, w.anyone())
+// raceChanges has two operators change the same version, with different revisions or the same one.
+func (w *world) raceChanges(same bool) {
+	base := w.newestAcked
+	w.submitNext(base, w.randomMachine())
 	if same {
-		w.order(w.last, on, w.anyone(), 1)
+		w.submit(w.lastRevision, base, w.randomMachine(), 1)
 		return
 	}
-	w.change(on, w.anyone())
+	w.submitNext(base, w.randomMachine())
 }
 
-// storm has orders come until a time, up to eight under way, one in six with another upon the same version and under its number, and some
-// with answers that get lost.
-func (w *world) storm(until time.Duration) {
-	if w.now >= until || w.over {
+// changeBurst sends changes until a time, at most maxPendingChanges at once. One in six races another change with the same
+// revision, and some replies are lost.
+func (w *world) changeBurst(until time.Duration) {
+	if w.now >= until || w.faultsEnded {
 		return
 	}
-	w.in(stormEvery, func() { w.storm(until) })
-	if len(w.open)+2 > underWay {
+	w.schedule(burstInterval, func() { w.changeBurst(until) })
+	if len(w.pending)+2 > maxPendingChanges {
 		return
 	}
-	if w.rnd.IntN(8) == 0 {
-		w.lose = append(w.lose, 1+w.rnd.IntN(2))
+	if w.rand.IntN(8) == 0 {
+		w.replyLosses = append(w.replyLosses, 1+w.rand.IntN(2))
 	}
-	if w.rnd.IntN(6) == 0 {
-		w.race(true)
+	if w.rand.IntN(6) == 0 {
+		w.raceChanges(true)
 		return
 	}
-	w.change(w.newest, w.anyone())
+	w.submitNext(w.newestAcked, w.randomMachine())
 }
 
-// anyone is a machine as the operators' list has them: without those that are gone for longer than it lags.
-func (w *world) anyone() int {
+// randomMachine returns the index of a random machine from the operators' list, which still contains machines that are gone
+// for less than inventoryLag.
+func (w *world) randomMachine() int {
 	for {
-		if i := w.rnd.IntN(len(w.machines)); !w.machines[i].gone || w.now-w.machines[i].calm < listLag {
+		if i := w.rand.IntN(len(w.machines)); !w.machines[i].gone || w.now-w.machines[i].lastFault < inventoryLag {
 			return i
 		}
 	}
 }
 
-// order has an operator send a configuration. variant tells apart those of one number.
-func (w *world) order(revision, on uint64, at, variant int) *change {
-	c := &change{revision: revision, on: on, first: w.now}
+// submit sends a configuration to a machine and retries until there is a final answer. variant distinguishes configurations with the same revision.
+func (w *world) submit(revision, base uint64, target, variant int) *configChange {
+	c := &configChange{revision: revision, base: base, firstSent: w.now}
 	text, err := cbor.Marshal(fleetconfig.Config{Revision: revision, Routes: []fleetconfig.Route{}, Services: []fleetconfig.Service{}, RequestLimits: fleetconfig.RequestLimits{MaxBodyBytes: variant}})
 	if err != nil {
 		return nil
@@ -95,294 +96,294 @@
 	if err != nil {
 		return nil
 	}
-	if c.text = text; len(w.lose) > 0 {
-		c.lose, w.lose = w.lose[0], w.lose[1:]
+	if c.encoded = text; len(w.replyLosses) > 0 {
+		c.repliesToLose, w.replyLosses = w.replyLosses[0], w.replyLosses[1:]
 	}
 	w.sent[digest] = c
-	w.open = append(w.open, c)
+	w.pending = append(w.pending, c)
 	w.report.Changes++
-	w.send(c, at)
-	w.in(w.bounds.ack, func() {
-		isSettled := w.calmFor(w.bounds.ack+w.bounds.contact) && (!w.day.Overlaps || w.now-w.core.unsettled >= w.bounds.ack)
-		if !c.answered && c.lost == 0 && isSettled { // with lost answers AVAILABLE sees to it
-			w.breaks("ACKS", "version %d was sent %v ago, in calm, and is not acknowledged", c.revision, w.bounds.ack)
+	w.sendChange(c, target)
+	w.schedule(w.bounds.ack, func() {
+		isSettled := w.faultFreeFor(w.bounds.ack+w.bounds.contact) && (!w.scenario.Overlaps || w.now-w.core.lastUnsettled >= w.bounds.ack)
+		if !c.answered && c.lastReplyLost == 0 && isSettled { // changes with lost replies are covered by AVAILABLE
+			w.violate("ACKS", "version %d was sent %v ago without faults since and is not acknowledged", c.revision, w.bounds.ack)
 		}
 	})
 	return c
 }
 
-// again has it sent again. Every second time that is to a keeper in touch with most of the core, so that what is asked of the
-// fleet does not depend on an operator's luck.
-func (w *world) again(c *change) {
-	w.in(time.Duration(100+w.rnd.IntN(200)*(1+min(c.tries, 3)))*time.Millisecond, func() {
-		at := w.anyone()
+// retry sends a change again after a random delay. Every second retry goes to a replica in contact with the majority, so that
+// the invariants do not depend on which machines the operator happens to pick.
+func (w *world) retry(c *configChange) {
+	w.schedule(time.Duration(100+w.rand.IntN(200)*(1+min(c.tries, 3)))*time.Millisecond, func() {
+		target := w.randomMachine()
 		if c.tries++; c.tries%2 == 1 {
-			if m := w.inTouch(); m != nil {
-				at = m.i
+			if m := w.connectedReplica(); m != nil {
+				target = m.index
 			}
 		}
-		w.send(c, at)
+		w.sendChange(c, target)
 	})
 }
 
-// send sends a configuration to a machine, which sends the operator on to a keeper if it is none.
-func (w *world) send(c *change, at int) {
-	if c.answered || w.now-c.first > givenUp {
+// sendChange sends a change to a machine. A router redirects the operator to a replica.
+func (w *world) sendChange(c *configChange, target int) {
+	if c.answered || w.now-c.firstSent > changeTimeout {
 		return
 	}
-	m := w.machines[at]
-	if m.up && !m.keeper {
-		all := m.news.Gossip.ResponsiveReplicas()
+	m := w.machines[target]
+	if m.up && !m.isReplica {
+		all := m.discovery.Gossip.ResponsiveReplicas()
 		if len(all) == 0 {
-			w.again(c)
+			w.retry(c)
 			return
 		}
-		m = w.at(all[w.rnd.IntN(len(all))].Addr)
+		m = w.machineAt(all[w.rand.IntN(len(all))].Addr)
 	}
 	waiting := true
-	clear := func(r api.Result) {
+	settle := func(r api.Result) {
 		if !waiting {
 			return
 		}
 		waiting = false
 		switch {
 		case r.Status == http.StatusOK:
-			w.answered(c)
-			for _, t := range w.aimed {
+			w.noteFinalAnswer(c)
+			for _, f := range w.ackFaults {
 				if !m.gone {
-					w.strike(&Fault{Kind: Wipe, For: t.For, On: []int{w.seatOf(m)}})
+					w.inject(&Fault{Kind: WipeDisk, For: f.For, On: []int{w.slotOf(m)}})
 				}
-				w.strike(&Fault{Kind: Dark, For: t.For})
+				w.inject(&Fault{Kind: PowerLoss, For: f.For})
 			}
-			w.aimed = nil
+			w.ackFaults = nil
 		case r.Status < 500:
-			w.refused(c, r)
-			w.answered(c)
+			w.noteRejection(c, r)
+			w.noteFinalAnswer(c)
 		default:
-			w.again(c)
+			w.retry(c)
 		}
 	}
-	w.in(patience, func() { clear(api.Result{Status: http.StatusServiceUnavailable}) })
-	come := func(r api.Result) {
+	w.schedule(clientTimeout, func() { settle(api.Result{Status: http.StatusServiceUnavailable}) })
+	receive := func(r api.Result) {
 		if r.Status == http.StatusOK {
-			w.acked(c, m)
+			w.noteAck(c, m)
 		}
-		if r.Status < 500 && c.lose > 0 {
+		if r.Status < 500 && c.repliesToLose > 0 {
 			if r.Status != http.StatusOK {
-				w.refused(c, r)
+				w.noteRejection(c, r)
 			}
-			c.lose--
-			c.lost = w.now
+			c.repliesToLose--
+			c.lastReplyLost = w.now
 			return
 		}
-		clear(r)
+		settle(r)
 	}
-	w.in(time.Millisecond, func() {
+	w.schedule(time.Millisecond, func() {
 		if !m.up {
-			clear(api.Result{Status: http.StatusServiceUnavailable})
+			settle(api.Result{Status: http.StatusServiceUnavailable})
 			return
 		}
-		put := replica.ReplaceConfig{BaseRevision: c.on, Config: c.text, Deadline: w.now + withinCalls}
+		put := replica.ReplaceConfig{BaseRevision: c.base, Config: c.encoded, Deadline: w.now + callTimeout}
 		switch s := m.state(); {
-		case w.broken == "acknowledges what it has only heard":
-			m.take(put) // nobody waits for its answer
-			come(api.Result{Status: http.StatusOK})
+		case w.injectedBug == "acknowledges before commit":
+			m.deliver(put) // the answer is ignored
+			receive(api.Result{Status: http.StatusOK})
 			return
-		case w.broken == "knows no order again" && s.Revision > c.on:
-			come(api.Result{Status: http.StatusPreconditionFailed, Revision: s.Revision})
+		case w.injectedBug == "change retries are not idempotent" && s.Revision > c.base:
+			receive(api.Result{Status: http.StatusPreconditionFailed, Revision: s.Revision})
 			return
 		}
-		life := m.life
+		incarnation := m.incarnation
 		put.Request = m.answers.Add(func(r api.Result) {
-			if m.life == life {
-				come(r) // at once: what strikes at an acknowledgement comes before its word to others has
+			if m.incarnation == incarnation {
+				receive(r) // synchronously, so that CrashAfterAck strikes before other messages of the machine arrive
 			}
 		})
-		m.take(put)
+		m.deliver(put)
 	})
 }
 
-// state is what the machine has of the state.
+// state returns the replicated state as the machine has it.
 func (m *machine) state() replog.State {
-	if m.core == nil {
+	if m.replica == nil {
 		return replog.State{}
 	}
-	return m.core.State()
+	return m.replica.State()
 }
 
-// calmFor tells whether nothing has happened to the core for so long.
-func (w *world) calmFor(d time.Duration) bool { return w.now-w.shaken >= d }
+// faultFreeFor reports whether the core has had no fault for so long.
+func (w *world) faultFreeFor(d time.Duration) bool { return w.now-w.lastFault >= d }
 
-// answered notes that the operator has a clear answer.
-func (w *world) answered(c *change) {
+// noteFinalAnswer records that the operator has a final answer.
+func (w *world) noteFinalAnswer(c *configChange) {
 	if c.answered {
 		return
 	}
 	c.answered = true
-	w.open = slices.DeleteFunc(w.open, func(x *change) bool { return x == c })
-	if c.acked && !c.refused && w.calmFor(w.now-c.first+w.bounds.contact) {
-		w.report.Slowest = max(w.report.Slowest, w.now-c.first)
+	w.pending = slices.DeleteFunc(w.pending, func(x *configChange) bool { return x == c })
+	if c.acked && !c.rejected && w.faultFreeFor(w.now-c.firstSent+w.bounds.contact) {
+		w.report.Slowest = max(w.report.Slowest, w.now-c.firstSent)
 	}
 }
 
-// acked notes an acknowledgement by a machine, also one that gets lost.
-func (w *world) acked(c *change, by *machine) {
-	w.core.acted = by
-	if c.acked || c.refused {
-		if c.refused {
-			w.breaks("CONFIG", "version %d was refused, and then acknowledged", c.revision)
+// noteAck records an acknowledgement by a machine, even if the reply is lost.
+func (w *world) noteAck(c *configChange, by *machine) {
+	w.core.lastActor = by
+	if c.acked || c.rejected {
+		if c.rejected {
+			w.violate("CONFIG", "version %d was rejected and later acknowledged", c.revision)
 		}
 		return
 	}
 	c.acked = true
 	w.report.Acked++
-	if w.settledSince() <= w.now && w.lost() == w.day.Tolerate {
+	if w.settledSince() <= w.now && w.countLost() == w.scenario.Tolerate {
 		w.report.AckedAtMaxLoss++
 	}
-	w.newest = max(w.newest, c.revision)
-	if other, known := w.upon[c.on]; known && other != c {
-		w.breaks("CONFIG", "upon version %d both %d and %d are acknowledged", c.on, other.revision, c.revision)
+	w.newestAcked = max(w.newestAcked, c.revision)
+	if other, known := w.ackedOnBase[c.base]; known && other != c {
+		w.violate("CONFIG", "for base version %d both %d and %d are acknowledged", c.base, other.revision, c.revision)
 	}
-	w.upon[c.on] = c
+	w.ackedOnBase[c.base] = c
 }
 
-// refused notes a refusal, also one that gets lost.
-func (w *world) refused(c *change, r api.Result) {
-	if c.refused = true; c.acked || c.chosen {
-		w.breaks("CONFIG", "version %d was taken, and is refused with %d when it is sent again", c.revision, r.Status)
+// noteRejection records a rejection, even if the reply is lost.
+func (w *world) noteRejection(c *configChange, r api.Result) {
+	if c.rejected = true; c.acked || c.chosen {
+		w.violate("CONFIG", "version %d was accepted, and its retry is rejected with status %d", c.revision, r.Status)
 	}
 }
 
-// chosen notes which configuration stands in a state.
-func (w *world) chosen(s *replog.State) {
+// checkChosen checks the configuration of a state and records that it was chosen.
+func (w *world) checkChosen(s *replog.State) {
 	if s.Config == nil {
 		return
 	}
 	switch c := w.sent[s.Digest]; {
 	case c == nil:
-		w.breaks("CONFIG", "version %d is in the chain, and was never sent", s.Revision)
-	case c.refused && !c.chosen:
-		w.breaks("CONFIG", "version %d is in the chain, and was refused", s.Revision)
+		w.violate("CONFIG", "version %d is in the log but was never sent", s.Revision)
+	case c.rejected && !c.chosen:
+		w.violate("CONFIG", "version %d is in the log but was rejected", s.Revision)
 	default:
 		c.chosen = true
 	}
 }
 
-// dismissal is an operator's order to take a keeper out that is gone.
-type dismissal struct {
-	name  string
-	first time.Duration
-	taken bool // a 200 was sent
-	over  bool
+// memberRemoval is an operator's request to remove a replica that is gone.
+type memberRemoval struct {
+	name      string
+	firstSent time.Duration
+	accepted  bool // status 200 was sent
+	done      bool
 }
 
-// dismiss has it sent to a machine, and to others until there is a clear answer; that it was taken is lost once. An order that was
-// taken is not refused when it comes again.
-func (w *world) dismiss(d *dismissal, at int) {
-	m := w.machines[at]
-	if d.over || w.over || w.now-d.first > givenUp {
+// removeMember sends a removal to a machine, and retries with others until there is a final answer. The first acknowledgement
+// is lost. The retry of an accepted removal must not be rejected.
+func (w *world) removeMember(removal *memberRemoval, target int) {
+	m := w.machines[target]
+	if removal.done || w.faultsEnded || w.now-removal.firstSent > changeTimeout {
 		return
 	}
 	waiting := true
-	again := func() {
+	retry := func() {
 		if waiting {
 			waiting = false
-			w.in(time.Duration(w.rnd.IntN(300))*time.Millisecond, func() { w.dismiss(d, w.anyone()) })
+			w.schedule(time.Duration(w.rand.IntN(300))*time.Millisecond, func() { w.removeMember(removal, w.randomMachine()) })
 		}
 	}
-	w.in(patience, again)
-	if !m.up || m.core == nil {
+	w.schedule(clientTimeout, retry)
+	if !m.up || m.replica == nil {
 		return
 	}
-	clear := func(r api.Result) {
+	settle := func(r api.Result) {
 		switch {
 		case r.Status >= 500:
-			again()
+			retry()
 		case r.Status == http.StatusOK:
-			d.taken, d.over = true, d.taken // the first such answer is lost
+			removal.accepted, removal.done = true, removal.accepted // the first acknowledgement is lost
 		default:
-			if d.over = true; d.taken {
-				w.breaks("CONFIG", "%s was taken out, and that is refused with %d when it is ordered again", d.name, r.Status)
+			if removal.done = true; removal.accepted {
+				w.violate("CONFIG", "the removal of %s was accepted, and its retry is rejected with status %d", removal.name, r.Status)
 			}
 		}
 	}
-	if w.broken == "looks for members alone" && d.taken && m.state().NextIndex > 0 {
-		clear(api.Result{Status: http.StatusNotFound})
+	if w.injectedBug == "removal retries are not idempotent" && removal.accepted && m.state().NextIndex > 0 {
+		settle(api.Result{Status: http.StatusNotFound})
 		return
 	}
-	m.take(replica.RemoveMember{Name: d.name, Deadline: w.now + withinCalls, Request: m.answers.Add(clear)})
+	m.deliver(replica.RemoveMember{Name: removal.name, Deadline: w.now + callTimeout, Request: m.answers.Add(settle)})
 }
 
-// reads has operators read the configuration now and then, at any keeper, also one that is cut off: an answer is no older than
-// what was acknowledged before it was asked for.
-func (w *world) reads() {
-	w.in(readsEvery, func() {
-		if w.over {
+// scheduleReads reads the configuration at regular intervals from any replica, including isolated ones. The result must be at
+// least as new as every change that was acknowledged before the read began.
+func (w *world) scheduleReads() {
+	w.schedule(readInterval, func() {
+		if w.faultsEnded {
 			return
 		}
-		w.reads()
-		all := w.keepers()
-		m, newest, life := all[int(w.now/readsEvery)*7%len(all)], w.newest, 0
+		w.scheduleReads()
+		all := w.replicas()
+		m, newest, incarnation := all[int(w.now/readInterval)*7%len(all)], w.newestAcked, 0
 		if !m.up {
 			return
 		}
-		life = m.life
+		incarnation = m.incarnation
 		read := func(r api.Result) {
-			if m.life == life && r.Status == http.StatusOK && r.Revision < newest {
-				w.breaks("CURRENT", "%s hands out version %d, and %d was acknowledged before that was asked for", m.name, r.Revision, newest)
+			if m.incarnation == incarnation && r.Status == http.StatusOK && r.Revision < newest {
+				w.violate("CURRENT", "%s returns version %d, but %d was acknowledged before the read began", m.name, r.Revision, newest)
 			}
 		}
-		if w.broken == "reads what it has" {
+		if w.injectedBug == "reads local state" {
 			if s := m.state(); s.Config != nil {
 				read(api.Result{Status: http.StatusOK, Revision: s.Revision})
 			}
 			return
 		}
-		m.take(replica.ReadConfig{Deadline: w.now + withinCalls, Request: m.answers.Add(read)})
+		m.deliver(replica.ReadConfig{Deadline: w.now + callTimeout, Request: m.answers.Add(read)})
 	})
 }
 
-// readBack reads the configuration at the end of the day, as often as it takes, and holds it against what was acknowledged.
+// readBack reads the configuration at the end of the scenario and compares it with what was acknowledged.
 func (w *world) readBack() {
 	got := false
 	for try := 0; try < 20 && !got; try++ {
-		m := w.seats[w.rnd.IntN(len(w.seats))]
-		m.take(replica.ReadConfig{Deadline: w.now + withinCalls, Request: m.answers.Add(func(r api.Result) {
+		m := w.slots[w.rand.IntN(len(w.slots))]
+		m.deliver(replica.ReadConfig{Deadline: w.now + callTimeout, Request: m.answers.Add(func(r api.Result) {
 			if got || r.Status != http.StatusOK {
 				return
 			}
 			got = true
 			w.report.Revision = r.Revision
-			c := w.sentAs(r.Body)
+			c := w.findSent(r.Body)
 			switch {
 			case c == nil || c.revision != r.Revision:
-				w.breaks("CONFIG", "version %d is read back, and is not what was sent", r.Revision)
-			case c.refused:
-				w.breaks("CONFIG", "version %d is read back, and was refused", r.Revision)
-			case r.Revision < w.newest:
-				w.breaks("LOST", "version %d is read back, %d was acknowledged", r.Revision, w.newest)
+				w.violate("CONFIG", "version %d is read back and differs from what was sent", r.Revision)
+			case c.rejected:
+				w.violate("CONFIG", "version %d is read back but was rejected", r.Revision)
+			case r.Revision < w.newestAcked:
+				w.violate("LOST", "version %d is read back, but %d was acknowledged", r.Revision, w.newestAcked)
 			}
 		})})
-		w.run(w.now + time.Second)
+		w.advance(w.now + time.Second)
 	}
 	if !got {
-		w.breaks("CONFIG", "no configuration can be read back")
+		w.violate("CONFIG", "the configuration cannot be read back")
 		return
 	}
-	for _, m := range w.keepers() {
+	for _, m := range w.replicas() {
 		s := m.state()
 		for _, h := range s.History {
-			if c := w.sent[h.Digest]; c == nil || c.refused {
-				w.breaks("CONFIG", "version %d is in the chain, and was refused or never sent", h.Revision)
+			if c := w.sent[h.Digest]; c == nil || c.rejected {
+				w.violate("CONFIG", "version %d is in the log but was rejected or never sent", h.Revision)
 			}
 		}
 	}
 }
 
-// sentAs finds what was sent by its text.
-func (w *world) sentAs(text []byte) *change {
+// findSent returns the change with the encoded configuration, or nil.
+func (w *world) findSent(text []byte) *configChange {
 	_, digest, err := fleetconfig.DecodeWithDigest(text)
-	if c := w.sent[digest]; err == nil && c != nil && bytes.Equal(c.text, text) {
+	if c := w.sent[digest]; err == nil && c != nil && bytes.Equal(c.encoded, text) {
 		return c
 	}
 	return nil
--- a/internal/lab/plane/people.go
+++ b/internal/lab/plane/people.go
@@ -8,202 +8,203 @@
 	"notchhinge/internal/control/endpoints"
 )
 
-// The platform's bounds, and what the oracles allow.
+// Time limits of the platform, and parameters of engines and operators.
 const (
-	drains   = 4 * time.Second
-	grace    = drains / 4 // known sessions go on to a draining engine for so long: it must be known earlier by that
-	beats    = 1500 * time.Millisecond
-	patience = time.Second // of operators and engines, for an answer
+	drainDeadline     = 4 * time.Second   // after the acknowledgement of a drain no router sends new work
+	drainGrace        = drainDeadline / 4 // routers may send known sessions to a draining engine for so long
+	heartbeatInterval = 1500 * time.Millisecond
+	clientTimeout     = time.Second // how long operators and engines wait for an answer
 
-	mostSignOffs = 10 // calls of an engine that deregisters, before it ends without an acknowledgement
+	maxDeregisterCalls = 10 // an engine stops without an acknowledgement after so many further calls
 )
 
-// engine is one that calls.
+// engine is a simulated engine that sends heartbeats.
 type engine struct {
-	w       *world
-	k       int
-	id      string
-	calls   uint64
-	state   endpoints.State
-	home    *machine
-	heard   time.Duration // last call that was acknowledged
-	drained time.Duration // when that it leaves was acknowledged; 0 = it was not
-	dead    bool
+	world        *world
+	index        int
+	id           string
+	calls        uint64
+	state        endpoints.State
+	homeReplica  *machine
+	lastAcked    time.Duration // when a heartbeat was last acknowledged
+	drainAckedAt time.Duration // when the drain was acknowledged; 0 = not yet
+	dead         bool
 
-	signedOff bool // it makes no heartbeats any more
+	deregistered bool // deregistration has begun; no more heartbeats are sent
 }
 
-// engine starts one.
-func (w *world) engine(k int) {
-	e := &engine{w: w, k: k, id: fmt.Sprint("i-", k)}
+// startEngine starts an engine.
+func (w *world) startEngine(k int) {
+	e := &engine{world: w, index: k, id: fmt.Sprint("i-", k)}
 	w.engines = append(w.engines, e)
-	var beat, watch func()
-	beat = func() {
+	var sendHeartbeat, check func()
+	sendHeartbeat = func() {
 		if !e.dead {
-			if !e.signedOff {
-				e.call(0)
+			if !e.deregistered {
+				e.heartbeat(0)
 			}
-			w.in(beats+time.Duration(w.rnd.IntN(100))*time.Millisecond, beat)
+			w.schedule(heartbeatInterval+time.Duration(w.rand.IntN(100))*time.Millisecond, sendHeartbeat)
 		}
 	}
-	watch = func() {
-		e.watch()
-		w.in(500*time.Millisecond, watch)
+	check = func() {
+		e.check()
+		w.schedule(500*time.Millisecond, check)
 	}
-	w.in(time.Second+time.Duration(w.rnd.IntN(1500))*time.Millisecond, beat)
-	w.in(lead, watch)
+	w.schedule(time.Second+time.Duration(w.rand.IntN(1500))*time.Millisecond, sendHeartbeat)
+	w.schedule(warmUpTime, check)
 }
 
-// leave has it say so from now on.
-func (e *engine) leave() {
+// drain makes the engine announce that it drains.
+func (e *engine) drain() {
 	if !e.dead && e.state == endpoints.StateReady {
 		e.state = endpoints.StateDraining
-		e.call(0)
-		e.w.in(20*time.Second, func() { e.dead = true })
+		e.heartbeat(0)
+		e.world.schedule(20*time.Second, func() { e.dead = true })
 	}
 }
 
-// signOff has it deregister, without having said that it drains, at any machine until one acknowledges that. It serves on for as
-// long as one that drains, and makes no call any more.
-func (e *engine) signOff() {
+// startDeregister makes the engine deregister without draining first, and retry until a machine acknowledges that. It keeps
+// serving for as long as a draining engine, without heartbeats.
+func (e *engine) startDeregister() {
 	if e.dead || e.state != endpoints.StateReady {
 		return
 	}
-	e.state, e.signedOff = endpoints.StateGone, true
+	e.state, e.deregistered = endpoints.StateGone, true
 	e.deregister(0)
-	e.w.in(20*time.Second, func() { e.dead = true })
+	e.world.schedule(20*time.Second, func() { e.dead = true })
 }
 
-// deregister makes the call at a machine; where that fails it calls another.
-func (e *engine) deregister(try int) {
-	w := e.w
-	if try > mostSignOffs || e.dead {
+// deregister sends the call to a random machine, and to another one if that fails.
+func (e *engine) deregister(attempt int) {
+	w := e.world
+	if attempt > maxDeregisterCalls || e.dead {
 		return
 	}
-	m := w.machines[w.anyone()]
-	life, waiting := m.life, true
-	done := func(a discovery.Reply) {
+	m := w.machines[w.randomMachine()]
+	incarnation, waiting := m.incarnation, true
+	handleReply := func(a discovery.Reply) {
 		if !waiting {
 			return
 		}
 		waiting = false
-		if a.Err != nil || m.life != life {
-			e.deregister(try + 1)
+		if a.Err != nil || m.incarnation != incarnation {
+			e.deregister(attempt + 1)
 			return
 		}
-		e.drained = w.now
+		e.drainAckedAt = w.now
 		w.report.Drained++
 	}
-	failed := discovery.Reply{Err: errGone}
-	w.in(patience, func() { done(failed) })
-	w.in(time.Millisecond, func() {
-		if !m.up || m.life != life {
-			done(failed)
+	failed := discovery.Reply{Err: errNoAnswer}
+	w.schedule(clientTimeout, func() { handleReply(failed) })
+	w.schedule(time.Millisecond, func() {
+		if !m.up || m.incarnation != incarnation {
+			handleReply(failed)
 			return
 		}
-		b := discovery.Deregister{Request: m.nextRequest(), EndpointID: e.id}
-		m.replies[b.Request] = func(a discovery.Reply) { w.in(time.Millisecond, func() { done(a) }) }
-		m.take(b)
+		request := discovery.Deregister{Request: m.nextRequest(), EndpointID: e.id}
+		m.replies[request.Request] = func(a discovery.Reply) { w.schedule(time.Millisecond, func() { handleReply(a) }) }
+		m.deliver(request)
 	})
 }
 
-// crash ends it without a word.
+// crash stops the engine without notice.
 func (e *engine) crash() { e.dead = true }
 
-// call makes a call at its home, or at any machine; where that fails it calls the next.
-func (e *engine) call(try int) {
-	w := e.w
-	if try > 5 || e.dead || e.signedOff {
+// heartbeat sends a heartbeat to the home replica, or to a random machine, and retries elsewhere if that fails.
+func (e *engine) heartbeat(attempt int) {
+	w := e.world
+	if attempt > 5 || e.dead || e.deregistered {
 		return
 	}
-	m := e.home
+	m := e.homeReplica
 	if m == nil {
-		m = w.machines[w.anyone()]
+		m = w.machines[w.randomMachine()]
 	}
 	e.calls++
-	state, waiting, life := e.state, true, m.life
-	fails := func() {
+	state, waiting, incarnation := e.state, true, m.incarnation
+	fail := func() {
 		if waiting {
-			waiting, e.home = false, nil
-			e.call(try + 1)
+			waiting, e.homeReplica = false, nil
+			e.heartbeat(attempt + 1)
 		}
 	}
-	answered := func(a discovery.Reply) {
-		if !waiting || m.life != life {
+	handleReply := func(a discovery.Reply) {
+		if !waiting || m.incarnation != incarnation {
 			return
 		}
 		if a.Err != nil {
-			fails()
+			fail()
 			return
 		}
 		waiting = false
-		e.heard = w.now
-		if e.home = nil; a.HomeReplica.IsValid() {
-			e.home = w.at(a.HomeReplica)
+		e.lastAcked = w.now
+		if e.homeReplica = nil; a.HomeReplica.IsValid() {
+			e.homeReplica = w.machineAt(a.HomeReplica)
 		}
-		if state == endpoints.StateDraining && e.drained == 0 { // also where the machine was not in touch
-			e.drained = w.now
+		if state == endpoints.StateDraining && e.drainAckedAt == 0 { // also if the machine had no quorum contact
+			e.drainAckedAt = w.now
 			w.report.Drained++
 		}
 	}
-	w.in(patience, fails)
-	w.in(time.Millisecond, func() {
-		if !m.up || m.life != life {
-			fails()
+	w.schedule(clientTimeout, fail)
+	w.schedule(time.Millisecond, func() {
+		if !m.up || m.incarnation != incarnation {
+			fail()
 			return
 		}
-		b := discovery.Heartbeat{Request: m.nextRequest(), Record: endpoints.Record{
-			ID: e.id, Service: "s", Addr: fmt.Sprintf("10.9.%d.%d:80", e.k>>8, e.k&255), Zone: "z", Slots: 4, CallCount: e.calls, State: state,
+		request := discovery.Heartbeat{Request: m.nextRequest(), Record: endpoints.Record{
+			ID: e.id, Service: "s", Addr: fmt.Sprintf("10.9.%d.%d:80", e.index>>8, e.index&255), Zone: "z", Slots: 4, CallCount: e.calls, State: state,
 		}}
-		m.replies[b.Request] = func(a discovery.Reply) { w.in(time.Millisecond, func() { answered(a) }) }
-		if w.broken == "acknowledges a drain alone" {
-			delete(m.replies, b.Request)
-			w.in(time.Millisecond, func() { answered(discovery.Reply{}) })
-			if state == endpoints.StateDraining { // and tells nobody, as one that dies right then
+		m.replies[request.Request] = func(a discovery.Reply) { w.schedule(time.Millisecond, func() { handleReply(a) }) }
+		if w.injectedBug == "acknowledges a drain without gossip" {
+			delete(m.replies, request.Request)
+			w.schedule(time.Millisecond, func() { handleReply(discovery.Reply{}) })
+			if state == endpoints.StateDraining { // the machine acknowledges and does not spread the drain
 				return
 			}
 		}
-		if m.keeper && w.meter.on {
-			w.meter.calls++
+		if m.isReplica && w.meter.on {
+			w.meter.engineCalls++
 		}
-		m.take(b)
+		m.deliver(request)
 	})
 }
 
-// severed tells whether a machine has no path to a keeper, or a keeper none to it.
-func (w *world) apart(m *machine) bool {
-	for _, k := range w.keepers() {
-		if w.cuts[[2]int{m.i, k.i}] > 0 || w.cuts[[2]int{k.i, m.i}] > 0 {
+// partitionedFromReplica reports whether a link between a machine and a replica is blocked, in either direction.
+func (w *world) partitionedFromReplica(m *machine) bool {
+	for _, k := range w.replicas() {
+		if w.blockedLinks[[2]int{m.index, k.index}] > 0 || w.blockedLinks[[2]int{k.index, m.index}] > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// informed tells whether a router that was told of nobody but who is cut off has one of them there for long enough to hear of others.
-func (w *world) informed(m *machine) bool {
-	for _, x := range m.told {
-		if x.up && !x.frozen && w.now-x.calm >= w.bounds.contact {
+// hasLiveSeed reports whether a router whose seeds are restricted to isolated replicas has had one of them up for long
+// enough to learn of other machines. It is true if the seeds are not restricted.
+func (w *world) hasLiveSeed(m *machine) bool {
+	for _, x := range m.soleSeeds {
+		if x.up && !x.frozen && w.now-x.lastFault >= w.bounds.contact {
 			return true
 		}
 	}
-	return len(m.told) == 0
+	return len(m.soleSeeds) == 0
 }
 
-// watch holds what routers in touch think of it against what they ought to.
-func (e *engine) watch() {
-	w := e.w
+// check compares the state of the engine with the registries of routers that are in contact with the replicas.
+func (e *engine) check() {
+	w := e.world
 	contact := w.bounds.contact
-	for _, m := range w.machines[w.day.Replicas : w.day.Replicas+w.day.Routers] {
-		if !m.up || m.frozen || w.now-m.calm < contact || !w.calmFor(contact) || w.apart(m) || !w.informed(m) {
+	for _, m := range w.machines[w.scenario.Replicas : w.scenario.Replicas+w.scenario.Routers] {
+		if !m.up || m.frozen || w.now-m.lastFault < contact || !w.faultFreeFor(contact) || w.partitionedFromReplica(m) || !w.hasLiveSeed(m) {
 			continue
 		}
-		r := m.news.Endpoints.Find(e.id)
+		r := m.discovery.Endpoints.Find(e.id)
 		switch {
-		case e.drained != 0 && w.now-e.drained > drains-grace && r != nil && r.State == endpoints.StateReady && !r.Suspect:
-			w.breaks("DRAIN", "%s still sends %s work %v after it was acknowledged", m.name, e.id, w.now-e.drained)
-		case !e.dead && e.state == endpoints.StateReady && e.heard != 0 && w.now-e.heard < 2*time.Second && w.now > lead+contact && (r == nil || r.Suspect):
-			w.breaks("SILENT", "%s holds %s for silent, which was heard %v ago", m.name, e.id, w.now-e.heard)
+		case e.drainAckedAt != 0 && w.now-e.drainAckedAt > drainDeadline-drainGrace && r != nil && r.State == endpoints.StateReady && !r.Suspect:
+			w.violate("DRAIN", "%s still routes to %s %v after its drain was acknowledged", m.name, e.id, w.now-e.drainAckedAt)
+		case !e.dead && e.state == endpoints.StateReady && e.lastAcked != 0 && w.now-e.lastAcked < 2*time.Second && w.now > warmUpTime+contact && (r == nil || r.Suspect):
+			w.violate("SILENT", "%s suspects %s, whose heartbeat was acknowledged %v ago", m.name, e.id, w.now-e.lastAcked)
 		}
 	}
 }
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -1,8 +1,9 @@
-// Package plane plays the fleet's control plane in simulated time: the program's own reducers of news (gossip, roster) and of
-// the state (ballots, chain, members), of every machine, on one seeded clock and one queue of events, with links that delay,
-// lose and are cut one way or both, disks that take their time, processes that are killed, wiped and replaced, engines that
-// call, drain and crash, and operators that race. Oracles after the rules of the platform watch what goes over the wires and
-// say what is broken. Nothing reads a clock or opens a socket, so that a day and its seed have the same end everywhere.
+// Package plane is a deterministic simulation of the control plane of a fleet. Every machine runs the reducers of the
+// program (gossip, registry, replicated log, membership) on one seeded clock and one event queue. Links delay and lose
+// messages and are blocked in one or both directions, disks are slow or fail, processes crash, lose their disks and are
+// replaced, engines send heartbeats, drain and crash, and operators change the configuration concurrently. Invariants are
+// checked on what passes over the links. Nothing reads a clock or opens a socket, so that a scenario and its seed always
+// give the same result.
 package plane
 
 import (
@@ -15,228 +16,223 @@
 	"notchhinge/internal/timerqueue"
 )
 
-// Scenario is what is played.
+// Scenario describes a simulated fleet and the faults that are injected.
 type Scenario struct {
 	Seed     uint64
 	Replicas int
 	Routers  int
 	Engines  int
-	Tolerate int // keepers that may be lost at once
+	Tolerate int // replicas that may be lost at once
 	Length   time.Duration
 	Faults   []Fault
-	// Overlaps says that more keepers than Tolerate may be lost at once, as long as no more disks are.
+	// Overlaps allows faults on more than Tolerate replicas at once, as long as at most Tolerate disks are lost.
 	Overlaps bool
-	// Tenants is how many tenants have requests in each usage window, at every router; 0 = up to three, at random.
+	// Tenants is the number of tenants with requests in each usage window at every router; 0 = up to three, at random.
 	Tenants int
-	// LinkBytesPerSecond bounds what a link carries; 0 = it carries a call of any size at once.
+	// LinkBytesPerSecond is the bandwidth of a link; 0 = unlimited.
 	LinkBytesPerSecond int
 }
 
-// Fault is something that happens at a time.
+// Fault is a fault that is injected at a given time.
 type Fault struct {
 	At, For time.Duration
 	Kind    FaultKind
-	How     How
-	On      []int // machines, or engines; a number of a keeper is its seat, which its successors take
+	Variant Variant
+	On      []int // indexes of machines, or of engines; an index below Replicas is a slot, whose machine may be replaced
 }
 
-// FaultKind is what happens.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
-// The kinds: processes are killed and come back after a time; all are, at one moment, their disks remain; machines lose their disk with it; machines are cut off from all
-// others, or are not heard, or do not hear; the core is cut in two; engines say that they leave, or crash; an operator
-// changes the configuration; two do, upon the same version; machines stand still and go on; their time of day steps ahead and back;
-// machines do not hear each other, and all others do; disks refuse what is written, take thirty times as long, or answer nothing;
-// machines get a SIGTERM and start again; keepers are gone for good and empty ones come in their place, at other addresses;
-// answers to the operator's next order are lost; orders come at fourteen a second; an operator takes out who had a seat before;
-// the core is cut into two halves, whatever may be lost; engines deregister without having said that they drain, and serve on.
+// The kinds of faults. A fault ends after its duration, if it has one.
 const (
-	Kill              FaultKind = "kill"
-	Dark              FaultKind = "dark"
-	Aimed             FaultKind = "aimed" // at the next acknowledgement: who has acknowledged loses its disk, and all are killed
-	Wipe              FaultKind = "wipe"
-	Isolate           FaultKind = "cut"
-	DropOutbound      FaultKind = "mute"
-	DropInbound       FaultKind = "deaf"
-	PartitionReplicas FaultKind = "split"
-	DrainEngine       FaultKind = "leave"
-	Crash             FaultKind = "crash"
-	ChangeConfig      FaultKind = "change"
-	RaceChanges       FaultKind = "race"
-	Freeze            FaultKind = "freeze"
-	Step              FaultKind = "step"
-	Part              FaultKind = "part"
-	Full              FaultKind = "full"
-	Slow              FaultKind = "slow"
-	Stall             FaultKind = "stall"
-
-	Term    FaultKind = "term"
-	Replace FaultKind = "replace"
-	Lost    FaultKind = "lost"
-	Storm   FaultKind = "storm"
-	Dismiss FaultKind = "dismiss"
-
-	Halves  FaultKind = "halves"
-	SignOff FaultKind = "sign_off"
+	Kill              FaultKind = "kill"   // crash processes and restart them; disks survive
+	PowerLoss         FaultKind = "dark"   // crash all processes at the same moment
+	CrashAfterAck     FaultKind = "aimed"  // at the next acknowledgement wipe the disk of the replica that sent it and crash all processes
+	WipeDisk          FaultKind = "wipe"   // crash processes; replicas lose their disks
+	Isolate           FaultKind = "cut"    // partition machines from all others and from the platform
+	DropOutbound      FaultKind = "mute"   // one-way partition: nothing that the machines send arrives
+	DropInbound       FaultKind = "deaf"   // one-way partition: nothing arrives at the machines
+	PartitionReplicas FaultKind = "split"  // partition replicas from the other replicas
+	DrainEngine       FaultKind = "leave"  // engines drain and then stop
+	CrashEngine       FaultKind = "crash"  // engines crash
+	ChangeConfig      FaultKind = "change" // an operator changes the configuration
+	RaceChanges       FaultKind = "race"   // two operators change the same version of the configuration
+	FreezeProcess     FaultKind = "freeze" // processes pause and resume
+	StepClock         FaultKind = "step"   // the wall clocks of machines step forward or back, and return
+	PartitionPair     FaultKind = "part"   // machines do not hear each other; all other links work
+	FullDisk          FaultKind = "full"   // disks of replicas refuse writes
+	SlowDisk          FaultKind = "slow"   // disks of replicas take 30 times as long
+	StallDisk         FaultKind = "stall"  // disks of replicas complete no write
+
+	Terminate      FaultKind = "term"    // processes receive SIGTERM and are restarted
+	ReplaceReplica FaultKind = "replace" // replicas are removed for good; empty ones with other addresses take their slots
+	LoseReply      FaultKind = "lost"    // the reply to the next configuration change is lost
+	ChangeBurst    FaultKind = "storm"   // operators send 14 configuration changes per second
+	RemoveMember   FaultKind = "dismiss" // an operator removes the predecessor in a slot from the membership
+
+	PartitionHalves  FaultKind = "halves"   // partition the replicas into two halves, regardless of Tolerate
+	DeregisterEngine FaultKind = "sign_off" // engines deregister without draining first and keep serving for a while
 )
 
-// How is a variant of a kind; "" is the plain one.
-type How string
+// Variant modifies a kind of fault; "" is the unmodified kind.
+type Variant string
 
-// The variants: it strikes the keeper that acted last; behind a cut routers are restarted that are told of nobody else but those that are cut off; or those
-// that are cut off are restarted, and then all other keepers at one moment; the successor comes before its predecessor is told to leave;
-// two answers are lost in place of one; both racing changes have one number; with all killed some keepers lose their disks.
+// The variants of faults.
 const (
-	Leader  How = "leader"
-	Seeds   How = "seeds"
-	Both    How = "both"
-	Planned How = "planned"
-	Twice   How = "twice"
-	Same    How = "same"
-	Disks   How = "disks"
+	Leader         Variant = "leader"  // the target is the replica that acted or acknowledged last
+	RestartRouters Variant = "seeds"   // while the partition lasts, routers restart with only the isolated replicas as seeds
+	RestartAll     Variant = "both"    // the isolated replicas restart, and then all other replicas at the same moment
+	Planned        Variant = "planned" // the successor starts before its predecessor receives SIGTERM
+	Twice          Variant = "twice"   // two replies are lost instead of one
+	SameRevision   Variant = "same"    // both changes have the same revision
+	LoseDisks      Variant = "disks"   // the targets lose their disks in the power loss
 )
 
-// hows are the variants that a kind has.
-var hows = map[FaultKind][]How{
-	Kill: {Leader}, Freeze: {Leader}, Isolate: {Leader, Seeds, Both}, PartitionReplicas: {Seeds, Both}, Replace: {Planned}, Lost: {Twice}, RaceChanges: {Same}, Dark: {Disks},
+// variants lists the variants of each kind.
+var variants = map[FaultKind][]Variant{
+	Kill: {Leader}, FreezeProcess: {Leader}, Isolate: {Leader, RestartRouters, RestartAll}, PartitionReplicas: {RestartRouters, RestartAll}, ReplaceReplica: {Planned}, LoseReply: {Twice}, RaceChanges: {SameRevision}, PowerLoss: {LoseDisks},
 }
 
-// Kinds lists them.
-var Kinds = []FaultKind{Kill, Dark, Aimed, Wipe, Isolate, DropOutbound, DropInbound, PartitionReplicas, DrainEngine, Crash, ChangeConfig, RaceChanges, Freeze, Step, Part, Full, Slow, Stall, Term, Replace, Lost, Storm, Dismiss, Halves, SignOff}
+// FaultKinds lists all kinds.
+var FaultKinds = []FaultKind{Kill, PowerLoss, CrashAfterAck, WipeDisk, Isolate, DropOutbound, DropInbound, PartitionReplicas, DrainEngine, CrashEngine, ChangeConfig, RaceChanges, FreezeProcess, StepClock, PartitionPair, FullDisk, SlowDisk, StallDisk, Terminate, ReplaceReplica, LoseReply, ChangeBurst, RemoveMember, PartitionHalves, DeregisterEngine}
 
-// strikesEngines tells whether the numbers of a trouble are those of engines.
-func (k FaultKind) strikesEngines() bool { return k == DrainEngine || k == Crash || k == SignOff }
+// targetsEngines reports whether the indexes of a fault are those of engines.
+func (k FaultKind) targetsEngines() bool {
+	return k == DrainEngine || k == CrashEngine || k == DeregisterEngine
+}
 
-// Found is a broken rule.
-type Found struct {
+// Violation is a violated invariant.
+type Violation struct {
 	Rule    string
 	At      time.Duration
 	Message string
 }
 
-// Report is what came of a day.
+// Report is the result of a scenario.
 type Report struct {
-	Violations     []Found // at most one of each rule, in the order of their names
-	Changes        int     // configurations that were sent
-	Acked          int     // of these, acknowledged
-	AckedAtMaxLoss int     // of these, while the core was settled and as many keepers as are to be borne were lost
-	Drained        int     // engines that were acknowledged as leaving
-	Windows        int     // of usage that were due
-	Unreported     int     // of these, not reported
-	Late           int     // of these, reported later than the platform's delay
-	Orders         int     // of engines
-	Events         int
-	Slowest        time.Duration // from a configuration's first sending to its acknowledgement, in calm
-	Revision       uint64        // read back at the end
+	Violations     []Violation   // the first of each rule, sorted by rule
+	Changes        int           // configuration changes that were sent
+	Acked          int           // of Changes, those that were acknowledged
+	AckedAtMaxLoss int           // of Acked, those while the core was settled and as many replicas as tolerated were lost
+	Drained        int           // engines whose drain was acknowledged
+	Windows        int           // usage windows that were due
+	Unreported     int           // of Windows, those not reported
+	Late           int           // of Windows, those reported later than the usage delay
+	Orders         int           // scaling orders for engines
+	Events         int           // events of the simulation
+	Slowest        time.Duration // longest time from the first sending of a configuration to its final answer, without faults
+	Revision       uint64        // revision of the configuration read back at the end
 }
 
+// world is the state of a simulation.
 type world struct {
-	day      *Scenario
-	broken   string // a rule that is broken on purpose; "" = none
-	rnd      *rand.Rand
-	now      time.Duration
-	due      *timerqueue.Queue[func()]
-	machines []*machine
-	cuts     map[[2]int]int // from, to: how many cuts lie there
-	silence  time.Duration
-	sync     time.Duration
-	loss     float64
-	least    int
-	shaken   time.Duration // the last trouble of the core, or of a link to it
-	aimed    []*Fault
-	seats    []*machine // the keepers; who has come in another's place has its seat
-	severed  []*severance
-	seeds    []*machine // of whom alone those are told that start, while it is so
-	over     bool       // the day's troubles are over
-	core     availability
-	bounds   bounds
-
-	engines []*engine
-	sent    map[fleetconfig.Digest]*change
-	open    []*change          // without an answer yet, in the order in which they were sent
-	upon    map[uint64]*change // what was acknowledged upon a version
-	lose    []int              // how many answers each of the next orders loses
-	newest  uint64             // acknowledged
-	last    uint64             // number of the last change
-	found   map[string]Found
-	report  Report
-
-	platform platform
-	meter    meter
-	began    map[uint64]int // requests, by window
-
-	onUsageStep func(*machine, usageStep) // called at each step of a holder towards the report of a window; nil = no call
+	scenario       *Scenario
+	injectedBug    string // name of the injected bug; "" = none
+	rand           *rand.Rand
+	now            time.Duration
+	events         *timerqueue.Queue[func()]
+	machines       []*machine
+	blockedLinks   map[[2]int]int // number of partitions that block a link, by the indexes of its sender and receiver
+	silenceTimeout time.Duration
+	diskLatency    time.Duration
+	lossRate       float64
+	minVoters      int
+	lastFault      time.Duration // time of the last fault of a replica or of a link to one
+	ackFaults      []*Fault      // CrashAfterAck faults that wait for an acknowledgement
+	slots          []*machine    // the replicas by slot; a successor takes the slot of its predecessor
+	partitions     []*partition  // partitions in effect
+	isolatedSeeds  []*machine    // the only seeds of processes that start now; nil = no restriction
+	faultsEnded    bool          // all faults have ended
+	core           availability
+	bounds         bounds
+
+	engines      []*engine
+	sent         map[fleetconfig.Digest]*configChange
+	pending      []*configChange          // configuration changes without a final answer, in the order of sending
+	ackedOnBase  map[uint64]*configChange // the acknowledged change, by base revision
+	replyLosses  []int                    // how many replies each of the next changes loses
+	newestAcked  uint64                   // newest acknowledged revision
+	lastRevision uint64                   // revision of the last change that was sent
+	violations   map[string]Violation
+	report       Report
+
+	platform         platform
+	meter            meter
+	requestsByWindow map[uint64]int // requests that routers counted, by usage window
+
+	onUsageStep func(*machine, usageStep) // called at each usageStep; nil = no call
 }
 
-// in has something done after a time.
-func (w *world) in(d time.Duration, do func()) {
-	w.due.Add(w.now+d, do)
+// schedule calls do after a delay.
+func (w *world) schedule(d time.Duration, do func()) {
+	w.events.Add(w.now+d, do)
 }
 
-// break notes a broken rule, the first of its kind.
-func (w *world) breaks(rule, says string, args ...any) {
-	if _, known := w.found[rule]; !known {
-		w.found[rule] = Found{rule, w.now, fmt.Sprintf(says, args...)}
+// violate records the violation of a rule. Only the first of each rule is kept.
+func (w *world) violate(rule, format string, args ...any) {
+	if _, known := w.violations[rule]; !known {
+		w.violations[rule] = Violation{rule, w.now, fmt.Sprintf(format, args...)}
 	}
 }
 
-// run plays until a time.
-func (w *world) run(until time.Duration) {
-	for at, ok := w.due.NextDue(); ok && at <= until; at, ok = w.due.NextDue() {
+// advance runs the events that are due until a time.
+func (w *world) advance(until time.Duration) {
+	for at, ok := w.events.NextDue(); ok && at <= until; at, ok = w.events.NextDue() {
 		w.now = at
 		w.report.Events++
-		do, _ := w.due.PopDue(at)
+		do, _ := w.events.PopDue(at)
 		do()
 	}
 	w.now = until
 }
 
-// lead is how long the fleet has before anything is asked of it, and rest how long it has after the last trouble.
+// Time without faults before the first fault and after the last one.
 const (
-	lead = 5 * time.Second
-	rest = 20 * time.Second
+	warmUpTime = 5 * time.Second
+	settleTime = 20 * time.Second
 )
 
-// Run plays a day. broken names a rule that is broken on purpose, which must be found out; "" = none.
-func (d *Scenario) Run(broken string) Report { return newWorld(d, broken).play() }
+// Run simulates the scenario. injectedBug names a bug that the invariants must detect; "" = none.
+func (s *Scenario) Run(injectedBug string) Report { return newWorld(s, injectedBug).simulate() }
 
-// play plays the world's day.
-func (w *world) play() Report {
-	w.begin()
-	w.run(lead + w.day.Length)
+// simulate runs the scenario and returns its report.
+func (w *world) simulate() Report {
+	w.start()
+	w.advance(warmUpTime + w.scenario.Length)
 	w.heal()
-	w.run(w.now + rest)
+	w.advance(w.now + settleTime)
 	w.checkUsage()
 	w.readBack()
-	for _, rule := range slices.Sorted(keys(w.found)) {
-		w.report.Violations = append(w.report.Violations, w.found[rule])
+	for _, rule := range slices.Sorted(keys(w.violations)) {
+		w.report.Violations = append(w.report.Violations, w.violations[rule])
 	}
 	return w.report
 }
 
-// begin starts everything, and plans what will happen.
-func (w *world) begin() {
+// start starts all processes and schedules the faults.
+func (w *world) start() {
 	for _, m := range w.machines {
 		m.start()
 	}
 	for _, m := range w.machines {
-		if !m.keeper {
+		if !m.isReplica {
 			w.reportUsage(m)
 		}
 	}
-	w.watchCore()
-	w.reads()
-	for k := range w.day.Engines {
-		w.engine(k)
+	w.checkCore()
+	w.scheduleReads()
+	for k := range w.scenario.Engines {
+		w.startEngine(k)
 	}
-	w.in(lead/2, func() { w.change(0, 0) })
-	for i := range w.day.Faults {
-		t := &w.day.Faults[i]
-		w.in(lead+t.At, func() { w.strike(t) })
+	w.schedule(warmUpTime/2, func() { w.submitNext(0, 0) })
+	for i := range w.scenario.Faults {
+		f := &w.scenario.Faults[i]
+		w.schedule(warmUpTime+f.At, func() { w.inject(f) })
 	}
 }
 
-func keys(m map[string]Found) func(yield func(string) bool) {
+func keys(m map[string]Violation) func(yield func(string) bool) {
 	return func(yield func(string) bool) {
 		for k := range m {
 			if !yield(k) {
@@ -246,12 +242,12 @@
 	}
 }
 
-// shake notes that something has happened to machines.
-func (w *world) shake(all ...*machine) {
+// noteFault records that a fault of the machines began or ended.
+func (w *world) noteFault(all ...*machine) {
 	for _, m := range all {
-		m.calm = w.now
-		if m.keeper {
-			w.shaken, w.core.struck = w.now, w.now
+		m.lastFault = w.now
+		if m.isReplica {
+			w.lastFault, w.core.lastFault = w.now, w.now
 		}
 	}
 }
--- a/internal/lab/plane/succession.go
+++ b/internal/lab/plane/succession.go
@@ -10,101 +10,102 @@
 	"notchhinge/internal/limits"
 )
 
-// stopGrace is what a process has from its SIGTERM to its end.
-const stopGrace = 6 * time.Second
+// shutdownGrace is the time from SIGTERM to the forced end of a process.
+const shutdownGrace = 6 * time.Second
 
-// term stops a process by SIGTERM: it hands over what it must, and ends; if it takes longer than it may it is killed.
-func (w *world) term(m *machine, then func()) {
+// terminate sends SIGTERM to a process. A replica leaves the group first; it is killed if that takes longer than
+// shutdownGrace.
+func (w *world) terminate(m *machine, then func()) {
 	if !m.up || m.leaving {
 		return
 	}
-	life := m.life
+	incarnation := m.incarnation
 	end := func() {
-		if m.life == life { // it has not been killed meanwhile
-			m.die()
-			w.shake(m)
+		if m.incarnation == incarnation { // it was not killed in the meantime
+			m.kill()
+			w.noteFault(m)
 			then()
 		}
 	}
 	m.leaving = true
-	w.shake(m)
-	if m.core == nil {
+	w.noteFault(m)
+	if m.replica == nil {
 		end()
 		return
 	}
-	m.take(replica.Leave{Request: m.leaves.Add(end), Deadline: w.now + limits.ReplicaLeaveTimeout})
-	w.in(stopGrace, end)
+	m.deliver(replica.Leave{Request: m.leaves.Add(end), Deadline: w.now + limits.ReplicaLeaveTimeout})
+	w.schedule(shutdownGrace, end)
 }
 
-// replace has a keeper gone for good, and an empty one come in its place, at another address and under another name. If it is
-// planned the new one comes first.
-func (w *world) replace(m *machine, t *Fault) {
+// replaceReplica removes a replica for good and starts an empty one with another name and address in its slot. A planned
+// successor starts before its predecessor stops.
+func (w *world) replaceReplica(m *machine, f *Fault) {
 	if m.gone || m.leaving {
 		return
 	}
-	if t.How == Planned {
-		w.succeed(m)
-		w.in(t.For, func() {
+	if f.Variant == Planned {
+		w.addSuccessor(m)
+		w.schedule(f.For, func() {
 			m.retired = true
 			if !m.up {
 				m.gone = true
 				return
 			}
-			w.term(m, func() { m.gone = true })
+			w.terminate(m, func() { m.gone = true })
 		})
 		return
 	}
 	if m.up {
-		m.die()
+		m.kill()
 	}
 	m.gone = true
-	w.shake(m)
-	w.in(t.For, func() { w.succeed(m) })
+	w.noteFault(m)
+	w.schedule(f.For, func() { w.addSuccessor(m) })
 }
 
-// succeed has a new machine take another's seat, unless one has.
-func (w *world) succeed(m *machine) {
-	k := w.seatOf(m)
+// addSuccessor starts a new replica in the slot of m, unless the slot is already taken.
+func (w *world) addSuccessor(m *machine) {
+	k := w.slotOf(m)
 	if k < 0 {
 		return
 	}
-	n := &machine{w: w, i: len(w.machines), keeper: true, zone: m.zone, disk: &disk{}, former: m}
-	n.name = fmt.Sprintf("keeper-%d", n.i)
+	n := &machine{world: w, index: len(w.machines), isReplica: true, zone: m.zone, disk: &disk{}, predecessor: m}
+	n.name = fmt.Sprintf("keeper-%d", n.index)
 	w.machines = append(w.machines, n)
-	w.seats[k] = n
-	for _, s := range w.severed {
+	w.slots[k] = n
+	for _, s := range w.partitions {
 		for _, x := range w.machines {
-			w.cut(s, x, n)
-			w.cut(s, n, x)
+			w.blockLink(s, x, n)
+			w.blockLink(s, n, x)
 		}
 	}
 	n.start()
-	w.shake(n)
+	w.noteFault(n)
 }
 
-// seatOf tells whose seat a machine has; -1 = none.
-func (w *world) seatOf(m *machine) int { return slices.Index(w.seats, m) }
+// slotOf returns the slot of a machine, or -1.
+func (w *world) slotOf(m *machine) int { return slices.Index(w.slots, m) }
 
-// seedsFor lists who a process that starts is told of: the first three as long as they are there, and others in the place of
-// those that are gone. While a cut asks for that it begins with those that are cut off; a router that reaches them is told of nobody else.
+// seedsFor returns the seed addresses of a process that starts: three machines, with those that are gone replaced by others.
+// While a partition restricts the seeds, the isolated replicas come first, and a router that reaches them gets no others.
 func (w *world) seedsFor(m *machine) (all []netip.AddrPort) {
-	m.told = nil
-	for _, x := range w.seeds {
+	m.soleSeeds = nil
+	for _, x := range w.isolatedSeeds {
 		if !x.gone {
-			all = append(all, addrOf(x.i))
-			m.told = append(m.told, x)
+			all = append(all, addrOf(x.index))
+			m.soleSeeds = append(m.soleSeeds, x)
 		}
 	}
-	if len(all) > 0 && !m.keeper && w.connected(m, m.told) {
+	if len(all) > 0 && !m.isReplica && w.connected(m, m.soleSeeds) {
 		return all
 	}
-	m.told = nil
-	for _, i := range []int{0, 1, w.day.Replicas} {
+	m.soleSeeds = nil
+	for _, i := range []int{0, 1, w.scenario.Replicas} {
 		for try := 0; w.machines[i].gone || w.machines[i] == m && try > 0; try++ {
-			if x := w.inTouch(); try == 0 && x != nil { // were all three cut off or down, nobody could be found
-				i = x.i
+			if x := w.connectedReplica(); try == 0 && x != nil { // one seed must be reachable, or the process finds nobody
+				i = x.index
 			} else {
-				i = w.anyone()
+				i = w.randomMachine()
 			}
 		}
 		all = append(all, addrOf(i))
@@ -112,21 +113,21 @@
 	return all
 }
 
-// severance is a cut that lasts.
-type severance struct {
-	kind  FaultKind
-	on    []*machine
-	lines [][2]int // from, to
+// partition is a partition in effect.
+type partition struct {
+	kind     FaultKind
+	machines []*machine
+	links    [][2]int // sender, receiver
 }
 
-// severs tells whether a cut of a kind of those machines lies between two.
-func (s *severance) severs(from, to *machine) bool {
-	a, b := slices.Contains(s.on, from), slices.Contains(s.on, to)
+// blocks reports whether the partition blocks the link between two machines.
+func (s *partition) blocks(from, to *machine) bool {
+	a, b := slices.Contains(s.machines, from), slices.Contains(s.machines, to)
 	switch s.kind {
 	case Isolate:
 		return a != b
-	case PartitionReplicas, Halves:
-		return a != b && from.keeper && to.keeper
+	case PartitionReplicas, PartitionHalves:
+		return a != b && from.isReplica && to.isReplica
 	case DropOutbound:
 		return a && !b
 	case DropInbound:
@@ -136,97 +137,98 @@
 	}
 }
 
-// cut lays a cut from one machine to another, if it lies there.
-func (w *world) cut(s *severance, from, to *machine) {
-	if from != to && s.severs(from, to) {
-		s.lines = append(s.lines, [2]int{from.i, to.i})
-		w.cuts[[2]int{from.i, to.i}]++
+// blockLink blocks the link between two machines if the partition covers it.
+func (w *world) blockLink(s *partition, from, to *machine) {
+	if from != to && s.blocks(from, to) {
+		s.links = append(s.links, [2]int{from.index, to.index})
+		w.blockedLinks[[2]int{from.index, to.index}]++
 	}
 }
 
-// sever cuts machines off for the time of a trouble.
-func (w *world) sever(t *Fault, on []*machine) {
-	s := &severance{kind: t.Kind, on: on}
+// startPartition partitions machines for the duration of a fault.
+func (w *world) startPartition(f *Fault, on []*machine) {
+	s := &partition{kind: f.Kind, machines: on}
 	for _, a := range w.machines {
 		for _, b := range w.machines {
-			w.cut(s, a, b)
+			w.blockLink(s, a, b)
 		}
 	}
-	for _, m := range on { // and the platform
-		if t.Kind == Isolate || t.Kind == DropOutbound {
-			s.lines = append(s.lines, [2]int{m.i, outside})
-			w.cuts[[2]int{m.i, outside}]++
+	for _, m := range on { // links to the platform
+		if f.Kind == Isolate || f.Kind == DropOutbound {
+			s.links = append(s.links, [2]int{m.index, platformIndex})
+			w.blockedLinks[[2]int{m.index, platformIndex}]++
 		}
-		if t.Kind == Isolate || t.Kind == DropInbound {
-			s.lines = append(s.lines, [2]int{outside, m.i})
-			w.cuts[[2]int{outside, m.i}]++
+		if f.Kind == Isolate || f.Kind == DropInbound {
+			s.links = append(s.links, [2]int{platformIndex, m.index})
+			w.blockedLinks[[2]int{platformIndex, m.index}]++
 		}
 	}
-	w.severed = append(w.severed, s)
-	w.touched(s)
-	if t.How == Seeds || t.How == Both {
-		w.restarts(t, on)
+	w.partitions = append(w.partitions, s)
+	w.notePartition(s)
+	if f.Variant == RestartRouters || f.Variant == RestartAll {
+		w.restartDuringPartition(f, on)
 	}
-	w.in(t.For, func() {
-		if w.over {
+	w.schedule(f.For, func() {
+		if w.faultsEnded {
 			return
 		}
-		w.severed = slices.DeleteFunc(w.severed, func(x *severance) bool { return x == s })
-		for _, l := range s.lines {
-			w.cuts[l]--
+		w.partitions = slices.DeleteFunc(w.partitions, func(x *partition) bool { return x == s })
+		for _, l := range s.links {
+			w.blockedLinks[l]--
 		}
-		w.touched(s)
+		w.notePartition(s)
 		for _, m := range on {
-			m.healed = w.now
+			m.healedAt = w.now
 		}
 	})
 }
 
-// touched notes that something has happened to the links of a cut. Only one between two keepers happens to the core.
-func (w *world) touched(s *severance) {
-	struck := w.core.struck
-	core := false
-	for _, l := range s.lines {
-		if l[0] == outside || l[1] == outside {
+// notePartition records a fault of the machines at the links of a partition. Only blocked links between replicas count as a
+// fault of the core.
+func (w *world) notePartition(s *partition) {
+	previous := w.core.lastFault
+	affectsCore := false
+	for _, l := range s.links {
+		if l[0] == platformIndex || l[1] == platformIndex {
 			continue
 		}
 		a, b := w.machines[l[0]], w.machines[l[1]]
-		w.shake(a, b)
-		core = core || a.keeper && b.keeper
+		w.noteFault(a, b)
+		affectsCore = affectsCore || a.isReplica && b.isReplica
 	}
-	if !core {
-		w.core.struck = struck
+	if !affectsCore {
+		w.core.lastFault = previous
 	}
 }
 
-// restarts has processes restarted behind a cut: routers that are told of nobody but those that are cut off; or those that are
-// cut off, and then all other keepers at one moment.
-func (w *world) restarts(t *Fault, cut []*machine) {
+// restartDuringPartition restarts processes during a partition: half of the routers with only the isolated replicas as seeds,
+// or the isolated replicas and then all others at the same moment.
+func (w *world) restartDuringPartition(f *Fault, isolated []*machine) {
 	kill := func(all []*machine, after, down time.Duration) {
-		w.in(after, func() {
+		w.schedule(after, func() {
 			for _, m := range all {
-				if w.over || !m.up || m.gone {
+				if w.faultsEnded || !m.up || m.gone {
 					continue
 				}
-				m.die()
-				w.shake(m)
-				w.in(down, func() { w.revive(m) })
+				m.kill()
+				w.noteFault(m)
+				w.schedule(down, func() { w.startAgain(m) })
 			}
 		})
 	}
-	if t.How == Seeds {
-		seeds := slices.Clone(cut)
-		w.seeds = seeds
-		w.in(t.For, func() {
-			if slices.Equal(w.seeds, seeds) {
-				w.seeds = nil
+	if f.Variant == RestartRouters {
+		seeds := slices.Clone(isolated)
+		w.isolatedSeeds = seeds
+		w.schedule(f.For, func() {
+			if slices.Equal(w.isolatedSeeds, seeds) {
+				w.isolatedSeeds = nil
 			}
 		})
-		routers := w.machines[w.day.Replicas : w.day.Replicas+w.day.Routers]
+		routers := w.machines[w.scenario.Replicas : w.scenario.Replicas+w.scenario.Routers]
 		kill(routers[:(len(routers)+1)/2], time.Second, 300*time.Millisecond)
 		return
 	}
-	others := slices.DeleteFunc(w.keepers(), func(m *machine) bool { return slices.Contains(cut, m) })
-	kill(cut, time.Second, 300*time.Millisecond)
+	others := slices.DeleteFunc(w.replicas(), func(m *machine) bool { return slices.Contains(isolated, m) })
+	kill(isolated, time.Second, 300*time.Millisecond)
 	kill(others, 2*time.Second, 500*time.Millisecond)
 }
