--- a/internal/lab/model/model.go
+++ b/internal/lab/model/model.go
@@ -28,8 +28,8 @@
 	EventTokens      int           // tokens in one streamed event
 }
 
-// Default returns the parameters of a mid-size engine: 11 to 21 ms a step, prefill at 11,000 to 29,000 tokens per second.
-// All durations are divided by speed.
+// Default returns the parameters of an engine in the middle of the published ranges: 11 to 21 ms per step, and prefill at
+// 11,000 to 29,000 tokens per second. All durations are divided by speed.
 func Default(speed float64) Params {
 	scaled := func(d time.Duration) time.Duration { return time.Duration(float64(d) / speed) }
 	return Params{
@@ -58,6 +58,7 @@
 	CachedTokens int  // prompt tokens found in the prefix cache
 }
 
+// running is a request that waits or runs.
 type running struct {
 	Request
 	unprefilled  int
--- a/internal/lab/plane/available.go
+++ b/internal/lab/plane/available.go
@@ -16,7 +16,8 @@
 	return bounds{5 * time.Second, 6 * time.Second, 6 * time.Second}
 }
 
-// availability is the state of the check of rule AVAILABLE.
+// availability is the state of the check of rule AVAILABLE. The core is the group of replicas. It is settled if a majority is
+// connected, no more replicas are lost than tolerated, and no replica had a fault for bounds.contact.
 type availability struct {
 	lastFault     time.Duration // when a fault of a replica last began or ended
 	lastUnsettled time.Duration // when the core last had no connected majority, or more replicas lost than tolerated
--- a/internal/lab/plane/file.go
+++ b/internal/lab/plane/file.go
@@ -69,11 +69,11 @@
 	var errs []error
 	addError := func(format string, args ...any) { errs = append(errs, fmt.Errorf(path+": "+format, args...)) }
 	duration := func(field, text string, limit time.Duration) time.Duration {
-		s, err := time.ParseDuration(text)
-		if err != nil || s < 0 || s > limit {
+		d, err := time.ParseDuration(text)
+		if err != nil || d < 0 || d > limit {
 			addError("%s: must be a duration from 0 to %v, not %q", field, limit, text)
 		}
-		return s
+		return d
 	}
 	s := &Scenario{Seed: f.Seed, Replicas: f.Replicas, Routers: f.Routers, Engines: f.Engines, Tolerate: f.Tolerate, Overlaps: f.Overlaps, Tenants: f.Tenants, LinkBytesPerSecond: f.LinkBytesPerSecond}
 	s.Length = duration("length", f.Length, maxLength)
@@ -86,28 +86,28 @@
 	if s.Tenants < 0 || s.Tenants > maxTenants || s.LinkBytesPerSecond < 0 {
 		addError("tenants, link_bytes_per_second: tenants must be from 0 to %d, and link_bytes_per_second must not be negative", maxTenants)
 	}
-	for i, t := range f.Faults {
+	for i, entry := range f.Faults {
 		at := fmt.Sprintf("trouble[%d]", i)
-		x := Fault{At: duration(at+".at", t.At, maxLength), Kind: t.Kind, Variant: t.Variant, On: t.On}
-		if t.For != "" {
-			x.For = duration(at+".for", t.For, maxLength)
+		fault := Fault{At: duration(at+".at", entry.At, maxLength), Kind: entry.Kind, Variant: entry.Variant, On: entry.On}
+		if entry.For != "" {
+			fault.For = duration(at+".for", entry.For, maxLength)
 		}
-		if !slices.Contains(FaultKinds, t.Kind) {
-			addError("%s.kind: must be one of %v, not %q", at, FaultKinds, t.Kind)
+		if !slices.Contains(FaultKinds, entry.Kind) {
+			addError("%s.kind: must be one of %v, not %q", at, FaultKinds, entry.Kind)
 		}
-		if t.Variant != "" && !slices.Contains(variants[t.Kind], t.Variant) {
-			addError("%s.how: must be one of %v for kind %s, not %q", at, variants[t.Kind], t.Kind, t.Variant)
+		if entry.Variant != "" && !slices.Contains(variants[entry.Kind], entry.Variant) {
+			addError("%s.how: must be one of %v for kind %s, not %q", at, variants[entry.Kind], entry.Kind, entry.Variant)
 		}
 		limit := s.Replicas + s.Routers
-		if t.Kind.targetsEngines() {
+		if entry.Kind.targetsEngines() {
 			limit = s.Engines
 		}
-		for _, k := range t.On {
+		for _, k := range entry.On {
 			if k < 0 || k >= limit {
-				addError("%s.on: indexes must be from 0 to below %d, not %d", at, limit, k)
+				addError("%s.on: indexes must be at least 0 and below %d, not %d", at, limit, k)
 			}
 		}
-		s.Faults = append(s.Faults, x)
+		s.Faults = append(s.Faults, fault)
 	}
 	return s, errors.Join(errs...)
 }
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -63,7 +63,7 @@
 //	was renewed, so that nothing was agreed any more
 //	unheard.toml: a router that restarted behind a partition acknowledged heartbeats before it knew any replica
 //	newdisk.toml: an isolated replica with a new disk acknowledged heartbeats that no other machine received
-//	gap.toml: news sent after two replicas were partitioned and before a third noticed reached only one of them
+//	gap.toml: an update sent after two replicas were partitioned and before a third noticed reached only one of them
 //	mute-router.toml: a router with an outbound partition acknowledged heartbeats
 //	unfound.toml: a restarted replica knew only two routers and asked nobody else for replicas
 //	parted-voter.toml: a voter that a single replica did not hear lost its vote to a standby that left next
