--- a/internal/dispatch/effect.go
+++ b/internal/dispatch/effect.go
@@ -35,7 +35,7 @@
 	// StartTracedAttempt replaces StartAttempt when tracing is on. The attempt carries Span to the host.
 	StartTracedAttempt struct {
 		StartAttempt
-		Span *trace.Carried
+		Span *trace.AttemptSpan
 	}
 	// BindAttempt makes an attempt the one whose response is passed on to the client.
 	BindAttempt struct{ Attempt AttemptID }
@@ -71,7 +71,7 @@
 		Pools   map[string]*policy.Snapshot
 	}
 	// ExportTrace exports a finished trace.
-	ExportTrace struct{ Trace *trace.Try }
+	ExportTrace struct{ Trace *trace.Record }
 	// CountersReport answers GetCounters.
 	CountersReport struct {
 		ReplyTo  any
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -25,7 +25,7 @@
 	reachedHost     bool  // at least one attempt has reached a host
 	mayHaveRun      bool  // at least one ended attempt may have run
 	running         int32 // attempts whose outcome was not reported to the module yet
-	trace           *trace.Journey
+	trace           *trace.RequestSpan
 }
 
 // clientRequestKey identifies an open request by the ID that its client gave it. IDs are unique within a pool only.
@@ -84,7 +84,7 @@
 	}
 	e.Request.ID, e.Request.Timeout = req.id, req.deadline-d.now
 	if d.traces != nil {
-		req.trace = d.traces.Taken(d.now, req.id, req.client, e.ClientRequestID, e.ReceivedAt, &e.Request, e.Origin, p.traceSet)
+		req.trace = d.traces.StartRequest(d.now, req.id, req.client, e.ClientRequestID, e.ReceivedAt, &e.Request, e.Origin, p.traceSet)
 	}
 	p.module.RequestArrived(d.now, p, e.Request)
 }
--- a/internal/dispatch/trace_test.go
+++ b/internal/dispatch/trace_test.go
@@ -12,13 +12,13 @@
 
 // enableTracing turns tracing on, with the options that all tests share.
 func enableTracing(f *fixture, o trace.Options) {
-	o.Router, o.Window, o.Linger, o.Steps, o.Seed = "n1", 10*sec, 2*sec, 1000, 5
-	f.Reduce(f.now, ConfigurePool{Classes: []trace.Class{{Name: "chat", Aim: sec}}})
+	o.Router, o.RetryWindow, o.CompletionGrace, o.Operations, o.Seed = "n1", 10*sec, 2*sec, 1000, 5
+	f.Reduce(f.now, ConfigurePool{Classes: []trace.Class{{Name: "chat", TargetLatency: sec}}})
 	f.Trace(o)
 }
 
 // reduceTraced reduces an event and returns the traces that it exports and the spans of the attempts that it starts.
-func (f *fixture) reduceTraced(at time.Duration, e Event) (records []*trace.Try, spans []trace.Context) {
+func (f *fixture) reduceTraced(at time.Duration, e Event) (records []*trace.Record, spans []trace.Context) {
 	for _, effect := range f.Reduce(f.now+at, e) {
 		switch effect := effect.(type) {
 		case ExportTrace:
@@ -37,7 +37,7 @@
 	enableTracing(f, trace.Options{})
 	parent, _ := trace.ParseParent("00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01")
 	e := requestFrom("a", f.now, 4*sec)
-	e.ClientRequestID, e.Origin = "call", &trace.Origin{Context: parent, Front: "calls", Tells: true}
+	e.ClientRequestID, e.Origin = "call", &trace.Origin{Context: parent, Frontend: "calls", ReportsRejection: true}
 	_, spans := f.reduceTraced(10*time.Millisecond, e)
 	if len(spans) != 1 || spans[0].Trace != parent.Trace || spans[0].Span == parent.Span {
 		t.Fatalf("the first attempt was sent with spans %v", spans)
@@ -55,13 +55,13 @@
 		t.Fatalf("%d records were exported, want 1", len(records))
 	}
 	record := records[0]
-	got := fmt.Sprintf("%v %v %v %v %v %v %v %v", record.Outcome == trace.Failed, record.Why, len(record.Legs), record.CallID,
+	got := fmt.Sprintf("%v %v %v %v %v %v %v %v", record.Outcome == trace.Failed, record.Why, len(record.Attempts), record.CallID,
 		record.Parent == parent.Span, record.End, record.Phases[trace.Queue], record.Phases[trace.Answer])
 	if want := "true out_of_time 2 call true 5s 10ms 0s"; got != want {
 		t.Fatalf("got %s, want %s: %+v", got, want, record)
 	}
-	earlier, second := record.Legs[0], record.Legs[1]
-	got = fmt.Sprintf("%v %v %v %v", earlier.Why, earlier.Result, second.Result, second.Said)
+	earlier, second := record.Attempts[0], record.Attempts[1]
+	got = fmt.Sprintf("%v %v %v %v", earlier.Why, earlier.Result, second.Result, second.TransportResult)
 	if want := "drawn reset timed_out cancelled"; got != want {
 		t.Errorf("got %s, want %s: %+v", got, want, record)
 	}
--- a/internal/dispatch/tracing.go
+++ b/internal/dispatch/tracing.go
@@ -14,7 +14,7 @@
 	}
 	switch e := e.(type) {
 	case RejectionWritten:
-		d.traces.Answered(d.now, e.Client, e.At)
+		d.traces.RejectionWritten(d.now, e.Client, e.At)
 	case StartDrain:
 		d.traces.Drain(d.now)
 	case FlushTraces:
@@ -27,34 +27,34 @@
 	switch {
 	case d.traces == nil:
 	case req != nil:
-		d.traces.Ended(d.now, req.id, req.trace, e.Attempt.Index, e.Result, e.StaleConnection, e.Times)
+		d.traces.EndAttempt(d.now, req.id, req.trace, e.Attempt.Index, e.Result, e.StaleConnection, e.Times)
 	default:
-		d.traces.Late(d.now, e.Attempt.Request, e.Attempt.Index, e.Result, e.StaleConnection, e.Times)
+		d.traces.EndLateAttempt(d.now, e.Attempt.Request, e.Attempt.Index, e.Result, e.StaleConnection, e.Times)
 	}
 }
 
 // traceNotSent records the end of an attempt that was never sent. No AttemptEnded follows for it.
 func (d *Dispatcher) traceNotSent(req *request, att *attempt, result policy.Result) {
 	if d.traces != nil {
-		d.traces.Ended(d.now, req.id, req.trace, att.id.Index, result, false, nil)
+		d.traces.EndAttempt(d.now, req.id, req.trace, att.id.Index, result, false, nil)
 	}
 }
 
 // traceEnd records how a request ended for its client.
 func (d *Dispatcher) traceEnd(req *request, o trace.Outcome, retryAfter time.Duration) {
 	if d.traces != nil {
-		d.traces.Closed(d.now, req.id, req.trace, o, retryAfter)
+		d.traces.EndRequest(d.now, req.id, req.trace, o, retryAfter)
 	}
 }
 
 // traceRejection records a request that was rejected before it reached the module.
-func (p *pool) traceRejection(e *RequestReceived, reason trace.Why, retryAfter time.Duration) {
+func (p *pool) traceRejection(e *RequestReceived, reason trace.DecisionReason, retryAfter time.Duration) {
 	d := p.dispatcher
 	if d.traces == nil {
 		return
 	}
 	d.lastRequestID++
-	t := d.traces.Taken(d.now, d.lastRequestID, e.Client, e.ClientRequestID, e.ReceivedAt, &e.Request, e.Origin, p.traceSet)
-	d.traces.Because(d.lastRequestID, t, policy.Reason(reason))
-	d.traces.Closed(d.now, d.lastRequestID, t, trace.Refused, retryAfter)
+	t := d.traces.StartRequest(d.now, d.lastRequestID, e.Client, e.ClientRequestID, e.ReceivedAt, &e.Request, e.Origin, p.traceSet)
+	d.traces.SetReason(d.lastRequestID, t, policy.Reason(reason))
+	d.traces.EndRequest(d.now, d.lastRequestID, t, trace.Refused, retryAfter)
 }
--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -24,63 +24,64 @@
 	"notchhinge/internal/lab/standin"
 )
 
-// The two services, and where they are asked for.
+// Host names of the two services.
 const (
 	runsHost  = "runs.example.org"
 	calibHost = "calib.example.org"
 )
 
-// asked is a request as a box saw it.
-type asked struct {
-	box, host, id string
-	at            time.Time
+// engineRequest is a request as an engine received it.
+type engineRequest struct {
+	engine, host, id string
+	at               time.Time
 }
 
-// two is a fleet of one router with two services.
-type two struct {
+// serviceFleet is a fleet with one router and two services, each with its own pool and discovery.
+type serviceFleet struct {
 	*fleet.Fleet
 	calib   *standin.Discovery
-	boxes   []*standin.Box // of the second service
+	engines []*standin.Engine // of the second service
 	control string
 
-	mu    sync.Mutex
-	asked []asked
+	mu       sync.Mutex
+	requests []engineRequest
 }
 
-func (t *two) hear(box, host, id string, at time.Time) {
+// recordRequest stores a request that an engine received.
+func (t *serviceFleet) recordRequest(engine, host, id string, at time.Time) {
 	t.mu.Lock()
-	t.asked = append(t.asked, asked{box, host, id, at})
+	t.requests = append(t.requests, engineRequest{engine, host, id, at})
 	t.mu.Unlock()
 }
 
-// start starts two discoveries with boxes of their own, or with the same ones, and the router.
-func (r *run) start(ctx context.Context, same bool, config func(*two) string) (*two, error) {
-	t := &two{control: filepath.Join(r.dir, "control")}
-	o := r.options([]string{"services"}, map[string]string{})
-	o.Boxes = 0
+// startServices starts the router and two discovery servers, with separate engines or with shared ones.
+func (r *run) startServices(ctx context.Context, sharedEngines bool, config func(*serviceFleet) string) (*serviceFleet, error) {
+	t := &serviceFleet{control: filepath.Join(r.dir, "control")}
+	o := r.fleetOptions([]string{"services"}, map[string]string{})
+	o.Engines = 0
 	var err error
 	t.Fleet, err = fleet.StartWith(ctx, o, func(f *fleet.Fleet) error {
 		var err error
 		if t.calib, err = standin.StartDiscovery("127.0.0.1:0", 0); err != nil {
 			return err
 		}
-		for n := range 2 * r.Fleet.Boxes {
-			b := &standin.Box{Params: o.Params, Asked: t.hear}
+		for n := range 2 * r.Fleet.Engines {
+			engine := &standin.Engine{Params: o.Params, OnRequest: t.recordRequest}
 			switch {
-			case same && n >= r.Fleet.Boxes:
+			case sharedEngines && n >= r.Fleet.Engines:
 				continue
-			case same:
-				b.Name, b.Disc, b.Also = fmt.Sprintf("s-%d", n), f.Discovery, t.calib
-			case n < r.Fleet.Boxes:
-				b.Name, b.Disc = fmt.Sprintf("runs-%d", n), f.Discovery
+			case sharedEngines:
+				engine.Name, engine.Discovery, engine.Also = fmt.Sprintf("s-%d", n), f.Discovery, t.calib
+			case n < r.Fleet.Engines:
+				engine.Name, engine.Discovery = fmt.Sprintf("runs-%d", n), f.Discovery
 			default:
-				b.Name, b.Disc = fmt.Sprintf("calib-%d", n-r.Fleet.Boxes), t.calib
+				engine.Name, engine.Discovery = fmt.Sprintf("calib-%d", n-r.Fleet.Engines), t.calib
 			}
-			if err := b.Start("127.0.0.1:0", false); err != nil {
+			if err := engine.Start("127.0.0.1:0", false); err != nil {
 				return err
 			}
-			if f.Boxes = append(f.Boxes, b); n >= r.Fleet.Boxes {
-				t.boxes = append(t.boxes, b)
+			if f.Engines = append(f.Engines, engine); n >= r.Fleet.Engines {
+				t.engines = append(t.engines, engine)
 			}
 		}
 		o.Settings["services"] = config(t)
@@ -89,8 +90,8 @@
 	if err != nil {
 		return nil, err
 	}
-	for n := range 100 { // the second list comes after the first
-		pools, err := t.state(ctx)
+	for n := range 100 { // the second pool's endpoints arrive after the first's
+		pools, err := t.fetchState(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -98,16 +99,17 @@
 			break
 		}
 		if n == 99 {
-			return nil, errors.New("a pool has no boxes")
+			return nil, errors.New("a pool has no ready engines")
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 	return t, nil
 }
 
-func (t *two) stop() error {
+// stop stops the fleet and the second discovery server.
+func (t *serviceFleet) stop() error {
 	err := t.Fleet.Stop()
-	_ = t.calib.Close() // a server of this program, which is done with
+	_ = t.calib.Close() // no client is left
 	return err
 }
 
@@ -121,8 +123,8 @@
 	Pools      []poolState `json:"pools"`
 }
 
-// state asks the router's control socket.
-func (t *two) state(ctx context.Context) (s routerState, err error) {
+// fetchState reads the state of the pools from the router's control socket.
+func (t *serviceFleet) fetchState(ctx context.Context) (s routerState, err error) {
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", t.control)
 	}}}
@@ -138,14 +140,14 @@
 	return s, json.NewDecoder(resp.Body).Decode(&s)
 }
 
-// reload writes the router's file anew, has it read, and waits until it is carried out.
-func (t *two) reload(ctx context.Context, text string, signals int) error {
-	before, err := t.state(ctx)
+// reload replaces the router's configuration file, sends SIGHUP and waits until the new configuration is active.
+func (t *serviceFleet) reload(ctx context.Context, text string, signals int) error {
+	before, err := t.fetchState(ctx)
 	if err != nil {
 		return err
 	}
 	router := t.Routers[0]
-	if err := os.WriteFile(router.File, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(router.ConfigFile, []byte(text), 0o600); err != nil {
 		return err
 	}
 	for range signals {
@@ -154,7 +156,7 @@
 		}
 	}
 	for range 500 {
-		s, err := t.state(ctx)
+		s, err := t.fetchState(ctx)
 		if err != nil {
 			return err
 		}
@@ -163,38 +165,40 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	return fmt.Errorf("the router did not read its file\n%s", router.Tail())
+	return fmt.Errorf("the router did not reload its configuration\n%s", router.Tail())
 }
 
-// file is the router's file: which service goes to which pool, and the pools.
-func (t *two) file(services, pools string) string {
+// config returns the text of the router's configuration file.
+func (t *serviceFleet) config(services, pools string) string {
 	return fmt.Sprintf("[control]\npath = %q\n%s%s", t.control, services, pools)
 }
 
-func service(name, host, pool string) string {
+func serviceConfig(name, host, pool string) string {
 	return fmt.Sprintf("[[service]]\nname = %q\n%s\n[[service.route]]\nhost = %q\nprefix = \"/v1\"\n", name, pool, host)
 }
 
-func (t *two) poolRuns() string { return "[[pool]]\nname = \"runs\"\n" }
-func (t *two) poolCalib() string {
+func (t *serviceFleet) runsPoolConfig() string { return "[[pool]]\nname = \"runs\"\n" }
+func (t *serviceFleet) calibPoolConfig() string {
 	return fmt.Sprintf("[[pool]]\nname = \"calib\"\ndiscovery = %q\n", t.calib.Addr())
 }
 
-func (t *two) plain() string {
-	return t.file(service("runs", runsHost, `pool = "runs"`)+service("calib", calibHost, `pool = "calib"`), t.poolRuns()+t.poolCalib())
+// defaultConfig routes each service to its own pool.
+func (t *serviceFleet) defaultConfig() string {
+	return t.config(serviceConfig("runs", runsHost, `pool = "runs"`)+serviceConfig("calib", calibHost, `pool = "calib"`), t.runsPoolConfig()+t.calibPoolConfig())
 }
 
-// ask has a service's clients ask a plan's calls.
-func (r *run) ask(ctx context.Context, t *two, host string, plan []load.Call, seed uint64) []load.Try {
+// sendPlan sends a plan's requests to a service and returns all attempts.
+func (r *run) sendPlan(ctx context.Context, t *serviceFleet, host string, plan []load.Request, seed uint64) []load.Attempt {
 	c := &load.Client{Routers: t.Addrs(), Host: host, Retries: r.Traffic.Retries, Pause: 50 * time.Millisecond, Seed: seed}
 	defer c.Close()
 	l := &load.Ledger{}
 	c.Run(ctx, plan, l)
-	return l.Tries()
+	return l.Attempts()
 }
 
-// calls draws a plan. Turns that ask the same do so in other conversations, so that none finds another's prompts kept.
-func (r *run) calls(seed uint64, rate float64, length time.Duration, turn int) []load.Call {
+// drawPlan draws a plan of requests. Turns with the same seed get different sessions, so that no turn hits prefixes that
+// an earlier one has cached.
+func (r *run) drawPlan(seed uint64, rate float64, length time.Duration, turn int) []load.Request {
 	plan := load.Plan(seed, r.classes, rate, length, 1, load.Style{Mark: 1})
 	for i := range plan {
 		plan[i].Session ^= uint64(turn+1) << 32
@@ -202,10 +206,10 @@
 	return plan
 }
 
-// bad counts what must not happen to any try.
-func bad(tries []load.Try) (n int, examples []string) {
-	for i := range tries {
-		if t := &tries[i]; t.Outcome == load.Wrong || t.Outcome == load.Lost || t.Status == http.StatusConflict {
+// violations counts attempts with a lost, wrong or conflicting response, and describes up to three of them.
+func violations(attempts []load.Attempt) (n int, examples []string) {
+	for i := range attempts {
+		if t := &attempts[i]; t.Outcome == load.Wrong || t.Outcome == load.Lost || t.Status == http.StatusConflict {
 			n++
 			if len(examples) < 3 {
 				examples = append(examples, fmt.Sprintf("%s: %s %d %s", t.CallID, t.Outcome, t.Status, t.Detail))
@@ -215,156 +219,157 @@
 	return n, examples
 }
 
-// services holds one service's worth in time, with the other in trouble, against its worth with the other idle: paired
-// turns that ask the same, interleaved.
-func services(ctx context.Context, r *run) error {
-	t, err := r.start(ctx, false, func(t *two) string { return t.plain() })
+// runServices measures isolation: the timely worth of one service while the other is overloaded, hung or drained, relative to
+// its worth while the other is idle. Paired turns with the same requests are interleaved.
+func runServices(ctx context.Context, r *run) error {
+	t, err := r.startServices(ctx, false, func(t *serviceFleet) string { return t.defaultConfig() })
 	if err != nil {
 		return err
 	}
-	defer func() { _ = t.stop() }() // the first error counts
-	troubles := []string{"overloaded", "hung", "drained"}
-	ratios, worths, of := map[string][]float64{}, map[string][]float64{}, map[string]map[load.Outcome]int{}
-	first := map[string]*hdrhistogram.Histogram{} // of the first service: µs until the first event
-	for _, trouble := range append(troubles, "") {
-		first[trouble] = hdrhistogram.New(1, 600_000_000, 3)
+	defer func() { _ = t.stop() }() // the first error is returned
+	conditions := []string{"overloaded", "hung", "drained"}
+	ratios, worths, outcomesOf := map[string][]float64{}, map[string][]float64{}, map[string]map[load.Outcome]int{}
+	firstEvent := map[string]*hdrhistogram.Histogram{} // of the first service, by condition of the second: time to first event in µs
+	for _, condition := range append(conditions, "") {
+		firstEvent[condition] = hdrhistogram.New(1, 600_000_000, 3)
 	}
-	var tries []load.Try
+	var attempts []load.Attempt
 	turn := 0
-	play := func(seed uint64, trouble string) (float64, error) {
+	runTurn := func(seed uint64, condition string) (float64, error) {
 		turn++
-		plan := r.calls(seed, r.Traffic.Rate, r.length, turn)
-		var calib []load.Call
-		switch trouble {
+		plan := r.drawPlan(seed, r.Traffic.Rate, r.length, turn)
+		var calib []load.Request
+		switch condition {
 		case "":
 		case "alone":
-			plan, calib = nil, r.calls(seed+1, r.Services.Rate, r.length, turn)
+			plan, calib = nil, r.drawPlan(seed+1, r.Services.Rate, r.length, turn)
 		case "overloaded":
-			calib = r.calls(seed+1, 3*r.Services.Rate, r.length, turn)
+			calib = r.drawPlan(seed+1, 3*r.Services.Rate, r.length, turn)
 		default:
-			calib = r.calls(seed+1, 0.6*r.Services.Rate, r.length, turn)
+			calib = r.drawPlan(seed+1, 0.6*r.Services.Rate, r.length, turn)
 		}
-		if trouble == "hung" {
-			for _, b := range t.boxes[:len(t.boxes)/2] {
-				b.Suffer(standin.StallFirst, 0)
+		if condition == "hung" {
+			for _, engine := range t.engines[:len(t.engines)/2] {
+				engine.SetFault(standin.StallFirst, 0)
 			}
 		}
-		var both sync.WaitGroup
-		var own, other []load.Try
+		var wait sync.WaitGroup
+		var own, other []load.Attempt
 		var drained error
-		both.Go(func() { own = r.ask(ctx, t, runsHost, plan, seed) })
-		both.Go(func() { other = r.ask(ctx, t, calibHost, calib, seed+1) })
-		if trouble == "drained" { // its service is taken away at its peak
-			both.Go(func() {
+		wait.Go(func() { own = r.sendPlan(ctx, t, runsHost, plan, seed) })
+		wait.Go(func() { other = r.sendPlan(ctx, t, calibHost, calib, seed+1) })
+		if condition == "drained" { // its service is removed from the configuration under load
+			wait.Go(func() {
 				time.Sleep(r.length / 3)
-				drained = t.reload(ctx, t.file(service("runs", runsHost, `pool = "runs"`), t.poolRuns()), 1)
+				drained = t.reload(ctx, t.config(serviceConfig("runs", runsHost, `pool = "runs"`), t.runsPoolConfig()), 1)
 			})
 		}
-		both.Wait()
+		wait.Wait()
 		if drained != nil {
 			return 0, drained
 		}
-		switch trouble {
+		switch condition {
 		case "hung":
-			for _, b := range t.boxes {
-				b.Suffer(standin.Fine, 0)
+			for _, engine := range t.engines {
+				engine.SetFault(standin.NoFault, 0)
 			}
 		case "drained":
-			if err := t.reload(ctx, t.plain(), 1); err != nil {
+			if err := t.reload(ctx, t.defaultConfig(), 1); err != nil {
 				return 0, err
 			}
-			time.Sleep(500 * time.Millisecond) // its list
+			time.Sleep(500 * time.Millisecond) // its endpoints are listed again
 		}
-		tries = append(append(tries, own...), other...)
-		if of[trouble] == nil {
-			of[trouble] = map[load.Outcome]int{}
+		attempts = append(append(attempts, own...), other...)
+		if outcomesOf[condition] == nil {
+			outcomesOf[condition] = map[load.Outcome]int{}
 		}
 		for i := range other {
-			of[trouble][other[i].Outcome]++
+			outcomesOf[condition][other[i].Outcome]++
 		}
 		w := load.Worth(plan, own)
 		for i := range own {
-			if y := &own[i]; y.Outcome == load.Served && first[trouble] != nil {
-				// An answer over 600 s is not counted; there is none, by the deadline.
-				_ = first[trouble].RecordValue(max(y.First.Sub(y.Sent).Microseconds(), 1))
+			if attempt := &own[i]; attempt.Outcome == load.Served && firstEvent[condition] != nil {
+				// Deadlines keep every value below the histogram's limit of 600 s.
+				_ = firstEvent[condition].RecordValue(max(attempt.First.Sub(attempt.Sent).Microseconds(), 1))
 			}
 		}
-		if trouble != "" {
-			worths[trouble+", the other"] = append(worths[trouble+", the other"], load.Worth(calib, other))
+		if condition != "" {
+			worths[condition+", the other"] = append(worths[condition+", the other"], load.Worth(calib, other))
 		}
-		time.Sleep(time.Duration(float64(time.Second) / r.Fleet.Speed * 4)) // what is under way ends
+		time.Sleep(time.Duration(float64(time.Second) / r.Fleet.Speed * 4)) // requests in flight end
 		return w, ctx.Err()
 	}
-	for n, what := range []string{"", "alone", "alone", "alone"} { // caches fill; the last one counts
+	for n, condition := range []string{"", "alone", "alone", "alone"} { // fills caches; only the last turn is kept
 		delete(worths, "alone, the other")
-		if _, err := play(r.Seed+uint64(n), what); err != nil {
+		if _, err := runTurn(r.Seed+uint64(n), condition); err != nil {
 			return err
 		}
 	}
-	for _, h := range first {
+	for _, h := range firstEvent {
 		h.Reset()
 	}
 	for round := range r.rounds {
-		for i, trouble := range troubles {
+		for i, condition := range conditions {
 			seed := r.Seed + uint64(100*round+10*i+10)
 			var w [2]float64
 			for k := range 2 {
 				n := (round + k) % 2
-				what := trouble
+				turnCondition := condition
 				if n == 0 {
-					what = ""
+					turnCondition = ""
 				}
-				if w[n], err = play(seed, what); err != nil {
+				if w[n], err = runTurn(seed, turnCondition); err != nil {
 					return err
 				}
 			}
-			ratios[trouble] = append(ratios[trouble], w[1]/w[0])
-			worths[trouble] = append(worths[trouble], w[1])
+			ratios[condition] = append(ratios[condition], w[1]/w[0])
+			worths[condition] = append(worths[condition], w[1])
 			worths["idle"] = append(worths["idle"], w[0])
-			r.say("pair %d of %d, the other %s: worth in time %.4f, %.4f with it idle", round+1, r.rounds, trouble, w[1], w[0])
+			r.printf("pair %d of %d, other service %s: timely worth %.4f, %.4f with it idle", round+1, r.rounds, condition, w[1], w[0])
 		}
 	}
 	if err := t.stop(); err != nil {
 		return err
 	}
-	wrong, examples := bad(tries)
-	misled := 0
-	for _, a := range t.asked {
-		if want := map[string]string{runsHost: "runs-", calibHost: "calib-"}[a.host]; want == "" || a.box[:len(want)] != want {
-			misled++
+	invalid, examples := violations(attempts)
+	misrouted := 0
+	for _, a := range t.requests {
+		if want := map[string]string{runsHost: "runs-", calibHost: "calib-"}[a.host]; want == "" || a.engine[:len(want)] != want {
+			misrouted++
 		}
 	}
 	res := r.result
-	res.Add("tries", float64(len(tries)), "", fmt.Sprint(examples))
-	res.Mean("the other's worth in time alone, at the rate that is tripled", worths["alone, the other"], "", "")
-	res.Mean("worth in time, the other idle", worths["idle"], "", "share of all that was asked")
-	for _, trouble := range append([]string{""}, troubles...) {
-		h, name := first[trouble], trouble
+	res.Add("tries", float64(len(attempts)), "", fmt.Sprint(examples))
+	res.Mean("timely worth of the other service alone, at the rate that overload triples", worths["alone, the other"], "", "")
+	res.Mean("timely worth, other service idle", worths["idle"], "", "share of all requested worth")
+	for _, condition := range append([]string{""}, conditions...) {
+		h, name := firstEvent[condition], condition
 		if name == "" {
 			name = "idle"
 		}
-		res.Add("until the first event, the other "+name, float64(h.ValueAtQuantile(50))/1e3, "ms",
+		res.Add("time to first event, other service "+name, float64(h.ValueAtQuantile(50))/1e3, "ms",
 			fmt.Sprintf("median; 99 of 100 within %.0f ms", float64(h.ValueAtQuantile(99))/1e3))
 	}
-	chart := report.Chart{File: "worth.svg", Title: "Worth in time against that with the other service idle", X: "pair", Y: "ratio"}
-	for _, trouble := range troubles {
-		res.Mean("worth in time, the other "+trouble, worths[trouble], "", "")
-		res.Mean("the other's own worth in time, "+trouble, worths[trouble+", the other"], "", outcomes(of[trouble]))
-		ratio := res.Ratio("ratio of pairs, the other "+trouble, ratios[trouble], "geometric mean")
-		res.Bars = append(res.Bars, report.NewBar("worth in time with the other "+trouble, ratio, "", r.Bars["worth"], math.MaxFloat64, ""))
-		s := report.Series{Name: trouble}
-		for i, v := range ratios[trouble] {
+	chart := report.Chart{File: "worth.svg", Title: "Timely worth relative to that with the other service idle", X: "pair", Y: "ratio"}
+	for _, condition := range conditions {
+		res.Mean("timely worth, other service "+condition, worths[condition], "", "")
+		res.Mean("timely worth of the other service, "+condition, worths[condition+", the other"], "", outcomes(outcomesOf[condition]))
+		ratio := res.Ratio("ratio of pairs, other service "+condition, ratios[condition], "geometric mean")
+		res.Criteria = append(res.Criteria, report.NewCriterion("timely worth relative to idle, other service "+condition, ratio, "", r.Thresholds["worth"], math.MaxFloat64, ""))
+		s := report.Series{Name: condition}
+		for i, v := range ratios[condition] {
 			s.Points = append(s.Points, report.Point{X: float64(i + 1), Y: v})
 		}
 		chart.Series = append(chart.Series, s)
 	}
-	res.Bars = append(res.Bars,
-		report.NewBar("lost, doubled or invented answers", float64(wrong), "", 0, 0, fmt.Sprintf("of %d tries", len(tries))),
-		report.NewBar("requests at a box of the other service", float64(misled), "", 0, 0, fmt.Sprintf("of %d", len(t.asked))))
+	res.Criteria = append(res.Criteria,
+		report.NewCriterion("lost, duplicated or wrong responses", float64(invalid), "", 0, 0, fmt.Sprintf("of %d attempts", len(attempts))),
+		report.NewCriterion("requests at an engine of the other service", float64(misrouted), "", 0, 0, fmt.Sprintf("of %d", len(t.requests))))
 	res.Charts = append(res.Charts, chart)
 	return nil
 }
 
+// outcomes formats the number of attempts by outcome.
 func outcomes(n map[load.Outcome]int) string {
 	s := "tries:"
 	for _, o := range slices.Sorted(maps.Keys(n)) {
@@ -373,29 +378,30 @@
 	return s
 }
 
-// reloads has the router read its file again and again under load, each time with other routes, weights or pools.
-func reloads(ctx context.Context, r *run) error {
-	t, err := r.start(ctx, false, func(t *two) string { return t.plain() })
+// runReloads reloads the router's configuration repeatedly under load, with different routes, weights or pools each time. It
+// checks that every request follows the routes that were active when it arrived, and that memory does not grow.
+func runReloads(ctx context.Context, r *run) error {
+	t, err := r.startServices(ctx, false, func(t *serviceFleet) string { return t.defaultConfig() })
 	if err != nil {
 		return err
 	}
-	defer func() { _ = t.stop() }() // the first error counts
+	defer func() { _ = t.stop() }() // the first error is returned
 	pool := func(name, more string) string { return fmt.Sprintf("[[pool]]\nname = %q\n%s", name, more) }
 	some := `select = {names = ["runs-[0-3]"]}` + "\n"
 	files := []struct {
 		text    string
-		swapped bool // runs is served by calib's boxes, and the other way round
+		swapped bool // each service is served by the other's pool
 	}{
-		{t.plain(), false},
-		{t.file(service("runs", runsHost, `pool = "calib"`)+service("calib", calibHost, `pool = "runs"`), t.poolRuns()+t.poolCalib()), true},
-		{t.file(service("runs", runsHost, `split = [{pool = "runs", weight = 90.0}, {pool = "some", weight = 10.0}]`)+
-			service("calib", calibHost, `pool = "calib"`), t.poolRuns()+t.poolCalib()+pool("some", some)), false},
-		{t.file(service("runs", runsHost, `split = [{pool = "runs", weight = 50.0}, {pool = "some", weight = 50.0}]`)+
-			service("calib", calibHost, `pool = "calib"`), t.poolRuns()+t.poolCalib()+pool("some", some+"[pool.limits]\nguarantee = 0.2\n")), false},
-		{t.file(service("runs", runsHost, `pool = "renamed"`)+service("calib", calibHost, `pool = "calib"`),
-			pool("renamed", "was = \"runs\"\n")+t.poolCalib()), false},
-		{t.file(service("runs", runsHost, `pool = "runs"`)+service("calib", calibHost, `pool = "calib"`),
-			pool("runs", "was = \"renamed\"\n")+t.poolCalib()), false},
+		{t.defaultConfig(), false},
+		{t.config(serviceConfig("runs", runsHost, `pool = "calib"`)+serviceConfig("calib", calibHost, `pool = "runs"`), t.runsPoolConfig()+t.calibPoolConfig()), true},
+		{t.config(serviceConfig("runs", runsHost, `split = [{pool = "runs", weight = 90.0}, {pool = "some", weight = 10.0}]`)+
+			serviceConfig("calib", calibHost, `pool = "calib"`), t.runsPoolConfig()+t.calibPoolConfig()+pool("some", some)), false},
+		{t.config(serviceConfig("runs", runsHost, `split = [{pool = "runs", weight = 50.0}, {pool = "some", weight = 50.0}]`)+
+			serviceConfig("calib", calibHost, `pool = "calib"`), t.runsPoolConfig()+t.calibPoolConfig()+pool("some", some+"[pool.limits]\nguarantee = 0.2\n")), false},
+		{t.config(serviceConfig("runs", runsHost, `pool = "renamed"`)+serviceConfig("calib", calibHost, `pool = "calib"`),
+			pool("renamed", "was = \"runs\"\n")+t.calibPoolConfig()), false},
+		{t.config(serviceConfig("runs", runsHost, `pool = "runs"`)+serviceConfig("calib", calibHost, `pool = "calib"`),
+			pool("runs", "was = \"renamed\"\n")+t.calibPoolConfig()), false},
 	}
 	type change struct {
 		from, to time.Time
@@ -405,21 +411,21 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	length := time.Duration(r.rounds) * time.Duration(float64(r.length)/float64(r.rounds))
-	var both sync.WaitGroup
-	ledgers := make([][]load.Try, 2)
+	var wait sync.WaitGroup
+	ledgers := make([][]load.Attempt, 2)
 	for i, host := range []string{runsHost, calibHost} {
-		both.Go(func() {
-			plan := r.calls(r.Seed+uint64(i), []float64{r.Traffic.Rate, r.Services.Rate * 0.6}[i], length, 0)
-			ledgers[i] = r.ask(ctx, t, host, plan, r.Seed+uint64(i))
+		wait.Go(func() {
+			plan := r.drawPlan(r.Seed+uint64(i), []float64{r.Traffic.Rate, r.Services.Rate * 0.6}[i], length, 0)
+			ledgers[i] = r.sendPlan(ctx, t, host, plan, r.Seed+uint64(i))
 		})
 	}
 	began := time.Now()
-	pace := length / time.Duration(r.rounds)
+	interval := length / time.Duration(r.rounds)
 	var memory []report.Point
 	for n := range r.rounds {
 		f := files[n%len(files)]
 		c := change{from: time.Now(), swapped: f.swapped}
-		if err := t.reload(ctx, f.text, 1+n%10/9); err != nil { // every tenth comes twice at once
+		if err := t.reload(ctx, f.text, 1+n%10/9); err != nil { // every tenth reload sends two signals at once
 			return err
 		}
 		c.to = time.Now()
@@ -430,61 +436,61 @@
 		}
 		memory = append(memory, report.Point{X: float64(n + 1), Y: float64(now) / (1 << 20)})
 		if n%100 == 99 {
-			r.say("%d reloads of %d; %.1f MB", n+1, r.rounds, memory[n].Y)
+			r.printf("%d reloads of %d; %.1f MB", n+1, r.rounds, memory[n].Y)
 		}
-		time.Sleep(time.Until(began.Add(time.Duration(n+1) * pace)))
+		time.Sleep(time.Until(began.Add(time.Duration(n+1) * interval)))
 	}
-	both.Wait()
+	wait.Wait()
 	if err := t.stop(); err != nil {
 		return err
 	}
-	var tries []load.Try
-	at := map[string][]asked{}
-	for _, a := range t.asked {
+	var attempts []load.Attempt
+	at := map[string][]engineRequest{}
+	for _, a := range t.requests {
 		at[a.id] = append(at[a.id], a)
 	}
-	var misled, checked, near int
+	var misrouted, checked, ambiguous int
 	for i, ledger := range ledgers {
-		tries = append(tries, ledger...)
+		attempts = append(attempts, ledger...)
 		for k := range ledger {
-			y := &ledger[k]
-			// Its route was looked up between its first byte and a little after its last.
-			first, last := y.Due, y.Sent.Add(20*time.Millisecond)
-			swapped, sure := false, true
+			attempt := &ledger[k]
+			// The router selected the route between these two times. Attempts that overlap a reload are skipped.
+			first, last := attempt.Due, attempt.Sent.Add(20*time.Millisecond)
+			swapped, certain := false, true
 			for _, c := range changes {
 				if !c.to.Before(first) && !c.from.After(last) {
-					sure = false
+					certain = false
 				}
 				if c.to.Before(first) {
 					swapped = c.swapped
 				}
 			}
-			if !sure {
-				near++
+			if !certain {
+				ambiguous++
 				continue
 			}
 			want := "runs-"
 			if (i == 1) != swapped {
 				want = "calib-"
 			}
-			for _, a := range at[y.CallID] {
+			for _, a := range at[attempt.CallID] {
 				checked++
-				if a.box[:len(want)] != want {
-					misled++
+				if a.engine[:len(want)] != want {
+					misrouted++
 				}
 			}
 		}
 	}
-	wrong, examples := bad(tries)
+	invalid, examples := violations(attempts)
 	res := r.result
-	res.Add("reloads", float64(r.rounds), "", "with another file each time; every tenth signal doubled")
-	res.Add("tries", float64(len(tries)), "", fmt.Sprint(examples))
-	res.Add("legs held against the routes of their arrival", float64(checked), "", fmt.Sprintf("%d tries came too near to a reload to tell", near))
+	res.Add("reloads", float64(r.rounds), "", "the file changes each time; every tenth reload sends two signals")
+	res.Add("tries", float64(len(attempts)), "", fmt.Sprint(examples))
+	res.Add("upstream attempts checked against the active routes", float64(checked), "", fmt.Sprintf("%d attempts overlapped a reload and were skipped", ambiguous))
 	var took []float64
 	for _, c := range changes {
 		took = append(took, float64(c.to.Sub(c.from))/1e6)
 	}
-	res.Mean("from the signal until the new plan is seen", took, "ms", "")
+	res.Mean("from the signal until the new configuration is active", took, "ms", "")
 	tenth := max(len(memory)/10, 1)
 	mean := func(p []report.Point) (m float64) {
 		for _, x := range p {
@@ -493,10 +499,10 @@
 		return m
 	}
 	grown := mean(memory[len(memory)-tenth:]) - mean(memory[tenth:2*tenth])
-	res.Bars = append(res.Bars,
-		report.NewBar("lost, doubled or invented answers", float64(wrong), "", 0, 0, fmt.Sprintf("of %d tries", len(tries))),
-		report.NewBar("legs to a pool that the route did not name", float64(misled), "", 0, 0, fmt.Sprintf("of %d", checked)),
-		report.NewBar("memory grown from the second tenth to the last", grown, "MB", -math.MaxFloat64, r.Bars["memory_mb"], ""))
+	res.Criteria = append(res.Criteria,
+		report.NewCriterion("lost, duplicated or wrong responses", float64(invalid), "", 0, 0, fmt.Sprintf("of %d attempts", len(attempts))),
+		report.NewCriterion("upstream attempts to a pool that the route did not name", float64(misrouted), "", 0, 0, fmt.Sprintf("of %d", checked)),
+		report.NewCriterion("memory growth from the second tenth of the reloads to the last", grown, "MB", -math.MaxFloat64, r.Thresholds["memory_mb"], ""))
 	res.Charts = append(res.Charts, report.Chart{
 		File: "memory.svg", Title: "Resident memory over reloads", X: "reloads", Y: "MB",
 		Series: []report.Series{{Name: "router", Points: memory}},
@@ -504,51 +510,52 @@
 	return nil
 }
 
-// shared has boxes in two pools drained and restarted cold under load, one after the other; the second pool's discovery
-// learns of everything later. The boxes' own record is the judge.
-func shared(ctx context.Context, r *run) error {
-	const behind = 2 * time.Second
-	t, err := r.start(ctx, true, func(t *two) string { return t.plain() })
+// runShared drains and restarts, one after the other and under load, engines that belong to two pools. The second pool's
+// discovery learns of each change later. The requests that the engines received show whether the router sends too many to cold
+// engines, or any to draining ones.
+func runShared(ctx context.Context, r *run) error {
+	const discoveryDelay = 2 * time.Second
+	t, err := r.startServices(ctx, true, func(t *serviceFleet) string { return t.defaultConfig() })
 	if err != nil {
 		return err
 	}
-	defer func() { _ = t.stop() }() // the first error counts
-	t.calib.Delay = behind
-	var both sync.WaitGroup
-	plans := make([][]load.Call, 2)
-	ledgers := make([][]load.Try, 2)
+	defer func() { _ = t.stop() }() // the first error is returned
+	t.calib.Delay = discoveryDelay
+	var wait sync.WaitGroup
+	plans := make([][]load.Request, 2)
+	ledgers := make([][]load.Attempt, 2)
 	for i, host := range []string{runsHost, calibHost} {
-		plans[i] = r.calls(r.Seed+uint64(i), []float64{r.Traffic.Rate, r.Services.Rate}[i], r.length, i)
-		both.Go(func() { ledgers[i] = r.ask(ctx, t, host, plans[i], r.Seed+uint64(i)) })
+		plans[i] = r.drawPlan(r.Seed+uint64(i), []float64{r.Traffic.Rate, r.Services.Rate}[i], r.length, i)
+		wait.Go(func() { ledgers[i] = r.sendPlan(ctx, t, host, plans[i], r.Seed+uint64(i)) })
 	}
-	type life struct {
+	type incarnation struct {
 		name          string
 		born, drained time.Time
 		died          time.Time
 	}
-	var lives []life
-	const watched = 6 * time.Second // the router's modules begin to watch within 5 s of their start
-	pace := (r.length - watched) / time.Duration(r.Fleet.Boxes)
+	var incarnations []incarnation
+	const startDelay = 6 * time.Second // the router's decision modules start to observe engines within 5 s
+	interval := (r.length - startDelay) / time.Duration(r.Fleet.Engines)
 	var failed error
-	both.Go(func() {
-		began := time.Now().Add(watched)
-		for n, b := range t.Boxes {
-			time.Sleep(time.Until(began.Add(time.Duration(n) * pace)))
-			l := life{name: b.Name, drained: time.Now()}
-			b.Drain()
-			time.Sleep(min(1500*time.Millisecond, pace/3))
-			b.Die()
-			l.died = time.Now()
-			b.Gone()
-			b.Rename(b.Name + "-r")
-			lives = append(lives, l, life{name: b.Name, born: time.Now()})
-			if err := b.Start(b.Addr(), true); err != nil {
+	wait.Go(func() {
+		began := time.Now().Add(startDelay)
+		for n, engine := range t.Engines {
+			time.Sleep(time.Until(began.Add(time.Duration(n) * interval)))
+			inc := incarnation{name: engine.Name, drained: time.Now()}
+			engine.Drain()
+			time.Sleep(min(1500*time.Millisecond, interval/3))
+			engine.Die()
+			inc.died = time.Now()
+			engine.Gone()
+			engine.Rename(engine.Name + "-r")
+			incarnations = append(incarnations, inc, incarnation{name: engine.Name, born: time.Now()})
+			if err := engine.Start(engine.Addr(), true); err != nil {
 				failed = err
 				return
 			}
 		}
 	})
-	both.Wait()
+	wait.Wait()
 	if failed != nil {
 		return failed
 	}
@@ -556,84 +563,84 @@
 		return err
 	}
 	var arrivals [2][]time.Time
-	var tries []load.Try
+	var attempts []load.Attempt
 	for i := range ledgers {
-		tries = append(tries, ledgers[i]...)
+		attempts = append(attempts, ledgers[i]...)
 		for k := range ledgers[i] {
 			arrivals[i] = append(arrivals[i], ledgers[i][k].Sent)
 		}
 		slices.SortFunc(arrivals[i], time.Time.Compare)
 	}
-	between := func(of []time.Time, from, to time.Time) int {
-		a, _ := slices.BinarySearchFunc(of, from, time.Time.Compare)
-		z, _ := slices.BinarySearchFunc(of, to, time.Time.Compare)
+	between := func(times []time.Time, from, to time.Time) int {
+		a, _ := slices.BinarySearchFunc(times, from, time.Time.Compare)
+		z, _ := slices.BinarySearchFunc(times, to, time.Time.Compare)
 		return z - a
 	}
-	byBox, byPool := map[string][]time.Time{}, map[string]map[string]int{}
-	for _, a := range t.asked {
-		byBox[a.box] = append(byBox[a.box], a.at)
-		if byPool[a.box] == nil {
-			byPool[a.box] = map[string]int{}
+	byEngine, poolsOfEngine := map[string][]time.Time{}, map[string]map[string]int{}
+	for _, a := range t.requests {
+		byEngine[a.engine] = append(byEngine[a.engine], a.at)
+		if poolsOfEngine[a.engine] == nil {
+			poolsOfEngine[a.engine] = map[string]int{}
 		}
-		byPool[a.box][a.host]++
+		poolsOfEngine[a.engine][a.host]++
 	}
-	params := r.options(nil, nil).Params
-	var late, cold, over, windows int
-	var latest, fullest float64
-	for _, l := range lives {
-		at := byBox[l.name]
+	params := r.fleetOptions(nil, nil).Params
+	var lateRequests, coldRequests, exceeded, windows int
+	var latestMS, maxRatio float64
+	for _, inc := range incarnations {
+		at := byEngine[inc.name]
 		slices.SortFunc(at, time.Time.Compare)
-		if !l.drained.IsZero() {
+		if !inc.drained.IsZero() {
 			for _, when := range at {
-				if d := when.Sub(l.drained); d > 0 && when.Before(l.died) {
-					latest = max(latest, float64(d)/1e6)
-					if float64(d)/1e6 > r.Bars["drain_ms"] {
-						late++
+				if d := when.Sub(inc.drained); d > 0 && when.Before(inc.died) {
+					latestMS = max(latestMS, float64(d)/1e6)
+					if float64(d)/1e6 > r.Thresholds["drain_ms"] {
+						lateRequests++
 					}
 				}
 			}
 			continue
 		}
 		for _, width := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second} {
-			for from := l.born; from.Before(l.born.Add(params.WarmUp)); from = from.Add(width / 5) {
+			for from := inc.born; from.Before(inc.born.Add(params.WarmUp)); from = from.Add(width / 5) {
 				to := from.Add(width)
-				share := params.ColdShare + (1-params.ColdShare)*min(float64(to.Sub(l.born))/float64(params.WarmUp), 1)
-				// The share of what came, over the boxes that share it, and the one request that may be saved up. A request
-				// is on its way for a while, so that one that came just before the window may fall into it.
+				share := params.ColdShare + (1-params.ColdShare)*min(float64(to.Sub(inc.born))/float64(params.WarmUp), 1)
+				// A cold engine may get its share of the arrivals, spread over the other engines, plus one request carried
+				// over. The window starts 50 ms early because requests need some time to reach the engine.
 				allowed := 1.0
 				for i := range arrivals {
-					allowed += share * float64(between(arrivals[i], from.Add(-50*time.Millisecond), to)) / float64(r.Fleet.Boxes-1)
+					allowed += share * float64(between(arrivals[i], from.Add(-50*time.Millisecond), to)) / float64(r.Fleet.Engines-1)
 				}
 				got := between(at, from, to)
 				windows++
-				fullest = max(fullest, float64(got)/allowed)
+				maxRatio = max(maxRatio, float64(got)/allowed)
 				if float64(got) > math.Ceil(allowed) {
-					over++
+					exceeded++
 				}
 			}
 		}
-		cold += between(at, l.born, l.born.Add(params.WarmUp))
+		coldRequests += between(at, inc.born, inc.born.Add(params.WarmUp))
 	}
-	wrong, examples := bad(tries)
+	invalid, examples := violations(attempts)
 	res := r.result
-	res.Add("tries", float64(len(tries)), "", fmt.Sprint(examples))
-	res.Add("boxes drained and restarted cold", float64(len(lives)/2), "", fmt.Sprintf("the second pool's discovery tells of it %v later", behind))
-	res.Add("requests to boxes while cold", float64(cold), "", fmt.Sprintf("in %d windows of 0.5, 1 and 2 s", windows))
-	res.Add("fullest window against what is allowed", fullest, "", "")
-	res.Add("latest request to a draining box", latest, "ms", "after its drain was told")
+	res.Add("tries", float64(len(attempts)), "", fmt.Sprint(examples))
+	res.Add("engines drained and restarted cold", float64(len(incarnations)/2), "", fmt.Sprintf("the second pool's discovery reports it %v later", discoveryDelay))
+	res.Add("requests to cold engines", float64(coldRequests), "", fmt.Sprintf("in %d windows of 0.5, 1 and 2 s", windows))
+	res.Add("highest ratio of requests to the allowed number in a window", maxRatio, "", "")
+	res.Add("latest request to a draining engine", latestMS, "ms", "after its drain was announced")
 	for i, name := range []string{"first", "second"} {
-		res.Add("worth in time of the "+name+" pool", load.Worth(plans[i], ledgers[i]), "", "")
+		res.Add("timely worth of the "+name+" pool", load.Worth(plans[i], ledgers[i]), "", "")
 	}
 	fromBoth := 0
-	for _, n := range byPool {
+	for _, n := range poolsOfEngine {
 		if n[runsHost] > 0 && n[calibHost] > 0 {
 			fromBoth++
 		}
 	}
-	res.Add("boxes asked by both pools", float64(fromBoth), "", fmt.Sprintf("of %d", len(byPool)))
-	res.Bars = append(res.Bars,
-		report.NewBar("windows in which a cold box got more than is allowed", float64(over), "", 0, 0, fmt.Sprintf("of %d", windows)),
-		report.NewBar("requests to a draining box after its grace", float64(late), "", 0, 0, fmt.Sprintf("later than %v ms", r.Bars["drain_ms"])),
-		report.NewBar("lost, doubled or invented answers", float64(wrong), "", 0, 0, fmt.Sprintf("of %d tries", len(tries))))
+	res.Add("engines that got requests from both pools", float64(fromBoth), "", fmt.Sprintf("of %d", len(poolsOfEngine)))
+	res.Criteria = append(res.Criteria,
+		report.NewCriterion("windows in which a cold engine got more requests than allowed", float64(exceeded), "", 0, 0, fmt.Sprintf("of %d", windows)),
+		report.NewCriterion("requests to a draining engine after its grace period", float64(lateRequests), "", 0, 0, fmt.Sprintf("later than %v ms", r.Thresholds["drain_ms"])),
+		report.NewCriterion("lost, duplicated or wrong responses", float64(invalid), "", 0, 0, fmt.Sprintf("of %d attempts", len(attempts))))
 	return nil
 }
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -15,8 +15,8 @@
 	"notchhinge/internal/lab/sim"
 )
 
-// figures are what a run comes to, in the order in which they are told.
-var figures = []struct {
+// metrics are the figures of a run, in the order of the tables.
+var metrics = []struct {
 	name, unit string
 	of         func(*sim.Figures) float64
 }{
@@ -31,24 +31,24 @@
 	{"legs", "", func(f *sim.Figures) float64 { return f.Attempts }},
 }
 
-// Figure is a mean over seeds with half of its 95% interval.
+// Figure is a mean over seeds with half of its 95% confidence interval.
 type Figure struct{ Mean, Spread float64 }
 
-// Cell is what a variant came to with a value of the sweep.
+// Cell holds the figures of one variant with one value of the sweep.
 type Cell struct {
-	Value   float64 // of the sweep; 0 where there is none
-	Variant string
-	Figures []Figure // as figures has them
-	Against []Figure // less those of the variant it is held against, seed by seed; nil of that one itself
+	Value       float64 // of the sweep; 0 without a sweep
+	Variant     string
+	Figures     []Figure // in the order of metrics
+	Differences []Figure // paired differences from the baseline; nil for the baseline itself
 }
 
-// Outcome is what an experiment came to: by value, then by variant.
+// Outcome holds the results of an experiment, by value of the sweep, then by variant.
 type Outcome struct {
 	File  *File
 	Cells []Cell
 }
 
-// Run plays an experiment on so many cores. progress is told how many runs are done.
+// Run runs an experiment on the given number of cores. It calls progress after each run.
 func Run(ctx context.Context, f *File, cores int, progress func(done, of int)) (*Outcome, error) {
 	values := []float64{0}
 	if f.Sweep != nil {
@@ -56,7 +56,7 @@
 	}
 	n := f.Seeds.Count
 	total := len(values) * len(f.Variants) * n
-	got := make([]sim.Figures, total)
+	results := make([]sim.Figures, total)
 	errs := make([]error, total)
 	var wait sync.WaitGroup
 	var mu sync.Mutex
@@ -65,7 +65,7 @@
 	for range max(cores, 1) {
 		wait.Go(func() {
 			for i := range next {
-				got[i], errs[i] = sim.Run(f.options(i/n%len(f.Variants), values[i/n/len(f.Variants)], f.Seeds.First+uint64(i%n)))
+				results[i], errs[i] = sim.Run(f.options(i/n%len(f.Variants), values[i/n/len(f.Variants)], f.Seeds.First+uint64(i%n)))
 				mu.Lock()
 				done++
 				progress(done, total)
@@ -86,32 +86,33 @@
 			return nil, err
 		}
 	}
-	return f.compare(values, got), nil
+	return f.compare(values, results), nil
 }
 
-// compare puts together what the runs of each value, variant and seed came to, in this order.
-func (f *File) compare(values []float64, got []sim.Figures) *Outcome {
+// compare aggregates the figures of all runs, which are ordered by value, variant and seed, and computes the paired
+// differences from the baseline.
+func (f *File) compare(values []float64, results []sim.Figures) *Outcome {
 	n := f.Seeds.Count
 	out := &Outcome{File: f}
-	base := 0
+	baseline := 0
 	for i, v := range f.Variants {
-		if v.Name == f.Against {
-			base = i
+		if v.Name == f.Baseline {
+			baseline = i
 		}
 	}
 	for k, value := range values {
-		of := func(variant int) []sim.Figures { return got[(k*len(f.Variants)+variant)*n:][:n] }
+		of := func(variant int) []sim.Figures { return results[(k*len(f.Variants)+variant)*n:][:n] }
 		for i, v := range f.Variants {
 			c := Cell{Value: value, Variant: v.Name}
-			for _, x := range figures {
-				mine, less := make([]float64, n), make([]float64, n)
+			for _, x := range metrics {
+				values, differences := make([]float64, n), make([]float64, n)
 				for s := range n {
-					mine[s] = x.of(&of(i)[s])
-					less[s] = mine[s] - x.of(&of(base)[s])
+					values[s] = x.of(&of(i)[s])
+					differences[s] = values[s] - x.of(&of(baseline)[s])
 				}
-				c.Figures = append(c.Figures, mean(mine))
-				if i != base {
-					c.Against = append(c.Against, mean(less))
+				c.Figures = append(c.Figures, mean(values))
+				if i != baseline {
+					c.Differences = append(c.Differences, mean(differences))
 				}
 			}
 			out.Cells = append(out.Cells, c)
@@ -120,7 +121,7 @@
 	return out
 }
 
-// mean is that of samples, with half of its interval by Student's distribution. One sample has none.
+// mean returns the mean of samples with half of its 95% confidence interval by Student's t distribution, 0 for one sample.
 func mean(all []float64) Figure {
 	f := Figure{Mean: stat.Mean(all, nil)}
 	if n := float64(len(all)); n > 1 {
@@ -129,18 +130,19 @@
 	return f
 }
 
+// String formats the mean and half of its interval, for example "0.95 ± 0.01".
 func (f Figure) String() string { return fmt.Sprintf("%.4g ± %.2g", f.Mean, f.Spread) }
 
-// Print writes the outcome as tables: what each variant came to, and how the others differ from the one they are held
-// against. A difference that its interval does not tell from none is in brackets.
+// Print writes two tables: the figures of each variant, and the differences from the baseline. A difference whose interval
+// includes 0 is in parentheses.
 func (o *Outcome) Print(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	head := func(says string) {
+	head := func(label string) {
 		if o.File.Sweep != nil {
 			fmt.Fprint(w, o.File.Sweep.Field, "\t")
 		}
-		fmt.Fprint(w, says)
-		for _, x := range figures {
+		fmt.Fprint(w, label)
+		for _, x := range metrics {
 			fmt.Fprint(w, "\t", x.name)
 			if x.unit != "" {
 				fmt.Fprint(w, ", ", x.unit)
@@ -148,14 +150,14 @@
 		}
 		fmt.Fprintln(w)
 	}
-	row := func(c *Cell, all []Figure, brackets bool) {
+	row := func(c *Cell, all []Figure, parentheses bool) {
 		if o.File.Sweep != nil {
 			fmt.Fprintf(w, "%g\t", c.Value)
 		}
 		fmt.Fprint(w, c.Variant)
 		for _, x := range all {
 			text := x.String()
-			if brackets && math.Abs(x.Mean) <= x.Spread {
+			if parentheses && math.Abs(x.Mean) <= x.Spread {
 				text = "(" + text + ")"
 			}
 			fmt.Fprint(w, "\t", text)
@@ -167,19 +169,19 @@
 		row(&o.Cells[i], o.Cells[i].Figures, false)
 	}
 	fmt.Fprintln(w)
-	head("less " + o.File.Against)
+	head("difference from " + o.File.Baseline)
 	for i := range o.Cells {
-		if c := &o.Cells[i]; c.Against != nil {
-			row(c, c.Against, true)
+		if c := &o.Cells[i]; c.Differences != nil {
+			row(c, c.Differences, true)
 		}
 	}
 	return w.Flush()
 }
 
-// Report is the outcome with a chart of what is in time.
+// Report returns the outcome as a result; with a sweep it has a chart of the requests within the latency target.
 func (o *Outcome) Report() *report.Result {
 	r := &report.Result{Name: o.File.Name, About: o.File.About, Seed: o.File.Seeds.First, Simulated: true}
-	chart := report.Chart{File: "in_aim.svg", Title: "first tokens within the aim", Y: "share"}
+	chart := report.Chart{File: "in_aim.svg", Title: "first tokens within the latency target", Y: "share"}
 	at := map[string]int{}
 	for i := range o.Cells {
 		c := &o.Cells[i]
@@ -195,10 +197,10 @@
 			}
 			chart.Series[k].Points = append(chart.Series[k].Points, report.Point{X: c.Value, Y: c.Figures[0].Mean})
 		}
-		for k, x := range figures {
+		for k, x := range metrics {
 			row := report.Row{Name: x.name + ": " + where, Figure: c.Figures[k].Mean, Spread: c.Figures[k].Spread, Unit: x.unit}
-			if c.Against != nil {
-				row.Note = "less " + o.File.Against + ": " + c.Against[k].String()
+			if c.Differences != nil {
+				row.Note = "difference from " + o.File.Baseline + ": " + c.Differences[k].String()
 			}
 			r.Rows = append(r.Rows, row)
 		}
--- a/internal/router/operate.go
+++ b/internal/router/operate.go
@@ -83,16 +83,16 @@
 	case r.frontend.IsDraining():
 		return false, "draining"
 	case !r.ready.Load():
-		return false, "starting: no engine is known yet"
+		return false, "starting: no issuer host is known yet"
 	case r.ops.claim != nil && r.ops.claim.Role() == hotrestart.RoleSuccessor && time.Since(r.ops.claimedAt) < limits.TakeoverReadyTimeout:
 		return false, "taking over: the process before this one has work left"
 	}
 	return true, "ok"
 }
 
-// Fail implements admin.State. It starts a drain: readiness fails, connections are closed after their next response, and after
+// StartDrain implements admin.State. It starts a drain: readiness fails, connections are closed after their next response, and after
 // DrainIdleDelay idle connections are closed. Requests in flight and batch jobs go on.
-func (r *Router) Fail() {
+func (r *Router) StartDrain() {
 	r.ops.mu.Lock()
 	defer r.ops.mu.Unlock()
 	r.frontend.Drain()
@@ -117,10 +117,10 @@
 	}()
 }
 
-var errStopping = errors.New("the process is shutting down; the drain cannot be undone")
+var errStopping = errors.New("the process is ending; a drain by SIGTERM has no way back")
 
-// OK implements admin.State. It ends the drain that Fail started.
-func (r *Router) OK() error {
+// StopDrain implements admin.State. It ends the drain that StartDrain started.
+func (r *Router) StopDrain() error {
 	r.ops.mu.Lock()
 	defer r.ops.mu.Unlock()
 	if r.ops.stopping.Load() {
--- a/internal/router/operate_test.go
+++ b/internal/router/operate_test.go
@@ -52,8 +52,8 @@
 }
 
 func TestDrainByOperator(t *testing.T) {
-	// Fail and OK are each called twice, in two rounds. Idle connections are closed in time, and new ones are served and closed
-	// after their response. SIGTERM during a drain makes it final.
+	// StartDrain and StopDrain are each called twice, in two rounds. Idle connections are closed in time, and new ones are served and
+	// closed after their response. SIGTERM during a drain makes it final.
 	synctest.Test(t, func(t *testing.T) {
 		listener, stop, done, _, r := startInMemory(t, time.Second)
 		for range 2 {
@@ -64,8 +64,8 @@
 			roundTrip(t, used, readinessRequest)
 			idleClosed, usedClosed := closeTime(idle), closeTime(used)
 			began := time.Now()
-			r.Fail()
-			r.Fail()
+			r.StartDrain()
+			r.StartDrain()
 			if s := readinessStatus(t, listener); s != 503 {
 				t.Errorf("readiness %d during a drain", s)
 			}
@@ -88,11 +88,11 @@
 			if after := (<-closeTime(silent)).Sub(opened); after < r.cfg.Limits.NewConnGrace || after > time.Second {
 				t.Errorf("a silent connection was closed after %v", after)
 			}
-			if err := r.OK(); err != nil || readinessStatus(t, listener) != 200 {
-				t.Errorf("OK: %v", err)
+			if err := r.StopDrain(); err != nil || readinessStatus(t, listener) != 200 {
+				t.Errorf("StopDrain: %v", err)
 			}
-			if err := r.OK(); err != nil || readinessStatus(t, listener) != 200 {
-				t.Errorf("OK without a drain: %v", err)
+			if err := r.StopDrain(); err != nil || readinessStatus(t, listener) != 200 {
+				t.Errorf("StopDrain without a drain: %v", err)
 			}
 		}
 		kept := mustDial(listener.dial())
@@ -103,11 +103,11 @@
 			t.Error("a connection was closed after the end of the drain")
 		default:
 		}
-		r.Fail()
+		r.StartDrain()
 		stop <- syscall.SIGTERM
 		synctest.Wait()
-		if err := r.OK(); err == nil {
-			t.Error("OK undid a drain by SIGTERM")
+		if err := r.StopDrain(); err == nil {
+			t.Error("StopDrain undid a drain by SIGTERM")
 		}
 		if err := <-done; err != nil {
 			t.Error(err)
--- a/internal/router/trace_test.go
+++ b/internal/router/trace_test.go
@@ -54,8 +54,8 @@
 			t.Error(err)
 		}
 	})
-	var got []*trace.Try
-	if err := show.Scan(path, os.Stderr, func(record *trace.Try) error { got = append(got, record); return nil }); err != nil {
+	var got []*trace.Record
+	if err := show.Scan(path, os.Stderr, func(record *trace.Record) error { got = append(got, record); return nil }); err != nil {
 		t.Fatal(err)
 	}
 	if len(got) != 1 {
@@ -66,8 +66,8 @@
 	for _, d := range record.Phases {
 		sum += d
 	}
-	if record.Outcome != trace.Served || record.End != 2*time.Second || sum != record.End || len(record.Legs) != 1 || record.Legs[0].Result.String() != "ok" ||
-		record.Phases[trace.Wait] < 2*time.Second-time.Microsecond || record.Front != "calls" {
+	if record.Outcome != trace.Served || record.End != 2*time.Second || sum != record.End || len(record.Attempts) != 1 || record.Attempts[0].Result.String() != "ok" ||
+		record.Phases[trace.Wait] < 2*time.Second-time.Microsecond || record.Frontend != "calls" {
 		t.Errorf("%+v", record)
 	}
 	if want := "taken=1 kept=1 share=1 dropped=0 early=0 limited=0 linked=0 held=0 file_put=1 file_sent=1 file_spans=2"; !strings.Contains(log.String(), want) {
