--- a/cmd/notchlab/plane.go
+++ b/cmd/notchlab/plane.go
@@ -23,7 +23,7 @@
 
 // Run simulates days, and shrinks those that break a rule. It fails if there are any.
 func (c huntCmd) Run(ctx context.Context) error {
-	s := plane.Size{Keepers: c.Keepers, Routers: c.Routers, Engines: c.Engines, Tolerate: c.Tolerate}
+	s := plane.Size{Replicas: c.Keepers, Routers: c.Routers, Engines: c.Engines, Tolerate: c.Tolerate}
 	if c.Days < 1 || c.Routers < 1 || c.Engines < 1 || c.Tolerate < 1 || 2*c.Tolerate+1 > c.Keepers || c.Keepers+c.Routers > 4000 {
 		return usageError{errors.New("--days, --routers, --engines and --tolerate must be at least 1, --tolerate below half of --keepers, and keepers and routers together at most 4000")}
 	}
@@ -54,19 +54,19 @@
 }
 
 // printShrunk shrinks a day that breaks a rule, and prints it or writes it to a directory.
-func printShrunk(d *plane.Day, out string) error {
-	r := d.Play("")
-	if len(r.Found) == 0 {
+func printShrunk(d *plane.Scenario, out string) error {
+	r := d.Run("")
+	if len(r.Violations) == 0 {
 		return nil
 	}
-	rule := r.Found[0].Rule
+	rule := r.Violations[0].Rule
 	small := d.Shrink("", rule)
-	f := small.Play("").Found[0]
+	f := small.Run("").Violations[0]
 	text, err := small.Encode()
 	if err != nil {
 		return err
 	}
-	fmt.Printf("\n# seed %d: %s at %v: %s\n", d.Seed, f.Rule, f.At.Round(time.Millisecond), f.Says)
+	fmt.Printf("\n# seed %d: %s at %v: %s\n", d.Seed, f.Rule, f.At.Round(time.Millisecond), f.Message)
 	if out == "" {
 		fmt.Printf("%s", text)
 		return nil
@@ -102,13 +102,13 @@
 	if err != nil {
 		return usageError{err}
 	}
-	r := d.Play("")
-	fmt.Printf("configurations %d, acknowledged %d, %d of them with as many keepers down as may fail, slowest without faults %v, read back %d; engines drained %d; usage windows %d, not reported %d; orders %d; events %d\n", r.Changes, r.Acked, r.Dark,
-		r.Slowest.Round(time.Millisecond), r.Revision, r.Drained, r.Windows, r.Untold, r.Orders, r.Events)
-	for _, f := range r.Found {
-		fmt.Printf("%s at %v: %s\n", f.Rule, f.At.Round(time.Millisecond), f.Says)
+	r := d.Run("")
+	fmt.Printf("configurations %d, acknowledged %d, %d of them with as many keepers down as may fail, slowest without faults %v, read back %d; engines drained %d; usage windows %d, not reported %d; orders %d; events %d\n", r.Changes, r.Acked, r.AckedAtMaxLoss,
+		r.Slowest.Round(time.Millisecond), r.Revision, r.Drained, r.Windows, r.Unreported, r.Orders, r.Events)
+	for _, f := range r.Violations {
+		fmt.Printf("%s at %v: %s\n", f.Rule, f.At.Round(time.Millisecond), f.Message)
 	}
-	if len(r.Found) > 0 {
+	if len(r.Violations) > 0 {
 		return errRuleBroken
 	}
 	return nil
--- a/cmd/notchlab/recover.go
+++ b/cmd/notchlab/recover.go
@@ -25,11 +25,11 @@
 	}
 	all := make([]plane.Recovery, len(c.Routers)*c.Seeds)
 	runParallel(len(all), func(i int) {
-		d := &plane.Day{
-			Seed: uint64(i%c.Seeds) + 1, Keepers: c.Keepers, Routers: c.Routers[i/c.Seeds], Engines: c.Engines[i/c.Seeds],
+		d := &plane.Scenario{
+			Seed: uint64(i%c.Seeds) + 1, Replicas: c.Keepers, Routers: c.Routers[i/c.Seeds], Engines: c.Engines[i/c.Seeds],
 			Tolerate: (c.Keepers - 1) / 2, Length: 10 * time.Second,
 		}
-		all[i] = d.Recover(c.Down)
+		all[i] = d.MeasureRecovery(c.Down)
 	})
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ROUTERS\tENGINES\tKEEPERS CONNECTED\tHALF KNOWN\t95% KNOWN\tALL KNOWN\tCONFIGURATION AGREED\tDUTIES")
@@ -37,9 +37,9 @@
 		some := all[i*c.Seeds : (i+1)*c.Seeds]
 		fmt.Fprintf(w, "%d\t%d", c.Routers[i], c.Engines[i])
 		for _, of := range []func(r plane.Recovery) time.Duration{
-			func(r plane.Recovery) time.Duration { return r.Touch }, func(r plane.Recovery) time.Duration { return r.Half },
-			func(r plane.Recovery) time.Duration { return r.Most }, func(r plane.Recovery) time.Duration { return r.All },
-			func(r plane.Recovery) time.Duration { return r.Agreed }, func(r plane.Recovery) time.Duration { return r.Duties },
+			func(r plane.Recovery) time.Duration { return r.QuorumContact }, func(r plane.Recovery) time.Duration { return r.HalfKnown },
+			func(r plane.Recovery) time.Duration { return r.MostKnown }, func(r plane.Recovery) time.Duration { return r.AllKnown },
+			func(r plane.Recovery) time.Duration { return r.ConfigAcked }, func(r plane.Recovery) time.Duration { return r.HolderActive },
 		} {
 			var times []time.Duration
 			for _, r := range some {
