--- a/internal/dialect/compile.go
+++ b/internal/dialect/compile.go
@@ -32,7 +32,7 @@
 	*fleetconfig.Route
 	classes    map[hoststate.PoolID]int // index of the route's class, by the pool of a service
 	timeout    time.Duration
-	maxSilence time.Duration // how long a client waits for the first event of a response
+	maxSilence time.Duration // how long a client waits for the first event, and for each further one
 }
 
 type apiKey struct {
--- a/internal/dialect/explain.go
+++ b/internal/dialect/explain.go
@@ -15,7 +15,7 @@
 	Type        fleetconfig.RouteType         `json:"route_type,omitempty"`
 	Tenant      string                        `json:"tenant,omitempty"`
 	Split       []fleetconfig.WeightedService `json:"split,omitempty"`
-	Service     string                        `json:"service,omitempty"` // the one chosen; a split may choose another for the next request
+	Service     string                        `json:"service,omitempty"` // selected for this request; a split may select another for the next
 	Class       string                        `json:"class,omitempty"`
 	Session     bool                          `json:"session"` // the request belongs to a session
 	RemainingMS int64                         `json:"left_ms,omitempty"`
--- a/internal/dialect/frontend.go
+++ b/internal/dialect/frontend.go
@@ -170,8 +170,8 @@
 	return responseHead(request, resp)
 }
 
-// KeepErrorResponse implements frontend.Dialect. It keeps no error response whose status tells a client that the request has not
-// run, since the engine did not confirm that with the header X-Not-Executed.
+// KeepErrorResponse implements frontend.Dialect. It drops an error response without the header X-Not-Executed whose status tells
+// clients that the request has not run, because the engine may have run it.
 func (d *Frontend) KeepErrorResponse(request *frontend.Request, result policy.Result, resp *http.Response, body []byte) *frontend.ErrorResponse {
 	if result == policy.ResultError && impliesNotRun(resp.StatusCode) {
 		return nil
--- a/internal/dialect/service.go
+++ b/internal/dialect/service.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// maxSilence returns how long the platform's clients wait for the next event of a stream: two seconds or four times the target
-// latency, whichever is longer.
+// maxSilence returns how long the platform's clients wait for the first event of a stream, and for each further one: two seconds
+// or four times the target latency, whichever is longer. For other responses there is no such limit.
 func maxSilence(r *fleetconfig.Route) time.Duration {
 	if r.Type != fleetconfig.RouteStreaming {
 		return math.MaxInt64
--- a/internal/dialect/upstream.go
+++ b/internal/dialect/upstream.go
@@ -17,8 +17,8 @@
 
 var _ upstream.Dialect = Upstream{}
 
-// EncodeRequest implements upstream.Dialect. The deadline header holds the time that remains for the client's request; the timeout of
-// the attempt for its first event does not shorten it.
+// EncodeRequest implements upstream.Dialect. The deadline header holds the time that remains for the client's request, even if the
+// timeout of the attempt for its first event is shorter.
 func (Upstream) EncodeRequest(request *upstream.Request, attempt *dispatch.StartAttempt, _ time.Duration, _ *trace.Context) []byte {
 	b := make([]byte, 0, headBytes+len(request.Header)+len(request.Body))
 	b = append(b, request.Method...)
--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -17,8 +17,9 @@
 	return nil
 }
 
-// Send implements policy.Actions. It does not rely on the module to check the limits. An attempt ends as moot without being sent
-// if its request is already answered or bound, out of attempts or past its deadline, or if the host is unknown.
+// Send implements policy.Actions. It does not rely on the module to check the limits. An attempt ends with policy.ResultNotSent if
+// its request is already answered or bound, out of attempts or past its deadline, if the host is unknown, or if the retry budget is
+// exhausted.
 func (p *pool) Send(id policy.RequestID, hostID policy.ReplicaID, timeout time.Duration) {
 	d, req := p.dispatcher, p.findRequest(id)
 	if req == nil {
@@ -92,7 +93,7 @@
 // Fail implements policy.Actions.
 func (p *pool) Fail(id policy.RequestID) { p.answer(id, VerdictFailed, 0) }
 
-// answer ends a request with a final answer that carries no result. It does nothing if the request is already answered or bound.
+// answer ends a request that no attempt has answered. It does nothing if the request is already answered or bound.
 func (p *pool) answer(id policy.RequestID, verdict Verdict, retryAfter time.Duration) {
 	d, req := p.dispatcher, p.findRequest(id)
 	if req == nil || req.answered || req.bound != nil {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -65,7 +65,7 @@
 }
 func (o traceOwner) Keep(t *trace.Try) { o.d.emit(ExportTrace{t}) }
 
-// NextDue returns the time at which the next timer is due; ok is false if there is none. The caller then reduces a Tick.
+// NextDue returns the time at which the next timer is due; ok is false if there is none. The caller reduces a Tick at that time.
 func (d *Dispatcher) NextDue() (at time.Duration, ok bool) { return d.timers.NextDue() }
 
 // OpenRequests returns the number of requests whose response has not ended.
--- a/internal/dispatch/effect.go
+++ b/internal/dispatch/effect.go
@@ -8,7 +8,7 @@
 	"notchhinge/policy"
 )
 
-// Verdict says why a request was answered without a result.
+// Verdict is the reason for a Reject.
 type Verdict uint8
 
 // The verdicts.
@@ -41,7 +41,7 @@
 	BindAttempt struct{ Attempt AttemptID }
 	// CancelAttempt cancels an attempt; its AttemptEnded still follows.
 	CancelAttempt struct{ Attempt AttemptID }
-	// Reject ends a request with an answer that carries no result.
+	// Reject ends a request that no attempt has answered.
 	Reject struct {
 		Client     Client
 		Verdict    Verdict
--- a/internal/dispatch/hosts.go
+++ b/internal/dispatch/hosts.go
@@ -23,10 +23,10 @@
 		p.counters.ListEntries += len(e.Hosts)
 	}
 	var notifications []hoststate.Notification
-	isListed := map[policy.ReplicaID]bool{} // for each host in the list: whether it is present, and not gone
+	presence := map[policy.ReplicaID]bool{} // for each host that the list names: true, or false if it is gone
 	for _, h := range e.Hosts {
 		id := p.hostID(h.Name)
-		isListed[id] = h.State != policy.StateGone
+		presence[id] = h.State != policy.StateGone
 		if d.sharedHosts != nil {
 			notifications = append(notifications, p.updateSharedHost(id, &h)...)
 		}
@@ -35,18 +35,18 @@
 	}
 	p.module.ListUpdated(d.now, p, list)
 	if e.Kind != policy.ListFailed {
-		p.removeHosts(isListed, e.Kind == policy.ListDelta)
+		p.removeHosts(presence, e.Kind == policy.ListDelta)
 	}
 	p.countReadyHosts()
 	d.notifyPools(notifications)
 }
 
-// removeHosts removes the hosts that are gone and, after a full list, those that it does not name. Without it the maps would grow
-// as hosts are replaced.
-func (p *pool) removeHosts(isListed map[policy.ReplicaID]bool, isDelta bool) {
+// removeHosts removes the hosts that are gone and, unless the list is a delta, the hosts that the list does not name. Otherwise the
+// maps would grow as hosts are replaced.
+func (p *pool) removeHosts(presence map[policy.ReplicaID]bool, isDelta bool) {
 	d := p.dispatcher
 	for id, h := range p.hosts {
-		isPresent, isNamed := isListed[id]
+		isPresent, isNamed := presence[id]
 		if isPresent || !isNamed && isDelta {
 			continue
 		}
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// handle reduces an event, and first applies it to the fair queue where it concerns that.
+// handle reduces an event, or the next queued request for a requestQueued. Before that it updates the fair queue if the event
+// concerns the queue.
 func (l *Loop) handle(e Event) {
 	switch e := e.(type) {
 	case requestQueued:
@@ -96,8 +97,8 @@
 		}
 		return
 	case ClientLeft:
-		// The request may still be in the fair queue. It is reduced first, because a request that is opened after its ClientLeft
-		// would never be closed by it.
+		// The request may still be in the fair queue. It is reduced first, because ClientLeft closes only a request that is
+		// already open.
 		if l.isFair.Load() {
 			if r, ok := l.popRequestOf(e.Client); ok {
 				l.reduce(r)
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -375,7 +375,7 @@
 	m.nextPool++
 }
 
-// reconfigure adds a pool, ends one, or changes the quota of the only one.
+// reconfigure adds a pool or ends one, or changes the quota of the only pool.
 func (m *poolsModel) reconfigure() {
 	switch {
 	case len(m.pools) < 3 && rapid.Bool().Draw(m.t, "more"):
@@ -443,7 +443,7 @@
 	}
 }
 
-// sendRequest sends a request to any pool so far; outdated routes may lead to one that has ended.
+// sendRequest sends a request to any pool that was added so far; outdated routes may lead to one that has ended.
 func (m *poolsModel) sendRequest() {
 	pool := hoststate.PoolID(rapid.IntRange(0, int(m.nextPool)-1).Draw(m.t, "pool"))
 	m.lastRequest++
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -100,8 +100,8 @@
 	d.closeRequest(req)
 	d.traceEnd(req, trace.Gone, 0)
 	req.pool.module.ClientDisconnected(d.now, req.pool, req.id)
-	// The module leaves some attempts running: a stream that has begun, or attempts that its settings do not let it cancel. No
-	// client waits for them any more, so they are cancelled here.
+	// The module may leave attempts running, for example if its settings do not let it cancel them. No client waits for them any
+	// more, so they are cancelled here.
 	for _, att := range req.attempts {
 		if !att.ended {
 			d.cancelAttempt(req, att, d.outcomeAfterLeaving(req))
--- a/internal/frontend/platform.go
+++ b/internal/frontend/platform.go
@@ -29,13 +29,13 @@
 	if path == readyPath || path == livePath {
 		return Destination{}, p.checkHealth(req.Method, path)
 	}
-	directory := p.Directory()
+	dir := p.Directory()
 	dst := Destination{Target: req.RequestURI, Host: req.Host}
 	q := route.Query{Path: path, Method: req.Method, Header: req.Header}
 	if classes := req.Header[classHeader]; len(classes) == 1 {
 		q.Class = classes[0]
 	}
-	if directory.NormalizesRequests {
+	if dir.NormalizesRequests {
 		if rejection := dst.normalize(req, &q); rejection != nil {
 			return dst, rejection
 		}
@@ -43,11 +43,11 @@
 			dst.Target += "?" + rawQuery
 		}
 	}
-	target := directory.Table.Lookup(&q)
+	target := dir.Table.Lookup(&q)
 	if target == nil {
-		return dst, rejectUnroutable(directory, &q)
+		return dst, rejectUnroutable(dir, &q)
 	}
-	dst.Pool = directory.PoolFor(target, conversationHash(target, req.Header))
+	dst.Pool = dir.PoolFor(target, conversationHash(target, req.Header))
 	return dst, nil
 }
 
--- a/internal/frontend/readrequest.go
+++ b/internal/frontend/readrequest.go
@@ -34,7 +34,7 @@
 			return nil, nil
 		}
 	}
-	dst, unroutable := c.server.Dialect.Route(req)
+	dst, routeRejection := c.server.Dialect.Route(req)
 	if !dst.BodyDeadline.IsZero() {
 		c.SetReadDeadline(dst.BodyDeadline)
 	}
@@ -43,7 +43,7 @@
 		return nil, c.countRejection(rejection)
 	}
 	receivedAt := c.server.Now()
-	if rejection = unroutable; rejection == nil {
+	if rejection = routeRejection; rejection == nil {
 		rejection = c.checkConnection(req)
 	}
 	var open *openRequest
--- a/internal/frontend/requestheaders.go
+++ b/internal/frontend/requestheaders.go
@@ -127,7 +127,7 @@
 	return missing == 0
 }
 
-// parseHash parses a 64-bit hexadecimal number, or returns the FNV-1a hash of any other text. 0 means that there is none.
+// parseHash parses a 64-bit hexadecimal number, or returns the FNV-1a hash of any other text. A result of 0 counts as no hash.
 func parseHash(s string) uint64 {
 	v, err := strconv.ParseUint(s, 16, 64)
 	if err != nil {
--- a/internal/hoststate/tracker.go
+++ b/internal/hoststate/tracker.go
@@ -75,7 +75,7 @@
 func (t *Tracker) Len() int { return len(t.hosts) }
 
 // Update applies an entry of a pool's list. It returns the state that the pool's own module must see, and the notifications for the
-// modules of other pools. The time that those have to stop sending counts from the first Update that reports an end.
+// modules of other pools. The time that these modules have to stop sending counts from the first Update that reports an end.
 func (t *Tracker) Update(now time.Duration, pool PoolID, host Host, update Update) (policy.State, []Notification) {
 	r := t.hosts[host]
 	if r == nil {
--- a/internal/limits/replica.go
+++ b/internal/limits/replica.go
@@ -12,8 +12,8 @@
 	ReplicaFailoverTimeout = 450 * time.Millisecond
 	// CatchUpInterval is the interval at which a replica requests newer log entries from another one.
 	CatchUpInterval = 2 * time.Second
-	// ReplicaLeaveTimeout bounds the removal of a stopping replica from the membership. It takes most of grace_period_s beside the
-	// graceful shutdown of the data plane.
+	// ReplicaLeaveTimeout bounds the removal of a stopping replica from the membership. The removal runs concurrently with the
+	// graceful shutdown of the data plane and may take most of grace_period_s.
 	ReplicaLeaveTimeout = 2500 * time.Millisecond
 )
 
@@ -57,13 +57,13 @@
 	// LogTailEntries is the number of log entries kept on disk beside a snapshot. A replica that lacks only these is sent the
 	// entries instead of the snapshot.
 	LogTailEntries = 32
-	// LogTailBytes bounds the size of these entries. A disk of 256 MB must hold a multiple of it during compaction.
+	// LogTailBytes bounds the size of these entries. During compaction, a disk of 256 MB must hold several times this size.
 	LogTailBytes = 16 << 20
 	// ConfigHistoryEntries is the number of accepted configurations, beside the newest 64, for which the late retry of an
 	// operator's call is recognized. Operators retry for one minute. An entry takes about 18 bytes of a replica's state.
 	ConfigHistoryEntries = 4096
-	// RemovalRetryEntries is the number of log entries during which a call to remove a member that has since become a voter again
-	// is treated as the retry of an acknowledged one. Operators retry for one minute.
+	// RemovalRetryEntries is how many log entries after the removal of a member another call to remove it counts as a retry, even if
+	// the member has become a voter again. Operators retry for one minute.
 	RemovalRetryEntries = 4096
 	// UsageBytes bounds the counts of one usage window. It also bounds those of all windows in a replica's state once one of them
 	// has more than 4,096 tenants. The state is sent as one message, together with a configuration of up to 8 MiB.
--- a/internal/limits/router.go
+++ b/internal/limits/router.go
@@ -54,7 +54,8 @@
 	// InitialRetryShares is the number of shares a router assumes until the lease holder has reported how many incarnations
 	// of routers there are.
 	InitialRetryShares = 400
-	// RetryShareTTL is how long that number is valid, counted from the request for it. Every report to the replicas refreshes it.
+	// RetryShareTTL is how long a reported number of incarnations is valid, counted from the request for it. Every report of the
+	// router to the replicas renews the number.
 	RetryShareTTL = 2500 * time.Millisecond
 	// RouterReportRetention is how long, in addition to a window, replicas count a router after its last report.
 	RouterReportRetention = RetryShareTTL + 2*RouterReportInterval
@@ -62,8 +63,8 @@
 	RouterReportInterval = 500 * time.Millisecond
 )
 
-// RetryShares returns the number of shares that retry_extra is divided into for the given number of incarnations of routers. It is
-// half as many again, so that all routers may restart at once.
+// RetryShares returns the number of shares that retry_extra is divided into: 1.5 for each incarnation of a router, so that all
+// routers may restart at once.
 func RetryShares(incarnations int) float64 { return 1.5 * float64(max(incarnations, 1)) }
 
 // DrainGrace returns how long requests of a known session may still be sent to a draining engine: a quarter of drain_timeout_ms.
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -38,7 +38,7 @@
 	seed        maphash.Seed
 }
 
-// MaxRoutes is the maximum number of routes of a table. It rejects a faulty generated file before it exhausts the memory.
+// MaxRoutes is the maximum number of routes of a table. The bound keeps a faulty generated file from exhausting the memory.
 const MaxRoutes = 100_000
 
 // New compiles a table. poolNumber returns the number of a pool by its name, and false if there is no such pool.
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -91,7 +91,7 @@
 	a.outcome.Result = a.roundTrip(ctx)
 }
 
-// end posts the attempt's outcome and returns its connection to the pool or closes it.
+// end posts the attempt's outcome and returns its connection to the connPool or closes it.
 func (a *attempt) end() {
 	t := a.transport
 	a.cancel()
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -56,7 +56,7 @@
 }
 
 // readHealth reads the response to a health check and truncates its body to Limits.ControlReadBytes. It returns the connection to
-// the pool if it is reusable, and closes it otherwise.
+// the connPool if the connection is reusable, and closes it otherwise.
 func (t *Transport) readHealth(cn *conn, deadline time.Time) (*http.Response, []byte, error) {
 	maxBody := t.cfg.Limits.ControlReadBytes
 	resp, _, err := t.readResponse(cn, nil, deadline)
--- a/policy/handover.go
+++ b/policy/handover.go
@@ -32,7 +32,7 @@
 	UsedAt  Time      `cbor:"Used"`
 }
 
-// SnapshotReplica is the health of one process of a replica, which is identified by ReadyAt.
+// SnapshotReplica is the health of one process of a replica. ReadyAt identifies the process.
 type SnapshotReplica struct {
 	ID                ReplicaID `cbor:"ID"`
 	ReadyAt           Time      `cbor:"ReadyAt"`
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -27,12 +27,12 @@
 	logInterval           = 5 * time.Second // minimum interval between log lines of one kind
 
 	prefixReplicaFactor    = 3    // replicas of a prefix, relative to its share of the traffic
-	prefixRankOffsetFactor = 2    // offset of a prefix's replica order, in replicas that serve the prefix
+	prefixRankOffsetFactor = 2    // offset of the ranks in a prefix's order, per replica of the prefix
 	prefixPriorRequests    = 5    // added to the total, so that the first requests do not dominate a share
 	prefixWindow           = 256  // requests; at this total all prefix counts are halved
 	maxPrefixes            = 1024 // cached replica orders of a replica set
 
-	loadBoundSized   = 2                // in-flight attempts of a replica over the mean, with sizes listed
+	loadBoundSized   = 2                // in-flight attempts of a replica, relative to the mean; with sizes
 	loadBoundUnsized = 1                // the same without sizes; lower, as replicas may be small
 	reportLifetime   = 10 * time.Second // the weight of a load report decays linearly to zero
 	spillStep        = 0.1              // change of the spilled share for one late response
@@ -44,7 +44,7 @@
 	backlogOverloaded   = 5                      // backlog assumed for a replica that answered it with an error
 	maxErrorRate        = 0.2                    // errors per second; above it a replica counts as unresponsive
 	backlogLateFactor   = 4                      // margin on a backlog's prefill time against the latency target
-	maxSlowStartShare   = 4                      // sessions of a replica in slow start, in even shares
+	maxSlowStartShare   = 4                      // limit on sessions in slow start, relative to an even share
 
 	shedThreshold = 0.08 // mean lost value above which new sessions are rejected
 	shedIncrease  = 0.5  // increase of the rejected share per second and unit of lost value
@@ -171,7 +171,7 @@
 	}
 }
 
-// recordLatency updates spilling and shedding by the time to the first token, or the time without one.
+// recordLatency updates spilling and shedding by how long r waited for its first token.
 func (b *Balancer) recordLatency(now Time, r *request, att *attempt, elapsed time.Duration) {
 	lateness := min(max(2*float64(elapsed)/float64(b.targetLatency(r))-1, 0), 1)
 	b.updateSpillShare(att.replica, lateness)
@@ -575,11 +575,11 @@
 // latency) to 1 (past it). The share rises while lateness in this zone exceeds that in other zones by more
 // than the price of crossing, and falls otherwise.
 func (b *Balancer) updateSpillShare(target *replica, lateness float64) {
-	sameZoneShare := 1 - b.spillShare
+	unspilledShare := 1 - b.spillShare
 	if target.Zone == b.settings.Zone {
 		b.spillShare += spillStep * (lateness - b.settings.CrossZonePrice)
 	} else {
-		b.spillShare -= spillStep * lateness * min(sameZoneShare/max(b.spillShare, 0.01), 10)
+		b.spillShare -= spillStep * lateness * min(unspilledShare/max(b.spillShare, 0.01), 10)
 	}
 	b.spillShare = min(max(b.spillShare, 0), 1)
 }
@@ -615,7 +615,7 @@
 
 type replica struct {
 	Replica
-	drainingSince Time // when the list first reported it
+	drainingSince Time // when the list first reported it as draining
 	ejection
 	smoothedWeight    float64 // listed weight; a running mean for WeightLive
 	inFlight          int     // attempts of this router
