--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestSendsForEndedRequestsAreMoot(t *testing.T) {
+func TestAttemptsOfEndedRequestsAreNotSent(t *testing.T) {
 	f := newFixture(t, 2, nil)
 	f.reduce(0, requestFrom("a", f.now, 4*sec))
 	f.reduce(0, AttemptStarted{AttemptID{1, 0}})
@@ -159,7 +159,7 @@
 		}
 	}
 	if n := f.pools[0].counters.Outcomes[policy.ResultNotSent]; n != 2 {
-		t.Errorf("%d attempts ended as moot, want 2", n)
+		t.Errorf("%d attempts ended with ResultNotSent, want 2", n)
 	}
 }
 
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -183,10 +183,10 @@
 		resumed  bool
 		rejected int
 	}{
-		"both behind":        {ProbeResult{Report: report(9)}, ProbeResult{Report: report(7)}, false, 1},
-		"one has room":       {ProbeResult{Report: report(9)}, ProbeResult{Report: report(2)}, false, 0},
-		"the rest of stream": {ProbeResult{Report: report(9)}, ProbeResult{Report: report(7)}, true, 0},
-		"nothing is known":   {ProbeResult{Result: ResultTimedOut}, ProbeResult{Result: ResultTimedOut}, false, 0},
+		"both behind":      {ProbeResult{Report: report(9)}, ProbeResult{Report: report(7)}, false, 1},
+		"one has room":     {ProbeResult{Report: report(9)}, ProbeResult{Report: report(2)}, false, 0},
+		"resumed stream":   {ProbeResult{Report: report(9)}, ProbeResult{Report: report(7)}, true, 0},
+		"nothing is known": {ProbeResult{Result: ResultTimedOut}, ProbeResult{Result: ResultTimedOut}, false, 0},
 	} {
 		s := manyRouters(80)
 		s.Classes[0].TargetLatencyPerKTokens = 40 * ms // the target without prompt is 1 s
