--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -84,7 +84,7 @@
 		{"a call to a replica before the failover", ReplicaCallTimeout + time.Millisecond, ReplicaFailoverTimeout},
 		{"two reports within the validity of a share", 2 * RouterReportInterval, RetryShareTTL},
 		{"three calls before a voter is replaced", 3 * ReplicaCallTimeout, VoterReplaceDelay},
-		{"a replica leaves before a router's drain ends", ReadinessDrainDelay, ReplicaLeaveTimeout},
+		{"the readiness delay of a drain within the time for a replica to leave", ReadinessDrainDelay, ReplicaLeaveTimeout},
 		{"serving without a quorum before serving without a replica", ReadyWithoutQuorumAfter, ReadyWithoutReplicaAfter},
 	} {
 		if c.inner > c.outer {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -167,7 +167,7 @@
 		count[x]++
 	}
 	if count[1] < 298 || count[1] > 302 {
-		t.Errorf("of 400 entries %d were of the flow of weight 3, %d of that of weight 1", count[1], count[2])
+		t.Errorf("of 400 entries, %d came from the flow of weight 3 and %d from the flow of weight 1", count[1], count[2])
 	}
 }
 
