--- a/cmd/notchlab/page.go
+++ b/cmd/notchlab/page.go
@@ -7,23 +7,23 @@
 )
 
 type pageCmd struct {
-	Page    string `arg:"" help:"The page." default:"docs/CAPACITY.md" type:"path"`
-	Results string `help:"Folder of results." default:"lab/results" type:"path"`
+	Page    string `arg:"" help:"Path of the page." default:"docs/CAPACITY.md" type:"path"`
+	Results string `help:"Directory of the results." default:"lab/results" type:"path"`
 }
 
-// Run makes the page's tables anew.
+// Run regenerates the page's tables.
 func (c pageCmd) Run() error {
 	text, err := os.ReadFile(c.Page)
 	if err != nil {
-		return badFile{err}
+		return usageError{err}
 	}
 	r, err := scale.Load(c.Results)
 	if err != nil {
-		return badFile{err}
+		return usageError{err}
 	}
 	made, err := scale.Page(string(text), r)
 	if err != nil {
-		return badFile{err}
+		return usageError{err}
 	}
 	return os.WriteFile(c.Page, []byte(made), 0o644)
 }
