--- a/internal/dispatch/event.go
+++ b/internal/dispatch/event.go
@@ -48,7 +48,7 @@
 		Origin          *trace.Origin // nil if tracing is off
 	}
 	// RejectionWritten reports that a Reject was written to the client, or that the write failed. Frontends send it when tracing
-	// is on and the request's Origin requires it.
+	// is on and ReportsRejection of the request's Origin is set.
 	RejectionWritten struct {
 		Client Client
 		At     time.Duration
--- a/internal/dispatch/pool.go
+++ b/internal/dispatch/pool.go
@@ -30,7 +30,7 @@
 
 	counters   Counters
 	unfinished int         // requests that are open or have a running attempt
-	traceSet   *trace.Pool // classes for traces
+	tracePool  *trace.Pool // name and classes for traces
 	ending     bool        // EndPool was received; the pool ends with its last request
 	ended      bool
 }
@@ -59,7 +59,7 @@
 	if p.retryAfter == 0 {
 		p.retryAfter = d.limits.OverloadRetryAfter
 	}
-	p.traceSet = &trace.Pool{Name: e.Name, Classes: e.Classes}
+	p.tracePool = &trace.Pool{Name: e.Name, Classes: e.Classes}
 	if e.RetryBudget != nil && (p.retryBudget == nil || *e.RetryBudget != *p.retryBudget) {
 		p.retryBudget = e.RetryBudget
 	}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -84,7 +84,7 @@
 	}
 	e.Request.ID, e.Request.Timeout = req.id, req.deadline-d.now
 	if d.traces != nil {
-		req.trace = d.traces.StartRequest(d.now, req.id, req.client, e.ClientRequestID, e.ReceivedAt, &e.Request, e.Origin, p.traceSet)
+		req.trace = d.traces.StartRequest(d.now, req.id, req.client, e.ClientRequestID, e.ReceivedAt, &e.Request, e.Origin, p.tracePool)
 	}
 	p.module.RequestArrived(d.now, p, e.Request)
 }
--- a/internal/dispatch/tracing.go
+++ b/internal/dispatch/tracing.go
@@ -54,7 +54,7 @@
 		return
 	}
 	d.lastRequestID++
-	t := d.traces.StartRequest(d.now, d.lastRequestID, e.Client, e.ClientRequestID, e.ReceivedAt, &e.Request, e.Origin, p.traceSet)
+	t := d.traces.StartRequest(d.now, d.lastRequestID, e.Client, e.ClientRequestID, e.ReceivedAt, &e.Request, e.Origin, p.tracePool)
 	d.traces.SetReason(d.lastRequestID, t, policy.Reason(reason))
 	d.traces.EndRequest(d.now, d.lastRequestID, t, trace.Refused, retryAfter)
 }
