--- a/internal/lab/fleet/trouble.go
+++ b/internal/lab/fleet/trouble.go
@@ -76,10 +76,10 @@
 		engine := f.Engines[index]
 		switch fault.Fault {
 		case Crash:
-			engine.Die()
+			engine.Kill()
 		case Replace:
-			engine.Die()
-			engine.Gone()
+			engine.Kill()
+			engine.Deregister()
 		case Drain:
 			engine.Drain()
 		default:
@@ -92,8 +92,8 @@
 		switch fault.Fault {
 		case Crash:
 		case Drain:
-			engine.Die()
-			engine.Gone()
+			engine.Kill()
+			engine.Deregister()
 			engine.Rename(engine.Name + "-r")
 		case Replace:
 			engine.Rename(engine.Name + "-r")
--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -139,8 +139,8 @@
 		mode standin.Mode
 		sent bool
 	}{
-		"takes": {standin.Takes, true}, "hangs": {standin.Hangs, false}, "busy": {standin.Busy, false},
-		"denies": {standin.Denies, false},
+		"takes": {standin.Accepting, true}, "hangs": {standin.Hanging, false}, "busy": {standin.Throttling, false},
+		"denies": {standin.Rejecting, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -149,7 +149,7 @@
 				t.Fatal(err)
 			}
 			defer collector.Close()
-			collector.Be(c.mode)
+			collector.SetMode(c.mode)
 			e, err := NewOTLP(OTLPOptions{
 				Endpoint: collector.URL(), Queue: 1 << 20, Timeout: time.Minute, Router: "n1",
 				Log: discardLog(),
@@ -161,13 +161,13 @@
 				e.Put(record(n, trace.ForFailed))
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-			if !c.sent && c.mode != standin.Denies {
+			if !c.sent && c.mode != standin.Rejecting {
 				cancel() // this collector accepts nothing, so Close must not wait
 			}
 			e.Close(ctx)
 			cancel()
 			got := e.Counters()
-			if got.Waiting != 0 || (got.Sent == 300) != c.sent || (got.Rejected == 300) != (c.mode == standin.Denies) {
+			if got.Waiting != 0 || (got.Sent == 300) != c.sent || (got.Rejected == 300) != (c.mode == standin.Rejecting) {
 				t.Errorf("%+v", got)
 			}
 			if spans, _ := collector.Spans(); len(spans) != got.Spans {
@@ -182,9 +182,9 @@
 	rec.Outcome, rec.Phases[trace.Wait], rec.Previous = trace.Failed, time.Second, trace.Link{Span: trace.SpanID{9}}
 	spans := Spans(rec)
 	if len(spans) != 2 || standin.Hex(spans[1].ParentSpanId) != rec.Span.String() ||
-		standin.Text(spans[0], "notchhinge.outcome") != "failed" ||
-		standin.Number(spans[0], "notchhinge.phase.wait_us") != 1e6 || len(spans[0].Links) != 1 ||
-		!cmp.Equal(standin.Texts(spans[0], "notchhinge.kept_for"), []string{"failed", "legs"}) {
+		standin.StringAttribute(spans[0], "notchhinge.outcome") != "failed" ||
+		standin.IntAttribute(spans[0], "notchhinge.phase.wait_us") != 1e6 || len(spans[0].Links) != 1 ||
+		!cmp.Equal(standin.StringsAttribute(spans[0], "notchhinge.kept_for"), []string{"failed", "legs"}) {
 		t.Errorf("%v", spans)
 	}
 }
