--- a/cmd/notchlab/capacity.go
+++ b/cmd/notchlab/capacity.go
@@ -27,7 +27,7 @@
 	const length, calm = 25 * time.Second, 15 * time.Second
 	all := make([]plane.Costs, len(c.Routers))
 	runParallel(len(all), func(i int) {
-		d := &plane.Day{Seed: c.Seed, Keepers: c.Keepers, Routers: c.Routers[i], Engines: c.Engines[i], Tolerate: (c.Keepers - 1) / 2, Length: length}
+		d := &plane.Scenario{Seed: c.Seed, Replicas: c.Keepers, Routers: c.Routers[i], Engines: c.Engines[i], Tolerate: (c.Keepers - 1) / 2, Length: length}
 		all[i] = d.Measure(calm)
 	})
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
@@ -44,13 +44,13 @@
 			row("router", y.Cause, y.Bytes)
 		}
 		row("router", "all", x.Sent[0])
-		for _, y := range x.Keeper {
+		for _, y := range x.Replica {
 			row("keeper", y.Cause, y.Bytes)
 		}
 		row("keeper", "all", x.Sent[1])
-		row("keeper", "taken", x.Taken)
+		row("keeper", "taken", x.Received)
 		row("keeper", "calls of engines (per second)", x.Calls)
-		for k, y := range []float64{x.Sent[0], x.Sent[1], x.Taken} {
+		for k, y := range []float64{x.Sent[0], x.Sent[1], x.Received} {
 			sent.Series[k].Points = append(sent.Series[k].Points, report.Point{X: float64(c.Routers[i]), Y: y})
 			r.Add(fmt.Sprintf("%s, %d routers, %d engines", sent.Series[k].Name, c.Routers[i], c.Engines[i]), y, "B/s", "")
 		}
--- a/cmd/notchlab/fleet.go
+++ b/cmd/notchlab/fleet.go
@@ -51,9 +51,9 @@
 	if err != nil {
 		return err
 	}
-	r, err := system.Play(ctx, system.Options{
-		Binary: binary, Mixed: f.Mixed, Exchange: f.Exchange && f.Mixed != "", Dir: dir, Routers: f.Routers, Engines: f.Engines,
-		Rate: f.Rate, Length: time.Duration(f.Seconds) * time.Second, Seed: f.Seed, Troubles: !f.Calm, Out: os.Stdout,
+	r, err := system.Run(ctx, system.Options{
+		Binary: binary, OtherBinary: f.Mixed, SwapBinaries: f.Exchange && f.Mixed != "", Dir: dir, Routers: f.Routers, Engines: f.Engines,
+		Rate: f.Rate, Length: time.Duration(f.Seconds) * time.Second, Seed: f.Seed, InjectFaults: !f.Calm, Out: os.Stdout,
 	})
 	if err != nil {
 		return err
@@ -65,15 +65,15 @@
 func printFleet(r *system.Report) error {
 	fmt.Printf("\nasked %d: served %d, late %d, refused %d, failed %d; p50 %v, p99 %v\n", r.Asked, r.Served, r.Late, r.Refused, r.Failed,
 		r.P50.Round(time.Millisecond), r.P99.Round(time.Millisecond))
-	fmt.Printf("usage: %d windows reported, %d with conflicting values\n", r.Windows, r.Changed)
+	fmt.Printf("usage: %d windows reported, %d with conflicting values\n", r.Windows, r.ConflictingReports)
 	fmt.Println("traffic of the remaining processes, by cause: kB sent and received, and between zones")
-	for _, cause := range slices.Sorted(maps.Keys(r.Account)) {
-		fmt.Printf("  %-16s %8.1f %8.1f\n", cause, float64(r.Account[cause][0])/1e3, float64(r.Account[cause][1])/1e3)
+	for _, cause := range slices.Sorted(maps.Keys(r.Traffic)) {
+		fmt.Printf("  %-16s %8.1f %8.1f\n", cause, float64(r.Traffic[cause][0])/1e3, float64(r.Traffic[cause][1])/1e3)
 	}
-	for _, b := range r.Broken() {
+	for _, b := range r.Violations() {
 		fmt.Println("BROKEN:", b)
 	}
-	if len(r.Broken()) > 0 {
+	if len(r.Violations()) > 0 {
 		return errRuleBroken
 	}
 	fmt.Println("no rule was broken: no request ran twice that must not, none reached an engine after its drain")
--- a/internal/lab/experiment/tracing.go
+++ b/internal/lab/experiment/tracing.go
@@ -53,9 +53,9 @@
 
 // runTraffic sends the planned requests, injects the faults meanwhile, and returns all attempts.
 func (r *run) runTraffic(ctx context.Context, f *fleet.Fleet) ([]load.Attempt, error) {
-	plan := load.Plan(r.Seed, r.classes, r.Traffic.Rate, r.length, r.Fleet.Routers, load.Style{Carry: r.Traffic.Carry, Mark: r.Traffic.Mark})
+	plan := load.Plan(r.Seed, r.classes, r.Traffic.Rate, r.length, r.Fleet.Routers, load.ClientMix{TraceShare: r.Traffic.Carry, RetryMarkShare: r.Traffic.Mark})
 	r.printf("%d requests in %v over %d routers and %d engines", len(plan), r.length, len(f.Routers), len(f.Engines))
-	client := &load.Client{Routers: f.Addrs(), Retries: r.Traffic.Retries, Pause: 50 * time.Millisecond, Seed: r.Seed}
+	client := &load.Client{Routers: f.Addrs(), Retries: r.Traffic.Retries, MaxRetryDelay: 50 * time.Millisecond, Seed: r.Seed}
 	ledger := &load.Ledger{}
 	faultsDone := make(chan error, 1)
 	go func() { faultsDone <- f.InjectFaults(ctx, r.faults) }()
@@ -101,7 +101,7 @@
 	roots := map[string]*attemptTrace{} // by span id
 	for _, s := range spans {
 		if s.Kind == tracepb.Span_SPAN_KIND_SERVER {
-			call := standin.Text(s, "notchhinge.call_id")
+			call := standin.StringAttribute(s, "notchhinge.call_id")
 			if byCall[call] != nil {
 				duplicated++
 			}
@@ -124,8 +124,8 @@
 	first := map[[2]int]int{} // by request and router: number of the first attempt there
 	for i := range attempts {
 		t := &attempts[i]
-		requests[t.Call]++
-		if at := [2]int{t.Call, t.Router}; first[at] == 0 || t.Number < first[at] {
+		requests[t.Request]++
+		if at := [2]int{t.Request, t.Router}; first[at] == 0 || t.Number < first[at] {
 			first[at] = t.Number
 		}
 	}
@@ -153,7 +153,7 @@
 		isRequired := t.Late || t.Outcome != load.Served
 		if t.Number > 1 {
 			// Routers share no state: an unmarked retry at a router that has not seen the request counts as a first attempt there.
-			if seen := t.Marked || first[[2]int{t.Call, t.Router}] < t.Number; seen {
+			if seen := t.Marked || first[[2]int{t.Request, t.Router}] < t.Number; seen {
 				isRequired = true
 				recognizable++
 				if got != nil && (len(got.root.Links) > 0 || t.Trace != [16]byte{} && string(got.root.TraceId) == string(t.Trace[:])) {
@@ -174,7 +174,7 @@
 		case got == nil:
 			ordinary++
 			continue
-		case slices.Equal(standin.Texts(got.root, "notchhinge.kept_for"), []string{"share"}):
+		case slices.Equal(standin.StringsAttribute(got.root, "notchhinge.kept_for"), []string{"share"}):
 			ordinary++
 			shared++
 		}
@@ -248,14 +248,14 @@
 
 // traceDefect describes the first defect of an attempt's trace, or returns "" if the trace is complete and consistent.
 func (r *run) traceDefect(t *load.Attempt, got *attemptTrace, engines *engineSpans) string {
-	if n := int(standin.Number(got.root, "notchhinge.legs")); n != len(got.upstreams) {
+	if n := int(standin.IntAttribute(got.root, "notchhinge.legs")); n != len(got.upstreams) {
 		return fmt.Sprintf("%d upstream attempts of %d", len(got.upstreams), n)
 	}
 	if t.Trace != [16]byte{} && string(got.root.TraceId) != string(t.Trace[:]) {
 		return "its trace id is not the client's"
 	}
 	for _, l := range got.upstreams {
-		if res := standin.Text(l, "notchhinge.result"); res == "" || res == "none" {
+		if res := standin.StringAttribute(l, "notchhinge.result"); res == "" || res == "none" {
 			return "an upstream attempt has no result"
 		}
 		if l.StartTimeUnixNano < got.root.StartTimeUnixNano || l.EndTimeUnixNano < l.StartTimeUnixNano {
@@ -272,7 +272,7 @@
 			return fmt.Sprintf("an answered upstream attempt has %d engine spans", len(ownSpans))
 		}
 		for _, s := range ownSpans {
-			if s.CallID != t.CallID || s.Host != standin.Text(l, "notchhinge.host") {
+			if s.CallID != t.CallID || s.Host != standin.StringAttribute(l, "notchhinge.host") {
 				return "an engine span belongs to another request or host"
 			}
 		}
@@ -287,9 +287,9 @@
 	if d := sum - total; d > 20 || d < -20 { // each phase is truncated to whole microseconds
 		return fmt.Sprintf("phases add up to %d µs of %d", sum, total)
 	}
-	served := standin.Text(got.root, "notchhinge.outcome") == "served"
+	served := standin.StringAttribute(got.root, "notchhinge.outcome") == "served"
 	if served != (t.Outcome == load.Served) && t.Outcome != load.Canceled && t.Outcome != load.Wrong {
-		return fmt.Sprintf("the client recorded %s, the trace %s", t.Outcome, standin.Text(got.root, "notchhinge.outcome"))
+		return fmt.Sprintf("the client recorded %s, the trace %s", t.Outcome, standin.StringAttribute(got.root, "notchhinge.outcome"))
 	}
 	return ""
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -144,14 +144,14 @@
 	var perK, tokens []int64
 	for _, c := range f.options.Classes {
 		grades = append(grades, m{
-			"name": c.Name, "objective": us(c.Aim), "deadline": us(c.Deadline), "dedupWindow": 5000000,
-			"effect": "pure", "group": "all", "lateWorth": 0, "worth": c.Worth, "streaming": true,
+			"name": c.Name, "objective": us(c.FirstTokenTarget), "deadline": us(c.Deadline), "dedupWindow": 5000000,
+			"effect": "pure", "group": "all", "lateWorth": 0, "worth": c.Value, "streaming": true,
 		})
-		perK, tokens = append(perK, us(c.AimPerKTokens)), append(tokens, us(c.TokenAim))
+		perK, tokens = append(perK, us(c.FirstTokenTargetPer1K)), append(tokens, us(c.TokenTarget))
 	}
 	return json.MarshalIndent(m{
 		"name": r.Name, "listen": r.Addr, "discovery": f.Discovery.Addr(), "seed": fmt.Sprintf("%016x", 77+i),
-		"limits": m{"cores": f.options.Cores, "memory_mb": f.options.MemoryMB, "sockets": f.options.Sockets}, "known": f.Discovery.Known(),
+		"limits": m{"cores": f.options.Cores, "memory_mb": f.options.MemoryMB, "sockets": f.options.Sockets}, "known": f.Discovery.Snapshot(),
 		"settings": m{
 			"azs": []string{"room"}, "discovery": "subscribe", "weights": "silent", "zone": 0, "me": i, "replicasOfMe": len(f.options.Routers),
 			"grades": grades, "familyInfo": m{"aimUsPer1000PromptTokens": perK, "tokenAim": tokens, "resume": true},
@@ -326,7 +326,7 @@
 		errs = append(errs, <-results)
 	}
 	for _, engine := range f.Engines {
-		engine.Die()
+		engine.Kill()
 	}
 	if f.Discovery != nil {
 		_ = f.Discovery.Close() // no client is left
--- a/internal/lab/trial/trial.go
+++ b/internal/lab/trial/trial.go
@@ -20,15 +20,15 @@
 	name, unit string
 	of         func(*sim.Figures) float64
 }{
-	{"in aim", "", func(f *sim.Figures) float64 { return f.InAim }},
+	{"in aim", "", func(f *sim.Figures) float64 { return f.WithinTarget }},
 	{"late", "", func(f *sim.Figures) float64 { return f.Late }},
-	{"refused", "", func(f *sim.Figures) float64 { return f.Refused }},
+	{"refused", "", func(f *sim.Figures) float64 { return f.Rejected }},
 	{"failed", "", func(f *sim.Figures) float64 { return f.Failed }},
 	{"p50", "ms", func(f *sim.Figures) float64 { return f.P50 }},
 	{"p99", "ms", func(f *sim.Figures) float64 { return f.P99 }},
-	{"kept", "", func(f *sim.Figures) float64 { return f.Kept }},
+	{"kept", "", func(f *sim.Figures) float64 { return f.CachedShare }},
 	{"busiest", "", func(f *sim.Figures) float64 { return f.Busiest }},
-	{"legs", "", func(f *sim.Figures) float64 { return f.Legs }},
+	{"legs", "", func(f *sim.Figures) float64 { return f.Attempts }},
 }
 
 // Figure is a mean over seeds with half of its 95% confidence interval.
