--- a/internal/trace/export/export_test.go
+++ b/internal/trace/export/export_test.go
@@ -115,15 +115,15 @@
 }
 
 func FuzzRead(f *testing.F) {
-	sink, err := NewFile(FileOptions{
+	exporter, err := NewFile(FileOptions{
 		Path: filepath.Join(f.TempDir(), "t"), Max: 1 << 20, Files: 1, Flush: time.Hour,
 		Queue: 1 << 20, Log: discardLog(),
 	})
 	if err != nil {
 		f.Fatal(err)
 	}
-	good := sink.enc.EncodeAll([]byte(`{"call_id":"x","legs":[{"host":"a","result":"ok","said":"none"}]}`+"\n{\n"), nil)
-	sink.Close(context.Background())
+	good := exporter.enc.EncodeAll([]byte(`{"call_id":"x","legs":[{"host":"a","result":"ok","said":"none"}]}`+"\n{\n"), nil)
+	exporter.Close(context.Background())
 	f.Add(good)
 	f.Add(append(good[:len(good)-2], good...))
 	f.Fuzz(func(t *testing.T, text []byte) {
