--- a/internal/configfile/file.go
+++ b/internal/configfile/file.go
@@ -6,15 +6,14 @@
 	"path/filepath"
 	"strings"
 
-	"notchhinge/internal/config/tomlfile"
-
 	"github.com/pelletier/go-toml/v2"
 
 	"notchhinge/deploy"
+	"notchhinge/internal/config/tomlfile"
 	"notchhinge/internal/control/fleetconfig"
 )
 
-// File is a configuration that was read from a file, with what the file states about it.
+// File is a configuration that was read from a file, with its path and details that the configuration itself does not hold.
 type File struct {
 	*fleetconfig.Config
 	Path           string
