--- a/internal/control/api/api.go
+++ b/internal/control/api/api.go
@@ -48,10 +48,11 @@
 	// RedirectTarget returns the control address of a process that has the control state. It returns "" if this process has
 	// the state itself or knows no process that has it.
 	RedirectTarget() string
-	// Heartbeat returns once enough other processes have received the engine's state. nextAddr is the control address for
+	// Heartbeat handles an engine's heartbeat. If the engine is draining, it returns once enough other processes have
+	// acknowledged that state. nextAddr is the control address for
 	// the engine's next heartbeats; "" = any. An error other than an *Error is reported as StatusUnavailable.
 	Heartbeat(ctx context.Context, h *Heartbeat) (nextAddr string, err error)
-	// Deregister removes an engine.
+	// Deregister removes an engine, and returns once enough other processes have acknowledged the removal.
 	Deregister(ctx context.Context, id string) error
 	// ReplaceConfig submits a configuration that is based on a revision. It fails with StatusStaleRevision if that revision is
 	// not the newest.
--- a/internal/control/autoscale/planner.go
+++ b/internal/control/autoscale/planner.go
@@ -47,15 +47,15 @@
 	var due []Target
 	for i := range services {
 		svc := &services[i]
-		h := p.services[svc.Name]
-		if h == nil {
-			h = &serviceState{scaler: Scaler{AutoscaleTuning: limits.DefaultAutoscaleTuning()}}
-			p.services[svc.Name] = h
+		state := p.services[svc.Name]
+		if state == nil {
+			state = &serviceState{scaler: Scaler{AutoscaleTuning: limits.DefaultAutoscaleTuning()}}
+			p.services[svc.Name] = state
 		}
 		load := loads[svc.Name]
-		demand := Demand{Running: float64(load.Running) / 100, ArrivalRate: max(float64(load.Arrived)-float64(h.arrived), 0) / elapsed}
-		h.arrived = load.Arrived
-		targets := h.scaler.Targets(now, demand, svc)
+		demand := Demand{Running: float64(load.Running) / 100, ArrivalRate: max(float64(load.Arrived)-float64(state.arrived), 0) / elapsed}
+		state.arrived = load.Arrived
+		targets := state.scaler.Targets(now, demand, svc)
 		for _, zone := range svc.zones() {
 			engines, ok := targets[zone]
 			if ok && engines != p.current(svc, zone) {
--- a/internal/control/autoscale/scaler.go
+++ b/internal/control/autoscale/scaler.go
@@ -11,7 +11,7 @@
 
 // Demand is the traffic of a service, summed over all routers.
 type Demand struct {
-	Running     float64 // number of requests at engines
+	Running     float64 // number of requests in flight
 	ArrivalRate float64 // requests per second
 }
 
--- a/internal/control/configcache/configcache.go
+++ b/internal/control/configcache/configcache.go
@@ -1,6 +1,6 @@
-// Package configcache caches the newest fleet configurations of a process as received, so that a peer can be sent the newest one as
-// a delta to the one that it has. A configuration of thousands of routes changes in a few places at a time. Package delta encodes
-// the delta, and detects when it is decoded with the wrong base.
+// Package configcache caches the newest fleet configurations that a process has received. A peer that has one of them is sent the
+// newest as a delta, because a configuration of thousands of routes changes in a few places at a time. Package delta encodes the
+// delta, and detects when it is decoded with the wrong base.
 //
 // A configuration is identified by the index of its log entry, from 1; 0 means no configuration. The cache holds at most
 // limits.CachedConfigs configurations with a total size of at most limits.CachedConfigBytes. It always holds the newest one,
@@ -63,7 +63,7 @@
 }
 
 // EncodeReply encodes the reply to a peer that has the configuration with peerIndex (0 = none). The reply holds the newest
-// configuration if it is newer, as a delta if the peer's configuration is in the cache.
+// configuration, if the peer's is older: as a delta if the peer's is in the cache, else in full.
 func (c *Cache) EncodeReply(peerIndex uint64) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/control/discovery/items.go
+++ b/internal/control/discovery/items.go
@@ -10,7 +10,7 @@
 const (
 	itemEndpoint  uint8 = iota + 1 // record of an endpoint; the version contains its CallCount and State
 	itemConfig                     // announcement of a configuration; the version is its log index
-	itemIdleDrop                   // report of an idle drop; the version is the wall time in ms, but always above the last one
+	itemIdleDrop                   // report of an idle drop; the version is the wall time in ms, but always above the previous version
 	itemSuspicion                  // suspicion or refutation; the version contains the CallCount, and the lowest bit is set for a suspicion
 )
 
--- a/internal/control/endpoints/registry.go
+++ b/internal/control/endpoints/registry.go
@@ -165,7 +165,7 @@
 	if e == nil || e.State == StateGone || callCount < e.LatestCallCount {
 		return false
 	}
-	if callCount == e.LatestCallCount { // known from a record, which does not contain its send time
+	if callCount == e.LatestCallCount { // known from a record, which does not contain the heartbeat's send time
 		e.LastHeartbeat = max(e.LastHeartbeat, now-age)
 		return false
 	}
--- a/internal/control/gossip/heartbeats.go
+++ b/internal/control/gossip/heartbeats.go
@@ -51,7 +51,7 @@
 }
 
 // relayHeartbeat queues a heartbeat for the replicas that receive no packets of the node that reported it. Without a relay, a
-// replica that is partitioned from another one would suspect the endpoints that send their heartbeats to that one.
+// replica that is partitioned from another one would suspect the endpoints that send their heartbeats to the other one.
 func (n *Node) relayHeartbeat(e RelayHeartbeat) {
 	if !n.self.isReplica() {
 		return
--- a/internal/control/gossip/quorum.go
+++ b/internal/control/gossip/quorum.go
@@ -6,8 +6,8 @@
 const noContact time.Duration = -1
 
 // QuorumContact returns how long this replica has been in contact with a majority of the voters, itself included, in both
-// directions. hasContact is false if it is not in contact. If the voters are unknown, as on a replica with a new disk, a replica
-// has no contact; other nodes have contact.
+// directions. hasContact is false if it is not in contact. While the voters are unknown, as on a replica with a new disk,
+// hasContact is false on a replica and true on any other node.
 func (n *Node) QuorumContact() (duration time.Duration, hasContact bool) {
 	if len(n.voters) == 0 {
 		return 0, !n.self.isReplica()
--- a/internal/control/gossip/replicas.go
+++ b/internal/control/gossip/replicas.go
@@ -10,8 +10,8 @@
 type replicaState struct {
 	peerState
 	lastHeartbeatPacket time.Duration    // when its last heartbeat packet arrived; 0 = never
-	hearsUsAt           time.Duration    // when its last heartbeat packet arrived, if that listed this node as heard; else 0
-	heardReplicas       []PeerID         // replicas whose heartbeat packets it receives, as listed in its last one
+	hearsUsAt           time.Duration    // when its last heartbeat packet arrived, if that packet listed this node as heard; else 0
+	heardReplicas       []PeerID         // replicas whose heartbeat packets it receives, as listed in its last packet
 	reported            []receivedReport // heartbeats that it has reported within relayWindow
 }
 
--- a/internal/control/gossip/urgent.go
+++ b/internal/control/gossip/urgent.go
@@ -144,8 +144,8 @@
 	return len(n.view) == 0 && len(n.replicas) == 0
 }
 
-// ackedAcrossFailureDomains reports whether a router and a node outside ownZone have acknowledged the items, where such nodes got
-// them. All replicas, or all processes of a zone, may fail together.
+// ackedAcrossFailureDomains reports whether a router and a node outside ownZone have acknowledged the items. A kind of node to
+// which the items were not sent is not required. All replicas, or all processes of a zone, may fail together.
 func (u *urgentBroadcast) ackedAcrossFailureDomains(ownZone uint32) bool {
 	var sentToRouter, sentToOtherZone, ackedByRouter, ackedByOtherZone bool
 	for id, s := range u.sentTo {
--- a/internal/control/metrics/metrics.go
+++ b/internal/control/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts the network traffic of a process by cause, with the part that crosses zones, which costs money. It
-// also reads the CPU and memory usage of the process.
+// Package metrics counts the network traffic of a process by cause. It counts the part that crosses zones separately, because
+// that part costs money. It also reads the CPU and memory usage of the process.
 //
 // The caller counts a call together with its response, and the sender counts a datagram, so that the traffic of all processes
 // adds up to that of the fleet. Counters only increase, contain no names of tenants or peers, and are safe for concurrent use.
@@ -97,8 +97,8 @@
 	crossZone bool
 }
 
-// Wrap counts an opened connection and returns one that counts its traffic. Each write counts as one exchange. A connection
-// other than TCP is returned unchanged, and its traffic is not counted.
+// Wrap counts an opened connection and wraps it so that its traffic is counted. Each write counts as one exchange. A connection
+// that is not TCP is returned unchanged, and its traffic is not counted.
 func (t *Traffic) Wrap(c Cause, conn net.Conn, crossZone bool) net.Conn {
 	t.AddConnection(c)
 	tcp, ok := conn.(*net.TCPConn)
--- a/internal/control/replica/catchup.go
+++ b/internal/control/replica/catchup.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// installSnapshot replaces the state with a newer one once that is durable. done is called in any case.
+// installSnapshot replaces the state with a newer one, once the newer one is durable. done is called in any case.
 func (r *Replica) installSnapshot(state *replog.State, done func()) {
 	if state.NextIndex <= r.state.NextIndex {
 		done()
@@ -71,8 +71,8 @@
 	})
 }
 
-// receiveSnapshotRequest handles an rpc.KindSnapshot. It replies with the state if that is beyond the caller's next
-// index, in the newest format that the caller reads. Callers of earlier releases do not send a format.
+// receiveSnapshotRequest handles an rpc.KindSnapshot. If the state's next index is above the caller's, it replies with
+// the state, in the newest format that the caller reads. Callers of earlier releases do not send a format.
 func (r *Replica) receiveSnapshotRequest(c CallReceived, reply replyFunc) {
 	index, formats, err := DecodeIndexed(c.Body)
 	if err != nil || r.state.NextIndex <= index {
--- a/internal/control/replica/commit.go
+++ b/internal/control/replica/commit.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// peerAt returns the first peer with an IP address.
+// peerAt returns the first peer whose address has the given IP.
 func (r *Replica) peerAt(ip netip.Addr) (netip.AddrPort, bool) {
 	peers := r.Peers()
 	i := slices.IndexFunc(peers, func(a netip.AddrPort) bool { return a.Addr() == ip })
--- a/internal/control/replica/doc.go
+++ b/internal/control/replica/doc.go
@@ -11,17 +11,18 @@
 //
 // The owner performs the effects of each Reduce in order. In particular:
 //
-//  1. It makes a Write durable (synced) before it looks at the effects behind it, and reports the result as WriteDone before
-//     any other event. Effects that depend on the write are returned by Reduce(WriteDone), never next to the Write. The order
-//     is therefore persist, report, send.
+//  1. It makes a Write durable (synced) before it performs any later effect, and reports the result as WriteDone before any
+//     other event. Effects that depend on the write are returned by Reduce(WriteDone), never together with the Write. The
+//     order is therefore persist, report, send.
 //  2. It reports a failed write as WriteDone{Durable: false}. Before the next write it then writes the whole of State and
 //     AcceptorState, because the replica does not repeat the lost write.
-//  3. It returns exactly one CallReturned with the ID of each SendCall, with an error after Timeout at the latest.
-//  4. It assigns a RequestID to every CallReceived and every operator event. The ID comes back in exactly one effect
+//  3. It passes exactly one CallReturned to Reduce for each SendCall, with an error after Timeout at the latest.
+//  4. It assigns a RequestID to every CallReceived and every operator event. Exactly one effect carries the same ID
 //     (SendReply, OperatorAnswer, ProposeDone, LeaveDone). Pending holds the requests without an answer.
 //  5. It delivers a Tick no later than NextTimer returns. Effects are valid until the next call of Reduce.
 //
-// Times are durations on a monotonic clock that the owner chooses. A time before the latest one is taken as the latest one.
+// Times are durations on a monotonic clock that the owner chooses. If a time is earlier than that of a previous event, Reduce uses
+// the time of the previous event.
 //
 // # Guarantees
 //
--- a/internal/control/replica/event.go
+++ b/internal/control/replica/event.go
@@ -59,7 +59,7 @@
 }
 
 // ReadConfig is a linearizable read of the configuration. An OperatorAnswer follows by the deadline. A passive read
-// proposes nothing: it waits while an index is open that only a proposal can decide.
+// proposes nothing: if only a proposal can decide an open index (see readMode), it waits for another replica's proposal.
 type ReadConfig struct {
 	Request  RequestID
 	Passive  bool
--- a/internal/control/replica/failuredetector.go
+++ b/internal/control/replica/failuredetector.go
@@ -73,8 +73,8 @@
 	return found
 }
 
-// probeVoters calls every other voter to update the suspicions, and then asks the voters that answer about the one that
-// has been suspected for the longest time. done is called after the last answer or timeout.
+// probeVoters calls every other voter to update the suspicions, and then asks the voters that answer about the voter
+// that has been suspected for the longest time. done is called after the last answer or timeout.
 func (r *Replica) probeVoters(done func()) {
 	calls := newFanOut(func() { r.confirmSuspicion(done) })
 	for _, to := range r.peerVoters() {
@@ -123,8 +123,8 @@
 	}
 }
 
-// receiveCheckReachable handles an rpc.KindCheckReachable. It replies whether the replica at an address answers this
-// one.
+// receiveCheckReachable handles an rpc.KindCheckReachable. It replies whether the replica at an address answers a
+// call from this replica.
 func (r *Replica) receiveCheckReachable(c CallReceived, reply replyFunc) {
 	to, err := netip.ParseAddrPort(string(c.Body))
 	if err != nil {
--- a/internal/control/replica/learner.go
+++ b/internal/control/replica/learner.go
@@ -11,8 +11,9 @@
 	"notchhinge/internal/limits"
 )
 
-// A learner requests a vote from a random replica at intervals. If there is no free vote, that replica keeps it as a
-// candidate, probes the voters until one has failed, and then gives the failed voter's vote to the candidate.
+// A learner requests a vote, that is, membership as a voter, from a random replica at intervals. If no vote is free, that
+// replica keeps the learner as a candidate, probes the voters until it finds that one has failed, and then gives the failed
+// voter's vote to the candidate.
 
 // candidate is a learner that has requested a vote.
 type candidate struct {
@@ -54,8 +55,8 @@
 	})
 }
 
-// activeProposer returns the replica that is currently proposing, if it is another one and the call comes directly from
-// the learner; a call is forwarded only once. While one replica steadily proposes large values, a small proposal of
+// activeProposer returns the replica that is currently proposing, if that is another replica and the call comes directly
+// from the learner; a call is forwarded only once. While one replica steadily proposes large values, a small proposal of
 // another replica would conflict with each of them and lose. The busy replica can propose it between two of its own.
 func (r *Replica) activeProposer(learner *identity, caller netip.Addr) (netip.AddrPort, bool) {
 	addr, ok := memberAddr(&learner.Member)
--- a/internal/control/replica/membership.go
+++ b/internal/control/replica/membership.go
@@ -121,7 +121,7 @@
 	r.membershipChanged()
 }
 
-// MembershipPending reports whether this replica has accepted a membership change at the open index. The change may
+// MembershipPending reports whether this replica has accepted a membership change at its next index. The change may
 // already be chosen, in which case grants of the previous voters may no longer count.
 func (r *Replica) MembershipPending() bool {
 	accepted := &r.acceptor.State
--- a/internal/control/replica/proposal.go
+++ b/internal/control/replica/proposal.go
@@ -194,8 +194,8 @@
 	}
 }
 
-// adoptChosen adopts the value that another proposer had chosen for the index. It commits the value from the response
-// if there is one and the voter has no later entries; otherwise it fetches the voter's state.
+// adoptChosen adopts the value that was chosen for the index earlier. It commits the value from the response, if there is
+// one. If there is none, or the voter has later entries, it fetches the voter's state.
 func (r *Replica) adoptChosen(a *attempt, from *replog.Member, done func()) {
 	if a.Value != nil && r.commit(a.Index, a.Value) && a.NextIndex <= a.Index+1 {
 		done()
--- a/internal/control/replica/read.go
+++ b/internal/control/replica/read.go
@@ -14,6 +14,9 @@
 // A linearizable read queries a majority of the voters for their next index. It is answered once the local state
 // includes all entries below the highest of these, the read index (see Linearizable Quorum Reads in Paxos, HotStorage
 // 2019). One round serves all waiting reads, because many routers may start and read at once.
+//
+// An index is open while a voter has accepted a value for it and the value is not known to be chosen. It may have been
+// chosen and acknowledged, so the read index is above an open index.
 
 const (
 	catchUpRetryDelay = 20 * time.Millisecond  // after a snapshot that did not reach the read index
@@ -106,12 +109,12 @@
 	timer    timerqueue.Key
 	finished bool
 
-	// readIndex is the index below which the local state must have all entries. Entries from there on were not
-	// acknowledged before the reads arrived. It is zero until a majority has answered, and the first majority sets it:
-	// a round that raised it after each snapshot might never end under a steady load of changes.
+	// readIndex is the index below which the local state must have all entries. Entries from readIndex on were not
+	// acknowledged before the reads arrived. It is zero until a majority has answered, and the first majority sets it: a
+	// round that raised it after each snapshot might never end under a steady load of changes.
 	readIndex uint64
-	// voters are the members whose majority determined readIndex. If the state has other voters by then, these are
-	// polled as well: they may have chosen entries without any of the former voters.
+	// voters are the members whose majority determined readIndex. If the state has other voters once it reaches
+	// readIndex, these are polled as well: they may have chosen entries without any of the former voters.
 	voters []replog.Member
 	// hasWaitedForProposer is set once the round has waited for the proposer of an open index.
 	hasWaitedForProposer bool
@@ -162,7 +165,7 @@
 	concluded      bool
 
 	highestNextIndex uint64         // highest next index reported by a voter
-	mostAdvancedPeer netip.AddrPort // that voter; set if highestNextIndex is above localNextIndex
+	mostAdvancedPeer netip.AddrPort // the voter that reported highestNextIndex; set if that is above localNextIndex
 	isOpen           bool           // a voter has accepted a value at highestNextIndex, which may be chosen
 }
 
--- a/internal/control/replica/replica.go
+++ b/internal/control/replica/replica.go
@@ -51,7 +51,7 @@
 	Config
 	state            replog.State
 	acceptor         paxos.Acceptor
-	pendingVoteWrite WriteID // the write of the latest acceptor state; 0 once that is durable
+	pendingVoteWrite WriteID // the write of the latest acceptor state; 0 once the write is durable
 	term             uint64  // highest proposal term seen
 	random           *rand.Rand
 	now              time.Duration
--- a/internal/control/replog/state.go
+++ b/internal/control/replog/state.go
@@ -53,7 +53,7 @@
 }
 
 const (
-	maxFormerMembers = 64 // maximum number of members in an entry
+	maxFormerMembers = 64
 	maxVoteLosses    = 64
 	maxUsageWindows  = 24 // a new lease holder reports the windows that the previous one could not
 )
--- a/internal/control/rpc/rpc.go
+++ b/internal/control/rpc/rpc.go
@@ -31,7 +31,7 @@
 	KindIdentity        Kind = 4  // answered with the identity of the replica
 	KindFetchConfig     Kind = 5  // the newest configuration, as a difference from the caller's; see package configcache
 	KindUsageReport     Kind = 8  // from a router: usage.Report, answered with usage.Ack
-	KindUsageTable      Kind = 9  // from a voter: a range of windows, answered with an encoded usage.Table
+	KindUsageTable      Kind = 9  // from the lease holder: a range of windows, answered with an encoded usage.Table
 	KindJoin            Kind = 10 // identity of a learner that requests a vote; the answer is empty, or reports that the group is full
 	KindRenewLease      Kind = 11 // from the lease holder: lease.Renewal, answered with a verdict
 	KindCommit          Kind = 14 // announces that the value that the callee accepted for an index under a proposal number was chosen
--- a/internal/control/singleton/answer.go
+++ b/internal/control/singleton/answer.go
@@ -29,7 +29,7 @@
 	return handle(c, body)
 }
 
-// handleTableRequest returns the counters of a range of windows to another voter.
+// handleTableRequest returns the counters of a range of windows to the lease holder.
 func (c *Controller) handleTableRequest(body []byte) ([]byte, error) {
 	r := encoding.Reader{Buf: body}
 	from, to := r.Uvarint(), r.Uvarint()
--- a/internal/control/singleton/controller.go
+++ b/internal/control/singleton/controller.go
@@ -26,7 +26,7 @@
 
 	ReportsUsage bool
 	UsageWindow  time.Duration // length of a usage window
-	UsageDelay   time.Duration // a window is due three tenths of it after the end of the window
+	UsageDelay   time.Duration // the latest time of a report after the window's end; three tenths of it are spent waiting for routers
 	// RouterWindow is how long a router counts as live after a report. A new holder does not report the number of routers until
 	// this time has passed.
 	RouterWindow time.Duration
@@ -42,7 +42,7 @@
 	MembershipPending func() bool
 }
 
-// Controller runs one voter's share of the singleton roles. It is not safe for concurrent use.
+// Controller runs one replica's share of the singleton roles. It is not safe for concurrent use.
 type Controller struct {
 	cfg Config
 	rnd *rand.Rand // for the nonces of proposals
@@ -57,7 +57,7 @@
 
 	grants          lease.Grants
 	holder          lease.Holder
-	poll            *poll           // the current poll; verdicts on earlier ones are ignored
+	poll            *poll           // the current poll; responses to earlier polls are ignored
 	fencingToken    uint64          // of the newest known holder
 	holderSeenAt    time.Duration   // when this voter learned of that holder
 	isFirstHolder   bool            // this voter is the first holder of the fleet
--- a/internal/control/singleton/reporting.go
+++ b/internal/control/singleton/reporting.go
@@ -51,7 +51,7 @@
 				return true
 			}
 		}
-		if counts := usage.SortedCounts(c.table.Sum(window)); len(counts) > 0 { // no known request started in the window otherwise
+		if counts := usage.SortedCounts(c.table.Sum(window)); len(counts) > 0 { // if empty, no known request started in the window
 			c.proposeUsage(window, counts)
 			return c.onComplete != nil
 		}
--- a/internal/control/transport/client.go
+++ b/internal/control/transport/client.go
@@ -28,10 +28,10 @@
 	since time.Time
 }
 
-// Call sends a call and waits for its response until ctx is done. This bound detects a partition, as the TCP user timeout is
-// longer than any call. The error is a *RemoteError if the peer's handler returned one; after any other error it is unknown
-// whether the call was executed. If a reused connection turns out to be closed by the peer, the call is retried once on a new
-// one.
+// Call sends a call and waits for its response until ctx is done. The bound is needed to detect a partition, because the TCP
+// user timeout is longer than any call. The error is a *RemoteError if the peer's handler returned one; after any other error
+// it is unknown whether the call was executed. If a reused connection turns out to be closed by the peer, the call is retried
+// once on a new one.
 func (t *Transport) Call(ctx context.Context, to netip.AddrPort, kind rpc.Kind, body []byte) ([]byte, error) {
 	c, reused, err := t.conn(ctx, to)
 	if err != nil {
--- a/internal/control/transport/server.go
+++ b/internal/control/transport/server.go
@@ -41,7 +41,7 @@
 	return true
 }
 
-// evictOldest closes the least recently used inbound connection, whose caller then opens another. It returns false if all
+// evictOldest closes the least recently used inbound connection; its caller then opens another one. It returns false if all
 // connections are handling a call. t.mu is held.
 func (t *Transport) evictOldest() bool {
 	var oldest net.Conn
--- a/internal/control/usage/report.go
+++ b/internal/control/usage/report.go
@@ -5,12 +5,12 @@
 // Load is the traffic of one service, at one router or summed over all routers.
 type Load struct {
 	Service string
-	Running uint64 // mean number of requests at engines over the last second, times 100
+	Running uint64 // number of requests in flight, times 100
 	Arrived uint64 // number of requests since the start of the router
-	Late    uint64 // number of these that missed their latency target or failed
+	Late    uint64 // number of requests that missed their latency target or failed; routers of this release send 0
 }
 
-// Report is the message with counters and loads that a router sends to a voter of the control plane.
+// Report is the message with counters and loads that a router sends to a replica of the control plane.
 type Report struct {
 	Incarnation uint64 // of the router
 	Zone        string
@@ -44,10 +44,10 @@
 	return report, r.Finish()
 }
 
-// Ack is a voter's response to a report.
+// Ack is a replica's response to a report.
 type Ack struct {
-	TableID uint64 // identifies the voter's table; a new table has a new ID and contains no earlier reports
-	Routers uint64 // number of router incarnations, including this one, that reported within the retry window; 0 = unknown
+	TableID uint64 // identifies the replica's table; a new table has a new ID and contains no earlier reports
+	Routers uint64 // number of router incarnations, including this one, that reported within singleton.Config.RouterWindow; 0 = unknown
 }
 
 // Encode returns the encoded acknowledgement.
--- a/internal/control/usage/table.go
+++ b/internal/control/usage/table.go
@@ -18,8 +18,8 @@
 	idleRouterTimeout = time.Minute     // a router without counters is removed this long after its last report
 )
 
-// Table holds the counters of each router incarnation and the loads of its last report, as known to one voter. Tables can be merged
-// in any order with the same result. The zero value is empty.
+// Table holds the counters of each router incarnation and the loads of its last report, as known to one replica. Tables can be
+// merged in any order with the same result. The zero value is empty.
 type Table struct {
 	routers map[uint64]*router // by incarnation
 }
@@ -29,10 +29,10 @@
 	zone       string
 	counters   Counters
 	loads      []Load
-	reportedAt time.Duration // steady clock; 0 = known only from another voter's table
+	reportedAt time.Duration // steady clock; 0 = known only from another replica's table
 }
 
-// Record merges a report that a router sent to this voter. It ignores new incarnations once the table has 4096.
+// Record merges a report that a router sent to this replica. It ignores new incarnations once the table has 4096.
 func (t *Table) Record(now time.Duration, report *Report) {
 	if r := t.merge(report); r != nil {
 		r.reportedAt, r.loads = now, report.Loads
@@ -106,7 +106,7 @@
 	return live
 }
 
-// Encode returns the encoded counters of the windows in [from, to). Another voter passes them to Merge.
+// Encode returns the encoded counters of the windows in [from, to). The lease holder passes them to Merge.
 func (t *Table) Encode(from, to uint64) []byte {
 	selected := map[uint64]Counters{}
 	for id, r := range t.routers {
@@ -129,7 +129,7 @@
 	return w.Buf
 }
 
-// Merge merges the encoded table of another voter. If it returns an error, the routers before the invalid one are merged.
+// Merge merges the encoded table of another replica. If it returns an error, the routers before the invalid one are merged.
 func (t *Table) Merge(encoded []byte) error {
 	r := encoding.Reader{Buf: encoded}
 	for range r.Length(maxRouters, 1) {
--- a/internal/control/usage/usage_test.go
+++ b/internal/control/usage/usage_test.go
@@ -60,8 +60,8 @@
 	return got
 }
 
-// TestReportsCarryOnlyWhatIsNotAcknowledged checks that a router sends only counters that the voter has not acknowledged, and that
-// the table is complete after an acknowledged report, although reports and responses are lost and the voter restarts.
+// TestReportsCarryOnlyWhatIsNotAcknowledged checks that a router sends only counters that the replica has not acknowledged, and that
+// the table is complete after an acknowledged report, although reports and responses are lost and the replica restarts.
 func TestReportsCarryOnlyWhatIsNotAcknowledged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
--- a/internal/node/dataplane.go
+++ b/internal/node/dataplane.go
@@ -31,7 +31,7 @@
 	traffic     *metrics.Traffic
 	endpoints   func(service string) []endpoints.Endpoint // those that may receive requests
 	retryBudget retrybudget.Budget                        // of each service; Window 0 = no retry budget
-	retryShare  retrybudget.Share                         // this router's share of the allowance beyond the ratio that all routers have in common
+	retryShare  retrybudget.Share                         // determines retryBudget.Allowance: this router's share of the fleet's allowance
 }
 
 // dataPlane serves clients. It consists of the connections from clients (frontend), the connections to engines (upstream),
--- a/internal/node/singletonhost.go
+++ b/internal/node/singletonhost.go
@@ -72,7 +72,8 @@
 	return all
 }
 
-// autoscaledService counts the endpoints of a service: the ready ones in each zone where it has any, and their mean slots.
+// autoscaledService counts the ready endpoints of a service in each zone that has any endpoint of it, also if none is ready there, and
+// computes their mean slots.
 func (n *Node) autoscaledService(c *fleetconfig.Service) autoscale.Service {
 	s := autoscale.Service{
 		Name:   c.Name,
