--- a/internal/control/transport/transport_test.go
+++ b/internal/control/transport/transport_test.go
@@ -154,8 +154,8 @@
 	})
 }
 
-// TestLeastRecentlyUsedConnectionIsEvicted: with more callers than the limit of inbound connections, calls still succeed, as a
-// caller whose connection was evicted opens a new one.
+// TestLeastRecentlyUsedConnectionIsEvicted: with more callers than the limit of inbound connections, calls still succeed, because
+// a caller whose connection was evicted opens a new one.
 func TestLeastRecentlyUsedConnectionIsEvicted(t *testing.T) {
 	const maxInbound, callers = 3, 8
 	b := open(t, echo)
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// isOfThree returns a condition: the replica knows of three voters, and is one of them or not as hasVote says.
+// isOfThree returns a condition that holds when the replica knows three voters, and is one of them exactly if hasVote is set.
 func isOfThree(m *testNode, hasVote bool) func() bool {
 	return func() bool {
 		s := m.status()
