--- a/internal/dispatch/actions.go
+++ b/internal/dispatch/actions.go
@@ -17,8 +17,9 @@
 	return nil
 }
 
-// Send implements policy.Actions. It does not rely on the module to check the limits. An attempt ends as moot without being sent
-// if its request is already answered or bound, out of attempts or past its deadline, or if the host is unknown.
+// Send implements policy.Actions. It does not rely on the module to check the limits. An attempt ends with policy.ResultNotSent if
+// its request is already answered or bound, out of attempts or past its deadline, if the host is unknown, or if the retry budget is
+// exhausted.
 func (p *pool) Send(id policy.RequestID, hostID policy.ReplicaID, timeout time.Duration) {
 	d, req := p.dispatcher, p.findRequest(id)
 	if req == nil {
@@ -62,7 +63,7 @@
 }
 
 // traceSent records an attempt in the trace and returns the span that it carries, or nil if tracing is off.
-func (p *pool) traceSent(req *request, att *attempt, h *Host) *trace.Carried {
+func (p *pool) traceSent(req *request, att *attempt, h *Host) *trace.AttemptSpan {
 	d := p.dispatcher
 	if d.traces == nil {
 		return nil
@@ -71,7 +72,7 @@
 	if h != nil {
 		host = *h
 	}
-	return d.traces.Sent(d.now, req.id, req.trace, att.id.Index, host.Name, host.Addr)
+	return d.traces.StartAttempt(d.now, req.id, req.trace, att.id.Index, host.Name, host.Addr)
 }
 
 // Explain implements policy.Actions.
@@ -80,7 +81,7 @@
 		return
 	}
 	if req := p.findRequest(id); req != nil {
-		p.dispatcher.traces.Because(id, req.trace, reason)
+		p.dispatcher.traces.SetReason(id, req.trace, reason)
 	}
 }
 
@@ -92,7 +93,7 @@
 // Fail implements policy.Actions.
 func (p *pool) Fail(id policy.RequestID) { p.answer(id, VerdictFailed, 0) }
 
-// answer ends a request with a final answer that carries no result. It does nothing if the request is already answered or bound.
+// answer ends a request that no attempt has answered. It does nothing if the request is already answered or bound.
 func (p *pool) answer(id policy.RequestID, verdict Verdict, retryAfter time.Duration) {
 	d, req := p.dispatcher, p.findRequest(id)
 	if req == nil || req.answered || req.bound != nil {
--- a/internal/dispatch/effect.go
+++ b/internal/dispatch/effect.go
@@ -8,7 +8,7 @@
 	"notchhinge/policy"
 )
 
-// Verdict says why a request was answered without a result.
+// Verdict is the reason for a Reject.
 type Verdict uint8
 
 // The verdicts.
@@ -35,13 +35,13 @@
 	// StartTracedAttempt replaces StartAttempt when tracing is on. The attempt carries Span to the host.
 	StartTracedAttempt struct {
 		StartAttempt
-		Span *trace.Carried
+		Span *trace.AttemptSpan
 	}
 	// BindAttempt makes an attempt the one whose response is passed on to the client.
 	BindAttempt struct{ Attempt AttemptID }
 	// CancelAttempt cancels an attempt; its AttemptEnded still follows.
 	CancelAttempt struct{ Attempt AttemptID }
-	// Reject ends a request with an answer that carries no result.
+	// Reject ends a request that no attempt has answered.
 	Reject struct {
 		Client     Client
 		Verdict    Verdict
@@ -71,7 +71,7 @@
 		Pools   map[string]*policy.Snapshot
 	}
 	// ExportTrace exports a finished trace.
-	ExportTrace struct{ Trace *trace.Try }
+	ExportTrace struct{ Trace *trace.Record }
 	// CountersReport answers GetCounters.
 	CountersReport struct {
 		ReplyTo  any
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -25,7 +25,7 @@
 	reachedHost     bool  // at least one attempt has reached a host
 	mayHaveRun      bool  // at least one ended attempt may have run
 	running         int32 // attempts whose outcome was not reported to the module yet
-	trace           *trace.Journey
+	trace           *trace.RequestSpan
 }
 
 // clientRequestKey identifies an open request by the ID that its client gave it. IDs are unique within a pool only.
@@ -84,7 +84,7 @@
 	}
 	e.Request.ID, e.Request.Timeout = req.id, req.deadline-d.now
 	if d.traces != nil {
-		req.trace = d.traces.Taken(d.now, req.id, req.client, e.ClientRequestID, e.ReceivedAt, &e.Request, e.Origin, p.traceSet)
+		req.trace = d.traces.StartRequest(d.now, req.id, req.client, e.ClientRequestID, e.ReceivedAt, &e.Request, e.Origin, p.tracePool)
 	}
 	p.module.RequestArrived(d.now, p, e.Request)
 }
@@ -100,8 +100,8 @@
 	d.closeRequest(req)
 	d.traceEnd(req, trace.Gone, 0)
 	req.pool.module.ClientDisconnected(d.now, req.pool, req.id)
-	// The module leaves some attempts running: a stream that has begun, or attempts that its settings do not let it cancel. No
-	// client waits for them any more, so they are cancelled here.
+	// The module may leave attempts running, for example if its settings do not let it cancel them. No client waits for them any
+	// more, so they are cancelled here.
 	for _, att := range req.attempts {
 		if !att.ended {
 			d.cancelAttempt(req, att, d.outcomeAfterLeaving(req))
--- a/internal/lab/check/cuts_test.go
+++ b/internal/lab/check/cuts_test.go
@@ -29,25 +29,25 @@
 	const sec = time.Second
 	detected := 0
 	sides := [][]int{{0, 6}, {1, 2, 7}}
-	for k, kind := range []plane.Kind{plane.Cut, plane.Mute, plane.Deaf, plane.Split} {
+	for k, kind := range []plane.FaultKind{plane.Isolate, plane.DropOutbound, plane.DropInbound, plane.PartitionReplicas} {
 		on := sides[k%2]
-		d := plane.Day{Seed: uint64(k), Keepers: 5, Routers: 5, Engines: 8, Tolerate: 2, Length: 32 * sec, Troubles: []plane.Trouble{
-			{At: 2 * sec, Kind: plane.Change},
+		d := plane.Scenario{Seed: uint64(k), Replicas: 5, Routers: 5, Engines: 8, Tolerate: 2, Length: 32 * sec, Faults: []plane.Fault{
+			{At: 2 * sec, Kind: plane.ChangeConfig},
 			{At: 3 * sec, For: 20 * sec, Kind: kind, On: on},
-			{At: 5 * sec, Kind: plane.Race},
+			{At: 5 * sec, Kind: plane.RaceChanges},
 			{At: 7 * sec, For: 2 * sec, Kind: plane.Kill, On: on},
-			{At: 9 * sec, Kind: plane.Leave, On: []int{k}},
-			{At: 12 * sec, Kind: plane.Race},
+			{At: 9 * sec, Kind: plane.DrainEngine, On: []int{k}},
+			{At: 12 * sec, Kind: plane.RaceChanges},
 			{At: 13 * sec, For: 3 * sec, Kind: plane.Kill, On: []int{8, 9}},
 			{At: 18 * sec, For: sec, Kind: plane.Kill, On: on},
-			{At: 22 * sec, Kind: plane.Race},
-			{At: 28 * sec, Kind: plane.Race},
+			{At: 22 * sec, Kind: plane.RaceChanges},
+			{At: 28 * sec, Kind: plane.RaceChanges},
 		}}
-		r := d.Play("")
-		if len(r.Found) > 0 || r.Acked < 5 { // one before the partition, and one of each race
-			t.Errorf("%v of %v: %d changes acknowledged, violations %+v", kind, on, r.Acked, r.Found)
+		r := d.Run("")
+		if len(r.Violations) > 0 || r.Acked < 5 { // one before the partition, and one of each race
+			t.Errorf("%v of %v: %d changes acknowledged, violations %+v", kind, on, r.Acked, r.Violations)
 		}
-		if k < 2 && len(d.Play("acknowledges what it has only heard").Found) > 0 {
+		if k < 2 && len(d.Run("acknowledges before commit").Violations) > 0 {
 			detected++
 		}
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet starts what an experiment on sockets needs, on loopback: discovery, boxes, a collector, and routers as
-// processes of their own, which it tells of each other as the platform would. It owns their lives; what happens to
-// them in a run is the experiment's.
+// Package fleet starts a test fleet on loopback: a discovery server and stand-in engines inside this process, and routers as
+// child processes, each with the configuration that the platform would provide. It also injects scheduled faults into the
+// engines and stops everything at the end.
 package fleet
 
 import (
@@ -24,7 +24,8 @@
 	"notchhinge/internal/lab/standin"
 )
 
-// Binary finds the router's program: the given path, else the one beside this program, else one that is built into dir.
+// Binary returns the path of the router's executable: the given one, else the one next to this program, else one that it
+// builds into dir.
 func Binary(ctx context.Context, given, dir string) (string, error) {
 	if given != "" {
 		return filepath.Abs(given)
@@ -38,61 +39,61 @@
 	out := filepath.Join(dir, "notchhinge")
 	build := exec.CommandContext(ctx, "go", "build", "-o", out, "notchhinge/cmd/notchhinge")
 	if text, err := build.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("building the router (run this from the repository, or give --router): %w\n%s", err, text)
+		return "", fmt.Errorf("build the router (run this command inside the repository, or set --router): %w\n%s", err, text)
 	}
 	return out, nil
 }
 
-// Options say what a fleet is.
+// Options describe a fleet.
 type Options struct {
-	Binary   string // the router's program
-	Dir      string // for the routers' files and logs
-	Boxes    int
-	Params   model.Params
-	Classes  []load.Class
-	Settings map[string]string // of each kind of router: the text of its --config file; "" = without
-	Routers  []string          // kinds of the routers
-	Cores    float64           // of each router
-	MemoryMB int
-	Sockets  int
-	Pin      bool // routers run on the machine's first core, all else on the others
-	Spans    func(standin.Span)
+	Binary     string // path of the router's executable
+	Dir        string // holds the routers' configuration files and logs
+	Engines    int
+	Params     model.Params
+	Classes    []load.Class
+	Settings   map[string]string // by kind of router: the text of its --config file; "" = no file
+	Routers    []string          // the kind of each router
+	Cores      float64           // of each router
+	MemoryMB   int
+	Sockets    int
+	PinRouters bool               // sets CPU affinity: routers on the first core, this process on the others
+	OnSpan     func(standin.Span) // receives the engines' spans; may be nil
 }
 
-// Fleet is one that runs.
+// Fleet is a running fleet.
 type Fleet struct {
 	Discovery *standin.Discovery
-	Boxes     []*standin.Box
+	Engines   []*standin.Engine
 	Routers   []*Router
-	o         Options
+	options   Options
 	stopped   bool
 }
 
-// Router is a router's process.
+// Router is a router process.
 type Router struct {
-	Name string
-	Kind string
-	Addr string
-	Log  string // file
-	File string // of its --config; "" = none
-	cmd  *exec.Cmd
-	done chan error
+	Name       string
+	Kind       string
+	Addr       string
+	LogFile    string // path
+	ConfigFile string // path of its --config file; "" = none
+	cmd        *exec.Cmd
+	done       chan error
 }
 
-// Start starts everything and waits until the routers are ready.
+// Start starts discovery, engines and routers, and waits until the routers are ready.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	return StartWith(ctx, o, func(*Fleet) error { return nil })
 }
 
-// StartWith is Start with something more that discovery is to know of before the routers start.
-func StartWith(ctx context.Context, o Options, more func(*Fleet) error) (f *Fleet, err error) {
-	f = &Fleet{o: o}
+// StartWith is Start with a callback that runs before the routers start, to register more engines with discovery.
+func StartWith(ctx context.Context, o Options, prepare func(*Fleet) error) (f *Fleet, err error) {
+	f = &Fleet{options: o}
 	defer func() {
 		if err != nil {
-			_ = f.Stop() // err is what is returned
+			_ = f.Stop() // err is already set
 		}
 	}()
-	if o.Pin {
+	if o.PinRouters {
 		if err := leaveFirstCore(); err != nil {
 			return nil, err
 		}
@@ -100,33 +101,33 @@
 	if f.Discovery, err = standin.StartDiscovery("127.0.0.1:0", 0); err != nil {
 		return nil, err
 	}
-	for i := range o.Boxes {
-		b := &standin.Box{Name: fmt.Sprintf("s-%08x", i*0x9e3779b1&0xffffffff), Params: o.Params, Spans: o.Spans, Disc: f.Discovery}
-		if err := b.Start("127.0.0.1:0", false); err != nil {
+	for i := range o.Engines {
+		engine := &standin.Engine{Name: fmt.Sprintf("s-%08x", i*0x9e3779b1&0xffffffff), Params: o.Params, OnSpan: o.OnSpan, Discovery: f.Discovery}
+		if err := engine.Start("127.0.0.1:0", false); err != nil {
 			return nil, err
 		}
-		f.Boxes = append(f.Boxes, b)
+		f.Engines = append(f.Engines, engine)
 	}
-	if err := more(f); err != nil {
+	if err := prepare(f); err != nil {
 		return nil, err
 	}
 	for i, kind := range o.Routers {
-		r, err := f.router(i, kind)
+		r, err := f.startRouter(i, kind)
 		if err != nil {
 			return nil, err
 		}
 		f.Routers = append(f.Routers, r)
 	}
 	for _, r := range f.Routers {
-		if err := r.ready(ctx); err != nil {
+		if err := r.waitReady(ctx); err != nil {
 			return nil, err
 		}
 	}
 	return f, nil
 }
 
-// free takes a port that nothing listens on.
-func free() (string, error) {
+// freeAddr returns a loopback address with an unused port.
+func freeAddr() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -135,37 +136,37 @@
 	return ln.Addr().String(), nil
 }
 
-// config is a router's configuration, in the form in which the platform gives it.
+// config returns the configuration of router i in the platform's format.
 func (f *Fleet) config(r *Router, i int) ([]byte, error) {
 	us := func(d time.Duration) int64 { return d.Microseconds() }
 	type m = map[string]any
 	var grades []m
 	var perK, tokens []int64
-	for _, c := range f.o.Classes {
+	for _, c := range f.options.Classes {
 		grades = append(grades, m{
-			"name": c.Name, "objective": us(c.Aim), "deadline": us(c.Deadline), "dedupWindow": 5000000,
-			"effect": "pure", "group": "all", "lateWorth": 0, "worth": c.Worth, "streaming": true,
+			"name": c.Name, "objective": us(c.FirstTokenTarget), "deadline": us(c.Deadline), "dedupWindow": 5000000,
+			"effect": "pure", "group": "all", "lateWorth": 0, "worth": c.Value, "streaming": true,
 		})
-		perK, tokens = append(perK, us(c.AimPerKTokens)), append(tokens, us(c.TokenAim))
+		perK, tokens = append(perK, us(c.FirstTokenTargetPer1K)), append(tokens, us(c.TokenTarget))
 	}
 	return json.MarshalIndent(m{
 		"name": r.Name, "listen": r.Addr, "discovery": f.Discovery.Addr(), "seed": fmt.Sprintf("%016x", 77+i),
-		"limits": m{"cores": f.o.Cores, "memory_mb": f.o.MemoryMB, "sockets": f.o.Sockets}, "known": f.Discovery.Known(),
+		"limits": m{"cores": f.options.Cores, "memory_mb": f.options.MemoryMB, "sockets": f.options.Sockets}, "known": f.Discovery.Snapshot(),
 		"settings": m{
-			"azs": []string{"room"}, "discovery": "subscribe", "weights": "silent", "zone": 0, "me": i, "replicasOfMe": len(f.o.Routers),
+			"azs": []string{"room"}, "discovery": "subscribe", "weights": "silent", "zone": 0, "me": i, "replicasOfMe": len(f.options.Routers),
 			"grades": grades, "familyInfo": m{"aimUsPer1000PromptTokens": perK, "tokenAim": tokens, "resume": true},
 			"limits": m{
 				"cancel": true, "connectTimeout": 200000, "idleClose": 5000000, "maxOpen": 20000, "maxRetryAfter": 500000,
 				"mostTries": 4, "probes": true, "retryAfter": true,
 			},
 			"prices": m{}, "report": m{"columns": []string{"x1", "concurrent"}, "how": "pull"},
-			"rules": m{"askWithin": 10000000, "coldFrom": f.o.Params.ColdShare, "drainGrace": 500000, "warmUp": us(f.o.Params.WarmUp)},
+			"rules": m{"askWithin": 10000000, "coldFrom": f.options.Params.ColdShare, "drainGrace": 500000, "warmUp": us(f.options.Params.WarmUp)},
 		},
 	}, "", " ")
 }
 
-func (f *Fleet) router(i int, kind string) (*Router, error) {
-	addr, err := free()
+func (f *Fleet) startRouter(i int, kind string) (*Router, error) {
+	addr, err := freeAddr()
 	if err != nil {
 		return nil, err
 	}
@@ -174,31 +175,31 @@
 	if err != nil {
 		return nil, err
 	}
-	file := filepath.Join(f.o.Dir, r.Name+".json")
+	file := filepath.Join(f.options.Dir, r.Name+".json")
 	if err := os.WriteFile(file, cfg, 0o600); err != nil {
 		return nil, err
 	}
 	args := []string{"serve"}
-	if text := f.o.Settings[kind]; text != "" {
-		own := filepath.Join(f.o.Dir, r.Name+".toml")
+	if text := f.options.Settings[kind]; text != "" {
+		own := filepath.Join(f.options.Dir, r.Name+".toml")
 		if err := os.WriteFile(own, []byte(text), 0o600); err != nil {
 			return nil, err
 		}
-		r.File = own
+		r.ConfigFile = own
 		args = append(args, "--config", own)
 	}
-	r.Log = filepath.Join(f.o.Dir, r.Name+".log")
-	log, err := os.Create(r.Log)
+	r.LogFile = filepath.Join(f.options.Dir, r.Name+".log")
+	log, err := os.Create(r.LogFile)
 	if err != nil {
 		return nil, err
 	}
 	defer log.Close()
-	r.cmd = exec.Command(f.o.Binary, args...) //nolint:noctx // Stop drains it, which a context would cut short
+	r.cmd = exec.Command(f.options.Binary, args...) //nolint:noctx // Stop drains it; a canceled context would kill it
 	r.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+file)
 	r.cmd.Stdout, r.cmd.Stderr = log, log
-	r.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the lab
+	r.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no router outlives this process
 	start := r.cmd.Start
-	if f.o.Pin {
+	if f.options.PinRouters {
 		start = func() error { return startPinned(r.cmd) }
 	}
 	if err := start(); err != nil {
@@ -208,8 +209,8 @@
 	return r, nil
 }
 
-// ready waits until the router says that it is.
-func (r *Router) ready(ctx context.Context) error {
+// waitReady polls the readiness endpoint until it answers 200, the process ends or 20 s have passed.
+func (r *Router) waitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
 	for {
@@ -226,17 +227,17 @@
 		select {
 		case err := <-r.done:
 			r.done <- err
-			return fmt.Errorf("router %s ended: %w\n%s", r.Name, err, r.Tail())
+			return fmt.Errorf("router %s exited before it was ready: %w\n%s", r.Name, err, r.Tail())
 		case <-ctx.Done():
-			return fmt.Errorf("router %s is not ready: %w\n%s", r.Name, ctx.Err(), r.Tail())
+			return fmt.Errorf("router %s did not become ready: %w\n%s", r.Name, ctx.Err(), r.Tail())
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-// Tail is the end of the router's log.
+// Tail returns the last ten lines of the router's log.
 func (r *Router) Tail() string {
-	text, _ := os.ReadFile(r.Log)
+	text, _ := os.ReadFile(r.LogFile)
 	lines := bytes.Split(bytes.TrimSpace(text), []byte("\n"))
 	return string(bytes.Join(lines[max(len(lines)-10, 0):], []byte("\n")))
 }
@@ -244,12 +245,12 @@
 // Signal sends the router a signal.
 func (r *Router) Signal(s os.Signal) error { return r.cmd.Process.Signal(s) }
 
-// Stop drains the router and waits for its end, which must be in order.
+// Stop drains the router with SIGTERM and waits up to 20 s for it to exit with status 0.
 func (r *Router) Stop() error {
 	if r.cmd == nil || r.cmd.Process == nil {
 		return nil
 	}
-	_ = r.cmd.Process.Signal(syscall.SIGTERM) // it may have ended, which done tells
+	_ = r.cmd.Process.Signal(syscall.SIGTERM) // it may have exited already; done has its status
 	select {
 	case err := <-r.done:
 		r.done <- nil
@@ -258,35 +259,35 @@
 		}
 		return nil
 	case <-time.After(20 * time.Second):
-		_ = r.cmd.Process.Kill() // it may have ended meanwhile
-		return fmt.Errorf("router %s did not drain within 20 s", r.Name)
+		_ = r.cmd.Process.Kill() // it may have exited meanwhile
+		return fmt.Errorf("router %s did not exit within 20 s of SIGTERM", r.Name)
 	}
 }
 
-// CPU is the processor time that the router's process has used.
+// CPU returns the CPU time, user and system, that the router has used.
 func (r *Router) CPU() (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.cmd.Process.Pid))
 	if err != nil {
 		return 0, err
 	}
-	at := bytes.LastIndexByte(text, ')') // the name may hold spaces
+	at := bytes.LastIndexByte(text, ')') // the command name may contain spaces
 	fields := strings.Fields(string(text[at+1:]))
 	if at < 0 || len(fields) < 13 {
-		return 0, errors.New("/proc/PID/stat has another form")
+		return 0, errors.New("/proc/PID/stat has an unexpected format")
 	}
 	user, err1 := strconv.ParseInt(fields[11], 10, 64)
 	system, err2 := strconv.ParseInt(fields[12], 10, 64)
-	return time.Duration(user+system) * 10 * time.Millisecond, errors.Join(err1, err2) // ticks of 10 ms
+	return time.Duration(user+system) * 10 * time.Millisecond, errors.Join(err1, err2) // clock ticks of 10 ms
 }
 
-// Memory is what the process has resident now, and the most that it has had, in bytes.
-func (r *Router) Memory() (now, most int64, err error) {
+// Memory returns the resident memory of the router and its peak, in bytes.
+func (r *Router) Memory() (now, peak int64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
 	if err != nil {
 		return 0, 0, err
 	}
 	for line := range strings.Lines(string(text)) {
-		for name, to := range map[string]*int64{"VmRSS:": &now, "VmHWM:": &most} {
+		for name, to := range map[string]*int64{"VmRSS:": &now, "VmHWM:": &peak} {
 			if kb, ok := strings.CutPrefix(line, name); ok {
 				if *to, err = strconv.ParseInt(strings.Fields(kb)[0], 10, 64); err != nil {
 					return 0, 0, err
@@ -295,13 +296,13 @@
 			}
 		}
 	}
-	if now == 0 || most == 0 {
+	if now == 0 || peak == 0 {
 		return 0, 0, errors.New("/proc/PID/status has no VmRSS or VmHWM")
 	}
-	return now, most, nil
+	return now, peak, nil
 }
 
-// Addrs are where the routers listen.
+// Addrs returns the addresses on which the routers listen.
 func (f *Fleet) Addrs() []string {
 	var all []string
 	for _, r := range f.Routers {
@@ -310,25 +311,25 @@
 	return all
 }
 
-// Stop ends everything, the routers first and in order. A second call does nothing.
+// Stop stops the routers gracefully, then the engines and discovery. Later calls do nothing.
 func (f *Fleet) Stop() error {
 	if f.stopped {
 		return nil
 	}
 	f.stopped = true
 	var errs []error
-	ends := make(chan error, len(f.Routers))
+	results := make(chan error, len(f.Routers))
 	for _, r := range f.Routers {
-		go func() { ends <- r.Stop() }()
+		go func() { results <- r.Stop() }()
 	}
 	for range f.Routers {
-		errs = append(errs, <-ends)
+		errs = append(errs, <-results)
 	}
-	for _, b := range f.Boxes {
-		b.Die()
+	for _, engine := range f.Engines {
+		engine.Kill()
 	}
 	if f.Discovery != nil {
-		_ = f.Discovery.Close() // a server of this program, which is done with
+		_ = f.Discovery.Close() // no client is left
 	}
 	return errors.Join(errs...)
 }
--- a/internal/lab/fleet/trouble.go
+++ b/internal/lab/fleet/trouble.go
@@ -9,100 +9,100 @@
 	"notchhinge/internal/lab/standin"
 )
 
-// Trouble is something that happens to boxes in a run.
-type Trouble struct {
-	At    time.Duration // from the run's start
-	Lasts time.Duration
-	Boxes []int   // by their place
-	What  string  // a fault of standin, or die, replace, drain
-	Share float64 // of requests that a fault strikes; 0 = all
+// ScheduledFault is a fault that is injected into engines at a set time of a run.
+type ScheduledFault struct {
+	At       time.Duration // since the start of the run
+	Duration time.Duration
+	Engines  []int   // indexes into Fleet.Engines
+	Fault    string  // a standin.Fault, or Crash, Replace or Drain
+	Share    float64 // of requests that a standin.Fault affects; 0 = all
 }
 
-// The troubles that are no faults of a running box. Die: it is gone at once, and after Lasts it is back, cold. Replace:
-// likewise, but another host comes in its place, at the same address. Drain: discovery tells that it terminates, and
-// after Lasts it is replaced.
+// Faults that end an engine's process. A new engine starts cold at the same address after the fault's duration.
 const (
-	Die     = "die"
-	Replace = "replace"
-	Drain   = "drain"
+	Crash   = "die"     // ends at once; the same host returns
+	Replace = "replace" // ends at once; a new host returns
+	Drain   = "drain"   // is announced as terminating and ends after the duration; a new host returns
 )
 
-var faults = []standin.Fault{
-	standin.StallFirst, standin.StallStream, standin.Reset, standin.Refuse, standin.Break,
+var engineFaults = []standin.Fault{
+	standin.StallFirst, standin.StallStream, standin.Reset, standin.Refuse, standin.ServerError,
 	standin.SlowConnect, standin.Pause,
 }
 
-// Check says what is wrong with a trouble in a fleet of so many boxes.
-func (t *Trouble) Check(boxes int) error {
-	if !slices.Contains([]string{Die, Replace, Drain}, t.What) && !slices.Contains(faults, standin.Fault(t.What)) {
-		return fmt.Errorf("what: %q is none of %q, die, replace and drain", t.What, faults)
+// Check returns an error if the fault is invalid in a fleet with that many engines.
+func (s *ScheduledFault) Check(engines int) error {
+	if !slices.Contains([]string{Crash, Replace, Drain}, s.Fault) && !slices.Contains(engineFaults, standin.Fault(s.Fault)) {
+		return fmt.Errorf("what: %q is not one of %q, die, replace and drain", s.Fault, engineFaults)
 	}
-	if t.At < 0 || t.Lasts <= 0 || t.Share < 0 || t.Share > 1 {
-		return fmt.Errorf("at, lasts and share: 0 or more, above 0, and from 0 to 1 are wanted")
+	if s.At < 0 || s.Duration <= 0 || s.Share < 0 || s.Share > 1 {
+		return fmt.Errorf("at must be 0 or more, lasts above 0, and share between 0 and 1")
 	}
-	for _, b := range t.Boxes {
-		if b < 0 || b >= boxes {
-			return fmt.Errorf("boxes: %d is none of the %d", b, boxes)
+	for _, engine := range s.Engines {
+		if engine < 0 || engine >= engines {
+			return fmt.Errorf("boxes: %d is not below the number of engines, %d", engine, engines)
 		}
 	}
 	return nil
 }
 
-// Play has the troubles happen, and returns once all are over or the context is.
-func (f *Fleet) Play(ctx context.Context, troubles []Trouble) error {
+// InjectFaults injects the faults at their times, and returns once all have ended or the context is done. It returns the
+// first error.
+func (f *Fleet) InjectFaults(ctx context.Context, faults []ScheduledFault) error {
 	start := time.Now()
-	ends := make(chan error, len(troubles))
-	for _, t := range troubles {
-		go func() { ends <- f.suffer(ctx, start, t) }()
+	results := make(chan error, len(faults))
+	for _, fault := range faults {
+		go func() { results <- f.inject(ctx, start, fault) }()
 	}
 	var first error
-	for range troubles {
-		if err := <-ends; err != nil && first == nil {
+	for range faults {
+		if err := <-results; err != nil && first == nil {
 			first = err
 		}
 	}
 	return first
 }
 
-func (f *Fleet) suffer(ctx context.Context, start time.Time, t Trouble) error {
+// inject starts a fault at its time, waits for its duration and clears it.
+func (f *Fleet) inject(ctx context.Context, start time.Time, fault ScheduledFault) error {
 	wait := func(at time.Duration) {
 		select {
 		case <-time.After(time.Until(start.Add(at))):
 		case <-ctx.Done():
 		}
 	}
-	wait(t.At)
-	for _, n := range t.Boxes {
-		b := f.Boxes[n]
-		switch t.What {
-		case Die:
-			b.Die()
+	wait(fault.At)
+	for _, index := range fault.Engines {
+		engine := f.Engines[index]
+		switch fault.Fault {
+		case Crash:
+			engine.Kill()
 		case Replace:
-			b.Die()
-			b.Gone()
+			engine.Kill()
+			engine.Deregister()
 		case Drain:
-			b.Drain()
+			engine.Drain()
 		default:
-			b.Suffer(standin.Fault(t.What), t.Share)
+			engine.SetFault(standin.Fault(fault.Fault), fault.Share)
 		}
 	}
-	wait(t.At + t.Lasts)
-	for _, n := range t.Boxes {
-		b := f.Boxes[n]
-		switch t.What {
-		case Die:
+	wait(fault.At + fault.Duration)
+	for _, index := range fault.Engines {
+		engine := f.Engines[index]
+		switch fault.Fault {
+		case Crash:
 		case Drain:
-			b.Die()
-			b.Gone()
-			b.Rename(b.Name + "-r")
+			engine.Kill()
+			engine.Deregister()
+			engine.Rename(engine.Name + "-r")
 		case Replace:
-			b.Rename(b.Name + "-r")
+			engine.Rename(engine.Name + "-r")
 		default:
-			b.Suffer(standin.Fine, 0)
+			engine.SetFault(standin.NoFault, 0)
 			continue
 		}
-		if err := b.Start(b.Addr(), true); err != nil {
-			return fmt.Errorf("box %s comes back: %w", b.Name, err)
+		if err := engine.Start(engine.Addr(), true); err != nil {
+			return fmt.Errorf("restart engine %s: %w", engine.Name, err)
 		}
 	}
 	return nil
