--- a/cmd/notchlab/check.go
+++ b/cmd/notchlab/check.go
@@ -8,7 +8,7 @@
 )
 
 type checkCmd struct {
-	Lives int `help:"Random executions of each walk; execution N has seed N." default:"20000"`
+	Lives int `help:"Number of random executions of each walk; execution N has seed N." default:"20000"`
 }
 
 // Run runs all walks. It fails if a walk finds a violation, or if a walk with a deliberately broken rule finds none.
--- a/cmd/notchlab/demo.go
+++ b/cmd/notchlab/demo.go
@@ -113,14 +113,14 @@
 		var n [6]int
 		attempts := ledger.Attempts()
 		for i := range attempts[seen:] {
-			t := &attempts[seen+i]
+			attempt := &attempts[seen+i]
 			switch {
-			case t.Outcome == load.Served && t.Late:
+			case attempt.Outcome == load.Served && attempt.Late:
 				n[1]++
-			case t.Outcome == load.Served:
+			case attempt.Outcome == load.Served:
 				n[0]++
 			default:
-				if at := slices.Index([]load.Outcome{load.Refused, load.Failed, load.Broken, load.Canceled}, t.Outcome); at >= 0 {
+				if at := slices.Index([]load.Outcome{load.Refused, load.Failed, load.Broken, load.Canceled}, attempt.Outcome); at >= 0 {
 					n[2+at]++
 				}
 			}
@@ -138,7 +138,7 @@
 	}
 }
 
-// printSummary prints the totals, and the traced step with the most attempts.
+// printSummary prints the totals, and the traced operation with the most attempts.
 func (d demo) printSummary(attempts []load.Attempt, traceFiles []string) error {
 	requests, served, invalid := map[int]bool{}, map[int]bool{}, 0
 	for i := range attempts {
@@ -152,26 +152,26 @@
 		}
 	}
 	var traced []*trace.Record
-	for _, s := range traceFiles {
-		if err := show.Scan(s, os.Stderr, func(t *trace.Record) error { traced = append(traced, t); return nil }); err != nil {
+	for _, path := range traceFiles {
+		if err := show.Scan(path, os.Stderr, func(record *trace.Record) error { traced = append(traced, record); return nil }); err != nil {
 			return err
 		}
 	}
 	fmt.Printf("\n%d requests in %d attempts: %d eventually served, %d responses lost or wrong\n", len(requests), len(attempts), len(served), invalid)
-	fmt.Printf("%d attempts were traced; the step with the most attempts at routers and engines:\n\n", len(traced))
+	fmt.Printf("%d attempts were traced; the operation with the most attempts at routers and engines:\n\n", len(traced))
 	var shown []*trace.Record
 	most := 0
-	for _, t := range traced {
-		if len(t.Attempts) < 2 && t.Number < 2 {
+	for _, record := range traced {
+		if len(record.Attempts) < 2 && record.Number < 2 {
 			continue
 		}
-		step := show.Operation(traced, t.Trace)
+		operation := show.Operation(traced, record.Trace)
 		n := 0
-		for _, s := range step {
-			n += 1 + len(s.Attempts)
+		for _, r := range operation {
+			n += 1 + len(r.Attempts)
 		}
-		if n > most && len(step) <= 4 {
-			shown, most = step, n
+		if n > most && len(operation) <= 4 {
+			shown, most = operation, n
 		}
 	}
 	show.Waterfall(os.Stdout, shown, 120)
--- a/cmd/notchlab/fleet.go
+++ b/cmd/notchlab/fleet.go
@@ -62,18 +62,18 @@
 }
 
 // printFleet prints the results of a fleet's run, and returns errRuleBroken if a rule was broken.
-func printFleet(r *system.Report) error {
-	fmt.Printf("\nasked %d: served %d, late %d, refused %d, failed %d; p50 %v, p99 %v\n", r.Asked, r.Served, r.Late, r.Refused, r.Failed,
-		r.P50.Round(time.Millisecond), r.P99.Round(time.Millisecond))
-	fmt.Printf("usage: %d windows reported, %d with conflicting values\n", r.Windows, r.ConflictingReports)
-	fmt.Println("traffic of the remaining processes, by cause: kB sent and received, and between zones")
-	for _, cause := range slices.Sorted(maps.Keys(r.Traffic)) {
-		fmt.Printf("  %-16s %8.1f %8.1f\n", cause, float64(r.Traffic[cause][0])/1e3, float64(r.Traffic[cause][1])/1e3)
+func printFleet(report *system.Report) error {
+	fmt.Printf("\nasked %d: served %d, late %d, refused %d, failed %d; p50 %v, p99 %v\n", report.Asked, report.Served, report.Late, report.Refused, report.Failed,
+		report.P50.Round(time.Millisecond), report.P99.Round(time.Millisecond))
+	fmt.Printf("usage: %d windows reported, %d with conflicting values\n", report.Windows, report.ConflictingReports)
+	fmt.Println("traffic of the remaining processes, by cause: kB in total, and kB between zones")
+	for _, cause := range slices.Sorted(maps.Keys(report.Traffic)) {
+		fmt.Printf("  %-16s %8.1f %8.1f\n", cause, float64(report.Traffic[cause][0])/1e3, float64(report.Traffic[cause][1])/1e3)
 	}
-	for _, b := range r.Violations() {
-		fmt.Println("BROKEN:", b)
+	for _, violation := range report.Violations() {
+		fmt.Println("BROKEN:", violation)
 	}
-	if len(r.Violations()) > 0 {
+	if len(report.Violations()) > 0 {
 		return errRuleBroken
 	}
 	fmt.Println("no rule was broken: no request ran twice that must not, none reached an engine after its drain")
--- a/cmd/notchlab/main.go
+++ b/cmd/notchlab/main.go
@@ -24,10 +24,10 @@
 	Capacity     capacityCmd `cmd:"" name:"capacity" help:"Simulate idle control planes of several sizes, and print the traffic of their processes."`
 	Scale        scaleCmd    `cmd:"" help:"Start a control plane of hundreds of routers and thousands of engines on loopback, most of them hollow (stubs that only exchange control-plane messages), and print the resource usage of each kind of process."`
 	CapacityPage pageCmd     `cmd:"" name:"capacity-page" help:"Regenerate the tables of docs/CAPACITY.md from the results."`
-	Hunt         huntCmd     `cmd:"" help:"Simulate the control plane with random faults (\"days\"), and shrink the days that break a rule."`
-	Replay       replayCmd   `cmd:"" name:"replay" help:"Replay a day that hunt has written."`
+	Hunt         huntCmd     `cmd:"" help:"Simulate scenarios of random faults in the control plane, and shrink those that violate a rule."`
+	Replay       replayCmd   `cmd:"" name:"replay" help:"Run a scenario of the control plane from a file, for example one that hunt has written."`
 	Recover      recoverCmd  `cmd:"" name:"recover" help:"Simulate a power failure of all machines, and print how long each part takes to recover."`
-	Shrink       shrinkCmd   `cmd:"" help:"Reduce a day to the events that are needed to break its rule."`
+	Shrink       shrinkCmd   `cmd:"" help:"Reduce a scenario to the faults that are needed to violate its rule."`
 	Run          run         `cmd:"" help:"Run an experiment file (lab/NAME.toml) and check its acceptance criteria."`
 }
 
@@ -82,7 +82,7 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "notchlab:", err)
-	if bad := (usageError{}); errors.As(err, &bad) {
+	if usage := (usageError{}); errors.As(err, &usage) {
 		os.Exit(2)
 	}
 	os.Exit(1)
--- a/cmd/notchlab/page.go
+++ b/cmd/notchlab/page.go
@@ -17,13 +17,13 @@
 	if err != nil {
 		return usageError{err}
 	}
-	r, err := scale.Load(c.Results)
+	results, err := scale.Load(c.Results)
 	if err != nil {
 		return usageError{err}
 	}
-	made, err := scale.Page(string(text), r)
+	updated, err := scale.Page(string(text), results)
 	if err != nil {
 		return usageError{err}
 	}
-	return os.WriteFile(c.Page, []byte(made), 0o644)
+	return os.WriteFile(c.Page, []byte(updated), 0o644)
 }
--- a/cmd/notchlab/scale.go
+++ b/cmd/notchlab/scale.go
@@ -12,10 +12,10 @@
 
 type scaleCmd struct {
 	Routers int           `help:"Number of routers, including the real ones." default:"330"`
-	Real    int           `help:"Number of real routers, each a process of its own; the others are hollow." default:"3"`
+	Real    int           `help:"Number of real routers, each a process of its own; the others are hollow: stubs that only exchange control-plane messages." default:"3"`
 	Engines int           `help:"Number of engines, all hollow." default:"1500"`
-	Zones   int           `help:"Number of zones, assigned to seven regions in turn; keepers run in the first ones." default:"22"`
-	Keepers int           `help:"Number of keepers, each a process of its own." default:"7"`
+	Zones   int           `help:"Number of zones, assigned to seven regions in turn; replicas run in the first ones." default:"22"`
+	Keepers int           `help:"Number of replicas of the control plane, each a process of its own." default:"7"`
 	Tenants int           `help:"Number of tenants in the configuration." default:"14000"`
 	Routes  int           `help:"Number of routes in the configuration." default:"100"`
 	Rate    float64       `help:"Requests per second that all routers together count at the peak." default:"10000"`
--- a/cmd/notchlab/sim.go
+++ b/cmd/notchlab/sim.go
@@ -79,13 +79,13 @@
 func (c simCmd) table(all []*simRun) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ROUTERS\tENGINES\tLOAD\tSKEW\tVARIANT\tASKED\tIN AIM\tLATE\tREFUSED\tFAILED\tP50 MS\tP99 MS\tKEPT\tBUSIEST\tLEGS")
-	r := report.Result{Name: "sim", About: "The data plane in simulated time, compared with baselines on the same requests.", Seed: c.Seeds[0], Simulated: true}
-	lines := map[string]*report.Series{}
-	for _, some := range slices.Collect(slices.Chunk(all, len(c.Seeds))) {
-		m := mean(some)
+	result := report.Result{Name: "sim", About: "The data plane in simulated time, compared with baselines on the same requests.", Seed: c.Seeds[0], Simulated: true}
+	series := map[string]*report.Series{}
+	for _, runs := range slices.Collect(slices.Chunk(all, len(c.Seeds))) {
+		m := mean(runs)
 		fmt.Fprintf(w, "%d\t%d\t%.2f\t%.2f\t%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%.3f\t%.2f\t%.2f\n", m.Routers, m.Engines, m.Load, m.Skew,
 			m.Variant, m.Requests, m.WithinTarget, m.Late, m.Rejected, m.Failed, m.P50, m.P99, m.CachedShare, m.Busiest, m.Attempts)
-		r.Add(fmt.Sprintf("in aim: %s, %d routers, %d engines, load %.2f, skew %.2f", m.Variant, m.Routers, m.Engines, m.Load, m.Skew), m.WithinTarget, "", "")
+		result.Add(fmt.Sprintf("in aim: %s, %d routers, %d engines, load %.2f, skew %.2f", m.Variant, m.Routers, m.Engines, m.Load, m.Skew), m.WithinTarget, "", "")
 		x := m.Load
 		switch {
 		case len(c.Routers) > 1:
@@ -93,10 +93,10 @@
 		case len(c.Skew) > 1:
 			x = m.Skew
 		}
-		if lines[m.Variant] == nil {
-			lines[m.Variant] = &report.Series{Name: m.Variant}
+		if series[m.Variant] == nil {
+			series[m.Variant] = &report.Series{Name: m.Variant}
 		}
-		lines[m.Variant].Points = append(lines[m.Variant].Points, report.Point{X: x, Y: m.WithinTarget})
+		series[m.Variant].Points = append(series[m.Variant].Points, report.Point{X: x, Y: m.WithinTarget})
 	}
 	if err := w.Flush(); err != nil || c.Out == "" {
 		return err
@@ -109,10 +109,10 @@
 	}
 	chart := report.Chart{File: "in_aim.svg", Title: "first tokens within the latency target", X: x, Y: "share"}
 	for _, v := range c.Variants {
-		chart.Series = append(chart.Series, *lines[v])
+		chart.Series = append(chart.Series, *series[v])
 	}
-	r.Charts = append(r.Charts, chart)
-	return r.Write(c.Out)
+	result.Charts = append(result.Charts, chart)
+	return result.Write(c.Out)
 }
 
 // runParallel calls do for each i below n, with one call at a time on each core.
@@ -130,27 +130,27 @@
 }
 
 // mean returns the mean of runs that differ only in their seed.
-func mean(some []*simRun) simRun {
-	m := *some[0]
-	n := float64(len(some))
+func mean(runs []*simRun) simRun {
+	m := *runs[0]
+	n := float64(len(runs))
 	m.Figures = sim.Figures{}
-	for _, p := range some {
-		m.Requests += p.Requests / len(some)
-		for _, x := range []struct {
+	for _, run := range runs {
+		m.Requests += run.Requests / len(runs)
+		for _, field := range []struct {
 			to *float64
 			of float64
 		}{
-			{&m.WithinTarget, p.WithinTarget},
-			{&m.Late, p.Late},
-			{&m.Rejected, p.Rejected},
-			{&m.Failed, p.Failed},
-			{&m.P50, p.P50},
-			{&m.P99, p.P99},
-			{&m.CachedShare, p.CachedShare},
-			{&m.Busiest, p.Busiest},
-			{&m.Attempts, p.Attempts},
+			{&m.WithinTarget, run.WithinTarget},
+			{&m.Late, run.Late},
+			{&m.Rejected, run.Rejected},
+			{&m.Failed, run.Failed},
+			{&m.P50, run.P50},
+			{&m.P99, run.P99},
+			{&m.CachedShare, run.CachedShare},
+			{&m.Busiest, run.Busiest},
+			{&m.Attempts, run.Attempts},
 		} {
-			*x.to += x.of / n
+			*field.to += field.of / n
 		}
 	}
 	return m
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -106,7 +106,7 @@
 	return f, nil
 }
 
-// check returns the first fault of the file.
+// check returns the first error in the file.
 func (f *File) check() error {
 	switch {
 	case f.Name == "" || f.About == "":
@@ -200,7 +200,7 @@
 // printf prints a line of progress.
 func (r *run) printf(format string, args ...any) { fmt.Fprintf(r.opts.Out, format+"\n", args...) }
 
-// Run runs an experiment. It returns an error only if the run could not be completed; unmet criteria stand in the result.
+// Run runs an experiment. It returns an error only if the run could not be completed; the result lists the criteria that are not met.
 func Run(ctx context.Context, f *File, opts Options) (*report.Result, error) {
 	dir, err := os.MkdirTemp("", "notchlab-")
 	if err != nil {
--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -209,18 +209,18 @@
 // violations counts attempts with a lost, wrong or conflicting response, and describes up to three of them.
 func violations(attempts []load.Attempt) (n int, examples []string) {
 	for i := range attempts {
-		if t := &attempts[i]; t.Outcome == load.Wrong || t.Outcome == load.Lost || t.Status == http.StatusConflict {
+		if attempt := &attempts[i]; attempt.Outcome == load.Wrong || attempt.Outcome == load.Lost || attempt.Status == http.StatusConflict {
 			n++
 			if len(examples) < 3 {
-				examples = append(examples, fmt.Sprintf("%s: %s %d %s", t.CallID, t.Outcome, t.Status, t.Detail))
+				examples = append(examples, fmt.Sprintf("%s: %s %d %s", attempt.CallID, attempt.Outcome, attempt.Status, attempt.Detail))
 			}
 		}
 	}
 	return n, examples
 }
 
-// runServices measures isolation: the timely worth of one service while the other is overloaded, hung or drained, relative to
-// its worth while the other is idle. Paired turns with the same requests are interleaved.
+// runServices measures isolation: the value that one service serves in time while the other is overloaded, hung or drained,
+// relative to the value while the other is idle. Paired turns with the same requests are interleaved.
 func runServices(ctx context.Context, r *run) error {
 	t, err := r.startServices(ctx, false, func(t *serviceFleet) string { return t.defaultConfig() })
 	if err != nil {
@@ -228,7 +228,7 @@
 	}
 	defer func() { _ = t.stop() }() // the first error is returned
 	conditions := []string{"overloaded", "hung", "drained"}
-	ratios, worths, outcomesOf := map[string][]float64{}, map[string][]float64{}, map[string]map[load.Outcome]int{}
+	ratios, valueShares, outcomesOf := map[string][]float64{}, map[string][]float64{}, map[string]map[load.Outcome]int{}
 	firstEvent := map[string]*hdrhistogram.Histogram{} // of the first service, by condition of the second: time to first event in µs
 	for _, condition := range append(conditions, "") {
 		firstEvent[condition] = hdrhistogram.New(1, 600_000_000, 3)
@@ -286,7 +286,7 @@
 		for i := range other {
 			outcomesOf[condition][other[i].Outcome]++
 		}
-		w := load.ValueShare(plan, own)
+		share := load.ValueShare(plan, own)
 		for i := range own {
 			if attempt := &own[i]; attempt.Outcome == load.Served && firstEvent[condition] != nil {
 				// Deadlines keep every value below the histogram's limit of 600 s.
@@ -294,13 +294,13 @@
 			}
 		}
 		if condition != "" {
-			worths[condition+", the other"] = append(worths[condition+", the other"], load.ValueShare(calib, other))
+			valueShares[condition+", the other"] = append(valueShares[condition+", the other"], load.ValueShare(calib, other))
 		}
 		time.Sleep(time.Duration(float64(time.Second) / r.Fleet.Speed * 4)) // requests in flight end
-		return w, ctx.Err()
+		return share, ctx.Err()
 	}
 	for n, condition := range []string{"", "alone", "alone", "alone"} { // fills caches; only the last turn is kept
-		delete(worths, "alone, the other")
+		delete(valueShares, "alone, the other")
 		if _, err := runTurn(r.Seed+uint64(n), condition); err != nil {
 			return err
 		}
@@ -311,21 +311,21 @@
 	for round := range r.rounds {
 		for i, condition := range conditions {
 			seed := r.Seed + uint64(100*round+10*i+10)
-			var w [2]float64
+			var shares [2]float64
 			for k := range 2 {
 				n := (round + k) % 2
 				turnCondition := condition
 				if n == 0 {
 					turnCondition = ""
 				}
-				if w[n], err = runTurn(seed, turnCondition); err != nil {
+				if shares[n], err = runTurn(seed, turnCondition); err != nil {
 					return err
 				}
 			}
-			ratios[condition] = append(ratios[condition], w[1]/w[0])
-			worths[condition] = append(worths[condition], w[1])
-			worths["idle"] = append(worths["idle"], w[0])
-			r.printf("pair %d of %d, other service %s: timely worth %.4f, %.4f with it idle", round+1, r.rounds, condition, w[1], w[0])
+			ratios[condition] = append(ratios[condition], shares[1]/shares[0])
+			valueShares[condition] = append(valueShares[condition], shares[1])
+			valueShares["idle"] = append(valueShares["idle"], shares[0])
+			r.printf("pair %d of %d, other service %s: value served in time %.4f, %.4f with it idle", round+1, r.rounds, condition, shares[1], shares[0])
 		}
 	}
 	if err := t.stop(); err != nil {
@@ -340,8 +340,8 @@
 	}
 	res := r.result
 	res.Add("tries", float64(len(attempts)), "", fmt.Sprint(examples))
-	res.Mean("timely worth of the other service alone, at the rate that overload triples", worths["alone, the other"], "", "")
-	res.Mean("timely worth, other service idle", worths["idle"], "", "share of all requested worth")
+	res.Mean("value served in time by the other service alone, at the rate that overload triples", valueShares["alone, the other"], "", "")
+	res.Mean("value served in time, other service idle", valueShares["idle"], "", "share of the value of all requests")
 	for _, condition := range append([]string{""}, conditions...) {
 		h, name := firstEvent[condition], condition
 		if name == "" {
@@ -350,12 +350,12 @@
 		res.Add("time to first event, other service "+name, float64(h.ValueAtQuantile(50))/1e3, "ms",
 			fmt.Sprintf("median; 99 of 100 within %.0f ms", float64(h.ValueAtQuantile(99))/1e3))
 	}
-	chart := report.Chart{File: "worth.svg", Title: "Timely worth relative to that with the other service idle", X: "pair", Y: "ratio"}
+	chart := report.Chart{File: "worth.svg", Title: "Value served in time, relative to that with the other service idle", X: "pair", Y: "ratio"}
 	for _, condition := range conditions {
-		res.Mean("timely worth, other service "+condition, worths[condition], "", "")
-		res.Mean("timely worth of the other service, "+condition, worths[condition+", the other"], "", outcomes(outcomesOf[condition]))
+		res.Mean("value served in time, other service "+condition, valueShares[condition], "", "")
+		res.Mean("value served in time by the other service, "+condition, valueShares[condition+", the other"], "", outcomes(outcomesOf[condition]))
 		ratio := res.Ratio("ratio of pairs, other service "+condition, ratios[condition], "geometric mean")
-		res.Criteria = append(res.Criteria, report.NewCriterion("timely worth relative to idle, other service "+condition, ratio, "", r.Thresholds["worth"], math.MaxFloat64, ""))
+		res.Criteria = append(res.Criteria, report.NewCriterion("value served in time, relative to idle, other service "+condition, ratio, "", r.Thresholds["worth"], math.MaxFloat64, ""))
 		s := report.Series{Name: condition}
 		for i, v := range ratios[condition] {
 			s.Points = append(s.Points, report.Point{X: float64(i + 1), Y: v})
@@ -629,7 +629,7 @@
 	res.Add("highest ratio of requests to the allowed number in a window", maxRatio, "", "")
 	res.Add("latest request to a draining engine", latestMS, "ms", "after its drain was announced")
 	for i, name := range []string{"first", "second"} {
-		res.Add("timely worth of the "+name+" pool", load.ValueShare(plans[i], ledgers[i]), "", "")
+		res.Add("value served in time by the "+name+" pool", load.ValueShare(plans[i], ledgers[i]), "", "")
 	}
 	fromBoth := 0
 	for _, n := range poolsOfEngine {
--- a/internal/lab/experiment/tracing.go
+++ b/internal/lab/experiment/tracing.go
@@ -30,11 +30,11 @@
 	n   int
 }
 
-func (b *engineSpans) add(s standin.Span) {
-	b.mu.Lock()
-	b.all[s.Parent.String()] = append(b.all[s.Parent.String()], s)
-	b.n++
-	b.mu.Unlock()
+func (e *engineSpans) add(s standin.Span) {
+	e.mu.Lock()
+	e.all[s.Parent.String()] = append(e.all[s.Parent.String()], s)
+	e.n++
+	e.mu.Unlock()
 }
 
 // fleetOptions returns the options of the experiment's fleet with the given kinds of routers and their settings.
@@ -123,10 +123,10 @@
 	requests := map[int]int{}
 	first := map[[2]int]int{} // by request and router: number of the first attempt there
 	for i := range attempts {
-		t := &attempts[i]
-		requests[t.Request]++
-		if at := [2]int{t.Request, t.Router}; first[at] == 0 || t.Number < first[at] {
-			first[at] = t.Number
+		attempt := &attempts[i]
+		requests[attempt.Request]++
+		if at := [2]int{attempt.Request, attempt.Router}; first[at] == 0 || attempt.Number < first[at] {
+			first[at] = attempt.Number
 		}
 	}
 	counts := map[load.Outcome]int{}
@@ -135,28 +135,28 @@
 	inLedger := map[string]bool{}
 	var examples []string
 	for i := range attempts {
-		t := &attempts[i]
-		counts[t.Outcome]++
-		inLedger[t.CallID] = true
-		if t.Outcome == load.Wrong || t.Outcome == load.Lost {
+		attempt := &attempts[i]
+		counts[attempt.Outcome]++
+		inLedger[attempt.CallID] = true
+		if attempt.Outcome == load.Wrong || attempt.Outcome == load.Lost {
 			invalid++
-			examples = append(examples, fmt.Sprintf("%s %s: %s", t.Outcome, t.CallID, t.Detail))
+			examples = append(examples, fmt.Sprintf("%s %s: %s", attempt.Outcome, attempt.CallID, attempt.Detail))
 		}
-		if !t.First.IsZero() {
-			firstEvents = append(firstEvents, t.First.Sub(t.Sent).Seconds()*1000)
+		if !attempt.First.IsZero() {
+			firstEvents = append(firstEvents, attempt.First.Sub(attempt.Sent).Seconds()*1000)
 		}
-		got := byCall[t.CallID]
-		if t.Unsent && got == nil {
+		got := byCall[attempt.CallID]
+		if attempt.Unsent && got == nil {
 			unwritten++
 			continue
 		}
-		isRequired := t.Late || t.Outcome != load.Served
-		if t.Number > 1 {
+		isRequired := attempt.Late || attempt.Outcome != load.Served
+		if attempt.Number > 1 {
 			// Routers share no state: an unmarked retry at a router that has not seen the request counts as a first attempt there.
-			if seen := t.Marked || first[[2]int{t.Request, t.Router}] < t.Number; seen {
+			if seen := attempt.Marked || first[[2]int{attempt.Request, attempt.Router}] < attempt.Number; seen {
 				isRequired = true
 				recognizable++
-				if got != nil && (len(got.root.Links) > 0 || t.Trace != [16]byte{} && string(got.root.TraceId) == string(t.Trace[:])) {
+				if got != nil && (len(got.root.Links) > 0 || attempt.Trace != [16]byte{} && string(got.root.TraceId) == string(attempt.Trace[:])) {
 					linked++
 				}
 			} else {
@@ -168,7 +168,7 @@
 			required++
 			if got == nil {
 				missing++
-				examples = append(examples, fmt.Sprintf("missing: %s attempt %d %s late %v after %v", t.CallID, t.Number, t.Outcome, t.Late, t.End.Sub(t.Sent)))
+				examples = append(examples, fmt.Sprintf("missing: %s attempt %d %s late %v after %v", attempt.CallID, attempt.Number, attempt.Outcome, attempt.Late, attempt.End.Sub(attempt.Sent)))
 				continue
 			}
 		case got == nil:
@@ -181,11 +181,11 @@
 		if got == nil {
 			continue
 		}
-		if defect := r.traceDefect(t, got, engines); defect != "" {
+		if defect := r.traceDefect(attempt, got, engines); defect != "" {
 			incomplete++
-			examples = append(examples, fmt.Sprintf("incomplete: %s: %s", t.CallID, defect))
+			examples = append(examples, fmt.Sprintf("incomplete: %s: %s", attempt.CallID, defect))
 		}
-		seen := t.End.Sub(t.Sent)
+		seen := attempt.End.Sub(attempt.Sent)
 		total := time.Duration(got.root.EndTimeUnixNano - got.root.StartTimeUnixNano)
 		differences = append(differences, math.Abs((seen-total).Seconds()*1000))
 	}
@@ -247,32 +247,32 @@
 func (r *run) lengthFraction() float64 { return float64(r.length) / float64(r.Traffic.Length) }
 
 // traceDefect describes the first defect of an attempt's trace, or returns "" if the trace is complete and consistent.
-func (r *run) traceDefect(t *load.Attempt, got *attemptTrace, engines *engineSpans) string {
+func (r *run) traceDefect(attempt *load.Attempt, got *attemptTrace, engines *engineSpans) string {
 	if n := int(standin.IntAttribute(got.root, "notchhinge.legs")); n != len(got.upstreams) {
 		return fmt.Sprintf("%d upstream attempts of %d", len(got.upstreams), n)
 	}
-	if t.Trace != [16]byte{} && string(got.root.TraceId) != string(t.Trace[:]) {
+	if attempt.Trace != [16]byte{} && string(got.root.TraceId) != string(attempt.Trace[:]) {
 		return "its trace id is not the client's"
 	}
-	for _, l := range got.upstreams {
-		if res := standin.StringAttribute(l, "notchhinge.result"); res == "" || res == "none" {
+	for _, upstream := range got.upstreams {
+		if res := standin.StringAttribute(upstream, "notchhinge.result"); res == "" || res == "none" {
 			return "an upstream attempt has no result"
 		}
-		if l.StartTimeUnixNano < got.root.StartTimeUnixNano || l.EndTimeUnixNano < l.StartTimeUnixNano {
+		if upstream.StartTimeUnixNano < got.root.StartTimeUnixNano || upstream.EndTimeUnixNano < upstream.StartTimeUnixNano {
 			return "an upstream attempt starts before its parent or ends before it starts"
 		}
 		answered := false
-		for _, e := range l.Events {
+		for _, e := range upstream.Events {
 			answered = answered || e.Name == "notchhinge.first_byte"
 		}
 		engines.mu.Lock()
-		ownSpans := engines.all[standin.Hex(l.SpanId)]
+		ownSpans := engines.all[standin.Hex(upstream.SpanId)]
 		engines.mu.Unlock()
 		if answered && len(ownSpans) != 1 {
 			return fmt.Sprintf("an answered upstream attempt has %d engine spans", len(ownSpans))
 		}
 		for _, s := range ownSpans {
-			if s.CallID != t.CallID || s.Host != standin.StringAttribute(l, "notchhinge.host") {
+			if s.CallID != attempt.CallID || s.Host != standin.StringAttribute(upstream, "notchhinge.host") {
 				return "an engine span belongs to another request or host"
 			}
 		}
@@ -288,8 +288,8 @@
 		return fmt.Sprintf("phases add up to %d µs of %d", sum, total)
 	}
 	served := standin.StringAttribute(got.root, "notchhinge.outcome") == "served"
-	if served != (t.Outcome == load.Served) && t.Outcome != load.Canceled && t.Outcome != load.Wrong {
-		return fmt.Sprintf("the client recorded %s, the trace %s", t.Outcome, standin.StringAttribute(got.root, "notchhinge.outcome"))
+	if served != (attempt.Outcome == load.Served) && attempt.Outcome != load.Canceled && attempt.Outcome != load.Wrong {
+		return fmt.Sprintf("the client recorded %s, the trace %s", attempt.Outcome, standin.StringAttribute(got.root, "notchhinge.outcome"))
 	}
 	return ""
 }
@@ -307,21 +307,21 @@
 		}
 	}
 	seconds := int(r.length.Seconds()) + 1
-	for _, o := range []string{"served in time", "late", "refused", "failed", "broken", "left"} {
-		s := report.Series{Name: o, Points: make([]report.Point, seconds)}
+	for _, outcome := range []string{"served in time", "late", "refused", "failed", "broken", "left"} {
+		s := report.Series{Name: outcome, Points: make([]report.Point, seconds)}
 		for i := range s.Points {
 			s.Points[i].X = float64(i)
 		}
 		for i := range attempts {
-			t := &attempts[i]
-			kind := string(t.Outcome)
-			if t.Outcome == load.Served {
+			attempt := &attempts[i]
+			kind := string(attempt.Outcome)
+			if attempt.Outcome == load.Served {
 				kind = "served in time"
-				if t.Late {
+				if attempt.Late {
 					kind = "late"
 				}
 			}
-			if n := int(t.Due.Sub(start).Seconds()); kind == o && n < seconds {
+			if n := int(attempt.Due.Sub(start).Seconds()); kind == outcome && n < seconds {
 				s.Points[n].Y++
 			}
 		}
--- a/internal/lab/load/plan.go
+++ b/internal/lab/load/plan.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Class describes one class of requests, with the figures from the deployment's page.
+// Class describes one class of requests of the deployment that the lab models.
 type Class struct {
 	Name                  string
 	Share                 float64       // weight in the mix of requests
@@ -27,7 +27,7 @@
 	Deadline              time.Duration
 }
 
-// Classes returns the classes of the deployment's page, with times divided by speed and token counts multiplied by size.
+// Classes returns the classes of the deployment, with times divided by speed and token counts multiplied by size.
 func Classes(speed, size float64) []Class {
 	scaled := func(d time.Duration) time.Duration { return time.Duration(float64(d) / speed) }
 	tokens := func(from, to float64) [2]float64 { return [2]float64{max(from*size, 1), max(to*size, 2)} }
--- a/internal/lab/report/report.go
+++ b/internal/lab/report/report.go
@@ -111,8 +111,8 @@
 
 // Passed returns how many criteria are met and how many are not.
 func (r *Result) Passed() (passed, failed int) {
-	for _, b := range r.Criteria {
-		if b.Holds {
+	for _, c := range r.Criteria {
+		if c.Holds {
 			passed++
 		} else {
 			failed++
@@ -126,8 +126,8 @@
 	for _, row := range r.Rows {
 		fmt.Fprintf(w, "  %-44s %s\n", row.Name, row.text())
 	}
-	for _, b := range r.Criteria {
-		fmt.Fprintf(w, "%-46s %s\n", b.Name, b.text())
+	for _, c := range r.Criteria {
+		fmt.Fprintf(w, "%-46s %s\n", c.Name, c.text())
 	}
 	passed, failed := r.Passed()
 	fmt.Fprintf(w, "%d passed, %d failed\n", passed, failed)
@@ -151,23 +151,23 @@
 	return strings.TrimSpace(s + " " + r.Unit)
 }
 
-func (b Criterion) text() string {
+func (c Criterion) text() string {
 	var required string
 	switch {
-	case b.Min == b.Max:
-		required = formatValue(b.Min)
-	case math.IsInf(b.Max, 1) || b.Max == math.MaxFloat64:
-		required = formatValue(b.Min) + " or more"
-	case b.Min == -math.MaxFloat64:
-		required = formatValue(b.Max) + " or less"
+	case c.Min == c.Max:
+		required = formatValue(c.Min)
+	case math.IsInf(c.Max, 1) || c.Max == math.MaxFloat64:
+		required = formatValue(c.Min) + " or more"
+	case c.Min == -math.MaxFloat64:
+		required = formatValue(c.Max) + " or less"
 	default:
-		required = formatValue(b.Min) + " to " + formatValue(b.Max)
+		required = formatValue(c.Min) + " to " + formatValue(c.Max)
 	}
 	verdict := "does not hold"
-	if b.Holds {
+	if c.Holds {
 		verdict = "holds"
 	}
-	return strings.TrimSpace(fmt.Sprintf("%s %s", formatValue(b.Figure), b.Unit)) + " of " + required + ": " + verdict
+	return strings.TrimSpace(fmt.Sprintf("%s %s", formatValue(c.Figure), c.Unit)) + " of " + required + ": " + verdict
 }
 
 // Write writes summary.json, table.md, the charts and report.html into a directory, which it creates.
--- a/internal/lab/system/system.go
+++ b/internal/lab/system/system.go
@@ -1,6 +1,6 @@
 // Package system runs a whole fleet on loopback for the lab: processes of the program itself, fake engines, a fake platform,
 // an operator and clients. The fakes follow the platform's public protocol. It injects faults on a timeline and counts the
-// results of the clients and violations of the fleet's guarantees.
+// results of the clients and violations of the fleet's rules.
 package system
 
 import (
@@ -53,7 +53,7 @@
 	Traffic                              map[string][2]uint64 // by cause: bytes in total and between zones
 }
 
-// Violations returns a line for each guarantee that the run violated.
+// Violations returns a line for each rule that the run violated.
 func (r *Report) Violations() (all []string) {
 	for what, n := range map[string]int{
 		"non-idempotent requests were executed twice": r.RanTwice, "requests reached an engine after its drain": r.AfterDrain, "usage reports contradicted an earlier report": r.ConflictingReports,
--- a/internal/lab/system/system_test.go
+++ b/internal/lab/system/system_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestFleetSurvivesFaults(t *testing.T) {
-	// Real processes are killed and frozen under load; no guarantee may be violated.
+	// Real processes are killed and frozen under load; no rule may be violated.
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "notchhinge")
 	if out, err := exec.CommandContext(t.Context(), "go", "build", "-o", binary, "notchhinge/cmd/notchhinge").CombinedOutput(); err != nil {
--- a/internal/lab/trial/file.go
+++ b/internal/lab/trial/file.go
@@ -117,7 +117,7 @@
 	return true
 }
 
-// Load reads and validates a file. Its error joins all faults.
+// Load reads and validates a file. Its error lists every invalid field.
 func Load(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -141,16 +141,16 @@
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if faults := f.validate(); len(faults) > 0 {
-		for i, err := range faults {
-			faults[i] = fmt.Errorf("%s: %w", path, err)
+	if errs := f.validate(); len(errs) > 0 {
+		for i, err := range errs {
+			errs[i] = fmt.Errorf("%s: %w", path, err)
 		}
-		return nil, errors.Join(faults...)
+		return nil, errors.Join(errs...)
 	}
 	return f, nil
 }
 
-// validate returns all faults of the file.
+// validate returns all errors in the file.
 func (f *File) validate() (all []error) {
 	report := func(format string, args ...any) { all = append(all, fmt.Errorf(format, args...)) }
 	if f.Name == "" || f.About == "" {
@@ -182,7 +182,7 @@
 	return append(all, f.optionErrors(values)...)
 }
 
-// optionErrors returns the faults of the runs' options, by value and variant.
+// optionErrors returns the errors in the runs' options, by value and variant.
 func (f *File) optionErrors(values []float64) (all []error) {
 	for _, value := range values {
 		for i := range f.Variants {
@@ -199,7 +199,7 @@
 	return all
 }
 
-// checkOptions returns the first fault of a run's options.
+// checkOptions returns the first error in a run's options.
 func checkOptions(at string, o sim.Options) error {
 	within := func(x, least, most float64) bool { return least <= x && x <= most }
 	counts := within(float64(o.Routers), 1, maxRouters) && within(float64(o.Engines), 2, maxEngines) &&
