--- a/internal/lab/experiment/services.go
+++ b/internal/lab/experiment/services.go
@@ -333,8 +333,8 @@
 	}
 	invalid, examples := violations(attempts)
 	misrouted := 0
-	for _, a := range t.requests {
-		if want := map[string]string{runsHost: "runs-", calibHost: "calib-"}[a.host]; want == "" || a.engine[:len(want)] != want {
+	for _, request := range t.requests {
+		if want := map[string]string{runsHost: "runs-", calibHost: "calib-"}[request.host]; want == "" || request.engine[:len(want)] != want {
 			misrouted++
 		}
 	}
@@ -445,9 +445,9 @@
 		return err
 	}
 	var attempts []load.Attempt
-	at := map[string][]engineRequest{}
-	for _, a := range t.requests {
-		at[a.id] = append(at[a.id], a)
+	byID := map[string][]engineRequest{}
+	for _, request := range t.requests {
+		byID[request.id] = append(byID[request.id], request)
 	}
 	var misrouted, checked, ambiguous int
 	for i, ledger := range ledgers {
@@ -473,9 +473,9 @@
 			if (i == 1) != swapped {
 				want = "calib-"
 			}
-			for _, a := range at[attempt.CallID] {
+			for _, request := range byID[attempt.CallID] {
 				checked++
-				if a.engine[:len(want)] != want {
+				if request.engine[:len(want)] != want {
 					misrouted++
 				}
 			}
@@ -577,12 +577,12 @@
 		return z - a
 	}
 	byEngine, poolsOfEngine := map[string][]time.Time{}, map[string]map[string]int{}
-	for _, a := range t.requests {
-		byEngine[a.engine] = append(byEngine[a.engine], a.at)
-		if poolsOfEngine[a.engine] == nil {
-			poolsOfEngine[a.engine] = map[string]int{}
+	for _, request := range t.requests {
+		byEngine[request.engine] = append(byEngine[request.engine], request.at)
+		if poolsOfEngine[request.engine] == nil {
+			poolsOfEngine[request.engine] = map[string]int{}
 		}
-		poolsOfEngine[a.engine][a.host]++
+		poolsOfEngine[request.engine][request.host]++
 	}
 	params := r.fleetOptions(nil, nil).Params
 	var lateRequests, coldRequests, exceeded, windows int
--- a/internal/lab/standin/discovery.go
+++ b/internal/lab/standin/discovery.go
@@ -17,12 +17,12 @@
 type Entry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
-	Health string  `json:"health"` // Ready, Terminating or Gone
-	Share  float64 `json:"share"`
-	BornMS int64   `json:"born_ms"`
+	Site   string  `json:"site"`    // zone
+	Class  string  `json:"class"`   // of the host
+	Block  int     `json:"block"`   // cell
+	Health string  `json:"health"`  // Ready, Terminating or Gone
+	Share  float64 `json:"share"`   // weight
+	BornMS int64   `json:"born_ms"` // start of a cold engine in Unix milliseconds; 0 = warm
 }
 
 // List is a response of the discovery service: the whole list, or the entries that changed.
--- a/lab/net/deterministic.sh
+++ b/lab/net/deterministic.sh
@@ -61,7 +61,7 @@
 bad=0 played=0
 while read -r line; do
   if [[ $line == end ]]; then
-    [[ $played == $(wc -l <"$file") ]] || { echo "DIFFERENT: $played commands were played, $file has others"; bad=1; }
+    [[ $played == $(wc -l <"$file") ]] || { echo "DIFFERENT: $played commands ran, but $file has a different number of lines"; bad=1; }
     continue
   fi
   played=$((played + 1))
