--- a/internal/lab/check/attemptclient.go
+++ b/internal/lab/check/attemptclient.go
@@ -12,7 +12,7 @@
 // clientConn is a client's connection. The frontend serves it in a coroutine, which yields while it waits for the client.
 type clientConn struct {
 	net.Conn
-	r        *routerWalk
+	walk     *routerWalk
 	input    []byte // sent by the client, not yet read
 	err      error  // returned by reads after the input
 	request  *clientRequest
@@ -24,7 +24,7 @@
 
 // connect opens a client's connection.
 func (r *routerWalk) connect() *clientConn {
-	c := &clientConn{r: r}
+	c := &clientConn{walk: r}
 	c.next, c.stop = iter.Pull(func(yield func(struct{}) bool) {
 		c.yield = yield
 		r.frontend.ServeConn(c)
@@ -54,7 +54,7 @@
 	if c.isClosed || c.err != nil {
 		return 0, &net.OpError{Op: "write", Err: syscall.EPIPE}
 	}
-	if c.request != nil && !c.r.hasCrashed {
+	if c.request != nil && !c.walk.hasCrashed {
 		c.request.received = append(c.request.received, p...)
 	}
 	return len(p), nil
--- a/internal/lab/check/attemptengine.go
+++ b/internal/lab/check/attemptengine.go
@@ -18,7 +18,7 @@
 // engineConn is a connection to an engine.
 type engineConn struct {
 	net.Conn
-	r             *routerWalk
+	walk          *routerWalk
 	host          string
 	readable      []byte // bytes that the router can read
 	remainder     []byte // of a response that has begun
@@ -37,7 +37,7 @@
 var errReset = &net.OpError{Op: "read", Err: os.NewSyscallError("read", syscall.ECONNRESET)}
 
 func (r *routerWalk) dial(_ context.Context, _, addr string) (net.Conn, error) {
-	c := &engineConn{r: r, host: addr}
+	c := &engineConn{walk: r, host: addr}
 	r.engineConns = append(r.engineConns, c)
 	return c, nil
 }
@@ -48,11 +48,13 @@
 func (c *engineConn) Close() error                   { c.isClosed = true; return nil }
 
 // IsIdle implements upstream.IdleChecker.
-func (c *engineConn) IsIdle() bool { return c.r.skipsIdleCheck || len(c.readable) == 0 && c.err == nil }
+func (c *engineConn) IsIdle() bool {
+	return c.walk.skipsIdleCheck || len(c.readable) == 0 && c.err == nil
+}
 
 // Write handles a request that the router sends: the walk picks how much of it arrives.
 func (c *engineConn) Write(b []byte) (int, error) {
-	r := c.r
+	r := c.walk
 	if c.isClosed || r.hasCrashed {
 		return 0, net.ErrClosed
 	}
@@ -110,7 +112,7 @@
 func (c *engineConn) Read(p []byte) (int, error) {
 	for {
 		switch {
-		case c.isClosed, c.r.hasCrashed:
+		case c.isClosed, c.walk.hasCrashed:
 			return 0, net.ErrClosed
 		case len(c.readable) > 0:
 			n := copy(p, c.readable)
@@ -138,12 +140,12 @@
 }
 
 // errorResponse returns a response with an error status.
-func (c *engineConn) errorResponse(q *clientRequest, status string, notRun bool) []byte {
+func (c *engineConn) errorResponse(q *clientRequest, status string, notExecuted bool) []byte {
 	head := ""
-	if notRun {
+	if notExecuted {
 		head = "X-Not-Executed: 1\r\n"
 	}
-	if c.delivery != nil && (notRun || strings.HasPrefix(status, "421")) {
+	if c.delivery != nil && (notExecuted || strings.HasPrefix(status, "421")) {
 		c.delivery.isNotExecuted = true
 	}
 	return fmt.Appendf(nil, "HTTP/1.1 %s\r\nX-Request-Id: %s\r\nKeep-Alive: timeout=10\r\n%sContent-Length: 6\r\n\r\n%s.", status, q.id, head, q.id)
@@ -166,7 +168,7 @@
 
 // nextEvent picks and applies the next event on a connection on which the router waits.
 func (c *engineConn) nextEvent() {
-	q, r := c.request, c.r
+	q, r := c.request, c.walk
 	if r.respondsNormally {
 		c.deliver(c.response(q, ""))
 		return
@@ -218,7 +220,7 @@
 
 // addRareEvents adds the remaining events of an engine.
 func (c *engineConn) addRareEvents(add func(string, func()), end func(error)) {
-	q, r := c.request, c.r
+	q, r := c.request, c.walk
 	addPartial := func(name string, upTo func(b []byte) int) {
 		add(name, func() {
 			b := c.response(q, "")
@@ -313,13 +315,13 @@
 
 // deliverWhenIdle makes unrequested bytes arrive once the response has been read, where IsIdle detects them.
 func (c *engineConn) deliverWhenIdle(more []byte) {
-	r := c.r
+	r := c.walk
 	r.whenIdle = append(r.whenIdle, func() { c.readable, c.unusable = append(c.readable, more...), "it has unrequested bytes" })
 }
 
 // addExternalEvents adds events of clients and of the router's process. At most two occur in a run, or one if cutsEveryByte is set.
 func (c *engineConn) addExternalEvents(add func(string, func())) {
-	q, r := c.request, c.r
+	q, r := c.request, c.walk
 	addOnce := func(name string, do func()) {
 		add(name, func() { r.externalEvents--; do() })
 	}
--- a/internal/lab/check/attempts.go
+++ b/internal/lab/check/attempts.go
@@ -86,7 +86,7 @@
 type routerWalk struct {
 	brokenRules
 	pick              func(n int) int
-	limitsRetryEvents bool // retries meet common events only
+	limitsRetryEvents bool // see attemptBounds
 	cutsEveryByte     bool // see attemptBounds
 	now               time.Duration
 	dispatcher        *dispatch.Dispatcher
@@ -107,7 +107,7 @@
 	whenIdle          []func() // bytes that arrive on idle connections
 	respondsNormally  bool     // engines send complete, correct responses from now on
 	steps             []string // what has happened, for the report of a violation
-	firstViolation    string   // "" = none
+	violation         string   // "" = none
 }
 
 func newRouterWalk(pick func(int) int, rules brokenRules, engines, maxRetries int) *routerWalk {
@@ -124,7 +124,7 @@
 	next := hoststate.PoolID(1)
 	compiled, err := dialect.Compile(c, dialect.CompileOptions{LogIndex: 1, NextPool: &next})
 	if err != nil {
-		r.firstViolation = err.Error()
+		r.violation = err.Error()
 		return r
 	}
 	service := compiled.Services()["s"]
@@ -136,7 +136,7 @@
 	}
 	module, err := policy.New(dialect.PolicySettings(classes, time.Second, lim.MaxAttempts), 1)
 	if err != nil {
-		r.firstViolation = err.Error()
+		r.violation = err.Error()
 		return r
 	}
 	r.dispatcher = dispatch.New(lim)
@@ -269,7 +269,7 @@
 
 // violate records a violation with the steps that led to it, if it is the first one.
 func (r *routerWalk) violate(format string, args ...any) {
-	if r.firstViolation == "" {
-		r.firstViolation = fmt.Sprintf(format, args...) + ": " + strings.Join(r.steps, "; ")
+	if r.violation == "" {
+		r.violation = fmt.Sprintf(format, args...) + ": " + strings.Join(r.steps, "; ")
 	}
 }
--- a/internal/lab/check/attemptwalk.go
+++ b/internal/lab/check/attemptwalk.go
@@ -20,8 +20,8 @@
 		}
 		r.play(firstKind, secondKind)
 		runs++
-		if r.firstViolation != "" {
-			return r.firstViolation, runs
+		if r.violation != "" {
+			return r.violation, runs
 		}
 		if !choices.advance() {
 			return "", runs
--- a/internal/lab/check/catchupoperator.go
+++ b/internal/lab/check/catchupoperator.go
@@ -96,7 +96,7 @@
 	m.enqueue(replica.ReadConfig{Deadline: sim.now + 900*time.Millisecond, Request: m.answers.Add(func(r api.Result) {
 		switch {
 		case r.Status == 200 && r.Revision < minRevision:
-			sim.violate("member %d reads revision %d, but %d was already acknowledged", m.position, r.Revision, minRevision)
+			sim.violate("member %d reads revision %d, but %d was already acknowledged", m.index, r.Revision, minRevision)
 		case r.Status == 200:
 			onRead()
 		case m.incarnation == incarnation:
--- a/internal/lab/check/catchupreplica.go
+++ b/internal/lab/check/catchupreplica.go
@@ -24,10 +24,10 @@
 // simReplica is a simulated machine and the replica process on it.
 type simReplica struct {
 	sim                           *catchUpSim
-	position                      int
+	index                         int // in catchUpSim.replicas
 	disk                          *disk
 	store                         *storage.Store
-	node                          *replica.Replica
+	replica                       *replica.Replica
 	isUp                          bool
 	incarnation                   int
 	isBusy                        bool
@@ -37,7 +37,7 @@
 	outboundFreeAt, inboundFreeAt time.Duration // when the link finishes the transfers in flight
 	id                            uint64
 	ackedIndex                    uint64              // NextIndex of the newest state that the disk has acknowledged
-	ackedAcceptor                 paxos.AcceptorState // newest that the disk has acknowledged
+	ackedAcceptor                 paxos.AcceptorState // newest acceptor state that the disk has acknowledged
 	maxQueue                      int
 	slowdown                      float64 // writes take 1 + slowdown times their usual time
 
@@ -65,7 +65,7 @@
 				}
 			})
 		} else if !m.disk.hasLostPower() {
-			sim.violate("member %d cannot open its store: %v", m.position, err)
+			sim.violate("member %d cannot open its store: %v", m.index, err)
 		}
 		m.stop(true)
 		return
@@ -75,18 +75,18 @@
 	}
 	if v := &recovered.Acceptor; recovered.State.NextIndex < m.ackedIndex || cmp.Or(cmp.Compare(v.Index, m.ackedAcceptor.Index), v.Promised.Compare(m.ackedAcceptor.Promised),
 		v.Accepted.Compare(m.ackedAcceptor.Accepted)) < 0 {
-		sim.violate("member %d has NextIndex %d and acceptor %+v on its disk, which had acknowledged %d and %+v", m.position, recovered.State.NextIndex, v, m.ackedIndex, m.ackedAcceptor)
+		sim.violate("member %d has NextIndex %d and acceptor %+v on its disk, which had acknowledged %d and %+v", m.index, recovered.State.NextIndex, v, m.ackedIndex, m.ackedAcceptor)
 	}
 	sim.checkState(m, &recovered.State)
 	m.store, m.isUp, m.isBusy, m.needsReopen, m.queue, m.tickAt = s, true, false, false, nil, 0
 	m.calls, m.answers = replica.Pending[*pendingCall]{}, replica.Pending[func(api.Result)]{}
 	m.incarnation++
-	m.node = replica.New(replica.Config{
-		Self: replog.Member{ID: recovered.ID, Name: fmt.Sprintf("k%d", m.position), Addr: simAddr(m.position).String()}, IsFounder: recovered.IsFounder, MinVoters: sim.members,
+	m.replica = replica.New(replica.Config{
+		Self: replog.Member{ID: recovered.ID, Name: fmt.Sprintf("k%d", m.index), Addr: simAddr(m.index).String()}, IsFounder: recovered.IsFounder, MinVoters: sim.members,
 		Incarnation: sim.rnd.Uint64(), Seed: sim.rnd.Uint64(), State: recovered.State, Acceptor: recovered.Acceptor, ChosenValue: s.ChosenValue,
 		Peers: func() (all []netip.AddrPort) {
 			for i := range sim.replicas {
-				if i != m.position {
+				if i != m.index {
 					all = append(all, simAddr(i))
 				}
 			}
@@ -137,7 +137,7 @@
 			m.occupy(m.sim.decodeTime(len(x.Config)), func() { m.reduce(e) })
 		case replica.ReadConfig:
 			if m.sim.brokenRule == brokenReads {
-				s := m.node.State()
+				s := m.replica.State()
 				if answer, ok := m.answers.Take(x.Request); ok {
 					answer(api.Result{Status: 200, Revision: s.Revision})
 				}
@@ -165,7 +165,7 @@
 }
 
 func (m *simReplica) reduce(e replica.Event) {
-	m.perform(append([]replica.Effect(nil), m.node.Reduce(m.sim.now, e)...))
+	m.perform(append([]replica.Effect(nil), m.replica.Reduce(m.sim.now, e)...))
 }
 
 // scheduleTick schedules a Tick for the replica's next timer, at least a millisecond from now.
@@ -173,7 +173,7 @@
 	if !m.isUp || m.isBusy {
 		return
 	}
-	at, ok := m.node.NextTimer()
+	at, ok := m.replica.NextTimer()
 	if at = max(at, m.sim.now+time.Millisecond); !ok || m.tickAt > m.sim.now && m.tickAt <= at {
 		return
 	}
@@ -199,7 +199,7 @@
 			m.occupy(sim.writeTime(&f, m.slowdown), func() {
 				ok := m.write(&f)
 				if m.isUp {
-					m.perform(append(rest, m.node.Reduce(sim.now, replica.WriteDone{ID: f.ID, Durable: ok})...))
+					m.perform(append(rest, m.replica.Reduce(sim.now, replica.WriteDone{ID: f.ID, Durable: ok})...))
 				}
 			})
 			return
@@ -213,7 +213,7 @@
 			body := f.Body
 			if c.kind == rpc.KindSnapshot && len(body) > 0 {
 				if body = sim.alterSnapshot(body); sim.brokenRule == brokenSnapshot {
-					body = sim.encodedStates[c.index+1]
+					body = sim.encodedStates[c.nextIndex+1]
 				}
 			}
 			sim.transfer(m, c.from, len(body), func() { c.respond(body, f.Err) })
@@ -256,11 +256,11 @@
 	if err := m.store.Reopen(); err != nil {
 		return err
 	}
-	state := m.node.State()
+	state := m.replica.State()
 	if err := m.store.SaveSnapshot(&state); err != nil {
 		return err
 	}
-	return m.store.SaveAcceptor(m.node.AcceptorState())
+	return m.store.SaveAcceptor(m.replica.AcceptorState())
 }
 
 func (m *simReplica) writeToStore(f *replica.Write) error {
@@ -277,7 +277,7 @@
 	return m.store.SaveAcceptor(f.Acceptor)
 }
 
-// saveSnapshotInTwoWrites is the fault of brokenBatch: it removes the log entries in one write and saves the snapshot in another.
+// saveSnapshotInTwoWrites breaks the rule brokenBatch: it removes the log entries in one write and saves the snapshot in another.
 func (m *simReplica) saveSnapshotInTwoWrites(s *replog.State) error {
 	_ = m.store.Close() // the files are reopened from the disk
 	files, err := m.disk.open()
--- a/internal/lab/check/catchupsim.go
+++ b/internal/lab/check/catchupsim.go
@@ -29,7 +29,7 @@
 	encodedStates  map[uint64][]byte            // by NextIndex, for brokenSnapshot
 	maxIndex       uint64                       // highest NextIndex of any replica
 	ackedRevision  uint64
-	goalRevision   uint64 // the operator stops at this revision
+	goalRevision   uint64 // the operator submits no change beyond this revision
 	lastReplica    int    // index of the replica that acknowledged the newest change
 	violation      string // the first; "" = none
 	snapshotCalls  int
@@ -50,11 +50,11 @@
 	syncTime       time.Duration // of a disk write, besides its bytes
 	diskRate       float64       // bytes per second
 	decodeRate     float64       // bytes of a configuration per second
-	rotatesMembers bool          // each change goes to the next member rather than to the one that acknowledged the last
+	rotatesMembers bool          // each change goes to the next member rather than to the member that acknowledged the previous change
 	brokenRule     string        // "" = none
 }
 
-// Rules of catch-up that fault injection breaks.
+// Rules of catch-up that a walk breaks on purpose; each must be detected.
 const (
 	brokenBatch    = "a snapshot and the removal of its entries are two writes"
 	brokenOrder    = "a replica votes with state that is not on its disk"
@@ -92,7 +92,7 @@
 		encodedStates: map[uint64][]byte{}, alterSnapshot: func(b []byte) []byte { return b },
 	}
 	for i := range config.members + config.spares {
-		sim.replicas = append(sim.replicas, &simReplica{sim: sim, position: i, disk: newDisk()})
+		sim.replicas = append(sim.replicas, &simReplica{sim: sim, index: i, disk: newDisk()})
 	}
 	sim.padding = make([]byte, config.paddingBytes) // random, so that the database cannot compress it
 	for i := range sim.padding {
@@ -148,17 +148,17 @@
 		sim.encodedStates[s.NextIndex] = encoded
 	}
 	if other, known := sim.stateDigests[s.NextIndex]; known && other != digest {
-		sim.violate("the state of member %d differs from others at index %d", m.position, s.NextIndex)
+		sim.violate("the state of member %d differs from others at index %d", m.index, s.NextIndex)
 	}
 	sim.stateDigests[s.NextIndex], sim.maxIndex = digest, max(sim.maxIndex, s.NextIndex)
 }
 
 // pendingCall is a call without a response yet.
 type pendingCall struct {
-	from    *simReplica
-	kind    rpc.Kind
-	index   uint64 // of a snapshot call: the caller's NextIndex
-	respond func(body []byte, err error)
+	from      *simReplica
+	kind      rpc.Kind
+	nextIndex uint64 // of a snapshot call: the caller's NextIndex
+	respond   func(body []byte, err error)
 }
 
 // call sends a call over the network. Its response arrives, or the call times out.
@@ -168,7 +168,7 @@
 	p := &pendingCall{from: m, kind: c.Kind}
 	if c.Kind == rpc.KindSnapshot {
 		sim.snapshotCalls++
-		p.index, _, _ = replica.DecodeIndexed(c.Body) // the replica encoded it, so it decodes
+		p.nextIndex, _, _ = replica.DecodeIndexed(c.Body) // the replica encoded it, so it decodes
 	}
 	p.respond = func(body []byte, err error) {
 		if !isDone && m.incarnation == incarnation {
@@ -182,7 +182,7 @@
 		return
 	}
 	sim.transfer(m, to, len(c.Body), func() {
-		to.enqueue(replica.CallReceived{Kind: c.Kind, Body: c.Body, From: simAddr(m.position).Addr(), Request: to.calls.Add(p)})
+		to.enqueue(replica.CallReceived{Kind: c.Kind, Body: c.Body, From: simAddr(m.index).Addr(), Request: to.calls.Add(p)})
 	})
 }
 
--- a/internal/lab/check/catchupwalk.go
+++ b/internal/lab/check/catchupwalk.go
@@ -29,12 +29,12 @@
 	}
 	sim.readConfig(m, func() { hasRead = true })
 	elapsed, ok := sim.runUntil(maxCatchUp, func() bool {
-		s := m.node.State()
+		s := m.replica.State()
 		return !m.isUp || hasRead && s.NextIndex >= target && s.Member(m.id) != nil
 	})
 	if sim.longestCatchUp = max(sim.longestCatchUp, elapsed); !ok {
-		s := m.node.State()
-		sim.violate("member %d has not caught up in %v: index %d of %d, read %v, member %v", m.position, elapsed, s.NextIndex, sim.maxIndex, hasRead, s.Member(m.id) != nil)
+		s := m.replica.State()
+		sim.violate("member %d has not caught up in %v: index %d of %d, read %v, member %v", m.index, elapsed, s.NextIndex, sim.maxIndex, hasRead, s.Member(m.id) != nil)
 	}
 }
 
@@ -97,8 +97,8 @@
 		m.disk.failFrom(failAt, 1+failAt%5, syscall.ENOSPC)
 		sim.restartAndCatchUp(m)
 		if !m.isUp { // the first start failed
-			if _, ok := sim.runUntil(maxCatchUp, func() bool { return m.isUp && m.node.State().NextIndex+limits.MaxJoinLag > sim.maxIndex }); !ok {
-				sim.violate("member %d has not recovered after its disk was full", m.position)
+			if _, ok := sim.runUntil(maxCatchUp, func() bool { return m.isUp && m.replica.State().NextIndex+limits.MaxJoinLag > sim.maxIndex }); !ok {
+				sim.violate("member %d has not recovered after its disk was full", m.index)
 			}
 		}
 		if m.disk.isFailurePending() {
@@ -152,14 +152,14 @@
 	sim.restartAndCatchUp(m)
 	for range 12 {
 		sim.runFor(500 * time.Millisecond)
-		if s := m.node.State(); s.NextIndex+limits.MaxJoinLag < sim.maxIndex || len(m.queue) > maxQueue {
-			sim.violate("slow member %d lacks %d entries, with %d events queued", m.position, sim.maxIndex-s.NextIndex, len(m.queue))
+		if s := m.replica.State(); s.NextIndex+limits.MaxJoinLag < sim.maxIndex || len(m.queue) > maxQueue {
+			sim.violate("slow member %d lacks %d entries, with %d events queued", m.index, sim.maxIndex-s.NextIndex, len(m.queue))
 		}
 	}
 	m.slowdown = 0
 	head := sim.maxIndex
-	if elapsed, ok := sim.runUntil(maxBehind, func() bool { return m.node.State().NextIndex >= head }); !ok {
-		sim.violate("member %d has not caught up %v after its disk was slow", m.position, elapsed)
+	if elapsed, ok := sim.runUntil(maxBehind, func() bool { return m.replica.State().NextIndex >= head }); !ok {
+		sim.violate("member %d has not caught up %v after its disk was slow", m.index, elapsed)
 	}
 	m.slowdown = 24
 	sim.runFor(time.Second)
--- a/internal/lab/check/check.go
+++ b/internal/lab/check/check.go
@@ -42,11 +42,11 @@
 		{"attempts, every order of events of two requests", exploreTwoRequests},
 		{"power lost at every step of a store's writes", func(int) (string, int) {
 			violations, losses := losePowerAtEachStep(false, 1)
-			return firstFault(violations), losses
+			return firstError(violations), losses
 		}},
 		{"replicas that missed a thousand changes", walkCatchUp},
 		{"power lost at every step of catch-up, snapshots altered", walkCatchUpFaults},
-		{"writes refused at every second step", func(int) (string, int) { return firstFault(refuseWritesAtEachStep(2)), 0 }},
+		{"writes refused at every second step", func(int) (string, int) { return firstError(refuseWritesAtEachStep(2)), 0 }},
 	}
 }
 
@@ -81,17 +81,17 @@
 		catchUp(brokenBatch), catchUp(brokenOrder), catchUp(brokenReads), catchUp(brokenSnapshot), catchUp(brokenTimeout),
 		{"a journal's file name is not synced", func(int) (string, int) {
 			violations, losses := losePowerAtEachStep(true, 5)
-			return firstFault(violations), losses
+			return firstError(violations), losses
 		}},
 	}, slices.Concat(brokenReplicaWalks(), brokenAttemptWalks())...)
 }
 
-// firstFault returns the text of the first error; "" = none.
-func firstFault(faults []error) string {
-	if len(faults) == 0 {
+// firstError returns the text of the first error; "" = none.
+func firstError(errs []error) string {
+	if len(errs) == 0 {
 		return ""
 	}
-	return faults[0].Error()
+	return errs[0].Error()
 }
 
 // RunAll runs all walks with a number of seeds, and prints a line for each. It returns false if a walk finds a violation, or if
--- a/internal/lab/check/cuts.go
+++ b/internal/lab/check/cuts.go
@@ -22,15 +22,15 @@
 // Messages are delayed and lost, partitions of one or both directions last up to maxPartition, processes are killed during
 // writes and restart from their disks, and disks are lost. Nothing reads a clock, so a seed's walk is reproducible.
 type replicaCluster struct {
-	draw       func(n int) int
-	now        time.Duration
-	timers     *timerqueue.Queue[func()]
-	hosts      []*host
-	blocked    map[[2]int]bool // links that lose all messages: from, to
-	brokenRule string          // the rule that this walk breaks on purpose; "" = none
-	lastID     uint64
-	violation  string // the first one; "" = none
-	noFaults   bool   // no process is killed and no disk lost from now on
+	draw         func(n int) int
+	now          time.Duration
+	timers       *timerqueue.Queue[func()]
+	hosts        []*host
+	blockedLinks map[[2]int]bool // links that lose all messages: from, to
+	brokenRule   string          // the rule that this walk breaks on purpose; "" = none
+	lastID       uint64
+	violation    string // the first one; "" = none
+	faultsEnded  bool   // no process is killed and no disk is lost any more
 
 	rejectsJoins  bool // no replica can join by its own request
 	hasSingletons bool // each host runs a singleton.Controller
@@ -39,8 +39,8 @@
 
 // host is a machine that runs a replica.
 type host struct {
-	s           *replicaCluster
-	i           int
+	cluster     *replicaCluster
+	index       int    // in replicaCluster.hosts
 	id          uint64 // of the replica; a new disk gets a new one
 	isUp        bool
 	incarnation int // changes with every start and stop of the process
@@ -48,7 +48,7 @@
 	state       replog.State        // on the disk
 	acceptor    paxos.AcceptorState // on the disk
 	chosen      map[uint64][]byte   // values by index, on the disk
-	wakeAt      time.Duration       // of the scheduled Tick; 0 = none
+	tickAt      time.Duration       // of the scheduled Tick; 0 = none
 	singleton   *singletonHost      // nil while the process is stopped, and in clusters without singletons
 
 	// Callbacks of requests to this process that are still pending.
@@ -64,13 +64,13 @@
 }
 
 // newReplicaCluster starts n replicas that are members of one cluster, and spare ones that can replace them. A cluster with
-// spares runs singletons, and its replicas join only by a members change.
+// spares runs singletons, and its replicas join only by a membership change.
 func newReplicaCluster(draw func(n int) int, n, spares int, brokenRule string) *replicaCluster {
-	s := &replicaCluster{draw: draw, timers: timerqueue.New[func()](), blocked: map[[2]int]bool{}, brokenRule: brokenRule, lastID: 1, now: time.Hour}
+	s := &replicaCluster{draw: draw, timers: timerqueue.New[func()](), blockedLinks: map[[2]int]bool{}, brokenRule: brokenRule, lastID: 1, now: time.Hour}
 	s.rejectsJoins, s.hasSingletons = spares > 0, spares > 0
 	var all []replog.Member
 	for i := range n + spares {
-		h := &host{s: s, i: i}
+		h := &host{cluster: s, index: i}
 		h.format()
 		s.hosts = append(s.hosts, h)
 		all = append(all, h.member())
@@ -111,21 +111,21 @@
 		for b := range s.hosts {
 			if from, to := side>>a&1, side>>b&1; from != to && (direction == 0 || direction == 1 && from == 1 || direction == 2 && to == 1) {
 				links = append(links, [2]int{a, b})
-				s.blocked[[2]int{a, b}] = true
+				s.blockedLinks[[2]int{a, b}] = true
 			}
 		}
 	}
 	s.after(duration, func() {
 		for _, l := range links {
-			delete(s.blocked, l)
+			delete(s.blockedLinks, l)
 		}
 	})
 }
 
 // heal ends every partition, starts every stopped process, and prevents further kills and disk losses.
 func (s *replicaCluster) heal() {
-	clear(s.blocked)
-	s.noFaults = true
+	clear(s.blockedLinks)
+	s.faultsEnded = true
 	for _, h := range s.hosts {
 		if !h.isUp {
 			h.start()
@@ -172,19 +172,19 @@
 
 // format replaces the host's disk by an empty one with a new member ID.
 func (h *host) format() {
-	h.s.lastID++
-	h.id = h.s.lastID
+	h.cluster.lastID++
+	h.id = h.cluster.lastID
 	h.state, h.acceptor, h.chosen = replog.State{}, paxos.AcceptorState{}, map[uint64][]byte{}
 }
 
 func (h *host) member() replog.Member {
-	return replog.Member{ID: h.id, Name: fmt.Sprint("k-", h.i), Addr: hostAddr(h.i).String()}
+	return replog.Member{ID: h.id, Name: fmt.Sprint("k-", h.index), Addr: hostAddr(h.index).String()}
 }
 
 // start starts the process from its disk.
 func (h *host) start() {
-	s := h.s
-	h.isUp, h.wakeAt = true, 0
+	s := h.cluster
+	h.isUp, h.tickAt = true, 0
 	h.calls, h.answers = replica.Pending[func([]byte, error)]{}, replica.Pending[func(api.Result)]{}
 	h.proposals = replica.Pending[func(error)]{}
 	h.incarnation++
@@ -192,7 +192,7 @@
 	var others []netip.AddrPort
 	for _, o := range s.hosts {
 		if o != h {
-			others = append(others, hostAddr(o.i))
+			others = append(others, hostAddr(o.index))
 		}
 	}
 	h.replica = replica.New(replica.Config{
@@ -214,12 +214,12 @@
 
 // kill stops the process, and starts it again after downtime.
 func (h *host) kill(downtime time.Duration) {
-	if h.s.noFaults {
+	if h.cluster.faultsEnded {
 		return
 	}
 	h.stop()
 	incarnation := h.incarnation
-	h.s.after(downtime, func() {
+	h.cluster.after(downtime, func() {
 		if h.incarnation == incarnation {
 			h.start()
 		}
@@ -241,7 +241,7 @@
 		}
 		return
 	}
-	h.perform(h.replica.Reduce(h.s.now, e))
+	h.perform(h.replica.Reduce(h.cluster.now, e))
 	h.scheduleTick()
 }
 
@@ -251,14 +251,14 @@
 		return
 	}
 	next, ok := h.replica.NextTimer()
-	if next = max(next, h.s.now+time.Millisecond); !ok || h.wakeAt > h.s.now && h.wakeAt <= next {
+	if next = max(next, h.cluster.now+time.Millisecond); !ok || h.tickAt > h.cluster.now && h.tickAt <= next {
 		return
 	}
-	h.wakeAt = next
+	h.tickAt = next
 	incarnation := h.incarnation
-	h.s.after(next-h.s.now, func() {
-		if h.incarnation == incarnation && h.wakeAt == next {
-			h.wakeAt = 0
+	h.cluster.after(next-h.cluster.now, func() {
+		if h.incarnation == incarnation && h.tickAt == next {
+			h.tickAt = 0
 			h.handle(replica.Tick{})
 		}
 	})
@@ -266,12 +266,12 @@
 
 // perform carries out the effects in order, as a process does. The process may be killed during a write.
 func (h *host) perform(effects []replica.Effect) {
-	s, incarnation := h.s, h.incarnation
+	s, incarnation := h.cluster, h.incarnation
 	for effects = append([]replica.Effect(nil), effects...); len(effects) > 0; effects = effects[1:] {
 		switch f := effects[0].(type) {
 		case replica.Write:
 			crash := s.draw(1500) // 0 = after the write is durable, 1 = before, otherwise none
-			if s.noFaults {
+			if s.faultsEnded {
 				crash = 2
 			}
 			if crash != 1 {
@@ -323,7 +323,7 @@
 	}
 }
 
-// call sends a call to a replica and its response back. then runs once, with errNoResponse after the call's timeout.
+// call sends a call to a replica and its response back. It calls then once, with errNoResponse after the call's timeout.
 func (s *replicaCluster) call(from *host, c replica.SendCall, then func(body []byte, err error)) {
 	if s.brokenRule == brokenRenewal && c.Kind == rpc.KindRenewLease {
 		c.Body = c.Body[:len(c.Body)-8] // the encoding of an earlier release
@@ -341,7 +341,7 @@
 		return
 	}
 	transmit := func(a, b *host, do func()) {
-		if !s.blocked[[2]int{a.i, b.i}] && s.draw(60) > 0 {
+		if !s.blockedLinks[[2]int{a.index, b.index}] && s.draw(60) > 0 {
 			s.after(time.Duration(500+s.draw(3000))*time.Microsecond, do)
 		}
 	}
@@ -353,7 +353,7 @@
 			}
 			transmit(to, from, func() { finish(body, err) })
 		})
-		to.handle(replica.CallReceived{Kind: c.Kind, Body: c.Body, From: hostAddr(from.i).Addr(), Request: id})
+		to.handle(replica.CallReceived{Kind: c.Kind, Body: c.Body, From: hostAddr(from.index).Addr(), Request: id})
 	})
 }
 
--- a/internal/lab/check/cuts_test.go
+++ b/internal/lab/check/cuts_test.go
@@ -23,8 +23,8 @@
 }
 
 // TestFleetSurvivesPartitionsOf20Seconds runs whole fleets: one or two of five replicas and a router are partitioned from the
-// others for 20 s, in one direction or both, while processes on both sides restart, engines leave and operators race. Changes
-// that are acknowledged without a majority are detected.
+// others for 20 s, in one direction or both, while processes on both sides restart, engines leave and operators race. An
+// injected bug that acknowledges changes without a majority is detected.
 func TestFleetSurvivesPartitionsOf20Seconds(t *testing.T) {
 	const sec = time.Second
 	detected := 0
--- a/internal/lab/check/doc.go
+++ b/internal/lab/check/doc.go
@@ -1,5 +1,5 @@
 // Package check is a model checker for the parts of the program whose correctness is critical. Each walk runs the real code
-// in a simulated environment: Paxos proposals and members changes, in every order of events within bounds and at random;
+// in a simulated environment: Paxos proposals and membership changes, in every order of events within bounds and at random;
 // founding under partitions; a store on a disk that loses, truncates, reorders and refuses writes; operators' changes, leases,
 // drains and request attempts. CI runs short walks; the flags of notchlab check set longer ones.
 //
--- a/internal/lab/check/draining.go
+++ b/internal/lab/check/draining.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// crash restarts processes at the same moment; their packets in flight are lost.
+// crash crashes processes and restarts them, all at the same moment. Their packets in flight are lost.
 func (f *gossipFleet) crash(which func(i int) bool) {
 	f.packets = slices.DeleteFunc(f.packets, func(p packet) bool { return which(p.from) })
 	for i := range f.nodes {
@@ -172,8 +172,8 @@
 	return 0, false
 }
 
-// crashSome restarts the process that has acknowledged, and others with it. It reports whether these may be all processes with a
-// record of the drain, so that the others learn it from the engine's next heartbeat only.
+// crashSome restarts the process that has acknowledged, and others with it. It reports whether every process with a
+// record of the drain may have restarted, so that only the engine's next heartbeat announces the drain again.
 func (w *drainWalk) crashSome(ackedBy int) (needsHeartbeat bool) {
 	other := w.draw(drainProcesses)
 	switch w.draw(5) {
--- a/internal/lab/check/leases.go
+++ b/internal/lab/check/leases.go
@@ -9,7 +9,7 @@
 	"notchhinge/internal/control/replog"
 )
 
-// Members are replaced while the lease holder and some of them are partitioned from the others. Two holders must never act at the
+// Members are replaced while the lease holder and some members are partitioned from the others. Two holders must never act at the
 // same time, and none may act after its successor has.
 
 // Rules of leases that a walk breaks on purpose; each must be detected.
@@ -57,7 +57,7 @@
 	removed := state.Members[s.draw(len(state.Members))]
 	for _, h := range s.hosts {
 		if h.id == state.LeaseHolder || h.id == removed.ID {
-			hostSet |= 1 << h.i
+			hostSet |= 1 << h.index
 		}
 	}
 	if added == nil {
--- a/internal/lab/check/members.go
+++ b/internal/lab/check/members.go
@@ -9,7 +9,7 @@
 )
 
 // memberCluster is a model of replicas whose log entries change the set of voters. A replica that has lost its disk restarts
-// under a new id, and has no vote until the log makes it a member. Members whose replica is gone are removed. Proposers crash
+// under a new ID, and has no vote until the log makes it a member. Members whose replica is gone are removed. Proposers crash
 // between the phases of a proposal. A step is one phase of a proposal, which reaches some of the replicas; a catch-up from
 // another replica; or the loss of a process or a disk.
 type memberCluster struct {
@@ -18,11 +18,11 @@
 	chosen        map[int]map[string]bool // by index: every value that a proposer has found chosen
 	nextID        int
 	proposalCount uint64
-	founders      []int // ids of the replicas that are members before the first change
+	founders      []int // IDs of the replicas that are members before the first change
 
-	// Faults that break a rule of membership changes.
+	// Rules that a walk breaks on purpose.
 
-	keepsIDAfterWipe     bool // a replica that has lost its disk keeps its id and its vote
+	keepsIDAfterWipe     bool // a replica that has lost its disk keeps its ID and its vote
 	countsUnchosenChange bool // a membership change applies to its own proposal, and replicas vote without being members
 }
 
@@ -62,13 +62,13 @@
 
 const membersPrefix = "m "
 
-// encodeMembers returns the log entry that sets the members to the given ids.
+// encodeMembers returns the log entry that sets the members to the given IDs.
 func encodeMembers(ids []int) string { return membersPrefix + strings.Trim(fmt.Sprint(ids), "[]") }
 
 // isMembersEntry reports whether an entry changes the members.
 func isMembersEntry(entry string) bool { return strings.HasPrefix(entry, membersPrefix) }
 
-// membersOf returns the ids of the members at the end of a log.
+// membersOf returns the IDs of the members at the end of a log.
 func (c *memberCluster) membersOf(log []string) []int {
 	for _, entry := range slices.Backward(log) {
 		if isMembersEntry(entry) {
--- a/internal/lab/check/operatorrace.go
+++ b/internal/lab/check/operatorrace.go
@@ -21,7 +21,7 @@
 	hasLink   [][]bool // by receiver and sender: whether messages arrive
 	submitted []*configRequest
 	pending   []*configRequest // by replica: the request that its proposer works on; nil = none
-	// acksAnyChosenValue is a fault: a proposer acknowledges its request when its proposal is chosen, whatever the value.
+	// acksAnyChosenValue breaks a rule on purpose: a proposer acknowledges its request when its proposal is chosen, whatever the value.
 	acksAnyChosenValue bool
 }
 
@@ -30,7 +30,7 @@
 	base, revision uint64
 	config         []byte
 	digest         fleetconfig.Digest
-	isAcknowledged bool
+	isAcked        bool
 }
 
 func newOperatorRace(draw func(n int) int) *operatorRace {
@@ -119,7 +119,7 @@
 	}
 	// A pending outcome leaves the proposal open; a later step retries it, or a crash ends it.
 	if outcome := r.finishProposal(p, requestMask, responseMask); outcome == paxos.OutcomeChosen && r.acksAnyChosenValue && r.pending[p] != nil {
-		r.pending[p].isAcknowledged, r.pending[p] = true, nil
+		r.pending[p].isAcked, r.pending[p] = true, nil
 	}
 }
 
@@ -136,7 +136,7 @@
 	}
 	switch r.state(p).CheckConfig(request.base, request.revision, request.digest) {
 	case replog.ConfigAlreadyAccepted:
-		request.isAcknowledged, r.pending[p] = true, nil
+		request.isAcked, r.pending[p] = true, nil
 		return ""
 	case replog.ConfigStaleBase, replog.ConfigRevisionTooLow:
 		r.pending[p] = nil
@@ -149,8 +149,8 @@
 // crash ends replica p's process: its proposal is gone, and its operator gets no response.
 func (r *operatorRace) crash(p int) { r.openProposals[p], r.pending[p] = nil, nil }
 
-// loseLastEntry restarts replica p without the last entry of its log, as if that was not synced. An acceptor state of a later
-// index proves that the entry was synced, and the entry is then kept.
+// loseLastEntry restarts replica p without the last entry of its log, as if the entry had not been synced. An acceptor state of
+// a later index proves that the entry was synced; the log then keeps it.
 func (r *operatorRace) loseLastEntry(p int) {
 	m := r.replicas[p]
 	if n := len(m.log); n > 0 && m.acceptor.State.Index < uint64(n) {
@@ -177,9 +177,9 @@
 	return lost < 2
 }
 
-// firstViolation describes a violation of the log, two acknowledged configurations for one base revision, or an acknowledged
+// raceViolation describes a violation of the log, two acknowledged configurations for one base revision, or an acknowledged
 // configuration that is not in the log; "" = none.
-func (r *operatorRace) firstViolation() string {
+func (r *operatorRace) raceViolation() string {
 	if v := r.violation(); v != "" {
 		return v
 	}
@@ -191,7 +191,7 @@
 	}
 	byBase := map[uint64]*configRequest{}
 	for _, request := range r.submitted {
-		if !request.isAcknowledged {
+		if !request.isAcked {
 			continue
 		}
 		if other := byBase[request.base]; other != nil {
@@ -231,13 +231,13 @@
 }
 
 // randomRaces runs a race of 120 random steps for each seed, and returns the first violation with its seed.
-func randomRaces(seeds int, acksAnyChosenValue bool) (firstViolation string, seed int) {
+func randomRaces(seeds int, acksAnyChosenValue bool) (violation string, seed int) {
 	for seed := range seeds {
 		r := newOperatorRace(draws(seed))
 		r.acksAnyChosenValue = acksAnyChosenValue
 		for range 120 {
 			r.randomStep()
-			if v := r.firstViolation(); v != "" {
+			if v := r.raceViolation(); v != "" {
 				return v, seed
 			}
 		}
--- a/internal/lab/check/operators.go
+++ b/internal/lab/check/operators.go
@@ -13,7 +13,7 @@
 	"notchhinge/internal/control/replog"
 )
 
-// Rules of operators' calls that fault injection breaks. The walk must detect each of them.
+// Rules of operators' calls that a walk breaks on purpose; each must be detected.
 const (
 	brokenLocalRejection = "changes are rejected from local state"
 	brokenShortHistory   = "the history keeps only two revisions"
@@ -32,11 +32,11 @@
 	base, revision uint64
 	config         []byte
 	digest         fleetconfig.Digest
-	isInvalid      bool // only replicas of an earlier release propose it
+	isInvalid      bool // this release rejects its format; only a replica of an earlier release proposes it
 	lostAnswers    int  // number of answers that are still to be lost
-	isAnswered     bool // the operator has received a definite answer
-	isConfirmed    bool // by any replica, whether or not the operator received the answer
-	isRejected     bool // like isConfirmed
+	isAnswered     bool // the operator has received a final answer
+	isAcked        bool // acknowledged by any replica, whether or not the operator received the answer
+	isRejected     bool // rejected by any replica, likewise
 }
 
 // newConfigChange returns a change whose configuration differs from others by its body limit.
@@ -55,17 +55,18 @@
 // operatorWalk simulates operators that race under one revision: several submit different configurations for the same base
 // revision, each to another replica. Meanwhile replicas are partitioned for up to 20 s in one direction or both, crash at any
 // write, or lose their disks, and other operators read. An operator whose answers are lost submits its change to the next
-// replica until it has a definite answer, and sometimes again long after that.
+// replica until it has a final answer, and sometimes again long after that.
 //
-// The walk compares the answers with the log. Of the changes for one base revision at most one is confirmed, and every replica
-// confirms it from then on. A rejected change is never accepted. A read is never older than what was confirmed before it.
+// The walk compares the answers with the log. Of the changes for one base revision at most one is acknowledged, and every
+// replica acknowledges it from then on. A rejected change is never accepted. A read is never older than a change that was
+// acknowledged before the read began.
 type operatorWalk struct {
 	*replicaCluster
-	changes           []*configChange
-	confirmedRevision uint64 // highest revision that is confirmed
-	lastRevision      uint64
-	answers           int // number of changes with a definite answer
-	reads             int // number of reads that succeeded
+	changes       []*configChange
+	ackedRevision uint64 // highest acknowledged revision
+	lastRevision  uint64
+	answers       int // number of changes with a final answer
+	reads         int // number of reads that succeeded
 }
 
 // proposeInvalid makes a replica of an earlier release propose a change that this release rejects. Its answer is lost, and the
@@ -104,7 +105,7 @@
 	isDone      bool // the operator has an answer or has timed out
 }
 
-// submit sends a change to a replica. Without a definite answer the operator goes on to the next replica.
+// submit sends a change to a replica. Without a final answer the operator goes on to the next replica.
 func (o *operatorWalk) submit(change *configChange, hostIndex int) {
 	h := o.hosts[hostIndex%len(o.hosts)]
 	sub := &submission{operatorWalk: o, change: change, hostIndex: hostIndex, host: h, incarnation: h.incarnation}
@@ -187,7 +188,7 @@
 	})
 }
 
-// wonProposal injects brokenWonProposal: any value that is chosen at the next index confirms the change.
+// wonProposal breaks the rule brokenWonProposal: any value that is chosen at the next index acknowledges the change.
 type wonProposal struct {
 	*submission
 	index      uint64
@@ -215,24 +216,24 @@
 func (o *operatorWalk) checkAnswer(change *configChange, h *host, r api.Result) {
 	switch {
 	case r.Status == http.StatusOK:
-		change.isConfirmed = true
-		o.confirmedRevision = max(o.confirmedRevision, change.revision)
+		change.isAcked = true
+		o.ackedRevision = max(o.ackedRevision, change.revision)
 		for _, other := range o.changes {
-			if other != change && other.base == change.base && other.isConfirmed {
-				o.violate("base revision %d: changes to %d and %d are both confirmed", change.base, other.revision, change.revision)
+			if other != change && other.base == change.base && other.isAcked {
+				o.violate("base revision %d: changes to %d and %d are both acknowledged", change.base, other.revision, change.revision)
 			}
 		}
 	case r.Status < http.StatusInternalServerError:
 		change.isRejected = true
 	}
-	if change.isConfirmed && change.isRejected {
-		o.violate("revision %d for base %d is both rejected and confirmed (replica %d answers %d: %s)", change.revision, change.base, h.i, r.Status, r.Message)
+	if change.isAcked && change.isRejected {
+		o.violate("revision %d for base %d is both rejected and acknowledged (replica %d answers %d: %s)", change.revision, change.base, h.index, r.Status, r.Message)
 	}
 }
 
 // read reads the configuration from a replica, and checks the answer.
 func (o *operatorWalk) read(hostIndex int) {
-	h, minRevision := o.hosts[hostIndex%len(o.hosts)], o.confirmedRevision
+	h, minRevision := o.hosts[hostIndex%len(o.hosts)], o.ackedRevision
 	if !h.isUp {
 		return
 	}
@@ -254,7 +255,7 @@
 		return
 	}
 	if r.Revision < minRevision {
-		o.violate("replica %d reads revision %d, but %d was already confirmed", h.i, r.Revision, minRevision)
+		o.violate("replica %d reads revision %d, but %d was already acknowledged", h.index, r.Revision, minRevision)
 	}
 	for _, change := range o.changes {
 		if change.revision == r.Revision && bytes.Equal(change.config, r.Body) {
@@ -267,7 +268,7 @@
 	o.violate("revision %d is read, but was never submitted", r.Revision)
 }
 
-// checkLog checks the answers against the longest log of any replica. Only at the end must it contain every confirmed change:
+// checkLog checks the answers against the longest log of any replica. Only at the end must it contain every acknowledged change:
 // until then a chosen value may be missing from all logs, and be held only by the acceptors that accepted it.
 func (o *operatorWalk) checkLog(atEnd bool) {
 	s := o.replicaCluster.newestState()
@@ -275,15 +276,15 @@
 		switch accepted := s.WasAccepted(change.revision, change.digest); {
 		case accepted && change.isRejected:
 			o.violate("revision %d for base %d was rejected, but is in the log", change.revision, change.base)
-		case atEnd && !accepted && change.isConfirmed:
-			o.violate("revision %d for base %d was confirmed, but is not in the log", change.revision, change.base)
+		case atEnd && !accepted && change.isAcked:
+			o.violate("revision %d for base %d was acknowledged, but is not in the log", change.revision, change.base)
 		}
 	}
 }
 
 // startRace makes two to four operators submit a change each, for one base and under one revision, each to another replica.
 func (o *operatorWalk) startRace() {
-	base := o.confirmedRevision
+	base := o.ackedRevision
 	if o.draw(3) == 0 { // a base that the operator read from a replica, possibly long ago
 		h := o.hosts[o.draw(len(o.hosts))]
 		base = h.state.Revision
@@ -327,7 +328,7 @@
 	o.run(8 * time.Second)
 	for _, change := range o.changes {
 		if !change.isAnswered {
-			o.violate("revision %d for base %d has no definite answer 8 s after the last fault", change.revision, change.base)
+			o.violate("revision %d for base %d has no final answer 8 s after the last fault", change.revision, change.base)
 		}
 		for hostIndex := range o.hosts { // submit it once more to each replica
 			if o.replicaCluster.newestState().WasAccepted(change.revision, change.digest) {
@@ -343,18 +344,18 @@
 	o.checkLog(true)
 }
 
-// runOperatorWalk runs the walk of a seed with a rule broken, and returns it at its end. broken = "" breaks none.
-func runOperatorWalk(seed int, broken string) *operatorWalk {
+// runOperatorWalk runs the walk of a seed with a rule broken, and returns the walk at its end. brokenRule = "" breaks none.
+func runOperatorWalk(seed int, brokenRule string) *operatorWalk {
 	draw := draws(seed)
-	o := &operatorWalk{replicaCluster: newReplicaCluster(draw, 3+2*draw(2), 0, broken)}
+	o := &operatorWalk{replicaCluster: newReplicaCluster(draw, 3+2*draw(2), 0, brokenRule)}
 	o.walk()
 	return o
 }
 
 // randomOperatorWalks runs a walk for each seed, and returns the first violation with its seed.
-func randomOperatorWalks(seeds int, broken string) (violation string, seed int) {
+func randomOperatorWalks(seeds int, brokenRule string) (violation string, seed int) {
 	for seed := range seeds {
-		if violation := runOperatorWalk(seed, broken).violation; violation != "" {
+		if violation := runOperatorWalk(seed, brokenRule).violation; violation != "" {
 			return violation, seed
 		}
 	}
--- a/internal/lab/check/operators_test.go
+++ b/internal/lab/check/operators_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // TestChangesUnderOneRevision: while operators race under one revision through partitions, crashes, lost disks and lost answers,
-// each change is confirmed by every replica or rejected by every replica, one change per base is confirmed, and reads are never
-// older than what was confirmed. Each broken rule is detected.
+// each change is acknowledged by every replica or rejected by every replica, one change per base is acknowledged, and reads are
+// never older than an acknowledged change. Each broken rule is detected.
 func TestChangesUnderOneRevision(t *testing.T) {
 	answers, reads := 0, 0
 	for seed := range 90 {
@@ -15,14 +15,14 @@
 		answers, reads = answers+walk.answers, reads+walk.reads
 	}
 	if answers < 3000 || reads < 900 {
-		t.Errorf("only %d definite answers and %d reads", answers, reads)
+		t.Errorf("only %d final answers and %d reads", answers, reads)
 	}
-	t.Logf("%d definite answers, %d reads", answers, reads)
-	for _, broken := range brokenOperators {
-		violation, seeds := randomOperatorWalks(3000, broken)
+	t.Logf("%d final answers, %d reads", answers, reads)
+	for _, rule := range brokenOperators {
+		violation, seeds := randomOperatorWalks(3000, rule)
 		if violation == "" {
-			t.Errorf("%s: not detected with %d seeds", broken, seeds)
+			t.Errorf("%s: not detected with %d seeds", rule, seeds)
 		}
-		t.Logf("%s: seed %d: %s", broken, seeds, violation)
+		t.Logf("%s: seed %d: %s", rule, seeds, violation)
 	}
 }
--- a/internal/lab/check/replacement.go
+++ b/internal/lab/check/replacement.go
@@ -19,7 +19,7 @@
 	hasFailed bool   // the departing voter is lost, unplanned
 	hasLeft   bool   // the change has finished, and the departing voter is gone
 	isLost    []bool // by replica
-	// finishesWhenChosen is a fault: the change counts as finished once it is chosen, without waiting for one more entry.
+	// finishesWhenChosen breaks a rule on purpose: the change counts as finished once it is chosen, without waiting for one more entry.
 	finishesWhenChosen bool
 }
 
--- a/internal/lab/check/singletonhost.go
+++ b/internal/lab/check/singletonhost.go
@@ -26,7 +26,7 @@
 
 // startSingleton starts the host's singleton.Controller.
 func (h *host) startSingleton(peers []netip.AddrPort) {
-	s := h.s
+	s := h.cluster
 	c := &singletonHost{host: h, wasVoter: h.state.Member(h.id) != nil, config: singleton.Config{
 		Self: h.member(), Incarnation: s.lastID, LeaseDuration: leaseDuration, CandidacyDelay: time.Duration(h.id) * 100 * time.Millisecond,
 		UsageWindow: 5 * time.Second, UsageDelay: 10 * time.Second, RouterWindow: limits.RouterReportRetention, ScalesEngines: true,
@@ -49,7 +49,7 @@
 	if c.host.singleton != c {
 		return
 	}
-	s := c.s
+	s := c.cluster
 	report := usage.Report{Incarnation: 1, Loads: []usage.Load{{Service: "s", Running: 400, Arrived: uint64(s.now / time.Millisecond)}}}
 	c.reduce(singleton.CallReceived{Kind: rpc.KindUsageReport, Body: report.Encode()})
 	c.reduce(singleton.Tick{})
@@ -61,7 +61,7 @@
 	if c.host.singleton != c {
 		return reply // its process has ended
 	}
-	s := c.s
+	s := c.cluster
 	state := c.replica.State()
 	isVoter := state.Member(c.id) != nil
 	if isVoter && !c.wasVoter && s.brokenRule == brokenNewVoter {
@@ -84,7 +84,7 @@
 			c.handle(replica.Propose{Next: f.Next, Deadline: s.now + f.Timeout, Request: id})
 		case singleton.ScaleEngines: // the platform is always reachable, and accepts every call
 			s.after(time.Millisecond, func() {
-				if violation := s.platform.accept(c.i, f.FencingToken); violation != "" {
+				if violation := s.platform.accept(c.index, f.FencingToken); violation != "" {
 					s.violate("%s", violation)
 				}
 			})
