--- a/internal/lab/contend/attempt.go
+++ b/internal/lab/contend/attempt.go
@@ -10,8 +10,8 @@
 type attempt struct {
 	paxos.Proposer
 	sim     *simulation
-	at      int // index of the replica
-	attempt int // number of this attempt among those for its proposal, from 0
+	replica int // index of the replica
+	number  int // number of this attempt among those for its proposal, from 0
 	isEnded bool
 }
 
@@ -20,9 +20,9 @@
 	s := a.sim
 	for i := range s.replicas {
 		hasResponded := false
-		s.send(a.at, i, messageBytes+len(req.Value), func() {
+		s.send(a.replica, i, messageBytes+len(req.Value), func() {
 			s.handle(i, req, func(resp paxos.Response) {
-				s.send(i, a.at, messageBytes+len(resp.Value), func() {
+				s.send(i, a.replica, messageBytes+len(resp.Value), func() {
 					if !hasResponded && !a.isEnded {
 						next, out := a.HandleResponse(uint64(i), req.Kind, resp)
 						a.advance(next, out)
@@ -50,7 +50,7 @@
 	}
 	a.isEnded = true
 	pause := a.end(out)
-	a.sim.after(pause, func() { a.sim.attempt(a.at, a.attempt+1) })
+	a.sim.after(pause, func() { a.sim.attempt(a.replica, a.number+1) })
 }
 
 // end handles the outcome, and returns how long the replica waits before its next attempt.
@@ -58,17 +58,17 @@
 	s := a.sim
 	switch out {
 	case paxos.OutcomeChosen:
-		s.learn(a.at, a.Index, a.Value)
+		s.learn(a.replica, a.Index, a.Value)
 		a.announce()
 	case paxos.OutcomeAlreadyChosen:
 		if a.Value == nil {
 			return catchUpTime
 		}
-		s.learn(a.at, a.Index, a.Value)
+		s.learn(a.replica, a.Index, a.Value)
 	case paxos.OutcomePreempted:
-		r := s.replicas[a.at]
+		r := s.replicas[a.replica]
 		r.term = max(r.term, a.HigherNumber.Term)
-		return paxos.Backoff(s.rnd.Int64N, a.attempt)
+		return paxos.Backoff(s.rnd.Int64N, a.number)
 	default:
 		return retryPause + time.Duration(s.rnd.Int64N(int64(retryJitter)))
 	}
@@ -79,13 +79,13 @@
 func (a *attempt) announce() {
 	s := a.sim
 	for i := range s.replicas {
-		if i == a.at {
+		if i == a.replica {
 			continue
 		}
 		size := messageBytes + len(a.Value)
 		if a.HasGranted(uint64(i)) && !s.ResendValues {
 			size = messageBytes
 		}
-		s.send(a.at, i, size, func() { s.learn(i, a.Index, a.Value) })
+		s.send(a.replica, i, size, func() { s.learn(i, a.Index, a.Value) })
 	}
 }
--- a/internal/lab/contend/contend.go
+++ b/internal/lab/contend/contend.go
@@ -134,31 +134,31 @@
 }
 
 // propose starts the first proposal of a replica's queue, unless one is in progress.
-func (s *simulation) propose(at int) {
-	r := s.replicas[at]
+func (s *simulation) propose(replicaIndex int) {
+	r := s.replicas[replicaIndex]
 	if r.isBusy || len(r.queue) == 0 {
 		return
 	}
 	r.isBusy = true
-	s.attempt(at, 0)
+	s.attempt(replicaIndex, 0)
 }
 
 // attempt starts the next attempt for a replica's proposal, or the next proposal if this one is chosen.
-func (s *simulation) attempt(at, number int) {
-	r := s.replicas[at]
+func (s *simulation) attempt(replicaIndex, number int) {
+	r := s.replicas[replicaIndex]
 	proposal := r.queue[0]
 	if slices.ContainsFunc(r.log, func(v []byte) bool { return int(v[0]) == proposal }) {
 		s.results[proposal].Elapsed = s.now - s.proposals[proposal].At
 		s.chosen++
 		r.queue = r.queue[1:]
 		r.isBusy = false
-		s.propose(at)
+		s.propose(replicaIndex)
 		return
 	}
 	s.results[proposal].Attempts++
 	r.term++
-	a := &attempt{sim: s, at: at, attempt: number, Proposer: paxos.Proposer{
-		Index: uint64(len(r.log)), Number: paxos.ProposalNumber{Term: r.term, Proposer: uint64(at) + 1},
+	a := &attempt{sim: s, replica: replicaIndex, number: number, Proposer: paxos.Proposer{
+		Index: uint64(len(r.log)), Number: paxos.ProposalNumber{Term: r.term, Proposer: uint64(replicaIndex) + 1},
 		OwnValue: s.value(proposal), Quorum: paxos.Majority(s.Replicas),
 	}}
 	for i := range s.replicas {
@@ -181,8 +181,8 @@
 }
 
 // learn appends a chosen value to a replica's log, if it is for the next index there.
-func (s *simulation) learn(at int, index uint64, value []byte) {
-	r := s.replicas[at]
+func (s *simulation) learn(replicaIndex int, index uint64, value []byte) {
+	r := s.replicas[replicaIndex]
 	if index != uint64(len(r.log)) {
 		return
 	}
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -24,22 +24,22 @@
 func TestCachedPromptIsNotPrefilledAgain(t *testing.T) {
 	p := Default(1)
 	e := New(p, -time.Hour)
-	ask := func(now time.Duration, session uint64, prompt int) (time.Duration, int) {
+	complete := func(now time.Duration, session uint64, prompt int) (time.Duration, int) {
 		if !e.Arrive(now, Request{ID: uint64(now) + 1, Session: session, Prefix: 2, Prompt: prompt, PrefixTokens: 4000, Answer: 1}) {
 			t.Fatal("the queue is full")
 		}
 		out, end := run(t, e)
 		return end - now, out[len(out)-1].CachedTokens
 	}
-	first, kept := ask(0, 11, 8000)
-	if kept != 0 {
-		t.Errorf("%d tokens of a first prompt are cached", kept)
+	first, cached := complete(0, 11, 8000)
+	if cached != 0 {
+		t.Errorf("%d tokens of a first prompt are cached", cached)
 	}
-	if next, kept := ask(time.Minute, 11, 8200); kept != 8001 || next > first/4 {
-		t.Errorf("next turn: %d tokens cached, %v after %v", kept, next, first)
+	if next, cached := complete(time.Minute, 11, 8200); cached != 8001 || next > first/4 {
+		t.Errorf("next turn: %d tokens cached, %v after %v", cached, next, first)
 	}
-	if _, kept := ask(2*time.Minute, 13, 8000); kept != 4000 {
-		t.Errorf("another session with the same prefix: %d tokens cached", kept)
+	if _, cached := complete(2*time.Minute, 13, 8000); cached != 4000 {
+		t.Errorf("another session with the same prefix: %d tokens cached", cached)
 	}
 }
 
@@ -88,8 +88,8 @@
 				e.Cancel(n)
 				delete(want, n)
 			}
-			if run, wait, unread := e.Load(); run > p.Slots || wait > p.Queue || unread < 0 {
-				t.Fatalf("%d running, %d waiting, %d not prefilled", run, wait, unread)
+			if run, wait, unprefilled := e.Load(); run > p.Slots || wait > p.Queue || unprefilled < 0 {
+				t.Fatalf("%d running, %d waiting, %d not prefilled", run, wait, unprefilled)
 			}
 		}
 		out, _ := run(t, e)
--- a/internal/lab/sim/baselines.go
+++ b/internal/lab/sim/baselines.go
@@ -7,7 +7,8 @@
 	"notchhinge/internal/lab/model"
 )
 
-// chooseEngine sends a request to an engine that it has not tried yet, as a baseline chooses, or rejects it.
+// chooseEngine sends a request to an engine that the baseline chooses among those not tried yet. It rejects the request if there is
+// none, or after maxAttempts.
 func (w *world) chooseEngine(req *request) {
 	if req.state != pending {
 		return
--- a/internal/lab/sim/sim.go
+++ b/internal/lab/sim/sim.go
@@ -31,7 +31,7 @@
 	Crash   float64       // share of the engines that crash halfway through the arrivals
 	News    time.Duration // maximum delay until a router learns of a crash
 	Skew    float64       // exponent of the Zipf distribution of prefixes: 0 = uniform
-	Cold    bool          // engines start with an empty cache and without warm-up
+	Cold    bool          // engines start with the run and warm up during it, instead of being warm
 }
 
 // Variants lists what can choose the engine of a request: the design of the program ("design") and the baselines.
@@ -521,7 +521,7 @@
 	case e.value == connectionReset:
 		a.ended = true
 		r := policy.ResultReset
-		if !w.hasReached(a) {
+		if !w.isAtEngine(a) {
 			r = policy.ResultConnectFailed
 		}
 		w.endAttempt(a, r, 0)
@@ -544,7 +544,7 @@
 	case e.value == connectionReset:
 		a.ended = true
 		w.releaseAttempt(a)
-		if w.hasReached(a) || req.firstTokenAt != 0 {
+		if w.isAtEngine(a) || req.firstTokenAt != 0 {
 			req.state = failed
 			return
 		}
@@ -562,8 +562,8 @@
 	}
 }
 
-// hasReached reports whether an attempt is held by its engine.
-func (w *world) hasReached(a *attempt) bool {
+// isAtEngine reports whether the engine has the attempt in its queue or its batch.
+func (w *world) isAtEngine(a *attempt) bool {
 	for _, x := range w.engines[a.engine].attempts {
 		if x == a {
 			return true
