--- a/internal/lab/plane/available.go
+++ b/internal/lab/plane/available.go
@@ -4,9 +4,9 @@
 
 // bounds are the time limits that depend on how many replicas may be lost at once.
 type bounds struct {
-	contact time.Duration // a machine without faults for so long has contact with the others
-	ack     time.Duration // a settled core acknowledges a change within so long
-	catchUp time.Duration // a replica that restarted or joined counts as lost for so long
+	contact time.Duration // a machine without faults for this long has contact with the others
+	ack     time.Duration // a settled core answers a change within this time
+	catchUp time.Duration // a replica that restarted or joined counts as lost for this long
 }
 
 func boundsOf(tolerate int) bounds {
@@ -21,10 +21,10 @@
 type availability struct {
 	lastFault     time.Duration // when a fault of a replica last began or ended
 	lastUnsettled time.Duration // when the core last had no connected majority, or more replicas lost than tolerated
-	lastActor     *machine      // replica that acted or acknowledged last
+	lastActor     *machine      // replica that last acknowledged a change or called the platform as lease holder
 
-	overTolerance bool          // more replicas than tolerated were lost, and recoveryTime since their return is not over
-	allBackSince  time.Duration // since when no replica is lost; notAllBack = one is
+	overTolerance bool          // more replicas than tolerated were lost, and recoveryTime has not passed since all were back
+	allBackSince  time.Duration // time since which no replica is lost; notAllBack = a replica is lost
 }
 
 const (
@@ -46,7 +46,7 @@
 	since := w.settledSince()
 	for _, c := range w.pending {
 		if settled := w.now - max(since, c.firstSent, c.lastReplyLost); settled > w.bounds.ack && w.now-c.firstSent < changeTimeout {
-			w.violate("AVAILABLE", "version %d was sent %v ago, the core has been settled for %v since, and there is no answer", c.revision, w.now-c.firstSent, settled)
+			w.violate("AVAILABLE", "revision %d was sent %v ago, the core has been settled for %v since, and there is no answer", c.revision, w.now-c.firstSent, settled)
 		}
 	}
 }
@@ -68,7 +68,7 @@
 	}
 }
 
-// settledSince returns since when the core is settled, or when it will be.
+// settledSince returns the time since which the core is settled, or from which it will be.
 func (w *world) settledSince() time.Duration {
 	return max(w.core.lastUnsettled, w.core.lastFault+w.bounds.contact)
 }
@@ -76,20 +76,20 @@
 // majority returns the largest group of healthy replicas that reach each other in both directions, or nil if it is not a
 // majority.
 func (w *world) majority() []*machine {
-	core := w.replicas()
+	replicas := w.replicas()
 	var best []*machine
 	var grow func(from int, group []*machine)
 	grow = func(from int, group []*machine) {
 		if len(group) > len(best) {
 			best = append([]*machine(nil), group...)
 		}
-		for i := from; i < len(core); i++ {
-			if core[i].isHealthy() && w.connected(core[i], group) {
-				grow(i+1, append(group, core[i]))
+		for i := from; i < len(replicas); i++ {
+			if replicas[i].isHealthy() && w.connected(replicas[i], group) {
+				grow(i+1, append(group, replicas[i]))
 			}
 		}
 	}
-	if grow(0, nil); 2*len(best) <= len(core) {
+	if grow(0, nil); 2*len(best) <= len(replicas) {
 		return nil
 	}
 	return best
@@ -112,10 +112,10 @@
 
 // countLost counts the slots whose replica is not in the majority, or restarted or joined recently.
 func (w *world) countLost() (n int) {
-	core := w.majority()
+	majority := w.majority()
 	for _, m := range w.slots {
 		in := false
-		for _, x := range core {
+		for _, x := range majority {
 			in = in || x == m
 		}
 		if !in || m.startedAt > w.bounds.catchUp && w.now-m.startedAt < w.bounds.catchUp {
--- a/internal/lab/plane/cost.go
+++ b/internal/lab/plane/cost.go
@@ -14,8 +14,8 @@
 	frameHeaderBytes    = 16
 )
 
-// Cost is what one process sends for a cause without faults, in bytes per second. Calls are counted at the caller, with
-// their answers.
+// Cost is the traffic that one process sends for one cause while there are no faults, in bytes per second. Calls are counted
+// at the caller, with their answers.
 type Cost struct {
 	Cause string
 	Bytes float64
--- a/internal/lab/plane/disk.go
+++ b/internal/lab/plane/disk.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// afterSync calls do after the latency of the disk, if the process still runs then.
+// afterSync calls do after the latency of the disk, if the same process still runs then.
 func (w *world) afterSync(m *machine, do func()) {
 	incarnation := m.incarnation
 	w.schedule(w.diskLatency, func() {
--- a/internal/lab/plane/draw.go
+++ b/internal/lab/plane/draw.go
@@ -16,7 +16,7 @@
 	lostUntil       []time.Duration // end of the loss of each slot, including the time to catch up
 	leaderLostUntil []time.Duration // ends of losses of a replica that is chosen at run time
 	halvesUntil     time.Duration   // end of the last PartitionHalves
-	lostDisks       int             // disks lost, if losses overlap
+	lostDisks       int             // disks lost so far, if losses overlap
 }
 
 // kindWeights lists the kinds to draw from; repeated kinds are drawn more often.
@@ -29,9 +29,9 @@
 	maxReplacements = 5 // per scenario
 	maxFaultLength  = 20 * time.Second
 
-	minHalves, maxHalves = time.Second, 8 * time.Second
+	minHalvesLength, maxHalvesLength = time.Second, 8 * time.Second
 
-	overlapOneIn = 5 // one in so many scenarios loses more replicas at once than tolerated
+	overlapOneIn = 5 // one in this number of scenarios loses more replicas at once than tolerated
 )
 
 // Draw generates a scenario whose faults overlap freely, with at most as many replicas lost at once as tolerated. A fault that
@@ -113,7 +113,7 @@
 func (w *drawing) drawTargets(f *Fault) {
 	switch f.Kind {
 	case PartitionHalves:
-		f.On, f.For = w.pick(w.Replicas/2, 0, w.Replicas), w.between(minHalves, maxHalves)
+		f.On, f.For = w.pick(w.Replicas/2, 0, w.Replicas), w.between(minHalvesLength, maxHalvesLength)
 	case DrainEngine, CrashEngine, DeregisterEngine:
 		f.On = w.pick(1+w.IntN(3), 0, w.Engines)
 	case RaceChanges, LoseReply:
@@ -131,7 +131,7 @@
 	}
 }
 
-// earliestStart returns the earliest time from which a fault loses no more replicas than tolerated.
+// earliestStart returns the earliest time at which a fault loses no more replicas than tolerated.
 func (w *drawing) earliestStart(replicas []int, losses int, from time.Duration) time.Duration {
 	for {
 		lost, next := 0, time.Duration(1<<62)
@@ -176,7 +176,7 @@
 	if f.At > w.scenario.Length-2*time.Second {
 		return
 	}
-	if w.scenario.Overlaps && losses > 0 { // no majority may remain for a successor to learn from
+	if w.scenario.Overlaps && losses > 0 { // a successor may find no majority to learn from
 		if w.lostDisks+losses > w.Tolerate {
 			return
 		}
@@ -219,7 +219,7 @@
 	case f.Kind == LoseReply:
 		w.enqueue(Fault{At: f.At, Kind: ChangeConfig})
 	case (f.Kind == ChangeConfig || f.Kind == RaceChanges) && w.IntN(6) == 0:
-		w.addClosingFault(f)
+		w.addCrashAfterChange(f)
 	}
 }
 
@@ -245,8 +245,8 @@
 	w.enqueue(Fault{At: x.At + w.between(0, w.contact+time.Second), Kind: ChangeConfig})
 }
 
-// addClosingFault adds a crash of all processes right after a change, if no replica is lost.
-func (w *drawing) addClosingFault(f Fault) {
+// addCrashAfterChange adds a crash of all processes right after a change, if no replica is lost.
+func (w *drawing) addCrashAfterChange(f Fault) {
 	for _, until := range append(slices.Clone(w.lostUntil), w.leaderLostUntil...) {
 		if until > f.At {
 			return
--- a/internal/lab/plane/faults.go
+++ b/internal/lab/plane/faults.go
@@ -140,7 +140,7 @@
 func (w *world) injectOperatorFault(f *Fault, on []*machine) {
 	switch f.Kind {
 	case ChangeConfig:
-		w.submitNext(w.newestAcked, w.randomMachine())
+		w.submitNext(w.ackedRevision, w.randomMachine())
 	case RaceChanges:
 		w.raceChanges(f.Variant == SameRevision)
 	case LoseReply:
--- a/internal/lab/plane/machine.go
+++ b/internal/lab/plane/machine.go
@@ -44,7 +44,7 @@
 	diskFull     bool           // the disk refuses writes
 	diskStale    bool           // the disk refused a write and has not been rewritten since
 	clockOffset  time.Duration  // offset of the wall clock
-	wakeAt       time.Duration  // time of the scheduled timer; 0 = none
+	tickAt       time.Duration  // time of the scheduled timer; 0 = none
 	lastFault    time.Duration  // when the last fault of the machine or of its links began or ended
 	healedAt     time.Duration  // when a partition or freeze of it last ended
 
@@ -89,7 +89,7 @@
 // start starts the process with the state on its disk.
 func (m *machine) start() {
 	w := m.world
-	m.up, m.busy, m.queue, m.wakeAt, m.frozen, m.diskStale, m.leaving, m.startedAt = true, false, nil, 0, false, false, false, w.now
+	m.up, m.busy, m.queue, m.tickAt, m.frozen, m.diskStale, m.leaving, m.startedAt = true, false, nil, 0, false, false, false, w.now
 	m.calls, m.answers = replica.Pending[caller]{}, replica.Pending[func(api.Result)]{}
 	m.proposals, m.leaves = replica.Pending[func(error)]{}, replica.Pending[func()]{}
 	m.incarnation++
@@ -135,7 +135,7 @@
 	if !m.frozen {
 		return
 	}
-	m.frozen, m.healedAt, m.wakeAt = false, m.world.now, 0
+	m.frozen, m.healedAt, m.tickAt = false, m.world.now, 0
 	m.world.noteFault(m)
 	m.deliver(tick{})
 }
@@ -215,14 +215,14 @@
 		}
 	}
 	next = max(next, m.world.now+time.Millisecond)
-	if m.wakeAt > m.world.now && m.wakeAt <= next {
+	if m.tickAt > m.world.now && m.tickAt <= next {
 		return
 	}
-	m.wakeAt = next
+	m.tickAt = next
 	incarnation := m.incarnation
 	m.world.schedule(next-m.world.now, func() {
-		if m.incarnation == incarnation && m.wakeAt == next {
-			m.wakeAt = 0
+		if m.incarnation == incarnation && m.tickAt == next {
+			m.tickAt = 0
 			m.deliver(tick{})
 		}
 	})
--- a/internal/lab/plane/operators.go
+++ b/internal/lab/plane/operators.go
@@ -20,7 +20,7 @@
 	burstInterval     = time.Second / 14       // interval between two changes of a burst
 	inventoryLag      = 3 * time.Second        // age of the operators' list of machines
 	readInterval      = 700 * time.Millisecond // interval between two reads of the configuration
-	changeTimeout     = time.Minute            // a change without an answer is retried for so long
+	changeTimeout     = time.Minute            // how long a change without a final answer is retried
 	callTimeout       = 900 * time.Millisecond // time that a process has for a call of an operator
 )
 
@@ -44,9 +44,10 @@
 	return w.submit(w.lastRevision, base, target, 0)
 }
 
-// raceChanges has two operators change the same version, with different revisions or the same one.
+// raceChanges has two operators submit changes for the same base revision. The changes have different revisions, or the same one
+// if same is set.
 func (w *world) raceChanges(same bool) {
-	base := w.newestAcked
+	base := w.ackedRevision
 	w.submitNext(base, w.randomMachine())
 	if same {
 		w.submit(w.lastRevision, base, w.randomMachine(), 1)
@@ -72,7 +73,7 @@
 		w.raceChanges(true)
 		return
 	}
-	w.submitNext(w.newestAcked, w.randomMachine())
+	w.submitNext(w.ackedRevision, w.randomMachine())
 }
 
 // randomMachine returns the index of a random machine from the operators' list, which still contains machines that are gone
@@ -85,7 +86,8 @@
 	}
 }
 
-// submit sends a configuration to a machine and retries until there is a final answer. variant distinguishes configurations with the same revision.
+// submit sends a configuration to a machine and retries until there is a final answer. variant distinguishes configurations with
+// the same revision.
 func (w *world) submit(revision, base uint64, target, variant int) *configChange {
 	c := &configChange{revision: revision, base: base, firstSent: w.now}
 	text, err := cbor.Marshal(fleetconfig.Config{Revision: revision, Routes: []fleetconfig.Route{}, Services: []fleetconfig.Service{}, RequestLimits: fleetconfig.RequestLimits{MaxBodyBytes: variant}})
@@ -106,7 +108,7 @@
 	w.schedule(w.bounds.ack, func() {
 		isSettled := w.faultFreeFor(w.bounds.ack+w.bounds.contact) && (!w.scenario.Overlaps || w.now-w.core.lastUnsettled >= w.bounds.ack)
 		if !c.answered && c.lastReplyLost == 0 && isSettled { // changes with lost replies are covered by AVAILABLE
-			w.violate("ACKS", "version %d was sent %v ago without faults since and is not acknowledged", c.revision, w.bounds.ack)
+			w.violate("ACKS", "revision %d was sent %v ago without faults since and is not acknowledged", c.revision, w.bounds.ack)
 		}
 	})
 	return c
@@ -196,7 +198,7 @@
 		incarnation := m.incarnation
 		put.Request = m.answers.Add(func(r api.Result) {
 			if m.incarnation == incarnation {
-				receive(r) // synchronously, so that CrashAfterAck strikes before other messages of the machine arrive
+				receive(r) // synchronously, so that CrashAfterAck takes effect before other messages of the machine arrive
 			}
 		})
 		m.deliver(put)
@@ -211,7 +213,7 @@
 	return m.replica.State()
 }
 
-// faultFreeFor reports whether the core has had no fault for so long.
+// faultFreeFor reports whether no replica and no link to one has had a fault for d.
 func (w *world) faultFreeFor(d time.Duration) bool { return w.now-w.lastFault >= d }
 
 // noteFinalAnswer records that the operator has a final answer.
@@ -231,7 +233,7 @@
 	w.core.lastActor = by
 	if c.acked || c.rejected {
 		if c.rejected {
-			w.violate("CONFIG", "version %d was rejected and later acknowledged", c.revision)
+			w.violate("CONFIG", "revision %d was rejected and later acknowledged", c.revision)
 		}
 		return
 	}
@@ -240,9 +242,9 @@
 	if w.settledSince() <= w.now && w.countLost() == w.scenario.Tolerate {
 		w.report.AckedAtMaxLoss++
 	}
-	w.newestAcked = max(w.newestAcked, c.revision)
+	w.ackedRevision = max(w.ackedRevision, c.revision)
 	if other, known := w.ackedOnBase[c.base]; known && other != c {
-		w.violate("CONFIG", "for base version %d both %d and %d are acknowledged", c.base, other.revision, c.revision)
+		w.violate("CONFIG", "for base revision %d both %d and %d are acknowledged", c.base, other.revision, c.revision)
 	}
 	w.ackedOnBase[c.base] = c
 }
@@ -250,7 +252,7 @@
 // noteRejection records a rejection, even if the reply is lost.
 func (w *world) noteRejection(c *configChange, r api.Result) {
 	if c.rejected = true; c.acked || c.chosen {
-		w.violate("CONFIG", "version %d was accepted, and its retry is rejected with status %d", c.revision, r.Status)
+		w.violate("CONFIG", "revision %d was accepted, and its retry is rejected with status %d", c.revision, r.Status)
 	}
 }
 
@@ -261,9 +263,9 @@
 	}
 	switch c := w.sent[s.Digest]; {
 	case c == nil:
-		w.violate("CONFIG", "version %d is in the log but was never sent", s.Revision)
+		w.violate("CONFIG", "revision %d is in the log but was never sent", s.Revision)
 	case c.rejected && !c.chosen:
-		w.violate("CONFIG", "version %d is in the log but was rejected", s.Revision)
+		w.violate("CONFIG", "revision %d is in the log but was rejected", s.Revision)
 	default:
 		c.chosen = true
 	}
@@ -323,14 +325,14 @@
 		}
 		w.scheduleReads()
 		all := w.replicas()
-		m, newest, incarnation := all[int(w.now/readInterval)*7%len(all)], w.newestAcked, 0
+		m, newest, incarnation := all[int(w.now/readInterval)*7%len(all)], w.ackedRevision, 0
 		if !m.up {
 			return
 		}
 		incarnation = m.incarnation
 		read := func(r api.Result) {
 			if m.incarnation == incarnation && r.Status == http.StatusOK && r.Revision < newest {
-				w.violate("CURRENT", "%s returns version %d, but %d was acknowledged before the read began", m.name, r.Revision, newest)
+				w.violate("CURRENT", "%s returns revision %d, but %d was acknowledged before the read began", m.name, r.Revision, newest)
 			}
 		}
 		if w.injectedBug == "reads local state" {
@@ -357,11 +359,11 @@
 			c := w.findSent(r.Body)
 			switch {
 			case c == nil || c.revision != r.Revision:
-				w.violate("CONFIG", "version %d is read back and differs from what was sent", r.Revision)
+				w.violate("CONFIG", "revision %d is read back and differs from what was sent", r.Revision)
 			case c.rejected:
-				w.violate("CONFIG", "version %d is read back but was rejected", r.Revision)
-			case r.Revision < w.newestAcked:
-				w.violate("LOST", "version %d is read back, but %d was acknowledged", r.Revision, w.newestAcked)
+				w.violate("CONFIG", "revision %d is read back but was rejected", r.Revision)
+			case r.Revision < w.ackedRevision:
+				w.violate("LOST", "revision %d is read back, but %d was acknowledged", r.Revision, w.ackedRevision)
 			}
 		})})
 		w.advance(w.now + time.Second)
@@ -374,7 +376,7 @@
 		s := m.state()
 		for _, h := range s.History {
 			if c := w.sent[h.Digest]; c == nil || c.rejected {
-				w.violate("CONFIG", "version %d is in the log but was rejected or never sent", h.Revision)
+				w.violate("CONFIG", "revision %d is in the log but was rejected or never sent", h.Revision)
 			}
 		}
 	}
--- a/internal/lab/plane/people.go
+++ b/internal/lab/plane/people.go
@@ -11,11 +11,11 @@
 // Time limits of the platform, and parameters of engines and operators.
 const (
 	drainDeadline     = 4 * time.Second   // after the acknowledgement of a drain no router sends new work
-	drainGrace        = drainDeadline / 4 // routers may send known sessions to a draining engine for so long
+	drainGrace        = drainDeadline / 4 // how long routers may still send known sessions to a draining engine
 	heartbeatInterval = 1500 * time.Millisecond
 	clientTimeout     = time.Second // how long operators and engines wait for an answer
 
-	maxDeregisterCalls = 10 // an engine stops without an acknowledgement after so many further calls
+	maxDeregisterCalls = 10 // further calls of an engine that gets no acknowledgement
 )
 
 // engine is a simulated engine that sends heartbeats.
--- a/internal/lab/plane/plane.go
+++ b/internal/lab/plane/plane.go
@@ -57,10 +57,10 @@
 	DrainEngine       FaultKind = "leave"  // engines drain and then stop
 	CrashEngine       FaultKind = "crash"  // engines crash
 	ChangeConfig      FaultKind = "change" // an operator changes the configuration
-	RaceChanges       FaultKind = "race"   // two operators change the same version of the configuration
+	RaceChanges       FaultKind = "race"   // two operators change the configuration at the same base revision
 	FreezeProcess     FaultKind = "freeze" // processes pause and resume
 	StepClock         FaultKind = "step"   // the wall clocks of machines step forward or back, and return
-	PartitionPair     FaultKind = "part"   // machines do not hear each other; all other links work
+	PartitionPair     FaultKind = "part"   // partition machines from each other; all other links work
 	FullDisk          FaultKind = "full"   // disks of replicas refuse writes
 	SlowDisk          FaultKind = "slow"   // disks of replicas take 30 times as long
 	StallDisk         FaultKind = "stall"  // disks of replicas complete no write
@@ -80,7 +80,7 @@
 
 // The variants of faults.
 const (
-	Leader         Variant = "leader"  // the target is the replica that acted or acknowledged last
+	Leader         Variant = "leader"  // the target is the replica that last acknowledged a change or called the platform
 	RestartRouters Variant = "seeds"   // while the partition lasts, routers restart with only the isolated replicas as seeds
 	RestartAll     Variant = "both"    // the isolated replicas restart, and then all other replicas at the same moment
 	Planned        Variant = "planned" // the successor starts before its predecessor receives SIGTERM
@@ -94,7 +94,7 @@
 	Kill: {Leader}, FreezeProcess: {Leader}, Isolate: {Leader, RestartRouters, RestartAll}, PartitionReplicas: {RestartRouters, RestartAll}, ReplaceReplica: {Planned}, LoseReply: {Twice}, RaceChanges: {SameRevision}, PowerLoss: {LoseDisks},
 }
 
-// FaultKinds lists all kinds.
+// FaultKinds lists all kinds. Draw picks from kindWeights, and adds faults of the other kinds itself.
 var FaultKinds = []FaultKind{Kill, PowerLoss, CrashAfterAck, WipeDisk, Isolate, DropOutbound, DropInbound, PartitionReplicas, DrainEngine, CrashEngine, ChangeConfig, RaceChanges, FreezeProcess, StepClock, PartitionPair, FullDisk, SlowDisk, StallDisk, Terminate, ReplaceReplica, LoseReply, ChangeBurst, RemoveMember, PartitionHalves, DeregisterEngine}
 
 // targetsEngines reports whether the indexes of a fault are those of engines.
@@ -102,9 +102,19 @@
 	return k == DrainEngine || k == CrashEngine || k == DeregisterEngine
 }
 
-// Violation is a violated invariant.
+// Violation is a violated invariant. The invariants are:
+//
+//	ACKS: without faults, each change is answered within bounds.ack
+//	AVAILABLE: a settled core (see availability) answers each change within bounds.ack
+//	CONFIG: one change per base revision is acknowledged, a rejected change is never accepted, and retries are idempotent
+//	CURRENT: a read returns no revision older than one that was acknowledged before the read began
+//	DRAIN: no router sends new work to an engine after the deadline of its acknowledged drain
+//	DUTY: the last usage window, which ends without faults, is reported
+//	LOST: at the end, the configuration is no older than any acknowledged change
+//	ONE: no two lease holders act at the same time, and all reports of a usage window have the same counts
+//	SILENT: no router suspects an engine whose heartbeat was acknowledged lately
 type Violation struct {
-	Rule    string
+	Rule    string // name of the invariant
 	At      time.Duration
 	Message string
 }
@@ -114,7 +124,7 @@
 	Violations     []Violation   // the first of each rule, sorted by rule
 	Changes        int           // configuration changes that were sent
 	Acked          int           // of Changes, those that were acknowledged
-	AckedAtMaxLoss int           // of Acked, those while the core was settled and as many replicas as tolerated were lost
+	AckedAtMaxLoss int           // of Acked, those acknowledged while the core was settled and as many replicas as tolerated were lost
 	Drained        int           // engines whose drain was acknowledged
 	Windows        int           // usage windows that were due
 	Unreported     int           // of Windows, those not reported
@@ -147,15 +157,15 @@
 	core           availability
 	bounds         bounds
 
-	engines      []*engine
-	sent         map[fleetconfig.Digest]*configChange
-	pending      []*configChange          // configuration changes without a final answer, in the order of sending
-	ackedOnBase  map[uint64]*configChange // the acknowledged change, by base revision
-	replyLosses  []int                    // how many replies each of the next changes loses
-	newestAcked  uint64                   // newest acknowledged revision
-	lastRevision uint64                   // revision of the last change that was sent
-	violations   map[string]Violation
-	report       Report
+	engines       []*engine
+	sent          map[fleetconfig.Digest]*configChange
+	pending       []*configChange          // configuration changes without a final answer, in the order of sending
+	ackedOnBase   map[uint64]*configChange // the acknowledged change, by base revision
+	replyLosses   []int                    // how many replies each of the next changes loses
+	ackedRevision uint64                   // highest acknowledged revision
+	lastRevision  uint64                   // revision of the last change that was sent
+	violations    map[string]Violation
+	report        Report
 
 	platform         platform
 	meter            meter
--- a/internal/lab/plane/plane_test.go
+++ b/internal/lab/plane/plane_test.go
@@ -32,7 +32,7 @@
 
 // TestRandomScenariosKeepInvariants checks that generated scenarios violate no invariant and are deterministic.
 func TestRandomScenariosKeepInvariants(t *testing.T) {
-	acked, dark := 0, 0
+	acked, ackedAtMaxLoss := 0, 0
 	for seed := range uint64(20) {
 		s := fiveReplicas
 		if seed%2 == 0 {
@@ -43,13 +43,13 @@
 		if again := d.Run(""); seed < 2 && !cmp.Equal(r, again) {
 			t.Errorf("seed %d: a second run has another result: %d events and %d", seed, r.Events, again.Events)
 		}
-		acked, dark = acked+r.Acked, dark+r.AckedAtMaxLoss
+		acked, ackedAtMaxLoss = acked+r.Acked, ackedAtMaxLoss+r.AckedAtMaxLoss
 		if len(r.Violations) > 0 {
 			t.Errorf("seed %d: %+v", seed, r.Violations)
 		}
 	}
-	if t.Logf("%d configurations were acknowledged, %d of them with as many replicas lost as tolerated", acked, dark); acked < 200 || dark < 20 {
-		t.Errorf("only %d configurations were acknowledged, %d of them with as many replicas lost as tolerated", acked, dark)
+	if t.Logf("%d configurations were acknowledged, %d of them with as many replicas lost as tolerated", acked, ackedAtMaxLoss); acked < 200 || ackedAtMaxLoss < 20 {
+		t.Errorf("only %d configurations were acknowledged, %d of them with as many replicas lost as tolerated", acked, ackedAtMaxLoss)
 	}
 }
 
@@ -190,9 +190,9 @@
 		t.Errorf("at most %d replacements in a scenario; losses overlap in %d scenarios", mostReplacements, overlapping)
 	}
 	for _, k := range FaultKinds {
-		for _, how := range append([]Variant{""}, variants[k]...) {
-			if !seen[combination{k, how}] {
-				t.Errorf("%s %q is never drawn", k, how)
+		for _, variant := range append([]Variant{""}, variants[k]...) {
+			if !seen[combination{k, variant}] {
+				t.Errorf("%s %q is never drawn", k, variant)
 			}
 		}
 	}
@@ -238,18 +238,18 @@
 // TestPlanCoversMorePairsThanChance checks that planned scenarios cover more pairs of faults than random ones, and that a plan
 // is deterministic.
 func TestPlanCoversMorePairsThanChance(t *testing.T) {
-	const days = 60
-	all, met := Plan(1, days, fiveReplicas)
-	again, _ := Plan(1, days, fiveReplicas)
-	if diff := cmp.Diff(all, again); diff != "" || len(all) != days {
+	const count = 60
+	all, covered := Plan(1, count, fiveReplicas)
+	again, _ := Plan(1, count, fiveReplicas)
+	if diff := cmp.Diff(all, again); diff != "" || len(all) != count {
 		t.Errorf("a second plan differs:\n%s", diff)
 	}
 	chance := PairCounts{}
-	for seed := range uint64(days) {
+	for seed := range uint64(count) {
 		chance.add(Draw(1+seed, fiveReplicas), true)
 	}
-	if len(met) <= len(chance)*21/20 {
-		t.Errorf("%d pairs are covered, and %d by random scenarios", len(met), len(chance))
+	if len(covered) <= len(chance)*21/20 {
+		t.Errorf("%d pairs are covered, and %d by random scenarios", len(covered), len(chance))
 	}
 }
 
--- a/internal/lab/plane/recover.go
+++ b/internal/lab/plane/recover.go
@@ -31,7 +31,7 @@
 	}
 	w.advance(w.now + down)
 	restoredAt, before := w.now, platformCalls()
-	sent := w.submitNext(w.newestAcked, s.Replicas)
+	sent := w.submitNext(w.ackedRevision, s.Replicas)
 	r := Recovery{-1, -1, -1, -1, -1, -1}
 	note := func(at *time.Duration, is bool) {
 		if is && *at < 0 {
--- a/internal/lab/plane/succession.go
+++ b/internal/lab/plane/succession.go
@@ -102,7 +102,7 @@
 	m.soleSeeds = nil
 	for _, i := range []int{0, 1, w.scenario.Replicas} {
 		for try := 0; w.machines[i].gone || w.machines[i] == m && try > 0; try++ {
-			if x := w.connectedReplica(); try == 0 && x != nil { // one seed must be reachable, or the process finds nobody
+			if x := w.connectedReplica(); try == 0 && x != nil { // one seed must be reachable, or the process finds no other machine
 				i = x.index
 			} else {
 				i = w.randomMachine()
