--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -17,7 +17,7 @@
 	f.replicas = f.replicas[:3]
 	remove := func(at *testNode, name string, want int) {
 		t.Helper()
-		waitUntil(t, "a definite answer", func() bool {
+		waitUntil(t, "a final answer", func() bool {
 			code, b := controlCall(t, at.control, controlRequest{method: http.MethodDelete, path: "/fleet/members/" + name})
 			if code != want && code != http.StatusServiceUnavailable && code != 0 { // 0: redirected to the replica that has just stopped
 				t.Fatalf("%s: %d %s, want %d", name, code, b, want)
--- a/internal/node/operator_test.go
+++ b/internal/node/operator_test.go
@@ -95,7 +95,7 @@
 // replaceConfig submits a configuration until the outcome is definite: any response with a status below 500.
 func replaceConfig(t *testing.T, to string, base int, encoded []byte) (code int) {
 	t.Helper()
-	waitUntil(t, "a definite answer to a configuration", func() bool {
+	waitUntil(t, "a final answer to a configuration", func() bool {
 		code = tryReplaceConfig(t, to, base, encoded)
 		return code != 0 && code < 500
 	})
--- a/internal/route/split.go
+++ b/internal/route/split.go
@@ -10,9 +10,9 @@
 // WeightedPool is a pool of a service and its weight.
 type WeightedPool struct {
 	Pool   string
-	Weight float64 // relative to the other pools of the service; 0 = no conversations
-	// HashKey identifies the pool in the hash of a conversation; "" = Pool. A renamed pool that keeps its HashKey keeps
-	// its conversations.
+	Weight float64 // relative to the other pools of the service; 0 = no sessions
+	// HashKey identifies the pool in the choice of a session's pool; "" = Pool. A renamed pool that keeps its HashKey keeps
+	// its sessions.
 	HashKey string
 }
 
@@ -74,31 +74,30 @@
 	return numbers
 }
 
-// PoolFor returns the number of the pool for a conversation, by weighted rendezvous hashing. All requests of a conversation
-// have the same pool, and the conversations are distributed in proportion to the weights. When weights change, the fewest
-// possible conversations move, and only from pools whose share shrinks to pools whose share grows.
-func (t *Target) PoolFor(conversation uint64) int {
+// PoolFor returns the number of the pool for a session, by weighted rendezvous hashing. All requests of a session have the same
+// pool, and the sessions are distributed in proportion to the weights. When weights change, the fewest possible sessions move,
+// and only from pools whose share shrinks to pools whose share grows.
+func (t *Target) PoolFor(sessionHash uint64) int {
 	if len(t.pools) == 1 {
 		return t.pools[0].number
 	}
 	best, lowestScore := -1, math.Inf(1)
 	for i := range t.pools {
 		p := &t.pools[i]
-		if score := -math.Log(uniform(conversation, p.keyHash)) / p.weight; score < lowestScore {
+		if score := -math.Log(uniform(sessionHash, p.keyHash)) / p.weight; score < lowestScore {
 			best, lowestScore = p.number, score
 		}
 	}
 	return best
 }
 
-// HashConversation returns the conversation hash of a request without a session, from the id of the request.
+// HashConversation returns the hash that replaces the session hash of a request without a session, from the request's id.
 func HashConversation(id string) uint64 { return xxhash.Sum64String(id) }
 
-// uniform returns a pseudorandom number between 0 and 1, exclusive, for a conversation and a pool. It is the same on all
-// routers.
-func uniform(conversation, poolKey uint64) float64 {
+// uniform returns a pseudorandom number between 0 and 1, exclusive, for a session and a pool. It is the same on all routers.
+func uniform(sessionHash, poolKey uint64) float64 {
 	var b [16]byte
-	binary.LittleEndian.PutUint64(b[:8], conversation)
+	binary.LittleEndian.PutUint64(b[:8], sessionHash)
 	binary.LittleEndian.PutUint64(b[8:], poolKey)
 	return (float64(xxhash.Sum64(b[:])>>11) + 0.5) / (1 << 53)
 }
