--- a/lab/net/lost-tests.sh
+++ b/lab/net/lost-tests.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Prints the tests of 38814e2 (lab/net/tests-before.txt) that the tree has no more, by their names and the names that
-# lab/net/renamed-tests.txt gives them, and fails if there is one. A line there: package, old name, new name; several new
-# names with commas or plus signs between, or a line each, where a test was split; "(new)" for the old name of a test that is new. A name
-# that stood in several packages must stand as often.
+# Prints the tests of commit 38814e2 (lab/net/tests-before.txt) that no longer exist under their old name or under the names
+# in lab/net/renamed-tests.txt, and fails if there are any. Each line of renamed-tests.txt has the package, the old name and the
+# new name. A test that was split has several new names, separated by commas or plus signs, or a line for each. A new test has
+# the old name "(new)". A name that occurred in several packages must still occur as often.
 #
 #   lab/net/lost-tests.sh
 set -euo pipefail
--- a/test.sh
+++ b/test.sh
@@ -1,16 +1,16 @@
 #!/bin/sh
-# Checks everything: formatting, vet, linters, build, tests under the race detector, the limits of the module.
+# Runs all checks: formatting, vet, linters, build, tests under the race detector, and the size limits of the policy module.
 set -eu
 cd "$(dirname "$0")"
 
-# The linters and formatters of .golangci.yml, in the versions of tools/go.mod; golangci-lint fmt formats.
+# Runs the linters of .golangci.yml in the versions of tools/go.mod. golangci-lint fmt fixes the formatting.
 lint() {
   go tool -modfile=tools/go.mod golangci-lint run --allow-parallel-runners
   (cd tools && go tool golangci-lint run --allow-parallel-runners)
 }
 
-# All tests but those of KNOWN-RED.txt, as go test -json prints them; and one more failure where go test itself fails, which
-# the pipe would hide.
+# Prints the go test -json output of all tests that KNOWN-RED.txt does not list. If go test fails, an event of a failed package
+# follows, because the pipe hides the exit code.
 failed() { echo '{"Action":"fail","Package":"go test"}'; }
 events() {
   red=$(bin/knownred packages)
@@ -25,8 +25,8 @@
   done
 }
 
-# All tests but those of KNOWN-RED.txt, which then run alone and have to fail (tools/knownred). The others are counted, so that
-# none is lost without a word: lab/net/test-count has the least numbers (tools/testcount).
+# Runs all tests that KNOWN-RED.txt does not list, then each listed one alone, which must fail (tools/knownred). At least as many
+# tests as lab/net/test-count requires must run, so that no test disappears unnoticed (tools/testcount).
 tests() {
   go -C tools vet ./...
   go -C tools test ./...
@@ -45,16 +45,16 @@
 fi
 lines=$(grep -c '[^[:space:]]' policy/policy.go)
 if [ "$lines" -gt 940 ]; then
-  echo "policy/policy.go has $lines lines that are not blank; 940 at most" >&2
+  echo "policy/policy.go has $lines lines that are not blank; the limit is 940" >&2
   exit 1
 fi
-# gofmt indents by tabs; a reader's tab is counted as one character, as in the bench.
-if awk 'length($0) > 110 { print FILENAME ":" FNR ": over 110 characters"; bad = 1 } END { exit !bad }' policy/*.go; then
+# A tab counts as one character, as in the platform's bench.
+if awk 'length($0) > 110 { print FILENAME ":" FNR ": longer than 110 characters"; bad = 1 } END { exit !bad }' policy/*.go; then
   exit 1
 fi
 go vet ./...
 lint
-# As the platform builds: its bench loads a library into the router, which takes a dynamic loader.
+# Builds as the platform does. Its bench loads a library into the router, which needs the dynamic loader.
 sh -c "$(sed -n 's/^build = "\(.*\)".*/\1/p' deploy/balancer.toml)"
 if ! LC_ALL=C ldd bin/notchhinge | grep -q 'libc\.so'; then
   echo "bin/notchhinge is not linked dynamically against the C library" >&2
